--- /dev/null
+++ b/crates/agent/tests/wire_form.rs
@@ -0,0 +1,95 @@
+//! The bodies of calls between routers, replicas and administrators, and the code that authenticates them, against
+//! fixtures that were written before any type was renamed.
+
+use std::fmt::Write as _;
+use std::path::PathBuf;
+
+use hoptiller_agent::Secret;
+use hoptiller_agent::wire::*;
+use hoptiller_agreement::Difference;
+use hoptiller_agreement::fleet::{Head, Holder, Put, Version};
+use hoptiller_http::{Method, Request, Response};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn fixture() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/messages.txt")
+}
+
+fn again<T: Serialize + DeserializeOwned>(body: &str) -> String {
+    let value: T = serde_json::from_str(body).unwrap_or_else(|error| panic!("{body}: {error}"));
+    serde_json::to_string(&value).expect("it has a JSON form")
+}
+
+#[test]
+fn messages_are_read_and_written_with_the_same_bytes() {
+    let stored = std::fs::read_to_string(fixture()).expect("the fixture exists");
+    let mut written = String::new();
+    for line in stored.lines() {
+        let (name, body) = line.split_once(' ').expect("a name and a body");
+        let body = match name {
+            "ask" => again::<Ask>(body),
+            "asked" => again::<Asked>(body),
+            "holder" => again::<Holder>(body),
+            "watch" => again::<Watch>(body),
+            "numbers" => again::<Numbers>(body),
+            "note" => again::<Note>(body),
+            "noted" => again::<Noted>(body),
+            "leases" => again::<Vec<LeaseStatus>>(body),
+            "status" => again::<Status>(body),
+            "put" => again::<Put>(body),
+            "put-answer" => again::<PutAnswer>(body),
+            "which" => again::<Which>(body),
+            "version" => again::<Version>(body),
+            "history" => again::<Vec<Head>>(body),
+            "between" => again::<Between>(body),
+            "differences" => again::<Vec<Difference>>(body),
+            "replaced" => again::<Replaced>(body),
+            "problem" => again::<Problem>(body),
+            other => panic!("{other}: no such message"),
+        };
+        let _ = writeln!(written, "{name} {body}");
+    }
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(fixture(), &written).expect("the fixture can be written");
+    }
+    assert_eq!(std::fs::read_to_string(fixture()).expect("the fixture exists"), written);
+}
+
+#[test]
+fn paths_and_authentication_codes_stay() {
+    let paths = [
+        ASK, GIVE_BACK, WATCH, NOTE, LEASES, STATUS, PUT, SHOW, HISTORY, DIFF, MESSAGES, STATE, INSTALL,
+        REPLACE,
+    ];
+    let expected = [
+        "/v1/fleet/ask",
+        "/v1/fleet/give-back",
+        "/v1/fleet/watch",
+        "/v1/fleet/note",
+        "/v1/fleet/leases",
+        "/v1/fleet/status",
+        "/v1/settings/put",
+        "/v1/settings/show",
+        "/v1/settings/history",
+        "/v1/settings/diff",
+        "/v1/keeper/messages",
+        "/v1/keeper/state",
+        "/v1/keeper/install",
+        "/v1/keeper/replace",
+    ];
+    assert_eq!(paths, expected);
+    let secret = Secret::new(b"sixteen bytes or more");
+    let mut call = Request::new(Method::Post, ASK);
+    call.body = b"{}".to_vec();
+    let call = secret.sign(call);
+    let answer = secret.sign_answer(&call, Response::json(200, "{}"));
+    let codes = [call.headers.get("X-Hoptiller-Code"), answer.headers.get("X-Hoptiller-Code")];
+    assert_eq!(
+        codes,
+        [
+            Some("2e844f0387728e04104618957bbc62c9c3ab01acfebc1b5a2af0f0a57affa219"),
+            Some("0975f4454af65062e6f23408190ac84c3e96a49cbec739ef39c3aab760d2c030")
+        ]
+    );
+}
--- /dev/null
+++ b/crates/agreement/tests/stored_form.rs
@@ -0,0 +1,69 @@
+//! The stored and transmitted form of acts, of the replicated state and of documents, against fixtures that were written
+//! before any type was renamed. `UPDATE_FIXTURES=1` rewrites them; only a deliberate change of the form justifies that.
+
+use std::fmt::Write as _;
+use std::path::PathBuf;
+
+use hoptiller_agreement::{Act, Answer, Document, Fleet};
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn read(name: &str) -> String {
+    std::fs::read_to_string(fixture(name)).expect("the fixture exists")
+}
+
+fn assert_pinned(name: &str, actual: &str) {
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(fixture(name), actual).expect("the fixture can be written");
+    }
+    assert_eq!(read(name), actual, "{name} has another form");
+}
+
+fn json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("it has a JSON form")
+}
+
+fn answer_line(answer: &Answer) -> String {
+    match answer {
+        Answer::Put(result) => format!("put {}", json(result)),
+        Answer::Granted(granted) => format!("granted {}", json(granted)),
+        Answer::Noted(result) => format!("noted {}", json(result)),
+        Answer::Settled(number) => format!("settled {number}"),
+        Answer::Ahead => "ahead".to_owned(),
+        Answer::Empty => "empty".to_owned(),
+        Answer::Crowded => "crowded".to_owned(),
+        Answer::GivenBack => "given back".to_owned(),
+    }
+}
+
+#[test]
+fn stored_acts_are_written_with_the_same_bytes_and_lead_to_the_same_state() {
+    let mut fleet = Fleet::default();
+    let (mut acts, mut answers) = (String::new(), String::new());
+    for line in read("acts.jsonl").lines() {
+        let act: Act = serde_json::from_str(line).expect("a stored act can be read");
+        let _ = writeln!(acts, "{}", json(&act));
+        let _ = writeln!(answers, "{}", answer_line(&fleet.apply(act)));
+    }
+    assert_pinned("acts.jsonl", &acts);
+    assert_pinned("answers.txt", &answers);
+    assert_pinned("state.json", &json(&fleet));
+    let restored: Fleet = serde_json::from_str(&read("state.json")).expect("a stored state can be read");
+    assert_eq!(restored, fleet);
+}
+
+#[test]
+fn a_documents_bytes_and_digest_stay() {
+    let text = read("state.json");
+    let state: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let mut pinned = String::new();
+    for version in state["course"].as_array().expect("versions") {
+        let bytes = version["document"].to_string();
+        let document = Document::read(bytes.as_bytes()).expect("a good document");
+        assert_eq!(version["head"]["digest"], document.digest());
+        let _ = writeln!(pinned, "{} {}", document.digest(), String::from_utf8_lossy(&document.bytes()));
+    }
+    assert_pinned("documents.txt", &pinned);
+}
