--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -30,7 +30,8 @@
         match self {
             Unreached::Nobody(all) => {
                 write!(f, "no keeper has answered")?;
-                all.iter().try_for_each(|(addr, why)| write!(f, "; {addr}: {why}"))
+                all.iter()
+                    .try_for_each(|(addr, why)| write!(f, "; {addr}: {why}"))
             }
             Unreached::Refused(_, why) => write!(f, "{why}"),
         }
@@ -50,7 +51,11 @@
 impl Keepers {
     /// At these addresses.
     pub fn new(at: Vec<SocketAddr>, secret: Secret) -> Keepers {
-        Keepers { at, secret, first: Cell::new(0) }
+        Keepers {
+            at,
+            secret,
+            first: Cell::new(0),
+        }
     }
 
     /// Begins with another one at the next call; so that a fleet's routers don't all ask the same.
@@ -94,12 +99,22 @@
         within: Duration,
     ) -> Result<A, Unreached> {
         let nobody = |why: String| Unreached::Nobody(vec![(at, why)]);
-        let mut request = Request::new(if body.is_some() { Method::Post } else { Method::Get }, path);
+        let mut request = Request::new(
+            if body.is_some() {
+                Method::Post
+            } else {
+                Method::Get
+            },
+            path,
+        );
         if let Some(body) = body {
             request.body = serde_json::to_vec(body).map_err(|e| nobody(e.to_string()))?;
         }
         let request = self.secret.sign(request.with("Connection", "close"));
-        let limits = Limits { body: MOST_BODY, ..Limits::default() };
+        let limits = Limits {
+            body: MOST_BODY,
+            ..Limits::default()
+        };
         let exchange = async {
             let mut c = Connection::open(at, CONNECT.min(within), limits).await?;
             c.exchange(&request, within).await
@@ -116,7 +131,9 @@
             return Err(nobody("its answer is not the fleet's".into()));
         }
         match answer.status.0 {
-            200 => serde_json::from_slice(&answer.body).map_err(|e| nobody(format!("its answer: {e}"))),
+            200 => {
+                serde_json::from_slice(&answer.body).map_err(|e| nobody(format!("its answer: {e}")))
+            }
             status @ 400..500 => Err(Unreached::Refused(status, told())),
             _ => Err(nobody(told())),
         }
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -19,7 +19,10 @@
 
     /// One that runs fast or slow by so many millionths, from its making on.
     pub fn skewed(skew: i64) -> Clock {
-        Clock { began: read(), skew: skew.clamp(-900_000, 900_000) }
+        Clock {
+            began: read(),
+            skew: skew.clamp(-900_000, 900_000),
+        }
     }
 
     /// Now.
--- a/crates/agent/src/secret.rs
+++ b/crates/agent/src/secret.rs
@@ -36,9 +36,16 @@
     /// From a file: 32 hexadecimal digits or more.
     pub fn load(path: &Path) -> io::Result<Secret> {
         let text = std::fs::read_to_string(path)?;
-        let bytes = HEXLOWER_PERMISSIVE.decode(text.trim().as_bytes()).ok().filter(|b| b.len() >= LEAST);
+        let bytes = HEXLOWER_PERMISSIVE
+            .decode(text.trim().as_bytes())
+            .ok()
+            .filter(|b| b.len() >= LEAST);
         bytes.map(|b| Secret::new(&b)).ok_or_else(|| {
-            let why = format!("{}: {} hexadecimal digits or more are wanted", path.display(), LEAST * 2);
+            let why = format!(
+                "{}: {} hexadecimal digits or more are wanted",
+                path.display(),
+                LEAST * 2
+            );
             io::Error::new(io::ErrorKind::InvalidData, why)
         })
     }
@@ -54,7 +61,12 @@
     }
 
     fn of_request(&self, r: &Request) -> blake3::Hash {
-        self.code(&[b"call", r.method.as_str().as_bytes(), r.target.as_bytes(), &r.body])
+        self.code(&[
+            b"call",
+            r.method.as_str().as_bytes(),
+            r.target.as_bytes(),
+            &r.body,
+        ])
     }
 
     /// Adds the code to a call.
@@ -70,7 +82,12 @@
 
     fn of_response(&self, to: &Request, r: &Response) -> blake3::Hash {
         let call = to.headers.get(FIELD).unwrap_or_default();
-        self.code(&[b"answer", call.as_bytes(), &r.status.0.to_be_bytes(), &r.body])
+        self.code(&[
+            b"answer",
+            call.as_bytes(),
+            &r.status.0.to_be_bytes(),
+            &r.body,
+        ])
     }
 
     /// Adds the code to the answer to a call.
@@ -93,7 +110,11 @@
 fn matches(told: Option<&str>, right: blake3::Hash) -> Result<(), Foreign> {
     // The comparison of hashes takes the same time wherever they differ.
     let told = told.and_then(|t| blake3::Hash::from_hex(t).ok());
-    if told == Some(right) { Ok(()) } else { Err(Foreign) }
+    if told == Some(right) {
+        Ok(())
+    } else {
+        Err(Foreign)
+    }
 }
 
 #[cfg(test)]
@@ -112,8 +133,20 @@
         let signed = ours.sign(call("a"));
         assert_eq!(ours.check(&signed), Ok(()));
         assert_eq!(theirs.check(&signed), Err(Foreign));
-        assert_eq!(ours.check(&Request { body: b"b".to_vec(), ..signed.clone() }), Err(Foreign));
-        assert_eq!(ours.check(&Request { target: "/y".into(), ..signed.clone() }), Err(Foreign));
+        assert_eq!(
+            ours.check(&Request {
+                body: b"b".to_vec(),
+                ..signed.clone()
+            }),
+            Err(Foreign)
+        );
+        assert_eq!(
+            ours.check(&Request {
+                target: "/y".into(),
+                ..signed.clone()
+            }),
+            Err(Foreign)
+        );
         assert_eq!(ours.check(&call("a")), Err(Foreign), "without a code");
         let answer = ours.sign_answer(&signed, Response::json(200, "{}"));
         assert_eq!(ours.check_answer(&signed, &answer), Ok(()));
@@ -122,12 +155,22 @@
             Err(Foreign),
             "an answer to another call"
         );
-        assert_eq!(ours.check_answer(&signed, &Response { body: b"[]".to_vec(), ..answer }), Err(Foreign));
+        assert_eq!(
+            ours.check_answer(
+                &signed,
+                &Response {
+                    body: b"[]".to_vec(),
+                    ..answer
+                }
+            ),
+            Err(Foreign)
+        );
     }
 
     #[test]
     fn a_short_or_garbled_secret_is_an_error() {
-        let path = std::env::temp_dir().join(format!("hoptiller-fleet-secret-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("hoptiller-fleet-secret-{}", std::process::id()));
         for text in ["", "abcd", "zz".repeat(32).as_str()] {
             std::fs::write(&path, text).expect("written");
             assert!(Secret::load(&path).is_err(), "{text:?}");
--- a/crates/agent/tests/wire_form.rs
+++ b/crates/agent/tests/wire_form.rs
@@ -53,14 +53,17 @@
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(fixture(), &written).expect("the fixture can be written");
     }
-    assert_eq!(std::fs::read_to_string(fixture()).expect("the fixture exists"), written);
+    assert_eq!(
+        std::fs::read_to_string(fixture()).expect("the fixture exists"),
+        written
+    );
 }
 
 #[test]
 fn paths_and_authentication_codes_stay() {
     let paths = [
-        ASK, GIVE_BACK, WATCH, NOTE, LEASES, STATUS, PUT, SHOW, HISTORY, DIFF, MESSAGES, STATE, INSTALL,
-        REPLACE,
+        ASK, GIVE_BACK, WATCH, NOTE, LEASES, STATUS, PUT, SHOW, HISTORY, DIFF, MESSAGES, STATE,
+        INSTALL, REPLACE,
     ];
     let expected = [
         "/v1/fleet/ask",
@@ -84,7 +87,10 @@
     call.body = b"{}".to_vec();
     let call = secret.sign(call);
     let answer = secret.sign_answer(&call, Response::json(200, "{}"));
-    let codes = [call.headers.get("X-Hoptiller-Code"), answer.headers.get("X-Hoptiller-Code")];
+    let codes = [
+        call.headers.get("X-Hoptiller-Code"),
+        answer.headers.get("X-Hoptiller-Code"),
+    ];
     assert_eq!(
         codes,
         [
--- a/crates/agreement/src/document.rs
+++ b/crates/agreement/src/document.rs
@@ -202,7 +202,9 @@
 impl crate::meet::Rule<BTreeMap<Task, u32>> for Done {
     const BINDS: bool = false;
     fn meet(a: &BTreeMap<Task, u32>, b: &BTreeMap<Task, u32>) -> BTreeMap<Task, u32> {
-        a.iter().filter_map(|(task, n)| b.get(task).map(|m| (*task, *n.min(m)))).collect()
+        a.iter()
+            .filter_map(|(task, n)| b.get(task).map(|m| (*task, *n.min(m))))
+            .collect()
     }
 }
 
@@ -240,9 +242,15 @@
 impl Document {
     /// Reads JSON. What it does not know is refused, not dropped.
     pub fn read(bytes: &[u8]) -> Result<Document, Flaw> {
-        let whole = |what: String| Flaw { path: "(whole document)".into(), what };
+        let whole = |what: String| Flaw {
+            path: "(whole document)".into(),
+            what,
+        };
         if bytes.len() > MOST_BYTES {
-            return Err(whole(format!("is {} bytes, {MOST_BYTES} at most", bytes.len())));
+            return Err(whole(format!(
+                "is {} bytes, {MOST_BYTES} at most",
+                bytes.len()
+            )));
         }
         serde_json::from_slice(bytes).map_err(|e| whole(e.to_string()))
     }
@@ -282,7 +290,9 @@
 
     /// How `new` relates to this one, all together.
     pub fn change(&self, new: &Document) -> Change {
-        self.differences(new).iter().fold(Change::Neutral, |all, d| all.and(d.change))
+        self.differences(new)
+            .iter()
+            .fold(Change::Neutral, |all, d| all.and(d.change))
     }
 
     /// Classes of a meet that no place is left for: path of the setting.
@@ -295,7 +305,8 @@
             all.push("kinds".to_owned());
         }
         for (name, class) in &self.classes {
-            let empty = |places: &Option<BTreeSet<String>>| places.as_ref().is_some_and(BTreeSet::is_empty);
+            let empty =
+                |places: &Option<BTreeSet<String>>| places.as_ref().is_some_and(BTreeSet::is_empty);
             if empty(&class.kinds) {
                 all.push(format!("classes.{name}.kinds"));
             }
@@ -309,15 +320,27 @@
     /// All that makes it unusable as a version.
     pub fn flaws(&self) -> Vec<Flaw> {
         let mut all = Vec::new();
-        let mut note = |path: String, what: &str| all.push(Flaw { path, what: what.to_owned() });
+        let mut note = |path: String, what: &str| {
+            all.push(Flaw {
+                path,
+                what: what.to_owned(),
+            })
+        };
         if self.form != FORM {
-            note("form".into(), "is another form of the document than this program knows");
+            note(
+                "form".into(),
+                "is another form of the document than this program knows",
+            );
         }
         if self.classes.len() > MOST_CLASSES {
             note("classes".into(), "are more than 256");
         }
-        let names =
-            self.classes.keys().chain(self.kinds.keys()).chain(&self.zones).chain(self.tenants.keys());
+        let names = self
+            .classes
+            .keys()
+            .chain(self.kinds.keys())
+            .chain(&self.zones)
+            .chain(self.tenants.keys());
         for name in names.filter(|n| n.is_empty() || n.len() > MOST_NAME) {
             note(format!("{name:.40?}"), "a name of 1 to 128 bytes is wanted");
         }
@@ -331,33 +354,56 @@
                 note(format!("tenants.{tenant}"), "a share over 0 is wanted");
             }
         }
-        if self.default_class.as_ref().is_some_and(|c| !self.classes.contains_key(c)) {
+        if self
+            .default_class
+            .as_ref()
+            .is_some_and(|c| !self.classes.contains_key(c))
+        {
             note("default_class".into(), "is no class of this document");
         }
         if self.tasks.values().map(|n| u64::from(*n)).sum::<u64>() > MOST_LEASES as u64 {
             note("tasks".into(), "have more than 4096 parts");
         }
-        if self.tasks.get(&Task::List).is_some_and(|n| *n != 1) || self.tasks.values().any(|n| *n == 0) {
-            note("tasks".into(), "want 1 part or more each, and `list` just one: there is one discovery");
+        if self.tasks.get(&Task::List).is_some_and(|n| *n != 1)
+            || self.tasks.values().any(|n| *n == 0)
+        {
+            note(
+                "tasks".into(),
+                "want 1 part or more each, and `list` just one: there is one discovery",
+            );
         }
         for (name, class) in &self.classes {
             self.class_flaws(name, class, &mut note);
         }
         let (e, r) = (&self.engines, &self.rules);
         if e.max_attempts == 0 {
-            note("engines.max_attempts".into(), "must be 1 or more: no statement could be sent (rule 7)");
+            note(
+                "engines.max_attempts".into(),
+                "must be 1 or more: no statement could be sent (rule 7)",
+            );
         }
         if let Some(b) = &e.budget {
-            let sound = [b.spare, b.ratio].iter().all(|n| n.is_finite() && *n >= 0.0);
+            let sound = [b.spare, b.ratio]
+                .iter()
+                .all(|n| n.is_finite() && *n >= 0.0);
             if !sound || b.within == Span(0) {
-                note("engines.budget".into(), "wants numbers of 0 or more, within a span over 0 (rule 7)");
+                note(
+                    "engines.budget".into(),
+                    "wants numbers of 0 or more, within a span over 0 (rule 7)",
+                );
             }
         }
         if !(r.start_capacity > 0.0 && r.start_capacity <= 1.0) {
-            note("rules.start_capacity".into(), "is a part of the capacity, over 0 and up to 1 (rule 4)");
+            note(
+                "rules.start_capacity".into(),
+                "is a part of the capacity, over 0 and up to 1 (rule 4)",
+            );
         }
         if !(r.overload.is_finite() && r.overload >= 1.0) || r.fall == Span(0) {
-            note("rules.overload".into(), "must be 1 or more, for a rules.fall over 0 (rule 4)");
+            note(
+                "rules.overload".into(),
+                "must be 1 or more, for a rules.fall over 0 (rule 4)",
+            );
         }
         if self.list.as_ref().is_some_and(|l| l.0.len() > MOST_ENGINES) {
             note("list".into(), "names more than 10000 engines");
@@ -370,8 +416,14 @@
 
     fn class_flaws(&self, name: &str, class: &Class, note: &mut impl FnMut(String, &str)) {
         let path = |key: &str| format!("classes.{name}.{key}");
-        if !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b)) {
-            note(path("name"), "only letters, digits, '-', '_' and '.' can stand in a client tag");
+        if !name
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+        {
+            note(
+                path("name"),
+                "only letters, digits, '-', '_' and '.' can stand in a client tag",
+            );
         }
         let figures = [class.stretch, class.worth, class.late_worth, class.threads];
         if !figures.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
@@ -384,10 +436,16 @@
             note(path("late_worth"), "is a part of the worth, 0 to 1");
         }
         if class.aim == Span(0) || class.patience < class.aim {
-            note(path("patience"), "must be the aim or more, and the aim over 0");
+            note(
+                path("patience"),
+                "must be the aim or more, and the aim over 0",
+            );
         }
         if class.patience < Span::millis(500) {
-            note(path("patience"), "is under 500ms: no final answer could come in time (rule 1)");
+            note(
+                path("patience"),
+                "is under 500ms: no final answer could come in time (rule 1)",
+            );
         }
         if class.holds && class.repeat == Repeat::Safe {
             note(
@@ -396,13 +454,32 @@
             );
         }
         if class.repeat == Repeat::Never && class.in_doubt == Some(InDoubt::Serve) {
-            note(path("in_doubt"), "what must never run twice can't be served in doubt (rule 2)");
+            note(
+                path("in_doubt"),
+                "what must never run twice can't be served in doubt (rule 2)",
+            );
         }
-        for kind in class.kinds.iter().flatten().filter(|k| !self.kinds.contains_key(*k)) {
-            note(path("kinds"), &format!("{kind:?} is no kind of this document (rule 6)"));
+        for kind in class
+            .kinds
+            .iter()
+            .flatten()
+            .filter(|k| !self.kinds.contains_key(*k))
+        {
+            note(
+                path("kinds"),
+                &format!("{kind:?} is no kind of this document (rule 6)"),
+            );
         }
-        for zone in class.zones.iter().flatten().filter(|z| !self.zones.contains(*z)) {
-            note(path("zones"), &format!("{zone:?} is no zone of this document (rule 6)"));
+        for zone in class
+            .zones
+            .iter()
+            .flatten()
+            .filter(|z| !self.zones.contains(*z))
+        {
+            note(
+                path("zones"),
+                &format!("{zone:?} is no zone of this document (rule 6)"),
+            );
         }
     }
 }
--- a/crates/agreement/src/fleet.rs
+++ b/crates/agreement/src/fleet.rs
@@ -169,13 +169,23 @@
         match self {
             Refused::Flawed { flaws } => write!(f, "the document can't be used:{}", list(flaws)),
             Refused::Outdated { last } => {
-                write!(f, "the last version is {last} now; look at it, and put again")
+                write!(
+                    f,
+                    "the last version is {last} now; look at it, and put again"
+                )
             }
             Refused::Busy { pending } => {
-                write!(f, "{pending} changes are on their way already; try again later")
+                write!(
+                    f,
+                    "{pending} changes are on their way already; try again later"
+                )
             }
             Refused::Nowhere { places } => {
-                write!(f, "until it is in force, a class would have no place left:{}", list(places))
+                write!(
+                    f,
+                    "until it is in force, a class would have no place left:{}",
+                    list(places)
+                )
             }
             Refused::Reused { number } => {
                 write!(f, "version {number} came under that name with another text")
@@ -255,7 +265,12 @@
     pub fn apply(&mut self, act: Act) -> Answer {
         match act {
             Act::Put(put) => Answer::Put(self.put(*put)),
-            Act::Ask { holder, heeds, in_force, offer } => self.ask(holder, heeds, in_force, offer),
+            Act::Ask {
+                holder,
+                heeds,
+                in_force,
+                offer,
+            } => self.ask(holder, heeds, in_force, offer),
             Act::GiveBack(holder) => {
                 self.holders.remove(&holder);
                 self.leases.gone(&holder);
@@ -265,9 +280,12 @@
                 self.leases.lapsed(&lapsed);
                 Answer::Settled(self.in_force())
             }
-            Act::Note { holder, part, number, text } => {
-                Answer::Noted(self.leases.note(&holder, &part, number, &text))
-            }
+            Act::Note {
+                holder,
+                part,
+                number,
+                text,
+            } => Answer::Noted(self.leases.note(&holder, &part, number, &text)),
             Act::Settle { upto, lapsed } => self.settle(upto, &lapsed),
         }
     }
@@ -277,13 +295,18 @@
         if let Some(known) = self.heads().find(|h| h.change == put.change) {
             return match known.digest == digest {
                 true => Ok(known.number),
-                false => Err(Refused::Reused { number: known.number }),
+                false => Err(Refused::Reused {
+                    number: known.number,
+                }),
             };
         }
         let mut flaws = put.document.flaws();
         for (path, text) in [("change", &put.change), ("by", &put.by), ("why", &put.why)] {
             if text.is_empty() || text.len() > MOST_WORDS {
-                flaws.push(Flaw { path: path.into(), what: format!("1 to {MOST_WORDS} bytes are wanted") });
+                flaws.push(Flaw {
+                    path: path.into(),
+                    what: format!("1 to {MOST_WORDS} bytes are wanted"),
+                });
             }
         }
         if !flaws.is_empty() {
@@ -293,16 +316,32 @@
             return Err(Refused::Outdated { last: self.last() });
         }
         if self.pending().len() >= MOST_PENDING {
-            return Err(Refused::Busy { pending: self.pending().len() });
+            return Err(Refused::Busy {
+                pending: self.pending().len(),
+            });
         }
         let places = self.clashes(&put.document);
         if !places.is_empty() {
             return Err(Refused::Nowhere { places });
         }
         let number = self.last() + 1;
-        let kind = self.course.back().map_or(Change::Looser, |last| last.document.change(&put.document));
-        let head = Head { number, digest, change: put.change, by: put.by, at: put.at, why: put.why, kind };
-        self.course.push_back(Version { head, document: put.document });
+        let kind = self
+            .course
+            .back()
+            .map_or(Change::Looser, |last| last.document.change(&put.document));
+        let head = Head {
+            number,
+            digest,
+            change: put.change,
+            by: put.by,
+            at: put.at,
+            why: put.why,
+            kind,
+        };
+        self.course.push_back(Version {
+            head,
+            document: put.document,
+        });
         // The first version contradicts nothing, as nobody acted before it; neither does a neutral change.
         self.advance(number, |front| front == 1);
         Ok(number)
@@ -310,7 +349,9 @@
 
     /// Classes that would have no place between the versions on their way and this one, with both sides named.
     fn clashes(&self, new: &Document) -> Vec<Flaw> {
-        let Some(meet) = self.rules() else { return Vec::new() };
+        let Some(meet) = self.rules() else {
+            return Vec::new();
+        };
         let places = |d: &Document, path: &str| match path.split('.').collect::<Vec<_>>()[..] {
             ["classes", class, "kinds"] => {
                 format!("{:?}", d.classes.get(class).and_then(|c| c.kinds.clone()))
@@ -334,7 +375,13 @@
         meet.meet(new).nowhere().into_iter().map(named).collect()
     }
 
-    fn ask(&mut self, holder: Holder, heeds: Number, in_force: Number, offer: Option<Offer>) -> Answer {
+    fn ask(
+        &mut self,
+        holder: Holder,
+        heeds: Number,
+        in_force: Number,
+        offer: Option<Offer>,
+    ) -> Answer {
         let last = self.last();
         if heeds > last || in_force > self.in_force() {
             return Answer::Ahead;
@@ -347,27 +394,59 @@
         }
         self.serial += 1;
         let serial = self.serial;
-        let leases = offer.as_ref().and_then(|offer| self.leases.asked(&holder, serial, offer));
+        let leases = offer
+            .as_ref()
+            .and_then(|offer| self.leases.asked(&holder, serial, offer));
         let board = offer.map(|offer| self.leases.board(offer.board));
         // One that holds no permit acts on nothing until it hears this answer, or a later one.
-        let held = self.holders.entry(holder).or_insert(Held { heeds: last, serial });
-        *held = Held { heeds: held.heeds.max(heeds), serial };
+        let held = self.holders.entry(holder).or_insert(Held {
+            heeds: last,
+            serial,
+        });
+        *held = Held {
+            heeds: held.heeds.max(heeds),
+            serial,
+        };
         let has_them = heeds == last && in_force == self.in_force();
-        let versions = if has_them { Vec::new() } else { self.course.iter().cloned().collect() };
+        let versions = if has_them {
+            Vec::new()
+        } else {
+            self.course.iter().cloned().collect()
+        };
         let in_force = self.in_force();
-        Answer::Granted(Granted { in_force, heed: last, versions, serial, leases, board })
+        Answer::Granted(Granted {
+            in_force,
+            heed: last,
+            versions,
+            serial,
+            leases,
+            board,
+        })
     }
 
     fn settle(&mut self, upto: Number, lapsed: &[(Holder, u64)]) -> Answer {
         for (holder, serial) in lapsed {
             // Danger: a permit that was prolonged after the keeper judged it is alive.
-            if self.holders.get(holder).is_some_and(|held| held.serial == *serial) {
+            if self
+                .holders
+                .get(holder)
+                .is_some_and(|held| held.serial == *serial)
+            {
                 self.holders.remove(holder);
                 self.leases.gone(holder);
             }
         }
-        let all = self.holders.values().map(|h| h.heeds).min().unwrap_or(Number::MAX);
-        let heeded = if plant::is(Plant::NoWait) { Number::MAX } else { all };
+        let all = self
+            .holders
+            .values()
+            .map(|h| h.heeds)
+            .min()
+            .unwrap_or(Number::MAX);
+        let heeded = if plant::is(Plant::NoWait) {
+            Number::MAX
+        } else {
+            all
+        };
         self.advance(upto, |next| next <= heeded);
         Answer::Settled(self.in_force())
     }
@@ -425,7 +504,10 @@
 
     /// A version whose text is still kept.
     pub fn version(&self, number: Number) -> Option<&Version> {
-        self.texts.iter().chain(&self.course).find(|v| v.head.number == number)
+        self.texts
+            .iter()
+            .chain(&self.course)
+            .find(|v| v.head.number == number)
     }
 
     /// Heads of all versions that are kept, oldest first.
@@ -451,11 +533,17 @@
     /// Holders that stand against the next change.
     pub fn waits_for(&self) -> impl Iterator<Item = (&Holder, &Held)> {
         let next = self.pending().next().map(|v| v.head.number);
-        self.holders.iter().filter(move |(_, held)| next.is_some_and(|next| held.heeds < next))
+        self.holders
+            .iter()
+            .filter(move |(_, held)| next.is_some_and(|next| held.heeds < next))
     }
 
     /// How two kept versions differ.
     pub fn differences(&self, from: Number, to: Number) -> Option<Vec<Difference>> {
-        Some(self.version(from)?.document.differences(&self.version(to)?.document))
+        Some(
+            self.version(from)?
+                .document
+                .differences(&self.version(to)?.document),
+        )
     }
 }
--- a/crates/agreement/src/follower.rs
+++ b/crates/agreement/src/follower.rs
@@ -34,9 +34,14 @@
         match self {
             Rejected::Unasked => write!(f, "it answers no open question"),
             Rejected::WentBack { told, known } => {
-                write!(f, "it tells of version {told} where {known} is known: a keeper's state went back")
+                write!(
+                    f,
+                    "it tells of version {told} where {known} is known: a keeper's state went back"
+                )
+            }
+            Rejected::OtherText(number) => {
+                write!(f, "version {number} comes with another text than before")
             }
-            Rejected::OtherText(number) => write!(f, "version {number} comes with another text than before"),
             Rejected::Garbled => write!(f, "its versions don't go together"),
         }
     }
@@ -86,7 +91,11 @@
 impl Follower {
     /// Knows nothing yet, or what an earlier life of this router wrote down; without a permit either way.
     pub fn new(me: Holder, bounds: Bounds, known: Vec<Version>) -> Follower {
-        let life = if plant::is(Plant::EarlierLife) { String::new() } else { me.life };
+        let life = if plant::is(Plant::EarlierLife) {
+            String::new()
+        } else {
+            me.life
+        };
         let mut follower = Follower {
             me: Holder { life, ..me },
             bounds,
@@ -110,13 +119,31 @@
         let id = self.next;
         self.next += 1;
         let (heeds, in_force) = (self.heeds(), self.in_force());
-        self.open.insert(id, Open { at: now, heeds, in_force });
-        (id, Act::Ask { holder: self.me.clone(), heeds, in_force, offer: None })
+        self.open.insert(
+            id,
+            Open {
+                at: now,
+                heeds,
+                in_force,
+            },
+        );
+        (
+            id,
+            Act::Ask {
+                holder: self.me.clone(),
+                heeds,
+                in_force,
+                offer: None,
+            },
+        )
     }
 
     /// A question is counted from another moment: that of its answer is too late, which a planted fault does.
     pub fn count_from(&mut self, id: u64, now: Micros) {
-        self.open.get_mut(&id).into_iter().for_each(|open| open.at = now);
+        self.open
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|open| open.at = now);
     }
 
     /// A question has no answer.
@@ -128,10 +155,16 @@
     pub fn granted(&mut self, id: u64, granted: Granted) -> Result<bool, Rejected> {
         let asked = self.open.remove(&id).ok_or(Rejected::Unasked)?;
         if granted.heed < asked.heeds {
-            return Err(Rejected::WentBack { told: granted.heed, known: asked.heeds });
+            return Err(Rejected::WentBack {
+                told: granted.heed,
+                known: asked.heeds,
+            });
         }
         if granted.in_force < asked.in_force {
-            return Err(Rejected::WentBack { told: granted.in_force, known: asked.in_force });
+            return Err(Rejected::WentBack {
+                told: granted.in_force,
+                known: asked.in_force,
+            });
         }
         let same = granted.in_force == asked.in_force && granted.heed == asked.heeds;
         if granted.versions.is_empty() {
@@ -146,7 +179,10 @@
                 return Err(Rejected::Garbled);
             }
             for known in &self.course {
-                let other = granted.versions.iter().find(|v| v.head.number == known.head.number);
+                let other = granted
+                    .versions
+                    .iter()
+                    .find(|v| v.head.number == known.head.number);
                 if other.is_some_and(|v| v.head.digest != known.head.digest) {
                     return Err(Rejected::OtherText(known.head.number));
                 }
@@ -166,8 +202,9 @@
 
     fn take_up(&mut self, course: Vec<Version>) {
         let mut all = course.iter();
-        self.rules =
-            all.next().map(|first| all.fold(first.document.clone(), |meet, v| meet.meet(&v.document)));
+        self.rules = all
+            .next()
+            .map(|first| all.fold(first.document.clone(), |meet, v| meet.meet(&v.document)));
         self.course = course;
     }
 
@@ -224,6 +261,10 @@
 
 /// Whether numbers follow each other, and each text is that of its digest.
 fn is_course(versions: &[Version]) -> bool {
-    versions.windows(2).all(|w| w[0].head.number + 1 == w[1].head.number)
-        && versions.iter().all(|v| v.head.number > 0 && v.document.digest() == v.head.digest)
+    versions
+        .windows(2)
+        .all(|w| w[0].head.number + 1 == w[1].head.number)
+        && versions
+            .iter()
+            .all(|v| v.head.number > 0 && v.document.digest() == v.head.digest)
 }
--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -72,8 +72,14 @@
     fn try_from(text: String) -> Result<Part, String> {
         let wrong = || format!("{text:?} is no part of a task, such as probe/3");
         let (task, shard) = text.split_once('/').ok_or_else(wrong)?;
-        let task = [Task::List, Task::Probe].into_iter().find(|t| t.name() == task).ok_or_else(wrong)?;
-        Ok(Part { task, shard: shard.parse().map_err(|_| wrong())? })
+        let task = [Task::List, Task::Probe]
+            .into_iter()
+            .find(|t| t.name() == task)
+            .ok_or_else(wrong)?;
+        Ok(Part {
+            task,
+            shard: shard.parse().map_err(|_| wrong())?,
+        })
     }
 }
 
@@ -183,14 +189,17 @@
 impl Leases {
     /// The tasks that there are, each with its number of parts.
     pub fn name(&mut self, tasks: &BTreeMap<Task, u32>) {
-        let parts = tasks.iter().flat_map(|(task, n)| (0..*n).map(|shard| Part { task: *task, shard }));
+        let parts = tasks
+            .iter()
+            .flat_map(|(task, n)| (0..*n).map(|shard| Part { task: *task, shard }));
         let wanted: BTreeSet<Part> = parts.take(MOST_LEASES).collect();
         let known: BTreeSet<Part> = self.slots.keys().copied().collect();
         if wanted == known {
             return;
         }
         // Danger: a part that goes and comes back may still be held; its numbers go on, as the fence is common to all.
-        self.slots.retain(|part, slot| wanted.contains(part) || slot.lease.is_some());
+        self.slots
+            .retain(|part, slot| wanted.contains(part) || slot.lease.is_some());
         for (part, slot) in &mut self.slots {
             if let (false, Some(lease)) = (wanted.contains(part), &mut slot.lease) {
                 lease.leaving = true;
@@ -199,7 +208,10 @@
         self.board += 1;
         for part in wanted {
             let changed = self.board;
-            self.slots.entry(part).or_insert_with(|| Slot { changed, ..Slot::default() });
+            self.slots.entry(part).or_insert_with(|| Slot {
+                changed,
+                ..Slot::default()
+            });
         }
         self.balance();
     }
@@ -210,7 +222,11 @@
         let taker = self.takers.entry(holder.clone()).or_default();
         let hears = offer.heard == taker.serial && taker.serial > 0;
         let was = taker.in_row;
-        taker.in_row = if hears { taker.in_row.saturating_add(1).min(SEASONED) } else { 0 };
+        taker.in_row = if hears {
+            taker.in_row.saturating_add(1).min(SEASONED)
+        } else {
+            0
+        };
         taker.serial = serial;
         let now = taker.in_row;
         if !offer.willing {
@@ -218,10 +234,13 @@
         }
         let mut changed = (was >= SEASONED) != (now >= SEASONED && offer.willing);
         for (part, number) in &offer.released {
-            if self.free(part, |lease| lease.holder == *holder && lease.number == *number) {
+            if self.free(part, |lease| {
+                lease.holder == *holder && lease.number == *number
+            }) {
                 changed = true;
                 let slot = self.slots.get_mut(part);
-                slot.into_iter().for_each(|slot| slot.tried = Some(holder.clone()));
+                slot.into_iter()
+                    .for_each(|slot| slot.tried = Some(holder.clone()));
             }
         }
         if changed {
@@ -229,14 +248,19 @@
         }
         if !offer.willing {
             let own = self.slots.values_mut().filter_map(|s| s.lease.as_mut());
-            own.filter(|l| l.holder == *holder).for_each(|l| l.leaving = true);
+            own.filter(|l| l.holder == *holder)
+                .for_each(|l| l.leaving = true);
         }
         hears.then(|| {
             let mut all = Vec::new();
             for (part, slot) in &mut self.slots {
                 if let Some(lease) = slot.lease.as_mut().filter(|l| l.holder == *holder) {
                     lease.serial = serial;
-                    all.push(Grant { part: *part, number: lease.number, leaving: lease.leaving });
+                    all.push(Grant {
+                        part: *part,
+                        number: lease.number,
+                        leaving: lease.leaving,
+                    });
                 }
             }
             all
@@ -261,7 +285,11 @@
         let mut freed = false;
         for (part, serial) in lapsed {
             // Danger: one that was prolonged after the keeper judged it is alive.
-            let holder = self.slots.get(part).and_then(|s| s.lease.as_ref()).map(|l| l.holder.clone());
+            let holder = self
+                .slots
+                .get(part)
+                .and_then(|s| s.lease.as_ref())
+                .map(|l| l.holder.clone());
             if self.free(part, |lease| lease.serial == *serial) {
                 freed = true;
                 // Danger: one that is silent would get it back at once.
@@ -275,13 +303,23 @@
     }
 
     /// The holder of a lease notes how far it has come, for all routers and for the holder after it.
-    pub fn note(&mut self, holder: &Holder, part: &Part, number: u64, text: &str) -> Result<(), NotNoted> {
+    pub fn note(
+        &mut self,
+        holder: &Holder,
+        part: &Part,
+        number: u64,
+        text: &str,
+    ) -> Result<(), NotNoted> {
         if text.len() > MOST_NOTE {
             return Err(NotNoted::TooLong);
         }
         let slot = self.slots.get_mut(part).ok_or(NotNoted::Outdated)?;
         // Danger: one that held it before may not undo what its successor has noted.
-        if !slot.lease.as_ref().is_some_and(|l| l.holder == *holder && l.number == number) {
+        if !slot
+            .lease
+            .as_ref()
+            .is_some_and(|l| l.holder == *holder && l.number == number)
+        {
             return Err(NotNoted::Outdated);
         }
         if slot.note.as_deref() != Some(text) {
@@ -292,7 +330,9 @@
     }
 
     fn free(&mut self, part: &Part, which: impl Fn(&Lease) -> bool) -> bool {
-        let Some(slot) = self.slots.get_mut(part) else { return false };
+        let Some(slot) = self.slots.get_mut(part) else {
+            return false;
+        };
         if !slot.lease.as_ref().is_some_and(which) {
             return false;
         }
@@ -304,22 +344,38 @@
 
     /// Gives what is free to those with the fewest, and asks those with the most for what others lack.
     fn balance(&mut self) {
-        let mut counts: BTreeMap<Holder, u32> =
-            self.takers.iter().filter(|(_, t)| t.in_row >= SEASONED).map(|(h, _)| (h.clone(), 0)).collect();
-        for lease in self.slots.values().filter_map(|s| s.lease.as_ref()).filter(|l| !l.leaving) {
+        let mut counts: BTreeMap<Holder, u32> = self
+            .takers
+            .iter()
+            .filter(|(_, t)| t.in_row >= SEASONED)
+            .map(|(h, _)| (h.clone(), 0))
+            .collect();
+        for lease in self
+            .slots
+            .values()
+            .filter_map(|s| s.lease.as_ref())
+            .filter(|l| !l.leaving)
+        {
             counts.entry(lease.holder.clone()).and_modify(|n| *n += 1);
         }
         if counts.is_empty() {
             return;
         }
-        let free: Vec<Part> = self.slots.iter().filter(|(_, s)| s.lease.is_none()).map(|(p, _)| *p).collect();
+        let free: Vec<Part> = self
+            .slots
+            .iter()
+            .filter(|(_, s)| s.lease.is_none())
+            .map(|(p, _)| *p)
+            .collect();
         for part in free {
             let tried = self.slots.get(&part).and_then(|s| s.tried.clone());
             let burden = |(h, n): &(&Holder, &u32)| {
                 let again = tried.as_ref() == Some(*h);
                 (**n + u32::from(again), again, weight(&part, h))
             };
-            let Some(holder) = counts.iter().min_by_key(burden).map(|(h, _)| h.clone()) else { return };
+            let Some(holder) = counts.iter().min_by_key(burden).map(|(h, _)| h.clone()) else {
+                return;
+            };
             counts.entry(holder.clone()).and_modify(|n| *n += 1);
             self.fence += 1;
             let number = match plant::is(Plant::ForgetsNumbers) {
@@ -328,28 +384,56 @@
             };
             self.board += 1;
             let changed = self.board;
-            if let (Some(slot), Some(taker)) = (self.slots.get_mut(&part), self.takers.get(&holder)) {
-                slot.lease = Some(Lease { holder, number, serial: taker.serial, leaving: false });
+            if let (Some(slot), Some(taker)) = (self.slots.get_mut(&part), self.takers.get(&holder))
+            {
+                slot.lease = Some(Lease {
+                    holder,
+                    number,
+                    serial: taker.serial,
+                    leaving: false,
+                });
                 slot.changed = changed;
             }
         }
         // What is on its way from one to another goes to those with the fewest: it is not asked for twice.
-        let on_way = self.slots.values().filter(|s| s.lease.as_ref().is_some_and(|l| l.leaving)).count();
+        let on_way = self
+            .slots
+            .values()
+            .filter(|s| s.lease.as_ref().is_some_and(|l| l.leaving))
+            .count();
         for _ in 0..on_way {
-            let fewest = counts.iter().min_by_key(|(_, n)| **n).map(|(h, _)| h.clone());
-            fewest.into_iter().for_each(|h| *counts.entry(h).or_default() += 1);
+            let fewest = counts
+                .iter()
+                .min_by_key(|(_, n)| **n)
+                .map(|(h, _)| h.clone());
+            fewest
+                .into_iter()
+                .for_each(|h| *counts.entry(h).or_default() += 1);
         }
         loop {
-            let fewest = counts.iter().min_by_key(|(_, n)| **n).map(|(h, n)| (h.clone(), *n));
-            let most = counts.iter().max_by_key(|(_, n)| **n).map(|(h, n)| (h.clone(), *n));
-            let (Some((to, least)), Some((from, most))) = (fewest, most) else { return };
+            let fewest = counts
+                .iter()
+                .min_by_key(|(_, n)| **n)
+                .map(|(h, n)| (h.clone(), *n));
+            let most = counts
+                .iter()
+                .max_by_key(|(_, n)| **n)
+                .map(|(h, n)| (h.clone(), *n));
+            let (Some((to, least)), Some((from, most))) = (fewest, most) else {
+                return;
+            };
             if most < least + 2 {
                 return;
             }
-            let of_most = self.slots.iter_mut().filter(|(_, s)| s.tried.as_ref() != Some(&to));
+            let of_most = self
+                .slots
+                .iter_mut()
+                .filter(|(_, s)| s.tried.as_ref() != Some(&to));
             let of_most = of_most.filter_map(|(p, s)| Some((*p, s.lease.as_mut()?)));
             let movable = of_most.filter(|(_, l)| l.holder == from && !l.leaving);
-            let Some((_, lease)) = movable.max_by_key(|(p, _)| weight(p, &to)) else { return };
+            let Some((_, lease)) = movable.max_by_key(|(p, _)| weight(p, &to)) else {
+                return;
+            };
             lease.leaving = true;
             counts.entry(from).and_modify(|n| *n -= 1);
             counts.entry(to).and_modify(|n| *n += 1);
@@ -370,7 +454,12 @@
         Board {
             upto: self.board,
             parts: self.slots.keys().copied().collect(),
-            posted: self.slots.iter().filter(|(_, s)| s.changed > since).map(posted).collect(),
+            posted: self
+                .slots
+                .iter()
+                .filter(|(_, s)| s.changed > since)
+                .map(posted)
+                .collect(),
         }
     }
 
@@ -381,7 +470,9 @@
 
     /// Leases that are held, each with the count of its last prolonging.
     pub fn held(&self) -> impl Iterator<Item = (Part, u64)> + '_ {
-        self.slots.iter().filter_map(|(part, slot)| slot.lease.as_ref().map(|l| (*part, l.serial)))
+        self.slots
+            .iter()
+            .filter_map(|(part, slot)| slot.lease.as_ref().map(|l| (*part, l.serial)))
     }
 
     /// Whether there is nothing to do.
@@ -396,7 +487,10 @@
 
     /// How many of these a router holds.
     pub fn count(&self, holder: &Holder) -> usize {
-        self.slots.values().filter(|s| s.lease.as_ref().is_some_and(|l| l.holder == *holder)).count()
+        self.slots
+            .values()
+            .filter(|s| s.lease.as_ref().is_some_and(|l| l.holder == *holder))
+            .count()
     }
 }
 
--- a/crates/agreement/src/lists.rs
+++ b/crates/agreement/src/lists.rs
@@ -44,7 +44,10 @@
         match self.started.cmp(&other.started) {
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Greater => self,
-            std::cmp::Ordering::Equal => Member { standing: self.standing.max(other.standing), ..self },
+            std::cmp::Ordering::Equal => Member {
+                standing: self.standing.max(other.standing),
+                ..self
+            },
         }
     }
 }
@@ -59,7 +62,10 @@
             // A process that goes on to a later state permits less; any other step can permit what was forbidden.
             let on = self.started == new.started && new.standing > self.standing;
             let change = if on { Change::Tighter } else { Change::Both };
-            into.push(Difference { path: path.to_owned(), change });
+            into.push(Difference {
+                path: path.to_owned(),
+                change,
+            });
         }
     }
 }
@@ -71,7 +77,10 @@
 impl Meet for Roster {
     /// Engines that both name, in their later state.
     fn meet(&self, other: &Roster) -> Roster {
-        let both = self.0.iter().filter_map(|(name, m)| Some((name.clone(), m.later(*other.0.get(name)?))));
+        let both = self
+            .0
+            .iter()
+            .filter_map(|(name, m)| Some((name.clone(), m.later(*other.0.get(name)?))));
         Roster(both.collect())
     }
 
@@ -115,11 +124,19 @@
     pub fn tell(&mut self, source: &str, list: Roster) -> Told {
         let mut told = Told::default();
         for (name, now) in &list.0 {
-            if self.sum.0.get(name).is_some_and(|known| known.later(*now) != *now) {
+            if self
+                .sum
+                .0
+                .get(name)
+                .is_some_and(|known| known.later(*now) != *now)
+            {
                 told.went_back.push(name.clone());
             }
-            let other =
-                self.sources.iter().filter(|(s, _)| *s != source).any(|(_, l)| l.0.get(name) != Some(now));
+            let other = self
+                .sources
+                .iter()
+                .filter(|(s, _)| *s != source)
+                .any(|(_, l)| l.0.get(name) != Some(now));
             if other {
                 told.disputed.push(name.clone());
             }
@@ -127,17 +144,27 @@
         self.sources.insert(source.to_owned(), list);
         let mut sum = Roster::default();
         for (name, member) in self.sources.values().flat_map(|l| &l.0) {
-            let known = self.sum.0.get(name).copied().filter(|k| k.started >= member.started);
+            let known = self
+                .sum
+                .0
+                .get(name)
+                .copied()
+                .filter(|k| k.started >= member.started);
             let so_far = sum.0.get(name).copied().or(known).unwrap_or(*member);
             sum.0.insert(name.clone(), so_far.later(*member));
         }
         for (name, known) in &self.sum.0 {
-            sum.0.entry(name.clone()).or_insert(Member { standing: Standing::Gone, ..*known });
+            sum.0.entry(name.clone()).or_insert(Member {
+                standing: Standing::Gone,
+                ..*known
+            });
         }
         // What is gone is remembered, so that an old list does not bring it back, but not without bound.
         while sum.0.len() > MOST {
             let gone = sum.0.iter().filter(|(_, m)| m.standing == Standing::Gone);
-            let Some(oldest) = gone.min_by_key(|(_, m)| m.started).map(|(n, _)| n.clone()) else { break };
+            let Some(oldest) = gone.min_by_key(|(_, m)| m.started).map(|(n, _)| n.clone()) else {
+                break;
+            };
             sum.0.remove(&oldest);
         }
         told.changed = sum != self.sum;
@@ -161,7 +188,9 @@
         for name in self.sources.values().flat_map(|l| l.0.keys()) {
             *counts.entry(name).or_default() += 1;
         }
-        let alone = counts.into_iter().filter(|(_, n)| *n == 1 && self.sources.len() > 1);
+        let alone = counts
+            .into_iter()
+            .filter(|(_, n)| *n == 1 && self.sources.len() > 1);
         alone.map(|(name, _)| name.to_owned()).collect()
     }
 }
--- a/crates/agreement/src/meet.rs
+++ b/crates/agreement/src/meet.rs
@@ -81,7 +81,10 @@
             true if meet == *old => Change::Looser,
             true => Change::Both,
         };
-        into.push(Difference { path: path.to_owned(), change });
+        into.push(Difference {
+            path: path.to_owned(),
+            change,
+        });
     }
 }
 
@@ -156,7 +159,10 @@
 }
 
 impl Rule<Option<BTreeSet<String>>> for Places {
-    fn meet(a: &Option<BTreeSet<String>>, b: &Option<BTreeSet<String>>) -> Option<BTreeSet<String>> {
+    fn meet(
+        a: &Option<BTreeSet<String>>,
+        b: &Option<BTreeSet<String>>,
+    ) -> Option<BTreeSet<String>> {
         match (a, b) {
             (Some(a), Some(b)) => Some(a & b),
             (Some(one), None) | (None, Some(one)) => Some(one.clone()),
@@ -184,7 +190,9 @@
     b: &BTreeMap<String, V>,
     meet: impl Fn(&V, &V) -> V,
 ) -> BTreeMap<String, V> {
-    a.iter().filter_map(|(k, x)| b.get(k).map(|y| (k.clone(), meet(x, y)))).collect()
+    a.iter()
+        .filter_map(|(k, x)| b.get(k).map(|y| (k.clone(), meet(x, y))))
+        .collect()
 }
 
 /// Names that came or went, and `inside` for those on both sides.
@@ -195,12 +203,21 @@
     into: &mut Vec<Difference>,
     inside: impl Fn(&V, &V, &str, &mut Vec<Difference>),
 ) {
-    for name in old.keys().chain(new.keys().filter(|k| !old.contains_key(*k))) {
+    for name in old
+        .keys()
+        .chain(new.keys().filter(|k| !old.contains_key(*k)))
+    {
         let path = format!("{path}.{name}");
         match (old.get(name), new.get(name)) {
             (Some(a), Some(b)) => inside(a, b, &path, into),
-            (Some(_), None) => into.push(Difference { path, change: Change::Tighter }),
-            _ => into.push(Difference { path, change: Change::Looser }),
+            (Some(_), None) => into.push(Difference {
+                path,
+                change: Change::Tighter,
+            }),
+            _ => into.push(Difference {
+                path,
+                change: Change::Looser,
+            }),
         }
     }
 }
@@ -248,8 +265,14 @@
     fn differences(old: &Option<V>, new: &Option<V>, path: &str, into: &mut Vec<Difference>) {
         match (old, new) {
             (Some(a), Some(b)) => a.differences(b, path, into),
-            (None, Some(_)) => into.push(Difference { path: path.to_owned(), change: Change::Tighter }),
-            (Some(_), None) => into.push(Difference { path: path.to_owned(), change: Change::Looser }),
+            (None, Some(_)) => into.push(Difference {
+                path: path.to_owned(),
+                change: Change::Tighter,
+            }),
+            (Some(_), None) => into.push(Difference {
+                path: path.to_owned(),
+                change: Change::Looser,
+            }),
             (None, None) => {}
         }
     }
--- a/crates/agreement/src/permit.rs
+++ b/crates/agreement/src/permit.rs
@@ -82,14 +82,21 @@
     fn learn(&mut self, now: Micros, all: impl Iterator<Item = (K, u64)>) {
         let mut known = std::mem::take(&mut self.0);
         for (key, serial) in all {
-            let at = known.remove(&key).filter(|(s, _)| *s == serial).map_or(now, |(_, at)| at);
+            let at = known
+                .remove(&key)
+                .filter(|(s, _)| *s == serial)
+                .map_or(now, |(_, at)| at);
             self.0.insert(key, (serial, at));
         }
     }
 
     fn lapsed(&self, now: Micros, bounds: &Bounds) -> Vec<(K, u64)> {
         let over = |at: Micros| now.saturating_sub(at) > bounds.keeper_term();
-        self.0.iter().filter(|(_, (_, at))| over(*at)).map(|(k, (serial, _))| (k.clone(), *serial)).collect()
+        self.0
+            .iter()
+            .filter(|(_, (_, at))| over(*at))
+            .map(|(k, (serial, _))| (k.clone(), *serial))
+            .collect()
     }
 
     fn left(&self, now: Micros, key: &K, bounds: &Bounds) -> Option<Micros> {
@@ -108,7 +115,12 @@
 
     /// Takes up what the log has brought.
     pub fn learn(&mut self, now: Micros, fleet: &Fleet) {
-        self.permits.learn(now, fleet.holders().map(|(holder, held)| (holder.clone(), held.serial)));
+        self.permits.learn(
+            now,
+            fleet
+                .holders()
+                .map(|(holder, held)| (holder.clone(), held.serial)),
+        );
         self.leases.learn(now, fleet.leases().held());
     }
 
--- a/crates/agreement/src/plant.rs
+++ b/crates/agreement/src/plant.rs
@@ -41,7 +41,10 @@
 
     /// The one of that name.
     pub fn named(name: &str) -> Option<Plant> {
-        Plant::ALL.iter().find(|(n, _)| *n == name).map(|(_, plant)| *plant)
+        Plant::ALL
+            .iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, plant)| *plant)
     }
 }
 
--- a/crates/agreement/src/span.rs
+++ b/crates/agreement/src/span.rs
@@ -37,7 +37,9 @@
         hoptiller_statement::client::duration(&text)
             .map(|d: Duration| Span((d.as_nanos() as u64 + 500) / 1000))
             .ok_or_else(|| {
-                de::Error::custom(format!("{text:?} is no duration with its unit, such as '250ms' or '2m'"))
+                de::Error::custom(format!(
+                    "{text:?} is no duration with its unit, such as '250ms' or '2m'"
+                ))
             })
     }
 }
--- a/crates/agreement/src/tenant.rs
+++ b/crates/agreement/src/tenant.rs
@@ -94,29 +94,53 @@
         leases: Option<&[Grant]>,
         board: Option<&Board>,
     ) -> bool {
-        let Some(asked) = self.open.remove(&id) else { return false };
+        let Some(asked) = self.open.remove(&id) else {
+            return false;
+        };
         // Danger: an answer that was overtaken may name what was given back since.
         if serial <= self.heard {
             return false;
         }
         self.heard = serial;
-        let from = if plant::is(Plant::FromTheAnswer) { now } else { asked };
-        let margin = if plant::is(Plant::NoMargin) { 0 } else { self.margin };
+        let from = if plant::is(Plant::FromTheAnswer) {
+            now
+        } else {
+            asked
+        };
+        let margin = if plant::is(Plant::NoMargin) {
+            0
+        } else {
+            self.margin
+        };
         let until = from.saturating_add(self.term).saturating_sub(margin);
         let mut changed = false;
         if let Some(grants) = leases {
             for grant in grants {
-                if self.over.get(&grant.part).is_some_and(|over| grant.number <= *over) {
+                if self
+                    .over
+                    .get(&grant.part)
+                    .is_some_and(|over| grant.number <= *over)
+                {
                     continue;
                 }
-                match self.holds.get_mut(&grant.part).filter(|h| h.number == grant.number) {
+                match self
+                    .holds
+                    .get_mut(&grant.part)
+                    .filter(|h| h.number == grant.number)
+                {
                     Some(hold) => {
                         changed |= hold.leaving != grant.leaving;
-                        (hold.until, hold.leaving) = (hold.until.max(until), hold.leaving || grant.leaving);
+                        (hold.until, hold.leaving) =
+                            (hold.until.max(until), hold.leaving || grant.leaving);
                     }
                     None => {
                         let (number, leaving) = (grant.number, grant.leaving);
-                        let fresh = Hold { number, until, leaving, acts: 0 };
+                        let fresh = Hold {
+                            number,
+                            until,
+                            leaving,
+                            acts: 0,
+                        };
                         // One under an earlier number ends here: keepers took it away, so its time is over.
                         if let Some(old) = self.holds.insert(grant.part, fresh) {
                             self.over.insert(grant.part, old.number);
@@ -125,21 +149,29 @@
                     }
                 }
             }
-            let lost: Vec<Part> =
-                self.holds.keys().filter(|p| !grants.iter().any(|g| g.part == **p)).copied().collect();
+            let lost: Vec<Part> = self
+                .holds
+                .keys()
+                .filter(|p| !grants.iter().any(|g| g.part == **p))
+                .copied()
+                .collect();
             for part in lost {
                 changed = true;
                 self.end(part);
             }
-            self.released
-                .retain(|part, number| grants.iter().any(|g| g.part == *part && g.number == *number));
+            self.released.retain(|part, number| {
+                grants
+                    .iter()
+                    .any(|g| g.part == *part && g.number == *number)
+            });
         }
         self.give_back();
         if let Some(board) = board {
             changed |= board.upto != self.board;
             self.board = board.upto;
             for Posted { part, holder, note } in &board.posted {
-                self.posted.insert(*part, (holder.as_ref().map(|h| h.1), note.clone()));
+                self.posted
+                    .insert(*part, (holder.as_ref().map(|h| h.1), note.clone()));
             }
             self.posted.retain(|part, _| board.parts.contains(part));
         }
@@ -160,7 +192,12 @@
     /// What is to be given back, and has nothing running under it.
     fn give_back(&mut self) {
         let done = |h: &Hold| h.acts == 0 && (h.leaving || !self.willing);
-        let over: Vec<Part> = self.holds.iter().filter(|(_, h)| done(h)).map(|(p, _)| *p).collect();
+        let over: Vec<Part> = self
+            .holds
+            .iter()
+            .filter(|(_, h)| done(h))
+            .map(|(p, _)| *p)
+            .collect();
         for part in over {
             if let Some(number) = self.end(part) {
                 self.released.insert(part, number);
@@ -172,23 +209,37 @@
     /// it.
     pub fn begin(&mut self, now: Micros, part: Part, takes: Micros) -> Option<Right> {
         let willing = self.willing;
-        let hold = self.holds.get_mut(&part).filter(|h| willing && !h.leaving)?;
+        let hold = self
+            .holds
+            .get_mut(&part)
+            .filter(|h| willing && !h.leaving)?;
         if now.saturating_add(takes) >= hold.until && !plant::is(Plant::NeverEnds) {
             return None;
         }
         hold.acts += 1;
-        Some(Right { part, number: hold.number, until: hold.until })
+        Some(Right {
+            part,
+            number: hold.number,
+            until: hold.until,
+        })
     }
 
     /// Whether an act that has begun may be sent now: it is to be asked again right before.
     pub fn still(&self, now: Micros, right: &Right) -> bool {
-        let held = self.holds.get(&right.part).is_some_and(|h| h.number == right.number && now < h.until);
+        let held = self
+            .holds
+            .get(&right.part)
+            .is_some_and(|h| h.number == right.number && now < h.until);
         held || plant::is(Plant::NotAgain) || plant::is(Plant::NeverEnds)
     }
 
     /// An act is over. Returns whether a lease can be given back by that.
     pub fn done(&mut self, right: &Right) -> bool {
-        match self.holds.get_mut(&right.part).filter(|h| h.number == right.number) {
+        match self
+            .holds
+            .get_mut(&right.part)
+            .filter(|h| h.number == right.number)
+        {
             Some(hold) => {
                 hold.acts = hold.acts.saturating_sub(1);
                 hold.acts == 0 && (hold.leaving || !self.willing)
@@ -222,7 +273,9 @@
     /// What is known of a part: the number under which it is held, if it is, and what was noted last. `None`: there is
     /// no such part.
     pub fn posted(&self, part: Part) -> Option<(Option<u64>, Option<&str>)> {
-        self.posted.get(&part).map(|(number, note)| (*number, note.as_deref()))
+        self.posted
+            .get(&part)
+            .map(|(number, note)| (*number, note.as_deref()))
     }
 
     /// Parts that a task has.
--- a/crates/agreement/tests/leases.rs
+++ b/crates/agreement/tests/leases.rs
@@ -13,7 +13,10 @@
 };
 
 const MS: Micros = 1000;
-const BOUNDS: Bounds = Bounds { term: 2000 * MS, drift: 1000 };
+const BOUNDS: Bounds = Bounds {
+    term: 2000 * MS,
+    drift: 1000,
+};
 const MARGIN: Micros = 50 * MS;
 /// Between two questions of a router.
 const EVERY: Micros = 400 * MS;
@@ -28,11 +31,17 @@
 }
 
 fn holder(router: &str, life: &str) -> Holder {
-    Holder { router: router.into(), life: life.into() }
+    Holder {
+        router: router.into(),
+        life: life.into(),
+    }
 }
 
 fn part(shard: u32) -> Part {
-    Part { task: Task::Probe, shard }
+    Part {
+        task: Task::Probe,
+        shard,
+    }
 }
 
 impl World {
@@ -41,13 +50,27 @@
         let mut document = document();
         document.tasks = [(Task::Probe, parts)].into();
         let (change, by, why) = ("first".to_owned(), "ann".to_owned(), "a test".to_owned());
-        fleet.apply(Act::Put(Box::new(Put { change, base: None, by, at: 1, why, document })));
+        fleet.apply(Act::Put(Box::new(Put {
+            change,
+            base: None,
+            by,
+            at: 1,
+            why,
+            document,
+        })));
         let (routers, deaf) = Default::default();
-        World { now: 0, fleet, terms: Terms::default(), routers, deaf }
+        World {
+            now: 0,
+            fleet,
+            terms: Terms::default(),
+            routers,
+            deaf,
+        }
     }
 
     fn join(&mut self, router: &str, life: &str) {
-        self.routers.insert(holder(router, life), (Tenant::new(&BOUNDS, MARGIN), 0));
+        self.routers
+            .insert(holder(router, life), (Tenant::new(&BOUNDS, MARGIN), 0));
     }
 
     /// One asks; its answer, which is not yet heard.
@@ -56,7 +79,12 @@
         let id = *next;
         *next += 1;
         let offer = Some(tenant.offer(id, self.now));
-        match self.fleet.apply(Act::Ask { holder: who.clone(), heeds: 1, in_force: 1, offer }) {
+        match self.fleet.apply(Act::Ask {
+            holder: who.clone(),
+            heeds: 1,
+            in_force: 1,
+            offer,
+        }) {
             Answer::Granted(granted) => (id, granted),
             other => panic!("{other:?}"),
         }
@@ -64,7 +92,13 @@
 
     fn hear(&mut self, who: &Holder, id: u64, g: &Granted) {
         let (tenant, _) = self.routers.get_mut(who).expect("there");
-        tenant.granted(id, self.now, g.serial, g.leases.as_deref(), g.board.as_ref());
+        tenant.granted(
+            id,
+            self.now,
+            g.serial,
+            g.leases.as_deref(),
+            g.board.as_ref(),
+        );
     }
 
     /// Time passes: each asks once, keepers judge.
@@ -77,12 +111,16 @@
             }
         }
         self.terms.learn(self.now, &self.fleet);
-        self.fleet.apply(Act::Free(self.terms.lapsed_leases(self.now, &BOUNDS)));
+        self.fleet
+            .apply(Act::Free(self.terms.lapsed_leases(self.now, &BOUNDS)));
         let lapsed = self.terms.lapsed(self.now, &BOUNDS);
         self.fleet.apply(Act::Settle { upto: 1, lapsed });
         self.terms.learn(self.now, &self.fleet);
         let acting = self.acting();
-        assert!(acting.values().all(|all| all.len() <= 1), "two may act: {acting:?}");
+        assert!(
+            acting.values().all(|all| all.len() <= 1),
+            "two may act: {acting:?}"
+        );
     }
 
     fn rounds(&mut self, n: u32) {
@@ -94,7 +132,14 @@
         let mut all: BTreeMap<Part, Vec<Holder>> = BTreeMap::new();
         for posted in self.fleet.leases().board(0).posted {
             let may = |(_, (t, _)): &(&Holder, &(Tenant, u64))| t.holds(self.now, posted.part);
-            all.insert(posted.part, self.routers.iter().filter(may).map(|(h, _)| h.clone()).collect());
+            all.insert(
+                posted.part,
+                self.routers
+                    .iter()
+                    .filter(may)
+                    .map(|(h, _)| h.clone())
+                    .collect(),
+            );
         }
         all
     }
@@ -102,7 +147,10 @@
     /// By router: which parts it holds, as keepers know.
     fn held(&self) -> BTreeMap<Part, Holder> {
         let posted = self.fleet.leases().board(0).posted;
-        posted.into_iter().filter_map(|p| Some((p.part, p.holder?.0))).collect()
+        posted
+            .into_iter()
+            .filter_map(|p| Some((p.part, p.holder?.0)))
+            .collect()
     }
 
     fn counts(&self) -> Vec<usize> {
@@ -118,21 +166,39 @@
         w.join(&format!("r{n}"), "1");
     }
     w.rounds(3 * SEASONED);
-    assert!(w.counts().iter().all(|n| (16..=17).contains(n)), "{:?}", w.counts());
+    assert!(
+        w.counts().iter().all(|n| (16..=17).contains(n)),
+        "{:?}",
+        w.counts()
+    );
     let before = w.held();
     w.join("r6", "1");
     w.rounds(3 * SEASONED);
-    assert!(w.counts().iter().all(|n| (14..=15).contains(n)), "{:?}", w.counts());
-    let moved: Vec<(Part, Holder)> = w.held().into_iter().filter(|(p, h)| before[p] != *h).collect();
+    assert!(
+        w.counts().iter().all(|n| (14..=15).contains(n)),
+        "{:?}",
+        w.counts()
+    );
+    let moved: Vec<(Part, Holder)> = w
+        .held()
+        .into_iter()
+        .filter(|(p, h)| before[p] != *h)
+        .collect();
     assert_eq!(moved.len(), 14, "a seventh of them");
-    assert!(moved.iter().all(|(_, h)| h.router == "r6"), "and to nobody else: {moved:?}");
+    assert!(
+        moved.iter().all(|(_, h)| h.router == "r6"),
+        "and to nobody else: {moved:?}"
+    );
     // One that is about to end hands over with its next two questions, long before a term is over.
     let leaving = holder("r2", "1");
     w.routers.get_mut(&leaving).expect("there").0.leave();
     w.rounds(3);
     assert_eq!(w.routers[&leaving].0.left(), 0);
     assert_eq!((w.held().len(), w.fleet.leases().count(&leaving)), (100, 0));
-    assert!(w.acting().values().filter(|all| all.len() == 1).count() >= 86, "the others act on");
+    assert!(
+        w.acting().values().filter(|all| all.len() == 1).count() >= 86,
+        "the others act on"
+    );
 }
 
 #[test]
@@ -171,7 +237,11 @@
     assert!(w.now > died + BOUNDS.term, "not before its term");
     w.rounds(2);
     assert_eq!(w.fleet.leases().count(&holder("r1", "1")), 1000);
-    assert_eq!(w.fleet.leases().fence(), fence + 1000, "each under a number of its own");
+    assert_eq!(
+        w.fleet.leases().fence(),
+        fence + 1000,
+        "each under a number of its own"
+    );
 }
 
 #[test]
@@ -183,7 +253,11 @@
     assert_eq!(w.counts(), [4, 4]);
     w.deaf.push("r0".into());
     w.rounds(7);
-    assert_eq!(w.counts(), [0, 8], "a term and a little after the last answer that it heard");
+    assert_eq!(
+        w.counts(),
+        [0, 8],
+        "a term and a little after the last answer that it heard"
+    );
     w.deaf.clear();
     w.rounds(4 * SEASONED);
     assert_eq!(w.counts(), [4, 4], "it is given some again");
@@ -212,7 +286,10 @@
     w.routers.get_mut(&who).expect("there").0.give_up(part(0));
     let (id, told) = w.ask(&who);
     w.hear(&who, late, &named);
-    assert!(!w.routers[&who].0.holds(w.now, part(0)), "it has given it back with its last question");
+    assert!(
+        !w.routers[&who].0.holds(w.now, part(0)),
+        "it has given it back with its last question"
+    );
     w.hear(&who, id, &told);
     assert!(!w.routers[&who].0.holds(w.now, part(0)));
     // The answer before was not heard when it asked: what it gave back is confirmed with the next ones.
@@ -243,12 +320,34 @@
     let (id, told) = w.ask(&who);
     w.hear(&who, id, &told);
     w.fleet.apply(Act::Free(judged));
-    assert_eq!(w.fleet.leases().count(&who), 1, "it was prolonged meanwhile");
+    assert_eq!(
+        w.fleet.leases().count(&who),
+        1,
+        "it was prolonged meanwhile"
+    );
     // A copy of a question from when it gave an earlier lease of that part back.
-    let number = w.fleet.leases().board(0).posted[0].holder.as_ref().expect("held").1;
-    let offer = Some(Offer { heard: 1, willing: true, released: vec![(part(0), number - 1)], board: 0 });
-    w.fleet.apply(Act::Ask { holder: who.clone(), heeds: 1, in_force: 1, offer });
-    assert_eq!(w.fleet.leases().board(0).posted[0].holder, Some((who, number)), "it is another lease");
+    let number = w.fleet.leases().board(0).posted[0]
+        .holder
+        .as_ref()
+        .expect("held")
+        .1;
+    let offer = Some(Offer {
+        heard: 1,
+        willing: true,
+        released: vec![(part(0), number - 1)],
+        board: 0,
+    });
+    w.fleet.apply(Act::Ask {
+        holder: who.clone(),
+        heeds: 1,
+        in_force: 1,
+        offer,
+    });
+    assert_eq!(
+        w.fleet.leases().board(0).posted[0].holder,
+        Some((who, number)),
+        "it is another lease"
+    );
 }
 
 #[test]
@@ -259,15 +358,27 @@
     let (who, asked) = (holder("r0", "1"), w.now);
     let until = asked + BOUNDS.router_term() - MARGIN;
     let tenant = &mut w.routers.get_mut(&who).expect("there").0;
-    assert!(tenant.begin(asked, part(0), until - asked).is_none(), "it would end too late");
-    let right = tenant.begin(asked, part(0), until - asked - 1).expect("just in time");
+    assert!(
+        tenant.begin(asked, part(0), until - asked).is_none(),
+        "it would end too late"
+    );
+    let right = tenant
+        .begin(asked, part(0), until - asked - 1)
+        .expect("just in time");
     assert_eq!(right.until, until);
-    assert!(tenant.still(until - 1, &right) && !tenant.still(until, &right), "asked again before it is sent");
+    assert!(
+        tenant.still(until - 1, &right) && !tenant.still(until, &right),
+        "asked again before it is sent"
+    );
     tenant.leave();
     assert!(tenant.begin(asked, part(0), 0).is_none(), "nothing new");
     let (id, told) = w.ask(&who);
     w.hear(&who, id, &told);
-    assert_eq!(w.fleet.leases().count(&who), 1, "not given back while something runs under it");
+    assert_eq!(
+        w.fleet.leases().count(&who),
+        1,
+        "not given back while something runs under it"
+    );
     let tenant = &mut w.routers.get_mut(&who).expect("there").0;
     assert!(tenant.done(&right), "now it can be");
     let (id, told) = w.ask(&who);
@@ -281,22 +392,55 @@
     w.join("r0", "1");
     w.rounds(2 * SEASONED);
     let who = holder("r0", "1");
-    let right = w.routers.get_mut(&who).expect("there").0.begin(w.now, part(0), 0).expect("held");
-    let note =
-        |number, text: &str| Act::Note { holder: who.clone(), part: part(0), number, text: text.into() };
-    assert_eq!(w.fleet.apply(note(right.number, "so far")), Answer::Noted(Ok(())));
-    assert_eq!(w.fleet.apply(note(right.number - 1, "old")), Answer::Noted(Err(NotNoted::Outdated)));
-    let other =
-        Act::Note { holder: holder("r0", "2"), part: part(0), number: right.number, text: "x".into() };
-    assert_eq!(w.fleet.apply(other), Answer::Noted(Err(NotNoted::Outdated)), "an earlier or later life");
+    let right = w
+        .routers
+        .get_mut(&who)
+        .expect("there")
+        .0
+        .begin(w.now, part(0), 0)
+        .expect("held");
+    let note = |number, text: &str| Act::Note {
+        holder: who.clone(),
+        part: part(0),
+        number,
+        text: text.into(),
+    };
+    assert_eq!(
+        w.fleet.apply(note(right.number, "so far")),
+        Answer::Noted(Ok(()))
+    );
+    assert_eq!(
+        w.fleet.apply(note(right.number - 1, "old")),
+        Answer::Noted(Err(NotNoted::Outdated))
+    );
+    let other = Act::Note {
+        holder: holder("r0", "2"),
+        part: part(0),
+        number: right.number,
+        text: "x".into(),
+    };
+    assert_eq!(
+        w.fleet.apply(other),
+        Answer::Noted(Err(NotNoted::Outdated)),
+        "an earlier or later life"
+    );
     let long = "x".repeat(MOST_NOTE + 1);
-    assert_eq!(w.fleet.apply(note(right.number, &long)), Answer::Noted(Err(NotNoted::TooLong)));
+    assert_eq!(
+        w.fleet.apply(note(right.number, &long)),
+        Answer::Noted(Err(NotNoted::TooLong))
+    );
     let upto = w.fleet.leases().upto();
-    assert_eq!(w.fleet.apply(note(right.number, "so far")), Answer::Noted(Ok(())));
+    assert_eq!(
+        w.fleet.apply(note(right.number, "so far")),
+        Answer::Noted(Ok(()))
+    );
     assert_eq!(w.fleet.leases().upto(), upto, "the same again is no news");
     let posted = w.fleet.leases().board(upto - 1).posted;
     assert_eq!(
-        posted.iter().map(|p| (p.part, p.note.as_deref())).collect::<Vec<_>>(),
+        posted
+            .iter()
+            .map(|p| (p.part, p.note.as_deref()))
+            .collect::<Vec<_>>(),
         [(part(0), Some("so far"))]
     );
     // The one after it goes on from there.
@@ -320,11 +464,18 @@
     w.routers.get_mut(&first).expect("there").0.give_up(part(0));
     w.rounds(3);
     let second = w.held()[&part(0)].clone();
-    assert_ne!(second, first, "each has as many as the others, and another is asked first");
+    assert_ne!(
+        second, first,
+        "each has as many as the others, and another is asked first"
+    );
     // With nobody else there, it is tried by the same again.
     w.routers.retain(|who, _| *who == second);
     w.rounds(3 * SEASONED);
-    w.routers.get_mut(&second).expect("there").0.give_up(part(0));
+    w.routers
+        .get_mut(&second)
+        .expect("there")
+        .0
+        .give_up(part(0));
     w.rounds(3);
     assert_eq!(w.held()[&part(0)], second);
     assert!(w.routers[&second].0.holds(w.now, part(0)));
--- a/crates/agreement/tests/meet.rs
+++ b/crates/agreement/tests/meet.rs
@@ -40,7 +40,11 @@
 }
 
 fn member() -> impl Strategy<Value = Member> {
-    let standing = prop_oneof![Just(Standing::Up), Just(Standing::Draining), Just(Standing::Gone)];
+    let standing = prop_oneof![
+        Just(Standing::Up),
+        Just(Standing::Draining),
+        Just(Standing::Gone)
+    ];
     (1u64..4, standing).prop_map(|(started, standing)| Member { started, standing })
 }
 
@@ -84,7 +88,9 @@
         (None, None) => true,
     };
     let class = |(name, s): (&String, &Class)| {
-        let Some(l) = lax.classes.get(name) else { return false };
+        let Some(l) = lax.classes.get(name) else {
+            return false;
+        };
         s.patience <= l.patience
             && s.repeat >= l.repeat
             && s.in_order >= l.in_order
@@ -100,8 +106,9 @@
         (None, Some(_)) => false,
         _ => true,
     };
-    let flags =
-        |e: &hoptiller_agreement::document::Engines| [e.probes, e.cancel, e.priorities, e.ends, e.pauses];
+    let flags = |e: &hoptiller_agreement::document::Engines| {
+        [e.probes, e.cancel, e.priorities, e.ends, e.pauses]
+    };
     let list = match (&strict.list, &lax.list) {
         (None, Some(_)) => false,
         // Of one process, work is taken only where both say so; of a newer one the newer word holds.
@@ -113,7 +120,10 @@
         _ => true,
     };
     strict.classes.iter().all(class)
-        && strict.kinds.iter().all(|(k, cores)| lax.kinds.get(k).is_some_and(|l| cores <= l))
+        && strict
+            .kinds
+            .iter()
+            .all(|(k, cores)| lax.kinds.get(k).is_some_and(|l| cores <= l))
         && strict.zones.is_subset(&lax.zones)
         && strict.tenants.keys().all(|t| lax.tenants.contains_key(t))
         && (strict.default_class.is_none() || strict.default_class == lax.default_class)
@@ -189,12 +199,21 @@
     b.classes.remove("load");
     b.default_class = Some("report".into());
     let meet = a.meet(&b);
-    assert_eq!(meet.classes["report"].kinds, Some(BTreeSet::from(["b".to_owned()])));
+    assert_eq!(
+        meet.classes["report"].kinds,
+        Some(BTreeSet::from(["b".to_owned()]))
+    );
     assert_eq!(meet.classes["lookup"].repeat, Repeat::Never);
     assert!(meet.classes["lookup"].in_order && !meet.classes.contains_key("load"));
-    assert_eq!((meet.engines.max_attempts, meet.default_class.as_ref()), (2, None));
-    let changed: BTreeMap<String, Change> =
-        a.differences(&b).into_iter().map(|d| (d.path, d.change)).collect();
+    assert_eq!(
+        (meet.engines.max_attempts, meet.default_class.as_ref()),
+        (2, None)
+    );
+    let changed: BTreeMap<String, Change> = a
+        .differences(&b)
+        .into_iter()
+        .map(|d| (d.path, d.change))
+        .collect();
     assert_eq!(changed["classes.load"], Change::Tighter);
     assert_eq!(changed["classes.report.kinds"], Change::Tighter);
     assert_eq!(changed["classes.lookup.in_order"], Change::Looser);
@@ -202,7 +221,11 @@
     assert_eq!(a.change(&b), Change::Both);
     b = a.clone();
     b.classes.get_mut("report").expect("there").worth = 9.0;
-    assert_eq!(a.change(&b), Change::Neutral, "what an answer is worth binds nobody");
+    assert_eq!(
+        a.change(&b),
+        Change::Neutral,
+        "what an answer is worth binds nobody"
+    );
 }
 
 #[test]
@@ -230,7 +253,9 @@
         ("engines.max_attempts", "rule 7"),
         ("rules.overload", "rule 4"),
     ] {
-        let found = flaws.iter().any(|f| f.path == path && f.what.contains(rule));
+        let found = flaws
+            .iter()
+            .any(|f| f.path == path && f.what.contains(rule));
         assert!(found, "{path} in {flaws:?}");
     }
     assert!(document().flaws().is_empty());
@@ -242,16 +267,34 @@
         Roster(
             all.iter()
                 .map(|(n, started, standing)| {
-                    ((*n).to_owned(), Member { started: *started, standing: *standing })
+                    (
+                        (*n).to_owned(),
+                        Member {
+                            started: *started,
+                            standing: *standing,
+                        },
+                    )
                 })
                 .collect(),
         )
     };
     let mut seen = Seen::default();
-    assert!(seen.tell("r1", list(&[("e", 50_000, Standing::Draining), ("f", 1, Standing::Up)])).changed);
+    assert!(
+        seen.tell(
+            "r1",
+            list(&[("e", 50_000, Standing::Draining), ("f", 1, Standing::Up)])
+        )
+        .changed
+    );
     let told = seen.tell("r2", list(&[("e", 50_000, Standing::Up)]));
-    assert_eq!((told.went_back, told.disputed), (vec!["e".to_owned()], vec!["e".to_owned()]));
-    assert!(!seen.sum().takes_work("e", 50_000), "a drain that one has seen stands");
+    assert_eq!(
+        (told.went_back, told.disputed),
+        (vec!["e".to_owned()], vec!["e".to_owned()])
+    );
+    assert!(
+        !seen.sum().takes_work("e", 50_000),
+        "a drain that one has seen stands"
+    );
     assert_eq!(seen.seen_by_one(), ["f"]);
     // A newer process under the name takes work, also where one list is late.
     seen.tell("r2", list(&[("e", 90_000, Standing::Up)]));
@@ -260,7 +303,11 @@
     seen.tell("r1", list(&[("e", 90_000, Standing::Up)]));
     assert!(!seen.sum().takes_work("f", 1));
     assert_eq!(
-        seen.tell("r2", list(&[("f", 1, Standing::Up), ("e", 90_000, Standing::Up)])).went_back,
+        seen.tell(
+            "r2",
+            list(&[("f", 1, Standing::Up), ("e", 90_000, Standing::Up)])
+        )
+        .went_back,
         ["f"]
     );
     assert!(!seen.sum().takes_work("f", 1));
--- a/crates/agreement/tests/stored_form.rs
+++ b/crates/agreement/tests/stored_form.rs
@@ -7,7 +7,9 @@
 use hoptiller_agreement::{Act, Answer, Document, Fleet};
 
 fn fixture(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn read(name: &str) -> String {
@@ -50,7 +52,8 @@
     assert_pinned("acts.jsonl", &acts);
     assert_pinned("answers.txt", &answers);
     assert_pinned("state.json", &json(&fleet));
-    let restored: Fleet = serde_json::from_str(&read("state.json")).expect("a stored state can be read");
+    let restored: Fleet =
+        serde_json::from_str(&read("state.json")).expect("a stored state can be read");
     assert_eq!(restored, fleet);
 }
 
@@ -63,7 +66,12 @@
         let bytes = version["document"].to_string();
         let document = Document::read(bytes.as_bytes()).expect("a good document");
         assert_eq!(version["head"]["digest"], document.digest());
-        let _ = writeln!(pinned, "{} {}", document.digest(), String::from_utf8_lossy(&document.bytes()));
+        let _ = writeln!(
+            pinned,
+            "{} {}",
+            document.digest(),
+            String::from_utf8_lossy(&document.bytes())
+        );
     }
     assert_pinned("documents.txt", &pinned);
 }
--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -165,7 +165,14 @@
     let mut first: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
     let (mut longest, mut overlapping, mut any) = (0, 0, false);
     for record in records {
-        let Record::Sent { at, engine, router, trace, versions: Some((in_force, heeds, false)), .. } = record
+        let Record::Sent {
+            at,
+            engine,
+            router,
+            trace,
+            versions: Some((in_force, heeds, false)),
+            ..
+        } = record
         else {
             continue;
         };
@@ -175,7 +182,9 @@
         let later = first
             .range(heeds + 1..)
             .find(|(v, _)| (heeds + 1..=**v).any(|n| !agreement.neutral.contains(&n)));
-        let Some((version, (since, other))) = later else { continue };
+        let Some((version, (since, other))) = later else {
+            continue;
+        };
         let overlap = at.saturating_sub(*since);
         overlapping += 1;
         longest = longest.max(overlap);
@@ -197,12 +206,28 @@
     let mut all: BTreeMap<u64, Request> = BTreeMap::new();
     for record in records {
         match record {
-            Record::Submitted { at, request, trace, router, class, key, gives_up } => {
+            Record::Submitted {
+                at,
+                request,
+                trace,
+                router,
+                class,
+                key,
+                gives_up,
+            } => {
                 verdict.classes.entry(class.clone()).or_default().submitted += 1;
                 let (at, gives_up, key) = (*at, *gives_up, key.as_deref());
                 all.insert(
                     *request,
-                    Request { trace, class, router, key, at, gives_up, ..Request::default() },
+                    Request {
+                        trace,
+                        class,
+                        router,
+                        key,
+                        at,
+                        gives_up,
+                        ..Request::default()
+                    },
                 );
             }
             Record::Taken { at, request } => with(&mut all, *request, |r| r.taken = Some(*at)),
@@ -212,17 +237,28 @@
                     r.finals.push((*at, How::Served));
                 }
             }),
-            Record::Answered { at, request, how, error } => {
+            Record::Answered {
+                at,
+                request,
+                how,
+                error,
+            } => {
                 with(&mut all, *request, |r| r.finals.push((*at, *how)));
                 // A page that is not there is no answer, also not from a router that was restarted.
                 if let Some(error) = error.as_ref().filter(|e| e.starts_with("HTTP ")) {
-                    verdict.add(1, format!("request {request}: {error} in place of an answer"));
+                    verdict.add(
+                        1,
+                        format!("request {request}: {error} in place of an answer"),
+                    );
                 }
             }
             Record::Left { request, .. } => with(&mut all, *request, |r| r.left = true),
             Record::GaveUp { request, .. } => with(&mut all, *request, |r| r.gave_up = true),
             Record::Changed { at, request } => {
-                verdict.add(1, format!("request {request}: another answer behind the final one, at {at}"));
+                verdict.add(
+                    1,
+                    format!("request {request}: another answer behind the final one, at {at}"),
+                );
             }
             _ => {}
         }
@@ -237,7 +273,12 @@
 }
 
 /// Rule 1. A statement that its router held when it was killed is not owed; one that its client left neither.
-fn one_answer(records: &[Record], requests: &BTreeMap<u64, Request>, rules: &Rules, verdict: &mut Verdict) {
+fn one_answer(
+    records: &[Record],
+    requests: &BTreeMap<u64, Request>,
+    rules: &Rules,
+    verdict: &mut Verdict,
+) {
     let works: BTreeMap<&str, u64> = records
         .iter()
         .filter_map(|r| match r {
@@ -250,7 +291,9 @@
     for record in records {
         match record {
             Record::Killed { at, router } => kills.entry(router).or_default().push(*at),
-            Record::StoodStill { at, router, until } => stops.entry(router).or_default().push((*at, *until)),
+            Record::StoodStill { at, router, until } => {
+                stops.entry(router).or_default().push((*at, *until))
+            }
             _ => {}
         }
     }
@@ -258,25 +301,43 @@
         if let Record::TurnedAway { request, .. } = record
             && let Some(r) = requests.get(request)
         {
-            verdict.classes.entry(r.class.to_owned()).or_default().turned_away += 1;
+            verdict
+                .classes
+                .entry(r.class.to_owned())
+                .or_default()
+                .turned_away += 1;
         }
     }
     for (number, r) in requests {
         let Some(taken) = r.taken else {
             if !r.finals.is_empty() {
-                verdict.add(1, format!("request {number}: answered though it was never taken"));
+                verdict.add(
+                    1,
+                    format!("request {number}: answered though it was never taken"),
+                );
             }
             continue;
         };
         let tally = verdict.classes.entry(r.class.to_owned()).or_default();
         tally.taken += 1;
         let until = r.finals.first().map_or(u64::MAX, |f| f.0);
-        let killed = kills.get(r.router).into_iter().flatten().any(|k| taken <= *k && *k <= until)
-            || stops.get(r.router).into_iter().flatten().any(|(from, to)| r.at <= *to && *from <= until);
+        let killed = kills
+            .get(r.router)
+            .into_iter()
+            .flatten()
+            .any(|k| taken <= *k && *k <= until)
+            || stops
+                .get(r.router)
+                .into_iter()
+                .flatten()
+                .any(|(from, to)| r.at <= *to && *from <= until);
         match r.finals.as_slice() {
             [] if r.left => tally.left += 1,
             [] if killed => tally.lost += 1,
-            [] => verdict.add(1, format!("request {number}: no final answer before its client gave up")),
+            [] => verdict.add(
+                1,
+                format!("request {number}: no final answer before its client gave up"),
+            ),
             [(at, how), rest @ ..] => {
                 match how {
                     How::Served => tally.served += 1,
@@ -286,15 +347,22 @@
                 let answered = r.first_rows.map_or(*at, |rows| rows.min(*at));
                 let work = works.get(r.trace).copied().unwrap_or(0) as f64;
                 let aim = rules.classes.get(r.class).map_or(u64::MAX, |c| {
-                    c.aim + (c.stretch * work / if c.threads > 0.0 { c.threads } else { 1.0 }) as u64
+                    c.aim
+                        + (c.stretch * work / if c.threads > 0.0 { c.threads } else { 1.0 }) as u64
                 });
                 tally.late += u64::from(*how == How::Served && answered - r.at.min(answered) > aim);
                 if !rest.is_empty() {
-                    verdict.add(1, format!("request {number}: {} final answers", r.finals.len()));
+                    verdict.add(
+                        1,
+                        format!("request {number}: {} final answers", r.finals.len()),
+                    );
                 }
                 if answered > r.gives_up && !killed && !r.left {
                     let late = answered - r.gives_up;
-                    verdict.add(1, format!("request {number}: answered {late} µs after its client gave up"));
+                    verdict.add(
+                        1,
+                        format!("request {number}: answered {late} µs after its client gave up"),
+                    );
                 }
             }
         }
@@ -331,15 +399,24 @@
     }
     for (number, r) in requests.iter().filter(|(_, r)| never(r.class)) {
         let n = postings.get(r.trace).copied().unwrap_or(0);
-        verdict.classes.entry(r.class.to_owned()).or_default().postings += n;
+        verdict
+            .classes
+            .entry(r.class.to_owned())
+            .or_default()
+            .postings += n;
         match r.finals.first() {
             Some((_, How::Served)) if n == 0 => {
-                verdict.add(2, format!("request {number}: served, and no effect in the ledger"));
+                verdict.add(
+                    2,
+                    format!("request {number}: served, and no effect in the ledger"),
+                );
             }
             Some((_, How::Refused)) if n > 0 => {
                 verdict.add(
                     2,
-                    format!("request {number}: refused as harmless, and its effect is in the ledger"),
+                    format!(
+                        "request {number}: refused as harmless, and its effect is in the ledger"
+                    ),
                 );
             }
             _ => {}
@@ -360,7 +437,13 @@
             }
             Record::Started { engine, .. } => told.retain(|(e, _), _| e != engine),
             Record::Killed { router, .. } => told.retain(|(_, r), _| r != router),
-            Record::Sent { at, engine, router, trace, .. } => {
+            Record::Sent {
+                at,
+                engine,
+                router,
+                trace,
+                ..
+            } => {
                 if let Some(since) = told.get(&(engine.as_str(), router.as_str()))
                     && *at > since + rules.drain_grace
                 {
@@ -380,7 +463,12 @@
 const SEEN_LATER: u64 = 20_000;
 
 /// Rule 5. A router ends an attempt that may still run; behind that the key rests, and its turn passes on.
-fn order(records: &[Record], requests: &BTreeMap<u64, Request>, rules: &Rules, verdict: &mut Verdict) {
+fn order(
+    records: &[Record],
+    requests: &BTreeMap<u64, Request>,
+    rules: &Rules,
+    verdict: &mut Verdict,
+) {
     let in_order = |class: &str| rules.classes.get(class).is_some_and(|c| c.in_order);
     // By trace: key, router, and the submission.
     let keyed: BTreeMap<&str, (&str, &str, &Request)> = requests
@@ -401,22 +489,36 @@
                 newest.retain(|(_, r), _| r != router);
             }
             Record::Sent { at, trace, .. } => {
-                let Some((key, router, r)) = keyed.get(trace.as_str()) else { continue };
+                let Some((key, router, r)) = keyed.get(trace.as_str()) else {
+                    continue;
+                };
                 let line = running.entry((key, router)).or_default();
-                if let Some(other) = line.iter().find(|o| **o != trace.as_str() && !rested(o, *at)) {
-                    verdict.add(5, format!("{trace}: sent while {other} of the same key ran"));
+                if let Some(other) = line
+                    .iter()
+                    .find(|o| **o != trace.as_str() && !rested(o, *at))
+                {
+                    verdict.add(
+                        5,
+                        format!("{trace}: sent while {other} of the same key ran"),
+                    );
                 }
                 line.insert(trace);
                 // Submitted after this one was taken: then the order is beyond doubt.
                 let last = newest.entry((key, router)).or_insert((r.at, trace));
                 if r.taken.is_some_and(|taken| taken < last.0) {
-                    verdict.add(5, format!("{trace}: sent behind {}, which came after it", last.1));
+                    verdict.add(
+                        5,
+                        format!("{trace}: sent behind {}, which came after it", last.1),
+                    );
                 }
                 *last = (*last).max((r.at, trace));
             }
             Record::Done { trace, .. } => {
                 if let Some((key, router, _)) = keyed.get(trace.as_str()) {
-                    running.entry((key, router)).or_default().remove(trace.as_str());
+                    running
+                        .entry((key, router))
+                        .or_default()
+                        .remove(trace.as_str());
                 }
             }
             _ => {}
@@ -427,7 +529,14 @@
 /// Rule 6.
 fn placement(records: &[Record], rules: &Rules, verdict: &mut Verdict) {
     for record in records {
-        if let Record::Sent { engine, kind, trace, class, .. } = record {
+        if let Record::Sent {
+            engine,
+            kind,
+            trace,
+            class,
+            ..
+        } = record
+        {
             verdict.classes.entry(class.clone()).or_default().attempts += 1;
             let kinds = rules.classes.get(class).map(|c| &c.kinds);
             if kinds.is_some_and(|k| !k.is_empty() && !k.contains(kind)) {
@@ -438,11 +547,19 @@
 }
 
 /// Rule 7.
-fn attempts(records: &[Record], requests: &BTreeMap<u64, Request>, rules: &Rules, verdict: &mut Verdict) {
+fn attempts(
+    records: &[Record],
+    requests: &BTreeMap<u64, Request>,
+    rules: &Rules,
+    verdict: &mut Verdict,
+) {
     let mut each: BTreeMap<&str, u32> = BTreeMap::new();
     let mut extra: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
-        if let Record::Sent { at, router, trace, .. } = record {
+        if let Record::Sent {
+            at, router, trace, ..
+        } = record
+        {
             let n = each.entry(trace).or_default();
             *n += 1;
             if *n > 1 {
@@ -453,7 +570,9 @@
     for (trace, n) in each.iter().filter(|(_, n)| **n > rules.max_attempts) {
         verdict.add(7, format!("{trace}: {n} attempts"));
     }
-    let Some((spare, ratio, span)) = rules.budget else { return };
+    let Some((spare, ratio, span)) = rules.budget else {
+        return;
+    };
     for (router, times) in &extra {
         for (at, end) in times.iter().enumerate() {
             let from = end.saturating_sub(span);
@@ -463,8 +582,9 @@
                 .filter(|r| r.router == *router && r.taken.is_some_and(|t| t > from && t <= *end))
                 .count() as f64;
             if n > spare + ratio * taken {
-                let what =
-                    format!("{router}: {n} further attempts up to {end}, with {taken} taken in that span");
+                let what = format!(
+                    "{router}: {n} further attempts up to {end}, with {taken} taken in that span"
+                );
                 verdict.add(7, what);
             }
         }
--- a/crates/audit/src/leases.rs
+++ b/crates/audit/src/leases.rs
@@ -45,7 +45,17 @@
     let mut all = Leases::default();
     let mut parts: BTreeMap<&str, Part> = BTreeMap::new();
     for record in records {
-        let Record::Leased { at, resource, router, part, number, refused } = record else { continue };
+        let Record::Leased {
+            at,
+            resource,
+            router,
+            part,
+            number,
+            refused,
+        } = record
+        else {
+            continue;
+        };
         if *refused {
             all.refused += 1;
             continue;
@@ -54,7 +64,9 @@
         let known = parts.entry(part).or_default();
         let (_, whose) = known.first.entry(*number).or_insert((*at, router));
         if *whose != router.as_str() {
-            add(format!("{part}: {whose} and {router} both acted under number {number}"));
+            add(format!(
+                "{part}: {whose} and {router} both acted under number {number}"
+            ));
         }
         if let Some((newer, (since, other))) = known.first.range(number + 1..).next() {
             let overlap = at.saturating_sub(*since);
@@ -74,7 +86,10 @@
                 all.takeovers.push(gap);
             }
             if agreement.unheld.is_some_and(|most| gap > most) {
-                add(format!("{part}: nobody did it for {} ms, up to {at}", gap / 1000));
+                add(format!(
+                    "{part}: nobody did it for {} ms, up to {at}",
+                    gap / 1000
+                ));
             }
         }
     }
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -45,7 +45,12 @@
     /// Rows came.
     Rows { at: u64, request: u64, rows: u64 },
     /// The final answer came.
-    Answered { at: u64, request: u64, how: How, error: Option<String> },
+    Answered {
+        at: u64,
+        request: u64,
+        how: How,
+        error: Option<String>,
+    },
     /// Something came behind the final answer that was not the same.
     Changed { at: u64, request: u64 },
     /// The client gave up waiting, without a final answer.
@@ -77,19 +82,43 @@
         work: u64,
     },
     /// An engine refused an attempt unseen, as the rules that it was sent under are over.
-    Fenced { at: u64, engine: String, router: String, heeds: u64 },
+    Fenced {
+        at: u64,
+        engine: String,
+        router: String,
+        heeds: u64,
+    },
     /// Discovery or an engine was asked something under a lease, and has answered it or refused it as outdated.
-    Leased { at: u64, resource: String, router: String, part: String, number: u64, refused: bool },
+    Leased {
+        at: u64,
+        resource: String,
+        router: String,
+        part: String,
+        number: u64,
+        refused: bool,
+    },
     /// An effect was written to the ledger.
-    Posted { at: u64, engine: String, trace: String },
+    Posted {
+        at: u64,
+        engine: String,
+        trace: String,
+    },
     /// An engine's process began.
     Started { at: u64, engine: String, cold: bool },
     /// An engine was pushed over.
     Fell { at: u64, engine: String },
     /// A router was told that an engine drains or is gone.
-    ToldDrain { at: u64, engine: String, router: String },
+    ToldDrain {
+        at: u64,
+        engine: String,
+        router: String,
+    },
     /// A router was told that an engine is up.
-    ToldUp { at: u64, engine: String, router: String },
+    ToldUp {
+        at: u64,
+        engine: String,
+        router: String,
+    },
 
     /// A router's process was ended at once; what it held then is not owed.
     Killed { at: u64, router: String },
@@ -127,7 +156,9 @@
 
 /// Now, in µs since 1970.
 pub fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// Where records go: memory, and a file where one is given. Shared by all who write to the same.
@@ -145,7 +176,10 @@
     /// Into memory and a file.
     pub fn to_file(path: &Path) -> io::Result<Recorder> {
         let file = File::options().create(true).append(true).open(path)?;
-        Ok(Recorder(Arc::new(Mutex::new(Sink { file: Some(file), ..Sink::default() }))))
+        Ok(Recorder(Arc::new(Mutex::new(Sink {
+            file: Some(file),
+            ..Sink::default()
+        }))))
     }
 
     /// Writes one. A full disk is told by [`Recorder::all`], not by a panic in whoever writes.
@@ -163,7 +197,9 @@
 
     /// All of them so far, or why some are not in the file.
     pub fn all(&self) -> io::Result<Vec<Record>> {
-        let Ok(mut sink) = self.0.lock() else { return Err(io::Error::other("a writer panicked")) };
+        let Ok(mut sink) = self.0.lock() else {
+            return Err(io::Error::other("a writer panicked"));
+        };
         match sink.error.take() {
             Some(e) => Err(e),
             None => Ok(sink.all.clone()),
@@ -198,7 +234,10 @@
                 Ok(record) => records.push(record),
                 Err(e) => {
                     let place = format!("{}:{}", path.display(), at + 1);
-                    bad.push(BadLine { place, why: e.to_string() });
+                    bad.push(BadLine {
+                        place,
+                        why: e.to_string(),
+                    });
                 }
             }
         }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -5,9 +5,30 @@
 fn rules() -> Rules {
     let kinds = ["a".to_owned()].into();
     let classes = [
-        ("lookup".to_owned(), Class { aim: 1_000, ..Class::default() }),
-        ("report".to_owned(), Class { kinds, aim: 1_000, ..Class::default() }),
-        ("load".to_owned(), Class { never_twice: true, in_order: true, aim: 1_000, ..Class::default() }),
+        (
+            "lookup".to_owned(),
+            Class {
+                aim: 1_000,
+                ..Class::default()
+            },
+        ),
+        (
+            "report".to_owned(),
+            Class {
+                kinds,
+                aim: 1_000,
+                ..Class::default()
+            },
+        ),
+        (
+            "load".to_owned(),
+            Class {
+                never_twice: true,
+                in_order: true,
+                aim: 1_000,
+                ..Class::default()
+            },
+        ),
     ];
     Rules {
         classes: classes.into(),
@@ -47,15 +68,29 @@
 }
 
 fn answered(at: u64, request: u64, how: How) -> Record {
-    Record::Answered { at, request, how, error: None }
+    Record::Answered {
+        at,
+        request,
+        how,
+        error: None,
+    }
 }
 
 fn posted(at: u64, trace: &str) -> Record {
-    Record::Posted { at, engine: "e".into(), trace: trace.into() }
+    Record::Posted {
+        at,
+        engine: "e".into(),
+        trace: trace.into(),
+    }
 }
 
 fn done(at: u64, trace: &str) -> Record {
-    Record::Done { at, engine: "e".into(), trace: trace.into(), work: 0 }
+    Record::Done {
+        at,
+        engine: "e".into(),
+        trace: trace.into(),
+        work: 0,
+    }
 }
 
 /// A load that is refused once, submitted again and served; a lookup that moves on once; a report.
@@ -71,13 +106,23 @@
         done(50, "a.1"),
         answered(60, 2, How::Served),
         submitted(100, 3, "b.0", "lookup"),
-        Record::Taken { at: 101, request: 3 },
+        Record::Taken {
+            at: 101,
+            request: 3,
+        },
         sent(110, "b.0", "lookup", "b"),
-        Record::ToldDrain { at: 115, engine: "e".into(), router: "r".into() },
+        Record::ToldDrain {
+            at: 115,
+            engine: "e".into(),
+            router: "r".into(),
+        },
         sent(120, "b.0", "lookup", "b"),
         answered(130, 3, How::Served),
         submitted(140, 4, "c.0", "report"),
-        Record::Taken { at: 141, request: 4 },
+        Record::Taken {
+            at: 141,
+            request: 4,
+        },
         sent(150, "c.0", "report", "a"),
         answered(160, 4, How::Failed),
     ]
@@ -102,40 +147,112 @@
     let verdict = judge(&good(), &rules());
     assert_eq!(verdict.breaks, vec![]);
     let load = &verdict.classes["load"];
-    assert_eq!((load.submitted, load.taken, load.served, load.refused, load.postings), (2, 2, 1, 1, 1));
-    assert_eq!((verdict.classes["lookup"].attempts, verdict.classes["report"].failed), (2, 1));
+    assert_eq!(
+        (
+            load.submitted,
+            load.taken,
+            load.served,
+            load.refused,
+            load.postings
+        ),
+        (2, 2, 1, 1, 1)
+    );
+    assert_eq!(
+        (
+            verdict.classes["lookup"].attempts,
+            verdict.classes["report"].failed
+        ),
+        (2, 1)
+    );
 }
 
 #[test]
 fn rule_1_a_missing_second_late_or_changed_answer() {
     assert_eq!(without(&answered(130, 3, How::Served)), [1]);
     assert_eq!(with(&[answered(135, 3, How::Failed)]), [1]);
-    assert_eq!(with(&[Record::Rows { at: 135, request: 3, rows: 1 }]), [1]);
-    assert_eq!(with(&[Record::Changed { at: 170, request: 3 }]), [1]);
+    assert_eq!(
+        with(&[Record::Rows {
+            at: 135,
+            request: 3,
+            rows: 1
+        }]),
+        [1]
+    );
+    assert_eq!(
+        with(&[Record::Changed {
+            at: 170,
+            request: 3
+        }]),
+        [1]
+    );
     let gone = [
         submitted(200, 9, "d.0", "lookup"),
-        Record::Taken { at: 201, request: 9 },
-        Record::Answered { at: 210, request: 9, how: How::Failed, error: Some("HTTP 404".into()) },
+        Record::Taken {
+            at: 201,
+            request: 9,
+        },
+        Record::Answered {
+            at: 210,
+            request: 9,
+            how: How::Failed,
+            error: Some("HTTP 404".into()),
+        },
     ];
     assert_eq!(with(&gone), [1]);
     let late = [
         submitted(200, 9, "d.0", "lookup"),
-        Record::Taken { at: 201, request: 9 },
+        Record::Taken {
+            at: 201,
+            request: 9,
+        },
         answered(5_300, 9, How::Served),
     ];
     assert_eq!(with(&late), [1]);
-    assert_eq!(with(&[submitted(200, 9, "d.0", "lookup"), answered(210, 9, How::Served)]), [1]);
+    assert_eq!(
+        with(&[
+            submitted(200, 9, "d.0", "lookup"),
+            answered(210, 9, How::Served)
+        ]),
+        [1]
+    );
 }
 
 #[test]
 fn rule_1_owes_nothing_for_a_killed_router_or_a_client_that_left() {
-    let open = [submitted(200, 9, "d.0", "lookup"), Record::Taken { at: 201, request: 9 }];
+    let open = [
+        submitted(200, 9, "d.0", "lookup"),
+        Record::Taken {
+            at: 201,
+            request: 9,
+        },
+    ];
     assert_eq!(with(&open), [1]);
-    let killed = [open.as_slice(), &[Record::Killed { at: 210, router: "r".into() }]].concat();
+    let killed = [
+        open.as_slice(),
+        &[Record::Killed {
+            at: 210,
+            router: "r".into(),
+        }],
+    ]
+    .concat();
     assert_eq!(with(&killed), [] as [u8; 0]);
-    let other = [open.as_slice(), &[Record::Killed { at: 210, router: "q".into() }]].concat();
+    let other = [
+        open.as_slice(),
+        &[Record::Killed {
+            at: 210,
+            router: "q".into(),
+        }],
+    ]
+    .concat();
     assert_eq!(with(&other), [1]);
-    let left = [open.as_slice(), &[Record::Left { at: 210, request: 9 }]].concat();
+    let left = [
+        open.as_slice(),
+        &[Record::Left {
+            at: 210,
+            request: 9,
+        }],
+    ]
+    .concat();
     assert_eq!(with(&left), [] as [u8; 0]);
 }
 
@@ -151,37 +268,67 @@
     let late = |at| [sent(at, "e.0", "lookup", "b")];
     assert_eq!(with(&late(215)), [] as [u8; 0]);
     assert_eq!(with(&late(216)), [3]);
-    let up = Record::ToldUp { at: 200, engine: "e".into(), router: "r".into() };
+    let up = Record::ToldUp {
+        at: 200,
+        engine: "e".into(),
+        router: "r".into(),
+    };
     assert_eq!(with(&[up, late(216)[0].clone()]), [] as [u8; 0]);
-    let started = Record::Started { at: 200, engine: "e".into(), cold: true };
+    let started = Record::Started {
+        at: 200,
+        engine: "e".into(),
+        cold: true,
+    };
     assert_eq!(with(&[started, late(216)[0].clone()]), [] as [u8; 0]);
 }
 
 #[test]
 fn rule_4_an_engine_that_fell() {
-    assert_eq!(with(&[Record::Fell { at: 300, engine: "e".into() }]), [4]);
+    assert_eq!(
+        with(&[Record::Fell {
+            at: 300,
+            engine: "e".into()
+        }]),
+        [4]
+    );
 }
 
 #[test]
 fn rule_5_same_keys_together_or_out_of_turn() {
     let pair = [
         submitted(200, 8, "f.0", "load"),
-        Record::Taken { at: 201, request: 8 },
+        Record::Taken {
+            at: 201,
+            request: 8,
+        },
         submitted(202, 9, "g.0", "load"),
-        Record::Taken { at: 203, request: 9 },
+        Record::Taken {
+            at: 203,
+            request: 9,
+        },
         answered(290, 8, How::Failed),
         answered(291, 9, How::Failed),
     ];
     let run = |trace: &str, from, to| vec![sent(from, trace, "load", "b"), done(to, trace)];
     // Past the grace of the drain that the good record tells.
-    let up = vec![Record::ToldUp { at: 204, engine: "e".into(), router: "r".into() }];
+    let up = vec![Record::ToldUp {
+        at: 204,
+        engine: "e".into(),
+        router: "r".into(),
+    }];
     let order = |a: Vec<Record>, b: Vec<Record>| with(&[pair.to_vec(), up.clone(), a, b].concat());
-    assert_eq!(order(run("f.0", 210, 220), run("g.0", 230, 240)), [] as [u8; 0]);
+    assert_eq!(
+        order(run("f.0", 210, 220), run("g.0", 230, 240)),
+        [] as [u8; 0]
+    );
     assert_eq!(order(run("f.0", 230, 240), run("g.0", 210, 220)), [5]);
     assert_eq!(order(run("f.0", 210, 235), run("g.0", 230, 240)), [5]);
     // One that may still run is rested from, and not longer.
     assert_eq!(order(run("f.0", 210, 400), run("g.0", 309, 320)), [5]);
-    assert_eq!(order(run("f.0", 210, 400), run("g.0", 310, 320)), [] as [u8; 0]);
+    assert_eq!(
+        order(run("f.0", 210, 400), run("g.0", 310, 320)),
+        [] as [u8; 0]
+    );
 }
 
 #[test]
@@ -192,10 +339,25 @@
 #[test]
 fn rule_7_too_many_attempts_at_one_and_by_a_router() {
     let far = |at: u64, trace: &str| sent(at, trace, "lookup", "b");
-    let up = Record::ToldUp { at: 1_500, engine: "e".into(), router: "r".into() };
-    let three = [up.clone(), far(2_000, "h.0"), far(4_000, "h.0"), far(6_000, "h.0")];
+    let up = Record::ToldUp {
+        at: 1_500,
+        engine: "e".into(),
+        router: "r".into(),
+    };
+    let three = [
+        up.clone(),
+        far(2_000, "h.0"),
+        far(4_000, "h.0"),
+        far(6_000, "h.0"),
+    ];
     assert_eq!(with(&three), [7]);
-    let many = [up, far(2_000, "h.0"), far(2_001, "i.0"), far(2_010, "h.0"), far(2_020, "i.0")];
+    let many = [
+        up,
+        far(2_000, "h.0"),
+        far(2_001, "i.0"),
+        far(2_010, "h.0"),
+        far(2_020, "i.0"),
+    ];
     assert_eq!(with(&many), [7]);
 }
 
@@ -204,8 +366,12 @@
     let dir = std::env::temp_dir().join(format!("hoptiller-audit-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let good = serde_json::to_string(&answered(5, 1, How::Served)).expect("text");
-    let bytes =
-        [good.as_bytes(), b"\n{\"what\":\"fel\n\xff\xfe\n", &good.as_bytes()[..good.len() - 3]].concat();
+    let bytes = [
+        good.as_bytes(),
+        b"\n{\"what\":\"fel\n\xff\xfe\n",
+        &good.as_bytes()[..good.len() - 3],
+    ]
+    .concat();
     std::fs::write(dir.join("a.jsonl"), bytes).expect("written");
     let (records, bad) = read_dir(&dir).expect("read");
     std::fs::remove_dir_all(&dir).expect("removed");
@@ -217,9 +383,22 @@
 #[test]
 fn an_answer_is_late_by_its_aim_and_its_work() {
     let mut rules = rules();
-    rules.classes.insert("lookup".into(), Class { aim: 100, stretch: 2.0, threads: 2.0, ..Class::default() });
+    rules.classes.insert(
+        "lookup".into(),
+        Class {
+            aim: 100,
+            stretch: 2.0,
+            threads: 2.0,
+            ..Class::default()
+        },
+    );
     let late = |answer| {
-        let done = Record::Done { at: 20, engine: "e".into(), trace: "b.0".into(), work: 50 };
+        let done = Record::Done {
+            at: 20,
+            engine: "e".into(),
+            trace: "b.0".into(),
+            work: 50,
+        };
         let records = [
             submitted(10, 1, "b.0", "lookup"),
             Record::Taken { at: 11, request: 1 },
@@ -271,21 +450,51 @@
         act(5002, "r1", (1, 1, false)),
     ];
     assert_eq!(broken(&late, &[]), (true, Some((5000, 2))));
-    assert_eq!(broken(&late, &[2]), (false, Some((0, 0))), "the two contradict in nothing");
-    assert_eq!(broken(&late[..3], &[]), (false, Some((500, 1))), "for less than is promised");
+    assert_eq!(
+        broken(&late, &[2]),
+        (false, Some((0, 0))),
+        "the two contradict in nothing"
+    );
+    assert_eq!(
+        broken(&late[..3], &[]),
+        (false, Some((500, 1))),
+        "for less than is promised"
+    );
     let doubt = [act(2, "r2", (2, 2, false)), act(5002, "r1", (1, 1, true))];
-    assert_eq!(broken(&doubt, &[]), (false, Some((0, 0))), "outside the promise, and said so");
+    assert_eq!(
+        broken(&doubt, &[]),
+        (false, Some((0, 0))),
+        "outside the promise, and said so"
+    );
 }
 
 fn leased(at: u64, router: &str, number: u64, refused: bool) -> Record {
-    let (resource, router, part) = ("discovery".to_owned(), router.to_owned(), "list/0".to_owned());
-    Record::Leased { at, resource, router, part, number, refused }
+    let (resource, router, part) = (
+        "discovery".to_owned(),
+        router.to_owned(),
+        "list/0".to_owned(),
+    );
+    Record::Leased {
+        at,
+        resource,
+        router,
+        part,
+        number,
+        refused,
+    }
 }
 
 #[test]
 fn an_act_under_an_older_lease_and_a_part_done_by_nobody_are_caught() {
-    let agreement = hoptiller_audit::Agreement { overlap: 100, unheld: Some(5_000), ..Default::default() };
-    let rules = Rules { agreement: Some(agreement), ..rules() };
+    let agreement = hoptiller_audit::Agreement {
+        overlap: 100,
+        unheld: Some(5_000),
+        ..Default::default()
+    };
+    let rules = Rules {
+        agreement: Some(agreement),
+        ..rules()
+    };
     let good = [
         leased(0, "a", 1, false),
         leased(1_000, "a", 1, false),
@@ -297,19 +506,32 @@
     let verdict = judge(&good, &rules);
     assert!(verdict.breaks.is_empty(), "{:?}", verdict.breaks);
     let leases = verdict.leases.expect("there were some");
-    assert_eq!((leases.acts, leases.refused, leases.numbers, leases.overlaps), (5, 1, 2, 1));
+    assert_eq!(
+        (leases.acts, leases.refused, leases.numbers, leases.overlaps),
+        (5, 1, 2, 1)
+    );
     assert_eq!((leases.longest_overlap, leases.longest_gap), (50, 3_950));
     let broken = |more: Record| {
         let mut all = good.to_vec();
         all.push(more);
         let breaks = judge(&all, &rules).breaks;
         assert!(breaks.iter().all(|b| b.rule == 9), "{breaks:?}");
-        breaks.into_iter().map(|b| b.what).collect::<Vec<_>>().join("; ")
+        breaks
+            .into_iter()
+            .map(|b| b.what)
+            .collect::<Vec<_>>()
+            .join("; ")
     };
     let older = broken(leased(9_000, "a", 1, false));
-    assert!(older.contains("a acted on discovery under number 1, 5 ms after b under 2"), "{older}");
+    assert!(
+        older.contains("a acted on discovery under number 1, 5 ms after b under 2"),
+        "{older}"
+    );
     let shared = broken(leased(9_000, "c", 2, false));
-    assert!(shared.contains("b and c both acted under number 2"), "{shared}");
+    assert!(
+        shared.contains("b and c both acted under number 2"),
+        "{shared}"
+    );
     let unheld = broken(leased(14_000, "b", 2, false));
     assert!(unheld.contains("nobody did it for 6 ms"), "{unheld}");
 }
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -12,14 +12,18 @@
 
 use hoptiller_agreement::lease::{Board, Grant, SEASONED};
 use hoptiller_agreement::{
-    Act, Answer, Bounds, Document, Fleet, Holder, Micros, Offer, Part, Put, Right, Task, Tenant, Terms,
+    Act, Answer, Bounds, Document, Fleet, Holder, Micros, Offer, Part, Put, Right, Task, Tenant,
+    Terms,
 };
 use stateright::{Model, Property};
 
 /// One step of the time.
 pub const TICK: Micros = 1_000_000;
 /// The part that all want.
-const PART: Part = Part { task: Task::List, shard: 0 };
+const PART: Part = Part {
+    task: Task::List,
+    shard: 0,
+};
 /// The keeper that learns late.
 const LATE: usize = 2;
 /// How far clocks may differ, in millionths.
@@ -170,7 +174,11 @@
 
 fn holder(process: usize) -> Holder {
     // Two processes under one name, and others.
-    let router = if process < 2 { "r1".to_owned() } else { format!("r{process}") };
+    let router = if process < 2 {
+        "r1".to_owned()
+    } else {
+        format!("r{process}")
+    };
     let life = if hoptiller_agreement::plant::is(hoptiller_agreement::plant::Plant::EarlierLife) {
         String::new()
     } else {
@@ -186,14 +194,24 @@
 impl Leasing {
     /// A fleet in which all processes have asked often enough to be given leases.
     pub fn new(limits: Limits) -> Leasing {
-        let bounds = Bounds { term: Micros::from(limits.term) * TICK, drift: DRIFT };
+        let bounds = Bounds {
+            term: Micros::from(limits.term) * TICK,
+            drift: DRIFT,
+        };
         let mut fleet = Fleet::default();
         let text = r#"{"form": 1, "kinds": {"a": 8}, "tasks": {"list": 1},
             "classes": {"lookup": {"aim": "1s", "patience": "7s", "repeat": "safe"}}, "engines": {},
             "rules": {"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}}"#;
         if let Ok(document) = Document::read(text.as_bytes()) {
             let (change, by, why) = ("first".to_owned(), "check".to_owned(), "check".to_owned());
-            fleet.apply(Act::Put(Box::new(Put { change, base: None, by, at: 1, why, document })));
+            fleet.apply(Act::Put(Box::new(Put {
+                change,
+                base: None,
+                by,
+                at: 1,
+                why,
+                document,
+            })));
         }
         let mut tenants: Vec<(Tenant, u64)> = (0..limits.processes)
             .map(|_| (Tenant::new(&bounds, Micros::from(limits.way) * TICK), 0))
@@ -204,26 +222,44 @@
                     continue;
                 }
                 let offer = Some(tenant.offer(*next, 0));
-                let asked = Act::Ask { holder: holder(process), heeds: 1, in_force: 1, offer };
+                let asked = Act::Ask {
+                    holder: holder(process),
+                    heeds: 1,
+                    in_force: 1,
+                    offer,
+                };
                 if let Answer::Granted(g) = fleet.apply(asked) {
                     tenant.granted(*next, 0, g.serial, g.leases.as_deref(), g.board.as_ref());
                 }
                 *next += 1;
             }
         }
-        Leasing { limits, bounds, fleet, tenants }
+        Leasing {
+            limits,
+            bounds,
+            fleet,
+            tenants,
+        }
     }
 
     /// A process's clock: slow by the bound, but the last one's, which is fast.
     fn clock(&self, process: usize, now: u32) -> Micros {
         let fast = process + 1 == self.limits.processes;
-        let rate = if fast { 1_000_000 + DRIFT } else { 1_000_000 - DRIFT };
+        let rate = if fast {
+            1_000_000 + DRIFT
+        } else {
+            1_000_000 - DRIFT
+        };
         Micros::from(now) * TICK * rate / 1_000_000
     }
 
     /// A keeper's clock: fast by the bound, but the first one's, which is slow.
     fn keeper_clock(&self, keeper: usize, now: u32) -> Micros {
-        let rate = if keeper == 0 { 1_000_000 - DRIFT } else { 1_000_000 + DRIFT };
+        let rate = if keeper == 0 {
+            1_000_000 - DRIFT
+        } else {
+            1_000_000 + DRIFT
+        };
         Micros::from(now) * TICK * rate / 1_000_000
     }
 
@@ -262,7 +298,9 @@
 
     /// Whether nothing but the time and messages can still change anything.
     fn in_flight(s: &State, process: usize) -> bool {
-        s.processes[process].right.is_some_and(|(_, sent)| sent.is_some())
+        s.processes[process]
+            .right
+            .is_some_and(|(_, sent)| sent.is_some())
     }
 }
 
@@ -272,14 +310,23 @@
 
     fn init_states(&self) -> Vec<State> {
         let log = Arc::new(Logged(self.fleet.clone()));
-        let keepers = (0..3).map(|_| Keeper { log: log.clone(), terms: Some(Terms::begin(0, &log.0)) });
+        let keepers = (0..3).map(|_| Keeper {
+            log: log.clone(),
+            terms: Some(Terms::begin(0, &log.0)),
+        });
         let processes = self.tenants.iter().map(|(tenant, next)| Process {
             tenant: tenant.clone(),
             next: *next,
             asked: 0,
             right: None,
         });
-        let given = log.0.leases().board(0).posted.into_iter().filter_map(|p| p.holder);
+        let given = log
+            .0
+            .leases()
+            .board(0)
+            .posted
+            .into_iter()
+            .filter_map(|p| p.holder);
         vec![State {
             now: 0,
             keepers: keepers.collect(),
@@ -301,10 +348,10 @@
             return;
         }
         // An act is on its way for a margin at most.
-        let overdue = s
-            .processes
-            .iter()
-            .any(|p| p.right.is_some_and(|(_, sent)| sent.is_some_and(|t| t + self.limits.way <= s.now)));
+        let overdue = s.processes.iter().any(|p| {
+            p.right
+                .is_some_and(|(_, sent)| sent.is_some_and(|t| t + self.limits.way <= s.now))
+        });
         if s.now < self.limits.ticks && !overdue {
             steps.push(Step::Tick);
         }
@@ -313,7 +360,8 @@
                 Flying::Question { doubled, .. } => {
                     // Over which keeper it comes matters for the one alone that learns late.
                     let first = s.keepers.iter().position(|k| k.terms.is_some());
-                    let late = Some(LATE).filter(|k| s.keepers[*k].terms.is_some() && first != Some(*k));
+                    let late =
+                        Some(LATE).filter(|k| s.keepers[*k].terms.is_some() && first != Some(*k));
                     for k in first.into_iter().chain(late) {
                         steps.push(Step::ToKeeper(n, k, false));
                         if !doubled && s.doubles < self.limits.doubles {
@@ -345,14 +393,18 @@
             }
         }
         for (p, process) in s.processes.iter().enumerate() {
-            let open =
-                s.flying.iter().filter(|f| matches!(f, Flying::Question { process, .. } if *process == p));
+            let open = s
+                .flying
+                .iter()
+                .filter(|f| matches!(f, Flying::Question { process, .. } if *process == p));
             // One that is lost stays open for good.
             if process.asked < self.limits.asks && open.count() < 2 {
                 steps.push(Step::Ask(p));
             }
             match &process.right {
-                None if process.tenant.holds(self.clock(p, s.now), PART) => steps.push(Step::Begin(p)),
+                None if process.tenant.holds(self.clock(p, s.now), PART) => {
+                    steps.push(Step::Begin(p))
+                }
                 None => {}
                 Some((_, None)) => steps.push(Step::Send(p)),
                 Some((_, Some(_))) => steps.push(Step::Arrive(p)),
@@ -370,32 +422,89 @@
                 let id = process.next;
                 (process.next, process.asked) = (id + 1, process.asked + 1);
                 let offer = key(&process.tenant.offer(id, now));
-                s.flying.insert(Flying::Question { process: p, id, offer, doubled: false });
+                s.flying.insert(Flying::Question {
+                    process: p,
+                    id,
+                    offer,
+                    doubled: false,
+                });
             }
             Step::ToKeeper(n, k, doubled) => {
                 let flying = s.flying.iter().nth(n)?.clone();
                 s.flying.remove(&flying);
-                let Flying::Question { process, id, offer, .. } = flying else { return None };
+                let Flying::Question {
+                    process, id, offer, ..
+                } = flying
+                else {
+                    return None;
+                };
                 if doubled {
                     s.doubles += 1;
-                    s.flying.insert(Flying::Question { process, id, offer: offer.clone(), doubled });
+                    s.flying.insert(Flying::Question {
+                        process,
+                        id,
+                        offer: offer.clone(),
+                        doubled,
+                    });
                 }
                 let (heard, willing, released, board) = offer;
-                let offer = Some(Offer { heard, willing, released, board });
-                let ask = Act::Ask { holder: holder(process), heeds: 1, in_force: 1, offer };
-                let Answer::Granted(g) = self.through(&mut s, k, ask)? else { return None };
-                let leases = g.leases.map(|all| all.iter().map(|g| (g.number, g.leaving)).collect());
-                s.flying.insert(Flying::Answer { process, id, serial: g.serial, leases });
+                let offer = Some(Offer {
+                    heard,
+                    willing,
+                    released,
+                    board,
+                });
+                let ask = Act::Ask {
+                    holder: holder(process),
+                    heeds: 1,
+                    in_force: 1,
+                    offer,
+                };
+                let Answer::Granted(g) = self.through(&mut s, k, ask)? else {
+                    return None;
+                };
+                let leases = g
+                    .leases
+                    .map(|all| all.iter().map(|g| (g.number, g.leaving)).collect());
+                s.flying.insert(Flying::Answer {
+                    process,
+                    id,
+                    serial: g.serial,
+                    leases,
+                });
             }
             Step::ToProcess(n) => {
                 let flying = s.flying.iter().nth(n)?.clone();
                 s.flying.remove(&flying);
-                let Flying::Answer { process, id, serial, leases } = flying else { return None };
-                let grant = |(number, leaving): (u64, bool)| Grant { part: PART, number, leaving };
-                let leases: Option<Vec<Grant>> = leases.map(|all| all.into_iter().map(grant).collect());
+                let Flying::Answer {
+                    process,
+                    id,
+                    serial,
+                    leases,
+                } = flying
+                else {
+                    return None;
+                };
+                let grant = |(number, leaving): (u64, bool)| Grant {
+                    part: PART,
+                    number,
+                    leaving,
+                };
+                let leases: Option<Vec<Grant>> =
+                    leases.map(|all| all.into_iter().map(grant).collect());
                 let now = self.clock(process, s.now);
-                let board = Board { upto: 0, parts: vec![PART], posted: Vec::new() };
-                s.processes[process].tenant.granted(id, now, serial, leases.as_deref(), Some(&board));
+                let board = Board {
+                    upto: 0,
+                    parts: vec![PART],
+                    posted: Vec::new(),
+                };
+                s.processes[process].tenant.granted(
+                    id,
+                    now,
+                    serial,
+                    leases.as_deref(),
+                    Some(&board),
+                );
             }
             Step::CatchUp(k) => self.catch_up(&mut s, k),
             Step::Judge(k) => {
@@ -453,9 +562,13 @@
             Property::always("never two acting", |_, s: &State| !s.two_acted),
             Property::always("no number is given twice", |_, s: &State| !s.number_again),
             Property::sometimes("a free part is taken", |_, s: &State| s.taken_over),
-            Property::sometimes("a holder acts to its last moment", |m: &Leasing, s: &State| {
-                (0..s.processes.len()).any(|p| Leasing::in_flight(s, p) && s.now + 2 >= m.limits.term)
-            }),
+            Property::sometimes(
+                "a holder acts to its last moment",
+                |m: &Leasing, s: &State| {
+                    (0..s.processes.len())
+                        .any(|p| Leasing::in_flight(s, p) && s.now + 2 >= m.limits.term)
+                },
+            ),
         ]
     }
 }
--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -57,15 +57,39 @@
             }
         }
     }
-    let Args { ticks, term, asks, crashes, doubles, way, late_twin, processes, .. } = args;
+    let Args {
+        ticks,
+        term,
+        asks,
+        crashes,
+        doubles,
+        way,
+        late_twin,
+        processes,
+        ..
+    } = args;
     if processes < 2 || term < 2 {
-        eprintln!("hoptiller-check: two processes or more and a term of two steps or more are wanted");
+        eprintln!(
+            "hoptiller-check: two processes or more and a term of two steps or more are wanted"
+        );
         return ExitCode::from(2);
     }
     let began = Instant::now();
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let model = Leasing::new(Limits { ticks, term, asks, crashes, doubles, way, late_twin, processes });
-    let mut checker = model.checker().threads(threads).finish_when(HasDiscoveries::AnyFailures);
+    let model = Leasing::new(Limits {
+        ticks,
+        term,
+        asks,
+        crashes,
+        doubles,
+        way,
+        late_twin,
+        processes,
+    });
+    let mut checker = model
+        .checker()
+        .threads(threads)
+        .finish_when(HasDiscoveries::AnyFailures);
     if args.states > 0 {
         checker = checker.target_state_count(args.states);
     }
@@ -85,12 +109,26 @@
             Some(path) => {
                 wrong = true;
                 println!("{property}: BROKEN by");
-                path.clone().into_actions().iter().for_each(|step| println!("  {step:?}"));
+                path.clone()
+                    .into_actions()
+                    .iter()
+                    .for_each(|step| println!("  {step:?}"));
             }
         }
     }
     for property in ["a free part is taken", "a holder acts to its last moment"] {
-        println!("{property}: {}", if found.contains_key(property) { "seen" } else { "not seen" });
+        println!(
+            "{property}: {}",
+            if found.contains_key(property) {
+                "seen"
+            } else {
+                "not seen"
+            }
+        );
+    }
+    if wrong {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
     }
-    if wrong { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
--- a/crates/check/tests/leases.rs
+++ b/crates/check/tests/leases.rs
@@ -6,21 +6,51 @@
 const NEVER: [&str; 2] = ["never two acting", "no number is given twice"];
 
 /// Acts that are long on their way, and take most of a term.
-const LONG_WAY: Limits =
-    Limits { ticks: 5, term: 4, asks: 1, crashes: 0, doubles: 0, way: 2, late_twin: false, processes: 2 };
+const LONG_WAY: Limits = Limits {
+    ticks: 5,
+    term: 4,
+    asks: 1,
+    crashes: 0,
+    doubles: 0,
+    way: 2,
+    late_twin: false,
+    processes: 2,
+};
 /// A keeper that crashes at any step.
-const CRASH: Limits = Limits { ticks: 4, term: 3, way: 1, crashes: 1, ..LONG_WAY };
+const CRASH: Limits = Limits {
+    ticks: 4,
+    term: 3,
+    way: 1,
+    crashes: 1,
+    ..LONG_WAY
+};
 /// Another life of the holder's router, which begins while the holder still acts.
-const TWIN: Limits = Limits { ticks: 1, asks: 2, way: 1, late_twin: true, ..LONG_WAY };
+const TWIN: Limits = Limits {
+    ticks: 1,
+    asks: 2,
+    way: 1,
+    late_twin: true,
+    ..LONG_WAY
+};
 
 /// What is broken, and whether a part that came free was taken.
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let model = Leasing::new(limits.clone()).checker().threads(threads);
-    let done = model.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let done = model
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let found = done.discoveries();
-    println!("{limits:?}: {} states, {} steps deep", done.unique_state_count(), done.max_depth());
-    let broken = NEVER.into_iter().filter(|p| found.contains_key(p)).collect();
+    println!(
+        "{limits:?}: {} states, {} steps deep",
+        done.unique_state_count(),
+        done.max_depth()
+    );
+    let broken = NEVER
+        .into_iter()
+        .filter(|p| found.contains_key(p))
+        .collect();
     (broken, found.contains_key("a free part is taken"))
 }
 
--- a/crates/cli/src/commands/audit.rs
+++ b/crates/cli/src/commands/audit.rs
@@ -27,17 +27,23 @@
     let place = dir.join("rules.json");
     let text = std::fs::read_to_string(&place)
         .map_err(|e| Failure::Outside(format!("{} can't be read", place.display()), e))?;
-    let rules: Rules =
-        serde_json::from_str(&text).map_err(|e| Failure::Usage(format!("{}: {e}", place.display())))?;
-    let (records, bad) =
-        read_dir(dir).map_err(|e| Failure::Outside(format!("{} can't be read", dir.display()), e))?;
+    let rules: Rules = serde_json::from_str(&text)
+        .map_err(|e| Failure::Usage(format!("{}: {e}", place.display())))?;
+    let (records, bad) = read_dir(dir)
+        .map_err(|e| Failure::Outside(format!("{} can't be read", dir.display()), e))?;
     if let Some(first) = bad.first() {
         let n = bad.len();
-        let what = format!("{n} damaged lines, the first: {}: {}; no verdict", first.place, first.why);
+        let what = format!(
+            "{n} damaged lines, the first: {}: {}; no verdict",
+            first.place, first.why
+        );
         return Err(Failure::Usage(what));
     }
     if records.is_empty() {
-        return Err(Failure::Usage(format!("{}: no records in it; no verdict", dir.display())));
+        return Err(Failure::Usage(format!(
+            "{}: no records in it; no verdict",
+            dir.display()
+        )));
     }
     Ok(judge(&records, &rules))
 }
@@ -45,7 +51,10 @@
 /// Prints a verdict.
 pub fn print(verdict: &Verdict, json: bool) {
     if json {
-        println!("{}", serde_json::to_string_pretty(verdict).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(verdict).unwrap_or_default()
+        );
         return;
     }
     println!(
@@ -83,7 +92,10 @@
         0 => println!("all rules kept"),
         n => {
             println!("{n} breaks of the rules:");
-            verdict.breaks.iter().for_each(|b| println!("  rule {}: {}", b.rule, b.what));
+            verdict
+                .breaks
+                .iter()
+                .for_each(|b| println!("  rule {}: {}", b.rule, b.what));
         }
     }
 }
--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -24,9 +24,12 @@
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
     let mut files = Vec::new();
     for path in &args.traces {
-        files.extend(files_of(path).map_err(|e| Failure::Outside(format!("{}", path.display()), e))?);
+        files.extend(
+            files_of(path).map_err(|e| Failure::Outside(format!("{}", path.display()), e))?,
+        );
     }
-    let (mut engines, mut wrong, mut compared, mut unread) = (BTreeMap::<u32, Seen>::new(), 0, 0, 0);
+    let (mut engines, mut wrong, mut compared, mut unread) =
+        (BTreeMap::<u32, Seen>::new(), 0, 0, 0);
     for file in &files {
         let trace = read(file).map_err(|e| Failure::Outside(format!("{}", file.display()), e))?;
         for w in &trace.wrong {
@@ -39,8 +42,11 @@
                 w.believed
             );
         }
-        (wrong, compared, unread) =
-            (wrong + trace.wrong_in_all, compared + trace.compared, unread + trace.unread);
+        (wrong, compared, unread) = (
+            wrong + trace.wrong_in_all,
+            compared + trace.compared,
+            unread + trace.unread,
+        );
         for (id, s) in trace.engines {
             let all = engines.entry(id).or_default();
             all.sent += s.sent;
@@ -52,8 +58,7 @@
         }
     }
     if compared == 0 {
-        let what =
-            "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_node=debug)";
+        let what = "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_node=debug)";
         return Err(Failure::Usage(what.to_owned()));
     }
     let mut worst: Vec<(u32, Seen)> = engines.into_iter().collect();
@@ -68,7 +73,10 @@
             s.sent, s.served, s.full, s.unreached, s.again, s.most_out
         );
     };
-    worst.iter().take(args.most).for_each(|(id, s)| row(&id.to_string(), s));
+    worst
+        .iter()
+        .take(args.most)
+        .for_each(|(id, s)| row(&id.to_string(), s));
     let sum = |of: fn(&Seen) -> u64| worst.iter().map(|(_, s)| of(s)).sum::<u64>();
     let all = Seen {
         sent: sum(|s| s.sent),
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -42,7 +42,10 @@
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
     match checked(&args.file) {
         Ok((value, _)) if args.json => {
-            println!("{}", serde_json::to_string_pretty(&value).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&value).unwrap_or_default()
+            );
             Ok(ExitCode::SUCCESS)
         }
         Ok((_, what)) => {
@@ -51,7 +54,10 @@
         }
         Err(Failure::Settings(problems)) if args.json => {
             let told = serde_json::json!({ "problems": problems });
-            println!("{}", serde_json::to_string_pretty(&told).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&told).unwrap_or_default()
+            );
             Ok(ExitCode::from(2))
         }
         Err(e) => Err(e),
@@ -60,22 +66,47 @@
 
 /// A good file as it is understood, and what it is in words.
 fn checked(file: &Path) -> Result<(Value, String), Failure> {
-    let value = hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
-    let one = |what: String| Failure::Settings(vec![Problem { place: file.display().to_string(), what }]);
+    let value =
+        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let one = |what: String| {
+        Failure::Settings(vec![Problem {
+            place: file.display().to_string(),
+            what,
+        }])
+    };
     match kind_of(&value) {
         Kind::Settings => {
-            let s = Settings::from_value(&file.display().to_string(), &value).map_err(Failure::Settings)?;
+            let s = Settings::from_value(&file.display().to_string(), &value)
+                .map_err(Failure::Settings)?;
             let r = &s.router;
-            let what = format!("settings of router {} of {}, {} classes", r.name, r.of, s.classes.len());
+            let what = format!(
+                "settings of router {} of {}, {} classes",
+                r.name,
+                r.of,
+                s.classes.len()
+            );
             Ok((serde_json::to_value(&s).unwrap_or_default(), what))
         }
         Kind::Keeper => {
-            let k = hoptiller_keeper::Config::read(value.clone()).map_err(|e| one(e.to_string()))?;
-            Ok((value, format!("keeper {} of {} in fleet {}", k.keeper, k.keepers.len(), k.fleet)))
+            let k =
+                hoptiller_keeper::Config::read(value.clone()).map_err(|e| one(e.to_string()))?;
+            Ok((
+                value,
+                format!(
+                    "keeper {} of {} in fleet {}",
+                    k.keeper,
+                    k.keepers.len(),
+                    k.fleet
+                ),
+            ))
         }
         Kind::Document => {
             let d = settings::read(file)?;
-            let what = format!("a fleet's document, {} classes, digest {:.12}", d.classes.len(), d.digest());
+            let what = format!(
+                "a fleet's document, {} classes, digest {:.12}",
+                d.classes.len(),
+                d.digest()
+            );
             Ok((value, what))
         }
         Kind::FleetDay => fleet::check(file).map(|what| (value, what)),
--- a/crates/cli/src/commands/day/crowd.rs
+++ b/crates/cli/src/commands/day/crowd.rs
@@ -39,45 +39,53 @@
 
 impl Crowd {
     pub fn start(plan: &Plan, stage: &Stage, seed: u64) -> Result<Crowd, Failure> {
-        let (stop, rush, next) = (AtomicBool::new(false), AtomicU64::new(1000), AtomicU64::new(0));
+        let (stop, rush, next) = (
+            AtomicBool::new(false),
+            AtomicU64::new(1000),
+            AtomicU64::new(0),
+        );
         let shared = Arc::new(Shared { stop, rush, next });
         let mut threads = Vec::new();
         for t in 0..THREADS {
             let (plan, shared) = (plan.clients.clone(), shared.clone());
             let (routers, recorder) = (stage.addresses(), stage.recorder.clone());
-            let thread = std::thread::Builder::new().name(format!("clients-{t}")).spawn(move || {
-                let ex = Rc::new(LocalExecutor::new());
-                let left = Rc::new(Cell::new(0u32));
-                for n in (t..plan.count).step_by(THREADS as usize) {
-                    left.set(left.get() + 1);
-                    let person = Person {
-                        rng: StdRng::seed_from_u64(seed.wrapping_mul(1_000_003) + u64::from(n)),
-                        home: n as usize % routers.len(),
-                        routers: routers.clone(),
-                        plan: plan.clone(),
-                        shared: shared.clone(),
-                        recorder: recorder.clone(),
-                    };
-                    let left = left.clone();
-                    ex.spawn(async move {
-                        person.live().await;
-                        left.set(left.get() - 1);
-                    })
-                    .detach();
-                }
-                async_io::block_on(ex.run(async {
-                    while left.get() > 0 {
-                        Timer::after(Duration::from_millis(20)).await;
+            let thread = std::thread::Builder::new()
+                .name(format!("clients-{t}"))
+                .spawn(move || {
+                    let ex = Rc::new(LocalExecutor::new());
+                    let left = Rc::new(Cell::new(0u32));
+                    for n in (t..plan.count).step_by(THREADS as usize) {
+                        left.set(left.get() + 1);
+                        let person = Person {
+                            rng: StdRng::seed_from_u64(seed.wrapping_mul(1_000_003) + u64::from(n)),
+                            home: n as usize % routers.len(),
+                            routers: routers.clone(),
+                            plan: plan.clone(),
+                            shared: shared.clone(),
+                            recorder: recorder.clone(),
+                        };
+                        let left = left.clone();
+                        ex.spawn(async move {
+                            person.live().await;
+                            left.set(left.get() - 1);
+                        })
+                        .detach();
                     }
-                }));
-            });
+                    async_io::block_on(ex.run(async {
+                        while left.get() > 0 {
+                            Timer::after(Duration::from_millis(20)).await;
+                        }
+                    }));
+                });
             threads.push(thread.map_err(|e| Failure::Outside("a thread for clients".into(), e))?);
         }
         Ok(Crowd { shared, threads })
     }
 
     pub fn rush(&self, factor: f64) {
-        self.shared.rush.store((factor * 1000.0) as u64, Ordering::Relaxed);
+        self.shared
+            .rush
+            .store((factor * 1000.0) as u64, Ordering::Relaxed);
     }
 
     /// Lets every client end what it has begun.
@@ -107,8 +115,8 @@
         let retries = self.rng.random_bool(self.plan.again.clamp(0.0, 1.0));
         loop {
             let rush = self.shared.rush.load(Ordering::Relaxed).max(1) as f64 / 1000.0;
-            let pause =
-                self.plan.pause.as_secs_f64() / rush * -self.rng.random_range(f64::EPSILON..1.0f64).ln();
+            let pause = self.plan.pause.as_secs_f64() / rush
+                * -self.rng.random_range(f64::EPSILON..1.0f64).ln();
             self.sleep(Duration::from_secs_f64(pause.min(60.0))).await;
             if self.stopped() {
                 return;
@@ -119,7 +127,9 @@
                 ask.trace = format!("{name}.{n}");
                 ask.request = self.shared.next.fetch_add(1, Ordering::Relaxed);
                 let (router, addr) = self.routers[self.home].clone();
-                let came = Client::new(&router, addr, self.recorder.clone()).run(&ask).await;
+                let came = Client::new(&router, addr, self.recorder.clone())
+                    .run(&ask)
+                    .await;
                 let wait = match came {
                     // Nobody there: the next router, at once.
                     Came::TurnedAway(0) => {
@@ -169,7 +179,10 @@
             tags: String::new(),
             text: chosen.text.clone(),
             patience: chosen.patience,
-            manner: Manner { leaves_after: leaves.then_some(2), ..Manner::default() },
+            manner: Manner {
+                leaves_after: leaves.then_some(2),
+                ..Manner::default()
+            },
         }
     }
 }
--- a/crates/cli/src/commands/day/mod.rs
+++ b/crates/cli/src/commands/day/mod.rs
@@ -39,8 +39,15 @@
     let plan = Plan::load(&args.file)?;
     let outside = |e| Failure::Outside(format!("the report folder {}", args.report.display()), e);
     std::fs::create_dir_all(&args.report).map_err(outside)?;
-    if std::fs::read_dir(&args.report).map_err(outside)?.next().is_some() {
-        return Err(Failure::Usage(format!("{}: not empty; give a new folder", args.report.display())));
+    if std::fs::read_dir(&args.report)
+        .map_err(outside)?
+        .next()
+        .is_some()
+    {
+        return Err(Failure::Usage(format!(
+            "{}: not empty; give a new folder",
+            args.report.display()
+        )));
     }
     let mut stage = Stage::start(&plan, &args.report)?;
     eprintln!(
@@ -63,9 +70,15 @@
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    eprintln!("{:5.1} s  clients submit nothing more", began.elapsed().as_secs_f64());
+    eprintln!(
+        "{:5.1} s  clients submit nothing more",
+        began.elapsed().as_secs_f64()
+    );
     crowd.finish();
-    eprintln!("{:5.1} s  all clients have ended", began.elapsed().as_secs_f64());
+    eprintln!(
+        "{:5.1} s  all clients have ended",
+        began.elapsed().as_secs_f64()
+    );
     stage.end()?;
     let verdict = audit::of_dir(&args.report)?;
     let text = serde_json::to_string_pretty(&verdict).unwrap_or_default();
@@ -86,5 +99,8 @@
 
 /// A record of a router's sudden end.
 fn killed(router: &str) -> Record {
-    Record::Killed { at: wall(), router: router.to_owned() }
+    Record::Killed {
+        at: wall(),
+        router: router.to_owned(),
+    }
 }
--- a/crates/cli/src/commands/day/plan.rs
+++ b/crates/cli/src/commands/day/plan.rs
@@ -159,20 +159,48 @@
     pub fn load(path: &Path) -> Result<Plan, Failure> {
         let place = path.display().to_string();
         let value = evaluate_file(path).map_err(|p| Failure::Settings(vec![p]))?;
-        let written: Written = serde_json::from_value(value)
-            .map_err(|e| Failure::Settings(vec![Problem { place: place.clone(), what: e.to_string() }]))?;
+        let written: Written = serde_json::from_value(value).map_err(|e| {
+            Failure::Settings(vec![Problem {
+                place: place.clone(),
+                what: e.to_string(),
+            }])
+        })?;
         let checked = Settings::from_value(&format!("{place}: settings"), &written.settings)
             .map_err(Failure::Settings)?;
-        let Written { lasts, routers, settings, engines, clients, mut acts } = written;
+        let Written {
+            lasts,
+            routers,
+            settings,
+            engines,
+            clients,
+            mut acts,
+        } = written;
         acts.sort_by_key(|a| a.at);
-        let plan = Plan { lasts, routers, settings, checked, engines, clients, acts };
+        let plan = Plan {
+            lasts,
+            routers,
+            settings,
+            checked,
+            engines,
+            clients,
+            acts,
+        };
         let problems = plan.problems(&place);
-        if problems.is_empty() { Ok(plan) } else { Err(Failure::Settings(problems)) }
+        if problems.is_empty() {
+            Ok(plan)
+        } else {
+            Err(Failure::Settings(problems))
+        }
     }
 
     fn problems(&self, place: &str) -> Vec<Problem> {
         let mut all = Vec::new();
-        let mut note = |what: String| all.push(Problem { place: place.to_owned(), what });
+        let mut note = |what: String| {
+            all.push(Problem {
+                place: place.to_owned(),
+                what,
+            })
+        };
         if !(1..=16).contains(&self.routers) || self.engines.is_empty() || self.engines.len() > 64 {
             note("1 to 16 routers and 1 to 64 engines are wanted".into());
         }
@@ -184,24 +212,40 @@
         }
         for mix in &self.clients.mix {
             if self.checked.class(&mix.class).is_none() {
-                note(format!("clients.mix: {:?} is no class of the settings", mix.class));
+                note(format!(
+                    "clients.mix: {:?} is no class of the settings",
+                    mix.class
+                ));
             }
         }
         for (at, engine) in self.engines.iter().enumerate() {
-            if !self.checked.kinds.iter().any(|(name, _)| *name == engine.kind) {
-                note(format!("engines[{at}].kind: {:?} is no kind of the settings", engine.kind));
+            if !self
+                .checked
+                .kinds
+                .iter()
+                .any(|(name, _)| *name == engine.kind)
+            {
+                note(format!(
+                    "engines[{at}].kind: {:?} is no kind of the settings",
+                    engine.kind
+                ));
             }
         }
         for act in &self.acts {
             let (engines, routers) = (self.engines.len(), self.routers as usize);
             let fine = match act.act {
-                Act::Fault { engine: n, .. } | Act::Drain(n) | Act::Crash(n) | Act::Start(n) => n < engines,
+                Act::Fault { engine: n, .. } | Act::Drain(n) | Act::Crash(n) | Act::Start(n) => {
+                    n < engines
+                }
                 Act::Kill(n) | Act::End(n) | Act::Route(n) => n < routers,
                 Act::Rush(n) => n.is_finite() && n > 0.0,
                 Act::Stale(_) | Act::Down(_) => true,
             };
             if !fine {
-                note(format!("acts: at {:?}, {}: there is none such", act.at, act.act));
+                note(format!(
+                    "acts: at {:?}, {}: there is none such",
+                    act.at, act.act
+                ));
             }
         }
         all
--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -43,14 +43,20 @@
 
 impl Stage {
     pub fn start(plan: &Plan, dir: &Path) -> Result<Stage, Failure> {
-        let recorder =
-            |name: &str| Recorder::to_file(&dir.join(format!("{name}.jsonl"))).map_err(outside(name));
+        let recorder = |name: &str| {
+            Recorder::to_file(&dir.join(format!("{name}.jsonl"))).map_err(outside(name))
+        };
         let rules = serde_json::to_string_pretty(&plan.checked.audit_rules()).unwrap_or_default();
         std::fs::write(dir.join("rules.json"), rules).map_err(outside("rules.json"))?;
         let environment = plan.checked.discovery.environment.clone();
-        let discovery =
-            DiscoveryConfig { recorder: recorder("discovery")?, environment, ..DiscoveryConfig::default() };
-        let discovery_running = discovery.start().map_err(outside("the stand-in discovery"))?;
+        let discovery = DiscoveryConfig {
+            recorder: recorder("discovery")?,
+            environment,
+            ..DiscoveryConfig::default()
+        };
+        let discovery_running = discovery
+            .start()
+            .map_err(outside("the stand-in discovery"))?;
         let ledger = Ledger::open(&dir.join("ledger.txt")).map_err(outside("ledger.txt"))?;
         let mut engines = Vec::new();
         for (n, e) in plan.engines.iter().enumerate() {
@@ -63,7 +69,12 @@
             config.cold = e.cold;
             let r = &plan.checked.rules;
             config.spec.speed = e.speed;
-            config.spec.cores = plan.checked.kinds.iter().find(|k| k.0 == e.kind).map_or(8.0, |k| k.1);
+            config.spec.cores = plan
+                .checked
+                .kinds
+                .iter()
+                .find(|k| k.0 == e.kind)
+                .map_or(8.0, |k| k.1);
             config.spec.cancels = plan.checked.engines.cancel;
             // What the rules say of cold engines is true of these.
             config.spec.cold_for = r.ramp.as_micros() as u64;
@@ -80,8 +91,14 @@
             routers.push(Router::new(plan, dir, n, discovery_running.addr)?);
         }
         let (recorder, discovery_faults) = (recorder("clients")?, DiscoveryFaults::default());
-        let mut stage =
-            Stage { recorder, discovery, discovery_faults, _discovery: discovery_running, engines, routers };
+        let mut stage = Stage {
+            recorder,
+            discovery,
+            discovery_faults,
+            _discovery: discovery_running,
+            engines,
+            routers,
+        };
         for n in 0..stage.routers.len() {
             stage.routers[n].start()?;
         }
@@ -92,7 +109,10 @@
 
     /// Names and addresses of the routers.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
-        self.routers.iter().map(|r| (r.name.clone(), r.addr)).collect()
+        self.routers
+            .iter()
+            .map(|r| (r.name.clone(), r.addr))
+            .collect()
     }
 
     pub fn act(&mut self, act: &Act) -> Result<(), Failure> {
@@ -121,7 +141,10 @@
                 if let Some(mut child) = router.child.take() {
                     // Recorded first: what it answers in its last moment counts either way.
                     self.recorder.write(super::killed(&router.name));
-                    child.kill().and_then(|()| child.wait()).map_err(outside(&router.name))?;
+                    child
+                        .kill()
+                        .and_then(|()| child.wait())
+                        .map_err(outside(&router.name))?;
                 }
             }
             Act::End(n) => self.routers[*n].tell_to_end()?,
@@ -153,7 +176,10 @@
         // What engines still work on is the last that can post.
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(40)
-            && self.engines.iter().any(|(c, r)| r.is_some() && busy(c.listen))
+            && self
+                .engines
+                .iter()
+                .any(|(c, r)| r.is_some() && busy(c.listen))
         {
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -173,8 +199,14 @@
 fn ask(addr: SocketAddr, request: &Request) -> Option<Vec<u8>> {
     block_on(async {
         let limit = Duration::from_secs(2);
-        let mut connection = Connection::open(addr, limit, Limits::default()).await.ok()?;
-        connection.exchange(request, limit).await.ok().map(|a| a.body)
+        let mut connection = Connection::open(addr, limit, Limits::default())
+            .await
+            .ok()?;
+        connection
+            .exchange(request, limit)
+            .await
+            .ok()
+            .map(|a| a.body)
     })
 }
 
@@ -199,7 +231,13 @@
         let file = dir.join(format!("{name}.jsonnet"));
         std::fs::write(&file, format!("{settings:#}")).map_err(outside(&name))?;
         let log = dir.join(format!("{name}.log"));
-        Ok(Router { name, file, log, addr, child: None })
+        Ok(Router {
+            name,
+            file,
+            log,
+            addr,
+            child: None,
+        })
     }
 
     fn start(&mut self) -> Result<(), Failure> {
@@ -225,7 +263,11 @@
         self.child = Some(child);
         match line.starts_with("ready ") {
             true => Ok(()),
-            false => Err(Failure::Usage(format!("{} did not start; see {}", self.name, self.log.display()))),
+            false => Err(Failure::Usage(format!(
+                "{} did not start; see {}",
+                self.name,
+                self.log.display()
+            ))),
         }
     }
 
@@ -234,13 +276,18 @@
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(20) {
             let info = ask(self.addr, &Request::new(Method::Get, "/v1/info"));
-            let info = info.and_then(|body| serde_json::from_slice::<serde_json::Value>(&body).ok());
+            let info =
+                info.and_then(|body| serde_json::from_slice::<serde_json::Value>(&body).ok());
             if info.is_some_and(|i| i["engines"] == json!(engines)) {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(Failure::Usage(format!("{} does not see its engines; see {}", self.name, self.log.display())))
+        Err(Failure::Usage(format!(
+            "{} does not see its engines; see {}",
+            self.name,
+            self.log.display()
+        )))
     }
 
     fn tell_to_end(&mut self) -> Result<(), Failure> {
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -31,7 +31,9 @@
         let what = what.to_owned();
         move |e| Failure::Outside(what, e)
     };
-    let discovery = DiscoveryConfig::default().start().map_err(outside("the stand-in discovery"))?;
+    let discovery = DiscoveryConfig::default()
+        .start()
+        .map_err(outside("the stand-in discovery"))?;
     let mut running = Vec::new();
     for n in 0..args.engines {
         // Four in seven are of the kind that reports may run on.
@@ -53,7 +55,9 @@
         let extra = run::extra(run::metrics(&spawner));
         let service = Service::new(settings, &secret::fresh(), secret::life(), spawner)
             .map_err(|e| Failure::Usage(e.to_string()))?;
-        let addr = service.start(extra).map_err(outside(&format!("can't listen on {}", args.http)))?;
+        let addr = service
+            .start(extra)
+            .map_err(outside(&format!("can't listen on {}", args.http)))?;
         let began = Instant::now();
         while service.desk.listed.get() < usize::from(args.engines)
             && began.elapsed() < Duration::from_secs(10)
--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -20,14 +20,22 @@
     let root = SVGBackend::with_string(svg, (960, 540)).into_drawing_area();
     root.fill(&WHITE)?;
     let title = "Runaways found, by time since an engine took them (simulated servers)";
-    let latest = curves.iter().filter_map(|c| c.1.last()).fold(30.0, |a: f64, b| a.max(*b));
+    let latest = curves
+        .iter()
+        .filter_map(|c| c.1.last())
+        .fold(30.0, |a: f64, b| a.max(*b));
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 18))
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(50)
         .build_cartesian_2d(0.0..(latest.max(62.0) * 1.02), 0.0..1.02)?;
-    chart.configure_mesh().x_desc("seconds").y_desc("share found").light_line_style(WHITE).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc("share found")
+        .light_line_style(WHITE)
+        .draw()?;
     for (n, (word, found, planted)) in curves.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
         // A step at each one found.
@@ -67,7 +75,10 @@
 
     #[test]
     fn a_plot_holds_its_curves_and_limits() {
-        let curves = vec![("as set".to_owned(), vec![3.0, 5.0, 8.0], 4), ("none".to_owned(), vec![], 0)];
+        let curves = vec![
+            ("as set".to_owned(), vec![3.0, 5.0, 8.0], 4),
+            ("none".to_owned(), vec![], 0),
+        ];
         let svg = found_by_time(&curves, &[5, 15]);
         assert!(
             svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"),
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -53,12 +53,16 @@
     };
     for name in ["lookup", "report", "rent-load"] {
         if settings.class(name).is_none() {
-            return Err(Failure::Usage(format!("the settings have no class {name:?}: the study needs it")));
+            return Err(Failure::Usage(format!(
+                "the settings have no class {name:?}: the study needs it"
+            )));
         }
     }
     let seeds: Vec<u64> = (args.first..).take(args.seeds as usize).collect();
-    let jobs: Vec<(Condition, u64)> =
-        Condition::ALL.iter().flat_map(|c| seeds.iter().map(move |s| (*c, *s))).collect();
+    let jobs: Vec<(Condition, u64)> = Condition::ALL
+        .iter()
+        .flat_map(|c| seeds.iter().map(move |s| (*c, *s)))
+        .collect();
     let all = play(&settings, &jobs, args.engines);
     let told: Vec<Told> = Condition::ALL.iter().map(|c| Told::of(*c, &all)).collect();
     if let Some(dir) = &args.report {
@@ -70,16 +74,24 @@
             writeln!(lines, "{line}").map_err(outside)?;
         }
         lines.flush().map_err(outside)?;
-        let curves: Vec<(String, Vec<f64>, usize)> =
-            told.iter().map(|t| (t.condition.word(), t.found.clone(), t.planted)).collect();
+        let curves: Vec<(String, Vec<f64>, usize)> = told
+            .iter()
+            .map(|t| (t.condition.word(), t.found.clone(), t.planted))
+            .collect();
         let svg = chart::found_by_time(&curves, &LIMITS);
         fs::write(dir.join("runaways.svg"), svg).map_err(outside)?;
-        eprintln!("written: {} and runs.jsonl beside it", dir.join("runaways.svg").display());
+        eprintln!(
+            "written: {} and runs.jsonl beside it",
+            dir.join("runaways.svg").display()
+        );
     }
     if args.json {
         let all: Vec<Value> = told.iter().map(Told::json).collect();
         let value = json!({ "seeds": seeds, "engines": args.engines, "simulated": true, "conditions": all });
-        println!("{}", serde_json::to_string_pretty(&value).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&value).unwrap_or_default()
+        );
     } else {
         print(&told, seeds.len());
     }
@@ -88,7 +100,9 @@
 
 /// Plays all runs on all cores, and says how far it is.
 fn play(settings: &Settings, jobs: &[(Condition, u64)], engines: u16) -> Vec<Figures> {
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(jobs.len());
+    let threads = std::thread::available_parallelism()
+        .map_or(1, |n| n.get())
+        .min(jobs.len());
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     let began = Instant::now();
     std::thread::scope(|s| {
@@ -96,7 +110,9 @@
             s.spawn(|| {
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((condition, seed)) = jobs.get(at) else { return };
+                    let Some((condition, seed)) = jobs.get(at) else {
+                        return;
+                    };
                     let figures = study::run(settings, *condition, *seed, usize::from(engines));
                     if let Ok(mut done) = done.lock() {
                         done.insert(at, figures);
@@ -109,7 +125,9 @@
             });
         }
     });
-    done.into_inner().map(|done| done.into_values().collect()).unwrap_or_default()
+    done.into_inner()
+        .map(|done| done.into_values().collect())
+        .unwrap_or_default()
 }
 
 /// The figures of a condition, over its runs.
@@ -132,7 +150,10 @@
     fn of(condition: Condition, all: &[Figures]) -> Told {
         let runs: Vec<&Figures> = all.iter().filter(|f| f.condition == condition).collect();
         let sum = |of: &dyn Fn(&Figures) -> usize| runs.iter().map(|f| of(f)).sum::<usize>();
-        let mut found: Vec<f64> = runs.iter().flat_map(|f| f.found.iter().filter_map(|x| x.1)).collect();
+        let mut found: Vec<f64> = runs
+            .iter()
+            .flat_map(|f| f.found.iter().filter_map(|x| x.1))
+            .collect();
         found.sort_by(f64::total_cmp);
         let mut by_cause: BTreeMap<&'static str, (usize, Vec<f64>)> = BTreeMap::new();
         for (what, after) in runs.iter().flat_map(|f| &f.found) {
@@ -140,9 +161,16 @@
             of.0 += 1;
             of.1.extend(after);
         }
-        by_cause.values_mut().for_each(|of| of.1.sort_by(f64::total_cmp));
+        by_cause
+            .values_mut()
+            .for_each(|of| of.1.sort_by(f64::total_cmp));
         let limit = |(at, l): (usize, &u64)| {
-            (*l, sum(&|f| f.limits[at].1), sum(&|f| f.limits[at].2), sum(&|f| f.limits[at].3))
+            (
+                *l,
+                sum(&|f| f.limits[at].1),
+                sum(&|f| f.limits[at].2),
+                sum(&|f| f.limits[at].3),
+            )
         };
         Told {
             condition,
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -121,34 +121,52 @@
 
 /// A file of a day, checked as far as can be without playing it.
 fn written(file: &std::path::Path) -> Result<Written, Failure> {
-    let value = hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
-    let day: Written =
-        serde_json::from_value(value).map_err(|e| Failure::Usage(format!("{}: {e}", file.display())))?;
+    let value =
+        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let day: Written = serde_json::from_value(value)
+        .map_err(|e| Failure::Usage(format!("{}: {e}", file.display())))?;
     let problem = |path: &str, what: String| hoptiller_router::Problem {
         place: format!("{}: {path}", file.display()),
         what,
     };
     let mut problems = Vec::new();
-    if !matches!(day.keepers, 3 | 5) || day.routers == 0 || day.routers > 64 || day.engines.is_empty() {
-        problems
-            .push(problem("keepers", "3 or 5 keepers, 1 to 64 routers and some engines are wanted".into()));
+    if !matches!(day.keepers, 3 | 5)
+        || day.routers == 0
+        || day.routers > 64
+        || day.engines.is_empty()
+    {
+        problems.push(problem(
+            "keepers",
+            "3 or 5 keepers, 1 to 64 routers and some engines are wanted".into(),
+        ));
     }
     if !day.day.documents.contains_key("first") {
-        problems.push(problem("day.documents", "one of them is to be named `first`".into()));
+        problems.push(problem(
+            "day.documents",
+            "one of them is to be named `first`".into(),
+        ));
     }
     for (name, document) in &day.day.documents {
         for flaw in document.flaws() {
-            problems.push(problem(&format!("day.documents.{name}.{}", flaw.path), flaw.what));
+            problems.push(problem(
+                &format!("day.documents.{name}.{}", flaw.path),
+                flaw.what,
+            ));
         }
     }
-    if problems.is_empty() { Ok(day) } else { Err(Failure::Settings(problems)) }
+    if problems.is_empty() {
+        Ok(day)
+    } else {
+        Err(Failure::Settings(problems))
+    }
 }
 
 /// What a day is, in words, where nothing is wrong with it.
 pub fn check(file: &std::path::Path) -> Result<String, Failure> {
     let w = written(file)?;
     let mut settings = w.settings;
-    settings["router"] = serde_json::json!({ "name": "r1", "of": w.routers, "listen": "127.0.0.1:0" });
+    settings["router"] =
+        serde_json::json!({ "name": "r1", "of": w.routers, "listen": "127.0.0.1:0" });
     let name = format!("{}: settings", file.display());
     hoptiller_router::Settings::from_value(&name, &settings).map_err(Failure::Settings)?;
     let (seconds, documents) = (w.day.lasts.0 / 1_000_000, w.day.documents.len());
@@ -165,7 +183,10 @@
         move |e: std::io::Error| Failure::Outside(what, e)
     };
     if args.report.exists() {
-        return Err(Failure::Usage(format!("{} is there already", args.report.display())));
+        return Err(Failure::Usage(format!(
+            "{} is there already",
+            args.report.display()
+        )));
     }
     crate::run::raise_descriptors();
     end_with_signals();
@@ -196,11 +217,16 @@
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
         if hoptiller_agreement::plant::Plant::named(name).is_none() {
-            return Err(Failure::Usage(format!("--plant: {name:?} is no fault that is known")));
+            return Err(Failure::Usage(format!(
+                "--plant: {name:?} is no fault that is known"
+            )));
         }
         stage.with_env(crate::PLANT, name);
     }
-    let outcome = file.day.play(&mut stage, routers, keepers, args.seed).map_err(outside("the day"))?;
+    let outcome = file
+        .day
+        .play(&mut stage, routers, keepers, args.seed)
+        .map_err(outside("the day"))?;
     let records = stage.recorder.all().map_err(outside("the records"))?;
     let rules = Rules {
         classes: Default::default(),
@@ -222,7 +248,9 @@
     let mut times = outcome.in_force_ms.clone();
     times.sort_unstable();
     let at = |part: f64| {
-        times.get(((times.len() as f64 * part) as usize).min(times.len().saturating_sub(1))).copied()
+        times
+            .get(((times.len() as f64 * part) as usize).min(times.len().saturating_sub(1)))
+            .copied()
     };
     if args.json {
         let told = serde_json::json!({
@@ -230,11 +258,17 @@
             "in_force_ms": times, "lost": outcome.lost, "fallen": outcome.fallen,
             "numbers": outcome.numbers, "course": outcome.course,
         });
-        println!("{}", serde_json::to_string_pretty(&told).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&told).unwrap_or_default()
+        );
     } else {
         crate::commands::audit::print(&verdict, false);
         let (longest, acts) = verdict.overlap.unwrap_or_default();
-        println!("acts under contradicting versions: {acts}, the longest overlap {} ms", longest / 1000);
+        println!(
+            "acts under contradicting versions: {acts}, the longest overlap {} ms",
+            longest / 1000
+        );
         if let Some(leases) = &verdict.leases {
             let takeover = |part: f64| {
                 let at = (leases.takeovers.len() as f64 * part) as usize;
@@ -268,12 +302,25 @@
             at(0.5).unwrap_or(0),
             times.last().copied().unwrap_or(0)
         );
-        println!("in force in the end: {}, last {}", outcome.numbers.in_force, outcome.numbers.last);
-        outcome.lost.iter().for_each(|n| println!("version {n} was taken, and is lost"));
-        outcome.fallen.iter().for_each(|p| println!("ended by itself: {p}"));
+        println!(
+            "in force in the end: {}, last {}",
+            outcome.numbers.in_force, outcome.numbers.last
+        );
+        outcome
+            .lost
+            .iter()
+            .for_each(|n| println!("version {n} was taken, and is lost"));
+        outcome
+            .fallen
+            .iter()
+            .for_each(|p| println!("ended by itself: {p}"));
     }
     let kept = verdict.breaks.is_empty() && outcome.lost.is_empty() && outcome.fallen.is_empty();
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if kept {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// The fleet's processes end with this one, also where it is told to end.
@@ -317,7 +364,10 @@
             Some((holder, number)) => {
                 *counts.entry(holder.to_string()).or_default() += 1;
                 let left = l.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
-                format!("{holder} under number {number}, for {left} ms more, note of {} bytes", l.note_bytes)
+                format!(
+                    "{holder} under number {number}, for {left} ms more, note of {} bytes",
+                    l.note_bytes
+                )
             }
         };
         out.push_str(&format!("{:<12} {line}\n", l.part.to_string()));
@@ -341,7 +391,10 @@
                 Err(e) => serde_json::json!({ "at": at, "problem": e.to_string() }),
             })
             .collect();
-        println!("{}", serde_json::to_string_pretty(&shown).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&shown).unwrap_or_default()
+        );
     } else {
         for (at, status) in &all {
             match status {
@@ -350,13 +403,20 @@
             }
         }
         // The one that knows most tells of the fleet.
-        let best = all.iter().filter_map(|(_, s)| s.as_ref().ok()).max_by_key(|s| s.log.0);
+        let best = all
+            .iter()
+            .filter_map(|(_, s)| s.as_ref().ok())
+            .max_by_key(|s| s.log.0);
         if let Some(best) = best {
             print!("{}", show_fleet(best));
         }
     }
     let any = all.iter().any(|(_, s)| s.is_ok());
-    Ok(if any { ExitCode::SUCCESS } else { ExitCode::from(3) })
+    Ok(if any {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(3)
+    })
 }
 
 fn show_keeper(at: &str, s: &Status) -> String {
@@ -381,10 +441,20 @@
 fn show_fleet(s: &Status) -> String {
     let mut out = format!("in force {}, last {}\n", s.numbers.in_force, s.numbers.last);
     for h in &s.pending {
-        out.push_str(&format!("  on its way: {} ({}) by {}: {}\n", h.number, h.kind.word(), h.by, h.why));
+        out.push_str(&format!(
+            "  on its way: {} ({}) by {}: {}\n",
+            h.number,
+            h.kind.word(),
+            h.by,
+            h.why
+        ));
     }
     for h in &s.holders {
-        let held = if h.holds_up { "  HOLDS UP the next version" } else { "" };
+        let held = if h.holds_up {
+            "  HOLDS UP the next version"
+        } else {
+            ""
+        };
         out.push_str(&format!(
             "  {:<30} heeds {:>5}, permit {:>6} ms{held}\n",
             h.holder.to_string(),
@@ -398,7 +468,8 @@
 /// Who holds up the next version, and until when at most.
 pub fn waiting_for(s: &Status) -> String {
     let held = s.holders.iter().filter(|h| h.holds_up);
-    held.map(|h| format!("  waits for {}, {} ms at most\n", h.holder, h.left_ms)).collect()
+    held.map(|h| format!("  waits for {}, {} ms at most\n", h.holder, h.left_ms))
+        .collect()
 }
 
 #[cfg(test)]
@@ -410,7 +481,10 @@
     #[test]
     fn who_holds_up_a_version_is_named_with_its_time() {
         let holder = |router: &str, heeds, holds_up| HolderStatus {
-            holder: Holder { router: router.into(), life: "x1".into() },
+            holder: Holder {
+                router: router.into(),
+                life: "x1".into(),
+            },
             heeds,
             left_ms: 4200,
             holds_up,
@@ -418,7 +492,11 @@
         let s = Status {
             keeper: 1,
             leader: None,
-            numbers: Numbers { in_force: 6, last: 7, board: 0 },
+            numbers: Numbers {
+                in_force: 6,
+                last: 7,
+                board: 0,
+            },
             pending: Vec::new(),
             holders: vec![holder("r1", 7, false), holder("r2", 6, true)],
             list: 2,
@@ -441,13 +519,38 @@
 
     #[test]
     fn a_part_without_a_holder_is_told_so() {
-        let part = |shard| hoptiller_agreement::Part { task: hoptiller_agreement::Task::Probe, shard };
-        let holder = Some((Holder { router: "r1".into(), life: "x1".into() }, 9));
-        let held = LeaseStatus { part: part(0), holder, left_ms: Some(1200), note_bytes: 80 };
-        let free = LeaseStatus { part: part(1), holder: None, left_ms: None, note_bytes: 0 };
+        let part = |shard| hoptiller_agreement::Part {
+            task: hoptiller_agreement::Task::Probe,
+            shard,
+        };
+        let holder = Some((
+            Holder {
+                router: "r1".into(),
+                life: "x1".into(),
+            },
+            9,
+        ));
+        let held = LeaseStatus {
+            part: part(0),
+            holder,
+            left_ms: Some(1200),
+            note_bytes: 80,
+        };
+        let free = LeaseStatus {
+            part: part(1),
+            holder: None,
+            left_ms: None,
+            note_bytes: 0,
+        };
         let told = show_leases(&[held, free]);
-        assert!(told.contains("probe/0      r1/x1 under number 9, for 1200 ms more"), "{told}");
-        assert!(told.contains("probe/1      nobody") && told.contains("r1/x1: 1 of 2"), "{told}");
+        assert!(
+            told.contains("probe/0      r1/x1 under number 9, for 1200 ms more"),
+            "{told}"
+        );
+        assert!(
+            told.contains("probe/1      nobody") && told.contains("r1/x1: 1 of 2"),
+            "{told}"
+        );
         assert!(show_leases(&[]).contains("names no tasks"));
     }
 }
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -26,8 +26,8 @@
 }
 
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let value =
-        hoptiller_router::settings::evaluate_file(&args.config).map_err(|p| Failure::Settings(vec![p]))?;
+    let value = hoptiller_router::settings::evaluate_file(&args.config)
+        .map_err(|p| Failure::Settings(vec![p]))?;
     let place = |e| Failure::Usage(format!("{}: {e}", args.config.display()));
     let config = Config::read(value).map_err(|e| place(e.to_string()))?;
     let fleet_secret = Secret::load(&config.secret)
@@ -35,12 +35,18 @@
     run::raise_descriptors();
     run::block_on(async |spawner| {
         let clock = Clock::skewed(args.clock_skew);
-        let outside =
-            |e: StartError| Failure::Outside("the keeper can't start".into(), std::io::Error::other(e));
+        let outside = |e: StartError| {
+            Failure::Outside("the keeper can't start".into(), std::io::Error::other(e))
+        };
         let (number, fleet) = (config.keeper, config.fleet.clone());
         let disk = Keeper::disk(&config, &secret::life()).map_err(outside)?;
         if args.join {
-            let joined = async { join(&config, &fleet_secret, &disk).await.map(Some).map_err(outside) };
+            let joined = async {
+                join(&config, &fleet_secret, &disk)
+                    .await
+                    .map(Some)
+                    .map_err(outside)
+            };
             let told = async { run::told_to_end().await.map(|()| None) };
             if future::or(told, joined).await?.is_none() {
                 return Ok(ExitCode::SUCCESS);
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -20,10 +20,13 @@
     run::block_on(async |spawner| {
         // They stand before the listener: a signal that comes early must not end the process.
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-        let mut signals = signals.map_err(|e| Failure::Outside("signals can't be listened to".into(), e))?;
+        let mut signals =
+            signals.map_err(|e| Failure::Outside("signals can't be listened to".into(), e))?;
         let node = Node::load(args.config.clone(), spawner.clone())
             .map_err(|e| Failure::Usage(format!("{}: {e}", args.config.display())))?;
-        let addr = node.start().map_err(|e| Failure::Outside("can't listen".into(), e))?;
+        let addr = node
+            .start()
+            .map_err(|e| Failure::Outside("can't listen".into(), e))?;
         println!("ready http://{addr}");
         while let Some(signal) = signals.next().await {
             if let Ok(Signal::Hup) = signal {
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -33,7 +33,14 @@
             let fleet = Secret::load(&a.secret)
                 .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
             let (router, state) = (&settings.router.name, settings.router.state.as_deref());
-            Some(Agreed::new(a.clone(), fleet, router, &life, state, Clock::skewed(args.clock_skew)))
+            Some(Agreed::new(
+                a.clone(),
+                fleet,
+                router,
+                &life,
+                state,
+                Clock::skewed(args.clock_skew),
+            ))
         }
     };
     let descriptors = run::raise_descriptors();
@@ -50,8 +57,9 @@
         let service = Service::agreeing(settings, &secret, life, spawner, agreed)
             .map_err(|e| Failure::Usage(format!("{}: {e}", args.file.display())))?;
         let listen = service.desk.settings().router.listen;
-        let addr =
-            service.start(extra).map_err(|e| Failure::Outside(format!("can't listen on {listen}"), e))?;
+        let addr = service
+            .start(extra)
+            .map_err(|e| Failure::Outside(format!("can't listen on {listen}"), e))?;
         println!("ready http://{addr}");
         run::told_to_end().await?;
         run::end(&service).await;
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -15,7 +15,12 @@
 #[derive(clap::Args)]
 pub struct Args {
     /// Where the router's administrators reach it: `router.admin` of its settings
-    #[arg(long, env = "HOPTILLER_ADMIN", default_value = "127.0.0.1:8082", value_name = "ADDR")]
+    #[arg(
+        long,
+        env = "HOPTILLER_ADMIN",
+        default_value = "127.0.0.1:8082",
+        value_name = "ADDR"
+    )]
     admin: SocketAddr,
     /// Free a held kind: its 16 digits, as the list shows them
     #[arg(long, value_name = "KIND")]
@@ -45,7 +50,10 @@
     let answer = ask(args.admin, Method::Get, RUNAWAYS)?;
     if answer.status.0 != 200 {
         let what = format!("the router at {} answered {}", args.admin, answer.status.0);
-        return Err(Failure::Outside(what, std::io::Error::other(problem(&answer))));
+        return Err(Failure::Outside(
+            what,
+            std::io::Error::other(problem(&answer)),
+        ));
     }
     if args.json {
         println!("{}", String::from_utf8_lossy(&answer.body));
@@ -59,11 +67,24 @@
 
 fn ask(admin: SocketAddr, method: Method, target: &str) -> Result<Response, Failure> {
     let asked = future::block_on(async {
-        let mut c = Connection::open(admin, WITHIN, Limits { body: 16 << 20, ..Limits::default() }).await?;
-        c.exchange(&Request::new(method, target).with("Connection", "close"), WITHIN).await
+        let mut c = Connection::open(
+            admin,
+            WITHIN,
+            Limits {
+                body: 16 << 20,
+                ..Limits::default()
+            },
+        )
+        .await?;
+        c.exchange(
+            &Request::new(method, target).with("Connection", "close"),
+            WITHIN,
+        )
+        .await
     });
     asked.map_err(|e| {
-        let what = format!("no answer from {admin}; is router.admin set there, and --admin the same");
+        let what =
+            format!("no answer from {admin}; is router.admin set there, and --admin the same");
         Failure::Outside(what, std::io::Error::other(e.to_string()))
     })
 }
@@ -86,19 +107,38 @@
         }
         out.push_str(&format!("{title}\n"));
         for f in all {
-            let place =
-                if f["engine"].is_null() { String::new() } else { format!(" on {}", text(&f["engine"])) };
-            let class =
-                if f["class"].is_null() { String::new() } else { format!(", class {}", text(&f["class"])) };
-            out.push_str(&format!("  {:<9} {}{place}{class}\n", text(&f["verdict"]), text(&f["subject"])));
-            out.push_str(&format!("            {}: {}\n", text(&f["inWords"]), text(&f["seen"])));
+            let place = if f["engine"].is_null() {
+                String::new()
+            } else {
+                format!(" on {}", text(&f["engine"]))
+            };
+            let class = if f["class"].is_null() {
+                String::new()
+            } else {
+                format!(", class {}", text(&f["class"]))
+            };
+            out.push_str(&format!(
+                "  {:<9} {}{place}{class}\n",
+                text(&f["verdict"]),
+                text(&f["subject"])
+            ));
+            out.push_str(&format!(
+                "            {}: {}\n",
+                text(&f["inWords"]),
+                text(&f["seen"])
+            ));
             let (started, verdict) = (seconds(&f["startedMsAgo"]), seconds(&f["verdictMsAgo"]));
-            out.push_str(&format!("            began {started} ago, verdict {verdict} ago"));
+            out.push_str(&format!(
+                "            began {started} ago, verdict {verdict} ago"
+            ));
             match f["blocked"].as_u64().unwrap_or(0) {
                 0 => out.push('\n'),
                 n => out.push_str(&format!(", {n} wait behind it\n")),
             }
-            for line in [text(&f["text"]), text(&f["note"])].iter().filter(|l| !l.is_empty()) {
+            for line in [text(&f["text"]), text(&f["note"])]
+                .iter()
+                .filter(|l| !l.is_empty())
+            {
                 out.push_str(&format!("            {line}\n"));
             }
         }
@@ -124,7 +164,12 @@
         ));
     }
     for away in list("keptAway") {
-        let engines: Vec<String> = away["engines"].as_array().into_iter().flatten().map(text).collect();
+        let engines: Vec<String> = away["engines"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(text)
+            .collect();
         out.push_str(&format!(
             "  tables {} are kept away from {}\n",
             text(&away["tables"]),
@@ -144,7 +189,10 @@
 
     #[test]
     fn what_is_found_and_held_can_be_read() {
-        assert_eq!(show(&json!({}), true), "nothing runs away, and nothing is held\n");
+        assert_eq!(
+            show(&json!({}), true),
+            "nothing runs away, and nothing is held\n"
+        );
         let f = json!({
             "verdict": "runaway", "subject": "statement r1/00007_ab", "engine": "e1", "class": "rent-load",
             "inWords": "blocks others", "seen": "run 20.0 s, usual 2.0 s, bound 6.0 s by 40 runs of its kind",
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -125,11 +125,17 @@
         Args::Show(a) => {
             let version = show(&a.keepers.open()?, a.number)?;
             eprintln!("{}", line(&version.head));
-            println!("{}", serde_json::to_string_pretty(&version.document).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&version.document).unwrap_or_default()
+            );
             Ok(ExitCode::SUCCESS)
         }
         Args::Diff(a) => {
-            let between = wire::Between { from: a.from, to: a.to };
+            let between = wire::Between {
+                from: a.from,
+                to: a.to,
+            };
             let all: wire::Differences = a.keepers.open()?.post(wire::DIFF, &between)?;
             for d in &all {
                 println!("{:<50} {}", d.path, d.change.word());
@@ -142,7 +148,10 @@
         Args::History(a) => {
             let heads: Vec<Head> = a.keepers.open()?.get(wire::HISTORY)?;
             if a.json {
-                println!("{}", serde_json::to_string_pretty(&heads).unwrap_or_default());
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&heads).unwrap_or_default()
+                );
             } else {
                 heads.iter().for_each(|h| println!("{}", line(h)));
             }
@@ -158,11 +167,21 @@
         place: format!("{}: {path}", file.display()),
         what,
     };
-    let value = hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let value =
+        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
     let bytes = serde_json::to_vec(&value).unwrap_or_default();
-    let document = Document::read(&bytes).map_err(|f| Failure::Settings(vec![problem(&f.path, f.what)]))?;
-    let flaws: Vec<_> = document.flaws().into_iter().map(|f| problem(&f.path, f.what)).collect();
-    if flaws.is_empty() { Ok(document) } else { Err(Failure::Settings(flaws)) }
+    let document =
+        Document::read(&bytes).map_err(|f| Failure::Settings(vec![problem(&f.path, f.what)]))?;
+    let flaws: Vec<_> = document
+        .flaws()
+        .into_iter()
+        .map(|f| problem(&f.path, f.what))
+        .collect();
+    if flaws.is_empty() {
+        Ok(document)
+    } else {
+        Err(Failure::Settings(flaws))
+    }
 }
 
 fn show(fleet: &Fleet, number: Option<Number>) -> Result<Version, Failure> {
@@ -182,9 +201,20 @@
     )
 }
 
-fn put(fleet: &Fleet, course: &Course, document: Document, dry_run: bool) -> Result<ExitCode, Failure> {
-    let numbers: wire::Numbers = fleet
-        .post(wire::WATCH, &wire::Watch { known: wire::Numbers::default(), wait_ms: 0, board: false })?;
+fn put(
+    fleet: &Fleet,
+    course: &Course,
+    document: Document,
+    dry_run: bool,
+) -> Result<ExitCode, Failure> {
+    let numbers: wire::Numbers = fleet.post(
+        wire::WATCH,
+        &wire::Watch {
+            known: wire::Numbers::default(),
+            wait_ms: 0,
+            board: false,
+        },
+    )?;
     if numbers.last > 0 {
         let last = show(fleet, Some(numbers.last))?;
         let differences = last.document.differences(&document);
@@ -199,12 +229,21 @@
         println!("version {} would come; nothing was put", numbers.last + 1);
         return Ok(ExitCode::SUCCESS);
     }
-    let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+    let at = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64);
     // The same name at each keeper that is tried: a change whose answer was lost is not put twice.
     let change = course.change.clone().unwrap_or_else(secret::life);
     let base = Some(course.base.unwrap_or(numbers.last))
         .filter(|_| course.change.is_none() || course.base.is_some());
-    let wanted = Put { change, base, by: course.by.clone(), at, why: course.why.clone(), document };
+    let wanted = Put {
+        change,
+        base,
+        by: course.by.clone(),
+        at,
+        why: course.why.clone(),
+        document,
+    };
     let began = Instant::now();
     let number = match fleet.post(wire::PUT, &wanted)? {
         wire::PutAnswer::Taken(number) => number,
@@ -216,7 +255,11 @@
     loop {
         let left = until.saturating_duration_since(Instant::now());
         let wait = left.min(WATCH);
-        let ask = wire::Watch { known, wait_ms: wait.as_millis() as u64, board: false };
+        let ask = wire::Watch {
+            known,
+            wait_ms: wait.as_millis() as u64,
+            board: false,
+        };
         known = fleet.within(wire::WATCH, &ask, wait + MORE)?;
         if known.in_force >= number {
             println!(
@@ -237,7 +280,11 @@
 fn watch(fleet: &Fleet, until: Option<Number>) -> Result<ExitCode, Failure> {
     let mut known = wire::Numbers::default();
     loop {
-        let ask = wire::Watch { known, wait_ms: WATCH.as_millis() as u64, board: false };
+        let ask = wire::Watch {
+            known,
+            wait_ms: WATCH.as_millis() as u64,
+            board: false,
+        };
         let now: wire::Numbers = fleet.within(wire::WATCH, &ask, WATCH + MORE)?;
         if (now.in_force, now.last) != (known.in_force, known.last) {
             println!("in force {}, last {}", now.in_force, now.last);
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -65,7 +65,9 @@
 fn recorder(path: &Option<PathBuf>) -> Result<Recorder, Failure> {
     match path {
         None => Ok(Recorder::default()),
-        Some(path) => Recorder::to_file(path).map_err(|e| Failure::Outside(path.display().to_string(), e)),
+        Some(path) => {
+            Recorder::to_file(path).map_err(|e| Failure::Outside(path.display().to_string(), e))
+        }
     }
 }
 
@@ -76,15 +78,21 @@
             (engine.listen, engine.discovery, engine.cold) = (a.listen, a.discovery, a.cold);
             engine.recorder = recorder(&a.records)?;
             if let Some(path) = &a.ledger {
-                engine.ledger =
-                    Ledger::open(path).map_err(|e| Failure::Outside(path.display().to_string(), e))?;
+                engine.ledger = Ledger::open(path)
+                    .map_err(|e| Failure::Outside(path.display().to_string(), e))?;
             }
             engine.start()
         }
         Args::Discovery(a) => {
             let keep = Duration::from_secs(a.keep);
             let recorder = recorder(&a.records)?;
-            DiscoveryConfig { listen: a.listen, keep, recorder, ..DiscoveryConfig::default() }.start()
+            DiscoveryConfig {
+                listen: a.listen,
+                keep,
+                recorder,
+                ..DiscoveryConfig::default()
+            }
+            .start()
         }
     };
     let running = started.map_err(|e| Failure::Outside("the stand-in can't start".into(), e))?;
--- a/crates/cli/src/keepers.rs
+++ b/crates/cli/src/keepers.rs
@@ -16,7 +16,13 @@
 #[derive(clap::Args)]
 pub struct KeeperArgs {
     /// Where the keepers are, with commas between
-    #[arg(long, env = "HOPTILLER_KEEPERS", value_name = "ADDR,…", value_delimiter = ',', required = true)]
+    #[arg(
+        long,
+        env = "HOPTILLER_KEEPERS",
+        value_name = "ADDR,…",
+        value_delimiter = ',',
+        required = true
+    )]
     keepers: Vec<SocketAddr>,
     /// The file with the fleet's secret
     #[arg(long, env = "HOPTILLER_FLEET_SECRET", value_name = "FILE")]
@@ -37,7 +43,11 @@
 
 impl Fleet {
     /// A call with a body.
-    pub fn post<A: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<A, Failure> {
+    pub fn post<A: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<A, Failure> {
         self.within(path, body, WITHIN)
     }
 
@@ -58,8 +68,12 @@
 
     /// The same call to each keeper, in the order of their addresses.
     pub fn each<A: DeserializeOwned>(&self, path: &str) -> Vec<(SocketAddr, Result<A, Unreached>)> {
-        let one =
-            |at: &SocketAddr| (*at, async_io::block_on(self.0.call_one(*at, path, None::<&()>, WITHIN)));
+        let one = |at: &SocketAddr| {
+            (
+                *at,
+                async_io::block_on(self.0.call_one(*at, path, None::<&()>, WITHIN)),
+            )
+        };
         self.0.addresses().iter().map(one).collect()
     }
 }
@@ -67,6 +81,9 @@
 fn failure(e: Unreached) -> Failure {
     match e {
         Unreached::Refused(_, why) => Failure::Usage(why),
-        nobody => Failure::Outside("the keepers".into(), std::io::Error::other(nobody.to_string())),
+        nobody => Failure::Outside(
+            "the keepers".into(),
+            std::io::Error::other(nobody.to_string()),
+        ),
     }
 }
