--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -18,7 +18,13 @@
 #[derive(Args)]
 pub struct LogArgs {
     /// What is logged on stderr: error, warn, info (each statement's end), debug (each attempt), or a filter
-    #[arg(long, global = true, default_value = "warn", env = "HOPTILLER_LOG", value_name = "LEVEL")]
+    #[arg(
+        long,
+        global = true,
+        default_value = "warn",
+        env = "HOPTILLER_LOG",
+        value_name = "LEVEL"
+    )]
     log: String,
     /// How log lines look
     #[arg(long, global = true, default_value = "text", value_name = "FORMAT")]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -68,8 +68,9 @@
     let cli = Cli::parse();
     logging::start(&cli.logging);
     #[cfg(feature = "plant")]
-    if let Some(plant) =
-        std::env::var(PLANT).ok().and_then(|name| hoptiller_agreement::plant::Plant::named(&name))
+    if let Some(plant) = std::env::var(PLANT)
+        .ok()
+        .and_then(|name| hoptiller_agreement::plant::Plant::named(&name))
     {
         hoptiller_agreement::plant::plant(plant);
     }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -56,7 +56,10 @@
 pub fn raise_descriptors() -> u64 {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let had = getrlimit(Resource::Nofile);
-    let raised = Rlimit { current: had.maximum, maximum: had.maximum };
+    let raised = Rlimit {
+        current: had.maximum,
+        maximum: had.maximum,
+    };
     match setrlimit(Resource::Nofile, raised) {
         Ok(()) => had.maximum.unwrap_or(u64::MAX),
         Err(_) => had.current.unwrap_or(u64::MAX),
--- a/crates/cli/src/secret.rs
+++ b/crates/cli/src/secret.rs
@@ -54,14 +54,19 @@
     const LETTERS: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
     let mut bytes = [0; 8];
     rand::rng().fill_bytes(&mut bytes);
-    bytes.iter().map(|b| char::from(LETTERS[usize::from(*b) % LETTERS.len()])).collect()
+    bytes
+        .iter()
+        .map(|b| char::from(LETTERS[usize::from(*b) % LETTERS.len()]))
+        .collect()
 }
 
 fn decode(hex: &str) -> Option<Vec<u8>> {
     if hex.len() != LEN * 2 || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
     }
-    (0..LEN).map(|at| u8::from_str_radix(&hex[at * 2..at * 2 + 2], 16).ok()).collect()
+    (0..LEN)
+        .map(|at| u8::from_str_radix(&hex[at * 2..at * 2 + 2], 16).ok())
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -15,11 +15,13 @@
 
 fn reports_on(records: &[Record], from: u64, heeds: u64) -> Vec<String> {
     let of = |r: &Record| match r {
-        Record::Sent { at, kind, class, versions: Some((_, h, _)), .. }
-            if *at >= from && class == "report" && *h >= heeds =>
-        {
-            Some(kind.clone())
-        }
+        Record::Sent {
+            at,
+            kind,
+            class,
+            versions: Some((_, h, _)),
+            ..
+        } if *at >= from && class == "report" && *h >= heeds => Some(kind.clone()),
         _ => None,
     };
     let mut kinds: Vec<String> = records.iter().filter_map(of).collect();
@@ -39,28 +41,43 @@
     let strict = night.put("strict", &document(&["b"], 2));
     assert!(night.stage.until_in_force(strict, LONG));
     for router in ["r1", "r2", "r3"] {
-        assert!(night.until_act(router, strict, strict), "{router} never acted on version {strict}");
+        assert!(
+            night.until_act(router, strict, strict),
+            "{router} never acted on version {strict}"
+        );
     }
     println!("in force after {} ms", took.as_millis());
     let records = night.judged();
-    assert_eq!(reports_on(&records, 0, strict), ["b"], "what heeds the last version keeps to it");
+    assert_eq!(
+        reports_on(&records, 0, strict),
+        ["b"],
+        "what heeds the last version keeps to it"
+    );
 }
 
 #[test]
 fn a_router_cut_off_from_keepers_only_holds_a_change_up_for_a_permit_and_then_refuses_loads() {
     let mut night = Night::new("cut", 3, |_| {});
     assert!(night.until_act("r1", 1, 1));
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
+    night
+        .stage
+        .fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
     let number = night.put("move", &document(&["a", "b"], 3));
     // It still acts, under a permit for the old rules: so the others may not act on the new ones alone.
     assert!(night.stage.until_heeded(2, number, LONG));
-    assert!(night.stage.until_in_force(number, LONG), "its permit runs out");
+    assert!(
+        night.stage.until_in_force(number, LONG),
+        "its permit runs out"
+    );
     assert!(night.until_act("r2", number, number));
     let before = night.acts("r1").len();
     assert!(
         night.stage.until(LONG, |s| {
             let all = s.recorder.all().expect("recorded");
-            all.iter().filter(|r| matches!(r, Record::TurnedAway { status: 503, .. })).count() > 3
+            all.iter()
+                .filter(|r| matches!(r, Record::TurnedAway { status: 503, .. }))
+                .count()
+                > 3
         }),
         "it refuses loads at the door"
     );
@@ -72,7 +89,11 @@
     let loads = records.iter().filter(
         |r| matches!(r, Record::Sent { class, versions: Some((.., true)), .. } if class == "rent-load"),
     );
-    assert_eq!(loads.count(), 0, "what must never run twice is not sent in doubt");
+    assert_eq!(
+        loads.count(),
+        0,
+        "what must never run twice is not sent in doubt"
+    );
 }
 
 impl Night {
@@ -92,21 +113,33 @@
 fn a_leader_cut_off_from_the_other_keepers_prolongs_nobody() {
     let mut night = Night::new("leader", 4, |_| {});
     assert!(night.until_act("r1", 1, 1));
-    let leader = night.stage.statuses().iter().find_map(|s| s.leader).expect("somebody leads") as usize - 1;
-    night
+    let leader = night
         .stage
-        .fail_all(Faults::cut(), |b| matches!(b, Between::Keepers(a, c) if *a == leader || *c == leader));
+        .statuses()
+        .iter()
+        .find_map(|s| s.leader)
+        .expect("somebody leads") as usize
+        - 1;
+    night.stage.fail_all(
+        Faults::cut(),
+        |b| matches!(b, Between::Keepers(a, c) if *a == leader || *c == leader),
+    );
     // Half of the routers reach only that one.
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(r, k) if *r < 2 && *k != leader));
+    night.stage.fail_all(
+        Faults::cut(),
+        |b| matches!(b, Between::Router(r, k) if *r < 2 && *k != leader),
+    );
     let mut number = 0;
     assert!(
-        night.stage.until(LONG, |s| match s.put("move", &document(&["a", "b"], 3)) {
-            Ok(PutAnswer::Taken(n)) => {
-                number = n;
-                true
-            }
-            _ => false,
-        }),
+        night
+            .stage
+            .until(LONG, |s| match s.put("move", &document(&["a", "b"], 3)) {
+                Ok(PutAnswer::Taken(n)) => {
+                    number = n;
+                    true
+                }
+                _ => false,
+            }),
         "the other two keepers take it"
     );
     assert!(night.stage.until_in_force(number, LONG));
@@ -123,7 +156,10 @@
     night.stage.stop_router(0);
     night.reach();
     let number = night.put("move", &document(&["a", "b"], 3));
-    assert!(night.stage.until_in_force(number, LONG), "its permit runs out though it can't know");
+    assert!(
+        night.stage.until_in_force(number, LONG),
+        "its permit runs out though it can't know"
+    );
     assert!(night.until_act("r2", number, number));
     night.stage.go_on_router(0);
     night.reach();
@@ -135,18 +171,34 @@
 fn a_drain_put_behind_a_change_that_waits_is_heeded_at_once() {
     use hoptiller_agreement::lists::{Member, Roster, Standing};
     // So long that the change still waits when the drain is heeded, on any machine; it ends when the link is whole again.
-    let mut night = Night::new("drain", 3, |layout| layout.permit = Duration::from_secs(300));
-    assert!(night.until_act("r1", 1, 1) && night.until_act("r2", 1, 1) && night.until_act("r3", 1, 1));
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
+    let mut night = Night::new("drain", 3, |layout| {
+        layout.permit = Duration::from_secs(300)
+    });
+    assert!(
+        night.until_act("r1", 1, 1) && night.until_act("r2", 1, 1) && night.until_act("r3", 1, 1)
+    );
+    night
+        .stage
+        .fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
     let waits = night.put("move", &document(&["a", "b"], 2));
     let mut drained = document(&["a", "b"], 2);
-    let now =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("later").as_millis() as u64;
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("later")
+        .as_millis() as u64;
     let member = |n: usize| match n {
-        0 => Member { started: now, standing: Standing::Draining },
-        _ => Member { started: 0, standing: Standing::Up },
+        0 => Member {
+            started: now,
+            standing: Standing::Draining,
+        },
+        _ => Member {
+            started: 0,
+            standing: Standing::Up,
+        },
     };
-    drained.list = Some(Roster((0..4).map(|n| (format!("engine-{n}"), member(n))).collect()));
+    drained.list = Some(Roster(
+        (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
+    ));
     let drain = night.put("drain", &drained);
     assert!(night.stage.until_heeded(2, drain, LONG));
     for router in ["r2", "r3"] {
@@ -156,32 +208,60 @@
     assert!(night.stage.until_in_force(drain, LONG) && night.until_act("r1", drain, drain));
     let records = night.judged();
     let sent = |r: &Record| match r {
-        Record::Sent { engine, versions: Some((in_force, heeds, false)), .. } if *heeds >= drain => {
-            Some((engine.clone(), *in_force))
-        }
+        Record::Sent {
+            engine,
+            versions: Some((in_force, heeds, false)),
+            ..
+        } if *heeds >= drain => Some((engine.clone(), *in_force)),
         _ => None,
     };
     let sent: Vec<(String, u64)> = records.iter().filter_map(sent).collect();
-    assert!(sent.iter().any(|(_, in_force)| *in_force < waits), "the change before it still waited");
-    assert!(sent.iter().all(|(engine, _)| engine != "engine-0"), "what heeds the drain sends nothing there");
+    assert!(
+        sent.iter().any(|(_, in_force)| *in_force < waits),
+        "the change before it still waited"
+    );
+    assert!(
+        sent.iter().all(|(engine, _)| engine != "engine-0"),
+        "what heeds the drain sends nothing there"
+    );
 }
 
 #[test]
 fn links_in_a_ring_and_lost_answers_do_not_keep_a_change_back() {
     let mut night = Night::new("ring", 3, |_| {});
-    let one_way = Faults { there: Way { cut: true, ..Way::default() }, ..Faults::default() };
+    let one_way = Faults {
+        there: Way {
+            cut: true,
+            ..Way::default()
+        },
+        ..Faults::default()
+    };
     for (from, to) in [(0, 1), (1, 2), (2, 0)] {
         night.stage.fail(Between::Keepers(from, to), one_way);
-        let number = night.put(&format!("around {from}"), &document(&["a", "b"], 2 + from as u32));
+        let number = night.put(
+            &format!("around {from}"),
+            &document(&["a", "b"], 2 + from as u32),
+        );
         assert!(night.stage.until_in_force(number, LONG));
         night.stage.heal();
     }
     // Answers to a router are lost: it asks and asks, and what it asked counts against it, not for it.
-    let lost = Faults { back: Way { cut: true, ..Way::default() }, ..Faults::default() };
-    night.stage.fail_all(lost, |b| matches!(b, Between::Router(1, _)));
+    let lost = Faults {
+        back: Way {
+            cut: true,
+            ..Way::default()
+        },
+        ..Faults::default()
+    };
+    night
+        .stage
+        .fail_all(lost, |b| matches!(b, Between::Router(1, _)));
     let number = night.put("unheard", &document(&["b"], 3));
     assert!(night.stage.until_heeded(2, number, LONG));
-    assert!(night.until_doubt("r2"), "its permit ends though keepers hear it");
+    assert!(
+        night.until_doubt("r2"),
+        "its permit ends though keepers hear it"
+    );
     night.stage.heal();
     assert!(night.stage.until_in_force(number, LONG));
     assert!(night.until_act("r2", number, number));
@@ -227,14 +307,23 @@
     night.stage.start_keeper(2).expect("runs");
     let two = night.put("two", &document(&["a", "b"], 3));
     assert!(night.stage.until_in_force(two, LONG));
-    assert!(night.stage.until(LONG, |s| s.statuses().iter().filter(|s| s.numbers.last >= two).count() == 3));
+    assert!(night.stage.until(LONG, |s| {
+        s.statuses()
+            .iter()
+            .filter(|s| s.numbers.last >= two)
+            .count()
+            == 3
+    }));
     night.stage.kill_keeper(2);
     night.stage.restore_disk(2).expect("put back");
     night.stage.start_keeper(2).expect("starts");
     let ended = night.stage.keeper(2).expect("there").wait(LONG);
     assert_eq!(ended.and_then(|e| e.code()), Some(3));
     assert!(
-        night.stage.log_of("keeper-3").contains("put back from a copy"),
+        night
+            .stage
+            .log_of("keeper-3")
+            .contains("put back from a copy"),
         "{}",
         night.stage.log_of("keeper-3")
     );
@@ -243,7 +332,11 @@
     night.stage.start_keeper(2).expect("starts");
     let ended = night.stage.keeper(2).expect("there").wait(LONG);
     assert_eq!(ended.and_then(|e| e.code()), Some(3));
-    assert!(night.stage.log_of("keeper-3").contains("had disk"), "{}", night.stage.log_of("keeper-3"));
+    assert!(
+        night.stage.log_of("keeper-3").contains("had disk"),
+        "{}",
+        night.stage.log_of("keeper-3")
+    );
     let three = night.put("three", &document(&["a"], 2));
     assert!(night.stage.until_in_force(three, LONG));
     // A second one gone: nothing is decided any more, and nothing is made up.
@@ -255,7 +348,10 @@
     assert!(night.until_doubt("r1"));
     let alone = night.stage.put("four", &document(&["b"], 2));
     assert!(!matches!(alone, Ok(PutAnswer::Taken(_))), "{alone:?}");
-    assert_eq!(night.stage.statuses().first().map(|s| s.numbers.in_force), Some(three));
+    assert_eq!(
+        night.stage.statuses().first().map(|s| s.numbers.in_force),
+        Some(three)
+    );
     night.judged();
 }
 
@@ -265,21 +361,40 @@
     night.stage.kill_keeper(2);
     night.stage.save_disk(2).expect("copied");
     night.stage.lose_disk(2).expect("gone");
-    let new = night.stage.replace_keeper(2).expect("asked").expect("replaced");
+    let new = night
+        .stage
+        .replace_keeper(2)
+        .expect("asked")
+        .expect("replaced");
     // Until two know it, the one that does may not be lost: that is not yet one of three. Then any may.
     let know = |s: &mut Stage| s.statuses().iter().filter(|s| s.list == 2).count();
     assert!(night.stage.until(LONG, |s| know(s) == 2));
     night.stage.kill_keeper(0);
     night.stage.start_keeper(new).expect("it is taken in");
     let two = night.put("two", &document(&["a", "b"], 3));
-    assert!(night.stage.until_in_force(two, LONG), "the new one and keeper 2 are two of three");
+    assert!(
+        night.stage.until_in_force(two, LONG),
+        "the new one and keeper 2 are two of three"
+    );
     assert!(night.until_act("r1", two, two) && night.until_act("r2", two, two));
     night.stage.start_keeper(0).expect("runs");
-    let lists = |s: &mut Stage| s.statuses().iter().filter(|s| s.list == 2 && s.keepers == [1, 2, 4]).count();
-    assert!(night.stage.until(LONG, |s| lists(s) == 3), "{:?}", night.stage.statuses());
+    let lists = |s: &mut Stage| {
+        s.statuses()
+            .iter()
+            .filter(|s| s.list == 2 && s.keepers == [1, 2, 4])
+            .count()
+    };
+    assert!(
+        night.stage.until(LONG, |s| lists(s) == 3),
+        "{:?}",
+        night.stage.statuses()
+    );
     // The new one outlives its process, and the old ones are not needed for a change.
     night.stage.kill_keeper(new);
-    night.stage.start_keeper(new).expect("it goes on from its disk");
+    night
+        .stage
+        .start_keeper(new)
+        .expect("it goes on from its disk");
     night.stage.kill_keeper(1);
     let three = night.put("three", &document(&["a"], 2));
     assert!(night.stage.until_in_force(three, LONG));
@@ -311,10 +426,15 @@
     assert_eq!(night.put("once", &document(&["a", "b"], 3)), number);
     night.stage.start_keeper(0).expect("runs");
     assert!(night.stage.until_in_force(number, LONG));
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
+    night
+        .stage
+        .fail_all(Faults::cut(), |b| matches!(b, Between::Router(0, _)));
     let (mut taken, mut busy) = (0u64, 0);
     for n in 0..200u32 {
-        match night.stage.put(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3)) {
+        match night
+            .stage
+            .put(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3))
+        {
             Ok(PutAnswer::Taken(_)) => taken += 1,
             Ok(PutAnswer::Refused(Refused::Busy { .. })) => busy += 1,
             other => panic!("{other:?}"),
@@ -337,8 +457,14 @@
         layout.keeper_skews = vec![25_000; 3];
     });
     assert!(night.until_act("r1", 1, 1));
-    for (n, kinds) in [&["a", "b"][..], &["b"], &["a", "b"]].into_iter().enumerate() {
-        night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(r, _) if *r == n % 2));
+    for (n, kinds) in [&["a", "b"][..], &["b"], &["a", "b"]]
+        .into_iter()
+        .enumerate()
+    {
+        night.stage.fail_all(
+            Faults::cut(),
+            |b| matches!(b, Between::Router(r, _) if *r == n % 2),
+        );
         let number = night.put(&format!("change {n}"), &document(kinds, 3));
         assert!(night.stage.until_in_force(number, LONG));
         night.stage.heal();
@@ -350,14 +476,26 @@
 #[test]
 fn a_half_written_file_and_an_unknown_setting_change_nothing() {
     let night = Night::new("files", 1, |_| {});
-    let keepers: Vec<String> =
-        night.stage.keepers().expect("there").addresses().iter().map(ToString::to_string).collect();
+    let keepers: Vec<String> = night
+        .stage
+        .keepers()
+        .expect("there")
+        .addresses()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let whole = serde_json::to_string(&document(&["a"], 3)).expect("json");
     let put = |name: &str, text: &str| {
         let file = night.dir.join(name);
         std::fs::write(&file, text).expect("written");
         let out = Command::new(program())
-            .args(["settings", "put", &file.display().to_string(), "--why", "a test"])
+            .args([
+                "settings",
+                "put",
+                &file.display().to_string(),
+                "--why",
+                "a test",
+            ])
             .args([
                 "--keepers",
                 &keepers.join(","),
@@ -366,19 +504,27 @@
             ])
             .output()
             .expect("runs");
-        (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+        (
+            out.status.code(),
+            String::from_utf8_lossy(&out.stderr).into_owned(),
+        )
     };
     let (code, said) = put("half.json", &whole[..whole.len() / 2]);
     assert_eq!(code, Some(2), "{said}");
-    let (code, said) =
-        put("later.json", &whole.replace("\"max_attempts\"", "\"most_tries\":2,\"max_attempts\""));
+    let (code, said) = put(
+        "later.json",
+        &whole.replace("\"max_attempts\"", "\"most_tries\":2,\"max_attempts\""),
+    );
     assert!(code == Some(2) && said.contains("most_tries"), "{said}");
     let (code, said) = put("other.json", &whole.replace("\"form\":1", "\"form\":2"));
     assert!(code == Some(2) && said.contains("form"), "{said}");
     let (code, said) = put("nowhere.json", &whole.replace("[\"a\"]", "[\"b\"]"));
     assert!(code == Some(2) && said.contains("this change"), "{said}");
     assert_eq!(night.stage.numbers().map(|n| n.last), Some(1));
-    let (code, said) = put("good.json", &whole.replace("\"max_attempts\":3", "\"max_attempts\":2"));
+    let (code, said) = put(
+        "good.json",
+        &whole.replace("\"max_attempts\":3", "\"max_attempts\":2"),
+    );
     assert_eq!(code, Some(0), "{said}");
     assert_eq!(night.stage.numbers().map(|n| n.last), Some(2));
 }
@@ -390,7 +536,12 @@
     let of_parent = |pid: &u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         // Behind the name, which is in brackets: the state and the parent.
-        let rest: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
+        let rest: Vec<&str> = stat
+            .rsplit(") ")
+            .next()
+            .unwrap_or_default()
+            .split(' ')
+            .collect();
         rest.first() != Some(&"Z") && rest.get(1) == Some(&parent.to_string().as_str())
     };
     numbers.filter(of_parent).collect()
@@ -400,7 +551,10 @@
 fn a_fleet_that_is_told_to_end_leaves_no_process_behind() {
     let report = std::env::temp_dir().join(format!("hoptiller-fleet-told-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&report);
-    let day = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/fleet-calm.jsonnet");
+    let day = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../examples/fleet-calm.jsonnet"
+    );
     let mut fleet = Command::new(program())
         .args(["fleet", "run", day, "--report"])
         .arg(&report)
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -23,9 +23,16 @@
 type Act = (String, String, u64, bool);
 
 impl Night {
-    fn leasing(name: &str, routers: usize, change: impl FnOnce(&mut hoptiller_rig::Layout)) -> Night {
+    fn leasing(
+        name: &str,
+        routers: usize,
+        change: impl FnOnce(&mut hoptiller_rig::Layout),
+    ) -> Night {
         let mut night = Night::with(name, routers, &with_tasks(3), change);
-        assert!(night.until_acts(|acts| parts_done(acts).len() == 4), "each part is done by somebody");
+        assert!(
+            night.until_acts(|acts| parts_done(acts).len() == 4),
+            "each part is done by somebody"
+        );
         // The first to ask often enough has all at first: until they are spread, they still move by themselves.
         let end = Instant::now() + LONG;
         while !night.is_spread(routers) {
@@ -38,7 +45,8 @@
     /// What keepers say of all parts.
     fn leases(&self) -> Vec<LeaseStatus> {
         let keepers = self.stage.keepers().expect("there");
-        let asked = keepers.call::<Vec<LeaseStatus>>(wire::LEASES, None::<&()>, Duration::from_secs(2));
+        let asked =
+            keepers.call::<Vec<LeaseStatus>>(wire::LEASES, None::<&()>, Duration::from_secs(2));
         async_io::block_on(asked).unwrap_or_default()
     }
 
@@ -47,15 +55,29 @@
         for (holder, _) in self.leases().into_iter().filter_map(|l| l.holder) {
             *counts.entry(holder.router).or_default() += 1;
         }
-        counts.len() == routers && counts.values().sum::<usize>() == 4 && counts.values().all(|n| *n <= 2)
+        counts.len() == routers
+            && counts.values().sum::<usize>() == 4
+            && counts.values().all(|n| *n <= 2)
     }
 
     fn leased(&self) -> Vec<Act> {
         let of = |r: Record| match r {
-            Record::Leased { router, part, number, refused, .. } => Some((router, part, number, refused)),
+            Record::Leased {
+                router,
+                part,
+                number,
+                refused,
+                ..
+            } => Some((router, part, number, refused)),
             _ => None,
         };
-        self.stage.recorder.all().expect("recorded").into_iter().filter_map(of).collect()
+        self.stage
+            .recorder
+            .all()
+            .expect("recorded")
+            .into_iter()
+            .filter_map(of)
+            .collect()
     }
 
     /// Waits until what was done under leases is as wanted.
@@ -73,7 +95,11 @@
     /// Waits until each part is done under a number of at least this.
     fn until_all_after(&mut self, number: u64) -> bool {
         self.until_acts(|acts| {
-            let new: Vec<Act> = acts.iter().filter(|a| a.2 > number && !a.3).cloned().collect();
+            let new: Vec<Act> = acts
+                .iter()
+                .filter(|a| a.2 > number && !a.3)
+                .cloned()
+                .collect();
             parts_done(&new).len() == 4
         })
     }
@@ -82,7 +108,11 @@
     fn holder(&self, part: &str) -> usize {
         let end = Instant::now() + LONG;
         loop {
-            let held = self.leases().into_iter().find(|l| l.part.to_string() == part).and_then(|l| l.holder);
+            let held = self
+                .leases()
+                .into_iter()
+                .find(|l| l.part.to_string() == part)
+                .and_then(|l| l.holder);
             if let Some((holder, _)) = held {
                 return holder.router[1..].parse::<usize>().expect("r and a number") - 1;
             }
@@ -98,7 +128,10 @@
     /// Waits until another than the one of that place does a part.
     fn until_other(&mut self, part: &str, holder: usize) -> bool {
         let (newest, name) = (self.newest(), format!("r{}", holder + 1));
-        self.until_acts(|acts| acts.iter().any(|a| a.1 == part && a.2 > newest && a.0 != name && !a.3))
+        self.until_acts(|acts| {
+            acts.iter()
+                .any(|a| a.1 == part && a.2 > newest && a.0 != name && !a.3)
+        })
     }
 }
 
@@ -115,7 +148,11 @@
     }
     let (_, verdict) = night.verdict();
     let leases = verdict.leases.expect("acts under leases");
-    assert_eq!((leases.parts, leases.overlaps, leases.refused), (4, 0, 0), "{leases:?}");
+    assert_eq!(
+        (leases.parts, leases.overlaps, leases.refused),
+        (4, 0, 0),
+        "{leases:?}"
+    );
 }
 
 #[test]
@@ -141,14 +178,25 @@
 fn a_holder_cut_off_from_keepers_stops_before_another_begins_though_it_reaches_what_it_acts_on() {
     let mut night = Night::leasing("lease-cut", 3, |_| {});
     let holder = night.holder("probe/1");
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(r, _) if *r == holder));
+    night.stage.fail_all(
+        Faults::cut(),
+        |b| matches!(b, Between::Router(r, _) if *r == holder),
+    );
     assert!(night.until_other("probe/1", holder));
     // Answers to its questions are lost, the questions are not: it is no better off.
     night.stage.heal();
     let next = night.holder("probe/1");
-    let lost = hoptiller_rig::Way { cut: true, ..hoptiller_rig::Way::default() };
-    let lost = Faults { back: lost, ..Faults::default() };
-    night.stage.fail_all(lost, |b| matches!(b, Between::Router(r, _) if *r == next));
+    let lost = hoptiller_rig::Way {
+        cut: true,
+        ..hoptiller_rig::Way::default()
+    };
+    let lost = Faults {
+        back: lost,
+        ..Faults::default()
+    };
+    night
+        .stage
+        .fail_all(lost, |b| matches!(b, Between::Router(r, _) if *r == next));
     assert!(night.until_other("probe/1", next));
     night.stage.heal();
     let (_, verdict) = night.verdict();
@@ -159,7 +207,13 @@
 fn a_holder_that_reaches_keepers_and_not_discovery_leaves_it_to_another() {
     let mut night = Night::leasing("lease-reverse", 3, |_| {});
     let holder = night.holder("list/0");
-    night.stage.fail(Between::Discovery(holder), Faults { refuse: true, ..Faults::default() });
+    night.stage.fail(
+        Between::Discovery(holder),
+        Faults {
+            refuse: true,
+            ..Faults::default()
+        },
+    );
     assert!(night.until_other("list/0", holder), "another reads it");
     let (_, verdict) = night.verdict();
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
@@ -168,7 +222,13 @@
 #[test]
 fn a_leader_killed_and_all_keepers_away_for_long_leave_no_two_holders() {
     let mut night = Night::leasing("lease-keepers", 3, |_| {});
-    let leader = night.stage.statuses().iter().find_map(|s| s.leader).expect("somebody leads") as usize - 1;
+    let leader = night
+        .stage
+        .statuses()
+        .iter()
+        .find_map(|s| s.leader)
+        .expect("somebody leads") as usize
+        - 1;
     let holder = night.holder("list/0");
     night.stage.kill_router(holder);
     night.reach();
@@ -185,7 +245,8 @@
     let names = ["r1", "r2", "r3"];
     let before = names.map(|r| night.acts(r).len());
     let in_doubt = |night: &Night| {
-        let new = |(r, from): (&&str, &usize)| night.acts(r)[*from..].iter().filter(|a| a.2).count() > 2;
+        let new =
+            |(r, from): (&&str, &usize)| night.acts(r)[*from..].iter().filter(|a| a.2).count() > 2;
         names.iter().zip(&before).all(new)
     };
     let end = Instant::now() + LONG;
@@ -198,13 +259,23 @@
     while night.acts("r1").len() < served + 20 && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(night.acts("r1").len() >= served + 20, "lookups are served in doubt");
-    assert_eq!(night.leased().len(), acts, "and nothing is done under a lease");
+    assert!(
+        night.acts("r1").len() >= served + 20,
+        "lookups are served in doubt"
+    );
+    assert_eq!(
+        night.leased().len(),
+        acts,
+        "and nothing is done under a lease"
+    );
     for k in 0..3 {
         night.stage.start_keeper(k).expect("runs");
     }
     // Nobody else may have been given one meanwhile: each goes on with what it had, once keepers say so.
-    assert!(night.until_acts(|all| parts_done(&all[acts..]).len() == 4), "it goes on");
+    assert!(
+        night.until_acts(|all| parts_done(&all[acts..]).len() == 4),
+        "it goes on"
+    );
     let (_, verdict) = night.verdict();
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
 }
@@ -216,17 +287,29 @@
     night.stage.router(holder).expect("runs").tell_to_end();
     night.reach();
     assert!(night.until_other("list/0", holder));
-    assert!(night.stage.router(holder).expect("there").wait(LONG).is_some_and(|s| s.success()));
+    assert!(
+        night
+            .stage
+            .router(holder)
+            .expect("there")
+            .wait(LONG)
+            .is_some_and(|s| s.success())
+    );
     let (newest, name) = (night.newest(), format!("r{}", holder + 1));
     (0..3).for_each(|r| night.stage.kill_router(r));
     for r in 0..3 {
         night.stage.start_router(r).expect("runs");
     }
     night.reach();
-    assert!(night.until_all_after(newest), "after the term of those before");
+    assert!(
+        night.until_all_after(newest),
+        "after the term of those before"
+    );
     let (records, verdict) = night.verdict();
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
-    let told = records.iter().any(|r| matches!(r, Record::Leased { router, .. } if *router == name));
+    let told = records
+        .iter()
+        .any(|r| matches!(r, Record::Leased { router, .. } if *router == name));
     assert!(told, "{name} had done some of it");
 }
 
@@ -240,9 +323,15 @@
         layout.router_skews = vec![-900_000, -900_000];
         layout.engines.iter_mut().for_each(|e| e.fences = true);
     });
-    assert!(night.until_acts(|acts| !acts.is_empty()), "somebody reads the list");
+    assert!(
+        night.until_acts(|acts| !acts.is_empty()),
+        "somebody reads the list"
+    );
     let holder = night.holder("list/0");
-    night.stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(r, _) if *r == holder));
+    night.stage.fail_all(
+        Faults::cut(),
+        |b| matches!(b, Between::Router(r, _) if *r == holder),
+    );
     let name = format!("r{}", holder + 1);
     assert!(
         night.until_acts(|acts| acts.iter().any(|a| a.0 == name && a.3)),
--- a/crates/cli/tests/night/mod.rs
+++ b/crates/cli/tests/night/mod.rs
@@ -36,8 +36,7 @@
 }
 
 fn settings() -> serde_json::Value {
-    let class =
-        |name: &str, repeat: &str| json!({ "name": name, "aim": "2s", "patience": "20s", "repeat": repeat });
+    let class = |name: &str, repeat: &str| json!({ "name": name, "aim": "2s", "patience": "20s", "repeat": repeat });
     json!({
         "kinds": { "a": 8, "b": 8 }, "zones": ["x"],
         "classes": [class("lookup", "safe"), class("report", "safe"), class("rent-load", "never")],
@@ -61,11 +60,21 @@
     }
 
     /// The same with another first version.
-    pub fn with(name: &str, routers: usize, first: &Document, change: impl FnOnce(&mut Layout)) -> Night {
-        let dir = std::env::temp_dir().join(format!("hoptiller-fleet-{name}-{}", std::process::id()));
+    pub fn with(
+        name: &str,
+        routers: usize,
+        first: &Document,
+        change: impl FnOnce(&mut Layout),
+    ) -> Night {
+        let dir =
+            std::env::temp_dir().join(format!("hoptiller-fleet-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
-        let engine =
-            |kind: &str| EnginePlan { kind: kind.into(), zone: "x".into(), speed: 8.0, fences: false };
+        let engine = |kind: &str| EnginePlan {
+            kind: kind.into(),
+            zone: "x".into(),
+            speed: 8.0,
+            fences: false,
+        };
         let mut layout = Layout {
             keepers: 3,
             routers,
@@ -82,7 +91,10 @@
         let mut stage = Stage::new(layout, &program(), &dir).expect("set up");
         stage.start().expect("keepers run");
         assert!(
-            stage.until(LONG, |s| matches!(s.put("first", first), Ok(PutAnswer::Taken(1)))),
+            stage.until(LONG, |s| matches!(
+                s.put("first", first),
+                Ok(PutAnswer::Taken(1))
+            )),
             "the first version"
         );
         for router in 0..routers {
@@ -106,7 +118,11 @@
         };
         let crowd = Crowd::start(&clients, 1, &stage.recorder).expect("clients");
         crowd.reach(stage.running_routers());
-        Night { stage, crowd: Some(crowd), dir }
+        Night {
+            stage,
+            crowd: Some(crowd),
+            dir,
+        }
     }
 
     pub fn put(&mut self, change: &str, document: &Document) -> u64 {
@@ -123,14 +139,20 @@
     }
 
     pub fn reach(&self) {
-        self.crowd.iter().for_each(|c| c.reach(self.stage.running_routers()));
+        self.crowd
+            .iter()
+            .for_each(|c| c.reach(self.stage.running_routers()));
     }
 
     /// Acts of a router that engines recorded, with the versions of each.
     pub fn acts(&self, router: &str) -> Vec<(u64, u64, bool)> {
         let all = self.stage.recorder.all().expect("recorded");
         let of = |r: &Record| match r {
-            Record::Sent { router: by, versions: Some(v), .. } if by == router => Some(*v),
+            Record::Sent {
+                router: by,
+                versions: Some(v),
+                ..
+            } if by == router => Some(*v),
             _ => None,
         };
         all.iter().filter_map(of).collect()
@@ -140,7 +162,10 @@
     pub fn until_act(&mut self, router: &str, in_force: u64, heeds: u64) -> bool {
         let (end, mut seen) = (Instant::now() + LONG, false);
         while !seen && Instant::now() < end {
-            seen = self.acts(router).iter().any(|(f, h, _)| *f >= in_force && *h >= heeds);
+            seen = self
+                .acts(router)
+                .iter()
+                .any(|(f, h, _)| *f >= in_force && *h >= heeds);
             std::thread::sleep(Duration::from_millis(20));
         }
         seen
@@ -163,11 +188,18 @@
             order_pause: 0,
             budget: None,
             // Engines record what comes when they get to run; acts that overlap overlap for a permit.
-            agreement: Some(Agreement { overlap: 500_000, ..Agreement::default() }),
+            agreement: Some(Agreement {
+                overlap: 500_000,
+                ..Agreement::default()
+            }),
         };
         let verdict = judge(&records, &rules);
         let broken: Vec<_> = verdict.breaks.iter().take(5).collect();
-        assert!(verdict.breaks.is_empty(), "{} breaks: {broken:?}", verdict.breaks.len());
+        assert!(
+            verdict.breaks.is_empty(),
+            "{} breaks: {broken:?}",
+            verdict.breaks.len()
+        );
         assert!(verdict.overlap.is_some(), "nothing was sent under versions");
         (records, verdict)
     }
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -34,7 +34,10 @@
 impl Planted {
     /// Whether it should be found.
     pub fn is_runaway(self) -> bool {
-        matches!(self, Planted::Heavy | Planted::BadPlan | Planted::BlockingLoad)
+        matches!(
+            self,
+            Planted::Heavy | Planted::BadPlan | Planted::BlockingLoad
+        )
     }
 
     /// A word for tables.
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -28,8 +28,11 @@
 const REPORT: usize = 1;
 const LOAD: usize = 2;
 /// By class: statements a second, kinds, mean work in ms of the lightest kind and of the heaviest.
-const TRAFFIC: [(f64, u64, f64, f64); 3] =
-    [(70.0, 6, 150.0, 400.0), (2.4, 4, 2_000.0, 6_000.0), (1.0, 3, 2_500.0, 4_500.0)];
+const TRAFFIC: [(f64, u64, f64, f64); 3] = [
+    (70.0, 6, 150.0, 400.0),
+    (2.4, 4, 2_000.0, 6_000.0),
+    (1.0, 3, 2_500.0, 4_500.0),
+];
 /// Groups of tables.
 const GROUPS: u64 = 24;
 
@@ -48,14 +51,31 @@
 
 impl Condition {
     /// What the settings say: named and held.
-    const SET: Condition = Condition { notes: true, reports: true, hold: true, end: false };
+    const SET: Condition = Condition {
+        notes: true,
+        reports: true,
+        hold: true,
+        end: false,
+    };
     /// Those that are run.
     pub const ALL: [Condition; 5] = [
         Condition::SET,
-        Condition { hold: false, ..Condition::SET },
-        Condition { end: true, ..Condition::SET },
-        Condition { notes: false, ..Condition::SET },
-        Condition { reports: false, ..Condition::SET },
+        Condition {
+            hold: false,
+            ..Condition::SET
+        },
+        Condition {
+            end: true,
+            ..Condition::SET
+        },
+        Condition {
+            notes: false,
+            ..Condition::SET
+        },
+        Condition {
+            reports: false,
+            ..Condition::SET
+        },
     ];
 
     /// In words.
@@ -67,7 +87,11 @@
             (self.end, "ended by rule"),
         ];
         let all: Vec<&str> = parts.iter().filter(|p| p.0).map(|p| p.1).collect();
-        if all.is_empty() { "as set".into() } else { all.join(", ") }
+        if all.is_empty() {
+            "as set".into()
+        } else {
+            all.join(", ")
+        }
     }
 }
 
@@ -114,7 +138,13 @@
     }
     settings.runaways.end_after = std::time::Duration::from_secs(5);
     let mut rng = StdRng::seed_from_u64(seed);
-    let engines = (0..engines).map(|n| Engine { kind: n % 2, zone: n % 3, spec: Spec::default() }).collect();
+    let engines = (0..engines)
+        .map(|n| Engine {
+            kind: n % 2,
+            zone: n % 3,
+            spec: Spec::default(),
+        })
+        .collect();
     let mut statements = usual(&settings, &mut rng);
     plant(&settings, &mut rng, &mut statements);
     statements.sort_by_key(|s| s.at);
@@ -221,7 +251,10 @@
             s.reads = (usual / 10.0) as u64;
         }
         if what == Planted::Announced {
-            s.announced = Announced { size: 12, estimate: None };
+            s.announced = Announced {
+                size: 12,
+                estimate: None,
+            };
         }
         all.push(s);
     }
@@ -261,17 +294,27 @@
     let count = |of: &dyn Fn(&usize) -> bool| began.keys().filter(|at| of(at)).count();
     let count_flagged = |of: &dyn Fn(&usize) -> bool| flagged.keys().filter(|at| of(at)).count();
     let over = |limit: u64, of: &dyn Fn(&usize) -> bool| {
-        longest.iter().filter(|(at, there)| of(at) && **there > limit * S).count()
+        longest
+            .iter()
+            .filter(|(at, there)| of(at) && **there > limit * S)
+            .count()
     };
     let stood = |at: &usize, until: Micros| {
         let of = run.attempts.iter().filter(|a| a.statement == *at);
-        of.flat_map(|a| &a.stood).filter(|when| **when <= until).count() as f64
+        of.flat_map(|a| &a.stood)
+            .filter(|when| **when <= until)
+            .count() as f64
     };
-    let found = began.iter().filter(|(at, _)| is_runaway(at)).map(|(at, began)| {
-        // One that stands behind another does not run yet.
-        let after = flagged.get(at).map(|f| ((f - began) as f64 / 1e6 - stood(at, *f)).max(0.0));
-        (planted(at).map_or("", Planted::word), after)
-    });
+    let found = began
+        .iter()
+        .filter(|(at, _)| is_runaway(at))
+        .map(|(at, began)| {
+            // One that stands behind another does not run yet.
+            let after = flagged
+                .get(at)
+                .map(|f| ((f - began) as f64 / 1e6 - stood(at, *f)).max(0.0));
+            (planted(at).map_or("", Planted::word), after)
+        });
     let on_time = |at: usize| {
         let s = &plan.statements[at];
         let c = &plan.settings.classes[s.class];
@@ -290,7 +333,11 @@
         .iter()
         .filter(|a| planted(&a.statement) == Some(Planted::BlockingLoad))
         .map(|a| {
-            (plan.statements[a.statement].tables.as_ref(), a.began, a.over.unwrap_or(START + plan.lasts))
+            (
+                plan.statements[a.statement].tables.as_ref(),
+                a.began,
+                a.over.unwrap_or(START + plan.lasts),
+            )
         })
         .collect();
     for (at, s) in plan.statements.iter().enumerate() {
@@ -301,14 +348,22 @@
         let (part, worth) = (on_time(at), plan.settings.classes[s.class].worth);
         (got, all) = (got + part * worth, all + worth);
         let came = START + s.at;
-        let is_behind =
-            |h: &(Option<&String>, Micros, Micros)| h.0 == s.tables.as_ref() && (h.1..h.2).contains(&came);
+        let is_behind = |h: &(Option<&String>, Micros, Micros)| {
+            h.0 == s.tables.as_ref() && (h.1..h.2).contains(&came)
+        };
         if s.class == LOOKUP && held.iter().any(is_behind) {
             behind += 1;
             behind_on_time += usize::from(part == 1.0);
         }
     }
-    let limit = |l: u64| (l, over(l, &is_runaway), over(l, &is_large), over(l, &is_other));
+    let limit = |l: u64| {
+        (
+            l,
+            over(l, &is_runaway),
+            over(l, &is_large),
+            over(l, &is_other),
+        )
+    };
     Figures {
         seed,
         condition,
@@ -340,8 +395,16 @@
     fn a_run_finds_what_is_planted_and_nothing_else() {
         let one = run(&settings(), Condition::ALL[0], 1, 8);
         assert_eq!(one.found.len(), 6, "{one:?}");
-        assert!(one.found.iter().all(|f| f.1.is_some_and(|s| s < 30.0)), "{:?}", one.found);
-        assert_eq!((one.large, one.large_flagged, one.others_flagged), (4, 0, 0), "{one:?}");
+        assert!(
+            one.found.iter().all(|f| f.1.is_some_and(|s| s < 30.0)),
+            "{:?}",
+            one.found
+        );
+        assert_eq!(
+            (one.large, one.large_flagged, one.others_flagged),
+            (4, 0, 0),
+            "{one:?}"
+        );
         assert!(one.others > 20_000 && one.worth > 0.8);
     }
 
@@ -351,6 +414,10 @@
         plan.lasts = 20 * S;
         let one = format!("{:?}", play(&plan, 2).attempts);
         assert!(one.len() > 10_000 && one == format!("{:?}", play(&plan, 2).attempts));
-        assert_ne!(one, format!("{:?}", play(&plan, 3).attempts), "the routers' draws follow the seed");
+        assert_ne!(
+            one,
+            format!("{:?}", play(&plan, 3).attempts),
+            "the routers' draws follow the seed"
+        );
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -7,7 +7,8 @@
 
 use hoptiller::{Ending, EngineId, Entry, LoadReport, Micros, Progress, Readiness, Scope};
 use hoptiller_router::core::{
-    Bounds, Command, Content, Core, Ended, Final, Names, Page, Poll, StatementId, Submission, Work, group_of,
+    Bounds, Command, Content, Core, Ended, Final, Names, Page, Poll, StatementId, Submission, Work,
+    group_of,
 };
 use hoptiller_router::service::ANSWER_MARGIN;
 use hoptiller_runaway::{Finding, Holder, News, Proof, Stands, Watch};
@@ -72,7 +73,10 @@
     pub fn named(&self, name: &str) -> Option<usize> {
         let (router, rest) = name.strip_prefix('r')?.split_once('/')?;
         let (number, _) = rest.split_once('_')?;
-        self.numbers.get(router.parse::<usize>().ok()?)?.get(&number.parse().ok()?).copied()
+        self.numbers
+            .get(router.parse::<usize>().ok()?)?
+            .get(&number.parse().ok()?)
+            .copied()
     }
 }
 
@@ -162,13 +166,29 @@
         let routers = (0..n).map(|index| {
             let mut settings = plan.settings.clone();
             settings.router.index = index as u32;
-            let names = Names { router: format!("r{index}"), life: "emulated".into() };
+            let names = Names {
+                router: format!("r{index}"),
+                life: "emulated".into(),
+            };
             let watch = Watch::new(settings.watch());
-            let core =
-                Core::new(settings.decisions(), seed ^ index as u64, bounds, Some(watch), names.clone())
-                    .unwrap_or_else(|e| unreachable!("checked settings: {e}"));
+            let core = Core::new(
+                settings.decisions(),
+                seed ^ index as u64,
+                bounds,
+                Some(watch),
+                names.clone(),
+            )
+            .unwrap_or_else(|e| unreachable!("checked settings: {e}"));
             let (out, pages, terms) = Default::default();
-            RouterState { core, names, round: false, wake: None, out, pages, terms }
+            RouterState {
+                core,
+                names,
+                round: false,
+                wake: None,
+                out,
+                pages,
+                terms,
+            }
         });
         let engines = plan.engines.iter().map(|e| EngineState {
             model: Model::new(e.spec.clone(), START, false),
@@ -200,7 +220,9 @@
         };
         let entries: Vec<Entry> = plan.engines.iter().enumerate().map(entry).collect();
         for router in 0..n {
-            world.routers[router].core.list(START, Scope::All, entries.clone());
+            world.routers[router]
+                .core
+                .list(START, Scope::All, entries.clone());
             world.settle(router);
         }
         for (at, s) in plan.statements.iter().enumerate() {
@@ -211,7 +233,8 @@
 
     fn after(&mut self, wait: Micros, what: What) {
         self.order += 1;
-        self.events.push(Reverse((self.now + wait, self.order, what)));
+        self.events
+            .push(Reverse((self.now + wait, self.order, what)));
     }
 
     fn happen(&mut self, what: What) {
@@ -235,13 +258,22 @@
                     if let Some(held) = self.engines[engine].held.get_mut(&job) {
                         held.orphan = true;
                     }
-                    self.end(router, id, hop, Ending::Late, "the engine did not finish in time", None);
+                    self.end(
+                        router,
+                        id,
+                        hop,
+                        Ending::Late,
+                        "the engine did not finish in time",
+                        None,
+                    );
                 }
             }
             What::Probe(router, engine) => {
                 self.advance(engine);
                 let report = self.report(engine);
-                self.routers[router].core.probed(EngineId(engine as u32), report);
+                self.routers[router]
+                    .core
+                    .probed(EngineId(engine as u32), report);
                 self.settle(router);
             }
             What::Ask(router, id) => self.ask(router, id),
@@ -265,7 +297,10 @@
             announced: s.announced,
             repeat: false,
             patience: None,
-            work: Rc::new(Work { text: at.to_string(), fields: Vec::new() }),
+            work: Rc::new(Work {
+                text: at.to_string(),
+                fields: Vec::new(),
+            }),
         };
         let r = &mut self.routers[router];
         match r.core.submit(self.now, submission) {
@@ -283,8 +318,12 @@
     fn ask(&mut self, router: usize, id: StatementId) {
         loop {
             let r = &mut self.routers[router];
-            let Some(page) = r.pages.get(&id).copied() else { return };
-            let Poll::Answer(answer) = r.core.poll(self.now, id, page) else { break };
+            let Some(page) = r.pages.get(&id).copied() else {
+                return;
+            };
+            let Poll::Answer(answer) = r.core.poll(self.now, id, page) else {
+                break;
+            };
             r.pages.insert(id, page + 1);
             if !answer.is_final() {
                 continue;
@@ -328,9 +367,14 @@
     fn command(&mut self, router: usize, command: Command) {
         match command {
             Command::Send(a) => {
-                self.routers[router].terms.insert((a.id, a.hop), (a.priority, a.grant));
+                self.routers[router]
+                    .terms
+                    .insert((a.id, a.hop), (a.priority, a.grant));
                 self.after(WAY, What::Arrive(router, a.id, a.hop, a.engine.0 as usize));
-                self.after(a.until.saturating_sub(self.now), What::Late(router, a.id, a.hop));
+                self.after(
+                    a.until.saturating_sub(self.now),
+                    What::Late(router, a.id, a.hop),
+                );
             }
             Command::Withdraw { id, hop } => {
                 self.take_off(router, id, hop);
@@ -338,7 +382,9 @@
             }
             Command::Release { id, hop } => self.take_off(router, id, hop),
             Command::Kill { id, hop } => {
-                let Some((engine, job)) = self.routers[router].out.remove(&(id, hop)) else { return };
+                let Some((engine, job)) = self.routers[router].out.remove(&(id, hop)) else {
+                    return;
+                };
                 self.advance(engine);
                 let e = &mut self.engines[engine];
                 let killed = e.model.kill(self.now, job);
@@ -367,7 +413,9 @@
 
     /// An attempt is not wanted any more: its engine stops it, where it can.
     fn take_off(&mut self, router: usize, id: StatementId, hop: u32) {
-        let Some((engine, job)) = self.routers[router].out.remove(&(id, hop)) else { return };
+        let Some((engine, job)) = self.routers[router].out.remove(&(id, hop)) else {
+            return;
+        };
         self.advance(engine);
         let e = &mut self.engines[engine];
         match e.model.cancel(self.now, job) {
@@ -394,7 +442,11 @@
         why: &str,
         report: Option<LoadReport>,
     ) {
-        let ended = Ended { ending, why: why.into(), report };
+        let ended = Ended {
+            ending,
+            why: why.into(),
+            report,
+        };
         self.routers[router].core.ended(self.now, id, hop, ended);
         self.settle(router);
     }
@@ -403,13 +455,22 @@
 
     fn report(&self, engine: usize) -> Option<LoadReport> {
         let load = self.engines[engine].model.load();
-        let told = LoadReport { in_flight: None, memory: Some(load.memory), cpu: Some(load.cpu) };
+        let told = LoadReport {
+            in_flight: None,
+            memory: Some(load.memory),
+            cpu: Some(load.cpu),
+        };
         self.plan.reports.then_some(told)
     }
 
     fn arrive(&mut self, router: usize, id: StatementId, hop: u32, engine: usize) {
-        let (priority, grant) = self.routers[router].terms.remove(&(id, hop)).unwrap_or_default();
-        let Some(at) = self.run.numbers[router].get(&id).copied() else { return };
+        let (priority, grant) = self.routers[router]
+            .terms
+            .remove(&(id, hop))
+            .unwrap_or_default();
+        let Some(at) = self.run.numbers[router].get(&id).copied() else {
+            return;
+        };
         self.advance(engine);
         let mut job = self.plan.statements[at].job.clone();
         job.priority = priority.unwrap_or(1);
@@ -427,7 +488,16 @@
                     over: None,
                     stood: vec![],
                 });
-                e.held.insert(number, Held { router, id, hop, attempt, orphan: false });
+                e.held.insert(
+                    number,
+                    Held {
+                        router,
+                        id,
+                        hop,
+                        attempt,
+                        orphan: false,
+                    },
+                );
                 self.routers[router].out.insert((id, hop), (engine, number));
                 self.after(POLL, What::Poll(engine, number));
             }
@@ -437,10 +507,19 @@
             }
             Admission::Fell => {
                 self.run.fallen += 1;
-                let lost: Vec<Held> = std::mem::take(&mut self.engines[engine].held).into_values().collect();
+                let lost: Vec<Held> = std::mem::take(&mut self.engines[engine].held)
+                    .into_values()
+                    .collect();
                 for held in lost.into_iter().filter(|h| !h.orphan) {
                     self.routers[held.router].out.remove(&(held.id, held.hop));
-                    self.end(held.router, held.id, held.hop, Ending::Reset, "the engine fell over", None);
+                    self.end(
+                        held.router,
+                        held.id,
+                        held.hop,
+                        Ending::Reset,
+                        "the engine fell over",
+                        None,
+                    );
                 }
                 self.end(router, id, hop, Ending::Reset, "the engine fell over", None);
             }
@@ -452,7 +531,9 @@
     fn advance(&mut self, engine: usize) {
         let over = self.engines[engine].model.advance(self.now);
         for job in over {
-            let Some(held) = self.engines[engine].held.remove(&job) else { continue };
+            let Some(held) = self.engines[engine].held.remove(&job) else {
+                continue;
+            };
             self.run.attempts[held.attempt].over = Some(self.now);
             let report = self.report(engine);
             if held.orphan {
@@ -462,8 +543,15 @@
             let statement = self.run.attempts[held.attempt].statement;
             let work = self.plan.statements[statement].job.work as Micros;
             let work = self.plan.settings.engines.bills.then_some(work);
-            let page = Page { last: true, report, work, ..Page::default() };
-            self.routers[held.router].core.page(self.now, held.id, held.hop, page);
+            let page = Page {
+                last: true,
+                report,
+                work,
+                ..Page::default()
+            };
+            self.routers[held.router]
+                .core
+                .page(self.now, held.id, held.hop, page);
             self.settle(held.router);
         }
         self.wake(engine);
@@ -484,9 +572,13 @@
     fn poll(&mut self, engine: usize, job: u64) {
         self.advance(engine);
         let e = &self.engines[engine];
-        let Some(held) = e.held.get(&job).filter(|h| !h.orphan).cloned() else { return };
+        let Some(held) = e.held.get(&job).filter(|h| !h.orphan).cloned() else {
+            return;
+        };
         self.after(POLL, What::Poll(engine, job));
-        let Some(course) = self.engines[engine].model.course(job) else { return };
+        let Some(course) = self.engines[engine].model.course(job) else {
+            return;
+        };
         if course.stands.is_some() {
             self.run.attempts[held.attempt].stood.push(self.now);
         }
@@ -506,7 +598,11 @@
                 age: e.model.course(other).map(|c| c.ran),
             })),
         });
-        let progress = if stands.is_some() { Progress::Waits } else { Progress::Done(done) };
+        let progress = if stands.is_some() {
+            Progress::Waits
+        } else {
+            Progress::Done(done)
+        };
         let news = News {
             work: (course.worked > 1000.0).then_some(course.worked as Micros),
             done: stands.is_none().then_some(done),
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -188,10 +188,24 @@
         cores: s.extra.cpu_of_kind.clone(),
         tenants: s.tenants.iter().map(|t| t.fraction).collect(),
         over_share_worth: s.over_share_worth,
-        reports: s.telemetry.names.iter().any(|n| ["busy_reqs", "x0", "cpu_share"].contains(&n.as_str())),
+        reports: s
+            .telemetry
+            .names
+            .iter()
+            .any(|n| ["busy_reqs", "x0", "cpu_share"].contains(&n.as_str())),
         progress_every: micros(s.extra.progress_pace),
-        most_grant: s.extra.kind_memory_mb.iter().copied().reduce(f64::min).unwrap_or(0.0)
-            * if s.extra.takes_grants { s.extra.max_grant_share } else { 0.0 },
+        most_grant: s
+            .extra
+            .kind_memory_mb
+            .iter()
+            .copied()
+            .reduce(f64::min)
+            .unwrap_or(0.0)
+            * if s.extra.takes_grants {
+                s.extra.max_grant_share
+            } else {
+                0.0
+            },
         overcommits: s.extra.memory_short.as_deref() == Some("overcommit"),
         tells_in_flight: s.telemetry.names.iter().any(|n| n == "busy_reqs"),
         bills: s.extra.bills,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -54,7 +54,9 @@
         limit: Duration,
         limits: Limits,
     ) -> Result<Connection<Async<TcpStream>>, ClientError> {
-        let stream = within(limit, Async::<TcpStream>::connect(to)).await.map_err(ClientError::Connect)?;
+        let stream = within(limit, Async::<TcpStream>::connect(to))
+            .await
+            .map_err(ClientError::Connect)?;
         let _ = stream.get_ref().set_nodelay(true);
         Ok(Connection::over(stream, to.to_string(), limits))
     }
@@ -69,7 +71,12 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
     /// Over a stream that is there already.
     pub fn over(stream: S, host: String, limits: Limits) -> Connection<S> {
-        Connection { stream, decoder: Decoder::new(Side::Responses, limits), host, reusable: true }
+        Connection {
+            stream,
+            decoder: Decoder::new(Side::Responses, limits),
+            host,
+            reusable: true,
+        }
     }
 
     /// Whether a further request may be sent over it.
@@ -78,7 +85,11 @@
     }
 
     /// Sends a request and waits for the whole response, within `limit` for both.
-    pub async fn exchange(&mut self, request: &Request, limit: Duration) -> Result<Response, ClientError> {
+    pub async fn exchange(
+        &mut self,
+        request: &Request,
+        limit: Duration,
+    ) -> Result<Response, ClientError> {
         self.reusable = false;
         let outcome = within(limit, async {
             self.stream.write_all(&request.encode(&self.host)).await?;
@@ -108,7 +119,9 @@
                 Ok(None) if read_into(&mut self.stream, &mut self.decoder).await? > 0 => continue,
                 Ok(None) => match self.decoder.finish() {
                     Ok(Some(event)) => event,
-                    Ok(None) | Err(ParseError::Cut) => return Err(io::ErrorKind::UnexpectedEof.into()),
+                    Ok(None) | Err(ParseError::Cut) => {
+                        return Err(io::ErrorKind::UnexpectedEof.into());
+                    }
                     Err(e) => return Ok(Err(e)),
                 },
             };
@@ -117,7 +130,14 @@
                     let keep = head.keeps_alive();
                     if let StartLine::Response(status) = head.start {
                         let (headers, body) = (head.headers, Vec::new());
-                        response = Some((Response { status, headers, body }, keep));
+                        response = Some((
+                            Response {
+                                status,
+                                headers,
+                                body,
+                            },
+                            keep,
+                        ));
                     }
                 }
                 Event::Body(part) => {
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -20,7 +20,9 @@
             return Err(ParseError::Field("no colon"));
         };
         if name.is_empty() || !name.bytes().all(is_token) {
-            return Err(ParseError::Field("a name with other than token characters, or a folded line"));
+            return Err(ParseError::Field(
+                "a name with other than token characters, or a folded line",
+            ));
         }
         let value = value.trim_matches([' ', '\t']);
         if value.chars().any(|c| c.is_control() && c != '\t') {
@@ -34,7 +36,11 @@
             return Err(ParseError::Field("host must be given once"));
         }
     }
-    Ok(Head { start, headers, old })
+    Ok(Head {
+        start,
+        headers,
+        old,
+    })
 }
 
 fn request_line(line: &str, limits: &Limits) -> Result<(StartLine, bool), ParseError> {
@@ -45,16 +51,27 @@
         return Err(ParseError::StartLine("not method, target and version"));
     };
     if method.is_empty() || !method.bytes().all(is_token) {
-        return Err(ParseError::StartLine("a method with other than token characters"));
+        return Err(ParseError::StartLine(
+            "a method with other than token characters",
+        ));
     }
     let old = version_of(version)?;
     if target.len() > limits.target {
         return Err(ParseError::TargetTooLong);
     }
-    if !target.starts_with('/') || !target.bytes().all(|b| b.is_ascii_graphic()) || target.contains('#') {
+    if !target.starts_with('/')
+        || !target.bytes().all(|b| b.is_ascii_graphic())
+        || target.contains('#')
+    {
         return Err(ParseError::StartLine("the target is no path"));
     }
-    Ok((StartLine::Request { method: Method::of(method), target: target.to_owned() }, old))
+    Ok((
+        StartLine::Request {
+            method: Method::of(method),
+            target: target.to_owned(),
+        },
+        old,
+    ))
 }
 
 fn status_line(line: &str) -> Result<(StartLine, bool), ParseError> {
@@ -92,7 +109,10 @@
         (Some(one), None) if one.is_empty() || !one.bytes().all(|b| b.is_ascii_digit()) => {
             return Err(ParseError::Length("no number"));
         }
-        (Some(one), None) => Some(one.parse().map_err(|_| ParseError::Length("past any number"))?),
+        (Some(one), None) => Some(
+            one.parse()
+                .map_err(|_| ParseError::Length("past any number"))?,
+        ),
     };
     Ok((length, chunked))
 }
--- a/crates/http/src/codec/mod.rs
+++ b/crates/http/src/codec/mod.rs
@@ -28,7 +28,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { head: 16 << 10, fields: 100, target: 4 << 10, body: 1 << 20 }
+        Limits {
+            head: 16 << 10,
+            fields: 100,
+            target: 4 << 10,
+            body: 1 << 20,
+        }
     }
 }
 
@@ -153,7 +158,17 @@
     /// A decoder at the start of a connection.
     pub fn new(side: Side, limits: Limits) -> Decoder {
         let (buf, used, seen, line, body) = (Vec::new(), 0, 0, 0, 0);
-        Decoder { side, limits, state: State::Head, buf, used, seen, line, body, no_body: false }
+        Decoder {
+            side,
+            limits,
+            state: State::Head,
+            buf,
+            used,
+            seen,
+            line,
+            body,
+            no_body: false,
+        }
     }
 
     /// The next response answers a `HEAD` request: it has no content whatever its fields say.
@@ -219,13 +234,21 @@
                     return Ok(Some(Event::End));
                 }
                 State::Sized(left) => {
-                    let Some(part) = self.take(left) else { return Ok(None) };
+                    let Some(part) = self.take(left) else {
+                        return Ok(None);
+                    };
                     let left = left - part.len() as u64;
-                    self.state = if left == 0 { State::End } else { State::Sized(left) };
+                    self.state = if left == 0 {
+                        State::End
+                    } else {
+                        State::Sized(left)
+                    };
                     return Ok(Some(Event::Body(part)));
                 }
                 State::Rest => {
-                    let Some(part) = self.take(u64::MAX) else { return Ok(None) };
+                    let Some(part) = self.take(u64::MAX) else {
+                        return Ok(None);
+                    };
                     self.body += part.len() as u64;
                     if self.body > self.limits.body {
                         return self.fail(ParseError::BodyTooLarge);
@@ -233,7 +256,9 @@
                     return Ok(Some(Event::Body(part)));
                 }
                 State::ChunkSize => {
-                    let Some(line) = self.line(CHUNK_LINE, ParseError::Chunk("size line too long"))? else {
+                    let Some(line) =
+                        self.line(CHUNK_LINE, ParseError::Chunk("size line too long"))?
+                    else {
                         return Ok(None);
                     };
                     match self.chunk_size(line) {
@@ -249,21 +274,31 @@
                     }
                 }
                 State::ChunkData(left) => {
-                    let Some(part) = self.take(left) else { return Ok(None) };
+                    let Some(part) = self.take(left) else {
+                        return Ok(None);
+                    };
                     let left = left - part.len() as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                    self.state = if left == 0 {
+                        State::ChunkEnd
+                    } else {
+                        State::ChunkData(left)
+                    };
                     return Ok(Some(Event::Body(part)));
                 }
-                State::ChunkEnd => match self.line(2, ParseError::Chunk("no line break behind its data"))? {
-                    None => return Ok(None),
-                    Some((from, to)) if from == to => self.state = State::ChunkSize,
-                    Some(_) => return self.fail(ParseError::Chunk("longer than its size")),
-                },
+                State::ChunkEnd => {
+                    match self.line(2, ParseError::Chunk("no line break behind its data"))? {
+                        None => return Ok(None),
+                        Some((from, to)) if from == to => self.state = State::ChunkSize,
+                        Some(_) => return self.fail(ParseError::Chunk("longer than its size")),
+                    }
+                }
                 State::Trailer(count) => {
                     match self.line(CHUNK_LINE, ParseError::Chunk("trailer too long"))? {
                         None => return Ok(None),
                         Some((from, to)) if from == to => self.state = State::End,
-                        Some(_) if count >= self.limits.fields => return self.fail(ParseError::HeadTooLarge),
+                        Some(_) if count >= self.limits.fields => {
+                            return self.fail(ParseError::HeadTooLarge);
+                        }
                         Some(_) => self.state = State::Trailer(count + 1),
                     }
                 }
@@ -289,11 +324,19 @@
     }
 
     /// The bounds of the next line, without its break.
-    fn line(&mut self, most: usize, over: ParseError) -> Result<Option<(usize, usize)>, ParseError> {
+    fn line(
+        &mut self,
+        most: usize,
+        over: ParseError,
+    ) -> Result<Option<(usize, usize)>, ParseError> {
         match self.buf[self.seen..].iter().position(|b| *b == b'\n') {
             None => {
                 self.seen = self.buf.len();
-                if self.seen - self.used > most { self.fail(over) } else { Ok(None) }
+                if self.seen - self.used > most {
+                    self.fail(over)
+                } else {
+                    Ok(None)
+                }
             }
             Some(at) => {
                 let (from, end) = (self.used, self.seen + at);
@@ -314,13 +357,17 @@
         let line = &self.buf[from..to];
         let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
         if digits == 0 || digits > 15 {
-            return Err(ParseError::Chunk("size is no hexadecimal number of at most 15 digits"));
+            return Err(ParseError::Chunk(
+                "size is no hexadecimal number of at most 15 digits",
+            ));
         }
         let rest = line[digits..].trim_ascii_start();
         if rest.first().is_some_and(|b| *b != b';')
             || rest.iter().any(|b| b.is_ascii_control() && *b != b'\t')
         {
-            return Err(ParseError::Chunk("size followed by other than an extension"));
+            return Err(ParseError::Chunk(
+                "size followed by other than an extension",
+            ));
         }
         let digits = std::str::from_utf8(&line[..digits]).unwrap_or_default();
         u64::from_str_radix(digits, 16).map_err(|_| ParseError::Chunk("size is no number"))
--- a/crates/http/src/gate.rs
+++ b/crates/http/src/gate.rs
@@ -28,13 +28,20 @@
 impl Gate {
     /// For so many connections at once.
     pub fn new(most: usize) -> Gate {
-        Gate { most: most.max(1), inner: RefCell::default(), freed: Event::new() }
+        Gate {
+            most: most.max(1),
+            inner: RefCell::default(),
+            freed: Event::new(),
+        }
     }
 
     /// Connections, and those of them that have a request open or are ending.
     pub fn counts(&self) -> (usize, usize) {
         let inner = self.inner.borrow();
-        (inner.open, inner.open - inner.fresh.len() - inner.idle.len())
+        (
+            inner.open,
+            inner.open - inner.fresh.len() - inner.idle.len(),
+        )
     }
 
     /// Whether all places are taken.
@@ -132,7 +139,11 @@
         }
         inner.next += 1;
         self.key.set(inner.next);
-        let line = if self.fresh.get() { &mut inner.fresh } else { &mut inner.idle };
+        let line = if self.fresh.get() {
+            &mut inner.fresh
+        } else {
+            &mut inner.idle
+        };
         line.insert(self.key.get(), bell);
         drop(inner);
         self.gate.freed.notify(1);
--- a/crates/http/src/gate/tests.rs
+++ b/crates/http/src/gate/tests.rs
@@ -14,7 +14,9 @@
         assert_eq!(gate.counts(), (3, 1));
         let mut room = Box::pin(gate.room());
         assert!(poll_once(&mut room).await.is_none(), "all places are taken");
-        assert!(poll_once(&mut fresh_told).await.is_some() && poll_once(&mut idle_told).await.is_none());
+        assert!(
+            poll_once(&mut fresh_told).await.is_some() && poll_once(&mut idle_told).await.is_none()
+        );
         drop(fresh);
         assert!(poll_once(&mut room).await.is_some(), "its place is free");
         gate.make_room();
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -16,7 +16,10 @@
 }
 
 /// Reads once into the decoder: the number of bytes, 0 at the end of the stream.
-pub(crate) async fn read_into<S: AsyncRead + Unpin>(s: &mut S, decoder: &mut Decoder) -> io::Result<usize> {
+pub(crate) async fn read_into<S: AsyncRead + Unpin>(
+    s: &mut S,
+    decoder: &mut Decoder,
+) -> io::Result<usize> {
     future::poll_fn(|cx| {
         SCRATCH.with_borrow_mut(|scratch| {
             Pin::new(&mut *s).poll_read(cx, scratch).map_ok(|n| {
@@ -30,11 +33,17 @@
 
 /// Reads once, and keeps nothing: the number of bytes, 0 at the end of the stream.
 pub(crate) async fn discard<S: AsyncRead + Unpin>(s: &mut S) -> io::Result<usize> {
-    future::poll_fn(|cx| SCRATCH.with_borrow_mut(|scratch| Pin::new(&mut *s).poll_read(cx, scratch))).await
+    future::poll_fn(|cx| {
+        SCRATCH.with_borrow_mut(|scratch| Pin::new(&mut *s).poll_read(cx, scratch))
+    })
+    .await
 }
 
 /// The outcome of a future, or a time-out error.
-pub(crate) async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub(crate) async fn within<T>(
+    limit: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     future::or(work, async {
         Timer::after(limit).await;
         Err(io::Error::from(io::ErrorKind::TimedOut))
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -107,7 +107,9 @@
         let from = self.text.len() as u32;
         match value.contains(char::is_control) {
             false => self.text.push_str(value),
-            true => self.text.extend(value.chars().map(|c| if c.is_control() { ' ' } else { c })),
+            true => self
+                .text
+                .extend(value.chars().map(|c| if c.is_control() { ' ' } else { c })),
         }
         let end = self.text.len() as u32;
         self.spans.push([at, from - at, from, end - from]);
@@ -115,23 +117,32 @@
 
     /// None yet, with room for some.
     pub(crate) fn with_room(bytes: usize) -> Headers {
-        Headers { text: String::with_capacity(bytes), spans: Vec::with_capacity(8) }
+        Headers {
+            text: String::with_capacity(bytes),
+            spans: Vec::with_capacity(8),
+        }
     }
 
     /// All fields, as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         let cut = |from: u32, len: u32| &self.text[from as usize..(from + len) as usize];
-        self.spans.iter().map(move |s| (cut(s[0], s[1]), cut(s[2], s[3])))
+        self.spans
+            .iter()
+            .map(move |s| (cut(s[0], s[1]), cut(s[2], s[3])))
     }
 
     /// The first field of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|f| f.1)
+        self.iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|f| f.1)
     }
 
     /// All fields of that name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|f| f.1)
+        self.iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|f| f.1)
     }
 
     /// Number of fields.
@@ -146,7 +157,9 @@
 
     /// Whether a comma-separated field of that name lists the token.
     pub fn lists(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
+        self.all(name)
+            .flat_map(|v| v.split(','))
+            .any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -187,7 +200,12 @@
 impl Request {
     /// A request without fields or content.
     pub fn new(method: Method, target: impl Into<String>) -> Request {
-        Request { method, target: target.into(), headers: Headers::default(), body: Vec::new() }
+        Request {
+            method,
+            target: target.into(),
+            headers: Headers::default(),
+            body: Vec::new(),
+        }
     }
 
     /// The same with a field more.
@@ -204,7 +222,12 @@
     /// Its bytes on the wire.
     pub fn encode(&self, host: &str) -> Vec<u8> {
         let mut head = String::with_capacity(256 + self.headers.text.len() + self.body.len());
-        let _ = write!(head, "{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method.as_str(), self.target);
+        let _ = write!(
+            head,
+            "{} {} HTTP/1.1\r\nHost: {host}\r\n",
+            self.method.as_str(),
+            self.target
+        );
         if !self.body.is_empty() || matches!(self.method, Method::Post | Method::Put) {
             let _ = write!(head, "Content-Length: {}\r\n", self.body.len());
         }
@@ -226,18 +249,28 @@
 impl Response {
     /// A response without fields or content.
     pub fn new(status: u16) -> Response {
-        Response { status: Status(status), headers: Headers::default(), body: Vec::new() }
+        Response {
+            status: Status(status),
+            headers: Headers::default(),
+            body: Vec::new(),
+        }
     }
 
     /// A response in JSON.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> Response {
-        Response { body: body.into(), ..Response::new(status).with("Content-Type", "application/json") }
+        Response {
+            body: body.into(),
+            ..Response::new(status).with("Content-Type", "application/json")
+        }
     }
 
     /// A response in plain text, with a line break behind it.
     pub fn text(status: u16, text: &str) -> Response {
         let body = format!("{text}\n").into_bytes();
-        Response { body, ..Response::new(status).with("Content-Type", "text/plain; charset=utf-8") }
+        Response {
+            body,
+            ..Response::new(status).with("Content-Type", "text/plain; charset=utf-8")
+        }
     }
 
     /// The same with a field more.
@@ -267,7 +300,9 @@
 
 fn finish(mut head: String, headers: &Headers, body: &[u8]) -> Vec<u8> {
     for (name, value) in headers.iter() {
-        [name, ": ", value, "\r\n"].into_iter().for_each(|part| head.push_str(part));
+        [name, ": ", value, "\r\n"]
+            .into_iter()
+            .for_each(|part| head.push_str(part));
     }
     head.push_str("\r\n");
     let mut bytes = head.into_bytes();
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -165,7 +165,11 @@
                 Timer::after(ACCEPT_AGAIN).await;
                 continue;
             }
-            match listener.get_ref().accept().map(|(stream, _)| Async::new(stream)) {
+            match listener
+                .get_ref()
+                .accept()
+                .map(|(stream, _)| Async::new(stream))
+            {
                 Ok(Ok(stream)) => self.open(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Ok(Err(_)) | Err(_) => {
@@ -178,7 +182,11 @@
 
     fn open(&self, stream: Async<TcpStream>) {
         let (seat, config) = (self.gate.enter(), self.config);
-        let (handler, ticks, incoming) = (self.handler.clone(), self.ticks.clone(), self.incoming.clone());
+        let (handler, ticks, incoming) = (
+            self.handler.clone(),
+            self.ticks.clone(),
+            self.incoming.clone(),
+        );
         self.spawner.spawn(async move {
             let _ = stream.get_ref().set_nodelay(true);
             let _ = converse(stream, config, &handler, &ticks, &incoming, &seat).await;
@@ -201,17 +209,17 @@
 ) -> io::Result<()> {
     let mut decoder = Decoder::new(Side::Requests, config.limits);
     loop {
-        let (request, keep) = match next_request(&mut s, &mut decoder, &config, ticks, incoming, seat).await?
-        {
-            Ok(Some(next)) => next,
-            Ok(None) if seat.is_closing() => return part(s, PARTING.0, PARTING.1, ticks).await,
-            Ok(None) => return Ok(()),
-            Err(e) => {
-                let answer = Response::text(e.status(), &e.to_string());
-                write_all(&mut s, &answer.encode(true), config.stalled, ticks).await?;
-                return part(s, config.linger, LINGER_BYTES, ticks).await;
-            }
-        };
+        let (request, keep) =
+            match next_request(&mut s, &mut decoder, &config, ticks, incoming, seat).await? {
+                Ok(Some(next)) => next,
+                Ok(None) if seat.is_closing() => return part(s, PARTING.0, PARTING.1, ticks).await,
+                Ok(None) => return Ok(()),
+                Err(e) => {
+                    let answer = Response::text(e.status(), &e.to_string());
+                    write_all(&mut s, &answer.encode(true), config.stalled, ticks).await?;
+                    return part(s, config.linger, LINGER_BYTES, ticks).await;
+                }
+            };
         let overrun = Cell::new(false);
         let head_only = request.method == crate::message::Method::Head;
         let reply = match config.watch {
@@ -241,7 +249,13 @@
             Reply::Close => return Ok(()),
             Reply::Cut(response, most) => {
                 let bytes = response.encode(false);
-                return write_all(&mut s, &bytes[..most.min(bytes.len())], config.stalled, ticks).await;
+                return write_all(
+                    &mut s,
+                    &bytes[..most.min(bytes.len())],
+                    config.stalled,
+                    ticks,
+                )
+                .await;
             }
             Reply::Never => return future::pending().await,
         }
@@ -269,7 +283,12 @@
 
 /// Closes gently: says that nothing more comes, and reads on within a bound of time and bytes until the client has
 /// closed too. A close over unread bytes would reset the connection, and take away an answer that is not read yet.
-async fn part(mut s: Async<TcpStream>, time: Duration, bytes: u64, ticks: &Ticks) -> io::Result<()> {
+async fn part(
+    mut s: Async<TcpStream>,
+    time: Duration,
+    bytes: u64,
+    ticks: &Ticks,
+) -> io::Result<()> {
     // Not `AsyncWriteExt::close`, which only flushes here.
     s.get_ref().shutdown(Shutdown::Write)?;
     let read_on = async {
@@ -300,7 +319,11 @@
     let (fresh, told) = (seat.is_fresh(), seat.rest());
     let begun = Cell::new(decoder.inside());
     let read = async {
-        let limit = if fresh { config.first_byte } else { config.idle };
+        let limit = if fresh {
+            config.first_byte
+        } else {
+            config.idle
+        };
         if !decoder.inside() && ticks.within(limit, read_into(s, decoder)).await? == 0 {
             return Ok(Some(Ok(None)));
         }
@@ -308,8 +331,15 @@
         if !fresh {
             seat.work();
         }
-        let share = Share { all: incoming.clone(), own: 0, most: config.incoming };
-        ticks.within(config.request_within, read_request(s, decoder, share)).await.map(Some)
+        let share = Share {
+            all: incoming.clone(),
+            own: 0,
+            most: config.incoming,
+        };
+        ticks
+            .within(config.request_within, read_request(s, decoder, share))
+            .await
+            .map(Some)
     };
     // One that is told to go while a request comes in finishes that one; so does a first one where the server ends, but
     // not where others need its place.
@@ -364,8 +394,15 @@
                     s.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
                 if let StartLine::Request { method, target } = head.start {
-                    request =
-                        Some((Request { method, target, headers: head.headers, body: Vec::new() }, keep));
+                    request = Some((
+                        Request {
+                            method,
+                            target,
+                            headers: head.headers,
+                            body: Vec::new(),
+                        },
+                        keep,
+                    ));
                 }
             }
             Ok(Some(Event::Body(part))) => {
--- a/crates/http/src/ticks.rs
+++ b/crates/http/src/ticks.rs
@@ -38,7 +38,10 @@
 impl Ticks {
     /// Timers driven by a task of that executor.
     pub fn new(spawner: &Spawner) -> Ticks {
-        let ticks = Ticks { start: Instant::now(), inner: Rc::default() };
+        let ticks = Ticks {
+            start: Instant::now(),
+            inner: Rc::default(),
+        };
         spawner.spawn(ticks.clone().drive());
         ticks
     }
@@ -76,7 +79,11 @@
 
     /// Waits.
     pub fn sleep(&self, time: Duration) -> Sleep {
-        Sleep { ticks: self.clone(), until: Instant::now() + time, key: None }
+        Sleep {
+            ticks: self.clone(),
+            until: Instant::now() + time,
+            key: None,
+        }
     }
 
     /// The outcome of a future, or a time-out error.
@@ -150,7 +157,9 @@
                 assert!(from.elapsed() >= Duration::from_millis(ms));
             }
             assert!(began.elapsed() < Duration::from_secs(5));
-            let long = ticks.within(Duration::from_secs(100), async { Ok(7) }).await;
+            let long = ticks
+                .within(Duration::from_secs(100), async { Ok(7) })
+                .await;
             assert_eq!(long.expect("in time"), 7);
             let never = future::pending::<io::Result<()>>();
             let late = ticks.within(Duration::from_millis(5), never).await;
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -5,7 +5,13 @@
 
 /// All events of some bytes fed in the parts given, with the contents of a message joined; then the error.
 fn events(side: Side, parts: &[&[u8]]) -> (Vec<Event>, Option<ParseError>) {
-    let mut decoder = Decoder::new(side, Limits { body: 4096, ..Limits::default() });
+    let mut decoder = Decoder::new(
+        side,
+        Limits {
+            body: 4096,
+            ..Limits::default()
+        },
+    );
     let mut all: Vec<Event> = Vec::new();
     for part in parts {
         decoder.feed(part);
@@ -30,9 +36,13 @@
 
 #[test]
 fn messages_come_back_as_written() {
-    let mut request = Request::new(hoptiller_http::Method::Post, "/v1/statement?x=1").with("X-A", "b c");
+    let mut request =
+        Request::new(hoptiller_http::Method::Post, "/v1/statement?x=1").with("X-A", "b c");
     request.body = b"select 1".to_vec();
-    let (got, error) = events(Side::Requests, &[&request.encode("h"), &request.encode("h")]);
+    let (got, error) = events(
+        Side::Requests,
+        &[&request.encode("h"), &request.encode("h")],
+    );
     assert_eq!((got.len(), error), (6, None));
     assert_eq!(got[1], Event::Body(b"select 1".to_vec()));
     let response = Response::json(200, "{}").encode(false);
@@ -44,20 +54,36 @@
 fn chunked_content_is_joined_and_its_trailer_passed_over() {
     let bytes = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n4;q=1\r\nabcd\r\n2\r\nef\r\n0\r\nT: x\r\n\r\n";
     let (got, error) = events(Side::Requests, &[bytes]);
-    assert_eq!((&got[1], got.len(), error), (&Event::Body(b"abcdef".to_vec()), 3, None));
+    assert_eq!(
+        (&got[1], got.len(), error),
+        (&Event::Body(b"abcdef".to_vec()), 3, None)
+    );
 }
 
 #[test]
 fn hostile_requests_are_errors_with_a_status() {
-    let with = |fields: &str| error_of(format!("POST /a HTTP/1.1\r\n{fields}\r\n\r\nabc").as_bytes());
+    let with =
+        |fields: &str| error_of(format!("POST /a HTTP/1.1\r\n{fields}\r\n\r\nabc").as_bytes());
     let statuses: Vec<(Option<ParseError>, u16)> = vec![
-        (with("Host: h\r\nContent-Length: 3\r\nContent-Length: 3"), 400),
+        (
+            with("Host: h\r\nContent-Length: 3\r\nContent-Length: 3"),
+            400,
+        ),
         (with("Host: h\r\nContent-Length: 3, 3"), 400),
         (with("Host: h\r\nContent-Length: -1"), 400),
-        (with("Host: h\r\nContent-Length: 99999999999999999999999"), 400),
-        (with("Host: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked"), 400),
+        (
+            with("Host: h\r\nContent-Length: 99999999999999999999999"),
+            400,
+        ),
+        (
+            with("Host: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked"),
+            400,
+        ),
         (with("Host: h\r\nTransfer-Encoding: gzip, chunked"), 501),
-        (with("Host: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked"), 501),
+        (
+            with("Host: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked"),
+            501,
+        ),
         (with("Host: h\r\nContent-Length: 5000"), 413),
         (with("Host: h\r\nHost: g"), 400),
         (with("X: y"), 400),
@@ -71,19 +97,32 @@
         (error_of(b"GET http://x/ HTTP/1.1\r\nHost: h\r\n\r\n"), 400),
         (error_of(b"GET /\xff HTTP/1.1\r\nHost: h\r\n\r\n"), 400),
         (error_of(b"GET / HTTP/2.0\r\nHost: h\r\n\r\n"), 505),
-        (error_of(format!("GET /{} HTTP/1.1\r\nHost: h\r\n\r\n", "x".repeat(5000)).as_bytes()), 414),
+        (
+            error_of(format!("GET /{} HTTP/1.1\r\nHost: h\r\n\r\n", "x".repeat(5000)).as_bytes()),
+            414,
+        ),
         (error_of(&[b'a'; 17 << 10]), 431),
     ];
     for (at, (error, status)) in statuses.into_iter().enumerate() {
-        assert_eq!(error.as_ref().map(ParseError::status), Some(status), "case {at}: {error:?}");
+        assert_eq!(
+            error.as_ref().map(ParseError::status),
+            Some(status),
+            "case {at}: {error:?}"
+        );
     }
     let chunked = |body: &str| {
         let head = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
         error_of(format!("{head}{body}").as_bytes())
     };
-    for body in
-        ["x\r\n", "\r\n", "fffffffffffffffff\r\n", "1\nab", "2\r\nabc\r\n", "1 z\r\na\r\n", "ffff\r\n"]
-    {
+    for body in [
+        "x\r\n",
+        "\r\n",
+        "fffffffffffffffff\r\n",
+        "1\nab",
+        "2\r\nabc\r\n",
+        "1 z\r\na\r\n",
+        "ffff\r\n",
+    ] {
         assert!(chunked(body).is_some(), "{body:?}");
     }
     assert!(chunked(&format!("1;{}", "e".repeat(500))).is_some());
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -31,7 +31,11 @@
     let listener = bind(([127, 0, 0, 1], 0).into()).expect("bound");
     let addr = listener.get_ref().local_addr().expect("bound");
     let (gate, asked) = (Rc::new(Gate::new(connections)), Rc::new(Cell::new(0)));
-    let (release, stop, ended) = (Rc::new(Event::new()), Rc::new(Event::new()), Rc::new(Cell::new(false)));
+    let (release, stop, ended) = (
+        Rc::new(Event::new()),
+        Rc::new(Event::new()),
+        Rc::new(Cell::new(false)),
+    );
     let (count, wait) = (asked.clone(), release.clone());
     let handler: Handler = Rc::new(move |_| {
         count.set(count.get() + 1);
@@ -41,13 +45,25 @@
             Reply::Send(Response::text(200, "ok"))
         })
     });
-    let config = Config { connections, watch: true, linger: Duration::from_secs(60), ..Config::default() };
+    let config = Config {
+        connections,
+        watch: true,
+        linger: Duration::from_secs(60),
+        ..Config::default()
+    };
     let (spawner, at, told, done) = (Spawner::of(&ex), gate.clone(), stop.listen(), ended.clone());
     Spawner::of(&ex).spawn(async move {
         serve_until(listener, config, handler, spawner, &at, told).await;
         done.set(true);
     });
-    let scene = scene(Scene { addr, gate, asked, release, stop, ended });
+    let scene = scene(Scene {
+        addr,
+        gate,
+        asked,
+        release,
+        stop,
+        ended,
+    });
     async_io::block_on(ex.run(future::or(scene, async {
         Timer::after(Duration::from_secs(20)).await;
         panic!("the scene hangs");
@@ -97,7 +113,10 @@
         let answers = async {
             for stream in [first].into_iter().chain(waiting) {
                 let text = answer(stream).await.expect("an answer, and no reset");
-                assert!(text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"), "{text}");
+                assert!(
+                    text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"),
+                    "{text}"
+                );
             }
             until(|| s.ended.get() && s.gate.counts().0 == 0).await;
         };
@@ -108,14 +127,19 @@
 #[test]
 fn a_peer_that_sends_without_end_behind_its_request_holds_up_nobody() {
     play(8, async |s| {
-        let (addr, floods) = (s.addr, std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true)));
+        let (addr, floods) = (
+            s.addr,
+            std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true)),
+        );
         let goes_on = floods.clone();
         let flood = std::thread::spawn(move || {
             let mut stream = asks(addr);
             let part = vec![b'x'; 256 << 10];
             // Bounded: 16 GiB at most, and the scene ends long before.
             for _ in 0..65_536 {
-                if !goes_on.load(std::sync::atomic::Ordering::Relaxed) || stream.write_all(&part).is_err() {
+                if !goes_on.load(std::sync::atomic::Ordering::Relaxed)
+                    || stream.write_all(&part).is_err()
+                {
                     break;
                 }
             }
@@ -140,8 +164,13 @@
         let mut stream = asks(s.addr);
         until(|| s.asked.get() == 1).await;
         s.release.notify(usize::MAX);
-        let text = answer(stream.try_clone().expect("a copy")).await.expect("an answer");
-        assert!(text.starts_with("HTTP/1.1 200") && !text.contains("Connection: close"), "{text}");
+        let text = answer(stream.try_clone().expect("a copy"))
+            .await
+            .expect("an answer");
+        assert!(
+            text.starts_with("HTTP/1.1 200") && !text.contains("Connection: close"),
+            "{text}"
+        );
         stream.set_nonblocking(false).expect("blocking");
         stream.shutdown(std::net::Shutdown::Write).expect("shut");
         until(|| s.gate.counts().0 == 0).await;
@@ -167,8 +196,14 @@
         stream.write_all(b"no request\r\n\r\n").expect("written");
         let mut read = Async::new(stream.try_clone().expect("a copy")).expect("usable");
         let mut all = Vec::new();
-        read.read_to_end(&mut all).await.expect("an end, and no reset");
-        assert!(all.starts_with(b"HTTP/1.1 400"), "{}", String::from_utf8_lossy(&all));
+        read.read_to_end(&mut all)
+            .await
+            .expect("an end, and no reset");
+        assert!(
+            all.starts_with(b"HTTP/1.1 400"),
+            "{}",
+            String::from_utf8_lossy(&all)
+        );
         assert_eq!(s.gate.counts(), (1, 1), "it is still read from");
         drop((stream, read));
         until(|| s.gate.counts().0 == 0).await;
--- a/crates/keeper/src/config.rs
+++ b/crates/keeper/src/config.rs
@@ -62,9 +62,14 @@
 impl Config {
     /// Reads an evaluated file, and checks it.
     pub fn read(value: serde_json::Value) -> Result<Config, ConfigError> {
-        let config: Config = serde_json::from_value(value).map_err(|e| ConfigError(vec![e.to_string()]))?;
+        let config: Config =
+            serde_json::from_value(value).map_err(|e| ConfigError(vec![e.to_string()]))?;
         let wrong = config.wrong();
-        if wrong.is_empty() { Ok(config) } else { Err(ConfigError(wrong)) }
+        if wrong.is_empty() {
+            Ok(config)
+        } else {
+            Err(ConfigError(wrong))
+        }
     }
 
     fn wrong(&self) -> Vec<String> {
@@ -74,37 +79,69 @@
                 wrong.push(what.to_owned());
             }
         };
-        note(self.fleet.is_empty() || self.fleet.len() > 128, "fleet: a name of 1 to 128 bytes is wanted");
-        note(!matches!(self.keepers.len(), 3 | 5), "keepers: three or five are wanted");
+        note(
+            self.fleet.is_empty() || self.fleet.len() > 128,
+            "fleet: a name of 1 to 128 bytes is wanted",
+        );
+        note(
+            !matches!(self.keepers.len(), 3 | 5),
+            "keepers: three or five are wanted",
+        );
         note(
             self.keepers.keys().any(|n| !(1..=99).contains(n)),
             "keepers: numbers from 1 to 99 are wanted, and none is ever used again",
         );
-        note(!self.keepers.contains_key(&self.keeper), "keeper: is none of keepers");
+        note(
+            !self.keepers.contains_key(&self.keeper),
+            "keeper: is none of keepers",
+        );
         let mut addresses: Vec<&SocketAddr> = self.keepers.values().collect();
         addresses.sort();
         addresses.dedup();
-        note(addresses.len() != self.keepers.len(), "keepers: an address is given twice");
-        note(self.permit < Span::millis(500), "permit: must be 500ms or more");
-        note(self.permit > Span::millis(600_000), "permit: must be 10m or less");
-        note(self.drift > 100_000, "drift: must be 100000 millionths or less");
-        note(self.most_bytes < 16 << 20, "most_bytes: must be 16 MiB or more");
+        note(
+            addresses.len() != self.keepers.len(),
+            "keepers: an address is given twice",
+        );
+        note(
+            self.permit < Span::millis(500),
+            "permit: must be 500ms or more",
+        );
+        note(
+            self.permit > Span::millis(600_000),
+            "permit: must be 10m or less",
+        );
+        note(
+            self.drift > 100_000,
+            "drift: must be 100000 millionths or less",
+        );
+        note(
+            self.most_bytes < 16 << 20,
+            "most_bytes: must be 16 MiB or more",
+        );
         wrong
     }
 
     /// The bounds of permits.
     pub fn bounds(&self) -> Bounds {
-        Bounds { term: self.permit.0, drift: self.drift }
+        Bounds {
+            term: self.permit.0,
+            drift: self.drift,
+        }
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.listen.or_else(|| self.keepers.get(&self.keeper).copied()).unwrap_or(([127, 0, 0, 1], 0).into())
+        self.listen
+            .or_else(|| self.keepers.get(&self.keeper).copied())
+            .unwrap_or(([127, 0, 0, 1], 0).into())
     }
 
     /// The others.
     pub fn others(&self) -> impl Iterator<Item = (u64, SocketAddr)> + '_ {
-        self.keepers.iter().filter(|(n, _)| **n != self.keeper).map(|(n, at)| (*n, *at))
+        self.keepers
+            .iter()
+            .filter(|(n, _)| **n != self.keeper)
+            .map(|(n, at)| (*n, *at))
     }
 }
 
--- a/crates/keeper/src/core.rs
+++ b/crates/keeper/src/core.rs
@@ -132,7 +132,11 @@
     /// What a keeper needs that is behind.
     pub fn state(&self) -> State {
         let members = self.members().clone();
-        State { members, index: self.log.read(), machine: self.machine.clone() }
+        State {
+            members,
+            index: self.log.read(),
+            machine: self.machine.clone(),
+        }
     }
 
     /// Takes up a later list of keepers, with the state that belongs to it. One that is not later changes nothing.
@@ -148,7 +152,11 @@
     pub fn forget(&mut self, ticket: Ticket) {
         self.batch.retain(|(t, _)| *t != ticket);
         for flight in self.flights.values_mut() {
-            flight.tickets.iter_mut().filter(|t| **t == ticket).for_each(|t| *t = Ticket::MAX);
+            flight
+                .tickets
+                .iter_mut()
+                .filter(|t| **t == ticket)
+                .for_each(|t| *t = Ticket::MAX);
         }
     }
 
@@ -168,7 +176,10 @@
     /// Sends on what has gathered: to be called behind each burst of calls, and by [`Core::tick`].
     pub fn flush(&mut self, now: Micros) {
         while !self.batch.is_empty() {
-            let part: Vec<(Ticket, Act)> = self.batch.drain(..self.batch.len().min(MOST_ACTS)).collect();
+            let part: Vec<(Ticket, Act)> = self
+                .batch
+                .drain(..self.batch.len().min(MOST_ACTS))
+                .collect();
             let (tickets, acts) = part.into_iter().unzip();
             self.propose(now, tickets, acts);
         }
@@ -182,8 +193,12 @@
         }
         self.log.tick();
         self.flush(now);
-        let again: Vec<EntryId> =
-            self.flights.iter().filter(|(_, f)| now >= f.since + AGAIN).map(|(id, _)| *id).collect();
+        let again: Vec<EntryId> = self
+            .flights
+            .iter()
+            .filter(|(_, f)| now >= f.since + AGAIN)
+            .map(|(id, _)| *id)
+            .collect();
         for id in again {
             if let Some(flight) = self.flights.get_mut(&id) {
                 flight.since = now;
@@ -208,11 +223,22 @@
 
     fn next_id(&mut self) -> EntryId {
         self.next_entry += 1;
-        EntryId { keeper: self.me, life: self.life, number: self.next_entry - 1 }
+        EntryId {
+            keeper: self.me,
+            life: self.life,
+            number: self.next_entry - 1,
+        }
     }
 
     fn launch(&mut self, now: Micros, id: EntryId, entry: Entry, tickets: Vec<Ticket>) {
-        self.flights.insert(id, Flight { entry: entry.clone(), tickets, since: now });
+        self.flights.insert(
+            id,
+            Flight {
+                entry: entry.clone(),
+                tickets,
+                since: now,
+            },
+        );
         self.log.append(entry);
     }
 
@@ -239,9 +265,14 @@
         let lapsed = self.terms.lapsed(now, &self.bounds);
         let over: BTreeSet<&Holder> = lapsed.iter().map(|(h, _)| h).collect();
         let (pending, upto) = (fleet.pending().len() > 0, fleet.last());
-        let held_up = fleet.waits_for().any(|(h, _)| !over.contains(h)) && !plant::is(Plant::NoWait);
+        let held_up =
+            fleet.waits_for().any(|(h, _)| !over.contains(h)) && !plant::is(Plant::NoWait);
         let free = pending && !held_up;
-        let since = if free { *self.free_since.get_or_insert(now) } else { now };
+        let since = if free {
+            *self.free_since.get_or_insert(now)
+        } else {
+            now
+        };
         if !free {
             self.free_since = None;
         }
@@ -274,11 +305,23 @@
                 Entry::State(_, machine) => self.machine = *machine,
                 Entry::Filler => {}
                 Entry::Replace(id, replace) => {
-                    let tickets = self.flights.remove(&id).map(|f| f.tickets).unwrap_or_default();
+                    let tickets = self
+                        .flights
+                        .remove(&id)
+                        .map(|f| f.tickets)
+                        .unwrap_or_default();
                     let next = self.members().replaced(&replace);
                     let told = Told::Replaced(next.as_ref().map(|m| m.number).map_err(|e| *e));
-                    let answer = |ticket| Answered { ticket, answer: told.clone() };
-                    self.answers.extend(tickets.into_iter().filter(|t| *t != Ticket::MAX).map(answer));
+                    let answer = |ticket| Answered {
+                        ticket,
+                        answer: told.clone(),
+                    };
+                    self.answers.extend(
+                        tickets
+                            .into_iter()
+                            .filter(|t| *t != Ticket::MAX)
+                            .map(answer),
+                    );
                     if let Ok(next) = next
                         && next.number > self.members().number
                     {
@@ -288,16 +331,23 @@
                     }
                 }
                 Entry::Acts(id, acts) => {
-                    let tickets = self.flights.remove(&id).map(|f| f.tickets).unwrap_or_default();
+                    let tickets = self
+                        .flights
+                        .remove(&id)
+                        .map(|f| f.tickets)
+                        .unwrap_or_default();
                     if self.settling.is_some_and(|(settling, _)| settling == id) {
                         self.settling = None;
                     }
                     let answers = self.machine.apply(id, acts).unwrap_or_default();
-                    let wanted =
-                        tickets.into_iter().zip(answers).filter(|(ticket, _)| *ticket != Ticket::MAX);
-                    self.answers.extend(
-                        wanted.map(|(ticket, answer)| Answered { ticket, answer: Told::Act(answer) }),
-                    );
+                    let wanted = tickets
+                        .into_iter()
+                        .zip(answers)
+                        .filter(|(ticket, _)| *ticket != Ticket::MAX);
+                    self.answers.extend(wanted.map(|(ticket, answer)| Answered {
+                        ticket,
+                        answer: Told::Act(answer),
+                    }));
                 }
             }
         }
@@ -314,7 +364,11 @@
 
     /// Messages to be sent.
     pub fn take_messages(&mut self) -> Vec<Message> {
-        if self.is_replaced() { Vec::new() } else { self.log.outgoing() }
+        if self.is_replaced() {
+            Vec::new()
+        } else {
+            self.log.outgoing()
+        }
     }
 
     /// The state, as this keeper knows it.
--- a/crates/keeper/src/disk.rs
+++ b/crates/keeper/src/disk.rs
@@ -20,7 +20,8 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
 use redb::{
-    Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
+    Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageError,
+    TableDefinition,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -89,7 +90,11 @@
         match self {
             DiskError::Io(path, e) => write!(f, "{}: {e}", path.display()),
             DiskError::Full(path) => {
-                write!(f, "{}: the disk is full; make room, and start again", path.display())
+                write!(
+                    f,
+                    "{}: the disk is full; make room, and start again",
+                    path.display()
+                )
             }
             DiskError::InUse(path) => write!(f, "{}: another process holds it", path.display()),
             DiskError::Cut(path) => write!(
@@ -99,13 +104,27 @@
                 path.display()
             ),
             DiskError::Foreign(path, why) => {
-                write!(f, "{}: no file of a keeper of this version: {why}", path.display())
+                write!(
+                    f,
+                    "{}: no file of a keeper of this version: {why}",
+                    path.display()
+                )
             }
             DiskError::Other(path, who) => {
-                write!(f, "{}: belongs to keeper {} of fleet {:?}", path.display(), who.keeper, who.fleet)
+                write!(
+                    f,
+                    "{}: belongs to keeper {} of fleet {:?}",
+                    path.display(),
+                    who.keeper,
+                    who.fleet
+                )
             }
             DiskError::Form(path, why) => {
-                write!(f, "{}: what is to be written has no form there: {why}", path.display())
+                write!(
+                    f,
+                    "{}: what is to be written has no form there: {why}",
+                    path.display()
+                )
             }
             DiskError::Damaged(path, why) => write!(
                 f,
@@ -162,28 +181,52 @@
     ) -> Result<Disk, DiskError> {
         std::fs::create_dir_all(dir).map_err(|e| DiskError::Io(dir.to_owned(), e))?;
         let path = dir.join(FILE);
-        let me = Identity { form: FORM, fleet: fleet.into(), keeper, disk: fresh.into() };
-        if !path.try_exists().map_err(|e| DiskError::Io(path.clone(), e))? {
+        let me = Identity {
+            form: FORM,
+            fleet: fleet.into(),
+            keeper,
+            disk: fresh.into(),
+        };
+        if !path
+            .try_exists()
+            .map_err(|e| DiskError::Io(path.clone(), e))?
+        {
             make(&dir.join(NEW), &path, &me)?;
         }
         let db = open_file(&path)?;
         let wrong = |e: &dyn fmt::Display| DiskError::Damaged(path.clone(), e.to_string());
         let txn = db.begin_read().map_err(|e| wrong(&e))?;
-        let meta = txn.open_table(META).map_err(|e| DiskError::Foreign(path.clone(), e.to_string()))?;
+        let meta = txn
+            .open_table(META)
+            .map_err(|e| DiskError::Foreign(path.clone(), e.to_string()))?;
         let get = |key: &str| -> Result<Option<Vec<u8>>, DiskError> {
-            Ok(meta.get(key).map_err(|e| wrong(&e))?.map(|v| v.value().to_vec()))
+            Ok(meta
+                .get(key)
+                .map_err(|e| wrong(&e))?
+                .map(|v| v.value().to_vec()))
         };
         let identity: Identity = match get("identity")? {
-            None => return Err(DiskError::Foreign(path, "it says of nobody whose it is".into())),
+            None => {
+                return Err(DiskError::Foreign(
+                    path,
+                    "it says of nobody whose it is".into(),
+                ));
+            }
             Some(bytes) => parse(&path, &bytes)?,
         };
         if identity.form != FORM {
-            return Err(DiskError::Foreign(path, format!("form {}, {FORM} is known", identity.form)));
+            return Err(DiskError::Foreign(
+                path,
+                format!("form {}, {FORM} is known", identity.form),
+            ));
         }
         if (identity.fleet.as_str(), identity.keeper) != (fleet, keeper) {
             return Err(DiskError::Other(path, Box::new(identity)));
         }
-        fn value<T: DeserializeOwned>(path: &Path, bytes: Option<Vec<u8>>) -> Result<Option<T>, DiskError> {
+        fn value<T: DeserializeOwned>(
+            path: &Path,
+            bytes: Option<Vec<u8>>,
+        ) -> Result<Option<T>, DiskError> {
             bytes.map(|b| parse(path, &b)).transpose()
         }
         let mut held = Held {
@@ -198,12 +241,17 @@
         };
         let step = value(&path, get("step")?)?.unwrap_or(0);
         let peers = value(&path, get("peers")?)?.unwrap_or_default();
-        let log = txn.open_table(LOG).map_err(|e| DiskError::Foreign(path.clone(), e.to_string()))?;
+        let log = txn
+            .open_table(LOG)
+            .map_err(|e| DiskError::Foreign(path.clone(), e.to_string()))?;
         let mut next = held.base as u64;
         for item in log.iter().map_err(|e| wrong(&e))? {
             let (key, entry) = item.map_err(|e| wrong(&e))?;
             if key.value() != next {
-                return Err(DiskError::Damaged(path, format!("entry {next} of the log is missing")));
+                return Err(DiskError::Damaged(
+                    path,
+                    format!("entry {next} of the log is missing"),
+                ));
             }
             held.log.push_back(parse(&path, entry.value())?);
             next += 1;
@@ -247,7 +295,11 @@
     /// What others share of it.
     pub fn shared(&self) -> Shared {
         let d = self.0.borrow();
-        Shared { step: d.step.clone(), peers: d.peers.clone(), failed: d.failed.clone() }
+        Shared {
+            step: d.step.clone(),
+            peers: d.peers.clone(),
+            failed: d.failed.clone(),
+        }
     }
 
     /// Lets go of the entries before one, which must all be decided; `state` is what they lead to.
@@ -261,7 +313,9 @@
     /// Another list of keepers holds, from that index on, where `state` is what all before led to. In one transaction:
     /// a keeper that crashes is of one list or of the other.
     pub fn move_on(&self, members: Members, base: usize, state: Machine) {
-        self.0.borrow_mut().step(vec![Change::MoveOn(members, base, state)]);
+        self.0
+            .borrow_mut()
+            .step(vec![Change::MoveOn(members, base, state)]);
     }
 
     /// Who the keepers are, where the list that the fleet began with no longer holds.
@@ -297,13 +351,17 @@
             tracing::error!(error = %e, "a step could not be written");
             self.failed.borrow_mut().get_or_insert(e);
         }
-        changes.into_iter().for_each(|change| self.held.change(change));
+        changes
+            .into_iter()
+            .for_each(|change| self.held.change(change));
     }
 
     fn write(&self, changes: &[Change]) -> Result<(), DiskError> {
         // How far is decided is found again from the others: that alone need not reach the disk at once.
         let durable = changes.iter().any(|c| !matches!(c, Change::Decided(_)));
-        let bytes = std::fs::metadata(&self.path).map_err(|e| DiskError::Io(self.path.clone(), e))?.len();
+        let bytes = std::fs::metadata(&self.path)
+            .map_err(|e| DiskError::Io(self.path.clone(), e))?
+            .len();
         if bytes > self.most_bytes {
             return Err(DiskError::Full(self.path.clone()));
         }
@@ -311,13 +369,16 @@
         let path = &self.path;
         let mut txn = self.db.begin_write().map_err(|e| failed(e.into()))?;
         if !durable {
-            txn.set_durability(Durability::None).map_err(|e| failed(e.into()))?;
+            txn.set_durability(Durability::None)
+                .map_err(|e| failed(e.into()))?;
         }
         {
             let mut meta = txn.open_table(META).map_err(|e| failed(e.into()))?;
             let mut log = txn.open_table(LOG).map_err(|e| failed(e.into()))?;
             let mut put = |key: &str, value: Vec<u8>| {
-                meta.insert(key, value.as_slice()).map(|_| ()).map_err(|e| failed(e.into()))
+                meta.insert(key, value.as_slice())
+                    .map(|_| ())
+                    .map_err(|e| failed(e.into()))
             };
             for change in changes {
                 match change {
@@ -328,7 +389,8 @@
                     Change::LetGo(upto, state) => {
                         put("base", json(path, upto)?)?;
                         put("state", json(path, state)?)?;
-                        log.retain_in(..*upto as u64, |_, _| false).map_err(|e| failed(e.into()))?;
+                        log.retain_in(..*upto as u64, |_, _| false)
+                            .map_err(|e| failed(e.into()))?;
                     }
                     Change::MoveOn(members, base, state) => {
                         put("members", json(path, members)?)?;
@@ -343,9 +405,11 @@
                     }
                     Change::Write(from, entries) => {
                         let from = *from as u64;
-                        log.retain_in(from.., |_, _| false).map_err(|e| failed(e.into()))?;
+                        log.retain_in(from.., |_, _| false)
+                            .map_err(|e| failed(e.into()))?;
                         for (at, entry) in (from..).zip(entries) {
-                            log.insert(at, json(path, entry)?.as_slice()).map_err(|e| failed(e.into()))?;
+                            log.insert(at, json(path, entry)?.as_slice())
+                                .map_err(|e| failed(e.into()))?;
                         }
                     }
                 }
@@ -370,7 +434,10 @@
 fn of_error(path: &Path, e: redb::Error) -> DiskError {
     match e {
         redb::Error::Io(e)
-            if matches!(e.kind(), io::ErrorKind::StorageFull | io::ErrorKind::FileTooLarge) =>
+            if matches!(
+                e.kind(),
+                io::ErrorKind::StorageFull | io::ErrorKind::FileTooLarge
+            ) =>
         {
             DiskError::Full(path.to_owned())
         }
@@ -390,7 +457,8 @@
     let identity = json(beside, me)?;
     let written = || -> Result<(), redb::Error> {
         let txn = db.begin_write()?;
-        txn.open_table(META)?.insert("identity", identity.as_slice())?;
+        txn.open_table(META)?
+            .insert("identity", identity.as_slice())?;
         txn.open_table(LOG)?;
         txn.commit()?;
         Ok(())
@@ -399,12 +467,15 @@
     drop(db);
     std::fs::rename(beside, path).map_err(io)?;
     let dir = path.parent().unwrap_or(path);
-    std::fs::File::open(dir).and_then(|d| d.sync_all()).map_err(io)
+    std::fs::File::open(dir)
+        .and_then(|d| d.sync_all())
+        .map_err(io)
 }
 
 fn begin_life(db: &Database, life: u64) -> Result<(), redb::Error> {
     let txn = db.begin_write()?;
-    txn.open_table(META)?.insert("life", life.to_string().as_bytes())?;
+    txn.open_table(META)?
+        .insert("life", life.to_string().as_bytes())?;
     txn.commit()?;
     Ok(())
 }
@@ -424,7 +495,10 @@
         }
     }
     if first != *MAGIC {
-        return Err(DiskError::Foreign(path.to_owned(), "its first bytes are another kind's".into()));
+        return Err(DiskError::Foreign(
+            path.to_owned(),
+            "its first bytes are another kind's".into(),
+        ));
     }
     // Danger: the store panics where pages that it reads make no sense. Their checksums are looked at first, and a
     // panic there is damage too.
@@ -444,7 +518,9 @@
         DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch => {
             DiskError::InUse(path.to_owned())
         }
-        DatabaseError::UpgradeRequired(v) => DiskError::Foreign(path.to_owned(), format!("store format {v}")),
+        DatabaseError::UpgradeRequired(v) => {
+            DiskError::Foreign(path.to_owned(), format!("store format {v}"))
+        }
         DatabaseError::Storage(StorageError::Io(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
             DiskError::Cut(path.to_owned())
         }
@@ -491,7 +567,9 @@
                 StorageOp::AppendEntries(all) => (next, all),
                 StorageOp::AppendOnPrefix(from, all) => (from, all),
                 // The library never trims: it is told that nothing is compacted, and has no snapshots.
-                StorageOp::Trim(_) | StorageOp::SetCompactedIdx(_) | StorageOp::SetSnapshot(_) => continue,
+                StorageOp::Trim(_) | StorageOp::SetCompactedIdx(_) | StorageOp::SetSnapshot(_) => {
+                    continue;
+                }
             };
             next = from + entries.len();
             changes.push(Change::Write(from, entries));
@@ -503,7 +581,11 @@
     }
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
         let next = self.0.borrow().held.next();
-        if entries.is_empty() { Ok(()) } else { self.change(vec![Change::Write(next, entries)]) }
+        if entries.is_empty() {
+            Ok(())
+        } else {
+            self.change(vec![Change::Write(next, entries)])
+        }
     }
     fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<Entry>) -> StorageResult<()> {
         self.change(vec![Change::Write(from_idx, entries)])
--- a/crates/keeper/src/held.rs
+++ b/crates/keeper/src/held.rs
@@ -81,7 +81,13 @@
             }
             Change::MoveOn(members, base, state) => {
                 let members = Some(members);
-                *self = Held { members, base, state, decided: base, ..Held::default() };
+                *self = Held {
+                    members,
+                    base,
+                    state,
+                    decided: base,
+                    ..Held::default()
+                };
             }
             Change::Write(from, entries) => {
                 self.log.truncate(from - self.base);
@@ -100,7 +106,11 @@
             all.resize(self.base.min(to) - from, Entry::Filler);
         }
         let kept = from.max(self.base)..to.max(self.base);
-        all.extend(self.log.range(kept.start - self.base..kept.end - self.base).cloned());
+        all.extend(
+            self.log
+                .range(kept.start - self.base..kept.end - self.base)
+                .cloned(),
+        );
         all
     }
 }
--- a/crates/keeper/src/join.rs
+++ b/crates/keeper/src/join.rs
@@ -25,11 +25,18 @@
     }
     let others = Keepers::new(config.others().map(|(_, at)| at).collect(), secret.clone());
     let (fleet, name) = (config.fleet.clone(), disk.identity().disk);
-    let ask = Join { fleet, keeper: config.keeper, disk: name };
+    let ask = Join {
+        fleet,
+        keeper: config.keeper,
+        disk: name,
+    };
     let mut said = String::new();
     loop {
         for at in others.addresses() {
-            let why = match others.call_one::<State>(*at, wire::STATE, Some(&ask), EACH).await {
+            let why = match others
+                .call_one::<State>(*at, wire::STATE, Some(&ask), EACH)
+                .await
+            {
                 Ok(state) if state.members.at.contains_key(&config.keeper) => {
                     disk.move_on(state.members, state.index, state.machine);
                     return match disk.shared().failed.borrow_mut().take() {
--- a/crates/keeper/src/links.rs
+++ b/crates/keeper/src/links.rs
@@ -98,7 +98,10 @@
             let messages: Vec<Message> = link.queue.borrow_mut().drain(..).collect();
             let batch = self.compose(to, number, messages);
             number += 1;
-            match self.send(link.at, &mut connection, wire::MESSAGES, &batch).await {
+            match self
+                .send(link.at, &mut connection, wire::MESSAGES, &batch)
+                .await
+            {
                 Ok(Ok(())) => {
                     link.broken.set(false);
                     link.heard.set(Some(self.clock.now()));
@@ -138,9 +141,19 @@
     /// The other is behind by a list of keepers: it gets the state.
     async fn hand_over(&self, to: u64, link: &Link, connection: &mut Open) {
         let state = self.core.borrow().state();
-        tracing::info!(keeper = to, list = state.members.number, "the other keeper is brought up");
-        let install = Install { fleet: self.config.fleet.clone(), to, state };
-        let sent = self.send(link.at, connection, wire::INSTALL, &install).await;
+        tracing::info!(
+            keeper = to,
+            list = state.members.number,
+            "the other keeper is brought up"
+        );
+        let install = Install {
+            fleet: self.config.fleet.clone(),
+            to,
+            state,
+        };
+        let sent = self
+            .send(link.at, connection, wire::INSTALL, &install)
+            .await;
         if let Ok(Err(why)) = sent {
             tracing::warn!(keeper = to, %why, "the state was not taken");
         }
@@ -176,20 +189,32 @@
         let mut request = Request::new(Method::Post, path);
         request.body = serde_json::to_vec(body).map_err(|e| no_answer(&e))?;
         let request = self.secret.sign(request);
-        let kept = connection.take().filter(|c| c.is_reusable() && !c.is_stale());
+        let kept = connection
+            .take()
+            .filter(|c| c.is_reusable() && !c.is_stale());
         let mut c = match kept {
             Some(kept) => kept,
-            None => Connection::open(at, TAKEN, Limits::default()).await.map_err(|e| no_answer(&e))?,
+            None => Connection::open(at, TAKEN, Limits::default())
+                .await
+                .map_err(|e| no_answer(&e))?,
         };
-        let answer = c.exchange(&request, TAKEN).await.map_err(|e| no_answer(&e))?;
+        let answer = c
+            .exchange(&request, TAKEN)
+            .await
+            .map_err(|e| no_answer(&e))?;
         if self.secret.check_answer(&request, &answer).is_err() {
-            return Err(Untaken::Refused(format!("status {}: not the fleet's", answer.status.0)));
+            return Err(Untaken::Refused(format!(
+                "status {}: not the fleet's",
+                answer.status.0
+            )));
         }
         *connection = Some(c);
         let refused = |why: String| Err(Untaken::Refused(why));
         match answer.status.0 {
             200 => Ok(Ok(())),
-            409 => serde_json::from_slice(&answer.body).map(Err).or_else(|e| refused(e.to_string())),
+            409 => serde_json::from_slice(&answer.body)
+                .map(Err)
+                .or_else(|e| refused(e.to_string())),
             status => refused(format!("status {status}")),
         }
     }
--- a/crates/keeper/src/log.rs
+++ b/crates/keeper/src/log.rs
@@ -97,24 +97,40 @@
     pub fn open(me: u64, first: Members, disk: Disk) -> Result<Log, String> {
         let members = disk.members().unwrap_or(first);
         let inner = Log::build(me, &members, &disk)?;
-        Ok(Log { inner, disk, me, members, read: 0 })
+        Ok(Log {
+            inner,
+            disk,
+            me,
+            members,
+            read: 0,
+        })
     }
 
     fn build(me: u64, members: &Members, disk: &Disk) -> Result<OmniPaxos<Entry, Disk>, String> {
-        let cluster =
-            ClusterConfig { configuration_id: members.number, nodes: members.all(), flexible_quorum: None };
+        let cluster = ClusterConfig {
+            configuration_id: members.number,
+            nodes: members.all(),
+            flexible_quorum: None,
+        };
         let server = ServerConfig {
             pid: me,
             election_tick_timeout: ELECTION_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
             ..ServerConfig::default()
         };
-        cluster.build_for_server(server, disk.clone()).map_err(|e| e.to_string())
+        cluster
+            .build_for_server(server, disk.clone())
+            .map_err(|e| e.to_string())
     }
 
     /// Another list of keepers holds from that index on; `state` is what all before led to. Where this keeper is none of
     /// them, nothing changes: it has no part in what comes.
-    pub fn move_on(&mut self, members: Members, index: usize, state: &Machine) -> Result<(), String> {
+    pub fn move_on(
+        &mut self,
+        members: Members,
+        index: usize,
+        state: &Machine,
+    ) -> Result<(), String> {
         if members.at.contains_key(&self.me) {
             self.disk.move_on(members.clone(), index, state.clone());
             self.inner = Log::build(self.me, &members, &self.disk)?;
@@ -169,7 +185,10 @@
         if decided <= self.read {
             return Vec::new();
         }
-        let entries = self.inner.read_decided_suffix(self.read).unwrap_or_default();
+        let entries = self
+            .inner
+            .read_decided_suffix(self.read)
+            .unwrap_or_default();
         let from = self.read;
         self.read = decided;
         let decided = |(at, e)| match e {
@@ -177,7 +196,11 @@
             LogEntry::Decided(entry) => Some((from + at + 1, entry)),
             _ => None,
         };
-        entries.into_iter().enumerate().filter_map(decided).collect()
+        entries
+            .into_iter()
+            .enumerate()
+            .filter_map(decided)
+            .collect()
     }
 
     /// Lets go of old entries, once there are many: `state` is what all that was read led to.
--- a/crates/keeper/src/machine.rs
+++ b/crates/keeper/src/machine.rs
@@ -35,7 +35,10 @@
             return None;
         }
         if id.life > seen.life {
-            *seen = Seen { life: id.life, ..Seen::default() };
+            *seen = Seen {
+                life: id.life,
+                ..Seen::default()
+            };
         }
         if id.number < seen.floor || !seen.numbers.insert(id.number) {
             return None;
@@ -60,8 +63,19 @@
     use hoptiller_agreement::Holder;
 
     fn applies(m: &mut Machine, life: u64, number: u64) -> bool {
-        let holder = Holder { router: "r".into(), life: "1".into() };
-        m.apply(EntryId { keeper: 1, life, number }, vec![Act::GiveBack(holder)]).is_some()
+        let holder = Holder {
+            router: "r".into(),
+            life: "1".into(),
+        };
+        m.apply(
+            EntryId {
+                keeper: 1,
+                life,
+                number,
+            },
+            vec![Act::GiveBack(holder)],
+        )
+        .is_some()
     }
 
     #[test]
--- a/crates/keeper/src/members.rs
+++ b/crates/keeper/src/members.rs
@@ -51,9 +51,17 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             NotReplaced::Unknown(n) => write!(f, "there is no keeper {n}"),
-            NotReplaced::Used(n) => write!(f, "a keeper has or had the number {n}; give the new one another"),
+            NotReplaced::Used(n) => write!(
+                f,
+                "a keeper has or had the number {n}; give the new one another"
+            ),
             NotReplaced::OutOfBounds(n) => {
-                write!(f, "{n}: numbers from {} to {} are wanted", NUMBERS.start(), NUMBERS.end())
+                write!(
+                    f,
+                    "{n}: numbers from {} to {} are wanted",
+                    NUMBERS.start(),
+                    NUMBERS.end()
+                )
             }
         }
     }
@@ -62,7 +70,11 @@
 impl Members {
     /// The list that a fleet begins with.
     pub fn first(at: BTreeMap<u64, SocketAddr>) -> Members {
-        Members { number: 1, at, gone: BTreeSet::new() }
+        Members {
+            number: 1,
+            at,
+            gone: BTreeSet::new(),
+        }
     }
 
     /// The numbers of the keepers.
@@ -102,14 +114,31 @@
     fn a_keeper_is_replaced_once_and_no_number_comes_back() {
         let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
         let first = Members::first([(1, at(1)), (2, at(2)), (3, at(3))].into());
-        let replace = |lost, new| Replace { lost, new, at: at(9) };
+        let replace = |lost, new| Replace {
+            lost,
+            new,
+            at: at(9),
+        };
         let second = first.replaced(&replace(3, 4)).expect("replaced");
         assert_eq!((second.number, second.all()), (2, vec![1, 2, 4]));
-        assert_eq!(second.replaced(&replace(3, 4)), Ok(second.clone()), "asked for twice");
-        assert_eq!(second.replaced(&replace(3, 5)), Err(NotReplaced::Unknown(3)));
+        assert_eq!(
+            second.replaced(&replace(3, 4)),
+            Ok(second.clone()),
+            "asked for twice"
+        );
+        assert_eq!(
+            second.replaced(&replace(3, 5)),
+            Err(NotReplaced::Unknown(3))
+        );
         assert_eq!(second.replaced(&replace(1, 3)), Err(NotReplaced::Used(3)));
         assert_eq!(second.replaced(&replace(1, 2)), Err(NotReplaced::Used(2)));
-        assert_eq!(second.replaced(&replace(1, 0)), Err(NotReplaced::OutOfBounds(0)));
-        assert_eq!(second.replaced(&replace(7, 8)), Err(NotReplaced::Unknown(7)));
+        assert_eq!(
+            second.replaced(&replace(1, 0)),
+            Err(NotReplaced::OutOfBounds(0))
+        );
+        assert_eq!(
+            second.replaced(&replace(7, 8)),
+            Err(NotReplaced::Unknown(7))
+        );
     }
 }
--- a/crates/keeper/src/peers.rs
+++ b/crates/keeper/src/peers.rs
@@ -100,7 +100,10 @@
                  with a new number in its place"
             ),
             NotTaken::Replaced => {
-                write!(f, "another keeper has taken this one's place; it is no longer needed")
+                write!(
+                    f,
+                    "another keeper has taken this one's place; it is no longer needed"
+                )
             }
             NotTaken::Lists { yours, mine } => write!(
                 f,
@@ -154,7 +157,10 @@
             return Err(NotTaken::Replaced);
         }
         if batch.list != told.list {
-            return Err(NotTaken::Lists { yours: batch.list, mine: told.list });
+            return Err(NotTaken::Lists {
+                yours: batch.list,
+                mine: told.list,
+            });
         }
         if batch.members != told.members {
             return unlike(format!("the keepers here are {:?}", told.members));
@@ -163,37 +169,57 @@
             return unlike(format!("this is keeper {}", told.me));
         }
         if (batch.term, batch.drift) != (told.bounds.term, told.bounds.drift) {
-            return unlike(format!("permits here last {} us, drift {}", told.bounds.term, told.bounds.drift));
+            return unlike(format!(
+                "permits here last {} us, drift {}",
+                told.bounds.term, told.bounds.drift
+            ));
         }
-        if batch.messages.iter().any(|m| m.from() != batch.from || m.to() != batch.to) {
+        if batch
+            .messages
+            .iter()
+            .any(|m| m.from() != batch.from || m.to() != batch.to)
+        {
             return unlike("its messages are others'".into());
         }
         if let Some(known) = disks.get(&batch.from)
             && known.disk != batch.disk
         {
-            return Err(NotTaken::OtherDisk { known: known.disk.clone() });
+            return Err(NotTaken::OtherDisk {
+                known: known.disk.clone(),
+            });
         }
         let before = self.last.get(&batch.from).copied();
-        if before
-            .is_some_and(|(life, number)| batch.life < life || (batch.life == life && batch.number <= number))
-        {
+        if before.is_some_and(|(life, number)| {
+            batch.life < life || (batch.life == life && batch.number <= number)
+        }) {
             // Danger: a life that is over may still have batches on their way. Not one that began from an old disk:
             // such a one has a number of steps that went back, and it is refused below once it is the newest.
             let known = disks.get(&batch.from).map_or(0, |k| k.step);
             let old_life = before.is_some_and(|(life, _)| batch.life < life);
             if old_life && batch.number == 0 {
-                return Err(NotTaken::WentBack { step: batch.step, known });
+                return Err(NotTaken::WentBack {
+                    step: batch.step,
+                    known,
+                });
             }
             return Ok(Take::Nothing);
         }
-        let known = disks.entry(batch.from).or_insert(PeerDisk { disk: batch.disk.clone(), step: 0 });
+        let known = disks.entry(batch.from).or_insert(PeerDisk {
+            disk: batch.disk.clone(),
+            step: 0,
+        });
         if batch.step < known.step {
-            return Err(NotTaken::WentBack { step: batch.step, known: known.step });
+            return Err(NotTaken::WentBack {
+                step: batch.step,
+                known: known.step,
+            });
         }
         known.step = batch.step;
         self.last.insert(batch.from, (batch.life, batch.number));
         match before {
-            Some((life, number)) if life == batch.life && number + 1 == batch.number => Ok(Take::InOrder),
+            Some((life, number)) if life == batch.life && number + 1 == batch.number => {
+                Ok(Take::InOrder)
+            }
             _ => Ok(Take::AfterLoss),
         }
     }
@@ -205,7 +231,14 @@
 
     fn told() -> Told {
         let (members, gone) = (vec![1, 2, 3], [9].into());
-        Told { fleet: "f".into(), me: 1, members, list: 2, gone, bounds: Bounds { term: 10, drift: 1 } }
+        Told {
+            fleet: "f".into(),
+            me: 1,
+            members,
+            list: 2,
+            gone,
+            bounds: Bounds { term: 10, drift: 1 },
+        }
     }
 
     fn batch(life: u64, number: u64, step: u64) -> Batch {
@@ -240,35 +273,93 @@
     #[test]
     fn one_of_another_list_is_told_so_and_one_that_was_replaced_ends() {
         let (mut incoming, mut disks) = (Incoming::default(), BTreeMap::new());
-        let mut take = |b: Batch| incoming.take(&told(), &mut disks, &b).expect_err("not taken");
+        let mut take = |b: Batch| {
+            incoming
+                .take(&told(), &mut disks, &b)
+                .expect_err("not taken")
+        };
         for list in [1, 3] {
-            let lists = take(Batch { list, ..batch(1, 0, 5) });
-            assert_eq!(lists, NotTaken::Lists { yours: list, mine: 2 });
+            let lists = take(Batch {
+                list,
+                ..batch(1, 0, 5)
+            });
+            assert_eq!(
+                lists,
+                NotTaken::Lists {
+                    yours: list,
+                    mine: 2
+                }
+            );
             assert!(!lists.is_final());
         }
-        let replaced = take(Batch { from: 9, list: 1, ..batch(1, 0, 5) });
+        let replaced = take(Batch {
+            from: 9,
+            list: 1,
+            ..batch(1, 0, 5)
+        });
         assert!(replaced == NotTaken::Replaced && replaced.is_final());
-        let first = serde_json::to_string(&Batch { list: 1, ..batch(1, 0, 5) }).expect("json");
-        assert!(!first.contains("list"), "as programs before it wrote it: {first}");
+        let first = serde_json::to_string(&Batch {
+            list: 1,
+            ..batch(1, 0, 5)
+        })
+        .expect("json");
+        assert!(
+            !first.contains("list"),
+            "as programs before it wrote it: {first}"
+        );
         assert_eq!(serde_json::from_str::<Batch>(&first).expect("read").list, 1);
     }
 
     #[test]
     fn a_disk_that_went_back_or_is_another_is_refused() {
         let (mut incoming, mut disks) = (Incoming::default(), BTreeMap::new());
-        incoming.take(&told(), &mut disks, &batch(3, 0, 50)).expect("taken");
-        let old = incoming.take(&told(), &mut disks, &batch(4, 0, 49)).expect_err("refused");
-        assert_eq!(old, NotTaken::WentBack { step: 49, known: 50 });
+        incoming
+            .take(&told(), &mut disks, &batch(3, 0, 50))
+            .expect("taken");
+        let old = incoming
+            .take(&told(), &mut disks, &batch(4, 0, 49))
+            .expect_err("refused");
+        assert_eq!(
+            old,
+            NotTaken::WentBack {
+                step: 49,
+                known: 50
+            }
+        );
         assert!(old.is_final());
         // Put back from so long ago that its lives are counted from before.
-        assert!(incoming.take(&told(), &mut disks, &batch(2, 0, 20)).expect_err("refused").is_final());
+        assert!(
+            incoming
+                .take(&told(), &mut disks, &batch(2, 0, 20))
+                .expect_err("refused")
+                .is_final()
+        );
         // The receiver has started again, and knows from its own disk.
         let again = Incoming::default().take(&told(), &mut disks, &batch(4, 0, 49));
-        assert_eq!(again, Err(NotTaken::WentBack { step: 49, known: 50 }));
-        let other = Batch { disk: "new".into(), ..batch(1, 0, 0) };
-        let other = incoming.take(&told(), &mut disks, &other).expect_err("refused");
+        assert_eq!(
+            again,
+            Err(NotTaken::WentBack {
+                step: 49,
+                known: 50
+            })
+        );
+        let other = Batch {
+            disk: "new".into(),
+            ..batch(1, 0, 0)
+        };
+        let other = incoming
+            .take(&told(), &mut disks, &other)
+            .expect_err("refused");
         assert_eq!(other, NotTaken::OtherDisk { known: "d".into() });
-        let unlike = Batch { term: 11, ..batch(4, 1, 51) };
-        assert!(!incoming.take(&told(), &mut disks, &unlike).expect_err("refused").is_final());
+        let unlike = Batch {
+            term: 11,
+            ..batch(4, 1, 51)
+        };
+        assert!(
+            !incoming
+                .take(&told(), &mut disks, &unlike)
+                .expect_err("refused")
+                .is_final()
+        );
     }
 }
--- a/crates/keeper/src/reply.rs
+++ b/crates/keeper/src/reply.rs
@@ -18,7 +18,10 @@
 }
 
 pub(crate) fn problem(status: u16, what: &str) -> Response {
-    let body = serde_json::to_vec(&Problem { problem: what.to_owned() }).unwrap_or_default();
+    let body = serde_json::to_vec(&Problem {
+        problem: what.to_owned(),
+    })
+    .unwrap_or_default();
     Response::json(status, body)
 }
 
@@ -45,18 +48,30 @@
 }
 
 pub(crate) fn numbers(fleet: &Fleet) -> Numbers {
-    Numbers { in_force: fleet.in_force(), last: fleet.last(), board: fleet.leases().upto() }
+    Numbers {
+        in_force: fleet.in_force(),
+        last: fleet.last(),
+        board: fleet.leases().upto(),
+    }
 }
 
 /// Who does what for all.
 pub(crate) fn leases(core: &Core, now: Micros) -> Vec<LeaseStatus> {
     let status = |posted: Posted| LeaseStatus {
-        left_ms: core.left_of_lease(now, &posted.part).map(|left| left / 1000),
+        left_ms: core
+            .left_of_lease(now, &posted.part)
+            .map(|left| left / 1000),
         part: posted.part,
         holder: posted.holder,
         note_bytes: posted.note.map_or(0, |n| n.len() as u64),
     };
-    core.fleet().leases().board(0).posted.into_iter().map(status).collect()
+    core.fleet()
+        .leases()
+        .board(0)
+        .posted
+        .into_iter()
+        .map(status)
+        .collect()
 }
 
 pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<(u64, Option<u64>)>) -> Status {
--- a/crates/keeper/src/service.rs
+++ b/crates/keeper/src/service.rs
@@ -105,12 +105,23 @@
 impl Keeper {
     /// The disk of a configuration. `fresh` names one that is made anew.
     pub fn disk(config: &Config, fresh: &str) -> Result<Disk, StartError> {
-        let opened = Disk::open(&config.dir, &config.fleet, config.keeper, fresh, config.most_bytes);
+        let opened = Disk::open(
+            &config.dir,
+            &config.fleet,
+            config.keeper,
+            fresh,
+            config.most_bytes,
+        );
         opened.map_err(StartError::Disk)
     }
 
     /// Opens the log on its disk.
-    pub fn open(config: Config, secret: Secret, clock: Clock, disk: Disk) -> Result<Rc<Keeper>, StartError> {
+    pub fn open(
+        config: Config,
+        secret: Secret,
+        clock: Clock,
+        disk: Disk,
+    ) -> Result<Rc<Keeper>, StartError> {
         let me = config.keeper;
         let (shared, life, name) = (disk.shared(), disk.life(), disk.identity().disk.clone());
         let first = Members::first(config.keepers.clone());
@@ -139,15 +150,24 @@
     /// Listens, and starts everything on the executor. Returns the address.
     pub fn start(self: &Rc<Self>, ex: &Spawner) -> Result<SocketAddr, StartError> {
         let at = self.config.address();
-        let listening = server::bind(at).and_then(|l| l.get_ref().local_addr().map(|addr| (l, addr)));
+        let listening =
+            server::bind(at).and_then(|l| l.get_ref().local_addr().map(|addr| (l, addr)));
         let (listener, addr) = listening.map_err(|e| StartError::Listen(at, e))?;
         let me = self.clone();
         let handler: Handler = Rc::new(move |request| {
             let me = me.clone();
             Box::pin(async move { Reply::Send(me.answer(request).await) })
         });
-        let limits = Limits { body: wire::MOST_BODY, ..Limits::default() };
-        let config = server::Config { limits, connections: 4096, watch: true, ..server::Config::default() };
+        let limits = Limits {
+            body: wire::MOST_BODY,
+            ..Limits::default()
+        };
+        let config = server::Config {
+            limits,
+            connections: 4096,
+            watch: true,
+            ..server::Config::default()
+        };
         let own = ex.clone();
         ex.spawn(async move {
             let _ = server::serve(listener, config, handler, own).await;
@@ -166,7 +186,12 @@
     /// A way to each other keeper, and to nobody else.
     fn follow_members(self: &Rc<Self>, ex: &Spawner) {
         let core = self.core.borrow();
-        let others = || core.members().at.iter().filter(|(n, _)| **n != self.config.keeper);
+        let others = || {
+            core.members()
+                .at
+                .iter()
+                .filter(|(n, _)| **n != self.config.keeper)
+        };
         let mut links = self.links.borrow_mut();
         links.retain(|n, link| {
             let stays = others().any(|(other, _)| other == n);
@@ -280,12 +305,25 @@
             },
             (Method::Post, wire::NOTE) => match read::<wire::Note>(request) {
                 Ok(n) => {
-                    let wire::Note { holder, part, number, text } = n;
-                    self.act(Act::Note { holder, part, number, text }).await
+                    let wire::Note {
+                        holder,
+                        part,
+                        number,
+                        text,
+                    } = n;
+                    self.act(Act::Note {
+                        holder,
+                        part,
+                        number,
+                        text,
+                    })
+                    .await
                 }
                 Err(bad) => bad,
             },
-            (Method::Get, wire::LEASES) => reply::good(&reply::leases(&self.core.borrow(), self.clock.now())),
+            (Method::Get, wire::LEASES) => {
+                reply::good(&reply::leases(&self.core.borrow(), self.clock.now()))
+            }
             (Method::Post, wire::PUT) => match read::<Put>(request) {
                 Ok(put) => self.act(Act::Put(Box::new(put))).await,
                 Err(bad) => bad,
@@ -312,19 +350,26 @@
                     let fleet = core.fleet();
                     match fleet.version(which.number.unwrap_or(fleet.last())) {
                         Some(version) => reply::good(version),
-                        None => {
-                            reply::problem(404, "there is no such version, or its text is no longer kept")
-                        }
+                        None => reply::problem(
+                            404,
+                            "there is no such version, or its text is no longer kept",
+                        ),
                     }
                 }
                 Err(bad) => bad,
             },
             (Method::Post, wire::DIFF) => match read::<wire::Between>(request) {
-                Ok(between) => match self.core.borrow().fleet().differences(between.from, between.to) {
+                Ok(between) => match self
+                    .core
+                    .borrow()
+                    .fleet()
+                    .differences(between.from, between.to)
+                {
                     Some(differences) => reply::good(&differences),
-                    None => {
-                        reply::problem(404, "one of the versions is not there, or its text is no longer kept")
-                    }
+                    None => reply::problem(
+                        404,
+                        "one of the versions is not there, or its text is no longer kept",
+                    ),
                 },
                 Err(bad) => bad,
             },
@@ -335,10 +380,16 @@
             (Method::Get, wire::STATUS) => {
                 let now = self.clock.now();
                 let links = self.links.borrow();
-                let heard =
-                    links.iter().map(|(n, l)| (*n, l.heard.get().map(|at| now.saturating_sub(at) / 1000)));
+                let heard = links
+                    .iter()
+                    .map(|(n, l)| (*n, l.heard.get().map(|at| now.saturating_sub(at) / 1000)));
                 let me = self.config.keeper;
-                reply::good(&reply::status(me, &self.core.borrow(), now, heard.collect()))
+                reply::good(&reply::status(
+                    me,
+                    &self.core.borrow(),
+                    now,
+                    heard.collect(),
+                ))
             }
             _ => reply::problem(404, "no such call"),
         }
@@ -347,16 +398,30 @@
     async fn ask(&self, ask: wire::Ask) -> Response {
         let bounds = self.config.bounds();
         if (ask.term, ask.drift) != (bounds.term, bounds.drift) {
-            let what =
-                format!("permits last {} us here, drift {}: set the router alike", bounds.term, bounds.drift);
+            let what = format!(
+                "permits last {} us here, drift {}: set the router alike",
+                bounds.term, bounds.drift
+            );
             return reply::problem(409, &what);
         }
         let named = |text: &str| !text.is_empty() && text.len() <= 128;
         if !named(&ask.holder.router) || !named(&ask.holder.life) {
             return reply::problem(400, "names of 1 to 128 bytes are wanted");
         }
-        let wire::Ask { holder, heeds, in_force, offer, .. } = ask;
-        self.act(Act::Ask { holder, heeds, in_force, offer }).await
+        let wire::Ask {
+            holder,
+            heeds,
+            in_force,
+            offer,
+            ..
+        } = ask;
+        self.act(Act::Ask {
+            holder,
+            heeds,
+            in_force,
+            offer,
+        })
+        .await
     }
 
     async fn act(&self, act: Act) -> Response {
@@ -373,7 +438,10 @@
             return reply::problem(503, "this keeper is ending");
         };
         self.waiting.borrow_mut().insert(ticket, tell);
-        let forget = Forget { keeper: self, ticket };
+        let forget = Forget {
+            keeper: self,
+            ticket,
+        };
         let answer = future::or(async { told.recv().await.ok() }, async {
             Timer::after(DECIDE).await;
             None
@@ -382,9 +450,10 @@
         drop(forget);
         match answer {
             Some(told) => reply::of_told(told),
-            None => {
-                reply::problem(503, "no more than half of the keepers reach each other; it may still be done")
-            }
+            None => reply::problem(
+                503,
+                "no more than half of the keepers reach each other; it may still be done",
+            ),
         }
     }
 
@@ -414,7 +483,12 @@
     fn batch(&self, batch: Batch) -> Response {
         // Danger: of links that carry one way only, two keepers in turn take the lead from each other for ever, as one
         // hears what the other can't answer. Such a link is taken for broken both ways.
-        if self.links.borrow().get(&batch.from).is_some_and(|l| l.broken.get()) {
+        if self
+            .links
+            .borrow()
+            .get(&batch.from)
+            .is_some_and(|l| l.broken.get())
+        {
             return reply::problem(503, "this keeper does not reach that one");
         }
         let (told, mut disks) = (self.told.borrow(), self.shared.peers.borrow_mut());
@@ -451,15 +525,28 @@
             return reply::problem(409, &NotTaken::Replaced.to_string());
         }
         if !core.members().at.contains_key(&join.keeper) {
-            let what = format!("keeper {} is none of list {}", join.keeper, core.members().number);
+            let what = format!(
+                "keeper {} is none of list {}",
+                join.keeper,
+                core.members().number
+            );
             return reply::problem(503, &what);
         }
         // Danger: one that was taken in before, and has lost its disk since, may have promised what it no longer knows.
         let mut disks = self.shared.peers.borrow_mut();
-        let fresh = || PeerDisk { disk: join.disk.clone(), step: 0 };
+        let fresh = || PeerDisk {
+            disk: join.disk.clone(),
+            step: 0,
+        };
         let known = disks.entry(join.keeper).or_insert_with(fresh);
         if known.disk != join.disk {
-            return reply::problem(409, &NotTaken::OtherDisk { known: known.disk.clone() }.to_string());
+            return reply::problem(
+                409,
+                &NotTaken::OtherDisk {
+                    known: known.disk.clone(),
+                }
+                .to_string(),
+            );
         }
         reply::good(&core.state())
     }
@@ -467,10 +554,15 @@
     /// This keeper is behind by a list of keepers, and another brings it up.
     fn install(&self, install: Install) -> Response {
         if install.fleet != self.config.fleet || install.to != self.config.keeper {
-            return not_taken(&NotTaken::Unlike(format!("this is keeper {}", self.config.keeper)));
+            return not_taken(&NotTaken::Unlike(format!(
+                "this is keeper {}",
+                self.config.keeper
+            )));
         }
         if !install.state.members.at.contains_key(&self.config.keeper) {
-            return not_taken(&NotTaken::Unlike("that list does not name this keeper".into()));
+            return not_taken(&NotTaken::Unlike(
+                "that list does not name this keeper".into(),
+            ));
         }
         self.drive(|core, now| core.install(now, install.state));
         reply::good(&())
@@ -485,7 +577,13 @@
 
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
-        if self.keeper.waiting.borrow_mut().remove(&self.ticket).is_some() {
+        if self
+            .keeper
+            .waiting
+            .borrow_mut()
+            .remove(&self.ticket)
+            .is_some()
+        {
             self.keeper.core.borrow_mut().forget(self.ticket);
         }
     }
--- a/crates/keeper/tests/disk.rs
+++ b/crates/keeper/tests/disk.rs
@@ -19,15 +19,26 @@
 }
 
 fn entry(number: u64) -> Entry {
-    let holder = Holder { router: "r".repeat(2000), life: "1".into() };
-    Entry::Acts(EntryId { keeper: 1, life: 1, number }, vec![Act::GiveBack(holder)])
+    let holder = Holder {
+        router: "r".repeat(2000),
+        life: "1".into(),
+    };
+    Entry::Acts(
+        EntryId {
+            keeper: 1,
+            life: 1,
+            number,
+        },
+        vec![Act::GiveBack(holder)],
+    )
 }
 
 #[test]
 fn what_was_written_is_there_again_and_each_life_has_its_number() {
     let dir = dir("again");
     let mut disk = open(&dir, "f", 1).expect("made");
-    disk.append_entries((0..5).map(entry).collect()).expect("written");
+    disk.append_entries((0..5).map(entry).collect())
+        .expect("written");
     disk.append_on_prefix(3, vec![entry(7)]).expect("written");
     disk.set_decided_idx(2).expect("written");
     let state = Machine::default();
@@ -42,7 +53,10 @@
     let told = disk.get_entries(0, 4).expect("read");
     let stands_for = Entry::State(2, Box::new(state));
     assert_eq!(told, vec![stands_for, Entry::Filler, entry(2), entry(7)]);
-    assert!(disk.get_entries(2, 5).expect("read").is_empty(), "not in part");
+    assert!(
+        disk.get_entries(2, 5).expect("read").is_empty(),
+        "not in part"
+    );
     // Another disk takes that up as it is told, though it has entries of its own there.
     let other = dir.join("other");
     let mut lags = open(&other, "f", 2).expect("made");
@@ -51,11 +65,21 @@
     assert_eq!((lags.get_log_len().expect("read"), lags.kept()), (4, 2));
     assert_eq!(lags.get_suffix(2).expect("read"), vec![entry(2), entry(7)]);
     // And what it has let go of is not written again.
-    lags.append_on_prefix(1, vec![entry(8), entry(2), entry(6)]).expect("written");
+    lags.append_on_prefix(1, vec![entry(8), entry(2), entry(6)])
+        .expect("written");
     assert_eq!(lags.get_suffix(2).expect("read"), vec![entry(2), entry(6)]);
     drop(lags);
-    assert_eq!(open(&other, "f", 2).expect("opened").get_suffix(2).expect("read"), vec![entry(2), entry(6)]);
-    assert_eq!((disk.life(), *disk.shared().step.borrow()), (life + 1, step));
+    assert_eq!(
+        open(&other, "f", 2)
+            .expect("opened")
+            .get_suffix(2)
+            .expect("read"),
+        vec![entry(2), entry(6)]
+    );
+    assert_eq!(
+        (disk.life(), *disk.shared().step.borrow()),
+        (life + 1, step)
+    );
     drop(disk);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
@@ -65,7 +89,8 @@
     let dir = dir("damage");
     let file = dir.join("keeper.redb");
     let mut disk = open(&dir, "f", 1).expect("made");
-    disk.append_entries((0..200).map(entry).collect()).expect("written");
+    disk.append_entries((0..200).map(entry).collect())
+        .expect("written");
     assert!(matches!(open(&dir, "f", 1), Err(DiskError::InUse(_))));
     drop(disk);
     assert!(matches!(open(&dir, "f", 2), Err(DiskError::Other(..))));
@@ -77,15 +102,24 @@
     };
     assert!(matches!(with(b""), Err(DiskError::Cut(_))));
     assert!(matches!(with(b"re"), Err(DiskError::Cut(_))));
-    assert!(matches!(with(b"a text that somebody left here"), Err(DiskError::Foreign(..))));
+    assert!(matches!(
+        with(b"a text that somebody left here"),
+        Err(DiskError::Foreign(..))
+    ));
     for part in [16, 500, whole.len() / 2, whole.len() - 4096] {
         let cut = with(&whole[..part]);
-        assert!(matches!(cut, Err(DiskError::Cut(_) | DiskError::Damaged(..))), "{part}: {cut:?}");
+        assert!(
+            matches!(cut, Err(DiskError::Cut(_) | DiskError::Damaged(..))),
+            "{part}: {cut:?}"
+        );
     }
     let mut torn = whole.clone();
     torn[4096..].fill(0xa5);
     let torn = with(&torn);
-    assert!(matches!(torn, Err(DiskError::Damaged(..) | DiskError::Foreign(..))), "{torn:?}");
+    assert!(
+        matches!(torn, Err(DiskError::Damaged(..) | DiskError::Foreign(..))),
+        "{torn:?}"
+    );
     assert!(with(&whole).is_ok());
     std::fs::remove_dir_all(&dir).expect("removed");
 }
@@ -97,14 +131,19 @@
     let shared = disk.shared();
     let mut steps = 0;
     while shared.failed.borrow().is_none() {
-        disk.append_entries((0..500).map(entry).collect()).expect("taken");
+        disk.append_entries((0..500).map(entry).collect())
+            .expect("taken");
         steps += 1;
         assert!(steps < 1000, "it never fills");
     }
     assert!(matches!(*shared.failed.borrow(), Some(DiskError::Full(_))));
     let written = *shared.step.borrow();
     disk.append_entry(entry(1)).expect("taken");
-    assert_eq!(*shared.step.borrow(), written, "nothing is written behind the failure");
+    assert_eq!(
+        *shared.step.borrow(),
+        written,
+        "nothing is written behind the failure"
+    );
     drop(disk);
     let again = Disk::open(&dir, "f", 1, "fresh", 1 << 30).expect("whole");
     assert_eq!(*again.shared().step.borrow(), written);
--- a/crates/keeper/tests/simulated.rs
+++ b/crates/keeper/tests/simulated.rs
@@ -11,13 +11,19 @@
 use hoptiller_keeper::members::{Members, NotReplaced, Replace};
 
 const MS: Micros = 1000;
-const BOUNDS: Bounds = Bounds { term: 2000 * MS, drift: 1000 };
+const BOUNDS: Bounds = Bounds {
+    term: 2000 * MS,
+    drift: 1000,
+};
 
 struct Dice(u64);
 
 impl Dice {
     fn below(&mut self, n: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
     }
 }
@@ -59,16 +65,29 @@
 }
 
 fn ask(router: &str, heeds: u64, in_force: u64) -> Act {
-    Act::Ask { holder: Holder { router: router.into(), life: "1".into() }, heeds, in_force, offer: None }
+    Act::Ask {
+        holder: Holder {
+            router: router.into(),
+            life: "1".into(),
+        },
+        heeds,
+        in_force,
+        offer: None,
+    }
 }
 
 fn members() -> Members {
-    Members::first((1..=3).map(|n| (n, ([127, 0, 0, 1], n as u16).into())).collect())
+    Members::first(
+        (1..=3)
+            .map(|n| (n, ([127, 0, 0, 1], n as u16).into()))
+            .collect(),
+    )
 }
 
 impl World {
     fn new(name: &str, seed: u64) -> World {
-        let dir = std::env::temp_dir().join(format!("hoptiller-keepers-{name}-{}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("hoptiller-keepers-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         let mut world = World {
             dir,
@@ -88,7 +107,14 @@
     }
 
     fn disk(&self, keeper: u64) -> Disk {
-        Disk::open(&self.dir.join(keeper.to_string()), "f", keeper, "d", 1 << 30).expect("opened")
+        Disk::open(
+            &self.dir.join(keeper.to_string()),
+            "f",
+            keeper,
+            "d",
+            1 << 30,
+        )
+        .expect("opened")
     }
 
     fn start(&mut self, keeper: u64) {
@@ -98,7 +124,12 @@
     /// A new keeper begins with what another hands over; false where none can.
     fn join(&mut self, keeper: u64) -> bool {
         let hands = |c: &&Core| !c.is_replaced() && c.members().at.contains_key(&keeper);
-        let Some(State { members, index, machine }) = self.cores.values().find(hands).map(Core::state) else {
+        let Some(State {
+            members,
+            index,
+            machine,
+        }) = self.cores.values().find(hands).map(Core::state)
+        else {
             return false;
         };
         let disk = self.disk(keeper);
@@ -110,20 +141,35 @@
     fn start_on(&mut self, keeper: u64, disk: Disk) {
         let life = disk.life();
         let log = Log::open(keeper, members(), disk).expect("opened");
-        self.cores.insert(keeper, Core::new(keeper, life, BOUNDS, log, self.now));
+        self.cores
+            .insert(keeper, Core::new(keeper, life, BOUNDS, log, self.now));
         // What was sent to the process before is lost, and the others notice the broken links.
-        self.flying.retain(|(_, _, m)| m.to() != keeper && m.from() != keeper);
-        let others: Vec<u64> = self.cores.keys().copied().filter(|o| *o != keeper).collect();
+        self.flying
+            .retain(|(_, _, m)| m.to() != keeper && m.from() != keeper);
+        let others: Vec<u64> = self
+            .cores
+            .keys()
+            .copied()
+            .filter(|o| *o != keeper)
+            .collect();
         for other in others {
-            self.cores.get_mut(&other).expect("there").reconnected(keeper);
-            self.cores.get_mut(&keeper).expect("there").reconnected(other);
+            self.cores
+                .get_mut(&other)
+                .expect("there")
+                .reconnected(keeper);
+            self.cores
+                .get_mut(&keeper)
+                .expect("there")
+                .reconnected(other);
         }
     }
 
     /// A message arrives, as the sockets' side passes it on: only under one list of keepers.
     fn arrive(&mut self, list: u32, message: Message) {
         let (from, now) = (message.from(), self.now);
-        let Some(core) = self.cores.get_mut(&message.to()) else { return };
+        let Some(core) = self.cores.get_mut(&message.to()) else {
+            return;
+        };
         match list.cmp(&core.members().number) {
             std::cmp::Ordering::Equal => core.messages(now, vec![message]),
             std::cmp::Ordering::Less if core.members().gone.contains(&from) => self.stop(from),
@@ -131,7 +177,9 @@
             std::cmp::Ordering::Greater => {
                 let state = self.cores.get(&from).map(Core::state);
                 let to = self.cores.get_mut(&message.to());
-                to.into_iter().zip(state).for_each(|(to, state)| to.install(now, state));
+                to.into_iter()
+                    .zip(state)
+                    .for_each(|(to, state)| to.install(now, state));
             }
         }
     }
@@ -139,7 +187,10 @@
     fn replace(&mut self, keeper: u64, lost: u64, new: u64) -> Ticket {
         let now = self.now;
         let at = ([127, 0, 0, 1], 9).into();
-        self.cores.get_mut(&keeper).expect("running").replace(now, Replace { lost, new, at })
+        self.cores
+            .get_mut(&keeper)
+            .expect("running")
+            .replace(now, Replace { lost, new, at })
     }
 
     /// Runs until a replacing is answered.
@@ -160,8 +211,9 @@
     fn step(&mut self) {
         self.now += 10 * MS;
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flying).into_iter().partition(|(at, ..)| *at <= now);
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.flying = rest;
         for (_, list, message) in due {
             self.arrive(list, message);
@@ -248,7 +300,11 @@
     }
     w.run(3000);
     assert_eq!([1, 2, 3].map(|k| w.in_force(k)), [2, 2, 2]);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))), "known by its name");
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(Answer::Put(Ok(1))),
+        "known by its name"
+    );
     assert_eq!(w.answer(1, put("three", 4)), Some(Answer::Put(Ok(3))));
 }
 
@@ -260,7 +316,9 @@
     w.stop(leader);
     let other = (1..=3).find(|k| *k != leader).expect("two are left");
     assert_eq!(w.answer(other, put("two", 2)), Some(Answer::Put(Ok(2))));
-    let last = (1..=3).find(|k| *k != leader && *k != other).expect("one more");
+    let last = (1..=3)
+        .find(|k| *k != leader && *k != other)
+        .expect("one more");
     w.stop(last);
     assert_eq!(w.answer(other, put("three", 4)), None);
     w.start(last);
@@ -280,12 +338,22 @@
     for other in (1..=3).filter(|k| *k != leader) {
         w.cut.extend([(leader, other), (other, leader)]);
     }
-    assert_eq!(w.answer(leader, ask("r", 0, 0)), None, "it still believes that it leads");
+    assert_eq!(
+        w.answer(leader, ask("r", 0, 0)),
+        None,
+        "it still believes that it leads"
+    );
     let other = (1..=3).find(|k| *k != leader).expect("others");
-    assert!(matches!(w.answer(other, ask("r", 0, 0)), Some(Answer::Granted(_))));
+    assert!(matches!(
+        w.answer(other, ask("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
     w.cut.clear();
     w.run(4000);
-    assert!(matches!(w.answer(leader, ask("r", 1, 1)), Some(Answer::Granted(_))));
+    assert!(matches!(
+        w.answer(leader, ask("r", 1, 1)),
+        Some(Answer::Granted(_))
+    ));
 }
 
 #[test]
@@ -307,7 +375,10 @@
 fn a_permit_is_waited_for_over_a_change_of_leaders_and_no_longer_than_its_term() {
     let mut w = World::new("term", 5);
     assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
-    assert!(matches!(w.answer(1, ask("r", 0, 0)), Some(Answer::Granted(_))));
+    assert!(matches!(
+        w.answer(1, ask("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
     let granted = w.now;
     w.run(1500);
     let leader = w.leader().expect("somebody leads");
@@ -329,37 +400,62 @@
     w.stop(3);
     for n in 1..=700u64 {
         let keeper = 1 + n % 2;
-        assert!(matches!(w.answer(keeper, ask("r", 1, 1)), Some(Answer::Granted(_))), "{n}");
+        assert!(
+            matches!(w.answer(keeper, ask("r", 1, 1)), Some(Answer::Granted(_))),
+            "{n}"
+        );
     }
     let (decided, kept) = w.cores[&1].sizes();
-    assert!(decided > 700 && kept <= 600, "{decided} decided, {kept} kept");
+    assert!(
+        decided > 700 && kept <= 600,
+        "{decided} decided, {kept} kept"
+    );
     w.start(3);
     w.run(3000);
     assert_eq!(w.cores[&3].fleet(), w.cores[&1].fleet());
     // The state is on the disk, with who holds a permit.
-    assert!(matches!(w.answer(1, ask("r", 1, 1)), Some(Answer::Granted(_))));
+    assert!(matches!(
+        w.answer(1, ask("r", 1, 1)),
+        Some(Answer::Granted(_))
+    ));
     for keeper in 1..=3 {
         w.stop(keeper);
     }
     w.start(1);
-    assert_eq!((w.in_force(1), w.cores[&1].fleet().holders().count()), (1, 1));
+    assert_eq!(
+        (w.in_force(1), w.cores[&1].fleet().holders().count()),
+        (1, 1)
+    );
 }
 
 #[test]
 fn a_refused_change_stays_refused_though_its_entry_is_proposed_again() {
     let mut w = World::new("again", 7);
     assert_eq!(w.answer(1, put("0", 3)), Some(Answer::Put(Ok(1))));
-    assert!(matches!(w.answer(1, ask("r", 0, 0)), Some(Answer::Granted(_))));
+    assert!(matches!(
+        w.answer(1, ask("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
     for n in 0..8 {
-        assert!(matches!(w.answer(1, put(&format!("p{n}"), 1 + n % 3)), Some(Answer::Put(Ok(_)))));
+        assert!(matches!(
+            w.answer(1, put(&format!("p{n}"), 1 + n % 3)),
+            Some(Answer::Put(Ok(_)))
+        ));
     }
     w.lose = 3;
     let refused = w.answer(2, put("late", 9));
-    assert_eq!(refused, Some(Answer::Put(Err(Refused::Busy { pending: 8 }))));
+    assert_eq!(
+        refused,
+        Some(Answer::Put(Err(Refused::Busy { pending: 8 })))
+    );
     w.lose = 0;
     w.run(6000);
     let fleet = w.cores[&1].fleet();
-    assert_eq!((fleet.in_force(), fleet.last()), (9, 9), "its permit has run out, and nothing came behind");
+    assert_eq!(
+        (fleet.in_force(), fleet.last()),
+        (9, 9),
+        "its permit has run out, and nothing came behind"
+    );
 }
 
 #[test]
@@ -425,15 +521,17 @@
                 _ => {}
             }
             w.run(100);
-            open.retain(|(k, ticket, attempts)| match w.answers.remove(&(*k, *ticket)) {
-                None => true,
-                Some(Answer::Put(Ok(number))) => {
-                    let before = taken.insert(number, *attempts);
-                    assert_eq!(before, None, "version {number} was given to two changes");
-                    false
-                }
-                Some(_) => false,
-            });
+            open.retain(
+                |(k, ticket, attempts)| match w.answers.remove(&(*k, *ticket)) {
+                    None => true,
+                    Some(Answer::Put(Ok(number))) => {
+                        let before = taken.insert(number, *attempts);
+                        assert_eq!(before, None, "version {number} was given to two changes");
+                        false
+                    }
+                    Some(_) => false,
+                },
+            );
         }
         w.lose = 0;
         w.cut.clear();
@@ -444,16 +542,29 @@
             }
         }
         w.run(8000);
-        assert_eq!(replacing, lists > 2, "seed {seed}: {lists} lists of keepers");
+        assert_eq!(
+            replacing,
+            lists > 2,
+            "seed {seed}: {lists} lists of keepers"
+        );
         w.cores.retain(|_, core| !core.is_replaced());
         assert!(taken.len() > 5, "seed {seed}: only {} changes", taken.len());
         let fleets: Vec<_> = w.cores.values().map(|c| c.fleet().clone()).collect();
-        assert!(fleets.windows(2).all(|f| f[0] == f[1]), "seed {seed}: keepers differ");
+        assert!(
+            fleets.windows(2).all(|f| f[0] == f[1]),
+            "seed {seed}: keepers differ"
+        );
         for (number, attempts) in taken {
             if let Some(version) = fleets[0].version(number) {
-                assert_eq!(version.document.engines.max_attempts, attempts, "seed {seed}: version {number}");
+                assert_eq!(
+                    version.document.engines.max_attempts, attempts,
+                    "seed {seed}: version {number}"
+                );
             } else {
-                assert!(number < fleets[0].in_force(), "seed {seed}: version {number} is lost");
+                assert!(
+                    number < fleets[0].in_force(),
+                    "seed {seed}: version {number} is lost"
+                );
             }
         }
     }
@@ -473,8 +584,14 @@
     assert_eq!(w.replaced(2, ticket), Some(Ok(2)));
     assert!(w.join(4));
     w.run(2000);
-    assert!(matches!(w.answers.remove(&(1, before)), Some(Answer::Put(Ok(2 | 3)))));
-    assert!(matches!(w.answers.remove(&(2, beside)), Some(Answer::Put(Ok(2 | 3)))));
+    assert!(matches!(
+        w.answers.remove(&(1, before)),
+        Some(Answer::Put(Ok(2 | 3)))
+    ));
+    assert!(matches!(
+        w.answers.remove(&(2, beside)),
+        Some(Answer::Put(Ok(2 | 3)))
+    ));
     w.stop(1);
     assert_eq!(
         w.answer(4, put("four", 4)),
@@ -487,7 +604,11 @@
     assert_eq!(w.cores[&1].fleet(), w.cores[&4].fleet());
     assert_eq!(w.cores[&1].members().all(), [1, 2, 4]);
     let again = w.replace(4, 3, 4);
-    assert_eq!(w.replaced(4, again), Some(Ok(2)), "asked for twice, done once");
+    assert_eq!(
+        w.replaced(4, again),
+        Some(Ok(2)),
+        "asked for twice, done once"
+    );
     let unknown = w.replace(4, 3, 5);
     assert_eq!(w.replaced(4, unknown), Some(Err(NotReplaced::Unknown(3))));
 }
@@ -507,13 +628,21 @@
         assert!(w.join(4), "after {steps} steps");
         w.run(1000);
         w.stop(2);
-        assert_eq!(w.answer(1, put("two", 2)), Some(Answer::Put(Ok(2))), "after {steps} steps");
+        assert_eq!(
+            w.answer(1, put("two", 2)),
+            Some(Answer::Put(Ok(2))),
+            "after {steps} steps"
+        );
         w.start(2);
         // The one in whose place another stands has heard nothing of it, and may do nothing more.
         w.cut.clear();
         w.run(2500);
         assert!(!w.cores.contains_key(&3), "after {steps} steps");
-        assert_eq!(w.cores[&2].fleet(), w.cores[&4].fleet(), "after {steps} steps");
+        assert_eq!(
+            w.cores[&2].fleet(),
+            w.cores[&4].fleet(),
+            "after {steps} steps"
+        );
     }
 }
 
@@ -529,9 +658,17 @@
     while w.cores[&leader].members().number == 1 {
         w.step();
     }
-    assert_eq!(w.cores[&leader].fleet().last(), 1, "it was decided under a list that had ended");
+    assert_eq!(
+        w.cores[&leader].fleet().last(),
+        1,
+        "it was decided under a list that had ended"
+    );
     assert!(w.join(4));
     w.run(3000);
-    assert_eq!(w.answers.remove(&(leader, ticket)), Some(Answer::Put(Ok(2))), "and came again");
+    assert_eq!(
+        w.answers.remove(&(leader, ticket)),
+        Some(Answer::Put(Ok(2))),
+        "and came again"
+    );
     assert_eq!(w.cores[&4].fleet().last(), 2);
 }
--- a/crates/measure/src/crowd.rs
+++ b/crates/measure/src/crowd.rs
@@ -39,16 +39,21 @@
 fn one(args: &Args, size: usize) -> io::Result<()> {
     let change = |v: &mut Value| {
         patient(v);
-        v["limits"] = json!({ "statements": size + 10, "connections": size + 100, "abandon_after": "1h" });
+        v["limits"] =
+            json!({ "statements": size + 10, "connections": size + 100, "abandon_after": "1h" });
     };
     // It takes some statements and is done with none: all others wait in the router.
     let site = Site::new(&args.place, 1, change, |e| e.spec.speed = 1e-6)?;
     let addr = site.router.addr;
     let before = site.router.memory()?;
     let threads = 2;
-    let until = Instant::now() + Duration::from_secs(args.seconds) + Duration::from_micros(size as u64 * 500);
+    let until = Instant::now()
+        + Duration::from_secs(args.seconds)
+        + Duration::from_micros(size as u64 * 500);
     let handles: Vec<_> = (0..threads)
-        .map(|t| std::thread::spawn(move || clients((t..size).step_by(threads).count(), addr, until)))
+        .map(|t| {
+            std::thread::spawn(move || clients((t..size).step_by(threads).count(), addr, until))
+        })
         .collect();
     // Settled: all have submitted and poll. Then rounds and memory are read.
     std::thread::sleep(until.saturating_duration_since(Instant::now()).mul_f64(0.6));
@@ -58,7 +63,9 @@
     let mut times = Histogram::<u64>::new(3).map_err(io::Error::other)?;
     let mut failed = 0;
     for handle in handles {
-        let (part, bad) = handle.join().map_err(|_| io::Error::other("a client thread panicked"))?;
+        let (part, bad) = handle
+            .join()
+            .map_err(|_| io::Error::other("a client thread panicked"))?;
         times.add(part).map_err(io::Error::other)?;
         failed += bad;
     }
@@ -85,7 +92,9 @@
 /// Each submits once, then polls until the end. Times are those that a poll took beyond the second it waits.
 fn clients(count: usize, addr: SocketAddr, until: Instant) -> (Histogram<u64>, u64) {
     let ex = LocalExecutor::new();
-    let times = std::rc::Rc::new(std::cell::RefCell::new(Histogram::<u64>::new(3).expect("a histogram")));
+    let times = std::rc::Rc::new(std::cell::RefCell::new(
+        Histogram::<u64>::new(3).expect("a histogram"),
+    ));
     let tasks: Vec<_> = (0..count)
         .map(|n| {
             let times = times.clone();
@@ -93,8 +102,12 @@
                 // One after the other: a listener's queue is short.
                 async_io::Timer::after(Duration::from_micros(n as u64 * 400)).await;
                 let limit = Duration::from_secs(30);
-                let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await else { return 1 };
-                let Ok(mut answer) = c.exchange(&post("lookup", "SELECT 1 /* work=1h */"), limit).await
+                let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await else {
+                    return 1;
+                };
+                let Ok(mut answer) = c
+                    .exchange(&post("lookup", "SELECT 1 /* work=1h */"), limit)
+                    .await
                 else {
                     return 1;
                 };
--- a/crates/measure/src/keepers.rs
+++ b/crates/measure/src/keepers.rs
@@ -73,9 +73,18 @@
 /// Seconds of a core that a process has used.
 fn core_seconds(pid: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let rest: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
+    let rest: Vec<&str> = stat
+        .rsplit(") ")
+        .next()
+        .unwrap_or_default()
+        .split(' ')
+        .collect();
     // Behind the name come the state and ten more fields; then the ticks of user and system, 100 a second.
-    let ticks = |n: usize| rest.get(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |n: usize| {
+        rest.get(n)
+            .and_then(|t| t.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     Ok((ticks(11) + ticks(12)) / 100.0)
 }
 
@@ -100,13 +109,19 @@
     if !stage.until(long, |s| s.put("first", &first).is_ok()) {
         return Err(io::Error::other("keepers took no version"));
     }
-    let links: Vec<_> = (0..3).filter_map(|k| stage.link(Between::Router(0, k))).collect();
+    let links: Vec<_> = (0..3)
+        .filter_map(|k| stage.link(Between::Router(0, k)))
+        .collect();
     let settings = AgreementSettings {
         keepers: links.iter().map(|l| l.addr()).collect(),
         secret: dir.join("secret"),
         permit: PERMIT,
         drift: DRIFT,
-        ask_every: if watch { PERMIT / 5 } else { Duration::from_millis(250) },
+        ask_every: if watch {
+            PERMIT / 5
+        } else {
+            Duration::from_millis(250)
+        },
     };
     let secret = Secret::load(&settings.secret)?;
     let watchers = Running::new("routers", move |ex| {
@@ -125,10 +140,19 @@
     if !stage.until_heeded(size, 1, long) {
         return Err(io::Error::other("not all routers heeded the first version"));
     }
-    let pids: Vec<u32> = (0..3).filter_map(|k| stage.keeper(k).map(|p| p.id())).collect();
-    let used = || pids.iter().map(|p| core_seconds(*p)).sum::<io::Result<f64>>();
+    let pids: Vec<u32> = (0..3)
+        .filter_map(|k| stage.keeper(k).map(|p| p.id()))
+        .collect();
+    let used = || {
+        pids.iter()
+            .map(|p| core_seconds(*p))
+            .sum::<io::Result<f64>>()
+    };
     let carried = |s: &Stage| -> u64 {
-        (0..3).filter_map(|k| s.link(Between::Router(0, k))).map(|l| l.carried()).sum()
+        (0..3)
+            .filter_map(|k| s.link(Between::Router(0, k)))
+            .map(|l| l.carried())
+            .sum()
     };
     let steps = |s: &Stage| s.statuses().iter().map(|s| s.log.0).max().unwrap_or(0);
     std::thread::sleep(Duration::from_secs(2));
@@ -167,14 +191,39 @@
 async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
     let clock = Clock::new();
     let bounds = settings.bounds();
-    let mut follower = Follower::new(Holder { router: name, life: "1".into() }, bounds, Vec::new());
+    let mut follower = Follower::new(
+        Holder {
+            router: name,
+            life: "1".into(),
+        },
+        bounds,
+        Vec::new(),
+    );
     let keepers = Keepers::new(settings.keepers.clone(), secret);
     keepers.begin_with(n);
     loop {
         let (id, act) = follower.ask(clock.now());
-        let Act::Ask { holder, heeds, in_force, offer } = act else { return };
-        let body = wire::Ask { holder, heeds, in_force, term: bounds.term, drift: bounds.drift, offer };
-        match keepers.call(wire::ASK, Some(&body), Duration::from_millis(700)).await {
+        let Act::Ask {
+            holder,
+            heeds,
+            in_force,
+            offer,
+        } = act
+        else {
+            return;
+        };
+        let body = wire::Ask {
+            holder,
+            heeds,
+            in_force,
+            term: bounds.term,
+            drift: bounds.drift,
+            offer,
+        };
+        match keepers
+            .call(wire::ASK, Some(&body), Duration::from_millis(700))
+            .await
+        {
             Ok(wire::Asked::Granted(granted)) => drop(follower.granted(id, granted)),
             _ => follower.unanswered(id),
         }
@@ -185,8 +234,15 @@
 /// Keepers in one thread, on disks; then one of them starts.
 fn restart(versions: u64) -> io::Result<()> {
     let dir = folder("disks");
-    let bounds = Bounds { term: PERMIT.as_micros() as u64, drift: DRIFT };
-    let members = Members::first((1..=3).map(|n| (n, ([127, 0, 0, 1], n as u16).into())).collect());
+    let bounds = Bounds {
+        term: PERMIT.as_micros() as u64,
+        drift: DRIFT,
+    };
+    let members = Members::first(
+        (1..=3)
+            .map(|n| (n, ([127, 0, 0, 1], n as u16).into()))
+            .collect(),
+    );
     let open = |keeper: u64, now: u64| -> io::Result<Core> {
         let dir = dir.join(keeper.to_string());
         let disk = Disk::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
@@ -194,7 +250,9 @@
         let log = Log::open(keeper, members.clone(), disk).map_err(io::Error::other)?;
         Ok(Core::new(keeper, life, bounds, log, now))
     };
-    let mut cores = (1..=3).map(|n| open(n, 0)).collect::<io::Result<Vec<Core>>>()?;
+    let mut cores = (1..=3)
+        .map(|n| open(n, 0))
+        .collect::<io::Result<Vec<Core>>>()?;
     let (mut put, mut now) = (0, 0);
     while cores.iter().any(|c| c.fleet().last() < versions) {
         now += 10_000;
@@ -204,7 +262,14 @@
                 put += 1;
                 let document = document((put % 1000) as f64, 3)?;
                 let (change, why) = (put.to_string(), "measured".to_owned());
-                let wanted = Put { change, base: None, by: "measure".into(), at: put, why, document };
+                let wanted = Put {
+                    change,
+                    base: None,
+                    by: "measure".into(),
+                    at: put,
+                    why,
+                    document,
+                };
                 cores[0].call(Act::Put(Box::new(wanted)));
             }
         }
@@ -232,7 +297,11 @@
     if core.fleet().last() != versions {
         return Err(io::Error::other("versions are lost"));
     }
-    println!("{versions:>9} {:>10} {:>12.1}", size_of(&file)? / 1024, took.as_secs_f64() * 1000.0);
+    println!(
+        "{versions:>9} {:>10} {:>12.1}",
+        size_of(&file)? / 1024,
+        took.as_secs_f64() * 1000.0
+    );
     drop(core);
     std::fs::remove_dir_all(&dir)
 }
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -42,12 +42,25 @@
     let engine = site.engines[0].listen;
     let time = Duration::from_secs(args.seconds);
     // A statement is two exchanges: posted, and polled for its one page, which waits for the 20 ms of its work.
-    println!("exchanges in µs; {} statements of 20 ms under way on eight cores", args.under_way);
-    println!("{:>4} {:>8} {:>10} {:>10} {:>10}", "pair", "", "p50 poll", "p99 poll", "answered");
+    println!(
+        "exchanges in µs; {} statements of 20 ms under way on eight cores",
+        args.under_way
+    );
+    println!(
+        "{:>4} {:>8} {:>10} {:>10} {:>10}",
+        "pair", "", "p50 poll", "p99 poll", "answered"
+    );
     let mut added = Vec::new();
     for pair in 0..args.pairs {
         let direct = closed(engine, 1, args.under_way, time, |_| statement(), follow);
-        let routed = closed(site.router.addr, 1, args.under_way, time, |_| statement(), follow);
+        let routed = closed(
+            site.router.addr,
+            1,
+            args.under_way,
+            time,
+            |_| statement(),
+            follow,
+        );
         if direct.failed + routed.failed > 0 {
             return Err(io::Error::other("some exchanges failed"));
         }
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -38,10 +38,12 @@
                 let tasks: Vec<_> = (t..connections)
                     .step_by(threads)
                     .map(|n| {
-                        let (answered, times, mut request) = (answered.clone(), times.clone(), first(n));
+                        let (answered, times, mut request) =
+                            (answered.clone(), times.clone(), first(n));
                         ex.spawn(async move {
                             let limit = Duration::from_secs(10);
-                            let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await else {
+                            let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await
+                            else {
                                 return;
                             };
                             while Instant::now() < until {
@@ -52,7 +54,9 @@
                                 match got {
                                     Ok(answer) if answer.status.0 == 200 => {
                                         answered.set((good + 1, bad));
-                                        let _ = times.borrow_mut().record(began.elapsed().as_micros() as u64);
+                                        let _ = times
+                                            .borrow_mut()
+                                            .record(began.elapsed().as_micros() as u64);
                                         request = next(&request, &answer);
                                     }
                                     _ => {
@@ -74,9 +78,15 @@
             })
         })
         .collect();
-    let mut all = Answered { answered: 0, failed: 0, times: Histogram::new(3).expect("a histogram") };
+    let mut all = Answered {
+        answered: 0,
+        failed: 0,
+        times: Histogram::new(3).expect("a histogram"),
+    };
     for handle in handles {
-        let Ok(((good, bad), times)) = handle.join() else { continue };
+        let Ok(((good, bad), times)) = handle.join() else {
+            continue;
+        };
         all.answered += good;
         all.failed += bad;
         let _ = all.times.add(times);
--- a/crates/measure/src/polls.rs
+++ b/crates/measure/src/polls.rs
@@ -37,21 +37,28 @@
 pub fn run(args: &Args) -> io::Result<()> {
     // Statements that never end meanwhile: each poll is answered at once, that nothing is new, and moves on.
     let change = |v: &mut serde_json::Value| {
-        v["limits"] = serde_json::json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
+        v["limits"] =
+            serde_json::json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
         patient(v);
     };
     let site = Site::new(&args.place, 2, change, |e| e.spec.speed = 1e-6)?;
     let router = site.router.addr;
     let submit = || {
-        let first = ask(router, &post("lookup", "SELECT 1 /* work=1h */")).map_err(io::Error::other)?;
+        let first =
+            ask(router, &post("lookup", "SELECT 1 /* work=1h */")).map_err(io::Error::other)?;
         next(&first).ok_or_else(|| io::Error::other("no nextUri"))
     };
     let again = submit()?;
     let same = ask(router, &Request::new(Method::Get, &again)).map_err(io::Error::other)?;
-    let hyper =
-        Measured::start(Command::new(std::env::current_exe()?).arg("bare").arg(same.body.len().to_string()))?;
+    let hyper = Measured::start(
+        Command::new(std::env::current_exe()?)
+            .arg("bare")
+            .arg(same.body.len().to_string()),
+    )?;
     let time = Duration::from_secs(args.seconds);
-    let mut paths: Vec<String> = (0..args.connections).map(|_| submit()).collect::<io::Result<_>>()?;
+    let mut paths: Vec<String> = (0..args.connections)
+        .map(|_| submit())
+        .collect::<io::Result<_>>()?;
     println!(
         "{} bytes of body; polls a second, one thread each; {} connections",
         same.body.len(),
@@ -63,7 +70,9 @@
     );
     let mut ratios = Vec::new();
     let repeat = |request: &Request, _: &Response| request.clone();
-    let moving = |_: &Request, answer: &Response| Request::new(Method::Get, next(answer).unwrap_or_default());
+    let moving = |_: &Request, answer: &Response| {
+        Request::new(Method::Get, next(answer).unwrap_or_default())
+    };
     for pair in 0..args.pairs {
         let path = again.clone();
         let bare = closed(
@@ -93,14 +102,20 @@
             moving,
         );
         // New statements for the next pair: the last tokens stayed with the load.
-        paths = (0..args.connections).map(|_| submit()).collect::<io::Result<_>>()?;
+        paths = (0..args.connections)
+            .map(|_| submit())
+            .collect::<io::Result<_>>()?;
         let rate = |m: &Answered| m.answered as f64 / args.seconds as f64;
         let failed = bare.failed + same.failed + on.failed;
         if failed > 0 {
             return Err(io::Error::other(format!("{failed} connections failed")));
         }
         let (b, s, o) = (rate(&bare), rate(&same), rate(&on));
-        println!("{pair:>4} {b:>12.0} {s:>12.0} {o:>12.0} {:>8.2} {:>8.2}", s / b, o / b);
+        println!(
+            "{pair:>4} {b:>12.0} {s:>12.0} {o:>12.0} {:>8.2} {:>8.2}",
+            s / b,
+            o / b
+        );
         ratios.push((s / b, o / b));
     }
     let median = |of: fn(&(f64, f64)) -> f64| {
@@ -141,7 +156,9 @@
                     async { response }
                 });
                 let io = smol_hyper::rt::FuturesIo::new(stream);
-                let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service).await;
+                let _ = hyper::server::conn::http1::Builder::new()
+                    .serve_connection(io, service)
+                    .await;
             })
             .detach();
         }
--- a/crates/measure/src/runaways.rs
+++ b/crates/measure/src/runaways.rs
@@ -46,7 +46,11 @@
         }
         let each = began.elapsed().as_secs_f64() / f64::from(times);
         let speed = text.len() as f64 / each / 1e6;
-        println!("kind of a statement of {:>7} bytes: {:>9.1} us, {speed:.0} MB/s", text.len(), each * 1e6);
+        println!(
+            "kind of a statement of {:>7} bytes: {:>9.1} us, {speed:.0} MB/s",
+            text.len(),
+            each * 1e6
+        );
     }
 }
 
@@ -54,14 +58,20 @@
 fn watch(settings: &Settings) {
     for n in [100u64, 1_000, 10_000] {
         let mut watch = Watch::new(settings.watch());
-        let listed =
-            |e| Listed { engine: EngineId(e), up: true, classes: vec![true; settings.classes.len()] };
+        let listed = |e| Listed {
+            engine: EngineId(e),
+            up: true,
+            classes: vec![true; settings.classes.len()],
+        };
         watch.listed((0..70).map(listed).collect());
         let mut now = 1_000_000_000;
         let start = |watch: &mut Watch, now, id: u64| {
             let (kind, label) = (KindId(id % 4000), "select a from t where b = ?".into());
             let held_as = watch.arrived(now, kind, 0, &label);
-            let attempt = AttemptId { statement: id, hop: 0 };
+            let attempt = AttemptId {
+                statement: id,
+                hop: 0,
+            };
             let start = Start {
                 attempt,
                 engine: EngineId((id % 70) as u32),
@@ -82,12 +92,18 @@
             now += 200_000 + id % 100_000;
             watch.ended(now, attempt, End::Good, Some(200_000));
         }
-        let ids: Vec<AttemptId> = (0..n).map(|id| start(&mut watch, now, 1_000_000 + id)).collect();
+        let ids: Vec<AttemptId> = (0..n)
+            .map(|id| start(&mut watch, now, 1_000_000 + id))
+            .collect();
         let (mut spent, mut looks) = (Duration::ZERO, 0);
         for _ in 0..12 {
             now += 500_000;
             for id in &ids {
-                let news = News { work: Some(now % 300_000), done: Some(0.5), ..News::default() };
+                let news = News {
+                    work: Some(now % 300_000),
+                    done: Some(0.5),
+                    ..News::default()
+                };
                 watch.told(now, *id, news);
             }
             let began = Instant::now();
@@ -133,7 +149,10 @@
     });
     let findings = || -> Vec<Value> {
         let answer = ask(admin, &Request::new(Method::Get, "/v1/admin/runaways"));
-        let all: Value = answer.ok().and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or_default();
+        let all: Value = answer
+            .ok()
+            .and_then(|a| serde_json::from_slice(&a.body).ok())
+            .unwrap_or_default();
         all["findings"].as_array().cloned().unwrap_or_default()
     };
     let mut found = Vec::new();
@@ -148,7 +167,11 @@
             while !run.is_finished() {
                 let now = findings();
                 if let Some(f) = now.iter().find(|f| f["verdict"] == json!("runaway")) {
-                    found.push((began.elapsed().as_secs_f64(), now.len(), f["cause"].to_string()));
+                    found.push((
+                        began.elapsed().as_secs_f64(),
+                        now.len(),
+                        f["cause"].to_string(),
+                    ));
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(50));
@@ -157,7 +180,11 @@
         });
     }
     found.sort_by(|a, b| a.0.total_cmp(&b.0));
-    println!("over sockets: {} of {} planted runaways found", found.len(), args.planted);
+    println!(
+        "over sockets: {} of {} planted runaways found",
+        found.len(),
+        args.planted
+    );
     for (after, verdicts, cause) in &found {
         println!("  after {after:.1} s, {cause}; verdicts standing then: {verdicts}");
     }
