--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -42,12 +42,19 @@
 impl Measured {
     /// Starts a process that says `ready http://ADDR`.
     pub fn start(command: &mut Command) -> io::Result<Measured> {
-        let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
+        let mut child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .spawn()?;
         let mut line = String::new();
         if let Some(out) = child.stdout.take() {
             BufReader::new(out).read_line(&mut line)?;
         }
-        match line.trim().strip_prefix("ready http://").and_then(|a| a.parse().ok()) {
+        match line
+            .trim()
+            .strip_prefix("ready http://")
+            .and_then(|a| a.parse().ok())
+        {
             Some(addr) => Ok(Measured { addr, child }),
             None => {
                 let _ = child.kill();
@@ -62,7 +69,8 @@
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let kb = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse::<u64>().ok());
-        kb.map(|kb| kb * 1024).ok_or_else(|| io::Error::other("no VmRSS"))
+        kb.map(|kb| kb * 1024)
+            .ok_or_else(|| io::Error::other("no VmRSS"))
     }
 }
 
@@ -105,11 +113,17 @@
         value["discovery"]["address"] = json!(discovery.addr.to_string());
         change(&mut value);
         // JSON is Jsonnet too.
-        let file = std::env::temp_dir().join(format!("hoptiller-measure-{}.jsonnet", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("hoptiller-measure-{}.jsonnet", std::process::id()));
         std::fs::write(&file, value.to_string())?;
         let router = Measured::start(Command::new(&place.program).arg("route").arg(&file));
         std::fs::remove_file(&file)?;
-        let site = Site { _discovery: discovery, engines: configs, _running: running, router: router? };
+        let site = Site {
+            _discovery: discovery,
+            engines: configs,
+            _running: running,
+            router: router?,
+        };
         let began = Instant::now();
         while site.info()["engines"] != json!(engines) {
             if began.elapsed() > Duration::from_secs(20) {
@@ -122,7 +136,10 @@
 
     pub fn info(&self) -> Value {
         let answer = ask(self.router.addr, &Request::new(Method::Get, "/v1/info"));
-        answer.ok().and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or_default()
+        answer
+            .ok()
+            .and_then(|a| serde_json::from_slice(&a.body).ok())
+            .unwrap_or_default()
     }
 }
 
@@ -137,7 +154,12 @@
 /// One exchange on a connection of its own.
 pub fn ask(addr: SocketAddr, request: &Request) -> Result<Response, ClientError> {
     let limit = Duration::from_secs(30);
-    block_on(async { Connection::open(addr, limit, Limits::default()).await?.exchange(request, limit).await })
+    block_on(async {
+        Connection::open(addr, limit, Limits::default())
+            .await?
+            .exchange(request, limit)
+            .await
+    })
 }
 
 /// A submission.
--- a/crates/measure/src/tasks.rs
+++ b/crates/measure/src/tasks.rs
@@ -82,7 +82,9 @@
         }
         let (all, drains) = self.seen.get();
         let now_all = all || entries.len() == self.engines;
-        let now_drains = entries.iter().any(|e| e.readiness == hoptiller::Readiness::Draining);
+        let now_drains = entries
+            .iter()
+            .any(|e| e.readiness == hoptiller::Readiness::Draining);
         if let Ok(mut known) = self.known.lock() {
             known.0 += usize::from(now_all && !all);
             if now_drains && !drains {
@@ -140,8 +142,8 @@
                 "discovery": { "address": at, "environment": "lettings", "every": "1s", "state_every": "1s" },
                 "agreement": { "keepers": keepers, "secret": secret, "permit": "4s" },
             });
-            let settings =
-                Settings::from_value("measured", &value).map_err(|p| io::Error::other(format!("{p:?}")))?;
+            let settings = Settings::from_value("measured", &value)
+                .map_err(|p| io::Error::other(format!("{p:?}")))?;
             let Some(agreement) = settings.agreement.clone() else {
                 return Err(io::Error::other("no agreement"));
             };
@@ -166,12 +168,17 @@
     }
     // A router is given leases after a term in which it has asked; then they spread.
     std::thread::sleep(PERMIT * 3);
-    let (before, began) = ((reads.load(Ordering::Relaxed), asked.load(Ordering::Relaxed)), Instant::now());
+    let (before, began) = (
+        (reads.load(Ordering::Relaxed), asked.load(Ordering::Relaxed)),
+        Instant::now(),
+    );
     std::thread::sleep(Duration::from_secs(args.seconds));
     let passed = began.elapsed().as_secs_f64();
     let rate = |now: u64, before: u64| (now - before) as f64 / passed;
-    let rates =
-        (rate(reads.load(Ordering::Relaxed), before.0), rate(asked.load(Ordering::Relaxed), before.1));
+    let rates = (
+        rate(reads.load(Ordering::Relaxed), before.0),
+        rate(asked.load(Ordering::Relaxed), before.1),
+    );
     // An engine is told to drain: when does each router know?
     let mut drain = hoptiller_http::Request::new(hoptiller_http::Method::Put, "/v1/info/state");
     drain.body = b"\"SHUTTING_DOWN\"".to_vec();
@@ -184,10 +191,14 @@
     .map_err(io::Error::other)?;
     let knows = |known: &Mutex<(usize, Vec<Instant>)>| known.lock().map_or(0, |k| k.1.len());
     if !stage.until(LONG, |_| knows(&known) == size) {
-        return Err(io::Error::other("not all routers came to know of the drain"));
+        return Err(io::Error::other(
+            "not all routers came to know of the drain",
+        ));
     }
-    let mut times: Vec<u128> =
-        known.lock().map(|k| k.1.iter().map(|t| (*t - told).as_millis()).collect()).unwrap_or_default();
+    let mut times: Vec<u128> = known
+        .lock()
+        .map(|k| k.1.iter().map(|t| (*t - told).as_millis()).collect())
+        .unwrap_or_default();
     times.sort_unstable();
     println!(
         "{size:>8} {:>8} {:>14.1} {:>16.1} {:>18} {:>18}",
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -85,7 +85,9 @@
     /// What the decision module is told.
     pub fn ending(&self) -> Ending {
         match self {
-            Failed::NoDescriptor | Failed::NoEngine | Failed::NotBegun(_) | Failed::Nobody => Ending::Moot,
+            Failed::NoDescriptor | Failed::NoEngine | Failed::NotBegun(_) | Failed::Nobody => {
+                Ending::Moot
+            }
             Failed::Connect(_) | Failed::Unsent(_) => Ending::NoConnection,
             Failed::Broken(_) => Ending::Reset,
             Failed::Line(_) | Failed::Rows(_) | Failed::Error => Ending::Bad,
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -26,7 +26,13 @@
         let usable = limits.sockets.saturating_sub(OWN);
         let clients = (limits.sockets * 9 / 20).min(usable);
         let memory = (limits.memory_mb * 1024.0 * 1024.0) as u64;
-        Budget { clients, engines: usable - clients, open: clients, incoming: memory / 16, held: memory / 8 }
+        Budget {
+            clients,
+            engines: usable - clients,
+            open: clients,
+            incoming: memory / 16,
+            held: memory / 8,
+        }
     }
 }
 
@@ -37,9 +43,16 @@
     #[test]
     fn clients_get_more_than_their_third_and_engines_a_share_of_their_own() {
         for sockets in [64, 256, 1024, 65536] {
-            let b = Budget::of(&Limits { cores: 0.4, memory_mb: 32.0, sockets });
+            let b = Budget::of(&Limits {
+                cores: 0.4,
+                memory_mb: 32.0,
+                sockets,
+            });
             assert!(b.clients * 3 > sockets, "{b:?}");
-            assert!(b.engines > 0 && b.clients + b.engines + OWN <= sockets, "{b:?}");
+            assert!(
+                b.engines > 0 && b.clients + b.engines + OWN <= sockets,
+                "{b:?}"
+            );
             assert!(b.incoming + b.held < 32 << 18, "under a quarter: {b:?}");
         }
     }
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -111,7 +111,11 @@
     ) -> Result<std::convert::Infallible, Broken> {
         let mut stream = limited(CONNECT_WITHIN, Async::<TcpStream>::connect(addr)).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        limited(CONNECT_WITHIN, stream.write_all(&self.last.get().to_be_bytes())).await?;
+        limited(
+            CONNECT_WITHIN,
+            stream.write_all(&self.last.get().to_be_bytes()),
+        )
+        .await?;
         let mut frames = Frames::new(self.last.get());
         let mut bytes = vec![0; 8 << 10];
         let mut heard = Instant::now();
@@ -134,7 +138,10 @@
     }
 }
 
-async fn limited<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> Result<T, Broken> {
+async fn limited<T>(
+    limit: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> Result<T, Broken> {
     let work = async { work.await.map_err(Broken::Io) };
     future::or(work, async {
         Timer::after(limit).await;
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -64,7 +64,12 @@
     stop: impl Future<Output = ()>,
 ) {
     let config = Config {
-        limits: Limits { head: 8 << 10, fields: 40, target: 256, body: BODY },
+        limits: Limits {
+            head: 8 << 10,
+            fields: 40,
+            target: 256,
+            body: BODY,
+        },
         connections: front.budget.clients,
         incoming: front.budget.incoming,
         request_within: REQUEST_WITHIN,
@@ -85,10 +90,12 @@
 async fn answer(front: &Rc<Front>, request: Request) -> Response {
     match (&request.method, request.path()) {
         (Method::Get, call::HEALTH) => Response::text(200, "ready"),
-        (Method::Post, path) if path.starts_with(call::PATH) => match Call::read(request, &front.names) {
-            Ok(call) => carry(front, call).await,
-            Err(e) => call::wrong(e),
-        },
+        (Method::Post, path) if path.starts_with(call::PATH) => {
+            match Call::read(request, &front.names) {
+                Ok(call) => carry(front, call).await,
+                Err(e) => call::wrong(e),
+            }
+        }
         _ => Response::text(404, "nothing here"),
     }
 }
@@ -107,7 +114,9 @@
         self.front.rounds.unlisten(self.id);
         if !self.answered {
             tracing::debug!(id = %self.name, "its client left");
-            self.front.rounds.with(|core, now| core.cancel(now, self.id));
+            self.front
+                .rounds
+                .with(|core, now| core.cancel(now, self.id));
         }
     }
 }
@@ -116,7 +125,15 @@
     if !front.open_ids.0.borrow_mut().insert(call.id.clone()) {
         return call::wrong(CallError::Open);
     }
-    let Call { class, patience, repeat, guess, want_mb, group, .. } = call;
+    let Call {
+        class,
+        patience,
+        repeat,
+        guess,
+        want_mb,
+        group,
+        ..
+    } = call;
     tracing::debug!(id = %call.id, class, patience, repeat, guess, want_mb, group, "taken");
     let name = call.id.clone();
     let submission = Submission {
@@ -143,7 +160,12 @@
         front.open_ids.0.borrow_mut().remove(&name);
         return call::refused(None);
     };
-    let mut asking = Asking { front: front.clone(), id, name, answered: false };
+    let mut asking = Asking {
+        front: front.clone(),
+        id,
+        name,
+        answered: false,
+    };
     let mut page = 0;
     loop {
         // The ear is there before the question, so that no news falls between them.
@@ -171,7 +193,9 @@
 
 fn last(how: &Final) -> Response {
     match how {
-        Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => call::refused(*hold_off),
+        Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => {
+            call::refused(*hold_off)
+        }
         other => call::failed(other.why()),
     }
 }
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -44,7 +44,11 @@
 
 impl Listing {
     fn of(m: &Member) -> Listing {
-        Listing { addr: m.addr, started_ms: m.started_ms, phase: m.phase }
+        Listing {
+            addr: m.addr,
+            started_ms: m.started_ms,
+            phase: m.phase,
+        }
     }
 
     fn is_gone(&self) -> bool {
@@ -118,14 +122,26 @@
     /// To nobody yet.
     pub fn new(manner: Manner, retries: Rc<Retries>) -> Links {
         let (targets, open, held) = Default::default();
-        Links { manner, targets, open, held, freed: Event::new(), probes: Cell::new(0), retries }
+        Links {
+            manner,
+            targets,
+            open,
+            held,
+            freed: Event::new(),
+            probes: Cell::new(0),
+            retries,
+        }
     }
 
     /// News of an engine. By its id, not its address: another one may get that.
     pub fn told(&self, m: &Member) {
         let mut targets = self.targets.borrow_mut();
         let (id, listing) = (EngineId(m.id), Listing::of(m));
-        let fresh = || Target { listing, used: 0, idle: Vec::new() };
+        let fresh = || Target {
+            listing,
+            used: 0,
+            idle: Vec::new(),
+        };
         let target = targets.entry(id).or_insert_with(fresh);
         if !target.listing.is_same_process(&listing) || listing.is_gone() {
             target.idle.clear();
@@ -149,7 +165,11 @@
 
     /// What the list says of an engine; `None`: it has gone, or was never there.
     pub fn listing(&self, engine: EngineId) -> Option<Listing> {
-        self.targets.borrow().get(&engine).map(|t| t.listing).filter(|l| !l.is_gone())
+        self.targets
+            .borrow()
+            .get(&engine)
+            .map(|t| t.listing)
+            .filter(|l| !l.is_gone())
     }
 
     /// Connections open, and engines known.
@@ -194,7 +214,9 @@
                 // An idle one that the engine had closed: nothing was sent, and there are others.
                 Err(Failed::Unsent(_)) if used_before => {}
                 // The connection is good, and paid for.
-                Err(Failed::NotBegun(why)) => return self.refused(engine, link, Failed::NotBegun(why)),
+                Err(Failed::NotBegun(why)) => {
+                    return self.refused(engine, link, Failed::NotBegun(why));
+                }
                 Err(why) => return Err(why),
             }
         };
@@ -219,10 +241,19 @@
 
     /// Writes a request. Its first byte goes out at a moment at which nothing speaks against it; how long its answer is
     /// waited for is told as of then.
-    async fn send(&self, engine: EngineId, order: &Order<'_>, link: &mut Link) -> Result<(), Failed> {
+    async fn send(
+        &self,
+        engine: EngineId,
+        order: &Order<'_>,
+        link: &mut Link,
+    ) -> Result<(), Failed> {
         let (line, written) = loop {
             self.may_begin(engine, order).map_err(Failed::NotBegun)?;
-            let wait_ms = order.until.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
+            let wait_ms = order
+                .until
+                .saturating_duration_since(Instant::now())
+                .as_millis()
+                .max(1) as u64;
             let line = engine::request(&order.send, wait_ms);
             match io::Write::write(&mut link.stream.get_ref(), line.as_bytes()) {
                 Ok(0) => return Err(Failed::Unsent(io::ErrorKind::WriteZero.into())),
@@ -238,7 +269,10 @@
         if order.further {
             self.retries.begun(Instant::now());
         }
-        link.stream.write_all(&line.as_bytes()[written..]).await.map_err(Failed::Broken)
+        link.stream
+            .write_all(&line.as_bytes()[written..])
+            .await
+            .map_err(Failed::Broken)
     }
 
     /// Whether an attempt may begin now. Danger: between the decision and a connection lies time, in which clients
@@ -266,18 +300,31 @@
     }
 
     /// Fetches the further pages, all at once, while there is room for them.
-    async fn gather(&self, link: &mut Link, order: &Order<'_>, served: Served) -> Result<String, Failed> {
+    async fn gather(
+        &self,
+        link: &mut Link,
+        order: &Order<'_>,
+        served: Served,
+    ) -> Result<String, Failed> {
         let id = order.send.id;
         let mut gather = Gather::new(served.pages);
         gather.take(0, served.page).map_err(Failed::Rows)?;
         if served.pages > 1 {
             let bytes = served.pages as u64 * hoptiller_platform::rows::PAGE as u64;
             let Some(_share) = self.room(bytes, order.token).await else {
-                link.stream.write_all(engine::end(id).as_bytes()).await.map_err(Failed::Broken)?;
+                link.stream
+                    .write_all(engine::end(id).as_bytes())
+                    .await
+                    .map_err(Failed::Broken)?;
                 return Err(Failed::Abandoned);
             };
-            let lines: String = (1..served.pages).map(|page| engine::fetch(id, page)).collect();
-            link.stream.write_all(lines.as_bytes()).await.map_err(Failed::Broken)?;
+            let lines: String = (1..served.pages)
+                .map(|page| engine::fetch(id, page))
+                .collect();
+            link.stream
+                .write_all(lines.as_bytes())
+                .await
+                .map_err(Failed::Broken)?;
             while !gather.is_whole() {
                 match link.answer(id).await? {
                     Said::Rows(number, page) => gather.take(number, page).map_err(Failed::Rows)?,
@@ -300,9 +347,15 @@
             let held = self.held.get();
             if held == 0 || held + bytes <= self.manner.held {
                 self.held.set(held + bytes);
-                return Some(Share { held: self.held.clone(), bytes });
+                return Some(Share {
+                    held: self.held.clone(),
+                    bytes,
+                });
             }
-            future::or(freed, async { _ = Timer::after(Duration::from_millis(20)).await }).await;
+            future::or(freed, async {
+                _ = Timer::after(Duration::from_millis(20)).await
+            })
+            .await;
         }
     }
 
@@ -313,7 +366,10 @@
         let tag = format!("load-{}", self.probes.get());
         let work = async {
             let (mut link, _) = self.link(engine, None).await.ok()?;
-            link.stream.write_all(engine::stat(&tag).as_bytes()).await.ok()?;
+            link.stream
+                .write_all(engine::stat(&tag).as_bytes())
+                .await
+                .ok()?;
             loop {
                 if let Said::Probed(report) = link.answer(&tag).await.ok()? {
                     self.give_back(engine, link);
@@ -329,14 +385,23 @@
     }
 
     fn enter(&self, engine: EngineId) -> Option<Use<'_>> {
-        self.targets.borrow_mut().get_mut(&engine).filter(|t| !t.listing.is_gone())?.used += 1;
-        Some(Use { links: self, engine })
+        self.targets
+            .borrow_mut()
+            .get_mut(&engine)
+            .filter(|t| !t.listing.is_gone())?
+            .used += 1;
+        Some(Use {
+            links: self,
+            engine,
+        })
     }
 
     /// A connection to an engine that has not carried this request, and whether it was used before.
     async fn link(&self, engine: EngineId, key: Option<u64>) -> Result<(Link, bool), Failed> {
         loop {
-            let Some(mut link) = self.take_idle(engine, key) else { break };
+            let Some(mut link) = self.take_idle(engine, key) else {
+                break;
+            };
             if link.is_sound() {
                 return Ok((link, true));
             }
@@ -354,14 +419,27 @@
         let _ = stream.get_ref().set_nodelay(true);
         let (lines, since) = (Lines::default(), Instant::now());
         let (carried, read) = (Vec::new(), 0);
-        Ok((Link { stream, lines, since, listing, carried, read, _place: place }, false))
+        Ok((
+            Link {
+                stream,
+                lines,
+                since,
+                listing,
+                carried,
+                read,
+                _place: place,
+            },
+            false,
+        ))
     }
 
     /// Danger: a late answer to an earlier attempt of the same request must not be taken for this one's.
     fn take_idle(&self, engine: EngineId, key: Option<u64>) -> Option<Link> {
         let mut targets = self.targets.borrow_mut();
         let idle = &mut targets.get_mut(&engine)?.idle;
-        let at = idle.iter().rposition(|l| key.is_none_or(|key| !l.carried.contains(&key)))?;
+        let at = idle
+            .iter()
+            .rposition(|l| key.is_none_or(|key| !l.carried.contains(&key)))?;
         Some(idle.remove(at))
     }
 
@@ -394,7 +472,10 @@
 
     fn close_oldest(&self) {
         let mut targets = self.targets.borrow_mut();
-        let oldest = targets.values_mut().filter(|t| !t.idle.is_empty()).min_by_key(|t| t.idle[0].since);
+        let oldest = targets
+            .values_mut()
+            .filter(|t| !t.idle.is_empty())
+            .min_by_key(|t| t.idle[0].since);
         if let Some(t) = oldest {
             t.idle.remove(0);
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -109,7 +109,9 @@
     fn start(self, unix_ms: u64) -> Micros {
         match unix_ms {
             0 => 0,
-            ms => (self.core.saturating_add(ms.saturating_mul(1000))).saturating_sub(self.unix).max(1),
+            ms => (self.core.saturating_add(ms.saturating_mul(1000)))
+                .saturating_sub(self.unix)
+                .max(1),
         }
     }
 }
@@ -117,7 +119,11 @@
 /// What clients may ask for of a class.
 fn terms(name: &str, class: &hoptiller::Class) -> ClassTerms {
     let keyed = matches!(class.effect, hoptiller::Effect::Keyed { .. });
-    ClassTerms { name: name.to_owned(), patience: class.deadline, keyed }
+    ClassTerms {
+        name: name.to_owned(),
+        patience: class.deadline,
+        keyed,
+    }
 }
 
 fn read(file: &std::path::Path) -> Result<Config, StartError> {
@@ -135,10 +141,19 @@
         let mut cfg = hoptiller_host::settings(s);
         // Usual clients hold a third of the descriptors at most, and have one request open on each connection.
         let most = config.limits.sockets / 3;
-        cfg.limits.max_open = if cfg.limits.max_open == 0 { most } else { cfg.limits.max_open.min(most) };
+        cfg.limits.max_open = if cfg.limits.max_open == 0 {
+            most
+        } else {
+            cfg.limits.max_open.min(most)
+        };
         tracing::debug!(limits = ?config.limits, settings = ?cfg, "starting");
         let names = Rc::new(Names {
-            classes: s.lanes.iter().zip(&cfg.classes).map(|(l, c)| terms(&l.name, c)).collect(),
+            classes: s
+                .lanes
+                .iter()
+                .zip(&cfg.classes)
+                .map(|(l, c)| terms(&l.name, c))
+                .collect(),
             tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
         });
         let bounds = Bounds {
@@ -150,7 +165,8 @@
             held_bytes: budget.held,
             answer_margin: ANSWER_MARGIN,
         };
-        let time = |ms: f64, least: f64| Duration::from_micros(hoptiller_host::micros(ms.max(least)));
+        let time =
+            |ms: f64, least: f64| Duration::from_micros(hoptiller_host::micros(ms.max(least)));
         let connect_within = time(s.limits.connect_timeout, 50.0);
         let manner = Manner {
             connect_within,
@@ -160,14 +176,28 @@
             held: budget.held,
         };
         let tick = time(s.tick, 1.0);
-        let longest = cfg.classes.iter().map(|c| Duration::from_micros(c.deadline)).max().unwrap_or(KILL);
+        let longest = cfg
+            .classes
+            .iter()
+            .map(|c| Duration::from_micros(c.deadline))
+            .max()
+            .unwrap_or(KILL);
         let retries = Rc::new(Retries::new(cfg.rules.retry_budget));
-        let core_names = core::Names { router: config.name.clone(), life: config.seed.clone() };
-        let core = Core::new(cfg, config.seed(), bounds, None, core_names).map_err(StartError::Settings)?;
+        let core_names = core::Names {
+            router: config.name.clone(),
+            life: config.seed.clone(),
+        };
+        let core = Core::new(cfg, config.seed(), bounds, None, core_names)
+            .map_err(StartError::Settings)?;
         let node = Rc::new_cyclic(|me: &Weak<Node>| {
             let rounds = Rc::new(Rounds::new(core, tick, me.clone()));
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            let unix = Unix { core: rounds.now(), unix: unix.as_micros() as Micros };
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
+            let unix = Unix {
+                core: rounds.now(),
+                unix: unix.as_micros() as Micros,
+            };
             let front = Front {
                 rounds: rounds.clone(),
                 names: names.clone(),
@@ -208,8 +238,16 @@
         self.ex.spawn(async move { me.rounds.run().await });
         let me = self.clone();
         self.ex.spawn(async move {
-            let scope = |update: &Update| if update.whole { Scope::All } else { Scope::Changes };
-            me.follower.run(|update| me.told(scope(&update), update)).await;
+            let scope = |update: &Update| {
+                if update.whole {
+                    Scope::All
+                } else {
+                    Scope::Changes
+                }
+            };
+            me.follower
+                .run(|update| me.told(scope(&update), update))
+                .await;
         });
         let me = self.clone();
         self.ex.spawn(async move {
@@ -360,15 +398,31 @@
         self.under_way.borrow_mut().remove(&(a.id, a.hop));
         match came {
             Ok(whole) => {
-                tracing::debug!(id = name, hop = a.hop, engine = a.engine.0, work = whole.work, "served");
+                tracing::debug!(
+                    id = name,
+                    hop = a.hop,
+                    engine = a.engine.0,
+                    work = whole.work,
+                    "served"
+                );
                 let rows = RawValue::from_string(whole.rows).ok().map(Rc::from);
                 let (work, report) = (whole.work, whole.report);
-                let page = Page { rows, last: true, work, report, ..Page::default() };
+                let page = Page {
+                    rows,
+                    last: true,
+                    work,
+                    report,
+                    ..Page::default()
+                };
                 self.with_core(|core, now| core.page(now, a.id, a.hop, page));
             }
             Err(why) => {
                 tracing::debug!(id = name, hop = a.hop, engine = a.engine.0, %why, "ended");
-                let ended = Ended { ending: why.ending(), why: why.to_string(), report: None };
+                let ended = Ended {
+                    ending: why.ending(),
+                    why: why.to_string(),
+                    report: None,
+                };
                 self.with_core(|core, now| core.ended(now, a.id, a.hop, ended));
             }
         }
@@ -395,11 +449,22 @@
                 // What takes it back and what the list says are those of the decision, not of its task's first step.
                 let Some(listing) = self.links.listing(attempt.engine) else {
                     let why = Failed::NoEngine;
-                    let ended = Ended { ending: why.ending(), why: why.to_string(), report: None };
-                    return self.rounds.core().ended(self.rounds.now(), attempt.id, attempt.hop, ended);
+                    let ended = Ended {
+                        ending: why.ending(),
+                        why: why.to_string(),
+                        report: None,
+                    };
+                    return self.rounds.core().ended(
+                        self.rounds.now(),
+                        attempt.id,
+                        attempt.hop,
+                        ended,
+                    );
                 };
                 let token = Rc::<CancelToken>::default();
-                self.under_way.borrow_mut().insert((attempt.id, attempt.hop), token.clone());
+                self.under_way
+                    .borrow_mut()
+                    .insert((attempt.id, attempt.hop), token.clone());
                 self.ex.spawn(me.attempt(attempt, listing, token));
             }
             Command::Withdraw { id, hop } => {
@@ -413,8 +478,22 @@
                 me.with_core(|core, _| core.probed(engine, report));
             }),
             Command::Wake(id) => self.rounds.wake(id),
-            Command::Settled { id, class, how, after, attempts } => {
-                tracing::debug!(id, class, how = how.word(), why = how.why(), after, attempts, "settled");
+            Command::Settled {
+                id,
+                class,
+                how,
+                after,
+                attempts,
+            } => {
+                tracing::debug!(
+                    id,
+                    class,
+                    how = how.word(),
+                    why = how.why(),
+                    after,
+                    attempts,
+                    "settled"
+                );
                 // Danger: its client has its answer, or has left. What has not begun for it must not begin.
                 self.under_way
                     .borrow()
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -23,12 +23,18 @@
 impl Retries {
     /// Nothing was taken yet. `None`: further attempts are not rationed, and nothing is kept.
     pub fn new(budget: Option<RetryBudget>) -> Retries {
-        Retries { budget, times: RefCell::default() }
+        Retries {
+            budget,
+            times: RefCell::default(),
+        }
     }
 
     fn forget(&self, now: Instant, times: &mut Times, look_back: Duration) {
         for line in [&mut times.taken, &mut times.begun] {
-            while line.front().is_some_and(|at| now.saturating_duration_since(*at) > look_back) {
+            while line
+                .front()
+                .is_some_and(|at| now.saturating_duration_since(*at) > look_back)
+            {
                 line.pop_front();
             }
         }
@@ -48,7 +54,11 @@
         let (mut times, look_back) = (self.times.borrow_mut(), Duration::from_micros(b.look_back));
         self.forget(now, &mut times, look_back);
         // What is just as old as the budget looks back counts among those begun, and not among those taken.
-        let counted = times.taken.iter().filter(|at| now.saturating_duration_since(**at) < look_back).count();
+        let counted = times
+            .taken
+            .iter()
+            .filter(|at| now.saturating_duration_since(**at) < look_back)
+            .count();
         times.begun.len() as f64 + 1.0 <= b.spare + b.ratio * counted as f64
     }
 
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -72,7 +72,9 @@
     pub fn read<'a>(lines: impl IntoIterator<Item = &'a str>) -> Trace {
         let mut trace = Trace::default();
         for (n, line) in lines.into_iter().enumerate() {
-            let Some((head, said)) = line.split_once("hoptiller_node::node: ") else { continue };
+            let Some((head, said)) = line.split_once("hoptiller_node::node: ") else {
+                continue;
+            };
             let (word, fields) = said.split_once(' ').unwrap_or((said, ""));
             let read = match word {
                 "send" => trace.sent(n + 1, time_of(head), fields),
@@ -93,8 +95,14 @@
         if self.round.as_ref().is_some_and(|r| r.number != round) {
             self.settle();
         }
-        let fresh = || Round { number: round, sends: BTreeMap::new() };
-        self.round.get_or_insert_with(fresh).sends.insert(engine, (line, believed));
+        let fresh = || Round {
+            number: round,
+            sends: BTreeMap::new(),
+        };
+        self.round
+            .get_or_insert_with(fresh)
+            .sends
+            .insert(engine, (line, believed));
         let out = self.out.entry(engine).or_default();
         out.insert((name, hop));
         let seen = self.engines.entry(engine).or_default();
@@ -126,14 +134,21 @@
 
     /// A round's sends are all there: the count is held against the belief.
     fn settle(&mut self) {
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.round.take() else {
+            return;
+        };
         for (engine, (line, believed)) in round.sends {
             let counted = self.out.get(&engine).map_or(0, HashSet::len) as u64;
             self.compared += 1;
             if counted != believed {
                 self.wrong_in_all += 1;
                 if self.wrong.len() < KEPT {
-                    self.wrong.push(Wrong { line, engine, counted, believed });
+                    self.wrong.push(Wrong {
+                        line,
+                        engine,
+                        counted,
+                        believed,
+                    });
                 }
             }
         }
@@ -142,11 +157,17 @@
 
 /// The time of day of a line, in µs: hours, minutes and seconds as RFC 3339 writes them.
 fn time_of(head: &str) -> Option<u64> {
-    let stamp = head.split_whitespace().find(|word| word.contains('T') && word.ends_with('Z'))?;
+    let stamp = head
+        .split_whitespace()
+        .find(|word| word.contains('T') && word.ends_with('Z'))?;
     let mut parts = stamp.split_once('T')?.1.trim_end_matches('Z').split(':');
     let whole = |part: Option<&str>| part?.parse::<u64>().ok().filter(|n| *n < 60);
     let (hours, minutes) = (whole(parts.next())?, whole(parts.next())?);
-    let seconds = parts.next()?.parse::<f64>().ok().filter(|s| (0.0..61.0).contains(s))?;
+    let seconds = parts
+        .next()?
+        .parse::<f64>()
+        .ok()
+        .filter(|s| (0.0..61.0).contains(s))?;
     Some((hours * 60 + minutes) * 60_000_000 + (seconds * 1e6) as u64)
 }
 
@@ -172,11 +193,17 @@
     }
 
     fn send(second: f64, id: &str, engine: u32, round: u64, believed: u64) -> String {
-        line(second, &format!("send id=\"{id}\" hop=0 engine={engine} round={round} believed={believed}"))
+        line(
+            second,
+            &format!("send id=\"{id}\" hop=0 engine={engine} round={round} believed={believed}"),
+        )
     }
 
     fn end(second: f64, id: &str, engine: u32, why: &str) -> String {
-        line(second, &format!("ended id=\"{id}\" hop=0 engine={engine} why={why}"))
+        line(
+            second,
+            &format!("ended id=\"{id}\" hop=0 engine={engine} why={why}"),
+        )
     }
 
     fn read(lines: &[String]) -> Trace {
@@ -187,14 +214,39 @@
     fn a_belief_that_holds_is_not_reported_and_one_that_does_not_is_named() {
         let served = line(3.0, "served id=\"a\" hop=0 engine=1 work=Some(5)");
         // Two sends of one round are both believed out at the first of them.
-        let mut lines = vec![send(1.0, "a", 1, 7, 2), send(1.0, "b", 1, 7, 2), send(1.0, "c", 2, 7, 1)];
+        let mut lines = vec![
+            send(1.0, "a", 1, 7, 2),
+            send(1.0, "b", 1, 7, 2),
+            send(1.0, "c", 2, 7, 1),
+        ];
         lines.extend([served, send(4.0, "d", 1, 8, 2)]);
         let trace = read(&lines);
-        assert_eq!((trace.compared, trace.wrong_in_all, trace.unread), (3, 0, 0), "{:?}", trace.wrong);
-        assert_eq!(trace.engines[&1], Seen { sent: 3, served: 1, most_out: 2, ..Seen::default() });
+        assert_eq!(
+            (trace.compared, trace.wrong_in_all, trace.unread),
+            (3, 0, 0),
+            "{:?}",
+            trace.wrong
+        );
+        assert_eq!(
+            trace.engines[&1],
+            Seen {
+                sent: 3,
+                served: 1,
+                most_out: 2,
+                ..Seen::default()
+            }
+        );
         lines[4] = send(4.0, "d", 1, 8, 3);
         let trace = read(&lines);
-        assert_eq!(trace.wrong, [Wrong { line: 5, engine: 1, counted: 2, believed: 3 }]);
+        assert_eq!(
+            trace.wrong,
+            [Wrong {
+                line: 5,
+                engine: 1,
+                counted: 2,
+                believed: 3
+            }]
+        );
     }
 
     #[test]
@@ -209,8 +261,18 @@
             send(2.6, "c", 1, 4, 1),
         ];
         let seen = read(&lines).engines[&1];
-        let want = Seen { sent: 4, full: 1, unreached: 1, again: 1, most_out: 1, ..Seen::default() };
-        assert_eq!(seen, want, "1.1 s after the last one it turned away is no longer at once");
+        let want = Seen {
+            sent: 4,
+            full: 1,
+            unreached: 1,
+            again: 1,
+            most_out: 1,
+            ..Seen::default()
+        };
+        assert_eq!(
+            seen, want,
+            "1.1 s after the last one it turned away is no longer at once"
+        );
     }
 
     #[test]
@@ -224,6 +286,9 @@
             send(1.0, "a", 1, 1, 1).replace("T22", "T9999999999999"),
         ];
         let trace = read(&lines);
-        assert_eq!((trace.unread, trace.compared, trace.engines.len()), (4, 0, 0));
+        assert_eq!(
+            (trace.unread, trace.compared, trace.engines.len()),
+            (4, 0, 0)
+        );
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -36,7 +36,10 @@
 /// An engine that answers each line by its script, told the number of the request.
 pub fn engine(ex: &Spawner, script: Script) -> (SocketAddr, Seen) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
-    let (addr, seen) = (listener.get_ref().local_addr().expect("bound"), Seen::default());
+    let (addr, seen) = (
+        listener.get_ref().local_addr().expect("bound"),
+        Seen::default(),
+    );
     let (lines, spawner) = (seen.clone(), ex.clone());
     ex.spawn(async move {
         let mut connection = 0;
@@ -71,7 +74,9 @@
 
 /// A record of the engine list, as a frame holds it.
 pub fn record(id: u32, addr: SocketAddr, state: u8) -> Vec<u8> {
-    let SocketAddr::V4(v4) = addr else { panic!("IPv4") };
+    let SocketAddr::V4(v4) = addr else {
+        panic!("IPv4")
+    };
     let mut r = id.to_be_bytes().to_vec();
     r.extend(v4.ip().octets());
     r.extend(v4.port().to_be_bytes());
@@ -95,7 +100,10 @@
     script: Rc<dyn Fn(usize, u64) -> (Vec<u8>, bool)>,
 ) -> (SocketAddr, Rc<RefCell<Vec<u64>>>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
-    let (addr, asked) = (listener.get_ref().local_addr().expect("bound"), Rc::<RefCell<Vec<u64>>>::default());
+    let (addr, asked) = (
+        listener.get_ref().local_addr().expect("bound"),
+        Rc::<RefCell<Vec<u64>>>::default(),
+    );
     let (seen, spawner) = (asked.clone(), ex.clone());
     ex.spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -124,8 +132,14 @@
 pub struct File(pub PathBuf);
 
 impl File {
-    pub fn new(name: &str, engines: &[(u32, SocketAddr)], coordinator: SocketAddr, sockets: usize) -> File {
-        let file = std::env::temp_dir().join(format!("hoptiller-node-{}-{name}.json", std::process::id()));
+    pub fn new(
+        name: &str,
+        engines: &[(u32, SocketAddr)],
+        coordinator: SocketAddr,
+        sockets: usize,
+    ) -> File {
+        let file =
+            std::env::temp_dir().join(format!("hoptiller-node-{}-{name}.json", std::process::id()));
         std::fs::write(&file, File::text(engines, coordinator, sockets)).expect("written");
         File(file)
     }
@@ -174,7 +188,11 @@
     pub fn new() -> Peer {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
         let addr = listener.get_ref().local_addr().expect("bound");
-        Peer { listener, addr, filling: RefCell::default() }
+        Peer {
+            listener,
+            addr,
+            filling: RefCell::default(),
+        }
     }
 
     /// Connections to it stay half up until [`Peer::connections_come_up`]: its queue holds one, which is taken.
@@ -189,13 +207,20 @@
     pub async fn connections_come_up(&self) {
         rustix::net::listen(self.listener.get_ref(), 128).expect("a longer queue");
         let filling = self.filling.borrow_mut().take();
-        let (first, _) = self.listener.accept().await.expect("the one that filled it");
+        let (first, _) = self
+            .listener
+            .accept()
+            .await
+            .expect("the one that filled it");
         drop((first, filling));
     }
 
     pub async fn accept(&self) -> Line {
         let (stream, _) = self.listener.accept().await.expect("accepted");
-        Line { stream, bytes: Vec::new() }
+        Line {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 }
 
@@ -271,9 +296,12 @@
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head
-                .lines()
-                .find_map(|l| l.to_ascii_lowercase().strip_prefix("content-length: ")?.parse().ok());
+            let length = head.lines().find_map(|l| {
+                l.to_ascii_lowercase()
+                    .strip_prefix("content-length: ")?
+                    .parse()
+                    .ok()
+            });
             if body.len() >= length.unwrap_or(0usize) {
                 let status = head.split(' ').nth(1)?.parse().ok()?;
                 return Some((status, head.to_owned(), body.to_owned()));
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -31,13 +31,17 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_though_engines_can_not_cancel() {
+fn a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_though_engines_can_not_cancel()
+{
     play(async |ex| {
         let peer = Peer::late().await;
         let file = patient("left", &peer, &ex);
         let (node, listen) = router(&file, &ex);
         let mut client = connect(listen).await;
-        client.write_all(request("load", ID, 90_000).as_bytes()).await.expect("written");
+        client
+            .write_all(request("load", ID, 90_000).as_bytes())
+            .await
+            .expect("written");
         until(|| node.attempts() == 1 && node.engine_connections() == 1).await;
         drop(client);
         until(|| node.requests_known() == (0, 0)).await;
@@ -58,7 +62,10 @@
         };
         let other = request("lookup", "9b1f03aa5c7e2d42", 8000);
         let (first, answer) = future::zip(next, ask(listen, &other)).await;
-        assert_eq!(first, "9b1f03aa5c7e2d42", "what the engine saw first is the other's");
+        assert_eq!(
+            first, "9b1f03aa5c7e2d42",
+            "what the engine saw first is the other's"
+        );
         assert_eq!(answer.expect("an answer").0, 200);
     });
 }
@@ -70,11 +77,17 @@
         let file = patient("ahead", &peer, &ex);
         let (node, listen) = router(&file, &ex);
         let mut client = connect(listen).await;
-        client.write_all(request("lookup", ID, 90_000).as_bytes()).await.expect("written");
+        client
+            .write_all(request("lookup", ID, 90_000).as_bytes())
+            .await
+            .expect("written");
         let mut line = peer.accept().await;
         line.next().await.expect("its request");
         let ahead = request("lookup", "9b1f03aa5c7e2d42", 8000).repeat(2_000);
-        client.write_all(ahead.as_bytes()).await.expect("it is read on");
+        client
+            .write_all(ahead.as_bytes())
+            .await
+            .expect("it is read on");
         drop(client);
         until(|| node.requests_known() == (0, 0) && node.connections() == 0).await;
     });
@@ -92,10 +105,16 @@
         let mut line = peer.accept().await;
         line.next().await.expect("its request");
         // Written by the time of the answer, and too much to be read ahead.
-        client.write_all(&vec![b'x'; 200 << 10]).await.expect("taken");
+        client
+            .write_all(&vec![b'x'; 200 << 10])
+            .await
+            .expect("taken");
         line.say(&served(ID)).await;
         let (status, head, _) = response(&mut client).await.expect("an answer");
-        assert!(status == 200 && head.contains("Connection: close"), "{head}");
+        assert!(
+            status == 200 && head.contains("Connection: close"),
+            "{head}"
+        );
         let end = client.read(&mut [0; 64]).await;
         assert!(matches!(end, Ok(0)), "an end, and no reset: {end:?}");
     });
@@ -115,13 +134,22 @@
             ending.end().await;
             done.set(true);
         });
-        client.write_all(&whole.as_bytes()[..40]).await.expect("written");
+        client
+            .write_all(&whole.as_bytes()[..40])
+            .await
+            .expect("written");
         // Resting connections are closed then: one that only rests sees it.
         let mut rests = connect(listen).await;
         assert!(matches!(rests.read(&mut [0; 8]).await, Ok(0)));
-        client.write_all(&whole.as_bytes()[40..]).await.expect("written");
+        client
+            .write_all(&whole.as_bytes()[40..])
+            .await
+            .expect("written");
         let (status, head, _) = response(&mut client).await.expect("an answer");
-        assert!(status == 200 && head.contains("Connection: close"), "{head}");
+        assert!(
+            status == 200 && head.contains("Connection: close"),
+            "{head}"
+        );
         assert!(matches!(client.read(&mut [0; 8]).await, Ok(0)));
         drop((client, rests));
         until(|| ended.get()).await;
@@ -135,11 +163,15 @@
         let file = File::new("last", &[(7, addr)], quiet(&ex), 256);
         let (node, listen) = router(&file, &ex);
         let mut kept = connect(listen).await;
-        kept.write_all(request("lookup", ID, 1500).as_bytes()).await.expect("written");
+        kept.write_all(request("lookup", ID, 1500).as_bytes())
+            .await
+            .expect("written");
         let (_, head, _) = response(&mut kept).await.expect("an answer");
         assert!(!head.contains("Connection: close"), "{head}");
         let next = async {
-            kept.write_all(request("lookup", "9b1f03aa5c7e2d42", 1500).as_bytes()).await.expect("written");
+            kept.write_all(request("lookup", "9b1f03aa5c7e2d42", 1500).as_bytes())
+                .await
+                .expect("written");
             let (_, head, _) = response(&mut kept).await.expect("an answer");
             assert!(head.contains("Connection: close"), "{head}");
             assert!(matches!(kept.read(&mut [0; 8]).await, Ok(0)));
@@ -154,7 +186,10 @@
         let (addr, _) = engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
         let file = File::new("hangs", &[(7, addr)], quiet(&ex), 256);
         let (node, listen) = router(&file, &ex);
-        let (safe, unsafe_) = (request("lookup", ID, 8000), request("load", "9b1f03aa5c7e2d42", 8000));
+        let (safe, unsafe_) = (
+            request("lookup", ID, 8000),
+            request("load", "9b1f03aa5c7e2d42", 8000),
+        );
         let asked = future::zip(ask(listen, &safe), ask(listen, &unsafe_));
         // One that sent no request is read on for 5.5 s, which the end does not wait for.
         let mut bad = connect(listen).await;
@@ -184,7 +219,9 @@
         let spawner = ex.clone();
         ex.spawn(async move {
             for nth in 0.. {
-                let Ok((mut stream, _)) = listener.accept().await else { return };
+                let Ok((mut stream, _)) = listener.accept().await else {
+                    return;
+                };
                 spawner.spawn(async move {
                     let event = frame(2, 2, &[record(8, addr, 0)]);
                     if nth > 0 {
@@ -204,7 +241,11 @@
         let began = Instant::now();
         let (node, _) = router(&file, &ex);
         until(|| node.last_event() == 2).await;
-        assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_secs(4),
+            "{:?}",
+            began.elapsed()
+        );
     });
 }
 
@@ -213,9 +254,12 @@
     play(async |ex| {
         let (addr, _) = engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
         // Bound, so that nobody else gets the port, and not listening: discovery is down.
-        let down =
-            rustix::net::socket(rustix::net::AddressFamily::INET, rustix::net::SocketType::STREAM, None)
-                .expect("a socket");
+        let down = rustix::net::socket(
+            rustix::net::AddressFamily::INET,
+            rustix::net::SocketType::STREAM,
+            None,
+        )
+        .expect("a socket");
         rustix::net::bind(&down, &std::net::SocketAddr::from(([127, 0, 0, 1], 0))).expect("bound");
         let down = std::net::TcpListener::from(down);
         let at = down.local_addr().expect("bound");
@@ -228,11 +272,17 @@
         }
         // One is told to go before the next one comes, so that there always is room for that.
         until(|| node.connections() + 1 >= budget.clients).await;
-        assert!(budget.clients + budget.engines + 24 <= 64, "24 are left to the process itself: {budget:?}");
+        assert!(
+            budget.clients + budget.engines + 24 <= 64,
+            "24 are left to the process itself: {budget:?}"
+        );
         rustix::net::listen(&down, 16).expect("discovery is back");
         let back = Async::new(down).expect("usable");
         let (mut stream, _) = back.accept().await.expect("the follower comes again");
-        stream.write_all(&frame(2, 2, &[record(8, addr, 0)])).await.expect("written");
+        stream
+            .write_all(&frame(2, 2, &[record(8, addr, 0)]))
+            .await
+            .expect("written");
         until(|| node.last_event() == 2).await;
     });
 }
@@ -246,7 +296,8 @@
         let (right, asked_right) = coordinator(&ex, Rc::new(event));
         let file = File::new("other", &[(7, addr)], quiet(&ex), 256);
         let (node, _) = router(&file, &ex);
-        let text = File::text(&[(7, addr)], wrong, 256).replace("\"name\":\"n0\"", "\"name\":\"n1\"");
+        let text =
+            File::text(&[(7, addr)], wrong, 256).replace("\"name\":\"n0\"", "\"name\":\"n1\"");
         std::fs::write(&file.0, text).expect("written");
         let (first_ended, began) = (Rc::new(Cell::new(false)), Instant::now());
         let (ended, first) = (first_ended.clone(), node.clone());
@@ -261,11 +312,18 @@
         let right_file = async {
             // The first one gives way to the second, and does not try on beside it for its 10 s.
             until(|| first_ended.get()).await;
-            assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+            assert!(
+                began.elapsed() < Duration::from_secs(5),
+                "{:?}",
+                began.elapsed()
+            );
             std::fs::write(&file.0, File::text(&[(7, addr)], right, 256)).expect("written");
         };
         future::zip(second, right_file).await;
         until(|| node.last_event() == 2).await;
-        assert_eq!((asked_wrong.borrow().len(), asked_right.borrow().len()), (0, 1));
+        assert_eq!(
+            (asked_wrong.borrow().len(), asked_right.borrow().len()),
+            (0, 1)
+        );
     });
 }
--- a/crates/node/tests/engines.rs
+++ b/crates/node/tests/engines.rs
@@ -24,8 +24,14 @@
         let (coordinator, _) = coordinator(&ex, Rc::new(|_, _| (Vec::new(), false)));
         let file = File::new(name, &[(7, addr)], coordinator, 256);
         let (_node, listen) = router(&file, &ex);
-        let (status, head, body) = ask(listen, &request(class, ID, 1500)).await.expect("an answer");
-        let requests = seen.borrow().iter().filter(|l| l.contains("\"REQ\"")).count();
+        let (status, head, body) = ask(listen, &request(class, ID, 1500))
+            .await
+            .expect("an answer");
+        let requests = seen
+            .borrow()
+            .iter()
+            .filter(|l| l.contains("\"REQ\""))
+            .count();
         *out.borrow_mut() = Some((status, head + &body, requests));
     });
     let told = told.borrow_mut().take();
@@ -36,11 +42,15 @@
 fn rows_come_back_and_the_statement_goes_out_unchanged() {
     let (status, text, requests) = told("rows", "lookup", |_, line| {
         assert!(
-            line.contains("U0VMRUNUIGEgRlJPTSBzYWxlc18xNy5vcmRlcnM=") && line.contains("\"c\":\"lookup\"")
+            line.contains("U0VMRUNUIGEgRlJPTSBzYWxlc18xNy5vcmRlcnM=")
+                && line.contains("\"c\":\"lookup\"")
         );
         (served(&id_of(line)), false)
     });
-    assert!(status == 200 && text.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"), "{text}");
+    assert!(
+        status == 200 && text.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"),
+        "{text}"
+    );
     assert_eq!(requests, 1);
 }
 
@@ -64,20 +74,39 @@
                     id_of(l)
                 )
             };
-            ((page(2, "YwkzCXoK") + &page(2, "YwkzCXoK") + &page(1, "YgkyCXkK")).into_bytes(), false)
+            (
+                (page(2, "YwkzCXoK") + &page(2, "YwkzCXoK") + &page(1, "YgkyCXkK")).into_bytes(),
+                false,
+            )
         }
     });
-    assert!(status == 200 && text.ends_with(r#"[["a","1","x"],["b","2","y"],["c","3","z"]]}"#), "{text}");
+    assert!(
+        status == 200 && text.ends_with(r#"[["a","1","x"],["b","2","y"],["c","3","z"]]}"#),
+        "{text}"
+    );
 }
 
 #[test]
 fn an_answer_under_an_unknown_id_and_a_second_copy_are_passed_over() {
     let (status, text, requests) = told("foreign", "lookup", |_, line| {
-        let other = String::from_utf8(served("0000000000000000")).expect("text").replace(ROWS, "YgkyCXkK");
-        ([other.into_bytes(), served(&id_of(line)), served(&id_of(line))].concat(), false)
+        let other = String::from_utf8(served("0000000000000000"))
+            .expect("text")
+            .replace(ROWS, "YgkyCXkK");
+        (
+            [
+                other.into_bytes(),
+                served(&id_of(line)),
+                served(&id_of(line)),
+            ]
+            .concat(),
+            false,
+        )
     });
     assert_eq!((status, requests), (200, 1));
-    assert!(text.ends_with("[[\"a\",\"1\",\"x\"]]}"), "its own rows: {text}");
+    assert!(
+        text.ends_with("[[\"a\",\"1\",\"x\"]]}"),
+        "its own rows: {text}"
+    );
 }
 
 #[test]
@@ -88,12 +117,24 @@
         (vec![b'x'; 3 << 20], false),
         (good.replace("YQkx", "Y*kx").into_bytes(), false),
         (good.replace("CXgK", "CXg=").into_bytes(), false),
-        (good.replace("\"fetches\":1", "\"fetches\":-1").into_bytes(), false),
+        (
+            good.replace("\"fetches\":1", "\"fetches\":-1").into_bytes(),
+            false,
+        ),
         (good.as_bytes()[..good.len() / 2].to_vec(), true),
         (Vec::new(), true),
-        (format!("{{\"t\":\"crashed\",\"i\":\"{ID}\"}}\n").into_bytes(), false),
-        (format!("{{\"t\":\"overload\",\"i\":\"{ID}\"}}\n").into_bytes(), false),
-        (format!("{{\"t\":\"nobody\",\"i\":\"{ID}\"}}\n").into_bytes(), false),
+        (
+            format!("{{\"t\":\"crashed\",\"i\":\"{ID}\"}}\n").into_bytes(),
+            false,
+        ),
+        (
+            format!("{{\"t\":\"overload\",\"i\":\"{ID}\"}}\n").into_bytes(),
+            false,
+        ),
+        (
+            format!("{{\"t\":\"nobody\",\"i\":\"{ID}\"}}\n").into_bytes(),
+            false,
+        ),
     ];
     for (at, bad) in spoilt.into_iter().enumerate() {
         let (status, text, requests) = told("spoilt", "lookup", move |n, line| match n {
@@ -106,12 +147,17 @@
 
 #[test]
 fn what_may_have_run_and_must_not_run_twice_has_failed_and_what_did_not_run_goes_again() {
-    for (answer, close, expected) in
-        [("crashed", false, (500, 1)), ("", true, (500, 1)), ("overload", false, (200, 2))]
-    {
+    for (answer, close, expected) in [
+        ("crashed", false, (500, 1)),
+        ("", true, (500, 1)),
+        ("overload", false, (200, 2)),
+    ] {
         let (status, text, requests) = told("unsafe", "load", move |n, line| match (n, answer) {
             (0, "") => (Vec::new(), close),
-            (0, word) => (format!("{{\"t\":\"{word}\",\"i\":\"{ID}\"}}\n").into_bytes(), close),
+            (0, word) => (
+                format!("{{\"t\":\"{word}\",\"i\":\"{ID}\"}}\n").into_bytes(),
+                close,
+            ),
             _ => (served(&id_of(line)), false),
         });
         assert_eq!((status, requests), expected, "{answer:?}: {text}");
@@ -123,7 +169,11 @@
     let began = Instant::now();
     let (status, text, _) = told("silence", "lookup", |_, _| (Vec::new(), false));
     assert!(status == 429 && text.contains("Hold-Off-Ms: 900"), "{text}");
-    assert!(began.elapsed() >= Duration::from_millis(1_300), "not before its time: {:?}", began.elapsed());
+    assert!(
+        began.elapsed() >= Duration::from_millis(1_300),
+        "not before its time: {:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -131,7 +181,10 @@
     play(async |ex| {
         let (addr, seen) = engine(&ex, Rc::new(|_, line| (served(&id_of(line)), false)));
         // Broken off within the second event; then the rest from there, a copy of the first ahead of it.
-        let events = [frame(2, 2, &[record(7, addr, 2)]), frame(3, 2, &[record(8, addr, 0)])];
+        let events = [
+            frame(2, 2, &[record(7, addr, 2)]),
+            frame(3, 2, &[record(8, addr, 0)]),
+        ];
         let script = move |nth: usize, _| match nth {
             1 => ([&events[0][..], &events[1][..20]].concat(), true),
             _ => (events.concat(), false),
@@ -142,8 +195,18 @@
         while node.last_event() < 3 {
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert_eq!(*asked.borrow(), [1, 2], "on from the last event that came whole");
-        assert_eq!(ask(listen, &request("lookup", ID, 1500)).await.expect("an answer").0, 200);
+        assert_eq!(
+            *asked.borrow(),
+            [1, 2],
+            "on from the last event that came whole"
+        );
+        assert_eq!(
+            ask(listen, &request("lookup", ID, 1500))
+                .await
+                .expect("an answer")
+                .0,
+            200
+        );
         assert_eq!((seen.borrow().len(), node.engines_known()), (1, 1));
     });
 }
@@ -152,7 +215,13 @@
 fn engines_come_and_go_by_the_hundred_and_nothing_of_them_stays() {
     play(async |ex| {
         let (addr, _) = engine(&ex, Rc::new(|_, line| (served(&id_of(line)), false)));
-        let gone = |n: u64| frame(n, 2, &[record(n as u32 + 5, addr, 2), record(n as u32 + 6, addr, 0)]);
+        let gone = |n: u64| {
+            frame(
+                n,
+                2,
+                &[record(n as u32 + 5, addr, 2), record(n as u32 + 6, addr, 0)],
+            )
+        };
         let events: Vec<u8> = (2..202).flat_map(gone).collect();
         let (coordinator, _) = coordinator(&ex, Rc::new(move |_, _| (events.clone(), false)));
         let file = File::new("many", &[(7, addr)], coordinator, 256);
@@ -163,28 +232,50 @@
         assert_eq!(node.engines_known(), 1);
         for n in 0..300 {
             let mut s = connect(listen).await;
-            s.write_all(request("lookup", &format!("{n:016x}"), 1500).as_bytes()).await.expect("written");
+            s.write_all(request("lookup", &format!("{n:016x}"), 1500).as_bytes())
+                .await
+                .expect("written");
             assert_eq!(response(&mut s).await.expect("an answer").0, 200);
         }
         Timer::after(Duration::from_millis(100)).await;
-        assert_eq!(node.requests_known(), (0, 0), "neither requests nor ids are kept");
+        assert_eq!(
+            node.requests_known(),
+            (0, 0),
+            "neither requests nor ids are kept"
+        );
     });
 }
 
 #[test]
 fn a_further_attempt_never_goes_over_the_connection_that_carried_the_first() {
     play(async |ex| {
-        let full = |line: &str| format!("{{\"t\":\"overload\",\"i\":\"{}\"}}\n", id_of(line)).into_bytes();
-        let script = move |n, line: &str| (if n == 0 { full(line) } else { served(&id_of(line)) }, false);
+        let full =
+            |line: &str| format!("{{\"t\":\"overload\",\"i\":\"{}\"}}\n", id_of(line)).into_bytes();
+        let script = move |n, line: &str| {
+            (
+                if n == 0 {
+                    full(line)
+                } else {
+                    served(&id_of(line))
+                },
+                false,
+            )
+        };
         let (addr, seen) = engine(&ex, Rc::new(script));
         let (coordinator, _) = coordinator(&ex, Rc::new(|_, _| (Vec::new(), false)));
         let file = File::new("carried", &[(7, addr)], coordinator, 256);
         // No probes, which would leave connections of their own to choose from.
-        let text =
-            File::text(&[(7, addr)], coordinator, 256).replace("\"mayProbe\":true", "\"mayProbe\":false");
+        let text = File::text(&[(7, addr)], coordinator, 256)
+            .replace("\"mayProbe\":true", "\"mayProbe\":false");
         std::fs::write(&file.0, text).expect("written");
         let (_node, listen) = router(&file, &ex);
-        assert_eq!(ask(listen, &request("lookup", ID, 1500)).await.expect("an answer").0, 200);
+        assert_eq!(
+            ask(listen, &request("lookup", ID, 1500))
+                .await
+                .expect("an answer")
+                .0,
+            200
+        );
         let seen = seen.borrow();
         let over: Vec<&str> = seen.iter().filter_map(|l| l.split(' ').next()).collect();
         assert!(
--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -27,8 +27,16 @@
         let usual = async {
             for n in 0u64.. {
                 let text = request("lookup", &format!("{n:016x}"), 1500);
-                assert_eq!(ask(listen, &text).await.expect("an answer").0, 200, "usual client {n}");
-                assert!(node.connections() <= node.budget().clients, "{}", node.connections());
+                assert_eq!(
+                    ask(listen, &text).await.expect("an answer").0,
+                    200,
+                    "usual client {n}"
+                );
+                assert!(
+                    node.connections() <= node.budget().clients,
+                    "{}",
+                    node.connections()
+                );
                 Timer::after(Duration::from_millis(20)).await;
             }
         };
@@ -37,7 +45,10 @@
 }
 
 /// Reads to the end, and how long that took from `began`.
-async fn end_of(stream: &mut async_io::Async<std::net::TcpStream>, began: Instant) -> (String, Duration) {
+async fn end_of(
+    stream: &mut async_io::Async<std::net::TcpStream>,
+    began: Instant,
+) -> (String, Duration) {
     let (mut all, mut part) = (Vec::new(), [0; 4096]);
     while let Ok(n @ 1..) = stream.read(&mut part).await {
         all.extend_from_slice(&part[..n]);
@@ -50,16 +61,22 @@
     scene("pipelined", async |node, listen| {
         let began = Instant::now();
         let mut client = connect(listen).await;
-        let all: String =
-            (0..300).map(|n| request("lookup", &format!("{:016x}", 0xf000 + n), 1500)).collect();
+        let all: String = (0..300)
+            .map(|n| request("lookup", &format!("{:016x}", 0xf000 + n), 1500))
+            .collect();
         client.write_all(all.as_bytes()).await.expect("taken");
         let (mut all, mut part, mut answers) = (Vec::new(), [0; 4096], 0);
         while answers < 300 {
             let n = client.read(&mut part).await.expect("no reset");
             assert!(n > 0, "an end after {answers} answers");
             all.extend_from_slice(&part[..n]);
-            answers = String::from_utf8_lossy(&all).matches("HTTP/1.1 200").count();
-            assert!(node.requests_known().1 <= 2, "one at a time, beside that of a usual client");
+            answers = String::from_utf8_lossy(&all)
+                .matches("HTTP/1.1 200")
+                .count();
+            assert!(
+                node.requests_known().1 <= 2,
+                "one at a time, beside that of a usual client"
+            );
         }
         assert!(began.elapsed() < DUE, "{:?}", began.elapsed());
     });
@@ -71,7 +88,10 @@
         let began = Instant::now();
         let mut trickles = connect(listen).await;
         let text = request("lookup", ID, 1500);
-        trickles.write_all(&text.as_bytes()[..text.len() - 20]).await.expect("written");
+        trickles
+            .write_all(&text.as_bytes()[..text.len() - 20])
+            .await
+            .expect("written");
         let byte = async {
             while trickles.write_all(b"x").await.is_ok() && began.elapsed() < DUE {
                 Timer::after(Duration::from_millis(200)).await;
@@ -80,7 +100,10 @@
         };
         let head = async {
             let mut client = connect(listen).await;
-            let long = text.replace("Host: h", &format!("Host: h\r\nX-Long: {}", "x".repeat(9 << 10)));
+            let long = text.replace(
+                "Host: h",
+                &format!("Host: h\r\nX-Long: {}", "x".repeat(9 << 10)),
+            );
             client.write_all(long.as_bytes()).await.expect("written");
             end_of(&mut client, Instant::now()).await
         };
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -22,12 +22,26 @@
 
 fn links() -> Links {
     let long = Duration::from_secs(20);
-    let manner = Manner { connect_within: long, idle: long, probe_within: long, most: 8, held: 1 << 20 };
+    let manner = Manner {
+        connect_within: long,
+        idle: long,
+        probe_within: long,
+        most: 8,
+        held: 1 << 20,
+    };
     Links::new(manner, Rc::new(Retries::new(None)))
 }
 
 fn member(addr: SocketAddr, phase: Phase, started_ms: u64) -> Member {
-    Member { id: 7, addr, zone: None, kind: None, cell: 0, phase, started_ms }
+    Member {
+        id: 7,
+        addr,
+        zone: None,
+        kind: None,
+        cell: 0,
+        phase,
+        started_ms,
+    }
 }
 
 struct Asked {
@@ -40,7 +54,12 @@
 impl Asked {
     fn new() -> Asked {
         let until = Instant::now() + Duration::from_secs(15);
-        Asked { token: CancelToken::default(), until, send_by: None, further: false }
+        Asked {
+            token: CancelToken::default(),
+            until,
+            send_by: None,
+            further: false,
+        }
     }
 
     async fn of(&self, links: &Links, id: &str) -> Result<Whole, Failed> {
@@ -50,14 +69,30 @@
     async fn at(&self, engine: u32, links: &Links, id: &str) -> Result<Whole, Failed> {
         let listing = links.listing(EngineId(engine)).expect("listed");
         let (until, send_by, token) = (self.until, self.send_by, &self.token);
-        let send = Send { id, class: "lookup", replay_key: None, priority: None, text: "SELECT 1" };
-        let order = Order { send, until, send_by, further: self.further, token, listing };
+        let send = Send {
+            id,
+            class: "lookup",
+            replay_key: None,
+            priority: None,
+            text: "SELECT 1",
+        };
+        let order = Order {
+            send,
+            until,
+            send_by,
+            further: self.further,
+            token,
+            listing,
+        };
         links.attempt(EngineId(engine), &order).await
     }
 }
 
 /// What became of an attempt whose connection came up only after that had happened, and that the engine saw no line of it.
-async fn after_a_late_connection(asked: &Asked, happens: impl AsyncFnOnce(&Links, SocketAddr)) -> NotBegun {
+async fn after_a_late_connection(
+    asked: &Asked,
+    happens: impl AsyncFnOnce(&Links, SocketAddr),
+) -> NotBegun {
     let (peer, links) = (Peer::late().await, links());
     links.told(&member(peer.addr, Phase::Ready, 0));
     let meanwhile = async {
@@ -98,8 +133,14 @@
             let asked = Asked::new();
             asked.token.cancel();
             let came = asked.of(&links, IDS[1]).await;
-            assert!(matches!(came, Err(Failed::NotBegun(NotBegun::Cancelled))), "{came:?}");
-            Asked::new().of(&links, IDS[2]).await.expect("served over the same connection");
+            assert!(
+                matches!(came, Err(Failed::NotBegun(NotBegun::Cancelled))),
+                "{came:?}"
+            );
+            Asked::new()
+                .of(&links, IDS[2])
+                .await
+                .expect("served over the same connection");
         };
         future::zip(engine, router).await;
     });
@@ -125,12 +166,18 @@
     for change in changes {
         play(async move |_| {
             let changed = async |links: &Links, addr| links.told(&change(addr));
-            assert_eq!(after_a_late_connection(&Asked::new(), changed).await, NotBegun::Relisted);
+            assert_eq!(
+                after_a_late_connection(&Asked::new(), changed).await,
+                NotBegun::Relisted
+            );
         });
     }
     play(async |_| {
         let left_out = async |links: &Links, _| links.keep_only(&[]);
-        assert_eq!(after_a_late_connection(&Asked::new(), left_out).await, NotBegun::Relisted);
+        assert_eq!(
+            after_a_late_connection(&Asked::new(), left_out).await,
+            NotBegun::Relisted
+        );
     });
 }
 
@@ -138,9 +185,15 @@
 fn a_repeat_whose_window_passes_while_the_connection_comes_up_is_not_sent() {
     play(async |_| {
         let send_by = Instant::now() + Duration::from_millis(100);
-        let asked = Asked { send_by: Some(send_by), ..Asked::new() };
+        let asked = Asked {
+            send_by: Some(send_by),
+            ..Asked::new()
+        };
         let passed = async |_: &Links, _| until(|| Instant::now() >= send_by).await;
-        assert_eq!(after_a_late_connection(&asked, passed).await, NotBegun::WindowPassed);
+        assert_eq!(
+            after_a_late_connection(&asked, passed).await,
+            NotBegun::WindowPassed
+        );
     });
 }
 
@@ -148,8 +201,18 @@
 fn a_further_attempt_that_is_over_the_budget_by_the_time_it_could_begin_is_not_sent() {
     play(async |_| {
         let (peer, long) = (Peer::new(), Duration::from_secs(20));
-        let budget = hoptiller::RetryBudget { spare: 1.0, ratio: 0.0, look_back: 60_000_000 };
-        let manner = Manner { connect_within: long, idle: long, probe_within: long, most: 8, held: 1 << 20 };
+        let budget = hoptiller::RetryBudget {
+            spare: 1.0,
+            ratio: 0.0,
+            look_back: 60_000_000,
+        };
+        let manner = Manner {
+            connect_within: long,
+            idle: long,
+            probe_within: long,
+            most: 8,
+            held: 1 << 20,
+        };
         let links = Links::new(manner, Rc::new(Retries::new(Some(budget))));
         links.told(&member(peer.addr, Phase::Ready, 0));
         let engine = async {
@@ -159,12 +222,24 @@
                 line.say(&served(&id)).await;
             }
         };
-        let further = || Asked { further: true, ..Asked::new() };
+        let further = || Asked {
+            further: true,
+            ..Asked::new()
+        };
         let router = async {
-            further().of(&links, IDS[0]).await.expect("the one that there is");
+            further()
+                .of(&links, IDS[0])
+                .await
+                .expect("the one that there is");
             let second = further().of(&links, IDS[1]).await;
-            assert!(matches!(second, Err(Failed::NotBegun(NotBegun::Budget))), "{second:?}");
-            Asked::new().of(&links, IDS[2]).await.expect("a first attempt is not rationed");
+            assert!(
+                matches!(second, Err(Failed::NotBegun(NotBegun::Budget))),
+                "{second:?}"
+            );
+            Asked::new()
+                .of(&links, IDS[2])
+                .await
+                .expect("a first attempt is not rationed");
         };
         future::zip(engine, router).await;
     });
@@ -174,9 +249,15 @@
 fn one_whose_time_ends_while_the_connection_comes_up_is_known_not_to_have_run() {
     play(async |_| {
         let over = Instant::now() + Duration::from_millis(100);
-        let asked = Asked { until: over, ..Asked::new() };
+        let asked = Asked {
+            until: over,
+            ..Asked::new()
+        };
         let passed = async |_: &Links, _| future::pending().await;
-        assert_eq!(after_a_late_connection(&asked, passed).await, NotBegun::Late);
+        assert_eq!(
+            after_a_late_connection(&asked, passed).await,
+            NotBegun::Late
+        );
     });
 }
 
@@ -185,7 +266,10 @@
     play(async |_| {
         let (peer, links) = (Peer::late().await, links());
         links.told(&member(peer.addr, Phase::Ready, 0));
-        let asked = Asked { until: Instant::now() + Duration::from_secs(10), ..Asked::new() };
+        let asked = Asked {
+            until: Instant::now() + Duration::from_secs(10),
+            ..Asked::new()
+        };
         let engine = async {
             until(|| links.sizes().0 == 1).await;
             peer.connections_come_up().await;
@@ -222,11 +306,17 @@
             // With its answer, a second one to the first attempt, which is late.
             first.say(&[served(IDS[1]), full(IDS[0])].concat()).await;
             let mut second = peer.accept().await;
-            assert_eq!(id_of(&second.next().await.expect("the further attempt")), IDS[0]);
+            assert_eq!(
+                id_of(&second.next().await.expect("the further attempt")),
+                IDS[0]
+            );
             second.say(&served(IDS[0])).await;
         };
         let router = async {
-            assert!(matches!(Asked::new().of(&links, IDS[0]).await, Err(Failed::Full)));
+            assert!(matches!(
+                Asked::new().of(&links, IDS[0]).await,
+                Err(Failed::Full)
+            ));
             Asked::new().of(&links, IDS[1]).await.expect("served");
             Asked::new()
                 .of(&links, IDS[0])
@@ -257,7 +347,10 @@
             first.say(&meanwhile).await;
             let engine = async {
                 let mut second = peer.accept().await;
-                assert_eq!(id_of(&second.next().await.expect("the second request")), IDS[1]);
+                assert_eq!(
+                    id_of(&second.next().await.expect("the second request")),
+                    IDS[1]
+                );
                 second.say(&served(IDS[1])).await;
             };
             let (came, ()) = future::zip(Asked::new().of(&links, IDS[1]), engine).await;
@@ -292,13 +385,21 @@
     play(async |_| {
         let long = Duration::from_secs(20);
         // Room for one result of several pages.
-        let manner = Manner { connect_within: long, idle: long, probe_within: long, most: 8, held: 20_000 };
+        let manner = Manner {
+            connect_within: long,
+            idle: long,
+            probe_within: long,
+            most: 8,
+            held: 20_000,
+        };
         let links = Links::new(manner, Rc::new(Retries::new(None)));
         let peer = Peer::new();
         links.told(&member(peer.addr, Phase::Ready, 0));
         let pages = |id: &str| {
-            format!("{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":3}},\"b\":\"{ROWS}\"}}\n")
-                .into_bytes()
+            format!(
+                "{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":3}},\"b\":\"{ROWS}\"}}\n"
+            )
+            .into_bytes()
         };
         let (holds, left, next) = (Asked::new(), Asked::new(), Asked::new());
         let engine = async {
@@ -311,8 +412,14 @@
             second.say(&pages(IDS[1])).await;
             left.token.abandon();
             let said = second.next().await.expect("a command");
-            assert!(said.contains("\"END\"") && !said.contains("FETCH"), "{said}");
-            assert_eq!(id_of(&second.next().await.expect("the next request")), IDS[2]);
+            assert!(
+                said.contains("\"END\"") && !said.contains("FETCH"),
+                "{said}"
+            );
+            assert_eq!(
+                id_of(&second.next().await.expect("the next request")),
+                IDS[2]
+            );
             second.say(&served(IDS[2])).await;
             first
         };
@@ -338,21 +445,37 @@
 fn two_connections_that_are_given_back_at_once_make_room_for_two_that_wait() {
     play(async |_| {
         let long = Duration::from_secs(20);
-        let manner = Manner { connect_within: long, idle: long, probe_within: long, most: 2, held: 1 << 20 };
+        let manner = Manner {
+            connect_within: long,
+            idle: long,
+            probe_within: long,
+            most: 2,
+            held: 1 << 20,
+        };
         let links = Links::new(manner, Rc::new(Retries::new(None)));
         let (first, second) = (Peer::new(), Peer::new());
         links.told(&member(first.addr, Phase::Ready, 0));
-        links.told(&Member { id: 8, ..member(second.addr, Phase::Ready, 0) });
+        links.told(&Member {
+            id: 8,
+            ..member(second.addr, Phase::Ready, 0)
+        });
         let (a, b, c, d) = (Asked::new(), Asked::new(), Asked::new(), Asked::new());
         let waiting = async {
             until(|| a.token.has_begun() && b.token.has_begun()).await;
             let to_the_other = async |asked: &Asked, id| asked.at(8, &links, id).await.map(|_| ());
-            future::zip(to_the_other(&c, "9b1f03aa5c7e2d51"), to_the_other(&d, "9b1f03aa5c7e2d52")).await
+            future::zip(
+                to_the_other(&c, "9b1f03aa5c7e2d51"),
+                to_the_other(&d, "9b1f03aa5c7e2d52"),
+            )
+            .await
         };
         let running = future::zip(a.of(&links, IDS[0]), b.of(&links, IDS[1]));
         let engines = async {
             let (mut x, mut y) = (first.accept().await, first.accept().await);
-            let (of_x, of_y) = (x.next().await.expect("a request"), y.next().await.expect("a request"));
+            let (of_x, of_y) = (
+                x.next().await.expect("a request"),
+                y.next().await.expect("a request"),
+            );
             // Both wait for a descriptor by now: nothing else is due on this thread.
             for _ in 0..20 {
                 future::yield_now().await;
@@ -369,6 +492,9 @@
             (x, y, both)
         };
         let (((a, b), (c, d)), _) = future::zip(future::zip(running, waiting), engines).await;
-        assert!(a.is_ok() && b.is_ok() && c.is_ok() && d.is_ok(), "{c:?} {d:?}");
+        assert!(
+            a.is_ok() && b.is_ok() && c.is_ok() && d.is_ok(),
+            "{c:?} {d:?}"
+        );
     });
 }
--- a/crates/node/tests/retries.rs
+++ b/crates/node/tests/retries.rs
@@ -8,7 +8,11 @@
 const BACK: Duration = Duration::from_secs(4);
 
 fn retries(spare: f64, ratio: f64) -> Retries {
-    Retries::new(Some(RetryBudget { spare, ratio, look_back: BACK.as_micros() as u64 }))
+    Retries::new(Some(RetryBudget {
+        spare,
+        ratio,
+        look_back: BACK.as_micros() as u64,
+    }))
 }
 
 #[test]
@@ -18,7 +22,10 @@
         assert!(r.may_begin(t));
         r.begun(t);
     }
-    assert!(!r.may_begin(t) && !r.may_begin(t + BACK), "both are still in sight");
+    assert!(
+        !r.may_begin(t) && !r.may_begin(t + BACK),
+        "both are still in sight"
+    );
     assert!(r.may_begin(t + BACK + Duration::from_micros(1)));
 }
 
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -103,7 +103,11 @@
     /// What a request asks for.
     pub fn read(request: Request, names: &Names) -> Result<Call, CallError> {
         let class = request.target.strip_prefix(PATH).ok_or(CallError::Class)?;
-        let class = names.classes.iter().position(|c| c.name == class).ok_or(CallError::Class)?;
+        let class = names
+            .classes
+            .iter()
+            .position(|c| c.name == class)
+            .ok_or(CallError::Class)?;
         let field = |name: &'static str| {
             let mut all = request.headers.all(name);
             match (all.next(), all.next()) {
@@ -113,15 +117,23 @@
         };
         let figure = |name: &'static str, most: f64| match field(name)? {
             None => Ok(None),
-            Some(text) => decimal(text).filter(|v| *v <= most).map(Some).ok_or(CallError::Field(name)),
+            Some(text) => decimal(text)
+                .filter(|v| *v <= most)
+                .map(Some)
+                .ok_or(CallError::Field(name)),
         };
-        let id = field("Trace-Id")?.filter(|id| id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()));
+        let id = field("Trace-Id")?
+            .filter(|id| id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()));
         let id = id.ok_or(CallError::Field("Trace-Id"))?.to_owned();
         let tenant = match field("Project")? {
             None if names.tenants.is_empty() => None,
-            Some(name) => {
-                Some(names.tenants.iter().position(|t| t == name).ok_or(CallError::Field("Project"))?)
-            }
+            Some(name) => Some(
+                names
+                    .tenants
+                    .iter()
+                    .position(|t| t == name)
+                    .ok_or(CallError::Field("Project"))?,
+            ),
             None => return Err(CallError::Field("Project")),
         };
         let longest = names.classes[class].patience as f64 / 1000.0 * OVER;
@@ -136,9 +148,13 @@
         let want_mb = figure("X-Heap-Mb", ABSURD)?.unwrap_or(0.0);
         let key = field("Replay-Key")?.map(str::to_owned);
         // Danger: without one a repeat would not be known as such.
-        let usable =
-            |k: &String| (1..=REPLAY_KEY).contains(&k.len()) && k.bytes().all(|b| b.is_ascii_graphic());
-        if key.as_ref().map_or(names.classes[class].keyed, |k| !usable(k)) {
+        let usable = |k: &String| {
+            (1..=REPLAY_KEY).contains(&k.len()) && k.bytes().all(|b| b.is_ascii_graphic())
+        };
+        if key
+            .as_ref()
+            .map_or(names.classes[class].keyed, |k| !usable(k))
+        {
             return Err(CallError::Field("Replay-Key"));
         }
         let text = String::from_utf8(request.body).map_err(|_| CallError::Body)?;
@@ -147,7 +163,18 @@
         }
         let patience = (patience * 1000.0) as Micros;
         let (group, replay_key) = (group_of(&text), key);
-        Ok(Call { id, class, tenant, patience, repeat, guess, want_mb, replay_key, group, text })
+        Ok(Call {
+            id,
+            class,
+            tenant,
+            patience,
+            repeat,
+            guess,
+            want_mb,
+            replay_key,
+            group,
+            text,
+        })
     }
 }
 
@@ -176,7 +203,10 @@
 
 /// Failed: nothing is promised.
 pub fn failed(why: &str) -> Response {
-    Response::json(500, serde_json::json!({ "reason": "Broken", "detail": why }).to_string())
+    Response::json(
+        500,
+        serde_json::json!({ "reason": "Broken", "detail": why }).to_string(),
+    )
 }
 
 /// Not a request.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -91,13 +91,17 @@
 
     /// The number of the last event known at the start, and the events as one list.
     pub fn known(&self) -> Result<Update, ConfigError> {
-        self.known.fold(&self.settings.zones, &self.settings.kinds).map_err(ConfigError::Known)
+        self.known
+            .fold(&self.settings.zones, &self.settings.kinds)
+            .map_err(ConfigError::Known)
     }
 
     /// The seed as a number; other text than 16 hex digits gives one too.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
-            self.seed.bytes().fold(0, |h: u64, b| h.wrapping_mul(1_099_511_628_211) ^ u64::from(b))
+            self.seed.bytes().fold(0, |h: u64, b| {
+                h.wrapping_mul(1_099_511_628_211) ^ u64::from(b)
+            })
         })
     }
 }
@@ -124,18 +128,33 @@
     #[test]
     fn a_file_tells_the_list_as_of_the_start() {
         let config = Config::read(TEXT.as_bytes()).expect("good");
-        assert_eq!((config.seed(), config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 256));
+        assert_eq!(
+            (config.seed(), config.limits.sockets),
+            (0x8c1f_30d2_7a5b_e964, 256)
+        );
         let known = config.known().expect("good");
-        assert_eq!((known.number, known.whole, known.members.len()), (4, true, 1));
+        assert_eq!(
+            (known.number, known.whole, known.members.len()),
+            (4, true, 1)
+        );
         let m = &known.members[0];
-        assert_eq!((m.id, m.zone, m.kind, m.phase), (0x00c4_1f7a, Some(1), Some(0), Phase::Ready));
+        assert_eq!(
+            (m.id, m.zone, m.kind, m.phase),
+            (0x00c4_1f7a, Some(1), Some(0), Phase::Ready)
+        );
     }
 
     #[test]
     fn half_a_file_and_mad_figures_are_errors() {
-        assert!(matches!(Config::read(&TEXT.as_bytes()[..TEXT.len() / 2]), Err(ConfigError::Json(_))));
+        assert!(matches!(
+            Config::read(&TEXT.as_bytes()[..TEXT.len() / 2]),
+            Err(ConfigError::Json(_))
+        ));
         let few = TEXT.replace("\"sockets\":256", "\"sockets\":3");
-        assert!(matches!(Config::read(few.as_bytes()), Err(ConfigError::Figure(_))));
+        assert!(matches!(
+            Config::read(few.as_bytes()),
+            Err(ConfigError::Figure(_))
+        ));
         let odd = TEXT.replace("s-00000002", "s-02");
         assert!(Config::read(odd.as_bytes()).expect("JSON").known().is_err());
     }
--- a/crates/platform/src/coordinator.rs
+++ b/crates/platform/src/coordinator.rs
@@ -115,7 +115,11 @@
                 };
             }
         }
-        Ok(Update { number: self.index, whole: true, members: all.into_values().collect() })
+        Ok(Update {
+            number: self.index,
+            whole: true,
+            members: all.into_values().collect(),
+        })
     }
 }
 
@@ -178,7 +182,11 @@
 impl Frames {
     /// For a connection that was asked for what follows this number.
     pub fn new(last: u64) -> Frames {
-        Frames { last, buf: Vec::new(), used: 0 }
+        Frames {
+            last,
+            buf: Vec::new(),
+            used: 0,
+        }
     }
 
     /// Takes bytes.
@@ -191,13 +199,17 @@
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Frame>, FrameError> {
         let bytes = &self.buf[self.used..];
-        let Some((length, rest)) = bytes.split_first_chunk() else { return Ok(None) };
+        let Some((length, rest)) = bytes.split_first_chunk() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*length);
         let size = length as usize;
         if !(HEAD..=HEAD + MOST * RECORD).contains(&size) || !(size - HEAD).is_multiple_of(RECORD) {
             return Err(FrameError::Length(length));
         }
-        let Some(frame) = rest.get(..size) else { return Ok(None) };
+        let Some(frame) = rest.get(..size) else {
+            return Ok(None);
+        };
         let frame = read(self.last, frame, length)?;
         self.used += 4 + size;
         if let Frame::Next(update) = &frame {
@@ -228,7 +240,11 @@
     while !r.0.is_empty() {
         members.push(r.member()?);
     }
-    Ok(Frame::Next(Update { number, whole, members }))
+    Ok(Frame::Next(Update {
+        number,
+        whole,
+        members,
+    }))
 }
 
 /// Reads big-endian numbers; past the end, zeros. Lengths are checked before.
@@ -236,7 +252,10 @@
 
 impl Reader<'_> {
     fn take<const N: usize>(&mut self) -> [u8; N] {
-        let (head, rest) = self.0.split_first_chunk().map_or(([0; N], &[][..]), |(h, r)| (*h, r));
+        let (head, rest) = self
+            .0
+            .split_first_chunk()
+            .map_or(([0; N], &[][..]), |(h, r)| (*h, r));
         self.0 = rest;
         head
     }
@@ -267,7 +286,15 @@
         let cell = u16::from_be_bytes(self.take()).into();
         let _weight = self.u32();
         let started_ms = self.u64();
-        Ok(Member { id, addr: (ip, port).into(), zone, kind, cell, phase, started_ms })
+        Ok(Member {
+            id,
+            addr: (ip, port).into(),
+            zone,
+            kind,
+            cell,
+            phase,
+            started_ms,
+        })
     }
 }
 
@@ -277,7 +304,9 @@
     use proptest::prelude::*;
 
     fn frame(number: u64, kind: u8, records: &[[u8; RECORD]]) -> Vec<u8> {
-        let mut out = ((HEAD + records.len() * RECORD) as u32).to_be_bytes().to_vec();
+        let mut out = ((HEAD + records.len() * RECORD) as u32)
+            .to_be_bytes()
+            .to_vec();
         out.extend(number.to_be_bytes());
         out.push(kind);
         out.extend(records.iter().flatten());
@@ -302,26 +331,46 @@
     fn a_record_is_read_field_by_field() {
         let mut frames = Frames::new(6);
         frames.feed(&frame(7, 2, &[record(0x00c4_1f7a, 1)]));
-        let Ok(Some(Frame::Next(update))) = frames.next() else { panic!("an event") };
+        let Ok(Some(Frame::Next(update))) = frames.next() else {
+            panic!("an event")
+        };
         let m = &update.members[0];
-        assert_eq!((update.number, update.whole, m.id, m.cell), (7, false, 0x00c4_1f7a, 7));
-        assert_eq!((m.addr.to_string().as_str(), m.phase), ("127.1.0.9:8080", Phase::Draining));
-        assert_eq!((m.zone, m.kind, m.started_ms), (Some(1), Some(2), 1_700_000_000_123));
+        assert_eq!(
+            (update.number, update.whole, m.id, m.cell),
+            (7, false, 0x00c4_1f7a, 7)
+        );
+        assert_eq!(
+            (m.addr.to_string().as_str(), m.phase),
+            ("127.1.0.9:8080", Phase::Draining)
+        );
+        assert_eq!(
+            (m.zone, m.kind, m.started_ms),
+            (Some(1), Some(2), 1_700_000_000_123)
+        );
     }
 
     #[test]
     fn what_was_had_is_passed_over_and_a_gap_is_an_error() {
         let mut frames = Frames::new(6);
-        let twice =
-            [frame(6, 2, &[record(1, 0)]), frame(7, 2, &[record(1, 0)]), frame(7, 2, &[record(1, 0)])];
+        let twice = [
+            frame(6, 2, &[record(1, 0)]),
+            frame(7, 2, &[record(1, 0)]),
+            frame(7, 2, &[record(1, 0)]),
+        ];
         frames.feed(&twice.concat());
         let told = all(&mut frames).expect("good");
-        assert_eq!(told.iter().filter(|f| matches!(f, Frame::Next(_))).count(), 1);
+        assert_eq!(
+            told.iter().filter(|f| matches!(f, Frame::Next(_))).count(),
+            1
+        );
         frames.feed(&frame(9, 2, &[]));
         assert_eq!(frames.next(), Err(FrameError::Gap(9)));
         let mut frames = Frames::new(6);
         frames.feed(&frame(9, 1, &[record(1, 0)]));
-        assert!(matches!(frames.next(), Ok(Some(Frame::Next(u))) if u.whole), "a whole list fills any gap");
+        assert!(
+            matches!(frames.next(), Ok(Some(Frame::Next(u))) if u.whole),
+            "a whole list fills any gap"
+        );
     }
 
     #[test]
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -34,7 +34,13 @@
 
 /// Sends a statement, and tells how long the router will wait.
 pub fn request(send: &Send<'_>, wait_ms: u64) -> String {
-    let Send { id, class, replay_key, priority, text } = *send;
+    let Send {
+        id,
+        class,
+        replay_key,
+        priority,
+        text,
+    } = *send;
     let mut line = String::with_capacity(160 + text.len() * 4 / 3);
     line.push_str("{\"t\":\"REQ\",\"i\":");
     line.push_str(&quoted(id));
@@ -184,7 +190,10 @@
     /// The next answer, once its line is whole.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Answer>, LineError> {
-        let end = self.buf[self.seen..].iter().position(|b| *b == b'\n').map(|at| self.seen + at);
+        let end = self.buf[self.seen..]
+            .iter()
+            .position(|b| *b == b'\n')
+            .map(|at| self.seen + at);
         let length = end.unwrap_or(self.buf.len()) - self.used;
         if length > LINE {
             return Err(LineError::TooLong);
@@ -209,7 +218,8 @@
             report: load(&line),
         }),
         "rows" => {
-            let page = number(&line, "fetch_no", 1.0..=PAGES)?.ok_or(LineError::Field("fetch_no"))?;
+            let page =
+                number(&line, "fetch_no", 1.0..=PAGES)?.ok_or(LineError::Field("fetch_no"))?;
             Said::Rows(page as usize, body(&line)?)
         }
         "overload" => Said::Full,
@@ -222,7 +232,9 @@
 }
 
 fn body(line: &Line) -> Result<Vec<u8>, LineError> {
-    BASE64.decode(line.b.as_bytes()).map_err(|_| LineError::Field("b"))
+    BASE64
+        .decode(line.b.as_bytes())
+        .map_err(|_| LineError::Field("b"))
 }
 
 /// A field that may be a number or text.
@@ -236,7 +248,10 @@
         Some(Value::String(text)) => text.trim().parse().ok(),
         Some(other) => other.as_f64(),
     };
-    value.filter(|v: &f64| range.contains(v)).map(Some).ok_or(LineError::Field(name))
+    value
+        .filter(|v: &f64| range.contains(v))
+        .map(Some)
+        .ok_or(LineError::Field(name))
 }
 
 /// A load report as in `inflight:7;util:0.61`. What can't be read of it is left out: it is a hint.
@@ -244,7 +259,9 @@
     let text = line.f.get("load")?.as_str()?;
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
-        let Ok(value) = value.trim().parse::<f64>() else { continue };
+        let Ok(value) = value.trim().parse::<f64>() else {
+            continue;
+        };
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         hoptiller_host::tell(&mut report, name.trim(), value);
     }
--- a/crates/platform/src/engine/tests.rs
+++ b/crates/platform/src/engine/tests.rs
@@ -18,14 +18,24 @@
 
 #[test]
 fn fields_may_be_text_or_numbers() {
-    let Said::Served(s) = one(GOOD).expect("good").said else { panic!("served") };
-    assert_eq!((s.pages, s.page.as_slice(), s.work), (3, &b"a\t1\tx\n"[..], Some(820_500)));
-    let Ok(Answer { said: Said::Probed(Some(r)), .. }) =
-        one(r#"{"t":"green","i":"p1","f":{"load":"inflight:7;util:0.61;svc:x"}}"#)
+    let Said::Served(s) = one(GOOD).expect("good").said else {
+        panic!("served")
+    };
+    assert_eq!(
+        (s.pages, s.page.as_slice(), s.work),
+        (3, &b"a\t1\tx\n"[..], Some(820_500))
+    );
+    let Ok(Answer {
+        said: Said::Probed(Some(r)),
+        ..
+    }) = one(r#"{"t":"green","i":"p1","f":{"load":"inflight:7;util:0.61;svc:x"}}"#)
     else {
         panic!("a report")
     };
-    assert_eq!((r.in_flight, r.cpu, r.memory), (Some(7.0), Some(0.61), None));
+    assert_eq!(
+        (r.in_flight, r.cpu, r.memory),
+        (Some(7.0), Some(0.61), None)
+    );
 }
 
 #[test]
@@ -70,13 +80,28 @@
 
 #[test]
 fn a_request_holds_what_the_client_gave_and_its_key_where_there_is_one() {
-    let send = Send { id: "9b1f", class: "post", replay_key: None, priority: Some(7), text: "a" };
+    let send = Send {
+        id: "9b1f",
+        class: "post",
+        replay_key: None,
+        priority: Some(7),
+        text: "a",
+    };
     let read = |line: String| serde_json::from_str::<Value>(line.trim_end()).expect("JSON");
     let line = request(&send, 1500);
     assert!(line.ends_with('\n'));
-    let without =
-        serde_json::json!({"t": "REQ", "i": "9b1f", "f": {"c": "post", "w": 1500, "weight": 3}, "b": "YQ=="});
+    let without = serde_json::json!({"t": "REQ", "i": "9b1f", "f": {"c": "post", "w": 1500, "weight": 3}, "b": "YQ=="});
     assert_eq!(read(line), without);
-    let with = read(request(&Send { replay_key: Some("k\"1"), priority: None, ..send }, 1));
-    assert_eq!(with["f"], serde_json::json!({"c": "post", "w": 1, "i": "k\"1"}));
+    let with = read(request(
+        &Send {
+            replay_key: Some("k\"1"),
+            priority: None,
+            ..send
+        },
+        1,
+    ));
+    assert_eq!(
+        with["f"],
+        serde_json::json!({"c": "post", "w": 1, "i": "k\"1"})
+    );
 }
--- a/crates/platform/src/group.rs
+++ b/crates/platform/src/group.rs
@@ -8,7 +8,9 @@
 /// The number behind the underscore in the name of the schema that a statement reads or writes, as 17 in
 /// `sales_17.orders`. Strings, comments and the schema `staging` don't count.
 pub fn group_of(text: &str) -> Option<u64> {
-    let tokens: Vec<Token> = Lexer::new(text, Dialect::STANDARD).filter(|t| !t.is_blank()).collect();
+    let tokens: Vec<Token> = Lexer::new(text, Dialect::STANDARD)
+        .filter(|t| !t.is_blank())
+        .collect();
     let mut elsewhere = None;
     let mut at = 0;
     while at < tokens.len() {
@@ -24,7 +26,9 @@
         if at > from
             && let Some(group) = numbered(tokens[at - 2].text)
         {
-            let before = from.checked_sub(1).map(|b| tokens[b].text.to_ascii_lowercase());
+            let before = from
+                .checked_sub(1)
+                .map(|b| tokens[b].text.to_ascii_lowercase());
             if before.is_some_and(|word| BEFORE_TABLES.contains(&word.as_str())) {
                 return Some(group);
             }
@@ -43,7 +47,8 @@
 fn numbered(schema: &str) -> Option<u64> {
     let schema = schema.trim_matches(['"', '`']);
     let (_, number) = schema.rsplit_once('_')?;
-    (!number.is_empty() && number.bytes().all(|b| b.is_ascii_digit())).then(|| number.parse().ok())?
+    (!number.is_empty() && number.bytes().all(|b| b.is_ascii_digit()))
+        .then(|| number.parse().ok())?
 }
 
 #[cfg(test)]
@@ -57,12 +62,18 @@
                 "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
                 Some(17),
             ),
-            ("select t_1.a from sales_17.orders t_1 where t_1.b = 'x_3.y'", Some(17)),
+            (
+                "select t_1.a from sales_17.orders t_1 where t_1.b = 'x_3.y'",
+                Some(17),
+            ),
             (
                 "/* sales_1.a */ INSERT INTO \"ledger_204\".\"entries\" SELECT * FROM staging.load_9",
                 Some(204),
             ),
-            ("select a -- from x_1.y\nfrom staging.x_2 join main.sales_8.orders using (id)", Some(8)),
+            (
+                "select a -- from x_1.y\nfrom staging.x_2 join main.sales_8.orders using (id)",
+                Some(8),
+            ),
             ("DELETE FROM sales_5.orders", Some(5)),
             ("COPY sales_6.orders FROM 'x'", Some(6)),
             ("select 1.5, a.b from orders", None),
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -42,12 +42,18 @@
 impl Gather {
     /// A result of so many pages, of which none has come.
     pub fn new(pages: usize) -> Gather {
-        Gather { pages: vec![None; pages], bytes: 0 }
+        Gather {
+            pages: vec![None; pages],
+            bytes: 0,
+        }
     }
 
     /// Takes a page. A second copy of one is passed over.
     pub fn take(&mut self, number: usize, page: Vec<u8>) -> Result<(), RowsError> {
-        let place = self.pages.get_mut(number).ok_or(RowsError::Number(number))?;
+        let place = self
+            .pages
+            .get_mut(number)
+            .ok_or(RowsError::Number(number))?;
         if place.is_some() {
             return Ok(());
         }
@@ -129,8 +135,14 @@
         for page in ["a\t1\tx", "a\t1\n", "a\t1\tx\ty\n", "\n"] {
             assert_eq!(gathered(&[page]), Err(RowsError::Rows), "{page:?}");
         }
-        assert_eq!(Gather::new(2).take(2, Vec::new()), Err(RowsError::Number(2)));
-        assert_eq!(Gather::new(2).take(1, vec![b'\n'; PAGE + 1]), Err(RowsError::TooLong));
+        assert_eq!(
+            Gather::new(2).take(2, Vec::new()),
+            Err(RowsError::Number(2))
+        );
+        assert_eq!(
+            Gather::new(2).take(1, vec![b'\n'; PAGE + 1]),
+            Err(RowsError::TooLong)
+        );
         let mut copies = Gather::new(2);
         copies.take(0, b"a\tb\tc\n".to_vec()).expect("good");
         copies.take(0, b"x\tb\tc\n".to_vec()).expect("passed over");
--- a/crates/platform/tests/wire_form.rs
+++ b/crates/platform/tests/wire_form.rs
@@ -25,7 +25,10 @@
         engine::request(&send, 0),
         "{\"t\":\"REQ\",\"i\":\"9b1f03aa5c7e2d41\",\"f\":{\"c\":\"re\\\"port\",\"w\":0},\"b\":\"U0VMRUNUIDE=\"}\n"
     );
-    assert_eq!(engine::fetch("a", 2), "{\"t\":\"FETCH\",\"i\":\"a\",\"x\":2}\n");
+    assert_eq!(
+        engine::fetch("a", 2),
+        "{\"t\":\"FETCH\",\"i\":\"a\",\"x\":2}\n"
+    );
     assert_eq!(engine::end("a"), "{\"t\":\"END\",\"i\":\"a\"}\n");
     assert_eq!(engine::stop("a"), "{\"t\":\"STOP\",\"i\":\"a\"}\n");
     assert_eq!(engine::stat("p1"), "{\"t\":\"STAT\",\"i\":\"p1\"}\n");
@@ -42,9 +45,18 @@
     );
     let mut next = || lines.next().expect("a good line").expect("a whole line");
     let answer = next();
-    let Said::Served(result) = answer.said else { panic!("served") };
-    let LoadReport { in_flight, memory, cpu } = result.report.expect("a report");
-    assert_eq!((answer.id.as_str(), result.pages, result.work), ("a", 2, Some(820_500)));
+    let Said::Served(result) = answer.said else {
+        panic!("served")
+    };
+    let LoadReport {
+        in_flight,
+        memory,
+        cpu,
+    } = result.report.expect("a report");
+    assert_eq!(
+        (answer.id.as_str(), result.pages, result.work),
+        ("a", 2, Some(820_500))
+    );
     assert_eq!((in_flight, memory, cpu), (Some(7.0), Some(0.5), Some(0.61)));
     assert!(matches!(next().said, Said::Rows(1, page) if page == b"b"));
     assert!(matches!(next().said, Said::Full));
@@ -56,11 +68,16 @@
 #[test]
 fn answers_to_clients_stay() {
     let text = |response: hoptiller_http::Response| {
-        String::from_utf8(response.encode(false)).expect("UTF-8").replace("\r\n", "\n")
+        String::from_utf8(response.encode(false))
+            .expect("UTF-8")
+            .replace("\r\n", "\n")
     };
     assert_eq!(text(served("[[1]]")), SERVED);
     assert_eq!(text(refused(Some(1_500_001))), REFUSED);
-    assert_eq!(text(refused(None)), REFUSED.replace("Hold-Off-Ms: 1501\n", ""));
+    assert_eq!(
+        text(refused(None)),
+        REFUSED.replace("Hold-Off-Ms: 1501\n", "")
+    );
     assert_eq!(text(failed("it \"broke\"")), FAILED);
     assert_eq!(text(wrong(CallError::Field("Max-Wait-Ms"))), WRONG);
     let status = [CallError::Class, CallError::Open, CallError::Body].map(CallError::status);
@@ -85,16 +102,36 @@
         "settings":{"zones":["z","y"],"kinds":["k"],"lanes":[]}}"#,
     )
     .expect("a good configuration");
-    assert_eq!((config.seed(), config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 300));
+    assert_eq!(
+        (config.seed(), config.limits.sockets),
+        (0x8c1f_30d2_7a5b_e964, 300)
+    );
     let known = config.known().expect("a list");
     let member = &known.members[0];
-    assert_eq!((known.number, member.id, member.zone, member.phase), (41, 42, Some(1), Phase::Draining));
+    assert_eq!(
+        (known.number, member.id, member.zone, member.phase),
+        (41, 42, Some(1), Phase::Draining)
+    );
     let mut record = vec![0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2];
-    record.extend([0, 0, 0, 43, 127, 1, 2, 4, 0x23, 0x28, 2, 1, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9]);
+    record.extend([
+        0, 0, 0, 43, 127, 1, 2, 4, 0x23, 0x28, 2, 1, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9,
+    ]);
     let mut frames = Frames::new(41);
     frames.feed(&record);
-    let Some(Frame::Next(update)) = frames.next().expect("a good frame") else { panic!("an event") };
+    let Some(Frame::Next(update)) = frames.next().expect("a good frame") else {
+        panic!("an event")
+    };
     let member = &update.members[0];
-    assert_eq!((update.number, update.whole, member.id, member.phase), (42, false, 43, Phase::Gone));
-    assert_eq!((member.addr.to_string().as_str(), member.cell, member.started_ms), ("127.1.2.4:9000", 5, 9));
+    assert_eq!(
+        (update.number, update.whole, member.id, member.phase),
+        (42, false, 43, Phase::Gone)
+    );
+    assert_eq!(
+        (
+            member.addr.to_string().as_str(),
+            member.cell,
+            member.started_ms
+        ),
+        ("127.1.2.4:9000", 5, 9)
+    );
 }
--- a/crates/rig/src/crowd.rs
+++ b/crates/rig/src/crowd.rs
@@ -74,16 +74,30 @@
         let next = Arc::new(AtomicU64::new(0));
         let (plan, recorder) = (plan.clone(), recorder.clone());
         let (own_stop, own_routers) = (stop.clone(), routers.clone());
-        let thread = std::thread::Builder::new().name("clients".into()).spawn(move || {
-            let all = (0..plan.count).map(|n| {
-                let (plan, recorder, next) = (plan.clone(), recorder.clone(), next.clone());
-                let (stop, routers) = (own_stop.clone(), own_routers.clone());
-                live(Dice::new(seed.wrapping_mul(977) + n), n, plan, recorder, next, stop, routers)
-            });
-            let all: Vec<_> = all.collect();
-            async_io::block_on(join(all));
-        })?;
-        Ok(Crowd { stop, routers, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("clients".into())
+            .spawn(move || {
+                let all = (0..plan.count).map(|n| {
+                    let (plan, recorder, next) = (plan.clone(), recorder.clone(), next.clone());
+                    let (stop, routers) = (own_stop.clone(), own_routers.clone());
+                    live(
+                        Dice::new(seed.wrapping_mul(977) + n),
+                        n,
+                        plan,
+                        recorder,
+                        next,
+                        stop,
+                        routers,
+                    )
+                });
+                let all: Vec<_> = all.collect();
+                async_io::block_on(join(all));
+            })?;
+        Ok(Crowd {
+            stop,
+            routers,
+            thread: Some(thread),
+        })
     }
 
     /// Where routers are from now on.
@@ -124,7 +138,10 @@
 ) {
     let parts: u64 = plan.mix.iter().map(|m| m.part).sum();
     while !stop.load(Ordering::Relaxed) {
-        Timer::after(Duration::from_micros(plan.pause.0 / 2 + dice.below(plan.pause.0))).await;
+        Timer::after(Duration::from_micros(
+            plan.pause.0 / 2 + dice.below(plan.pause.0),
+        ))
+        .await;
         let known = routers.lock().map(|r| r.clone()).unwrap_or_default();
         if known.is_empty() {
             continue;
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -132,18 +132,30 @@
                     false => &known.kinds | &kinds,
                 };
             }
-            let most = if rules.max_attempts == u32::MAX { 0 } else { rules.max_attempts };
+            let most = if rules.max_attempts == u32::MAX {
+                0
+            } else {
+                rules.max_attempts
+            };
             rules.max_attempts = most.max(document.engines.max_attempts);
         }
         rules
     }
 
     /// Plays the day on a stage whose processes don't run yet.
-    pub fn play(&self, stage: &mut Stage, routers: usize, keepers: usize, seed: u64) -> io::Result<Outcome> {
+    pub fn play(
+        &self,
+        stage: &mut Stage,
+        routers: usize,
+        keepers: usize,
+        seed: u64,
+    ) -> io::Result<Outcome> {
         let mut out = Outcome::default();
         stage.start()?;
-        let first =
-            self.documents.get("first").ok_or_else(|| io::Error::other("the day has no document `first`"))?;
+        let first = self
+            .documents
+            .get("first")
+            .ok_or_else(|| io::Error::other("the day has no document `first`"))?;
         let began = Instant::now();
         let put = stage.until(Duration::from_secs(20), |s| s.put("first", first).is_ok());
         if !put {
@@ -153,7 +165,9 @@
             stage.start_router(router)?;
         }
         if stage.agrees() && !stage.until_heeded(routers, 1, Duration::from_secs(20)) {
-            return Err(io::Error::other("not all routers came to heed the first version"));
+            return Err(io::Error::other(
+                "not all routers came to heed the first version",
+            ));
         }
         let mut texts: BTreeMap<u64, String> = BTreeMap::from([(1, first.digest())]);
         let crowd = Crowd::start(&self.clients, seed, &stage.recorder)?;
@@ -170,7 +184,8 @@
                 follow(stage, &mut followed, &mut out);
                 std::thread::sleep(Duration::from_millis(20).min(at.saturating_sub(day.elapsed())));
             }
-            out.course.push((day.elapsed().as_millis() as u64, format!("{:?}", act.what)));
+            out.course
+                .push((day.elapsed().as_millis() as u64, format!("{:?}", act.what)));
             self.happen(stage, &act.what, &mut out, &mut texts, &mut followed)?;
             crowd.reach(stage.running_routers());
         }
@@ -195,29 +210,50 @@
             out.lost.push(last);
         }
         let heads = heads(stage);
-        let there = |n: u64, digest: &String| heads.iter().any(|h| h.number == n && h.digest == *digest);
-        out.lost.extend(texts.iter().filter(|(n, digest)| !there(**n, digest)).map(|(n, _)| *n));
-        out.neutral = heads.iter().filter(|h| h.kind == Change::Neutral).map(|h| h.number).collect();
+        let there =
+            |n: u64, digest: &String| heads.iter().any(|h| h.number == n && h.digest == *digest);
+        out.lost.extend(
+            texts
+                .iter()
+                .filter(|(n, digest)| !there(**n, digest))
+                .map(|(n, _)| *n),
+        );
+        out.neutral = heads
+            .iter()
+            .filter(|h| h.kind == Change::Neutral)
+            .map(|h| h.number)
+            .collect();
         out.fallen = stage.fallen();
-        out.course.push((began.elapsed().as_millis() as u64, "the end".into()));
+        out.course
+            .push((began.elapsed().as_millis() as u64, "the end".into()));
         Ok(out)
     }
 
     /// Faults of the seed, and changes that are put meanwhile. Those that cut a router off last for longer than the pause
     /// between faults, as a permit may.
     fn drawn(&self, dice: &mut Dice, routers: usize, keepers: usize) -> Vec<Timed> {
-        let Some(every) = self.random_every.map(|e| e.0) else { return Vec::new() };
+        let Some(every) = self.random_every.map(|e| e.0) else {
+            return Vec::new();
+        };
         let names: Vec<&String> = self.documents.keys().collect();
         let draw = |dice: &mut Dice| names[dice.below(names.len() as u64) as usize].clone();
         let mut all = Vec::new();
         let mut at = every;
         while at + 3 * every < self.lasts.0 {
-            let (r, k) = (dice.below(routers as u64) as usize, dice.below(keepers as u64) as usize);
+            let (r, k) = (
+                dice.below(routers as u64) as usize,
+                dice.below(keepers as u64) as usize,
+            );
             let kind = dice.below(11);
             // One router is apart from the others for so long.
             let long = matches!(kind, 0..=4);
             let end = if long { every * 2 } else { every * 4 / 5 };
-            let mut add = |after: u64, what: Happens| all.push(Timed { at: Span(at + after), what });
+            let mut add = |after: u64, what: Happens| {
+                all.push(Timed {
+                    at: Span(at + after),
+                    what,
+                })
+            };
             match kind {
                 0 | 1 => add(0, Happens::Alone(r)),
                 2 => add(0, Happens::NoAnswers(r)),
@@ -259,7 +295,10 @@
                     continue;
                 }
             }
-            add(every * 2 / 5 + dice.below(every / 5), Happens::Put(draw(dice)));
+            add(
+                every * 2 / 5 + dice.below(every / 5),
+                Happens::Put(draw(dice)),
+            );
             if long {
                 add(every * 3 / 2, Happens::Put(draw(dice)));
             }
@@ -277,7 +316,10 @@
         texts: &mut BTreeMap<u64, String>,
         followed: &mut Vec<(u64, Instant)>,
     ) -> io::Result<()> {
-        let lost = Way { cut: true, ..Way::default() };
+        let lost = Way {
+            cut: true,
+            ..Way::default()
+        };
         match what {
             Happens::Put(name) => {
                 let document = self
@@ -296,27 +338,52 @@
                     Err(_) => out.unknown += 1,
                 }
             }
-            Happens::Alone(r) => {
-                stage.fail_all(Faults::cut(), |b| matches!(b, Between::Router(x, _) if x == r))
-            }
+            Happens::Alone(r) => stage.fail_all(
+                Faults::cut(),
+                |b| matches!(b, Between::Router(x, _) if x == r),
+            ),
             Happens::Apart(k) => {
-                stage.fail_all(Faults::cut(), |b| matches!(b, Between::Keepers(a, c) if a == k || c == k));
-            }
-            Happens::Deaf(from, to) => {
-                stage.fail(Between::Keepers(*from, *to), Faults { there: lost, ..Faults::default() })
+                stage.fail_all(
+                    Faults::cut(),
+                    |b| matches!(b, Between::Keepers(a, c) if a == k || c == k),
+                );
             }
+            Happens::Deaf(from, to) => stage.fail(
+                Between::Keepers(*from, *to),
+                Faults {
+                    there: lost,
+                    ..Faults::default()
+                },
+            ),
             Happens::NoAnswers(r) => {
-                let faults = Faults { back: lost, ..Faults::default() };
+                let faults = Faults {
+                    back: lost,
+                    ..Faults::default()
+                };
                 stage.fail_all(faults, |b| matches!(b, Between::Router(x, _) if x == r));
             }
             Happens::Slow(ms) => {
-                let way = Way { delay: Duration::from_millis(*ms), ..Way::default() };
-                let faults = Faults { there: way, back: way, ..Faults::default() };
+                let way = Way {
+                    delay: Duration::from_millis(*ms),
+                    ..Way::default()
+                };
+                let faults = Faults {
+                    there: way,
+                    back: way,
+                    ..Faults::default()
+                };
                 stage.fail_all(faults, |b| matches!(b, Between::Router(..)));
             }
             Happens::SlowRouter(r, ms) => {
-                let way = Way { delay: Duration::from_millis(*ms), ..Way::default() };
-                let faults = Faults { there: way, back: way, ..Faults::default() };
+                let way = Way {
+                    delay: Duration::from_millis(*ms),
+                    ..Way::default()
+                };
+                let faults = Faults {
+                    there: way,
+                    back: way,
+                    ..Faults::default()
+                };
                 stage.fail_all(faults, |b| matches!(b, Between::Router(x, _) if x == r));
             }
             Happens::Reset => stage.reset(|_| true),
@@ -328,9 +395,9 @@
                 }
             }
             Happens::KillKeepers => (0..stage.keeper_count()).for_each(|k| stage.kill_keeper(k)),
-            Happens::KillOthers(k) => {
-                (0..stage.keeper_count()).filter(|n| n != k).for_each(|n| stage.kill_keeper(n))
-            }
+            Happens::KillOthers(k) => (0..stage.keeper_count())
+                .filter(|n| n != k)
+                .for_each(|n| stage.kill_keeper(n)),
             Happens::StartKeepers => {
                 for k in 0..stage.keeper_count() {
                     if stage.keeper(k).is_none() {
@@ -356,7 +423,9 @@
     if followed.is_empty() {
         return;
     }
-    let Some(numbers) = stage.numbers() else { return };
+    let Some(numbers) = stage.numbers() else {
+        return;
+    };
     followed.retain(|(number, since)| {
         let there = numbers.in_force >= *number;
         if there {
@@ -368,7 +437,13 @@
 
 /// Heads of all versions that keepers keep.
 fn heads(stage: &Stage) -> Vec<Head> {
-    let Ok(keepers) = stage.keepers() else { return Vec::new() };
-    let asked = keepers.call(hoptiller_agent::wire::HISTORY, None::<&()>, Duration::from_secs(5));
+    let Ok(keepers) = stage.keepers() else {
+        return Vec::new();
+    };
+    let asked = keepers.call(
+        hoptiller_agent::wire::HISTORY,
+        None::<&()>,
+        Duration::from_secs(5),
+    );
     async_io::block_on(asked).unwrap_or_default()
 }
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -36,8 +36,15 @@
 impl Faults {
     /// Nothing passes, either way.
     pub fn cut() -> Faults {
-        let way = Way { cut: true, ..Way::default() };
-        Faults { there: way, back: way, ..Faults::default() }
+        let way = Way {
+            cut: true,
+            ..Way::default()
+        };
+        Faults {
+            there: way,
+            back: way,
+            ..Faults::default()
+        }
     }
 }
 
@@ -114,12 +121,17 @@
 }
 
 fn now(shared: &Mutex<Shared>) -> (Faults, Option<SocketAddr>) {
-    shared.lock().map(|s| (s.faults, s.target)).unwrap_or_default()
+    shared
+        .lock()
+        .map(|s| (s.faults, s.target))
+        .unwrap_or_default()
 }
 
 async fn carry(from: Async<TcpStream>, shared: &Mutex<Shared>) -> io::Result<()> {
     let (faults, target) = now(shared);
-    let Some(target) = target.filter(|_| !faults.refuse) else { return Ok(()) };
+    let Some(target) = target.filter(|_| !faults.refuse) else {
+        return Ok(());
+    };
     let to = Async::<TcpStream>::connect(target).await?;
     let resets = faults.resets;
     let reset = async {
@@ -151,7 +163,9 @@
         let mut bytes = &buffer[..n];
         loop {
             let way = way(&now(shared).0);
-            let room = way.most.map_or(u64::MAX, |most| most.saturating_sub(passed));
+            let room = way
+                .most
+                .map_or(u64::MAX, |most| most.saturating_sub(passed));
             if !way.cut && (room > 0 || n == 0) {
                 let part = bytes.len().min(room.try_into().unwrap_or(usize::MAX));
                 if n == 0 {
@@ -200,7 +214,9 @@
 
     fn connect(link: &Link) -> TcpStream {
         let stream = TcpStream::connect(link.addr()).expect("connected");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .expect("set");
         stream
     }
 
@@ -213,25 +229,48 @@
         stream.write_all(b"one!").expect("sent");
         stream.read_exact(&mut bytes).expect("back");
         // One way only: the answer is lost, not the call.
-        link.fail(Faults { back: Way { cut: true, ..Way::default() }, ..Faults::default() });
+        link.fail(Faults {
+            back: Way {
+                cut: true,
+                ..Way::default()
+            },
+            ..Faults::default()
+        });
         stream.write_all(b"two!").expect("sent");
-        stream.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(300)))
+            .expect("set");
         assert!(stream.read_exact(&mut bytes).is_err(), "nothing passes");
         link.fail(Faults::default());
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .expect("set");
         stream.read_exact(&mut bytes).expect("late");
         assert_eq!(&bytes, b"two!");
         link.reset();
         assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0, "closed");
         // So many bytes, then silence.
-        link.fail(Faults { there: Way { most: Some(2), ..Way::default() }, ..Faults::default() });
+        link.fail(Faults {
+            there: Way {
+                most: Some(2),
+                ..Way::default()
+            },
+            ..Faults::default()
+        });
         let mut stream = connect(&link);
         stream.write_all(b"four").expect("sent");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .expect("set");
         stream.read_exact(&mut bytes[..2]).expect("some");
-        stream.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(300)))
+            .expect("set");
         assert!(stream.read_exact(&mut bytes[..1]).is_err(), "and no more");
-        link.fail(Faults { refuse: true, ..Faults::default() });
+        link.fail(Faults {
+            refuse: true,
+            ..Faults::default()
+        });
         let mut stream = connect(&link);
         let _ = stream.write_all(b"five");
         assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0);
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -19,7 +19,9 @@
 
 /// Ends all that was started, for a process that is told to end; nothing more is started.
 pub fn end_all() {
-    let Ok(mut running) = RUNNING.lock() else { return };
+    let Ok(mut running) = RUNNING.lock() else {
+        return;
+    };
     running.1 = true;
     for pid in running.0.drain(..) {
         let _ = kill_process(pid, Signal::KILL);
@@ -28,7 +30,9 @@
 
 /// Starts a process under the lock, so that none escapes [`end_all`].
 fn spawn(command: &mut Command) -> io::Result<Child> {
-    let mut running = RUNNING.lock().map_err(|_| io::Error::other("a thread has panicked"))?;
+    let mut running = RUNNING
+        .lock()
+        .map_err(|_| io::Error::other("a thread has panicked"))?;
     if running.1 {
         return Err(io::Error::other("told to end"));
     }
@@ -60,9 +64,15 @@
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
         command.args(args).envs(env.iter().map(|(k, v)| (k, v)));
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::from(log));
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::from(log));
         let mut child = spawn(&mut command)?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("no output"))?;
         let (tell, told) = mpsc::channel();
         std::thread::spawn(move || {
             // Read on to the end: a full pipe would hold the process up.
@@ -72,9 +82,16 @@
                 }
             }
         });
-        let ready = told.recv_timeout(READY).ok().and_then(|addr| addr.parse().ok());
+        let ready = told
+            .recv_timeout(READY)
+            .ok()
+            .and_then(|addr| addr.parse().ok());
         match ready {
-            Some(addr) => Ok(Process { name: name.to_owned(), child, addr }),
+            Some(addr) => Ok(Process {
+                name: name.to_owned(),
+                child,
+                addr,
+            }),
             None => {
                 let _ = child.kill();
                 let status = wait_for(&mut child)?;
@@ -134,7 +151,9 @@
         let until = std::time::Instant::now() + within;
         loop {
             match self.ended() {
-                None if std::time::Instant::now() < until => std::thread::sleep(Duration::from_millis(10)),
+                None if std::time::Instant::now() < until => {
+                    std::thread::sleep(Duration::from_millis(10))
+                }
                 ended => return ended,
             }
         }
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/stage.rs
@@ -105,8 +105,12 @@
         std::fs::write(&secret, "5ec2e7".repeat(8))?;
         let recorder = Recorder::to_file(&dir.join("stage.jsonl"))?;
         let fences = layout.engines.iter().any(|e| e.fences);
-        let discovery =
-            DiscoveryConfig { recorder: recorder.clone(), fences, ..DiscoveryConfig::default() }.start()?;
+        let discovery = DiscoveryConfig {
+            recorder: recorder.clone(),
+            fences,
+            ..DiscoveryConfig::default()
+        }
+        .start()?;
         let mut links = BTreeMap::new();
         for to in 0..layout.keepers {
             for from in (0..layout.keepers).filter(|f| *f != to) {
@@ -179,14 +183,19 @@
     /// Starts a keeper, on the disk that it has.
     pub fn start_keeper(&mut self, keeper: usize) -> io::Result<()> {
         let joined = self.joined.get(&keeper);
-        let known = joined.map_or_else(|| (0..self.layout.keepers).collect(), |(_, all)| all.clone());
+        let known = joined.map_or_else(
+            || (0..self.layout.keepers).collect(),
+            |(_, all)| all.clone(),
+        );
         let all: BTreeMap<String, String> = known
             .into_iter()
             .map(|to| {
                 // Its own address is never used: it listens where there is room.
                 let own = SocketAddr::from(([127, 0, 0, 1], 1));
-                let link =
-                    self.links.get(&Between::Keepers(keeper, to)).or(self.links.get(&Between::Joined(to)));
+                let link = self
+                    .links
+                    .get(&Between::Keepers(keeper, to))
+                    .or(self.links.get(&Between::Joined(to)));
                 let addr = link.filter(|_| to != keeper).map_or(own, Link::addr);
                 ((to + 1).to_string(), addr.to_string())
             })
@@ -202,12 +211,23 @@
         let file = self.dir.join(format!("keeper-{}.json", keeper + 1));
         std::fs::write(&file, config.to_string())?;
         let name = format!("keeper-{}", keeper + 1);
-        let skew = self.layout.keeper_skews.get(keeper).copied().unwrap_or(0).to_string();
+        let skew = self
+            .layout
+            .keeper_skews
+            .get(keeper)
+            .copied()
+            .unwrap_or(0)
+            .to_string();
         let file = file.display().to_string();
         let mut args = vec!["keep", "--config", &file, "--clock-skew", &skew];
         args.extend(joined.map(|_| "--join"));
-        let process =
-            Process::start(&name, &self.program, &args, &self.env, &self.dir.join(format!("{name}.log")))?;
+        let process = Process::start(
+            &name,
+            &self.program,
+            &args,
+            &self.env,
+            &self.dir.join(format!("{name}.log")),
+        )?;
         // Routers reach it where they reached the one whose place it took.
         let before = joined.map_or(keeper, |(lost, _)| *lost);
         let leads_here = |b: &Between| match b {
@@ -238,7 +258,8 @@
         };
         let ask = json!({ "lost": lost + 1, "new": new + 1, "at": common });
         let called = self.keepers()?;
-        let asked = called.call::<wire::Replaced>(wire::REPLACE, Some(&ask), Duration::from_secs(4));
+        let asked =
+            called.call::<wire::Replaced>(wire::REPLACE, Some(&ask), Duration::from_secs(4));
         if let Err(e) = async_io::block_on(asked) {
             return Ok(Err(e));
         }
@@ -248,7 +269,8 @@
         };
         all.retain(|k| *k != lost);
         for other in &all {
-            self.links.insert(Between::Keepers(new, *other), Link::new("link")?);
+            self.links
+                .insert(Between::Keepers(new, *other), Link::new("link")?);
             let at = self.keeper_addrs[*other];
             at.into_iter()
                 .zip(self.links.get(&Between::Keepers(new, *other)))
@@ -301,14 +323,21 @@
     pub fn start_router(&mut self, router: usize) -> io::Result<()> {
         let name = format!("r{}", router + 1);
         let keepers: Vec<String> = (0..self.layout.keepers)
-            .filter_map(|k| self.links.get(&Between::Router(router, k)).map(|l| l.addr().to_string()))
+            .filter_map(|k| {
+                self.links
+                    .get(&Between::Router(router, k))
+                    .map(|l| l.addr().to_string())
+            })
             .collect();
         let mut settings = self.layout.settings.clone();
         settings["router"] = json!({
             "name": name, "index": router, "of": self.layout.routers, "listen": "127.0.0.1:0",
             "state": self.dir.join(format!("state-{name}")), "seed": router + 1,
         });
-        let discovery = self.links.get(&Between::Discovery(router)).map_or(self.discovery.addr, Link::addr);
+        let discovery = self
+            .links
+            .get(&Between::Discovery(router))
+            .map_or(self.discovery.addr, Link::addr);
         settings["discovery"]["address"] = discovery.to_string().into();
         if self.layout.agreement {
             settings["agreement"] = json!({
@@ -318,10 +347,21 @@
         }
         let file = self.dir.join(format!("{name}.json"));
         std::fs::write(&file, settings.to_string())?;
-        let skew = self.layout.router_skews.get(router).copied().unwrap_or(0).to_string();
+        let skew = self
+            .layout
+            .router_skews
+            .get(router)
+            .copied()
+            .unwrap_or(0)
+            .to_string();
         let args = ["route", &file.display().to_string(), "--clock-skew", &skew];
-        let process =
-            Process::start(&name, &self.program, &args, &self.env, &self.dir.join(format!("{name}.log")))?;
+        let process = Process::start(
+            &name,
+            &self.program,
+            &args,
+            &self.env,
+            &self.dir.join(format!("{name}.log")),
+        )?;
         self.routers[router] = Some(process);
         Ok(())
     }
@@ -330,7 +370,10 @@
     pub fn kill_router(&mut self, router: usize) {
         self.go_on_router(router);
         if self.routers[router].take().is_some() {
-            self.recorder.write(Record::Killed { at: wall(), router: format!("r{}", router + 1) });
+            self.recorder.write(Record::Killed {
+                at: wall(),
+                router: format!("r{}", router + 1),
+            });
         }
     }
 
@@ -346,7 +389,11 @@
     pub fn go_on_router(&mut self, router: usize) {
         if let Some(at) = self.stopped[router].take() {
             let name = format!("r{}", router + 1);
-            self.recorder.write(Record::StoodStill { at, router: name, until: wall() });
+            self.recorder.write(Record::StoodStill {
+                at,
+                router: name,
+                until: wall(),
+            });
         }
         self.routers[router].iter().for_each(Process::go_on);
     }
@@ -358,14 +405,22 @@
 
     /// Routers that run and don't stand still: name and address.
     pub fn running_routers(&self) -> Vec<(String, SocketAddr)> {
-        let running = self.routers.iter().zip(&self.stopped).filter(|(_, stopped)| stopped.is_none());
-        running.filter_map(|(r, _)| r.as_ref()).map(|r| (r.name().to_owned(), r.addr())).collect()
+        let running = self
+            .routers
+            .iter()
+            .zip(&self.stopped)
+            .filter(|(_, stopped)| stopped.is_none());
+        running
+            .filter_map(|(r, _)| r.as_ref())
+            .map(|r| (r.name().to_owned(), r.addr()))
+            .collect()
     }
 
     /// Processes that have ended by themselves, with how.
     pub fn fallen(&mut self) -> Vec<String> {
         let all = self.keepers.iter_mut().chain(&mut self.routers).flatten();
-        all.filter_map(|p| p.ended().map(|how| format!("{}: {how}", p.name()))).collect()
+        all.filter_map(|p| p.ended().map(|how| format!("{}: {how}", p.name())))
+            .collect()
     }
 
     // ---- engines --------------------------------------------------------------------------------
@@ -391,12 +446,18 @@
 
     /// Has all links fail that a choice names.
     pub fn fail_all(&self, faults: Faults, which: impl Fn(&Between) -> bool) {
-        self.links.iter().filter(|(b, _)| which(b)).for_each(|(_, link)| link.fail(faults));
+        self.links
+            .iter()
+            .filter(|(b, _)| which(b))
+            .for_each(|(_, link)| link.fail(faults));
     }
 
     /// Closes what is open on all links that a choice names.
     pub fn reset(&self, which: impl Fn(&Between) -> bool) {
-        self.links.iter().filter(|(b, _)| which(b)).for_each(|(_, link)| link.reset());
+        self.links
+            .iter()
+            .filter(|(b, _)| which(b))
+            .for_each(|(_, link)| link.reset());
     }
 
     /// All links are whole.
@@ -413,8 +474,15 @@
 
     /// The keepers, as administrators reach them: not over the links.
     pub fn keepers(&self) -> io::Result<Keepers> {
-        let running = self.keepers.iter().zip(&self.keeper_addrs).filter(|(k, _)| k.is_some());
-        Ok(Keepers::new(running.filter_map(|(_, at)| *at).collect(), Secret::load(&self.secret)?))
+        let running = self
+            .keepers
+            .iter()
+            .zip(&self.keeper_addrs)
+            .filter(|(k, _)| k.is_some());
+        Ok(Keepers::new(
+            running.filter_map(|(_, at)| *at).collect(),
+            Secret::load(&self.secret)?,
+        ))
     }
 
     /// Puts a change.
@@ -434,12 +502,17 @@
 
     /// The fleet's numbers, as the keeper knows them that knows most: one that is cut off stays behind.
     pub fn numbers(&self) -> Option<wire::Numbers> {
-        self.statuses().into_iter().map(|s| s.numbers).max_by_key(|n| (n.in_force, n.last))
+        self.statuses()
+            .into_iter()
+            .map(|s| s.numbers)
+            .max_by_key(|n| (n.in_force, n.last))
     }
 
     /// What the keepers that run say, in their order.
     pub fn statuses(&self) -> Vec<wire::Status> {
-        let Ok(keepers) = self.keepers() else { return Vec::new() };
+        let Ok(keepers) = self.keepers() else {
+            return Vec::new();
+        };
         let one = |at: &SocketAddr| {
             let asked = keepers.call_one(*at, wire::STATUS, None::<&()>, Duration::from_secs(2));
             async_io::block_on(asked).ok()
@@ -463,7 +536,9 @@
 
     /// Waits until a version is in force.
     pub fn until_in_force(&mut self, number: u64, within: Duration) -> bool {
-        self.until(within, |s| s.numbers().is_some_and(|n| n.in_force >= number))
+        self.until(within, |s| {
+            s.numbers().is_some_and(|n| n.in_force >= number)
+        })
     }
 
     /// Waits until as many routers hold a permit and heed this version or a later one.
--- a/crates/router/src/agreed.rs
+++ b/crates/router/src/agreed.rs
@@ -63,7 +63,10 @@
     ) -> Rc<Agreed> {
         let file = state.map(|dir| dir.join(NAME));
         let known = file.as_deref().map(remembered).unwrap_or_default();
-        let me = Holder { router: router.to_owned(), life: life.to_owned() };
+        let me = Holder {
+            router: router.to_owned(),
+            life: life.to_owned(),
+        };
         let keepers = Keepers::new(settings.keepers.clone(), secret);
         keepers.begin_with(crate::core::group_of(router) as usize);
         let leased = Leased::new(&settings.bounds(), clock);
@@ -96,13 +99,19 @@
 
     /// Whether a statement that names no class has one.
     pub fn has_default(&self) -> bool {
-        self.follower.borrow().rules().is_some_and(|r| r.default_class.is_some())
+        self.follower
+            .borrow()
+            .rules()
+            .is_some_and(|r| r.default_class.is_some())
     }
 
     /// Whether an engine's process that began then, in ms since 1970, may get work by the agreed list.
     pub fn lists(&self, engine: &str, started: u64) -> bool {
         let follower = self.follower.borrow();
-        follower.rules().and_then(|r| r.list.as_ref()).is_none_or(|list| list.takes_work(engine, started))
+        follower
+            .rules()
+            .and_then(|r| r.list.as_ref())
+            .is_none_or(|list| list.takes_work(engine, started))
     }
 
     /// The rules of the versions heeded can be used here, or not.
@@ -113,7 +122,11 @@
     /// Whether it holds no living permit; and the versions that it heeds.
     pub fn standing(&self) -> (bool, u64, u64) {
         let follower = self.follower.borrow();
-        (follower.in_doubt(self.clock.now()), follower.in_force(), follower.heeds())
+        (
+            follower.in_doubt(self.clock.now()),
+            follower.in_force(),
+            follower.heeds(),
+        )
     }
 
     /// Asks for ever; `changed` is called when other rules are to be heeded, before anything is done under them.
@@ -136,7 +149,11 @@
         let every = self.settings.ask_every;
         let wanted = self.leased.wanted.listen();
         let told = async {
-            match self.keepers.call::<wire::Numbers>(wire::WATCH, Some(&self.watch()), every + EACH).await {
+            match self
+                .keepers
+                .call::<wire::Numbers>(wire::WATCH, Some(&self.watch()), every + EACH)
+                .await
+            {
                 Ok(told) if self.is_news(&told) => {}
                 // A keeper that is behind would answer so again and again.
                 Ok(_) => future::pending().await,
@@ -154,18 +171,33 @@
     fn watch(&self) -> wire::Watch {
         let (_, in_force, last) = self.standing();
         let wait_ms = self.settings.ask_every.as_millis() as u64;
-        let known = wire::Numbers { in_force, last, board: self.leased.board() };
-        wire::Watch { known, wait_ms, board: self.has_tasks() }
+        let known = wire::Numbers {
+            in_force,
+            last,
+            board: self.leased.board(),
+        };
+        wire::Watch {
+            known,
+            wait_ms,
+            board: self.has_tasks(),
+        }
     }
 
     /// Whether the fleet has tasks that one router does for all.
     fn has_tasks(&self) -> bool {
-        self.follower.borrow().rules().is_some_and(|r| !r.tasks.is_empty())
+        self.follower
+            .borrow()
+            .rules()
+            .is_some_and(|r| !r.tasks.is_empty())
     }
 
     /// Whose a part of a task is now.
     pub fn duty(&self, part: Part) -> Duty {
-        if self.has_tasks() { self.leased.duty(part, self.standing().0) } else { Duty::Own }
+        if self.has_tasks() {
+            self.leased.duty(part, self.standing().0)
+        } else {
+            Duty::Own
+        }
     }
 
     /// Has notes taken, for ever.
@@ -188,11 +220,27 @@
     /// Asks once. Returns whether there was news.
     async fn ask(&self, changed: &impl Fn()) -> bool {
         let (id, act) = self.follower.borrow_mut().ask(self.clock.now());
-        let Act::Ask { holder, heeds, in_force, .. } = act else { return false };
+        let Act::Ask {
+            holder,
+            heeds,
+            in_force,
+            ..
+        } = act
+        else {
+            return false;
+        };
         let offer = self.has_tasks().then(|| self.leased.offer(id));
         let bounds = self.settings.bounds();
-        let body = wire::Ask { holder, heeds, in_force, term: bounds.term, drift: bounds.drift, offer };
-        let answer: Result<wire::Asked, Unreached> = self.keepers.call(wire::ASK, Some(&body), EACH).await;
+        let body = wire::Ask {
+            holder,
+            heeds,
+            in_force,
+            term: bounds.term,
+            drift: bounds.drift,
+            offer,
+        };
+        let answer: Result<wire::Asked, Unreached> =
+            self.keepers.call(wire::ASK, Some(&body), EACH).await;
         let granted = match answer {
             Ok(wire::Asked::Granted(granted)) => granted,
             Ok(other) => {
@@ -215,11 +263,16 @@
         if plant::is(Plant::FromTheAnswer) {
             self.follower.borrow_mut().count_from(id, self.clock.now());
         }
-        let (serial, leases, board) = (granted.serial, granted.leases.clone(), granted.board.clone());
+        let (serial, leases, board) = (
+            granted.serial,
+            granted.leases.clone(),
+            granted.board.clone(),
+        );
         let taken = self.follower.borrow_mut().granted(id, granted);
         match taken {
             Ok(news) => {
-                self.leased.granted(id, serial, leases.as_deref(), board.as_ref());
+                self.leased
+                    .granted(id, serial, leases.as_deref(), board.as_ref());
                 if news {
                     changed();
                     self.write();
@@ -243,7 +296,8 @@
     /// Gives the permit back: nothing more is done under it.
     pub async fn give_back(&self) {
         let me = self.follower.borrow().me().clone();
-        let given: Result<(), Unreached> = self.keepers.call(wire::GIVE_BACK, Some(&me), EACH).await;
+        let given: Result<(), Unreached> =
+            self.keepers.call(wire::GIVE_BACK, Some(&me), EACH).await;
         if let Err(e) = given {
             tracing::warn!(why = %e, "the permit was not given back; it runs out by itself");
         }
@@ -280,7 +334,9 @@
 
 /// What an earlier life wrote down; nothing where that is not whole.
 fn remembered(file: &Path) -> Vec<Version> {
-    let Ok(bytes) = read(file) else { return Vec::new() };
+    let Ok(bytes) = read(file) else {
+        return Vec::new();
+    };
     let known = bytes.iter().position(|b| *b == b'\n').and_then(|at| {
         let (digest, body) = (&bytes[..at], &bytes[at + 1..]);
         (hoptiller_agent::secret::digest(body).as_bytes() == digest)
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -86,10 +86,18 @@
         let watched = self.watch.as_mut().map(|watch| {
             let kind = watch.kind(s.class, s.fingerprint);
             let held_as = watch.arrived(now, kind, s.class, &s.label);
-            Watched { kind, held_as, label: s.label.clone(), announced: s.announced, group }
+            Watched {
+                kind,
+                held_as,
+                label: s.label.clone(),
+                announced: s.announced,
+                group,
+            }
         });
         let held_as = watched.as_ref().map(|w| w.held_as.0);
-        let id = self.table.insert(|id| Statement::new(id, &s, watched, now, valid_until));
+        let id = self
+            .table
+            .insert(|id| Statement::new(id, &s, watched, now, valid_until));
         self.table.watch(now + self.bounds.abandon_after, id);
         self.events.push(Event::Arrival(Arrival {
             request: RequestId(id),
@@ -109,7 +117,11 @@
     /// The answer of that number.
     pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> Poll {
         let Some(s) = self.table.get_mut(id) else {
-            return if id < self.table.next() { Poll::Gone } else { Poll::Unknown };
+            return if id < self.table.next() {
+                Poll::Gone
+            } else {
+                Poll::Unknown
+            };
         };
         s.asked = now;
         match s.place_of(page) {
@@ -136,7 +148,11 @@
     pub fn waiting(&mut self, now: Micros, id: StatementId, more: bool) {
         if let Some(s) = self.table.get_mut(id) {
             s.asked = now;
-            s.waiters = if more { s.waiters + 1 } else { s.waiters.saturating_sub(1) };
+            s.waiters = if more {
+                s.waiters + 1
+            } else {
+                s.waiters.saturating_sub(1)
+            };
         }
     }
 
@@ -147,7 +163,9 @@
 
     /// Settles a statement that its client has left, and lets go of what is held for it.
     fn leave(&mut self, now: Micros, id: StatementId, how: Final) {
-        let Some(s) = self.table.get_mut(id) else { return };
+        let Some(s) = self.table.get_mut(id) else {
+            return;
+        };
         if s.is_settled() {
             return;
         }
@@ -175,7 +193,8 @@
     pub fn give_up_all(&mut self) {
         let mut open: Vec<StatementId> = self.table.unsettled().collect();
         open.sort_unstable();
-        self.events.extend(open.into_iter().map(|id| Event::GiveUp(RequestId(id))));
+        self.events
+            .extend(open.into_iter().map(|id| Event::GiveUp(RequestId(id))));
     }
 
     /// Takes nothing new from now on.
@@ -221,8 +240,15 @@
 
     /// Word on an attempt that runs.
     pub fn note(&mut self, id: StatementId, hop: u32, progress: hoptiller::Progress) {
-        let Some(engine) = self.table.get(id).and_then(|s| s.engine_of(hop)) else { return };
-        self.events.push(Event::Note { request: RequestId(id), hop, engine, progress });
+        let Some(engine) = self.table.get(id).and_then(|s| s.engine_of(hop)) else {
+            return;
+        };
+        self.events.push(Event::Note {
+            request: RequestId(id),
+            hop,
+            engine,
+            progress,
+        });
     }
 
     /// A page of an attempt's result has come.
@@ -240,9 +266,13 @@
                 s.note_page(hop, now);
                 (Stage::Held { hop, page }, true)
             }
-            Stage::Flowing { hop: from, .. } if from == hop => {
-                (Stage::Flowing { hop, next: Some(page) }, true)
-            }
+            Stage::Flowing { hop: from, .. } if from == hop => (
+                Stage::Flowing {
+                    hop,
+                    next: Some(page),
+                },
+                true,
+            ),
             // Another attempt's result is on its way, or the statement is over: this one did the work in vain.
             other => (other, false),
         };
@@ -252,7 +282,11 @@
             self.commands.push_back(Command::Wake(id));
         } else {
             self.commands.push_back(Command::Release { id, hop });
-            if let Some(event) = self.table.get_mut(id).and_then(|s| s.outcome_good(hop, now)) {
+            if let Some(event) = self
+                .table
+                .get_mut(id)
+                .and_then(|s| s.outcome_good(hop, now))
+            {
                 self.events.push(event);
             }
         }
@@ -261,7 +295,9 @@
     /// An engine's own answer that the statement is wrong: it is final.
     pub fn wrong(&mut self, now: Micros, id: StatementId, hop: u32, failure: Failure) {
         self.watch_ended(now, id, hop, End::Failed, None);
-        let Some(s) = self.table.get_mut(id) else { return };
+        let Some(s) = self.table.get_mut(id) else {
+            return;
+        };
         let event = s.outcome_good(hop, now);
         self.events.extend(event);
         self.settle(now, id, Final::Engine(failure));
@@ -270,7 +306,9 @@
     /// An attempt has ended without its result, or before the end of it.
     pub fn ended(&mut self, now: Micros, id: StatementId, hop: u32, ended: Ended) {
         self.watch_outcome(now, id, hop, ended.ending);
-        let Some(s) = self.table.get_mut(id) else { return };
+        let Some(s) = self.table.get_mut(id) else {
+            return;
+        };
         let event = s.outcome(hop, now, &ended, false);
         match s.stage {
             Stage::Flowing { hop: from, .. } if from == hop => {
@@ -327,21 +365,35 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Terms { request, priority, grant } => {
+            Action::Terms {
+                request,
+                priority,
+                grant,
+            } => {
                 if let Some(s) = self.table.get_mut(request.0) {
                     s.terms = (Some(priority), grant);
                 }
             }
-            Action::Send { request, engine, send_by } => {
-                let Some(s) = self.table.get_mut(request.0) else { return };
-                let until = s.valid_until.saturating_sub(self.bounds.answer_margin).max(now);
+            Action::Send {
+                request,
+                engine,
+                send_by,
+            } => {
+                let Some(s) = self.table.get_mut(request.0) else {
+                    return;
+                };
+                let until = s
+                    .valid_until
+                    .saturating_sub(self.bounds.answer_margin)
+                    .max(now);
                 let attempt = s.attempt(now, engine, until, send_by);
                 let hop = attempt.hop;
                 self.commands.push_back(Command::Send(attempt));
                 self.watch_sent(now, request.0, hop, engine);
             }
             Action::Cancel { request, hop } => {
-                self.commands.push_back(Command::Withdraw { id: request.0, hop });
+                self.commands
+                    .push_back(Command::Withdraw { id: request.0, hop });
             }
             Action::Refuse { request, hold_off } => {
                 self.refuse(now, request.0, |why| Final::Refused { hold_off, why });
@@ -367,7 +419,9 @@
 
     /// Settles the final answer, once.
     fn settle(&mut self, now: Micros, id: StatementId, how: Final) {
-        let Some(s) = self.table.get_mut(id) else { return };
+        let Some(s) = self.table.get_mut(id) else {
+            return;
+        };
         if s.is_settled() {
             return;
         }
@@ -380,14 +434,22 @@
             s.delivered = true;
         }
         self.table.settled();
-        self.commands.push_back(Command::Settled { id, class, how, after, attempts });
+        self.commands.push_back(Command::Settled {
+            id,
+            class,
+            how,
+            after,
+            attempts,
+        });
         self.commands.push_back(Command::Wake(id));
         self.keep(now, id);
     }
 
     /// Gives out what is new, and moves the statement on.
     fn deliver(&mut self, now: Micros, id: StatementId) -> Poll {
-        let Some(s) = self.table.get_mut(id) else { return Poll::Gone };
+        let Some(s) = self.table.get_mut(id) else {
+            return Poll::Gone;
+        };
         let stage = std::mem::replace(&mut s.stage, Stage::Waiting);
         let held = stage.bytes();
         match stage {
@@ -401,7 +463,10 @@
                 self.after_page(now, id, hop, last);
                 Poll::Answer(answer)
             }
-            Stage::Flowing { hop, next: Some(page) } => {
+            Stage::Flowing {
+                hop,
+                next: Some(page),
+            } => {
                 self.held -= held;
                 let last = page.last;
                 s.stage = Stage::Flowing { hop, next: None };
@@ -438,14 +503,19 @@
 
     /// Tells the module that an attempt served.
     fn tell_served(&mut self, now: Micros, id: StatementId, hop: u32) {
-        let event = self.table.get_mut(id).and_then(|s| s.outcome_good(hop, now));
+        let event = self
+            .table
+            .get_mut(id)
+            .and_then(|s| s.outcome_good(hop, now));
         self.events.extend(event);
     }
 
     /// Lets pages be fetched while there is room for them.
     fn feed(&mut self) {
         while self.held < self.bounds.held_bytes {
-            let Some((id, hop)) = self.hungry.pop_front() else { break };
+            let Some((id, hop)) = self.hungry.pop_front() else {
+                break;
+            };
             if self.table.get(id).is_some_and(|s| !s.is_settled()) {
                 self.commands.push_back(Command::Fetch { id, hop });
             }
@@ -455,17 +525,26 @@
     /// Looks after those whose time has come: clients that went away, answers that were kept long enough.
     fn tidy(&mut self, now: Micros) {
         while let Some(id) = self.table.due(now) {
-            let Some(s) = self.table.get(id) else { continue };
+            let Some(s) = self.table.get(id) else {
+                continue;
+            };
             let gone_at = s.asked.saturating_add(self.bounds.abandon_after);
             if s.is_settled() {
-                let kept = s.asked.max(s.over_at.unwrap_or(0)).saturating_add(self.bounds.keep);
+                let kept = s
+                    .asked
+                    .max(s.over_at.unwrap_or(0))
+                    .saturating_add(self.bounds.keep);
                 if kept > now {
                     self.table.watch(kept, id);
                 } else {
                     self.table.retire(id);
                 }
             } else if s.waiters > 0 || gone_at > now {
-                let at = if s.waiters > 0 { now + self.bounds.abandon_after } else { gone_at };
+                let at = if s.waiters > 0 {
+                    now + self.bounds.abandon_after
+                } else {
+                    gone_at
+                };
                 self.table.watch(at, id);
             } else {
                 self.leave(now, id, Final::Abandoned);
@@ -475,7 +554,11 @@
 
     /// Keeps an answered statement a while, and no more of them than is set.
     fn keep(&mut self, now: Micros, id: StatementId) {
-        if self.table.get(id).is_some_and(|s| s.delivered && s.is_settled()) {
+        if self
+            .table
+            .get(id)
+            .is_some_and(|s| s.delivered && s.is_settled())
+        {
             self.table.given(id);
             self.table.watch(now + self.bounds.keep, id);
             self.table.trim(self.bounds.answered);
@@ -491,5 +574,7 @@
 /// A number for a name, alike at all routers.
 fn hash(name: &str) -> u64 {
     // FNV-1a, 64 bits.
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/crates/router/src/core/page.rs
+++ b/crates/router/src/core/page.rs
@@ -27,8 +27,17 @@
 impl Page {
     /// Bytes that it takes.
     pub fn bytes(&self) -> u64 {
-        let texts = [&self.columns, &self.rows].into_iter().flatten().map(|t| t.get().len()).sum::<usize>();
-        (texts + self.fields.iter().map(|f| f.0.len() + f.1.len()).sum::<usize>()) as u64
+        let texts = [&self.columns, &self.rows]
+            .into_iter()
+            .flatten()
+            .map(|t| t.get().len())
+            .sum::<usize>();
+        (texts
+            + self
+                .fields
+                .iter()
+                .map(|f| f.0.len() + f.1.len())
+                .sum::<usize>()) as u64
     }
 }
 
--- a/crates/router/src/core/runaways.rs
+++ b/crates/router/src/core/runaways.rs
@@ -5,7 +5,8 @@
 
 use hoptiller::{Effect, Ending, EngineId, Entry, Event, Micros, Readiness, Scope};
 use hoptiller_runaway::{
-    AttemptId, Decision, End, EndingVerdict, KindId, Listed, News, Proof, Start, Watch, answer_after_end,
+    AttemptId, Decision, End, EndingVerdict, KindId, Listed, News, Proof, Start, Watch,
+    answer_after_end,
 };
 
 use super::page::{Final, Page};
@@ -39,7 +40,11 @@
     fn of(cfg: &hoptiller::Settings, entries: BTreeMap<EngineId, Entry>) -> Fleet {
         Fleet {
             entries,
-            placement: cfg.classes.iter().map(|c| (c.zones.clone(), c.kinds.clone())).collect(),
+            placement: cfg
+                .classes
+                .iter()
+                .map(|c| (c.zones.clone(), c.kinds.clone()))
+                .collect(),
             effects: cfg.classes.iter().map(|c| c.effect).collect(),
             cancels: cfg.limits.cancel,
             hold_off: cfg.limits.retry_after.then_some(cfg.limits.max_retry_after),
@@ -49,26 +54,39 @@
     /// Takes in news of the list; engines whose process is another one now.
     fn take(&mut self, scope: Scope, entries: &[Entry]) -> Vec<EngineId> {
         if matches!(scope, Scope::All | Scope::Remembered) {
-            self.entries.retain(|id, _| entries.iter().any(|e| e.engine == *id));
+            self.entries
+                .retain(|id, _| entries.iter().any(|e| e.engine == *id));
         }
         let mut restarted = Vec::new();
         for entry in entries {
             let old = self.entries.insert(entry.engine, entry.clone());
-            restarted.extend(old.filter(|o| entry.ready_at > o.ready_at).map(|o| o.engine));
+            restarted.extend(
+                old.filter(|o| entry.ready_at > o.ready_at)
+                    .map(|o| o.engine),
+            );
         }
         restarted
     }
 
     fn listed(&self) -> Vec<Listed> {
         let within = |only: &Only, is: Option<usize>| {
-            only.as_ref().is_none_or(|set| is.is_some_and(|i| set.contains(&i)))
+            only.as_ref()
+                .is_none_or(|set| is.is_some_and(|i| set.contains(&i)))
         };
         let listed = |e: &Entry| Listed {
             engine: e.engine,
             up: e.readiness == Readiness::Up,
-            classes: self.placement.iter().map(|(z, k)| within(z, e.zone) && within(k, e.kind)).collect(),
+            classes: self
+                .placement
+                .iter()
+                .map(|(z, k)| within(z, e.zone) && within(k, e.kind))
+                .collect(),
         };
-        self.entries.values().filter(|e| e.readiness != Readiness::Removed).map(listed).collect()
+        self.entries
+            .values()
+            .filter(|e| e.readiness != Readiness::Removed)
+            .map(listed)
+            .collect()
     }
 }
 
@@ -83,7 +101,8 @@
         &mut self,
         now: Micros,
         bytes: &[u8],
-    ) -> Option<Result<hoptiller_runaway::snapshot::Restored, hoptiller_runaway::SnapshotError>> {
+    ) -> Option<Result<hoptiller_runaway::snapshot::Restored, hoptiller_runaway::SnapshotError>>
+    {
         self.watch.as_mut().map(|watch| watch.restore(now, bytes))
     }
 
@@ -104,13 +123,17 @@
     /// An attempt was ended at its engine on demand, ours or an administrator's there: this is the statement's end.
     pub fn killed(&mut self, now: Micros, id: StatementId, hop: u32, proof: Proof, why: String) {
         self.watch_ended(now, id, hop, End::Failed, None);
-        let Some(s) = self.table.get_mut(id) else { return };
+        let Some(s) = self.table.get_mut(id) else {
+            return;
+        };
         match s.stage {
             // Danger: rows have gone out; what is left of the result is lost.
             Stage::Flowing { hop: from, .. } if from == hop => {
                 return self.settle(now, id, Final::Cut(why));
             }
-            Stage::Flowing { .. } | Stage::Over(_) => return self.ended(now, id, hop, cancelled(why)),
+            Stage::Flowing { .. } | Stage::Over(_) => {
+                return self.ended(now, id, hop, cancelled(why));
+            }
             // Its end was told before: this is no news.
             _ if !s.is_out(hop) => return,
             _ => {}
@@ -125,9 +148,9 @@
             EndingVerdict::MayHaveRun => Final::MayHaveRun(format!(
                 "it was ended at its engine, which does not say what stands of it ({why})"
             )),
-            EndingVerdict::HasRun => {
-                Final::MayHaveRun(format!("it was ended at its engine, and its effects stand ({why})"))
-            }
+            EndingVerdict::HasRun => Final::MayHaveRun(format!(
+                "it was ended at its engine, and its effects stand ({why})"
+            )),
         };
         self.settle(now, id, how);
         self.table.drop_if_over(id);
@@ -135,7 +158,9 @@
 
     /// A sent attempt, as the watch sees it.
     pub(super) fn watch_sent(&mut self, now: Micros, id: StatementId, hop: u32, engine: EngineId) {
-        let (Some(watch), Some(s)) = (&mut self.watch, self.table.get(id)) else { return };
+        let (Some(watch), Some(s)) = (&mut self.watch, self.table.get(id)) else {
+            return;
+        };
         let Some(w) = &s.watched else { return };
         let start = Start {
             attempt: AttemptId { statement: id, hop },
@@ -186,7 +211,9 @@
     }
 
     pub(super) fn watch_list(&mut self, now: Micros, scope: Scope, entries: &[Entry]) {
-        let Some(watch) = self.watch.as_mut().filter(|_| scope != Scope::Refused) else { return };
+        let Some(watch) = self.watch.as_mut().filter(|_| scope != Scope::Refused) else {
+            return;
+        };
         for engine in self.fleet.take(scope, entries) {
             watch.restarted(now, engine);
         }
@@ -211,9 +238,20 @@
                     continue;
                 }
                 Decision::Found(finding) => Command::Found(finding),
-                Decision::Pause(a) => Command::Pause { id: a.statement, hop: a.hop, paused: true },
-                Decision::Resume(a) => Command::Pause { id: a.statement, hop: a.hop, paused: false },
-                Decision::End(a) => Command::Kill { id: a.statement, hop: a.hop },
+                Decision::Pause(a) => Command::Pause {
+                    id: a.statement,
+                    hop: a.hop,
+                    paused: true,
+                },
+                Decision::Resume(a) => Command::Pause {
+                    id: a.statement,
+                    hop: a.hop,
+                    paused: false,
+                },
+                Decision::End(a) => Command::Kill {
+                    id: a.statement,
+                    hop: a.hop,
+                },
             };
             self.commands.push_back(command);
         }
@@ -221,7 +259,11 @@
 }
 
 fn cancelled(why: String) -> Ended {
-    Ended { ending: Ending::Cancelled, why, report: None }
+    Ended {
+        ending: Ending::Cancelled,
+        why,
+        report: None,
+    }
 }
 
 #[cfg(test)]
@@ -229,21 +271,45 @@
     use super::*;
 
     fn entry(engine: u32, kind: usize, ready_at: Micros) -> Entry {
-        Entry { engine: EngineId(engine), kind: Some(kind), ready_at, ..Entry::default() }
+        Entry {
+            engine: EngineId(engine),
+            kind: Some(kind),
+            ready_at,
+            ..Entry::default()
+        }
     }
 
     #[test]
     fn lists_are_followed_and_processes_told_apart() {
         let placement = vec![(None, Some(vec![1])), (None, None)];
         let effects = vec![Effect::Pure, Effect::Unsafe];
-        let mut fleet =
-            Fleet { entries: BTreeMap::new(), placement, effects, cancels: false, hold_off: None };
-        assert!(fleet.take(Scope::All, &[entry(1, 0, 5), entry(2, 1, 5)]).is_empty());
+        let mut fleet = Fleet {
+            entries: BTreeMap::new(),
+            placement,
+            effects,
+            cancels: false,
+            hold_off: None,
+        };
+        assert!(
+            fleet
+                .take(Scope::All, &[entry(1, 0, 5), entry(2, 1, 5)])
+                .is_empty()
+        );
         let fits: Vec<Vec<bool>> = fleet.listed().into_iter().map(|l| l.classes).collect();
         assert_eq!(fits, [[false, true], [true, true]]);
         assert_eq!(fleet.take(Scope::Changes, &[entry(1, 0, 9)]), [EngineId(1)]);
-        let draining = Entry { readiness: Readiness::Draining, ..entry(2, 1, 5) };
+        let draining = Entry {
+            readiness: Readiness::Draining,
+            ..entry(2, 1, 5)
+        };
         fleet.take(Scope::All, &[draining]);
-        assert_eq!(fleet.listed().iter().map(|l| (l.engine.0, l.up)).collect::<Vec<_>>(), [(2, false)]);
+        assert_eq!(
+            fleet
+                .listed()
+                .iter()
+                .map(|l| (l.engine.0, l.up))
+                .collect::<Vec<_>>(),
+            [(2, false)]
+        );
     }
 }
--- a/crates/router/src/core/statement.rs
+++ b/crates/router/src/core/statement.rs
@@ -26,7 +26,10 @@
     /// Bytes of the page that it holds.
     pub(super) fn bytes(&self) -> u64 {
         match self {
-            Stage::Held { page, .. } | Stage::Flowing { next: Some(page), .. } => page.bytes(),
+            Stage::Held { page, .. }
+            | Stage::Flowing {
+                next: Some(page), ..
+            } => page.bytes(),
             _ => 0,
         }
     }
@@ -132,7 +135,9 @@
 
     /// Whether an attempt's end has not been told.
     pub(super) fn is_out(&self, hop: u32) -> bool {
-        self.attempts.get(hop as usize).is_some_and(|t| t.ended.is_none())
+        self.attempts
+            .get(hop as usize)
+            .is_some_and(|t| t.ended.is_none())
     }
 
     /// Whether no attempt's outcome is still to come.
@@ -150,7 +155,10 @@
     }
 
     pub(super) fn has_news(&self) -> bool {
-        matches!(self.stage, Stage::Held { .. } | Stage::Flowing { next: Some(_), .. } | Stage::Over(_))
+        matches!(
+            self.stage,
+            Stage::Held { .. } | Stage::Flowing { next: Some(_), .. } | Stage::Over(_)
+        )
     }
 
     /// The next numbered answer; the one before it is forgotten.
@@ -180,10 +188,26 @@
         send_by: Option<Micros>,
     ) -> Attempt {
         let hop = self.attempts.len() as u32;
-        self.attempts.push(Try { engine, sent: now, page: None, ended: None, why: String::new() });
+        self.attempts.push(Try {
+            engine,
+            sent: now,
+            page: None,
+            ended: None,
+            why: String::new(),
+        });
         let (priority, grant) = std::mem::take(&mut self.terms);
         let work = self.work.clone().unwrap_or_default();
-        Attempt { id: self.id, hop, engine, class: self.class, priority, grant, until, send_by, work }
+        Attempt {
+            id: self.id,
+            hop,
+            engine,
+            class: self.class,
+            priority,
+            grant,
+            until,
+            send_by,
+            work,
+        }
     }
 
     /// When its first attempt was sent.
@@ -211,7 +235,10 @@
                 _ => (None, None),
             },
         };
-        let t = self.attempts.get_mut(hop as usize).filter(|t| t.ended.is_none())?;
+        let t = self
+            .attempts
+            .get_mut(hop as usize)
+            .filter(|t| t.ended.is_none())?;
         t.ended = Some((now, Ending::Good));
         let elapsed = t.page.unwrap_or(now) - t.sent;
         Some(Event::Outcome(Outcome {
@@ -228,7 +255,13 @@
 
     /// The event that an attempt ended without a result; none if its end was told before. A terminal one is the
     /// statement's last: there will be no other attempt.
-    pub(super) fn outcome(&mut self, hop: u32, now: Micros, e: &Ended, terminal: bool) -> Option<Event> {
+    pub(super) fn outcome(
+        &mut self,
+        hop: u32,
+        now: Micros,
+        e: &Ended,
+        terminal: bool,
+    ) -> Option<Event> {
         let t = self.attempts.get_mut(hop as usize)?;
         t.why = e.why.clone();
         if t.ended.is_some() {
@@ -254,23 +287,35 @@
             None => format!("no engine had a place for it within {waited} ms"),
             Some(t) => {
                 let n = self.attempts.len();
-                let tries = if n == 1 { "one attempt".into() } else { format!("{n} attempts") };
-                let why = if t.why.is_empty() { "it has not ended" } else { &t.why };
+                let tries = if n == 1 {
+                    "one attempt".into()
+                } else {
+                    format!("{n} attempts")
+                };
+                let why = if t.why.is_empty() {
+                    "it has not ended"
+                } else {
+                    &t.why
+                };
                 format!("{tries} in {waited} ms; the last: {why}")
             }
         }
     }
 
     pub(super) fn course(&self, now: Micros) -> Course {
-        let attempts = self.attempts.iter().enumerate().map(|(hop, t)| CourseAttempt {
-            hop: hop as u32,
-            engine: t.engine,
-            sent_ms: (t.sent - self.came) / 1000,
-            first_page_ms: t.page.map(|at| (at - self.came) / 1000),
-            ended_ms: t.ended.map(|(at, _)| (at - self.came) / 1000),
-            ending: t.ended.map(|(_, how)| how),
-            why: t.why.clone(),
-        });
+        let attempts = self
+            .attempts
+            .iter()
+            .enumerate()
+            .map(|(hop, t)| CourseAttempt {
+                hop: hop as u32,
+                engine: t.engine,
+                sent_ms: (t.sent - self.came) / 1000,
+                first_page_ms: t.page.map(|at| (at - self.came) / 1000),
+                ended_ms: t.ended.map(|(at, _)| (at - self.came) / 1000),
+                ending: t.ended.map(|(_, how)| how),
+                why: t.why.clone(),
+            });
         let state = match &self.stage {
             Stage::Waiting if self.attempts.is_empty() => "waits for a place",
             Stage::Waiting if self.is_quiet() => "waits to be sent again",
@@ -289,7 +334,11 @@
             why,
             elapsed_ms: (self.over_at.unwrap_or(now) - self.came) / 1000,
             patience_ms: (self.valid_until - self.came) / 1000,
-            waited_ms: (self.attempts.first().map_or(self.over_at.unwrap_or(now), |a| a.sent) - self.came)
+            waited_ms: (self
+                .attempts
+                .first()
+                .map_or(self.over_at.unwrap_or(now), |a| a.sent)
+                - self.came)
                 / 1000,
             answers: self.last.page,
             attempts: attempts.collect(),
--- a/crates/router/src/core/table.rs
+++ b/crates/router/src/core/table.rs
@@ -49,7 +49,10 @@
 
     /// The numbers of those.
     pub(super) fn unsettled(&self) -> impl Iterator<Item = StatementId> {
-        self.all.iter().filter(|(_, s)| !s.is_settled()).map(|(id, _)| *id)
+        self.all
+            .iter()
+            .filter(|(_, s)| !s.is_settled())
+            .map(|(id, _)| *id)
     }
 
     /// Those whose final answer is settled, and was not given out.
@@ -121,11 +124,17 @@
     /// Keeps no more answered ones than `most`, the youngest.
     pub(super) fn trim(&mut self, most: usize) {
         while self.kept > most {
-            let Some(id) = self.answered.pop_front() else { break };
+            let Some(id) = self.answered.pop_front() else {
+                break;
+            };
             self.retire(id);
         }
         // Danger: those that time has removed stay in the line and would grow it without bound.
-        while self.answered.front().is_some_and(|id| !self.all.contains_key(id)) {
+        while self
+            .answered
+            .front()
+            .is_some_and(|id| !self.all.contains_key(id))
+        {
             self.answered.pop_front();
         }
     }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -54,7 +54,11 @@
     /// Knows nothing yet.
     pub fn new(settings: Rc<Settings>, agreed: Option<Rc<Agreed>>) -> Rc<Discovery> {
         let kinds = settings.kinds.iter().map(|k| k.0.clone()).collect();
-        let members = Membership::new(&settings.discovery.environment, kinds, settings.zones.clone());
+        let members = Membership::new(
+            &settings.discovery.environment,
+            kinds,
+            settings.zones.clone(),
+        );
         Rc::new_cyclic(|me| Discovery {
             me: me.clone(),
             settings,
@@ -70,7 +74,9 @@
     /// Kinds and zones of other settings; what is known is told again under them.
     pub fn rules(&self, settings: &Settings, listener: &dyn Listener) {
         let kinds = settings.kinds.iter().map(|k| k.0.clone()).collect();
-        self.members.borrow_mut().names(kinds, settings.zones.clone());
+        self.members
+            .borrow_mut()
+            .names(kinds, settings.zones.clone());
         self.members.borrow_mut().tell_again();
         self.publish(listener);
     }
@@ -123,20 +129,33 @@
     }
 
     fn done(&self, right: Option<&Right>) {
-        self.agreed.iter().zip(right).for_each(|(a, right)| a.leased.done(right));
+        self.agreed
+            .iter()
+            .zip(right)
+            .for_each(|(a, right)| a.leased.done(right));
     }
 
     /// Asks discovery, for this router or for all.
-    async fn look(&self, duty: &Duty, failing: &mut bool, ex: &Spawner, listener: &Rc<dyn Listener>) {
+    async fn look(
+        &self,
+        duty: &Duty,
+        failing: &mut bool,
+        ex: &Spawner,
+        listener: &Rc<dyn Listener>,
+    ) {
         let d = &self.settings.discovery;
-        let Ok(right) = self.right(duty, LIST) else { return };
+        let Ok(right) = self.right(duty, LIST) else {
+            return;
+        };
         let target = format!("{SERVICE}{ENGINE_TYPE}/general");
         match self.ask(d.address, &target, d.within, right.as_ref()).await {
             Ok(answer) => match serde_json::from_slice::<Services>(&answer.body) {
                 Ok(list) if answer.status.0 == 200 => {
                     *failing = false;
                     if let (Some(right), Some(agreed)) = (&right, &self.agreed) {
-                        agreed.leased.note(right, serde_json::to_string(&list).unwrap_or_default());
+                        agreed
+                            .leased
+                            .note(right, serde_json::to_string(&list).unwrap_or_default());
                     }
                     self.take(ex, listener, &list);
                 }
@@ -186,8 +205,15 @@
 
     /// Follows each listed engine's own state, one task an engine.
     fn follow(&self, ex: &Spawner, listener: &Rc<dyn Listener>) {
-        let Some(this) = self.me.upgrade() else { return };
-        let names: Vec<String> = self.members.borrow().nodes().map(|n| n.name.clone()).collect();
+        let Some(this) = self.me.upgrade() else {
+            return;
+        };
+        let names: Vec<String> = self
+            .members
+            .borrow()
+            .nodes()
+            .map(|n| n.name.clone())
+            .collect();
         for name in names {
             if self.followed.borrow_mut().insert(name.clone()) {
                 let (me, listener) = (this.clone(), listener.clone());
@@ -201,14 +227,26 @@
 
     async fn look_after(self: Rc<Self>, name: &str, listener: Rc<dyn Listener>) {
         loop {
-            let Some(addr) = self.members.borrow().nodes().find(|n| n.name == name).map(|n| n.addr) else {
+            let Some(addr) = self
+                .members
+                .borrow()
+                .nodes()
+                .find(|n| n.name == name)
+                .map(|n| n.addr)
+            else {
                 return;
             };
-            let parts = self.agreed.as_ref().map_or(0, |a| a.leased.parts(Task::Probe));
+            let parts = self
+                .agreed
+                .as_ref()
+                .map_or(0, |a| a.leased.parts(Task::Probe));
             let part = probe_of(name, parts);
             match part.map_or(Duty::Own, |part| self.duty(part)) {
                 Duty::Others(note) => self.take_seen(name, &note, listener.now()),
-                duty => self.ask_engine(name, addr, &duty, part, listener.as_ref()).await,
+                duty => {
+                    self.ask_engine(name, addr, &duty, part, listener.as_ref())
+                        .await
+                }
             }
             self.publish(listener.as_ref());
             Timer::after(self.settings.discovery.state_every).await;
@@ -217,10 +255,23 @@
 
     /// Another router has asked the engine, for all.
     fn take_seen(&self, name: &str, note: &str, now: hoptiller::Micros) {
-        let Some(seen) = Sheet::read(note).0.get(name).copied() else { return };
+        let Some(seen) = Sheet::read(note).0.get(name).copied() else {
+            return;
+        };
         let mut members = self.members.borrow_mut();
-        members.uptime(now, name, Duration::from_millis(wall().saturating_sub(seen.started)));
-        members.state(name, if seen.draining { NodeState::ShuttingDown } else { NodeState::Active });
+        members.uptime(
+            now,
+            name,
+            Duration::from_millis(wall().saturating_sub(seen.started)),
+        );
+        members.state(
+            name,
+            if seen.draining {
+                NodeState::ShuttingDown
+            } else {
+                NodeState::Active
+            },
+        );
     }
 
     /// Asks an engine how it is, for this router or for all.
@@ -243,18 +294,30 @@
         {
             uptime = duration(&info.uptime);
         }
-        if let Ok(answer) = self.ask(addr, "/v1/info/state", within, right.as_ref()).await {
+        if let Ok(answer) = self
+            .ask(addr, "/v1/info/state", within, right.as_ref())
+            .await
+        {
             state = serde_json::from_slice::<NodeState>(&answer.body).ok();
         }
         if let Some(uptime) = uptime {
-            self.members.borrow_mut().uptime(listener.now(), name, uptime);
+            self.members
+                .borrow_mut()
+                .uptime(listener.now(), name, uptime);
         }
         if let Some(state) = state {
             self.members.borrow_mut().state(name, state);
         }
         if let (Some(right), Some(uptime), Some(state)) = (&right, uptime, state) {
             let started = wall().saturating_sub(uptime.as_millis() as u64);
-            self.note_seen(right, name, Seen { started, draining: state == NodeState::ShuttingDown });
+            self.note_seen(
+                right,
+                name,
+                Seen {
+                    started,
+                    draining: state == NodeState::ShuttingDown,
+                },
+            );
         }
         self.done(right.as_ref());
     }
@@ -267,9 +330,17 @@
         if *number != right.number {
             // From where the holder before had come.
             let noted = agreed.leased.noted(right.part);
-            (*number, *sheet) = (right.number, noted.as_deref().map(Sheet::read).unwrap_or_default());
+            (*number, *sheet) = (
+                right.number,
+                noted.as_deref().map(Sheet::read).unwrap_or_default(),
+            );
         }
-        let listed: BTreeSet<String> = self.members.borrow().nodes().map(|n| n.name.clone()).collect();
+        let listed: BTreeSet<String> = self
+            .members
+            .borrow()
+            .nodes()
+            .map(|n| n.name.clone())
+            .collect();
         if sheet.tell(name, seen) | sheet.keep(&listed) {
             agreed.leased.note(right, sheet.text());
         }
@@ -288,19 +359,30 @@
         if let Some(right) = right {
             request = request.with(extra::LEASE, &format!("{}#{}", right.part, right.number));
         }
-        let mut connection =
-            Connection::open(addr, within, Limits { body: 8 << 20, ..Limits::default() }).await?;
+        let mut connection = Connection::open(
+            addr,
+            within,
+            Limits {
+                body: 8 << 20,
+                ..Limits::default()
+            },
+        )
+        .await?;
         // Asked again at the last moment: the connection may have taken longer than the lease had left.
         let left = match (right, &self.agreed) {
             (Some(right), Some(agreed)) => agreed.leased.still(right),
             _ => Some(within),
         };
         let over = || ClientError::Connect(std::io::Error::other("the lease has run out"));
-        connection.exchange(&request, within.min(left.ok_or_else(over)?)).await
+        connection
+            .exchange(&request, within.min(left.ok_or_else(over)?))
+            .await
     }
 }
 
 /// Now, in ms since 1970.
 fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/router/src/engines/attempt.rs
+++ b/crates/router/src/engines/attempt.rs
@@ -69,10 +69,28 @@
     let addr = engines.places.borrow().get(&a.engine).map(|p| p.1);
     let Some(addr) = addr else {
         let why = "the engine is not listed any more".to_owned();
-        return report.ended(a.id, a.hop, Ended { ending: Ending::Moot, why, report: None });
+        return report.ended(
+            a.id,
+            a.hop,
+            Ended {
+                ending: Ending::Moot,
+                why,
+                report: None,
+            },
+        );
     };
     let (next, columns, flowing) = (None, None, false);
-    let mut run = Run { engines, a, addr, control, report, next, query, columns, flowing };
+    let mut run = Run {
+        engines,
+        a,
+        addr,
+        control,
+        report,
+        next,
+        query,
+        columns,
+        flowing,
+    };
     match run.all().await {
         Ok(()) => {}
         Err(Stop::Ended(ended)) => {
@@ -89,7 +107,11 @@
 }
 
 fn stop<T>(ending: Ending, why: impl Into<String>) -> Outcome<T> {
-    Err(Stop::Ended(Ended { ending, why: why.into(), report: None }))
+    Err(Stop::Ended(Ended {
+        ending,
+        why: why.into(),
+        report: None,
+    }))
 }
 
 impl Run<'_> {
@@ -109,8 +131,16 @@
             request.headers.push(name, value);
         }
         request.headers.push(extra::ROUTER, &manner.router);
-        request.headers.push(extra::STATEMENT_ID, &manner.names.of(a.id));
-        let class = self.engines.classes.borrow().get(a.class).cloned().unwrap_or_default();
+        request
+            .headers
+            .push(extra::STATEMENT_ID, &manner.names.of(a.id));
+        let class = self
+            .engines
+            .classes
+            .borrow()
+            .get(a.class)
+            .cloned()
+            .unwrap_or_default();
         request.headers.push(extra::CLASS, &class);
         let mut terms = vec![("hop", f64::from(a.hop))];
         terms.extend(a.priority.map(|p| ("priority", f64::from(p))));
@@ -118,7 +148,8 @@
         request.headers.push(extra::TERMS, &extra::text(&terms));
         request.body = a.work.text.clone().into_bytes();
         // The whole patience: the attempt's own limit ends it earlier.
-        let within = Duration::from_micros(self.a.until.saturating_sub(self.report.now()) + 1_000_000);
+        let within =
+            Duration::from_micros(self.a.until.saturating_sub(self.report.now()) + 1_000_000);
         let answer = match self.send(&request, within).await {
             Step::Answered(Ok(answer)) => answer,
             Step::Held(why) => return stop(Ending::Moot, why),
@@ -139,7 +170,10 @@
                 why: format!("the engine turned it away unseen ({status})"),
                 report: load_of_headers(&answer),
             })),
-            status => stop(Ending::Bad, format!("the engine answered with status {status}")),
+            status => stop(
+                Ending::Bad,
+                format!("the engine answered with status {status}"),
+            ),
         }
     }
 
@@ -147,17 +181,28 @@
     async fn poll(&mut self) -> Outcome<Response> {
         let mut failed = 0;
         loop {
-            let Some(target) = self.next.clone() else { return stop(Ending::Bad, "no next answer") };
-            let request = Request::new(Method::Get, target).with(extra::ROUTER, &self.engines.manner.router);
+            let Some(target) = self.next.clone() else {
+                return stop(Ending::Bad, "no next answer");
+            };
+            let request =
+                Request::new(Method::Get, target).with(extra::ROUTER, &self.engines.manner.router);
             let why = match self.step(&request, self.engines.manner.poll_within).await {
                 Step::Answered(Ok(answer)) => match answer.status.0 {
                     200 => return Ok(answer),
                     404 | 410 => {
-                        return stop(Ending::Reset, "the engine does not know the statement any more");
+                        return stop(
+                            Ending::Reset,
+                            "the engine does not know the statement any more",
+                        );
+                    }
+                    status @ (429 | 502..=504) => {
+                        format!("the engine answered a poll with status {status}")
                     }
-                    status @ (429 | 502..=504) => format!("the engine answered a poll with status {status}"),
                     status => {
-                        return stop(Ending::Bad, format!("the engine answered a poll with status {status}"));
+                        return stop(
+                            Ending::Bad,
+                            format!("the engine answered a poll with status {status}"),
+                        );
                     }
                 },
                 Step::Answered(Err(ClientError::Connect(e))) => {
@@ -182,13 +227,22 @@
     /// One exchange, ended early by the attempt's time or by what it is told.
     /// The send, held back at the last moment where the fleet's rules don't let it go.
     async fn send(&self, request: &Request, within: Duration) -> Step {
-        let (a, pool, connect) = (self.a, &self.engines.pool, self.engines.manner.connect_within);
+        let (a, pool, connect) = (
+            self.a,
+            &self.engines.pool,
+            self.engines.manner.connect_within,
+        );
         let guard = || match a.send_by {
-            Some(by) if self.report.now() >= by => Err("a repeat would no longer be recognised".into()),
+            Some(by) if self.report.now() >= by => {
+                Err("a repeat would no longer be recognised".into())
+            }
             _ => self.report.may_send(a.engine, a.class),
         };
         self.during(async {
-            match pool.guarded(a.engine, self.addr, request, connect, within, guard).await {
+            match pool
+                .guarded(a.engine, self.addr, request, connect, within, guard)
+                .await
+            {
                 Ok(answer) => Step::Answered(Ok(answer)),
                 Err(Unsent::Failed(e)) => Step::Answered(Err(e)),
                 Err(Unsent::Held(why)) => Step::Held(why),
@@ -198,7 +252,11 @@
     }
 
     async fn step(&self, request: &Request, within: Duration) -> Step {
-        let (a, pool, connect) = (self.a, &self.engines.pool, self.engines.manner.connect_within);
+        let (a, pool, connect) = (
+            self.a,
+            &self.engines.pool,
+            self.engines.manner.connect_within,
+        );
         let exchange = pool.exchange(a.engine, self.addr, request, connect, within);
         self.during(async { Step::Answered(exchange.await) }).await
     }
@@ -236,10 +294,20 @@
     async fn take(&mut self, answer: &Response) -> Outcome<bool> {
         let results: QueryResults = match serde_json::from_slice(&answer.body) {
             Ok(results) => results,
-            Err(e) => return stop(Ending::Bad, format!("the engine's answer is no QueryResults: {e}")),
+            Err(e) => {
+                return stop(
+                    Ending::Bad,
+                    format!("the engine's answer is no QueryResults: {e}"),
+                );
+            }
         };
         // Danger: an engine that was restarted meanwhile can have another statement under the same URI.
-        if *self.query.borrow_mut().get_or_insert_with(|| results.id.clone()) != results.id {
+        if *self
+            .query
+            .borrow_mut()
+            .get_or_insert_with(|| results.id.clone())
+            != results.id
+        {
             return stop(Ending::Reset, "the engine answered for another statement");
         }
         let report = load_of_headers(answer);
@@ -252,12 +320,19 @@
                 return Ok(true);
             }
             if error.error_type == ErrorType::UserError {
-                let failure =
-                    Failure { message: error.message, code: error.error_code, name: error.error_name };
+                let failure = Failure {
+                    message: error.message,
+                    code: error.error_code,
+                    name: error.error_name,
+                };
                 self.report.wrong(self.a.id, self.a.hop, failure);
                 return Ok(true);
             }
-            return Err(Stop::Ended(Ended { ending: Ending::Bad, why, report }));
+            return Err(Stop::Ended(Ended {
+                ending: Ending::Bad,
+                why,
+                report,
+            }));
         }
         self.next = match results.next_uri.as_deref().map(|uri| self.path_of(uri)) {
             None => None,
@@ -274,7 +349,10 @@
             return Ok(false);
         }
         self.flowing = true;
-        let fields = answer.headers.iter().filter(|(name, _)| is_session_field(name));
+        let fields = answer
+            .headers
+            .iter()
+            .filter(|(name, _)| is_session_field(name));
         let page = Page {
             columns: self.columns.clone(),
             rows: results.data.map(Rc::from),
@@ -305,7 +383,12 @@
         news.rows = known(stats.processed_rows);
         news.memory_mb = known(stats.peak_memory_bytes).map(|b| b as f64 / 1e6);
         news.spills = stats.spilled_bytes > 0;
-        for (name, value) in answer.headers.get(extra::NOTE).into_iter().flat_map(extra::numbers) {
+        for (name, value) in answer
+            .headers
+            .get(extra::NOTE)
+            .into_iter()
+            .flat_map(extra::numbers)
+        {
             let progress = match name {
                 "done" if (0.0..=1.0).contains(&value) => {
                     news.done = Some(value);
@@ -341,14 +424,23 @@
 
     /// What the engine says of the effects of what it has ended; asked for again where it can't be reached.
     async fn proof(&self) -> Proof {
-        let Some(query) = self.query.borrow().clone() else { return Proof::Unknown };
+        let Some(query) = self.query.borrow().clone() else {
+            return Proof::Unknown;
+        };
         let manner = &self.engines.manner;
-        let request =
-            Request::new(Method::Get, format!("/v1/query/{query}")).with(extra::ROUTER, &manner.router);
+        let request = Request::new(Method::Get, format!("/v1/query/{query}"))
+            .with(extra::ROUTER, &manner.router);
         for _ in 0..POLLS {
             let pool = &self.engines.pool;
-            let asked =
-                pool.exchange(self.a.engine, self.addr, &request, manner.connect_within, FAREWELL).await;
+            let asked = pool
+                .exchange(
+                    self.a.engine,
+                    self.addr,
+                    &request,
+                    manner.connect_within,
+                    FAREWELL,
+                )
+                .await;
             match asked {
                 Ok(answer) if answer.status.0 == 200 => {
                     return match answer.headers.get(extra::EFFECTS) {
@@ -378,16 +470,23 @@
                 &rest[host.len()..]
             }
         };
-        let fine = path.starts_with('/') && path.len() <= 4096 && path.bytes().all(|b| b.is_ascii_graphic());
+        let fine = path.starts_with('/')
+            && path.len() <= 4096
+            && path.bytes().all(|b| b.is_ascii_graphic());
         fine.then(|| path.to_owned())
     }
 
     /// Lets the engine drop what it holds of the statement.
     async fn farewell(&self) {
-        let Some(target) = self.next.clone() else { return };
-        let request = Request::new(Method::Delete, target).with(extra::ROUTER, &self.engines.manner.router);
+        let Some(target) = self.next.clone() else {
+            return;
+        };
+        let request =
+            Request::new(Method::Delete, target).with(extra::ROUTER, &self.engines.manner.router);
         let pool = &self.engines.pool;
-        let _ = pool.exchange(self.a.engine, self.addr, &request, FAREWELL, FAREWELL).await;
+        let _ = pool
+            .exchange(self.a.engine, self.addr, &request, FAREWELL, FAREWELL)
+            .await;
     }
 }
 
@@ -399,7 +498,13 @@
 /// Fields by which an engine changes a client's session.
 fn is_session_field(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
-    ["x-trino-set-", "x-trino-clear-", "x-trino-added-", "x-trino-deallocated-", "x-trino-started-"]
-        .iter()
-        .any(|prefix| name.starts_with(prefix))
+    [
+        "x-trino-set-",
+        "x-trino-clear-",
+        "x-trino-added-",
+        "x-trino-deallocated-",
+        "x-trino-started-",
+    ]
+    .iter()
+    .any(|prefix| name.starts_with(prefix))
 }
