--- a/crates/router/src/engines/mod.rs
+++ b/crates/router/src/engines/mod.rs
@@ -114,7 +114,11 @@
 impl Engines {
     /// No engine yet.
     pub fn new(manner: Manner, classes: Vec<String>) -> Engines {
-        let limits = Limits { body: manner.page_bytes, head: 64 << 10, ..Limits::default() };
+        let limits = Limits {
+            body: manner.page_bytes,
+            head: 64 << 10,
+            ..Limits::default()
+        };
         Engines {
             pool: Pool::new(limits),
             classes: RefCell::new(classes),
@@ -139,7 +143,10 @@
 
     /// An engine's name.
     pub fn name(&self, engine: EngineId) -> String {
-        self.places.borrow().get(&engine).map_or_else(|| format!("#{}", engine.0), |p| p.0.clone())
+        self.places
+            .borrow()
+            .get(&engine)
+            .map_or_else(|| format!("#{}", engine.0), |p| p.0.clone())
     }
 
     /// Attempts under way.
@@ -156,26 +163,46 @@
 
     /// Asks an engine to end an attempt, or to let it stand still or go on. How the attempt ends still comes by its
     /// own polls, so that an end that crosses the result does no harm. What the engine says is returned.
-    pub async fn order(self: Rc<Self>, id: StatementId, hop: u32, order: Order) -> Result<(), String> {
+    pub async fn order(
+        self: Rc<Self>,
+        id: StatementId,
+        hop: u32,
+        order: Order,
+    ) -> Result<(), String> {
         let (target, body) = match &order {
             Order::End(why) => ("killed", why.clone()),
             Order::Pause(paused) => ("paused", paused.to_string()),
         };
         for _ in 0..ORDER_TRIES {
-            let found = self.under_way.borrow().get(&(id, hop)).map(|u| (u.engine, u.query.clone()));
-            let Some((engine, query)) = found else { return Err("it is over".into()) };
+            let found = self
+                .under_way
+                .borrow()
+                .get(&(id, hop))
+                .map(|u| (u.engine, u.query.clone()));
+            let Some((engine, query)) = found else {
+                return Err("it is over".into());
+            };
             let place = self.places.borrow().get(&engine).map(|p| p.1);
-            let Some(addr) = place else { return Err("its engine is not listed any more".into()) };
+            let Some(addr) = place else {
+                return Err("its engine is not listed any more".into());
+            };
             let query = query.borrow().clone();
             if let Some(query) = query {
                 let mut request = Request::new(Method::Put, format!("/v1/query/{query}/{target}"))
                     .with(extra::ROUTER, &self.manner.router);
                 request.body = body.clone().into_bytes();
                 let (connect, within) = (self.manner.connect_within, self.manner.poll_within);
-                match self.pool.exchange(engine, addr, &request, connect, within).await {
+                match self
+                    .pool
+                    .exchange(engine, addr, &request, connect, within)
+                    .await
+                {
                     Ok(answer) if answer.status.0 < 300 => return Ok(()),
                     Ok(answer) if answer.status.0 < 500 => {
-                        return Err(format!("the engine answered with status {}", answer.status.0));
+                        return Err(format!(
+                            "the engine answered with status {}",
+                            answer.status.0
+                        ));
                     }
                     _ => {} // The order changes nothing when it is given twice.
                 }
@@ -190,7 +217,11 @@
         let (sender, control) = async_channel::bounded(8);
         let key = (a.id, a.hop);
         let query = Rc::default();
-        let under_way = UnderWay { control: sender, engine: a.engine, query: Rc::clone(&query) };
+        let under_way = UnderWay {
+            control: sender,
+            engine: a.engine,
+            query: Rc::clone(&query),
+        };
         self.under_way.borrow_mut().insert(key, under_way);
         attempt::run(&self, &a, control, query, report.as_ref()).await;
         self.under_way.borrow_mut().remove(&key);
@@ -202,10 +233,13 @@
         let answer = match place {
             None => None,
             Some(addr) => {
-                let request =
-                    Request::new(Method::Get, "/v1/status").with(extra::ROUTER, &self.manner.router);
+                let request = Request::new(Method::Get, "/v1/status")
+                    .with(extra::ROUTER, &self.manner.router);
                 let limit = self.manner.connect_within;
-                self.pool.exchange(engine, addr, &request, limit, limit).await.ok()
+                self.pool
+                    .exchange(engine, addr, &request, limit, limit)
+                    .await
+                    .ok()
             }
         };
         report.probed(engine, answer.as_ref().and_then(load_of_status));
@@ -216,11 +250,15 @@
 fn load_of_status(answer: &Response) -> Option<LoadReport> {
     let status: NodeStatus = serde_json::from_slice(&answer.body).ok()?;
     let told = load_of_headers(answer).unwrap_or_default();
-    let memory = (status.heap_available > 0).then(|| status.heap_used as f64 / status.heap_available as f64);
+    let memory =
+        (status.heap_available > 0).then(|| status.heap_used as f64 / status.heap_available as f64);
     Some(LoadReport {
         in_flight: told.in_flight,
         memory: told.memory.or(memory),
-        cpu: told.cpu.or(Some(status.process_cpu_load)).filter(|c| c.is_finite()),
+        cpu: told
+            .cpu
+            .or(Some(status.process_cpu_load))
+            .filter(|c| c.is_finite()),
     })
 }
 
@@ -228,5 +266,9 @@
 fn load_of_headers(answer: &Response) -> Option<LoadReport> {
     let text = answer.headers.get(extra::LOAD)?;
     let of = |name| extra::number(text, name).filter(|v| *v >= 0.0);
-    Some(LoadReport { in_flight: of("in_flight"), memory: of("memory"), cpu: of("cpu") })
+    Some(LoadReport {
+        in_flight: of("in_flight"),
+        memory: of("memory"),
+        cpu: of("cpu"),
+    })
 }
--- a/crates/router/src/engines/pool.rs
+++ b/crates/router/src/engines/pool.rs
@@ -31,7 +31,10 @@
 
 impl Pool {
     pub(super) fn new(limits: Limits) -> Pool {
-        Pool { limits, idle: RefCell::default() }
+        Pool {
+            limits,
+            idle: RefCell::default(),
+        }
     }
 
     /// One exchange, over a kept connection where there is one that the engine has not closed.
@@ -46,7 +49,10 @@
         connect_within: Duration,
         within: Duration,
     ) -> Result<Response, ClientError> {
-        match self.guarded(engine, addr, request, connect_within, within, || Ok(None)).await {
+        match self
+            .guarded(engine, addr, request, connect_within, within, || Ok(None))
+            .await
+        {
             Ok(answer) => Ok(answer),
             Err(Unsent::Failed(e)) => Err(e),
             Err(Unsent::Held(why)) => Err(ClientError::Connect(std::io::Error::other(why))),
@@ -66,7 +72,9 @@
     ) -> Result<Response, Unsent> {
         let mut connection = match self.take(engine, addr) {
             Some(kept) => kept,
-            None => Connection::open(addr, connect_within, self.limits).await.map_err(Unsent::Failed)?,
+            None => Connection::open(addr, connect_within, self.limits)
+                .await
+                .map_err(Unsent::Failed)?,
         };
         let answer = match guard() {
             Err(why) => {
@@ -75,7 +83,9 @@
             }
             Ok(None) => connection.exchange(request, within).await,
             Ok(Some(stamp)) => {
-                connection.exchange(&request.clone().with(extra::VERSIONS, &stamp), within).await
+                connection
+                    .exchange(&request.clone().with(extra::VERSIONS, &stamp), within)
+                    .await
             }
         };
         if answer.is_ok() && connection.is_reusable() {
--- a/crates/router/src/fronts/admin.rs
+++ b/crates/router/src/fronts/admin.rs
@@ -25,8 +25,16 @@
 
 /// Answers administrators for ever.
 pub async fn serve(desk: Rc<Desk>, listener: Async<TcpListener>) -> io::Result<()> {
-    let limits = Limits { body: BODY, ..Limits::default() };
-    let config = Config { limits, connections: CONNECTIONS, incoming: 1 << 20, ..Config::default() };
+    let limits = Limits {
+        body: BODY,
+        ..Limits::default()
+    };
+    let config = Config {
+        limits,
+        connections: CONNECTIONS,
+        incoming: 1 << 20,
+        ..Config::default()
+    };
     let ex = desk.ex.clone();
     let handler: Handler = Rc::new(move |request| {
         let desk = desk.clone();
@@ -39,7 +47,10 @@
     let path = request.path();
     if let Some(kind) = path.strip_prefix(HOLDS) {
         let Ok(kind) = kind.parse::<KindId>() else {
-            return problem(404, "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways shows them");
+            return problem(
+                404,
+                "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways shows them",
+            );
         };
         return match request.method {
             Method::Delete if desk.with_core(|core, _| core.release_kind(kind)) => {
@@ -53,7 +64,10 @@
     match (path, &request.method) {
         (RUNAWAYS, Method::Get) => Response::json(200, format!("{:#}", runaways(desk))),
         (RUNAWAYS, _) => problem(405, "GET shows what runs away").with("Allow", "GET"),
-        _ => problem(404, "nothing here; GET /v1/admin/runaways shows what runs away"),
+        _ => problem(
+            404,
+            "nothing here; GET /v1/admin/runaways shows what runs away",
+        ),
     }
 }
 
--- a/crates/router/src/fronts/http.rs
+++ b/crates/router/src/fronts/http.rs
@@ -25,7 +25,10 @@
     let settings = desk.settings();
     let l = &settings.limits;
     let config = Config {
-        limits: Limits { body: l.statement_bytes, ..Limits::default() },
+        limits: Limits {
+            body: l.statement_bytes,
+            ..Limits::default()
+        },
         connections: l.connections,
         incoming: l.incoming_bytes,
         ..Config::default()
@@ -67,9 +70,14 @@
     }
     match (path, &request.method) {
         ("/v1/info", Method::Get) => render::info(desk),
-        ("/v1/info/state", Method::Get) => {
-            Response::json(200, if desk.ending.get() { "\"SHUTTING_DOWN\"" } else { "\"ACTIVE\"" })
-        }
+        ("/v1/info/state", Method::Get) => Response::json(
+            200,
+            if desk.ending.get() {
+                "\"SHUTTING_DOWN\""
+            } else {
+                "\"ACTIVE\""
+            },
+        ),
         (_, Method::Get) => match extra(path) {
             Some(response) => response,
             None => Response::text(404, "nothing here; statements go to POST /v1/statement"),
@@ -122,12 +130,18 @@
 
 /// Whether the fleet's rules let a statement be taken now.
 fn may_take(desk: &Desk, class: usize, by_default: bool) -> Result<(), &'static str> {
-    let Some(agreed) = &desk.agreed else { return Ok(()) };
+    let Some(agreed) = &desk.agreed else {
+        return Ok(());
+    };
     if by_default && !agreed.has_default() {
-        return Err("the fleet's rules name no class for statements that name none; come back later");
+        return Err(
+            "the fleet's rules name no class for statements that name none; come back later",
+        );
     }
     match agreed.verdict(&desk.settings().classes[class].name) {
-        Verdict::Refuse => Err("this router may not take that class now; come back later, or go to another"),
+        Verdict::Refuse => {
+            Err("this router may not take that class now; come back later, or go to another")
+        }
         Verdict::Act { .. } | Verdict::ActInDoubt { .. } => Ok(()),
     }
 }
@@ -136,17 +150,23 @@
 fn read(desk: &Desk, request: &Request) -> Result<(Submission, bool), String> {
     let settings = desk.settings();
     let headers = ClientHeaders::read(request.headers.iter()).map_err(|e| e.to_string())?;
-    let text =
-        String::from_utf8(request.body.clone()).map_err(|_| "the statement is not UTF-8".to_owned())?;
+    let text = String::from_utf8(request.body.clone())
+        .map_err(|_| "the statement is not UTF-8".to_owned())?;
     if text.trim().is_empty() {
         return Err("the statement is empty".into());
     }
     let named = match &headers.class {
         Some(name) => Some(settings.class(name).ok_or_else(|| {
             let known: Vec<&str> = settings.classes.iter().map(|c| c.name.as_str()).collect();
-            format!("X-Trino-Client-Tags: class {name:?} is none of {}", known.join(", "))
+            format!(
+                "X-Trino-Client-Tags: class {name:?} is none of {}",
+                known.join(", ")
+            )
         })?),
-        None => headers.source.as_deref().and_then(|source| settings.class(source)),
+        None => headers
+            .source
+            .as_deref()
+            .and_then(|source| settings.class(source)),
     };
     let class = named.unwrap_or(settings.default_class);
     let kind = hoptiller_sql::kind_of(&text, hoptiller_sql::Dialect::STANDARD);
@@ -154,13 +174,14 @@
         size: headers.size.unwrap_or(kind.size),
         estimate: headers.estimate.map(|e| e.as_micros() as u64),
     };
-    let passed = request
-        .headers
-        .iter()
-        .filter(|(name, _)| name.len() > 8 && name.as_bytes()[..8].eq_ignore_ascii_case(b"x-trino-"));
+    let passed = request.headers.iter().filter(|(name, _)| {
+        name.len() > 8 && name.as_bytes()[..8].eq_ignore_ascii_case(b"x-trino-")
+    });
     let submission = Submission {
         class,
-        tenant: headers.tenant.and_then(|t| settings.tenants.iter().position(|(name, _)| *name == t)),
+        tenant: headers
+            .tenant
+            .and_then(|t| settings.tenants.iter().position(|(name, _)| *name == t)),
         key: headers.key,
         group: headers.tables.as_deref().map(group_of),
         guess: None,
@@ -170,7 +191,10 @@
         announced,
         repeat: headers.repeat,
         patience: headers.patience.map(|p| p.as_micros() as u64),
-        work: Rc::new(Work { text, fields: passed.map(|(n, v)| (n.to_owned(), v.to_owned())).collect() }),
+        work: Rc::new(Work {
+            text,
+            fields: passed.map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
+        }),
     };
     Ok((submission, named.is_none()))
 }
@@ -189,7 +213,10 @@
     }
     match found {
         Poll::Answer(answer) => render::answer(desk, &token.id, &answer, base),
-        Poll::Gone => Response::text(410, "that answer was given; the one after it, or the end, is known"),
+        Poll::Gone => Response::text(
+            410,
+            "that answer was given; the one after it, or the end, is known",
+        ),
         Poll::Wait | Poll::Unknown => Response::text(404, "no such answer"),
     }
 }
@@ -234,6 +261,9 @@
     }
     match desk.with_core(|core, now| core.course(now, id.number)) {
         Some(course) => render::course(desk, id, &course),
-        None => Response::text(410, "that statement is over, and its course is not kept any more"),
+        None => Response::text(
+            410,
+            "that statement is over, and its course is not kept any more",
+        ),
     }
 }
--- a/crates/router/src/fronts/render.rs
+++ b/crates/router/src/fronts/render.rs
@@ -58,8 +58,16 @@
         };
         out.push_str(",\"stats\":{\"state\":\"");
         out.push_str(state);
-        out.push_str(if self.state == State::Queued { "\",\"queued\":true" } else { "\",\"queued\":false" });
-        out.push_str(if self.running { ",\"scheduled\":true" } else { ",\"scheduled\":false" });
+        out.push_str(if self.state == State::Queued {
+            "\",\"queued\":true"
+        } else {
+            "\",\"queued\":false"
+        });
+        out.push_str(if self.running {
+            ",\"scheduled\":true"
+        } else {
+            ",\"scheduled\":false"
+        });
         // What is not known is 0, as clients expect the fields to be there.
         let figures = [
             (",\"nodes\":", u64::from(self.running)),
@@ -102,7 +110,11 @@
 pub(super) fn answer(desk: &Desk, id: &QueryId, a: &Answer, base: &str) -> Response {
     let token = (!a.is_final()).then(|| {
         let known = known(desk, a.class, a.flowing);
-        Token { id: id.clone(), page: a.page + 1, known }
+        Token {
+            id: id.clone(),
+            page: a.page + 1,
+            known,
+        }
     });
     let empty = Page::default();
     let (page, over) = match &a.content {
@@ -132,10 +144,19 @@
         response.headers.push(name, value);
     }
     if let Some(
-        Final::Refused { hold_off: Some(after), .. } | Final::EndedByRule { hold_off: Some(after), .. },
+        Final::Refused {
+            hold_off: Some(after),
+            ..
+        }
+        | Final::EndedByRule {
+            hold_off: Some(after),
+            ..
+        },
     ) = over
     {
-        response.headers.push("Retry-After", &seconds(Duration::from_micros(*after)));
+        response
+            .headers
+            .push("Retry-After", &seconds(Duration::from_micros(*after)));
     }
     response
 }
@@ -152,25 +173,30 @@
             QueryError::of(ErrorName::Refused, message)
         }
         Final::EndedByRule { why, .. } => {
-            let message =
-                format!("ended by rule: {why}. Nothing of it stands; the same again will end alike");
+            let message = format!(
+                "ended by rule: {why}. Nothing of it stands; the same again will end alike"
+            );
             QueryError::of(ErrorName::EndedByRule, message)
         }
         Final::MayHaveRun(why) => {
-            let message = format!("failed: {why}. It may have run: look it up before it is sent again");
+            let message =
+                format!("failed: {why}. It may have run: look it up before it is sent again");
             QueryError::of(ErrorName::MayHaveRun, message)
         }
         Final::Cut(why) => {
             let message = format!("the result is cut: {why}. The rows given out are not all");
             QueryError::of(ErrorName::ResultCut, message)
         }
-        Final::Engine(Failure { name, code, message }) => {
-            QueryError::new(name.clone(), *code, ErrorType::UserError, message.clone())
-        }
+        Final::Engine(Failure {
+            name,
+            code,
+            message,
+        }) => QueryError::new(name.clone(), *code, ErrorType::UserError, message.clone()),
         Final::Canceled => QueryError::of(ErrorName::UserCanceled, "the client ended it".into()),
-        Final::Abandoned => {
-            QueryError::of(ErrorName::Abandoned, "the client had stopped asking for its result".into())
-        }
+        Final::Abandoned => QueryError::of(
+            ErrorName::Abandoned,
+            "the client had stopped asking for its result".into(),
+        ),
     })
 }
 
@@ -180,7 +206,10 @@
         RepeatSettings::Safe => Repeat::Safe,
         RepeatSettings::Never => Repeat::Unsafe,
     };
-    Known { repeat, phase: if flowing { Phase::Rows } else { Phase::Waiting } }
+    Known {
+        repeat,
+        phase: if flowing { Phase::Rows } else { Phase::Waiting },
+    }
 }
 
 /// The answer for a URI of an earlier life of this router.
--- a/crates/router/src/learnt.rs
+++ b/crates/router/src/learnt.rs
@@ -24,7 +24,10 @@
 impl Learnt {
     /// In this folder.
     pub fn new(dir: &Path) -> Learnt {
-        Learnt { dir: dir.to_owned(), failing: Cell::new(false) }
+        Learnt {
+            dir: dir.to_owned(),
+            failing: Cell::new(false),
+        }
     }
 
     /// Reads it, if there is one.
@@ -33,17 +36,26 @@
         let bytes = match read(&path) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == io::ErrorKind::NotFound => {
-                return tracing::info!("nothing was learnt of kinds yet; the settings say what is usual");
+                return tracing::info!(
+                    "nothing was learnt of kinds yet; the settings say what is usual"
+                );
             }
             Err(why) => {
                 let why = why.to_string();
                 return tracing::warn!(file = %path.display(), why, "what was learnt of kinds can't be read");
             }
         };
-        let Some(done) = rounds.with(|core, now| core.restore_watch(now, &bytes)) else { return };
+        let Some(done) = rounds.with(|core, now| core.restore_watch(now, &bytes)) else {
+            return;
+        };
         match done {
             Ok(done) => {
-                tracing::info!(kinds = done.kinds, holds = done.holds, dropped = done.dropped, "taken up")
+                tracing::info!(
+                    kinds = done.kinds,
+                    holds = done.holds,
+                    dropped = done.dropped,
+                    "taken up"
+                )
             }
             Err(why) => {
                 // Kept for whoever wants to know; the next writing would take its place.
--- a/crates/router/src/leased.rs
+++ b/crates/router/src/leased.rs
@@ -53,7 +53,11 @@
     /// What came with its answer.
     pub fn granted(&self, id: u64, serial: u64, leases: Option<&[Grant]>, board: Option<&Board>) {
         let now = self.clock.now();
-        if self.tenant.borrow_mut().granted(id, now, serial, leases, board) {
+        if self
+            .tenant
+            .borrow_mut()
+            .granted(id, now, serial, leases, board)
+        {
             self.changed.notify(usize::MAX);
         }
     }
@@ -80,7 +84,10 @@
 
     /// What was noted of a part last, by whoever held it.
     pub fn noted(&self, part: Part) -> Option<String> {
-        self.tenant.borrow().posted(part).and_then(|(_, note)| note.map(str::to_owned))
+        self.tenant
+            .borrow()
+            .posted(part)
+            .and_then(|(_, note)| note.map(str::to_owned))
     }
 
     /// An act under a lease may begin: it is cut short at the lease's end.
@@ -111,7 +118,10 @@
     /// A note for the others, in place of the one before.
     pub fn note(&self, right: &Right, text: String) {
         let mut notes = self.notes.borrow_mut();
-        if notes.get(&right.part).is_none_or(|(n, t, _)| (*n, t) != (right.number, &text)) {
+        if notes
+            .get(&right.part)
+            .is_none_or(|(n, t, _)| (*n, t) != (right.number, &text))
+        {
             notes.insert(right.part, (right.number, text, false));
             self.noting.notify(usize::MAX);
         }
@@ -129,12 +139,21 @@
                 noting.await;
                 continue;
             };
-            let note = wire::Note { holder: me.clone(), part, number, text: text.clone() };
-            let answer: Result<wire::Noted, Unreached> = keepers.call(wire::NOTE, Some(&note), EACH).await;
+            let note = wire::Note {
+                holder: me.clone(),
+                part,
+                number,
+                text: text.clone(),
+            };
+            let answer: Result<wire::Noted, Unreached> =
+                keepers.call(wire::NOTE, Some(&note), EACH).await;
             let mut notes = self.notes.borrow_mut();
             match answer {
                 Ok(Ok(())) => {
-                    if let Some(taken) = notes.get_mut(&part).filter(|(n, t, _)| (*n, t) == (number, &text)) {
+                    if let Some(taken) = notes
+                        .get_mut(&part)
+                        .filter(|(n, t, _)| (*n, t) == (number, &text))
+                    {
                         taken.2 = true;
                     }
                 }
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -50,7 +50,12 @@
 impl Membership {
     /// Knows no engine yet; kinds and zones are those of the settings, in their order.
     pub fn new(environment: &str, kinds: Vec<String>, zones: Vec<String>) -> Membership {
-        Membership { environment: environment.to_owned(), kinds, zones, ..Membership::default() }
+        Membership {
+            environment: environment.to_owned(),
+            kinds,
+            zones,
+            ..Membership::default()
+        }
     }
 
     /// Takes a complete list. What it lacks is gone. Returns what was passed over, and why.
@@ -84,14 +89,22 @@
 
     fn node(&mut self, now: Micros, list: &Services, s: &Service) -> Result<Node, String> {
         if list.environment != self.environment {
-            return Err(format!("environment {:?}, not {:?}", list.environment, self.environment));
+            return Err(format!(
+                "environment {:?}, not {:?}",
+                list.environment, self.environment
+            ));
         }
         if s.node_id.is_empty() || s.node_id.len() > 128 {
             return Err("a node id of 1 to 128 bytes is wanted".into());
         }
         let uri = s.properties.get("http").ok_or("no property http")?;
-        let addr = uri.strip_prefix("http://").unwrap_or(uri).trim_end_matches('/');
-        let addr: SocketAddr = addr.parse().map_err(|_| format!("{uri:?} is no http://address:port"))?;
+        let addr = uri
+            .strip_prefix("http://")
+            .unwrap_or(uri)
+            .trim_end_matches('/');
+        let addr: SocketAddr = addr
+            .parse()
+            .map_err(|_| format!("{uri:?} is no http://address:port"))?;
         if let Some(known) = self.nodes.get(&s.node_id)
             && known.service == s.id
             && known.addr == addr
@@ -108,7 +121,11 @@
             service: s.id.clone(),
             zone: zone.map(str::to_owned),
             kind: s.properties.get("kind").cloned(),
-            cell: s.properties.get("cell").and_then(|c| c.parse().ok()).unwrap_or(0),
+            cell: s
+                .properties
+                .get("cell")
+                .and_then(|c| c.parse().ok())
+                .unwrap_or(0),
             // Danger: one whose age is not known may be cold; taken for warm it could be pushed over.
             ready_at: now,
             told_uptime: false,
@@ -156,15 +173,20 @@
     /// The complete list for the decision module, where it has changed since the last call.
     pub fn take_changed(&mut self) -> Option<Vec<Entry>> {
         std::mem::take(&mut self.changed).then(|| {
-            let position =
-                |names: &[String], name: &Option<String>| names.iter().position(|n| Some(n) == name.as_ref());
+            let position = |names: &[String], name: &Option<String>| {
+                names.iter().position(|n| Some(n) == name.as_ref())
+            };
             let entry = |n: &Node| Entry {
                 engine: n.id,
                 zone: position(&self.zones, &n.zone),
                 kind: position(&self.kinds, &n.kind),
                 cell: n.cell,
                 ready_at: n.ready_at,
-                readiness: if n.draining { Readiness::Draining } else { Readiness::Up },
+                readiness: if n.draining {
+                    Readiness::Draining
+                } else {
+                    Readiness::Up
+                },
             };
             self.nodes.values().map(entry).collect()
         })
@@ -184,9 +206,14 @@
             kind: ENGINE_TYPE.into(),
             pool: "general".into(),
             location: format!("/hall-b/{node}"),
-            properties: [("http", *http), ("kind", "big")].map(|(k, v)| (k.to_owned(), v.to_owned())).into(),
+            properties: [("http", *http), ("kind", "big")]
+                .map(|(k, v)| (k.to_owned(), v.to_owned()))
+                .into(),
         };
-        Services { environment: "e".into(), services: lines.iter().map(service).collect() }
+        Services {
+            environment: "e".into(),
+            services: lines.iter().map(service).collect(),
+        }
     }
 
     fn membership() -> Membership {
@@ -197,9 +224,15 @@
     #[test]
     fn an_engine_of_unknown_age_counts_as_cold_until_it_tells() {
         let mut m = membership();
-        assert!(m.list(100 * S, &services(&[("a", "1", "http://127.0.0.1:1")])).is_empty());
+        assert!(
+            m.list(100 * S, &services(&[("a", "1", "http://127.0.0.1:1")]))
+                .is_empty()
+        );
         let entries = m.take_changed().expect("new");
-        assert_eq!((entries[0].ready_at, entries[0].zone, entries[0].kind), (100 * S, Some(1), Some(1)));
+        assert_eq!(
+            (entries[0].ready_at, entries[0].zone, entries[0].kind),
+            (100 * S, Some(1), Some(1))
+        );
         m.uptime(101 * S, "a", Duration::from_secs(60));
         assert_eq!(m.take_changed().expect("older")[0].ready_at, 41 * S);
         m.uptime(103 * S, "a", Duration::from_millis(61_500));
@@ -213,9 +246,15 @@
         m.list(0, &list);
         m.uptime(100 * S, "a", Duration::from_secs(60));
         m.state("a", NodeState::ShuttingDown);
-        assert_eq!(m.take_changed().expect("drains")[0].readiness, Readiness::Draining);
+        assert_eq!(
+            m.take_changed().expect("drains")[0].readiness,
+            Readiness::Draining
+        );
         m.list(101 * S, &list);
-        assert!(m.take_changed().is_none(), "a list that knows nothing of it changes nothing");
+        assert!(
+            m.take_changed().is_none(),
+            "a list that knows nothing of it changes nothing"
+        );
         m.uptime(110 * S, "a", Duration::from_secs(2));
         let entry = m.take_changed().expect("restarted")[0].clone();
         assert_eq!((entry.ready_at, entry.readiness), (108 * S, Readiness::Up));
@@ -224,7 +263,10 @@
     #[test]
     fn what_a_list_lacks_is_gone_and_what_it_garbles_is_passed_over() {
         let mut m = membership();
-        m.list(0, &services(&[("a", "1", "http://127.0.0.1:1"), ("b", "2", "127.0.0.1:2")]));
+        m.list(
+            0,
+            &services(&[("a", "1", "http://127.0.0.1:1"), ("b", "2", "127.0.0.1:2")]),
+        );
         assert_eq!(m.take_changed().map(|e| e.len()), Some(2));
         let garbled = [
             ("b", "2", "127.0.0.1:2"),
@@ -234,8 +276,14 @@
         ];
         assert_eq!(m.list(S, &services(&garbled)).len(), 3);
         let left = m.take_changed().expect("a is gone");
-        assert_eq!(left.iter().map(|e| e.engine).collect::<Vec<_>>(), vec![EngineId(1)]);
-        let other = Services { environment: "other".into(), ..services(&[("b", "2", "127.0.0.1:2")]) };
+        assert_eq!(
+            left.iter().map(|e| e.engine).collect::<Vec<_>>(),
+            vec![EngineId(1)]
+        );
+        let other = Services {
+            environment: "other".into(),
+            ..services(&[("b", "2", "127.0.0.1:2")])
+        };
         assert_eq!(m.list(S, &other).len(), 1);
     }
 }
--- a/crates/router/src/rounds.rs
+++ b/crates/router/src/rounds.rs
@@ -89,7 +89,10 @@
     /// Nobody may wait for a statement any more: forgets its bell then.
     pub fn unlisten(&self, id: StatementId) {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.get(&id).is_some_and(|bell| bell.total_listeners() == 0) {
+        if waiting
+            .get(&id)
+            .is_some_and(|bell| bell.total_listeners() == 0)
+        {
             waiting.remove(&id);
         }
     }
@@ -137,7 +140,9 @@
     }
 
     fn carry_out(&self) {
-        let Some(carrier) = self.carrier.upgrade() else { return };
+        let Some(carrier) = self.carrier.upgrade() else {
+            return;
+        };
         loop {
             let command = self.core().command();
             let Some(command) = command else { break };
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -82,9 +82,18 @@
             held_bytes: l.held_bytes,
             answer_margin: ANSWER_MARGIN,
         };
-        let names = Names { router: settings.router.name.clone(), life: life.clone() };
+        let names = Names {
+            router: settings.router.name.clone(),
+            life: life.clone(),
+        };
         let watch = Watch::new(settings.watch());
-        let core = Core::new(settings.decisions(), settings.router.seed, bounds, Some(watch), names.clone())?;
+        let core = Core::new(
+            settings.decisions(),
+            settings.router.seed,
+            bounds,
+            Some(watch),
+            names.clone(),
+        )?;
         let learnt = settings.router.state.as_deref().map(Learnt::new);
         let manner = Manner {
             router: settings.router.name.clone(),
@@ -135,14 +144,20 @@
             self.desk.ex.spawn(self.clone().keep_saving());
         }
         let me = self.clone();
-        self.desk.ex.spawn(async move { me.desk.rounds.run().await });
+        self.desk
+            .ex
+            .spawn(async move { me.desk.rounds.run().await });
         if let Some(agreed) = &self.desk.agreed {
             let me = self.clone();
             self.desk.ex.spawn(agreed.clone().run(move || me.heed()));
             self.desk.ex.spawn(agreed.clone().keep_noting());
         }
         let listener_of_lists: Rc<dyn Listener> = self.clone();
-        self.desk.ex.spawn(self.discovery.clone().run(self.desk.ex.clone(), listener_of_lists));
+        self.desk.ex.spawn(
+            self.discovery
+                .clone()
+                .run(self.desk.ex.clone(), listener_of_lists),
+        );
         let front = fronts::http::serve(self.desk.clone(), listener, extra);
         self.desk.ex.spawn(async move {
             let _ = front.await;
@@ -171,15 +186,20 @@
 
     /// Takes up the rules of the versions that are heeded now, all at once: nothing is done between.
     fn heed(&self) {
-        let Some((agreed, document)) = self.desk.agreed.as_ref().and_then(|a| Some((a, a.rules()?))) else {
+        let Some((agreed, document)) = self
+            .desk
+            .agreed
+            .as_ref()
+            .and_then(|a| Some((a, a.rules()?)))
+        else {
             return;
         };
         match self.own.under(&self.desk.settings(), &document) {
             Err(problems) => {
                 agreed.usable(false);
-                problems
-                    .iter()
-                    .for_each(|p| tracing::error!(problem = %p, "the fleet's rules can't be used here"));
+                problems.iter().for_each(
+                    |p| tracing::error!(problem = %p, "the fleet's rules can't be used here"),
+                );
             }
             Ok(settings) => {
                 agreed.usable(true);
@@ -198,7 +218,9 @@
     /// When an engine's process began, in ms since 1970.
     fn began(&self, entry: &hoptiller::Entry) -> u64 {
         let age = Report::now(self).saturating_sub(entry.ready_at);
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as u64);
         now.saturating_sub(age) / 1000
     }
 
@@ -245,7 +267,9 @@
             let what = format!("{order:?}");
             match engines.order(id, hop, order).await {
                 Ok(()) => tracing::warn!(%statement, hop, order = %what, "the engine was told"),
-                Err(why) => tracing::warn!(%statement, hop, order = %what, why, "the engine was not told"),
+                Err(why) => {
+                    tracing::warn!(%statement, hop, order = %what, why, "the engine was not told")
+                }
             }
         });
     }
@@ -259,7 +283,10 @@
             return;
         }
         let (cause, subject) = (f.cause.word(), fronts::admin::subject(&self.desk, f));
-        let engine = f.engine.map(|e| self.desk.engines.name(e)).unwrap_or_default();
+        let engine = f
+            .engine
+            .map(|e| self.desk.engines.name(e))
+            .unwrap_or_default();
         let verdict = format!("{:?}", f.verdict).to_lowercase();
         let seen = f.evidence.to_string();
         if f.verdict != Verdict::Suspect {
@@ -272,7 +299,9 @@
             Verdict::Runaway | Verdict::Notice => {
                 tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
             }
-            _ => tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways"),
+            _ => {
+                tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways")
+            }
         }
     }
 
@@ -297,9 +326,16 @@
                 let settings = self.desk.settings();
                 let class = settings.classes[attempt.class].name.as_str();
                 let statement = self.name_of(attempt.id);
-                let span = tracing::debug_span!("attempt", %statement, class, hop = attempt.hop, %engine);
+                let span =
+                    tracing::debug_span!("attempt", %statement, class, hop = attempt.hop, %engine);
                 span.in_scope(|| tracing::debug!("sent"));
-                self.desk.ex.spawn(self.desk.engines.clone().attempt(attempt, me).instrument(span));
+                self.desk.ex.spawn(
+                    self.desk
+                        .engines
+                        .clone()
+                        .attempt(attempt, me)
+                        .instrument(span),
+                );
             }
             Command::Fetch { id, hop } => self.desk.engines.control(id, hop, Control::Fetch),
             Command::Withdraw { id, hop } => self.desk.engines.control(id, hop, Control::Withdraw),
@@ -310,14 +346,23 @@
             }
             Command::Pause { id, hop, paused } => self.order(id, hop, Order::Pause(paused)),
             Command::Found(finding) => self.found(&finding),
-            Command::Probe(engine) => self.desk.ex.spawn(self.desk.engines.clone().probe(engine, me)),
+            Command::Probe(engine) => self
+                .desk
+                .ex
+                .spawn(self.desk.engines.clone().probe(engine, me)),
             Command::AskDiscovery => {
                 self.discovery.now.notify(1);
             }
             Command::Wake(id) => {
                 self.desk.rounds.wake(id);
             }
-            Command::Settled { id, class, how, after, attempts } => {
+            Command::Settled {
+                id,
+                class,
+                how,
+                after,
+                attempts,
+            } => {
                 let class = &self.desk.settings().classes[class].name;
                 let outcome = how.word();
                 metrics::counter!("hoptiller_statements_total", "class" => class.clone(), "outcome" => outcome)
@@ -338,11 +383,13 @@
     }
 
     fn page(&self, id: StatementId, hop: u32, page: Page) {
-        self.desk.with_core(|core, now| core.page(now, id, hop, page));
+        self.desk
+            .with_core(|core, now| core.page(now, id, hop, page));
     }
 
     fn wrong(&self, id: StatementId, hop: u32, failure: Failure) {
-        self.desk.with_core(|core, now| core.wrong(now, id, hop, failure));
+        self.desk
+            .with_core(|core, now| core.wrong(now, id, hop, failure));
     }
 
     fn ended(&self, id: StatementId, hop: u32, ended: Ended) {
@@ -350,19 +397,25 @@
         metrics::counter!("hoptiller_attempts_failed_total", "ending" => how).increment(1);
         // Inside the attempt's span, which names the statement and the engine.
         tracing::debug!(how, why = %ended.why, "ended");
-        self.desk.with_core(|core, now| core.ended(now, id, hop, ended));
+        self.desk
+            .with_core(|core, now| core.ended(now, id, hop, ended));
     }
 
     fn killed(&self, id: StatementId, hop: u32, proof: Proof, why: String) {
         tracing::warn!(?proof, why, "ended at its engine");
-        self.desk.with_core(|core, now| core.killed(now, id, hop, proof, why));
+        self.desk
+            .with_core(|core, now| core.killed(now, id, hop, proof, why));
     }
 
     fn told(&self, id: StatementId, hop: u32, mut told: Told) {
         if let Some(Stands::Behind(Some(holder))) = &mut told.news.stands {
-            holder.class = told.holder_class.as_deref().and_then(|name| self.desk.settings().class(name));
+            holder.class = told
+                .holder_class
+                .as_deref()
+                .and_then(|name| self.desk.settings().class(name));
         }
-        self.desk.with_core(|core, now| core.told(now, id, hop, told.news));
+        self.desk
+            .with_core(|core, now| core.told(now, id, hop, told.news));
     }
 
     fn note(&self, id: StatementId, hop: u32, progress: Progress) {
@@ -374,22 +427,31 @@
     }
 
     fn may_send(&self, engine: EngineId, class: usize) -> Result<Option<String>, String> {
-        let Some(agreed) = &self.desk.agreed else { return Ok(None) };
+        let Some(agreed) = &self.desk.agreed else {
+            return Ok(None);
+        };
         let settings = self.desk.settings();
         let class = &settings.classes[class];
         let stamp = match agreed.verdict(&class.name) {
             Permitted::Act { in_force, heeds } => agreed::stamp(in_force, heeds, false),
             Permitted::ActInDoubt { in_force, heeds } => agreed::stamp(in_force, heeds, true),
-            Permitted::Refuse => return Err("the permit to act under the fleet's rules has ended".into()),
+            Permitted::Refuse => {
+                return Err("the permit to act under the fleet's rules has ended".into());
+            }
         };
         let listed = self.listed.borrow();
-        let Some(entry) = listed.get(&engine) else { return Err("the engine is not listed any more".into()) };
+        let Some(entry) = listed.get(&engine) else {
+            return Err("the engine is not listed any more".into());
+        };
         // What was chosen under the rules before may not fit those of now.
         let within = |only: &Option<Vec<usize>>, is: Option<usize>| {
-            only.as_ref().is_none_or(|all| is.is_some_and(|n| all.contains(&n)))
+            only.as_ref()
+                .is_none_or(|all| is.is_some_and(|n| all.contains(&n)))
         };
         if !within(&class.kinds, entry.kind) || !within(&class.zones, entry.zone) {
-            return Err("the fleet's rules have changed: the class may not run there any more".into());
+            return Err(
+                "the fleet's rules have changed: the class may not run there any more".into(),
+            );
         }
         if !agreed.lists(&self.desk.engines.name(engine), self.began(entry)) {
             return Err("the fleet's list lets nothing more to that engine".into());
@@ -416,7 +478,8 @@
             self.desk.listed.set(entries.len());
             tracing::info!(engines = entries.len(), "the engine list has changed");
         }
-        self.desk.with_core(|core, now| core.list(now, scope, entries));
+        self.desk
+            .with_core(|core, now| core.list(now, scope, entries));
     }
 
     fn place(&self, engine: EngineId, name: &str, addr: SocketAddr) {
--- a/crates/router/src/settings/jsonnet.rs
+++ b/crates/router/src/settings/jsonnet.rs
@@ -9,14 +9,18 @@
 
 /// Evaluates a text that is in no file; it can import nothing by a relative path.
 pub fn evaluate(name: &str, text: &str) -> Result<serde_json::Value, Problem> {
-    finish(name, text, |state| state.evaluate_snippet(name.to_owned(), text.to_owned()))
+    finish(name, text, |state| {
+        state.evaluate_snippet(name.to_owned(), text.to_owned())
+    })
 }
 
 /// Evaluates a file. Its imports are relative to it.
 pub fn evaluate_file(path: &Path) -> Result<serde_json::Value, Problem> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Problem { place: name.clone(), what: format!("can't be read: {e}") })?;
+    let text = std::fs::read_to_string(path).map_err(|e| Problem {
+        place: name.clone(),
+        what: format!("can't be read: {e}"),
+    })?;
     finish(&name, &text, |state| state.import(path))
 }
 
@@ -30,8 +34,10 @@
     let state = builder.build();
     let _entered = state.enter();
     match evaluate(&state).and_then(|value| value.manifest(JsonFormat::minify())) {
-        Ok(json) => serde_json::from_str(&json)
-            .map_err(|e| Problem { place: name.to_owned(), what: format!("evaluates to no JSON: {e}") }),
+        Ok(json) => serde_json::from_str(&json).map_err(|e| Problem {
+            place: name.to_owned(),
+            what: format!("evaluates to no JSON: {e}"),
+        }),
         Err(e) => Err(place_of(name, text, &e)),
     }
 }
--- a/crates/router/src/settings/mod.rs
+++ b/crates/router/src/settings/mod.rs
@@ -76,7 +76,10 @@
 impl AgreementSettings {
     /// The bounds of permits.
     pub fn bounds(&self) -> hoptiller_agreement::Bounds {
-        hoptiller_agreement::Bounds { term: self.permit.as_micros() as u64, drift: self.drift }
+        hoptiller_agreement::Bounds {
+            term: self.permit.as_micros() as u64,
+            drift: self.drift,
+        }
     }
 }
 
@@ -335,17 +338,23 @@
     /// The settings of the watch for runaways.
     pub fn watch(&self) -> hoptiller_runaway::Settings {
         let micros = |d: Duration| d.as_micros() as u64;
-        let class = |(c, acts): (&ClassSettings, &hoptiller_runaway::Acts)| hoptiller_runaway::Class {
-            name: c.name.clone(),
-            aim: micros(c.aim),
-            patience: micros(c.patience),
-            threads: c.threads,
-            effect: c.decisions().effect,
-            holds: c.holds,
-            acts: *acts,
-        };
+        let class =
+            |(c, acts): (&ClassSettings, &hoptiller_runaway::Acts)| hoptiller_runaway::Class {
+                name: c.name.clone(),
+                aim: micros(c.aim),
+                patience: micros(c.patience),
+                threads: c.threads,
+                effect: c.decisions().effect,
+                holds: c.holds,
+                acts: *acts,
+            };
         hoptiller_runaway::Settings {
-            classes: self.classes.iter().zip(&self.runaways.acts).map(class).collect(),
+            classes: self
+                .classes
+                .iter()
+                .zip(&self.runaways.acts)
+                .map(class)
+                .collect(),
             kinds: self.runaways.kinds,
             pause_for: micros(self.runaways.pause_for),
             end_after: micros(self.runaways.end_after),
--- a/crates/router/src/settings/read.rs
+++ b/crates/router/src/settings/read.rs
@@ -25,7 +25,11 @@
 
 impl Object<'_> {
     fn at(&self, key: &str) -> String {
-        if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
+        if self.path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{}.{key}", self.path)
+        }
     }
 }
 
@@ -34,11 +38,17 @@
 
 impl<'a> Reader<'a> {
     pub(super) fn new(name: &'a str) -> Reader<'a> {
-        Reader { name, problems: Vec::new() }
+        Reader {
+            name,
+            problems: Vec::new(),
+        }
     }
 
     fn note(&mut self, path: String, what: impl Into<String>) {
-        self.problems.push(Problem { place: format!("{}: {path}", self.name), what: what.into() });
+        self.problems.push(Problem {
+            place: format!("{}: {path}", self.name),
+            what: what.into(),
+        });
     }
 
     fn object<'v>(&mut self, value: &'v Value, path: &str) -> Object<'v> {
@@ -46,7 +56,11 @@
         if fields.is_none() && !value.is_null() {
             self.note(path.to_owned(), "an object is wanted");
         }
-        Object { path: path.to_owned(), fields, asked: BTreeSet::new() }
+        Object {
+            path: path.to_owned(),
+            fields,
+            asked: BTreeSet::new(),
+        }
     }
 
     /// The object under a key; required ones that are missing are noted once, not for each of their keys.
@@ -72,9 +86,15 @@
 
     fn done(&mut self, object: Object<'_>) {
         let keys = object.fields.into_iter().flat_map(|f| f.keys());
-        let unknown: Vec<&String> = keys.filter(|k| !object.asked.contains(k.as_str())).collect();
+        let unknown: Vec<&String> = keys
+            .filter(|k| !object.asked.contains(k.as_str()))
+            .collect();
         for key in unknown {
-            let near = object.asked.iter().min_by_key(|a| distance(a, key)).filter(|a| distance(a, key) <= 3);
+            let near = object
+                .asked
+                .iter()
+                .min_by_key(|a| distance(a, key))
+                .filter(|a| distance(a, key) <= 3);
             let hint = near.map_or(String::new(), |n| format!("; is {n:?} meant?"));
             self.note(object.at(key), format!("unknown key{hint}"));
         }
@@ -95,12 +115,20 @@
         let text = self.text(of, key)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.note(of.at(key), format!("{text:?} is no address; such as '127.0.0.1:8080' is wanted"));
+            self.note(
+                of.at(key),
+                format!("{text:?} is no address; such as '127.0.0.1:8080' is wanted"),
+            );
         }
         parsed
     }
 
-    fn number(&mut self, of: &mut Object<'_>, key: &'static str, usual: Option<f64>) -> Option<f64> {
+    fn number(
+        &mut self,
+        of: &mut Object<'_>,
+        key: &'static str,
+        usual: Option<f64>,
+    ) -> Option<f64> {
         let value = match usual {
             None => self.require(of, key)?,
             Some(usual) => match self.optional(of, key) {
@@ -125,7 +153,10 @@
         };
         // Jsonnet knows only floating numbers; a whole one is written without a fraction.
         let number = value.as_u64().or_else(|| {
-            value.as_f64().filter(|n| *n >= 0.0 && n.fract() == 0.0 && *n < 9e15).map(|n| n as u64)
+            value
+                .as_f64()
+                .filter(|n| *n >= 0.0 && n.fract() == 0.0 && *n < 9e15)
+                .map(|n| n as u64)
         });
         if number.is_none() {
             self.note(of.at(key), "a whole number of 0 or more is wanted");
@@ -145,7 +176,12 @@
         }
     }
 
-    fn duration(&mut self, of: &mut Object<'_>, key: &'static str, usual: Option<&str>) -> Option<Duration> {
+    fn duration(
+        &mut self,
+        of: &mut Object<'_>,
+        key: &'static str,
+        usual: Option<&str>,
+    ) -> Option<Duration> {
         let value = match usual {
             None => self.require(of, key)?,
             Some(usual) => match self.optional(of, key) {
@@ -153,7 +189,9 @@
                 Some(value) => value,
             },
         };
-        let parsed = value.as_str().and_then(hoptiller_statement::client::duration);
+        let parsed = value
+            .as_str()
+            .and_then(hoptiller_statement::client::duration);
         if parsed.is_none() {
             self.note(of.at(key), format!("{value} is no duration; {DURATION}"));
         }
@@ -161,7 +199,12 @@
     }
 
     /// Numbers of the names in a list; `None` where the key is absent.
-    fn names(&mut self, of: &mut Object<'_>, key: &'static str, known: &[String]) -> Option<Vec<usize>> {
+    fn names(
+        &mut self,
+        of: &mut Object<'_>,
+        key: &'static str,
+        known: &[String],
+    ) -> Option<Vec<usize>> {
         let value = self.optional(of, key)?;
         let path = of.at(key);
         let Some(list) = value.as_array().filter(|l| !l.is_empty()) else {
@@ -170,11 +213,17 @@
         };
         let mut numbers = Vec::new();
         for (at, name) in list.iter().enumerate() {
-            match name.as_str().and_then(|n| known.iter().position(|k| k == n)) {
+            match name
+                .as_str()
+                .and_then(|n| known.iter().position(|k| k == n))
+            {
                 Some(number) => numbers.push(number),
                 None => {
                     let known = known.join(", ");
-                    self.note(format!("{path}[{at}]"), format!("{name} is none of the names known: {known}"));
+                    self.note(
+                        format!("{path}[{at}]"),
+                        format!("{name} is none of the names known: {known}"),
+                    );
                 }
             }
         }
@@ -182,8 +231,17 @@
     }
 
     /// Pairs of name and number from an object.
-    fn pairs(&mut self, of: &mut Object<'_>, key: &'static str, needed: bool) -> Option<Vec<(String, f64)>> {
-        let value = if needed { self.require(of, key)? } else { self.optional(of, key)? };
+    fn pairs(
+        &mut self,
+        of: &mut Object<'_>,
+        key: &'static str,
+        needed: bool,
+    ) -> Option<Vec<(String, f64)>> {
+        let value = if needed {
+            self.require(of, key)?
+        } else {
+            self.optional(of, key)?
+        };
         let path = of.at(key);
         let Some(fields) = value.as_object() else {
             self.note(path, "an object of names and numbers is wanted");
@@ -212,9 +270,13 @@
         let kind_names: Vec<String> = kinds.iter().flatten().map(|k| k.0.clone()).collect();
         let classes = self.classes(&mut top, &kind_names, &zones);
         let default = self.text(&mut top, "default_class");
-        let engines = self.child(&mut top, "engines").and_then(|o| self.engines(o));
+        let engines = self
+            .child(&mut top, "engines")
+            .and_then(|o| self.engines(o));
         let rules = self.child(&mut top, "rules").and_then(|o| self.rules(o));
-        let discovery = self.child(&mut top, "discovery").and_then(|o| self.discovery(o));
+        let discovery = self
+            .child(&mut top, "discovery")
+            .and_then(|o| self.discovery(o));
         let runaways = self.runaways(&mut top, &classes);
         let agreement = self.agreement(&mut top);
         let path = top.at("limits");
@@ -225,7 +287,10 @@
         let (classes, default) = (classes?, default?);
         let default_class = classes.iter().position(|c| c.name == default);
         if default_class.is_none() {
-            self.note("default_class".into(), format!("{default:?} is no class of this file"));
+            self.note(
+                "default_class".into(),
+                format!("{default:?} is no class of this file"),
+            );
         }
         Some(Settings {
             router: router?,
@@ -250,11 +315,20 @@
         }
         let mut o = self.child(top, "agreement")?;
         let path = o.at("keepers");
-        let list = self.require(&mut o, "keepers").and_then(|v| v.as_array()).filter(|l| !l.is_empty());
-        let keepers: Option<Vec<SocketAddr>> =
-            list.and_then(|l| l.iter().map(|a| a.as_str().and_then(|t| t.parse().ok())).collect());
+        let list = self
+            .require(&mut o, "keepers")
+            .and_then(|v| v.as_array())
+            .filter(|l| !l.is_empty());
+        let keepers: Option<Vec<SocketAddr>> = list.and_then(|l| {
+            l.iter()
+                .map(|a| a.as_str().and_then(|t| t.parse().ok()))
+                .collect()
+        });
         if keepers.is_none() {
-            self.note(path, "a list of at least one address, such as '127.0.0.1:7401', is wanted");
+            self.note(
+                path,
+                "a list of at least one address, such as '127.0.0.1:7401', is wanted",
+            );
         }
         let secret = self.text(&mut o, "secret");
         let permit = self.duration(&mut o, "permit", Some("10s"));
@@ -273,8 +347,12 @@
     }
 
     fn zones(&mut self, top: &mut Object<'_>) -> Vec<String> {
-        let Some(value) = self.optional(top, "zones") else { return Vec::new() };
-        let names = value.as_array().and_then(|l| l.iter().map(|z| z.as_str().map(str::to_owned)).collect());
+        let Some(value) = self.optional(top, "zones") else {
+            return Vec::new();
+        };
+        let names = value
+            .as_array()
+            .and_then(|l| l.iter().map(|z| z.as_str().map(str::to_owned)).collect());
         if names.is_none() {
             self.note("zones".into(), "a list of names is wanted");
         }
@@ -297,7 +375,15 @@
         let seed = self.count(&mut o, "seed", Some(1));
         self.done(o);
         let (index, of) = (u32::try_from(index?).ok()?, u32::try_from(of?).ok()?);
-        Some(RouterSettings { name: name?, index, of, listen: listen?, admin: admin?, state, seed: seed? })
+        Some(RouterSettings {
+            name: name?,
+            index,
+            of,
+            listen: listen?,
+            admin: admin?,
+            state,
+            seed: seed?,
+        })
     }
 
     fn classes(
@@ -322,7 +408,12 @@
         read.into_iter().collect()
     }
 
-    fn class(&mut self, mut o: Object<'_>, kinds: &[String], zones: &[String]) -> Option<ClassSettings> {
+    fn class(
+        &mut self,
+        mut o: Object<'_>,
+        kinds: &[String],
+        zones: &[String],
+    ) -> Option<ClassSettings> {
         let name = self.text(&mut o, "name");
         let aim = self.duration(&mut o, "aim", None);
         let stretch = self.number(&mut o, "stretch", Some(0.0));
@@ -371,9 +462,11 @@
                 let within = self.duration(&mut b, "within", None);
                 self.done(b);
                 match (spare, ratio, within) {
-                    (Some(spare), Some(ratio), Some(within)) => {
-                        Some(Some(BudgetSettings { spare, ratio, within }))
-                    }
+                    (Some(spare), Some(ratio), Some(within)) => Some(Some(BudgetSettings {
+                        spare,
+                        ratio,
+                        within,
+                    })),
                     _ => None,
                 }
             }
@@ -432,7 +525,11 @@
     ) -> Option<RunawaySettings> {
         let value = self.optional(top, "runaways").unwrap_or(&Value::Null);
         let mut o = self.object(value, "runaways");
-        let usual = hoptiller_runaway::Acts { name: true, hold: true, ..Default::default() };
+        let usual = hoptiller_runaway::Acts {
+            name: true,
+            hold: true,
+            ..Default::default()
+        };
         let usual = match self.optional(&mut o, "acts") {
             None => Some(usual),
             Some(value) => self.acts(value, "runaways.acts".into()),
@@ -542,7 +639,9 @@
     for (i, x) in a.chars().enumerate() {
         let mut left = i + 1;
         for (j, y) in b.iter().enumerate() {
-            let next = (row[j] + usize::from(x != *y)).min(left + 1).min(row[j + 1] + 1);
+            let next = (row[j] + usize::from(x != *y))
+                .min(left + 1)
+                .min(row[j + 1] + 1);
             row[j] = left;
             left = next;
         }
--- a/crates/router/src/settings/under.rs
+++ b/crates/router/src/settings/under.rs
@@ -14,7 +14,12 @@
 }
 
 /// The number of a name; a new name comes behind.
-fn number_of<T>(all: &mut Vec<T>, name: &str, is: impl Fn(&T) -> &str, make: impl FnOnce() -> T) -> usize {
+fn number_of<T>(
+    all: &mut Vec<T>,
+    name: &str,
+    is: impl Fn(&T) -> &str,
+    make: impl FnOnce() -> T,
+) -> usize {
     match all.iter().position(|known| is(known) == name) {
         Some(at) => at,
         None => {
@@ -46,7 +51,11 @@
             let at = number_of(&mut s.classes, name, |c| &c.name, || made.clone());
             s.classes[at] = made;
         }
-        if let Some(usual) = document.default_class.as_deref().and_then(|name| s.class(name)) {
+        if let Some(usual) = document
+            .default_class
+            .as_deref()
+            .and_then(|name| s.class(name))
+        {
             s.default_class = usual;
         }
         let acts = s.runaways.acts.last().copied().unwrap_or_default();
@@ -81,7 +90,11 @@
         r.drain_grace = time(d.drain_grace);
         let mut problems = Vec::new();
         check::check("(the fleet's document)", &s, &mut problems);
-        if problems.is_empty() { Ok(s) } else { Err(problems) }
+        if problems.is_empty() {
+            Ok(s)
+        } else {
+            Err(problems)
+        }
     }
 }
 
@@ -96,7 +109,9 @@
         None => document.zones.contains(z),
     };
     let some = |all: Vec<usize>, of: usize| (all.len() < of).then_some(all);
-    let in_kinds: Vec<usize> = (0..s.kinds.len()).filter(|k| kinds(&s.kinds[*k].0)).collect();
+    let in_kinds: Vec<usize> = (0..s.kinds.len())
+        .filter(|k| kinds(&s.kinds[*k].0))
+        .collect();
     let in_zones: Vec<usize> = (0..s.zones.len()).filter(|z| zones(&s.zones[*z])).collect();
     ClassSettings {
         name: name.to_owned(),
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -37,7 +37,8 @@
 
 /// The example's settings, quicker, with changes.
 pub fn settings(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Settings {
-    let mut value = hoptiller_router::settings::evaluate("derby.jsonnet", EXAMPLE).expect("evaluates");
+    let mut value =
+        hoptiller_router::settings::evaluate("derby.jsonnet", EXAMPLE).expect("evaluates");
     value["router"]["listen"] = json!("127.0.0.1:0");
     value["router"]["state"] = Value::Null;
     value["discovery"]["address"] = json!(discovery.to_string());
@@ -63,7 +64,11 @@
         let recorder = Recorder::default();
         let ledger = Ledger::default();
         let keep = Duration::from_millis(1500);
-        let discovery = DiscoveryConfig { recorder: recorder.clone(), keep, ..DiscoveryConfig::default() };
+        let discovery = DiscoveryConfig {
+            recorder: recorder.clone(),
+            keep,
+            ..DiscoveryConfig::default()
+        };
         let discovery_running = discovery.start().expect("discovery");
         let mut settings = settings(discovery_running.addr, change);
         let mut configs = Vec::new();
@@ -92,7 +97,9 @@
             settings,
             next: AtomicU64::new(0),
         };
-        stage.wait_for("the engines to be listed", |info| info["engines"] == json!(engines));
+        stage.wait_for("the engines to be listed", |info| {
+            info["engines"] == json!(engines)
+        });
         stage
     }
 
@@ -121,7 +128,10 @@
 
     pub fn crash_router(&mut self) {
         if let Some(router) = self.router.take() {
-            self.recorder.write(Record::Killed { at: hoptiller_audit::now(), router: "r1".into() });
+            self.recorder.write(Record::Killed {
+                at: hoptiller_audit::now(),
+                router: "r1".into(),
+            });
             router.crash();
         }
     }
@@ -140,7 +150,10 @@
             tags: String::new(),
             text: text.into(),
             patience: Duration::from_secs(6),
-            manner: Manner { lenience: self.lenience, ..Manner::default() },
+            manner: Manner {
+                lenience: self.lenience,
+                ..Manner::default()
+            },
         }
     }
 
@@ -170,7 +183,10 @@
             if wanted(&now) {
                 return now;
             }
-            assert!(began.elapsed() < Duration::from_secs(40), "waited in vain for {what}: {now:#}");
+            assert!(
+                began.elapsed() < Duration::from_secs(40),
+                "waited in vain for {what}: {now:#}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -197,7 +213,11 @@
     pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) {
         let began = Instant::now();
         while !wanted(&self.info()) {
-            assert!(began.elapsed() < Duration::from_secs(20), "waited in vain for {what}: {}", self.info());
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "waited in vain for {what}: {}",
+                self.info()
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -222,20 +242,28 @@
         let records = self.records();
         let at = |ask: &Ask| {
             records.iter().rev().find_map(|r| match r {
-                Record::Sent { trace, engine, .. } if *trace == ask.trace => Some(Some(engine.clone())),
+                Record::Sent { trace, engine, .. } if *trace == ask.trace => {
+                    Some(Some(engine.clone()))
+                }
                 Record::Done { trace, .. } if *trace == ask.trace => Some(None),
                 _ => None,
             })
         };
         let here = at(one).flatten();
-        all.iter().filter(|ask| here.is_some() && at(ask).flatten() == here).count()
+        all.iter()
+            .filter(|ask| here.is_some() && at(ask).flatten() == here)
+            .count()
     }
 
     /// Waits, generously, until an attempt has reached an engine.
     pub fn wait_until_sent(&self, ask: &Ask) {
         let began = Instant::now();
         while self.sent(ask) == 0 {
-            assert!(began.elapsed() < Duration::from_secs(20), "{} is not sent", ask.trace);
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "{} is not sent",
+                ask.trace
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -280,8 +308,8 @@
     let own = settings.clone();
     let (tell, told) = std::sync::mpsc::channel();
     let running = Running::new("router", move |spawner| {
-        let service =
-            Service::new(own, b"secret", "lifelife".into(), spawner).map_err(std::io::Error::other)?;
+        let service = Service::new(own, b"secret", "lifelife".into(), spawner)
+            .map_err(std::io::Error::other)?;
         let addr = service.start(Rc::new(|_| None))?;
         let _ = tell.send(service.admin_addr());
         Ok(addr)
@@ -306,7 +334,9 @@
         let mut c = hoptiller_http::client::Connection::open(addr, Duration::from_secs(2), limits)
             .await
             .expect("open");
-        c.exchange(request, Duration::from_secs(2)).await.expect("an answer")
+        c.exchange(request, Duration::from_secs(2))
+            .await
+            .expect("an answer")
     })
 }
 
--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -95,8 +95,12 @@
             answer_margin: 150 * MS,
         };
         let watch = Watch::new(settings.watch());
-        let names = Names { router: "r1".into(), life: "life".into() };
-        let mut core = Core::new(settings.decisions(), 5, bounds, Some(watch), names).expect("usable");
+        let names = Names {
+            router: "r1".into(),
+            life: "life".into(),
+        };
+        let mut core =
+            Core::new(settings.decisions(), 5, bounds, Some(watch), names).expect("usable");
         let entry = |n: u32| Entry {
             engine: EngineId(n),
             zone: Some(0),
@@ -107,7 +111,16 @@
         };
         core.list(START, Scope::All, (0..3).map(entry).collect());
         let (clients, sends, settled, proofs) = Default::default();
-        World { core, now: START, clients, out: Vec::new(), sends, settled, proofs, bounds }
+        World {
+            core,
+            now: START,
+            clients,
+            out: Vec::new(),
+            sends,
+            settled,
+            proofs,
+            bounds,
+        }
     }
 
     fn round(&mut self) -> Result<(), TestCaseError> {
@@ -118,8 +131,9 @@
                     let before = self.sends.entry(a.id).or_default();
                     // What must not run twice goes again only where every attempt proved that it never ran.
                     if a.class == 2 {
-                        let proof =
-                            |e: &Ending| matches!(e, Ending::Full | Ending::NoConnection | Ending::Moot);
+                        let proof = |e: &Ending| {
+                            matches!(e, Ending::Full | Ending::NoConnection | Ending::Moot)
+                        };
                         let proved = before.iter().all(|(_, ends)| ends.iter().any(proof));
                         prop_assert!(proved, "a load was sent again: {before:?}");
                     }
@@ -133,7 +147,9 @@
                         o.2 = true;
                     }
                 }
-                Command::Withdraw { .. } => prop_assert!(false, "engines allow no withdrawing here"),
+                Command::Withdraw { .. } => {
+                    prop_assert!(false, "engines allow no withdrawing here")
+                }
                 Command::Release { id, hop } => self.out.retain(|o| (o.0, o.1) != (id, hop)),
                 Command::Settled { id, how, .. } => {
                     prop_assert!(self.settled.insert(id, how).is_none(), "settled twice");
@@ -146,7 +162,10 @@
             }
         }
         let (open, kept, _) = self.core.sizes();
-        prop_assert!(open <= self.bounds.statements && kept <= self.bounds.answered, "{open} {kept}");
+        prop_assert!(
+            open <= self.bounds.statements && kept <= self.bounds.answered,
+            "{open} {kept}"
+        );
         Ok(())
     }
 
@@ -156,21 +175,30 @@
     }
 
     fn take(&mut self, id: StatementId, page: u64, poll: Poll) -> Result<(), TestCaseError> {
-        let Poll::Answer(answer) = poll else { return Ok(()) };
+        let Poll::Answer(answer) = poll else {
+            return Ok(());
+        };
         let seen = self.clients.get_mut(&id).expect("known");
         prop_assert_eq!(answer.page, page);
         if let Some(last) = seen.last.as_ref().filter(|l| l.page == page) {
-            prop_assert!(Rc::ptr_eq(last, &answer), "another answer under the same number");
+            prop_assert!(
+                Rc::ptr_eq(last, &answer),
+                "another answer under the same number"
+            );
             return Ok(());
         }
         prop_assert_eq!(seen.finals, 0, "an answer behind the final one");
         seen.finals += u32::from(answer.is_final());
         if let Content::Rows(page) = &answer.content {
-            seen.sources.extend(page.rows.as_ref().map(|r| r.get().to_owned()));
+            seen.sources
+                .extend(page.rows.as_ref().map(|r| r.get().to_owned()));
         }
         seen.next = page + 1;
         seen.last = Some(answer);
-        prop_assert!(!seen.sources.iter().any(|s| s.contains("stale")), "rows of an attempt that had ended");
+        prop_assert!(
+            !seen.sources.iter().any(|s| s.contains("stale")),
+            "rows of an attempt that had ended"
+        );
         let first = &seen.sources.first();
         prop_assert!(
             seen.sources.iter().all(|s| Some(s) == *first),
@@ -185,10 +213,26 @@
             Step::Submit(class) => {
                 let work = Rc::new(Work::default());
                 let (tenant, key, group, repeat, patience) = Default::default();
-                let s = Submission { class, tenant, key, group, repeat, patience, work, ..submission() };
+                let s = Submission {
+                    class,
+                    tenant,
+                    key,
+                    group,
+                    repeat,
+                    patience,
+                    work,
+                    ..submission()
+                };
                 match self.core.submit(self.now, s) {
                     Ok(id) => {
-                        self.clients.insert(id, Seen { class, next: 0, ..Seen::default() });
+                        self.clients.insert(
+                            id,
+                            Seen {
+                                class,
+                                next: 0,
+                                ..Seen::default()
+                            },
+                        );
                         let poll = self.core.poll(self.now, id, 0);
                         self.take(id, 0, poll)?;
                     }
@@ -203,7 +247,10 @@
                         _ => self.core.poll_at_once(self.now, id, page),
                     };
                     let over = self.clients[&id].finals > 0;
-                    prop_assert!(!over || !matches!(poll, Poll::Answer(_)), "an answer behind the final one");
+                    prop_assert!(
+                        !over || !matches!(poll, Poll::Answer(_)),
+                        "an answer behind the final one"
+                    );
                     self.take(id, page, poll)?;
                 }
             }
@@ -236,7 +283,11 @@
                         self.now,
                         id,
                         hop,
-                        Page { rows: Some(rows.into()), last, ..Page::default() },
+                        Page {
+                            rows: Some(rows.into()),
+                            last,
+                            ..Page::default()
+                        },
                     );
                     match last {
                         true => {
@@ -259,25 +310,47 @@
                         Ending::Moot,
                     ];
                     let ending = all[usize::from(how)];
-                    if let Some(a) = self.sends.get_mut(&id).and_then(|s| s.get_mut(hop as usize)) {
+                    if let Some(a) = self
+                        .sends
+                        .get_mut(&id)
+                        .and_then(|s| s.get_mut(hop as usize))
+                    {
                         a.1.push(ending);
                     }
-                    self.core.ended(self.now, id, hop, Ended { ending, why: "x".into(), report: None });
+                    self.core.ended(
+                        self.now,
+                        id,
+                        hop,
+                        Ended {
+                            ending,
+                            why: "x".into(),
+                            report: None,
+                        },
+                    );
                 }
             }
             Step::Wrong(n) => {
                 if !self.out.is_empty() {
                     let (id, hop, _) = self.out.remove(n % self.out.len());
-                    let failure = Failure { message: "x".into(), code: 1, name: "X".into() };
+                    let failure = Failure {
+                        message: "x".into(),
+                        code: 1,
+                        name: "X".into(),
+                    };
                     self.core.wrong(self.now, id, hop, failure);
                 }
             }
             Step::Killed(n, proof) => {
                 if !self.out.is_empty() {
                     let (id, hop, _) = self.out.remove(n % self.out.len());
-                    let proof = [Proof::RolledBack, Proof::Committed, Proof::Unknown][usize::from(proof)];
+                    let proof =
+                        [Proof::RolledBack, Proof::Committed, Proof::Unknown][usize::from(proof)];
                     self.proofs.entry(id).or_default().push(proof);
-                    if let Some(a) = self.sends.get_mut(&id).and_then(|s| s.get_mut(hop as usize)) {
+                    if let Some(a) = self
+                        .sends
+                        .get_mut(&id)
+                        .and_then(|s| s.get_mut(hop as usize))
+                    {
                         a.1.push(Ending::Cancelled);
                     }
                     self.core.killed(self.now, id, hop, proof, "x".into());
@@ -296,7 +369,15 @@
                 if !all.is_empty() {
                     let (id, hop) = all[n % all.len()];
                     let rows = RawValue::from_string("[[\"stale\"]]".into()).expect("JSON");
-                    self.core.page(self.now, id, hop, Page { rows: Some(rows.into()), ..Page::default() });
+                    self.core.page(
+                        self.now,
+                        id,
+                        hop,
+                        Page {
+                            rows: Some(rows.into()),
+                            ..Page::default()
+                        },
+                    );
                 }
             }
             Step::Pass(time) => self.now += time,
@@ -308,13 +389,21 @@
     fn finish(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..400 {
             while let Some((id, hop, _)) = self.out.pop() {
-                let ended = Ended { ending: Ending::Late, why: "x".into(), report: None };
+                let ended = Ended {
+                    ending: Ending::Late,
+                    why: "x".into(),
+                    report: None,
+                };
                 self.core.ended(self.now, id, hop, ended);
             }
             self.now += 100 * MS;
             self.round()?;
-            let open: Vec<StatementId> =
-                self.clients.iter().filter(|(_, s)| s.finals == 0 && !s.left).map(|(id, _)| *id).collect();
+            let open: Vec<StatementId> = self
+                .clients
+                .iter()
+                .filter(|(_, s)| s.finals == 0 && !s.left)
+                .map(|(id, _)| *id)
+                .collect();
             for id in open {
                 let page = self.clients[&id].next;
                 let poll = self.core.poll(self.now, id, page);
@@ -331,7 +420,11 @@
             prop_assert!(settled.is_some(), "{} was never settled", id);
             // A client that went away for longer than it may is not waited for; all others were answered.
             let away = matches!(settled, Some(Final::Abandoned | Final::Canceled));
-            prop_assert!(seen.finals == 1 || seen.left || away || gone.contains(id), "{id}: {:?}", settled);
+            prop_assert!(
+                seen.finals == 1 || seen.left || away || gone.contains(id),
+                "{id}: {:?}",
+                settled
+            );
             // Unsafe work that was ended is called harmless only where its engine said that all is undone.
             if let (2, Some(Final::EndedByRule { .. })) = (seen.class, settled) {
                 let proofs = self.proofs.get(id).map_or(&[][..], |p| p);
@@ -340,9 +433,13 @@
             // Unsafe work is refused only where no attempt can have run.
             if let (2, Some(Final::Refused { .. })) = (seen.class, settled) {
                 let none = Vec::new();
-                let proof = |e: &Ending| matches!(e, Ending::Full | Ending::NoConnection | Ending::Moot);
+                let proof =
+                    |e: &Ending| matches!(e, Ending::Full | Ending::NoConnection | Ending::Moot);
                 let sends = self.sends.get(id).unwrap_or(&none);
-                prop_assert!(sends.iter().all(|(_, ends)| ends.iter().any(proof)), "{id}: {sends:?}");
+                prop_assert!(
+                    sends.iter().all(|(_, ends)| ends.iter().any(proof)),
+                    "{id}: {sends:?}"
+                );
             }
         }
         Ok(())
@@ -350,7 +447,10 @@
 
     /// Settled while its client was away for longer than answers are kept.
     fn forgotten(&mut self, id: StatementId) -> bool {
-        matches!(self.core.poll(self.now, id, self.clients[&id].next), Poll::Gone)
+        matches!(
+            self.core.poll(self.now, id, self.clients[&id].next),
+            Poll::Gone
+        )
     }
 }
 
@@ -379,7 +479,11 @@
 
 fn page(text: &str, last: bool) -> Page {
     let rows = RawValue::from_string(format!("[[\"{text}\"]]")).expect("JSON");
-    Page { rows: Some(rows.into()), last, ..Page::default() }
+    Page {
+        rows: Some(rows.into()),
+        last,
+        ..Page::default()
+    }
 }
 
 fn submission() -> Submission {
@@ -403,7 +507,16 @@
 fn taken(world: &mut World, class: usize) -> StatementId {
     let work = Rc::new(Work::default());
     let (tenant, key, group, repeat, patience) = Default::default();
-    let s = Submission { class, tenant, key, group, repeat, patience, work, ..submission() };
+    let s = Submission {
+        class,
+        tenant,
+        key,
+        group,
+        repeat,
+        patience,
+        work,
+        ..submission()
+    };
     let id = world.core.submit(world.now, s).expect("taken");
     world.now += 20 * MS;
     world.core.round(world.now);
@@ -424,7 +537,9 @@
         assert!(matches!(world.core.poll(now, id, 1), Poll::Answer(_)));
     }
     let fetched = |core: &mut Core, id| {
-        commands(core).iter().any(|c| matches!(c, Command::Fetch { id: of, .. } if *of == id))
+        commands(core)
+            .iter()
+            .any(|c| matches!(c, Command::Fetch { id: of, .. } if *of == id))
     };
     commands(&mut world.core);
     world.core.page(now, a, 0, page(&"x".repeat(100), false));
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -26,7 +26,11 @@
         ("rent-load", LOAD, 1),
     ] {
         let ask = stage.ask(class, text);
-        assert_eq!((stage.run(&ask).0, stage.sent(&ask)), (Came::Served(rows), 1), "{class}");
+        assert_eq!(
+            (stage.run(&ask).0, stage.sent(&ask)),
+            (Came::Served(rows), 1),
+            "{class}"
+        );
     }
     assert_eq!(stage.ledger.postings().len(), 1);
     stage.assert_rules_kept();
@@ -35,24 +39,42 @@
 #[test]
 fn a_load_that_an_engine_takes_and_never_answers_fails_in_time_and_is_not_sent_again() {
     let stage = Stage::new(3);
-    all_fail(&stage, &Faults { hang: true, ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            hang: true,
+            ..Faults::default()
+        },
+    );
     let mut ask = stage.ask("rent-load", LOAD);
     ask.patience = Duration::from_millis(1500);
     let (came, client) = stage.run(&ask);
     assert_eq!(came, Came::Failed(MAY_HAVE_RUN.into()));
     assert_eq!((stage.sent(&ask), stage.posted(&ask)), (1, 1));
     let (path, last) = client.answers.last().expect("a final answer");
-    assert_eq!(stage.get(path).body, last.body, "the final answer is the same when asked again");
+    assert_eq!(
+        stage.get(path).body,
+        last.body,
+        "the final answer is the same when asked again"
+    );
     stage.assert_rules_kept();
 }
 
 #[test]
 fn a_safe_statement_at_a_hung_engine_is_refused_as_harmless_in_time() {
     let stage = Stage::new(1);
-    all_fail(&stage, &Faults { hang: true, ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            hang: true,
+            ..Faults::default()
+        },
+    );
     let mut ask = stage.ask("lookup", "SELECT 1");
     ask.patience = Duration::from_millis(1500);
-    let Came::Refused(name, after) = stage.run(&ask).0 else { panic!("refused") };
+    let Came::Refused(name, after) = stage.run(&ask).0 else {
+        panic!("refused")
+    };
     assert_eq!((name.as_str(), after), ("HOPTILLER_REFUSED", Some(2)));
     stage.assert_rules_kept();
 }
@@ -78,7 +100,10 @@
 }
 
 fn rows_seen(stage: &Stage) -> bool {
-    stage.records().iter().any(|r| matches!(r, hoptiller_audit::Record::Rows { rows, .. } if *rows > 0))
+    stage
+        .records()
+        .iter()
+        .any(|r| matches!(r, hoptiller_audit::Record::Rows { rows, .. } if *rows > 0))
 }
 
 #[test]
@@ -94,10 +119,16 @@
         }
         let at = |trace: &str| {
             let engine = stage.records().into_iter().find_map(|r| match r {
-                hoptiller_audit::Record::Sent { engine, trace: t, .. } if t == trace => Some(engine),
+                hoptiller_audit::Record::Sent {
+                    engine, trace: t, ..
+                } if t == trace => Some(engine),
                 _ => None,
             });
-            stage.engines.iter().position(|e| Some(&e.node) == engine.as_ref()).expect("an engine of ours")
+            stage
+                .engines
+                .iter()
+                .position(|e| Some(&e.node) == engine.as_ref())
+                .expect("an engine of ours")
         };
         let (one, two) = (at(&slow.trace), at(&load.trace));
         stage.crash_engine(one);
@@ -106,7 +137,10 @@
         if two != one {
             stage.start_engine(two);
         }
-        assert_eq!(posting.join().expect("ends"), Came::Failed(MAY_HAVE_RUN.into()));
+        assert_eq!(
+            posting.join().expect("ends"),
+            Came::Failed(MAY_HAVE_RUN.into())
+        );
         assert!(matches!(report.join().expect("ends"), Came::Served(_)));
     });
     assert!(stage.sent(&slow) >= 2);
@@ -117,15 +151,31 @@
 #[test]
 fn an_answer_lost_after_the_work_was_done_is_no_proof_that_it_was_not() {
     let stage = Stage::new(3);
-    all_fail(&stage, &Faults { lose: true, only: Some("rent-load".into()), ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            lose: true,
+            only: Some("rent-load".into()),
+            ..Faults::default()
+        },
+    );
     let load = stage.ask("rent-load", LOAD);
     assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
     assert_eq!(stage.sent(&load), 1);
     stage.assert_rules_kept();
     let stage = Stage::new(2);
-    stage.engines[0].fail(Faults { lose: true, ..Faults::default() });
-    let lookups: Vec<_> = (0..16).map(|_| stage.ask("lookup", "SELECT 1 /* work=5ms */")).collect();
-    assert!(lookups.iter().all(|ask| matches!(stage.run(ask).0, Came::Served(_))));
+    stage.engines[0].fail(Faults {
+        lose: true,
+        ..Faults::default()
+    });
+    let lookups: Vec<_> = (0..16)
+        .map(|_| stage.ask("lookup", "SELECT 1 /* work=5ms */"))
+        .collect();
+    assert!(
+        lookups
+            .iter()
+            .all(|ask| matches!(stage.run(ask).0, Came::Served(_)))
+    );
     let moved = lookups.iter().filter(|ask| stage.sent(ask) > 1).count();
     assert!(moved > 0, "some lookup met the engine that loses answers");
     stage.assert_rules_kept();
@@ -135,14 +185,29 @@
 fn a_kept_connection_closed_as_a_statement_is_written_may_have_run() {
     let stage = Stage::new(1);
     // The first statement leaves a connection open; the next one's is closed without a word.
-    assert!(matches!(stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0, Came::Served(_)));
-    stage.engines[0].fail(Faults { swallow: true, times: Some(1), ..Faults::default() });
+    assert!(matches!(
+        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
+        Came::Served(_)
+    ));
+    stage.engines[0].fail(Faults {
+        swallow: true,
+        times: Some(1),
+        ..Faults::default()
+    });
     let load = stage.ask("rent-load", LOAD);
     assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
-    assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0), "nothing below the module sends again");
+    assert_eq!(
+        (stage.sent(&load), stage.posted(&load)),
+        (1, 0),
+        "nothing below the module sends again"
+    );
     stage.assert_rules_kept();
     let stage = Stage::new(1);
-    stage.engines[0].fail(Faults { swallow: true, times: Some(1), ..Faults::default() });
+    stage.engines[0].fail(Faults {
+        swallow: true,
+        times: Some(1),
+        ..Faults::default()
+    });
     let lookup = stage.ask("lookup", "SELECT 1 /* work=5ms */");
     assert!(matches!(stage.run(&lookup).0, Came::Served(_)));
     assert_eq!(stage.sent(&lookup), 2, "the module sends a safe one again");
@@ -152,15 +217,24 @@
 #[test]
 fn what_never_ran_moves_on_whatever_its_class() {
     let stage = Stage::new(2);
-    stage.engines[0].fail(Faults { full: true, ..Faults::default() });
+    stage.engines[0].fail(Faults {
+        full: true,
+        ..Faults::default()
+    });
     let loads: Vec<_> = (0..6).map(|_| stage.ask("rent-load", LOAD)).collect();
     for load in &loads {
         assert_eq!(stage.run(load).0, Came::Served(1));
         assert_eq!(stage.posted(load), 1);
     }
-    assert!(loads.iter().any(|load| stage.sent(load) == 2), "some load met the full engine first");
+    assert!(
+        loads.iter().any(|load| stage.sent(load) == 2),
+        "some load met the full engine first"
+    );
     // Discovery does not notice that an engine is gone.
-    stage.discovery.fail(DiscoveryFaults { stale: true, down: false });
+    stage.discovery.fail(DiscoveryFaults {
+        stale: true,
+        down: false,
+    });
     stage.crash_engine(0);
     for _ in 0..4 {
         assert_eq!(stage.run(&stage.ask("rent-load", LOAD)).0, Came::Served(1));
@@ -171,10 +245,21 @@
 #[test]
 fn when_all_engines_are_full_the_refusal_is_harmless_and_tells_when_to_come_back() {
     let stage = Stage::new(2);
-    all_fail(&stage, &Faults { full: true, ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            full: true,
+            ..Faults::default()
+        },
+    );
     let load = stage.ask("rent-load", LOAD);
-    let Came::Refused(name, after) = stage.run(&load).0 else { panic!("refused") };
-    assert_eq!((name.as_str(), after, stage.posted(&load)), ("HOPTILLER_REFUSED", Some(2), 0));
+    let Came::Refused(name, after) = stage.run(&load).0 else {
+        panic!("refused")
+    };
+    assert_eq!(
+        (name.as_str(), after, stage.posted(&load)),
+        ("HOPTILLER_REFUSED", Some(2), 0)
+    );
     all_fail(&stage, &Faults::default());
     let mut again = stage.ask("rent-load", LOAD);
     again.trace = load.trace.replace(".0", ".1");
@@ -185,13 +270,28 @@
 #[test]
 fn a_page_cut_in_the_middle_is_asked_for_again_and_then_given_up() {
     let stage = Stage::new(2);
-    all_fail(&stage, &Faults { cut_page: Some(400), ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            cut_page: Some(400),
+            ..Faults::default()
+        },
+    );
     let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 */");
     // Never whole: no attempt gives a first page, and the last one's end is the answer.
     assert!(matches!(stage.run(&report).0, Came::Refused(..)));
-    all_fail(&stage, &Faults { lose_page: Some(2), ..Faults::default() });
+    all_fail(
+        &stage,
+        &Faults {
+            lose_page: Some(2),
+            ..Faults::default()
+        },
+    );
     let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 pages=5 */");
-    assert_eq!(stage.run(&report).0, Came::Failed("HOPTILLER_RESULT_CUT".into()));
+    assert_eq!(
+        stage.run(&report).0,
+        Came::Failed("HOPTILLER_RESULT_CUT".into())
+    );
     assert_eq!(stage.sent(&report), 1);
     stage.assert_rules_kept();
 }
@@ -199,15 +299,40 @@
 #[test]
 fn answers_that_are_none_and_errors_of_engines_are_told_apart_from_wrong_statements() {
     let stage = Stage::new(2);
-    all_fail(&stage, &Faults { garbage: true, ..Faults::default() });
-    assert!(matches!(stage.run(&stage.ask("lookup", "SELECT 1")).0, Came::Refused(..)));
-    assert_eq!(stage.run(&stage.ask("rent-load", LOAD)).0, Came::Failed(MAY_HAVE_RUN.into()));
-    all_fail(&stage, &Faults { fail: true, ..Faults::default() });
-    assert_eq!(stage.run(&stage.ask("rent-load", LOAD)).0, Came::Failed(MAY_HAVE_RUN.into()));
+    all_fail(
+        &stage,
+        &Faults {
+            garbage: true,
+            ..Faults::default()
+        },
+    );
+    assert!(matches!(
+        stage.run(&stage.ask("lookup", "SELECT 1")).0,
+        Came::Refused(..)
+    ));
+    assert_eq!(
+        stage.run(&stage.ask("rent-load", LOAD)).0,
+        Came::Failed(MAY_HAVE_RUN.into())
+    );
+    all_fail(
+        &stage,
+        &Faults {
+            fail: true,
+            ..Faults::default()
+        },
+    );
+    assert_eq!(
+        stage.run(&stage.ask("rent-load", LOAD)).0,
+        Came::Failed(MAY_HAVE_RUN.into())
+    );
     all_fail(&stage, &Faults::default());
     let wrong = stage.ask("lookup", "SELEC /* work=5ms wrong */");
     assert_eq!(stage.run(&wrong).0, Came::Failed("SYNTAX_ERROR".into()));
-    assert_eq!(stage.sent(&wrong), 1, "a wrong statement is wrong everywhere");
+    assert_eq!(
+        stage.sent(&wrong),
+        1,
+        "a wrong statement is wrong everywhere"
+    );
 }
 
 #[test]
@@ -221,8 +346,17 @@
             hoptiller_audit::Record::Sent { engine, .. } => Some(engine),
             _ => None,
         });
-        let drained = stage.engines.iter().find(|e| Some(&e.node) == had.as_ref()).expect("ours");
-        assert_eq!(put(drained.listen, "/v1/info/state", "\"SHUTTING_DOWN\"").status.0, 200);
+        let drained = stage
+            .engines
+            .iter()
+            .find(|e| Some(&e.node) == had.as_ref())
+            .expect("ours");
+        assert_eq!(
+            put(drained.listen, "/v1/info/state", "\"SHUTTING_DOWN\"")
+                .status
+                .0,
+            200
+        );
         std::thread::sleep(Duration::from_millis(1300)); // The grace.
         for _ in 0..10 {
             let ask = stage.ask("lookup", "SELECT 1 /* work=2ms */");
@@ -240,8 +374,14 @@
 #[test]
 fn an_engine_restarted_under_its_id_and_address_serves_again() {
     let stage = Stage::new(1);
-    assert!(matches!(stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0, Came::Served(_)));
-    stage.discovery.fail(DiscoveryFaults { stale: true, down: false });
+    assert!(matches!(
+        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
+        Came::Served(_)
+    ));
+    stage.discovery.fail(DiscoveryFaults {
+        stale: true,
+        down: false,
+    });
     stage.crash_engine(0);
     stage.start_engine(0);
     // Its kept connections are dead, and the list knows nothing of it.
@@ -258,17 +398,27 @@
     let asks: Vec<_> = (0..40u64)
         .map(|n| {
             let class = if n % 2 == 0 { "rent-load" } else { "lookup" };
-            let mut ask = stage.ask(class, &format!("x /* work={}ms threads=1 set={n} */", 800 + n * 5));
+            let mut ask = stage.ask(
+                class,
+                &format!("x /* work={}ms threads=1 set={n} */", 800 + n * 5),
+            );
             ask.patience = Duration::from_millis(1050);
             ask
         })
         .collect();
     let came: Vec<Came> = std::thread::scope(|s| {
-        let runs: Vec<_> = asks.iter().map(|ask| s.spawn(|| stage.run(ask).0)).collect();
+        let runs: Vec<_> = asks
+            .iter()
+            .map(|ask| s.spawn(|| stage.run(ask).0))
+            .collect();
         runs.into_iter().map(|r| r.join().expect("ends")).collect()
     });
     for (ask, came) in asks.iter().zip(&came) {
-        assert!(!matches!(came, Came::GaveUp | Came::Unknown), "{} {came:?}", ask.trace);
+        assert!(
+            !matches!(came, Came::GaveUp | Came::Unknown),
+            "{} {came:?}",
+            ask.trace
+        );
         assert!(stage.posted(ask) <= 1);
     }
     // Some loads may still be at work inside engines: their ledger is only complete then.
@@ -288,8 +438,14 @@
         stage.start_engine(0);
         let other = hoptiller_http::Request::new(hoptiller_http::Method::Post, "/v1/statement");
         let body = b"SELECT 1 /* work=5ms rows=9 */".to_vec();
-        common::send_to(stage.engines[0].listen, &hoptiller_http::Request { body, ..other });
-        assert_eq!(posting.join().expect("ends"), Came::Failed(MAY_HAVE_RUN.into()));
+        common::send_to(
+            stage.engines[0].listen,
+            &hoptiller_http::Request { body, ..other },
+        );
+        assert_eq!(
+            posting.join().expect("ends"),
+            Came::Failed(MAY_HAVE_RUN.into())
+        );
     });
     assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
 }
--- a/crates/router/tests/runaways.rs
+++ b/crates/router/tests/runaways.rs
@@ -55,20 +55,27 @@
 }
 
 fn verdicts(all: &Value, verdict: &str) -> Vec<Value> {
-    let both =
-        [&all["findings"], &all["past"]].into_iter().flat_map(|l| l.as_array().cloned().unwrap_or_default());
+    let both = [&all["findings"], &all["past"]]
+        .into_iter()
+        .flat_map(|l| l.as_array().cloned().unwrap_or_default());
     both.filter(|f| f["verdict"] == json!(verdict)).collect()
 }
 
 /// Open findings that are runaways, by cause and subject.
 fn runaways(all: &Value) -> Vec<(String, String)> {
     let text = |f: &Value, key: &str| f[key].as_str().unwrap_or_default().to_owned();
-    verdicts(all, "runaway").iter().map(|f| (text(f, "cause"), text(f, "subject"))).collect()
+    verdicts(all, "runaway")
+        .iter()
+        .map(|f| (text(f, "cause"), text(f, "subject")))
+        .collect()
 }
 
 /// Every finding that ever was: nothing of those wanted may have been cleared away unseen.
 fn ever(all: &Value) -> usize {
-    ["findings", "past"].iter().map(|l| all[l].as_array().map_or(0, Vec::len)).sum()
+    ["findings", "past"]
+        .iter()
+        .map(|l| all[l].as_array().map_or(0, Vec::len))
+        .sum()
 }
 
 /// The name of a submission's statement, as the engine got it.
@@ -86,7 +93,8 @@
     announced.tags = "size=12".into();
     std::thread::scope(|s| {
         let all = [&plain, &announced].map(|ask| s.spawn(|| stage.run(ask).0));
-        all.into_iter().for_each(|a| assert_eq!(a.join().expect("ends"), Came::Served(300)));
+        all.into_iter()
+            .for_each(|a| assert_eq!(a.join().expect("ends"), Came::Served(300)));
     });
     assert_eq!(ever(&stage.runaways()), 0, "{:#}", stage.runaways());
     let long = patient(stage.ask("report", &report("90s")));
@@ -102,7 +110,9 @@
         assert_eq!(f["evidence"]["basis"]["on"], json!("kind"));
         assert_eq!(all["holds"][0]["atOnce"], json!(1));
         // The default names and holds only: its client has its answer when its patience is over, and not before.
-        assert!(matches!(run.join().expect("ends"), Came::Refused(name, _) if name == "HOPTILLER_REFUSED"));
+        assert!(
+            matches!(run.join().expect("ends"), Came::Refused(name, _) if name == "HOPTILLER_REFUSED")
+        );
     });
     stage.assert_rules_kept();
 }
@@ -111,12 +121,21 @@
 fn a_load_that_blocks_forty_lookups_is_named_they_are_not_and_others_go_elsewhere() {
     let stage = stage(2);
     stage.teach("lookup", "SELECT rent FROM due /* work=20ms set=7 */", 48);
-    stage.teach("rent-load", "INSERT INTO due VALUES (1) /* work=100ms */", 48);
-    let mut load = patient(stage.ask("rent-load", "INSERT INTO due VALUES (2) /* work=80s set=7 */"));
+    stage.teach(
+        "rent-load",
+        "INSERT INTO due VALUES (1) /* work=100ms */",
+        48,
+    );
+    let mut load = patient(stage.ask(
+        "rent-load",
+        "INSERT INTO due VALUES (2) /* work=80s set=7 */",
+    ));
     load.tags = "tables=due".into();
     let lookup = |n: usize| {
-        let mut ask =
-            patient(stage.ask("lookup", &format!("SELECT rent FROM due /* work=20ms set=7 {n} */")));
+        let mut ask = patient(stage.ask(
+            "lookup",
+            &format!("SELECT rent FROM due /* work=20ms set=7 {n} */"),
+        ));
         ask.tags = "tables=due".into();
         ask.patience = Duration::from_millis(7400);
         ask
@@ -126,7 +145,10 @@
     std::thread::scope(|s| {
         let posting = s.spawn(|| stage.run(&load).0);
         stage.wait_until_sent(&load);
-        let blocked: Vec<_> = first.iter().map(|ask| s.spawn(|| stage.run(ask).0)).collect();
+        let blocked: Vec<_> = first
+            .iter()
+            .map(|ask| s.spawn(|| stage.run(ask).0))
+            .collect();
         let all = stage.wait_for_runaways("the load", |all| !runaways(all).is_empty());
         assert_eq!(runaways(&all), [("blocks".to_owned(), name_of(&load))]);
         // Those that came before the verdict stand there; on a slow machine they may not be forty yet.
@@ -134,14 +156,25 @@
         assert!(standing > 0);
         let told = |all: &Value| all["findings"][0]["blocked"].as_u64().unwrap_or(0);
         stage.wait_for_runaways("those who stand behind it", |all| told(all) >= standing);
-        assert_eq!(all["keptAway"][0]["engines"].as_array().map(Vec::len), Some(1));
+        assert_eq!(
+            all["keptAway"][0]["engines"].as_array().map(Vec::len),
+            Some(1)
+        );
         // From now on, what reads those tables is sent elsewhere, and is served.
         let second: Vec<Ask> = (100..130).map(lookup).collect();
         for ask in &second {
-            assert!(matches!(stage.run(ask).0, Came::Served(_)), "kept away from the load's engine");
+            assert!(
+                matches!(stage.run(ask).0, Came::Served(_)),
+                "kept away from the load's engine"
+            );
         }
-        blocked.into_iter().for_each(|b| _ = b.join().expect("ends"));
-        assert_eq!(posting.join().expect("ends"), Came::Failed(MAY_HAVE_RUN.into()));
+        blocked
+            .into_iter()
+            .for_each(|b| _ = b.join().expect("ends"));
+        assert_eq!(
+            posting.join().expect("ends"),
+            Came::Failed(MAY_HAVE_RUN.into())
+        );
     });
     assert!(verdicts(&stage.runaways(), "runaway").len() <= 1);
     assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
@@ -154,7 +187,10 @@
     let short = "SELECT name FROM tenants /* work=60ms */";
     stage.teach("report", REPORT, 48);
     stage.teach("lookup", short, 48);
-    stage.engines[1].fail(Faults { slow: Some(15.0), ..Faults::default() });
+    stage.engines[1].fail(Faults {
+        slow: Some(15.0),
+        ..Faults::default()
+    });
     let found = AtomicBool::new(false);
     std::thread::scope(|s| {
         for _ in 0..6 {
@@ -185,7 +221,10 @@
     std::thread::scope(|s| {
         s.spawn(|| stage.run(&long).0);
         let all = stage.wait_for_runaways("it", |all| !runaways(all).is_empty());
-        assert_eq!(all["findings"][0]["evidence"]["basis"]["on"], json!("class"));
+        assert_eq!(
+            all["findings"][0]["evidence"]["basis"]["on"],
+            json!("class")
+        );
     });
     stage.assert_rules_kept();
 }
@@ -203,11 +242,17 @@
         stage.wait_until_sent(&one);
         let second = s.spawn(|| stage.run(&two).0);
         let all = stage.wait_for_runaways("both", |all| runaways(all).len() == 2);
-        assert!(runaways(&all).iter().all(|(cause, _)| cause == "deadlock"), "{all:#}");
+        assert!(
+            runaways(&all).iter().all(|(cause, _)| cause == "deadlock"),
+            "{all:#}"
+        );
         [first, second].map(|t| t.join().expect("ends"))
     });
     assert_eq!(came[0], Came::Served(1), "the older one goes on");
-    assert!(matches!(&came[1], Came::Refused(name, _) if name == ENDED), "{came:?}");
+    assert!(
+        matches!(&came[1], Came::Refused(name, _) if name == ENDED),
+        "{came:?}"
+    );
     assert_eq!((stage.posted(&one), stage.posted(&two)), (1, 0));
     assert_eq!((stage.sent(&one), stage.sent(&two)), (1, 1));
     stage.assert_rules_kept();
@@ -215,22 +260,35 @@
 
 #[test]
 fn a_load_that_was_ended_is_harmless_only_with_proof_of_rollback() {
-    for (faults, want) in
-        [(Faults::default(), ENDED), (Faults { no_proof: true, ..Faults::default() }, MAY_HAVE_RUN)]
-    {
+    for (faults, want) in [
+        (Faults::default(), ENDED),
+        (
+            Faults {
+                no_proof: true,
+                ..Faults::default()
+            },
+            MAY_HAVE_RUN,
+        ),
+    ] {
         let stage = stage_that_ends(2);
         stage.teach("rent-load", "INSERT INTO due /* work=50ms */", 48);
-        stage
-            .engines
-            .iter()
-            .for_each(|e| e.fail(Faults { only: Some("rent-load".into()), ..faults.clone() }));
+        stage.engines.iter().for_each(|e| {
+            e.fail(Faults {
+                only: Some("rent-load".into()),
+                ..faults.clone()
+            })
+        });
         let load = patient(stage.ask("rent-load", "INSERT INTO due /* work=90s */"));
         match (stage.run(&load).0, want) {
             (Came::Refused(name, Some(_)), ENDED) => assert_eq!(name, ENDED),
             (Came::Failed(name), MAY_HAVE_RUN) => assert_eq!(name, MAY_HAVE_RUN),
             (other, _) => panic!("{other:?} instead of {want}"),
         }
-        assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0), "ended, and not sent again");
+        assert_eq!(
+            (stage.sent(&load), stage.posted(&load)),
+            (1, 0),
+            "ended, and not sent again"
+        );
         stage.assert_rules_kept();
     }
 }
@@ -241,9 +299,16 @@
     stage.teach("report", REPORT, 48);
     let long = patient(stage.ask("report", &report("90s")));
     let (came, client) = stage.run(&long);
-    assert!(matches!(&came, Came::Refused(name, Some(_)) if name == ENDED), "{came:?}");
-    let last = String::from_utf8_lossy(&client.answers.last().expect("an answer").1.body).into_owned();
-    assert!(last.contains("a rule of this installation ends it"), "{last}");
+    assert!(
+        matches!(&came, Came::Refused(name, Some(_)) if name == ENDED),
+        "{came:?}"
+    );
+    let last =
+        String::from_utf8_lossy(&client.answers.last().expect("an answer").1.body).into_owned();
+    assert!(
+        last.contains("a rule of this installation ends it"),
+        "{last}"
+    );
     assert_eq!(stage.sent(&long), 1);
     stage.assert_rules_kept();
 }
@@ -260,8 +325,18 @@
     let began = std::time::Instant::now();
     assert_eq!(stage.run(&long).0, Came::Served(300));
     // Its work takes nine seconds of moving; only a lower bound, so that a slow machine changes nothing.
-    assert!(began.elapsed() >= Duration::from_millis(13_500), "{:?}", began.elapsed());
-    assert_eq!((stage.sent(&long), stage.runaways()["holds"].as_array().map(Vec::len)), (1, Some(0)));
+    assert!(
+        began.elapsed() >= Duration::from_millis(13_500),
+        "{:?}",
+        began.elapsed()
+    );
+    assert_eq!(
+        (
+            stage.sent(&long),
+            stage.runaways()["holds"].as_array().map(Vec::len)
+        ),
+        (1, Some(0))
+    );
     stage.assert_rules_kept();
 }
 
@@ -269,14 +344,20 @@
 fn one_that_finishes_as_it_is_being_ended_gives_its_rows() {
     let stage = stage_that_ends(2);
     stage.teach("rent-load", "INSERT INTO due /* work=50ms threads=1 */", 48);
-    let late = Faults { finish_first: true, only: Some("rent-load".into()), ..Faults::default() };
+    let late = Faults {
+        finish_first: true,
+        only: Some("rent-load".into()),
+        ..Faults::default()
+    };
     stage.engines.iter().for_each(|e| e.fail(late.clone()));
     // Beyond its bound of 3 s from the first, and done some 8 s after it began.
     let load = patient(stage.ask("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
     assert_eq!(stage.run(&load).0, Came::Served(1));
     let all = stage.runaways();
     assert!(
-        all["past"].as_array().is_some_and(|p| p.iter().any(|f| f["cause"] == json!("heavy"))),
+        all["past"]
+            .as_array()
+            .is_some_and(|p| p.iter().any(|f| f["cause"] == json!("heavy"))),
         "{all:#}"
     );
     assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 1));
@@ -332,7 +413,13 @@
             let answer = send_to(admin, &Request::new(Method::Get, "/v1/admin/runaways"));
             let all: Value = serde_json::from_slice(&answer.body).expect("JSON");
             if !runaways(&all).is_empty() {
-                assert_eq!(runaways(&all), [("blocks".to_owned(), "statement r1/00000_lifelife".to_owned())]);
+                assert_eq!(
+                    runaways(&all),
+                    [(
+                        "blocks".to_owned(),
+                        "statement r1/00000_lifelife".to_owned()
+                    )]
+                );
                 break;
             }
             if began.elapsed() > Duration::from_secs(40) {
@@ -360,8 +447,15 @@
     });
     let all = stage.runaways();
     let past = all["past"].as_array().cloned().unwrap_or_default();
-    assert!(past.iter().any(|f| f["note"] == json!("its new figures are taken as usual")), "{all:#}");
-    assert_eq!((runaways(&all).len(), all["holds"].as_array().map(Vec::len)), (0, Some(0)));
+    assert!(
+        past.iter()
+            .any(|f| f["note"] == json!("its new figures are taken as usual")),
+        "{all:#}"
+    );
+    assert_eq!(
+        (runaways(&all).len(), all["holds"].as_array().map(Vec::len)),
+        (0, Some(0))
+    );
     stage.assert_rules_kept();
 }
 
@@ -378,21 +472,29 @@
             let stage = &stage;
             s.spawn(move || {
                 for n in 0..250 {
-                    stage.run(
-                        &stage.ask("lookup", &format!("SELECT made_up_{thread}_{n} FROM t /* work=1ms */")),
-                    );
+                    stage.run(&stage.ask(
+                        "lookup",
+                        &format!("SELECT made_up_{thread}_{n} FROM t /* work=1ms */"),
+                    ));
                 }
             });
         }
     });
     let all = stage.runaways();
-    assert!(all["kindsKnown"].as_u64() <= Some(100) && all["attemptsWatched"] == json!(0), "{all:#}");
+    assert!(
+        all["kindsKnown"].as_u64() <= Some(100) && all["attemptsWatched"] == json!(0),
+        "{all:#}"
+    );
     let mut long = stage.ask("lookup", "SELECT a FROM t /* work=300s */");
     long.patience = Duration::from_millis(7400);
     std::thread::scope(|s| {
         s.spawn(|| stage.run(&long).0);
         let all = stage.wait_for_runaways("it", |all| !runaways(all).is_empty());
-        assert_eq!(all["findings"][0]["evidence"]["basis"]["on"], json!("kind"), "known from before");
+        assert_eq!(
+            all["findings"][0]["evidence"]["basis"]["on"],
+            json!("kind"),
+            "known from before"
+        );
     });
     stage.assert_rules_kept();
 }
@@ -406,11 +508,14 @@
         let admin = stage.settings.router.admin.expect("set");
         send_to(admin, &Request::new(Method::Delete, path)).status.0
     };
-    let ten: Vec<Ask> = (0..10).map(|_| patient(stage.ask("report", &report("2s")))).collect();
+    let ten: Vec<Ask> = (0..10)
+        .map(|_| patient(stage.ask("report", &report("2s"))))
+        .collect();
     std::thread::scope(|s| {
         s.spawn(|| stage.run(&long).0);
-        let all =
-            stage.wait_for_runaways("the hold", |all| all["holds"].as_array().is_some_and(|h| !h.is_empty()));
+        let all = stage.wait_for_runaways("the hold", |all| {
+            all["holds"].as_array().is_some_and(|h| !h.is_empty())
+        });
         let kind = all["holds"][0]["kind"].as_str().expect("a kind").to_owned();
         // Of ten at once, one runs at a time; other kinds of the class go past them.
         let runs: Vec<_> = ten.iter().map(|ask| s.spawn(|| stage.run(ask).0)).collect();
@@ -422,8 +527,13 @@
         assert_eq!(delete("/v1/admin/holds/0000000000000001"), 404);
         assert_eq!(delete("/v1/admin/holds/nonsense"), 404);
         assert_eq!(delete(&format!("/v1/admin/holds/{kind}")), 204);
-        assert!(stage.runaways()["holds"].as_array().is_some_and(Vec::is_empty));
-        runs.into_iter().for_each(|r| assert_eq!(r.join().expect("ends"), Came::Served(300)));
+        assert!(
+            stage.runaways()["holds"]
+                .as_array()
+                .is_some_and(Vec::is_empty)
+        );
+        runs.into_iter()
+            .for_each(|r| assert_eq!(r.join().expect("ends"), Came::Served(300)));
     });
     stage.assert_rules_kept();
 }
@@ -442,10 +552,14 @@
     std::thread::sleep(Duration::from_millis(1500));
     let file = dir.join("runaways");
     let began = std::time::Instant::now();
-    let holds_enough =
-        || std::fs::read(&file).is_ok_and(|b| b.len() > 200 && b.windows(7).any(|w| w == b"arrears"));
+    let holds_enough = || {
+        std::fs::read(&file).is_ok_and(|b| b.len() > 200 && b.windows(7).any(|w| w == b"arrears"))
+    };
     while !holds_enough() {
-        assert!(began.elapsed() < Duration::from_secs(20), "nothing was written");
+        assert!(
+            began.elapsed() < Duration::from_secs(20),
+            "nothing was written"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
     stage.crash_router();
@@ -461,10 +575,21 @@
     };
     assert_eq!(kinds_known(&stage.settings), Some(1));
     let whole = std::fs::read(&file).expect("there");
-    for bytes in [&whole[..whole.len() / 2], b"", b"\xff\xfe something of somebody else"] {
+    for bytes in [
+        &whole[..whole.len() / 2],
+        b"",
+        b"\xff\xfe something of somebody else",
+    ] {
         std::fs::write(&file, bytes).expect("written");
-        assert_eq!(kinds_known(&stage.settings), Some(0), "it starts, from what the settings say");
-        assert!(dir.join("runaways.unreadable").exists(), "what can't be read is set aside");
+        assert_eq!(
+            kinds_known(&stage.settings),
+            Some(0),
+            "it starts, from what the settings say"
+        );
+        assert!(
+            dir.join("runaways.unreadable").exists(),
+            "what can't be read is set aside"
+        );
     }
     std::fs::remove_dir_all(&dir).expect("removed");
     assert_eq!(kinds_known(&stage.settings), Some(0));
--- a/crates/runaway/src/acts.rs
+++ b/crates/runaway/src/acts.rs
@@ -15,8 +15,14 @@
 impl Watch {
     /// What is done about a runaway, by the rules for its class.
     pub(crate) fn act(&mut self, now: Micros, id: AttemptId, cause: Cause, blocks: &[String]) {
-        let youngest = blocks.iter().filter_map(|name| self.named(name)).chain([id]).max();
-        let Some(o) = self.outs.get_mut(&id) else { return };
+        let youngest = blocks
+            .iter()
+            .filter_map(|name| self.named(name))
+            .chain([id])
+            .max();
+        let Some(o) = self.outs.get_mut(&id) else {
+            return;
+        };
         let (class, kind, label) = (o.start.class, o.start.kind, o.start.label.clone());
         let spec = &self.cfg.classes[class];
         let acts = spec.acts;
@@ -27,7 +33,8 @@
             o.end_at = Some(now + self.cfg.end_after);
         }
         // Danger: one that holds what others wait for would hold it all the longer.
-        let holds_up = spec.holds || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
+        let holds_up =
+            spec.holds || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
         if acts.pause && alive && !holds_up && !o.paused {
             (o.paused, o.resume_at) = (true, Some(now + self.cfg.pause_for));
             self.decisions.push(Decision::Pause(id));
@@ -80,8 +87,13 @@
         let mut away: BTreeMap<u64, Vec<EngineId>> = BTreeMap::new();
         for o in self.outs.values() {
             let spec = &self.cfg.classes[o.start.class];
-            let (true, true, Some(group)) = (spec.holds, spec.acts.hold, o.start.group) else { continue };
-            if self.findings.is_runaway(&Subject::Statement(o.start.name.clone())) {
+            let (true, true, Some(group)) = (spec.holds, spec.acts.hold, o.start.group) else {
+                continue;
+            };
+            if self
+                .findings
+                .is_runaway(&Subject::Statement(o.start.name.clone()))
+            {
                 let engines = away.entry(group).or_default();
                 if !engines.contains(&o.start.engine) {
                     engines.push(o.start.engine);
--- a/crates/runaway/src/blame.rs
+++ b/crates/runaway/src/blame.rs
@@ -16,8 +16,16 @@
 impl Waits {
     /// One stands behind another.
     pub fn add(&mut self, who: &str, behind: &str) {
-        if who != behind && self.behind.insert(who.to_owned(), behind.to_owned()).is_none() {
-            self.held_up.entry(behind.to_owned()).or_default().push(who.to_owned());
+        if who != behind
+            && self
+                .behind
+                .insert(who.to_owned(), behind.to_owned())
+                .is_none()
+        {
+            self.held_up
+                .entry(behind.to_owned())
+                .or_default()
+                .push(who.to_owned());
         }
     }
 
--- a/crates/runaway/src/change.rs
+++ b/crates/runaway/src/change.rs
@@ -48,12 +48,28 @@
 
 impl Changes {
     /// A statement runs long, some times as long as usual. `started` is when.
-    pub fn long(&mut self, now: Micros, kind: KindId, attempt: AttemptId, started: Micros, engine: EngineId) {
+    pub fn long(
+        &mut self,
+        now: Micros,
+        kind: KindId,
+        attempt: AttemptId,
+        started: Micros,
+        engine: EngineId,
+    ) {
         if self.of.len() >= KINDS && !self.of.contains_key(&kind) {
-            let oldest = self.of.iter().min_by_key(|(_, c)| c.looked).map(|(id, _)| *id);
+            let oldest = self
+                .of
+                .iter()
+                .min_by_key(|(_, c)| c.looked)
+                .map(|(id, _)| *id);
             oldest.and_then(|id| self.of.remove(&id));
         }
-        let first = || Change { since: started, long: BTreeMap::new(), usual: 0, looked: now };
+        let first = || Change {
+            since: started,
+            long: BTreeMap::new(),
+            usual: 0,
+            looked: now,
+        };
         let c = self.of.entry(kind).or_insert_with(first);
         c.looked = now;
         if c.long.len() < 1024 {
@@ -63,10 +79,13 @@
 
     /// A statement has run as usual.
     pub fn usual(&mut self, kind: KindId, attempt: AttemptId, started: Micros) {
-        let Some(c) = self.of.get_mut(&kind) else { return };
+        let Some(c) = self.of.get_mut(&kind) else {
+            return;
+        };
         c.long.remove(&attempt);
         c.usual += usize::from(started >= c.since);
-        if c.long.is_empty() || (c.usual >= STRAY && (c.long.len() as f64) < MOST * c.usual as f64) {
+        if c.long.is_empty() || (c.usual >= STRAY && (c.long.len() as f64) < MOST * c.usual as f64)
+        {
             self.of.remove(&kind);
         }
     }
@@ -74,7 +93,9 @@
     /// What to say of one that has been over its bound for some time. With one engine alone, a slow engine can't
     /// be told from a changed kind by where it happens.
     pub fn say(&self, kind: KindId, over_for: Micros, engines: usize) -> Says {
-        let Some(c) = self.of.get(&kind) else { return Says::Alone };
+        let Some(c) = self.of.get(&kind) else {
+            return Says::Alone;
+        };
         let (long, all) = (c.long.len(), c.long.len() + c.usual);
         let places = c.long.values().collect::<BTreeSet<_>>().len();
         let most = long as f64 >= MOST * all as f64;
@@ -105,7 +126,10 @@
     const K: KindId = KindId(1);
 
     fn id(n: u64) -> AttemptId {
-        AttemptId { statement: n, hop: 0 }
+        AttemptId {
+            statement: n,
+            hop: 0,
+        }
     }
 
     fn long(c: &mut Changes, n: u64, engine: u32) {
@@ -119,7 +143,10 @@
         long(&mut c, 10, 0);
         assert_eq!(c.say(K, 0, 4), Says::Alone);
         long(&mut c, 11, 1);
-        assert_eq!((c.say(K, 0, 4), c.say(K, PATIENCE, 4)), (Says::Wait, Says::Alone));
+        assert_eq!(
+            (c.say(K, 0, 4), c.say(K, PATIENCE, 4)),
+            (Says::Wait, Says::Alone)
+        );
         long(&mut c, 12, 0);
         long(&mut c, 13, 1);
         assert_eq!(c.say(K, 0, 4), Says::Changed);
@@ -130,7 +157,11 @@
         let mut c = Changes::default();
         (10..14).for_each(|n| long(&mut c, n, n as u32));
         (0..9).for_each(|n| c.usual(K, id(100 + n), n));
-        assert_eq!(c.say(K, 0, 4), Says::Changed, "they started before the first long one");
+        assert_eq!(
+            c.say(K, 0, 4),
+            Says::Changed,
+            "they started before the first long one"
+        );
         (0..3).for_each(|n| c.usual(K, id(200 + n), 20));
         assert_eq!(c.say(K, 0, 4), Says::Alone);
         (0..9).for_each(|n| c.usual(K, id(300 + n), 20));
@@ -141,7 +172,10 @@
     fn all_on_one_engine_may_be_that_engine() {
         let mut c = Changes::default();
         (10..16).for_each(|n| long(&mut c, n, 3));
-        assert_eq!((c.say(K, PATIENCE, 4), c.say(K, 0, 1)), (Says::Alone, Says::Changed));
+        assert_eq!(
+            (c.say(K, PATIENCE, 4), c.say(K, 0, 1)),
+            (Says::Alone, Says::Changed)
+        );
         (10..16).for_each(|n| c.usual(K, id(n), n));
         assert!(!c.knows(K), "all turned out usual");
     }
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -30,9 +30,13 @@
     match (effect, proof) {
         (Effect::Pure, _) | (_, Proof::RolledBack) => Verdict::Harmless,
         // Repeats are dropped wherever the client's next try goes, but only inside the window.
-        (Effect::Keyed { group: Group::All, window }, _) if now < since.saturating_add(window) => {
-            Verdict::Harmless
-        }
+        (
+            Effect::Keyed {
+                group: Group::All,
+                window,
+            },
+            _,
+        ) if now < since.saturating_add(window) => Verdict::Harmless,
         (_, Proof::Committed) => Verdict::HasRun,
         (_, Proof::Unknown) => Verdict::MayHaveRun,
     }
@@ -59,7 +63,11 @@
             (keyed(Group::Cell, 1000), Committed, Verdict::HasRun),
             (keyed(Group::Zone, 10), RolledBack, Verdict::Harmless),
         ] {
-            assert_eq!(answer_after_end(effect, proof, 100, 200), want, "{effect:?} {proof:?}");
+            assert_eq!(
+                answer_after_end(effect, proof, 100, 200),
+                want,
+                "{effect:?} {proof:?}"
+            );
         }
     }
 }
--- a/crates/runaway/src/engines.rs
+++ b/crates/runaway/src/engines.rs
@@ -51,7 +51,12 @@
     /// How slow an engine is, and by how many statements, given what runs there. Never under 1.
     pub fn slowness(&self, now: Micros, engine: EngineId, running: &[Sample]) -> (f64, usize) {
         let since = now.saturating_sub(FRESH);
-        let ended = self.ends.get(&engine).into_iter().flatten().filter(|(at, _)| *at >= since);
+        let ended = self
+            .ends
+            .get(&engine)
+            .into_iter()
+            .flatten()
+            .filter(|(at, _)| *at >= since);
         let mut kinds: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
         for s in ended.map(|(_, s)| s).chain(running) {
             kinds.entry(s.kind).or_default().push(s.times);
@@ -69,13 +74,19 @@
 /// The median; of two in the middle the lower: it takes more than half to excuse one.
 fn middle(of: &mut [f64]) -> f64 {
     of.sort_by(f64::total_cmp);
-    of.get(of.len().saturating_sub(1) / 2).copied().unwrap_or(1.0)
+    of.get(of.len().saturating_sub(1) / 2)
+        .copied()
+        .unwrap_or(1.0)
 }
 
 /// Whether an engine stands out among all. One that was said to does so until it is clearly better: a notice
 /// that comes and goes is none.
 pub fn stands_out(own: (f64, usize), others: &[(f64, usize)], said: bool) -> bool {
-    let mut known: Vec<f64> = others.iter().filter(|o| o.1 >= ENOUGH).map(|o| o.0).collect();
+    let mut known: Vec<f64> = others
+        .iter()
+        .filter(|o| o.1 >= ENOUGH)
+        .map(|o| o.0)
+        .collect();
     let usual = middle(&mut known);
     if said {
         return own.0 >= SLOW / 2.0 && own.0 >= AGAINST_OTHERS / 2.0 * usual;
@@ -88,7 +99,13 @@
     use super::*;
 
     fn samples(times: &[f64]) -> Vec<Sample> {
-        times.iter().map(|t| Sample { kind: KindId(1), times: *t }).collect()
+        times
+            .iter()
+            .map(|t| Sample {
+                kind: KindId(1),
+                times: *t,
+            })
+            .collect()
     }
 
     #[test]
@@ -101,7 +118,10 @@
         assert_eq!(slow(&[400.0; 5]), MOST);
         // A kind that takes long among others that don't.
         let mut mixed = samples(&[50.0; 9]);
-        mixed.push(Sample { kind: KindId(2), times: 1.1 });
+        mixed.push(Sample {
+            kind: KindId(2),
+            times: 1.1,
+        });
         assert_eq!(paces.slowness(0, EngineId(1), &mixed), (1.1, 10));
     }
 
@@ -123,6 +143,8 @@
         assert!(new((4.0, 8), &[(1.0, 8), (1.2, 8)]) && new((4.0, 8), &[]));
         assert!(!new((4.0, 8), &[(3.0, 8), (4.0, 8), (1.0, 0)]));
         assert!(!new((2.5, 8), &[(1.0, 8)]) && !new((9.0, ENOUGH), &[(1.0, 8)]));
-        assert!(stands_out((2.5, 8), &[(1.0, 8)], true) && !stands_out((1.2, 8), &[(1.0, 8)], true));
+        assert!(
+            stands_out((2.5, 8), &[(1.0, 8)], true) && !stands_out((1.2, 8), &[(1.0, 8)], true)
+        );
     }
 }
--- a/crates/runaway/src/expect.rs
+++ b/crates/runaway/src/expect.rs
@@ -129,7 +129,12 @@
     pub fn new(classes: usize, most: usize) -> Book {
         let empty = (Figures::default(), Sketch::default());
         let line = [BTreeSet::new(), BTreeSet::new()];
-        Book { most: most.max(STRANGERS), kinds: HashMap::new(), classes: vec![empty; classes], line }
+        Book {
+            most: most.max(STRANGERS),
+            kinds: HashMap::new(),
+            classes: vec![empty; classes],
+            line,
+        }
     }
 
     /// So many classes there are now.
@@ -186,7 +191,9 @@
         let strangers = self.most / STRANGERS;
         for (line, most) in self.line.iter_mut().zip([strangers, self.most - strangers]) {
             while line.len() > most {
-                let Some((_, oldest)) = line.pop_first() else { break };
+                let Some((_, oldest)) = line.pop_first() else {
+                    break;
+                };
                 self.kinds.remove(&oldest);
             }
         }
@@ -206,18 +213,48 @@
         let (own, scale) = book.map_or((None, 1.0), |k| k.of_size(says.size));
         let per_thread = spec.aim as f64;
         let run = expected(own.map(|f| &f.run), &of_class.run, scale, per_thread, spec);
-        let work = expected(own.map(|f| &f.work), &of_class.work, scale, per_thread * spec.threads, spec);
-        let honesty = book.map(|k| &k.honesty).filter(|h| h.count() >= KNOWN).unwrap_or(class_honesty);
-        let more = says.estimate.map_or(1.0, |e| larger_by(e as f64, honesty, work.usual));
-        let larger = |e: Expected| Expected { usual: e.usual * more, bar: e.bar * more, ..e };
+        let work = expected(
+            own.map(|f| &f.work),
+            &of_class.work,
+            scale,
+            per_thread * spec.threads,
+            spec,
+        );
+        let honesty = book
+            .map(|k| &k.honesty)
+            .filter(|h| h.count() >= KNOWN)
+            .unwrap_or(class_honesty);
+        let more = says
+            .estimate
+            .map_or(1.0, |e| larger_by(e as f64, honesty, work.usual));
+        let larger = |e: Expected| Expected {
+            usual: e.usual * more,
+            bar: e.bar * more,
+            ..e
+        };
         let memory = own.filter(|f| f.memory.count() >= KNOWN).and_then(|f| {
-            let (usual, top) = (f.memory.quantile(0.5)? * scale, f.memory.quantile(0.99)? * scale);
+            let (usual, top) = (
+                f.memory.quantile(0.5)? * scale,
+                f.memory.quantile(0.99)? * scale,
+            );
             let bar = (usual * HONEST).max(top * BEYOND);
-            Some(Expected { usual, bar, basis: Basis::Kind(f.memory.count()) })
+            Some(Expected {
+                usual,
+                bar,
+                basis: Basis::Kind(f.memory.count()),
+            })
         });
-        let per_rows = own.filter(|f| f.per_rows.count() >= KNOWN).and_then(|f| f.per_rows.quantile(0.5));
+        let per_rows = own
+            .filter(|f| f.per_rows.count() >= KNOWN)
+            .and_then(|f| f.per_rows.quantile(0.5));
         let known = book.is_some_and(|k| k.runs() >= KNOWN);
-        Expectation { run: larger(run), work: larger(work), memory: memory.map(larger), per_rows, known }
+        Expectation {
+            run: larger(run),
+            work: larger(work),
+            memory: memory.map(larger),
+            per_rows,
+            known,
+        }
     }
 
     /// What is usual of a class, for statements of which no more is known.
@@ -226,7 +263,10 @@
         let expected = expected(None, run, 1.0, usual, spec);
         // Its kind is known elsewhere: it gets no more room than one of its class has.
         match (expected.basis, bar(run, FAR)) {
-            (Basis::Class(_), Some(bar)) => Expected { bar: bar.max(usual), ..expected },
+            (Basis::Class(_), Some(bar)) => Expected {
+                bar: bar.max(usual),
+                ..expected
+            },
             _ => expected,
         }
     }
@@ -234,9 +274,14 @@
     /// Takes in a run that was within its bound.
     pub fn learn(&mut self, kind: KindId, class: usize, says: Announced, run: &Run) {
         self.classes[class].0.learn(run);
-        let honest = says.estimate.zip(run.work).map(|(e, work)| work * 1000.0 / (e as f64).max(1.0));
+        let honest = says
+            .estimate
+            .zip(run.work)
+            .map(|(e, work)| work * 1000.0 / (e as f64).max(1.0));
         self.classes[class].1.add(honest.unwrap_or(0.0));
-        let Some(k) = self.kinds.get_mut(&kind) else { return };
+        let Some(k) = self.kinds.get_mut(&kind) else {
+            return;
+        };
         let was_known = k.runs() >= KNOWN;
         k.honesty.add(honest.unwrap_or(0.0));
         k.sizes.entry(bucket(says.size)).or_default().learn(run);
@@ -250,14 +295,18 @@
 
     /// Notes a run that was beyond its bound. It teaches nothing yet; returns how many there have been.
     pub fn note_beyond(&mut self, kind: KindId, run: &Run) -> u64 {
-        let Some(k) = self.kinds.get_mut(&kind) else { return 0 };
+        let Some(k) = self.kinds.get_mut(&kind) else {
+            return 0;
+        };
         k.beyond.learn(run);
         k.beyond.run.count()
     }
 
     /// The kind has changed: what was beyond its bound is usual now.
     pub fn adopt(&mut self, kind: KindId) {
-        let Some(k) = self.kinds.get_mut(&kind) else { return };
+        let Some(k) = self.kinds.get_mut(&kind) else {
+            return;
+        };
         if k.beyond.run.count() > 0 {
             let beyond = std::mem::take(&mut k.beyond);
             k.sizes = BTreeMap::from([(0, beyond)]);
@@ -282,7 +331,10 @@
         // Until one size is known well, the fullest of them.
         let nearest = nearest.or_else(|| self.sizes.iter().max_by_key(|(_, f)| f.run.count()));
         match nearest {
-            Some((b, figures)) => (Some(figures), f64::from(1u32 << want.saturating_sub(*b).min(20))),
+            Some((b, figures)) => (
+                Some(figures),
+                f64::from(1u32 << want.saturating_sub(*b).min(20)),
+            ),
             None => (None, 1.0),
         }
     }
@@ -297,27 +349,55 @@
     Some((of.quantile(0.5)? * far).max(of.quantile(0.99)? * BEYOND))
 }
 
-fn expected(own: Option<&Sketch>, class: &Sketch, scale: f64, by_settings: f64, spec: &Class) -> Expected {
+fn expected(
+    own: Option<&Sketch>,
+    class: &Sketch,
+    scale: f64,
+    by_settings: f64,
+    spec: &Class,
+) -> Expected {
     let floor = by_settings;
     let of_class = if class.count() >= CLASS_KNOWN {
         let usual = class.quantile(0.5).unwrap_or(floor);
         let bar = bar(class, FAR * STRANGER).unwrap_or(floor).max(floor);
-        Expected { usual, bar, basis: Basis::Class(class.count()) }
+        Expected {
+            usual,
+            bar,
+            basis: Basis::Class(class.count()),
+        }
     } else {
         // Nothing is known: the aim is what a statement should take, and its clients' patience is no bound of
         // what it may.
         let bar = (floor * FAR).max(spec.patience as f64);
-        Expected { usual: floor, bar, basis: Basis::Settings }
+        Expected {
+            usual: floor,
+            bar,
+            basis: Basis::Settings,
+        }
     };
     let n = own.map_or(0, Sketch::count);
-    let (Some(own), true) = (own, n > 0) else { return of_class };
+    let (Some(own), true) = (own, n > 0) else {
+        return of_class;
+    };
     let own_usual = own.quantile(0.5).unwrap_or(floor) * scale;
     let own_bar = bar(own, FAR).unwrap_or(floor) * scale;
-    let usual = if n >= KNOWN { own_usual } else { of_class.usual.max(own_usual) };
+    let usual = if n >= KNOWN {
+        own_usual
+    } else {
+        of_class.usual.max(own_usual)
+    };
     if n >= LAW {
-        Expected { usual, bar: own_bar.max(floor), basis: Basis::Kind(n) }
+        Expected {
+            usual,
+            bar: own_bar.max(floor),
+            basis: Basis::Kind(n),
+        }
     } else {
-        Expected { usual, bar: own_bar.max(of_class.bar), basis: of_class.basis }
+        Expected {
+            usual,
+            bar: own_bar.max(of_class.bar),
+            basis: of_class.basis,
+        }
     }
 }
 
@@ -356,14 +436,23 @@
     }
 
     fn run(seconds: f64) -> Run {
-        Run { ran: seconds * S, work: Some(2.0 * seconds * S), ..Run::default() }
+        Run {
+            ran: seconds * S,
+            work: Some(2.0 * seconds * S),
+            ..Run::default()
+        }
     }
 
     fn book(kind: KindId, runs: usize) -> Book {
         let mut b = Book::new(1, 400);
         b.touch(kind, 0, &"select ?".into(), 1);
         for n in 0..runs {
-            b.learn(kind, 0, Announced::default(), &run(0.8 + 0.4 * (n % 10) as f64 / 9.0));
+            b.learn(
+                kind,
+                0,
+                Announced::default(),
+                &run(0.8 + 0.4 * (n % 10) as f64 / 9.0),
+            );
         }
         b
     }
@@ -374,7 +463,9 @@
 
     #[test]
     fn a_kind_of_ten_runs_is_no_law() {
-        let (nothing, some) = (Announced::default(), |b: &Book| bar_of(b, 1, Announced::default()));
+        let (nothing, some) = (Announced::default(), |b: &Book| {
+            bar_of(b, 1, Announced::default())
+        });
         assert_eq!(some(&book(KindId(1), 0)).basis, Basis::Settings);
         let ten = some(&book(KindId(1), 10));
         assert_eq!((ten.basis, ten.bar), (Basis::Settings, 25.0 * S));
@@ -392,7 +483,10 @@
         let b = book(KindId(1), 60);
         let says = |size, estimate| Announced { size, estimate };
         let (plain, twelve) = (bar_of(&b, 1, says(0, None)), bar_of(&b, 1, says(12, None)));
-        assert!((7.0..9.0).contains(&(twelve.bar / plain.bar)), "the power of two under 12");
+        assert!(
+            (7.0..9.0).contains(&(twelve.bar / plain.bar)),
+            "the power of two under 12"
+        );
         // Estimates of which nothing is known are not believed.
         assert_eq!(bar_of(&b, 1, says(0, Some(900_000_000))), plain);
         let mut honest = book(KindId(1), 60);
@@ -433,7 +527,8 @@
         // Known ones are bounded too.
         for n in 0..1000u64 {
             b.touch(KindId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
-            (0..KNOWN).for_each(|_| b.learn(KindId(n + 1_000_000), 0, Announced::default(), &run(1.0)));
+            (0..KNOWN)
+                .for_each(|_| b.learn(KindId(n + 1_000_000), 0, Announced::default(), &run(1.0)));
         }
         assert!(b.len() <= 400 && b.known_of(0) == 300);
     }
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -28,7 +28,8 @@
 
     /// Whether it is found to be at fault.
     pub fn is_runaway(&self, subject: &Subject) -> bool {
-        self.of(subject).is_some_and(|f| f.verdict == Verdict::Runaway)
+        self.of(subject)
+            .is_some_and(|f| f.verdict == Verdict::Runaway)
     }
 
     /// Verdicts that stand.
@@ -47,8 +48,8 @@
         f.id = old.map_or_else(|| self.next + 1, |o| o.id);
         self.next = self.next.max(f.id);
         // What is found stays found until it is cleared.
-        let known =
-            old.is_some_and(|o| o.verdict > f.verdict || (o.verdict, o.cause) == (f.verdict, f.cause));
+        let known = old
+            .is_some_and(|o| o.verdict > f.verdict || (o.verdict, o.cause) == (f.verdict, f.cause));
         if let Some(o) = old.filter(|_| known) {
             (f.verdict, f.cause, f.at, f.since) = (o.verdict, o.cause, o.at, o.since);
         } else {
@@ -60,8 +61,16 @@
     }
 
     /// The verdict stands no longer.
-    pub fn clear(&mut self, now: Micros, subject: &Subject, note: &'static str, out: &mut Vec<Decision>) {
-        let Some(mut f) = self.open.remove(subject) else { return };
+    pub fn clear(
+        &mut self,
+        now: Micros,
+        subject: &Subject,
+        note: &'static str,
+        out: &mut Vec<Decision>,
+    ) {
+        let Some(mut f) = self.open.remove(subject) else {
+            return;
+        };
         (f.verdict, f.at, f.note) = (Verdict::Cleared, now, note);
         self.past.push_back(f.clone());
         if self.past.len() > PAST {
@@ -72,8 +81,11 @@
 
     fn trim(&mut self, out: &mut Vec<Decision>) {
         while self.open.len() > OPEN {
-            let least =
-                self.open.values().min_by_key(|f| (f.verdict, f.at)).map(|f| (f.subject.clone(), f.at));
+            let least = self
+                .open
+                .values()
+                .min_by_key(|f| (f.verdict, f.at))
+                .map(|f| (f.subject.clone(), f.at));
             let Some((subject, at)) = least else { return };
             self.clear(at, &subject, "there are too many verdicts to keep", out);
         }
@@ -86,8 +98,13 @@
     use crate::interface::{Basis, Cause, Evidence, Measure};
 
     fn finding(name: &str, verdict: Verdict, at: Micros) -> Finding {
-        let evidence =
-            Evidence { measure: Measure::Work, figure: 9e6, usual: 1e5, bar: 1e6, basis: Basis::Kind(40) };
+        let evidence = Evidence {
+            measure: Measure::Work,
+            figure: 9e6,
+            usual: 1e5,
+            bar: 1e6,
+            basis: Basis::Kind(40),
+        };
         Finding {
             id: 0,
             subject: Subject::Statement(name.into()),
@@ -119,7 +136,10 @@
         assert_eq!((f.id, f.verdict, f.at), (1, Verdict::Runaway, 3));
         all.clear(5, &a, "over", &mut out);
         all.clear(5, &a, "over", &mut out);
-        assert_eq!((out.len(), all.open().count(), all.past().count()), (3, 0, 1));
+        assert_eq!(
+            (out.len(), all.open().count(), all.past().count()),
+            (3, 0, 1)
+        );
         assert!(all.say(finding("b", Verdict::Suspect, 6), &mut out));
         assert_eq!(all.open().next().map(|f| f.id), Some(2));
     }
@@ -138,6 +158,9 @@
     #[test]
     fn evidence_reads_as_a_sentence() {
         let told = finding("a", Verdict::Runaway, 0).evidence.to_string();
-        assert_eq!(told, "work so far 9.0 s, usual 0.1 s, bound 1.0 s by 40 runs of its kind");
+        assert_eq!(
+            told,
+            "work so far 9.0 s, usual 0.1 s, bound 1.0 s by 40 runs of its kind"
+        );
     }
 }
--- a/crates/runaway/src/hold.rs
+++ b/crates/runaway/src/hold.rs
@@ -62,7 +62,10 @@
     /// A runaway of a kind was found.
     pub fn found(&mut self, now: Micros, kind: KindId, class: usize, label: &str, lower: bool) {
         if self.kinds.len() >= MOST_HOLDS && !self.kinds.contains_key(&kind) {
-            let nearest = self.kinds.iter().max_by_key(|(_, h)| (h.at_once, std::cmp::Reverse(h.last)));
+            let nearest = self
+                .kinds
+                .iter()
+                .max_by_key(|(_, h)| (h.at_once, std::cmp::Reverse(h.last)));
             if let Some(id) = nearest.map(|(id, _)| *id) {
                 self.kinds.remove(&id);
             }
@@ -75,7 +78,17 @@
             None => {
                 let (label, wanted) = (label.to_owned(), CLEAN);
                 let (at_once, clean, since, last, out) = (1, 0, now, now, 1);
-                let hold = KindHold { class, label, at_once, clean, wanted, since, last, lower, out };
+                let hold = KindHold {
+                    class,
+                    label,
+                    at_once,
+                    clean,
+                    wanted,
+                    since,
+                    last,
+                    lower,
+                    out,
+                };
                 self.kinds.insert(kind, hold);
             }
         }
@@ -91,7 +104,9 @@
 
     /// A statement of a kind has ended, within half of its bound or not.
     pub fn ended(&mut self, now: Micros, kind: KindId, clean: bool) {
-        let Some(h) = self.kinds.get_mut(&kind) else { return };
+        let Some(h) = self.kinds.get_mut(&kind) else {
+            return;
+        };
         h.last = now;
         if !clean {
             h.clean = 0;
@@ -137,20 +152,52 @@
         for (kind, h) in &self.kinds {
             let of = Held::Kind(kind.0);
             let closed = self.closed_to(*kind, h);
-            wanted.insert(of, Hold { of, most: h.at_once + h.out, closed, last: h.lower });
+            wanted.insert(
+                of,
+                Hold {
+                    of,
+                    most: h.at_once + h.out,
+                    closed,
+                    last: h.lower,
+                },
+            );
         }
         for (group, engines) in &self.groups {
             let of = Held::Group(*group);
             // Danger: kept away from every engine, it would never run.
-            let up: Vec<EngineId> = self.engines.iter().filter(|e| e.up).map(|e| e.engine).collect();
+            let up: Vec<EngineId> = self
+                .engines
+                .iter()
+                .filter(|e| e.up)
+                .map(|e| e.engine)
+                .collect();
             if up.iter().any(|e| !engines.contains(e)) {
-                wanted.insert(of, Hold { of, most: u32::MAX, closed: engines.clone(), last: false });
+                wanted.insert(
+                    of,
+                    Hold {
+                        of,
+                        most: u32::MAX,
+                        closed: engines.clone(),
+                        last: false,
+                    },
+                );
             }
         }
         let lifted = self.told.keys().filter(|of| !wanted.contains_key(of));
-        let mut news: Vec<Hold> =
-            lifted.map(|of| Hold { of: *of, most: u32::MAX, closed: Vec::new(), last: false }).collect();
-        news.extend(wanted.values().filter(|h| self.told.get(&h.of) != Some(h)).cloned());
+        let mut news: Vec<Hold> = lifted
+            .map(|of| Hold {
+                of: *of,
+                most: u32::MAX,
+                closed: Vec::new(),
+                last: false,
+            })
+            .collect();
+        news.extend(
+            wanted
+                .values()
+                .filter(|h| self.told.get(&h.of) != Some(h))
+                .cloned(),
+        );
         self.told = wanted;
         news
     }
@@ -162,7 +209,8 @@
         let mut open: Vec<EngineId> = self.engines.iter().filter(fits).map(|e| e.engine).collect();
         let own = |id: &EngineId| {
             let mut hash = blake3::Hasher::new();
-            hash.update(&kind.0.to_le_bytes()).update(&id.0.to_le_bytes());
+            hash.update(&kind.0.to_le_bytes())
+                .update(&id.0.to_le_bytes());
             *hash.finalize().as_bytes()
         };
         open.sort_by_key(own);
@@ -178,7 +226,11 @@
 
     fn holds(engines: u32) -> Holds {
         let mut h = Holds::default();
-        let listed = |n| Listed { engine: EngineId(n), up: true, classes: vec![true, n % 2 == 0] };
+        let listed = |n| Listed {
+            engine: EngineId(n),
+            up: true,
+            classes: vec![true, n % 2 == 0],
+        };
         h.listed(&(0..engines).map(listed).collect::<Vec<_>>());
         h
     }
@@ -192,7 +244,11 @@
         let mut h = holds(5);
         h.found(1, K, 0, "x", true);
         let news = h.news();
-        assert_eq!(bound(&news), [(2, 4)], "one beside the one that ran away, on one engine of five");
+        assert_eq!(
+            bound(&news),
+            [(2, 4)],
+            "one beside the one that ran away, on one engine of five"
+        );
         assert!(news[0].last && h.news().is_empty(), "only news is told");
         h.over(2, K);
         assert_eq!(bound(&h.news()), [(1, 4)]);
@@ -227,13 +283,21 @@
         }
         let (a, b) = (one.news(), two.news());
         assert_eq!(a, b);
-        let open: Vec<u32> = (0..6).filter(|n| n % 2 == 0 && !a[0].closed.contains(&EngineId(*n))).collect();
+        let open: Vec<u32> = (0..6)
+            .filter(|n| n % 2 == 0 && !a[0].closed.contains(&EngineId(*n)))
+            .collect();
         assert_eq!(open.len(), 1);
         // Its engine goes: another takes its place.
-        let listed = |n| Listed { engine: EngineId(n), up: n != open[0], classes: vec![true, n % 2 == 0] };
+        let listed = |n| Listed {
+            engine: EngineId(n),
+            up: n != open[0],
+            classes: vec![true, n % 2 == 0],
+        };
         one.listed(&(0..6).map(listed).collect::<Vec<_>>());
         let news = one.news();
-        assert!((0..6).any(|n| n % 2 == 0 && n != open[0] && !news[0].closed.contains(&EngineId(n))));
+        assert!(
+            (0..6).any(|n| n % 2 == 0 && n != open[0] && !news[0].closed.contains(&EngineId(n)))
+        );
     }
 
     #[test]
@@ -250,7 +314,11 @@
         h.keep_away(BTreeMap::from([(9, vec![EngineId(0)])]));
         assert_eq!(bound(&h.news()), [(u32::MAX, 1)]);
         h.keep_away(BTreeMap::from([(9, vec![EngineId(0), EngineId(1)])]));
-        assert_eq!(bound(&h.news()), [(u32::MAX, 0)], "kept away from all, it would never run");
+        assert_eq!(
+            bound(&h.news()),
+            [(u32::MAX, 0)],
+            "kept away from all, it would never run"
+        );
     }
 
     #[test]
--- a/crates/runaway/src/interface.rs
+++ b/crates/runaway/src/interface.rs
@@ -11,14 +11,16 @@
     /// The kind of a fingerprint within a class. The class goes by name, which outlives a change of its number.
     pub fn new(class: &str, fingerprint: u64) -> KindId {
         let mut hash = blake3::Hasher::new();
-        hash.update(&fingerprint.to_le_bytes()).update(class.as_bytes());
+        hash.update(&fingerprint.to_le_bytes())
+            .update(class.as_bytes());
         KindId(first_of(&hash))
     }
 
     /// What stands for all kinds of a class that are hardly known.
     pub fn unknown(class: &str) -> KindId {
         let mut hash = blake3::Hasher::new();
-        hash.update(b"hardly known kinds of ").update(class.as_bytes());
+        hash.update(b"hardly known kinds of ")
+            .update(class.as_bytes());
         KindId(first_of(&hash))
     }
 }
@@ -314,7 +316,12 @@
             Measure::Time => ("time", &seconds),
             Measure::Times => ("run against usual", &|v| format!("{v:.1} times")),
         };
-        write!(f, "{what} {}, usual {}, ", show(self.figure), show(self.usual))?;
+        write!(
+            f,
+            "{what} {}, usual {}, ",
+            show(self.figure),
+            show(self.usual)
+        )?;
         write!(f, "bound {} by {basis}", show(self.bar))
     }
 }
--- a/crates/runaway/src/judge.rs
+++ b/crates/runaway/src/judge.rs
@@ -88,27 +88,50 @@
                 bar: 0.0,
                 basis: Basis::Settings,
             };
-            let excess = Excess { evidence: stood, certain: false };
+            let excess = Excess {
+                evidence: stood,
+                certain: false,
+            };
             return self.over(now, id, Cause::Deadlock, &excess, blocks);
         }
-        let Some(expected) = self.expected(id).copied() else { return };
+        let Some(expected) = self.expected(id).copied() else {
+            return;
+        };
         let behind = behind_of(waits, &o.start.name);
         let crowd = behind.len() >= CROWD;
         let hog = self.hogs_memory(now, o, &expected);
         let slow = self.slowness(now, o.start.engine, Some(id)).0;
-        let excess = excess(o, &expected, now, slow, if crowd { CROWD_PART } else { 1.0 });
+        let excess = excess(
+            o,
+            &expected,
+            now,
+            slow,
+            if crowd { CROWD_PART } else { 1.0 },
+        );
         // Who stands still is not at fault, whatever it took before.
         let stands = o.held_up;
-        let by_time_only =
-            excess.as_ref().is_some_and(|e| matches!(e.evidence.measure, Measure::Run | Measure::RunToCome));
+        let by_time_only = excess
+            .as_ref()
+            .is_some_and(|e| matches!(e.evidence.measure, Measure::Run | Measure::RunToCome));
         // Where engines tell of others, one of which nothing comes is silent, not heavy: the routing's business.
         let silent = o.notes == 0 && self.outs.values().any(|other| other.notes > 0);
-        let hidden =
-            by_time_only && excess.as_ref().is_some_and(|e| self.may_stand_unseen(now, o, e.evidence.figure));
+        let hidden = by_time_only
+            && excess
+                .as_ref()
+                .is_some_and(|e| self.may_stand_unseen(now, o, e.evidence.figure));
         let excused = stands || hidden || (by_time_only && !crowd && silent);
         match (excess.filter(|_| !excused), hog) {
             (_, Some(evidence)) => {
-                self.over(now, id, Cause::Memory, &Excess { evidence, certain: false }, Vec::new());
+                self.over(
+                    now,
+                    id,
+                    Cause::Memory,
+                    &Excess {
+                        evidence,
+                        certain: false,
+                    },
+                    Vec::new(),
+                );
             }
             (Some(excess), None) => {
                 let cause = match (crowd, bad_plan(o, &expected)) {
@@ -123,16 +146,33 @@
     }
 
     /// It is over its bound.
-    fn over(&mut self, now: Micros, id: AttemptId, cause: Cause, excess: &Excess, blocks: Vec<String>) {
+    fn over(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        cause: Cause,
+        excess: &Excess,
+        blocks: Vec<String>,
+    ) {
         let engines = self.engines.iter().filter(|e| e.up).count();
-        let Some(o) = self.outs.get_mut(&id) else { return };
+        let Some(o) = self.outs.get_mut(&id) else {
+            return;
+        };
         let since = *o.over.get_or_insert(now);
         let (kind, subject) = (o.start.kind, Subject::Statement(o.start.name.clone()));
         let of_kind = Subject::Kind(kind);
-        if self.findings.of(&of_kind).is_some_and(|f| f.cause == Cause::KindChanged) {
+        if self
+            .findings
+            .of(&of_kind)
+            .is_some_and(|f| f.cause == Cause::KindChanged)
+        {
             return; // Known: one notice for all of them.
         }
-        let circle = if cause == Cause::Deadlock { blocks.clone() } else { Vec::new() };
+        let circle = if cause == Cause::Deadlock {
+            blocks.clone()
+        } else {
+            Vec::new()
+        };
         let sure = excess.certain || now - since >= SURE;
         let own_fault = matches!(cause, Cause::Heavy | Cause::BadPlan);
         let says = match own_fault && !self.findings.is_runaway(&subject) {
@@ -142,7 +182,11 @@
         if sure && says == Says::Changed {
             return self.kind_changed(now, kind, id, excess.evidence);
         }
-        let verdict = if sure && says == Says::Alone { Verdict::Runaway } else { Verdict::Suspect };
+        let verdict = if sure && says == Says::Alone {
+            Verdict::Runaway
+        } else {
+            Verdict::Suspect
+        };
         let Some(o) = self.outs.get(&id) else { return };
         let found = Finding {
             id: 0,
@@ -168,7 +212,9 @@
     }
 
     fn within(&mut self, now: Micros, id: AttemptId, subject: &Subject) {
-        let Some(o) = self.outs.get_mut(&id) else { return };
+        let Some(o) = self.outs.get_mut(&id) else {
+            return;
+        };
         // A runaway stays one until it ends: a figure that is told lower takes nothing back, save that those
         // who waited for it or for each other do so no longer.
         let waited = self.findings.of(subject).is_some_and(|f| {
@@ -179,7 +225,8 @@
             (o.end_at, o.resume_at) = (None, o.resume_at);
         }
         if waited {
-            self.findings.clear(now, subject, "it is within its bound", &mut self.decisions);
+            self.findings
+                .clear(now, subject, "it is within its bound", &mut self.decisions);
             self.uncount(now, id);
         }
     }
@@ -193,7 +240,9 @@
 
     fn judge_reader(&mut self, now: Micros, id: AttemptId, subject: Subject) {
         let Some(o) = self.outs.get(&id) else { return };
-        let Some(since) = o.flowing.filter(|at| now - *at >= READS_FOR) else { return };
+        let Some(since) = o.flowing.filter(|at| now - *at >= READS_FOR) else {
+            return;
+        };
         let evidence = Evidence {
             measure: Measure::Time,
             figure: (now - since) as f64,
@@ -224,8 +273,9 @@
     /// It takes far more memory than its kind while others there wait for some.
     fn hogs_memory(&self, now: Micros, o: &Out, expected: &Expectation) -> Option<Evidence> {
         let (memory, e) = (o.news.memory_mb?, expected.memory?);
-        let waits =
-            |other: &&Out| other.start.engine == o.start.engine && other.stands(now) == Some(&Stands::Memory);
+        let waits = |other: &&Out| {
+            other.start.engine == o.start.engine && other.stands(now) == Some(&Stands::Memory)
+        };
         let far = memory > e.bar && o.stands(now).is_none();
         (far && self.outs.values().filter(waits).count() >= CROWD)
             .then(|| evidence(Measure::Memory, memory, &e))
@@ -236,7 +286,9 @@
     /// Counts what runs long, for its kind to have changed.
     fn count_long(&mut self, now: Micros, ids: &[AttemptId]) {
         for id in ids {
-            let (Some(o), Some(e)) = (self.outs.get(id), self.expected(*id).copied()) else { continue };
+            let (Some(o), Some(e)) = (self.outs.get(id), self.expected(*id).copied()) else {
+                continue;
+            };
             if o.flowing.is_some() || o.gone.is_some() || !e.known || o.held_up {
                 continue;
             }
@@ -245,7 +297,8 @@
                 .into_iter()
                 .any(|(_, figure, of, room)| figure > LONG * room * of.usual);
             if long && o.moved(now) >= YOUNG {
-                self.changes.long(now, o.start.kind, *id, o.at, o.start.engine);
+                self.changes
+                    .long(now, o.start.kind, *id, o.at, o.start.engine);
             }
         }
     }
@@ -278,7 +331,12 @@
             .map(|(id, o)| (*id, Subject::Statement(o.start.name.clone())))
             .collect();
         for (id, subject) in of_kind {
-            self.findings.clear(now, &subject, "all of its kind run long", &mut self.decisions);
+            self.findings.clear(
+                now,
+                &subject,
+                "all of its kind run long",
+                &mut self.decisions,
+            );
             self.uncount(now, id);
             if let Some(o) = self.outs.get_mut(&id) {
                 o.end_at = None;
@@ -291,14 +349,22 @@
     /// A kind that has changed has new figures once enough of it has run.
     pub(crate) fn maybe_adopt(&mut self, now: Micros, kind: KindId, runs: u64) {
         let subject = Subject::Kind(kind);
-        let told = self.findings.of(&subject).is_some_and(|f| f.cause == Cause::KindChanged);
+        let told = self
+            .findings
+            .of(&subject)
+            .is_some_and(|f| f.cause == Cause::KindChanged);
         let engines = self.engines.iter().filter(|e| e.up).count();
         let changed = told || self.changes.say(kind, 0, engines) == Says::Changed;
         if changed && runs >= ADOPT {
             self.book.adopt(kind);
             self.changes.forget(kind);
             self.expect_anew(kind);
-            self.findings.clear(now, &subject, "its new figures are taken as usual", &mut self.decisions);
+            self.findings.clear(
+                now,
+                &subject,
+                "its new figures are taken as usual",
+                &mut self.decisions,
+            );
         }
     }
 
@@ -306,11 +372,18 @@
 
     /// Engines on which everything runs long, without one that is at fault for it.
     fn judge_engines(&mut self, now: Micros) {
-        let paces: Vec<(EngineId, (f64, usize))> =
-            self.engines.iter().map(|e| (e.engine, self.slowness(now, e.engine, None))).collect();
+        let paces: Vec<(EngineId, (f64, usize))> = self
+            .engines
+            .iter()
+            .map(|e| (e.engine, self.slowness(now, e.engine, None)))
+            .collect();
         for (engine, own) in &paces {
             let subject = Subject::Engine(*engine);
-            let others: Vec<(f64, usize)> = paces.iter().filter(|p| p.0 != *engine).map(|p| p.1).collect();
+            let others: Vec<(f64, usize)> = paces
+                .iter()
+                .filter(|p| p.0 != *engine)
+                .map(|p| p.1)
+                .collect();
             let at_fault = |f: &Finding| f.engine == Some(*engine) && f.verdict == Verdict::Runaway;
             let said = self.findings.of(&subject).is_some();
             if !stands_out(*own, &others, said) || self.findings.open().any(at_fault) {
@@ -356,13 +429,24 @@
             .filter(|s| matches!(s, Subject::Engine(e) if !paces.iter().any(|p| p.0 == *e)))
             .collect();
         gone.iter().for_each(|s| {
-            self.findings.clear(now, s, "the engine is not listed any more", &mut self.decisions)
+            self.findings.clear(
+                now,
+                s,
+                "the engine is not listed any more",
+                &mut self.decisions,
+            )
         });
     }
 }
 
 pub(crate) fn evidence(measure: Measure, figure: f64, e: &Expected) -> Evidence {
-    Evidence { measure, figure, usual: e.usual, bar: e.bar, basis: e.basis }
+    Evidence {
+        measure,
+        figure,
+        usual: e.usual,
+        bar: e.bar,
+        basis: e.basis,
+    }
 }
 
 /// All figures of an attempt that can be judged: what it is, its value, what is expected, and the room that it
@@ -383,13 +467,23 @@
         Some(work) => {
             all.push((Measure::Work, work as f64, &e.work, 1.0));
             if let Some(done) = share {
-                all.push((Measure::WorkToCome, work as f64 / (done + ROUGH), &e.work, ROOM));
+                all.push((
+                    Measure::WorkToCome,
+                    work as f64 / (done + ROUGH),
+                    &e.work,
+                    ROOM,
+                ));
             }
         }
         None => {
             all.push((Measure::Run, moved / slow, &e.run, 1.0));
             if let Some(done) = share {
-                all.push((Measure::RunToCome, moved / slow / (done + ROUGH), &e.run, ROOM));
+                all.push((
+                    Measure::RunToCome,
+                    moved / slow / (done + ROUGH),
+                    &e.run,
+                    ROOM,
+                ));
             }
         }
     }
@@ -404,15 +498,28 @@
     let spills = if o.news.spills { SPILLS } else { 1.0 };
     let over = |(measure, figure, of, room): (Measure, f64, &Expected, f64)| {
         let bar = of.bar * room * spills * part;
-        (figure > bar).then(|| (figure / bar, evidence(measure, figure, &Expected { bar, ..*of })))
+        (figure > bar).then(|| {
+            (
+                figure / bar,
+                evidence(measure, figure, &Expected { bar, ..*of }),
+            )
+        })
     };
-    let worst = measures(o, e, now, slow).into_iter().filter_map(over).max_by(|a, b| a.0.total_cmp(&b.0));
-    worst.map(|(_, evidence)| Excess { certain: evidence.measure == Measure::Work && part == 1.0, evidence })
+    let worst = measures(o, e, now, slow)
+        .into_iter()
+        .filter_map(over)
+        .max_by(|a, b| a.0.total_cmp(&b.0));
+    worst.map(|(_, evidence)| Excess {
+        certain: evidence.measure == Measure::Work && part == 1.0,
+        evidence,
+    })
 }
 
 /// Whether it does far more work for what it reads than its kind.
 fn bad_plan(o: &Out, e: &Expectation) -> bool {
-    let (Some(work), Some(rows), Some(usual)) = (o.news.work, o.news.rows, e.per_rows) else { return false };
+    let (Some(work), Some(rows), Some(usual)) = (o.news.work, o.news.rows, e.per_rows) else {
+        return false;
+    };
     work as f64 * 1000.0 / (rows as f64).max(1.0) > BAD_PLAN * usual
 }
 
--- a/crates/runaway/src/others.rs
+++ b/crates/runaway/src/others.rs
@@ -26,13 +26,19 @@
     pub(crate) fn judge_foreign(&mut self, now: Micros, waits: &Waits) {
         let mut names: BTreeSet<String> = self.foreign.keys().cloned().collect();
         // Own ones for which nobody waits at this end: they are known by name, and judged alike.
-        let ghosts = self.ghosts.iter().filter_map(|id| self.outs.get(id)).map(|o| o.start.name.clone());
+        let ghosts = self
+            .ghosts
+            .iter()
+            .filter_map(|id| self.outs.get(id))
+            .map(|o| o.start.name.clone());
         names.extend(ghosts);
         for name in names {
             let behind = behind_of(waits, &name);
             self.renew_away(now, &name, &behind);
             let subject = Subject::Statement(name.clone());
-            let ghost = self.named(&name).and_then(|id| self.outs.get(&id).map(|o| (id, o)));
+            let ghost = self
+                .named(&name)
+                .and_then(|id| self.outs.get(&id).map(|o| (id, o)));
             let (engine, class, since, over) = match (&ghost, self.foreign.get(&name)) {
                 (Some((_, o)), _) => (o.start.engine, Some(o.start.class), o.at + o.stood, o.over),
                 (None, Some(f)) => {
@@ -54,19 +60,32 @@
             if behind.is_empty() {
                 continue;
             }
-            let part = if behind.len() >= CROWD { CROWD_PART } else { 1.0 };
+            let part = if behind.len() >= CROWD {
+                CROWD_PART
+            } else {
+                1.0
+            };
             // Its kind is not known here: what its class takes, or the class that takes longest.
             let of = |c: usize| self.book.expect_of_class(c, &self.cfg.classes[c]);
             let all = (0..self.cfg.classes.len()).map(of);
             let widest = || all.max_by(|a, b| a.bar.total_cmp(&b.bar));
-            let own = ghost.as_ref().and_then(|(id, _)| self.expected(*id)).map(|e| e.run);
-            let Some(e) = own.or_else(|| class.map(of)).or_else(widest) else { continue };
+            let own = ghost
+                .as_ref()
+                .and_then(|(id, _)| self.expected(*id))
+                .map(|e| e.run);
+            let Some(e) = own.or_else(|| class.map(of)).or_else(widest) else {
+                continue;
+            };
             let ran = now.saturating_sub(since) as f64;
             if ran <= e.bar * part {
                 continue;
             }
             let since_over = over.unwrap_or(now);
-            let verdict = if now - since_over >= SURE { Verdict::Runaway } else { Verdict::Suspect };
+            let verdict = if now - since_over >= SURE {
+                Verdict::Runaway
+            } else {
+                Verdict::Suspect
+            };
             let (kind, label) = match &ghost {
                 Some((_, o)) => (Some(o.start.kind), o.start.label.to_string()),
                 None => (None, String::new()),
@@ -83,7 +102,14 @@
                 started: since,
                 since: since_over,
                 at: now,
-                evidence: evidence(Measure::Run, ran, &Expected { bar: e.bar * part, ..e }),
+                evidence: evidence(
+                    Measure::Run,
+                    ran,
+                    &Expected {
+                        bar: e.bar * part,
+                        ..e
+                    },
+                ),
                 blocked: behind.len(),
                 blocks: behind.into_iter().take(BLOCKED).collect(),
                 note: match ghost {
@@ -115,9 +141,13 @@
         if behind.is_empty() {
             return;
         }
-        let groups: Vec<u64> =
-            behind.iter().filter_map(|who| self.outs.get(&self.named(who)?)?.start.group).collect();
-        let Some(f) = self.foreign.get_mut(name).filter(|f| f.away_until > 0) else { return };
+        let groups: Vec<u64> = behind
+            .iter()
+            .filter_map(|who| self.outs.get(&self.named(who)?)?.start.group)
+            .collect();
+        let Some(f) = self.foreign.get_mut(name).filter(|f| f.away_until > 0) else {
+            return;
+        };
         if now >= f.away_until {
             f.away_for = (f.away_for * 2).min(AWAY_MOST);
         }
@@ -135,7 +165,9 @@
         for load in self.outs.values().filter(loads) {
             for o in self.outs.values().filter(|o| o.gone.is_none()) {
                 let same = o.start.engine == load.start.engine && o.start.group == load.start.group;
-                let usual = self.expected(o.start.attempt).map_or(f64::INFINITY, |e| e.run.usual);
+                let usual = self
+                    .expected(o.start.attempt)
+                    .map_or(f64::INFINITY, |e| e.run.usual);
                 if same && o.at > load.at && o.moved(now) > MAY_STAND * usual {
                     waits.add(&o.start.name, &load.start.name);
                 }
@@ -147,7 +179,9 @@
     /// may stand behind one of those. Not if something of its tables has passed there since it began; else if
     /// another of them is long there too, or it is not yet longer than a load may be.
     pub(crate) fn may_stand_unseen(&self, now: Micros, o: &Out, ran: f64) -> bool {
-        let (engine, Some(group)) = (o.start.engine, o.start.group) else { return false };
+        let (engine, Some(group)) = (o.start.engine, o.start.group) else {
+            return false;
+        };
         let loads = || (0..self.cfg.classes.len()).filter(|c| self.cfg.classes[*c].holds);
         if self.tells(now) || self.cfg.classes[o.start.class].holds || loads().next().is_none() {
             return false;
@@ -156,14 +190,17 @@
             return false;
         }
         let long = |other: &&Out| {
-            let usual = self.expected(other.start.attempt).map_or(f64::INFINITY, |e| e.run.usual);
+            let usual = self
+                .expected(other.start.attempt)
+                .map_or(f64::INFINITY, |e| e.run.usual);
             (other.start.engine, other.start.group) == (engine, Some(group))
                 && other.start.attempt != o.start.attempt
                 && other.gone.is_none()
                 && other.moved(now) > MAY_STAND * usual
         };
-        let load_may =
-            loads().map(|c| self.book.expect_of_class(c, &self.cfg.classes[c]).bar).fold(0.0, f64::max);
+        let load_may = loads()
+            .map(|c| self.book.expect_of_class(c, &self.cfg.classes[c]).bar)
+            .fold(0.0, f64::max);
         self.outs.values().any(|other| long(&other)) || ran <= load_may
     }
 }
--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -30,7 +30,8 @@
     fn add_many(&mut self, figure: u64, n: u16) {
         // One digit: buckets of a sixteenth. Growth by itself keeps a sketch of short runs small.
         let of = self.of.get_or_insert_with(|| {
-            let mut empty = Histogram::new(1).unwrap_or_else(|_| unreachable!("one digit is permitted"));
+            let mut empty =
+                Histogram::new(1).unwrap_or_else(|_| unreachable!("one digit is permitted"));
             empty.auto(true);
             Box::new(empty)
         });
@@ -59,13 +60,20 @@
 
     /// A quantile; `None` without figures.
     pub fn quantile(&self, q: f64) -> Option<f64> {
-        self.of.as_ref().filter(|of| !of.is_empty()).map(|of| of.value_at_quantile(q) as f64)
+        self.of
+            .as_ref()
+            .filter(|of| !of.is_empty())
+            .map(|of| of.value_at_quantile(q) as f64)
     }
 
     /// Figures and how often they came.
     pub fn pairs(&self) -> Vec<(u64, u16)> {
-        let Some(of) = &self.of else { return Vec::new() };
-        of.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value())).collect()
+        let Some(of) = &self.of else {
+            return Vec::new();
+        };
+        of.iter_recorded()
+            .map(|v| (v.value_iterated_to(), v.count_at_value()))
+            .collect()
     }
 
     /// From [`Sketch::pairs`]; more than a full sketch is no sketch of ours.
@@ -74,7 +82,9 @@
         let fine = total <= FULL && pairs.iter().all(|p| (LEAST..=2 * MOST).contains(&p.0));
         let mut sketch = Sketch::default();
         if fine {
-            pairs.iter().for_each(|(figure, n)| sketch.add_many(*figure, *n));
+            pairs
+                .iter()
+                .for_each(|(figure, n)| sketch.add_many(*figure, *n));
         }
         fine.then_some(sketch)
     }
@@ -113,6 +123,8 @@
         }
         let back = Sketch::from_pairs(&s.pairs()).expect("our own");
         assert_eq!(back.pairs(), s.pairs());
-        assert!(Sketch::from_pairs(&[(5, 600)]).is_none() && Sketch::from_pairs(&[(0, 1)]).is_none());
+        assert!(
+            Sketch::from_pairs(&[(5, 600)]).is_none() && Sketch::from_pairs(&[(0, 1)]).is_none()
+        );
     }
 }
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -68,11 +68,17 @@
 }
 
 fn pairs(f: &Figures) -> [Pairs; 4] {
-    [f.run.pairs(), f.work.pairs(), f.per_rows.pairs(), f.memory.pairs()]
+    [
+        f.run.pairs(),
+        f.work.pairs(),
+        f.per_rows.pairs(),
+        f.memory.pairs(),
+    ]
 }
 
 fn sketch(pairs: &Pairs) -> Result<Sketch, SnapshotError> {
-    Sketch::from_pairs(pairs).ok_or_else(|| SnapshotError::Unreadable("a distribution out of bounds".into()))
+    Sketch::from_pairs(pairs)
+        .ok_or_else(|| SnapshotError::Unreadable("a distribution out of bounds".into()))
 }
 
 fn figures(p: &[Pairs; 4]) -> Result<Figures, SnapshotError> {
@@ -114,9 +120,20 @@
             beyond: pairs(&k.beyond),
         };
         let saved = Saved {
-            classes: self.cfg.classes.iter().zip(&self.book.classes).map(class).collect(),
+            classes: self
+                .cfg
+                .classes
+                .iter()
+                .zip(&self.book.classes)
+                .map(class)
+                .collect(),
             kinds: kinds.into_iter().map(kind).collect(),
-            holds: self.holds.kinds.iter().map(|(id, h)| (*id, h.clone())).collect(),
+            holds: self
+                .holds
+                .kinds
+                .iter()
+                .map(|(id, h)| (*id, h.clone()))
+                .collect(),
         };
         let body = serde_json::to_vec(&saved).unwrap_or_default();
         let mut all = format!("{FIRST}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
@@ -126,7 +143,9 @@
 
     /// Takes in what was saved. All or nothing: on an error, nothing has changed.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<Restored, SnapshotError> {
-        let rest = bytes.strip_prefix(FIRST.as_bytes()).and_then(|r| r.strip_prefix(b"\n"));
+        let rest = bytes
+            .strip_prefix(FIRST.as_bytes())
+            .and_then(|r| r.strip_prefix(b"\n"));
         let rest = rest.ok_or(SnapshotError::Foreign)?;
         let (sum, body) = rest.split_at_checked(65).ok_or(SnapshotError::Damaged)?;
         let expected = format!("{}\n", blake3::hash(body).to_hex());
@@ -152,23 +171,49 @@
                 done.dropped += 1;
                 continue;
             };
-            let sizes: Result<BTreeMap<u8, Figures>, SnapshotError> =
-                k.sizes.iter().map(|(size, p)| Ok((*size, figures(p)?))).collect();
+            let sizes: Result<BTreeMap<u8, Figures>, SnapshotError> = k
+                .sizes
+                .iter()
+                .map(|(size, p)| Ok((*size, figures(p)?)))
+                .collect();
             let (sizes, honesty, beyond) = (sizes?, sketch(&k.honesty)?, figures(&k.beyond)?);
             // The clock of an earlier life says nothing now; the order does.
             let last = age as Micros;
-            kinds.push((k.id, KindBook { class, label: k.label.into(), sizes, honesty, beyond, last }));
+            kinds.push((
+                k.id,
+                KindBook {
+                    class,
+                    label: k.label.into(),
+                    sizes,
+                    honesty,
+                    beyond,
+                    last,
+                },
+            ));
         }
         let mut holds = Vec::new();
         for (id, hold) in saved.holds {
             match number(hold.class) {
-                Some(class) => holds.push((id, KindHold { class, since: now, last: now, out: 0, ..hold })),
+                Some(class) => holds.push((
+                    id,
+                    KindHold {
+                        class,
+                        since: now,
+                        last: now,
+                        out: 0,
+                        ..hold
+                    },
+                )),
                 None => done.dropped += 1,
             }
         }
         (done.kinds, done.holds) = (kinds.len(), holds.len());
-        classes.into_iter().for_each(|(at, figures, honesty)| self.book.classes[at] = (figures, honesty));
-        kinds.into_iter().for_each(|(id, book)| self.book.restore(id, book));
+        classes
+            .into_iter()
+            .for_each(|(at, figures, honesty)| self.book.classes[at] = (figures, honesty));
+        kinds
+            .into_iter()
+            .for_each(|(id, book)| self.book.restore(id, book));
         self.holds.kinds.extend(holds);
         self.tell_holds();
         Ok(done)
--- a/crates/runaway/src/watch.rs
+++ b/crates/runaway/src/watch.rs
@@ -74,7 +74,10 @@
 
     /// Why it stands still, as lately told.
     pub fn stands(&self, now: Micros) -> Option<&Stands> {
-        self.stands.as_ref().filter(|(at, _)| now.saturating_sub(*at) <= TOLD).map(|(_, why)| why)
+        self.stands
+            .as_ref()
+            .filter(|(at, _)| now.saturating_sub(*at) <= TOLD)
+            .map(|(_, why)| why)
     }
 }
 
@@ -199,7 +202,9 @@
     /// An engine tells of an attempt.
     pub fn told(&mut self, now: Micros, attempt: AttemptId, news: News) {
         self.last_told = Some(now);
-        let Some(o) = self.outs.get_mut(&attempt) else { return };
+        let Some(o) = self.outs.get_mut(&attempt) else {
+            return;
+        };
         if news.stands.is_some() {
             o.stood += now.saturating_sub(o.told);
         }
@@ -244,8 +249,15 @@
             away_until: 0,
             away_for: AWAY_FOR,
         };
-        let f = self.foreign.entry(holder.name.clone()).or_insert_with(fresh);
-        (f.told, f.engine, f.since) = (now, engine, since.map_or(f.since, |since| since.max(f.since)));
+        let f = self
+            .foreign
+            .entry(holder.name.clone())
+            .or_insert_with(fresh);
+        (f.told, f.engine, f.since) = (
+            now,
+            engine,
+            since.map_or(f.since, |since| since.max(f.since)),
+        );
         f.class = f.class.or(class);
     }
 
@@ -261,8 +273,12 @@
         if how == End::GoesOn {
             return self.goes_on(now, attempt);
         }
-        let Some(expected) = self.expectation(now, attempt) else { return };
-        let Some(mut o) = self.outs.remove(&attempt) else { return };
+        let Some(expected) = self.expectation(now, attempt) else {
+            return;
+        };
+        let Some(mut o) = self.outs.remove(&attempt) else {
+            return;
+        };
         self.forget_name(&o.start.name, attempt);
         self.ghosts.retain(|id| *id != attempt);
         o.news.work = work.or(o.news.work);
@@ -279,7 +295,8 @@
             End::NeverRan => "it never ran",
             _ => "it has ended, without a result",
         };
-        self.findings.clear(now, &subject, note, &mut self.decisions);
+        self.findings
+            .clear(now, &subject, note, &mut self.decisions);
     }
 
     /// What a good run teaches.
@@ -292,7 +309,11 @@
             Some(work) => (work as f64, &expected.work),
             None => (moved / slow, &expected.run),
         };
-        let spills = if o.news.spills { crate::judge::SPILLS } else { 1.0 };
+        let spills = if o.news.spills {
+            crate::judge::SPILLS
+        } else {
+            1.0
+        };
         let beyond = was_runaway || figure > of.bar * spills;
         let run = Run {
             ran: moved / slow,
@@ -301,7 +322,10 @@
             memory: o.news.memory_mb,
         };
         if expected.known && !beyond && !(o.held_up && o.stood == 0) {
-            let sample = Sample { kind: s.kind, times: moved / expected.run.usual.max(1.0) };
+            let sample = Sample {
+                kind: s.kind,
+                times: moved / expected.run.usual.max(1.0),
+            };
             self.paces.ended(now, s.engine, sample);
         }
         self.holds.ended(now, s.held_as, figure <= of.bar * 0.5);
@@ -327,7 +351,8 @@
         let last = self.passed.entry(at).or_default();
         *last = (*last).max(started);
         if self.passed.len() > PASSED {
-            self.passed.retain(|_, started| now.saturating_sub(*started) < TELLS_FOR);
+            self.passed
+                .retain(|_, started| now.saturating_sub(*started) < TELLS_FOR);
         }
         if self.passed.len() > PASSED {
             self.passed.clear();
@@ -336,17 +361,22 @@
 
     /// Whether something of those tables that began there after this time has run as usual.
     pub(crate) fn has_passed(&self, engine: EngineId, group: u64, since: Micros) -> bool {
-        self.passed.get(&(engine, group)).is_some_and(|started| *started > since)
+        self.passed
+            .get(&(engine, group))
+            .is_some_and(|started| *started > since)
     }
 
     /// Whether engines tell anything of attempts, or have lately.
     pub(crate) fn tells(&self, now: Micros) -> bool {
-        self.last_told.is_some_and(|at| now.saturating_sub(at) < TELLS_FOR)
+        self.last_told
+            .is_some_and(|at| now.saturating_sub(at) < TELLS_FOR)
     }
 
     /// The router stopped waiting; the engine may go on.
     fn goes_on(&mut self, now: Micros, attempt: AttemptId) {
-        let Some(o) = self.outs.get_mut(&attempt) else { return };
+        let Some(o) = self.outs.get_mut(&attempt) else {
+            return;
+        };
         o.gone.get_or_insert(now);
         let holds = self.cfg.classes[o.start.class].holds;
         if !holds && o.over.is_none() {
@@ -363,14 +393,17 @@
 
     /// Forgets an attempt of which nothing more can be known.
     pub(crate) fn let_go(&mut self, now: Micros, attempt: AttemptId, note: &'static str) {
-        let Some(o) = self.outs.remove(&attempt) else { return };
+        let Some(o) = self.outs.remove(&attempt) else {
+            return;
+        };
         self.ghosts.retain(|id| *id != attempt);
         self.forget_name(&o.start.name, attempt);
         if o.counts {
             self.holds.over(now, o.start.held_as);
         }
         let subject = Subject::Statement(o.start.name);
-        self.findings.clear(now, &subject, note, &mut self.decisions);
+        self.findings
+            .clear(now, &subject, note, &mut self.decisions);
     }
 
     fn forget_name(&mut self, name: &str, attempt: AttemptId) {
@@ -382,7 +415,8 @@
     /// News of the engine list.
     pub fn listed(&mut self, engines: Vec<Listed>) {
         self.holds.listed(&engines);
-        self.paces.retain(|id| engines.iter().any(|e| e.engine == id));
+        self.paces
+            .retain(|id| engines.iter().any(|e| e.engine == id));
         self.engines = engines;
         self.tell_holds();
     }
@@ -421,8 +455,12 @@
         }
         self.next_look = now + LOOK_EVERY;
         let old = |o: &Out| o.gone.is_some_and(|at| now.saturating_sub(at) > GHOST_FOR);
-        let forgotten: Vec<AttemptId> =
-            self.ghosts.iter().filter(|id| self.outs.get(id).is_none_or(old)).copied().collect();
+        let forgotten: Vec<AttemptId> = self
+            .ghosts
+            .iter()
+            .filter(|id| self.outs.get(id).is_none_or(old))
+            .copied()
+            .collect();
         for id in forgotten {
             self.ghosts.retain(|g| *g != id);
             self.let_go(now, id, "it went on at its engine, and is forgotten");
@@ -471,7 +509,10 @@
 
     /// What was expected of a kind's attempts is looked up anew.
     pub(crate) fn expect_anew(&mut self, kind: KindId) {
-        self.outs.values_mut().filter(|o| o.start.kind == kind).for_each(|o| o.expectation = None);
+        self.outs
+            .values_mut()
+            .filter(|o| o.start.kind == kind)
+            .for_each(|o| o.expectation = None);
     }
 
     /// What is expected of an attempt; looked up again now and then.
@@ -483,19 +524,34 @@
             return Some(expected);
         }
         let s = &o.start;
-        let expected = self.book.expect(s.kind, s.class, &self.cfg.classes[s.class], s.announced);
+        let expected = self
+            .book
+            .expect(s.kind, s.class, &self.cfg.classes[s.class], s.announced);
         o.expectation = Some((now, expected));
         Some(expected)
     }
 
     pub(crate) fn expected(&self, attempt: AttemptId) -> Option<&Expectation> {
-        self.outs.get(&attempt)?.expectation.as_ref().map(|(_, e)| e)
+        self.outs
+            .get(&attempt)?
+            .expectation
+            .as_ref()
+            .map(|(_, e)| e)
     }
 
     /// How slow an engine is, by what ended and runs there, one statement left out.
-    pub(crate) fn slowness(&self, now: Micros, engine: EngineId, without: Option<AttemptId>) -> (f64, usize) {
+    pub(crate) fn slowness(
+        &self,
+        now: Micros,
+        engine: EngineId,
+        without: Option<AttemptId>,
+    ) -> (f64, usize) {
         let running: Vec<Sample> = match self.samples.get(&engine) {
-            Some(all) => all.iter().filter(|s| Some(s.0) != without).map(|s| s.1).collect(),
+            Some(all) => all
+                .iter()
+                .filter(|s| Some(s.0) != without)
+                .map(|s| s.1)
+                .collect(),
             None => Vec::new(),
         };
         self.paces.slowness(now, engine, &running)
@@ -509,14 +565,29 @@
             .iter()
             .filter(|(_, o)| o.gone.is_none())
             .filter(|(_, o)| !o.held_up && o.flowing.is_none())
-            .filter(|(_, o)| !self.findings.is_runaway(&Subject::Statement(o.start.name.clone())))
+            .filter(|(_, o)| {
+                !self
+                    .findings
+                    .is_runaway(&Subject::Statement(o.start.name.clone()))
+            })
             .filter_map(|(id, o)| {
                 let e = self.expected(*id).filter(|e| e.known)?;
                 // Of one that runs, what it has taken is the least that it will. Work that its engine tells is its own:
                 // what is larger than usual takes longer at any engine, and says nothing of this one.
-                let larger = o.news.work.map_or(1.0, |work| work as f64 / e.work.usual.max(1.0)).max(1.0);
+                let larger = o
+                    .news
+                    .work
+                    .map_or(1.0, |work| work as f64 / e.work.usual.max(1.0))
+                    .max(1.0);
                 let times = o.moved(now) / (e.run.usual.max(1.0) * larger);
-                (times >= 2.0).then_some((o.start.engine, *id, Sample { kind: o.start.kind, times }))
+                (times >= 2.0).then_some((
+                    o.start.engine,
+                    *id,
+                    Sample {
+                        kind: o.start.kind,
+                        times,
+                    },
+                ))
             });
         for (engine, id, sample) in all {
             samples.entry(engine).or_default().push((id, sample));
--- a/crates/runaway/tests/acts.rs
+++ b/crates/runaway/tests/acts.rs
@@ -5,7 +5,13 @@
 use hoptiller::{EngineId, Held, Hold};
 use hoptiller_runaway::*;
 
-const ALL: Acts = Acts { name: true, hold: true, lower: true, pause: true, end: true };
+const ALL: Acts = Acts {
+    name: true,
+    hold: true,
+    lower: true,
+    pause: true,
+    end: true,
+};
 
 fn acts_on(w: &World) -> Vec<&Decision> {
     let act = |d: &&Decision| !matches!(d, Decision::Found(_) | Decision::Hold(_));
@@ -18,7 +24,13 @@
     w.start(REPORT, REPORT as u64, 0, 900e6);
     w.go(60);
     assert!(w.runaways().len() == 1 && w.holds().len() == 1 && acts_on(&w).is_empty());
-    let mut w = World::with_past(Acts { name: true, ..Acts::default() }, 4);
+    let mut w = World::with_past(
+        Acts {
+            name: true,
+            ..Acts::default()
+        },
+        4,
+    );
     w.start(REPORT, REPORT as u64, 0, 900e6);
     w.go(60);
     assert!(w.runaways().len() == 1 && w.holds().is_empty());
@@ -31,7 +43,14 @@
     w.go(60);
     let attempt = World::attempt(id);
     let acts = acts_on(&w);
-    assert_eq!(acts, [&Decision::Pause(attempt), &Decision::End(attempt), &Decision::Resume(attempt)]);
+    assert_eq!(
+        acts,
+        [
+            &Decision::Pause(attempt),
+            &Decision::End(attempt),
+            &Decision::Resume(attempt)
+        ]
+    );
     assert!(w.holds()[0].last, "its kind runs behind others");
 }
 
@@ -118,7 +137,11 @@
     assert_eq!(next.watch.save(), next.watch.save());
     let id = next.start(LOOKUP, LOOKUP as u64, 0, 900e6);
     next.go(10);
-    assert_eq!(next.runaways(), [(name(id), Cause::Heavy)], "by what the former life had learnt");
+    assert_eq!(
+        next.runaways(),
+        [(name(id), Cause::Heavy)],
+        "by what the former life had learnt"
+    );
 }
 
 #[test]
@@ -153,7 +176,10 @@
         check(&changed);
     }
     assert_eq!(check(b""), SnapshotError::Foreign);
-    assert_eq!(check(b"\x7fELF\x00\x00 something else"), SnapshotError::Foreign);
+    assert_eq!(
+        check(b"\x7fELF\x00\x00 something else"),
+        SnapshotError::Foreign
+    );
     assert_eq!(check(&saved[..saved.len() - 1]), SnapshotError::Damaged);
     let body = br#"{"classes":[],"kinds":[{"id":1}],"holds":[]}"#;
     let sum = blake3::hash(body).to_hex();
@@ -167,13 +193,20 @@
     let id = w.start(REPORT, REPORT as u64, 0, 4e6);
     w.lose(id);
     for done in [f64::NAN, -1.0, 7.0, f64::INFINITY] {
-        let news = News { work: Some(0), done: Some(done), memory_mb: Some(done), ..News::default() };
+        let news = News {
+            work: Some(0),
+            done: Some(done),
+            memory_mb: Some(done),
+            ..News::default()
+        };
         w.watch.told(w.now, World::attempt(id), news);
         w.go(1);
     }
     w.behind(id, &name(id));
-    w.watch.told(w.now, World::attempt(999_999), News::default());
-    w.watch.ended(w.now, World::attempt(999_999), End::Good, Some(1));
+    w.watch
+        .told(w.now, World::attempt(999_999), News::default());
+    w.watch
+        .ended(w.now, World::attempt(999_999), End::Good, Some(1));
     w.watch.flowing(w.now, World::attempt(999_999));
     w.watch.restarted(w.now, EngineId(77));
     w.watch.listed(Vec::new());
--- a/crates/runaway/tests/common.rs
+++ b/crates/runaway/tests/common.rs
@@ -14,10 +14,24 @@
 
 pub fn class(name: &str, aim: Micros, threads: f64, effect: Effect, acts: Acts) -> Class {
     let holds = effect == Effect::Unsafe;
-    Class { name: name.into(), aim, patience: 25 * S, threads, effect, holds, acts }
+    Class {
+        name: name.into(),
+        aim,
+        patience: 25 * S,
+        threads,
+        effect,
+        holds,
+        acts,
+    }
 }
 
-pub const NAME_AND_HOLD: Acts = Acts { name: true, hold: true, lower: false, pause: false, end: false };
+pub const NAME_AND_HOLD: Acts = Acts {
+    name: true,
+    hold: true,
+    lower: false,
+    pause: false,
+    end: false,
+};
 
 pub fn settings(acts: Acts) -> Settings {
     Settings {
@@ -72,9 +86,21 @@
     pub fn of(settings: Settings, engines: u32) -> World {
         let threads = settings.classes.iter().map(|c| c.threads).collect();
         let mut watch = Watch::new(settings);
-        let listed = |n| Listed { engine: EngineId(n), up: true, classes: vec![true; 3] };
+        let listed = |n| Listed {
+            engine: EngineId(n),
+            up: true,
+            classes: vec![true; 3],
+        };
         watch.listed((0..engines).map(listed).collect());
-        World { watch, now: 100 * S, notes: true, running: vec![], heard: vec![], next: 0, threads }
+        World {
+            watch,
+            now: 100 * S,
+            notes: true,
+            running: vec![],
+            heard: vec![],
+            next: 0,
+            threads,
+        }
     }
 
     /// A world in which each of three kinds has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
@@ -123,7 +149,10 @@
         let kind = KindId(job.kind);
         let label: Rc<str> = format!("kind {}", job.kind).into();
         let held_as = self.watch.arrived(self.now, kind, job.class, &label);
-        let attempt = AttemptId { statement: job.id, hop: 0 };
+        let attempt = AttemptId {
+            statement: job.id,
+            hop: 0,
+        };
         let start = Start {
             attempt,
             engine: EngineId(job.engine),
@@ -142,14 +171,20 @@
     }
 
     pub fn attempt(id: u64) -> AttemptId {
-        AttemptId { statement: id, hop: 0 }
+        AttemptId {
+            statement: id,
+            hop: 0,
+        }
     }
 
     pub fn finish(&mut self, id: u64) {
-        let Some(at) = self.running.iter().position(|j| j.id == id) else { return };
+        let Some(at) = self.running.iter().position(|j| j.id == id) else {
+            return;
+        };
         let job = self.running.swap_remove(at);
         let work = Some(job.work as Micros).filter(|_| self.notes);
-        self.watch.ended(self.now, World::attempt(id), End::Good, work);
+        self.watch
+            .ended(self.now, World::attempt(id), End::Good, work);
         self.hear();
     }
 
@@ -191,17 +226,33 @@
 
     /// An engine tells that one stands still.
     pub fn stands(&mut self, id: u64, why: Stands) {
-        let news = News { stands: Some(why), ..News::default() };
+        let news = News {
+            stands: Some(why),
+            ..News::default()
+        };
         self.watch.told(self.now, World::attempt(id), news);
     }
 
     pub fn behind(&mut self, id: u64, holder: &str) {
-        let holder = Holder { name: holder.into(), class: None, age: None };
+        let holder = Holder {
+            name: holder.into(),
+            class: None,
+            age: None,
+        };
         self.stands(id, Stands::Behind(Some(holder)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
-        self.heard.iter().filter_map(|d| if let Decision::Found(f) = d { Some(&**f) } else { None }).collect()
+        self.heard
+            .iter()
+            .filter_map(|d| {
+                if let Decision::Found(f) = d {
+                    Some(&**f)
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 
     /// Names of statements found to be runaways.
@@ -211,14 +262,31 @@
             Subject::Statement(name) => name.clone(),
             other => format!("{other:?}"),
         };
-        self.found().into_iter().filter(of).map(|f| (name(f), f.cause)).collect()
+        self.found()
+            .into_iter()
+            .filter(of)
+            .map(|f| (name(f), f.cause))
+            .collect()
     }
 
     pub fn notices(&self) -> Vec<Cause> {
-        self.found().into_iter().filter(|f| f.verdict == Verdict::Notice).map(|f| f.cause).collect()
+        self.found()
+            .into_iter()
+            .filter(|f| f.verdict == Verdict::Notice)
+            .map(|f| f.cause)
+            .collect()
     }
 
     pub fn holds(&self) -> Vec<&Hold> {
-        self.heard.iter().filter_map(|d| if let Decision::Hold(h) = d { Some(h) } else { None }).collect()
+        self.heard
+            .iter()
+            .filter_map(|d| {
+                if let Decision::Hold(h) = d {
+                    Some(h)
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 }
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -18,14 +18,19 @@
 fn saved_by_a_world() -> Vec<u8> {
     let mut world = World::with_past(NAME_AND_HOLD, 4);
     let mut job = world.job(REPORT, REPORT as u64, 1, 40e6);
-    job.announced = Announced { size: 12, estimate: Some(5_000_000) };
+    job.announced = Announced {
+        size: 12,
+        estimate: Some(5_000_000),
+    };
     world.run(job);
     world.go(25);
     world.start(REPORT, REPORT as u64, 0, 400e6);
     world.go(12);
     assert!(!world.holds().is_empty(), "the fixture must contain a hold");
     let mut fresh = Watch::new(settings(NAME_AND_HOLD));
-    fresh.restore(RESTORED_AT, &world.watch.save()).expect("restored");
+    fresh
+        .restore(RESTORED_AT, &world.watch.save())
+        .expect("restored");
     fresh.save()
 }
 
@@ -36,13 +41,24 @@
     }
     let stored = std::fs::read(fixture()).expect("the fixture exists");
     let mut watch = Watch::new(settings(NAME_AND_HOLD));
-    let restored = watch.restore(RESTORED_AT, &stored).expect("an old snapshot can be read");
-    assert_eq!((restored.kinds, restored.holds, restored.dropped), (3, 1, 0));
-    assert_eq!(String::from_utf8_lossy(&stored), String::from_utf8_lossy(&watch.save()));
+    let restored = watch
+        .restore(RESTORED_AT, &stored)
+        .expect("an old snapshot can be read");
+    assert_eq!(
+        (restored.kinds, restored.holds, restored.dropped),
+        (3, 1, 0)
+    );
+    assert_eq!(
+        String::from_utf8_lossy(&stored),
+        String::from_utf8_lossy(&watch.save())
+    );
 }
 
 #[test]
 fn a_snapshot_of_the_same_past_has_the_same_bytes() {
     let stored = std::fs::read(fixture()).expect("the fixture exists");
-    assert_eq!(String::from_utf8_lossy(&stored), String::from_utf8_lossy(&saved_by_a_world()));
+    assert_eq!(
+        String::from_utf8_lossy(&stored),
+        String::from_utf8_lossy(&saved_by_a_world())
+    );
 }
