--- a/crates/runaway/tests/verdicts.rs
+++ b/crates/runaway/tests/verdicts.rs
@@ -11,13 +11,27 @@
     let id = w.start(REPORT, REPORT as u64, 0, 400e6);
     w.go(10);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
-    let f = w.found().into_iter().find(|f| f.verdict == Verdict::Runaway).expect("found").clone();
+    let f = w
+        .found()
+        .into_iter()
+        .find(|f| f.verdict == Verdict::Runaway)
+        .expect("found")
+        .clone();
     assert_eq!(f.evidence.measure, Measure::WorkToCome);
     assert!(matches!(f.evidence.basis, Basis::Kind(n) if n >= 100));
-    assert!(f.evidence.figure > f.evidence.bar && f.at - f.started < 10 * S, "{f:?}");
-    assert!(w.found().iter().any(|f| f.verdict == Verdict::Suspect), "suspected before it is found");
+    assert!(
+        f.evidence.figure > f.evidence.bar && f.at - f.started < 10 * S,
+        "{f:?}"
+    );
+    assert!(
+        w.found().iter().any(|f| f.verdict == Verdict::Suspect),
+        "suspected before it is found"
+    );
     let hold = w.holds();
-    assert!(hold.len() == 1 && hold[0].of == Held::Kind(REPORT as u64) && hold[0].most == 2, "{hold:?}");
+    assert!(
+        hold.len() == 1 && hold[0].of == Held::Kind(REPORT as u64) && hold[0].most == 2,
+        "{hold:?}"
+    );
     assert_eq!(hold[0].closed.len(), 3);
 }
 
@@ -35,14 +49,24 @@
 #[test]
 fn a_year_end_report_of_ten_times_the_median_is_left_alone() {
     for notes in [true, false] {
-        for announced in [Announced::default(), Announced { size: 12, estimate: None }] {
+        for announced in [
+            Announced::default(),
+            Announced {
+                size: 12,
+                estimate: None,
+            },
+        ] {
             let mut w = World::with_past(NAME_AND_HOLD, 4);
             w.notes = notes;
             let mut job = w.job(REPORT, REPORT as u64, 0, 40e6);
             job.announced = announced;
             w.run(job);
             w.go(25);
-            assert!(w.running.is_empty() && w.found().is_empty(), "{:?}", w.found());
+            assert!(
+                w.running.is_empty() && w.found().is_empty(),
+                "{:?}",
+                w.found()
+            );
         }
     }
 }
@@ -64,7 +88,9 @@
     load.group = Some(77);
     let load = w.run(load);
     w.go(2);
-    let lookups: Vec<u64> = (0..40).map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0)).collect();
+    let lookups: Vec<u64> = (0..40)
+        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .collect();
     let held: Vec<u64> = lookups.clone();
     w.running.retain(|j| !held.contains(&j.id));
     for _ in 0..12 {
@@ -73,13 +99,24 @@
     }
     assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
     let f = w.watch.open().next().expect("stands").clone();
-    assert_eq!((f.blocked, f.blocks.len(), w.watch.open().count()), (40, 40, 1));
+    assert_eq!(
+        (f.blocked, f.blocks.len(), w.watch.open().count()),
+        (40, 40, 1)
+    );
     // Those who read the same tables are kept away from that engine; when it is over, no longer.
-    let away = Hold { of: Held::Group(77), most: u32::MAX, closed: vec![EngineId(2)], last: false };
+    let away = Hold {
+        of: Held::Group(77),
+        most: u32::MAX,
+        closed: vec![EngineId(2)],
+        last: false,
+    };
     assert!(w.holds().contains(&&away), "{:?}", w.holds());
     w.finish(load);
     w.go(1);
-    assert_eq!(w.holds().iter().filter(|h| h.of == Held::Group(77)).count(), 2);
+    assert_eq!(
+        w.holds().iter().filter(|h| h.of == Held::Group(77)).count(),
+        2
+    );
     assert_eq!(w.watch.kept_away().count(), 0);
 }
 
@@ -127,7 +164,11 @@
             }
             w.go(1);
         }
-        assert_eq!((w.runaways(), w.notices()), (vec![], vec![Cause::SlowEngine]), "notes: {notes}");
+        assert_eq!(
+            (w.runaways(), w.notices()),
+            (vec![], vec![Cause::SlowEngine]),
+            "notes: {notes}"
+        );
         let subject = w.watch.open().next().map(|f| f.subject.clone());
         assert_eq!(subject, Some(Subject::Engine(EngineId(3))));
     }
@@ -144,7 +185,11 @@
     w.go(25);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
     let f = w.watch.open().next().expect("stands");
-    assert!(matches!(f.evidence.basis, Basis::Class(_)), "{:?}", f.evidence);
+    assert!(
+        matches!(f.evidence.basis, Basis::Class(_)),
+        "{:?}",
+        f.evidence
+    );
 }
 
 #[test]
@@ -152,17 +197,26 @@
     let mut w = World::new(NAME_AND_HOLD, 4);
     w.start(LOOKUP, 1, 0, 10e6);
     w.go(12);
-    assert!(w.found().is_empty(), "ten seconds of a class whose clients wait 25");
+    assert!(
+        w.found().is_empty(),
+        "ten seconds of a class whose clients wait 25"
+    );
     let id = w.start(LOOKUP, 1, 0, 900e6);
     w.go(29);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
-    assert_eq!(w.watch.open().next().map(|f| f.evidence.basis), Some(Basis::Settings));
+    assert_eq!(
+        w.watch.open().next().map(|f| f.evidence.basis),
+        Some(Basis::Settings)
+    );
 }
 
 #[test]
 fn two_that_block_each_other_are_both_named_and_who_stands_behind_them_is_not() {
     let mut w = World::with_past(NAME_AND_HOLD, 4);
-    let (a, b) = (w.start(LOAD, LOAD as u64, 1, 4e6), w.start(LOAD, LOAD as u64, 1, 4e6));
+    let (a, b) = (
+        w.start(LOAD, LOAD as u64, 1, 4e6),
+        w.start(LOAD, LOAD as u64, 1, 4e6),
+    );
     let c = w.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
     w.running.clear();
     for _ in 0..6 {
@@ -173,11 +227,21 @@
     }
     let mut found = w.runaways();
     found.sort();
-    assert_eq!(found, [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]);
+    assert_eq!(
+        found,
+        [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]
+    );
     // The circle is broken: neither is at fault any more.
     w.finish(b);
     for id in [a, c] {
-        w.watch.told(w.now, World::attempt(id), News { work: Some(1), ..News::default() });
+        w.watch.told(
+            w.now,
+            World::attempt(id),
+            News {
+                work: Some(1),
+                ..News::default()
+            },
+        );
     }
     w.go(2);
     assert!(
@@ -197,7 +261,10 @@
     }
     assert_eq!(w.notices(), [Cause::KindChanged], "one notice");
     assert!(w.runaways().len() <= 1, "{:?}", w.runaways());
-    assert!(w.watch.holds().next().is_none(), "a changed kind is not held");
+    assert!(
+        w.watch.holds().next().is_none(),
+        "a changed kind is not held"
+    );
     w.go(60);
     assert_eq!(w.watch.open().count(), 0, "the new figures are usual now");
     w.heard.clear();
@@ -214,7 +281,12 @@
     let mut w = World::with_past(NAME_AND_HOLD, 4);
     // Chance has given engine 0 hardly any of the usual ones.
     for n in 0..36u32 {
-        w.start(REPORT, REPORT as u64, if n == 0 { 0 } else { 1 + n % 3 }, 4e6);
+        w.start(
+            REPORT,
+            REPORT as u64,
+            if n == 0 { 0 } else { 1 + n % 3 },
+            4e6,
+        );
     }
     w.go(3);
     assert!(w.running.is_empty(), "usual ones have ended");
@@ -233,9 +305,13 @@
         w.start(REPORT, REPORT as u64, n % 4, 4e6);
         w.go(1);
     }
-    assert_eq!((w.runaways(), w.notices()), (vec![(name(id), Cause::Heavy)], vec![]));
+    assert_eq!(
+        (w.runaways(), w.notices()),
+        (vec![(name(id), Cause::Heavy)], vec![])
+    );
     // It taught nothing: the next one is found as fast.
-    w.watch.ended(w.now, World::attempt(id), End::Good, Some(900 * S));
+    w.watch
+        .ended(w.now, World::attempt(id), End::Good, Some(900 * S));
     w.lose(id);
     w.hear();
     let next = w.start(REPORT, REPORT as u64, 0, 900e6);
@@ -246,7 +322,11 @@
 #[test]
 fn waiting_for_memory_excuses_and_whoever_takes_it_all_is_named() {
     let mut w = World::new(NAME_AND_HOLD, 2);
-    let memory = |mb: f64| News { work: Some(1000), memory_mb: Some(mb), ..News::default() };
+    let memory = |mb: f64| News {
+        work: Some(1000),
+        memory_mb: Some(mb),
+        ..News::default()
+    };
     for _ in 0..40 {
         let id = w.start(REPORT, 1, 0, 4e6);
         w.watch.told(w.now, World::attempt(id), memory(200.0));
@@ -262,7 +342,11 @@
         w.go(1);
     }
     assert_eq!(w.runaways(), [(name(hog), Cause::Memory)]);
-    assert_eq!(w.watch.open().count(), 1, "a hundred seconds of standing are nobody's fault");
+    assert_eq!(
+        w.watch.open().count(),
+        1,
+        "a hundred seconds of standing are nobody's fault"
+    );
 }
 
 #[test]
@@ -276,7 +360,11 @@
             w.watch.told(
                 w.now,
                 World::attempt(id),
-                News { work: Some(work), spills: true, ..News::default() },
+                News {
+                    work: Some(work),
+                    spills: true,
+                    ..News::default()
+                },
             );
             w.go(1);
         }
@@ -314,8 +402,12 @@
     w.go(2);
     w.watch.flowing(w.now, World::attempt(id));
     w.go(120);
-    assert_eq!((w.runaways(), w.notices()), (vec![], vec![Cause::SlowReader]));
-    w.watch.ended(w.now, World::attempt(id), End::Good, Some(4 * S));
+    assert_eq!(
+        (w.runaways(), w.notices()),
+        (vec![], vec![Cause::SlowReader])
+    );
+    w.watch
+        .ended(w.now, World::attempt(id), End::Good, Some(4 * S));
     assert_eq!(w.watch.open().count(), 0);
 }
 
@@ -339,14 +431,21 @@
     let load = w.run(load);
     w.lose(load);
     w.go(1);
-    w.watch.ended(w.now, World::attempt(load), End::GoesOn, None);
+    w.watch
+        .ended(w.now, World::attempt(load), End::GoesOn, None);
     let blocked = |w: &mut World, holder: &str, age| {
-        let waiting: Vec<u64> = (0..10).map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0)).collect();
+        let waiting: Vec<u64> = (0..10)
+            .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+            .collect();
         w.running.clear();
         for second in 0..12 {
             for id in &waiting {
                 let age = Some(age + second * S);
-                let holder = Holder { name: holder.into(), class: Some(LOAD), age };
+                let holder = Holder {
+                    name: holder.into(),
+                    class: Some(LOAD),
+                    age,
+                };
                 w.stands(*id, Stands::Behind(Some(holder)));
             }
             w.go(1);
@@ -355,11 +454,19 @@
     };
     blocked(&mut w, &name(load), S);
     assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
-    assert!(w.watch.kept_away().any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..])));
+    assert!(
+        w.watch
+            .kept_away()
+            .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
+    );
     // Its engine's process is another one: it is gone with the old one.
     w.watch.restarted(w.now, EngineId(2));
     w.go(1);
-    assert!(w.watch.open().all(|f| f.subject != Subject::Statement(name(load))));
+    assert!(
+        w.watch
+            .open()
+            .all(|f| f.subject != Subject::Statement(name(load)))
+    );
     // One of a router that died, of which nothing was ever known here.
     w.heard.clear();
     let waiting = blocked(&mut w, "r2/00009_gone", 40 * S);
@@ -368,7 +475,11 @@
         w.watch.ended(w.now, World::attempt(id), End::Failed, None);
     }
     w.go(60);
-    assert!(w.watch.open().all(|f| f.subject != Subject::Statement("r2/00009_gone".into())));
+    assert!(
+        w.watch
+            .open()
+            .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
+    );
     assert_eq!(w.watch.sizes().2, 0, "and it is forgotten");
 }
 
@@ -379,11 +490,26 @@
     w.running.clear();
     for _ in 0..20 {
         let stands = Some(Stands::Behind(None));
-        w.watch.told(w.now, World::attempt(id), News { work: Some(400 * S), stands, ..News::default() });
+        w.watch.told(
+            w.now,
+            World::attempt(id),
+            News {
+                work: Some(400 * S),
+                stands,
+                ..News::default()
+            },
+        );
         w.go(1);
     }
     assert_eq!(w.runaways(), []);
-    w.watch.told(w.now, World::attempt(id), News { work: Some(400 * S), ..News::default() });
+    w.watch.told(
+        w.now,
+        World::attempt(id),
+        News {
+            work: Some(400 * S),
+            ..News::default()
+        },
+    );
     w.go(3);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)], "it moves again");
 }
@@ -424,7 +550,9 @@
 #[test]
 fn a_holder_whose_age_is_not_told_is_as_old_as_what_is_known_of_it() {
     let mut w = World::with_past(NAME_AND_HOLD, 4);
-    let waiting: Vec<u64> = (0..10).map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0)).collect();
+    let waiting: Vec<u64> = (0..10)
+        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .collect();
     w.running.clear();
     for _ in 0..15 {
         waiting.iter().for_each(|id| w.behind(*id, "r2/00009_x"));
@@ -436,14 +564,23 @@
 #[test]
 fn a_load_that_stood_behind_another_is_not_blamed_for_that_time() {
     let mut w = World::with_past(NAME_AND_HOLD, 4);
-    let waiting: Vec<u64> = (0..3).map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0)).collect();
+    let waiting: Vec<u64> = (0..3)
+        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .collect();
     w.running.clear();
     for second in 0..30u64 {
         // The first runs away; the second came with it, and runs only from then on.
-        let (name, age) =
-            if second < 27 { ("r2/00001_x", second * S) } else { ("r2/00002_x", (second - 27) * S) };
+        let (name, age) = if second < 27 {
+            ("r2/00001_x", second * S)
+        } else {
+            ("r2/00002_x", (second - 27) * S)
+        };
         for id in &waiting {
-            let holder = Holder { name: name.into(), class: Some(LOAD), age: Some(age) };
+            let holder = Holder {
+                name: name.into(),
+                class: Some(LOAD),
+                age: Some(age),
+            };
             w.stands(*id, Stands::Behind(Some(holder)));
         }
         w.go(1);
@@ -465,18 +602,30 @@
         for second in 0..seconds {
             for id in &ids {
                 let age = Some((60 + second) * S);
-                let holder = Holder { name: "r2/00009_x".into(), class: Some(LOAD), age };
+                let holder = Holder {
+                    name: "r2/00009_x".into(),
+                    class: Some(LOAD),
+                    age,
+                };
                 w.stands(*id, Stands::Behind(Some(holder)));
             }
             w.go(1);
         }
-        ids.iter().for_each(|id| w.watch.ended(w.now, World::attempt(*id), End::Failed, None));
+        ids.iter()
+            .for_each(|id| w.watch.ended(w.now, World::attempt(*id), End::Failed, None));
+    };
+    let away = |w: &World| {
+        w.watch
+            .kept_away()
+            .any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]))
     };
-    let away = |w: &World| w.watch.kept_away().any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]));
     stand(&mut w, 10, 6);
     assert!(away(&w));
     w.go(15);
-    assert!(away(&w), "nothing stands behind it just now: it is kept in mind");
+    assert!(
+        away(&w),
+        "nothing stands behind it just now: it is kept in mind"
+    );
     w.go(6);
     assert!(!away(&w), "tried again");
     // One alone that meets it again is enough.
@@ -503,10 +652,21 @@
         w.go(20);
     }
     let together = Held::Kind(KindId::unknown("lookup").0);
-    assert!(w.holds().iter().any(|h| h.of == together), "{:?}", w.holds());
+    assert!(
+        w.holds().iter().any(|h| h.of == together),
+        "{:?}",
+        w.holds()
+    );
     let label = "x".into();
-    assert_eq!(w.watch.arrived(w.now, KindId(3_000_000), LOOKUP, &label), KindId::unknown("lookup"));
-    assert_eq!(w.watch.arrived(w.now, KindId(LOOKUP as u64), LOOKUP, &label), KindId(LOOKUP as u64));
+    assert_eq!(
+        w.watch.arrived(w.now, KindId(3_000_000), LOOKUP, &label),
+        KindId::unknown("lookup")
+    );
+    assert_eq!(
+        w.watch
+            .arrived(w.now, KindId(LOOKUP as u64), LOOKUP, &label),
+        KindId(LOOKUP as u64)
+    );
 }
 
 #[test]
@@ -514,7 +674,12 @@
     let play = || {
         let mut w = World::with_past(NAME_AND_HOLD, 4);
         for n in 0..40u32 {
-            w.start(REPORT, REPORT as u64, n % 4, if n % 7 == 0 { 300e6 } else { 4e6 });
+            w.start(
+                REPORT,
+                REPORT as u64,
+                n % 4,
+                if n % 7 == 0 { 300e6 } else { 4e6 },
+            );
             w.go(1);
         }
         (format!("{:?}", w.heard), w.watch.save())
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -46,7 +46,10 @@
                             self.instances.insert(h.i, instance);
                         }
                         Err(e) => {
-                            actions.push(wire::Action::InternalError { i: h.i, body_text: e.to_string() });
+                            actions.push(wire::Action::InternalError {
+                                i: h.i,
+                                body_text: e.to_string(),
+                            });
                         }
                     }
                 }
@@ -55,21 +58,35 @@
                     pending.remove(&o.i);
                 }
                 wire::Event::Sync(s) => {
-                    let Some(instance) = self.instances.get(&s.i) else { continue };
+                    let Some(instance) = self.instances.get(&s.i) else {
+                        continue;
+                    };
                     let entries = match self.rosters.get(&s.table) {
                         _ if s.scope == wire::Scope::Refused => Vec::new(),
                         Some(list) => list.iter().map(|e| instance.entry(e)).collect(),
-                        None => return Err(format!("sync: `table` {} was never declared", s.table)),
+                        None => {
+                            return Err(format!("sync: `table` {} was never declared", s.table));
+                        }
                     };
-                    pending.entry(s.i).or_default().push(core::Event::List(scope(s.scope), entries));
+                    pending
+                        .entry(s.i)
+                        .or_default()
+                        .push(core::Event::List(scope(s.scope), entries));
                 }
                 wire::Event::WorkItem(w) => {
-                    let Some(instance) = self.instances.get_mut(&w.i) else { continue };
+                    let Some(instance) = self.instances.get_mut(&w.i) else {
+                        continue;
+                    };
                     let arrival = instance.arrival(&w)?;
-                    pending.entry(w.i).or_default().push(core::Event::Arrival(arrival));
+                    pending
+                        .entry(w.i)
+                        .or_default()
+                        .push(core::Event::Arrival(arrival));
                 }
                 wire::Event::Outcome(o) => {
-                    let Some(instance) = self.instances.get(&o.i) else { continue };
+                    let Some(instance) = self.instances.get(&o.i) else {
+                        continue;
+                    };
                     let events = pending.entry(o.i).or_default();
                     events.extend(instance.outcome(&o).map(core::Event::Outcome));
                 }
@@ -81,13 +98,23 @@
                     }
                 }
                 wire::Event::Notice(n) => {
-                    let Some(instance) = self.instances.get(&n.i) else { continue };
+                    let Some(instance) = self.instances.get(&n.i) else {
+                        continue;
+                    };
                     pending.entry(n.i).or_default().extend(instance.note(&n));
                 }
                 wire::Event::Dropped(d) => {
-                    let Some(instance) = self.instances.get(&d.i) else { continue };
+                    let Some(instance) = self.instances.get(&d.i) else {
+                        continue;
+                    };
                     let events = pending.entry(d.i).or_default();
-                    events.extend(instance.requests.get(&d.handle).copied().map(core::Event::Dropped));
+                    events.extend(
+                        instance
+                            .requests
+                            .get(&d.handle)
+                            .copied()
+                            .map(core::Event::Dropped),
+                    );
                 }
                 wire::Event::Wakeup(o) | wire::Event::Started(o) | wire::Event::Memo(o) => {
                     pending.entry(o.i).or_default().push(core::Event::Wakeup);
@@ -95,7 +122,9 @@
             }
         }
         for (i, events) in pending {
-            let Some(instance) = self.instances.get_mut(&i) else { continue };
+            let Some(instance) = self.instances.get_mut(&i) else {
+                continue;
+            };
             let mut out = Vec::new();
             let run = AssertUnwindSafe(|| instance.controller.handle(now, &events, &mut out));
             match catch_unwind(run) {
@@ -106,7 +135,11 @@
                 }
             }
         }
-        serde_json::to_string(&wire::Reply { batch: batch.batch, actions }).map_err(|e| e.to_string())
+        serde_json::to_string(&wire::Reply {
+            batch: batch.batch,
+            actions,
+        })
+        .map_err(|e| e.to_string())
     }
 }
 
@@ -147,7 +180,10 @@
         self.handles.push(w.handle.clone());
         self.requests.insert(w.handle.clone(), request);
         let fresh = core::KeyId(self.keys.len() as u64);
-        let key = w.table.as_ref().map(|k| *self.keys.entry(k.clone()).or_insert(fresh));
+        let key = w
+            .table
+            .as_ref()
+            .map(|k| *self.keys.entry(k.clone()).or_insert(fresh));
         Ok(core::Arrival {
             request,
             class,
@@ -171,7 +207,12 @@
             _ => return None,
         };
         let request = *self.requests.get(&n.handle)?;
-        Some(core::Event::Note { request, hop: n.hop, engine: core::EngineId(n.engine), progress })
+        Some(core::Event::Note {
+            request,
+            hop: n.hop,
+            engine: core::EngineId(n.engine),
+            progress,
+        })
     }
 
     fn outcome(&self, o: &wire::Outcome) -> Option<core::Outcome> {
@@ -200,19 +241,46 @@
     fn action(&self, i: u64, action: core::Action) -> wire::Action {
         let name = |r: core::RequestId| self.handles[r.0 as usize].clone();
         match action {
-            core::Action::Send { request, engine, .. } => {
-                wire::Action::HandOff { i, handle: name(request), engine: engine.0 }
-            }
-            core::Action::Terms { request, priority, grant } => {
-                wire::Action::Allot { i, handle: name(request), workspace_mb: grant, prio: priority }
-            }
-            core::Action::Cancel { request, hop } => wire::Action::Withdraw { i, handle: name(request), hop },
-            core::Action::Refuse { request, hold_off } => {
-                wire::Action::Busy { i, handle: name(request), hold_off: hold_off.map(millis) }
-            }
-            core::Action::Fail(request) => wire::Action::EndFailed { i, handle: name(request) },
-            core::Action::Probe(engine) => wire::Action::AskLoad { i, engine: engine.0 },
-            core::Action::Timer(after) => wire::Action::NotifyMe { i, reference: 0, after: millis(after) },
+            core::Action::Send {
+                request, engine, ..
+            } => wire::Action::HandOff {
+                i,
+                handle: name(request),
+                engine: engine.0,
+            },
+            core::Action::Terms {
+                request,
+                priority,
+                grant,
+            } => wire::Action::Allot {
+                i,
+                handle: name(request),
+                workspace_mb: grant,
+                prio: priority,
+            },
+            core::Action::Cancel { request, hop } => wire::Action::Withdraw {
+                i,
+                handle: name(request),
+                hop,
+            },
+            core::Action::Refuse { request, hold_off } => wire::Action::Busy {
+                i,
+                handle: name(request),
+                hold_off: hold_off.map(millis),
+            },
+            core::Action::Fail(request) => wire::Action::EndFailed {
+                i,
+                handle: name(request),
+            },
+            core::Action::Probe(engine) => wire::Action::AskLoad {
+                i,
+                engine: engine.0,
+            },
+            core::Action::Timer(after) => wire::Action::NotifyMe {
+                i,
+                reference: 0,
+                after: millis(after),
+            },
             core::Action::Subscribe => wire::Action::StreamChanges { i, on: true },
         }
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -11,9 +11,13 @@
     let mut host = host::Host::default();
     let mut stdout = io::stdout().lock();
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let reply = line
-            .map_err(|e| e.to_string())
-            .and_then(|l| if l.trim().is_empty() { Ok(None) } else { host.reply(&l).map(Some) });
+        let reply = line.map_err(|e| e.to_string()).and_then(|l| {
+            if l.trim().is_empty() {
+                Ok(None)
+            } else {
+                host.reply(&l).map(Some)
+            }
+        });
         let reply = match reply {
             Ok(Some(reply)) => reply,
             Ok(None) => continue,
@@ -22,7 +26,10 @@
                 return ExitCode::from(2);
             }
         };
-        if writeln!(stdout, "{reply}").and_then(|()| stdout.flush()).is_err() {
+        if writeln!(stdout, "{reply}")
+            .and_then(|()| stdout.flush())
+            .is_err()
+        {
             return ExitCode::from(3);
         }
     }
--- a/crates/simhost/tests/recorded.rs
+++ b/crates/simhost/tests/recorded.rs
@@ -4,7 +4,9 @@
 use std::process::{Command, Stdio};
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 #[test]
@@ -16,13 +18,24 @@
         .expect("the adapter starts");
     assert!(output.status.success());
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(fixture("output.jsonl"), &output.stdout).expect("the fixture can be written");
+        std::fs::write(fixture("output.jsonl"), &output.stdout)
+            .expect("the fixture can be written");
     }
     let pinned = std::fs::read_to_string(fixture("output.jsonl")).expect("the fixture exists");
-    for action in
-        ["handOff", "allot", "busy", "endFailed", "withdraw", "askLoad", "notifyMe", "streamChanges"]
-    {
-        assert!(pinned.contains(&format!("{{\"{action}\"")), "{action} does not occur");
+    for action in [
+        "handOff",
+        "allot",
+        "busy",
+        "endFailed",
+        "withdraw",
+        "askLoad",
+        "notifyMe",
+        "streamChanges",
+    ] {
+        assert!(
+            pinned.contains(&format!("{{\"{action}\"")),
+            "{action} does not occur"
+        );
     }
     assert_eq!(pinned, String::from_utf8_lossy(&output.stdout));
 }
--- a/crates/sql/src/kind.rs
+++ b/crates/sql/src/kind.rs
@@ -102,7 +102,10 @@
                 self.label.push(' ');
             }
             let room = LABEL.saturating_sub(self.label.len());
-            let fits = piece.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|end| *end <= room);
+            let fits = piece
+                .char_indices()
+                .map(|(at, c)| at + c.len_utf8())
+                .take_while(|end| *end <= room);
             let fits = fits.last().unwrap_or(0);
             self.label.push_str(&piece[..fits]);
         }
@@ -137,7 +140,10 @@
                     _ => Before::Value,
                 };
                 if matches!(word.as_str(), "values" | "value") && self.rows.at.is_none() {
-                    self.rows = Rows { at: Some(self.depth), ..Rows::default() };
+                    self.rows = Rows {
+                        at: Some(self.depth),
+                        ..Rows::default()
+                    };
                 }
             }
             TokenKind::Quoted => {
@@ -151,7 +157,11 @@
 
     /// Whether what stands before is a value, so that a sign would be an operator.
     fn ends_value(&self) -> bool {
-        if self.run > 0 { !self.comma } else { self.before == Before::Value }
+        if self.run > 0 {
+            !self.comma
+        } else {
+            self.before == Before::Value
+        }
     }
 
     /// A literal or a parameter: one more of a run.
@@ -169,7 +179,10 @@
     /// Writes the run of values that has ended.
     fn flush(&mut self) {
         if self.run > 0 {
-            let (run, comma) = (std::mem::take(&mut self.run), std::mem::take(&mut self.comma));
+            let (run, comma) = (
+                std::mem::take(&mut self.run),
+                std::mem::take(&mut self.comma),
+            );
             if run > 1 || self.in_list {
                 self.out.size = self.out.size.max(run);
                 self.piece("?+");
@@ -224,7 +237,9 @@
         if self.rows.at != Some(self.depth) {
             return;
         }
-        let Some(row) = self.rows.row.take() else { return };
+        let Some(row) = self.rows.row.take() else {
+            return;
+        };
         self.rows.alike += 1;
         self.out.size = self.out.size.max(self.rows.alike);
         if self.rows.last.as_deref() == Some(&row) {
@@ -278,14 +293,18 @@
         let Out { hash, label, size } = self.out;
         let mut first = [0; 8];
         first.copy_from_slice(&hash.finalize().as_bytes()[..8]);
-        Kind { fingerprint: Fingerprint(u64::from_le_bytes(first)), label, size: size.max(1) }
+        Kind {
+            fingerprint: Fingerprint(u64::from_le_bytes(first)),
+            label,
+            size: size.max(1),
+        }
     }
 }
 
 /// Words after which a `-` is a sign and not an operator.
 const OPENS: [&str; 22] = [
-    "select", "where", "and", "or", "not", "between", "like", "then", "else", "when", "case", "on", "having",
-    "limit", "offset", "by", "return", "set", "is", "all", "distinct", "escape",
+    "select", "where", "and", "or", "not", "between", "like", "then", "else", "when", "case", "on",
+    "having", "limit", "offset", "by", "return", "set", "is", "all", "distinct", "escape",
 ];
 
 fn matches_word(text: &str, words: &[&str]) -> bool {
@@ -314,11 +333,15 @@
 
     #[test]
     fn values_spaces_comments_case_and_quotes_are_folded() {
-        let one = kind("SELECT name FROM rent WHERE id = 7 AND due < DATE '2026-12-01' AND paid = true");
+        let one =
+            kind("SELECT name FROM rent WHERE id = 7 AND due < DATE '2026-12-01' AND paid = true");
         let two = kind(
             "select  \"name\"\n from Rent -- by id\nwhere ID=-8.5e3 and due<date '1999-01-01' /* x */ and paid = ?;",
         );
-        assert_eq!(one.label, "select name from rent where id = ? and due < date ? and paid = ?");
+        assert_eq!(
+            one.label,
+            "select name from rent where id = ? and due < date ? and paid = ?"
+        );
         assert_eq!((one.fingerprint, one.size), (two.fingerprint, two.size));
     }
 
@@ -329,7 +352,9 @@
         assert_eq!(one.fingerprint, many.fingerprint);
         assert_eq!((one.size, many.size), (1, 4));
         assert_eq!(one.label, "select * from rent where id in (?+)");
-        let rows = kind("INSERT INTO rent (a, b) VALUES (1, now(), 'x'), (2, now(), 'y'), (3, now(), 'z')");
+        let rows = kind(
+            "INSERT INTO rent (a, b) VALUES (1, now(), 'x'), (2, now(), 'y'), (3, now(), 'z')",
+        );
         let row = kind("insert into rent (a,b) values (9, now(), 'q')");
         assert_eq!((rows.fingerprint, rows.size), (row.fingerprint, 3));
         let more = kind("INSERT INTO rent VALUES (1), (2), (3, 4) ON CONFLICT DO NOTHING");
@@ -360,14 +385,16 @@
             "'",
             "?",
         ];
-        let prints: std::collections::BTreeSet<u64> = texts.iter().map(|t| kind(t).fingerprint.0).collect();
+        let prints: std::collections::BTreeSet<u64> =
+            texts.iter().map(|t| kind(t).fingerprint.0).collect();
         // The last two are a value each.
         assert_eq!(prints.len(), texts.len() - 1);
     }
 
     #[test]
     fn no_value_is_kept_for_people_and_labels_are_bounded() {
-        let secret = "SELECT * FROM t WHERE a = 'hunter2' AND b IN ('hunter2', 'x') AND c = 'hunter2";
+        let secret =
+            "SELECT * FROM t WHERE a = 'hunter2' AND b IN ('hunter2', 'x') AND c = 'hunter2";
         assert!(!label(secret).contains("hunter2"), "{}", label(secret));
         let long = format!("SELECT {} FROM t", "ä_very_long_name, ".repeat(1000));
         assert!(label(&long).len() <= LABEL + 1);
--- a/crates/sql/src/lexer.rs
+++ b/crates/sql/src/lexer.rs
@@ -26,8 +26,12 @@
         nested_comments: false,
     };
     /// MySQL's default modes.
-    pub const MYSQL: Dialect =
-        Dialect { backslash: true, double_quoted_strings: true, hash_comments: true, nested_comments: false };
+    pub const MYSQL: Dialect = Dialect {
+        backslash: true,
+        double_quoted_strings: true,
+        hash_comments: true,
+        nested_comments: false,
+    };
 }
 
 /// What a token is.
@@ -84,7 +88,11 @@
 impl<'a> Lexer<'a> {
     /// A lexer at the start of a text.
     pub fn new(text: &'a str, dialect: Dialect) -> Lexer<'a> {
-        Lexer { text, at: 0, dialect }
+        Lexer {
+            text,
+            at: 0,
+            dialect,
+        }
     }
 
     fn byte(&self, at: usize) -> Option<u8> {
@@ -93,11 +101,15 @@
 
     /// The end of the run from `at` whose characters are as wanted.
     fn run(&self, at: usize, wanted: impl Fn(char) -> bool) -> usize {
-        self.text[at..].find(|c| !wanted(c)).map_or(self.text.len(), |n| at + n)
+        self.text[at..]
+            .find(|c| !wanted(c))
+            .map_or(self.text.len(), |n| at + n)
     }
 
     fn line_end(&self, at: usize) -> usize {
-        self.text[at..].find('\n').map_or(self.text.len(), |n| at + n)
+        self.text[at..]
+            .find('\n')
+            .map_or(self.text.len(), |n| at + n)
     }
 
     /// The end of a block comment that starts at `at`, and whether it is closed.
@@ -153,7 +165,10 @@
         }
         if matches!(self.byte(end), Some(b'e' | b'E')) {
             let sign = usize::from(matches!(self.byte(end + 1), Some(b'+' | b'-')));
-            if self.byte(end + 1 + sign).is_some_and(|b| b.is_ascii_digit()) {
+            if self
+                .byte(end + 1 + sign)
+                .is_some_and(|b| b.is_ascii_digit())
+            {
                 end = self.run(end + 1 + sign, |c| c.is_ascii_digit());
             }
         }
@@ -163,10 +178,13 @@
     fn symbol(&self, at: usize) -> usize {
         // Operators of several characters; longer ones first.
         const LONG: [&str; 16] = [
-            "<=>", "->>", "||", "<>", "!=", "<=", ">=", "=>", "->", "::", ":=", "==", "&&", "<<", ">>", "..",
+            "<=>", "->>", "||", "<>", "!=", "<=", ">=", "=>", "->", "::", ":=", "==", "&&", "<<",
+            ">>", "..",
         ];
         let rest = &self.text[at..];
-        LONG.iter().find(|op| rest.starts_with(**op)).map_or(at + 1, |op| at + op.len())
+        LONG.iter()
+            .find(|op| rest.starts_with(**op))
+            .map_or(at + 1, |op| at + op.len())
     }
 }
 
@@ -203,7 +221,11 @@
             '"' => {
                 let strings = self.dialect.double_quoted_strings;
                 let (end, closed) = self.quoted(at, b'"', strings && self.dialect.backslash);
-                let kind = if strings { TokenKind::String } else { TokenKind::Quoted };
+                let kind = if strings {
+                    TokenKind::String
+                } else {
+                    TokenKind::Quoted
+                };
                 (kind, end.min(self.text.len()), closed)
             }
             '`' => {
@@ -214,13 +236,21 @@
             '.' if is_digit(second) => open(TokenKind::Number, self.number(at)),
             c if starts_word(c) => open(TokenKind::Word, self.run(at, goes_on)),
             '?' => open(TokenKind::Parameter, at + 1),
-            '$' if is_digit(second) => open(TokenKind::Parameter, self.run(at + 1, |c| c.is_ascii_digit())),
+            '$' if is_digit(second) => open(
+                TokenKind::Parameter,
+                self.run(at + 1, |c| c.is_ascii_digit()),
+            ),
             ':' | '@' if is_name(second) => open(TokenKind::Parameter, self.run(at + 1, goes_on)),
             c if c.is_ascii_punctuation() => open(TokenKind::Symbol, self.symbol(at)),
             c => open(TokenKind::Other, at + c.len_utf8()),
         };
         self.at = end;
-        Some(Token { kind, text: &self.text[at..end], at, closed })
+        Some(Token {
+            kind,
+            text: &self.text[at..end],
+            at,
+            closed,
+        })
     }
 }
 
@@ -230,7 +260,10 @@
     use TokenKind::*;
 
     fn tokens(text: &str, dialect: Dialect) -> Vec<(TokenKind, &str)> {
-        Lexer::new(text, dialect).filter(|t| t.kind != Space).map(|t| (t.kind, t.text)).collect()
+        Lexer::new(text, dialect)
+            .filter(|t| t.kind != Space)
+            .map(|t| (t.kind, t.text))
+            .collect()
     }
 
     #[test]
@@ -290,7 +323,10 @@
         let want = [(String, r"'a\'b'"), (String, "\"c\""), (Comment, "# d")];
         assert_eq!(tokens(text, Dialect::MYSQL), want);
         assert_eq!(tokens(text, Dialect::STANDARD)[0], (String, r"'a\'"));
-        let nested = Dialect { nested_comments: true, ..Dialect::STANDARD };
+        let nested = Dialect {
+            nested_comments: true,
+            ..Dialect::STANDARD
+        };
         assert_eq!(tokens("/* a /* b */ c */ d", nested).len(), 2);
         assert_eq!(tokens("/* a /* b */ c */ d", Dialect::STANDARD).len(), 5);
     }
@@ -299,7 +335,10 @@
     fn what_is_not_closed_says_so_and_ends_with_the_text() {
         for text in ["'abc", "\"abc", "`abc", "/* abc", "/*", "/*/", "'a''", "'"] {
             let all: Vec<Token> = Lexer::new(text, Dialect::STANDARD).collect();
-            assert!(all.len() == 1 && !all[0].closed && all[0].text == text, "{text}: {all:?}");
+            assert!(
+                all.len() == 1 && !all[0].closed && all[0].text == text,
+                "{text}: {all:?}"
+            );
         }
         let all: Vec<Token> = Lexer::new("'a\\", Dialect::MYSQL).collect();
         assert!(all.len() == 1 && !all[0].closed);
--- a/crates/sql/tests/generated.rs
+++ b/crates/sql/tests/generated.rs
@@ -16,9 +16,9 @@
 /// Texts that are full of what lexers trip over.
 fn nasty() -> impl Strategy<Value = String> {
     let parts = prop::sample::select(vec![
-        "select", "IN", "values", "(", ")", ",", "'", "''", "\"", "`", "--", "\n", "/*", "*/", "/", "*", "-",
-        "+", "1", "0x", "1e", "1e-", ".", "..", "$", "$1", ":", "::", ":a", "@", "?", ";", "\\", "#", "ä",
-        "\u{200b}", "😀", " ", "\t", "x", "true", "\0",
+        "select", "IN", "values", "(", ")", ",", "'", "''", "\"", "`", "--", "\n", "/*", "*/", "/",
+        "*", "-", "+", "1", "0x", "1e", "1e-", ".", "..", "$", "$1", ":", "::", ":a", "@", "?",
+        ";", "\\", "#", "ä", "\u{200b}", "😀", " ", "\t", "x", "true", "\0",
     ]);
     prop::collection::vec(parts, 0..60).prop_map(|v| v.concat())
 }
@@ -26,8 +26,8 @@
 /// A statement in parts; those that are values can be given others.
 fn parts() -> impl Strategy<Value = Vec<&'static str>> {
     let word = prop::sample::select(vec![
-        "select", "a", "from", "t", "where", "=", "<", "(", ")", "and", "in", "values", "insert", "f", ",",
-        "VALUE", "VALUE", "VALUE",
+        "select", "a", "from", "t", "where", "=", "<", "(", ")", "and", "in", "values", "insert",
+        "f", ",", "VALUE", "VALUE", "VALUE",
     ]);
     prop::collection::vec(word, 1..40)
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -80,7 +80,11 @@
 
 /// Limits of what a client reads.
 fn limits() -> Limits {
-    Limits { body: 64 << 20, head: 64 << 10, ..Limits::default() }
+    Limits {
+        body: 64 << 20,
+        head: 64 << 10,
+        ..Limits::default()
+    }
 }
 
 /// How long a client waits for the answer to one poll before it asks again.
@@ -91,11 +95,24 @@
 impl Client {
     /// A client of a router.
     pub fn new(router: &str, addr: SocketAddr, recorder: Recorder) -> Client {
-        Client { router: router.into(), addr, recorder, connection: None, answers: Vec::new() }
+        Client {
+            router: router.into(),
+            addr,
+            recorder,
+            connection: None,
+            answers: Vec::new(),
+        }
     }
 
-    async fn exchange(&mut self, request: &Request, within: Duration) -> Result<Response, ClientError> {
-        let kept = self.connection.take().filter(|c| c.is_reusable() && !c.is_stale());
+    async fn exchange(
+        &mut self,
+        request: &Request,
+        within: Duration,
+    ) -> Result<Response, ClientError> {
+        let kept = self
+            .connection
+            .take()
+            .filter(|c| c.is_reusable() && !c.is_stale());
         let mut connection = match kept {
             Some(kept) => kept,
             None => Connection::open(self.addr, Duration::from_secs(2), limits()).await?,
@@ -130,25 +147,42 @@
             .with(names::USER, "scripted")
             .with(names::TAGS, &tags)
             .with(names::TRACE, &ask.trace)
-            .with(names::SESSION, &format!("{}={}ms", names::PATIENCE, ask.patience.as_millis()));
+            .with(
+                names::SESSION,
+                &format!("{}={}ms", names::PATIENCE, ask.patience.as_millis()),
+            );
         post.body = ask.text.clone().into_bytes();
         let answer = match self.exchange(&post, ask.patience).await {
             Ok(answer) => answer,
             Err(ClientError::Connect(_)) => {
-                self.recorder.write(Record::TurnedAway { at: wall(), request, status: 0 });
+                self.recorder.write(Record::TurnedAway {
+                    at: wall(),
+                    request,
+                    status: 0,
+                });
                 return Came::TurnedAway(0);
             }
             Err(_) => {
-                self.recorder.write(Record::Unknown { at: wall(), request });
+                self.recorder.write(Record::Unknown {
+                    at: wall(),
+                    request,
+                });
                 return Came::Unknown;
             }
         };
         if answer.status.0 != 200 {
             let status = answer.status.0;
-            self.recorder.write(Record::TurnedAway { at: wall(), request, status });
+            self.recorder.write(Record::TurnedAway {
+                at: wall(),
+                request,
+                status,
+            });
             return Came::TurnedAway(status);
         }
-        self.recorder.write(Record::Taken { at: wall(), request });
+        self.recorder.write(Record::Taken {
+            at: wall(),
+            request,
+        });
         self.follow(ask, answer, began).await
     }
 
@@ -163,17 +197,24 @@
                 return self.ended(request, How::Failed, Some("NO_RESULTS".into()));
             };
             if let Some(data) = &results.data {
-                let n =
-                    serde_json::from_str::<Vec<serde_json::Value>>(data.get()).map_or(0, |r| r.len() as u64);
+                let n = serde_json::from_str::<Vec<serde_json::Value>>(data.get())
+                    .map_or(0, |r| r.len() as u64);
                 rows += n;
-                self.recorder.write(Record::Rows { at: wall(), request, rows: n });
+                self.recorder.write(Record::Rows {
+                    at: wall(),
+                    request,
+                    rows: n,
+                });
             }
             let Some(next) = results.next_uri else {
                 let Some(error) = results.error else {
                     self.ended(request, How::Served, None);
                     return Came::Served(rows);
                 };
-                let after = answer.headers.get("retry-after").and_then(|v| v.parse().ok());
+                let after = answer
+                    .headers
+                    .get("retry-after")
+                    .and_then(|v| v.parse().ok());
                 let refused = hoptiller_statement::ErrorName::ALL
                     .iter()
                     .any(|n| n.is_harmless() && n.name() == error.error_name);
@@ -185,14 +226,24 @@
                 };
             };
             if ask.manner.leaves_after.is_some_and(|n| answers >= n) {
-                self.recorder.write(Record::Left { at: wall(), request });
+                self.recorder.write(Record::Left {
+                    at: wall(),
+                    request,
+                });
                 return Came::Left;
             }
-            let path = next.strip_prefix("http://").and_then(|r| r.find('/').map(|at| r[at..].to_owned()));
+            let path = next
+                .strip_prefix("http://")
+                .and_then(|r| r.find('/').map(|at| r[at..].to_owned()));
             let path = path.unwrap_or(next);
             if ask.manner.ends_after.is_some_and(|n| answers >= n) {
-                let _ = self.exchange(&Request::new(Method::Delete, path), POLL).await;
-                self.recorder.write(Record::Left { at: wall(), request });
+                let _ = self
+                    .exchange(&Request::new(Method::Delete, path), POLL)
+                    .await;
+                self.recorder.write(Record::Left {
+                    at: wall(),
+                    request,
+                });
                 return Came::Left;
             }
             if !ask.manner.pause.is_zero() {
@@ -207,16 +258,28 @@
     }
 
     /// Asks until there is an answer, through connections that break, as long as the client waits.
-    async fn poll(&mut self, ask: &Ask, path: &str, began: Instant, reading: bool) -> Result<Response, Came> {
+    async fn poll(
+        &mut self,
+        ask: &Ask,
+        path: &str,
+        began: Instant,
+        reading: bool,
+    ) -> Result<Response, Came> {
         let poll = Request::new(Method::Get, path);
         loop {
             // One who reads rows already goes on; the wait was for their beginning.
             if !reading && began.elapsed() > ask.patience + ask.manner.lenience {
-                self.recorder.write(Record::GaveUp { at: wall(), request: ask.request });
+                self.recorder.write(Record::GaveUp {
+                    at: wall(),
+                    request: ask.request,
+                });
                 return Err(Came::GaveUp);
             }
             if began.elapsed() > ask.patience + Duration::from_secs(60) {
-                self.recorder.write(Record::GaveUp { at: wall(), request: ask.request });
+                self.recorder.write(Record::GaveUp {
+                    at: wall(),
+                    request: ask.request,
+                });
                 return Err(Came::GaveUp);
             }
             let got = if ask.manner.doubles {
@@ -252,13 +315,21 @@
         let (one, two) = futures_lite::future::zip(self.exchange(poll, POLL), other).await;
         let (one, two) = (one?, two?);
         if one.status == two.status && one.body != two.body {
-            self.recorder.write(Record::Changed { at: wall(), request: ask.request });
+            self.recorder.write(Record::Changed {
+                at: wall(),
+                request: ask.request,
+            });
         }
         Ok(one)
     }
 
     fn ended(&self, request: u64, how: How, error: Option<String>) -> Came {
-        self.recorder.write(Record::Answered { at: wall(), request, how, error: error.clone() });
+        self.recorder.write(Record::Answered {
+            at: wall(),
+            request,
+            how,
+            error: error.clone(),
+        });
         Came::Failed(error.unwrap_or_default())
     }
 
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -112,7 +112,10 @@
         }
         if path.starts_with(SERVICE) && request.method == Method::Get {
             self.asked.fetch_add(1, Ordering::Relaxed);
-            if let Some(over) = inner.leases.look(request, "discovery", self.fences, &self.recorder) {
+            if let Some(over) = inner
+                .leases
+                .look(request, "discovery", self.fences, &self.recorder)
+            {
                 return over.into();
             }
             let list = self.list(inner, faults.stale);
@@ -149,7 +152,9 @@
         if let Some(frozen) = &inner.frozen {
             return frozen.clone();
         }
-        inner.announced.retain(|_, (_, at)| at.elapsed() <= self.keep);
+        inner
+            .announced
+            .retain(|_, (_, at)| at.elapsed() <= self.keep);
         let services = inner.announced.values().flat_map(|(a, _)| {
             a.services.iter().map(|s| Service {
                 id: s.id.clone(),
@@ -160,7 +165,10 @@
                 properties: s.properties.clone(),
             })
         });
-        let list = Services { environment: self.environment.clone(), services: services.collect() };
+        let list = Services {
+            environment: self.environment.clone(),
+            services: services.collect(),
+        };
         if stale {
             inner.frozen = Some(list.clone());
         }
@@ -170,12 +178,23 @@
     /// Records what a router learns by this list.
     fn record(&self, inner: &mut Inner, router: &str, list: &Services) {
         let names: BTreeSet<String> = list.services.iter().map(|s| s.node_id.clone()).collect();
-        let before = inner.told.insert(router.to_owned(), names.clone()).unwrap_or_default();
+        let before = inner
+            .told
+            .insert(router.to_owned(), names.clone())
+            .unwrap_or_default();
         for engine in before.difference(&names).cloned() {
-            self.recorder.write(Record::ToldDrain { at: wall(), engine, router: router.to_owned() });
+            self.recorder.write(Record::ToldDrain {
+                at: wall(),
+                engine,
+                router: router.to_owned(),
+            });
         }
         for engine in names.difference(&before).cloned() {
-            self.recorder.write(Record::ToldUp { at: wall(), engine, router: router.to_owned() });
+            self.recorder.write(Record::ToldUp {
+                at: wall(),
+                engine,
+                router: router.to_owned(),
+            });
         }
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,7 +17,9 @@
 use hoptiller_http::client::Connection;
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
-use hoptiller_statement::discovery::{ANNOUNCEMENT, AnnouncedService, Announcement, ENGINE_TYPE, NodeStatus};
+use hoptiller_statement::discovery::{
+    ANNOUNCEMENT, AnnouncedService, Announcement, ENGINE_TYPE, NodeStatus,
+};
 use hoptiller_statement::results::{QueryError, Stats};
 use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT, State, client, extra};
 use serde_json::value::{RawValue, to_raw_value};
@@ -143,7 +145,11 @@
 fn start(config: EngineConfig, spawner: Spawner) -> io::Result<SocketAddr> {
     let listener = hoptiller_http::server::bind(config.listen)?;
     let addr = listener.get_ref().local_addr()?;
-    config.recorder.write(Record::Started { at: wall(), engine: config.node.clone(), cold: config.cold });
+    config.recorder.write(Record::Started {
+        at: wall(),
+        engine: config.node.clone(),
+        cold: config.cold,
+    });
     let model = Model::new(config.spec.clone(), PAST, config.cold);
     let inner = Inner {
         started: Instant::now(),
@@ -163,7 +169,13 @@
         let engine = engine.clone();
         Box::pin(async move { engine_reply(&engine, request, addr).await })
     });
-    let config = Config { limits: Limits { body: 8 << 20, ..Limits::default() }, ..Config::default() };
+    let config = Config {
+        limits: Limits {
+            body: 8 << 20,
+            ..Limits::default()
+        },
+        ..Config::default()
+    };
     let own = spawner.clone();
     spawner.spawn(async move {
         let _ = hoptiller_http::server::serve(listener, config, handler, own).await;
@@ -180,10 +192,19 @@
     fn advance(&mut self) {
         let now = self.now();
         let ended = self.model.advance(now);
-        let slow = self.config.faults.lock().ok().and_then(|f| f.slow).filter(|s| s.is_finite() && *s > 0.0);
-        self.model.set_speed(self.config.spec.speed / slow.unwrap_or(1.0));
+        let slow = self
+            .config
+            .faults
+            .lock()
+            .ok()
+            .and_then(|f| f.slow)
+            .filter(|s| s.is_finite() && *s > 0.0);
+        self.model
+            .set_speed(self.config.spec.speed / slow.unwrap_or(1.0));
         for id in ended {
-            let Some(s) = self.sessions.get_mut(&id) else { continue };
+            let Some(s) = self.sessions.get_mut(&id) else {
+                continue;
+            };
             if s.killed.is_some() {
                 continue;
             }
@@ -197,19 +218,35 @@
                 });
             }
             let work = s.shape.job.work as u64;
-            self.config.recorder.write(Record::Done { at: wall(), engine, trace, work });
+            self.config.recorder.write(Record::Done {
+                at: wall(),
+                engine,
+                trace,
+                work,
+            });
             s.bell.notify(usize::MAX);
         }
     }
 
     fn load(&self) -> String {
         let load = self.model.load();
-        extra::text(&[("in_flight", load.in_flight as f64), ("cpu", load.cpu), ("memory", load.memory)])
+        extra::text(&[
+            ("in_flight", load.in_flight as f64),
+            ("cpu", load.cpu),
+            ("memory", load.memory),
+        ])
     }
 
     fn trim(&mut self) {
         while self.sessions.len() >= SESSIONS {
-            let Some(id) = self.sessions.iter().find(|(_, s)| s.done).map(|(id, _)| *id) else { break };
+            let Some(id) = self
+                .sessions
+                .iter()
+                .find(|(_, s)| s.done)
+                .map(|(id, _)| *id)
+            else {
+                break;
+            };
             self.sessions.remove(&id);
         }
     }
@@ -222,7 +259,10 @@
         let next = {
             let mut inner = engine.0.borrow_mut();
             inner.advance();
-            inner.model.next().map(|at| Duration::from_micros(at.saturating_sub(inner.now())))
+            inner
+                .model
+                .next()
+                .map(|at| Duration::from_micros(at.saturating_sub(inner.now())))
         };
         future::or(news, async {
             match next {
@@ -246,7 +286,10 @@
             ("coordinator", "false".into()),
         ];
         let service = AnnouncedService {
-            id: format!("{:032x}", u128::from(wall()) << 16 | u128::from(addr.port())),
+            id: format!(
+                "{:032x}",
+                u128::from(wall()) << 16 | u128::from(addr.port())
+            ),
             kind: ENGINE_TYPE.into(),
             properties: properties.map(|(k, v)| (k.to_owned(), v)).into(),
         };
@@ -259,9 +302,14 @@
         };
         (discovery, announcement)
     };
-    let mut request = Request::new(Method::Put, format!("{ANNOUNCEMENT}{}", announcement.node_id));
+    let mut request = Request::new(
+        Method::Put,
+        format!("{ANNOUNCEMENT}{}", announcement.node_id),
+    );
     request.body = serde_json::to_vec(&announcement).unwrap_or_default();
-    let request = request.with("Content-Type", "application/json").with("Connection", "close");
+    let request = request
+        .with("Content-Type", "application/json")
+        .with("Connection", "close");
     loop {
         if engine.0.borrow().model.has_fallen() {
             return;
@@ -291,7 +339,8 @@
     }
     if let Some(rest) = path.strip_prefix("/v1/statement/executing/") {
         let mut parts = rest.split('/').map(str::parse::<u64>);
-        let (Some(Ok(id)), Some(Ok(page)), None) = (parts.next(), parts.next(), parts.next()) else {
+        let (Some(Ok(id)), Some(Ok(page)), None) = (parts.next(), parts.next(), parts.next())
+        else {
             return Response::text(404, "no such statement").into();
         };
         return match request.method {
@@ -304,8 +353,10 @@
     }
     if let Some(rest) = path.strip_prefix("/v1/query/") {
         if rest.ends_with("/killed") {
-            let id =
-                rest.strip_suffix("/killed").and_then(|q| q.rsplit_once('_')).and_then(|q| q.1.parse().ok());
+            let id = rest
+                .strip_suffix("/killed")
+                .and_then(|q| q.rsplit_once('_'))
+                .and_then(|q| q.1.parse().ok());
             wait_if_told(engine, id).await;
         }
         return control(engine, &request, rest);
@@ -328,9 +379,21 @@
         ("/v1/info/state", Method::Get) => {
             if let (true, Some(router)) = (inner.draining, router) {
                 let engine = inner.config.node.clone();
-                inner.config.recorder.write(Record::ToldDrain { at: wall(), engine, router });
+                inner.config.recorder.write(Record::ToldDrain {
+                    at: wall(),
+                    engine,
+                    router,
+                });
             }
-            Response::json(200, if inner.draining { "\"SHUTTING_DOWN\"" } else { "\"ACTIVE\"" }).into()
+            Response::json(
+                200,
+                if inner.draining {
+                    "\"SHUTTING_DOWN\""
+                } else {
+                    "\"ACTIVE\""
+                },
+            )
+            .into()
         }
         ("/v1/info/state", Method::Put) if request.body == b"\"SHUTTING_DOWN\"" => {
             inner.draining = true;
@@ -348,15 +411,19 @@
                 heap_available: memory,
             };
             let body = serde_json::to_vec(&status).unwrap_or_default();
-            Response::json(200, body).with(extra::LOAD, &inner.load()).into()
+            Response::json(200, body)
+                .with(extra::LOAD, &inner.load())
+                .into()
         }
-        ("/v1/standin/faults", Method::Put) => match serde_json::from_slice::<Faults>(&request.body) {
-            Ok(faults) => {
-                inner.config.fail(faults);
-                Response::new(204).into()
+        ("/v1/standin/faults", Method::Put) => {
+            match serde_json::from_slice::<Faults>(&request.body) {
+                Ok(faults) => {
+                    inner.config.fail(faults);
+                    Response::new(204).into()
+                }
+                Err(e) => Response::text(400, &format!("faults: {e}")).into(),
             }
-            Err(e) => Response::text(400, &format!("faults: {e}")).into(),
-        },
+        }
         _ => Response::text(404, "nothing here").into(),
     }
 }
@@ -366,8 +433,11 @@
     let mut inner = engine.0.borrow_mut();
     inner.advance();
     let header = |name| request.headers.get(name).unwrap_or_default().to_owned();
-    let (class, router, statement) =
-        (header(extra::CLASS), header(extra::ROUTER), header(extra::STATEMENT_ID));
+    let (class, router, statement) = (
+        header(extra::CLASS),
+        header(extra::ROUTER),
+        header(extra::STATEMENT_ID),
+    );
     let trace = match header(client::names::TRACE) {
         trace if trace.is_empty() => statement,
         trace => trace,
@@ -379,7 +449,12 @@
     let versions = extra::versions(&header(extra::VERSIONS));
     if let Some((in_force, heeds, _)) = versions.filter(|_| inner.config.fences) {
         if heeds < inner.newest {
-            inner.config.recorder.write(Record::Fenced { at: wall(), engine: node, router, heeds });
+            inner.config.recorder.write(Record::Fenced {
+                at: wall(),
+                engine: node,
+                router,
+                heeds,
+            });
             return Response::text(503, "that version of the rules is over")
                 .with(extra::LOAD, &inner.load())
                 .into();
@@ -396,28 +471,49 @@
         hop,
         versions,
     });
-    let hit = inner.config.faults.lock().ok().and_then(|mut f| f.hits(&class).then(|| f.clone()));
+    let hit = inner
+        .config
+        .faults
+        .lock()
+        .ok()
+        .and_then(|mut f| f.hits(&class).then(|| f.clone()));
     let faults = hit.unwrap_or_default();
-    let over = Record::Done { at: wall(), engine: node.clone(), trace: trace.clone(), work: 0 };
+    let over = Record::Done {
+        at: wall(),
+        engine: node.clone(),
+        trace: trace.clone(),
+        work: 0,
+    };
     if faults.swallow {
         inner.config.recorder.write(over);
         return Reply::Close;
     }
-    let seed = trace.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
+    let seed = trace
+        .bytes()
+        .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
     let mut shape = shape::of(&class, &body_text, seed);
     shape.job.grant = extra::number(&terms, "grant_mb");
     shape.job.priority = extra::number(&terms, "priority").map_or(1, |p| p.clamp(0.0, 3.0) as u8);
     let now = inner.now();
     let id = inner.next;
     inner.next += 1;
-    let admission = if faults.full { Admission::Full } else { inner.model.admit(now, id, shape.job.clone()) };
+    let admission = if faults.full {
+        Admission::Full
+    } else {
+        inner.model.admit(now, id, shape.job.clone())
+    };
     match admission {
         Admission::Full => {
             inner.config.recorder.write(over);
-            return Response::text(503, "full").with(extra::LOAD, &inner.load()).into();
+            return Response::text(503, "full")
+                .with(extra::LOAD, &inner.load())
+                .into();
         }
         Admission::Fell => {
-            inner.config.recorder.write(Record::Fell { at: wall(), engine: node });
+            inner.config.recorder.write(Record::Fell {
+                at: wall(),
+                engine: node,
+            });
             inner.sessions.clear();
             return Reply::Close;
         }
@@ -445,12 +541,25 @@
     }
     if faults.garbage {
         let junk = Response::text(200, "x");
-        return Reply::Cut(Response { body: b"\x00\x01not json".to_vec(), ..junk }, usize::MAX);
+        return Reply::Cut(
+            Response {
+                body: b"\x00\x01not json".to_vec(),
+                ..junk
+            },
+            usize::MAX,
+        );
     }
     let load = inner.load();
-    results((inner.process, id), addr, Some(0), Stats::of(State::Queued), None, None)
-        .with(extra::LOAD, &load)
-        .into()
+    results(
+        (inner.process, id),
+        addr,
+        Some(0),
+        Stats::of(State::Queued),
+        None,
+        None,
+    )
+    .with(extra::LOAD, &load)
+    .into()
 }
 
 fn end(engine: &Engine, id: u64) {
@@ -461,7 +570,12 @@
         && let Some(s) = inner.sessions.get(&id)
     {
         let (engine, trace) = (inner.config.node.clone(), s.trace.clone());
-        inner.config.recorder.write(Record::Done { at: wall(), engine, trace, work: 0 });
+        inner.config.recorder.write(Record::Done {
+            at: wall(),
+            engine,
+            trace,
+            work: 0,
+        });
     }
     if inner.sessions.get(&id).is_some_and(|s| s.done) || inner.config.spec.cancels {
         inner.sessions.remove(&id);
@@ -483,7 +597,13 @@
     }
     if !done {
         let news = bell.listen();
-        if !engine.0.borrow().sessions.get(&id).is_some_and(|s| s.done || s.killed.is_some()) {
+        if !engine
+            .0
+            .borrow()
+            .sessions
+            .get(&id)
+            .is_some_and(|s| s.done || s.killed.is_some())
+        {
             future::or(news, async {
                 Timer::after(LONG_POLL).await;
             })
@@ -497,15 +617,26 @@
         return Response::text(410, "no such statement any more").into();
     };
     if let Some(why) = &s.killed {
-        let (name, message) = (ErrorName::KILLED.to_owned(), format!("Query killed. Message: {why}"));
+        let (name, message) = (
+            ErrorName::KILLED.to_owned(),
+            format!("Query killed. Message: {why}"),
+        );
         let error = QueryError::new(name, 32, ErrorType::UserError, message);
-        return results((inner.process, id), addr, None, Stats::of(State::Failed), None, Some(error)).into();
+        return results(
+            (inner.process, id),
+            addr,
+            None,
+            Stats::of(State::Failed),
+            None,
+            Some(error),
+        )
+        .into();
     }
     if !s.done {
         let course = inner.model.course(id).filter(|_| inner.config.notes);
         let stats = course.map_or_else(|| Stats::of(State::Running), |c| stats_of(s, &c));
-        let mut answer =
-            results((inner.process, id), addr, Some(page), stats, None, None).with(extra::LOAD, &load);
+        let mut answer = results((inner.process, id), addr, Some(page), stats, None, None)
+            .with(extra::LOAD, &load);
         if let Some(course) = course {
             let note = match course.stands {
                 Some(Stands::Memory) => ("lacks", s.shape.job.memory),
@@ -517,14 +648,22 @@
                 && let Some(h) = inner.sessions.get(&holder)
             {
                 let age = inner.model.course(holder).map_or(0, |c| c.ran / 1000);
-                answer.headers.push(extra::BEHIND, &format!("{}; class={}; age_ms={age}", h.name, h.class));
+                answer.headers.push(
+                    extra::BEHIND,
+                    &format!("{}; class={}; age_ms={age}", h.name, h.class),
+                );
             }
         }
         return answer.into();
     }
     if s.failed {
         let (name, code, kind, message) = match s.shape.wrong {
-            true => ("SYNTAX_ERROR", 1, ErrorType::UserError, "line 1:8: mismatched input"),
+            true => (
+                "SYNTAX_ERROR",
+                1,
+                ErrorType::UserError,
+                "line 1:8: mismatched input",
+            ),
             false => (
                 "GENERIC_INTERNAL_ERROR",
                 0x0001_0000,
@@ -533,7 +672,15 @@
             ),
         };
         let error = QueryError::new(name.into(), code, kind, message.into());
-        return results((inner.process, id), addr, None, Stats::of(State::Failed), None, Some(error)).into();
+        return results(
+            (inner.process, id),
+            addr,
+            None,
+            Stats::of(State::Failed),
+            None,
+            Some(error),
+        )
+        .into();
     }
     if page >= s.shape.pages {
         return Response::text(404, "no such page").into();
@@ -542,10 +689,21 @@
     let next = (!last).then_some(page + 1);
     let rows = rows_of(&inner.config.node, s, page);
     let cost = extra::text(&[("work_ms", s.shape.job.work / 1000.0)]);
-    let state = if last { State::Finished } else { State::Running };
-    let answer = results((inner.process, id), addr, next, Stats::of(state), Some(rows), None)
-        .with(extra::LOAD, &load)
-        .with(extra::COST, &cost);
+    let state = if last {
+        State::Finished
+    } else {
+        State::Running
+    };
+    let answer = results(
+        (inner.process, id),
+        addr,
+        next,
+        Stats::of(state),
+        Some(rows),
+        None,
+    )
+    .with(extra::LOAD, &load)
+    .with(extra::COST, &cost);
     if s.faults.lose_page.is_some_and(|from| page >= from) {
         return Reply::Close;
     }
@@ -561,7 +719,11 @@
         cpu_time_millis: (c.worked / 1000.0) as u64,
         processed_rows: (s.shape.reads as f64 * c.done) as u64,
         peak_memory_bytes: (c.memory * 1e6) as u64,
-        spilled_bytes: if c.spills { ((s.shape.job.memory - c.memory) * 1e6) as u64 } else { 0 },
+        spilled_bytes: if c.spills {
+            ((s.shape.job.memory - c.memory) * 1e6) as u64
+        } else {
+            0
+        },
         progress_percentage: Some(c.done * 100.0),
         ..Stats::of(State::Running)
     }
@@ -573,7 +735,9 @@
         let news = {
             let inner = engine.0.borrow();
             let session = id.and_then(|id| inner.sessions.get(&id));
-            session.filter(|s| s.faults.finish_first && !s.done).map(|s| s.bell.listen())
+            session
+                .filter(|s| s.faults.finish_first && !s.done)
+                .map(|s| s.bell.listen())
         };
         match news {
             Some(news) => news.await,
@@ -588,7 +752,9 @@
     inner.advance();
     let now = inner.now();
     let (query, what) = rest.split_once('/').unwrap_or((rest, ""));
-    let id = query.rsplit_once('_').and_then(|(_, id)| id.parse::<u64>().ok());
+    let id = query
+        .rsplit_once('_')
+        .and_then(|(_, id)| id.parse::<u64>().ok());
     let id = id.filter(|id| query == format!("standin_{:x}_{id}", inner.process));
     let Some((id, s)) = id.and_then(|id| Some((id, inner.sessions.get(&id)?))) else {
         return Response::text(410, "no such statement").into();
@@ -596,8 +762,11 @@
     let over = s.done || s.killed.is_some();
     match (&request.method, what) {
         (Method::Get, "") => {
-            let state =
-                if s.killed.is_some() { "FAILED" } else { if s.done { "FINISHED" } else { "RUNNING" } };
+            let state = if s.killed.is_some() {
+                "FAILED"
+            } else {
+                if s.done { "FINISHED" } else { "RUNNING" }
+            };
             let body = serde_json::json!({ "queryId": query, "state": state });
             let answer = Response::json(200, body.to_string());
             match (s.faults.no_proof, s.killed.is_some(), s.done) {
@@ -618,7 +787,12 @@
                 s.killed = Some(why);
                 s.bell.notify(usize::MAX);
                 let trace = s.trace.clone();
-                inner.config.recorder.write(Record::Done { at: wall(), engine: node, trace, work: 0 });
+                inner.config.recorder.write(Record::Done {
+                    at: wall(),
+                    engine: node,
+                    trace,
+                    work: 0,
+                });
             }
             engine.1.notify(1);
             Response::new(202).into()
@@ -637,22 +811,41 @@
     // A varchar without a bound is one of the longest length.
     let length = serde_json::json!([{ "kind": "LONG", "value": 2_147_483_647u32 }]);
     let signature = |kind: &str| {
-        let arguments = if kind == "varchar" { length.clone() } else { serde_json::json!([]) };
+        let arguments = if kind == "varchar" {
+            length.clone()
+        } else {
+            serde_json::json!([])
+        };
         serde_json::json!({ "rawType": kind, "arguments": arguments })
     };
     let column = |name: &str, kind: &str| serde_json::json!({ "name": name, "type": kind, "typeSignature": signature(kind) });
     let raw = |value: &serde_json::Value| to_raw_value(value).unwrap_or_default();
     if s.shape.posts {
         let columns = serde_json::json!([column("rows", "bigint")]);
-        return (raw(&columns), raw(&serde_json::json!([[s.shape.rows]])), true);
-    }
-    let columns =
-        serde_json::json!([column("id", "bigint"), column("engine", "varchar"), column("note", "varchar")]);
+        return (
+            raw(&columns),
+            raw(&serde_json::json!([[s.shape.rows]])),
+            true,
+        );
+    }
+    let columns = serde_json::json!([
+        column("id", "bigint"),
+        column("engine", "varchar"),
+        column("note", "varchar")
+    ]);
     let share = s.shape.rows / s.shape.pages;
-    let (from, to) =
-        (page * share, if page + 1 == s.shape.pages { s.shape.rows } else { (page + 1) * share });
+    let (from, to) = (
+        page * share,
+        if page + 1 == s.shape.pages {
+            s.shape.rows
+        } else {
+            (page + 1) * share
+        },
+    );
     let note = "x".repeat(s.shape.width);
-    let rows: Vec<_> = (from..to).map(|n| serde_json::json!([n, node, note])).collect();
+    let rows: Vec<_> = (from..to)
+        .map(|n| serde_json::json!([n, node, note]))
+        .collect();
     (raw(&columns), raw(&serde_json::Value::Array(rows)), false)
 }
 
--- a/crates/standin/src/lease.rs
+++ b/crates/standin/src/lease.rs
@@ -27,7 +27,11 @@
         recorder.write(Record::Leased {
             at: wall(),
             resource: resource.to_owned(),
-            router: request.headers.get(extra::ROUTER).unwrap_or_default().to_owned(),
+            router: request
+                .headers
+                .get(extra::ROUTER)
+                .unwrap_or_default()
+                .to_owned(),
             part: part.to_owned(),
             number,
             refused,
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -31,12 +31,17 @@
             file.write_all(b"\n")?;
         }
         let lines = text[..whole].lines().map(str::to_owned).collect();
-        Ok(Ledger(Arc::new(Mutex::new(Inner { lines, file: Some((path.to_owned(), file)) }))))
+        Ok(Ledger(Arc::new(Mutex::new(Inner {
+            lines,
+            file: Some((path.to_owned(), file)),
+        }))))
     }
 
     /// Posts an effect; it is in the file when this returns.
     pub fn post(&self, trace: &str) -> io::Result<()> {
-        let Ok(mut inner) = self.0.lock() else { return Err(io::Error::other("a writer panicked")) };
+        let Ok(mut inner) = self.0.lock() else {
+            return Err(io::Error::other("a writer panicked"));
+        };
         let line = trace.replace(['\n', '\r'], " ");
         if let Some((_, file)) = &mut inner.file {
             file.write_all(format!("{line}\n").as_bytes())?;
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -106,12 +106,17 @@
 impl Held {
     /// Work that is left when it needs its second set; none before it has one, or after.
     fn left_at_then(&self) -> Option<f64> {
-        self.job.then.map(|(share, _)| self.job.work * (1.0 - share))
+        self.job
+            .then
+            .map(|(share, _)| self.job.work * (1.0 - share))
     }
 
     /// The sets that it has, if it is a load.
     fn has(&self, set: u64) -> bool {
-        let second = self.job.then.is_some_and(|(_, s)| s == set && self.granted.is_some())
+        let second = self
+            .job
+            .then
+            .is_some_and(|(_, s)| s == set && self.granted.is_some())
             && self.left_at_then().is_some_and(|at| self.left < at);
         self.job.holds && (self.job.set == Some(set) || second)
     }
@@ -176,9 +181,21 @@
     /// An engine that starts now; a warm one is as if it had started long ago.
     pub fn new(spec: Spec, now: u64, cold: bool) -> Model {
         // Long enough ago for any router to count it as warm.
-        let started = if cold { now } else { now.saturating_sub(100 * spec.cold_for) };
+        let started = if cold {
+            now
+        } else {
+            now.saturating_sub(100 * spec.cold_for)
+        };
         let (held, warm, sent) = Default::default();
-        Model { spec, now, started, held, warm, sent, fallen: false }
+        Model {
+            spec,
+            now,
+            started,
+            held,
+            warm,
+            sent,
+            fallen: false,
+        }
     }
 
     /// Changes the speed of its cores from now on.
@@ -237,8 +254,18 @@
                 self.warm.pop_front();
             }
         }
-        self.held
-            .insert(id, Held { job, came: now, left, whole: left, granted: None, paused: false, ran: 0 });
+        self.held.insert(
+            id,
+            Held {
+                job,
+                came: now,
+                left,
+                whole: left,
+                granted: None,
+                paused: false,
+                ran: 0,
+            },
+        );
         self.grant();
         Admission::Taken
     }
@@ -255,7 +282,9 @@
         line.sort_unstable();
         let alone = self.held.len() == 1;
         for (_, _, id) in line {
-            let Some(h) = self.held.get_mut(&id) else { continue };
+            let Some(h) = self.held.get_mut(&id) else {
+                continue;
+            };
             let wanted = h.job.grant.unwrap_or(h.job.memory).min(self.spec.memory);
             if wanted > free && !alone {
                 break;
@@ -279,10 +308,18 @@
             return Some(Stands::Memory);
         }
         let others = || self.held.iter().filter(|(other, _)| **other != id);
-        let before = |set: u64| others().find(|(other, o)| o.has(set) && (o.came, **other) < (h.came, id));
-        let second = h.job.then.filter(|_| h.left_at_then().is_some_and(|at| h.left <= at + 1e-6));
+        let before =
+            |set: u64| others().find(|(other, o)| o.has(set) && (o.came, **other) < (h.came, id));
+        let second = h
+            .job
+            .then
+            .filter(|_| h.left_at_then().is_some_and(|at| h.left <= at + 1e-6));
         let has = |(_, set): (f64, u64)| others().find(|(_, o)| o.has(set));
-        h.job.set.and_then(before).or_else(|| second.and_then(has)).map(|(other, _)| Stands::Behind(*other))
+        h.job
+            .set
+            .and_then(before)
+            .or_else(|| second.and_then(has))
+            .map(|(other, _)| Stands::Behind(*other))
     }
 
     fn stands(&self, id: u64, h: &Held) -> bool {
@@ -291,14 +328,19 @@
 
     /// Work per µs of each statement that moves.
     fn rates(&self) -> Vec<(u64, f64)> {
-        let moving: Vec<(u64, &Held)> =
-            self.held.iter().filter(|(id, h)| !self.stands(**id, h)).map(|(id, h)| (*id, h)).collect();
+        let moving: Vec<(u64, &Held)> = self
+            .held
+            .iter()
+            .filter(|(id, h)| !self.stands(**id, h))
+            .map(|(id, h)| (*id, h))
+            .collect();
         let threads: f64 = moving.iter().map(|(_, h)| h.job.threads).sum();
         let reading: f64 = moving.iter().map(|(_, h)| h.job.threads * h.job.io).sum();
         let per_core = threads / self.spec.cores;
         // Past the point, what all do together falls as its inverse.
         let loss = (self.spec.thrash_at / per_core.max(f64::MIN_POSITIVE)).min(1.0);
-        let weight = |h: &Held| h.job.threads * [1.0, 4.0, 8.0, 16.0][usize::from(h.job.priority.min(3))];
+        let weight =
+            |h: &Held| h.job.threads * [1.0, 4.0, 8.0, 16.0][usize::from(h.job.priority.min(3))];
         let weights: f64 = moving.iter().map(|(_, h)| weight(h)).sum();
         let cores = self.spec.cores * self.spec.speed * self.warmth() * loss;
         let disk = (self.spec.disks / reading.max(f64::MIN_POSITIVE)).min(1.0);
@@ -306,7 +348,11 @@
             .iter()
             .map(|(id, h)| {
                 let most = h.job.threads * self.spec.speed * self.warmth();
-                let share = if threads <= self.spec.cores { most } else { cores * weight(h) / weights };
+                let share = if threads <= self.spec.cores {
+                    most
+                } else {
+                    cores * weight(h) / weights
+                };
                 let cpu = share.min(most);
                 // The reading part is slowed by the disks, the other by the cores.
                 (*id, cpu / ((1.0 - h.job.io) + h.job.io / disk))
@@ -325,7 +371,10 @@
             }
             for (id, rate) in &rates {
                 let h = &self.held[id];
-                let next = h.left_at_then().filter(|at| h.left > *at + 1e-6).map_or(h.left, |at| h.left - at);
+                let next = h
+                    .left_at_then()
+                    .filter(|at| h.left > *at + 1e-6)
+                    .map_or(h.left, |at| h.left - at);
                 let left = next / rate.max(1e-9);
                 step = step.min((left.ceil() as u64).max(1));
             }
@@ -336,8 +385,12 @@
                 }
             }
             self.now += step;
-            let over: Vec<u64> =
-                self.held.iter().filter(|(_, h)| h.left <= 1e-6).map(|(id, _)| *id).collect();
+            let over: Vec<u64> = self
+                .held
+                .iter()
+                .filter(|(_, h)| h.left <= 1e-6)
+                .map(|(id, _)| *id)
+                .collect();
             for id in over {
                 self.held.remove(&id);
                 ended.push(id);
@@ -352,13 +405,23 @@
     pub fn next(&self) -> Option<u64> {
         let ends = self.rates().into_iter().map(|(id, rate)| {
             let h = &self.held[&id];
-            let next = h.left_at_then().filter(|at| h.left > *at + 1e-6).map_or(h.left, |at| h.left - at);
+            let next = h
+                .left_at_then()
+                .filter(|at| h.left > *at + 1e-6)
+                .map_or(h.left, |at| h.left - at);
             (next / rate.max(1e-9)).ceil()
         });
         let next = ends.fold(f64::INFINITY, f64::min);
-        let next =
-            next.is_finite().then(|| self.now.saturating_add(next.min(1e15) as u64).max(self.now + 1))?;
-        Some(if self.is_cold() { next.min(self.now + STEP) } else { next })
+        let next = next.is_finite().then(|| {
+            self.now
+                .saturating_add(next.min(1e15) as u64)
+                .max(self.now + 1)
+        })?;
+        Some(if self.is_cold() {
+            next.min(self.now + STEP)
+        } else {
+            next
+        })
     }
 
     /// Ends a statement where that stops its work.
@@ -399,8 +462,12 @@
 
     /// Its load.
     pub fn load(&self) -> Load {
-        let threads: f64 =
-            self.held.iter().filter(|(id, h)| !self.stands(**id, h)).map(|(_, h)| h.job.threads).sum();
+        let threads: f64 = self
+            .held
+            .iter()
+            .filter(|(id, h)| !self.stands(**id, h))
+            .map(|(_, h)| h.job.threads)
+            .sum();
         let granted: f64 = self.held.values().filter_map(|h| h.granted).sum();
         Load {
             in_flight: self.held.len(),
@@ -418,7 +485,17 @@
 
     fn job(work: f64) -> Job {
         let (io, memory, grant, set, holds, priority) = (0.0, 10.0, None, None, false, 1);
-        Job { work, threads: 1.0, io, memory, grant, set, holds, priority, then: None }
+        Job {
+            work,
+            threads: 1.0,
+            io,
+            memory,
+            grant,
+            set,
+            holds,
+            priority,
+            then: None,
+        }
     }
 
     fn warm(spec: Spec) -> Model {
@@ -443,7 +520,11 @@
 
     #[test]
     fn cores_are_shared_and_past_a_point_lost() {
-        let spec = Spec { cores: 2.0, thrash_at: 2.0, ..Spec::default() };
+        let spec = Spec {
+            cores: 2.0,
+            thrash_at: 2.0,
+            ..Spec::default()
+        };
         assert_eq!(ends(&mut warm(spec.clone()), vec![job(1e6)]), [1000]);
         assert_eq!(ends(&mut warm(spec.clone()), vec![job(1e6); 4]), [2000; 4]);
         // Four threads a core, twice the point: half of the work is lost.
@@ -452,25 +533,60 @@
 
     #[test]
     fn a_load_holds_its_set_until_it_ends() {
-        let load = Job { holds: true, set: Some(7), ..job(1e6) };
-        let lookup = Job { set: Some(7), ..job(1e5) };
-        let got =
-            ends(&mut warm(Spec::default()), vec![load, lookup.clone(), Job { set: Some(8), ..lookup }]);
+        let load = Job {
+            holds: true,
+            set: Some(7),
+            ..job(1e6)
+        };
+        let lookup = Job {
+            set: Some(7),
+            ..job(1e5)
+        };
+        let got = ends(
+            &mut warm(Spec::default()),
+            vec![
+                load,
+                lookup.clone(),
+                Job {
+                    set: Some(8),
+                    ..lookup
+                },
+            ],
+        );
         assert_eq!(got, [1000, 1100, 100]);
     }
 
     #[test]
     fn memory_is_waited_for_and_what_lacks_it_spills() {
-        let spec = Spec { memory: 100.0, ..Spec::default() };
-        let big = Job { memory: 80.0, ..job(1e6) };
-        assert_eq!(ends(&mut warm(spec.clone()), vec![big.clone(), big.clone()]), [1000, 2000]);
-        let short = Job { grant: Some(40.0), ..big };
-        assert_eq!(ends(&mut warm(spec), vec![short.clone(), short]), [2000, 2000]);
+        let spec = Spec {
+            memory: 100.0,
+            ..Spec::default()
+        };
+        let big = Job {
+            memory: 80.0,
+            ..job(1e6)
+        };
+        assert_eq!(
+            ends(&mut warm(spec.clone()), vec![big.clone(), big.clone()]),
+            [1000, 2000]
+        );
+        let short = Job {
+            grant: Some(40.0),
+            ..big
+        };
+        assert_eq!(
+            ends(&mut warm(spec), vec![short.clone(), short]),
+            [2000, 2000]
+        );
     }
 
     #[test]
     fn a_cold_engine_is_slow_and_falls_over_when_it_is_sent_too_much() {
-        let spec = Spec { cores: 1.0, cold_from: 0.5, ..Spec::default() };
+        let spec = Spec {
+            cores: 1.0,
+            cold_from: 0.5,
+            ..Spec::default()
+        };
         let mut cold = Model::new(spec.clone(), 100 * S, true);
         let slow = ends(&mut cold, vec![job(1e6)])[0];
         assert!((1500..2000).contains(&slow), "{slow}");
@@ -486,12 +602,20 @@
     #[test]
     fn two_loads_that_need_each_others_sets_stand_for_ever_and_name_each_other() {
         let mut m = warm(Spec::default());
-        let load = |set, then| Job { holds: true, set: Some(set), then: Some((0.5, then)), ..job(1e6) };
+        let load = |set, then| Job {
+            holds: true,
+            set: Some(set),
+            then: Some((0.5, then)),
+            ..job(1e6)
+        };
         m.admit(100 * S, 0, load(1, 2));
         m.admit(100 * S, 1, load(2, 1));
         assert!(m.advance(200 * S).is_empty());
         let stands = |m: &Model, id| m.course(id).and_then(|c| c.stands);
-        assert_eq!((stands(&m, 0), stands(&m, 1)), (Some(Stands::Behind(1)), Some(Stands::Behind(0))));
+        assert_eq!(
+            (stands(&m, 0), stands(&m, 1)),
+            (Some(Stands::Behind(1)), Some(Stands::Behind(0)))
+        );
         assert_eq!(m.course(0).map(|c| (c.done * 100.0).round()), Some(50.0));
         assert!(m.kill(200 * S, 1) && !m.kill(200 * S, 1));
         assert_eq!(m.advance(201 * S), [0]);
@@ -500,9 +624,20 @@
     #[test]
     fn a_paused_statement_keeps_what_it_holds_and_goes_on_where_it_stood() {
         let mut m = warm(Spec::default());
-        let load = Job { holds: true, set: Some(1), ..job(1e6) };
+        let load = Job {
+            holds: true,
+            set: Some(1),
+            ..job(1e6)
+        };
         m.admit(100 * S, 0, load.clone());
-        m.admit(100 * S, 1, Job { holds: false, ..load });
+        m.admit(
+            100 * S,
+            1,
+            Job {
+                holds: false,
+                ..load
+            },
+        );
         assert!(m.pause(100 * S + S / 2, 0, true) && !m.pause(100 * S, 9, true));
         assert!(m.advance(200 * S).is_empty());
         assert_eq!(m.course(0).and_then(|c| c.stands), Some(Stands::Paused));
@@ -515,7 +650,10 @@
     #[test]
     fn ending_a_statement_stops_its_work_only_where_engines_can() {
         for cancels in [true, false] {
-            let mut m = warm(Spec { cancels, ..Spec::default() });
+            let mut m = warm(Spec {
+                cancels,
+                ..Spec::default()
+            });
             m.admit(100 * S, 0, job(1e6));
             assert_eq!(m.cancel(100 * S + 10, 0), cancels);
             assert_eq!(m.load().in_flight, usize::from(!cancels));
--- a/crates/standin/src/shape.rs
+++ b/crates/standin/src/shape.rs
@@ -31,20 +31,41 @@
     let draw = 0.5 + (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
     let job = |work_ms: f64, threads, io, memory, holds| {
         let (grant, set, priority, then) = (None, None, 1, None);
-        Job { work: work_ms * 1000.0 * draw, threads, io, memory, grant, set, holds, priority, then }
+        Job {
+            work: work_ms * 1000.0 * draw,
+            threads,
+            io,
+            memory,
+            grant,
+            set,
+            holds,
+            priority,
+            then,
+        }
     };
     // The Derby kind: short lookups, long reports, loads that hold what they write.
     let mut shape = match class {
-        "report" => Shape { job: job(4_000.0, 2.0, 0.45, 200.0, false), ..Shape::lookup(300, 3) },
-        "rent-load" => {
-            Shape { job: job(3_700.0, 2.0, 0.55, 150.0, true), posts: true, ..Shape::lookup(1, 1) }
-        }
-        _ => Shape { job: job(270.0, 1.0, 0.3, 20.0, false), ..Shape::lookup(5, 1) },
+        "report" => Shape {
+            job: job(4_000.0, 2.0, 0.45, 200.0, false),
+            ..Shape::lookup(300, 3)
+        },
+        "rent-load" => Shape {
+            job: job(3_700.0, 2.0, 0.55, 150.0, true),
+            posts: true,
+            ..Shape::lookup(1, 1)
+        },
+        _ => Shape {
+            job: job(270.0, 1.0, 0.3, 20.0, false),
+            ..Shape::lookup(5, 1)
+        },
     };
     let mut plan = 1.0;
     for hint in hints(text) {
         let (name, value) = hint.split_once('=').unwrap_or((hint, ""));
-        let number = value.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0);
+        let number = value
+            .parse::<f64>()
+            .ok()
+            .filter(|n| n.is_finite() && *n >= 0.0);
         match (name, number) {
             ("work", _) => {
                 if let Some(work) = duration(value) {
@@ -52,8 +73,9 @@
                 }
             }
             ("then", _) => {
-                let parsed =
-                    value.split_once(':').map(|(share, set)| (share.parse::<f64>(), set.parse::<u64>()));
+                let parsed = value
+                    .split_once(':')
+                    .map(|(share, set)| (share.parse::<f64>(), set.parse::<u64>()));
                 if let Some((Ok(share), Ok(set))) = parsed {
                     shape.job.then = Some((share.clamp(0.0, 1.0), set));
                 }
@@ -79,14 +101,35 @@
 impl Shape {
     fn lookup(rows: u64, pages: u64) -> Shape {
         let (io, memory, grant, set, holds, priority) = (0.0, 0.0, None, None, false, 1);
-        let job = Job { work: 0.0, threads: 1.0, io, memory, grant, set, holds, priority, then: None };
-        Shape { job, rows, pages, width: 12, reads: 0, wrong: false, posts: false }
+        let job = Job {
+            work: 0.0,
+            threads: 1.0,
+            io,
+            memory,
+            grant,
+            set,
+            holds,
+            priority,
+            then: None,
+        };
+        Shape {
+            job,
+            rows,
+            pages,
+            width: 12,
+            reads: 0,
+            wrong: false,
+            posts: false,
+        }
     }
 }
 
 /// The words of the first comment.
 fn hints(text: &str) -> impl Iterator<Item = &str> {
-    let inside = text.split_once("/*").and_then(|(_, rest)| rest.split_once("*/")).map_or("", |(h, _)| h);
+    let inside = text
+        .split_once("/*")
+        .and_then(|(_, rest)| rest.split_once("*/"))
+        .map_or("", |(h, _)| h);
     inside.split_ascii_whitespace()
 }
 
@@ -101,12 +144,20 @@
             "select 1 /* work=250ms threads=3 rows=7 pages=2 set=9 io=7 rows=x memory=NaN */",
             1,
         );
-        assert_eq!((s.job.work, s.job.threads, s.rows, s.pages), (250_000.0, 3.0, 7, 2));
+        assert_eq!(
+            (s.job.work, s.job.threads, s.rows, s.pages),
+            (250_000.0, 3.0, 7, 2)
+        );
         assert_eq!((s.job.set, s.job.io, s.job.memory), (Some(9), 1.0, 200.0));
         let s = of("report", "/* work=1s plan=30 then=0.25:8 */", 1);
-        assert_eq!((s.job.work, s.reads, s.job.then), (30e6, 100_000, Some((0.25, 8))));
+        assert_eq!(
+            (s.job.work, s.reads, s.job.then),
+            (30e6, 100_000, Some((0.25, 8)))
+        );
         assert!(of("rent-load", "insert", 1).posts && !of("lookup", "select", 1).posts);
-        let drawn: Vec<f64> = (0..100).map(|seed| of("lookup", "", seed).job.work).collect();
+        let drawn: Vec<f64> = (0..100)
+            .map(|seed| of("lookup", "", seed).job.work)
+            .collect();
         assert!(drawn.iter().all(|w| (135_000.0..=405_000.0).contains(w)));
         assert!(drawn.iter().any(|w| *w < 200_000.0) && drawn.iter().any(|w| *w > 340_000.0));
     }
--- a/crates/standin/src/thread.rs
+++ b/crates/standin/src/thread.rs
@@ -26,18 +26,26 @@
     {
         let (stop, stopped): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
         let (tell, told) = std::sync::mpsc::channel();
-        let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
-            let ex = Rc::new(LocalExecutor::new());
-            let started = start(Spawner::of(&ex));
-            let good = started.is_ok();
-            let _ = tell.send(started);
-            if good {
-                // The receiver errs once its sender is dropped: that is the order to stop too.
-                let _ = async_io::block_on(ex.run(stopped.recv()));
-            }
-        })?;
-        let addr = told.recv().map_err(|_| io::Error::other("the stand-in did not start"))??;
-        Ok(Running { addr, stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name(name.to_owned())
+            .spawn(move || {
+                let ex = Rc::new(LocalExecutor::new());
+                let started = start(Spawner::of(&ex));
+                let good = started.is_ok();
+                let _ = tell.send(started);
+                if good {
+                    // The receiver errs once its sender is dropped: that is the order to stop too.
+                    let _ = async_io::block_on(ex.run(stopped.recv()));
+                }
+            })?;
+        let addr = told
+            .recv()
+            .map_err(|_| io::Error::other("the stand-in did not start"))??;
+        Ok(Running {
+            addr,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     /// Ends it at once; sockets close, what ran is lost.
--- a/crates/statement/src/client.rs
+++ b/crates/statement/src/client.rs
@@ -67,7 +67,11 @@
             HeaderError::Twice(tag) => write!(f, "{}: {tag}= is given twice", names::TAGS),
             HeaderError::Size(tag) => write!(f, "{}: {tag}= must have 1 to 128 bytes", names::TAGS),
             HeaderError::Number(text) => {
-                write!(f, "{}: size= is {text:?}; a whole number of 1 to 10^12 is wanted", names::TAGS)
+                write!(
+                    f,
+                    "{}: size= is {text:?}; a whole number of 1 to 10^12 is wanted",
+                    names::TAGS
+                )
             }
             HeaderError::Estimate(text) => write!(
                 f,
@@ -88,7 +92,9 @@
 
 impl ClientHeaders {
     /// Reads header fields, given as name and value.
-    pub fn read<'a>(fields: impl Iterator<Item = (&'a str, &'a str)>) -> Result<ClientHeaders, HeaderError> {
+    pub fn read<'a>(
+        fields: impl Iterator<Item = (&'a str, &'a str)>,
+    ) -> Result<ClientHeaders, HeaderError> {
         let mut all = ClientHeaders::default();
         for (name, value) in fields {
             if name.eq_ignore_ascii_case(names::USER) {
@@ -101,28 +107,39 @@
                 for (property, value) in value.split(',').filter_map(|p| p.split_once('=')) {
                     if property.trim() == names::PATIENCE {
                         let value = value.trim();
-                        let parsed = duration(value).ok_or_else(|| HeaderError::Duration(value.into()))?;
+                        let parsed =
+                            duration(value).ok_or_else(|| HeaderError::Duration(value.into()))?;
                         all.patience = Some(parsed);
                     }
                 }
             }
         }
-        if all.user.is_empty() { Err(HeaderError::NoUser) } else { Ok(all) }
+        if all.user.is_empty() {
+            Err(HeaderError::NoUser)
+        } else {
+            Ok(all)
+        }
     }
 
     fn tags(&mut self, value: &str) -> Result<(), HeaderError> {
         for tag in value.split(',').map(str::trim) {
             self.repeat |= tag == "repeat";
-            let Some((name, value)) = tag.split_once('=') else { continue };
+            let Some((name, value)) = tag.split_once('=') else {
+                continue;
+            };
             match name {
                 "size" => {
-                    let parsed = value.parse().ok().filter(|n| (1..=1_000_000_000_000).contains(n));
+                    let parsed = value
+                        .parse()
+                        .ok()
+                        .filter(|n| (1..=1_000_000_000_000).contains(n));
                     self.size = Some(parsed.ok_or_else(|| HeaderError::Number(value.into()))?);
                     continue;
                 }
                 "estimate" => {
                     let parsed = duration(value).filter(|d| !d.is_zero());
-                    self.estimate = Some(parsed.ok_or_else(|| HeaderError::Estimate(value.into()))?);
+                    self.estimate =
+                        Some(parsed.ok_or_else(|| HeaderError::Estimate(value.into()))?);
                     continue;
                 }
                 _ => {}
@@ -161,7 +178,9 @@
         _ => return None,
     };
     let value: f64 = number.parse().ok()?;
-    Duration::try_from_secs_f64(value * seconds).ok().filter(|d| d.as_secs() < 366 * 86_400)
+    Duration::try_from_secs_f64(value * seconds)
+        .ok()
+        .filter(|d| d.as_secs() < 366 * 86_400)
 }
 
 #[cfg(test)]
@@ -174,10 +193,20 @@
 
     #[test]
     fn tags_and_properties_are_read() {
-        let tags = ("x-trino-client-tags", "class=report, tenant=kestrel, x, key=k1, repeat");
-        let all = read(&[("X-Trino-User", "ann"), tags, ("X-Trino-Session", "a=b,query_max_run_time=1.5s")]);
+        let tags = (
+            "x-trino-client-tags",
+            "class=report, tenant=kestrel, x, key=k1, repeat",
+        );
+        let all = read(&[
+            ("X-Trino-User", "ann"),
+            tags,
+            ("X-Trino-Session", "a=b,query_max_run_time=1.5s"),
+        ]);
         let all = all.expect("readable");
-        assert_eq!((all.class.as_deref(), all.tenant.as_deref()), (Some("report"), Some("kestrel")));
+        assert_eq!(
+            (all.class.as_deref(), all.tenant.as_deref()),
+            (Some("report"), Some("kestrel"))
+        );
         assert_eq!((all.key.as_deref(), all.repeat), (Some("k1"), true));
         assert_eq!(all.patience, Some(Duration::from_millis(1500)));
     }
@@ -187,14 +216,27 @@
         assert_eq!(read(&[]), Err(HeaderError::NoUser));
         let tags = |value| read(&[("X-Trino-User", "a"), ("X-Trino-Client-Tags", value)]);
         assert_eq!(tags("class=a,class=b"), Err(HeaderError::Twice("class")));
-        for tag in ["size=", "size=0", "size=-1", "size=1.5", "size=x", "size=9999999999999"] {
+        for tag in [
+            "size=",
+            "size=0",
+            "size=-1",
+            "size=1.5",
+            "size=x",
+            "size=9999999999999",
+        ] {
             assert_eq!(tags(tag), Err(HeaderError::Number(tag[5..].into())));
         }
         assert_eq!(tags("estimate=0s"), Err(HeaderError::Estimate("0s".into())));
         let told = tags("size=12,estimate=40s").expect("readable");
-        assert_eq!((told.size, told.estimate), (Some(12), Some(Duration::from_secs(40))));
+        assert_eq!(
+            (told.size, told.estimate),
+            (Some(12), Some(Duration::from_secs(40)))
+        );
         assert_eq!(tags("key="), Err(HeaderError::Size("key")));
-        assert_eq!(tags(&format!("key={}", "x".repeat(129))), Err(HeaderError::Size("key")));
+        assert_eq!(
+            tags(&format!("key={}", "x".repeat(129))),
+            Err(HeaderError::Size("key"))
+        );
         for text in ["", "5", "s", "-1s", "1..5s", "1x", "99999999d", "1e400s"] {
             let session = format!("query_max_run_time={text}");
             let got = read(&[("X-Trino-User", "a"), ("X-Trino-Session", &session)]);
--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -90,7 +90,10 @@
 
     /// Whether the answer promises that trying again is harmless.
     pub fn is_harmless(self) -> bool {
-        matches!(self, ErrorName::Refused | ErrorName::RouterRestarted | ErrorName::EndedByRule)
+        matches!(
+            self,
+            ErrorName::Refused | ErrorName::RouterRestarted | ErrorName::EndedByRule
+        )
     }
 }
 
@@ -104,7 +107,13 @@
         let page = include_str!("../../../docs/operating.md");
         let names: BTreeSet<&str> = ErrorName::ALL.iter().map(|n| n.name()).collect();
         let codes: BTreeSet<u32> = ErrorName::ALL.iter().map(|n| n.code()).collect();
-        assert_eq!((names.len(), codes.len()), (ErrorName::ALL.len(), ErrorName::ALL.len()));
-        assert!(names.iter().all(|n| page.contains(&format!("`{n}`"))), "{names:?}");
+        assert_eq!(
+            (names.len(), codes.len()),
+            (ErrorName::ALL.len(), ErrorName::ALL.len())
+        );
+        assert!(
+            names.iter().all(|n| page.contains(&format!("`{n}`"))),
+            "{names:?}"
+        );
     }
 }
--- a/crates/statement/src/extra.rs
+++ b/crates/statement/src/extra.rs
@@ -46,8 +46,10 @@
 
 /// Writes pairs.
 pub fn text(pairs: &[(&str, f64)]) -> String {
-    let parts: Vec<String> =
-        pairs.iter().map(|(n, v)| format!("{n}={}", (v * 1000.0).round() / 1000.0)).collect();
+    let parts: Vec<String> = pairs
+        .iter()
+        .map(|(n, v)| format!("{n}={}", (v * 1000.0).round() / 1000.0))
+        .collect();
     parts.join("; ")
 }
 
@@ -87,7 +89,11 @@
 pub fn holder(value: &str) -> Option<Holder<'_>> {
     let mut parts = value.split(';').map(str::trim);
     let name = parts.next().filter(|n| !n.is_empty() && n.len() <= 128)?;
-    let mut holder = Holder { name, class: None, age_ms: None };
+    let mut holder = Holder {
+        name,
+        class: None,
+        age_ms: None,
+    };
     for (key, value) in parts.filter_map(|p| p.split_once('=')) {
         match key {
             "class" if !value.is_empty() => holder.class = Some(value),
@@ -107,11 +113,25 @@
         let whole = holder("r1/00017_ab; class=rent-load;age_ms=12000");
         assert_eq!(
             whole,
-            Some(Holder { name: "r1/00017_ab", class: Some("rent-load"), age_ms: Some(12_000) })
+            Some(Holder {
+                name: "r1/00017_ab",
+                class: Some("rent-load"),
+                age_ms: Some(12_000)
+            })
         );
         let some = holder("x; class=; age_ms=-1; y; age_ms=99999999999999999");
-        assert_eq!(some, Some(Holder { name: "x", class: None, age_ms: None }));
-        assert_eq!((holder(""), holder("; class=a"), holder(&"x".repeat(129))), (None, None, None));
+        assert_eq!(
+            some,
+            Some(Holder {
+                name: "x",
+                class: None,
+                age_ms: None
+            })
+        );
+        assert_eq!(
+            (holder(""), holder("; class=a"), holder(&"x".repeat(129))),
+            (None, None, None)
+        );
     }
 
     #[test]
@@ -126,7 +146,10 @@
     #[test]
     fn what_is_no_number_is_passed_over() {
         let value = "in_flight=3; memory=0.5;cpu=x; =; a; nan=NaN; inf=inf; cpu=1e999";
-        assert_eq!(numbers(value).collect::<Vec<_>>(), vec![("in_flight", 3.0), ("memory", 0.5)]);
+        assert_eq!(
+            numbers(value).collect::<Vec<_>>(),
+            vec![("in_flight", 3.0), ("memory", 0.5)]
+        );
         assert_eq!(text(&[("a", 1.0), ("b", 0.25)]), "a=1; b=0.25");
     }
 }
--- a/crates/statement/src/ids.rs
+++ b/crates/statement/src/ids.rs
@@ -17,12 +17,19 @@
 impl QueryId {
     /// An id for a statement that came at `at`, in a life whose name is letters and digits.
     pub fn new(at: SystemTime, number: u64, life: &str) -> QueryId {
-        let at = at.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs();
+        let at = at
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO)
+            .as_secs();
         let (y, m, d) = date_of((at / 86_400) as i64);
         let s = at % 86_400;
         let (hour, minute, second) = (s / 3600, s / 60 % 60, s % 60);
         let text = format!("{y:04}{m:02}{d:02}_{hour:02}{minute:02}{second:02}_{number:05}_{life}");
-        QueryId { life: text.len() - life.len(), text, number }
+        QueryId {
+            life: text.len() - life.len(),
+            text,
+            number,
+        }
     }
 
     /// Reads one; none where the text has not an id's form. Whether such an id was ever given out, its
@@ -30,17 +37,26 @@
     pub fn parse(text: &str) -> Option<QueryId> {
         let digits = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
         let mut parts = text.split('_');
-        let (Some(day), Some(time), Some(number), Some(life), None) =
-            (parts.next(), parts.next(), parts.next(), parts.next(), parts.next())
-        else {
+        let (Some(day), Some(time), Some(number), Some(life), None) = (
+            parts.next(),
+            parts.next(),
+            parts.next(),
+            parts.next(),
+            parts.next(),
+        ) else {
             return None;
         };
         let sizes = day.len() == 8 && time.len() == 6 && (5..=19).contains(&number.len());
-        let name = !life.is_empty() && life.len() <= 16 && life.bytes().all(|b| b.is_ascii_alphanumeric());
+        let name =
+            !life.is_empty() && life.len() <= 16 && life.bytes().all(|b| b.is_ascii_alphanumeric());
         if !(sizes && name && digits(day) && digits(time) && digits(number)) {
             return None;
         }
-        Some(QueryId { text: text.to_owned(), number: number.parse().ok()?, life: text.len() - life.len() })
+        Some(QueryId {
+            text: text.to_owned(),
+            number: number.parse().ok()?,
+            life: text.len() - life.len(),
+        })
     }
 
     /// The life of its router.
@@ -79,7 +95,11 @@
 
     #[test]
     fn ids_come_back_and_other_texts_do_not() {
-        for (secs, day) in [(0, "19700101"), (951_782_400, "20000229"), (1_796_083_200, "20261201")] {
+        for (secs, day) in [
+            (0, "19700101"),
+            (951_782_400, "20000229"),
+            (1_796_083_200, "20261201"),
+        ] {
             let id = QueryId::new(UNIX_EPOCH + Duration::from_secs(secs + 3661), 42, "ab12");
             assert_eq!(id.to_string(), format!("{day}_010101_00042_ab12"));
             assert_eq!(QueryId::parse(&id.to_string()), Some(id));
--- a/crates/statement/src/results.rs
+++ b/crates/statement/src/results.rs
@@ -144,13 +144,27 @@
 impl QueryError {
     /// An error of the router.
     pub fn of(name: ErrorName, message: String) -> QueryError {
-        QueryError::new(name.name().to_owned(), name.code(), name.error_type(), message)
+        QueryError::new(
+            name.name().to_owned(),
+            name.code(),
+            name.error_type(),
+            message,
+        )
     }
 
     /// Any error.
     pub fn new(name: String, code: u32, error_type: ErrorType, message: String) -> QueryError {
-        let failure_info = FailureInfo { kind: name.clone(), message: message.clone() };
-        QueryError { message, error_code: code, error_name: name, error_type, failure_info }
+        let failure_info = FailureInfo {
+            kind: name.clone(),
+            message: message.clone(),
+        };
+        QueryError {
+            message,
+            error_code: code,
+            error_name: name,
+            error_type,
+            failure_info,
+        }
     }
 }
 
@@ -202,6 +216,8 @@
 impl QueryResults {
     /// Whether it holds any row.
     pub fn has_rows(&self) -> bool {
-        self.data.as_ref().is_some_and(|d| !d.get().trim_start_matches(['[', ' ']).starts_with(']'))
+        self.data
+            .as_ref()
+            .is_some_and(|d| !d.get().trim_start_matches(['[', ' ']).starts_with(']'))
     }
 }
--- a/crates/statement/src/token.rs
+++ b/crates/statement/src/token.rs
@@ -73,7 +73,10 @@
         let mut material = secret.to_vec();
         material.push(0);
         material.extend_from_slice(router.as_bytes());
-        Key(blake3::derive_key("hoptiller 2026 statement tokens", &material))
+        Key(blake3::derive_key(
+            "hoptiller 2026 statement tokens",
+            &material,
+        ))
     }
 
     fn code(&self, what: &[u8]) -> [u8; LETTERS] {
@@ -112,21 +115,37 @@
     pub fn read(&self, path: &str) -> Result<Token, TokenError> {
         let rest = path.strip_prefix("/v1/statement/").ok_or(TokenError)?;
         let mut parts = rest.split('/');
-        let (Some(phase), Some(id), Some(slug), Some(page), None) =
-            (parts.next(), parts.next(), parts.next(), parts.next(), parts.next())
-        else {
+        let (Some(phase), Some(id), Some(slug), Some(page), None) = (
+            parts.next(),
+            parts.next(),
+            parts.next(),
+            parts.next(),
+            parts.next(),
+        ) else {
             return Err(TokenError);
         };
-        let phase = [Phase::Waiting, Phase::Rows].into_iter().find(|p| phase_name(*p) == phase);
-        let repeat = [Repeat::Safe, Repeat::Unsafe].into_iter().find(|r| slug.starts_with(repeat_name(*r)));
+        let phase = [Phase::Waiting, Phase::Rows]
+            .into_iter()
+            .find(|p| phase_name(*p) == phase);
+        let repeat = [Repeat::Safe, Repeat::Unsafe]
+            .into_iter()
+            .find(|r| slug.starts_with(repeat_name(*r)));
         let (Some(phase), Some(repeat), Some(id)) = (phase, repeat, QueryId::parse(id)) else {
             return Err(TokenError);
         };
         if page.len() > 19 || !page.bytes().all(|b| b.is_ascii_digit()) {
             return Err(TokenError);
         }
-        let token = Token { id, page: page.parse().map_err(|_| TokenError)?, known: Known { repeat, phase } };
-        if same(self.path(&token).as_bytes(), path.as_bytes()) { Ok(token) } else { Err(TokenError) }
+        let token = Token {
+            id,
+            page: page.parse().map_err(|_| TokenError)?,
+            known: Known { repeat, phase },
+        };
+        if same(self.path(&token).as_bytes(), path.as_bytes()) {
+            Ok(token)
+        } else {
+            Err(TokenError)
+        }
     }
 
     /// Puts the path of a statement's course behind a text.
@@ -150,7 +169,11 @@
     pub fn read_course(&self, path: &str) -> Result<QueryId, TokenError> {
         let rest = path.strip_prefix("/v1/query/").ok_or(TokenError)?;
         let id = QueryId::parse(rest.split('/').next().unwrap_or_default()).ok_or(TokenError)?;
-        if same(self.course_path(&id).as_bytes(), path.as_bytes()) { Ok(id) } else { Err(TokenError) }
+        if same(self.course_path(&id).as_bytes(), path.as_bytes()) {
+            Ok(id)
+        } else {
+            Err(TokenError)
+        }
     }
 }
 
@@ -182,8 +205,15 @@
     fn any_altered_character_is_no_token() {
         let key = Key::new(b"secret", "r1");
         let id = QueryId::new(SystemTime::UNIX_EPOCH, 7, "lifelife");
-        for (phase, repeat) in [(Phase::Waiting, Repeat::Unsafe), (Phase::Rows, Repeat::Safe)] {
-            let token = Token { id: id.clone(), page: 12, known: Known { repeat, phase } };
+        for (phase, repeat) in [
+            (Phase::Waiting, Repeat::Unsafe),
+            (Phase::Rows, Repeat::Safe),
+        ] {
+            let token = Token {
+                id: id.clone(),
+                page: 12,
+                known: Known { repeat, phase },
+            };
             let path = key.path(&token);
             assert_eq!(key.read(&path), Ok(token.clone()));
             for at in 0..path.len() {
@@ -199,6 +229,9 @@
             assert!(Key::new(b"other", "r1").read(&path).is_err());
         }
         assert_eq!(key.read_course(&key.course_path(&id)), Ok(id));
-        assert!(key.read_course("/v1/query/19700101_000000_00007_lifelife/x").is_err());
+        assert!(
+            key.read_course("/v1/query/19700101_000000_00007_lifelife/x")
+                .is_err()
+        );
     }
 }
--- a/crates/tasks/src/lib.rs
+++ b/crates/tasks/src/lib.rs
@@ -34,7 +34,10 @@
 }
 
 /// The part that reads discovery.
-pub const LIST: Part = Part { task: Task::List, shard: 0 };
+pub const LIST: Part = Part {
+    task: Task::List,
+    shard: 0,
+};
 
 /// The part in which an engine is asked how it is, of so many; `None` where there are none.
 pub fn probe_of(engine: &str, parts: u32) -> Option<Part> {
@@ -42,7 +45,10 @@
     let mut first = [0; 4];
     first.copy_from_slice(&hash.as_bytes()[..4]);
     let shard = u32::from_be_bytes(first).checked_rem(parts)?;
-    Some(Part { task: Task::Probe, shard })
+    Some(Part {
+        task: Task::Probe,
+        shard,
+    })
 }
 
 #[cfg(test)]
@@ -53,28 +59,67 @@
 
     #[test]
     fn a_part_is_mine_while_i_hold_it_and_everybodys_where_nobody_does() {
-        let bounds = Bounds { term: 10_000, drift: 0 };
-        let mut tenant = Tenant::new(&bounds, 100);
-        assert_eq!(duty(&tenant, 0, LIST, false), Duty::Own, "there is no such task");
-        let holder = Some((Holder { router: "r".into(), life: "1".into() }, 7));
-        let mut tell = |serial: u64, mine: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
-            let (part, note) = (LIST, note.map(str::to_owned));
-            let posted = vec![Posted { part, holder: holder.clone(), note }];
-            let board = Board { upto: serial, parts: vec![LIST], posted };
-            let grants: Vec<Grant> =
-                mine.then_some(Grant { part, number: 7, leaving: false }).into_iter().collect();
-            tenant.offer(serial, 0);
-            tenant.granted(serial, 1, serial, Some(&grants), Some(&board));
-            tenant.clone()
+        let bounds = Bounds {
+            term: 10_000,
+            drift: 0,
         };
-        assert_eq!(duty(&tell(1, false, &None, None), 2, LIST, false), Duty::Own);
-        assert_eq!(duty(&tell(2, false, &holder, None), 2, LIST, false), Duty::Own, "nothing is noted yet");
+        let mut tenant = Tenant::new(&bounds, 100);
+        assert_eq!(
+            duty(&tenant, 0, LIST, false),
+            Duty::Own,
+            "there is no such task"
+        );
+        let holder = Some((
+            Holder {
+                router: "r".into(),
+                life: "1".into(),
+            },
+            7,
+        ));
+        let mut tell =
+            |serial: u64, mine: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
+                let (part, note) = (LIST, note.map(str::to_owned));
+                let posted = vec![Posted {
+                    part,
+                    holder: holder.clone(),
+                    note,
+                }];
+                let board = Board {
+                    upto: serial,
+                    parts: vec![LIST],
+                    posted,
+                };
+                let grants: Vec<Grant> = mine
+                    .then_some(Grant {
+                        part,
+                        number: 7,
+                        leaving: false,
+                    })
+                    .into_iter()
+                    .collect();
+                tenant.offer(serial, 0);
+                tenant.granted(serial, 1, serial, Some(&grants), Some(&board));
+                tenant.clone()
+            };
+        assert_eq!(
+            duty(&tell(1, false, &None, None), 2, LIST, false),
+            Duty::Own
+        );
+        assert_eq!(
+            duty(&tell(2, false, &holder, None), 2, LIST, false),
+            Duty::Own,
+            "nothing is noted yet"
+        );
         let others = tell(3, false, &holder, Some("x"));
         assert_eq!(duty(&others, 2, LIST, false), Duty::Others("x".into()));
         assert_eq!(duty(&others, 2, LIST, true), Duty::Own, "in doubt");
         let mine = tell(4, true, &holder, Some("x"));
         assert_eq!(duty(&mine, 2, LIST, false), Duty::Mine);
-        assert_eq!(duty(&mine, 9_900, LIST, false), Duty::Others("x".into()), "its time is over");
+        assert_eq!(
+            duty(&mine, 9_900, LIST, false),
+            Duty::Others("x".into()),
+            "its time is over"
+        );
     }
 
     #[test]
