--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -70,22 +70,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_plot_holds_its_curves_and_limits() {
-        let curves = vec![
-            ("as set".to_owned(), vec![3.0, 5.0, 8.0], 4),
-            ("none".to_owned(), vec![], 0),
-        ];
-        let svg = found_by_time(&curves, &[5, 15]);
-        assert!(
-            svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"),
-            "{}",
-            &svg[..80.min(svg.len())]
-        );
-        assert!(svg.contains("as set: 3 of 4") && svg.contains("fixed limit 15 s"));
-        assert!(svg.matches("<polyline").count() >= 4);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/rig/src/link/tests.rs
@@ -0,0 +1,87 @@
+use super::*;
+use std::io::{Read, Write};
+
+/// Answers each connection with what it sends.
+fn echo() -> SocketAddr {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).expect("bound");
+    let addr = listener.local_addr().expect("bound");
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            std::thread::spawn(move || {
+                let mut out = stream.try_clone().expect("cloned");
+                let mut bytes = [0; 64];
+                let mut stream = stream;
+                while let Ok(n @ 1..) = stream.read(&mut bytes) {
+                    if out.write_all(&bytes[..n]).is_err() {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+    addr
+}
+
+fn connect(link: &Link) -> TcpStream {
+    let stream = TcpStream::connect(link.addr()).expect("connected");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("set");
+    stream
+}
+
+#[test]
+fn a_link_carries_stalls_goes_on_and_resets_as_told() {
+    let link = Link::new("link").expect("made");
+    link.lead_to(echo());
+    let mut stream = connect(&link);
+    let mut bytes = [0; 4];
+    stream.write_all(b"one!").expect("sent");
+    stream.read_exact(&mut bytes).expect("back");
+    // One way only: the answer is lost, not the call.
+    link.fail(Faults {
+        back: Way {
+            cut: true,
+            ..Way::default()
+        },
+        ..Faults::default()
+    });
+    stream.write_all(b"two!").expect("sent");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("set");
+    assert!(stream.read_exact(&mut bytes).is_err(), "nothing passes");
+    link.fail(Faults::default());
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("set");
+    stream.read_exact(&mut bytes).expect("late");
+    assert_eq!(&bytes, b"two!");
+    link.reset();
+    assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0, "closed");
+    // So many bytes, then silence.
+    link.fail(Faults {
+        there: Way {
+            most: Some(2),
+            ..Way::default()
+        },
+        ..Faults::default()
+    });
+    let mut stream = connect(&link);
+    stream.write_all(b"four").expect("sent");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("set");
+    stream.read_exact(&mut bytes[..2]).expect("some");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("set");
+    assert!(stream.read_exact(&mut bytes[..1]).is_err(), "and no more");
+    link.fail(Faults {
+        refuse: true,
+        ..Faults::default()
+    });
+    let mut stream = connect(&link);
+    let _ = stream.write_all(b"five");
+    assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0);
+}
--- /dev/null
+++ b/crates/runaway/src/expect/tests.rs
@@ -0,0 +1,114 @@
+use super::*;
+use crate::interface::Acts;
+use hoptiller::Effect;
+
+const S: f64 = 1e6;
+
+fn spec() -> Class {
+    Class {
+        name: "report".into(),
+        aim: 2_000_000,
+        patience: 25_000_000,
+        threads: 2.0,
+        effect: Effect::Pure,
+        holds: false,
+        acts: Acts::default(),
+    }
+}
+
+fn run(seconds: f64) -> Run {
+    Run {
+        ran: seconds * S,
+        work: Some(2.0 * seconds * S),
+        ..Run::default()
+    }
+}
+
+fn book(kind: KindId, runs: usize) -> Book {
+    let mut b = Book::new(1, 400);
+    b.touch(kind, 0, &"select ?".into(), 1);
+    for n in 0..runs {
+        b.learn(
+            kind,
+            0,
+            Announced::default(),
+            &run(0.8 + 0.4 * (n % 10) as f64 / 9.0),
+        );
+    }
+    b
+}
+
+fn bar_of(b: &Book, kind: u64, says: Announced) -> Expected {
+    b.expect(KindId(kind), 0, &spec(), says).run
+}
+
+#[test]
+fn a_kind_of_ten_runs_is_no_law() {
+    let (nothing, some) = (Announced::default(), |b: &Book| {
+        bar_of(b, 1, Announced::default())
+    });
+    assert_eq!(some(&book(KindId(1), 0)).basis, Basis::Settings);
+    let ten = some(&book(KindId(1), 10));
+    assert_eq!((ten.basis, ten.bar), (Basis::Settings, 25.0 * S));
+    let law = some(&book(KindId(1), 60));
+    assert_eq!(law.basis, Basis::Kind(60));
+    assert!((11.0 * S..13.0 * S).contains(&law.bar), "{law:?}");
+    // A kind never seen, in a class that is known: wider than the class's own kinds.
+    let stranger = bar_of(&book(KindId(1), 60), 2, nothing);
+    assert_eq!(stranger.basis, Basis::Class(60));
+    assert!(stranger.bar > 1.8 * law.bar, "{stranger:?}");
+}
+
+#[test]
+fn what_is_announced_counts_where_it_was_right_before() {
+    let b = book(KindId(1), 60);
+    let says = |size, estimate| Announced { size, estimate };
+    let (plain, twelve) = (bar_of(&b, 1, says(0, None)), bar_of(&b, 1, says(12, None)));
+    assert!(
+        (7.0..9.0).contains(&(twelve.bar / plain.bar)),
+        "the power of two under 12"
+    );
+    // Estimates of which nothing is known are not believed.
+    assert_eq!(bar_of(&b, 1, says(0, Some(900_000_000))), plain);
+    let mut honest = book(KindId(1), 60);
+    let mut liar = book(KindId(1), 60);
+    for n in 0..20u64 {
+        honest.learn(KindId(1), 0, says(0, Some(1_000_000)), &run(1.0));
+        liar.learn(KindId(1), 0, says(0, Some(10_000 << (n % 14))), &run(1.0));
+    }
+    assert!(bar_of(&honest, 1, says(0, Some(10_000_000))).bar > 9.0 * plain.bar);
+    assert!(bar_of(&liar, 1, says(0, Some(10_000_000))).bar < 1.1 * plain.bar);
+}
+
+#[test]
+fn usual_moves_with_the_month_and_not_with_strays() {
+    let mut b = book(KindId(1), 200);
+    let before = bar_of(&b, 1, Announced::default());
+    for _ in 0..20 {
+        b.note_beyond(KindId(1), &run(100.0));
+    }
+    assert_eq!(bar_of(&b, 1, Announced::default()), before);
+    for _ in 0..400 {
+        b.learn(KindId(1), 0, Announced::default(), &run(4.0));
+    }
+    assert!(bar_of(&b, 1, Announced::default()).usual > 3.5 * before.usual);
+    b.adopt(KindId(1));
+    assert!(bar_of(&b, 1, Announced::default()).usual > 90.0 * S);
+}
+
+#[test]
+fn invented_kinds_push_out_only_each_other() {
+    let mut b = book(KindId(1), 60);
+    for n in 0..100_000u64 {
+        b.touch(KindId(n + 10), 0, &"x".into(), 2 + n);
+    }
+    assert_eq!(b.len(), 101);
+    assert!(b.is_known(KindId(1)) && !b.is_known(KindId(100_009)));
+    assert!(b.kinds.contains_key(&KindId(100_009)) && !b.kinds.contains_key(&KindId(10)));
+    // Known ones are bounded too.
+    for n in 0..1000u64 {
+        b.touch(KindId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
+        (0..KNOWN).for_each(|_| b.learn(KindId(n + 1_000_000), 0, Announced::default(), &run(1.0)));
+    }
+    assert!(b.len() <= 400 && b.known_of(0) == 300);
+}
