--- a/crates/measure/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use hoptiller_agent::{Clock, Keepers, Secret, wire};
-use hoptiller_agreement::{Act, Bounds, Document, Follower, Holder, Put};
-use hoptiller_keeper::core::Core;
-use hoptiller_keeper::disk::Disk;
-use hoptiller_keeper::log::Log;
-use hoptiller_keeper::members::Members;
-use hoptiller_rig::{Layout, Stage, stage::Between};
-use hoptiller_router::agreed::Agreed;
-use hoptiller_router::settings::AgreementSettings;
-use hoptiller_standin::Running;
+use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
+use hoptiller_coordination_client::{Clock, Keepers, Secret, wire};
+use hoptiller_coordination_server::core::Core;
+use hoptiller_coordination_server::disk::Disk;
+use hoptiller_coordination_server::log::Log;
+use hoptiller_coordination_server::members::Members;
+use hoptiller_fault_harness::{Layout, Stage, stage::Between};
+use hoptiller_mock_servers::Running;
+use hoptiller_statement_router::agreed::Agreed;
+use hoptiller_statement_router::settings::AgreementSettings;
 use serde_json::json;
 
 const PERMIT: Duration = Duration::from_secs(10);
--- a/crates/measure/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future::block_on;
-use hoptiller::EngineId;
 use hoptiller_audit::Recorder;
 use hoptiller_http::{Method, Request};
-use hoptiller_router::Settings;
+use hoptiller_mock_servers::client::{Ask, Client, Manner};
+use hoptiller_policy::EngineId;
 use hoptiller_runaway::{Announced, AttemptId, End, KindId, Listed, News, Start, Watch};
 use hoptiller_sql::{Dialect, kind_of};
-use hoptiller_standin::client::{Ask, Client, Manner};
+use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
 
 use crate::site::{Place, Site, ask};
--- a/crates/measure/src/site.rs
+++ b/crates/benchmarks/src/site.rs
@@ -10,9 +10,9 @@
 use futures_lite::future::block_on;
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_standin::Running;
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
 
 /// What each measurement starts from.
@@ -106,7 +106,7 @@
             configs.push(config);
             running.push(started);
         }
-        let mut value = hoptiller_router::settings::evaluate_file(&place.settings)
+        let mut value = hoptiller_statement_router::settings::evaluate_file(&place.settings)
             .map_err(|p| io::Error::other(p.to_string()))?;
         value["router"]["listen"] = json!("127.0.0.1:0");
         value["router"]["state"] = Value::Null;
--- a/crates/measure/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -8,16 +8,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use hoptiller::{EngineId, Entry, Micros, Scope};
-use hoptiller_agent::{Clock, Secret};
-use hoptiller_agreement::Document;
-use hoptiller_rig::{Layout, Stage};
-use hoptiller_router::Settings;
-use hoptiller_router::agreed::Agreed;
-use hoptiller_router::discovery::{Discovery, Listener};
-use hoptiller_standin::Running;
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
+use hoptiller_coordination::Document;
+use hoptiller_coordination_client::{Clock, Secret};
+use hoptiller_fault_harness::{Layout, Stage};
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_policy::{EngineId, Entry, Micros, Scope};
+use hoptiller_statement_router::Settings;
+use hoptiller_statement_router::agreed::Agreed;
+use hoptiller_statement_router::discovery::{Discovery, Listener};
 use serde_json::json;
 
 const PERMIT: Duration = Duration::from_secs(4);
@@ -84,7 +84,7 @@
         let now_all = all || entries.len() == self.engines;
         let now_drains = entries
             .iter()
-            .any(|e| e.readiness == hoptiller::Readiness::Draining);
+            .any(|e| e.readiness == hoptiller_policy::Readiness::Draining);
         if let Ok(mut known) = self.known.lock() {
             known.0 += usize::from(now_all && !all);
             if now_drains && !drains {
--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use hoptiller_node::trace::{Seen, Trace};
+use hoptiller_platform_router::trace::{Seen, Trace};
 
 use crate::run::Failure;
 
@@ -13,7 +13,7 @@
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Traces (HOPTILLER_LOG=hoptiller_node=debug), one file a router, or folders of them (*.log)
+    /// Traces (HOPTILLER_LOG=hoptiller_platform_router=debug), one file a router, or folders of them (*.log)
     #[arg(required = true)]
     traces: Vec<PathBuf>,
     /// Engines to show, those that turned most attempts away first
@@ -58,7 +58,7 @@
         }
     }
     if compared == 0 {
-        let what = "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_node=debug)";
+        let what = "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)";
         return Err(Failure::Usage(what.to_owned()));
     }
     let mut worst: Vec<(u32, Seen)> = engines.into_iter().collect();
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use hoptiller_router::{Problem, Settings};
+use hoptiller_statement_router::{Problem, Settings};
 use serde_json::Value;
 
 use crate::commands::{day, fleet, settings};
@@ -66,8 +66,8 @@
 
 /// A good file as it is understood, and what it is in words.
 fn checked(file: &Path) -> Result<(Value, String), Failure> {
-    let value =
-        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let value = hoptiller_statement_router::settings::evaluate_file(file)
+        .map_err(|p| Failure::Settings(vec![p]))?;
     let one = |what: String| {
         Failure::Settings(vec![Problem {
             place: file.display().to_string(),
@@ -88,8 +88,8 @@
             Ok((serde_json::to_value(&s).unwrap_or_default(), what))
         }
         Kind::Keeper => {
-            let k =
-                hoptiller_keeper::Config::read(value.clone()).map_err(|e| one(e.to_string()))?;
+            let k = hoptiller_coordination_server::Config::read(value.clone())
+                .map_err(|e| one(e.to_string()))?;
             Ok((
                 value,
                 format!(
--- a/crates/cli/src/commands/day/crowd.rs
+++ b/crates/cli/src/commands/day/crowd.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hoptiller_audit::Recorder;
-use hoptiller_standin::client::{Ask, Came, Client, Manner};
+use hoptiller_mock_servers::client::{Ask, Came, Client, Manner};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/cli/src/commands/day/plan.rs
+++ b/crates/cli/src/commands/day/plan.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hoptiller_router::settings::evaluate_file;
-use hoptiller_router::{Problem, Settings};
-use hoptiller_standin::fault::Faults;
+use hoptiller_mock_servers::fault::Faults;
 use hoptiller_statement::client::duration;
+use hoptiller_statement_router::settings::evaluate_file;
+use hoptiller_statement_router::{Problem, Settings};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -10,10 +10,10 @@
 use hoptiller_audit::Recorder;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request};
-use hoptiller_standin::Running;
-use hoptiller_standin::discovery::{DiscoveryConfig, DiscoveryFaults};
-use hoptiller_standin::engine::EngineConfig;
-use hoptiller_standin::ledger::Ledger;
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::discovery::{DiscoveryConfig, DiscoveryFaults};
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::ledger::Ledger;
 use serde_json::json;
 
 use super::plan::{Act, Plan};
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use hoptiller_router::{Service, Settings};
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_statement_router::{Service, Settings};
 
 use crate::run::{self, Failure};
 use crate::secret;
@@ -44,7 +44,7 @@
         engine.notes = true;
         running.push(engine.start().map_err(outside("a stand-in engine"))?);
     }
-    let mut value = hoptiller_router::settings::evaluate("derby.jsonnet", EXAMPLE)
+    let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
         .map_err(|p| Failure::Settings(vec![p]))?;
     value["router"]["listen"] = args.http.to_string().into();
     value["router"]["state"] = serde_json::Value::Null;
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use hoptiller_emulator::study::{self, Condition, Figures, LIMITS};
-use hoptiller_router::Settings;
+use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
 
 use super::chart;
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -5,11 +5,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use hoptiller_agent::wire::{self, LeaseStatus, Status};
-use hoptiller_agreement::Span;
 use hoptiller_audit::{Agreement, Rules, judge};
-use hoptiller_rig::stage::EnginePlan;
-use hoptiller_rig::{Day, Layout, Stage};
+use hoptiller_coordination::Span;
+use hoptiller_coordination_client::wire::{self, LeaseStatus, Status};
+use hoptiller_fault_harness::stage::EnginePlan;
+use hoptiller_fault_harness::{Day, Layout, Stage};
 
 use crate::keepers::KeeperArgs;
 use crate::run::Failure;
@@ -121,11 +121,11 @@
 
 /// A file of a day, checked as far as can be without playing it.
 fn written(file: &std::path::Path) -> Result<Written, Failure> {
-    let value =
-        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let value = hoptiller_statement_router::settings::evaluate_file(file)
+        .map_err(|p| Failure::Settings(vec![p]))?;
     let day: Written = serde_json::from_value(value)
         .map_err(|e| Failure::Usage(format!("{}: {e}", file.display())))?;
-    let problem = |path: &str, what: String| hoptiller_router::Problem {
+    let problem = |path: &str, what: String| hoptiller_statement_router::Problem {
         place: format!("{}: {path}", file.display()),
         what,
     };
@@ -168,7 +168,8 @@
     settings["router"] =
         serde_json::json!({ "name": "r1", "of": w.routers, "listen": "127.0.0.1:0" });
     let name = format!("{}: settings", file.display());
-    hoptiller_router::Settings::from_value(&name, &settings).map_err(Failure::Settings)?;
+    hoptiller_statement_router::Settings::from_value(&name, &settings)
+        .map_err(Failure::Settings)?;
     let (seconds, documents) = (w.day.lasts.0 / 1_000_000, w.day.documents.len());
     Ok(format!(
         "a fleet's day of {seconds} s, {} keepers, {} routers, {documents} documents",
@@ -216,7 +217,7 @@
     let mut stage = Stage::new(layout, &program, &args.report).map_err(outside("the stage"))?;
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
-        if hoptiller_agreement::plant::Plant::named(name).is_none() {
+        if hoptiller_coordination::plant::Plant::named(name).is_none() {
             return Err(Failure::Usage(format!(
                 "--plant: {name:?} is no fault that is known"
             )));
@@ -327,7 +328,7 @@
 fn end_with_signals() {
     std::thread::spawn(|| {
         if async_io::block_on(crate::run::told_to_end()).is_ok() {
-            hoptiller_rig::process::end_all();
+            hoptiller_fault_harness::process::end_all();
             std::process::exit(130);
         }
     });
--- a/crates/cli/src/commands/fleet/tests.rs
+++ b/crates/cli/src/commands/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use hoptiller_agent::wire::{HolderStatus, Numbers};
-use hoptiller_agreement::Holder;
+use hoptiller_coordination::Holder;
+use hoptiller_coordination_client::wire::{HolderStatus, Numbers};
 
 #[test]
 fn who_holds_up_a_version_is_named_with_its_time() {
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_part_without_a_holder_is_told_so() {
-    let part = |shard| hoptiller_agreement::Part {
-        task: hoptiller_agreement::Task::Probe,
+    let part = |shard| hoptiller_coordination::Part {
+        task: hoptiller_coordination::Task::Probe,
         shard,
     };
     let holder = Some((
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 
 use futures_lite::future;
-use hoptiller_agent::{Clock, Secret};
-use hoptiller_keeper::join::join;
-use hoptiller_keeper::{Config, Keeper, StartError};
+use hoptiller_coordination_client::{Clock, Secret};
+use hoptiller_coordination_server::join::join;
+use hoptiller_coordination_server::{Config, Keeper, StartError};
 
 use crate::run::{self, Failure};
 use crate::secret;
@@ -26,7 +26,7 @@
 }
 
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let value = hoptiller_router::settings::evaluate_file(&args.config)
+    let value = hoptiller_statement_router::settings::evaluate_file(&args.config)
         .map_err(|p| Failure::Settings(vec![p]))?;
     let place = |e| Failure::Usage(format!("{}: {e}", args.config.display()));
     let config = Config::read(value).map_err(|e| place(e.to_string()))?;
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -5,7 +5,7 @@
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use hoptiller_node::Node;
+use hoptiller_platform_router::Node;
 
 use crate::run::{self, Failure};
 
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use hoptiller_agent::{Clock, Secret};
-use hoptiller_router::agreed::Agreed;
-use hoptiller_router::{Service, Settings};
+use hoptiller_coordination_client::{Clock, Secret};
+use hoptiller_statement_router::agreed::Agreed;
+use hoptiller_statement_router::{Service, Settings};
 
 use crate::run::{self, Failure};
 use crate::secret;
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_router::fronts::admin::{HOLDS, RUNAWAYS};
+use hoptiller_statement_router::fronts::admin::{HOLDS, RUNAWAYS};
 use serde_json::Value;
 
 use crate::run::Failure;
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use hoptiller_agent::wire;
-use hoptiller_agreement::fleet::{Head, Version};
-use hoptiller_agreement::{Document, Number, Put};
+use hoptiller_coordination::fleet::{Head, Version};
+use hoptiller_coordination::{Document, Number, Put};
+use hoptiller_coordination_client::wire;
 
 use crate::commands::fleet::waiting_for;
 use crate::keepers::{Fleet, KeeperArgs};
@@ -163,12 +163,12 @@
 
 /// A document from a file, with all its flaws told at once.
 pub fn read(file: &std::path::Path) -> Result<Document, Failure> {
-    let problem = |path: &str, what: String| hoptiller_router::Problem {
+    let problem = |path: &str, what: String| hoptiller_statement_router::Problem {
         place: format!("{}: {path}", file.display()),
         what,
     };
-    let value =
-        hoptiller_router::settings::evaluate_file(file).map_err(|p| Failure::Settings(vec![p]))?;
+    let value = hoptiller_statement_router::settings::evaluate_file(file)
+        .map_err(|p| Failure::Settings(vec![p]))?;
     let bytes = serde_json::to_vec(&value).unwrap_or_default();
     let document =
         Document::read(&bytes).map_err(|f| Failure::Settings(vec![problem(&f.path, f.what)]))?;
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use hoptiller_audit::Recorder;
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
-use hoptiller_standin::ledger::Ledger;
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::ledger::Ledger;
 
 use crate::run::{self, Failure};
 
--- a/crates/cli/src/keepers.rs
+++ b/crates/cli/src/keepers.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hoptiller_agent::{Keepers, Secret, Unreached};
+use hoptiller_coordination_client::{Keepers, Secret, Unreached};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -31,9 +31,32 @@
     log_format: Format,
 }
 
+/// Targets of releases before packages were renamed, and the package whose events they select now. Filters that name the
+/// former ones go on working.
+const RENAMED_TARGETS: [(&str, &str); 6] = [
+    ("hoptiller_agent", "hoptiller_coordination_client"),
+    ("hoptiller_agreement", "hoptiller_coordination"),
+    ("hoptiller_keeper", "hoptiller_coordination_server"),
+    ("hoptiller_node", "hoptiller_platform_router"),
+    ("hoptiller_router", "hoptiller_statement_router"),
+    ("hoptiller_standin", "hoptiller_mock_servers"),
+];
+
+/// The filter with former targets replaced by present ones.
+fn with_present_targets(filter: &str) -> String {
+    let directives = filter.split(',').map(|directive| {
+        let directive = directive.trim();
+        let length = directive.find(|c: char| !c.is_ascii_alphanumeric() && c != '_');
+        let (target, rest) = directive.split_at(length.unwrap_or(directive.len()));
+        let renamed = RENAMED_TARGETS.iter().find(|(former, _)| *former == target);
+        format!("{}{rest}", renamed.map_or(target, |(_, present)| present))
+    });
+    directives.collect::<Vec<String>>().join(",")
+}
+
 /// Starts logging; a filter that can't be read falls back to warnings, and says so.
 pub fn start(args: &LogArgs) {
-    let filter = EnvFilter::try_new(&args.log);
+    let filter = EnvFilter::try_new(with_present_targets(&args.log));
     let bad = filter.as_ref().err().map(ToString::to_string);
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter.unwrap_or_else(|_| EnvFilter::new("warn")))
@@ -47,3 +70,6 @@
         tracing::warn!(%why, "--log can't be read; warnings are logged");
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -10,7 +10,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use hoptiller_http::{Response, Spawner};
-use hoptiller_router::{Problem, Service, Stopped};
+use hoptiller_statement_router::{Problem, Service, Stopped};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
 /// Why a command failed.
@@ -107,7 +107,7 @@
 }
 
 /// What the front answers beside statements.
-pub fn extra(metrics: Option<PrometheusHandle>) -> hoptiller_router::fronts::http::Extra {
+pub fn extra(metrics: Option<PrometheusHandle>) -> hoptiller_statement_router::fronts::http::Extra {
     Rc::new(move |path| match (path, &metrics) {
         ("/metrics", Some(handle)) => Some(Response::text(200, handle.render().trim_end())),
         _ => None,
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -6,11 +6,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use hoptiller_agent::wire::PutAnswer;
-use hoptiller_agreement::Refused;
 use hoptiller_audit::Record;
-use hoptiller_rig::stage::Between;
-use hoptiller_rig::{Faults, Stage, Way};
+use hoptiller_coordination::Refused;
+use hoptiller_coordination_client::wire::PutAnswer;
+use hoptiller_fault_harness::stage::Between;
+use hoptiller_fault_harness::{Faults, Stage, Way};
 use night::{LONG, Night, document, program};
 
 fn reports_on(records: &[Record], from: u64, heeds: u64) -> Vec<String> {
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_drain_put_behind_a_change_that_waits_is_heeded_at_once() {
-    use hoptiller_agreement::lists::{Member, Roster, Standing};
+    use hoptiller_coordination::lists::{Member, Roster, Standing};
     // So long that the change still waits when the drain is heeded, on any machine; it ends when the link is whole again.
     let mut night = Night::new("drain", 3, |layout| {
         layout.permit = Duration::from_secs(300)
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use hoptiller_agent::wire::{self, LeaseStatus};
-use hoptiller_agreement::{Document, Task};
 use hoptiller_audit::Record;
-use hoptiller_rig::Faults;
-use hoptiller_rig::stage::Between;
+use hoptiller_coordination::{Document, Task};
+use hoptiller_coordination_client::wire::{self, LeaseStatus};
+use hoptiller_fault_harness::Faults;
+use hoptiller_fault_harness::stage::Between;
 use night::{LONG, Night, document};
 
 fn with_tasks(probe: u32) -> Document {
@@ -26,7 +26,7 @@
     fn leasing(
         name: &str,
         routers: usize,
-        change: impl FnOnce(&mut hoptiller_rig::Layout),
+        change: impl FnOnce(&mut hoptiller_fault_harness::Layout),
     ) -> Night {
         let mut night = Night::with(name, routers, &with_tasks(3), change);
         assert!(
@@ -186,9 +186,9 @@
     // Answers to its questions are lost, the questions are not: it is no better off.
     night.stage.heal();
     let next = night.holder("probe/1");
-    let lost = hoptiller_rig::Way {
+    let lost = hoptiller_fault_harness::Way {
         cut: true,
-        ..hoptiller_rig::Way::default()
+        ..hoptiller_fault_harness::Way::default()
     };
     let lost = Faults {
         back: lost,
--- a/crates/cli/tests/night/mod.rs
+++ b/crates/cli/tests/night/mod.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use hoptiller_agent::wire::PutAnswer;
-use hoptiller_agreement::{Document, Span};
 use hoptiller_audit::{Agreement, Record, Rules, Verdict, judge};
-use hoptiller_rig::stage::EnginePlan;
-use hoptiller_rig::{Clients, Crowd, Layout, Mix, Stage};
+use hoptiller_coordination::{Document, Span};
+use hoptiller_coordination_client::wire::PutAnswer;
+use hoptiller_fault_harness::stage::EnginePlan;
+use hoptiller_fault_harness::{Clients, Crowd, Layout, Mix, Stage};
 use serde_json::json;
 
 pub const PERMIT: Duration = Duration::from_secs(2);
--- a/crates/agent/src/clock.rs
+++ b/crates/coordination-client/src/clock.rs
@@ -1,6 +1,6 @@
 //! Owns the clock of permits: it goes on while the process is stopped and while the machine sleeps, and no one sets it.
 
-use hoptiller_agreement::Micros;
+use hoptiller_coordination::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
 /// A clock. Tests make one run fast or slow, to stand for clocks that do.
--- a/crates/agent/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -1,9 +1,9 @@
 //! Owns the bodies of calls to keepers, in JSON. Unknown fields are refused, so that programs of two versions never
 //! half understand each other.
 
-use hoptiller_agreement::fleet::{Granted, Head, Holder, Number, Put, Refused, Version};
-use hoptiller_agreement::lease::{NotNoted, Offer, Part};
-use hoptiller_agreement::{Difference, Micros};
+use hoptiller_coordination::fleet::{Granted, Head, Holder, Number, Put, Refused, Version};
+use hoptiller_coordination::lease::{NotNoted, Offer, Part};
+use hoptiller_coordination::{Difference, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A router asks for its permit: POST, [`Ask`] to [`Asked`].
--- a/crates/agent/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -4,10 +4,10 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-use hoptiller_agent::Secret;
-use hoptiller_agent::wire::*;
-use hoptiller_agreement::Difference;
-use hoptiller_agreement::fleet::{Head, Holder, Put, Version};
+use hoptiller_coordination::Difference;
+use hoptiller_coordination::fleet::{Head, Holder, Put, Version};
+use hoptiller_coordination_client::Secret;
+use hoptiller_coordination_client::wire::*;
 use hoptiller_http::{Method, Request, Response};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/keeper/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use hoptiller_agreement::{Bounds, Span};
+use hoptiller_coordination::{Bounds, Span};
 use serde::Deserialize;
 
 /// A keeper's configuration, as its file gives it.
--- a/crates/keeper/src/core.rs
+++ b/crates/coordination-server/src/core.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_agreement::plant::{self, Plant};
-use hoptiller_agreement::{Act, Answer, Bounds, Fleet, Holder, Micros, Part, Terms};
+use hoptiller_coordination::plant::{self, Plant};
+use hoptiller_coordination::{Act, Answer, Bounds, Fleet, Holder, Micros, Part, Terms};
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Entry, EntryId, Log, Message};
--- a/crates/keeper/src/disk.rs
+++ b/crates/coordination-server/src/disk.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use hoptiller_agreement::plant::{self, Plant};
+use hoptiller_coordination::plant::{self, Plant};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
 use redb::{
--- a/crates/keeper/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use hoptiller_agent::{Keepers, Secret, Unreached, wire};
+use hoptiller_coordination_client::{Keepers, Secret, Unreached, wire};
 
 use crate::config::Config;
 use crate::core::State;
--- a/crates/keeper/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -2,7 +2,7 @@
 //! long as more than half of them reach each other.
 //!
 //! [`core`] is a keeper without I/O or clock; below it [`log`] hides the consensus library, and [`disk`] keeps what must
-//! outlive the process. [`service`] ties it to sockets. What versions and permits are is [`hoptiller_agreement`]'s.
+//! outlive the process. [`service`] ties it to sockets. What versions and permits are is [`hoptiller_coordination`]'s.
 
 pub mod config;
 pub mod core;
--- a/crates/keeper/src/links.rs
+++ b/crates/coordination-server/src/links.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use event_listener::Event as Bell;
-use hoptiller_agent::wire;
+use hoptiller_coordination_client::wire;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request};
 use serde::Serialize;
--- a/crates/keeper/src/log.rs
+++ b/crates/coordination-server/src/log.rs
@@ -1,7 +1,7 @@
 //! Owns the replicated log, and hides which library brings it about. Entries come out decided, in one order, at every
 //! keeper; a keeper that was away for long gets the state itself instead.
 
-use hoptiller_agreement::Act;
+use hoptiller_coordination::Act;
 use omnipaxos::messages::Message as Inner;
 use omnipaxos::storage::Snapshot;
 use omnipaxos::util::LogEntry;
--- a/crates/keeper/src/machine.rs
+++ b/crates/coordination-server/src/machine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_agreement::{Act, Answer, Fleet};
+use hoptiller_coordination::{Act, Answer, Fleet};
 use serde::{Deserialize, Serialize};
 
 use crate::log::EntryId;
--- a/crates/keeper/src/machine/tests.rs
+++ b/crates/coordination-server/src/machine/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use hoptiller_agreement::Holder;
+use hoptiller_coordination::Holder;
 
 fn applies(m: &mut Machine, life: u64, number: u64) -> bool {
     let holder = Holder {
--- a/crates/keeper/src/peers.rs
+++ b/crates/coordination-server/src/peers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_agreement::Bounds;
+use hoptiller_coordination::Bounds;
 use serde::{Deserialize, Serialize};
 
 use crate::core::State;
--- a/crates/keeper/src/reply.rs
+++ b/crates/coordination-server/src/reply.rs
@@ -1,10 +1,10 @@
 //! Owns what calls are answered with: from the state and from what acts came to.
 
-use hoptiller_agent::wire::{
+use hoptiller_coordination::lease::Posted;
+use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination_client::wire::{
     Asked, HolderStatus, LeaseStatus, Numbers, Problem, PutAnswer, Replaced, Status,
 };
-use hoptiller_agreement::lease::Posted;
-use hoptiller_agreement::{Answer, Fleet, Micros};
 use hoptiller_http::Response;
 use serde::Serialize;
 
--- a/crates/keeper/tests/disk.rs
+++ b/crates/coordination-server/tests/disk.rs
@@ -2,10 +2,10 @@
 
 use std::path::{Path, PathBuf};
 
-use hoptiller_agreement::{Act, Holder};
-use hoptiller_keeper::disk::{Disk, DiskError};
-use hoptiller_keeper::log::{Entry, EntryId};
-use hoptiller_keeper::machine::Machine;
+use hoptiller_coordination::{Act, Holder};
+use hoptiller_coordination_server::disk::{Disk, DiskError};
+use hoptiller_coordination_server::log::{Entry, EntryId};
+use hoptiller_coordination_server::machine::Machine;
 use omnipaxos::storage::Storage;
 
 fn dir(name: &str) -> PathBuf {
--- a/crates/keeper/tests/simulated.rs
+++ b/crates/coordination-server/tests/simulated.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use hoptiller_agreement::{Act, Answer, Bounds, Document, Holder, Micros, Put, Refused};
-use hoptiller_keeper::core::{Core, State, Ticket, Told};
-use hoptiller_keeper::disk::Disk;
-use hoptiller_keeper::log::{Log, Message};
-use hoptiller_keeper::members::{Members, NotReplaced, Replace};
+use hoptiller_coordination::{Act, Answer, Bounds, Document, Holder, Micros, Put, Refused};
+use hoptiller_coordination_server::core::{Core, State, Ticket, Told};
+use hoptiller_coordination_server::disk::Disk;
+use hoptiller_coordination_server::log::{Log, Message};
+use hoptiller_coordination_server::members::{Members, NotReplaced, Replace};
 
 const MS: Micros = 1000;
 const BOUNDS: Bounds = Bounds {
--- a/crates/keeper/tests/stored_form.rs
+++ b/crates/coordination-server/tests/stored_form.rs
@@ -3,11 +3,11 @@
 
 use std::path::{Path, PathBuf};
 
-use hoptiller_agreement::Act;
-use hoptiller_keeper::disk::Disk;
-use hoptiller_keeper::log::{Entry, EntryId};
-use hoptiller_keeper::machine::Machine;
-use hoptiller_keeper::members::{Members, Replace};
+use hoptiller_coordination::Act;
+use hoptiller_coordination_server::disk::Disk;
+use hoptiller_coordination_server::log::{Entry, EntryId};
+use hoptiller_coordination_server::machine::Machine;
+use hoptiller_coordination_server::members::{Members, Replace};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::Storage;
 
@@ -31,7 +31,8 @@
 }
 
 fn acts() -> Vec<Act> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../agreement/tests/fixtures/acts.jsonl");
+    let path =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../coordination/tests/fixtures/acts.jsonl");
     let text = std::fs::read_to_string(path).expect("the fixture exists");
     text.lines()
         .map(|line| serde_json::from_str(line).expect("a stored act"))
--- a/crates/agreement/tests/common.rs
+++ b/crates/coordination/tests/common.rs
@@ -1,6 +1,6 @@
 //! Documents for tests.
 
-use hoptiller_agreement::Document;
+use hoptiller_coordination::Document;
 
 /// Three classes, two kinds, three zones.
 pub fn document() -> Document {
--- a/crates/agreement/tests/course.rs
+++ b/crates/coordination/tests/course.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::document;
-use hoptiller_agreement::fleet::MOST_PENDING;
-use hoptiller_agreement::follower::{Rejected, Verdict};
-use hoptiller_agreement::{
+use hoptiller_coordination::fleet::MOST_PENDING;
+use hoptiller_coordination::follower::{Rejected, Verdict};
+use hoptiller_coordination::{
     Act, Answer, Bounds, Document, Fleet, Follower, Granted, Holder, Micros, Put, Refused, Terms,
 };
 
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_drain_is_heeded_at_once_though_a_change_before_it_waits() {
-    use hoptiller_agreement::lists::{Member, Roster, Standing};
+    use hoptiller_coordination::lists::{Member, Roster, Standing};
     let mut d = document();
     let member = |standing| Member {
         started: 5,
--- a/crates/agreement/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use common::document;
-use hoptiller_agreement::fleet::Granted;
-use hoptiller_agreement::lease::{MOST_NOTE, NotNoted, SEASONED};
-use hoptiller_agreement::{
+use hoptiller_coordination::fleet::Granted;
+use hoptiller_coordination::lease::{MOST_NOTE, NotNoted, SEASONED};
+use hoptiller_coordination::{
     Act, Answer, Bounds, Fleet, Holder, Micros, Offer, Part, Put, Task, Tenant, Terms,
 };
 
--- a/crates/agreement/tests/meet.rs
+++ b/crates/coordination/tests/meet.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::document;
-use hoptiller_agreement::document::{Budget, Class, InDoubt, Repeat};
-use hoptiller_agreement::lists::{Member, Roster, Seen, Standing};
-use hoptiller_agreement::{Change, Document, Span};
+use hoptiller_coordination::document::{Budget, Class, InDoubt, Repeat};
+use hoptiller_coordination::lists::{Member, Roster, Seen, Standing};
+use hoptiller_coordination::{Change, Document, Span};
 use proptest::prelude::*;
 
 fn some_of(names: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<String>> {
@@ -106,7 +106,7 @@
         (None, Some(_)) => false,
         _ => true,
     };
-    let flags = |e: &hoptiller_agreement::document::Engines| {
+    let flags = |e: &hoptiller_coordination::document::Engines| {
         [e.probes, e.cancel, e.priorities, e.ends, e.pauses]
     };
     let list = match (&strict.list, &lax.list) {
--- a/crates/agreement/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-use hoptiller_agreement::{Act, Answer, Document, Fleet};
+use hoptiller_coordination::{Act, Answer, Document, Fleet};
 
 fn fixture(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,9 +1,9 @@
 //! Owns what is drawn ahead of a run, so that two runs of a plan differ only by what the routers decide.
 
-use hoptiller::Micros;
-use hoptiller_router::Settings;
+use hoptiller_mock_servers::model::{Job, Spec};
+use hoptiller_policy::Micros;
 use hoptiller_runaway::Announced;
-use hoptiller_standin::model::{Job, Spec};
+use hoptiller_statement_router::Settings;
 
 /// An engine.
 #[derive(Clone, Debug)]
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -4,10 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller::Micros;
-use hoptiller_router::Settings;
+use hoptiller_mock_servers::model::{Job, Spec};
+use hoptiller_policy::Micros;
 use hoptiller_runaway::{Announced, Subject, Verdict};
-use hoptiller_standin::model::{Job, Spec};
+use hoptiller_statement_router::Settings;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,18 +1,18 @@
 //! Owns the events of a run: what passes between clients, routers and engines, each after the time it takes. The
-//! routers are `hoptiller_router`'s cores; the engines are the stand-ins' model.
+//! routers are `hoptiller_statement_router`'s cores; the engines are the stand-ins' model.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use hoptiller::{Ending, EngineId, Entry, LoadReport, Micros, Progress, Readiness, Scope};
-use hoptiller_router::core::{
+use hoptiller_mock_servers::model::{self, Admission, Model};
+use hoptiller_policy::{Ending, EngineId, Entry, LoadReport, Micros, Progress, Readiness, Scope};
+use hoptiller_router_core::{
     Bounds, Command, Content, Core, Ended, Final, Names, Page, Poll, StatementId, Submission, Work,
     group_of,
 };
-use hoptiller_router::service::ANSWER_MARGIN;
 use hoptiller_runaway::{Finding, Holder, News, Proof, Stands, Watch};
-use hoptiller_standin::model::{self, Admission, Model};
+use hoptiller_statement_router::service::ANSWER_MARGIN;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/rig/src/crowd.rs
+++ b/crates/fault-harness/src/crowd.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use hoptiller_agreement::Span;
 use hoptiller_audit::Recorder;
-use hoptiller_standin::client::{Ask, Client, Manner};
+use hoptiller_coordination::Span;
+use hoptiller_mock_servers::client::{Ask, Client, Manner};
 use serde::Deserialize;
 
 /// Statements of one class.
--- a/crates/rig/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -5,11 +5,11 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use hoptiller_agent::wire::{Numbers, PutAnswer};
-use hoptiller_agreement::document::Repeat;
-use hoptiller_agreement::fleet::Head;
-use hoptiller_agreement::{Change, Document, Span};
 use hoptiller_audit::{Class, Rules};
+use hoptiller_coordination::document::Repeat;
+use hoptiller_coordination::fleet::Head;
+use hoptiller_coordination::{Change, Document, Span};
+use hoptiller_coordination_client::wire::{Numbers, PutAnswer};
 use serde::Deserialize;
 
 use crate::crowd::{Clients, Crowd, Dice};
@@ -441,7 +441,7 @@
         return Vec::new();
     };
     let asked = keepers.call(
-        hoptiller_agent::wire::HISTORY,
+        hoptiller_coordination_client::wire::HISTORY,
         None::<&()>,
         Duration::from_secs(5),
     );
--- a/crates/rig/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -7,7 +7,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_standin::Running;
+use hoptiller_mock_servers::Running;
 
 /// How one way of a link fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/rig/src/stage.rs
+++ b/crates/fault-harness/src/stage.rs
@@ -9,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use hoptiller_agent::{Keepers, Secret, Unreached, wire};
-use hoptiller_agreement::{Document, Put};
 use hoptiller_audit::{Record, Recorder, now as wall};
-use hoptiller_standin::Running;
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
+use hoptiller_coordination::{Document, Put};
+use hoptiller_coordination_client::{Keepers, Secret, Unreached, wire};
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
 
 use crate::link::{Faults, Link};
--- a/crates/tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,12 +1,12 @@
 //! Tasks that one router does for the whole fleet: who does a part now, what is noted of it for all others, and what is
-//! done where nobody holds it. Decisions only: no I/O, no clock. Leases are [`hoptiller_agreement`]'s.
+//! done where nobody holds it. Decisions only: no I/O, no clock. Leases are [`hoptiller_coordination`]'s.
 //!
 //! [`duty`] says whose part something is at a moment; [`sheet`] is what is noted of engines' own states. The list of
 //! engines is noted as discovery told it.
 
 pub mod sheet;
 
-use hoptiller_agreement::{Micros, Part, Task, Tenant};
+use hoptiller_coordination::{Micros, Part, Task, Tenant};
 
 pub use sheet::{Seen, Sheet};
 
--- a/crates/tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use hoptiller_agreement::lease::{Board, Grant, Posted};
-use hoptiller_agreement::{Bounds, Holder};
+use hoptiller_coordination::lease::{Board, Grant, Posted};
+use hoptiller_coordination::{Bounds, Holder};
 
 #[test]
 fn a_part_is_mine_while_i_hold_it_and_everybodys_where_nobody_does() {
--- a/crates/check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -1,6 +1,6 @@
 //! Model checking of leases: all courses, within bounds, of keepers and would-be holders whose messages are lost, doubled
 //! and overtaken, whose clocks run at their bounds, and who crash and start again at any step. What moves is the state
-//! machines of [`hoptiller_agreement`] themselves; here are only the messages between them, the time, and what is asked of
+//! machines of [`hoptiller_coordination`] themselves; here are only the messages between them, the time, and what is asked of
 //! each state.
 //!
 //! Consensus is taken as given: acts come out of one log in one order, wherever they were put in. A keeper learns of them
@@ -10,8 +10,8 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use hoptiller_agreement::lease::{Board, Grant, SEASONED};
-use hoptiller_agreement::{
+use hoptiller_coordination::lease::{Board, Grant, SEASONED};
+use hoptiller_coordination::{
     Act, Answer, Bounds, Document, Fleet, Holder, Micros, Offer, Part, Put, Right, Task, Tenant,
     Terms,
 };
@@ -179,11 +179,12 @@
     } else {
         format!("r{process}")
     };
-    let life = if hoptiller_agreement::plant::is(hoptiller_agreement::plant::Plant::EarlierLife) {
-        String::new()
-    } else {
-        process.to_string()
-    };
+    let life =
+        if hoptiller_coordination::plant::is(hoptiller_coordination::plant::Plant::EarlierLife) {
+            String::new()
+        } else {
+            process.to_string()
+        };
     Holder { router, life }
 }
 
--- a/crates/check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use clap::Parser;
-use hoptiller_check::{Leasing, Limits};
+use hoptiller_model_check::{Leasing, Limits};
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// Goes through all courses of leases within bounds: keepers, would-be holders, messages lost, doubled and overtaken, clocks
@@ -49,8 +49,8 @@
     let args = Args::parse();
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
-        match hoptiller_agreement::plant::Plant::named(name) {
-            Some(plant) => hoptiller_agreement::plant::plant(plant),
+        match hoptiller_coordination::plant::Plant::named(name) {
+            Some(plant) => hoptiller_coordination::plant::plant(plant),
             None => {
                 eprintln!("hoptiller-check: {name:?} is no fault that is known");
                 return ExitCode::from(2);
--- a/crates/check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -1,6 +1,6 @@
 //! Within bounds that take seconds: no two holders act at once in any course; and each planted fault shows in some.
 
-use hoptiller_check::{Leasing, Limits};
+use hoptiller_model_check::{Leasing, Limits};
 use stateright::{Checker, HasDiscoveries, Model};
 
 const NEVER: [&str; 2] = ["never two acting", "no number is given twice"];
@@ -67,7 +67,7 @@
 #[cfg(feature = "plant")]
 #[test]
 fn each_planted_fault_shows_in_some_course() {
-    use hoptiller_agreement::plant::{Plant, plant};
+    use hoptiller_coordination::plant::{Plant, plant};
     for (name, fault) in Plant::ALL {
         let limits = match fault {
             Plant::NoWait | Plant::Forgets => continue, // Of versions, and of a keeper's disk: not of leases.
--- a/crates/platform/src/call.rs
+++ b/crates/platform-protocol/src/call.rs
@@ -1,7 +1,7 @@
 //! Owns what a client asks, from the parts of its request, and what it is answered.
 
-use hoptiller::Micros;
 use hoptiller_http::{Request, Response};
+use hoptiller_policy::Micros;
 
 use crate::group::group_of;
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -23,7 +23,7 @@
     #[serde(default)]
     known: Known,
     /// What the decision module is told.
-    pub settings: hoptiller_host::Settings,
+    pub settings: hoptiller_policy_settings::Settings,
 }
 
 /// What a router's processes may use together.
--- a/crates/platform/src/engine.rs
+++ b/crates/platform-protocol/src/engine.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use data_encoding::BASE64;
-use hoptiller::{LoadReport, Micros};
+use hoptiller_policy::{LoadReport, Micros};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -263,7 +263,7 @@
             continue;
         };
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
-        hoptiller_host::tell(&mut report, name.trim(), value);
+        hoptiller_policy_settings::tell(&mut report, name.trim(), value);
     }
     Some(report)
 }
--- a/crates/platform/tests/wire_form.rs
+++ b/crates/platform-protocol/tests/wire_form.rs
@@ -1,10 +1,10 @@
 //! The bytes that pass between a router, its clients, its engines and the coordinator.
 
-use hoptiller::LoadReport;
-use hoptiller_platform::call::{CallError, failed, refused, served, wrong};
-use hoptiller_platform::coordinator::{Frame, Frames};
-use hoptiller_platform::engine::{self, Lines, Said, Send};
-use hoptiller_platform::{Config, Phase};
+use hoptiller_platform_protocol::call::{CallError, failed, refused, served, wrong};
+use hoptiller_platform_protocol::coordinator::{Frame, Frames};
+use hoptiller_platform_protocol::engine::{self, Lines, Said, Send};
+use hoptiller_platform_protocol::{Config, Phase};
+use hoptiller_policy::LoadReport;
 
 #[test]
 fn commands_to_engines_stay() {
--- a/crates/node/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::time::Instant;
 
-use hoptiller::{Ending, LoadReport, Micros};
-use hoptiller_platform::RowsError;
-use hoptiller_platform::engine::{LineError, Send};
+use hoptiller_platform_protocol::RowsError;
+use hoptiller_platform_protocol::engine::{LineError, Send};
+use hoptiller_policy::{Ending, LoadReport, Micros};
 
 use crate::cancel::CancelToken;
 use crate::links::Listing;
--- a/crates/node/src/budget.rs
+++ b/crates/platform-router/src/budget.rs
@@ -1,6 +1,6 @@
 //! Owns how a router's descriptors and memory are divided.
 
-use hoptiller_platform::config::Limits;
+use hoptiller_platform_protocol::config::Limits;
 
 /// Descriptors of the process itself: standard streams, listener, polling, signals, coordinator, the file.
 const OWN: usize = 24;
--- a/crates/node/src/follower.rs
+++ b/crates/platform-router/src/follower.rs
@@ -9,8 +9,8 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_platform::Update;
-use hoptiller_platform::coordinator::{Frame, FrameError, Frames};
+use hoptiller_platform_protocol::Update;
+use hoptiller_platform_protocol::coordinator::{Frame, FrameError, Frames};
 
 /// An empty frame comes each second: without a whole one for so long, it has stopped. Single bytes are no sign of life.
 const SILENT: Duration = Duration::from_millis(2_200);
--- a/crates/node/src/front.rs
+++ b/crates/platform-router/src/front.rs
@@ -10,10 +10,10 @@
 use hoptiller_http::gate::Gate;
 use hoptiller_http::server::{self, Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
-use hoptiller_platform::call::{self, CallError};
-use hoptiller_platform::{Call, Names};
-use hoptiller_router::core::{Content, Final, Poll, StatementId, Submission, Work};
-use hoptiller_router::rounds::Rounds;
+use hoptiller_platform_protocol::call::{self, CallError};
+use hoptiller_platform_protocol::{Call, Names};
+use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::{Content, Final, Poll, StatementId, Submission, Work};
 use hoptiller_runaway::Announced;
 
 use crate::budget::Budget;
--- a/crates/node/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router on our platform: its protocol as one more way in and out of [`hoptiller_router::core`].
+//! The router on our platform: its protocol as one more way in and out of [`hoptiller_router_core`].
 //!
 //! - [`node`]: ties the core to the rest, and runs its rounds.
 //! - [`front`]: clients, over [`hoptiller_http::server`].
@@ -9,7 +9,7 @@
 //! - [`retries`]: further attempts, counted when they begin.
 //! - [`trace`]: what the trace tells of attempts, against what the decisions believed.
 //!
-//! Parsers are in `hoptiller_platform`; decisions are in `hoptiller`.
+//! Parsers are in `hoptiller_platform_protocol`; decisions are in `hoptiller`.
 
 pub mod attempt;
 pub mod budget;
--- a/crates/node/src/links.rs
+++ b/crates/platform-router/src/links.rs
@@ -17,9 +17,9 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller::{EngineId, LoadReport};
-use hoptiller_platform::engine::{self, LineError, Served};
-use hoptiller_platform::{Gather, Lines, Member, Phase, Said};
+use hoptiller_platform_protocol::engine::{self, LineError, Served};
+use hoptiller_platform_protocol::{Gather, Lines, Member, Phase, Said};
+use hoptiller_policy::{EngineId, LoadReport};
 
 use crate::attempt::{Failed, NotBegun, Order, Whole};
 use crate::cancel::CancelToken;
@@ -310,7 +310,7 @@
         let mut gather = Gather::new(served.pages);
         gather.take(0, served.page).map_err(Failed::Rows)?;
         if served.pages > 1 {
-            let bytes = served.pages as u64 * hoptiller_platform::rows::PAGE as u64;
+            let bytes = served.pages as u64 * hoptiller_platform_protocol::rows::PAGE as u64;
             let Some(_share) = self.room(bytes, order.token).await else {
                 link.stream
                     .write_all(engine::end(id).as_bytes())
@@ -574,5 +574,5 @@
 
 /// An id as connections remember it.
 fn key_of(id: &str) -> u64 {
-    u64::from_str_radix(id, 16).unwrap_or_else(|_| hoptiller_router::core::group_of(id))
+    u64::from_str_radix(id, 16).unwrap_or_else(|_| hoptiller_router_core::group_of(id))
 }
--- a/crates/node/src/node.rs
+++ b/crates/platform-router/src/node.rs
@@ -10,14 +10,16 @@
 
 use async_io::Timer;
 use event_listener::Event;
-use hoptiller::{EngineId, Entry, Micros, Readiness, Scope};
 use hoptiller_http::gate::Gate;
 use hoptiller_http::{Spawner, server};
-use hoptiller_platform::call::ClassTerms;
-use hoptiller_platform::engine::Send;
-use hoptiller_platform::{Config, ConfigError, Names, Phase, Update};
-use hoptiller_router::core::{self, Attempt, Bounds, Command, Core, Ended, Page, StatementId};
-use hoptiller_router::rounds::{Carry, Rounds};
+use hoptiller_platform_protocol::call::ClassTerms;
+use hoptiller_platform_protocol::engine::Send;
+use hoptiller_platform_protocol::{Config, ConfigError, Names, Phase, Update};
+use hoptiller_policy::{EngineId, Entry, Micros, Readiness, Scope};
+use hoptiller_router_core::rounds::{Carry, Rounds};
+use hoptiller_router_core::{
+    self as core, Attempt, Bounds, Command, Core, Ended, Page, StatementId,
+};
 use serde_json::value::RawValue;
 
 use crate::attempt::{Failed, Order};
@@ -27,6 +29,7 @@
 use crate::front::{self, Front, OpenIds};
 use crate::links::{Links, Listing, Manner};
 use crate::retries::Retries;
+use crate::trace::TRACE_TARGET;
 
 /// For the last attempt's end, the decision and the answer before a client gives up.
 const ANSWER_MARGIN: Micros = 30_000;
@@ -54,7 +57,7 @@
     /// It tells nothing usable.
     Config(ConfigError),
     /// Settings that the decision module can't work with.
-    Settings(hoptiller::SettingsError),
+    Settings(hoptiller_policy::SettingsError),
     /// After SIGHUP: it is the file of another router.
     Other(String),
 }
@@ -117,8 +120,8 @@
 }
 
 /// What clients may ask for of a class.
-fn terms(name: &str, class: &hoptiller::Class) -> ClassTerms {
-    let keyed = matches!(class.effect, hoptiller::Effect::Keyed { .. });
+fn terms(name: &str, class: &hoptiller_policy::Class) -> ClassTerms {
+    let keyed = matches!(class.effect, hoptiller_policy::Effect::Keyed { .. });
     ClassTerms {
         name: name.to_owned(),
         patience: class.deadline,
@@ -138,7 +141,7 @@
         let known = config.known().map_err(StartError::Config)?;
         let s = &config.settings;
         let budget = Budget::of(&config.limits);
-        let mut cfg = hoptiller_host::settings(s);
+        let mut cfg = hoptiller_policy_settings::settings(s);
         // Usual clients hold a third of the descriptors at most, and have one request open on each connection.
         let most = config.limits.sockets / 3;
         cfg.limits.max_open = if cfg.limits.max_open == 0 {
@@ -165,8 +168,9 @@
             held_bytes: budget.held,
             answer_margin: ANSWER_MARGIN,
         };
-        let time =
-            |ms: f64, least: f64| Duration::from_micros(hoptiller_host::micros(ms.max(least)));
+        let time = |ms: f64, least: f64| {
+            Duration::from_micros(hoptiller_policy_settings::micros(ms.max(least)))
+        };
         let connect_within = time(s.limits.connect_timeout, 50.0);
         let manner = Manner {
             connect_within,
@@ -361,7 +365,7 @@
             self.links.keep_only(&update.members);
         }
         update.members.iter().for_each(|m| self.links.told(m));
-        let entry = |m: &hoptiller_platform::Member| Entry {
+        let entry = |m: &hoptiller_platform_protocol::Member| Entry {
             engine: EngineId(m.id),
             zone: m.zone,
             kind: m.kind,
@@ -399,6 +403,7 @@
         match came {
             Ok(whole) => {
                 tracing::debug!(
+                    target: TRACE_TARGET,
                     id = name,
                     hop = a.hop,
                     engine = a.engine.0,
@@ -417,7 +422,8 @@
                 self.with_core(|core, now| core.page(now, a.id, a.hop, page));
             }
             Err(why) => {
-                tracing::debug!(id = name, hop = a.hop, engine = a.engine.0, %why, "ended");
+                tracing::debug!(target: TRACE_TARGET,
+                    id = name, hop = a.hop, engine = a.engine.0, %why, "ended");
                 let ended = Ended {
                     ending: why.ending(),
                     why: why.to_string(),
@@ -436,6 +442,7 @@
             Command::Send(attempt) => {
                 // Read by `trace`: all sends of a round are believed out once it is carried out.
                 tracing::debug!(
+                    target: TRACE_TARGET,
                     id = attempt.work.fields.first().map_or("", |f| f.1.as_str()),
                     hop = attempt.hop,
                     engine = attempt.engine.0,
@@ -486,6 +493,7 @@
                 attempts,
             } => {
                 tracing::debug!(
+                    target: TRACE_TARGET,
                     id,
                     class,
                     how = how.word(),
--- a/crates/node/src/retries.rs
+++ b/crates/platform-router/src/retries.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use hoptiller::RetryBudget;
+use hoptiller_policy::RetryBudget;
 
 /// Requests taken and further attempts begun, as far back as the budget looks.
 #[derive(Debug)]
--- a/crates/node/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -1,4 +1,4 @@
-//! Owns what a router's own trace (`HOPTILLER_LOG=hoptiller_node=debug`) tells of its attempts: how many are out at each
+//! Owns what a router's own trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`) tells of its attempts: how many are out at each
 //! engine by what was sent and what ended, held against how many its decisions believed; and what was sent to an engine
 //! that had just turned it away. Reads text; asks no router.
 //!
@@ -6,6 +6,11 @@
 
 use std::collections::{BTreeMap, HashSet};
 
+/// The log target of the events that a trace is made of.
+pub const TRACE_TARGET: &str = "hoptiller_platform_router::trace";
+/// The target of the same events in traces of releases before the package was renamed.
+const FORMER_TRACE_TARGET: &str = "hoptiller_node::node";
+
 /// An engine that turned a router away is asked again at once within this time, in µs.
 pub const AT_ONCE: u64 = 1_000_000;
 /// Wrong beliefs that are kept; beyond that they are counted.
@@ -72,7 +77,7 @@
     pub fn read<'a>(lines: impl IntoIterator<Item = &'a str>) -> Trace {
         let mut trace = Trace::default();
         for (n, line) in lines.into_iter().enumerate() {
-            let Some((head, said)) = line.split_once("hoptiller_node::node: ") else {
+            let Some((head, said)) = split_event(line) else {
                 continue;
             };
             let (word, fields) = said.split_once(' ').unwrap_or((said, ""));
@@ -155,6 +160,16 @@
     }
 }
 
+/// Splits a log line of an attempt's event into what stands before its target, and the event with its fields.
+fn split_event(line: &str) -> Option<(&str, &str)> {
+    [TRACE_TARGET, FORMER_TRACE_TARGET]
+        .into_iter()
+        .find_map(|target| {
+            let (head, rest) = line.split_once(target)?;
+            Some((head, rest.strip_prefix(": ")?))
+        })
+}
+
 /// The time of day of a line, in µs: hours, minutes and seconds as RFC 3339 writes them.
 fn time_of(head: &str) -> Option<u64> {
     let stamp = head
--- a/crates/node/src/trace/tests.rs
+++ b/crates/platform-router/src/trace/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn line(second: f64, said: &str) -> String {
-    format!("0.1 2026-12-01T22:15:{second:09.6}Z DEBUG hoptiller_node::node: {said}")
+    format!("0.1 2026-12-01T22:15:{second:09.6}Z DEBUG {TRACE_TARGET}: {said}")
 }
 
 fn send(second: f64, id: &str, engine: u32, round: u64, believed: u64) -> String {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use futures_lite::io::BufReader;
 use futures_lite::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, StreamExt};
 use hoptiller_http::Spawner;
-use hoptiller_node::Node;
+use hoptiller_platform_router::Node;
 
 pub const ROWS: &str = "YQkxCXgK"; // a, 1, x
 
--- a/crates/node/tests/floods.rs
+++ b/crates/platform-router/tests/floods.rs
@@ -17,7 +17,7 @@
 /// A router of 128 descriptors before an engine that serves all.
 fn scene<F: Future<Output = ()>>(
     name: &'static str,
-    bad: impl FnOnce(Rc<hoptiller_node::Node>, std::net::SocketAddr) -> F,
+    bad: impl FnOnce(Rc<hoptiller_platform_router::Node>, std::net::SocketAddr) -> F,
 ) {
     play(async |ex: Spawner| {
         let (addr, _) = engine(&ex, Rc::new(|_, line| (served(&id_of(line)), false)));
--- a/crates/node/tests/links.rs
+++ b/crates/platform-router/tests/links.rs
@@ -10,13 +10,13 @@
 use async_io::Timer;
 use common::*;
 use futures_lite::future;
-use hoptiller::EngineId;
-use hoptiller_node::attempt::{Failed, NotBegun, Order, Whole};
-use hoptiller_node::cancel::CancelToken;
-use hoptiller_node::links::{Links, Manner};
-use hoptiller_node::retries::Retries;
-use hoptiller_platform::engine::Send;
-use hoptiller_platform::{Member, Phase};
+use hoptiller_platform_protocol::engine::Send;
+use hoptiller_platform_protocol::{Member, Phase};
+use hoptiller_platform_router::attempt::{Failed, NotBegun, Order, Whole};
+use hoptiller_platform_router::cancel::CancelToken;
+use hoptiller_platform_router::links::{Links, Manner};
+use hoptiller_platform_router::retries::Retries;
+use hoptiller_policy::EngineId;
 
 const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
@@ -201,7 +201,7 @@
 fn a_further_attempt_that_is_over_the_budget_by_the_time_it_could_begin_is_not_sent() {
     play(async |_| {
         let (peer, long) = (Peer::new(), Duration::from_secs(20));
-        let budget = hoptiller::RetryBudget {
+        let budget = hoptiller_policy::RetryBudget {
             spare: 1.0,
             ratio: 0.0,
             look_back: 60_000_000,
--- a/crates/node/tests/retries.rs
+++ b/crates/platform-router/tests/retries.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use hoptiller::RetryBudget;
-use hoptiller_node::retries::Retries;
+use hoptiller_platform_router::retries::Retries;
+use hoptiller_policy::RetryBudget;
 
 const BACK: Duration = Duration::from_secs(4);
 
--- a/crates/host/src/lib.rs
+++ b/crates/policy-settings/src/lib.rs
@@ -8,8 +8,10 @@
 pub use settings::{Extra, Limits, Rules, Settings, Telemetry, settings};
 
 /// A load report, from the names that its values have in the settings.
-pub fn report(values: &BTreeMap<String, serde_json::Value>) -> Option<hoptiller::LoadReport> {
-    let mut report = hoptiller::LoadReport::default();
+pub fn report(
+    values: &BTreeMap<String, serde_json::Value>,
+) -> Option<hoptiller_policy::LoadReport> {
+    let mut report = hoptiller_policy::LoadReport::default();
     for (name, value) in values {
         tell(&mut report, name, value.as_f64());
     }
@@ -26,17 +28,17 @@
 }
 
 /// Milliseconds of the wire as microseconds; what is negative or no number counts as 0.
-pub fn micros(ms: f64) -> hoptiller::Micros {
-    (ms * 1000.0).round().max(0.0) as hoptiller::Micros
+pub fn micros(ms: f64) -> hoptiller_policy::Micros {
+    (ms * 1000.0).round().max(0.0) as hoptiller_policy::Micros
 }
 
 /// Microseconds as milliseconds.
-pub fn millis(us: hoptiller::Micros) -> f64 {
+pub fn millis(us: hoptiller_policy::Micros) -> f64 {
     us as f64 / 1000.0
 }
 
 /// One value of a load report: by the name that it has on our platform's sockets, or on the simulator's wire.
-pub fn tell(report: &mut hoptiller::LoadReport, name: &str, value: Option<f64>) {
+pub fn tell(report: &mut hoptiller_policy::LoadReport, name: &str, value: Option<f64>) {
     match name {
         "inflight" | "busy_reqs" => report.in_flight = value,
         "x0" => report.memory = value,
--- a/crates/host/src/settings.rs
+++ b/crates/policy-settings/src/settings.rs
@@ -153,34 +153,38 @@
 }
 
 /// The same as the decision module has it.
-pub fn settings(s: &Settings) -> hoptiller::Settings {
-    let classes = s.lanes.iter().enumerate().map(|(at, l)| hoptiller::Class {
-        aim: micros(l.aim),
-        aim_stretch: l.aim_stretch,
-        deadline: micros(l.deadline),
-        effect: match l.semantics {
-            Semantics::Pure => hoptiller::Effect::Pure,
-            Semantics::SideEffect => hoptiller::Effect::Unsafe,
-            Semantics::Token => hoptiller::Effect::Keyed {
-                // Without a group only the narrowest is sure to drop repeats.
-                group: match l.group {
-                    Some(Group::All) => hoptiller::Group::All,
-                    Some(Group::Zone) => hoptiller::Group::Zone,
-                    Some(Group::Cell) | None => hoptiller::Group::Cell,
+pub fn settings(s: &Settings) -> hoptiller_policy::Settings {
+    let classes = s
+        .lanes
+        .iter()
+        .enumerate()
+        .map(|(at, l)| hoptiller_policy::Class {
+            aim: micros(l.aim),
+            aim_stretch: l.aim_stretch,
+            deadline: micros(l.deadline),
+            effect: match l.semantics {
+                Semantics::Pure => hoptiller_policy::Effect::Pure,
+                Semantics::SideEffect => hoptiller_policy::Effect::Unsafe,
+                Semantics::Token => hoptiller_policy::Effect::Keyed {
+                    // Without a group only the narrowest is sure to drop repeats.
+                    group: match l.group {
+                        Some(Group::All) => hoptiller_policy::Group::All,
+                        Some(Group::Zone) => hoptiller_policy::Group::Zone,
+                        Some(Group::Cell) | None => hoptiller_policy::Group::Cell,
+                    },
+                    window: micros(l.window),
                 },
-                window: micros(l.window),
             },
-        },
-        in_turn: l.in_turn,
-        late_worth: l.late_worth,
-        worth: l.importance,
-        zones: l.zones_open.as_ref().map(|only| indices(&s.zones, only)),
-        kinds: l.kinds_allowed.as_ref().map(|only| indices(&s.kinds, only)),
-        threads: s.extra.parallelism.get(at).copied().unwrap_or(1.0),
-        holds: s.extra.loads.get(at).copied().unwrap_or(false),
-    });
+            in_turn: l.in_turn,
+            late_worth: l.late_worth,
+            worth: l.importance,
+            zones: l.zones_open.as_ref().map(|only| indices(&s.zones, only)),
+            kinds: l.kinds_allowed.as_ref().map(|only| indices(&s.kinds, only)),
+            threads: s.extra.parallelism.get(at).copied().unwrap_or(1.0),
+            holds: s.extra.loads.get(at).copied().unwrap_or(false),
+        });
     let r = &s.rules;
-    hoptiller::Settings {
+    hoptiller_policy::Settings {
         gateways: s.balancers,
         index: s.index,
         tick: micros(s.tick),
@@ -212,10 +216,10 @@
         probe_price: s.prices.probe,
         marks_retry: s.clients.marks_retry,
         discovery: match s.discovery.as_deref() {
-            Some("subscribe") => hoptiller::Discovery::Subscribe,
-            _ => hoptiller::Discovery::Push,
+            Some("subscribe") => hoptiller_policy::Discovery::Subscribe,
+            _ => hoptiller_policy::Discovery::Push,
         },
-        limits: hoptiller::Limits {
+        limits: hoptiller_policy::Limits {
             max_attempts: s.limits.max_attempts.unwrap_or(1),
             max_open: s.limits.max_open,
             second_copies: s.limits.second_copies,
@@ -225,14 +229,14 @@
             probes: s.limits.may_probe,
             cancel: s.limits.cancel,
         },
-        rules: hoptiller::Rules {
+        rules: hoptiller_policy::Rules {
             start_capacity: r.start_capacity,
             ramp_time: micros(r.ramp_time),
             overload_factor: r.overload_factor,
             fall: micros(r.fall),
             order_pause: micros(r.order_pause),
             retry_budget: (r.spare_attempts.is_some() || r.extra_ratio.is_some()).then(|| {
-                hoptiller::RetryBudget {
+                hoptiller_policy::RetryBudget {
                     spare: r.spare_attempts.unwrap_or(0.0),
                     ratio: r.extra_ratio.unwrap_or(0.0),
                     look_back: micros(r.look_back),
--- a/crates/policy/tests/action_digest.rs
+++ b/crates/policy/tests/action_digest.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/policy/tests/common.rs
+++ b/crates/policy/tests/common.rs
@@ -1,7 +1,7 @@
 //! Shared helpers of the module's tests: settings and short forms of events.
 #![allow(dead_code)]
 
-use hoptiller::*;
+use hoptiller_policy::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/crates/policy/tests/generated.rs
+++ b/crates/policy/tests/generated.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/policy/tests/holds.rs
+++ b/crates/policy/tests/holds.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 
 fn controller(classes: Vec<Class>) -> Controller {
     let mut cfg = settings(classes);
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 
 /// Settings in which an even part of an engine is less than one query.
 fn many(gateways: u32, index: u32) -> Settings {
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 
 /// Two classes of 20 clients each, who ask again when served, on one engine; the mean waits once settled.
 fn waits(aims: [Micros; 2]) -> [f64; 2] {
--- a/crates/policy/tests/notes.rs
+++ b/crates/policy/tests/notes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 
 fn noted(classes: Vec<Class>) -> Settings {
     let mut cfg = Settings { progress_every: S, ..settings(classes) };
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::*;
+use hoptiller_policy::*;
 
 fn controller(classes: Vec<Class>) -> Controller {
     Controller::new(settings(classes), 1).expect("usable settings")
--- a/crates/router/src/core/course.rs
+++ b/crates/router-core/src/course.rs
@@ -1,6 +1,6 @@
 //! Owns what someone woken at night asks first: the course of one statement.
 
-use hoptiller::{Ending, EngineId};
+use hoptiller_policy::{Ending, EngineId};
 
 /// The course of a statement; times are in ms since it came.
 #[derive(Clone, Debug)]
--- a/crates/router/src/core/interface.rs
+++ b/crates/router-core/src/interface.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 use hoptiller_runaway::{Announced, Finding};
 
 use super::page::{Answer, Final};
@@ -37,7 +37,7 @@
     pub tenant: Option<usize>,
     /// Its ordering key.
     pub key: Option<String>,
-    /// The group of tables that it reads or writes, by number; see [`group_of`].
+    /// The group of tables that it reads or writes, by number; see [`crate::group_of`].
     pub group: Option<u64>,
     /// Estimated work of all its threads.
     pub guess: Option<Micros>,
@@ -167,11 +167,11 @@
 #[derive(Clone, Debug)]
 pub struct Ended {
     /// How.
-    pub ending: hoptiller::Ending,
+    pub ending: hoptiller_policy::Ending,
     /// What was seen, for people.
     pub why: String,
     /// The engine's load, where told.
-    pub report: Option<hoptiller::LoadReport>,
+    pub report: Option<hoptiller_policy::LoadReport>,
 }
 
 /// What a poll finds.
--- a/crates/router/src/core/mod.rs
+++ b/crates/router-core/src/lib.rs
@@ -7,13 +7,14 @@
 mod course;
 mod interface;
 mod page;
+pub mod rounds;
 mod runaways;
 mod statement;
 mod table;
 
 use std::collections::VecDeque;
 
-use hoptiller::{Action, Arrival, Controller, EngineId, Event, KeyId, Micros, RequestId};
+use hoptiller_policy::{Action, Arrival, Controller, EngineId, Event, KeyId, Micros, RequestId};
 use hoptiller_runaway::{End, Watch};
 
 pub use course::{Course, CourseAttempt, ending_word};
@@ -46,12 +47,12 @@
 impl Core {
     /// A core that knows no engine yet.
     pub fn new(
-        cfg: hoptiller::Settings,
+        cfg: hoptiller_policy::Settings,
         seed: u64,
         bounds: Bounds,
         watch: Option<Watch>,
         names: Names,
-    ) -> Result<Core, hoptiller::SettingsError> {
+    ) -> Result<Core, hoptiller_policy::SettingsError> {
         Ok(Core {
             fleet: runaways::Fleet::new(&cfg),
             watch,
@@ -213,7 +214,7 @@
     }
 
     /// Other rules hold from now on, for what waits too. Classes keep their numbers; further ones come behind.
-    pub fn rules(&mut self, cfg: hoptiller::Settings, watch: hoptiller_runaway::Settings) {
+    pub fn rules(&mut self, cfg: hoptiller_policy::Settings, watch: hoptiller_runaway::Settings) {
         self.patience = cfg.classes.iter().map(|c| c.deadline).collect();
         self.fleet.rules(&cfg);
         self.watch.iter_mut().for_each(|w| w.rules(watch.clone()));
@@ -223,7 +224,12 @@
     // ---- engines --------------------------------------------------------------------------------
 
     /// News of the engine list.
-    pub fn list(&mut self, now: Micros, scope: hoptiller::Scope, entries: Vec<hoptiller::Entry>) {
+    pub fn list(
+        &mut self,
+        now: Micros,
+        scope: hoptiller_policy::Scope,
+        entries: Vec<hoptiller_policy::Entry>,
+    ) {
         self.watch_list(now, scope, &entries);
         self.events.push(Event::List(scope, entries));
     }
@@ -234,12 +240,12 @@
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, engine: EngineId, report: Option<hoptiller::LoadReport>) {
+    pub fn probed(&mut self, engine: EngineId, report: Option<hoptiller_policy::LoadReport>) {
         self.events.push(Event::Probed(engine, report));
     }
 
     /// Word on an attempt that runs.
-    pub fn note(&mut self, id: StatementId, hop: u32, progress: hoptiller::Progress) {
+    pub fn note(&mut self, id: StatementId, hop: u32, progress: hoptiller_policy::Progress) {
         let Some(engine) = self.table.get(id).and_then(|s| s.engine_of(hop)) else {
             return;
         };
--- a/crates/router/src/core/page.rs
+++ b/crates/router-core/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 use serde_json::value::RawValue;
 
 /// A page of a result, as an engine sent it.
@@ -19,7 +19,7 @@
     /// Whether it is the last one.
     pub last: bool,
     /// The engine's load, where told.
-    pub report: Option<hoptiller::LoadReport>,
+    pub report: Option<hoptiller_policy::LoadReport>,
     /// Work that the statement needed, where told.
     pub work: Option<Micros>,
 }
--- a/crates/router/src/rounds.rs
+++ b/crates/router-core/src/rounds.rs
@@ -10,9 +10,9 @@
 use async_io::Timer;
 use event_listener::{Event as Bell, EventListener};
 use futures_lite::future;
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 
-use crate::core::{Command, Core, StatementId};
+use crate::{Command, Core, StatementId};
 
 /// The clock starts here, so that engines which started before the router have a time of their start too.
 const CLOCK_START: Micros = 24 * 3_600_000_000;
--- a/crates/router/src/core/runaways.rs
+++ b/crates/router-core/src/runaways.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller::{Effect, Ending, EngineId, Entry, Event, Micros, Readiness, Scope};
+use hoptiller_policy::{Effect, Ending, EngineId, Entry, Event, Micros, Readiness, Scope};
 use hoptiller_runaway::{
     AttemptId, Decision, End, EndingVerdict, KindId, Listed, News, Proof, Start, Watch,
     answer_after_end,
@@ -28,16 +28,16 @@
 }
 
 impl Fleet {
-    pub(super) fn new(cfg: &hoptiller::Settings) -> Fleet {
+    pub(super) fn new(cfg: &hoptiller_policy::Settings) -> Fleet {
         Fleet::of(cfg, BTreeMap::new())
     }
 
     /// Other rules for the same engines.
-    pub(super) fn rules(&mut self, cfg: &hoptiller::Settings) {
+    pub(super) fn rules(&mut self, cfg: &hoptiller_policy::Settings) {
         *self = Fleet::of(cfg, std::mem::take(&mut self.entries));
     }
 
-    fn of(cfg: &hoptiller::Settings, entries: BTreeMap<EngineId, Entry>) -> Fleet {
+    fn of(cfg: &hoptiller_policy::Settings, entries: BTreeMap<EngineId, Entry>) -> Fleet {
         Fleet {
             entries,
             placement: cfg
--- a/crates/router/src/core/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hoptiller::{Ending, EngineId, Event, Micros, Outcome, RequestId};
+use hoptiller_policy::{Ending, EngineId, Event, Micros, Outcome, RequestId};
 use hoptiller_runaway::{Announced, KindId};
 
 use super::course::{Course, CourseAttempt};
--- a/crates/router/src/core/table.rs
+++ b/crates/router-core/src/table.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 
 use super::StatementId;
 use super::statement::Statement;
--- a/crates/runaway/src/acts.rs
+++ b/crates/runaway/src/acts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::interface::*;
 use crate::watch::Watch;
--- a/crates/runaway/src/change.rs
+++ b/crates/runaway/src/change.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::interface::{AttemptId, KindId};
 
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -1,7 +1,7 @@
 //! Owns what may be said of a statement that was ended at its engine. The one mistake that must not happen: to
 //! invite a second run of what may have had its effect.
 
-use hoptiller::{Effect, Group, Micros};
+use hoptiller_policy::{Effect, Group, Micros};
 
 /// What the engine says of the effects of a statement that it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/runaway/src/engines.rs
+++ b/crates/runaway/src/engines.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::interface::KindId;
 
--- a/crates/runaway/src/expect.rs
+++ b/crates/runaway/src/expect.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 
 use crate::interface::{Announced, Basis, Class, KindId};
 use crate::sketch::Sketch;
--- a/crates/runaway/src/expect/tests.rs
+++ b/crates/runaway/src/expect/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::interface::Acts;
-use hoptiller::Effect;
+use hoptiller_policy::Effect;
 
 const S: f64 = 1e6;
 
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 
 use crate::interface::{Decision, Finding, Subject, Verdict};
 
--- a/crates/runaway/src/hold.rs
+++ b/crates/runaway/src/hold.rs
@@ -1,13 +1,13 @@
 //! Owns how many of a held kind may run at once, and where, and how that grows back.
 //!
-//! A hold starts at one statement at once, on the one engine that all routers choose alike. Each [`CLEAN`] runs
+//! A hold starts at one statement at once, on the one engine that all routers choose alike. Each `CLEAN` runs
 //! within half of the bound double it; a further runaway takes it back to one and asks for twice as many clean
-//! runs. At [`FREE`] it is lifted. A kind of which nothing comes any more is freed by time, a step each
-//! [`IDLE_STEP`]. A group of tables that a runaway holds at an engine is kept away from there while it does.
+//! runs. At `FREE` it is lifted. A kind of which nothing comes any more is freed by time, a step each
+//! `IDLE_STEP`. A group of tables that a runaway holds at an engine is kept away from there while it does.
 
 use std::collections::BTreeMap;
 
-use hoptiller::{EngineId, Held, Hold, Micros};
+use hoptiller_policy::{EngineId, Held, Hold, Micros};
 use serde::{Deserialize, Serialize};
 
 use crate::interface::{KindId, Listed};
--- a/crates/runaway/src/interface.rs
+++ b/crates/runaway/src/interface.rs
@@ -1,6 +1,6 @@
 //! What goes into and comes out of [`Watch`](crate::Watch). Plain data.
 
-use hoptiller::{Effect, EngineId, Hold, Micros};
+use hoptiller_policy::{Effect, EngineId, Hold, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A statement's kind: its class and the fingerprint of its text, in one number.
--- a/crates/runaway/src/judge.rs
+++ b/crates/runaway/src/judge.rs
@@ -5,7 +5,7 @@
 //! more strictly; work that engines tell is the attempt's own and no excuse is needed; where only time is known,
 //! it is divided by how slow the engine is for others; what all of a kind do is the kind's.
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::blame::Waits;
 use crate::change::Says;
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Watch`] is fed with attempts' starts, what engines tell of them, and their ends; it yields [`Decision`]s. It
 //! does no I/O and has no clock: same events, same decisions. What it holds is carried out by the routing
-//! decisions (`hoptiller::Event::Hold`), so that every send still passes their one door.
+//! decisions (`hoptiller_policy::Event::Hold`), so that every send still passes their one door.
 //!
 //! - [`interface`]: what goes in and comes out.
 //! - [`expect`]: what is usual for a kind, a class, an announced size.
--- a/crates/runaway/src/others.rs
+++ b/crates/runaway/src/others.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 
 use crate::blame::Waits;
 use crate::expect::Expected;
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller::Micros;
+use hoptiller_policy::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::expect::{Figures, KindBook};
--- a/crates/runaway/src/watch.rs
+++ b/crates/runaway/src/watch.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use hoptiller::{EngineId, Micros};
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::blame::Waits;
 use crate::change::Changes;
@@ -96,7 +96,7 @@
     pub away_for: Micros,
 }
 
-/// Finds runaways. See the [crate](crate).
+/// Finds runaways. See the [crate].
 #[derive(Debug)]
 pub struct Watch {
     pub(crate) cfg: Settings,
--- a/crates/runaway/tests/acts.rs
+++ b/crates/runaway/tests/acts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::{EngineId, Held, Hold};
+use hoptiller_policy::{EngineId, Held, Hold};
 use hoptiller_runaway::*;
 
 const ALL: Acts = Acts {
--- a/crates/runaway/tests/common.rs
+++ b/crates/runaway/tests/common.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hoptiller::{Effect, EngineId, Hold, Micros};
+use hoptiller_policy::{Effect, EngineId, Hold, Micros};
 use hoptiller_runaway::*;
 
 pub const S: Micros = 1_000_000;
--- a/crates/runaway/tests/verdicts.rs
+++ b/crates/runaway/tests/verdicts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hoptiller::{EngineId, Held};
+use hoptiller_policy::{EngineId, Held};
 use hoptiller_runaway::*;
 
 #[test]
@@ -120,7 +120,7 @@
     assert_eq!(w.watch.kept_away().count(), 0);
 }
 
-use hoptiller::Hold;
+use hoptiller_policy::Hold;
 
 #[test]
 fn where_nothing_tells_who_waits_for_whom_tables_do() {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use hoptiller as core;
-use hoptiller_host::{index, micros, millis, report, settings};
+use hoptiller_policy as core;
+use hoptiller_policy_settings::{index, micros, millis, report, settings};
 
 use crate::wire;
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller_host::Settings;
+use hoptiller_policy_settings::Settings;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
--- a/crates/sql/src/kind.rs
+++ b/crates/sql/src/kind.rs
@@ -2,7 +2,7 @@
 //! quotes of plain names are folded; each literal and parameter becomes `?`; a list of values becomes `?+`; rows
 //! of `VALUES` that look alike become one. What was folded away is counted as the statement's size.
 //!
-//! One pass, in memory bounded by [`ROW`] and [`LABEL`] however long the text is.
+//! One pass, in memory bounded by `ROW` and `LABEL` however long the text is.
 
 use crate::lexer::{Dialect, Lexer, Token, TokenKind};
 
--- a/crates/router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -9,12 +9,12 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_agent::{Clock, Keepers, Secret, Unreached, wire};
-use hoptiller_agreement::fleet::Version;
-use hoptiller_agreement::follower::Verdict;
-use hoptiller_agreement::plant::{self, Plant};
-use hoptiller_agreement::{Act, Document, Follower, Holder, Micros, Part};
-use hoptiller_tasks::Duty;
+use hoptiller_coordination::fleet::Version;
+use hoptiller_coordination::follower::Verdict;
+use hoptiller_coordination::plant::{self, Plant};
+use hoptiller_coordination::{Act, Document, Follower, Holder, Micros, Part};
+use hoptiller_coordination_client::{Clock, Keepers, Secret, Unreached, wire};
+use hoptiller_fleet_tasks::Duty;
 
 use crate::learnt::{read, write_whole};
 use crate::leased::Leased;
@@ -68,7 +68,7 @@
             life: life.to_owned(),
         };
         let keepers = Keepers::new(settings.keepers.clone(), secret);
-        keepers.begin_with(crate::core::group_of(router) as usize);
+        keepers.begin_with(hoptiller_router_core::group_of(router) as usize);
         let leased = Leased::new(&settings.bounds(), clock);
         Rc::new(Agreed {
             follower: RefCell::new(Follower::new(me, settings.bounds(), known)),
@@ -324,7 +324,7 @@
     fn write(&self) {
         let Some(file) = &self.file else { return };
         let body = serde_json::to_vec(self.follower.borrow().course()).unwrap_or_default();
-        let digest = hoptiller_agent::secret::digest(&body);
+        let digest = hoptiller_coordination_client::secret::digest(&body);
         let bytes = [digest.as_bytes(), b"\n", &body].concat();
         if let Err(e) = write_whole(file, &bytes) {
             tracing::warn!(file = %file.display(), why = %e, "the versions heeded can't be written down");
@@ -339,7 +339,7 @@
     };
     let known = bytes.iter().position(|b| *b == b'\n').and_then(|at| {
         let (digest, body) = (&bytes[..at], &bytes[at + 1..]);
-        (hoptiller_agent::secret::digest(body).as_bytes() == digest)
+        (hoptiller_coordination_client::secret::digest(body).as_bytes() == digest)
             .then(|| serde_json::from_slice(body).ok())?
     });
     if known.is_none() {
--- a/crates/router/src/desk.rs
+++ b/crates/statement-router/src/desk.rs
@@ -5,15 +5,15 @@
 use std::rc::Rc;
 
 use event_listener::EventListener;
-use hoptiller::{EngineId, Micros};
 use hoptiller_http::{Spawner, Ticks};
+use hoptiller_policy::{EngineId, Micros};
 use hoptiller_statement::Key;
 
 use crate::agreed::Agreed;
-use crate::core::{Core, StatementId};
 use crate::engines::Engines;
-use crate::rounds::Rounds;
 use crate::settings::Settings;
+use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::{Core, StatementId};
 
 /// What is asked at a running router.
 pub struct Desk {
--- a/crates/router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -8,14 +8,14 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller::Scope;
-use hoptiller_agreement::{Part, Right, Task};
+use hoptiller_coordination::{Part, Right, Task};
+use hoptiller_fleet_tasks::{Duty, LIST, Seen, Sheet, probe_of};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
+use hoptiller_policy::Scope;
 use hoptiller_statement::client::duration;
 use hoptiller_statement::discovery::{ENGINE_TYPE, NodeInfo, NodeState, SERVICE, Services};
 use hoptiller_statement::extra;
-use hoptiller_tasks::{Duty, LIST, Seen, Sheet, probe_of};
 
 use crate::agreed::Agreed;
 use crate::membership::Membership;
@@ -24,11 +24,11 @@
 /// Where changes of the list go.
 pub trait Listener {
     /// The clock of the core.
-    fn now(&self) -> hoptiller::Micros;
+    fn now(&self) -> hoptiller_policy::Micros;
     /// The list has changed, or a call failed.
-    fn list(&self, scope: Scope, entries: Vec<hoptiller::Entry>);
+    fn list(&self, scope: Scope, entries: Vec<hoptiller_policy::Entry>);
     /// An engine's name and address.
-    fn place(&self, engine: hoptiller::EngineId, name: &str, addr: std::net::SocketAddr);
+    fn place(&self, engine: hoptiller_policy::EngineId, name: &str, addr: std::net::SocketAddr);
 }
 
 /// Looks at discovery in a row that fail until another router is to read it for all.
@@ -254,7 +254,7 @@
     }
 
     /// Another router has asked the engine, for all.
-    fn take_seen(&self, name: &str, note: &str, now: hoptiller::Micros) {
+    fn take_seen(&self, name: &str, note: &str, now: hoptiller_policy::Micros) {
         let Some(seen) = Sheet::read(note).0.get(name).copied() else {
             return;
         };
--- a/crates/router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -9,9 +9,9 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
-use hoptiller::{Ending, Progress};
 use hoptiller_http::client::ClientError;
 use hoptiller_http::{Method, Request, Response};
+use hoptiller_policy::{Ending, Progress};
 use hoptiller_runaway::{Holder, Proof, Stands};
 use hoptiller_statement::results::Stats;
 use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT, extra};
@@ -19,7 +19,7 @@
 
 use super::pool::Unsent;
 use super::{Control, Engines, Report, Told, load_of_headers};
-use crate::core::{Attempt, Ended, Failure, Page};
+use hoptiller_router_core::{Attempt, Ended, Failure, Page};
 
 /// Polls in a row that may fail before the engine counts as gone. A poll asks for the same answer again: that
 /// repeats nothing.
@@ -490,9 +490,9 @@
     }
 }
 
-fn work_of(answer: &Response) -> Option<hoptiller::Micros> {
+fn work_of(answer: &Response) -> Option<hoptiller_policy::Micros> {
     let ms = extra::number(answer.headers.get(extra::COST)?, "work_ms")?;
-    (ms > 0.0 && ms < 1e12).then_some((ms * 1000.0) as hoptiller::Micros)
+    (ms > 0.0 && ms < 1e12).then_some((ms * 1000.0) as hoptiller_policy::Micros)
 }
 
 /// Fields by which an engine changes a client's session.
--- a/crates/router/src/engines/mod.rs
+++ b/crates/statement-router/src/engines/mod.rs
@@ -12,13 +12,13 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use hoptiller::{EngineId, LoadReport, Micros, Progress};
 use hoptiller_http::{Limits, Method, Request, Response};
+use hoptiller_policy::{EngineId, LoadReport, Micros, Progress};
 use hoptiller_runaway::{News, Proof};
 use hoptiller_statement::discovery::NodeStatus;
 use hoptiller_statement::extra;
 
-use crate::core::{Attempt, Ended, Failure, Names, Page, StatementId};
+use hoptiller_router_core::{Attempt, Ended, Failure, Names, Page, StatementId};
 use pool::Pool;
 
 /// Where what was seen goes.
--- a/crates/router/src/engines/pool.rs
+++ b/crates/statement-router/src/engines/pool.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use async_io::Async;
-use hoptiller::EngineId;
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Request, Response};
+use hoptiller_policy::EngineId;
 use hoptiller_statement::extra;
 
 type Open = Connection<Async<TcpStream>>;
--- a/crates/router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use async_io::Async;
-use hoptiller::{EngineId, Micros};
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response};
+use hoptiller_policy::{EngineId, Micros};
 use hoptiller_runaway::{Finding, KindId, Subject};
 use serde_json::{Value, json};
 
--- a/crates/router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -7,15 +7,15 @@
 
 use async_io::Async;
 use futures_lite::future;
-use hoptiller_agreement::follower::Verdict;
+use hoptiller_coordination::follower::Verdict;
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_runaway::Announced;
 use hoptiller_statement::{ClientHeaders, QueryId, STATEMENT, Token};
 
 use super::render;
-use crate::core::{Poll, StatementId, Submission, Turned, Work, group_of};
 use crate::desk::Desk;
+use hoptiller_router_core::{Poll, StatementId, Submission, Turned, Work, group_of};
 
 /// What else is answered, by path: metrics, for one.
 pub type Extra = Rc<dyn Fn(&str) -> Option<Response>>;
--- a/crates/router/src/fronts/render.rs
+++ b/crates/statement-router/src/fronts/render.rs
@@ -7,10 +7,10 @@
 use hoptiller_statement::results::QueryError;
 use hoptiller_statement::{ErrorName, ErrorType, Key, Known, Phase, QueryId, Repeat, State, Token};
 
-use crate::core::{Answer, Content, Course, Failure, Final, Page, ending_word};
 use crate::desk::Desk;
 use crate::restart;
 use crate::settings::RepeatSettings;
+use hoptiller_router_core::{Answer, Content, Course, Failure, Final, Page, ending_word};
 
 /// What a `QueryResults` is written from. It is written by hand: polls are most of what a router answers.
 struct Results<'a> {
--- a/crates/router/src/learnt.rs
+++ b/crates/statement-router/src/learnt.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use crate::rounds::Rounds;
+use hoptiller_router_core::rounds::Rounds;
 
 /// The file's name in the state folder.
 pub const NAME: &str = "runaways";
--- a/crates/router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -7,10 +7,10 @@
 
 use async_io::Timer;
 use event_listener::Event as Bell;
-use hoptiller_agent::{Clock, Keepers, Unreached, wire};
-use hoptiller_agreement::lease::{Board, Grant, NotNoted};
-use hoptiller_agreement::{Bounds, Holder, Micros, Offer, Part, Right, Tenant};
-use hoptiller_tasks::{Duty, duty};
+use hoptiller_coordination::lease::{Board, Grant, NotNoted};
+use hoptiller_coordination::{Bounds, Holder, Micros, Offer, Part, Right, Tenant};
+use hoptiller_coordination_client::{Clock, Keepers, Unreached, wire};
+use hoptiller_fleet_tasks::{Duty, duty};
 
 /// How much of each term is left unused, for the way of an act to what it acts on.
 const MARGIN: Micros = 100_000;
@@ -78,7 +78,7 @@
     }
 
     /// Parts that a task has.
-    pub fn parts(&self, task: hoptiller_agreement::Task) -> u32 {
+    pub fn parts(&self, task: hoptiller_coordination::Task) -> u32 {
         self.tenant.borrow().parts(task)
     }
 
--- a/crates/router/src/membership.rs
+++ b/crates/statement-router/src/membership.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hoptiller::{EngineId, Entry, Micros, Readiness};
+use hoptiller_policy::{EngineId, Entry, Micros, Readiness};
 use hoptiller_statement::discovery::{ENGINE_TYPE, NodeState, Service, Services};
 
 /// Engines that one list may name; more are passed over.
--- a/crates/router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -9,23 +9,25 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use hoptiller::{EngineId, LoadReport, Micros, Progress, Scope};
-use hoptiller_agreement::follower::Verdict as Permitted;
+use hoptiller_coordination::follower::Verdict as Permitted;
 use hoptiller_http::{Spawner, Ticks};
+use hoptiller_policy::{EngineId, LoadReport, Micros, Progress, Scope};
 use hoptiller_runaway::{Finding, Proof, Stands, Verdict, Watch};
 use hoptiller_statement::Key;
 use tracing::Instrument;
 
 use crate::agreed::{self, Agreed};
-use crate::core::{Bounds, Command, Core, Ended, Failure, Names, Page, StatementId, ending_word};
 use crate::desk::Desk;
 use crate::discovery::{Discovery, Listener};
 use crate::engines::{Control, Engines, Manner, Order, Report, Told};
 use crate::fronts;
 use crate::fronts::http::Extra;
 use crate::learnt::Learnt;
-use crate::rounds::{Carry, Rounds};
 use crate::settings::Settings;
+use hoptiller_router_core::rounds::{Carry, Rounds};
+use hoptiller_router_core::{
+    Bounds, Command, Core, Ended, Failure, Names, Page, StatementId, ending_word,
+};
 
 /// For the last attempt's end, the decision and the answer before a client gives up.
 pub const ANSWER_MARGIN: Micros = 150_000;
@@ -45,7 +47,7 @@
     /// Its settings as its own file has them.
     own: Rc<Settings>,
     /// Engines as last listed.
-    listed: RefCell<HashMap<EngineId, hoptiller::Entry>>,
+    listed: RefCell<HashMap<EngineId, hoptiller_policy::Entry>>,
     /// What fronts ask of it.
     pub desk: Rc<Desk>,
     learnt: Option<Learnt>,
@@ -60,7 +62,7 @@
         secret: &[u8],
         life: String,
         ex: Spawner,
-    ) -> Result<Rc<Service>, hoptiller::SettingsError> {
+    ) -> Result<Rc<Service>, hoptiller_policy::SettingsError> {
         Service::agreeing(settings, secret, life, ex, None)
     }
 
@@ -71,7 +73,7 @@
         life: String,
         ex: Spawner,
         agreed: Option<Rc<Agreed>>,
-    ) -> Result<Rc<Service>, hoptiller::SettingsError> {
+    ) -> Result<Rc<Service>, hoptiller_policy::SettingsError> {
         let l = &settings.limits;
         let micros = |d: Duration| d.as_micros() as Micros;
         let bounds = Bounds {
@@ -216,7 +218,7 @@
     }
 
     /// When an engine's process began, in ms since 1970.
-    fn began(&self, entry: &hoptiller::Entry) -> u64 {
+    fn began(&self, entry: &hoptiller_policy::Entry) -> u64 {
         let age = Report::now(self).saturating_sub(entry.ready_at);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -465,12 +467,12 @@
         Report::now(self)
     }
 
-    fn list(&self, scope: Scope, mut entries: Vec<hoptiller::Entry>) {
+    fn list(&self, scope: Scope, mut entries: Vec<hoptiller_policy::Entry>) {
         if scope != Scope::Refused {
             if let Some(agreed) = &self.desk.agreed {
                 for entry in &mut entries {
                     if !agreed.lists(&self.desk.engines.name(entry.engine), self.began(entry)) {
-                        entry.readiness = hoptiller::Readiness::Draining;
+                        entry.readiness = hoptiller_policy::Readiness::Draining;
                     }
                 }
             }
--- a/crates/router/src/settings/mod.rs
+++ b/crates/statement-router/src/settings/mod.rs
@@ -75,8 +75,8 @@
 
 impl AgreementSettings {
     /// The bounds of permits.
-    pub fn bounds(&self) -> hoptiller_agreement::Bounds {
-        hoptiller_agreement::Bounds {
+    pub fn bounds(&self) -> hoptiller_coordination::Bounds {
+        hoptiller_coordination::Bounds {
             term: self.permit.as_micros() as u64,
             drift: self.drift,
         }
@@ -289,10 +289,10 @@
     }
 
     /// The settings of the decision module.
-    pub fn decisions(&self) -> hoptiller::Settings {
+    pub fn decisions(&self) -> hoptiller_policy::Settings {
         let micros = |d: Duration| d.as_micros() as u64;
         let (e, r) = (&self.engines, &self.rules);
-        hoptiller::Settings {
+        hoptiller_policy::Settings {
             gateways: self.router.of,
             index: self.router.index,
             tick: micros(self.limits.tick),
@@ -308,8 +308,8 @@
             bills: e.bills,
             probe_price: 0.0,
             marks_retry: true,
-            discovery: hoptiller::Discovery::Push,
-            limits: hoptiller::Limits {
+            discovery: hoptiller_policy::Discovery::Push,
+            limits: hoptiller_policy::Limits {
                 max_attempts: e.max_attempts,
                 max_open: 0,
                 second_copies: false,
@@ -319,13 +319,13 @@
                 probes: e.probes,
                 cancel: e.cancel,
             },
-            rules: hoptiller::Rules {
+            rules: hoptiller_policy::Rules {
                 start_capacity: r.start_capacity,
                 ramp_time: micros(r.ramp),
                 overload_factor: r.overload,
                 fall: micros(r.fall),
                 order_pause: micros(r.order_pause),
-                retry_budget: e.budget.map(|b| hoptiller::RetryBudget {
+                retry_budget: e.budget.map(|b| hoptiller_policy::RetryBudget {
                     spare: b.spare,
                     ratio: b.ratio,
                     look_back: micros(b.within),
@@ -396,14 +396,14 @@
 }
 
 impl ClassSettings {
-    fn decisions(&self) -> hoptiller::Class {
-        hoptiller::Class {
+    fn decisions(&self) -> hoptiller_policy::Class {
+        hoptiller_policy::Class {
             aim: self.aim.as_micros() as u64,
             aim_stretch: self.stretch,
             deadline: self.patience.as_micros() as u64,
             effect: match self.repeat {
-                RepeatSettings::Safe => hoptiller::Effect::Pure,
-                RepeatSettings::Never => hoptiller::Effect::Unsafe,
+                RepeatSettings::Safe => hoptiller_policy::Effect::Pure,
+                RepeatSettings::Never => hoptiller_policy::Effect::Unsafe,
             },
             in_turn: self.in_order,
             late_worth: self.late_worth,
--- a/crates/router/src/settings/under.rs
+++ b/crates/statement-router/src/settings/under.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use hoptiller_agreement::Span;
-use hoptiller_agreement::document::{Class, Document, Repeat};
+use hoptiller_coordination::Span;
+use hoptiller_coordination::document::{Class, Document, Repeat};
 
 use super::{BudgetSettings, ClassSettings, Problem, RepeatSettings, Settings, check};
 
--- a/crates/router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -11,8 +11,8 @@
 use hoptiller_audit::Record;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_standin::client::{Came, Manner};
-use hoptiller_standin::fault::Faults;
+use hoptiller_mock_servers::client::{Came, Manner};
+use hoptiller_mock_servers::fault::Faults;
 use serde_json::json;
 
 /// One request on a connection of its own.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -10,12 +10,12 @@
 use futures_lite::future;
 use hoptiller_audit::{Record, Recorder, Verdict, judge};
 use hoptiller_http::{Method, Request, Response};
-use hoptiller_router::{Service, Settings};
-use hoptiller_standin::Running;
-use hoptiller_standin::client::{Ask, Came, Client, Manner};
-use hoptiller_standin::discovery::DiscoveryConfig;
-use hoptiller_standin::engine::EngineConfig;
-use hoptiller_standin::ledger::Ledger;
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::client::{Ask, Came, Client, Manner};
+use hoptiller_mock_servers::discovery::DiscoveryConfig;
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::ledger::Ledger;
+use hoptiller_statement_router::{Service, Settings};
 use serde_json::{Value, json};
 
 const EXAMPLE: &str = include_str!("../../../../examples/derby.jsonnet");
@@ -37,8 +37,8 @@
 
 /// The example's settings, quicker, with changes.
 pub fn settings(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Settings {
-    let mut value =
-        hoptiller_router::settings::evaluate("derby.jsonnet", EXAMPLE).expect("evaluates");
+    let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
+        .expect("evaluates");
     value["router"]["listen"] = json!("127.0.0.1:0");
     value["router"]["state"] = Value::Null;
     value["discovery"]["address"] = json!(discovery.to_string());
--- a/crates/router/tests/core.rs
+++ b/crates/statement-router/tests/core.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use hoptiller::{Ending, EngineId, Entry, Micros, Readiness, Scope};
-use hoptiller_router::Settings;
-use hoptiller_router::core::{
+use hoptiller_policy::{Ending, EngineId, Entry, Micros, Readiness, Scope};
+use hoptiller_router_core::{
     Answer, Bounds, Command, Content, Core, Ended, Failure, Final, Names, Page, Poll, StatementId,
     Submission, Work,
 };
 use hoptiller_runaway::{Announced, Proof, Watch};
+use hoptiller_statement_router::Settings;
 use proptest::prelude::*;
 use serde_json::value::RawValue;
 
@@ -557,7 +557,9 @@
     world.now += 5_000 * MS;
     world.core.page(world.now, id, 0, page("here", true));
     // Word that came late says that it would never end in time: the module gives it up.
-    world.core.note(id, 0, hoptiller::Progress::Done(0.001));
+    world
+        .core
+        .note(id, 0, hoptiller_policy::Progress::Done(0.001));
     world.core.round(world.now);
     assert!(
         matches!(world.core.poll(world.now, id, 1), Poll::Answer(a) if matches!(a.content, Content::Rows(_)))
--- a/crates/router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use common::{Stage, put};
-use hoptiller_standin::client::Came;
-use hoptiller_standin::discovery::DiscoveryFaults;
-use hoptiller_standin::fault::Faults;
+use hoptiller_mock_servers::client::Came;
+use hoptiller_mock_servers::discovery::DiscoveryFaults;
+use hoptiller_mock_servers::fault::Faults;
 use serde_json::json;
 
 const LOAD: &str = "INSERT INTO rent /* work=50ms */";
--- a/crates/router/tests/runaways.rs
+++ b/crates/statement-router/tests/runaways.rs
@@ -7,9 +7,9 @@
 
 use common::{Stage, send_to, start_router};
 use hoptiller_http::{Method, Request};
-use hoptiller_standin::client::{Ask, Came, Client};
-use hoptiller_standin::engine::EngineConfig;
-use hoptiller_standin::fault::Faults;
+use hoptiller_mock_servers::client::{Ask, Came, Client};
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::fault::Faults;
 use serde_json::{Value, json};
 
 const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
@@ -563,7 +563,7 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     stage.crash_router();
-    let kinds_known = |settings: &hoptiller_router::Settings| {
+    let kinds_known = |settings: &hoptiller_statement_router::Settings| {
         let mut settings = settings.clone();
         settings.router.admin = Some(([127, 0, 0, 1], 0).into());
         let (running, _) = start_router(&mut settings);
--- a/crates/router/tests/settings.rs
+++ b/crates/statement-router/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Bad files of settings: every one refused, with all its problems and their places.
 
-use hoptiller_router::Settings;
+use hoptiller_statement_router::Settings;
 
 const EXAMPLE: &str = include_str!("../../../examples/derby.jsonnet");
 
@@ -16,7 +16,10 @@
 fn the_example_is_good_and_its_decisions_are_what_it_says() {
     let settings = Settings::from_text("a.jsonnet", EXAMPLE).expect("good");
     let decisions = settings.decisions();
-    assert_eq!(decisions.classes[2].effect, hoptiller::Effect::Unsafe);
+    assert_eq!(
+        decisions.classes[2].effect,
+        hoptiller_policy::Effect::Unsafe
+    );
     assert_eq!(
         (
             decisions.classes[1].kinds.clone(),
@@ -28,7 +31,7 @@
         (decisions.classes[0].aim, decisions.rules.ramp_time),
         (1_500_000, 14_000_000)
     );
-    assert!(hoptiller::Controller::new(decisions, 1).is_ok());
+    assert!(hoptiller_policy::Controller::new(decisions, 1).is_ok());
 }
 
 #[test]
