--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
+use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, LeaseTiming, Proposal};
 use hoptiller_coordination_client::{Clock, Keepers, Secret, wire};
 use hoptiller_coordination_server::core::Core;
 use hoptiller_coordination_server::disk::Disk;
@@ -61,7 +61,7 @@
     let text = json!({ "form": 1, "kinds": { "a": 8 }, "engines": { "max_attempts": attempts },
         "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe", "worth": worth } },
         "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" } });
-    Document::read(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
+    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -191,10 +191,10 @@
 async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
     let clock = Clock::new();
     let bounds = settings.bounds();
-    let mut follower = Follower::new(
+    let mut follower = ConfigWatcher::new(
         Holder {
             router: name,
-            life: "1".into(),
+            incarnation: "1".into(),
         },
         bounds,
         Vec::new(),
@@ -202,10 +202,10 @@
     let keepers = Keepers::new(settings.keepers.clone(), secret);
     keepers.begin_with(n);
     loop {
-        let (id, act) = follower.ask(clock.now());
-        let Act::Ask {
+        let (id, act) = follower.start_renewal(clock.now());
+        let Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             offer,
         } = act
@@ -224,8 +224,8 @@
             .call(wire::ASK, Some(&body), Duration::from_millis(700))
             .await
         {
-            Ok(wire::Asked::Granted(granted)) => drop(follower.granted(id, granted)),
-            _ => follower.unanswered(id),
+            Ok(wire::Asked::Granted(granted)) => drop(follower.accept_grant(id, granted)),
+            _ => follower.abandon_renewal(id),
         }
         Timer::after(settings.ask_every).await;
     }
@@ -234,7 +234,7 @@
 /// Keepers in one thread, on disks; then one of them starts.
 fn restart(versions: u64) -> io::Result<()> {
     let dir = folder("disks");
-    let bounds = Bounds {
+    let bounds = LeaseTiming {
         term: PERMIT.as_micros() as u64,
         drift: DRIFT,
     };
@@ -254,23 +254,23 @@
         .map(|n| open(n, 0))
         .collect::<io::Result<Vec<Core>>>()?;
     let (mut put, mut now) = (0, 0);
-    while cores.iter().any(|c| c.fleet().last() < versions) {
+    while cores.iter().any(|c| c.fleet().latest() < versions) {
         now += 10_000;
         // As many as one entry holds, one entry on its way.
-        if put < versions && cores[0].fleet().last() == put {
+        if put < versions && cores[0].fleet().latest() == put {
             for _ in 0..(versions - put).min(512) {
                 put += 1;
                 let document = document((put % 1000) as f64, 3)?;
                 let (change, why) = (put.to_string(), "measured".to_owned());
-                let wanted = Put {
-                    change,
+                let wanted = Proposal {
+                    change_name: change,
                     base: None,
-                    by: "measure".into(),
-                    at: put,
-                    why,
+                    author: "measure".into(),
+                    proposed_at_ms: put,
+                    reason: why,
                     document,
                 };
-                cores[0].call(Act::Put(Box::new(wanted)));
+                cores[0].call(Command::Propose(Box::new(wanted)));
             }
         }
         let mut messages = Vec::new();
@@ -294,7 +294,7 @@
     let began = Instant::now();
     let core = open(1, now)?;
     let took = began.elapsed();
-    if core.fleet().last() != versions {
+    if core.fleet().latest() != versions {
         return Err(io::Error::other("versions are lost"));
     }
     println!(
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -59,7 +59,7 @@
     if tasks {
         text["tasks"] = json!({ "list": 1, "probe": 8 });
     }
-    Document::read(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
+    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
 }
 
 /// Notes when each router knows that one engine drains, and how many it lists.
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hoptiller_audit::{Agreement, Rules, judge};
-use hoptiller_coordination::Span;
+use hoptiller_coordination::ConfigDuration;
 use hoptiller_coordination_client::wire::{self, LeaseStatus, Status};
 use hoptiller_fault_harness::stage::EnginePlan;
 use hoptiller_fault_harness::{Day, Layout, Stage};
@@ -92,7 +92,7 @@
 struct Written {
     keepers: usize,
     routers: usize,
-    permit: Span,
+    permit: ConfigDuration,
     #[serde(default)]
     drift: Option<u64>,
     #[serde(default)]
@@ -104,7 +104,7 @@
     engines: Vec<WrittenEngine>,
     /// A part of a fleet-wide task may be done by nobody for so long.
     #[serde(default)]
-    unheld: Option<Span>,
+    unheld: Option<ConfigDuration>,
     day: Day,
 }
 
@@ -147,10 +147,10 @@
         ));
     }
     for (name, document) in &day.day.documents {
-        for flaw in document.flaws() {
+        for flaw in document.validation_errors() {
             problems.push(problem(
                 &format!("day.documents.{name}.{}", flaw.path),
-                flaw.what,
+                flaw.message,
             ));
         }
     }
@@ -217,7 +217,7 @@
     let mut stage = Stage::new(layout, &program, &args.report).map_err(outside("the stage"))?;
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
-        if hoptiller_coordination::plant::Plant::named(name).is_none() {
+        if hoptiller_coordination::fault_injection::Fault::from_name(name).is_none() {
             return Err(Failure::Usage(format!(
                 "--plant: {name:?} is no fault that is known"
             )));
@@ -445,9 +445,9 @@
         out.push_str(&format!(
             "  on its way: {} ({}) by {}: {}\n",
             h.number,
-            h.kind.word(),
-            h.by,
-            h.why
+            h.kind.description(),
+            h.author,
+            h.reason
         ));
     }
     for h in &s.holders {
--- a/crates/cli/src/commands/fleet/tests.rs
+++ b/crates/cli/src/commands/fleet/tests.rs
@@ -7,7 +7,7 @@
     let holder = |router: &str, heeds, holds_up| HolderStatus {
         holder: Holder {
             router: router.into(),
-            life: "x1".into(),
+            incarnation: "x1".into(),
         },
         heeds,
         left_ms: 4200,
@@ -43,14 +43,14 @@
 
 #[test]
 fn a_part_without_a_holder_is_told_so() {
-    let part = |shard| hoptiller_coordination::Part {
-        task: hoptiller_coordination::Task::Probe,
-        shard,
+    let part = |shard| hoptiller_coordination::Shard {
+        task: hoptiller_coordination::Task::HealthCheck,
+        index: shard,
     };
     let holder = Some((
         Holder {
             router: "r1".into(),
-            life: "x1".into(),
+            incarnation: "x1".into(),
         },
         9,
     ));
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use hoptiller_coordination::fleet::{Head, Version};
-use hoptiller_coordination::{Document, Number, Put};
+use hoptiller_coordination::{Document, Proposal, VersionNumber};
+use hoptiller_coordination::{Version, VersionMetadata};
 use hoptiller_coordination_client::wire;
 
 use crate::commands::fleet::waiting_for;
@@ -41,7 +41,7 @@
     by: String,
     /// The last version that you have seen; without it, the last there is when the command starts
     #[arg(long, value_name = "N")]
-    base: Option<Number>,
+    base: Option<VersionNumber>,
     /// A name of your own for the change: put again under the same name, it is the same change
     #[arg(long, value_name = "NAME")]
     change: Option<String>,
@@ -64,7 +64,7 @@
 #[derive(clap::Args)]
 pub struct ShowArgs {
     /// Its number
-    number: Option<Number>,
+    number: Option<VersionNumber>,
     #[command(flatten)]
     keepers: KeeperArgs,
 }
@@ -72,9 +72,9 @@
 #[derive(clap::Args)]
 pub struct DiffArgs {
     /// From
-    from: Number,
+    from: VersionNumber,
     /// To
-    to: Number,
+    to: VersionNumber,
     #[command(flatten)]
     keepers: KeeperArgs,
 }
@@ -91,7 +91,7 @@
 #[derive(clap::Args)]
 pub struct RollbackArgs {
     /// The version whose text is to hold again
-    number: Number,
+    number: VersionNumber,
     #[command(flatten)]
     course: Course,
 }
@@ -102,7 +102,7 @@
     keepers: KeeperArgs,
     /// End once this version is in force
     #[arg(long, value_name = "N")]
-    until: Option<Number>,
+    until: Option<VersionNumber>,
 }
 
 /// How long one call to watch waits.
@@ -124,7 +124,7 @@
         }
         Args::Show(a) => {
             let version = show(&a.keepers.open()?, a.number)?;
-            eprintln!("{}", line(&version.head));
+            eprintln!("{}", line(&version.metadata));
             println!(
                 "{}",
                 serde_json::to_string_pretty(&version.document).unwrap_or_default()
@@ -138,7 +138,7 @@
             };
             let all: wire::Differences = a.keepers.open()?.post(wire::DIFF, &between)?;
             for d in &all {
-                println!("{:<50} {}", d.path, d.change.word());
+                println!("{:<50} {}", d.path, d.change.description());
             }
             if all.is_empty() {
                 println!("the same text");
@@ -146,7 +146,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Args::History(a) => {
-            let heads: Vec<Head> = a.keepers.open()?.get(wire::HISTORY)?;
+            let heads: Vec<VersionMetadata> = a.keepers.open()?.get(wire::HISTORY)?;
             if a.json {
                 println!(
                     "{}",
@@ -170,12 +170,12 @@
     let value = hoptiller_statement_router::settings::evaluate_file(file)
         .map_err(|p| Failure::Settings(vec![p]))?;
     let bytes = serde_json::to_vec(&value).unwrap_or_default();
-    let document =
-        Document::read(&bytes).map_err(|f| Failure::Settings(vec![problem(&f.path, f.what)]))?;
+    let document = Document::from_json(&bytes)
+        .map_err(|f| Failure::Settings(vec![problem(&f.path, f.message)]))?;
     let flaws: Vec<_> = document
-        .flaws()
+        .validation_errors()
         .into_iter()
-        .map(|f| problem(&f.path, f.what))
+        .map(|f| problem(&f.path, f.message))
         .collect();
     if flaws.is_empty() {
         Ok(document)
@@ -184,20 +184,20 @@
     }
 }
 
-fn show(fleet: &Fleet, number: Option<Number>) -> Result<Version, Failure> {
+fn show(fleet: &Fleet, number: Option<VersionNumber>) -> Result<Version, Failure> {
     fleet.post(wire::SHOW, &wire::Which { number })
 }
 
-fn line(h: &Head) -> String {
-    let seconds = h.at / 1000;
+fn line(h: &VersionMetadata) -> String {
+    let seconds = h.proposed_at_ms / 1000;
     format!(
         "{:>6}  {:.12}  {:<10} by {} at {seconds} ({}): {}",
         h.number,
         h.digest,
-        h.kind.word(),
-        h.by,
-        h.change,
-        h.why
+        h.kind.description(),
+        h.author,
+        h.change_name,
+        h.reason
     )
 }
 
@@ -219,7 +219,7 @@
         let last = show(fleet, Some(numbers.last))?;
         let differences = last.document.differences(&document);
         for d in &differences {
-            eprintln!("  {:<50} {}", d.path, d.change.word());
+            eprintln!("  {:<50} {}", d.path, d.change.description());
         }
         if differences.is_empty() {
             eprintln!("  the same text as version {}", numbers.last);
@@ -236,12 +236,12 @@
     let change = course.change.clone().unwrap_or_else(secret::life);
     let base = Some(course.base.unwrap_or(numbers.last))
         .filter(|_| course.change.is_none() || course.base.is_some());
-    let wanted = Put {
-        change,
+    let wanted = Proposal {
+        change_name: change,
         base,
-        by: course.by.clone(),
-        at,
-        why: course.why.clone(),
+        author: course.by.clone(),
+        proposed_at_ms: at,
+        reason: course.why.clone(),
         document,
     };
     let began = Instant::now();
@@ -277,7 +277,7 @@
     }
 }
 
-fn watch(fleet: &Fleet, until: Option<Number>) -> Result<ExitCode, Failure> {
+fn watch(fleet: &Fleet, until: Option<VersionNumber>) -> Result<ExitCode, Failure> {
     let mut known = wire::Numbers::default();
     loop {
         let ask = wire::Watch {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -70,9 +70,9 @@
     #[cfg(feature = "plant")]
     if let Some(plant) = std::env::var(PLANT)
         .ok()
-        .and_then(|name| hoptiller_coordination::plant::Plant::named(&name))
+        .and_then(|name| hoptiller_coordination::fault_injection::Fault::from_name(&name))
     {
-        hoptiller_coordination::plant::plant(plant);
+        hoptiller_coordination::fault_injection::inject(plant);
     }
     let done = match cli.command {
         Command::Demo(args) => commands::demo::run(&args),
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_audit::Record;
-use hoptiller_coordination::Refused;
+use hoptiller_coordination::Rejection;
 use hoptiller_coordination_client::wire::PutAnswer;
 use hoptiller_fault_harness::stage::Between;
 use hoptiller_fault_harness::{Faults, Stage, Way};
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_drain_put_behind_a_change_that_waits_is_heeded_at_once() {
-    use hoptiller_coordination::lists::{Member, Roster, Standing};
+    use hoptiller_coordination::{Endpoint, EndpointList, EngineState};
     // So long that the change still waits when the drain is heeded, on any machine; it ends when the link is whole again.
     let mut night = Night::new("drain", 3, |layout| {
         layout.permit = Duration::from_secs(300)
@@ -187,16 +187,16 @@
         .expect("later")
         .as_millis() as u64;
     let member = |n: usize| match n {
-        0 => Member {
-            started: now,
-            standing: Standing::Draining,
+        0 => Endpoint {
+            started_at_ms: now,
+            state: EngineState::Draining,
         },
-        _ => Member {
-            started: 0,
-            standing: Standing::Up,
+        _ => Endpoint {
+            started_at_ms: 0,
+            state: EngineState::Up,
         },
     };
-    drained.list = Some(Roster(
+    drained.list = Some(EndpointList(
         (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
     ));
     let drain = night.put("drain", &drained);
@@ -436,7 +436,7 @@
             .put(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3))
         {
             Ok(PutAnswer::Taken(_)) => taken += 1,
-            Ok(PutAnswer::Refused(Refused::Busy { .. })) => busy += 1,
+            Ok(PutAnswer::Refused(Rejection::TooManyPending { .. })) => busy += 1,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -15,7 +15,7 @@
 
 fn with_tasks(probe: u32) -> Document {
     let mut first = document(&["a", "b"], 3);
-    first.tasks = [(Task::List, 1), (Task::Probe, probe)].into();
+    first.tasks = [(Task::Discovery, 1), (Task::HealthCheck, probe)].into();
     first
 }
 
@@ -318,7 +318,7 @@
     // A tenth as fast as time: this router believes in its lease for ten terms, long enough for any machine to give it to
     // another. One part, at one resource: it knows all numbers that there were.
     let mut first = document(&["a", "b"], 3);
-    first.tasks = [(Task::List, 1)].into();
+    first.tasks = [(Task::Discovery, 1)].into();
     let mut night = Night::with("lease-clock", 2, &first, |layout| {
         layout.router_skews = vec![-900_000, -900_000];
         layout.engines.iter_mut().for_each(|e| e.fences = true);
--- a/crates/cli/tests/night/mod.rs
+++ b/crates/cli/tests/night/mod.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_audit::{Agreement, Record, Rules, Verdict, judge};
-use hoptiller_coordination::{Document, Span};
+use hoptiller_coordination::{ConfigDuration, Document};
 use hoptiller_coordination_client::wire::PutAnswer;
 use hoptiller_fault_harness::stage::EnginePlan;
 use hoptiller_fault_harness::{Clients, Crowd, Layout, Mix, Stage};
@@ -32,7 +32,7 @@
         "engines": { "max_attempts": attempts },
         "rules": { "start_capacity": 0.3, "ramp": "4s", "overload": 3, "fall": "2s" },
     });
-    Document::read(value.to_string().as_bytes()).expect("a good document")
+    Document::from_json(value.to_string().as_bytes()).expect("a good document")
 }
 
 fn settings() -> serde_json::Value {
@@ -105,11 +105,11 @@
             class: class.into(),
             part,
             text: text.into(),
-            patience: Span::millis(7500),
+            patience: ConfigDuration::from_millis(7500),
         };
         let clients = Clients {
             count: 12,
-            pause: Span::millis(60),
+            pause: ConfigDuration::from_millis(60),
             mix: vec![
                 mix("lookup", 6, "SELECT 1"),
                 mix("report", 3, "SELECT 2"),
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -1,9 +1,11 @@
 //! Owns the bodies of calls to keepers, in JSON. Unknown fields are refused, so that programs of two versions never
 //! half understand each other.
 
-use hoptiller_coordination::fleet::{Granted, Head, Holder, Number, Put, Refused, Version};
-use hoptiller_coordination::lease::{NotNoted, Offer, Part};
+use hoptiller_coordination::{
+    ConfigLeaseGrant, Holder, Proposal, Rejection, Version, VersionMetadata, VersionNumber,
+};
 use hoptiller_coordination::{Difference, Micros};
+use hoptiller_coordination::{LeaseOffer, NoteError, Shard};
 use serde::{Deserialize, Serialize};
 
 /// A router asks for its permit: POST, [`Ask`] to [`Asked`].
@@ -18,7 +20,7 @@
 pub const LEASES: &str = "/v1/fleet/leases";
 /// Who is on which version: GET, [`Status`].
 pub const STATUS: &str = "/v1/fleet/status";
-/// A change is wanted: POST, [`Put`] to [`PutAnswer`].
+/// A change is wanted: POST, [`Proposal`] to [`PutAnswer`].
 pub const PUT: &str = "/v1/settings/put";
 /// A version: POST, [`Which`] to [`Version`].
 pub const SHOW: &str = "/v1/settings/show";
@@ -45,16 +47,16 @@
     /// Who.
     pub holder: Holder,
     /// The last version whose rules it heeds.
-    pub heeds: Number,
+    pub heeds: VersionNumber,
     /// The version that it holds to be in force.
-    pub in_force: Number,
+    pub in_force: VersionNumber,
     /// The term that it counts with, in µs, and the drift, in millionths: both sides must count alike.
     pub term: Micros,
     /// See `term`.
     pub drift: u64,
     /// What it says of leases, where it takes part in them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub offer: Option<Offer>,
+    pub offer: Option<LeaseOffer>,
 }
 
 /// See [`NOTE`]. It is answered with whether the note was taken, or why not.
@@ -64,7 +66,7 @@
     /// Who.
     pub holder: Holder,
     /// For what.
-    pub part: Part,
+    pub part: Shard,
     /// Under which number.
     pub number: u64,
     /// The note.
@@ -72,13 +74,13 @@
 }
 
 /// The answer to [`NOTE`].
-pub type Noted = Result<(), NotNoted>;
+pub type Noted = Result<(), NoteError>;
 
 /// A part of a task, as a keeper knows it: [`LEASES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// Which part.
-    pub part: Part,
+    pub part: Shard,
     /// Who holds it, and under which number.
     pub holder: Option<(Holder, u64)>,
     /// Until it has run out by this keeper's clock, in ms.
@@ -92,7 +94,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum Asked {
     /// Prolonged.
-    Granted(Granted),
+    Granted(ConfigLeaseGrant),
     /// The router knows of a version that this fleet never had.
     Ahead,
     /// There is no version yet.
@@ -119,9 +121,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Numbers {
     /// The version in force.
-    pub in_force: Number,
+    pub in_force: VersionNumber,
     /// The last one, in force or on its way.
-    pub last: Number,
+    pub last: VersionNumber,
     /// Counts changes of who does what for all.
     #[serde(default, skip_serializing_if = "is_none")]
     pub board: u64,
@@ -137,9 +139,9 @@
 #[serde(rename_all = "snake_case")]
 pub enum PutAnswer {
     /// Taken, under this number.
-    Taken(Number),
+    Taken(VersionNumber),
     /// Refused.
-    Refused(Refused),
+    Refused(Rejection),
 }
 
 /// See [`SHOW`].
@@ -147,7 +149,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Which {
     /// Its number; `None`: the last.
-    pub number: Option<Number>,
+    pub number: Option<VersionNumber>,
 }
 
 /// See [`DIFF`].
@@ -155,9 +157,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Between {
     /// From.
-    pub from: Number,
+    pub from: VersionNumber,
     /// To.
-    pub to: Number,
+    pub to: VersionNumber,
 }
 
 /// The answer to [`DIFF`].
@@ -169,7 +171,7 @@
     /// Who.
     pub holder: Holder,
     /// The last version whose rules it heeds.
-    pub heeds: Number,
+    pub heeds: VersionNumber,
     /// Until its permit has run out by this keeper's clock, in ms.
     pub left_ms: u64,
     /// Whether the next change waits for it.
@@ -186,7 +188,7 @@
     /// Where the fleet stands.
     pub numbers: Numbers,
     /// Changes on their way.
-    pub pending: Vec<Head>,
+    pub pending: Vec<VersionMetadata>,
     /// Who holds a permit.
     pub holders: Vec<HolderStatus>,
     /// The number of the list of keepers that it goes by, and who is on it.
@@ -219,4 +221,4 @@
 /// What versions a [`SHOW`] gives.
 pub type Shown = Version;
 /// What a [`PUT`] takes.
-pub type Wanted = Put;
+pub type Wanted = Proposal;
--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use hoptiller_coordination::Difference;
-use hoptiller_coordination::fleet::{Head, Holder, Put, Version};
+use hoptiller_coordination::{Holder, Proposal, Version, VersionMetadata};
 use hoptiller_coordination_client::Secret;
 use hoptiller_coordination_client::wire::*;
 use hoptiller_http::{Method, Request, Response};
@@ -37,11 +37,11 @@
             "noted" => again::<Noted>(body),
             "leases" => again::<Vec<LeaseStatus>>(body),
             "status" => again::<Status>(body),
-            "put" => again::<Put>(body),
+            "put" => again::<Proposal>(body),
             "put-answer" => again::<PutAnswer>(body),
             "which" => again::<Which>(body),
             "version" => again::<Version>(body),
-            "history" => again::<Vec<Head>>(body),
+            "history" => again::<Vec<VersionMetadata>>(body),
             "between" => again::<Between>(body),
             "differences" => again::<Vec<Difference>>(body),
             "replaced" => again::<Replaced>(body),
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use hoptiller_coordination::{Bounds, Span};
+use hoptiller_coordination::{ConfigDuration, LeaseTiming};
 use serde::Deserialize;
 
 /// A keeper's configuration, as its file gives it.
@@ -26,7 +26,7 @@
     pub secret: PathBuf,
     /// How long a router's permit lasts: the same for all keepers and routers.
     #[serde(default = "permit")]
-    pub permit: Span,
+    pub permit: ConfigDuration,
     /// How far the rates of two clocks may differ, in millionths: the same for all.
     #[serde(default = "drift")]
     pub drift: u64,
@@ -35,8 +35,8 @@
     pub most_bytes: u64,
 }
 
-fn permit() -> Span {
-    Span::millis(10_000)
+fn permit() -> ConfigDuration {
+    ConfigDuration::from_millis(10_000)
 }
 
 fn drift() -> u64 {
@@ -103,11 +103,11 @@
             "keepers: an address is given twice",
         );
         note(
-            self.permit < Span::millis(500),
+            self.permit < ConfigDuration::from_millis(500),
             "permit: must be 500ms or more",
         );
         note(
-            self.permit > Span::millis(600_000),
+            self.permit > ConfigDuration::from_millis(600_000),
             "permit: must be 10m or less",
         );
         note(
@@ -122,8 +122,8 @@
     }
 
     /// The bounds of permits.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> LeaseTiming {
+        LeaseTiming {
             term: self.permit.0,
             drift: self.drift,
         }
--- a/crates/coordination-server/src/core.rs
+++ b/crates/coordination-server/src/core.rs
@@ -3,8 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::plant::{self, Plant};
-use hoptiller_coordination::{Act, Answer, Bounds, Fleet, Holder, Micros, Part, Terms};
+use hoptiller_coordination::fault_injection::{self, Fault};
+use hoptiller_coordination::{
+    Command, CommandResponse, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Entry, EntryId, Log, Message};
@@ -39,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
     /// An act of the fleet's.
-    Act(Answer),
+    Act(CommandResponse),
     /// One keeper has taken another's place: the number of the list.
     Replaced(Result<u32, NotReplaced>),
 }
@@ -66,12 +68,12 @@
 pub struct Core {
     me: u64,
     life: u64,
-    bounds: Bounds,
+    bounds: LeaseTiming,
     log: Log,
     machine: Machine,
-    terms: Terms,
+    terms: ExpiryTracker,
     /// Acts that go into the next entry.
-    batch: Vec<(Ticket, Act)>,
+    batch: Vec<(Ticket, Command)>,
     flights: BTreeMap<EntryId, Flight>,
     answers: Vec<Answered>,
     next_ticket: Ticket,
@@ -88,14 +90,14 @@
 
 impl Core {
     /// A keeper that takes up its log; `life` tells this process from the ones before.
-    pub fn new(me: u64, life: u64, bounds: Bounds, log: Log, now: Micros) -> Core {
+    pub fn new(me: u64, life: u64, bounds: LeaseTiming, log: Log, now: Micros) -> Core {
         let mut core = Core {
             me,
             life,
             bounds,
             log,
             machine: Machine::default(),
-            terms: Terms::default(),
+            terms: ExpiryTracker::default(),
             batch: Vec::new(),
             flights: BTreeMap::new(),
             answers: Vec::new(),
@@ -108,12 +110,12 @@
             broken: None,
         };
         core.take_news(now);
-        core.terms = Terms::begin(now, core.machine.fleet());
+        core.terms = ExpiryTracker::start(now, core.machine.fleet());
         core
     }
 
     /// A call that goes through the log. Its answer comes once more than half of the keepers have it.
-    pub fn call(&mut self, act: Act) -> Ticket {
+    pub fn call(&mut self, act: Command) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.batch.push((ticket, act));
@@ -144,7 +146,7 @@
         if state.members.number > self.members().number {
             self.machine = state.machine;
             self.move_on(now, state.members, state.index);
-            self.terms.learn(now, self.machine.fleet());
+            self.terms.observe(now, self.machine.fleet());
         }
     }
 
@@ -176,7 +178,7 @@
     /// Sends on what has gathered: to be called behind each burst of calls, and by [`Core::tick`].
     pub fn flush(&mut self, now: Micros) {
         while !self.batch.is_empty() {
-            let part: Vec<(Ticket, Act)> = self
+            let part: Vec<(Ticket, Command)> = self
                 .batch
                 .drain(..self.batch.len().min(MOST_ACTS))
                 .collect();
@@ -215,7 +217,7 @@
         self.take_news(now);
     }
 
-    fn propose(&mut self, now: Micros, tickets: Vec<Ticket>, acts: Vec<Act>) -> EntryId {
+    fn propose(&mut self, now: Micros, tickets: Vec<Ticket>, acts: Vec<Command>) -> EntryId {
         let id = self.next_id();
         self.launch(now, id, Entry::Acts(id, acts), tickets);
         id
@@ -262,11 +264,11 @@
         }
         self.looked = now;
         let fleet = self.machine.fleet();
-        let lapsed = self.terms.lapsed(now, &self.bounds);
+        let lapsed = self.terms.expired_config_leases(now, &self.bounds);
         let over: BTreeSet<&Holder> = lapsed.iter().map(|(h, _)| h).collect();
-        let (pending, upto) = (fleet.pending().len() > 0, fleet.last());
-        let held_up =
-            fleet.waits_for().any(|(h, _)| !over.contains(h)) && !plant::is(Plant::NoWait);
+        let (pending, upto) = (fleet.pending().len() > 0, fleet.latest());
+        let held_up = fleet.blocking_holders().any(|(h, _)| !over.contains(h))
+            && !fault_injection::is_injected(Fault::SkipRolloutWait);
         let free = pending && !held_up;
         let since = if free {
             *self.free_since.get_or_insert(now)
@@ -278,14 +280,18 @@
         }
         let leads = self.log.leader() == Some((self.me, true));
         let tidy = leads && !lapsed.is_empty() && now >= self.tidied + TIDY;
-        let lapsed_leases = self.terms.lapsed_leases(now, &self.bounds);
+        let lapsed_leases = self.terms.expired_task_leases(now, &self.bounds);
         if leads && !lapsed_leases.is_empty() {
-            let id = self.propose(now, Vec::new(), vec![Act::Free(lapsed_leases)]);
+            let id = self.propose(
+                now,
+                Vec::new(),
+                vec![Command::ExpireTaskLeases(lapsed_leases)],
+            );
             self.settling = Some((id, now));
         }
         if (free && (leads || now >= since + OTHERS)) || tidy {
             self.tidied = now;
-            let act = Act::Settle { upto, lapsed };
+            let act = Command::CompleteRollout { upto, lapsed };
             let id = self.propose(now, Vec::new(), vec![act]);
             self.settling = Some((id, now));
         }
@@ -354,7 +360,7 @@
         if !self.is_replaced() {
             self.log.tidy(&self.machine);
         }
-        self.terms.learn(now, self.machine.fleet());
+        self.terms.observe(now, self.machine.fleet());
     }
 
     /// Answers that have come.
@@ -372,18 +378,18 @@
     }
 
     /// The state, as this keeper knows it.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &ConfigState {
         self.machine.fleet()
     }
 
     /// Time until a holder's permit has run out by this keeper's clock.
     pub fn left(&self, now: Micros, holder: &Holder) -> Option<Micros> {
-        self.terms.left(now, holder, &self.bounds)
+        self.terms.config_lease_remaining(now, holder, &self.bounds)
     }
 
     /// Time until a lease has run out by this keeper's clock.
-    pub fn left_of_lease(&self, now: Micros, part: &Part) -> Option<Micros> {
-        self.terms.left_of_lease(now, part, &self.bounds)
+    pub fn left_of_lease(&self, now: Micros, part: &Shard) -> Option<Micros> {
+        self.terms.task_lease_remaining(now, part, &self.bounds)
     }
 
     /// Who leads.
--- a/crates/coordination-server/src/disk.rs
+++ b/crates/coordination-server/src/disk.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use hoptiller_coordination::plant::{self, Plant};
+use hoptiller_coordination::fault_injection::{self, Fault};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
 use redb::{
@@ -262,7 +262,7 @@
                 format!("{} entries are decided, {next} are there", held.decided),
             ));
         }
-        if plant::is(Plant::Forgets) {
+        if fault_injection::is_injected(Fault::LoseDurableState) {
             (held.promise, held.accepted_round) = (None, None);
             held.log.truncate(held.decided.saturating_sub(held.base));
         }
--- a/crates/coordination-server/src/log.rs
+++ b/crates/coordination-server/src/log.rs
@@ -1,7 +1,7 @@
 //! Owns the replicated log, and hides which library brings it about. Entries come out decided, in one order, at every
 //! keeper; a keeper that was away for long gets the state itself instead.
 
-use hoptiller_coordination::Act;
+use hoptiller_coordination::Command;
 use omnipaxos::messages::Message as Inner;
 use omnipaxos::storage::Snapshot;
 use omnipaxos::util::LogEntry;
@@ -35,7 +35,7 @@
 pub enum Entry {
     /// Acts that go through the log together, and what tells them apart.
     #[serde(rename = "a")]
-    Acts(EntryId, Vec<Act>),
+    Acts(EntryId, Vec<Command>),
     /// One keeper takes another's place: what comes behind it, under the same list of keepers, is void.
     #[serde(rename = "r")]
     Replace(EntryId, Replace),
--- a/crates/coordination-server/src/machine.rs
+++ b/crates/coordination-server/src/machine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::{Act, Answer, Fleet};
+use hoptiller_coordination::{Command, CommandResponse, ConfigState};
 use serde::{Deserialize, Serialize};
 
 use crate::log::EntryId;
@@ -23,13 +23,13 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    fleet: Fleet,
+    fleet: ConfigState,
     seen: BTreeMap<u64, Seen>,
 }
 
 impl Machine {
     /// Applies an entry's acts. `None`: it was applied before.
-    pub fn apply(&mut self, id: EntryId, acts: Vec<Act>) -> Option<Vec<Answer>> {
+    pub fn apply(&mut self, id: EntryId, acts: Vec<Command>) -> Option<Vec<CommandResponse>> {
         let seen = self.seen.entry(id.keeper).or_default();
         if id.life < seen.life {
             return None;
@@ -52,7 +52,7 @@
     }
 
     /// The fleet's state.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &ConfigState {
         &self.fleet
     }
 }
--- a/crates/coordination-server/src/machine/tests.rs
+++ b/crates/coordination-server/src/machine/tests.rs
@@ -4,7 +4,7 @@
 fn applies(m: &mut Machine, life: u64, number: u64) -> bool {
     let holder = Holder {
         router: "r".into(),
-        life: "1".into(),
+        incarnation: "1".into(),
     };
     m.apply(
         EntryId {
@@ -12,7 +12,7 @@
             life,
             number,
         },
-        vec![Act::GiveBack(holder)],
+        vec![Command::ReleaseLease(holder)],
     )
     .is_some()
 }
--- a/crates/coordination-server/src/peers.rs
+++ b/crates/coordination-server/src/peers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::Bounds;
+use hoptiller_coordination::LeaseTiming;
 use serde::{Deserialize, Serialize};
 
 use crate::core::State;
@@ -132,7 +132,7 @@
     /// The number of that list, and who was on one before it.
     pub list: u32,
     pub gone: BTreeSet<u64>,
-    pub bounds: Bounds,
+    pub bounds: LeaseTiming,
 }
 
 /// Batches that came in.
--- a/crates/coordination-server/src/peers/tests.rs
+++ b/crates/coordination-server/src/peers/tests.rs
@@ -8,7 +8,7 @@
         members,
         list: 2,
         gone,
-        bounds: Bounds { term: 10, drift: 1 },
+        bounds: LeaseTiming { term: 10, drift: 1 },
     }
 }
 
--- a/crates/coordination-server/src/reply.rs
+++ b/crates/coordination-server/src/reply.rs
@@ -1,7 +1,7 @@
 //! Owns what calls are answered with: from the state and from what acts came to.
 
-use hoptiller_coordination::lease::Posted;
-use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination::LeaseTableEntry;
+use hoptiller_coordination::{CommandResponse, ConfigState, Micros};
 use hoptiller_coordination_client::wire::{
     Asked, HolderStatus, LeaseStatus, Numbers, Problem, PutAnswer, Replaced, Status,
 };
@@ -34,41 +34,41 @@
     }
 }
 
-fn of_answer(answer: Answer) -> Response {
+fn of_answer(answer: CommandResponse) -> Response {
     match answer {
-        Answer::Granted(granted) => good(&Asked::Granted(granted)),
-        Answer::Ahead => good(&Asked::Ahead),
-        Answer::Empty => good(&Asked::Empty),
-        Answer::Crowded => good(&Asked::Crowded),
-        Answer::Put(Ok(number)) => good(&PutAnswer::Taken(number)),
-        Answer::Put(Err(refused)) => good(&PutAnswer::Refused(refused)),
-        Answer::GivenBack | Answer::Settled(_) => good(&()),
-        Answer::Noted(noted) => good(&noted),
+        CommandResponse::LeaseGranted(granted) => good(&Asked::Granted(granted)),
+        CommandResponse::UnknownVersion => good(&Asked::Ahead),
+        CommandResponse::NoVersion => good(&Asked::Empty),
+        CommandResponse::TooManyHolders => good(&Asked::Crowded),
+        CommandResponse::Proposed(Ok(number)) => good(&PutAnswer::Taken(number)),
+        CommandResponse::Proposed(Err(refused)) => good(&PutAnswer::Refused(refused)),
+        CommandResponse::LeaseReleased | CommandResponse::InForce(_) => good(&()),
+        CommandResponse::NoteRecorded(noted) => good(&noted),
     }
 }
 
-pub(crate) fn numbers(fleet: &Fleet) -> Numbers {
+pub(crate) fn numbers(fleet: &ConfigState) -> Numbers {
     Numbers {
         in_force: fleet.in_force(),
-        last: fleet.last(),
-        board: fleet.leases().upto(),
+        last: fleet.latest(),
+        board: fleet.lease_table().revision(),
     }
 }
 
 /// Who does what for all.
 pub(crate) fn leases(core: &Core, now: Micros) -> Vec<LeaseStatus> {
-    let status = |posted: Posted| LeaseStatus {
+    let status = |posted: LeaseTableEntry| LeaseStatus {
         left_ms: core
-            .left_of_lease(now, &posted.part)
+            .left_of_lease(now, &posted.shard)
             .map(|left| left / 1000),
-        part: posted.part,
+        part: posted.shard,
         holder: posted.holder,
         note_bytes: posted.note.map_or(0, |n| n.len() as u64),
     };
     core.fleet()
-        .leases()
-        .board(0)
-        .posted
+        .lease_table()
+        .updates_since(0)
+        .entries
         .into_iter()
         .map(status)
         .collect()
@@ -76,19 +76,19 @@
 
 pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<(u64, Option<u64>)>) -> Status {
     let fleet = core.fleet();
-    let next = fleet.pending().next().map(|v| v.head.number);
+    let next = fleet.pending().next().map(|v| v.metadata.number);
     let holders = fleet.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
-        heeds: held.heeds,
+        heeds: held.enforced,
         left_ms: core.left(now, holder).unwrap_or(0) / 1000,
-        holds_up: next.is_some_and(|next| held.heeds < next),
+        holds_up: next.is_some_and(|next| held.enforced < next),
     });
     let (decided, kept) = core.sizes();
     Status {
         keeper: me,
         leader: core.leader(),
         numbers: numbers(fleet),
-        pending: fleet.pending().map(|v| v.head.clone()).collect(),
+        pending: fleet.pending().map(|v| v.metadata.clone()).collect(),
         holders: holders.collect(),
         list: core.members().number,
         keepers: core.members().all(),
--- a/crates/coordination-server/src/service.rs
+++ b/crates/coordination-server/src/service.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_coordination::{Act, Holder, Put};
+use hoptiller_coordination::{Command, Holder, Proposal};
 use hoptiller_coordination_client::{Clock, Secret, wire};
 use hoptiller_http::server::{self, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
@@ -300,7 +300,7 @@
                 Err(bad) => bad,
             },
             (Method::Post, wire::GIVE_BACK) => match read::<Holder>(request) {
-                Ok(holder) => self.act(Act::GiveBack(holder)).await,
+                Ok(holder) => self.act(Command::ReleaseLease(holder)).await,
                 Err(bad) => bad,
             },
             (Method::Post, wire::NOTE) => match read::<wire::Note>(request) {
@@ -311,10 +311,10 @@
                         number,
                         text,
                     } = n;
-                    self.act(Act::Note {
+                    self.act(Command::RecordNote {
                         holder,
-                        part,
-                        number,
+                        shard: part,
+                        fencing_token: number,
                         text,
                     })
                     .await
@@ -324,8 +324,8 @@
             (Method::Get, wire::LEASES) => {
                 reply::good(&reply::leases(&self.core.borrow(), self.clock.now()))
             }
-            (Method::Post, wire::PUT) => match read::<Put>(request) {
-                Ok(put) => self.act(Act::Put(Box::new(put))).await,
+            (Method::Post, wire::PUT) => match read::<Proposal>(request) {
+                Ok(put) => self.act(Command::Propose(Box::new(put))).await,
                 Err(bad) => bad,
             },
             (Method::Post, wire::REPLACE) => match read::<Replace>(request) {
@@ -348,7 +348,7 @@
                 Ok(which) => {
                     let core = self.core.borrow();
                     let fleet = core.fleet();
-                    match fleet.version(which.number.unwrap_or(fleet.last())) {
+                    match fleet.version(which.number.unwrap_or(fleet.latest())) {
                         Some(version) => reply::good(version),
                         None => reply::problem(
                             404,
@@ -375,7 +375,7 @@
             },
             (Method::Get, wire::HISTORY) => {
                 let core = self.core.borrow();
-                reply::good(&core.fleet().heads().collect::<Vec<_>>())
+                reply::good(&core.fleet().history().collect::<Vec<_>>())
             }
             (Method::Get, wire::STATUS) => {
                 let now = self.clock.now();
@@ -405,7 +405,7 @@
             return reply::problem(409, &what);
         }
         let named = |text: &str| !text.is_empty() && text.len() <= 128;
-        if !named(&ask.holder.router) || !named(&ask.holder.life) {
+        if !named(&ask.holder.router) || !named(&ask.holder.incarnation) {
             return reply::problem(400, "names of 1 to 128 bytes are wanted");
         }
         let wire::Ask {
@@ -415,16 +415,16 @@
             offer,
             ..
         } = ask;
-        self.act(Act::Ask {
+        self.act(Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             offer,
         })
         .await
     }
 
-    async fn act(&self, act: Act) -> Response {
+    async fn act(&self, act: Command) -> Response {
         self.decide(|core, _| core.call(act)).await
     }
 
--- a/crates/coordination-server/tests/disk.rs
+++ b/crates/coordination-server/tests/disk.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use hoptiller_coordination::{Act, Holder};
+use hoptiller_coordination::{Command, Holder};
 use hoptiller_coordination_server::disk::{Disk, DiskError};
 use hoptiller_coordination_server::log::{Entry, EntryId};
 use hoptiller_coordination_server::machine::Machine;
@@ -21,7 +21,7 @@
 fn entry(number: u64) -> Entry {
     let holder = Holder {
         router: "r".repeat(2000),
-        life: "1".into(),
+        incarnation: "1".into(),
     };
     Entry::Acts(
         EntryId {
@@ -29,7 +29,7 @@
             life: 1,
             number,
         },
-        vec![Act::GiveBack(holder)],
+        vec![Command::ReleaseLease(holder)],
     )
 }
 
--- a/crates/coordination-server/tests/simulated.rs
+++ b/crates/coordination-server/tests/simulated.rs
@@ -4,14 +4,16 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use hoptiller_coordination::{Act, Answer, Bounds, Document, Holder, Micros, Put, Refused};
+use hoptiller_coordination::{
+    Command, CommandResponse, Document, Holder, LeaseTiming, Micros, Proposal, Rejection,
+};
 use hoptiller_coordination_server::core::{Core, State, Ticket, Told};
 use hoptiller_coordination_server::disk::Disk;
 use hoptiller_coordination_server::log::{Log, Message};
 use hoptiller_coordination_server::members::{Members, NotReplaced, Replace};
 
 const MS: Micros = 1000;
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: LeaseTiming = LeaseTiming {
     term: 2000 * MS,
     drift: 1000,
 };
@@ -39,7 +41,7 @@
     /// One message in so many is lost; 0: none.
     lose: u64,
     dice: Dice,
-    answers: BTreeMap<(u64, Ticket), Answer>,
+    answers: BTreeMap<(u64, Ticket), CommandResponse>,
     replaced: BTreeMap<(u64, Ticket), Result<u32, NotReplaced>>,
 }
 
@@ -50,27 +52,27 @@
             "engines": {{"max_attempts": {attempts}}},
             "rules": {{"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}}}}"#
     );
-    Document::read(text.as_bytes()).expect("good")
+    Document::from_json(text.as_bytes()).expect("good")
 }
 
-fn put(change: &str, attempts: u32) -> Act {
-    Act::Put(Box::new(Put {
-        change: change.into(),
+fn put(change: &str, attempts: u32) -> Command {
+    Command::Propose(Box::new(Proposal {
+        change_name: change.into(),
         base: None,
-        by: "ann".into(),
-        at: 1,
-        why: "a test".into(),
+        author: "ann".into(),
+        proposed_at_ms: 1,
+        reason: "a test".into(),
         document: document(attempts),
     }))
 }
 
-fn ask(router: &str, heeds: u64, in_force: u64) -> Act {
-    Act::Ask {
+fn ask(router: &str, heeds: u64, in_force: u64) -> Command {
+    Command::RenewLease {
         holder: Holder {
             router: router.into(),
-            life: "1".into(),
+            incarnation: "1".into(),
         },
-        heeds,
+        enforced: heeds,
         in_force,
         offer: None,
     }
@@ -253,12 +255,12 @@
         }
     }
 
-    fn call(&mut self, keeper: u64, act: Act) -> Ticket {
+    fn call(&mut self, keeper: u64, act: Command) -> Ticket {
         self.cores.get_mut(&keeper).expect("running").call(act)
     }
 
     /// Calls, and runs until there is an answer.
-    fn answer(&mut self, keeper: u64, act: Act) -> Option<Answer> {
+    fn answer(&mut self, keeper: u64, act: Command) -> Option<CommandResponse> {
         let ticket = self.call(keeper, act);
         for _ in 0..1000 {
             self.step();
@@ -288,8 +290,14 @@
 #[test]
 fn a_change_put_at_any_keeper_comes_in_force_at_all_and_outlives_them_all() {
     let mut w = World::new("any", 1);
-    assert_eq!(w.answer(2, put("one", 3)), Some(Answer::Put(Ok(1))));
-    assert_eq!(w.answer(3, put("two", 2)), Some(Answer::Put(Ok(2))));
+    assert_eq!(
+        w.answer(2, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
+    assert_eq!(
+        w.answer(3, put("two", 2)),
+        Some(CommandResponse::Proposed(Ok(2)))
+    );
     w.run(500);
     assert_eq!([1, 2, 3].map(|k| w.in_force(k)), [2, 2, 2]);
     for keeper in 1..=3 {
@@ -302,20 +310,29 @@
     assert_eq!([1, 2, 3].map(|k| w.in_force(k)), [2, 2, 2]);
     assert_eq!(
         w.answer(1, put("one", 3)),
-        Some(Answer::Put(Ok(1))),
+        Some(CommandResponse::Proposed(Ok(1))),
         "known by its name"
     );
-    assert_eq!(w.answer(1, put("three", 4)), Some(Answer::Put(Ok(3))));
+    assert_eq!(
+        w.answer(1, put("three", 4)),
+        Some(CommandResponse::Proposed(Ok(3)))
+    );
 }
 
 #[test]
 fn two_of_three_go_on_and_one_alone_answers_nothing() {
     let mut w = World::new("two", 2);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     let leader = w.leader().expect("somebody leads");
     w.stop(leader);
     let other = (1..=3).find(|k| *k != leader).expect("two are left");
-    assert_eq!(w.answer(other, put("two", 2)), Some(Answer::Put(Ok(2))));
+    assert_eq!(
+        w.answer(other, put("two", 2)),
+        Some(CommandResponse::Proposed(Ok(2)))
+    );
     let last = (1..=3)
         .find(|k| *k != leader && *k != other)
         .expect("one more");
@@ -325,7 +342,7 @@
     w.run(4000);
     assert_eq!(
         w.answer(last, put("four", 5)),
-        Some(Answer::Put(Ok(4))),
+        Some(CommandResponse::Proposed(Ok(4))),
         "three was decided once two were back"
     );
 }
@@ -333,7 +350,10 @@
 #[test]
 fn a_leader_cut_off_from_the_others_gives_no_permit() {
     let mut w = World::new("cut", 3);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     let leader = w.leader().expect("somebody leads");
     for other in (1..=3).filter(|k| *k != leader) {
         w.cut.extend([(leader, other), (other, leader)]);
@@ -346,45 +366,63 @@
     let other = (1..=3).find(|k| *k != leader).expect("others");
     assert!(matches!(
         w.answer(other, ask("r", 0, 0)),
-        Some(Answer::Granted(_))
+        Some(CommandResponse::LeaseGranted(_))
     ));
     w.cut.clear();
     w.run(4000);
     assert!(matches!(
         w.answer(leader, ask("r", 1, 1)),
-        Some(Answer::Granted(_))
+        Some(CommandResponse::LeaseGranted(_))
     ));
 }
 
 #[test]
 fn links_broken_in_a_ring_still_leave_one_that_is_heard_by_two() {
     let mut w = World::new("ring", 4);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     // 1 hears 2, 2 hears 3, 3 hears 1, and nobody both ways but over the third.
     w.cut = vec![(1, 2), (2, 1)];
-    assert_eq!(w.answer(3, put("two", 2)), Some(Answer::Put(Ok(2))));
+    assert_eq!(
+        w.answer(3, put("two", 2)),
+        Some(CommandResponse::Proposed(Ok(2)))
+    );
     w.cut = vec![(2, 3), (3, 2)];
     w.run(3000);
-    assert_eq!(w.answer(1, put("three", 4)), Some(Answer::Put(Ok(3))));
+    assert_eq!(
+        w.answer(1, put("three", 4)),
+        Some(CommandResponse::Proposed(Ok(3)))
+    );
     w.cut = vec![(3, 1), (1, 3)];
     w.run(3000);
-    assert_eq!(w.answer(2, put("four", 5)), Some(Answer::Put(Ok(4))));
+    assert_eq!(
+        w.answer(2, put("four", 5)),
+        Some(CommandResponse::Proposed(Ok(4)))
+    );
 }
 
 #[test]
 fn a_permit_is_waited_for_over_a_change_of_leaders_and_no_longer_than_its_term() {
     let mut w = World::new("term", 5);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     assert!(matches!(
         w.answer(1, ask("r", 0, 0)),
-        Some(Answer::Granted(_))
+        Some(CommandResponse::LeaseGranted(_))
     ));
     let granted = w.now;
     w.run(1500);
     let leader = w.leader().expect("somebody leads");
     w.stop(leader);
     let other = (1..=3).find(|k| *k != leader).expect("others");
-    assert_eq!(w.answer(other, put("two", 2)), Some(Answer::Put(Ok(2))));
+    assert_eq!(
+        w.answer(other, put("two", 2)),
+        Some(CommandResponse::Proposed(Ok(2)))
+    );
     while w.now < granted + BOUNDS.term {
         assert_eq!(w.in_force(other), 1, "at {}", w.now);
         w.step();
@@ -396,12 +434,18 @@
 #[test]
 fn keepers_that_lag_far_get_the_state_and_the_log_stays_short() {
     let mut w = World::new("lag", 6);
-    assert_eq!(w.answer(1, put("0", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("0", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     w.stop(3);
     for n in 1..=700u64 {
         let keeper = 1 + n % 2;
         assert!(
-            matches!(w.answer(keeper, ask("r", 1, 1)), Some(Answer::Granted(_))),
+            matches!(
+                w.answer(keeper, ask("r", 1, 1)),
+                Some(CommandResponse::LeaseGranted(_))
+            ),
             "{n}"
         );
     }
@@ -416,7 +460,7 @@
     // The state is on the disk, with who holds a permit.
     assert!(matches!(
         w.answer(1, ask("r", 1, 1)),
-        Some(Answer::Granted(_))
+        Some(CommandResponse::LeaseGranted(_))
     ));
     for keeper in 1..=3 {
         w.stop(keeper);
@@ -431,28 +475,33 @@
 #[test]
 fn a_refused_change_stays_refused_though_its_entry_is_proposed_again() {
     let mut w = World::new("again", 7);
-    assert_eq!(w.answer(1, put("0", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("0", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     assert!(matches!(
         w.answer(1, ask("r", 0, 0)),
-        Some(Answer::Granted(_))
+        Some(CommandResponse::LeaseGranted(_))
     ));
     for n in 0..8 {
         assert!(matches!(
             w.answer(1, put(&format!("p{n}"), 1 + n % 3)),
-            Some(Answer::Put(Ok(_)))
+            Some(CommandResponse::Proposed(Ok(_)))
         ));
     }
     w.lose = 3;
     let refused = w.answer(2, put("late", 9));
     assert_eq!(
         refused,
-        Some(Answer::Put(Err(Refused::Busy { pending: 8 })))
+        Some(CommandResponse::Proposed(Err(Rejection::TooManyPending {
+            pending: 8
+        })))
     );
     w.lose = 0;
     w.run(6000);
     let fleet = w.cores[&1].fleet();
     assert_eq!(
-        (fleet.in_force(), fleet.last()),
+        (fleet.in_force(), fleet.latest()),
         (9, 9),
         "its permit has run out, and nothing came behind"
     );
@@ -524,7 +573,7 @@
             open.retain(
                 |(k, ticket, attempts)| match w.answers.remove(&(*k, *ticket)) {
                     None => true,
-                    Some(Answer::Put(Ok(number))) => {
+                    Some(CommandResponse::Proposed(Ok(number))) => {
                         let before = taken.insert(number, *attempts);
                         assert_eq!(before, None, "version {number} was given to two changes");
                         false
@@ -573,7 +622,10 @@
 #[test]
 fn a_lost_keeper_is_replaced_and_the_new_one_counts() {
     let mut w = World::new("lost", 8);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     w.stop(3);
     std::fs::remove_dir_all(w.dir.join("3")).expect("lost");
     assert!(!w.join(4), "nobody has taken it in");
@@ -586,16 +638,16 @@
     w.run(2000);
     assert!(matches!(
         w.answers.remove(&(1, before)),
-        Some(Answer::Put(Ok(2 | 3)))
+        Some(CommandResponse::Proposed(Ok(2 | 3)))
     ));
     assert!(matches!(
         w.answers.remove(&(2, beside)),
-        Some(Answer::Put(Ok(2 | 3)))
+        Some(CommandResponse::Proposed(Ok(2 | 3)))
     ));
     w.stop(1);
     assert_eq!(
         w.answer(4, put("four", 4)),
-        Some(Answer::Put(Ok(4))),
+        Some(CommandResponse::Proposed(Ok(4))),
         "with the new one they are two of three"
     );
     w.run(500);
@@ -617,7 +669,10 @@
 fn whenever_a_keeper_ends_while_another_is_replaced_the_rest_goes_on() {
     for steps in 0..24 {
         let mut w = World::new(&format!("when{steps}"), 9);
-        assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+        assert_eq!(
+            w.answer(1, put("one", 3)),
+            Some(CommandResponse::Proposed(Ok(1)))
+        );
         w.cut = vec![(3, 1), (3, 2), (1, 3), (2, 3)];
         w.replace(2, 3, 4);
         (0..steps).for_each(|_| w.step());
@@ -630,7 +685,7 @@
         w.stop(2);
         assert_eq!(
             w.answer(1, put("two", 2)),
-            Some(Answer::Put(Ok(2))),
+            Some(CommandResponse::Proposed(Ok(2))),
             "after {steps} steps"
         );
         w.start(2);
@@ -649,7 +704,10 @@
 #[test]
 fn what_is_decided_behind_a_change_of_keepers_is_void_and_comes_under_the_next_list() {
     let mut w = World::new("void", 10);
-    assert_eq!(w.answer(1, put("one", 3)), Some(Answer::Put(Ok(1))));
+    assert_eq!(
+        w.answer(1, put("one", 3)),
+        Some(CommandResponse::Proposed(Ok(1)))
+    );
     let leader = w.leader().expect("somebody leads");
     let lost = (1..=3).find(|k| *k != leader).expect("others");
     // Both go out together, and are decided together.
@@ -659,7 +717,7 @@
         w.step();
     }
     assert_eq!(
-        w.cores[&leader].fleet().last(),
+        w.cores[&leader].fleet().latest(),
         1,
         "it was decided under a list that had ended"
     );
@@ -667,8 +725,8 @@
     w.run(3000);
     assert_eq!(
         w.answers.remove(&(leader, ticket)),
-        Some(Answer::Put(Ok(2))),
+        Some(CommandResponse::Proposed(Ok(2))),
         "and came again"
     );
-    assert_eq!(w.cores[&4].fleet().last(), 2);
+    assert_eq!(w.cores[&4].fleet().latest(), 2);
 }
--- a/crates/coordination-server/tests/stored_form.rs
+++ b/crates/coordination-server/tests/stored_form.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use hoptiller_coordination::Act;
+use hoptiller_coordination::Command;
 use hoptiller_coordination_server::disk::Disk;
 use hoptiller_coordination_server::log::{Entry, EntryId};
 use hoptiller_coordination_server::machine::Machine;
@@ -30,7 +30,7 @@
     dir
 }
 
-fn acts() -> Vec<Act> {
+fn acts() -> Vec<Command> {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../coordination/tests/fixtures/acts.jsonl");
     let text = std::fs::read_to_string(path).expect("the fixture exists");
@@ -39,7 +39,7 @@
         .collect()
 }
 
-fn entry(number: u64, act: Act) -> Entry {
+fn entry(number: u64, act: Command) -> Entry {
     Entry::Acts(
         EntryId {
             keeper: 1,
--- a/crates/coordination/src/permit.rs
+++ b/crates/coordination/src/config_lease.rs
@@ -4,30 +4,30 @@
 
 use std::collections::BTreeMap;
 
-use crate::fleet::{Fleet, Holder};
-use crate::lease::Part;
-use crate::plant::{self, Plant};
+use crate::config_state::{ConfigState, Holder};
+use crate::fault_injection::{self, Fault};
+use crate::lease_table::Shard;
 
 /// Whole microseconds on a clock that goes on while the machine or the process is stopped.
 pub type Micros = u64;
 
 /// How long permits last, and how far clocks may be wrong. The same for all keepers and routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Bounds {
+pub struct LeaseTiming {
     /// How long a permit lasts.
     pub term: Micros,
     /// How far the rates of two clocks may differ, in millionths.
     pub drift: u64,
 }
 
-impl Bounds {
+impl LeaseTiming {
     /// The term as a router counts it: over before any clock within the bound says that the term is over.
     pub fn router_term(&self) -> Micros {
         self.term.saturating_sub(self.slack())
     }
 
     /// The term as a keeper counts it.
-    pub fn keeper_term(&self) -> Micros {
+    pub fn replica_term(&self) -> Micros {
         self.term.saturating_add(self.slack())
     }
 
@@ -39,47 +39,50 @@
 
 /// A router's right to act, until a moment of its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Permit {
-    until: Micros,
+pub struct ConfigLease {
+    expires_at: Micros,
 }
 
-impl Permit {
+impl ConfigLease {
     /// Was asked for at that moment, and granted. An answer that comes late is not worth more.
-    pub fn asked_at(&mut self, asked: Micros, bounds: &Bounds) {
-        self.until = self.until.max(asked.saturating_add(bounds.router_term()));
+    pub fn renew(&mut self, asked: Micros, bounds: &LeaseTiming) {
+        self.expires_at = self
+            .expires_at
+            .max(asked.saturating_add(bounds.router_term()));
     }
 
     /// Whether it is alive at a moment.
-    pub fn is_alive(&self, now: Micros) -> bool {
-        now < self.until || (self.until > 0 && plant::is(Plant::NeverEnds))
+    pub fn is_valid(&self, now: Micros) -> bool {
+        now < self.expires_at
+            || (self.expires_at > 0 && fault_injection::is_injected(Fault::LeaseNeverExpires))
     }
 
     /// When it ends.
-    pub fn until(&self) -> Micros {
-        self.until
+    pub fn expires_at(&self) -> Micros {
+        self.expires_at
     }
 }
 
 /// A keeper's times: when it learned of each permit's and each lease's last prolonging. A keeper that starts learns of all
 /// at once, so it counts a whole term for each, whatever was left.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Terms {
-    permits: Learned<Holder>,
-    leases: Learned<Part>,
+pub struct ExpiryTracker {
+    permits: ObservedRenewals<Holder>,
+    leases: ObservedRenewals<Shard>,
 }
 
 /// By what was prolonged: the count of its last prolonging, and when that was learned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Learned<K>(BTreeMap<K, (u64, Micros)>);
+struct ObservedRenewals<K>(BTreeMap<K, (u64, Micros)>);
 
-impl<K> Default for Learned<K> {
+impl<K> Default for ObservedRenewals<K> {
     fn default() -> Self {
-        Learned(BTreeMap::new())
+        ObservedRenewals(BTreeMap::new())
     }
 }
 
-impl<K: Ord + Clone> Learned<K> {
-    fn learn(&mut self, now: Micros, all: impl Iterator<Item = (K, u64)>) {
+impl<K: Ord + Clone> ObservedRenewals<K> {
+    fn observe(&mut self, now: Micros, all: impl Iterator<Item = (K, u64)>) {
         let mut known = std::mem::take(&mut self.0);
         for (key, serial) in all {
             let at = known
@@ -90,8 +93,8 @@
         }
     }
 
-    fn lapsed(&self, now: Micros, bounds: &Bounds) -> Vec<(K, u64)> {
-        let over = |at: Micros| now.saturating_sub(at) > bounds.keeper_term();
+    fn expired(&self, now: Micros, bounds: &LeaseTiming) -> Vec<(K, u64)> {
+        let over = |at: Micros| now.saturating_sub(at) > bounds.replica_term();
         self.0
             .iter()
             .filter(|(_, (_, at))| over(*at))
@@ -99,48 +102,65 @@
             .collect()
     }
 
-    fn left(&self, now: Micros, key: &K, bounds: &Bounds) -> Option<Micros> {
+    fn remaining(&self, now: Micros, key: &K, bounds: &LeaseTiming) -> Option<Micros> {
         let (_, at) = self.0.get(key)?;
-        Some(at.saturating_add(bounds.keeper_term()).saturating_sub(now))
+        Some(at.saturating_add(bounds.replica_term()).saturating_sub(now))
     }
 }
 
-impl Terms {
+impl ExpiryTracker {
     /// Of a keeper that starts, with what its log tells: it knows of no time before.
-    pub fn begin(now: Micros, fleet: &Fleet) -> Terms {
-        let mut terms = Terms::default();
-        terms.learn(if plant::is(Plant::NoTerm) { 0 } else { now }, fleet);
+    pub fn start(now: Micros, fleet: &ConfigState) -> ExpiryTracker {
+        let mut terms = ExpiryTracker::default();
+        terms.observe(
+            if fault_injection::is_injected(Fault::SkipStartupTerm) {
+                0
+            } else {
+                now
+            },
+            fleet,
+        );
         terms
     }
 
     /// Takes up what the log has brought.
-    pub fn learn(&mut self, now: Micros, fleet: &Fleet) {
-        self.permits.learn(
+    pub fn observe(&mut self, now: Micros, fleet: &ConfigState) {
+        self.permits.observe(
             now,
             fleet
                 .holders()
                 .map(|(holder, held)| (holder.clone(), held.serial)),
         );
-        self.leases.learn(now, fleet.leases().held());
+        self.leases.observe(now, fleet.lease_table().renewals());
     }
 
     /// Permits that have run out by this clock, each with the count of its last prolonging.
-    pub fn lapsed(&self, now: Micros, bounds: &Bounds) -> Vec<(Holder, u64)> {
-        self.permits.lapsed(now, bounds)
+    pub fn expired_config_leases(&self, now: Micros, bounds: &LeaseTiming) -> Vec<(Holder, u64)> {
+        self.permits.expired(now, bounds)
     }
 
     /// Leases that have run out by this clock, each with the count of its last prolonging.
-    pub fn lapsed_leases(&self, now: Micros, bounds: &Bounds) -> Vec<(Part, u64)> {
-        self.leases.lapsed(now, bounds)
+    pub fn expired_task_leases(&self, now: Micros, bounds: &LeaseTiming) -> Vec<(Shard, u64)> {
+        self.leases.expired(now, bounds)
     }
 
     /// Time until a permit has run out by this clock.
-    pub fn left(&self, now: Micros, holder: &Holder, bounds: &Bounds) -> Option<Micros> {
-        self.permits.left(now, holder, bounds)
+    pub fn config_lease_remaining(
+        &self,
+        now: Micros,
+        holder: &Holder,
+        bounds: &LeaseTiming,
+    ) -> Option<Micros> {
+        self.permits.remaining(now, holder, bounds)
     }
 
     /// Time until a lease has run out by this clock.
-    pub fn left_of_lease(&self, now: Micros, part: &Part, bounds: &Bounds) -> Option<Micros> {
-        self.leases.left(now, part, bounds)
+    pub fn task_lease_remaining(
+        &self,
+        now: Micros,
+        part: &Shard,
+        bounds: &LeaseTiming,
+    ) -> Option<Micros> {
+        self.leases.remaining(now, part, bounds)
     }
 }
--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/config_state.rs
@@ -11,24 +11,26 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Document, Flaw};
-use crate::lease::{Board, Grant, Leases, NotNoted, Offer, Part};
-use crate::meet::{Change, Difference};
-use crate::plant::{self, Plant};
+use crate::document::{Document, ValidationError};
+use crate::fault_injection::{self, Fault};
+use crate::lease_table::{
+    LeaseOffer, LeaseTable, LeaseTableUpdate, NoteError, Shard, TaskLeaseGrant,
+};
+use crate::merge::{Change, Difference};
 
 /// A version's number; the first is 1, and 0 stands for none.
-pub type Number = u64;
+pub type VersionNumber = u64;
 
 /// Changes that may be on their way at once.
-pub const MOST_PENDING: usize = 8;
+pub const MAX_PENDING_CHANGES: usize = 8;
 /// Holders of permits at most.
-pub const MOST_HOLDERS: usize = 4096;
+pub const MAX_HOLDERS: usize = 4096;
 /// Versions whose heads are kept.
-pub const MOST_HEADS: usize = 256;
+pub const MAX_METADATA_KEPT: usize = 256;
 /// Of these, versions whose whole text is kept, for `diff` and `rollback`.
-pub const MOST_TEXTS: usize = 32;
+pub const MAX_DOCUMENTS_KEPT: usize = 32;
 /// Bytes of `by`, `why` and the name of a change.
-pub const MOST_WORDS: usize = 512;
+pub const MAX_PROPOSAL_TEXT_BYTES: usize = 512;
 
 /// A router's process: two processes under one name are two holders.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,30 +38,35 @@
     /// The router.
     pub router: String,
     /// Its life.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub incarnation: String,
 }
 
 impl std::fmt::Display for Holder {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{}", self.router, self.life)
+        write!(f, "{}/{}", self.router, self.incarnation)
     }
 }
 
 /// All of a version but its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct VersionMetadata {
     /// Its number.
-    pub number: Number,
+    pub number: VersionNumber,
     /// The BLAKE3 digest of its text.
     pub digest: String,
     /// The name of the change, by which the same change put twice is known.
-    pub change: String,
+    #[serde(rename = "change")]
+    pub change_name: String,
     /// Who put it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub author: String,
     /// When, in ms since 1970, as the one who put it said.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub proposed_at_ms: u64,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// How it relates to the version before it.
     pub kind: Change,
 }
@@ -68,65 +75,79 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
     /// What tells it apart.
-    pub head: Head,
+    #[serde(rename = "head")]
+    pub metadata: VersionMetadata,
     /// Its text.
     pub document: Document,
 }
 
 /// A change that somebody wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Put {
+pub struct Proposal {
     /// The name of the change, made by who wants it: the same name again is the same change.
-    pub change: String,
+    #[serde(rename = "change")]
+    pub change_name: String,
     /// The last version that its author knew; `None`: whichever.
-    pub base: Option<Number>,
+    pub base: Option<VersionNumber>,
     /// Who.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub author: String,
     /// When, in ms since 1970.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub proposed_at_ms: u64,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The text.
     pub document: Document,
 }
 
 /// What goes through the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Command {
     /// A change is wanted.
-    Put(Box<Put>),
+    #[serde(rename = "Put")]
+    Propose(Box<Proposal>),
     /// A router asks for its permit to be prolonged.
-    Ask {
+    #[serde(rename = "Ask")]
+    RenewLease {
         /// Who.
         holder: Holder,
         /// The last version whose rules it heeds, alone or in a meet; 0: it heeds none yet.
-        heeds: Number,
+        #[serde(rename = "heeds")]
+        enforced: VersionNumber,
         /// The version that it holds to be in force; 0: none.
-        in_force: Number,
+        in_force: VersionNumber,
         /// What it says of leases, where it takes part in them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        offer: Option<Offer>,
+        offer: Option<LeaseOffer>,
     },
     /// A router gives its permit back: it acts no more.
-    GiveBack(Holder),
+    #[serde(rename = "GiveBack")]
+    ReleaseLease(Holder),
     /// Versions up to this one are wanted in force; the permits named, with the count of their last prolonging, have
     /// run out by the clock of the keeper that says so.
-    Settle {
+    #[serde(rename = "Settle")]
+    CompleteRollout {
         /// Up to which.
-        upto: Number,
+        upto: VersionNumber,
         /// Which permits have run out.
         lapsed: Vec<(Holder, u64)>,
     },
     /// Leases that have run out by the clock of the keeper that says so, each with the count of its last prolonging.
-    Free(Vec<(Part, u64)>),
+    #[serde(rename = "Free")]
+    ExpireTaskLeases(Vec<(Shard, u64)>),
     /// The holder of a lease notes how far it has come.
-    Note {
+    #[serde(rename = "Note")]
+    RecordNote {
         /// Who.
         holder: Holder,
         /// For what.
-        part: Part,
+        #[serde(rename = "part")]
+        shard: Shard,
         /// Under which number.
-        number: u64,
+        #[serde(rename = "number")]
+        fencing_token: u64,
         /// The note.
         text: String,
     },
@@ -135,59 +156,70 @@
 /// Why a change is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "refused")]
-pub enum Refused {
+pub enum Rejection {
     /// The document is unusable.
-    Flawed {
+    #[serde(rename = "flawed")]
+    Invalid {
         /// All that is wrong with it.
-        flaws: Vec<Flaw>,
+        #[serde(rename = "flaws")]
+        errors: Vec<ValidationError>,
     },
     /// Somebody else changed it meanwhile.
     Outdated {
         /// The last version now.
-        last: Number,
+        #[serde(rename = "last")]
+        latest: VersionNumber,
     },
     /// Too many changes are on their way.
-    Busy {
+    #[serde(rename = "busy")]
+    TooManyPending {
         /// How many.
         pending: usize,
     },
     /// While the change is on its way, a class would have no place at all.
-    Nowhere {
+    #[serde(rename = "nowhere")]
+    NoPlacement {
         /// Each path, with both sides' places in words.
-        places: Vec<Flaw>,
+        #[serde(rename = "places")]
+        conflicts: Vec<ValidationError>,
     },
     /// The name of the change is in use for another text.
-    Reused {
+    #[serde(rename = "reused")]
+    NameReused {
         /// The version under that name.
-        number: Number,
+        number: VersionNumber,
     },
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for Rejection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let list = |flaws: &[Flaw]| flaws.iter().map(|x| format!("\n  {x}")).collect::<String>();
+        let list = |flaws: &[ValidationError]| {
+            flaws.iter().map(|x| format!("\n  {x}")).collect::<String>()
+        };
         match self {
-            Refused::Flawed { flaws } => write!(f, "the document can't be used:{}", list(flaws)),
-            Refused::Outdated { last } => {
+            Rejection::Invalid { errors: flaws } => {
+                write!(f, "the document can't be used:{}", list(flaws))
+            }
+            Rejection::Outdated { latest: last } => {
                 write!(
                     f,
                     "the last version is {last} now; look at it, and put again"
                 )
             }
-            Refused::Busy { pending } => {
+            Rejection::TooManyPending { pending } => {
                 write!(
                     f,
                     "{pending} changes are on their way already; try again later"
                 )
             }
-            Refused::Nowhere { places } => {
+            Rejection::NoPlacement { conflicts: places } => {
                 write!(
                     f,
                     "until it is in force, a class would have no place left:{}",
                     list(places)
                 )
             }
-            Refused::Reused { number } => {
+            Rejection::NameReused { number } => {
                 write!(f, "version {number} came under that name with another text")
             }
         }
@@ -196,11 +228,12 @@
 
 /// What a router is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Granted {
+pub struct ConfigLeaseGrant {
     /// The version in force.
-    pub in_force: Number,
+    pub in_force: VersionNumber,
     /// The last one whose rules are to be heeded.
-    pub heed: Number,
+    #[serde(rename = "heed")]
+    pub enforce: VersionNumber,
     /// All versions from the one in force to the last, in order; empty where the router said that it has them.
     pub versions: Vec<Version>,
     /// The count of this prolonging.
@@ -208,138 +241,149 @@
     pub serial: u64,
     /// The router's leases; `None`: nothing is told of them, and none is prolonged.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub leases: Option<Vec<Grant>>,
+    pub leases: Option<Vec<TaskLeaseGrant>>,
     /// What is told to all of who does what.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub board: Option<Board>,
+    #[serde(rename = "board", default, skip_serializing_if = "Option::is_none")]
+    pub lease_table: Option<LeaseTableUpdate>,
 }
 
 /// What an act came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum CommandResponse {
     /// A change was taken under this number (which is also that of the first time, where it came twice).
-    Put(Result<Number, Refused>),
+    Proposed(Result<VersionNumber, Rejection>),
     /// A permit is prolonged.
-    Granted(Granted),
+    LeaseGranted(ConfigLeaseGrant),
     /// No permit: the router knows of a version that this fleet never had. Somebody's state went back.
-    Ahead,
+    UnknownVersion,
     /// No permit: there is no version yet.
-    Empty,
+    NoVersion,
     /// No permit: there are too many holders.
-    Crowded,
+    TooManyHolders,
     /// The permit is given back.
-    GivenBack,
+    LeaseReleased,
     /// Up to this version everything is in force.
-    Settled(Number),
+    InForce(VersionNumber),
     /// A note is taken, or not.
-    Noted(Result<(), NotNoted>),
+    NoteRecorded(Result<(), NoteError>),
 }
 
 /// A permit, as the log knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldConfigLease {
     /// The last version whose rules the holder heeds.
-    pub heeds: Number,
+    #[serde(rename = "heeds")]
+    pub enforced: VersionNumber,
     /// The count of its last prolonging: tells it from the ones before.
     pub serial: u64,
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct ConfigState {
     /// From the version in force to the last proposed; empty before the first.
-    course: VecDeque<Version>,
+    #[serde(rename = "course")]
+    active: VecDeque<Version>,
     /// Heads of the versions before, oldest first.
-    past: VecDeque<Head>,
+    #[serde(rename = "past")]
+    retired_metadata: VecDeque<VersionMetadata>,
     /// Texts of the last of these, oldest first.
-    texts: VecDeque<Version>,
-    #[serde(with = "crate::pairs")]
-    holders: BTreeMap<Holder, Held>,
+    #[serde(rename = "texts")]
+    retired_versions: VecDeque<Version>,
+    #[serde(with = "crate::map_as_pairs")]
+    holders: BTreeMap<Holder, HeldConfigLease>,
     serial: u64,
-    #[serde(default)]
-    leases: Leases,
+    #[serde(rename = "leases", default)]
+    lease_table: LeaseTable,
 }
 
-impl Fleet {
+impl ConfigState {
     /// Does the next act of the log.
-    pub fn apply(&mut self, act: Act) -> Answer {
+    pub fn apply(&mut self, act: Command) -> CommandResponse {
         match act {
-            Act::Put(put) => Answer::Put(self.put(*put)),
-            Act::Ask {
+            Command::Propose(put) => CommandResponse::Proposed(self.propose(*put)),
+            Command::RenewLease {
                 holder,
-                heeds,
+                enforced: heeds,
                 in_force,
                 offer,
-            } => self.ask(holder, heeds, in_force, offer),
-            Act::GiveBack(holder) => {
+            } => self.renew_config_lease(holder, heeds, in_force, offer),
+            Command::ReleaseLease(holder) => {
                 self.holders.remove(&holder);
-                self.leases.gone(&holder);
-                Answer::GivenBack
+                self.lease_table.remove_holder(&holder);
+                CommandResponse::LeaseReleased
             }
-            Act::Free(lapsed) => {
-                self.leases.lapsed(&lapsed);
-                Answer::Settled(self.in_force())
+            Command::ExpireTaskLeases(lapsed) => {
+                self.lease_table.expire(&lapsed);
+                CommandResponse::InForce(self.in_force())
             }
-            Act::Note {
+            Command::RecordNote {
                 holder,
-                part,
-                number,
+                shard: part,
+                fencing_token: number,
                 text,
-            } => Answer::Noted(self.leases.note(&holder, &part, number, &text)),
-            Act::Settle { upto, lapsed } => self.settle(upto, &lapsed),
+            } => CommandResponse::NoteRecorded(
+                self.lease_table.record_note(&holder, &part, number, &text),
+            ),
+            Command::CompleteRollout { upto, lapsed } => self.complete_rollout(upto, &lapsed),
         }
     }
 
-    fn put(&mut self, put: Put) -> Result<Number, Refused> {
+    fn propose(&mut self, put: Proposal) -> Result<VersionNumber, Rejection> {
         let digest = put.document.digest();
-        if let Some(known) = self.heads().find(|h| h.change == put.change) {
+        if let Some(known) = self.history().find(|h| h.change_name == put.change_name) {
             return match known.digest == digest {
                 true => Ok(known.number),
-                false => Err(Refused::Reused {
+                false => Err(Rejection::NameReused {
                     number: known.number,
                 }),
             };
         }
-        let mut flaws = put.document.flaws();
-        for (path, text) in [("change", &put.change), ("by", &put.by), ("why", &put.why)] {
-            if text.is_empty() || text.len() > MOST_WORDS {
-                flaws.push(Flaw {
+        let mut flaws = put.document.validation_errors();
+        for (path, text) in [
+            ("change", &put.change_name),
+            ("by", &put.author),
+            ("why", &put.reason),
+        ] {
+            if text.is_empty() || text.len() > MAX_PROPOSAL_TEXT_BYTES {
+                flaws.push(ValidationError {
                     path: path.into(),
-                    what: format!("1 to {MOST_WORDS} bytes are wanted"),
+                    message: format!("1 to {MAX_PROPOSAL_TEXT_BYTES} bytes are wanted"),
                 });
             }
         }
         if !flaws.is_empty() {
-            return Err(Refused::Flawed { flaws });
+            return Err(Rejection::Invalid { errors: flaws });
         }
-        if put.base.is_some_and(|base| base != self.last()) {
-            return Err(Refused::Outdated { last: self.last() });
+        if put.base.is_some_and(|base| base != self.latest()) {
+            return Err(Rejection::Outdated {
+                latest: self.latest(),
+            });
         }
-        if self.pending().len() >= MOST_PENDING {
-            return Err(Refused::Busy {
+        if self.pending().len() >= MAX_PENDING_CHANGES {
+            return Err(Rejection::TooManyPending {
                 pending: self.pending().len(),
             });
         }
-        let places = self.clashes(&put.document);
+        let places = self.placement_conflicts(&put.document);
         if !places.is_empty() {
-            return Err(Refused::Nowhere { places });
+            return Err(Rejection::NoPlacement { conflicts: places });
         }
-        let number = self.last() + 1;
-        let kind = self
-            .course
-            .back()
-            .map_or(Change::Looser, |last| last.document.change(&put.document));
-        let head = Head {
+        let number = self.latest() + 1;
+        let kind = self.active.back().map_or(Change::Looser, |last| {
+            last.document.change_to(&put.document)
+        });
+        let head = VersionMetadata {
             number,
             digest,
-            change: put.change,
-            by: put.by,
-            at: put.at,
-            why: put.why,
+            change_name: put.change_name,
+            author: put.author,
+            proposed_at_ms: put.proposed_at_ms,
+            reason: put.reason,
             kind,
         };
-        self.course.push_back(Version {
-            head,
+        self.active.push_back(Version {
+            metadata: head,
             document: put.document,
         });
         // The first version contradicts nothing, as nobody acted before it; neither does a neutral change.
@@ -348,8 +392,8 @@
     }
 
     /// Classes that would have no place between the versions on their way and this one, with both sides named.
-    fn clashes(&self, new: &Document) -> Vec<Flaw> {
-        let Some(meet) = self.rules() else {
+    fn placement_conflicts(&self, new: &Document) -> Vec<ValidationError> {
+        let Some(meet) = self.merged_document() else {
             return Vec::new();
         };
         let places = |d: &Document, path: &str| match path.split('.').collect::<Vec<_>>()[..] {
@@ -367,64 +411,75 @@
                 "nothing is in both {} (versions {} to {}) and {} (this change)",
                 places(&meet, &path),
                 self.in_force(),
-                self.last(),
+                self.latest(),
                 places(new, &path)
             );
-            Flaw { path, what }
+            ValidationError {
+                path,
+                message: what,
+            }
         };
-        meet.meet(new).nowhere().into_iter().map(named).collect()
+        meet.merge(new)
+            .empty_placements()
+            .into_iter()
+            .map(named)
+            .collect()
     }
 
-    fn ask(
+    fn renew_config_lease(
         &mut self,
         holder: Holder,
-        heeds: Number,
-        in_force: Number,
-        offer: Option<Offer>,
-    ) -> Answer {
-        let last = self.last();
+        heeds: VersionNumber,
+        in_force: VersionNumber,
+        offer: Option<LeaseOffer>,
+    ) -> CommandResponse {
+        let last = self.latest();
         if heeds > last || in_force > self.in_force() {
-            return Answer::Ahead;
+            return CommandResponse::UnknownVersion;
         }
         if last == 0 {
-            return Answer::Empty;
+            return CommandResponse::NoVersion;
         }
-        if !self.holders.contains_key(&holder) && self.holders.len() >= MOST_HOLDERS {
-            return Answer::Crowded;
+        if !self.holders.contains_key(&holder) && self.holders.len() >= MAX_HOLDERS {
+            return CommandResponse::TooManyHolders;
         }
         self.serial += 1;
         let serial = self.serial;
         let leases = offer
             .as_ref()
-            .and_then(|offer| self.leases.asked(&holder, serial, offer));
-        let board = offer.map(|offer| self.leases.board(offer.board));
+            .and_then(|offer| self.lease_table.renew(&holder, serial, offer));
+        let board = offer.map(|offer| self.lease_table.updates_since(offer.table_revision));
         // One that holds no permit acts on nothing until it hears this answer, or a later one.
-        let held = self.holders.entry(holder).or_insert(Held {
-            heeds: last,
+        let held = self.holders.entry(holder).or_insert(HeldConfigLease {
+            enforced: last,
             serial,
         });
-        *held = Held {
-            heeds: held.heeds.max(heeds),
+        *held = HeldConfigLease {
+            enforced: held.enforced.max(heeds),
             serial,
         };
         let has_them = heeds == last && in_force == self.in_force();
         let versions = if has_them {
             Vec::new()
         } else {
-            self.course.iter().cloned().collect()
+            self.active.iter().cloned().collect()
         };
         let in_force = self.in_force();
-        Answer::Granted(Granted {
+        CommandResponse::LeaseGranted(ConfigLeaseGrant {
             in_force,
-            heed: last,
+            enforce: last,
             versions,
             serial,
             leases,
-            board,
+            lease_table: board,
         })
     }
 
-    fn settle(&mut self, upto: Number, lapsed: &[(Holder, u64)]) -> Answer {
+    fn complete_rollout(
+        &mut self,
+        upto: VersionNumber,
+        lapsed: &[(Holder, u64)],
+    ) -> CommandResponse {
         for (holder, serial) in lapsed {
             // Danger: a permit that was prolonged after the keeper judged it is alive.
             if self
@@ -433,47 +488,47 @@
                 .is_some_and(|held| held.serial == *serial)
             {
                 self.holders.remove(holder);
-                self.leases.gone(holder);
+                self.lease_table.remove_holder(holder);
             }
         }
         let all = self
             .holders
             .values()
-            .map(|h| h.heeds)
+            .map(|h| h.enforced)
             .min()
-            .unwrap_or(Number::MAX);
-        let heeded = if plant::is(Plant::NoWait) {
-            Number::MAX
+            .unwrap_or(VersionNumber::MAX);
+        let heeded = if fault_injection::is_injected(Fault::SkipRolloutWait) {
+            VersionNumber::MAX
         } else {
             all
         };
         self.advance(upto, |next| next <= heeded);
-        Answer::Settled(self.in_force())
+        CommandResponse::InForce(self.in_force())
     }
 
     /// Brings versions in force, in order, up to one and as far as nothing stands against them.
-    fn advance(&mut self, upto: Number, heeded: impl Fn(Number) -> bool) {
-        self.bring_in_force(upto, heeded);
-        if let Some(front) = self.course.front() {
-            self.leases.name(&front.document.tasks);
+    fn advance(&mut self, upto: VersionNumber, heeded: impl Fn(VersionNumber) -> bool) {
+        self.activate_versions(upto, heeded);
+        if let Some(front) = self.active.front() {
+            self.lease_table.set_tasks(&front.document.tasks);
         }
     }
 
-    fn bring_in_force(&mut self, upto: Number, heeded: impl Fn(Number) -> bool) {
-        while let Some(next) = self.course.get(1).map(|v| &v.head) {
+    fn activate_versions(&mut self, upto: VersionNumber, heeded: impl Fn(VersionNumber) -> bool) {
+        while let Some(next) = self.active.get(1).map(|v| &v.metadata) {
             let free = next.kind == Change::Neutral || heeded(next.number);
             if next.number > upto || !free {
                 return;
             }
-            if let Some(gone) = self.course.pop_front() {
-                self.past.push_back(gone.head.clone());
-                self.texts.push_back(gone);
+            if let Some(gone) = self.active.pop_front() {
+                self.retired_metadata.push_back(gone.metadata.clone());
+                self.retired_versions.push_back(gone);
             }
-            while self.past.len() > MOST_HEADS {
-                self.past.pop_front();
+            while self.retired_metadata.len() > MAX_METADATA_KEPT {
+                self.retired_metadata.pop_front();
             }
-            while self.texts.len() > MOST_TEXTS {
-                self.texts.pop_front();
+            while self.retired_versions.len() > MAX_DOCUMENTS_KEPT {
+                self.retired_versions.pop_front();
             }
         }
     }
@@ -481,65 +536,67 @@
     // ---- what is seen of it ---------------------------------------------------------------------
 
     /// The version in force; 0: none yet.
-    pub fn in_force(&self) -> Number {
-        self.course.front().map_or(0, |v| v.head.number)
+    pub fn in_force(&self) -> VersionNumber {
+        self.active.front().map_or(0, |v| v.metadata.number)
     }
 
     /// The last version, in force or on its way; 0: none yet.
-    pub fn last(&self) -> Number {
-        self.course.back().map_or(0, |v| v.head.number)
+    pub fn latest(&self) -> VersionNumber {
+        self.active.back().map_or(0, |v| v.metadata.number)
     }
 
     /// Changes on their way, in order.
     pub fn pending(&self) -> impl ExactSizeIterator<Item = &Version> {
-        self.course.iter().skip(1)
+        self.active.iter().skip(1)
     }
 
     /// What contradicts none of the versions from the one in force to the last.
-    pub fn rules(&self) -> Option<Document> {
-        let mut all = self.course.iter();
+    pub fn merged_document(&self) -> Option<Document> {
+        let mut all = self.active.iter();
         let first = all.next()?.document.clone();
-        Some(all.fold(first, |meet, v| meet.meet(&v.document)))
+        Some(all.fold(first, |meet, v| meet.merge(&v.document)))
     }
 
     /// A version whose text is still kept.
-    pub fn version(&self, number: Number) -> Option<&Version> {
-        self.texts
+    pub fn version(&self, number: VersionNumber) -> Option<&Version> {
+        self.retired_versions
             .iter()
-            .chain(&self.course)
-            .find(|v| v.head.number == number)
+            .chain(&self.active)
+            .find(|v| v.metadata.number == number)
     }
 
     /// Heads of all versions that are kept, oldest first.
-    pub fn heads(&self) -> impl Iterator<Item = &Head> {
-        self.past.iter().chain(self.course.iter().map(|v| &v.head))
+    pub fn history(&self) -> impl Iterator<Item = &VersionMetadata> {
+        self.retired_metadata
+            .iter()
+            .chain(self.active.iter().map(|v| &v.metadata))
     }
 
     /// Who holds a permit.
-    pub fn holders(&self) -> impl Iterator<Item = (&Holder, &Held)> {
+    pub fn holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
         self.holders.iter()
     }
 
     /// A permit, where it is held.
-    pub fn held(&self, holder: &Holder) -> Option<&Held> {
+    pub fn config_lease(&self, holder: &Holder) -> Option<&HeldConfigLease> {
         self.holders.get(holder)
     }
 
     /// Who does what for all.
-    pub fn leases(&self) -> &Leases {
-        &self.leases
+    pub fn lease_table(&self) -> &LeaseTable {
+        &self.lease_table
     }
 
     /// Holders that stand against the next change.
-    pub fn waits_for(&self) -> impl Iterator<Item = (&Holder, &Held)> {
-        let next = self.pending().next().map(|v| v.head.number);
+    pub fn blocking_holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
+        let next = self.pending().next().map(|v| v.metadata.number);
         self.holders
             .iter()
-            .filter(move |(_, held)| next.is_some_and(|next| held.heeds < next))
+            .filter(move |(_, held)| next.is_some_and(|next| held.enforced < next))
     }
 
     /// How two kept versions differ.
-    pub fn differences(&self, from: Number, to: Number) -> Option<Vec<Difference>> {
+    pub fn differences(&self, from: VersionNumber, to: VersionNumber) -> Option<Vec<Difference>> {
         Some(
             self.version(from)?
                 .document
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -5,203 +5,206 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::lease::{MOST_LEASES, Task};
-use crate::lists::Roster;
-use crate::meet::{Change, Difference, Meet, settings};
-use crate::span::Span;
+use crate::duration::ConfigDuration;
+use crate::endpoint_list::EndpointList;
+use crate::lease_table::{MAX_LEASES, Task};
+use crate::merge::{Change, Difference, Merge, settings};
 
 /// The form of the document that this program knows. Another one is refused, not read in part.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Bytes of a document at most, in JSON.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 /// Classes at most.
-pub const MOST_CLASSES: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 /// Bytes of a name at most.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Engines on a list at most.
-pub const MOST_ENGINES: usize = 10_000;
+pub const MAX_ENGINES: usize = 10_000;
 
 /// What repeating a statement of a class does, from lax to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum Idempotency {
     /// Nothing.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// A second effect: it must never run twice.
-    Never,
+    #[serde(rename = "never")]
+    NonIdempotent,
 }
 
 /// What a router does with a class when its permit has ended and no keeper is reached, from lax to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum InDoubt {
+pub enum InDoubtPolicy {
     /// Goes on under the version that it knows: outside the promise.
     Serve,
     /// Refuses, and says that trying again is harmless.
-    Refuse,
+    #[serde(rename = "refuse")]
+    Reject,
 }
 
 settings! {
     /// One class of statements.
-    pub struct Class {
+    pub struct StatementClass {
         /// An answer within this has the full worth.
-        [Tuning] aim: Span,
+        [Advisory] aim: ConfigDuration,
         /// The aim grows by this times the work over the threads.
         #[serde(default)]
-        [Tuning] stretch: f64,
+        [Advisory] stretch: f64,
         /// How long a client may wait at most.
-        [Smaller] patience: Span,
+        [Minimum] patience: ConfigDuration,
         /// What repeating does.
-        [Stricter] repeat: Repeat,
+        [Strictest] repeat: Idempotency,
         /// Same keys in order.
         #[serde(default)]
-        [Either] in_order: bool,
+        [LogicalOr] in_order: bool,
         /// Worth of one.
         #[serde(default = "one")]
-        [Tuning] worth: f64,
+        [Advisory] worth: f64,
         /// Part of the worth after the aim.
         #[serde(default)]
-        [Tuning] late_worth: f64,
+        [Advisory] late_worth: f64,
         /// Threads that one runs on.
         #[serde(default = "one")]
-        [Larger] threads: f64,
+        [Maximum] threads: f64,
         /// Whether it holds its tables while it runs.
         #[serde(default)]
-        [Either] holds: bool,
+        [LogicalOr] holds: bool,
         /// Machine kinds that it may run on; none given: all.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        [Places] kinds: Option<BTreeSet<String>>,
+        [OptionalIntersection] kinds: Option<BTreeSet<String>>,
         /// Zones that it may run in; none given: all.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        [Places] zones: Option<BTreeSet<String>>,
-        /// What is done in doubt; none given: see [`Class::in_doubt`].
+        [OptionalIntersection] zones: Option<BTreeSet<String>>,
+        /// What is done in doubt; none given: see [`StatementClass::in_doubt`].
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        [InDoubtRule] in_doubt: Option<InDoubt>,
+        [InDoubtPolicyRule] in_doubt: Option<InDoubtPolicy>,
     }
 }
 
 /// The stricter word; a class that says nothing is no laxer than its repeat makes it.
-struct InDoubtRule;
+struct InDoubtPolicyRule;
 
-impl crate::meet::Rule<Option<InDoubt>> for InDoubtRule {
-    fn meet(a: &Option<InDoubt>, b: &Option<InDoubt>) -> Option<InDoubt> {
+impl crate::merge::MergeRule<Option<InDoubtPolicy>> for InDoubtPolicyRule {
+    fn merge(a: &Option<InDoubtPolicy>, b: &Option<InDoubtPolicy>) -> Option<InDoubtPolicy> {
         // `None` lies between: "serve" is laxer than silence, "refuse" stricter, whatever the class repeats.
-        let rank = |d: &Option<InDoubt>| match d {
-            Some(InDoubt::Serve) => 0,
+        let rank = |d: &Option<InDoubtPolicy>| match d {
+            Some(InDoubtPolicy::Serve) => 0,
             None => 1,
-            Some(InDoubt::Refuse) => 2,
+            Some(InDoubtPolicy::Reject) => 2,
         };
         if rank(a) >= rank(b) { *a } else { *b }
     }
 }
 
-impl Class {
+impl StatementClass {
     /// What is done in doubt: what never may run twice is refused unless the settings say otherwise.
-    pub fn in_doubt(&self) -> InDoubt {
+    pub fn in_doubt_policy(&self) -> InDoubtPolicy {
         self.in_doubt.unwrap_or(match self.repeat {
-            Repeat::Safe => InDoubt::Serve,
-            Repeat::Never => InDoubt::Refuse,
+            Idempotency::Idempotent => InDoubtPolicy::Serve,
+            Idempotency::NonIdempotent => InDoubtPolicy::Reject,
         })
     }
 }
 
 settings! {
     /// Further attempts that one router may make.
-    pub struct Budget {
+    pub struct RetryBudget {
         /// However light the traffic.
-        [Smaller] spare: f64,
+        [Minimum] spare: f64,
         /// Per statement taken.
-        [Smaller] ratio: f64,
+        [Minimum] ratio: f64,
         /// The span of both counts.
-        [Larger] within: Span,
+        [Maximum] within: ConfigDuration,
     }
 }
 
 settings! {
     /// What engines permit.
-    pub struct Engines {
+    pub struct EngineSettings {
         /// Attempts at a statement at most.
         #[serde(default = "three")]
-        [Smaller] max_attempts: u32,
+        [Minimum] max_attempts: u32,
         /// Further attempts of all statements; none given: no bound.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        [Bounded] budget: Option<Budget>,
+        [MergeOptional] budget: Option<RetryBudget>,
         /// They may be asked for their status.
         #[serde(default = "yes")]
-        [Both] probes: bool,
+        [LogicalAnd] probes: bool,
         /// Ending a statement stops its work.
         #[serde(default)]
-        [Both] cancel: bool,
+        [LogicalAnd] cancel: bool,
         /// They heed priorities.
         #[serde(default)]
-        [Both] priorities: bool,
+        [LogicalAnd] priorities: bool,
         /// They end a statement that they are told to end.
         #[serde(default)]
-        [Both] ends: bool,
+        [LogicalAnd] ends: bool,
         /// They let a statement stand still.
         #[serde(default)]
-        [Both] pauses: bool,
+        [LogicalAnd] pauses: bool,
     }
 }
 
 settings! {
     /// Figures of the rules.
-    pub struct Rules {
+    pub struct RuleParameters {
         /// Part of its capacity that a cold engine has at least.
-        [Smaller] start_capacity: f64,
+        [Minimum] start_capacity: f64,
         /// When it is warm.
-        [Larger] ramp: Span,
+        [Maximum] ramp: ConfigDuration,
         /// Times its present capacity that it bears...
-        [Smaller] overload: f64,
+        [Minimum] overload: f64,
         /// ...for this long.
-        [Smaller] fall: Span,
+        [Minimum] fall: ConfigDuration,
         /// Rest of a key after an attempt that may still run.
         #[serde(default)]
-        [Larger] order_pause: Span,
+        [Maximum] order_pause: ConfigDuration,
         /// Nothing new later than this after a drain was told.
         #[serde(default = "one_second")]
-        [Smaller] drain_grace: Span,
+        [Minimum] drain_grace: ConfigDuration,
     }
 }
 
 settings! {
     /// Settings and lists of the whole fleet.
     pub struct Document {
-        /// The form: [`FORM`].
-        [Larger] form: u32,
+        /// The form: [`FORMAT_VERSION`].
+        [Maximum] form: u32,
         /// Machine kinds and their cores.
-        [EachSmaller] kinds: BTreeMap<String, f64>,
+        [MinimumPerKey] kinds: BTreeMap<String, f64>,
         /// Zones.
         #[serde(default)]
-        [Known] zones: BTreeSet<String>,
+        [Intersection] zones: BTreeSet<String>,
         /// Tenants and their shares.
         #[serde(default)]
-        [EachTuning] tenants: BTreeMap<String, f64>,
+        [AdvisoryPerKey] tenants: BTreeMap<String, f64>,
         /// Classes by name.
-        [Each] classes: BTreeMap<String, Class>,
+        [MergePerKey] classes: BTreeMap<String, StatementClass>,
         /// The class of a statement that names none; none given: such a statement is refused.
         #[serde(default)]
-        [Agreed] default_class: Option<String>,
+        [EqualOrNone] default_class: Option<String>,
         /// What engines permit.
-        [Group] engines: Engines,
+        [Nested] engines: EngineSettings,
         /// Figures of the rules.
-        [Group] rules: Rules,
+        [Nested] rules: RuleParameters,
         /// Engines that may be used; none given: what each router finds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        [Bounded] list: Option<Roster>,
+        [MergeOptional] list: Option<EndpointList>,
         /// Tasks that one router does for all, each with the number of parts that are given out one by one.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-        [Done] tasks: BTreeMap<Task, u32>,
+        [TaskCounts] tasks: BTreeMap<Task, u32>,
     }
 }
 
 /// Who does a task binds no act on a statement; the one in force says which there are.
-struct Done;
+struct TaskCounts;
 
-impl crate::meet::Rule<BTreeMap<Task, u32>> for Done {
+impl crate::merge::MergeRule<BTreeMap<Task, u32>> for TaskCounts {
     const BINDS: bool = false;
-    fn meet(a: &BTreeMap<Task, u32>, b: &BTreeMap<Task, u32>) -> BTreeMap<Task, u32> {
+    fn merge(a: &BTreeMap<Task, u32>, b: &BTreeMap<Task, u32>) -> BTreeMap<Task, u32> {
         a.iter()
             .filter_map(|(task, n)| b.get(task).map(|m| (*task, *n.min(m))))
             .collect()
@@ -220,35 +223,36 @@
     true
 }
 
-fn one_second() -> Span {
-    Span::millis(1000)
+fn one_second() -> ConfigDuration {
+    ConfigDuration::from_millis(1000)
 }
 
 /// Something that makes a document unusable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flaw {
+pub struct ValidationError {
     /// Where: `classes.report.kinds`.
     pub path: String,
     /// What is wrong, with the rule that it would break where it is one of the seven.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub message: String,
 }
 
-impl std::fmt::Display for Flaw {
+impl std::fmt::Display for ValidationError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.path, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
 impl Document {
     /// Reads JSON. What it does not know is refused, not dropped.
-    pub fn read(bytes: &[u8]) -> Result<Document, Flaw> {
-        let whole = |what: String| Flaw {
+    pub fn from_json(bytes: &[u8]) -> Result<Document, ValidationError> {
+        let whole = |what: String| ValidationError {
             path: "(whole document)".into(),
-            what,
+            message: what,
         };
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_DOCUMENT_BYTES {
             return Err(whole(format!(
-                "is {} bytes, {MOST_BYTES} at most",
+                "is {} bytes, {MAX_DOCUMENT_BYTES} at most",
                 bytes.len()
             )));
         }
@@ -256,19 +260,19 @@
     }
 
     /// Its JSON: the same bytes for the same document, always.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         // Maps with text keys and finite numbers always have a JSON form.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
     /// The BLAKE3 digest of its JSON, in hexadecimal.
     pub fn digest(&self) -> String {
-        blake3::hash(&self.bytes()).to_hex().to_string()
+        blake3::hash(&self.to_json()).to_hex().to_string()
     }
 
     /// What contradicts neither. A place that one side does not know is no place; a class may be left without any.
-    pub fn meet(&self, other: &Document) -> Document {
-        let mut both = Meet::meet(self, other);
+    pub fn merge(&self, other: &Document) -> Document {
+        let mut both = Merge::merge(self, other);
         for class in both.classes.values_mut() {
             if let Some(kinds) = &mut class.kinds {
                 kinds.retain(|k| both.kinds.contains_key(k));
@@ -284,19 +288,19 @@
     /// Each setting in which `new` differs.
     pub fn differences(&self, new: &Document) -> Vec<Difference> {
         let mut all = Vec::new();
-        Meet::differences(self, new, "", &mut all);
+        Merge::differences(self, new, "", &mut all);
         all
     }
 
     /// How `new` relates to this one, all together.
-    pub fn change(&self, new: &Document) -> Change {
+    pub fn change_to(&self, new: &Document) -> Change {
         self.differences(new)
             .iter()
-            .fold(Change::Neutral, |all, d| all.and(d.change))
+            .fold(Change::Neutral, |all, d| all.combine(d.change))
     }
 
     /// Classes of a meet that no place is left for: path of the setting.
-    pub fn nowhere(&self) -> Vec<String> {
+    pub fn empty_placements(&self) -> Vec<String> {
         let mut all = Vec::new();
         if self.classes.is_empty() {
             all.push("classes".to_owned());
@@ -318,21 +322,21 @@
     }
 
     /// All that makes it unusable as a version.
-    pub fn flaws(&self) -> Vec<Flaw> {
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut all = Vec::new();
         let mut note = |path: String, what: &str| {
-            all.push(Flaw {
+            all.push(ValidationError {
                 path,
-                what: what.to_owned(),
+                message: what.to_owned(),
             })
         };
-        if self.form != FORM {
+        if self.form != FORMAT_VERSION {
             note(
                 "form".into(),
                 "is another form of the document than this program knows",
             );
         }
-        if self.classes.len() > MOST_CLASSES {
+        if self.classes.len() > MAX_CLASSES {
             note("classes".into(), "are more than 256");
         }
         let names = self
@@ -341,7 +345,7 @@
             .chain(self.kinds.keys())
             .chain(&self.zones)
             .chain(self.tenants.keys());
-        for name in names.filter(|n| n.is_empty() || n.len() > MOST_NAME) {
+        for name in names.filter(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
             note(format!("{name:.40?}"), "a name of 1 to 128 bytes is wanted");
         }
         for (kind, cores) in &self.kinds {
@@ -361,10 +365,10 @@
         {
             note("default_class".into(), "is no class of this document");
         }
-        if self.tasks.values().map(|n| u64::from(*n)).sum::<u64>() > MOST_LEASES as u64 {
+        if self.tasks.values().map(|n| u64::from(*n)).sum::<u64>() > MAX_LEASES as u64 {
             note("tasks".into(), "have more than 4096 parts");
         }
-        if self.tasks.get(&Task::List).is_some_and(|n| *n != 1)
+        if self.tasks.get(&Task::Discovery).is_some_and(|n| *n != 1)
             || self.tasks.values().any(|n| *n == 0)
         {
             note(
@@ -373,7 +377,7 @@
             );
         }
         for (name, class) in &self.classes {
-            self.class_flaws(name, class, &mut note);
+            self.class_errors(name, class, &mut note);
         }
         let (e, r) = (&self.engines, &self.rules);
         if e.max_attempts == 0 {
@@ -386,7 +390,7 @@
             let sound = [b.spare, b.ratio]
                 .iter()
                 .all(|n| n.is_finite() && *n >= 0.0);
-            if !sound || b.within == Span(0) {
+            if !sound || b.within == ConfigDuration(0) {
                 note(
                     "engines.budget".into(),
                     "wants numbers of 0 or more, within a span over 0 (rule 7)",
@@ -399,22 +403,27 @@
                 "is a part of the capacity, over 0 and up to 1 (rule 4)",
             );
         }
-        if !(r.overload.is_finite() && r.overload >= 1.0) || r.fall == Span(0) {
+        if !(r.overload.is_finite() && r.overload >= 1.0) || r.fall == ConfigDuration(0) {
             note(
                 "rules.overload".into(),
                 "must be 1 or more, for a rules.fall over 0 (rule 4)",
             );
         }
-        if self.list.as_ref().is_some_and(|l| l.0.len() > MOST_ENGINES) {
+        if self.list.as_ref().is_some_and(|l| l.0.len() > MAX_ENGINES) {
             note("list".into(), "names more than 10000 engines");
         }
-        for path in self.nowhere() {
+        for path in self.empty_placements() {
             note(path, "leaves no place at all (rule 6)");
         }
         all
     }
 
-    fn class_flaws(&self, name: &str, class: &Class, note: &mut impl FnMut(String, &str)) {
+    fn class_errors(
+        &self,
+        name: &str,
+        class: &StatementClass,
+        note: &mut impl FnMut(String, &str),
+    ) {
         let path = |key: &str| format!("classes.{name}.{key}");
         if !name
             .bytes()
@@ -435,25 +444,27 @@
         if class.late_worth > 1.0 {
             note(path("late_worth"), "is a part of the worth, 0 to 1");
         }
-        if class.aim == Span(0) || class.patience < class.aim {
+        if class.aim == ConfigDuration(0) || class.patience < class.aim {
             note(
                 path("patience"),
                 "must be the aim or more, and the aim over 0",
             );
         }
-        if class.patience < Span::millis(500) {
+        if class.patience < ConfigDuration::from_millis(500) {
             note(
                 path("patience"),
                 "is under 500ms: no final answer could come in time (rule 1)",
             );
         }
-        if class.holds && class.repeat == Repeat::Safe {
+        if class.holds && class.repeat == Idempotency::Idempotent {
             note(
                 path("repeat"),
                 "a class that holds tables while it loads them can't be safe to repeat (rule 2)",
             );
         }
-        if class.repeat == Repeat::Never && class.in_doubt == Some(InDoubt::Serve) {
+        if class.repeat == Idempotency::NonIdempotent
+            && class.in_doubt == Some(InDoubtPolicy::Serve)
+        {
             note(
                 path("in_doubt"),
                 "what must never run twice can't be served in doubt (rule 2)",
--- a/crates/coordination/src/span.rs
+++ b/crates/coordination/src/duration.rs
@@ -6,16 +6,16 @@
 
 /// A span in whole microseconds. Written as `1500ms`; any unit that settings know is read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub u64);
+pub struct ConfigDuration(pub u64);
 
-impl Span {
+impl ConfigDuration {
     /// So many milliseconds.
-    pub const fn millis(ms: u64) -> Span {
-        Span(ms * 1000)
+    pub const fn from_millis(ms: u64) -> ConfigDuration {
+        ConfigDuration(ms * 1000)
     }
 }
 
-impl std::fmt::Display for Span {
+impl std::fmt::Display for ConfigDuration {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 % 1000 {
             0 => write!(f, "{}ms", self.0 / 1000),
@@ -24,18 +24,18 @@
     }
 }
 
-impl Serialize for Span {
+impl Serialize for ConfigDuration {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         s.collect_str(self)
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Span, D::Error> {
+impl<'de> Deserialize<'de> for ConfigDuration {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<ConfigDuration, D::Error> {
         let text = String::deserialize(d)?;
         // Fractions of a microsecond in the text are rounded, so that what is written is read as the same.
         hoptiller_statement::client::duration(&text)
-            .map(|d: Duration| Span((d.as_nanos() as u64 + 500) / 1000))
+            .map(|d: Duration| ConfigDuration((d.as_nanos() as u64 + 500) / 1000))
             .ok_or_else(|| {
                 de::Error::custom(format!(
                     "{text:?} is no duration with its unit, such as '250ms' or '2m'"
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -13,33 +13,35 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::Holder;
-use crate::plant::{self, Plant};
+use crate::config_state::Holder;
+use crate::fault_injection::{self, Fault};
 
 /// Leases at most.
-pub const MOST_LEASES: usize = 4096;
+pub const MAX_LEASES: usize = 4096;
 /// Bytes of a note at most.
-pub const MOST_NOTE: usize = 1 << 20;
+pub const MAX_NOTE_BYTES: usize = 1 << 20;
 /// Questions in a row, each of which says that the answer before was heard, until a router is given leases: about as
 /// many as fit into one term.
-pub const SEASONED: u32 = 5;
+pub const MIN_CONSECUTIVE_RENEWALS: u32 = 5;
 
 /// A task that one router does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Task {
     /// Reads discovery.
-    List,
+    #[serde(rename = "list")]
+    Discovery,
     /// Asks engines how they are.
-    Probe,
+    #[serde(rename = "probe")]
+    HealthCheck,
 }
 
 impl Task {
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Task::List => "list",
-            Task::Probe => "probe",
+            Task::Discovery => "list",
+            Task::HealthCheck => "probe",
         }
     }
 }
@@ -47,38 +49,38 @@
 /// What a lease is for: a task, and which part of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
-pub struct Part {
+pub struct Shard {
     /// The task.
     pub task: Task,
     /// Which part, from 0.
-    pub shard: u32,
+    pub index: u32,
 }
 
-impl std::fmt::Display for Part {
+impl std::fmt::Display for Shard {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{}", self.task.name(), self.shard)
+        write!(f, "{}/{}", self.task.name(), self.index)
     }
 }
 
-impl From<Part> for String {
-    fn from(part: Part) -> String {
+impl From<Shard> for String {
+    fn from(part: Shard) -> String {
         part.to_string()
     }
 }
 
-impl TryFrom<String> for Part {
+impl TryFrom<String> for Shard {
     type Error = String;
 
-    fn try_from(text: String) -> Result<Part, String> {
+    fn try_from(text: String) -> Result<Shard, String> {
         let wrong = || format!("{text:?} is no part of a task, such as probe/3");
         let (task, shard) = text.split_once('/').ok_or_else(wrong)?;
-        let task = [Task::List, Task::Probe]
+        let task = [Task::Discovery, Task::HealthCheck]
             .into_iter()
             .find(|t| t.name() == task)
             .ok_or_else(wrong)?;
-        Ok(Part {
+        Ok(Shard {
             task,
-            shard: shard.parse().map_err(|_| wrong())?,
+            index: shard.parse().map_err(|_| wrong())?,
         })
     }
 }
@@ -86,35 +88,42 @@
 /// What a router says of leases with its question.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Offer {
+pub struct LeaseOffer {
     /// The count of the last prolonging whose answer it heard.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub acknowledged_serial: u64,
     /// Whether it takes leases; one that is about to end does not.
-    pub willing: bool,
+    #[serde(rename = "willing")]
+    pub accepts_leases: bool,
     /// Leases that it has stopped to act under for good, with their numbers.
-    pub released: Vec<(Part, u64)>,
+    pub released: Vec<(Shard, u64)>,
     /// Up to where it knows the board.
-    pub board: u64,
+    #[serde(rename = "board")]
+    pub table_revision: u64,
 }
 
 /// A lease, as its holder is told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Grant {
+pub struct TaskLeaseGrant {
     /// For what.
-    pub part: Part,
+    #[serde(rename = "part")]
+    pub shard: Shard,
     /// Its number.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// It is to be given back, as soon as what runs under it is done.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub release_requested: bool,
 }
 
 /// What all routers are told of a part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Posted {
+pub struct LeaseTableEntry {
     /// Of which.
-    pub part: Part,
+    #[serde(rename = "part")]
+    pub shard: Shard,
     /// Who holds it, and under which number.
     pub holder: Option<(Holder, u64)>,
     /// What its holder, or one before, noted last.
@@ -124,76 +133,89 @@
 /// What has changed of the board, for one who knew it up to some point.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Board {
+pub struct LeaseTableUpdate {
     /// Up to where it is known now.
-    pub upto: u64,
+    #[serde(rename = "upto")]
+    pub revision: u64,
     /// All parts that there are. Others are no more.
-    pub parts: Vec<Part>,
+    #[serde(rename = "parts")]
+    pub shards: Vec<Shard>,
     /// Parts that have changed.
-    pub posted: Vec<Posted>,
+    #[serde(rename = "posted")]
+    pub entries: Vec<LeaseTableEntry>,
 }
 
 /// A lease that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Lease {
     holder: Holder,
-    number: u64,
+    #[serde(rename = "number")]
+    fencing_token: u64,
     /// The count of its last prolonging.
     serial: u64,
-    leaving: bool,
+    #[serde(rename = "leaving")]
+    release_requested: bool,
 }
 
 /// One part of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Slot {
+struct LeaseSlot {
     lease: Option<Lease>,
     note: Option<String>,
     /// Who gave it back last: another is to try, if there is one.
-    #[serde(default)]
-    tried: Option<Holder>,
+    #[serde(rename = "tried", default)]
+    last_released_by: Option<Holder>,
     /// When it changed, by the board's count.
-    changed: u64,
+    #[serde(rename = "changed")]
+    changed_at_revision: u64,
 }
 
 /// A router that takes leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Taker {
+struct Candidate {
     /// The count of its last prolonging.
     serial: u64,
     /// Questions in a row that said that the answer before was heard.
-    in_row: u32,
+    #[serde(rename = "in_row")]
+    consecutive_renewals: u32,
 }
 
 /// Why a note is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum NotNoted {
+pub enum NoteError {
     /// The lease is another's by now.
-    Outdated,
+    #[serde(rename = "outdated")]
+    StaleToken,
     /// The text is too long.
     TooLong,
 }
 
 /// All leases of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Leases {
-    slots: BTreeMap<Part, Slot>,
-    #[serde(with = "crate::pairs")]
-    takers: BTreeMap<Holder, Taker>,
+pub struct LeaseTable {
+    slots: BTreeMap<Shard, LeaseSlot>,
+    #[serde(rename = "takers", with = "crate::map_as_pairs")]
+    candidates: BTreeMap<Holder, Candidate>,
     /// The last number given.
-    fence: u64,
+    #[serde(rename = "fence")]
+    last_fencing_token: u64,
     /// Counts changes of the board.
-    board: u64,
+    #[serde(rename = "board")]
+    revision: u64,
 }
 
-impl Leases {
+impl LeaseTable {
     /// The tasks that there are, each with its number of parts.
-    pub fn name(&mut self, tasks: &BTreeMap<Task, u32>) {
-        let parts = tasks
-            .iter()
-            .flat_map(|(task, n)| (0..*n).map(|shard| Part { task: *task, shard }));
-        let wanted: BTreeSet<Part> = parts.take(MOST_LEASES).collect();
-        let known: BTreeSet<Part> = self.slots.keys().copied().collect();
+    pub fn set_tasks(&mut self, tasks: &BTreeMap<Task, u32>) {
+        let parts = tasks.iter().flat_map(|(task, n)| {
+            (0..*n).map(|shard| Shard {
+                task: *task,
+                index: shard,
+            })
+        });
+        let wanted: BTreeSet<Shard> = parts.take(MAX_LEASES).collect();
+        let known: BTreeSet<Shard> = self.slots.keys().copied().collect();
         if wanted == known {
             return;
         }
@@ -202,15 +224,15 @@
             .retain(|part, slot| wanted.contains(part) || slot.lease.is_some());
         for (part, slot) in &mut self.slots {
             if let (false, Some(lease)) = (wanted.contains(part), &mut slot.lease) {
-                lease.leaving = true;
+                lease.release_requested = true;
             }
         }
-        self.board += 1;
+        self.revision += 1;
         for part in wanted {
-            let changed = self.board;
-            self.slots.entry(part).or_insert_with(|| Slot {
-                changed,
-                ..Slot::default()
+            let changed = self.revision;
+            self.slots.entry(part).or_insert_with(|| LeaseSlot {
+                changed_at_revision: changed,
+                ..LeaseSlot::default()
             });
         }
         self.balance();
@@ -218,48 +240,57 @@
 
     /// A router has asked; `serial` is the count of this prolonging. Returns its leases: `None`, where it has not heard the
     /// answer before, so that this one prolongs nothing either.
-    pub fn asked(&mut self, holder: &Holder, serial: u64, offer: &Offer) -> Option<Vec<Grant>> {
-        let taker = self.takers.entry(holder.clone()).or_default();
-        let hears = offer.heard == taker.serial && taker.serial > 0;
-        let was = taker.in_row;
-        taker.in_row = if hears {
-            taker.in_row.saturating_add(1).min(SEASONED)
+    pub fn renew(
+        &mut self,
+        holder: &Holder,
+        serial: u64,
+        offer: &LeaseOffer,
+    ) -> Option<Vec<TaskLeaseGrant>> {
+        let taker = self.candidates.entry(holder.clone()).or_default();
+        let hears = offer.acknowledged_serial == taker.serial && taker.serial > 0;
+        let was = taker.consecutive_renewals;
+        taker.consecutive_renewals = if hears {
+            taker
+                .consecutive_renewals
+                .saturating_add(1)
+                .min(MIN_CONSECUTIVE_RENEWALS)
         } else {
             0
         };
         taker.serial = serial;
-        let now = taker.in_row;
-        if !offer.willing {
-            taker.in_row = 0;
+        let now = taker.consecutive_renewals;
+        if !offer.accepts_leases {
+            taker.consecutive_renewals = 0;
         }
-        let mut changed = (was >= SEASONED) != (now >= SEASONED && offer.willing);
+        let mut changed = (was >= MIN_CONSECUTIVE_RENEWALS)
+            != (now >= MIN_CONSECUTIVE_RENEWALS && offer.accepts_leases);
         for (part, number) in &offer.released {
-            if self.free(part, |lease| {
-                lease.holder == *holder && lease.number == *number
+            if self.release_if(part, |lease| {
+                lease.holder == *holder && lease.fencing_token == *number
             }) {
                 changed = true;
                 let slot = self.slots.get_mut(part);
                 slot.into_iter()
-                    .for_each(|slot| slot.tried = Some(holder.clone()));
+                    .for_each(|slot| slot.last_released_by = Some(holder.clone()));
             }
         }
         if changed {
             self.balance();
         }
-        if !offer.willing {
+        if !offer.accepts_leases {
             let own = self.slots.values_mut().filter_map(|s| s.lease.as_mut());
             own.filter(|l| l.holder == *holder)
-                .for_each(|l| l.leaving = true);
+                .for_each(|l| l.release_requested = true);
         }
         hears.then(|| {
             let mut all = Vec::new();
             for (part, slot) in &mut self.slots {
                 if let Some(lease) = slot.lease.as_mut().filter(|l| l.holder == *holder) {
                     lease.serial = serial;
-                    all.push(Grant {
-                        part: *part,
-                        number: lease.number,
-                        leaving: lease.leaving,
+                    all.push(TaskLeaseGrant {
+                        shard: *part,
+                        fencing_token: lease.fencing_token,
+                        release_requested: lease.release_requested,
                     });
                 }
             }
@@ -268,12 +299,12 @@
     }
 
     /// A router acts no more, or may not: its permit is given back, or has run out.
-    pub fn gone(&mut self, holder: &Holder) {
-        let known = self.takers.remove(holder).is_some();
-        let held: Vec<Part> = self.slots.keys().copied().collect();
+    pub fn remove_holder(&mut self, holder: &Holder) {
+        let known = self.candidates.remove(holder).is_some();
+        let held: Vec<Shard> = self.slots.keys().copied().collect();
         let mut freed = false;
         for part in held {
-            freed |= self.free(&part, |lease| lease.holder == *holder);
+            freed |= self.release_if(&part, |lease| lease.holder == *holder);
         }
         if known || freed {
             self.balance();
@@ -281,7 +312,7 @@
     }
 
     /// Leases that have run out by a keeper's clock, each with the count of its last prolonging.
-    pub fn lapsed(&mut self, lapsed: &[(Part, u64)]) {
+    pub fn expire(&mut self, lapsed: &[(Shard, u64)]) {
         let mut freed = false;
         for (part, serial) in lapsed {
             // Danger: one that was prolonged after the keeper judged it is alive.
@@ -290,11 +321,11 @@
                 .get(part)
                 .and_then(|s| s.lease.as_ref())
                 .map(|l| l.holder.clone());
-            if self.free(part, |lease| lease.serial == *serial) {
+            if self.release_if(part, |lease| lease.serial == *serial) {
                 freed = true;
                 // Danger: one that is silent would get it back at once.
-                let silent = holder.and_then(|h| self.takers.get_mut(&h));
-                silent.into_iter().for_each(|t| t.in_row = 0);
+                let silent = holder.and_then(|h| self.candidates.get_mut(&h));
+                silent.into_iter().for_each(|t| t.consecutive_renewals = 0);
             }
         }
         if freed {
@@ -303,33 +334,33 @@
     }
 
     /// The holder of a lease notes how far it has come, for all routers and for the holder after it.
-    pub fn note(
+    pub fn record_note(
         &mut self,
         holder: &Holder,
-        part: &Part,
+        part: &Shard,
         number: u64,
         text: &str,
-    ) -> Result<(), NotNoted> {
-        if text.len() > MOST_NOTE {
-            return Err(NotNoted::TooLong);
+    ) -> Result<(), NoteError> {
+        if text.len() > MAX_NOTE_BYTES {
+            return Err(NoteError::TooLong);
         }
-        let slot = self.slots.get_mut(part).ok_or(NotNoted::Outdated)?;
+        let slot = self.slots.get_mut(part).ok_or(NoteError::StaleToken)?;
         // Danger: one that held it before may not undo what its successor has noted.
         if !slot
             .lease
             .as_ref()
-            .is_some_and(|l| l.holder == *holder && l.number == number)
+            .is_some_and(|l| l.holder == *holder && l.fencing_token == number)
         {
-            return Err(NotNoted::Outdated);
+            return Err(NoteError::StaleToken);
         }
         if slot.note.as_deref() != Some(text) {
-            self.board += 1;
-            (slot.note, slot.changed) = (Some(text.to_owned()), self.board);
+            self.revision += 1;
+            (slot.note, slot.changed_at_revision) = (Some(text.to_owned()), self.revision);
         }
         Ok(())
     }
 
-    fn free(&mut self, part: &Part, which: impl Fn(&Lease) -> bool) -> bool {
+    fn release_if(&mut self, part: &Shard, which: impl Fn(&Lease) -> bool) -> bool {
         let Some(slot) = self.slots.get_mut(part) else {
             return false;
         };
@@ -337,38 +368,41 @@
             return false;
         }
         slot.lease = None;
-        self.board += 1;
-        slot.changed = self.board;
+        self.revision += 1;
+        slot.changed_at_revision = self.revision;
         true
     }
 
     /// Gives what is free to those with the fewest, and asks those with the most for what others lack.
     fn balance(&mut self) {
         let mut counts: BTreeMap<Holder, u32> = self
-            .takers
+            .candidates
             .iter()
-            .filter(|(_, t)| t.in_row >= SEASONED)
+            .filter(|(_, t)| t.consecutive_renewals >= MIN_CONSECUTIVE_RENEWALS)
             .map(|(h, _)| (h.clone(), 0))
             .collect();
         for lease in self
             .slots
             .values()
             .filter_map(|s| s.lease.as_ref())
-            .filter(|l| !l.leaving)
+            .filter(|l| !l.release_requested)
         {
             counts.entry(lease.holder.clone()).and_modify(|n| *n += 1);
         }
         if counts.is_empty() {
             return;
         }
-        let free: Vec<Part> = self
+        let free: Vec<Shard> = self
             .slots
             .iter()
             .filter(|(_, s)| s.lease.is_none())
             .map(|(p, _)| *p)
             .collect();
         for part in free {
-            let tried = self.slots.get(&part).and_then(|s| s.tried.clone());
+            let tried = self
+                .slots
+                .get(&part)
+                .and_then(|s| s.last_released_by.clone());
             let burden = |(h, n): &(&Holder, &u32)| {
                 let again = tried.as_ref() == Some(*h);
                 (**n + u32::from(again), again, weight(&part, h))
@@ -377,29 +411,30 @@
                 return;
             };
             counts.entry(holder.clone()).and_modify(|n| *n += 1);
-            self.fence += 1;
-            let number = match plant::is(Plant::ForgetsNumbers) {
+            self.last_fencing_token += 1;
+            let number = match fault_injection::is_injected(Fault::ReuseFencingTokens) {
                 true => 1 + counts.values().map(|n| u64::from(*n)).sum::<u64>() % 2,
-                false => self.fence,
+                false => self.last_fencing_token,
             };
-            self.board += 1;
-            let changed = self.board;
-            if let (Some(slot), Some(taker)) = (self.slots.get_mut(&part), self.takers.get(&holder))
+            self.revision += 1;
+            let changed = self.revision;
+            if let (Some(slot), Some(taker)) =
+                (self.slots.get_mut(&part), self.candidates.get(&holder))
             {
                 slot.lease = Some(Lease {
                     holder,
-                    number,
+                    fencing_token: number,
                     serial: taker.serial,
-                    leaving: false,
+                    release_requested: false,
                 });
-                slot.changed = changed;
+                slot.changed_at_revision = changed;
             }
         }
         // What is on its way from one to another goes to those with the fewest: it is not asked for twice.
         let on_way = self
             .slots
             .values()
-            .filter(|s| s.lease.as_ref().is_some_and(|l| l.leaving))
+            .filter(|s| s.lease.as_ref().is_some_and(|l| l.release_requested))
             .count();
         for _ in 0..on_way {
             let fewest = counts
@@ -428,13 +463,13 @@
             let of_most = self
                 .slots
                 .iter_mut()
-                .filter(|(_, s)| s.tried.as_ref() != Some(&to));
+                .filter(|(_, s)| s.last_released_by.as_ref() != Some(&to));
             let of_most = of_most.filter_map(|(p, s)| Some((*p, s.lease.as_mut()?)));
-            let movable = of_most.filter(|(_, l)| l.holder == from && !l.leaving);
+            let movable = of_most.filter(|(_, l)| l.holder == from && !l.release_requested);
             let Some((_, lease)) = movable.max_by_key(|(p, _)| weight(p, &to)) else {
                 return;
             };
-            lease.leaving = true;
+            lease.release_requested = true;
             counts.entry(from).and_modify(|n| *n -= 1);
             counts.entry(to).and_modify(|n| *n += 1);
         }
@@ -443,33 +478,36 @@
     // ---- what is seen of it ---------------------------------------------------------------------
 
     /// What has changed of the board since a point.
-    pub fn board(&self, since: u64) -> Board {
-        let posted = |(part, slot): (&Part, &Slot)| Posted {
-            part: *part,
-            holder: slot.lease.as_ref().map(|l| (l.holder.clone(), l.number)),
+    pub fn updates_since(&self, since: u64) -> LeaseTableUpdate {
+        let posted = |(part, slot): (&Shard, &LeaseSlot)| LeaseTableEntry {
+            shard: *part,
+            holder: slot
+                .lease
+                .as_ref()
+                .map(|l| (l.holder.clone(), l.fencing_token)),
             note: slot.note.clone(),
         };
         // One that knows more than there is knew another fleet's.
-        let since = if since > self.board { 0 } else { since };
-        Board {
-            upto: self.board,
-            parts: self.slots.keys().copied().collect(),
-            posted: self
+        let since = if since > self.revision { 0 } else { since };
+        LeaseTableUpdate {
+            revision: self.revision,
+            shards: self.slots.keys().copied().collect(),
+            entries: self
                 .slots
                 .iter()
-                .filter(|(_, s)| s.changed > since)
+                .filter(|(_, s)| s.changed_at_revision > since)
                 .map(posted)
                 .collect(),
         }
     }
 
     /// Counts changes of the board.
-    pub fn upto(&self) -> u64 {
-        self.board
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Leases that are held, each with the count of its last prolonging.
-    pub fn held(&self) -> impl Iterator<Item = (Part, u64)> + '_ {
+    pub fn renewals(&self) -> impl Iterator<Item = (Shard, u64)> + '_ {
         self.slots
             .iter()
             .filter_map(|(part, slot)| slot.lease.as_ref().map(|l| (*part, l.serial)))
@@ -481,12 +519,12 @@
     }
 
     /// The last number that was given.
-    pub fn fence(&self) -> u64 {
-        self.fence
+    pub fn last_fencing_token(&self) -> u64 {
+        self.last_fencing_token
     }
 
     /// How many of these a router holds.
-    pub fn count(&self, holder: &Holder) -> usize {
+    pub fn count_held_by(&self, holder: &Holder) -> usize {
         self.slots
             .values()
             .filter(|s| s.lease.as_ref().is_some_and(|l| l.holder == *holder))
@@ -495,7 +533,7 @@
 }
 
 /// Which of several routers a part falls to, where they are alike otherwise: the same for all keepers, and spread.
-fn weight(part: &Part, holder: &Holder) -> [u8; 8] {
+fn weight(part: &Shard, holder: &Holder) -> [u8; 8] {
     let hash = blake3::hash(format!("{part} {}", holder.router).as_bytes());
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,27 +1,24 @@
-//! Settings and lists of a whole fleet, in numbered versions on which its routers agree, so that no two act on rules
-//! that contradict each other. Decisions only: no I/O, no clock, no threads; time is fed in.
-//!
-//! [`document`] holds the settings, [`meet`] what contradicts neither of two versions, [`fleet`] the state that keepers
-//! replicate, with the course of a change from proposed to in force, [`permit`] the times on both sides, [`follower`]
-//! a router's side, [`lease`] which router does a task for all, [`tenant`] its side of that, [`lists`] lists of engines that several have seen.
+//! Versioned configuration on which the routers of a fleet agree, and leases on tasks that one router performs for all.
+//! State machines only: no I/O, no clock, no threads; time is passed in.
 
-pub mod document;
-pub mod fleet;
-pub mod follower;
-pub mod lease;
-pub mod lists;
-pub mod meet;
-mod pairs;
-pub mod permit;
-pub mod plant;
-mod span;
-pub mod tenant;
+mod config_lease;
+mod config_state;
+mod config_watcher;
+mod document;
+mod duration;
+mod endpoint_list;
+pub mod fault_injection;
+mod lease_table;
+mod map_as_pairs;
+mod merge;
+mod task_lease_client;
 
-pub use document::{Document, Flaw};
-pub use fleet::{Act, Answer, Fleet, Granted, Holder, Number, Put, Refused, Version};
-pub use follower::Follower;
-pub use lease::{Leases, Offer, Part, Task};
-pub use meet::{Change, Difference, Meet};
-pub use permit::{Bounds, Micros, Permit, Terms};
-pub use span::Span;
-pub use tenant::{Right, Tenant};
+pub use config_lease::*;
+pub use config_state::*;
+pub use config_watcher::*;
+pub use document::*;
+pub use duration::ConfigDuration;
+pub use endpoint_list::*;
+pub use lease_table::*;
+pub use merge::{Change, Difference, Merge};
+pub use task_lease_client::*;
--- a/crates/coordination/src/meet.rs
+++ b/crates/coordination/src/merge.rs
@@ -19,26 +19,27 @@
     /// It permits more, and forbids nothing new.
     Looser,
     /// It forbids some and permits other.
-    Both,
+    #[serde(rename = "both")]
+    Mixed,
 }
 
 impl Change {
     /// Of two changes together.
-    pub fn and(self, other: Change) -> Change {
+    pub fn combine(self, other: Change) -> Change {
         match (self, other) {
             (a, b) if a == b => a,
             (Change::Neutral, x) | (x, Change::Neutral) => x,
-            _ => Change::Both,
+            _ => Change::Mixed,
         }
     }
 
     /// The word for people.
-    pub fn word(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Change::Neutral => "neutral",
             Change::Tighter => "tighter",
             Change::Looser => "looser",
-            Change::Both => "tighter in part, looser in part",
+            Change::Mixed => "tighter in part, looser in part",
         }
     }
 }
@@ -53,19 +54,19 @@
 }
 
 /// What has a meet, field by field.
-pub trait Meet: Sized {
+pub trait Merge: Sized {
     /// What contradicts neither side.
-    fn meet(&self, other: &Self) -> Self;
+    fn merge(&self, other: &Self) -> Self;
     /// Notes each setting in which `new` differs.
     fn differences(&self, new: &Self, path: &str, into: &mut Vec<Difference>);
 }
 
 /// A rule for values of a type.
-pub trait Rule<T> {
+pub trait MergeRule<T> {
     /// Whether values that differ contradict each other.
     const BINDS: bool = true;
     /// What contradicts neither.
-    fn meet(a: &T, b: &T) -> T;
+    fn merge(a: &T, b: &T) -> T;
     /// Notes how `new` differs.
     fn differences(old: &T, new: &T, path: &str, into: &mut Vec<Difference>)
     where
@@ -74,12 +75,12 @@
         if old == new {
             return;
         }
-        let meet = Self::meet(old, new);
+        let meet = Self::merge(old, new);
         let change = match Self::BINDS {
             false => Change::Neutral,
             true if meet == *new => Change::Tighter,
             true if meet == *old => Change::Looser,
-            true => Change::Both,
+            true => Change::Mixed,
         };
         into.push(Difference {
             path: path.to_owned(),
@@ -89,77 +90,77 @@
 }
 
 /// Binds nobody: how what is permitted is weighed. The smaller value stands until the change is in force.
-pub struct Tuning;
+pub struct Advisory;
 /// The smaller limit.
-pub struct Smaller;
+pub struct Minimum;
 /// The larger limit.
-pub struct Larger;
+pub struct Maximum;
 /// True if either says so.
-pub struct Either;
+pub struct LogicalOr;
 /// True only if both say so.
-pub struct Both;
+pub struct LogicalAnd;
 /// The stricter word; words are declared from lax to strict.
-pub struct Stricter;
+pub struct Strictest;
 /// Places that both permit; none given permits all.
-pub struct Places;
+pub struct OptionalIntersection;
 /// Names that both know.
-pub struct Known;
+pub struct Intersection;
 /// A name on which both agree, or none.
-pub struct Agreed;
+pub struct EqualOrNone;
 /// Of the names that both know, the smaller number.
-pub struct EachSmaller;
+pub struct MinimumPerKey;
 /// Of the names that both know; the number binds nobody.
-pub struct EachTuning;
+pub struct AdvisoryPerKey;
 /// Of the names that both know, the meet of what they stand for.
-pub struct Each;
+pub struct MergePerKey;
 /// No bound where neither has one; else the meet of the bounds.
-pub struct Bounded;
+pub struct MergeOptional;
 /// A group of settings, each with its own rule.
-pub struct Group;
+pub struct Nested;
 
 fn least<T: PartialOrd + Copy>(a: &T, b: &T) -> T {
     if b < a { *b } else { *a }
 }
 
-impl<T: PartialOrd + Copy> Rule<T> for Tuning {
+impl<T: PartialOrd + Copy> MergeRule<T> for Advisory {
     const BINDS: bool = false;
-    fn meet(a: &T, b: &T) -> T {
+    fn merge(a: &T, b: &T) -> T {
         least(a, b)
     }
 }
 
-impl<T: PartialOrd + Copy> Rule<T> for Smaller {
-    fn meet(a: &T, b: &T) -> T {
+impl<T: PartialOrd + Copy> MergeRule<T> for Minimum {
+    fn merge(a: &T, b: &T) -> T {
         least(a, b)
     }
 }
 
-impl<T: PartialOrd + Copy> Rule<T> for Larger {
-    fn meet(a: &T, b: &T) -> T {
+impl<T: PartialOrd + Copy> MergeRule<T> for Maximum {
+    fn merge(a: &T, b: &T) -> T {
         if b > a { *b } else { *a }
     }
 }
 
-impl Rule<bool> for Either {
-    fn meet(a: &bool, b: &bool) -> bool {
+impl MergeRule<bool> for LogicalOr {
+    fn merge(a: &bool, b: &bool) -> bool {
         *a || *b
     }
 }
 
-impl Rule<bool> for Both {
-    fn meet(a: &bool, b: &bool) -> bool {
+impl MergeRule<bool> for LogicalAnd {
+    fn merge(a: &bool, b: &bool) -> bool {
         *a && *b
     }
 }
 
-impl<T: Ord + Copy> Rule<T> for Stricter {
-    fn meet(a: &T, b: &T) -> T {
+impl<T: Ord + Copy> MergeRule<T> for Strictest {
+    fn merge(a: &T, b: &T) -> T {
         *a.max(b)
     }
 }
 
-impl Rule<Option<BTreeSet<String>>> for Places {
-    fn meet(
+impl MergeRule<Option<BTreeSet<String>>> for OptionalIntersection {
+    fn merge(
         a: &Option<BTreeSet<String>>,
         b: &Option<BTreeSet<String>>,
     ) -> Option<BTreeSet<String>> {
@@ -171,19 +172,19 @@
     }
 }
 
-impl Rule<BTreeSet<String>> for Known {
-    fn meet(a: &BTreeSet<String>, b: &BTreeSet<String>) -> BTreeSet<String> {
+impl MergeRule<BTreeSet<String>> for Intersection {
+    fn merge(a: &BTreeSet<String>, b: &BTreeSet<String>) -> BTreeSet<String> {
         a & b
     }
 }
 
-impl Rule<Option<String>> for Agreed {
-    fn meet(a: &Option<String>, b: &Option<String>) -> Option<String> {
+impl MergeRule<Option<String>> for EqualOrNone {
+    fn merge(a: &Option<String>, b: &Option<String>) -> Option<String> {
         a.clone().filter(|_| a == b)
     }
 }
 
-type Numbers = BTreeMap<String, f64>;
+type NumbersByName = BTreeMap<String, f64>;
 
 fn each<V: Clone>(
     a: &BTreeMap<String, V>,
@@ -222,27 +223,49 @@
     }
 }
 
-impl Rule<Numbers> for EachSmaller {
-    fn meet(a: &Numbers, b: &Numbers) -> Numbers {
+impl MergeRule<NumbersByName> for MinimumPerKey {
+    fn merge(a: &NumbersByName, b: &NumbersByName) -> NumbersByName {
         each(a, b, least)
     }
-    fn differences(old: &Numbers, new: &Numbers, path: &str, into: &mut Vec<Difference>) {
-        each_difference(old, new, path, into, <Smaller as Rule<f64>>::differences);
+    fn differences(
+        old: &NumbersByName,
+        new: &NumbersByName,
+        path: &str,
+        into: &mut Vec<Difference>,
+    ) {
+        each_difference(
+            old,
+            new,
+            path,
+            into,
+            <Minimum as MergeRule<f64>>::differences,
+        );
     }
 }
 
-impl Rule<Numbers> for EachTuning {
-    fn meet(a: &Numbers, b: &Numbers) -> Numbers {
+impl MergeRule<NumbersByName> for AdvisoryPerKey {
+    fn merge(a: &NumbersByName, b: &NumbersByName) -> NumbersByName {
         each(a, b, least)
     }
-    fn differences(old: &Numbers, new: &Numbers, path: &str, into: &mut Vec<Difference>) {
-        each_difference(old, new, path, into, <Tuning as Rule<f64>>::differences);
+    fn differences(
+        old: &NumbersByName,
+        new: &NumbersByName,
+        path: &str,
+        into: &mut Vec<Difference>,
+    ) {
+        each_difference(
+            old,
+            new,
+            path,
+            into,
+            <Advisory as MergeRule<f64>>::differences,
+        );
     }
 }
 
-impl<V: Meet + Clone + PartialEq> Rule<BTreeMap<String, V>> for Each {
-    fn meet(a: &BTreeMap<String, V>, b: &BTreeMap<String, V>) -> BTreeMap<String, V> {
-        each(a, b, V::meet)
+impl<V: Merge + Clone + PartialEq> MergeRule<BTreeMap<String, V>> for MergePerKey {
+    fn merge(a: &BTreeMap<String, V>, b: &BTreeMap<String, V>) -> BTreeMap<String, V> {
+        each(a, b, V::merge)
     }
     fn differences(
         old: &BTreeMap<String, V>,
@@ -254,10 +277,10 @@
     }
 }
 
-impl<V: Meet + Clone + PartialEq> Rule<Option<V>> for Bounded {
-    fn meet(a: &Option<V>, b: &Option<V>) -> Option<V> {
+impl<V: Merge + Clone + PartialEq> MergeRule<Option<V>> for MergeOptional {
+    fn merge(a: &Option<V>, b: &Option<V>) -> Option<V> {
         match (a, b) {
-            (Some(a), Some(b)) => Some(a.meet(b)),
+            (Some(a), Some(b)) => Some(a.merge(b)),
             (Some(one), None) | (None, Some(one)) => Some(one.clone()),
             (None, None) => None,
         }
@@ -278,9 +301,9 @@
     }
 }
 
-impl<T: Meet + PartialEq> Rule<T> for Group {
-    fn meet(a: &T, b: &T) -> T {
-        a.meet(b)
+impl<T: Merge + PartialEq> MergeRule<T> for Nested {
+    fn merge(a: &T, b: &T) -> T {
+        a.merge(b)
     }
     fn differences(old: &T, new: &T, path: &str, into: &mut Vec<Difference>) {
         old.differences(new, path, into);
@@ -299,16 +322,16 @@
             $($(#[$inner])* pub $field: $type,)*
         }
 
-        impl $crate::meet::Meet for $name {
-            fn meet(&self, other: &Self) -> Self {
-                use $crate::meet::*;
-                $name { $($field: <$rule as Rule<$type>>::meet(&self.$field, &other.$field),)* }
+        impl $crate::merge::Merge for $name {
+            fn merge(&self, other: &Self) -> Self {
+                use $crate::merge::*;
+                $name { $($field: <$rule as MergeRule<$type>>::merge(&self.$field, &other.$field),)* }
             }
 
-            fn differences(&self, new: &Self, path: &str, into: &mut Vec<$crate::meet::Difference>) {
-                use $crate::meet::*;
+            fn differences(&self, new: &Self, path: &str, into: &mut Vec<$crate::merge::Difference>) {
+                use $crate::merge::*;
                 let at = |field: &str| if path.is_empty() { field.to_owned() } else { format!("{path}.{field}") };
-                $(<$rule as Rule<$type>>::differences(&self.$field, &new.$field, &at(stringify!($field)), into);)*
+                $(<$rule as MergeRule<$type>>::differences(&self.$field, &new.$field, &at(stringify!($field)), into);)*
             }
         }
     };
--- a/crates/coordination/tests/meet.rs
+++ b/crates/coordination/tests/meet.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::document;
-use hoptiller_coordination::document::{Budget, Class, InDoubt, Repeat};
-use hoptiller_coordination::lists::{Member, Roster, Seen, Standing};
-use hoptiller_coordination::{Change, Document, Span};
+use hoptiller_coordination::{Change, ConfigDuration, Document};
+use hoptiller_coordination::{Endpoint, EndpointList, EndpointSources, EngineState};
+use hoptiller_coordination::{Idempotency, InDoubtPolicy, RetryBudget, StatementClass};
 use proptest::prelude::*;
 
 fn some_of(names: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<String>> {
@@ -19,8 +19,8 @@
     (1u32..5).prop_map(f64::from)
 }
 
-fn span() -> impl Strategy<Value = Span> {
-    (1u64..5).prop_map(|s| Span::millis(s * 1000))
+fn span() -> impl Strategy<Value = ConfigDuration> {
+    (1u64..5).prop_map(|s| ConfigDuration::from_millis(s * 1000))
 }
 
 prop_compose! {
@@ -28,28 +28,31 @@
         aim in span(), patience in span(), never in any::<bool>(), in_order in any::<bool>(), worth in number(),
         threads in number(), holds in any::<bool>(), kinds in proptest::option::of(some_of(&["a", "b", "c"])),
         zones in proptest::option::of(some_of(&["x", "y"])), doubt in 0..3,
-    ) -> Class {
-        Class {
+    ) -> StatementClass {
+        StatementClass {
             aim, patience, in_order, worth, threads, holds, kinds, zones,
             stretch: 0.0,
             late_worth: 0.5,
-            repeat: if never { Repeat::Never } else { Repeat::Safe },
-            in_doubt: [None, Some(InDoubt::Serve), Some(InDoubt::Refuse)][doubt as usize],
+            repeat: if never { Idempotency::NonIdempotent } else { Idempotency::Idempotent },
+            in_doubt: [None, Some(InDoubtPolicy::Serve), Some(InDoubtPolicy::Reject)][doubt as usize],
         }
     }
 }
 
-fn member() -> impl Strategy<Value = Member> {
+fn member() -> impl Strategy<Value = Endpoint> {
     let standing = prop_oneof![
-        Just(Standing::Up),
-        Just(Standing::Draining),
-        Just(Standing::Gone)
+        Just(EngineState::Up),
+        Just(EngineState::Draining),
+        Just(EngineState::Gone)
     ];
-    (1u64..4, standing).prop_map(|(started, standing)| Member { started, standing })
+    (1u64..4, standing).prop_map(|(started, standing)| Endpoint {
+        started_at_ms: started,
+        state: standing,
+    })
 }
 
-fn roster() -> impl Strategy<Value = Roster> {
-    proptest::collection::btree_map("[ef]", member(), 0..3).prop_map(Roster)
+fn roster() -> impl Strategy<Value = EndpointList> {
+    proptest::collection::btree_map("[ef]", member(), 0..3).prop_map(EndpointList)
 }
 
 prop_compose! {
@@ -66,14 +69,14 @@
         d.classes = classes;
         d.default_class = default;
         d.engines.max_attempts = attempts;
-        d.engines.budget = budget.map(|(spare, within)| Budget { spare, ratio: 0.1, within });
+        d.engines.budget = budget.map(|(spare, within)| RetryBudget { spare, ratio: 0.1, within });
         let e = &mut d.engines;
         [e.probes, e.cancel, e.priorities, e.ends, e.pauses] = flags;
         d.rules.overload = overload;
         d.rules.order_pause = pause;
         d.list = list;
         // A document in force names only places that it knows.
-        d.meet(&d)
+        d.merge(&d)
     }
 }
 
@@ -87,7 +90,7 @@
         (Some(s), None) => s.iter().all(known),
         (None, None) => true,
     };
-    let class = |(name, s): (&String, &Class)| {
+    let class = |(name, s): (&String, &StatementClass)| {
         let Some(l) = lax.classes.get(name) else {
             return false;
         };
@@ -96,7 +99,8 @@
             && s.in_order >= l.in_order
             && s.holds >= l.holds
             && s.threads >= l.threads
-            && (s.in_doubt() == InDoubt::Refuse || l.in_doubt() == InDoubt::Serve)
+            && (s.in_doubt_policy() == InDoubtPolicy::Reject
+                || l.in_doubt_policy() == InDoubtPolicy::Serve)
             && places(&s.kinds, &l.kinds, &|k| lax.kinds.contains_key(k))
             && places(&s.zones, &l.zones, &|z| lax.zones.contains(z))
     };
@@ -106,7 +110,7 @@
         (None, Some(_)) => false,
         _ => true,
     };
-    let flags = |e: &hoptiller_coordination::document::Engines| {
+    let flags = |e: &hoptiller_coordination::EngineSettings| {
         [e.probes, e.cancel, e.priorities, e.ends, e.pauses]
     };
     let list = match (&strict.list, &lax.list) {
@@ -114,7 +118,8 @@
         // Of one process, work is taken only where both say so; of a newer one the newer word holds.
         (Some(s), Some(l)) => s.0.iter().all(|(name, s)| {
             l.0.get(name).is_some_and(|l| {
-                s.started > l.started || (s.started == l.started && s.standing >= l.standing)
+                s.started_at_ms > l.started_at_ms
+                    || (s.started_at_ms == l.started_at_ms && s.state >= l.state)
             })
         }),
         _ => true,
@@ -144,41 +149,41 @@
 
     #[test]
     fn the_meet_is_a_semilattice_and_never_looser(a in documents(), b in documents(), c in documents()) {
-        prop_assert_eq!(&a.meet(&b), &b.meet(&a));
-        prop_assert_eq!(a.meet(&b).meet(&c), a.meet(&b.meet(&c)));
-        prop_assert_eq!(&a.meet(&a), &a);
-        let meet = a.meet(&b);
+        prop_assert_eq!(&a.merge(&b), &b.merge(&a));
+        prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
+        prop_assert_eq!(&a.merge(&a), &a);
+        let meet = a.merge(&b);
         prop_assert!(within(&meet, &a) && within(&meet, &b), "{meet:?}");
     }
 
     #[test]
     fn a_change_is_told_for_what_it_is(a in documents(), b in documents()) {
-        match a.change(&b) {
+        match a.change_to(&b) {
             Change::Neutral => prop_assert!(within(&a, &b) && within(&b, &a)),
             Change::Tighter => prop_assert!(within(&b, &a)),
             Change::Looser => prop_assert!(within(&a, &b)),
-            Change::Both => {}
+            Change::Mixed => {}
         }
         prop_assert_eq!(a.differences(&b).is_empty(), a == b);
     }
 
     #[test]
     fn a_document_is_read_as_it_was_written(a in documents()) {
-        let read = Document::read(&a.bytes()).expect("readable");
+        let read = Document::from_json(&a.to_json()).expect("readable");
         prop_assert_eq!(read.digest(), a.digest());
         prop_assert_eq!(read, a);
     }
 
     #[test]
     fn lists_have_one_sum_in_whatever_order_they_come(a in roster(), b in roster(), c in roster()) {
-        let sum = |order: [&Roster; 3]| {
-            let mut seen = Seen::default();
+        let sum = |order: [&EndpointList; 3]| {
+            let mut seen = EndpointSources::default();
             for (at, list) in order.into_iter().enumerate() {
                 // The same source tells under the same name, whatever the order.
                 let source = [&a, &b, &c].iter().position(|l| std::ptr::eq(*l, list)).unwrap_or(at);
-                seen.tell(&source.to_string(), list.clone());
+                seen.update(&source.to_string(), list.clone());
             }
-            seen.sum().clone()
+            seen.merged().clone()
         };
         prop_assert_eq!(sum([&a, &b, &c]), sum([&c, &a, &b]));
     }
@@ -193,17 +198,17 @@
     };
     report(&mut a, &["a", "b"]);
     report(&mut b, &["b"]);
-    b.classes.get_mut("lookup").expect("there").repeat = Repeat::Never;
+    b.classes.get_mut("lookup").expect("there").repeat = Idempotency::NonIdempotent;
     a.classes.get_mut("lookup").expect("there").in_order = true;
     (a.engines.max_attempts, b.engines.max_attempts) = (2, 3);
     b.classes.remove("load");
     b.default_class = Some("report".into());
-    let meet = a.meet(&b);
+    let meet = a.merge(&b);
     assert_eq!(
         meet.classes["report"].kinds,
         Some(BTreeSet::from(["b".to_owned()]))
     );
-    assert_eq!(meet.classes["lookup"].repeat, Repeat::Never);
+    assert_eq!(meet.classes["lookup"].repeat, Idempotency::NonIdempotent);
     assert!(meet.classes["lookup"].in_order && !meet.classes.contains_key("load"));
     assert_eq!(
         (meet.engines.max_attempts, meet.default_class.as_ref()),
@@ -218,11 +223,11 @@
     assert_eq!(changed["classes.report.kinds"], Change::Tighter);
     assert_eq!(changed["classes.lookup.in_order"], Change::Looser);
     assert_eq!(changed["engines.max_attempts"], Change::Looser);
-    assert_eq!(a.change(&b), Change::Both);
+    assert_eq!(a.change_to(&b), Change::Mixed);
     b = a.clone();
     b.classes.get_mut("report").expect("there").worth = 9.0;
     assert_eq!(
-        a.change(&b),
+        a.change_to(&b),
         Change::Neutral,
         "what an answer is worth binds nobody"
     );
@@ -230,23 +235,24 @@
 
 #[test]
 fn an_unknown_setting_is_refused_and_not_dropped() {
-    let mut value: serde_json::Value = serde_json::from_slice(&document().bytes()).expect("json");
+    let mut value: serde_json::Value = serde_json::from_slice(&document().to_json()).expect("json");
     value["engines"]["teleports"] = true.into();
-    let flaw = Document::read(&serde_json::to_vec(&value).expect("json")).expect_err("refused");
-    assert!(flaw.what.contains("teleports"), "{flaw}");
+    let flaw =
+        Document::from_json(&serde_json::to_vec(&value).expect("json")).expect_err("refused");
+    assert!(flaw.message.contains("teleports"), "{flaw}");
     let mut later = document();
     later.form = 2;
-    assert_eq!(later.flaws().len(), 1);
+    assert_eq!(later.validation_errors().len(), 1);
 }
 
 #[test]
 fn flaws_name_the_rule_that_they_would_break() {
     let mut d = document();
-    d.classes.get_mut("load").expect("there").in_doubt = Some(InDoubt::Serve);
+    d.classes.get_mut("load").expect("there").in_doubt = Some(InDoubtPolicy::Serve);
     d.classes.get_mut("report").expect("there").kinds = Some(BTreeSet::from(["q".to_owned()]));
     d.engines.max_attempts = 0;
     d.rules.overload = 0.5;
-    let flaws = d.flaws();
+    let flaws = d.validation_errors();
     for (path, rule) in [
         ("classes.load.in_doubt", "rule 2"),
         ("classes.report.kinds", "rule 6"),
@@ -255,60 +261,63 @@
     ] {
         let found = flaws
             .iter()
-            .any(|f| f.path == path && f.what.contains(rule));
+            .any(|f| f.path == path && f.message.contains(rule));
         assert!(found, "{path} in {flaws:?}");
     }
-    assert!(document().flaws().is_empty());
+    assert!(document().validation_errors().is_empty());
 }
 
 #[test]
 fn a_list_that_goes_back_or_is_disputed_keeps_what_was_known() {
-    let list = |all: &[(&str, u64, Standing)]| {
-        Roster(
+    let list = |all: &[(&str, u64, EngineState)]| {
+        EndpointList(
             all.iter()
                 .map(|(n, started, standing)| {
                     (
                         (*n).to_owned(),
-                        Member {
-                            started: *started,
-                            standing: *standing,
+                        Endpoint {
+                            started_at_ms: *started,
+                            state: *standing,
                         },
                     )
                 })
                 .collect(),
         )
     };
-    let mut seen = Seen::default();
+    let mut seen = EndpointSources::default();
     assert!(
-        seen.tell(
+        seen.update(
             "r1",
-            list(&[("e", 50_000, Standing::Draining), ("f", 1, Standing::Up)])
+            list(&[
+                ("e", 50_000, EngineState::Draining),
+                ("f", 1, EngineState::Up)
+            ])
         )
         .changed
     );
-    let told = seen.tell("r2", list(&[("e", 50_000, Standing::Up)]));
+    let told = seen.update("r2", list(&[("e", 50_000, EngineState::Up)]));
     assert_eq!(
-        (told.went_back, told.disputed),
+        (told.regressed, told.conflicting),
         (vec!["e".to_owned()], vec!["e".to_owned()])
     );
     assert!(
-        !seen.sum().takes_work("e", 50_000),
+        !seen.merged().accepts_work("e", 50_000),
         "a drain that one has seen stands"
     );
-    assert_eq!(seen.seen_by_one(), ["f"]);
+    assert_eq!(seen.single_source_endpoints(), ["f"]);
     // A newer process under the name takes work, also where one list is late.
-    seen.tell("r2", list(&[("e", 90_000, Standing::Up)]));
-    assert!(seen.sum().takes_work("e", 90_000) && !seen.sum().takes_work("e", 50_000));
+    seen.update("r2", list(&[("e", 90_000, EngineState::Up)]));
+    assert!(seen.merged().accepts_work("e", 90_000) && !seen.merged().accepts_work("e", 50_000));
     // What nobody names any more is gone, and an old list does not bring it back.
-    seen.tell("r1", list(&[("e", 90_000, Standing::Up)]));
-    assert!(!seen.sum().takes_work("f", 1));
+    seen.update("r1", list(&[("e", 90_000, EngineState::Up)]));
+    assert!(!seen.merged().accepts_work("f", 1));
     assert_eq!(
-        seen.tell(
+        seen.update(
             "r2",
-            list(&[("f", 1, Standing::Up), ("e", 90_000, Standing::Up)])
+            list(&[("f", 1, EngineState::Up), ("e", 90_000, EngineState::Up)])
         )
-        .went_back,
+        .regressed,
         ["f"]
     );
-    assert!(!seen.sum().takes_work("f", 1));
+    assert!(!seen.merged().accepts_work("f", 1));
 }
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-use hoptiller_coordination::{Act, Answer, Document, Fleet};
+use hoptiller_coordination::{Command, CommandResponse, ConfigState, Document};
 
 fn fixture(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -27,32 +27,32 @@
     serde_json::to_string(value).expect("it has a JSON form")
 }
 
-fn answer_line(answer: &Answer) -> String {
+fn answer_line(answer: &CommandResponse) -> String {
     match answer {
-        Answer::Put(result) => format!("put {}", json(result)),
-        Answer::Granted(granted) => format!("granted {}", json(granted)),
-        Answer::Noted(result) => format!("noted {}", json(result)),
-        Answer::Settled(number) => format!("settled {number}"),
-        Answer::Ahead => "ahead".to_owned(),
-        Answer::Empty => "empty".to_owned(),
-        Answer::Crowded => "crowded".to_owned(),
-        Answer::GivenBack => "given back".to_owned(),
+        CommandResponse::Proposed(result) => format!("put {}", json(result)),
+        CommandResponse::LeaseGranted(granted) => format!("granted {}", json(granted)),
+        CommandResponse::NoteRecorded(result) => format!("noted {}", json(result)),
+        CommandResponse::InForce(number) => format!("settled {number}"),
+        CommandResponse::UnknownVersion => "ahead".to_owned(),
+        CommandResponse::NoVersion => "empty".to_owned(),
+        CommandResponse::TooManyHolders => "crowded".to_owned(),
+        CommandResponse::LeaseReleased => "given back".to_owned(),
     }
 }
 
 #[test]
 fn stored_acts_are_written_with_the_same_bytes_and_lead_to_the_same_state() {
-    let mut fleet = Fleet::default();
+    let mut fleet = ConfigState::default();
     let (mut acts, mut answers) = (String::new(), String::new());
     for line in read("acts.jsonl").lines() {
-        let act: Act = serde_json::from_str(line).expect("a stored act can be read");
+        let act: Command = serde_json::from_str(line).expect("a stored act can be read");
         let _ = writeln!(acts, "{}", json(&act));
         let _ = writeln!(answers, "{}", answer_line(&fleet.apply(act)));
     }
     assert_pinned("acts.jsonl", &acts);
     assert_pinned("answers.txt", &answers);
     assert_pinned("state.json", &json(&fleet));
-    let restored: Fleet =
+    let restored: ConfigState =
         serde_json::from_str(&read("state.json")).expect("a stored state can be read");
     assert_eq!(restored, fleet);
 }
@@ -64,13 +64,13 @@
     let mut pinned = String::new();
     for version in state["course"].as_array().expect("versions") {
         let bytes = version["document"].to_string();
-        let document = Document::read(bytes.as_bytes()).expect("a good document");
+        let document = Document::from_json(bytes.as_bytes()).expect("a good document");
         assert_eq!(version["head"]["digest"], document.digest());
         let _ = writeln!(
             pinned,
             "{} {}",
             document.digest(),
-            String::from_utf8_lossy(&document.bytes())
+            String::from_utf8_lossy(&document.to_json())
         );
     }
     assert_pinned("documents.txt", &pinned);
--- a/crates/fault-harness/src/crowd.rs
+++ b/crates/fault-harness/src/crowd.rs
@@ -11,7 +11,7 @@
 
 use async_io::Timer;
 use hoptiller_audit::Recorder;
-use hoptiller_coordination::Span;
+use hoptiller_coordination::ConfigDuration;
 use hoptiller_mock_servers::client::{Ask, Client, Manner};
 use serde::Deserialize;
 
@@ -26,7 +26,7 @@
     /// Their text.
     pub text: String,
     /// How long clients wait.
-    pub patience: Span,
+    pub patience: ConfigDuration,
 }
 
 /// The clients.
@@ -36,7 +36,7 @@
     /// How many.
     pub count: u64,
     /// Pause between two statements.
-    pub pause: Span,
+    pub pause: ConfigDuration,
     /// What they want.
     pub mix: Vec<Mix>,
 }
--- a/crates/fault-harness/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_audit::{Class, Rules};
-use hoptiller_coordination::document::Repeat;
-use hoptiller_coordination::fleet::Head;
-use hoptiller_coordination::{Change, Document, Span};
+use hoptiller_coordination::Idempotency;
+use hoptiller_coordination::VersionMetadata;
+use hoptiller_coordination::{Change, ConfigDuration, Document};
 use hoptiller_coordination_client::wire::{Numbers, PutAnswer};
 use serde::Deserialize;
 
@@ -63,7 +63,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Timed {
     /// From the beginning of the day.
-    pub at: Span,
+    pub at: ConfigDuration,
     /// What.
     #[serde(rename = "do")]
     pub what: Happens,
@@ -74,7 +74,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Day {
     /// How long it lasts.
-    pub lasts: Span,
+    pub lasts: ConfigDuration,
     /// Documents by name; `first` is in force when routers start.
     pub documents: BTreeMap<String, Document>,
     /// Who asks.
@@ -84,7 +84,7 @@
     pub acts: Vec<Timed>,
     /// Beside `acts`, something is drawn from the seed after each such pause; none where it is absent.
     #[serde(default)]
-    pub random_every: Option<Span>,
+    pub random_every: Option<ConfigDuration>,
 }
 
 /// What came of a day, beside the records.
@@ -116,7 +116,7 @@
         for document in self.documents.values() {
             for (name, class) in &document.classes {
                 let kinds: BTreeSet<String> = class.kinds.clone().unwrap_or_default();
-                let never_twice = class.repeat == Repeat::Never;
+                let never_twice = class.repeat == Idempotency::NonIdempotent;
                 let known = rules.classes.entry(name.clone()).or_insert_with(|| Class {
                     never_twice,
                     in_order: false,
@@ -250,7 +250,7 @@
             let end = if long { every * 2 } else { every * 4 / 5 };
             let mut add = |after: u64, what: Happens| {
                 all.push(Timed {
-                    at: Span(at + after),
+                    at: ConfigDuration(at + after),
                     what,
                 })
             };
@@ -436,7 +436,7 @@
 }
 
 /// Heads of all versions that keepers keep.
-fn heads(stage: &Stage) -> Vec<Head> {
+fn heads(stage: &Stage) -> Vec<VersionMetadata> {
     let Ok(keepers) = stage.keepers() else {
         return Vec::new();
     };
--- a/crates/fault-harness/src/stage.rs
+++ b/crates/fault-harness/src/stage.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_audit::{Record, Recorder, now as wall};
-use hoptiller_coordination::{Document, Put};
+use hoptiller_coordination::{Document, Proposal};
 use hoptiller_coordination_client::{Keepers, Secret, Unreached, wire};
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
@@ -488,12 +488,12 @@
     /// Puts a change.
     pub fn put(&self, change: &str, document: &Document) -> Result<wire::PutAnswer, Unreached> {
         let nobody = |e: io::Error| Unreached::Nobody(vec![(self.discovery.addr, e.to_string())]);
-        let wanted = Put {
-            change: change.to_owned(),
+        let wanted = Proposal {
+            change_name: change.to_owned(),
             base: None,
-            by: "the stage".into(),
-            at: wall() / 1000,
-            why: "a day on the stage".into(),
+            author: "the stage".into(),
+            proposed_at_ms: wall() / 1000,
+            reason: "a day on the stage".into(),
             document: document.clone(),
         };
         let keepers = self.keepers().map_err(nobody)?;
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod sheet;
 
-use hoptiller_coordination::{Micros, Part, Task, Tenant};
+use hoptiller_coordination::{Micros, Shard, Task, TaskLeaseClient};
 
 pub use sheet::{Seen, Sheet};
 
@@ -23,31 +23,31 @@
 }
 
 /// Whose a part is now. `doubt`: this router's permit has ended, so that it hears nothing of the others.
-pub fn duty(tenant: &Tenant, now: Micros, part: Part, doubt: bool) -> Duty {
-    match tenant.posted(part) {
+pub fn duty(tenant: &TaskLeaseClient, now: Micros, part: Shard, doubt: bool) -> Duty {
+    match tenant.shard_status(part) {
         _ if doubt => Duty::Own,
         None => Duty::Own,
-        Some(_) if tenant.holds(now, part) => Duty::Mine,
+        Some(_) if tenant.is_holding(now, part) => Duty::Mine,
         Some((Some(_), Some(note))) => Duty::Others(note.to_owned()),
         Some(_) => Duty::Own,
     }
 }
 
 /// The part that reads discovery.
-pub const LIST: Part = Part {
-    task: Task::List,
-    shard: 0,
+pub const LIST: Shard = Shard {
+    task: Task::Discovery,
+    index: 0,
 };
 
 /// The part in which an engine is asked how it is, of so many; `None` where there are none.
-pub fn probe_of(engine: &str, parts: u32) -> Option<Part> {
+pub fn probe_of(engine: &str, parts: u32) -> Option<Shard> {
     let hash = blake3::hash(engine.as_bytes());
     let mut first = [0; 4];
     first.copy_from_slice(&hash.as_bytes()[..4]);
     let shard = u32::from_be_bytes(first).checked_rem(parts)?;
-    Some(Part {
-        task: Task::Probe,
-        shard,
+    Some(Shard {
+        task: Task::HealthCheck,
+        index: shard,
     })
 }
 
--- a/crates/fleet-tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use hoptiller_coordination::lease::{Board, Grant, Posted};
-use hoptiller_coordination::{Bounds, Holder};
+use hoptiller_coordination::{Holder, LeaseTiming};
+use hoptiller_coordination::{LeaseTableEntry, LeaseTableUpdate, TaskLeaseGrant};
 
 #[test]
 fn a_part_is_mine_while_i_hold_it_and_everybodys_where_nobody_does() {
-    let bounds = Bounds {
+    let bounds = LeaseTiming {
         term: 10_000,
         drift: 0,
     };
-    let mut tenant = Tenant::new(&bounds, 100);
+    let mut tenant = TaskLeaseClient::new(&bounds, 100);
     assert_eq!(
         duty(&tenant, 0, LIST, false),
         Duty::Own,
@@ -17,32 +17,32 @@
     let holder = Some((
         Holder {
             router: "r".into(),
-            life: "1".into(),
+            incarnation: "1".into(),
         },
         7,
     ));
     let mut tell = |serial: u64, mine: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
         let (part, note) = (LIST, note.map(str::to_owned));
-        let posted = vec![Posted {
-            part,
+        let posted = vec![LeaseTableEntry {
+            shard: part,
             holder: holder.clone(),
             note,
         }];
-        let board = Board {
-            upto: serial,
-            parts: vec![LIST],
-            posted,
+        let board = LeaseTableUpdate {
+            revision: serial,
+            shards: vec![LIST],
+            entries: posted,
         };
-        let grants: Vec<Grant> = mine
-            .then_some(Grant {
-                part,
-                number: 7,
-                leaving: false,
+        let grants: Vec<TaskLeaseGrant> = mine
+            .then_some(TaskLeaseGrant {
+                shard: part,
+                fencing_token: 7,
+                release_requested: false,
             })
             .into_iter()
             .collect();
-        tenant.offer(serial, 0);
-        tenant.granted(serial, 1, serial, Some(&grants), Some(&board));
+        tenant.start_renewal(serial, 0);
+        tenant.accept_grant(serial, 1, serial, Some(&grants), Some(&board));
         tenant.clone()
     };
     assert_eq!(
@@ -72,7 +72,7 @@
     for n in 0..800 {
         let part = probe_of(&format!("engine-{n}"), 8).expect("there are parts");
         assert_eq!(Some(part), probe_of(&format!("engine-{n}"), 8));
-        counts[part.shard as usize] += 1;
+        counts[part.index as usize] += 1;
     }
     assert!(counts.iter().all(|n| (70..130).contains(n)), "{counts:?}");
     assert_eq!(probe_of("engine", 0), None);
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -10,19 +10,19 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use hoptiller_coordination::lease::{Board, Grant, SEASONED};
 use hoptiller_coordination::{
-    Act, Answer, Bounds, Document, Fleet, Holder, Micros, Offer, Part, Put, Right, Task, Tenant,
-    Terms,
+    Command, CommandResponse, ConfigState, Document, ExpiryTracker, Holder, LeaseGuard, LeaseOffer,
+    LeaseTiming, Micros, Proposal, Shard, Task, TaskLeaseClient,
 };
+use hoptiller_coordination::{LeaseTableUpdate, MIN_CONSECUTIVE_RENEWALS, TaskLeaseGrant};
 use stateright::{Model, Property};
 
 /// One step of the time.
 pub const TICK: Micros = 1_000_000;
 /// The part that all want.
-const PART: Part = Part {
-    task: Task::List,
-    shard: 0,
+const PART: Shard = Shard {
+    task: Task::Discovery,
+    index: 0,
 };
 /// The keeper that learns late.
 const LATE: usize = 2;
@@ -55,19 +55,19 @@
 pub struct Leasing {
     /// Its bounds.
     pub limits: Limits,
-    bounds: Bounds,
-    fleet: Fleet,
+    bounds: LeaseTiming,
+    fleet: ConfigState,
     /// By process: as it stands after asking often enough in a row.
-    tenants: Vec<(Tenant, u64)>,
+    tenants: Vec<(TaskLeaseClient, u64)>,
 }
 
 /// The log's state; what matters of it for equality is what the lease rests on.
 #[derive(Clone, Debug)]
-struct Logged(Fleet);
+struct Logged(ConfigState);
 
 impl PartialEq for Logged {
     fn eq(&self, other: &Logged) -> bool {
-        self.0.leases() == other.0.leases() && self.0.holders().eq(other.0.holders())
+        self.0.lease_table() == other.0.lease_table() && self.0.holders().eq(other.0.holders())
     }
 }
 
@@ -75,9 +75,9 @@
 
 impl Hash for Logged {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.0.leases().hash(state);
+        self.0.lease_table().hash(state);
         for (holder, held) in self.0.holders() {
-            (holder, held.serial, held.heeds).hash(state);
+            (holder, held.serial, held.enforced).hash(state);
         }
     }
 }
@@ -88,17 +88,17 @@
     /// What it has applied.
     log: Arc<Logged>,
     /// `None`: it does not run.
-    terms: Option<Terms>,
+    terms: Option<ExpiryTracker>,
 }
 
 /// A process that wants the part.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    tenant: Tenant,
+    tenant: TaskLeaseClient,
     next: u64,
     asked: u32,
     /// An act that has begun, and whether it is on its way since some step.
-    right: Option<(Right, Option<u32>)>,
+    right: Option<(LeaseGuard, Option<u32>)>,
 }
 
 /// What is on its way.
@@ -120,7 +120,7 @@
 }
 
 /// An offer, in a form with an order.
-type OfferKey = (u64, bool, Vec<(Part, u64)>, u64);
+type OfferKey = (u64, bool, Vec<(Shard, u64)>, u64);
 
 /// A state of it all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -179,58 +179,78 @@
     } else {
         format!("r{process}")
     };
-    let life =
-        if hoptiller_coordination::plant::is(hoptiller_coordination::plant::Plant::EarlierLife) {
-            String::new()
-        } else {
-            process.to_string()
-        };
-    Holder { router, life }
+    let life = if hoptiller_coordination::fault_injection::is_injected(
+        hoptiller_coordination::fault_injection::Fault::IgnoreIncarnation,
+    ) {
+        String::new()
+    } else {
+        process.to_string()
+    };
+    Holder {
+        router,
+        incarnation: life,
+    }
 }
 
-fn key(o: &Offer) -> OfferKey {
-    (o.heard, o.willing, o.released.clone(), o.board)
+fn key(o: &LeaseOffer) -> OfferKey {
+    (
+        o.acknowledged_serial,
+        o.accepts_leases,
+        o.released.clone(),
+        o.table_revision,
+    )
 }
 
 impl Leasing {
     /// A fleet in which all processes have asked often enough to be given leases.
     pub fn new(limits: Limits) -> Leasing {
-        let bounds = Bounds {
+        let bounds = LeaseTiming {
             term: Micros::from(limits.term) * TICK,
             drift: DRIFT,
         };
-        let mut fleet = Fleet::default();
+        let mut fleet = ConfigState::default();
         let text = r#"{"form": 1, "kinds": {"a": 8}, "tasks": {"list": 1},
             "classes": {"lookup": {"aim": "1s", "patience": "7s", "repeat": "safe"}}, "engines": {},
             "rules": {"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}}"#;
-        if let Ok(document) = Document::read(text.as_bytes()) {
+        if let Ok(document) = Document::from_json(text.as_bytes()) {
             let (change, by, why) = ("first".to_owned(), "check".to_owned(), "check".to_owned());
-            fleet.apply(Act::Put(Box::new(Put {
-                change,
+            fleet.apply(Command::Propose(Box::new(Proposal {
+                change_name: change,
                 base: None,
-                by,
-                at: 1,
-                why,
+                author: by,
+                proposed_at_ms: 1,
+                reason: why,
                 document,
             })));
         }
-        let mut tenants: Vec<(Tenant, u64)> = (0..limits.processes)
-            .map(|_| (Tenant::new(&bounds, Micros::from(limits.way) * TICK), 0))
+        let mut tenants: Vec<(TaskLeaseClient, u64)> = (0..limits.processes)
+            .map(|_| {
+                (
+                    TaskLeaseClient::new(&bounds, Micros::from(limits.way) * TICK),
+                    0,
+                )
+            })
             .collect();
-        for _ in 0..=SEASONED + 1 {
+        for _ in 0..=MIN_CONSECUTIVE_RENEWALS + 1 {
             for (process, (tenant, next)) in tenants.iter_mut().enumerate() {
                 if process == 1 && limits.late_twin {
                     continue;
                 }
-                let offer = Some(tenant.offer(*next, 0));
-                let asked = Act::Ask {
+                let offer = Some(tenant.start_renewal(*next, 0));
+                let asked = Command::RenewLease {
                     holder: holder(process),
-                    heeds: 1,
+                    enforced: 1,
                     in_force: 1,
                     offer,
                 };
-                if let Answer::Granted(g) = fleet.apply(asked) {
-                    tenant.granted(*next, 0, g.serial, g.leases.as_deref(), g.board.as_ref());
+                if let CommandResponse::LeaseGranted(g) = fleet.apply(asked) {
+                    tenant.accept_grant(
+                        *next,
+                        0,
+                        g.serial,
+                        g.leases.as_deref(),
+                        g.lease_table.as_ref(),
+                    );
                 }
                 *next += 1;
             }
@@ -265,7 +285,7 @@
     }
 
     /// An act goes through the log, put in by a keeper that runs. More than half must run.
-    fn through(&self, s: &mut State, keeper: usize, act: Act) -> Option<Answer> {
+    fn through(&self, s: &mut State, keeper: usize, act: Command) -> Option<CommandResponse> {
         if s.keepers.iter().filter(|k| k.terms.is_some()).count() * 2 <= s.keepers.len() {
             return None;
         }
@@ -278,7 +298,7 @@
                 self.catch_up(s, k);
             }
         }
-        for posted in s.log.0.leases().board(0).posted {
+        for posted in s.log.0.lease_table().updates_since(0).entries {
             if let Some((to, number)) = posted.holder {
                 let known = s.given.entry(number).or_insert_with(|| to.clone());
                 s.number_again |= *known != to;
@@ -293,7 +313,7 @@
         k.log = s.log.clone();
         // What comes while it does not run, it reads when it starts.
         if let Some(terms) = &mut k.terms {
-            terms.learn(now, &k.log.0);
+            terms.observe(now, &k.log.0);
         }
     }
 
@@ -313,7 +333,7 @@
         let log = Arc::new(Logged(self.fleet.clone()));
         let keepers = (0..3).map(|_| Keeper {
             log: log.clone(),
-            terms: Some(Terms::begin(0, &log.0)),
+            terms: Some(ExpiryTracker::start(0, &log.0)),
         });
         let processes = self.tenants.iter().map(|(tenant, next)| Process {
             tenant: tenant.clone(),
@@ -323,9 +343,9 @@
         });
         let given = log
             .0
-            .leases()
-            .board(0)
-            .posted
+            .lease_table()
+            .updates_since(0)
+            .entries
             .into_iter()
             .filter_map(|p| p.holder);
         vec![State {
@@ -381,10 +401,10 @@
                         steps.push(Step::CatchUp(k));
                     }
                     let now = self.keeper_clock(k, s.now);
-                    if !terms.lapsed_leases(now, &self.bounds).is_empty() {
+                    if !terms.expired_task_leases(now, &self.bounds).is_empty() {
                         steps.push(Step::Judge(k));
                     }
-                    if !terms.lapsed(now, &self.bounds).is_empty() {
+                    if !terms.expired_config_leases(now, &self.bounds).is_empty() {
                         steps.push(Step::Lapse(k));
                     }
                     if s.crashes < self.limits.crashes {
@@ -403,7 +423,7 @@
                 steps.push(Step::Ask(p));
             }
             match &process.right {
-                None if process.tenant.holds(self.clock(p, s.now), PART) => {
+                None if process.tenant.is_holding(self.clock(p, s.now), PART) => {
                     steps.push(Step::Begin(p))
                 }
                 None => {}
@@ -422,7 +442,7 @@
                 let process = &mut s.processes[p];
                 let id = process.next;
                 (process.next, process.asked) = (id + 1, process.asked + 1);
-                let offer = key(&process.tenant.offer(id, now));
+                let offer = key(&process.tenant.start_renewal(id, now));
                 s.flying.insert(Flying::Question {
                     process: p,
                     id,
@@ -449,24 +469,26 @@
                     });
                 }
                 let (heard, willing, released, board) = offer;
-                let offer = Some(Offer {
-                    heard,
-                    willing,
+                let offer = Some(LeaseOffer {
+                    acknowledged_serial: heard,
+                    accepts_leases: willing,
                     released,
-                    board,
+                    table_revision: board,
                 });
-                let ask = Act::Ask {
+                let ask = Command::RenewLease {
                     holder: holder(process),
-                    heeds: 1,
+                    enforced: 1,
                     in_force: 1,
                     offer,
                 };
-                let Answer::Granted(g) = self.through(&mut s, k, ask)? else {
+                let CommandResponse::LeaseGranted(g) = self.through(&mut s, k, ask)? else {
                     return None;
                 };
-                let leases = g
-                    .leases
-                    .map(|all| all.iter().map(|g| (g.number, g.leaving)).collect());
+                let leases = g.leases.map(|all| {
+                    all.iter()
+                        .map(|g| (g.fencing_token, g.release_requested))
+                        .collect()
+                });
                 s.flying.insert(Flying::Answer {
                     process,
                     id,
@@ -486,20 +508,20 @@
                 else {
                     return None;
                 };
-                let grant = |(number, leaving): (u64, bool)| Grant {
-                    part: PART,
-                    number,
-                    leaving,
+                let grant = |(number, leaving): (u64, bool)| TaskLeaseGrant {
+                    shard: PART,
+                    fencing_token: number,
+                    release_requested: leaving,
                 };
-                let leases: Option<Vec<Grant>> =
+                let leases: Option<Vec<TaskLeaseGrant>> =
                     leases.map(|all| all.into_iter().map(grant).collect());
                 let now = self.clock(process, s.now);
-                let board = Board {
-                    upto: 0,
-                    parts: vec![PART],
-                    posted: Vec::new(),
+                let board = LeaseTableUpdate {
+                    revision: 0,
+                    shards: vec![PART],
+                    entries: Vec::new(),
                 };
-                s.processes[process].tenant.granted(
+                s.processes[process].tenant.accept_grant(
                     id,
                     now,
                     serial,
@@ -511,14 +533,17 @@
             Step::Judge(k) => {
                 let now = self.keeper_clock(k, s.now);
                 let terms = s.keepers[k].terms.clone()?;
-                let free = terms.lapsed_leases(now, &self.bounds);
-                self.through(&mut s, k, Act::Free(free))?;
+                let free = terms.expired_task_leases(now, &self.bounds);
+                self.through(&mut s, k, Command::ExpireTaskLeases(free))?;
             }
             Step::Lapse(k) => {
                 let now = self.keeper_clock(k, s.now);
                 let terms = s.keepers[k].terms.clone()?;
-                let (upto, lapsed) = (s.log.0.last(), terms.lapsed(now, &self.bounds));
-                self.through(&mut s, k, Act::Settle { upto, lapsed })?;
+                let (upto, lapsed) = (
+                    s.log.0.latest(),
+                    terms.expired_config_leases(now, &self.bounds),
+                );
+                self.through(&mut s, k, Command::CompleteRollout { upto, lapsed })?;
             }
             Step::Crash(k) => {
                 s.crashes += 1;
@@ -526,33 +551,33 @@
             }
             Step::Start(k) => {
                 let now = self.keeper_clock(k, s.now);
-                s.keepers[k].terms = Some(Terms::begin(now, &s.keepers[k].log.0));
+                s.keepers[k].terms = Some(ExpiryTracker::start(now, &s.keepers[k].log.0));
             }
             Step::Begin(p) => {
                 let now = self.clock(p, s.now);
-                let right = s.processes[p].tenant.begin(now, PART, 0)?;
+                let right = s.processes[p].tenant.begin_operation(now, PART, 0)?;
                 s.processes[p].right = Some((right, None));
             }
             Step::Send(p) => {
                 let now = self.clock(p, s.now);
                 let process = &mut s.processes[p];
                 let (right, _) = process.right?;
-                if process.tenant.still(now, &right) {
+                if process.tenant.is_still_valid(now, &right) {
                     process.right = Some((right, Some(s.now)));
                 } else {
-                    process.tenant.done(&right);
+                    process.tenant.end_operation(&right);
                     process.right = None;
                 }
             }
             Step::Arrive(p) => {
                 let (right, _) = s.processes[p].right.take()?;
-                s.processes[p].tenant.done(&right);
+                s.processes[p].tenant.end_operation(&right);
                 let before = s.newest;
                 s.two_acted |= before.is_some_and(|(number, who)| {
-                    right.number < number || (right.number == number && who != p)
+                    right.fencing_token < number || (right.fencing_token == number && who != p)
                 });
-                s.taken_over |= before.is_some_and(|(number, _)| right.number > number);
-                s.newest = before.max(Some((right.number, p)));
+                s.taken_over |= before.is_some_and(|(number, _)| right.fencing_token > number);
+                s.newest = before.max(Some((right.fencing_token, p)));
             }
         }
         Some(s)
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -49,8 +49,8 @@
     let args = Args::parse();
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
-        match hoptiller_coordination::plant::Plant::named(name) {
-            Some(plant) => hoptiller_coordination::plant::plant(plant),
+        match hoptiller_coordination::fault_injection::Fault::from_name(name) {
+            Some(plant) => hoptiller_coordination::fault_injection::inject(plant),
             None => {
                 eprintln!("hoptiller-check: {name:?} is no fault that is known");
                 return ExitCode::from(2);
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -67,15 +67,15 @@
 #[cfg(feature = "plant")]
 #[test]
 fn each_planted_fault_shows_in_some_course() {
-    use hoptiller_coordination::plant::{Plant, plant};
-    for (name, fault) in Plant::ALL {
+    use hoptiller_coordination::fault_injection::{Fault, inject};
+    for (name, fault) in Fault::ALL {
         let limits = match fault {
-            Plant::NoWait | Plant::Forgets => continue, // Of versions, and of a keeper's disk: not of leases.
-            Plant::NoTerm => CRASH,
-            Plant::EarlierLife => TWIN,
+            Fault::SkipRolloutWait | Fault::LoseDurableState => continue, // Of versions, and of a keeper's disk: not of leases.
+            Fault::SkipStartupTerm => CRASH,
+            Fault::IgnoreIncarnation => TWIN,
             _ => LONG_WAY,
         };
-        plant(fault);
+        inject(fault);
         assert!(!check(&limits).0.is_empty(), "{name} is not found");
     }
 }
