--- a/crates/statement-router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -9,10 +9,10 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_coordination::fleet::Version;
-use hoptiller_coordination::follower::Verdict;
-use hoptiller_coordination::plant::{self, Plant};
-use hoptiller_coordination::{Act, Document, Follower, Holder, Micros, Part};
+use hoptiller_coordination::Decision;
+use hoptiller_coordination::Version;
+use hoptiller_coordination::fault_injection::{self, Fault};
+use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, Micros, Shard};
 use hoptiller_coordination_client::{Clock, Keepers, Secret, Unreached, wire};
 use hoptiller_fleet_tasks::Duty;
 
@@ -31,7 +31,7 @@
 
 /// A router's part in the agreement.
 pub struct Agreed {
-    follower: RefCell<Follower>,
+    follower: RefCell<ConfigWatcher>,
     clock: Clock,
     keepers: Keepers,
     settings: AgreementSettings,
@@ -65,13 +65,13 @@
         let known = file.as_deref().map(remembered).unwrap_or_default();
         let me = Holder {
             router: router.to_owned(),
-            life: life.to_owned(),
+            incarnation: life.to_owned(),
         };
         let keepers = Keepers::new(settings.keepers.clone(), secret);
         keepers.begin_with(hoptiller_router_core::group_of(router) as usize);
         let leased = Leased::new(&settings.bounds(), clock);
         Rc::new(Agreed {
-            follower: RefCell::new(Follower::new(me, settings.bounds(), known)),
+            follower: RefCell::new(ConfigWatcher::new(me, settings.bounds(), known)),
             clock,
             keepers,
             settings,
@@ -85,23 +85,23 @@
     }
 
     /// What may be done with a class now.
-    pub fn verdict(&self, class: &str) -> Verdict {
+    pub fn verdict(&self, class: &str) -> Decision {
         match self.unusable.get() {
-            true => Verdict::Refuse,
-            false => self.follower.borrow().verdict(self.clock.now(), class),
+            true => Decision::Reject,
+            false => self.follower.borrow().decide(self.clock.now(), class),
         }
     }
 
     /// The rules that contradict none of the versions heeded.
     pub fn rules(&self) -> Option<Document> {
-        self.follower.borrow().rules().cloned()
+        self.follower.borrow().merged_document().cloned()
     }
 
     /// Whether a statement that names no class has one.
     pub fn has_default(&self) -> bool {
         self.follower
             .borrow()
-            .rules()
+            .merged_document()
             .is_some_and(|r| r.default_class.is_some())
     }
 
@@ -109,9 +109,9 @@
     pub fn lists(&self, engine: &str, started: u64) -> bool {
         let follower = self.follower.borrow();
         follower
-            .rules()
+            .merged_document()
             .and_then(|r| r.list.as_ref())
-            .is_none_or(|list| list.takes_work(engine, started))
+            .is_none_or(|list| list.accepts_work(engine, started))
     }
 
     /// The rules of the versions heeded can be used here, or not.
@@ -123,15 +123,15 @@
     pub fn standing(&self) -> (bool, u64, u64) {
         let follower = self.follower.borrow();
         (
-            follower.in_doubt(self.clock.now()),
+            follower.is_in_doubt(self.clock.now()),
             follower.in_force(),
-            follower.heeds(),
+            follower.enforced(),
         )
     }
 
     /// Asks for ever; `changed` is called when other rules are to be heeded, before anything is done under them.
     pub async fn run(self: Rc<Self>, changed: impl Fn()) {
-        if self.follower.borrow().rules().is_some() {
+        if self.follower.borrow().merged_document().is_some() {
             changed();
         }
         loop {
@@ -187,12 +187,12 @@
     fn has_tasks(&self) -> bool {
         self.follower
             .borrow()
-            .rules()
+            .merged_document()
             .is_some_and(|r| !r.tasks.is_empty())
     }
 
     /// Whose a part of a task is now.
-    pub fn duty(&self, part: Part) -> Duty {
+    pub fn duty(&self, part: Shard) -> Duty {
         if self.has_tasks() {
             self.leased.duty(part, self.standing().0)
         } else {
@@ -202,7 +202,7 @@
 
     /// Has notes taken, for ever.
     pub async fn keep_noting(self: Rc<Self>) {
-        let me = self.follower.borrow().me().clone();
+        let me = self.follower.borrow().holder().clone();
         self.leased.keep_noting(&me, &self.keepers).await;
     }
 
@@ -219,10 +219,10 @@
 
     /// Asks once. Returns whether there was news.
     async fn ask(&self, changed: &impl Fn()) -> bool {
-        let (id, act) = self.follower.borrow_mut().ask(self.clock.now());
-        let Act::Ask {
+        let (id, act) = self.follower.borrow_mut().start_renewal(self.clock.now());
+        let Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             ..
         } = act
@@ -260,15 +260,15 @@
                 return false;
             }
         };
-        if plant::is(Plant::FromTheAnswer) {
-            self.follower.borrow_mut().count_from(id, self.clock.now());
+        if fault_injection::is_injected(Fault::TermFromResponse) {
+            self.follower.borrow_mut().set_sent_at(id, self.clock.now());
         }
         let (serial, leases, board) = (
             granted.serial,
             granted.leases.clone(),
-            granted.board.clone(),
+            granted.lease_table.clone(),
         );
-        let taken = self.follower.borrow_mut().granted(id, granted);
+        let taken = self.follower.borrow_mut().accept_grant(id, granted);
         match taken {
             Ok(news) => {
                 self.leased
@@ -289,13 +289,13 @@
     }
 
     fn unanswered(&self, id: u64) {
-        self.follower.borrow_mut().unanswered(id);
+        self.follower.borrow_mut().abandon_renewal(id);
         self.leased.unanswered(id);
     }
 
     /// Gives the permit back: nothing more is done under it.
     pub async fn give_back(&self) {
-        let me = self.follower.borrow().me().clone();
+        let me = self.follower.borrow().holder().clone();
         let given: Result<(), Unreached> =
             self.keepers.call(wire::GIVE_BACK, Some(&me), EACH).await;
         if let Err(e) = given {
@@ -323,7 +323,7 @@
 
     fn write(&self) {
         let Some(file) = &self.file else { return };
-        let body = serde_json::to_vec(self.follower.borrow().course()).unwrap_or_default();
+        let body = serde_json::to_vec(self.follower.borrow().versions()).unwrap_or_default();
         let digest = hoptiller_coordination_client::secret::digest(&body);
         let bytes = [digest.as_bytes(), b"\n", &body].concat();
         if let Err(e) = write_whole(file, &bytes) {
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_coordination::{Part, Right, Task};
+use hoptiller_coordination::{LeaseGuard, Shard, Task};
 use hoptiller_fleet_tasks::{Duty, LIST, Seen, Sheet, probe_of};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
@@ -42,7 +42,7 @@
     /// Where the fleet has tasks, one router looks for all.
     agreed: Option<Rc<Agreed>>,
     /// By part of the engines that this router asks for all: under which number, and what they told.
-    sheets: RefCell<BTreeMap<Part, (u64, Sheet)>>,
+    sheets: RefCell<BTreeMap<Shard, (u64, Sheet)>>,
     /// Looks at discovery in a row that failed.
     failed: Cell<u32>,
     /// Rung when a look is wanted at once.
@@ -116,19 +116,19 @@
     }
 
     /// Whose a part of a task is.
-    fn duty(&self, part: Part) -> Duty {
+    fn duty(&self, part: Shard) -> Duty {
         self.agreed.as_ref().map_or(Duty::Own, |a| a.duty(part))
     }
 
     /// The right to do a part for all, where that is this router's duty. The inner `None`: its time is nearly over.
-    fn right(&self, duty: &Duty, part: Part) -> Result<Option<Right>, ()> {
+    fn right(&self, duty: &Duty, part: Shard) -> Result<Option<LeaseGuard>, ()> {
         match (duty, &self.agreed) {
             (Duty::Mine, Some(agreed)) => agreed.leased.begin(part).map(Some).ok_or(()),
             _ => Ok(None),
         }
     }
 
-    fn done(&self, right: Option<&Right>) {
+    fn done(&self, right: Option<&LeaseGuard>) {
         self.agreed
             .iter()
             .zip(right)
@@ -171,7 +171,7 @@
             && failed >= TRIES
         {
             tracing::warn!("discovery is left to another router");
-            agreed.leased.give_up(right.part);
+            agreed.leased.give_up(right.shard);
             self.failed.set(0);
         }
     }
@@ -239,7 +239,7 @@
             let parts = self
                 .agreed
                 .as_ref()
-                .map_or(0, |a| a.leased.parts(Task::Probe));
+                .map_or(0, |a| a.leased.parts(Task::HealthCheck));
             let part = probe_of(name, parts);
             match part.map_or(Duty::Own, |part| self.duty(part)) {
                 Duty::Others(note) => self.take_seen(name, &note, listener.now()),
@@ -280,7 +280,7 @@
         name: &str,
         addr: std::net::SocketAddr,
         duty: &Duty,
-        part: Option<Part>,
+        part: Option<Shard>,
         listener: &dyn Listener,
     ) {
         let within = self.settings.discovery.within;
@@ -323,15 +323,15 @@
     }
 
     /// An engine of a part of ours has told, for all.
-    fn note_seen(&self, right: &Right, name: &str, seen: Seen) {
+    fn note_seen(&self, right: &LeaseGuard, name: &str, seen: Seen) {
         let Some(agreed) = &self.agreed else { return };
         let mut sheets = self.sheets.borrow_mut();
-        let (number, sheet) = sheets.entry(right.part).or_default();
-        if *number != right.number {
+        let (number, sheet) = sheets.entry(right.shard).or_default();
+        if *number != right.fencing_token {
             // From where the holder before had come.
-            let noted = agreed.leased.noted(right.part);
+            let noted = agreed.leased.noted(right.shard);
             (*number, *sheet) = (
-                right.number,
+                right.fencing_token,
                 noted.as_deref().map(Sheet::read).unwrap_or_default(),
             );
         }
@@ -351,13 +351,16 @@
         addr: std::net::SocketAddr,
         target: &str,
         within: Duration,
-        right: Option<&Right>,
+        right: Option<&LeaseGuard>,
     ) -> Result<Response, ClientError> {
         let mut request = Request::new(Method::Get, target)
             .with(extra::ROUTER, &self.settings.router.name)
             .with("Connection", "close");
         if let Some(right) = right {
-            request = request.with(extra::LEASE, &format!("{}#{}", right.part, right.number));
+            request = request.with(
+                extra::LEASE,
+                &format!("{}#{}", right.shard, right.fencing_token),
+            );
         }
         let mut connection = Connection::open(
             addr,
--- a/crates/statement-router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -7,7 +7,7 @@
 
 use async_io::Async;
 use futures_lite::future;
-use hoptiller_coordination::follower::Verdict;
+use hoptiller_coordination::Decision;
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_runaway::Announced;
@@ -139,10 +139,10 @@
         );
     }
     match agreed.verdict(&desk.settings().classes[class].name) {
-        Verdict::Refuse => {
+        Decision::Reject => {
             Err("this router may not take that class now; come back later, or go to another")
         }
-        Verdict::Act { .. } | Verdict::ActInDoubt { .. } => Ok(()),
+        Decision::Allow { .. } | Decision::AllowInDoubt { .. } => Ok(()),
     }
 }
 
--- a/crates/statement-router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -7,8 +7,10 @@
 
 use async_io::Timer;
 use event_listener::Event as Bell;
-use hoptiller_coordination::lease::{Board, Grant, NotNoted};
-use hoptiller_coordination::{Bounds, Holder, Micros, Offer, Part, Right, Tenant};
+use hoptiller_coordination::{
+    Holder, LeaseGuard, LeaseOffer, LeaseTiming, Micros, Shard, TaskLeaseClient,
+};
+use hoptiller_coordination::{LeaseTableUpdate, NoteError, TaskLeaseGrant};
 use hoptiller_coordination_client::{Clock, Keepers, Unreached, wire};
 use hoptiller_fleet_tasks::{Duty, duty};
 
@@ -21,10 +23,10 @@
 
 /// A router's leases.
 pub struct Leased {
-    tenant: RefCell<Tenant>,
+    tenant: RefCell<TaskLeaseClient>,
     clock: Clock,
     /// By part: the number and the text of the note that is to be taken, or was taken last.
-    notes: RefCell<BTreeMap<Part, (u64, String, bool)>>,
+    notes: RefCell<BTreeMap<Shard, (u64, String, bool)>>,
     /// Rung when what is held, or known of the others, has changed.
     pub changed: Bell,
     /// Rung when a question is wanted soon, as something can be given back.
@@ -34,9 +36,9 @@
 
 impl Leased {
     /// Holds nothing yet.
-    pub fn new(bounds: &Bounds, clock: Clock) -> Leased {
+    pub fn new(bounds: &LeaseTiming, clock: Clock) -> Leased {
         Leased {
-            tenant: RefCell::new(Tenant::new(bounds, MARGIN)),
+            tenant: RefCell::new(TaskLeaseClient::new(bounds, MARGIN)),
             clock,
             notes: RefCell::default(),
             changed: Bell::new(),
@@ -46,17 +48,23 @@
     }
 
     /// What goes with the question of that number.
-    pub fn offer(&self, id: u64) -> Offer {
-        self.tenant.borrow_mut().offer(id, self.clock.now())
+    pub fn offer(&self, id: u64) -> LeaseOffer {
+        self.tenant.borrow_mut().start_renewal(id, self.clock.now())
     }
 
     /// What came with its answer.
-    pub fn granted(&self, id: u64, serial: u64, leases: Option<&[Grant]>, board: Option<&Board>) {
+    pub fn granted(
+        &self,
+        id: u64,
+        serial: u64,
+        leases: Option<&[TaskLeaseGrant]>,
+        board: Option<&LeaseTableUpdate>,
+    ) {
         let now = self.clock.now();
         if self
             .tenant
             .borrow_mut()
-            .granted(id, now, serial, leases, board)
+            .accept_grant(id, now, serial, leases, board)
         {
             self.changed.notify(usize::MAX);
         }
@@ -64,65 +72,70 @@
 
     /// A question has no answer.
     pub fn unanswered(&self, id: u64) {
-        self.tenant.borrow_mut().unanswered(id);
+        self.tenant.borrow_mut().abandon_renewal(id);
     }
 
     /// Up to where the board is known.
     pub fn board(&self) -> u64 {
-        self.tenant.borrow().board()
+        self.tenant.borrow().table_revision()
     }
 
     /// Whose a part is now.
-    pub fn duty(&self, part: Part, doubt: bool) -> Duty {
+    pub fn duty(&self, part: Shard, doubt: bool) -> Duty {
         duty(&self.tenant.borrow(), self.clock.now(), part, doubt)
     }
 
     /// Parts that a task has.
     pub fn parts(&self, task: hoptiller_coordination::Task) -> u32 {
-        self.tenant.borrow().parts(task)
+        self.tenant.borrow().shard_count(task)
     }
 
     /// What was noted of a part last, by whoever held it.
-    pub fn noted(&self, part: Part) -> Option<String> {
+    pub fn noted(&self, part: Shard) -> Option<String> {
         self.tenant
             .borrow()
-            .posted(part)
+            .shard_status(part)
             .and_then(|(_, note)| note.map(str::to_owned))
     }
 
     /// An act under a lease may begin: it is cut short at the lease's end.
-    pub fn begin(&self, part: Part) -> Option<Right> {
-        self.tenant.borrow_mut().begin(self.clock.now(), part, 0)
+    pub fn begin(&self, part: Shard) -> Option<LeaseGuard> {
+        self.tenant
+            .borrow_mut()
+            .begin_operation(self.clock.now(), part, 0)
     }
 
     /// Whether it may be sent now, and how long it may take then: what has no answer by the lease's end is given up.
-    pub fn still(&self, right: &Right) -> Option<Duration> {
+    pub fn still(&self, right: &LeaseGuard) -> Option<Duration> {
         let now = self.clock.now();
-        let left = Duration::from_micros(right.until.saturating_sub(now));
-        self.tenant.borrow().still(now, right).then_some(left)
+        let left = Duration::from_micros(right.expires_at.saturating_sub(now));
+        self.tenant
+            .borrow()
+            .is_still_valid(now, right)
+            .then_some(left)
     }
 
     /// It is over.
-    pub fn done(&self, right: &Right) {
-        if self.tenant.borrow_mut().done(right) {
+    pub fn done(&self, right: &LeaseGuard) {
+        if self.tenant.borrow_mut().end_operation(right) {
             self.wanted.notify(usize::MAX);
         }
     }
 
     /// What is to be done for a part can't be done here: another is to try.
-    pub fn give_up(&self, part: Part) {
-        self.tenant.borrow_mut().give_up(part);
+    pub fn give_up(&self, part: Shard) {
+        self.tenant.borrow_mut().request_release(part);
         self.wanted.notify(usize::MAX);
     }
 
     /// A note for the others, in place of the one before.
-    pub fn note(&self, right: &Right, text: String) {
+    pub fn note(&self, right: &LeaseGuard, text: String) {
         let mut notes = self.notes.borrow_mut();
         if notes
-            .get(&right.part)
-            .is_none_or(|(n, t, _)| (*n, t) != (right.number, &text))
+            .get(&right.shard)
+            .is_none_or(|(n, t, _)| (*n, t) != (right.fencing_token, &text))
         {
-            notes.insert(right.part, (right.number, text, false));
+            notes.insert(right.shard, (right.fencing_token, text, false));
             self.noting.notify(usize::MAX);
         }
     }
@@ -131,7 +144,7 @@
     pub async fn keep_noting(&self, me: &Holder, keepers: &Keepers) {
         loop {
             let noting = self.noting.listen();
-            let open = |(part, (n, t, taken)): (&Part, &(u64, String, bool))| {
+            let open = |(part, (n, t, taken)): (&Shard, &(u64, String, bool))| {
                 (!taken).then(|| (*part, *n, t.clone()))
             };
             let next = self.notes.borrow().iter().find_map(open);
@@ -158,7 +171,7 @@
                     }
                 }
                 Ok(Err(why)) => {
-                    if why == NotNoted::TooLong {
+                    if why == NoteError::TooLong {
                         tracing::error!(%part, bytes = text.len(), "a note is too long; each router is on its own");
                     }
                     notes.retain(|p, (n, ..)| *p != part || *n != number);
@@ -174,12 +187,12 @@
 
     /// Takes no leases any more, and waits until what it had is given back, for so long at most. Returns whether it is.
     pub async fn hand_over(&self, within: Duration) -> bool {
-        self.tenant.borrow_mut().leave();
+        self.tenant.borrow_mut().drain();
         let until = self.clock.now() + within.as_micros() as Micros;
-        while self.tenant.borrow().left() > 0 && self.clock.now() < until {
+        while self.tenant.borrow().outstanding_leases() > 0 && self.clock.now() < until {
             self.wanted.notify(usize::MAX);
             Timer::after(Duration::from_millis(20)).await;
         }
-        self.tenant.borrow().left() == 0
+        self.tenant.borrow().outstanding_leases() == 0
     }
 }
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -9,7 +9,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use hoptiller_coordination::follower::Verdict as Permitted;
+use hoptiller_coordination::Decision as Permitted;
 use hoptiller_http::{Spawner, Ticks};
 use hoptiller_policy::{EngineId, LoadReport, Micros, Progress, Scope};
 use hoptiller_runaway::{Finding, Proof, Stands, Verdict, Watch};
@@ -435,9 +435,15 @@
         let settings = self.desk.settings();
         let class = &settings.classes[class];
         let stamp = match agreed.verdict(&class.name) {
-            Permitted::Act { in_force, heeds } => agreed::stamp(in_force, heeds, false),
-            Permitted::ActInDoubt { in_force, heeds } => agreed::stamp(in_force, heeds, true),
-            Permitted::Refuse => {
+            Permitted::Allow {
+                in_force,
+                enforced: heeds,
+            } => agreed::stamp(in_force, heeds, false),
+            Permitted::AllowInDoubt {
+                in_force,
+                enforced: heeds,
+            } => agreed::stamp(in_force, heeds, true),
+            Permitted::Reject => {
                 return Err("the permit to act under the fleet's rules has ended".into());
             }
         };
--- a/crates/statement-router/src/settings/mod.rs
+++ b/crates/statement-router/src/settings/mod.rs
@@ -75,8 +75,8 @@
 
 impl AgreementSettings {
     /// The bounds of permits.
-    pub fn bounds(&self) -> hoptiller_coordination::Bounds {
-        hoptiller_coordination::Bounds {
+    pub fn bounds(&self) -> hoptiller_coordination::LeaseTiming {
+        hoptiller_coordination::LeaseTiming {
             term: self.permit.as_micros() as u64,
             drift: self.drift,
         }
--- a/crates/statement-router/src/settings/under.rs
+++ b/crates/statement-router/src/settings/under.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use hoptiller_coordination::Span;
-use hoptiller_coordination::document::{Class, Document, Repeat};
+use hoptiller_coordination::ConfigDuration;
+use hoptiller_coordination::{Document, Idempotency, StatementClass};
 
 use super::{BudgetSettings, ClassSettings, Problem, RepeatSettings, Settings, check};
 
-fn time(span: Span) -> Duration {
+fn time(span: ConfigDuration) -> Duration {
     Duration::from_micros(span.0)
 }
 
@@ -98,7 +98,12 @@
     }
 }
 
-fn class_of(s: &Settings, document: &Document, name: &str, class: &Class) -> ClassSettings {
+fn class_of(
+    s: &Settings,
+    document: &Document,
+    name: &str,
+    class: &StatementClass,
+) -> ClassSettings {
     // A class that may go anywhere may go to what the document knows, and not to what only this router's file names.
     let kinds = |k: &str| match &class.kinds {
         Some(only) => only.contains(k),
@@ -119,8 +124,8 @@
         stretch: class.stretch,
         patience: time(class.patience),
         repeat: match class.repeat {
-            Repeat::Safe => RepeatSettings::Safe,
-            Repeat::Never => RepeatSettings::Never,
+            Idempotency::Idempotent => RepeatSettings::Safe,
+            Idempotency::NonIdempotent => RepeatSettings::Never,
         },
         in_order: class.in_order,
         worth: class.worth,
