--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
-use hoptiller_coordination_client::{Clock, Keepers, Secret, wire};
+use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
 use hoptiller_coordination_server::core::Core;
 use hoptiller_coordination_server::disk::Disk;
 use hoptiller_coordination_server::log::Log;
@@ -154,7 +154,13 @@
             .map(|l| l.carried())
             .sum()
     };
-    let steps = |s: &Stage| s.statuses().iter().map(|s| s.log.0).max().unwrap_or(0);
+    let steps = |s: &Stage| {
+        s.statuses()
+            .iter()
+            .map(|s| s.log.decided)
+            .max()
+            .unwrap_or(0)
+    };
     std::thread::sleep(Duration::from_secs(2));
     let (cores, bytes, decided, began) = (used()?, carried(&stage), steps(&stage), Instant::now());
     std::thread::sleep(Duration::from_secs(args.seconds));
@@ -166,7 +172,8 @@
     for n in 0..args.changes {
         let next = document(1.0, 1 + n % 2)?;
         let began = Instant::now();
-        let Ok(wire::PutAnswer::Taken(number)) = stage.put(&format!("change {n}"), &next) else {
+        let Ok(wire::ProposalResponse::Accepted(number)) = stage.put(&format!("change {n}"), &next)
+        else {
             return Err(io::Error::other("a change was not taken"));
         };
         if !stage.until_heeded(size, number, long) || !stage.until_in_force(number, long) {
@@ -199,8 +206,8 @@
         bounds,
         Vec::new(),
     );
-    let keepers = Keepers::new(settings.keepers.clone(), secret);
-    keepers.begin_with(n);
+    let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
+    keepers.set_preferred(n);
     loop {
         let (id, act) = follower.ask(clock.now());
         let Act::Ask {
@@ -212,19 +219,19 @@
         else {
             return;
         };
-        let body = wire::Ask {
+        let body = wire::LeaseRenewalRequest {
             holder,
-            heeds,
+            enforced_version: heeds,
             in_force,
             term: bounds.term,
             drift: bounds.drift,
             offer,
         };
         match keepers
-            .call(wire::ASK, Some(&body), Duration::from_millis(700))
+            .call(wire::RENEW_LEASE, Some(&body), Duration::from_millis(700))
             .await
         {
-            Ok(wire::Asked::Granted(granted)) => drop(follower.granted(id, granted)),
+            Ok(wire::LeaseRenewalResponse::Granted(granted)) => drop(follower.granted(id, granted)),
             _ => follower.unanswered(id),
         }
         Timer::after(settings.ask_every).await;
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -129,7 +129,7 @@
         engine.asked = asked.clone();
         engines.push(engine.start()?);
     }
-    let keepers = stage.keepers()?.addresses().to_vec();
+    let keepers = stage.keepers()?.endpoints().to_vec();
     let known: Arc<Mutex<(usize, Vec<Instant>)>> = Arc::default();
     let (own, secret, count) = (known.clone(), dir.join("secret"), args.engines);
     let at = discovery.addr;
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -7,7 +7,7 @@
 
 use hoptiller_audit::{Agreement, Rules, judge};
 use hoptiller_coordination::Span;
-use hoptiller_coordination_client::wire::{self, LeaseStatus, Status};
+use hoptiller_coordination_client::wire::{self, ClusterStatus, LeaseStatus};
 use hoptiller_fault_harness::stage::EnginePlan;
 use hoptiller_fault_harness::{Day, Layout, Stage};
 
@@ -17,7 +17,7 @@
 #[derive(clap::Subcommand)]
 pub enum Args {
     /// Shows keepers, versions, and the routers that hold permits
-    Status(StatusArgs),
+    ClusterStatus(StatusArgs),
     /// Shows which router does which part of a fleet-wide task, and until when at least
     Leases(StatusArgs),
     /// Puts a new keeper in the place of one that is lost with its disk, while the others go on
@@ -79,7 +79,7 @@
 
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
     match args {
-        Args::Status(args) => status(args),
+        Args::ClusterStatus(args) => status(args),
         Args::Leases(args) => leases(args),
         Args::ReplaceKeeper(args) => replace_keeper(args),
         Args::Run(args) => play(args),
@@ -336,10 +336,10 @@
 
 fn replace_keeper(args: &ReplaceArgs) -> Result<ExitCode, Failure> {
     let ask = serde_json::json!({ "lost": args.lost, "new": args.new, "at": args.at });
-    let done: wire::Replaced = args.keepers.open()?.post(wire::REPLACE, &ask)?;
+    let done: wire::ReplaceResponse = args.keepers.open()?.post(wire::REPLACE, &ask)?;
     println!(
         "keeper {} has the place of keeper {}: list {} of the keepers holds",
-        args.new, args.lost, done.list
+        args.new, args.lost, done.membership
     );
     println!("start it on an empty folder with `hoptiller keep --join --config FILE`");
     Ok(ExitCode::SUCCESS)
@@ -367,7 +367,7 @@
                 let left = l.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
                 format!(
                     "{holder} under number {number}, for {left} ms more, note of {} bytes",
-                    l.note_bytes
+                    l.checkpoint_bytes
                 )
             }
         };
@@ -383,7 +383,7 @@
 }
 
 fn status(args: &StatusArgs) -> Result<ExitCode, Failure> {
-    let all = args.keepers.open()?.each::<Status>(wire::STATUS);
+    let all = args.keepers.open()?.each::<ClusterStatus>(wire::STATUS);
     if args.json {
         let shown: Vec<_> = all
             .iter()
@@ -407,7 +407,7 @@
         let best = all
             .iter()
             .filter_map(|(_, s)| s.as_ref().ok())
-            .max_by_key(|s| s.log.0);
+            .max_by_key(|s| s.log.decided);
         if let Some(best) = best {
             print!("{}", show_fleet(best));
         }
@@ -420,27 +420,33 @@
     })
 }
 
-fn show_keeper(at: &str, s: &Status) -> String {
+fn show_keeper(at: &str, s: &ClusterStatus) -> String {
     let leader = s.leader.map_or("nobody".to_owned(), |l| l.to_string());
     let heard: Vec<String> = s
-        .heard_ms_ago
+        .peers
         .iter()
-        .map(|(n, ms)| ms.map_or(format!("{n} never"), |ms| format!("{n} {ms} ms ago")))
+        .map(|peer| match peer.heard_ms_ago {
+            Some(ms) => format!("{} {ms} ms ago", peer.replica),
+            None => format!("{} never", peer.replica),
+        })
         .collect();
-    let all: Vec<String> = s.keepers.iter().map(u64::to_string).collect();
+    let all: Vec<String> = s.replicas.iter().map(u64::to_string).collect();
     format!(
         "keeper {} at {at}: list {} ({}), leads {leader}, {} steps decided, {} kept, reached {}\n",
-        s.keeper,
-        s.list,
+        s.replica,
+        s.membership,
         all.join(" "),
-        s.log.0,
-        s.log.1,
+        s.log.decided,
+        s.log.retained,
         heard.join(", ")
     )
 }
 
-fn show_fleet(s: &Status) -> String {
-    let mut out = format!("in force {}, last {}\n", s.numbers.in_force, s.numbers.last);
+fn show_fleet(s: &ClusterStatus) -> String {
+    let mut out = format!(
+        "in force {}, last {}\n",
+        s.versions.in_force, s.versions.last
+    );
     for h in &s.pending {
         out.push_str(&format!(
             "  on its way: {} ({}) by {}: {}\n",
@@ -451,7 +457,7 @@
         ));
     }
     for h in &s.holders {
-        let held = if h.holds_up {
+        let held = if h.blocks_rollout {
             "  HOLDS UP the next version"
         } else {
             ""
@@ -459,7 +465,7 @@
         out.push_str(&format!(
             "  {:<30} heeds {:>5}, permit {:>6} ms{held}\n",
             h.holder.to_string(),
-            h.heeds,
+            h.enforced_version,
             h.left_ms
         ));
     }
@@ -467,8 +473,8 @@
 }
 
 /// Who holds up the next version, and until when at most.
-pub fn waiting_for(s: &Status) -> String {
-    let held = s.holders.iter().filter(|h| h.holds_up);
+pub fn waiting_for(s: &ClusterStatus) -> String {
+    let held = s.holders.iter().filter(|h| h.blocks_rollout);
     held.map(|h| format!("  waits for {}, {} ms at most\n", h.holder, h.left_ms))
         .collect()
 }
--- a/crates/cli/src/commands/fleet/tests.rs
+++ b/crates/cli/src/commands/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use hoptiller_coordination::Holder;
-use hoptiller_coordination_client::wire::{HolderStatus, Numbers};
+use hoptiller_coordination_client::wire::{HolderStatus, VersionNumbers};
 
 #[test]
 fn who_holds_up_a_version_is_named_with_its_time() {
@@ -9,24 +9,24 @@
             router: router.into(),
             life: "x1".into(),
         },
-        heeds,
+        enforced_version: heeds,
         left_ms: 4200,
-        holds_up,
+        blocks_rollout: holds_up,
     };
-    let s = Status {
-        keeper: 1,
+    let s = ClusterStatus {
+        replica: 1,
         leader: None,
-        numbers: Numbers {
+        versions: VersionNumbers {
             in_force: 6,
             last: 7,
-            board: 0,
+            lease_table: 0,
         },
         pending: Vec::new(),
         holders: vec![holder("r1", 7, false), holder("r2", 6, true)],
-        list: 2,
-        keepers: vec![1, 2, 4],
-        heard_ms_ago: vec![(2, Some(30)), (3, None)],
-        log: (90, 40),
+        membership: 2,
+        replicas: vec![1, 2, 4],
+        peers: vec![(2, Some(30)).into(), (3, None).into()],
+        log: (90, 40).into(),
     };
     assert_eq!(waiting_for(&s), "  waits for r2/x1, 4200 ms at most\n");
     let (keeper, fleet) = (show_keeper("here", &s), show_fleet(&s));
@@ -58,13 +58,13 @@
         part: part(0),
         holder,
         left_ms: Some(1200),
-        note_bytes: 80,
+        checkpoint_bytes: 80,
     };
     let free = LeaseStatus {
         part: part(1),
         holder: None,
         left_ms: None,
-        note_bytes: 0,
+        checkpoint_bytes: 0,
     };
     let told = show_leases(&[held, free]);
     assert!(
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -34,7 +34,7 @@
         .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
     run::raise_descriptors();
     run::block_on(async |spawner| {
-        let clock = Clock::skewed(args.clock_skew);
+        let clock = Clock::with_skew(args.clock_skew);
         let outside = |e: StartError| {
             Failure::Outside("the keeper can't start".into(), std::io::Error::other(e))
         };
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -39,7 +39,7 @@
                 router,
                 &life,
                 state,
-                Clock::skewed(args.clock_skew),
+                Clock::with_skew(args.clock_skew),
             ))
         }
     };
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use hoptiller_coordination::fleet::{Head, Version};
-use hoptiller_coordination::{Document, Number, Put};
+use hoptiller_coordination::{Difference, Document, Number, Put};
 use hoptiller_coordination_client::wire;
 
 use crate::commands::fleet::waiting_for;
@@ -132,11 +132,11 @@
             Ok(ExitCode::SUCCESS)
         }
         Args::Diff(a) => {
-            let between = wire::Between {
+            let between = wire::DiffRequest {
                 from: a.from,
                 to: a.to,
             };
-            let all: wire::Differences = a.keepers.open()?.post(wire::DIFF, &between)?;
+            let all: Vec<Difference> = a.keepers.open()?.post(wire::DIFF, &between)?;
             for d in &all {
                 println!("{:<50} {}", d.path, d.change.word());
             }
@@ -185,7 +185,7 @@
 }
 
 fn show(fleet: &Fleet, number: Option<Number>) -> Result<Version, Failure> {
-    fleet.post(wire::SHOW, &wire::Which { number })
+    fleet.post(wire::SHOW, &wire::VersionRequest { number })
 }
 
 fn line(h: &Head) -> String {
@@ -207,12 +207,12 @@
     document: Document,
     dry_run: bool,
 ) -> Result<ExitCode, Failure> {
-    let numbers: wire::Numbers = fleet.post(
+    let numbers: wire::VersionNumbers = fleet.post(
         wire::WATCH,
-        &wire::Watch {
-            known: wire::Numbers::default(),
+        &wire::WatchRequest {
+            known: wire::VersionNumbers::default(),
             wait_ms: 0,
-            board: false,
+            watch_leases: false,
         },
     )?;
     if numbers.last > 0 {
@@ -245,20 +245,20 @@
         document,
     };
     let began = Instant::now();
-    let number = match fleet.post(wire::PUT, &wanted)? {
-        wire::PutAnswer::Taken(number) => number,
-        wire::PutAnswer::Refused(why) => return Err(Failure::Usage(why.to_string())),
+    let number = match fleet.post(wire::PROPOSE, &wanted)? {
+        wire::ProposalResponse::Accepted(number) => number,
+        wire::ProposalResponse::Rejected(why) => return Err(Failure::Usage(why.to_string())),
     };
     println!("version {number} is taken");
     let until = began + Duration::from_secs(course.wait);
-    let mut known = wire::Numbers::default();
+    let mut known = wire::VersionNumbers::default();
     loop {
         let left = until.saturating_duration_since(Instant::now());
         let wait = left.min(WATCH);
-        let ask = wire::Watch {
+        let ask = wire::WatchRequest {
             known,
             wait_ms: wait.as_millis() as u64,
-            board: false,
+            watch_leases: false,
         };
         known = fleet.within(wire::WATCH, &ask, wait + MORE)?;
         if known.in_force >= number {
@@ -278,14 +278,14 @@
 }
 
 fn watch(fleet: &Fleet, until: Option<Number>) -> Result<ExitCode, Failure> {
-    let mut known = wire::Numbers::default();
+    let mut known = wire::VersionNumbers::default();
     loop {
-        let ask = wire::Watch {
+        let ask = wire::WatchRequest {
             known,
             wait_ms: WATCH.as_millis() as u64,
-            board: false,
+            watch_leases: false,
         };
-        let now: wire::Numbers = fleet.within(wire::WATCH, &ask, WATCH + MORE)?;
+        let now: wire::VersionNumbers = fleet.within(wire::WATCH, &ask, WATCH + MORE)?;
         if (now.in_force, now.last) != (known.in_force, known.last) {
             println!("in force {}, last {}", now.in_force, now.last);
         }
--- a/crates/cli/src/keepers.rs
+++ b/crates/cli/src/keepers.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hoptiller_coordination_client::{Keepers, Secret, Unreached};
+use hoptiller_coordination_client::{CallError, CoordinationClient, Secret};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -34,12 +34,12 @@
     pub fn open(&self) -> Result<Fleet, Failure> {
         let secret = Secret::load(&self.secret)
             .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
-        Ok(Fleet(Keepers::new(self.keepers.clone(), secret)))
+        Ok(Fleet(CoordinationClient::new(self.keepers.clone(), secret)))
     }
 }
 
 /// Keepers, for commands that wait for their answers.
-pub struct Fleet(Keepers);
+pub struct Fleet(CoordinationClient);
 
 impl Fleet {
     /// A call with a body.
@@ -67,23 +67,23 @@
     }
 
     /// The same call to each keeper, in the order of their addresses.
-    pub fn each<A: DeserializeOwned>(&self, path: &str) -> Vec<(SocketAddr, Result<A, Unreached>)> {
+    pub fn each<A: DeserializeOwned>(&self, path: &str) -> Vec<(SocketAddr, Result<A, CallError>)> {
         let one = |at: &SocketAddr| {
             (
                 *at,
-                async_io::block_on(self.0.call_one(*at, path, None::<&()>, WITHIN)),
+                async_io::block_on(self.0.call_endpoint(*at, path, None::<&()>, WITHIN)),
             )
         };
-        self.0.addresses().iter().map(one).collect()
+        self.0.endpoints().iter().map(one).collect()
     }
 }
 
-fn failure(e: Unreached) -> Failure {
+fn failure(e: CallError) -> Failure {
     match e {
-        Unreached::Refused(_, why) => Failure::Usage(why),
-        nobody => Failure::Outside(
+        CallError::Rejected { message, .. } => Failure::Usage(message),
+        unavailable => Failure::Outside(
             "the keepers".into(),
-            std::io::Error::other(nobody.to_string()),
+            std::io::Error::other(unavailable.to_string()),
         ),
     }
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use hoptiller_audit::Record;
 use hoptiller_coordination::Refused;
-use hoptiller_coordination_client::wire::PutAnswer;
+use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::stage::Between;
 use hoptiller_fault_harness::{Faults, Stage, Way};
 use night::{LONG, Night, document, program};
@@ -134,7 +134,7 @@
         night
             .stage
             .until(LONG, |s| match s.put("move", &document(&["a", "b"], 3)) {
-                Ok(PutAnswer::Taken(n)) => {
+                Ok(ProposalResponse::Accepted(n)) => {
                     number = n;
                     true
                 }
@@ -310,7 +310,7 @@
     assert!(night.stage.until(LONG, |s| {
         s.statuses()
             .iter()
-            .filter(|s| s.numbers.last >= two)
+            .filter(|s| s.versions.last >= two)
             .count()
             == 3
     }));
@@ -347,9 +347,12 @@
     assert_eq!(ended.and_then(|e| e.code()), Some(3));
     assert!(night.until_doubt("r1"));
     let alone = night.stage.put("four", &document(&["b"], 2));
-    assert!(!matches!(alone, Ok(PutAnswer::Taken(_))), "{alone:?}");
+    assert!(
+        !matches!(alone, Ok(ProposalResponse::Accepted(_))),
+        "{alone:?}"
+    );
     assert_eq!(
-        night.stage.statuses().first().map(|s| s.numbers.in_force),
+        night.stage.statuses().first().map(|s| s.versions.in_force),
         Some(three)
     );
     night.judged();
@@ -367,7 +370,7 @@
         .expect("asked")
         .expect("replaced");
     // Until two know it, the one that does may not be lost: that is not yet one of three. Then any may.
-    let know = |s: &mut Stage| s.statuses().iter().filter(|s| s.list == 2).count();
+    let know = |s: &mut Stage| s.statuses().iter().filter(|s| s.membership == 2).count();
     assert!(night.stage.until(LONG, |s| know(s) == 2));
     night.stage.kill_keeper(0);
     night.stage.start_keeper(new).expect("it is taken in");
@@ -381,7 +384,7 @@
     let lists = |s: &mut Stage| {
         s.statuses()
             .iter()
-            .filter(|s| s.list == 2 && s.keepers == [1, 2, 4])
+            .filter(|s| s.membership == 2 && s.replicas == [1, 2, 4])
             .count()
     };
     assert!(
@@ -435,8 +438,8 @@
             .stage
             .put(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3))
         {
-            Ok(PutAnswer::Taken(_)) => taken += 1,
-            Ok(PutAnswer::Refused(Refused::Busy { .. })) => busy += 1,
+            Ok(ProposalResponse::Accepted(_)) => taken += 1,
+            Ok(ProposalResponse::Rejected(Refused::Busy { .. })) => busy += 1,
             other => panic!("{other:?}"),
         }
     }
@@ -480,7 +483,7 @@
         .stage
         .keepers()
         .expect("there")
-        .addresses()
+        .endpoints()
         .iter()
         .map(ToString::to_string)
         .collect();
--- a/crates/cli/tests/night/mod.rs
+++ b/crates/cli/tests/night/mod.rs
@@ -6,7 +6,7 @@
 
 use hoptiller_audit::{Agreement, Record, Rules, Verdict, judge};
 use hoptiller_coordination::{Document, Span};
-use hoptiller_coordination_client::wire::PutAnswer;
+use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::stage::EnginePlan;
 use hoptiller_fault_harness::{Clients, Crowd, Layout, Mix, Stage};
 use serde_json::json;
@@ -93,7 +93,7 @@
         assert!(
             stage.until(LONG, |s| matches!(
                 s.put("first", first),
-                Ok(PutAnswer::Taken(1))
+                Ok(ProposalResponse::Accepted(1))
             )),
             "the first version"
         );
@@ -128,7 +128,7 @@
     pub fn put(&mut self, change: &str, document: &Document) -> u64 {
         let mut number = 0;
         let taken = self.stage.until(LONG, |s| match s.put(change, document) {
-            Ok(PutAnswer::Taken(n)) => {
+            Ok(ProposalResponse::Accepted(n)) => {
                 number = n;
                 true
             }
--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -1,141 +1,207 @@
-//! Owns calls to keepers: to one that answered last, and to the others in turn where it does not. What a call that had
-//! no answer came to is not known; calls are made so that repeating them is harmless.
+//! Calls to the replicas of the coordination server: the replica that answered last is tried first, the others in turn
+//! when it does not answer. What became of a call without an answer is unknown, so every call is safe to repeat.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hoptiller_http::client::Connection;
+use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::secret::Secret;
-use crate::wire::{MOST_BODY, Problem};
-
-/// Time for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-
-/// No keeper has answered as wanted.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unreached {
-    /// None has answered at all: what each said or did, with its address.
-    Nobody(Vec<(SocketAddr, String)>),
-    /// One has answered that the call itself is wrong.
-    Refused(u16, String),
+use crate::wire::{ErrorBody, MAX_BODY_BYTES};
+
+/// Limit of the time that a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a call has no result.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// No replica has answered: the failure of each.
+    #[error("no keeper has answered{}", join_failures(.0))]
+    Unavailable(Vec<EndpointError>),
+    /// A replica has answered that the call itself is wrong.
+    #[error("{message}")]
+    Rejected {
+        /// The HTTP status, from 400 to 499.
+        status: u16,
+        /// The replica's reason.
+        message: String,
+    },
 }
 
-impl std::fmt::Display for Unreached {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Unreached::Nobody(all) => {
-                write!(f, "no keeper has answered")?;
-                all.iter()
-                    .try_for_each(|(addr, why)| write!(f, "; {addr}: {why}"))
-            }
-            Unreached::Refused(_, why) => write!(f, "{why}"),
-        }
-    }
+fn join_failures(failures: &[EndpointError]) -> String {
+    failures
+        .iter()
+        .map(|failure| format!("; {failure}"))
+        .collect()
 }
 
-impl std::error::Error for Unreached {}
+/// A failed call to one replica.
+#[derive(Debug, thiserror::Error)]
+#[error("{endpoint}: {source}")]
+pub struct EndpointError {
+    /// The replica's address.
+    pub endpoint: SocketAddr,
+    /// What failed.
+    pub source: EndpointFailure,
+}
 
-/// The keepers of a fleet.
+/// What failed in a call to one replica.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointFailure {
+    /// The exchange over HTTP.
+    #[error(transparent)]
+    Transport(#[from] ClientError),
+    /// The request has no JSON form.
+    #[error("the request can't be encoded: {0}")]
+    Encode(#[source] serde_json::Error),
+    /// The response is not the JSON expected.
+    #[error("its answer: {0}")]
+    Decode(#[source] serde_json::Error),
+    /// The replica rejects the authentication code of the request.
+    #[error("it does not know our secret")]
+    UnknownSecret,
+    /// The response carries no valid authentication code.
+    #[error("its answer is not the fleet's")]
+    UnauthenticatedResponse,
+    /// The replica answered with an error of its own.
+    #[error("{0}")]
+    Server(String),
+}
+
+/// A client of all replicas of a coordination server.
 #[derive(Debug)]
-pub struct Keepers {
-    at: Vec<SocketAddr>,
+pub struct CoordinationClient {
+    endpoints: Vec<SocketAddr>,
     secret: Secret,
-    first: Cell<usize>,
+    /// Index of the replica that the next call tries first.
+    preferred: Cell<usize>,
 }
 
-impl Keepers {
-    /// At these addresses.
-    pub fn new(at: Vec<SocketAddr>, secret: Secret) -> Keepers {
-        Keepers {
-            at,
+impl CoordinationClient {
+    /// A client of the replicas at these addresses.
+    pub fn new(endpoints: Vec<SocketAddr>, secret: Secret) -> CoordinationClient {
+        CoordinationClient {
+            endpoints,
             secret,
-            first: Cell::new(0),
+            preferred: Cell::new(0),
         }
     }
 
-    /// Begins with another one at the next call; so that a fleet's routers don't all ask the same.
-    pub fn begin_with(&self, n: usize) {
-        self.first.set(n % self.at.len().max(1));
+    /// Sets which replica the next call tries first, modulo their number, to spread many clients over the replicas.
+    pub fn set_preferred(&self, index: usize) {
+        self.preferred.set(index % self.endpoints.len().max(1));
     }
 
-    /// Where they are.
-    pub fn addresses(&self) -> &[SocketAddr] {
-        &self.at
+    /// The addresses of the replicas.
+    pub fn endpoints(&self) -> &[SocketAddr] {
+        &self.endpoints
     }
 
-    /// Asks one after the other until one answers; each has the time given.
+    /// Calls one replica after the other until one answers, each within `timeout`. With a body the call is a POST,
+    /// without one a GET.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::Rejected`] when a replica rejects the call, [`CallError::Unavailable`] when none answers.
     pub async fn call<A: DeserializeOwned>(
         &self,
         path: &str,
         body: Option<&impl Serialize>,
-        each: Duration,
-    ) -> Result<A, Unreached> {
-        let mut all = Vec::new();
-        for n in 0..self.at.len() {
-            let at = (self.first.get() + n) % self.at.len();
-            match self.call_one(self.at[at], path, body, each).await {
+        timeout: Duration,
+    ) -> Result<A, CallError> {
+        let mut failures = Vec::new();
+        for offset in 0..self.endpoints.len() {
+            let index = (self.preferred.get() + offset) % self.endpoints.len();
+            match self
+                .call_endpoint(self.endpoints[index], path, body, timeout)
+                .await
+            {
                 Ok(answer) => {
-                    self.first.set(at);
+                    self.preferred.set(index);
                     return Ok(answer);
                 }
-                Err(Unreached::Nobody(why)) => all.extend(why),
-                Err(refused) => return Err(refused),
+                Err(CallError::Unavailable(failed)) => failures.extend(failed),
+                Err(rejected) => return Err(rejected),
             }
         }
-        Err(Unreached::Nobody(all))
+        Err(CallError::Unavailable(failures))
+    }
+
+    /// Calls one replica. With a body the call is a POST, without one a GET.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::Rejected`] when the replica rejects the call, [`CallError::Unavailable`] when it does not answer.
+    pub async fn call_endpoint<A: DeserializeOwned>(
+        &self,
+        endpoint: SocketAddr,
+        path: &str,
+        body: Option<&impl Serialize>,
+        timeout: Duration,
+    ) -> Result<A, CallError> {
+        let unavailable = |source| CallError::Unavailable(vec![EndpointError { endpoint, source }]);
+        let response = self
+            .exchange(endpoint, path, body, timeout)
+            .await
+            .map_err(unavailable)?;
+        match response.status.0 {
+            200 => serde_json::from_slice(&response.body)
+                .map_err(|error| unavailable(EndpointFailure::Decode(error))),
+            status @ 400..500 => Err(CallError::Rejected {
+                status,
+                message: error_message(&response),
+            }),
+            _ => Err(unavailable(EndpointFailure::Server(error_message(
+                &response,
+            )))),
+        }
     }
 
-    /// Asks one.
-    pub async fn call_one<A: DeserializeOwned>(
+    /// Sends an authenticated request on a connection of its own; the response is authenticated too.
+    async fn exchange(
         &self,
-        at: SocketAddr,
+        endpoint: SocketAddr,
         path: &str,
         body: Option<&impl Serialize>,
-        within: Duration,
-    ) -> Result<A, Unreached> {
-        let nobody = |why: String| Unreached::Nobody(vec![(at, why)]);
-        let mut request = Request::new(
-            if body.is_some() {
-                Method::Post
-            } else {
-                Method::Get
-            },
-            path,
-        );
+        timeout: Duration,
+    ) -> Result<Response, EndpointFailure> {
+        let method = if body.is_some() {
+            Method::Post
+        } else {
+            Method::Get
+        };
+        let mut request = Request::new(method, path);
         if let Some(body) = body {
-            request.body = serde_json::to_vec(body).map_err(|e| nobody(e.to_string()))?;
+            request.body = serde_json::to_vec(body).map_err(EndpointFailure::Encode)?;
         }
-        let request = self.secret.sign(request.with("Connection", "close"));
+        let request = self
+            .secret
+            .sign_request(request.with("Connection", "close"));
         let limits = Limits {
-            body: MOST_BODY,
+            body: MAX_BODY_BYTES,
             ..Limits::default()
         };
-        let exchange = async {
-            let mut c = Connection::open(at, CONNECT.min(within), limits).await?;
-            c.exchange(&request, within).await
-        };
-        let answer: Response = exchange.await.map_err(|e| nobody(e.to_string()))?;
-        let told = || {
-            let told: Option<Problem> = serde_json::from_slice(&answer.body).ok();
-            told.map_or_else(|| format!("status {}", answer.status.0), |p| p.problem)
-        };
-        if answer.status.0 == 401 {
-            return Err(nobody("it does not know our secret".into()));
-        }
-        if self.secret.check_answer(&request, &answer).is_err() {
-            return Err(nobody("its answer is not the fleet's".into()));
-        }
-        match answer.status.0 {
-            200 => {
-                serde_json::from_slice(&answer.body).map_err(|e| nobody(format!("its answer: {e}")))
-            }
-            status @ 400..500 => Err(Unreached::Refused(status, told())),
-            _ => Err(nobody(told())),
+        let mut connection =
+            Connection::open(endpoint, CONNECT_TIMEOUT.min(timeout), limits).await?;
+        let response = connection.exchange(&request, timeout).await?;
+        if response.status.0 == 401 {
+            return Err(EndpointFailure::UnknownSecret);
         }
+        self.secret
+            .verify_response(&request, &response)
+            .map_err(|_| EndpointFailure::UnauthenticatedResponse)?;
+        Ok(response)
     }
 }
+
+/// The reason in an error's body, or the status where there is none.
+fn error_message(response: &Response) -> String {
+    serde_json::from_slice::<ErrorBody>(&response.body).map_or_else(
+        |_| format!("status {}", response.status.0),
+        |body| body.message,
+    )
+}
--- a/crates/coordination-client/src/clock.rs
+++ b/crates/coordination-client/src/clock.rs
@@ -1,35 +1,41 @@
-//! Owns the clock of permits: it goes on while the process is stopped and while the machine sleeps, and no one sets it.
+//! The clock that leases are measured with: monotonic, not settable, and running while the process is stopped and while
+//! the machine sleeps.
 
 use hoptiller_coordination::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// A clock. Tests make one run fast or slow, to stand for clocks that do.
+/// Parts per million.
+const MILLION: i64 = 1_000_000;
+/// Limit of a simulated skew in either direction, in millionths.
+const MAX_SKEW_MILLIONTHS: i64 = 900_000;
+
+/// A clock that counts from the machine's start. Tests make it run fast or slow to simulate drift.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Micros,
-    /// Millionths by which it runs fast (over 0) or slow.
-    skew: i64,
+    started_at: Micros,
+    skew_millionths: i64,
 }
 
 impl Clock {
-    /// The machine's, as it is.
+    /// A clock that runs as the machine's.
     pub fn new() -> Clock {
-        Clock::skewed(0)
+        Clock::with_skew(0)
     }
 
-    /// One that runs fast or slow by so many millionths, from its making on.
-    pub fn skewed(skew: i64) -> Clock {
+    /// A clock that runs fast (above 0) or slow (below 0) by so many millionths, from now on.
+    pub fn with_skew(skew_millionths: i64) -> Clock {
         Clock {
-            began: read(),
-            skew: skew.clamp(-900_000, 900_000),
+            started_at: boot_time(),
+            skew_millionths: skew_millionths.clamp(-MAX_SKEW_MILLIONTHS, MAX_SKEW_MILLIONTHS),
         }
     }
 
-    /// Now.
+    /// The time now.
     pub fn now(&self) -> Micros {
-        let passed = i128::from(read().saturating_sub(self.began));
-        let ran = passed * i128::from(1_000_000 + self.skew) / 1_000_000;
-        self.began.saturating_add(u64::try_from(ran).unwrap_or(0))
+        let elapsed = i128::from(boot_time().saturating_sub(self.started_at));
+        let skewed = elapsed * i128::from(MILLION + self.skew_millionths) / i128::from(MILLION);
+        self.started_at
+            .saturating_add(u64::try_from(skewed).unwrap_or(0))
     }
 }
 
@@ -39,10 +45,11 @@
     }
 }
 
-fn read() -> Micros {
-    // Time asleep counts: CLOCK_MONOTONIC, which `Instant` reads, stands still while a machine sleeps.
-    let t = clock_gettime(ClockId::Boottime);
-    u64::try_from(t.tv_sec).unwrap_or(0) * 1_000_000 + u64::try_from(t.tv_nsec).unwrap_or(0) / 1000
+fn boot_time() -> Micros {
+    // CLOCK_MONOTONIC, which `Instant` reads, stands still while a machine sleeps; CLOCK_BOOTTIME does not.
+    let time = clock_gettime(ClockId::Boottime);
+    u64::try_from(time.tv_sec).unwrap_or(0) * 1_000_000
+        + u64::try_from(time.tv_nsec).unwrap_or(0) / 1000
 }
 
 #[cfg(test)]
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -1,5 +1,5 @@
-//! Owns what authenticates calls between keepers, routers and administrators: one secret that all of a fleet share, and
-//! a code over each call and each answer (BLAKE3, keyed). It says that a call comes from the fleet, not from whom.
+//! Authentication of requests and responses between replicas, routers and administrators: a message authentication code
+//! (keyed BLAKE3) under one secret that all of them share. It shows that a message comes from the fleet, not from whom.
 
 use std::io;
 use std::path::Path;
@@ -7,13 +7,13 @@
 use data_encoding::HEXLOWER_PERMISSIVE;
 use hoptiller_http::{Request, Response};
 
-/// The header field that carries a code.
-pub const FIELD: &str = "X-Hoptiller-Code";
+/// The header that carries the authentication code.
+pub const CODE_HEADER: &str = "X-Hoptiller-Code";
 
-/// Bytes that a secret has at least.
-const LEAST: usize = 16;
+/// Minimum length of a secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// A fleet's secret.
+/// The secret that replicas, routers and administrators share.
 #[derive(Clone)]
 pub struct Secret([u8; 32]);
 
@@ -23,97 +23,117 @@
     }
 }
 
-/// A call or an answer that is not the fleet's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Foreign;
+/// A request or a response has no valid authentication code.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the authentication code is missing or wrong")]
+pub struct AuthenticationError;
 
 impl Secret {
-    /// From bytes that only the fleet knows.
+    /// Derives the key from bytes that only the fleet knows.
     pub fn new(bytes: &[u8]) -> Secret {
         Secret(blake3::derive_key("hoptiller 2026 fleet calls", bytes))
     }
 
-    /// From a file: 32 hexadecimal digits or more.
+    /// Loads a secret from a file with 32 hexadecimal digits or more.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be read, or holds anything else ([`io::ErrorKind::InvalidData`]).
     pub fn load(path: &Path) -> io::Result<Secret> {
         let text = std::fs::read_to_string(path)?;
         let bytes = HEXLOWER_PERMISSIVE
             .decode(text.trim().as_bytes())
             .ok()
-            .filter(|b| b.len() >= LEAST);
-        bytes.map(|b| Secret::new(&b)).ok_or_else(|| {
+            .filter(|bytes| bytes.len() >= MIN_SECRET_BYTES);
+        bytes.map(|bytes| Secret::new(&bytes)).ok_or_else(|| {
             let why = format!(
                 "{}: {} hexadecimal digits or more are wanted",
                 path.display(),
-                LEAST * 2
+                MIN_SECRET_BYTES * 2
             );
             io::Error::new(io::ErrorKind::InvalidData, why)
         })
     }
 
-    fn code(&self, parts: &[&[u8]]) -> blake3::Hash {
+    fn authentication_code(&self, parts: &[&[u8]]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         for part in parts {
-            // Lengths in front, so that no two lists of parts have the same bytes.
+            // The length goes first, so that no two lists of parts hash the same bytes.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
         hasher.finalize()
     }
 
-    fn of_request(&self, r: &Request) -> blake3::Hash {
-        self.code(&[
+    fn request_code(&self, request: &Request) -> blake3::Hash {
+        self.authentication_code(&[
             b"call",
-            r.method.as_str().as_bytes(),
-            r.target.as_bytes(),
-            &r.body,
+            request.method.as_str().as_bytes(),
+            request.target.as_bytes(),
+            &request.body,
         ])
     }
 
-    /// Adds the code to a call.
-    pub fn sign(&self, request: Request) -> Request {
-        let code = self.of_request(&request).to_hex();
-        request.with(FIELD, &code)
+    /// Adds the authentication code to a request.
+    pub fn sign_request(&self, request: Request) -> Request {
+        let code = self.request_code(&request).to_hex();
+        request.with(CODE_HEADER, &code)
     }
 
-    /// Whether a call is the fleet's.
-    pub fn check(&self, request: &Request) -> Result<(), Foreign> {
-        matches(request.headers.get(FIELD), self.of_request(request))
+    /// Verifies the code of a request.
+    ///
+    /// # Errors
+    ///
+    /// When the code is missing or wrong.
+    pub fn verify_request(&self, request: &Request) -> Result<(), AuthenticationError> {
+        verify_code(request.headers.get(CODE_HEADER), self.request_code(request))
     }
 
-    fn of_response(&self, to: &Request, r: &Response) -> blake3::Hash {
-        let call = to.headers.get(FIELD).unwrap_or_default();
-        self.code(&[
+    fn response_code(&self, request: &Request, response: &Response) -> blake3::Hash {
+        let call = request.headers.get(CODE_HEADER).unwrap_or_default();
+        self.authentication_code(&[
             b"answer",
             call.as_bytes(),
-            &r.status.0.to_be_bytes(),
-            &r.body,
+            &response.status.0.to_be_bytes(),
+            &response.body,
         ])
     }
 
-    /// Adds the code to the answer to a call.
-    pub fn sign_answer(&self, to: &Request, response: Response) -> Response {
-        let code = self.of_response(to, &response).to_hex();
-        response.with(FIELD, &code)
+    /// Adds the authentication code to the response to a request.
+    pub fn sign_response(&self, request: &Request, response: Response) -> Response {
+        let code = self.response_code(request, &response).to_hex();
+        response.with(CODE_HEADER, &code)
     }
 
-    /// Whether an answer is the fleet's, and to this very call.
-    pub fn check_answer(&self, to: &Request, response: &Response) -> Result<(), Foreign> {
-        matches(response.headers.get(FIELD), self.of_response(to, response))
+    /// Verifies the code of the response to this very request.
+    ///
+    /// # Errors
+    ///
+    /// When the code is missing or wrong, as for the response to another request.
+    pub fn verify_response(
+        &self,
+        request: &Request,
+        response: &Response,
+    ) -> Result<(), AuthenticationError> {
+        verify_code(
+            response.headers.get(CODE_HEADER),
+            self.response_code(request, response),
+        )
     }
 }
 
-/// The digest of bytes that are kept, so that damage is seen.
+/// The BLAKE3 digest of stored bytes, in hexadecimal, to detect damage.
 pub fn digest(bytes: &[u8]) -> String {
     blake3::hash(bytes).to_hex().to_string()
 }
 
-fn matches(told: Option<&str>, right: blake3::Hash) -> Result<(), Foreign> {
-    // The comparison of hashes takes the same time wherever they differ.
-    let told = told.and_then(|t| blake3::Hash::from_hex(t).ok());
-    if told == Some(right) {
+fn verify_code(received: Option<&str>, expected: blake3::Hash) -> Result<(), AuthenticationError> {
+    // `blake3::Hash` compares in constant time.
+    let received = received.and_then(|code| blake3::Hash::from_hex(code).ok());
+    if received == Some(expected) {
         Ok(())
     } else {
-        Err(Foreign)
+        Err(AuthenticationError)
     }
 }
 
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -1,222 +1,274 @@
-//! Owns the bodies of calls to keepers, in JSON. Unknown fields are refused, so that programs of two versions never
-//! half understand each other.
+//! Paths and JSON bodies of the coordination server's HTTP interface. Unknown fields are rejected, so that a program of
+//! another version fails instead of half understanding a message. JSON names that differ from the fields' are pinned by
+//! `serde(rename)`: `tests/wire_form.rs` compares all of them with stored bytes.
 
-use hoptiller_coordination::fleet::{Granted, Head, Holder, Number, Put, Refused, Version};
+use hoptiller_coordination::Micros;
+use hoptiller_coordination::fleet::{Granted, Head, Holder, Number, Refused};
 use hoptiller_coordination::lease::{NotNoted, Offer, Part};
-use hoptiller_coordination::{Difference, Micros};
 use serde::{Deserialize, Serialize};
 
-/// A router asks for its permit: POST, [`Ask`] to [`Asked`].
-pub const ASK: &str = "/v1/fleet/ask";
-/// A router gives its permit back: POST, [`Holder`].
-pub const GIVE_BACK: &str = "/v1/fleet/give-back";
-/// Waits until there is another version than the caller knows: POST, [`Watch`] to [`Numbers`].
+/// A router renews its lease of the configuration: POST, [`LeaseRenewalRequest`] to [`LeaseRenewalResponse`].
+pub const RENEW_LEASE: &str = "/v1/fleet/ask";
+/// A router releases its lease of the configuration: POST, [`Holder`].
+pub const RELEASE_LEASE: &str = "/v1/fleet/give-back";
+/// Waits until the versions differ from those that the caller knows: POST, [`WatchRequest`] to [`VersionNumbers`].
 pub const WATCH: &str = "/v1/fleet/watch";
-/// The holder of a lease notes how far it has come: POST, [`Note`] to [`Noted`].
-pub const NOTE: &str = "/v1/fleet/note";
-/// Who does what for all: GET, `Vec<`[`LeaseStatus`]`>`.
+/// The holder of a shard's lease stores its progress: POST, [`CheckpointRequest`] to [`CheckpointResult`].
+pub const CHECKPOINT: &str = "/v1/fleet/note";
+/// The leases of shards: GET, `Vec<`[`LeaseStatus`]`>`.
 pub const LEASES: &str = "/v1/fleet/leases";
-/// Who is on which version: GET, [`Status`].
+/// The state of the cluster as one replica sees it: GET, [`ClusterStatus`].
 pub const STATUS: &str = "/v1/fleet/status";
-/// A change is wanted: POST, [`Put`] to [`PutAnswer`].
-pub const PUT: &str = "/v1/settings/put";
-/// A version: POST, [`Which`] to [`Version`].
+/// Proposes a version of the configuration: POST, [`Put`](hoptiller_coordination::Put) to [`ProposalResponse`].
+pub const PROPOSE: &str = "/v1/settings/put";
+/// Reads a version: POST, [`VersionRequest`] to [`Version`](hoptiller_coordination::fleet::Version).
 pub const SHOW: &str = "/v1/settings/show";
-/// Heads of the versions kept: GET, `Vec<Head>`.
+/// Lists the metadata of the versions kept: GET, `Vec<`[`Head`]`>`.
 pub const HISTORY: &str = "/v1/settings/history";
-/// How two versions differ: POST, [`Between`] to `Vec<Difference>`.
+/// Compares two versions: POST, [`DiffRequest`] to `Vec<`[`Difference`](hoptiller_coordination::Difference)`>`.
 pub const DIFF: &str = "/v1/settings/diff";
-/// Messages among keepers.
+/// Log messages between replicas.
 pub const MESSAGES: &str = "/v1/keeper/messages";
-/// A new keeper asks another for the state.
+/// A replica that joins the cluster requests the replicated state.
 pub const STATE: &str = "/v1/keeper/state";
-/// A keeper that is behind by a list of keepers is given the state.
+/// A replica with an outdated membership receives the replicated state.
 pub const INSTALL: &str = "/v1/keeper/install";
-/// One keeper is to take another's place: POST, to [`Replaced`].
+/// Replaces one replica by another: POST, to [`ReplaceResponse`].
 pub const REPLACE: &str = "/v1/keeper/replace";
 
-/// Bytes of a body at most.
-pub const MOST_BODY: u64 = 32 << 20;
+/// Limit of the size of a body, in bytes.
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// See [`ASK`].
+/// The request of [`RENEW_LEASE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
-    /// Who.
+pub struct LeaseRenewalRequest {
+    /// The router.
     pub holder: Holder,
-    /// The last version whose rules it heeds.
-    pub heeds: Number,
-    /// The version that it holds to be in force.
+    /// The last version that the router enforces.
+    #[serde(rename = "heeds")]
+    pub enforced_version: Number,
+    /// The version that the router believes to be in force.
     pub in_force: Number,
-    /// The term that it counts with, in µs, and the drift, in millionths: both sides must count alike.
+    /// How long a lease lasts by the router's settings, in µs. Both sides must agree.
     pub term: Micros,
-    /// See `term`.
+    /// Limit of the difference of two clocks' rates by the router's settings, in millionths. Both sides must agree.
     pub drift: u64,
-    /// What it says of leases, where it takes part in them.
+    /// The router's offer to run shards of tasks, if it takes part in them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offer: Option<Offer>,
 }
 
-/// See [`NOTE`]. It is answered with whether the note was taken, or why not.
+/// The request of [`CHECKPOINT`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Note {
-    /// Who.
+pub struct CheckpointRequest {
+    /// The holder of the lease.
     pub holder: Holder,
-    /// For what.
+    /// The shard.
     pub part: Part,
-    /// Under which number.
-    pub number: u64,
-    /// The note.
+    /// The fencing token of the lease.
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
+    /// The progress to be stored.
     pub text: String,
 }
 
-/// The answer to [`NOTE`].
-pub type Noted = Result<(), NotNoted>;
+/// The response of [`CHECKPOINT`]: whether the progress was stored, or why not.
+pub type CheckpointResult = Result<(), NotNoted>;
 
-/// A part of a task, as a keeper knows it: [`LEASES`].
+/// The lease of a shard, as one replica knows it: [`LEASES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// Which part.
+    /// The shard.
     pub part: Part,
-    /// Who holds it, and under which number.
+    /// The holder and its fencing token.
     pub holder: Option<(Holder, u64)>,
-    /// Until it has run out by this keeper's clock, in ms.
+    /// Time until the lease expires by this replica's clock, in ms.
     pub left_ms: Option<u64>,
-    /// How long the note of its holder is.
-    pub note_bytes: u64,
+    /// The length of the progress stored, in bytes.
+    #[serde(rename = "note_bytes")]
+    pub checkpoint_bytes: u64,
 }
 
-/// The answer to [`ASK`], where there is one.
+/// The response of [`RENEW_LEASE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Asked {
-    /// Prolonged.
+pub enum LeaseRenewalResponse {
+    /// The lease is renewed.
     Granted(Granted),
-    /// The router knows of a version that this fleet never had.
+    /// The router knows of a version that the cluster never had.
     Ahead,
     /// There is no version yet.
     Empty,
-    /// There are too many routers.
-    Crowded,
+    /// The limit of routers is reached.
+    #[serde(rename = "crowded")]
+    TooManyHolders,
 }
 
-/// See [`WATCH`].
+/// The request of [`WATCH`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Watch {
+pub struct WatchRequest {
     /// What the caller knows.
-    pub known: Numbers,
-    /// How long it waits at most, in ms.
+    pub known: VersionNumbers,
+    /// Limit of the time to wait, in ms.
     pub wait_ms: u64,
-    /// Whether changes of who does what for all are news too.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub board: bool,
+    /// Whether to return on changes of the lease table too.
+    #[serde(rename = "board", default, skip_serializing_if = "std::ops::Not::not")]
+    pub watch_leases: bool,
 }
 
-/// Where a fleet stands.
+/// The current version numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Numbers {
+pub struct VersionNumbers {
     /// The version in force.
     pub in_force: Number,
-    /// The last one, in force or on its way.
+    /// The last version, in force or pending.
     pub last: Number,
-    /// Counts changes of who does what for all.
-    #[serde(default, skip_serializing_if = "is_none")]
-    pub board: u64,
+    /// The number of changes of the lease table.
+    #[serde(rename = "board", default, skip_serializing_if = "is_zero")]
+    pub lease_table: u64,
 }
 
-/// Programs from before there were tasks know nothing of a board.
-fn is_none(count: &u64) -> bool {
+/// Programs that know no lease table reject the field, so a count of 0 is left out.
+fn is_zero(count: &u64) -> bool {
     *count == 0
 }
 
-/// See [`PUT`].
+/// The response of [`PROPOSE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum PutAnswer {
-    /// Taken, under this number.
-    Taken(Number),
-    /// Refused.
-    Refused(Refused),
+pub enum ProposalResponse {
+    /// Accepted as the version of this number.
+    #[serde(rename = "taken")]
+    Accepted(Number),
+    /// Rejected.
+    #[serde(rename = "refused")]
+    Rejected(Refused),
 }
 
-/// See [`SHOW`].
+/// The request of [`SHOW`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Which {
-    /// Its number; `None`: the last.
+pub struct VersionRequest {
+    /// The version's number; `None` for the last one.
     pub number: Option<Number>,
 }
 
-/// See [`DIFF`].
+/// The request of [`DIFF`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Between {
-    /// From.
+pub struct DiffRequest {
+    /// The older version.
     pub from: Number,
-    /// To.
+    /// The newer version.
     pub to: Number,
 }
 
-/// The answer to [`DIFF`].
-pub type Differences = Vec<Difference>;
-
-/// A holder of a permit, as a keeper knows it.
+/// A router's lease of the configuration, as one replica knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderStatus {
-    /// Who.
+    /// The router.
     pub holder: Holder,
-    /// The last version whose rules it heeds.
-    pub heeds: Number,
-    /// Until its permit has run out by this keeper's clock, in ms.
+    /// The last version that the router enforces.
+    #[serde(rename = "heeds")]
+    pub enforced_version: Number,
+    /// Time until the lease expires by this replica's clock, in ms.
     pub left_ms: u64,
-    /// Whether the next change waits for it.
-    pub holds_up: bool,
+    /// Whether the next version waits for this router.
+    #[serde(rename = "holds_up")]
+    pub blocks_rollout: bool,
 }
 
-/// The answer to [`STATUS`].
+/// The response of [`STATUS`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Status {
-    /// The keeper that says so.
-    pub keeper: u64,
-    /// The one that leads, as it knows.
+pub struct ClusterStatus {
+    /// The replica that answers.
+    #[serde(rename = "keeper")]
+    pub replica: u64,
+    /// The leader, as far as this replica knows.
     pub leader: Option<u64>,
-    /// Where the fleet stands.
-    pub numbers: Numbers,
-    /// Changes on their way.
+    /// The current version numbers.
+    #[serde(rename = "numbers")]
+    pub versions: VersionNumbers,
+    /// Versions not yet in force.
     pub pending: Vec<Head>,
-    /// Who holds a permit.
+    /// Routers that hold a lease of the configuration.
     pub holders: Vec<HolderStatus>,
-    /// The number of the list of keepers that it goes by, and who is on it.
-    #[serde(default)]
-    pub list: u32,
-    /// See `list`.
-    #[serde(default)]
-    pub keepers: Vec<u64>,
-    /// Other keepers, and how long ago each was heard, in ms; `None`: never.
-    pub heard_ms_ago: Vec<(u64, Option<u64>)>,
-    /// Steps of the log: decided, and how many of these are kept one by one.
-    pub log: (u64, u64),
-}
-
-/// The answer to [`REPLACE`].
+    /// The number of the membership that this replica knows.
+    #[serde(rename = "list", default)]
+    pub membership: u32,
+    /// The replicas of that membership.
+    #[serde(rename = "keepers", default)]
+    pub replicas: Vec<u64>,
+    /// The other replicas.
+    #[serde(rename = "heard_ms_ago")]
+    pub peers: Vec<PeerStatus>,
+    /// The size of the log.
+    pub log: LogStatus,
+}
+
+/// When a replica last answered another one. In JSON a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
+pub struct PeerStatus {
+    /// The other replica.
+    pub replica: u64,
+    /// Time since its last answer, in ms; `None` if it has not answered yet.
+    pub heard_ms_ago: Option<u64>,
+}
+
+impl From<(u64, Option<u64>)> for PeerStatus {
+    fn from((replica, heard_ms_ago): (u64, Option<u64>)) -> Self {
+        PeerStatus {
+            replica,
+            heard_ms_ago,
+        }
+    }
+}
+
+impl From<PeerStatus> for (u64, Option<u64>) {
+    fn from(peer: PeerStatus) -> Self {
+        (peer.replica, peer.heard_ms_ago)
+    }
+}
+
+/// The size of a replica's log, in entries. In JSON a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct LogStatus {
+    /// Entries decided since the cluster began.
+    pub decided: u64,
+    /// Entries that are not compacted.
+    pub retained: u64,
+}
+
+impl From<(u64, u64)> for LogStatus {
+    fn from((decided, retained): (u64, u64)) -> Self {
+        LogStatus { decided, retained }
+    }
+}
+
+impl From<LogStatus> for (u64, u64) {
+    fn from(log: LogStatus) -> Self {
+        (log.decided, log.retained)
+    }
+}
+
+/// The response of [`REPLACE`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replaced {
-    /// The number of the list of keepers that holds now.
-    pub list: u32,
+pub struct ReplaceResponse {
+    /// The number of the membership that is now in effect.
+    #[serde(rename = "list")]
+    pub membership: u32,
 }
 
-/// Why a call is refused, in words.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
-    /// The words.
-    pub problem: String,
+pub struct ErrorBody {
+    /// What is wrong.
+    #[serde(rename = "problem")]
+    pub message: String,
 }
-
-/// What versions a [`SHOW`] gives.
-pub type Shown = Version;
-/// What a [`PUT`] takes.
-pub type Wanted = Put;
--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -28,24 +28,24 @@
     for line in stored.lines() {
         let (name, body) = line.split_once(' ').expect("a name and a body");
         let body = match name {
-            "ask" => again::<Ask>(body),
-            "asked" => again::<Asked>(body),
+            "ask" => again::<LeaseRenewalRequest>(body),
+            "asked" => again::<LeaseRenewalResponse>(body),
             "holder" => again::<Holder>(body),
-            "watch" => again::<Watch>(body),
-            "numbers" => again::<Numbers>(body),
-            "note" => again::<Note>(body),
-            "noted" => again::<Noted>(body),
+            "watch" => again::<WatchRequest>(body),
+            "numbers" => again::<VersionNumbers>(body),
+            "note" => again::<CheckpointRequest>(body),
+            "noted" => again::<CheckpointResult>(body),
             "leases" => again::<Vec<LeaseStatus>>(body),
-            "status" => again::<Status>(body),
+            "status" => again::<ClusterStatus>(body),
             "put" => again::<Put>(body),
-            "put-answer" => again::<PutAnswer>(body),
-            "which" => again::<Which>(body),
+            "put-answer" => again::<ProposalResponse>(body),
+            "which" => again::<VersionRequest>(body),
             "version" => again::<Version>(body),
             "history" => again::<Vec<Head>>(body),
-            "between" => again::<Between>(body),
+            "between" => again::<DiffRequest>(body),
             "differences" => again::<Vec<Difference>>(body),
-            "replaced" => again::<Replaced>(body),
-            "problem" => again::<Problem>(body),
+            "replaced" => again::<ReplaceResponse>(body),
+            "problem" => again::<ErrorBody>(body),
             other => panic!("{other}: no such message"),
         };
         let _ = writeln!(written, "{name} {body}");
@@ -62,8 +62,20 @@
 #[test]
 fn paths_and_authentication_codes_stay() {
     let paths = [
-        ASK, GIVE_BACK, WATCH, NOTE, LEASES, STATUS, PUT, SHOW, HISTORY, DIFF, MESSAGES, STATE,
-        INSTALL, REPLACE,
+        RENEW_LEASE,
+        RELEASE_LEASE,
+        WATCH,
+        CHECKPOINT,
+        LEASES,
+        STATUS,
+        PROPOSE,
+        SHOW,
+        HISTORY,
+        DIFF,
+        MESSAGES,
+        STATE,
+        INSTALL,
+        REPLACE,
     ];
     let expected = [
         "/v1/fleet/ask",
@@ -83,10 +95,10 @@
     ];
     assert_eq!(paths, expected);
     let secret = Secret::new(b"sixteen bytes or more");
-    let mut call = Request::new(Method::Post, ASK);
+    let mut call = Request::new(Method::Post, RENEW_LEASE);
     call.body = b"{}".to_vec();
-    let call = secret.sign(call);
-    let answer = secret.sign_answer(&call, Response::json(200, "{}"));
+    let call = secret.sign_request(call);
+    let answer = secret.sign_response(&call, Response::json(200, "{}"));
     let codes = [
         call.headers.get("X-Hoptiller-Code"),
         answer.headers.get("X-Hoptiller-Code"),
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use hoptiller_coordination_client::{Keepers, Secret, Unreached, wire};
+use hoptiller_coordination_client::{CallError, CoordinationClient, Secret, wire};
 
 use crate::config::Config;
 use crate::core::State;
@@ -23,7 +23,8 @@
     if !disk.is_blank() {
         return Ok(());
     }
-    let others = Keepers::new(config.others().map(|(_, at)| at).collect(), secret.clone());
+    let others =
+        CoordinationClient::new(config.others().map(|(_, at)| at).collect(), secret.clone());
     let (fleet, name) = (config.fleet.clone(), disk.identity().disk);
     let ask = Join {
         fleet,
@@ -32,9 +33,9 @@
     };
     let mut said = String::new();
     loop {
-        for at in others.addresses() {
+        for at in others.endpoints() {
             let why = match others
-                .call_one::<State>(*at, wire::STATE, Some(&ask), EACH)
+                .call_endpoint::<State>(*at, wire::STATE, Some(&ask), EACH)
                 .await
             {
                 Ok(state) if state.members.at.contains_key(&config.keeper) => {
@@ -45,7 +46,7 @@
                     };
                 }
                 Ok(state) => format!("list {} does not name this keeper", state.members.number),
-                Err(Unreached::Refused(_, why)) => return Err(StartError::Join(why)),
+                Err(CallError::Rejected { message: why, .. }) => return Err(StartError::Join(why)),
                 Err(e) => e.to_string(),
             };
             if why != said {
--- a/crates/coordination-server/src/links.rs
+++ b/crates/coordination-server/src/links.rs
@@ -188,7 +188,7 @@
         let no_answer = |e: &dyn std::fmt::Display| Untaken::NoAnswer(e.to_string());
         let mut request = Request::new(Method::Post, path);
         request.body = serde_json::to_vec(body).map_err(|e| no_answer(&e))?;
-        let request = self.secret.sign(request);
+        let request = self.secret.sign_request(request);
         let kept = connection
             .take()
             .filter(|c| c.is_reusable() && !c.is_stale());
@@ -202,7 +202,7 @@
             .exchange(&request, TAKEN)
             .await
             .map_err(|e| no_answer(&e))?;
-        if self.secret.check_answer(&request, &answer).is_err() {
+        if self.secret.verify_response(&request, &answer).is_err() {
             return Err(Untaken::Refused(format!(
                 "status {}: not the fleet's",
                 answer.status.0
--- a/crates/coordination-server/src/reply.rs
+++ b/crates/coordination-server/src/reply.rs
@@ -3,7 +3,8 @@
 use hoptiller_coordination::lease::Posted;
 use hoptiller_coordination::{Answer, Fleet, Micros};
 use hoptiller_coordination_client::wire::{
-    Asked, HolderStatus, LeaseStatus, Numbers, Problem, PutAnswer, Replaced, Status,
+    ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
+    PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
 };
 use hoptiller_http::Response;
 use serde::Serialize;
@@ -18,8 +19,8 @@
 }
 
 pub(crate) fn problem(status: u16, what: &str) -> Response {
-    let body = serde_json::to_vec(&Problem {
-        problem: what.to_owned(),
+    let body = serde_json::to_vec(&ErrorBody {
+        message: what.to_owned(),
     })
     .unwrap_or_default();
     Response::json(status, body)
@@ -29,29 +30,29 @@
 pub(crate) fn of_told(told: Told) -> Response {
     match told {
         Told::Act(answer) => of_answer(answer),
-        Told::Replaced(Ok(list)) => good(&Replaced { list }),
+        Told::Replaced(Ok(list)) => good(&ReplaceResponse { membership: list }),
         Told::Replaced(Err(why)) => problem(409, &why.to_string()),
     }
 }
 
 fn of_answer(answer: Answer) -> Response {
     match answer {
-        Answer::Granted(granted) => good(&Asked::Granted(granted)),
-        Answer::Ahead => good(&Asked::Ahead),
-        Answer::Empty => good(&Asked::Empty),
-        Answer::Crowded => good(&Asked::Crowded),
-        Answer::Put(Ok(number)) => good(&PutAnswer::Taken(number)),
-        Answer::Put(Err(refused)) => good(&PutAnswer::Refused(refused)),
+        Answer::Granted(granted) => good(&LeaseRenewalResponse::Granted(granted)),
+        Answer::Ahead => good(&LeaseRenewalResponse::Ahead),
+        Answer::Empty => good(&LeaseRenewalResponse::Empty),
+        Answer::Crowded => good(&LeaseRenewalResponse::TooManyHolders),
+        Answer::Put(Ok(number)) => good(&ProposalResponse::Accepted(number)),
+        Answer::Put(Err(refused)) => good(&ProposalResponse::Rejected(refused)),
         Answer::GivenBack | Answer::Settled(_) => good(&()),
         Answer::Noted(noted) => good(&noted),
     }
 }
 
-pub(crate) fn numbers(fleet: &Fleet) -> Numbers {
-    Numbers {
+pub(crate) fn numbers(fleet: &Fleet) -> VersionNumbers {
+    VersionNumbers {
         in_force: fleet.in_force(),
         last: fleet.last(),
-        board: fleet.leases().upto(),
+        lease_table: fleet.leases().upto(),
     }
 }
 
@@ -63,7 +64,7 @@
             .map(|left| left / 1000),
         part: posted.part,
         holder: posted.holder,
-        note_bytes: posted.note.map_or(0, |n| n.len() as u64),
+        checkpoint_bytes: posted.note.map_or(0, |n| n.len() as u64),
     };
     core.fleet()
         .leases()
@@ -74,25 +75,28 @@
         .collect()
 }
 
-pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<(u64, Option<u64>)>) -> Status {
+pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<PeerStatus>) -> ClusterStatus {
     let fleet = core.fleet();
     let next = fleet.pending().next().map(|v| v.head.number);
     let holders = fleet.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
-        heeds: held.heeds,
+        enforced_version: held.heeds,
         left_ms: core.left(now, holder).unwrap_or(0) / 1000,
-        holds_up: next.is_some_and(|next| held.heeds < next),
+        blocks_rollout: next.is_some_and(|next| held.heeds < next),
     });
     let (decided, kept) = core.sizes();
-    Status {
-        keeper: me,
+    ClusterStatus {
+        replica: me,
         leader: core.leader(),
-        numbers: numbers(fleet),
+        versions: numbers(fleet),
         pending: fleet.pending().map(|v| v.head.clone()).collect(),
         holders: holders.collect(),
-        list: core.members().number,
-        keepers: core.members().all(),
-        heard_ms_ago: heard,
-        log: (decided as u64, kept as u64),
+        membership: core.members().number,
+        replicas: core.members().all(),
+        peers: heard,
+        log: LogStatus {
+            decided: decided as u64,
+            retained: kept as u64,
+        },
     }
 }
--- a/crates/coordination-server/src/service.rs
+++ b/crates/coordination-server/src/service.rs
@@ -95,7 +95,7 @@
     incoming: RefCell<Incoming>,
     waiting: RefCell<BTreeMap<Ticket, Sender<Outcome>>>,
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
-    numbers: Cell<wire::Numbers>,
+    numbers: Cell<wire::VersionNumbers>,
     /// Rung when there is another version, or another is in force.
     changed: Bell,
     ended: RefCell<Option<Ended>>,
@@ -159,7 +159,7 @@
             Box::pin(async move { Reply::Send(me.answer(request).await) })
         });
         let limits = Limits {
-            body: wire::MOST_BODY,
+            body: wire::MAX_BODY_BYTES,
             ..Limits::default()
         };
         let config = server::Config {
@@ -279,14 +279,14 @@
     // ---- calls ----------------------------------------------------------------------------------
 
     async fn answer(&self, request: Request) -> Response {
-        if self.secret.check(&request).is_err() {
+        if self.secret.verify_request(&request).is_err() {
             return reply::problem(401, "the call is not signed with this fleet's secret");
         }
         if self.has_ended() {
             return reply::problem(503, "this keeper is ending");
         }
         let answer = self.routed(&request).await;
-        self.secret.sign_answer(&request, answer)
+        self.secret.sign_response(&request, answer)
     }
 
     async fn routed(&self, request: &Request) -> Response {
@@ -295,20 +295,20 @@
                 Ok(batch) => self.batch(batch),
                 Err(bad) => bad,
             },
-            (Method::Post, wire::ASK) => match read::<wire::Ask>(request) {
+            (Method::Post, wire::RENEW_LEASE) => match read::<wire::LeaseRenewalRequest>(request) {
                 Ok(ask) => self.ask(ask).await,
                 Err(bad) => bad,
             },
-            (Method::Post, wire::GIVE_BACK) => match read::<Holder>(request) {
+            (Method::Post, wire::RELEASE_LEASE) => match read::<Holder>(request) {
                 Ok(holder) => self.act(Act::GiveBack(holder)).await,
                 Err(bad) => bad,
             },
-            (Method::Post, wire::NOTE) => match read::<wire::Note>(request) {
+            (Method::Post, wire::CHECKPOINT) => match read::<wire::CheckpointRequest>(request) {
                 Ok(n) => {
-                    let wire::Note {
+                    let wire::CheckpointRequest {
                         holder,
                         part,
-                        number,
+                        fencing_token: number,
                         text,
                     } = n;
                     self.act(Act::Note {
@@ -324,7 +324,7 @@
             (Method::Get, wire::LEASES) => {
                 reply::good(&reply::leases(&self.core.borrow(), self.clock.now()))
             }
-            (Method::Post, wire::PUT) => match read::<Put>(request) {
+            (Method::Post, wire::PROPOSE) => match read::<Put>(request) {
                 Ok(put) => self.act(Act::Put(Box::new(put))).await,
                 Err(bad) => bad,
             },
@@ -340,11 +340,11 @@
                 Ok(install) => self.install(install),
                 Err(bad) => bad,
             },
-            (Method::Post, wire::WATCH) => match read::<wire::Watch>(request) {
+            (Method::Post, wire::WATCH) => match read::<wire::WatchRequest>(request) {
                 Ok(watch) => self.watch(watch).await,
                 Err(bad) => bad,
             },
-            (Method::Post, wire::SHOW) => match read::<wire::Which>(request) {
+            (Method::Post, wire::SHOW) => match read::<wire::VersionRequest>(request) {
                 Ok(which) => {
                     let core = self.core.borrow();
                     let fleet = core.fleet();
@@ -358,7 +358,7 @@
                 }
                 Err(bad) => bad,
             },
-            (Method::Post, wire::DIFF) => match read::<wire::Between>(request) {
+            (Method::Post, wire::DIFF) => match read::<wire::DiffRequest>(request) {
                 Ok(between) => match self
                     .core
                     .borrow()
@@ -380,9 +380,10 @@
             (Method::Get, wire::STATUS) => {
                 let now = self.clock.now();
                 let links = self.links.borrow();
-                let heard = links
-                    .iter()
-                    .map(|(n, l)| (*n, l.heard.get().map(|at| now.saturating_sub(at) / 1000)));
+                let heard = links.iter().map(|(n, l)| wire::PeerStatus {
+                    replica: *n,
+                    heard_ms_ago: l.heard.get().map(|at| now.saturating_sub(at) / 1000),
+                });
                 let me = self.config.keeper;
                 reply::good(&reply::status(
                     me,
@@ -395,7 +396,7 @@
         }
     }
 
-    async fn ask(&self, ask: wire::Ask) -> Response {
+    async fn ask(&self, ask: wire::LeaseRenewalRequest) -> Response {
         let bounds = self.config.bounds();
         if (ask.term, ask.drift) != (bounds.term, bounds.drift) {
             let what = format!(
@@ -408,9 +409,9 @@
         if !named(&ask.holder.router) || !named(&ask.holder.life) {
             return reply::problem(400, "names of 1 to 128 bytes are wanted");
         }
-        let wire::Ask {
+        let wire::LeaseRenewalRequest {
             holder,
-            heeds,
+            enforced_version: heeds,
             in_force,
             offer,
             ..
@@ -457,13 +458,13 @@
         }
     }
 
-    async fn watch(&self, watch: wire::Watch) -> Response {
+    async fn watch(&self, watch: wire::WatchRequest) -> Response {
         let waits = async {
             loop {
                 let changed = self.changed.listen();
                 let mut now = self.numbers.get();
-                if !watch.board {
-                    now.board = watch.known.board;
+                if !watch.watch_leases {
+                    now.lease_table = watch.known.lease_table;
                 }
                 if now != watch.known {
                     return;
--- a/crates/fault-harness/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -9,7 +9,7 @@
 use hoptiller_coordination::document::Repeat;
 use hoptiller_coordination::fleet::Head;
 use hoptiller_coordination::{Change, Document, Span};
-use hoptiller_coordination_client::wire::{Numbers, PutAnswer};
+use hoptiller_coordination_client::wire::{ProposalResponse, VersionNumbers};
 use serde::Deserialize;
 
 use crate::crowd::{Clients, Crowd, Dice};
@@ -99,7 +99,7 @@
     /// Times from put to in force, in ms, of changes that were followed to their end.
     pub in_force_ms: Vec<u64>,
     /// Where the fleet stood in the end.
-    pub numbers: Numbers,
+    pub numbers: VersionNumbers,
     /// Processes that ended by themselves.
     pub fallen: Vec<String>,
     /// Versions that were taken and are not there in the end, or are there under another text.
@@ -329,12 +329,12 @@
                 let change = format!("{name}-{}", out.taken + out.refused + out.unknown);
                 let began = Instant::now();
                 match stage.put(&change, document) {
-                    Ok(PutAnswer::Taken(number)) => {
+                    Ok(ProposalResponse::Accepted(number)) => {
                         out.taken += 1;
                         texts.insert(number, document.digest());
                         followed.push((number, began));
                     }
-                    Ok(PutAnswer::Refused(_)) => out.refused += 1,
+                    Ok(ProposalResponse::Rejected(_)) => out.refused += 1,
                     Err(_) => out.unknown += 1,
                 }
             }
--- a/crates/fault-harness/src/stage.rs
+++ b/crates/fault-harness/src/stage.rs
@@ -11,7 +11,9 @@
 
 use hoptiller_audit::{Record, Recorder, now as wall};
 use hoptiller_coordination::{Document, Put};
-use hoptiller_coordination_client::{Keepers, Secret, Unreached, wire};
+use hoptiller_coordination_client::client::EndpointError;
+use hoptiller_coordination_client::{CallError, CoordinationClient, Secret, wire};
+use hoptiller_http::client::ClientError;
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
@@ -245,7 +247,7 @@
 
     /// Another keeper is to take the place of one that doesn't run: how the call to the keepers goes. Returns its place;
     /// it is to be started.
-    pub fn replace_keeper(&mut self, lost: usize) -> io::Result<Result<usize, Unreached>> {
+    pub fn replace_keeper(&mut self, lost: usize) -> io::Result<Result<usize, CallError>> {
         let new = self.keepers.len();
         let common = match self.links.get(&Between::Joined(new)) {
             Some(link) => link.addr(),
@@ -259,7 +261,7 @@
         let ask = json!({ "lost": lost + 1, "new": new + 1, "at": common });
         let called = self.keepers()?;
         let asked =
-            called.call::<wire::Replaced>(wire::REPLACE, Some(&ask), Duration::from_secs(4));
+            called.call::<wire::ReplaceResponse>(wire::REPLACE, Some(&ask), Duration::from_secs(4));
         if let Err(e) = async_io::block_on(asked) {
             return Ok(Err(e));
         }
@@ -473,21 +475,30 @@
     // ---- administrators -------------------------------------------------------------------------
 
     /// The keepers, as administrators reach them: not over the links.
-    pub fn keepers(&self) -> io::Result<Keepers> {
+    pub fn keepers(&self) -> io::Result<CoordinationClient> {
         let running = self
             .keepers
             .iter()
             .zip(&self.keeper_addrs)
             .filter(|(k, _)| k.is_some());
-        Ok(Keepers::new(
+        Ok(CoordinationClient::new(
             running.filter_map(|(_, at)| *at).collect(),
             Secret::load(&self.secret)?,
         ))
     }
 
     /// Puts a change.
-    pub fn put(&self, change: &str, document: &Document) -> Result<wire::PutAnswer, Unreached> {
-        let nobody = |e: io::Error| Unreached::Nobody(vec![(self.discovery.addr, e.to_string())]);
+    pub fn put(
+        &self,
+        change: &str,
+        document: &Document,
+    ) -> Result<wire::ProposalResponse, CallError> {
+        let unavailable = |error: io::Error| {
+            CallError::Unavailable(vec![EndpointError {
+                endpoint: self.discovery.addr,
+                source: ClientError::Connect(error).into(),
+            }])
+        };
         let wanted = Put {
             change: change.to_owned(),
             base: None,
@@ -496,28 +507,29 @@
             why: "a day on the stage".into(),
             document: document.clone(),
         };
-        let keepers = self.keepers().map_err(nobody)?;
-        async_io::block_on(keepers.call(wire::PUT, Some(&wanted), Duration::from_secs(4)))
+        let keepers = self.keepers().map_err(unavailable)?;
+        async_io::block_on(keepers.call(wire::PROPOSE, Some(&wanted), Duration::from_secs(4)))
     }
 
     /// The fleet's numbers, as the keeper knows them that knows most: one that is cut off stays behind.
-    pub fn numbers(&self) -> Option<wire::Numbers> {
+    pub fn numbers(&self) -> Option<wire::VersionNumbers> {
         self.statuses()
             .into_iter()
-            .map(|s| s.numbers)
+            .map(|s| s.versions)
             .max_by_key(|n| (n.in_force, n.last))
     }
 
     /// What the keepers that run say, in their order.
-    pub fn statuses(&self) -> Vec<wire::Status> {
+    pub fn statuses(&self) -> Vec<wire::ClusterStatus> {
         let Ok(keepers) = self.keepers() else {
             return Vec::new();
         };
         let one = |at: &SocketAddr| {
-            let asked = keepers.call_one(*at, wire::STATUS, None::<&()>, Duration::from_secs(2));
+            let asked =
+                keepers.call_endpoint(*at, wire::STATUS, None::<&()>, Duration::from_secs(2));
             async_io::block_on(asked).ok()
         };
-        keepers.addresses().iter().filter_map(one).collect()
+        keepers.endpoints().iter().filter_map(one).collect()
     }
 
     /// Waits until something holds, for so long; whether it came to hold.
@@ -544,7 +556,12 @@
     /// Waits until as many routers hold a permit and heed this version or a later one.
     pub fn until_heeded(&mut self, routers: usize, number: u64, within: Duration) -> bool {
         self.until(within, |s| {
-            let most = |st: &wire::Status| st.holders.iter().filter(|h| h.heeds >= number).count();
+            let most = |st: &wire::ClusterStatus| {
+                st.holders
+                    .iter()
+                    .filter(|h| h.enforced_version >= number)
+                    .count()
+            };
             s.statuses().iter().map(most).max().unwrap_or(0) >= routers
         })
     }
--- a/crates/statement-router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -13,7 +13,7 @@
 use hoptiller_coordination::follower::Verdict;
 use hoptiller_coordination::plant::{self, Plant};
 use hoptiller_coordination::{Act, Document, Follower, Holder, Micros, Part};
-use hoptiller_coordination_client::{Clock, Keepers, Secret, Unreached, wire};
+use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, Secret, wire};
 use hoptiller_fleet_tasks::Duty;
 
 use crate::learnt::{read, write_whole};
@@ -33,7 +33,7 @@
 pub struct Agreed {
     follower: RefCell<Follower>,
     clock: Clock,
-    keepers: Keepers,
+    keepers: CoordinationClient,
     settings: AgreementSettings,
     file: Option<PathBuf>,
     /// The rules of the versions heeded can't be used here: nothing is done under them.
@@ -67,8 +67,8 @@
             router: router.to_owned(),
             life: life.to_owned(),
         };
-        let keepers = Keepers::new(settings.keepers.clone(), secret);
-        keepers.begin_with(hoptiller_router_core::group_of(router) as usize);
+        let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
+        keepers.set_preferred(hoptiller_router_core::group_of(router) as usize);
         let leased = Leased::new(&settings.bounds(), clock);
         Rc::new(Agreed {
             follower: RefCell::new(Follower::new(me, settings.bounds(), known)),
@@ -151,7 +151,7 @@
         let told = async {
             match self
                 .keepers
-                .call::<wire::Numbers>(wire::WATCH, Some(&self.watch()), every + EACH)
+                .call::<wire::VersionNumbers>(wire::WATCH, Some(&self.watch()), every + EACH)
                 .await
             {
                 Ok(told) if self.is_news(&told) => {}
@@ -168,18 +168,18 @@
         future::or(wanted, future::or(told, over)).await;
     }
 
-    fn watch(&self) -> wire::Watch {
+    fn watch(&self) -> wire::WatchRequest {
         let (_, in_force, last) = self.standing();
         let wait_ms = self.settings.ask_every.as_millis() as u64;
-        let known = wire::Numbers {
+        let known = wire::VersionNumbers {
             in_force,
             last,
-            board: self.leased.board(),
+            lease_table: self.leased.board(),
         };
-        wire::Watch {
+        wire::WatchRequest {
             known,
             wait_ms,
-            board: self.has_tasks(),
+            watch_leases: self.has_tasks(),
         }
     }
 
@@ -211,9 +211,9 @@
         !self.has_tasks() || self.leased.hand_over(self.settings.permit / 2).await
     }
 
-    fn is_news(&self, told: &wire::Numbers) -> bool {
+    fn is_news(&self, told: &wire::VersionNumbers) -> bool {
         let (_, in_force, heeds) = self.standing();
-        let board = self.has_tasks() && told.board > self.leased.board();
+        let board = self.has_tasks() && told.lease_table > self.leased.board();
         told.in_force > in_force || told.last > heeds || board
     }
 
@@ -231,25 +231,29 @@
         };
         let offer = self.has_tasks().then(|| self.leased.offer(id));
         let bounds = self.settings.bounds();
-        let body = wire::Ask {
+        let body = wire::LeaseRenewalRequest {
             holder,
-            heeds,
+            enforced_version: heeds,
             in_force,
             term: bounds.term,
             drift: bounds.drift,
             offer,
         };
-        let answer: Result<wire::Asked, Unreached> =
-            self.keepers.call(wire::ASK, Some(&body), EACH).await;
+        let answer: Result<wire::LeaseRenewalResponse, CallError> = self
+            .keepers
+            .call(wire::RENEW_LEASE, Some(&body), EACH)
+            .await;
         let granted = match answer {
-            Ok(wire::Asked::Granted(granted)) => granted,
+            Ok(wire::LeaseRenewalResponse::Granted(granted)) => granted,
             Ok(other) => {
                 self.unanswered(id);
                 self.say(&match other {
-                    wire::Asked::Ahead => {
+                    wire::LeaseRenewalResponse::Ahead => {
                         "keepers don't know a version that this router knows: one went back"
                     }
-                    wire::Asked::Crowded => "keepers have too many routers already",
+                    wire::LeaseRenewalResponse::TooManyHolders => {
+                        "keepers have too many routers already"
+                    }
                     _ => "keepers have no version yet; put one with `hoptiller settings put`",
                 });
                 return false;
@@ -296,8 +300,10 @@
     /// Gives the permit back: nothing more is done under it.
     pub async fn give_back(&self) {
         let me = self.follower.borrow().me().clone();
-        let given: Result<(), Unreached> =
-            self.keepers.call(wire::GIVE_BACK, Some(&me), EACH).await;
+        let given: Result<(), CallError> = self
+            .keepers
+            .call(wire::RELEASE_LEASE, Some(&me), EACH)
+            .await;
         if let Err(e) = given {
             tracing::warn!(why = %e, "the permit was not given back; it runs out by itself");
         }
--- a/crates/statement-router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -9,7 +9,7 @@
 use event_listener::Event as Bell;
 use hoptiller_coordination::lease::{Board, Grant, NotNoted};
 use hoptiller_coordination::{Bounds, Holder, Micros, Offer, Part, Right, Tenant};
-use hoptiller_coordination_client::{Clock, Keepers, Unreached, wire};
+use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, wire};
 use hoptiller_fleet_tasks::{Duty, duty};
 
 /// How much of each term is left unused, for the way of an act to what it acts on.
@@ -128,7 +128,7 @@
     }
 
     /// Has notes taken, for ever: one at a time, so that none overtakes the one after it.
-    pub async fn keep_noting(&self, me: &Holder, keepers: &Keepers) {
+    pub async fn keep_noting(&self, me: &Holder, keepers: &CoordinationClient) {
         loop {
             let noting = self.noting.listen();
             let open = |(part, (n, t, taken)): (&Part, &(u64, String, bool))| {
@@ -139,14 +139,14 @@
                 noting.await;
                 continue;
             };
-            let note = wire::Note {
+            let note = wire::CheckpointRequest {
                 holder: me.clone(),
                 part,
-                number,
+                fencing_token: number,
                 text: text.clone(),
             };
-            let answer: Result<wire::Noted, Unreached> =
-                keepers.call(wire::NOTE, Some(&note), EACH).await;
+            let answer: Result<wire::CheckpointResult, CallError> =
+                keepers.call(wire::CHECKPOINT, Some(&note), EACH).await;
             let mut notes = self.notes.borrow_mut();
             match answer {
                 Ok(Ok(())) => {
