--- a/crates/statement-router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -11,7 +11,7 @@
     Holder, LeaseGuard, LeaseOffer, LeaseTiming, Micros, Shard, TaskLeaseClient,
 };
 use hoptiller_coordination::{LeaseTableUpdate, NoteError, TaskLeaseGrant};
-use hoptiller_coordination_client::{Clock, Keepers, Unreached, wire};
+use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, wire};
 use hoptiller_fleet_tasks::{Duty, duty};
 
 /// How much of each term is left unused, for the way of an act to what it acts on.
@@ -141,7 +141,7 @@
     }
 
     /// Has notes taken, for ever: one at a time, so that none overtakes the one after it.
-    pub async fn keep_noting(&self, me: &Holder, keepers: &Keepers) {
+    pub async fn keep_noting(&self, me: &Holder, keepers: &CoordinationClient) {
         loop {
             let noting = self.noting.listen();
             let open = |(part, (n, t, taken)): (&Shard, &(u64, String, bool))| {
@@ -152,14 +152,14 @@
                 noting.await;
                 continue;
             };
-            let note = wire::Note {
+            let note = wire::CheckpointRequest {
                 holder: me.clone(),
                 part,
-                number,
+                fencing_token: number,
                 text: text.clone(),
             };
-            let answer: Result<wire::Noted, Unreached> =
-                keepers.call(wire::NOTE, Some(&note), EACH).await;
+            let answer: Result<wire::CheckpointResult, CallError> =
+                keepers.call(wire::CHECKPOINT, Some(&note), EACH).await;
             let mut notes = self.notes.borrow_mut();
             match answer {
                 Ok(Ok(())) => {
