--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -1,284 +1,250 @@
-//! Owns a router's side: which versions it heeds, until when it may act, and what it asks keepers next. It is fed the
-//! keepers' answers and its own clock; what it says of a class is to be asked again at the last moment before an act.
+//! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests from
+//! the replicas next. Its decision on a class is to be asked again at the last moment before an act.
 
 use std::collections::BTreeMap;
 
+use crate::command::{Command, ConfigLeaseGrant};
 use crate::config_lease::{ConfigLease, LeaseTiming, Micros};
-use crate::config_state::{Command, ConfigLeaseGrant, Holder, Version, VersionNumber};
 use crate::document::{Document, InDoubtPolicy};
 use crate::fault_injection::{self, Fault};
+use crate::version::{Holder, Version, VersionNumber, merge_versions};
 
-/// Questions that may be open at once; the oldest is given up for a further one.
-const MAX_OPEN_REQUESTS: usize = 16;
+/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+const MAX_OPEN_RENEWALS: usize = 16;
 
-/// Why an answer is not believed. None of them prolongs the permit.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a grant is rejected. The lease is then not renewed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// It answers nothing that is open.
+    /// It is the response to no open renewal.
+    #[error("it answers no open question")]
     Unsolicited,
-    /// The keeper is behind what this router had said that it knows: its state went back.
+    /// The replica is behind the versions that this router had reported: its state has been rolled back.
+    #[error("it tells of version {reported} where {known} is known: a keeper's state went back")]
     Regressed {
-        /// The version that it tells of, in force or last.
+        /// The replica's version, in force or latest.
         reported: VersionNumber,
-        /// The one that this router knows.
+        /// The version that this router knows.
         known: VersionNumber,
     },
-    /// A version that this router knows comes with another text.
+    /// A version that this router knows has another document.
+    #[error("version {0} comes with another text than before")]
     DigestMismatch(VersionNumber),
-    /// The versions do not go together with the numbers, or a text with its digest.
+    /// The versions are not consecutive, or a document does not match its digest.
+    #[error("its versions don't go together")]
     Inconsistent,
 }
 
-impl std::fmt::Display for GrantError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            GrantError::Unsolicited => write!(f, "it answers no open question"),
-            GrantError::Regressed {
-                reported: told,
-                known,
-            } => {
-                write!(
-                    f,
-                    "it tells of version {told} where {known} is known: a keeper's state went back"
-                )
-            }
-            GrantError::DigestMismatch(number) => {
-                write!(f, "version {number} comes with another text than before")
-            }
-            GrantError::Inconsistent => write!(f, "its versions don't go together"),
-        }
-    }
-}
-
-impl std::error::Error for GrantError {}
-
-/// What a router may do with a class at a moment.
+/// What a router may do with statements of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Act, under the rules from the version in force to the last heeded.
+    /// Process them by the merge of the versions from the one in force to the latest enforced.
     Allow {
-        /// The version in force, as it knows.
+        /// The version in force, as far as the router knows.
         in_force: VersionNumber,
-        /// The last one whose rules it heeds.
+        /// The latest version that the router enforces.
         enforced: VersionNumber,
     },
-    /// Act as last known, outside the promise: no keeper has prolonged the permit, and the settings say to serve.
+    /// Process them by the last known versions, without the guarantee: the lease has expired, and the policy of the class
+    /// is to serve.
     AllowInDoubt {
         /// See [`Decision::Allow`].
         in_force: VersionNumber,
         /// See [`Decision::Allow`].
         enforced: VersionNumber,
     },
-    /// Refuse, and say that trying again is harmless: there is no permit, or the rules don't know the class.
+    /// Reject them as safe to retry: there is no valid lease, or no such class.
     Reject,
 }
 
-struct OpenRequest {
+/// A renewal without a response.
+struct OpenRenewal {
     sent_at: Micros,
     enforced: VersionNumber,
     in_force: VersionNumber,
 }
 
-/// A router's side of the agreement.
+/// Watches the versions of the configuration for a router, and holds its lease.
 pub struct ConfigWatcher {
     holder: Holder,
     timing: LeaseTiming,
-    /// From the version in force to the last heeded.
+    /// From the version in force to the latest enforced.
     versions: Vec<Version>,
+    /// The merge of these versions.
     merged: Option<Document>,
     lease: ConfigLease,
-    open: BTreeMap<u64, OpenRequest>,
-    next_request: u64,
+    open: BTreeMap<u64, OpenRenewal>,
+    next_id: u64,
 }
 
 impl ConfigWatcher {
-    /// Knows nothing yet, or what an earlier life of this router wrote down; without a permit either way.
-    pub fn new(me: Holder, bounds: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
-        let life = if fault_injection::is_injected(Fault::IgnoreIncarnation) {
-            String::new()
-        } else {
-            me.incarnation
+    /// A watcher without a lease. `known`: the versions that an earlier incarnation of this router has stored.
+    pub fn new(holder: Holder, timing: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
+        let incarnation = match fault_injection::is_injected(Fault::IgnoreIncarnation) {
+            true => String::new(),
+            false => holder.incarnation,
         };
-        let mut follower = ConfigWatcher {
+        let mut watcher = ConfigWatcher {
             holder: Holder {
-                incarnation: life,
-                ..me
+                incarnation,
+                ..holder
             },
-            timing: bounds,
+            timing,
             versions: Vec::new(),
             merged: None,
             lease: ConfigLease::default(),
             open: BTreeMap::new(),
-            next_request: 0,
+            next_id: 0,
         };
-        if is_course(&known) {
-            follower.install_versions(known);
+        if are_consistent(&known) {
+            watcher.install_versions(known);
         }
-        follower
+        watcher
     }
 
-    /// The next question, which leaves now.
+    /// Starts a renewal that is sent now. Returns its id and the command.
     pub fn start_renewal(&mut self, now: Micros) -> (u64, Command) {
-        while self.open.len() >= MAX_OPEN_REQUESTS {
+        while self.open.len() >= MAX_OPEN_RENEWALS {
             self.open.pop_first();
         }
-        let id = self.next_request;
-        self.next_request += 1;
-        let (heeds, in_force) = (self.enforced(), self.in_force());
-        self.open.insert(
-            id,
-            OpenRequest {
-                sent_at: now,
-                enforced: heeds,
-                in_force,
-            },
-        );
-        (
-            id,
-            Command::RenewLease {
-                holder: self.holder.clone(),
-                enforced: heeds,
-                in_force,
-                offer: None,
-            },
-        )
+        let id = self.next_id;
+        self.next_id += 1;
+        let (enforced, in_force) = (self.enforced(), self.in_force());
+        let renewal = OpenRenewal {
+            sent_at: now,
+            enforced,
+            in_force,
+        };
+        self.open.insert(id, renewal);
+        let command = Command::RenewLease {
+            holder: self.holder.clone(),
+            enforced,
+            in_force,
+            offer: None,
+        };
+        (id, command)
     }
 
-    /// A question is counted from another moment: that of its answer is too late, which a planted fault does.
+    /// Counts a renewal from another moment. That of its response is too late, which an injected fault does.
     pub fn set_sent_at(&mut self, id: u64, now: Micros) {
-        self.open
-            .get_mut(&id)
-            .into_iter()
-            .for_each(|open| open.sent_at = now);
+        if let Some(renewal) = self.open.get_mut(&id) {
+            renewal.sent_at = now;
+        }
     }
 
-    /// A question has no answer.
+    /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
         self.open.remove(&id);
     }
 
-    /// An answer. Returns whether the rules have changed.
-    pub fn accept_grant(&mut self, id: u64, granted: ConfigLeaseGrant) -> Result<bool, GrantError> {
-        let asked = self.open.remove(&id).ok_or(GrantError::Unsolicited)?;
-        if granted.enforce < asked.enforced {
-            return Err(GrantError::Regressed {
-                reported: granted.enforce,
-                known: asked.enforced,
-            });
-        }
-        if granted.in_force < asked.in_force {
-            return Err(GrantError::Regressed {
-                reported: granted.in_force,
-                known: asked.in_force,
-            });
+    /// Accepts the response to a renewal. Returns whether the enforced versions have changed.
+    ///
+    /// # Errors
+    ///
+    /// Where the grant contradicts what this router knows; the lease is then not renewed.
+    pub fn accept_grant(&mut self, id: u64, grant: ConfigLeaseGrant) -> Result<bool, GrantError> {
+        let renewal = self.open.remove(&id).ok_or(GrantError::Unsolicited)?;
+        self.check(&renewal, &grant)?;
+        self.lease.renew(renewal.sent_at, &self.timing);
+        // A response that was overtaken by a later one renews the lease, and rolls no version back.
+        let granted = (grant.in_force, grant.enforce);
+        let is_newer = grant.in_force >= self.in_force()
+            && grant.enforce >= self.enforced()
+            && granted != (self.in_force(), self.enforced());
+        let has_changed = is_newer && !grant.versions.is_empty();
+        if has_changed {
+            self.install_versions(grant.versions);
         }
-        let same = granted.in_force == asked.in_force && granted.enforce == asked.enforced;
-        if granted.versions.is_empty() {
-            if !same {
-                return Err(GrantError::Inconsistent);
-            }
-        } else {
-            let ends = (granted.versions.first(), granted.versions.last());
-            let fits = ends
-                .0
-                .is_some_and(|v| v.metadata.number == granted.in_force)
-                && ends.1.is_some_and(|v| v.metadata.number == granted.enforce);
-            if !fits || !is_course(&granted.versions) {
-                return Err(GrantError::Inconsistent);
-            }
-            for known in &self.versions {
-                let other = granted
-                    .versions
-                    .iter()
-                    .find(|v| v.metadata.number == known.metadata.number);
-                if other.is_some_and(|v| v.metadata.digest != known.metadata.digest) {
-                    return Err(GrantError::DigestMismatch(known.metadata.number));
-                }
+        Ok(has_changed)
+    }
+
+    fn check(&self, renewal: &OpenRenewal, grant: &ConfigLeaseGrant) -> Result<(), GrantError> {
+        for (reported, known) in [
+            (grant.enforce, renewal.enforced),
+            (grant.in_force, renewal.in_force),
+        ] {
+            if reported < known {
+                return Err(GrantError::Regressed { reported, known });
             }
         }
-        self.lease.renew(asked.sent_at, &self.timing);
-        // An answer that was overtaken by a later one prolongs, and moves nothing back.
-        let newer = granted.in_force >= self.in_force()
-            && granted.enforce >= self.enforced()
-            && (granted.in_force, granted.enforce) != (self.in_force(), self.enforced());
-        if newer && !granted.versions.is_empty() {
-            self.install_versions(granted.versions);
-            return Ok(true);
+        let (Some(first), Some(last)) = (grant.versions.first(), grant.versions.last()) else {
+            let is_unchanged =
+                grant.in_force == renewal.in_force && grant.enforce == renewal.enforced;
+            return match is_unchanged {
+                true => Ok(()),
+                false => Err(GrantError::Inconsistent),
+            };
+        };
+        let has_bounds =
+            first.metadata.number == grant.in_force && last.metadata.number == grant.enforce;
+        if !has_bounds || !are_consistent(&grant.versions) {
+            return Err(GrantError::Inconsistent);
+        }
+        for known in self.versions.iter().map(|version| &version.metadata) {
+            let mut granted = grant.versions.iter().map(|version| &version.metadata);
+            let same = granted.find(|metadata| metadata.number == known.number);
+            if same.is_some_and(|metadata| metadata.digest != known.digest) {
+                return Err(GrantError::DigestMismatch(known.number));
+            }
         }
-        Ok(false)
+        Ok(())
     }
 
-    fn install_versions(&mut self, course: Vec<Version>) {
-        let mut all = course.iter();
-        self.merged = all
-            .next()
-            .map(|first| all.fold(first.document.clone(), |meet, v| meet.merge(&v.document)));
-        self.versions = course;
+    fn install_versions(&mut self, versions: Vec<Version>) {
+        self.merged = merge_versions(&versions);
+        self.versions = versions;
     }
 
-    /// What may be done with a class now.
+    /// Decides on statements of a class.
     pub fn decide(&self, now: Micros, class: &str) -> Decision {
-        let Some(class) = self.merged.as_ref().and_then(|r| r.classes.get(class)) else {
+        let merged = self.merged.as_ref();
+        let Some(class) = merged.and_then(|document| document.classes.get(class)) else {
             return Decision::Reject;
         };
-        let (in_force, heeds) = (self.in_force(), self.enforced());
+        let (in_force, enforced) = (self.in_force(), self.enforced());
         if self.lease.is_valid(now) {
-            return Decision::Allow {
-                in_force,
-                enforced: heeds,
-            };
+            return Decision::Allow { in_force, enforced };
         }
         match class.in_doubt_policy() {
-            InDoubtPolicy::Serve => Decision::AllowInDoubt {
-                in_force,
-                enforced: heeds,
-            },
+            InDoubtPolicy::Serve => Decision::AllowInDoubt { in_force, enforced },
             InDoubtPolicy::Reject => Decision::Reject,
         }
     }
 
-    /// Whether the permit has ended, or never began.
+    /// Whether the lease has expired, or was never granted.
     pub fn is_in_doubt(&self, now: Micros) -> bool {
         !self.lease.is_valid(now)
     }
 
-    /// When the permit ends.
-    pub fn lease_expires_at(&self) -> Micros {
-        self.lease.expires_at()
-    }
-
-    /// What contradicts none of the versions heeded; `None`: there is none yet.
+    /// The merge of the enforced versions; `None` where there is none yet.
     pub fn merged_document(&self) -> Option<&Document> {
         self.merged.as_ref()
     }
 
-    /// The versions heeded, from the one in force on, to be written down for a later life.
+    /// The enforced versions, from the one in force on, to be stored for a later incarnation.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
 
-    /// The version in force, as it knows; 0: none.
+    /// The version in force, as far as the router knows; 0: none.
     pub fn in_force(&self) -> VersionNumber {
         self.versions.first().map_or(0, |v| v.metadata.number)
     }
 
-    /// The last version whose rules it heeds; 0: none.
+    /// The latest version that the router enforces; 0: none.
     pub fn enforced(&self) -> VersionNumber {
         self.versions.last().map_or(0, |v| v.metadata.number)
     }
 
-    /// Who it is.
+    /// The router.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 }
 
-/// Whether numbers follow each other, and each text is that of its digest.
-fn is_course(versions: &[Version]) -> bool {
-    versions
-        .windows(2)
-        .all(|w| w[0].metadata.number + 1 == w[1].metadata.number)
-        && versions
-            .iter()
-            .all(|v| v.metadata.number > 0 && v.document.digest() == v.metadata.digest)
+/// Whether the numbers are consecutive, and each document matches its digest.
+fn are_consistent(versions: &[Version]) -> bool {
+    let mut pairs = versions.iter().zip(versions.iter().skip(1));
+    let consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
+    let is_intact = |v: &Version| v.metadata.number > 0 && v.document.digest() == v.metadata.digest;
+    consecutive && versions.iter().all(is_intact)
 }
--- /dev/null
+++ b/crates/coordination/src/document_validation.rs
@@ -0,0 +1,209 @@
+//! Validation of documents: the errors that prevent a document from becoming a version.
+
+use crate::document::{
+    Document, EngineSettings, Idempotency, InDoubtPolicy, RuleParameters, StatementClass,
+    ValidationError,
+};
+use crate::duration::ConfigDuration;
+use crate::endpoint_list::MAX_ENGINES;
+use crate::shard::{MAX_SHARDS, Task};
+
+/// The version of the document's format that this program supports.
+const FORMAT_VERSION: u32 = 1;
+/// Maximum number of classes.
+const MAX_CLASSES: usize = 256;
+/// Maximum size of a name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Minimum timeout of a class: with less, no response could be sent in time.
+const MIN_PATIENCE: ConfigDuration = ConfigDuration::from_millis(500);
+
+/// Collects errors in the order in which they are found.
+#[derive(Default)]
+struct Errors(Vec<ValidationError>);
+
+impl Errors {
+    fn push(&mut self, path: impl Into<String>, message: impl Into<String>) {
+        self.0.push(ValidationError {
+            path: path.into(),
+            message: message.into(),
+        });
+    }
+}
+
+impl Document {
+    /// All errors that prevent the document from becoming a version.
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
+        let mut errors = Errors::default();
+        if self.form != FORMAT_VERSION {
+            errors.push(
+                "form",
+                "is another form of the document than this program knows",
+            );
+        }
+        if self.classes.len() > MAX_CLASSES {
+            errors.push("classes", "are more than 256");
+        }
+        check_names(self, &mut errors);
+        check_resources(self, &mut errors);
+        let default_class = self.default_class.as_ref();
+        if default_class.is_some_and(|class| !self.classes.contains_key(class)) {
+            errors.push("default_class", "is no class of this document");
+        }
+        check_tasks(self, &mut errors);
+        for (name, class) in &self.classes {
+            check_class(self, name, class, &mut errors);
+        }
+        check_engines(&self.engines, &mut errors);
+        check_rules(&self.rules, &mut errors);
+        if self.list.as_ref().is_some_and(|l| l.0.len() > MAX_ENGINES) {
+            errors.push("list", "names more than 10000 engines");
+        }
+        for path in self.empty_placements() {
+            errors.push(path, "leaves no place at all (rule 6)");
+        }
+        errors.0
+    }
+}
+
+fn check_names(document: &Document, errors: &mut Errors) {
+    let names = document
+        .classes
+        .keys()
+        .chain(document.kinds.keys())
+        .chain(&document.zones)
+        .chain(document.tenants.keys());
+    for name in names.filter(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
+        errors.push(format!("{name:.40?}"), "a name of 1 to 128 bytes is wanted");
+    }
+}
+
+fn check_resources(document: &Document, errors: &mut Errors) {
+    let is_positive = |number: f64| number.is_finite() && number > 0.0;
+    for (kind, cores) in &document.kinds {
+        if !is_positive(*cores) {
+            errors.push(format!("kinds.{kind}"), "cores over 0 are wanted");
+        }
+    }
+    for (tenant, quota) in &document.tenants {
+        if !is_positive(*quota) {
+            errors.push(format!("tenants.{tenant}"), "a share over 0 is wanted");
+        }
+    }
+}
+
+fn check_tasks(document: &Document, errors: &mut Errors) {
+    let tasks = &document.tasks;
+    if tasks.values().map(|n| u64::from(*n)).sum::<u64>() > MAX_SHARDS as u64 {
+        errors.push("tasks", "have more than 4096 parts");
+    }
+    if tasks.get(&Task::Discovery).is_some_and(|n| *n != 1) || tasks.values().any(|n| *n == 0) {
+        errors.push(
+            "tasks",
+            "want 1 part or more each, and `list` just one: there is one discovery",
+        );
+    }
+}
+
+fn check_engines(engines: &EngineSettings, errors: &mut Errors) {
+    if engines.max_attempts == 0 {
+        errors.push(
+            "engines.max_attempts",
+            "must be 1 or more: no statement could be sent (rule 7)",
+        );
+    }
+    if let Some(budget) = &engines.budget {
+        let limits = [budget.spare, budget.ratio];
+        let are_valid = limits.iter().all(|n| n.is_finite() && *n >= 0.0);
+        if !are_valid || budget.within == ConfigDuration::ZERO {
+            errors.push(
+                "engines.budget",
+                "wants numbers of 0 or more, within a span over 0 (rule 7)",
+            );
+        }
+    }
+}
+
+fn check_rules(rules: &RuleParameters, errors: &mut Errors) {
+    if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
+        errors.push(
+            "rules.start_capacity",
+            "is a part of the capacity, over 0 and up to 1 (rule 4)",
+        );
+    }
+    let is_overload = rules.overload.is_finite() && rules.overload >= 1.0;
+    if !is_overload || rules.fall == ConfigDuration::ZERO {
+        errors.push(
+            "rules.overload",
+            "must be 1 or more, for a rules.fall over 0 (rule 4)",
+        );
+    }
+}
+
+fn check_class(document: &Document, name: &str, class: &StatementClass, errors: &mut Errors) {
+    let path = |key: &str| format!("classes.{name}.{key}");
+    let is_tag_byte = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    if !name.bytes().all(is_tag_byte) {
+        errors.push(
+            path("name"),
+            "only letters, digits, '-', '_' and '.' can stand in a client tag",
+        );
+    }
+    let figures = [class.stretch, class.worth, class.late_worth, class.threads];
+    if !figures.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
+        errors.push(
+            path("threads"),
+            "stretch, worth, late_worth and threads are numbers of 0 or more, threads over 0",
+        );
+    }
+    if class.late_worth > 1.0 {
+        errors.push(path("late_worth"), "is a part of the worth, 0 to 1");
+    }
+    check_class_times(class, path, errors);
+    check_class_idempotency(class, path, errors);
+    for kind in class.kinds.iter().flatten() {
+        if !document.kinds.contains_key(kind) {
+            let message = format!("{kind:?} is no kind of this document (rule 6)");
+            errors.push(path("kinds"), message);
+        }
+    }
+    for zone in class.zones.iter().flatten() {
+        if !document.zones.contains(zone) {
+            let message = format!("{zone:?} is no zone of this document (rule 6)");
+            errors.push(path("zones"), message);
+        }
+    }
+}
+
+fn check_class_times(class: &StatementClass, path: impl Fn(&str) -> String, errors: &mut Errors) {
+    if class.aim == ConfigDuration::ZERO || class.patience < class.aim {
+        errors.push(
+            path("patience"),
+            "must be the aim or more, and the aim over 0",
+        );
+    }
+    if class.patience < MIN_PATIENCE {
+        errors.push(
+            path("patience"),
+            "is under 500ms: no final answer could come in time (rule 1)",
+        );
+    }
+}
+
+fn check_class_idempotency(
+    class: &StatementClass,
+    path: impl Fn(&str) -> String,
+    errors: &mut Errors,
+) {
+    if class.holds && class.repeat == Idempotency::Idempotent {
+        errors.push(
+            path("repeat"),
+            "a class that holds tables while it loads them can't be safe to repeat (rule 2)",
+        );
+    }
+    if class.repeat == Idempotency::NonIdempotent && class.in_doubt == Some(InDoubtPolicy::Serve) {
+        errors.push(
+            path("in_doubt"),
+            "what must never run twice can't be served in doubt (rule 2)",
+        );
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/endpoint_sources.rs
@@ -0,0 +1,109 @@
+//! Lists of engines from several sources that may disagree: a list that is rolled back, an engine that only one source
+//! reports.
+
+use std::collections::BTreeMap;
+
+use crate::endpoint_list::{Endpoint, EndpointList, EngineState, MAX_ENGINES};
+
+/// The endpoint lists of several sources, such as a discovery service as each router reads it, and their merge.
+#[derive(Clone, Debug, Default)]
+pub struct EndpointSources {
+    sources: BTreeMap<String, EndpointList>,
+    merged: EndpointList,
+}
+
+/// The result of a source's update.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct SourceUpdate {
+    /// Engines of which the source reports an earlier state than before: its list was rolled back. They keep the later state.
+    pub regressed: Vec<String>,
+    /// Engines of which another source reports another state.
+    pub conflicting: Vec<String>,
+    /// Whether the merged list has changed.
+    pub changed: bool,
+}
+
+impl EndpointSources {
+    /// Replaces a source's list. Engines that no source reports any more are gone.
+    pub fn update(&mut self, source: &str, list: EndpointList) -> SourceUpdate {
+        let mut outcome = SourceUpdate::default();
+        for (name, endpoint) in &list.0 {
+            if self.is_regression(name, *endpoint) {
+                outcome.regressed.push(name.clone());
+            }
+            if self.is_conflict(source, name, *endpoint) {
+                outcome.conflicting.push(name.clone());
+            }
+        }
+        self.sources.insert(source.to_owned(), list);
+        let merged = self.merge_sources();
+        outcome.changed = merged != self.merged;
+        self.merged = merged;
+        outcome
+    }
+
+    fn is_regression(&self, name: &str, endpoint: Endpoint) -> bool {
+        let known = self.merged.0.get(name);
+        known.is_some_and(|known| known.newer(endpoint) != endpoint)
+    }
+
+    fn is_conflict(&self, source: &str, name: &str, endpoint: Endpoint) -> bool {
+        self.sources
+            .iter()
+            .filter(|(other, _)| *other != source)
+            .any(|(_, list)| list.0.get(name) != Some(&endpoint))
+    }
+
+    fn merge_sources(&self) -> EndpointList {
+        let mut merged = EndpointList::default();
+        for (name, endpoint) in self.sources.values().flat_map(|list| &list.0) {
+            let known = self.merged.0.get(name).copied();
+            let known = known.filter(|known| known.started_at_ms >= endpoint.started_at_ms);
+            let so_far = merged.0.get(name).copied().or(known).unwrap_or(*endpoint);
+            merged.0.insert(name.clone(), so_far.newer(*endpoint));
+        }
+        for (name, known) in &self.merged.0 {
+            merged.0.entry(name.clone()).or_insert(Endpoint {
+                state: EngineState::Gone,
+                ..*known
+            });
+        }
+        evict_oldest_gone(&mut merged);
+        merged
+    }
+
+    /// Removes a source.
+    pub fn remove(&mut self, source: &str) {
+        self.sources.remove(source);
+    }
+
+    /// The merge of all sources' lists.
+    pub fn merged(&self) -> &EndpointList {
+        &self.merged
+    }
+
+    /// Engines that only one of several sources reports.
+    pub fn single_source_endpoints(&self) -> Vec<String> {
+        let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+        for name in self.sources.values().flat_map(|list| list.0.keys()) {
+            *counts.entry(name).or_default() += 1;
+        }
+        counts
+            .into_iter()
+            .filter(|(_, count)| *count == 1 && self.sources.len() > 1)
+            .map(|(name, _)| name.to_owned())
+            .collect()
+    }
+}
+
+/// Bounds the list. Engines that are gone are remembered, so that an old list does not bring them back, but not all.
+fn evict_oldest_gone(list: &mut EndpointList) {
+    while list.0.len() > MAX_ENGINES {
+        let gone = list.0.iter().filter(|(_, e)| e.state == EngineState::Gone);
+        let oldest = gone.min_by_key(|(_, endpoint)| endpoint.started_at_ms);
+        let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+            return;
+        };
+        list.0.remove(&name);
+    }
+}
--- a/crates/coordination/src/fault_injection.rs
+++ b/crates/coordination/src/fault_injection.rs
@@ -1,33 +1,33 @@
-//! Owns faults that are planted to see whether they are found: a program with the cargo feature `plant` has one of them where
-//! it is told so. Without the feature none is compiled in, and [`is`] is `false` for good.
+//! Faults that are injected to check that tests find them: a program with the cargo feature `plant` has one of them where it
+//! is told so. Without the feature none is compiled in, and [`is_injected`] is always `false`.
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// A router counts its permit from the answer.
+    /// A router counts its lease from the response.
     TermFromResponse = 1,
-    /// A permit never ends.
+    /// A lease never expires.
     LeaseNeverExpires = 2,
-    /// A change comes in force without waiting for permits.
+    /// A version comes in force without waiting for leases.
     SkipRolloutWait = 3,
-    /// A keeper that starts again forgets what it had promised, and what was not decided.
+    /// A replica that restarts has lost its promises and what was not decided.
     LoseDurableState = 4,
-    /// A keeper that starts counts no term for what others were granted before.
+    /// A replica that starts does not wait a term for earlier leases.
     SkipStartupTerm = 5,
-    /// Numbers of leases do not grow.
+    /// Fencing tokens do not grow.
     ReuseFencingTokens = 6,
-    /// A router uses its leases up to the last moment, whatever an act takes on its way.
+    /// A router uses its leases up to the last moment, however long an operation is on its way.
     SkipMargin = 7,
-    /// An act under a lease is not looked at again before it is sent.
+    /// An operation under a lease is not checked again before it is sent.
     SkipRevalidation = 8,
-    /// A process takes what was granted to an earlier one of its name for its own.
+    /// A process uses the leases of an earlier one of its name.
     IgnoreIncarnation = 9,
 }
 
 impl Fault {
-    /// All, by the names under which they are asked for.
-    pub const ALL: [(&str, Fault); 9] = [
+    /// All faults, with their names on the command line.
+    const ALL: [(&str, Fault); 9] = [
         ("from-the-answer", Fault::TermFromResponse),
         ("never-ends", Fault::LeaseNeverExpires),
         ("no-wait", Fault::SkipRolloutWait),
@@ -39,31 +39,31 @@
         ("earlier-life", Fault::IgnoreIncarnation),
     ];
 
-    /// The one of that name.
+    /// The fault of that name on the command line.
     pub fn from_name(name: &str) -> Option<Fault> {
         Fault::ALL
             .iter()
-            .find(|(n, _)| *n == name)
-            .map(|(_, plant)| *plant)
+            .find(|(known, _)| *known == name)
+            .map(|(_, fault)| *fault)
     }
 }
 
 #[cfg(feature = "plant")]
-static PLANTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static INJECTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Plants a fault in this process. Only in programs with the feature.
+/// Injects a fault into this process. Only in programs with the feature.
 #[cfg(feature = "plant")]
-pub fn inject(plant: Fault) {
-    PLANTED.store(plant as u8, std::sync::atomic::Ordering::Relaxed);
+pub fn inject(fault: Fault) {
+    INJECTED.store(fault as u8, std::sync::atomic::Ordering::Relaxed);
 }
 
-/// Whether that fault is planted in this process.
+/// Whether the fault is injected into this process.
 #[cfg(feature = "plant")]
-pub fn is_injected(plant: Fault) -> bool {
-    PLANTED.load(std::sync::atomic::Ordering::Relaxed) == plant as u8
+pub fn is_injected(fault: Fault) -> bool {
+    INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
-/// Whether that fault is planted in this process.
+/// Whether the fault is injected into this process.
 #[cfg(not(feature = "plant"))]
 pub const fn is_injected(_: Fault) -> bool {
     false
--- /dev/null
+++ b/crates/coordination/src/lease_assignment.rs
@@ -0,0 +1,182 @@
+//! Assignment of task leases to routers.
+//!
+//! Leases spread evenly over the routers that have renewed often enough in a row. A router that comes and goes is assigned
+//! none; one that joins for good receives its part from the routers with the most leases, and nothing else moves.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::lease_messages::{LeaseOffer, TaskLeaseGrant};
+use crate::shard::Shard;
+use crate::version::Holder;
+
+/// Acknowledged renewals in a row after which a router is assigned leases: about as many as fit into one term.
+pub const MIN_CONSECUTIVE_RENEWALS: u32 = 5;
+
+/// A lease that is held.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub(crate) struct Lease {
+    pub(crate) holder: Holder,
+    #[serde(rename = "number")]
+    pub(crate) fencing_token: u64,
+    /// The serial of its last renewal.
+    pub(crate) serial: u64,
+    #[serde(rename = "leaving")]
+    pub(crate) release_requested: bool,
+}
+
+impl Lease {
+    pub(crate) fn new(holder: Holder, fencing_token: u64, serial: u64) -> Lease {
+        Lease {
+            holder,
+            fencing_token,
+            serial,
+            release_requested: false,
+        }
+    }
+
+    pub(crate) fn is_held_by(&self, holder: &Holder, fencing_token: u64) -> bool {
+        self.holder == *holder && self.fencing_token == fencing_token
+    }
+
+    pub(crate) fn grant(&self, shard: Shard) -> TaskLeaseGrant {
+        TaskLeaseGrant {
+            shard,
+            fencing_token: self.fencing_token,
+            release_requested: self.release_requested,
+        }
+    }
+}
+
+/// The state of one shard.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub(crate) struct LeaseSlot {
+    pub(crate) lease: Option<Lease>,
+    pub(crate) note: Option<String>,
+    /// The router that released it last: another is preferred, if there is one.
+    #[serde(rename = "tried", default)]
+    pub(crate) last_released_by: Option<Holder>,
+    #[serde(rename = "changed")]
+    pub(crate) changed_at_revision: u64,
+}
+
+/// A router that takes part in task leases.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub(crate) struct Candidate {
+    /// The serial of its last renewal.
+    pub(crate) serial: u64,
+    /// Renewals in a row, each of which acknowledged the response before.
+    #[serde(rename = "in_row")]
+    pub(crate) consecutive_renewals: u32,
+}
+
+impl Candidate {
+    pub(crate) fn is_acknowledged_by(&self, offer: &LeaseOffer) -> bool {
+        self.serial > 0 && offer.acknowledged_serial == self.serial
+    }
+
+    pub(crate) fn is_eligible(&self) -> bool {
+        self.consecutive_renewals >= MIN_CONSECUTIVE_RENEWALS
+    }
+
+    pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts: bool) {
+        self.serial = serial;
+        self.consecutive_renewals = match acknowledged && accepts {
+            true => self
+                .consecutive_renewals
+                .saturating_add(1)
+                .min(MIN_CONSECUTIVE_RENEWALS),
+            false => 0,
+        };
+    }
+}
+
+/// The number of leases of each router that is eligible, without those that it is to release.
+pub(crate) struct HolderLoad(BTreeMap<Holder, u32>);
+
+impl HolderLoad {
+    pub(crate) fn new(
+        slots: &BTreeMap<Shard, LeaseSlot>,
+        candidates: &BTreeMap<Holder, Candidate>,
+    ) -> HolderLoad {
+        let eligible = candidates.iter().filter(|(_, c)| c.is_eligible());
+        let mut load: BTreeMap<_, _> = eligible.map(|(holder, _)| (holder.clone(), 0)).collect();
+        for lease in slots.values().filter_map(|slot| slot.lease.as_ref()) {
+            if let (false, Some(count)) = (lease.release_requested, load.get_mut(&lease.holder)) {
+                *count += 1;
+            }
+        }
+        HolderLoad(load)
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    pub(crate) fn total(&self) -> u64 {
+        self.0.values().map(|count| u64::from(*count)).sum()
+    }
+
+    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last counts
+    /// as one that has a lease more.
+    pub(crate) fn assign(&mut self, shard: &Shard, released_by: Option<&Holder>) -> Option<Holder> {
+        let cost = |(holder, count): &(&Holder, &mut u32)| {
+            let again = released_by == Some(*holder);
+            (**count + u32::from(again), again, weight(shard, holder))
+        };
+        let (holder, count) = self.0.iter_mut().min_by_key(cost)?;
+        *count += 1;
+        Some(holder.clone())
+    }
+
+    fn add_to_least_loaded(&mut self) {
+        if let Some((_, count)) = self.0.iter_mut().min_by_key(|(_, count)| **count) {
+            *count += 1;
+        }
+    }
+
+    /// The routers with the most and the fewest leases, where a move between them evens out the load.
+    fn next_move(&self) -> Option<(Holder, Holder)> {
+        let (to, fewest) = self.0.iter().min_by_key(|(_, count)| **count)?;
+        let (from, most) = self.0.iter().max_by_key(|(_, count)| **count)?;
+        (*most >= fewest + 2).then(|| (from.clone(), to.clone()))
+    }
+
+    fn count_move(&mut self, from: Holder, to: Holder) {
+        self.0.entry(from).and_modify(|count| *count -= 1);
+        self.0.entry(to).and_modify(|count| *count += 1);
+    }
+}
+
+/// Requests the release of leases until the load is even.
+pub(crate) fn request_moves(slots: &mut BTreeMap<Shard, LeaseSlot>, load: &mut HolderLoad) {
+    // Leases that are about to be released go to the routers with the fewest: they are not requested twice.
+    let is_moving = |slot: &&LeaseSlot| {
+        let lease = slot.lease.as_ref();
+        lease.is_some_and(|lease| lease.release_requested)
+    };
+    for _ in 0..slots.values().filter(is_moving).count() {
+        load.add_to_least_loaded();
+    }
+    while let Some((from, to)) = load.next_move() {
+        let movable = slots
+            .iter_mut()
+            .filter(|(_, slot)| slot.last_released_by.as_ref() != Some(&to))
+            .filter_map(|(shard, slot)| Some((shard, slot.lease.as_mut()?)))
+            .filter(|(_, lease)| lease.holder == from && !lease.release_requested);
+        let Some((_, lease)) = movable.max_by_key(|(shard, _)| weight(shard, &to)) else {
+            return;
+        };
+        lease.release_requested = true;
+        load.count_move(from, to);
+    }
+}
+
+/// Decides between routers that are alike otherwise: the same on all replicas, and spread over the routers.
+fn weight(shard: &Shard, holder: &Holder) -> [u8; 8] {
+    let hash = blake3::hash(format!("{shard} {}", holder.router).as_bytes());
+    let mut first = [0; 8];
+    first.copy_from_slice(&hash.as_bytes()[..8]);
+    first
+}
--- /dev/null
+++ b/crates/coordination/src/placement.rs
@@ -0,0 +1,37 @@
+//! Placement of classes while a change is rolled out: routers then enforce the merge of several documents, which must
+//! leave each class a machine kind and a zone.
+
+use std::collections::BTreeSet;
+
+use crate::document::{Document, ValidationError};
+use crate::version::VersionNumber;
+
+/// Placement settings that `merged`, the merge of the versions `from` to `to`, and `proposed` leave empty together.
+pub(crate) fn placement_conflicts(
+    merged: &Document,
+    (from, to): (VersionNumber, VersionNumber),
+    proposed: &Document,
+) -> Vec<ValidationError> {
+    let conflict = |path: String| {
+        let message = format!(
+            "nothing is in both {} (versions {from} to {to}) and {} (this change)",
+            describe_setting(merged, &path),
+            describe_setting(proposed, &path)
+        );
+        ValidationError { path, message }
+    };
+    let empty = merged.merge(proposed).empty_placements();
+    empty.into_iter().map(conflict).collect()
+}
+
+/// The value of a placement setting, for messages.
+fn describe_setting(document: &Document, path: &str) -> String {
+    let places =
+        |places: Option<&Option<BTreeSet<String>>>| format!("{:?}", places.cloned().flatten());
+    match path.split('.').collect::<Vec<_>>()[..] {
+        ["classes", class, "kinds"] => places(document.classes.get(class).map(|c| &c.kinds)),
+        ["classes", class, "zones"] => places(document.classes.get(class).map(|c| &c.zones)),
+        ["kinds"] => format!("{:?}", document.kinds.keys().collect::<Vec<_>>()),
+        _ => format!("{:?}", document.classes.keys().collect::<Vec<_>>()),
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/proposal.rs
@@ -0,0 +1,100 @@
+//! Proposals of new versions, and the reasons to reject one.
+
+use serde::{Deserialize, Serialize};
+
+use crate::document::{Document, ValidationError};
+use crate::version::VersionNumber;
+
+/// Maximum size of a proposal's name, author and reason, in bytes each.
+const MAX_TEXT_BYTES: usize = 512;
+
+/// A proposed version of the configuration.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Proposal {
+    /// The name of the change, chosen by its author: the idempotency key of the proposal.
+    #[serde(rename = "change")]
+    pub change_name: String,
+    /// The latest version that the author knew; `None` to propose on top of any.
+    pub base: Option<VersionNumber>,
+    /// Who proposes it.
+    #[serde(rename = "by")]
+    pub author: String,
+    /// When it is proposed by the author's clock, in ms since 1970.
+    #[serde(rename = "at")]
+    pub proposed_at_ms: u64,
+    /// Why it is proposed.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The configuration.
+    pub document: Document,
+}
+
+impl Proposal {
+    /// All errors of the document and of the texts that describe the change.
+    pub(crate) fn validation_errors(&self) -> Vec<ValidationError> {
+        let mut errors = self.document.validation_errors();
+        for (path, text) in [
+            ("change", &self.change_name),
+            ("by", &self.author),
+            ("why", &self.reason),
+        ] {
+            if text.is_empty() || text.len() > MAX_TEXT_BYTES {
+                errors.push(ValidationError {
+                    path: path.to_owned(),
+                    message: format!("1 to {MAX_TEXT_BYTES} bytes are wanted"),
+                });
+            }
+        }
+        errors
+    }
+}
+
+/// Why a proposal is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[serde(rename_all = "snake_case", tag = "refused")]
+pub enum Rejection {
+    /// The proposal is invalid.
+    #[error("the document can't be used:{}", list(errors))]
+    #[serde(rename = "flawed")]
+    Invalid {
+        /// All of its errors.
+        #[serde(rename = "flaws")]
+        errors: Vec<ValidationError>,
+    },
+    /// Another version was proposed since the base of this one.
+    #[error("the last version is {latest} now; look at it, and put again")]
+    Outdated {
+        /// The latest version.
+        #[serde(rename = "last")]
+        latest: VersionNumber,
+    },
+    /// Too many versions are being rolled out.
+    #[error("{pending} changes are on their way already; try again later")]
+    #[serde(rename = "busy")]
+    TooManyPending {
+        /// The number of versions that are not in force yet.
+        pending: usize,
+    },
+    /// A class could be placed nowhere during the rollout.
+    #[error(
+        "until it is in force, a class would have no place left:{}",
+        list(conflicts)
+    )]
+    #[serde(rename = "nowhere")]
+    NoPlacement {
+        /// The settings in conflict, with both values.
+        #[serde(rename = "places")]
+        conflicts: Vec<ValidationError>,
+    },
+    /// A change of that name has another document.
+    #[error("version {number} came under that name with another text")]
+    #[serde(rename = "reused")]
+    NameReused {
+        /// The version of that name.
+        number: VersionNumber,
+    },
+}
+
+fn list(errors: &[ValidationError]) -> String {
+    errors.iter().map(|error| format!("\n  {error}")).collect()
+}
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -1,17 +1,18 @@
-//! Owns a router's side of its leases: under which it may act at a moment, for how long, and which it gives back.
+//! A router's side of its task leases: under which it may act, until when, and which it releases.
 //!
-//! It counts from when it *asked*, takes off the drift and a margin, and is asked again before each act. A lease that is to
-//! be given back ends when what runs under it is done, and never comes back under the same number, however late an answer
-//! is that still names it.
+//! A lease counts from when the renewal was *sent*, less the drift and a margin, and is checked again before each
+//! operation. A lease whose release is requested ends when the operations under it have ended. It never comes back under
+//! the same fencing token, even if a late response still grants it.
 
 use std::collections::BTreeMap;
 
 use crate::config_lease::{LeaseTiming, Micros};
 use crate::fault_injection::{self, Fault};
-use crate::lease_table::{LeaseOffer, LeaseTableEntry, LeaseTableUpdate, Shard, TaskLeaseGrant};
+use crate::lease_messages::{LeaseOffer, LeaseTableUpdate, TaskLeaseGrant};
+use crate::shard::{Shard, Task};
 
-/// Questions that may be open at once; the oldest is given up for a further one.
-const MAX_OPEN_REQUESTS: usize = 16;
+/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+const MAX_OPEN_RENEWALS: usize = 16;
 
 /// A lease that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,44 +20,54 @@
     fencing_token: u64,
     expires_at: Micros,
     release_requested: bool,
-    /// Acts that run under it.
+    /// The number of operations that run under it.
     operations: u32,
 }
 
-/// A router's leases, and what it knows of all others'.
+/// The last known state of a shard.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ShardStatus {
+    /// The fencing token under which it is held, if it is.
+    fencing_token: Option<u64>,
+    /// The note that was recorded last.
+    note: Option<String>,
+}
+
+/// A router's task leases, and what it knows of all others'.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TaskLeaseClient {
     term: Micros,
     margin: Micros,
     accepts_leases: bool,
-    /// The count of the last prolonging whose answer was heard.
+    /// The serial of the last renewal whose response was received.
     acknowledged_serial: u64,
     held: BTreeMap<Shard, HeldLease>,
-    /// By part: the last number that was given back, or lost.
+    /// By shard: the last fencing token whose lease has ended.
     ended: BTreeMap<Shard, u64>,
-    /// Of these, those that keepers have not confirmed.
+    /// Released leases that the replicas have not confirmed.
     released: BTreeMap<Shard, u64>,
+    /// When each open renewal was sent.
     open: BTreeMap<u64, Micros>,
     table_revision: u64,
-    shards: BTreeMap<Shard, (Option<u64>, Option<String>)>,
+    shards: BTreeMap<Shard, ShardStatus>,
 }
 
-/// An act that runs under a lease.
+/// The right to perform one operation under a lease. [`TaskLeaseClient::end_operation`] ends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGuard {
-    /// For what.
+    /// The shard.
     pub shard: Shard,
-    /// The lease's number, to be shown to what is acted on.
+    /// The lease's fencing token, to be sent with the operation.
     pub fencing_token: u64,
-    /// The act must be over by then.
+    /// The operation must have ended by then.
     pub expires_at: Micros,
 }
 
 impl TaskLeaseClient {
-    /// Holds nothing yet. `margin`: how much of each term is left unused, for the way of an act to what it acts on.
-    pub fn new(bounds: &LeaseTiming, margin: Micros) -> TaskLeaseClient {
+    /// A client without leases. `margin`: the part of each term that is left unused, for an operation on its way.
+    pub fn new(timing: &LeaseTiming, margin: Micros) -> TaskLeaseClient {
         TaskLeaseClient {
-            term: bounds.router_term(),
+            term: timing.router_term(),
             margin,
             accepts_leases: true,
             acknowledged_serial: 0,
@@ -69,9 +80,9 @@
         }
     }
 
-    /// What goes with the question of that number, which leaves now.
+    /// The offer that goes with the renewal of that id, which is sent now.
     pub fn start_renewal(&mut self, id: u64, now: Micros) -> LeaseOffer {
-        while self.open.len() >= MAX_OPEN_REQUESTS {
+        while self.open.len() >= MAX_OPEN_RENEWALS {
             self.open.pop_first();
         }
         self.open.insert(id, now);
@@ -79,227 +90,226 @@
         LeaseOffer {
             acknowledged_serial: self.acknowledged_serial,
             accepts_leases: self.accepts_leases,
-            released: self.released.iter().map(|(p, n)| (*p, *n)).collect(),
+            released: self
+                .released
+                .iter()
+                .map(|(s, token)| (*s, *token))
+                .collect(),
             table_revision: self.table_revision,
         }
     }
 
-    /// The answer to that question: the count of the prolonging, its leases where they are told, and what has changed of
-    /// the board. Returns whether what it holds, or knows of the others, has changed.
+    /// Accepts the response to a renewal: its serial, the leases where they are renewed, and the changes of the lease
+    /// table. Returns whether the held leases, or what is known of others', have changed.
     pub fn accept_grant(
         &mut self,
         id: u64,
         now: Micros,
         serial: u64,
         leases: Option<&[TaskLeaseGrant]>,
-        board: Option<&LeaseTableUpdate>,
+        table: Option<&LeaseTableUpdate>,
     ) -> bool {
-        let Some(asked) = self.open.remove(&id) else {
+        let Some(sent_at) = self.open.remove(&id) else {
             return false;
         };
-        // Danger: an answer that was overtaken may name what was given back since.
+        // A response that was overtaken may grant a lease that was released since.
         if serial <= self.acknowledged_serial {
             return false;
         }
         self.acknowledged_serial = serial;
-        let from = if fault_injection::is_injected(Fault::TermFromResponse) {
-            now
-        } else {
-            asked
+        let expires_at = self.expiry(sent_at, now);
+        let mut changed = leases.is_some_and(|grants| self.apply_grants(grants, expires_at));
+        self.release_finished();
+        if let Some(update) = table {
+            changed |= self.apply_table_update(update);
+        }
+        changed
+    }
+
+    fn expiry(&self, sent_at: Micros, received_at: Micros) -> Micros {
+        let start = match fault_injection::is_injected(Fault::TermFromResponse) {
+            true => received_at,
+            false => sent_at,
         };
-        let margin = if fault_injection::is_injected(Fault::SkipMargin) {
-            0
-        } else {
-            self.margin
+        let margin = match fault_injection::is_injected(Fault::SkipMargin) {
+            true => 0,
+            false => self.margin,
         };
-        let until = from.saturating_add(self.term).saturating_sub(margin);
+        start.saturating_add(self.term).saturating_sub(margin)
+    }
+
+    fn apply_grants(&mut self, grants: &[TaskLeaseGrant], expires_at: Micros) -> bool {
         let mut changed = false;
-        if let Some(grants) = leases {
-            for grant in grants {
-                if self
-                    .ended
-                    .get(&grant.shard)
-                    .is_some_and(|over| grant.fencing_token <= *over)
-                {
-                    continue;
-                }
-                match self
-                    .held
-                    .get_mut(&grant.shard)
-                    .filter(|h| h.fencing_token == grant.fencing_token)
-                {
-                    Some(hold) => {
-                        changed |= hold.release_requested != grant.release_requested;
-                        (hold.expires_at, hold.release_requested) = (
-                            hold.expires_at.max(until),
-                            hold.release_requested || grant.release_requested,
-                        );
-                    }
-                    None => {
-                        let (number, leaving) = (grant.fencing_token, grant.release_requested);
-                        let fresh = HeldLease {
-                            fencing_token: number,
-                            expires_at: until,
-                            release_requested: leaving,
-                            operations: 0,
-                        };
-                        // One under an earlier number ends here: keepers took it away, so its time is over.
-                        if let Some(old) = self.held.insert(grant.shard, fresh) {
-                            self.ended.insert(grant.shard, old.fencing_token);
-                        }
-                        changed = true;
-                    }
-                }
-            }
-            let lost: Vec<Shard> = self
-                .held
-                .keys()
-                .filter(|p| !grants.iter().any(|g| g.shard == **p))
-                .copied()
-                .collect();
-            for part in lost {
-                changed = true;
-                self.end_lease(part);
-            }
-            self.released.retain(|part, number| {
-                grants
-                    .iter()
-                    .any(|g| g.shard == *part && g.fencing_token == *number)
-            });
+        for grant in grants {
+            changed |= self.apply_grant(grant, expires_at);
         }
-        self.release_finished();
-        if let Some(board) = board {
-            changed |= board.revision != self.table_revision;
-            self.table_revision = board.revision;
-            for LeaseTableEntry {
-                shard: part,
-                holder,
-                note,
-            } in &board.entries
-            {
-                self.shards
-                    .insert(*part, (holder.as_ref().map(|h| h.1), note.clone()));
-            }
-            self.shards.retain(|part, _| board.shards.contains(part));
+        let is_granted = |shard: &Shard| grants.iter().any(|grant| grant.shard == *shard);
+        let lost: Vec<Shard> = self
+            .held
+            .keys()
+            .filter(|s| !is_granted(s))
+            .copied()
+            .collect();
+        for shard in lost {
+            changed = true;
+            self.end_lease(shard);
+        }
+        self.released.retain(|shard, token| {
+            grants
+                .iter()
+                .any(|grant| grant.shard == *shard && grant.fencing_token == *token)
+        });
+        changed
+    }
+
+    fn apply_grant(&mut self, grant: &TaskLeaseGrant, expires_at: Micros) -> bool {
+        let ended = self.ended.get(&grant.shard);
+        if ended.is_some_and(|ended| grant.fencing_token <= *ended) {
+            return false;
+        }
+        let held = self.held.get_mut(&grant.shard);
+        if let Some(lease) = held.filter(|lease| lease.fencing_token == grant.fencing_token) {
+            let changed = lease.release_requested != grant.release_requested;
+            lease.expires_at = lease.expires_at.max(expires_at);
+            lease.release_requested |= grant.release_requested;
+            return changed;
+        }
+        let lease = HeldLease {
+            fencing_token: grant.fencing_token,
+            expires_at,
+            release_requested: grant.release_requested,
+            operations: 0,
+        };
+        // An earlier lease of the shard ends here: the replicas have ended it, so its time is over.
+        if let Some(earlier) = self.held.insert(grant.shard, lease) {
+            self.ended.insert(grant.shard, earlier.fencing_token);
         }
+        true
+    }
+
+    fn apply_table_update(&mut self, update: &LeaseTableUpdate) -> bool {
+        let changed = update.revision != self.table_revision;
+        self.table_revision = update.revision;
+        for entry in &update.entries {
+            let status = ShardStatus {
+                fencing_token: entry.holder.as_ref().map(|(_, token)| *token),
+                note: entry.note.clone(),
+            };
+            self.shards.insert(entry.shard, status);
+        }
+        self.shards.retain(|shard, _| update.shards.contains(shard));
         changed
     }
 
-    /// A question has no answer.
+    /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
         self.open.remove(&id);
     }
 
-    fn end_lease(&mut self, part: Shard) -> Option<u64> {
-        let hold = self.held.remove(&part)?;
-        self.ended.insert(part, hold.fencing_token);
-        Some(hold.fencing_token)
+    fn end_lease(&mut self, shard: Shard) -> Option<u64> {
+        let lease = self.held.remove(&shard)?;
+        self.ended.insert(shard, lease.fencing_token);
+        Some(lease.fencing_token)
+    }
+
+    /// Whether a lease is to be released, and nothing runs under it.
+    fn is_finished(&self, lease: &HeldLease) -> bool {
+        lease.operations == 0 && (lease.release_requested || !self.accepts_leases)
     }
 
-    /// What is to be given back, and has nothing running under it.
     fn release_finished(&mut self) {
-        let done =
-            |h: &HeldLease| h.operations == 0 && (h.release_requested || !self.accepts_leases);
-        let over: Vec<Shard> = self
-            .held
-            .iter()
-            .filter(|(_, h)| done(h))
-            .map(|(p, _)| *p)
+        let held = self.held.iter();
+        let finished: Vec<Shard> = held
+            .filter(|(_, lease)| self.is_finished(lease))
+            .map(|(shard, _)| *shard)
             .collect();
-        for part in over {
-            if let Some(number) = self.end_lease(part) {
-                self.released.insert(part, number);
+        for shard in finished {
+            if let Some(fencing_token) = self.end_lease(shard) {
+                self.released.insert(shard, fencing_token);
             }
         }
     }
 
-    /// Whether an act for a part may begin that takes so long at most. To be asked right before it; [`TaskLeaseClient::done`] ends
-    /// it.
+    /// Begins an operation that takes at most `duration`, to be called right before it. `None` where no lease lasts as long.
     pub fn begin_operation(
         &mut self,
         now: Micros,
-        part: Shard,
-        takes: Micros,
+        shard: Shard,
+        duration: Micros,
     ) -> Option<LeaseGuard> {
-        let willing = self.accepts_leases;
-        let hold = self
-            .held
-            .get_mut(&part)
-            .filter(|h| willing && !h.release_requested)?;
-        if now.saturating_add(takes) >= hold.expires_at
+        let accepts_leases = self.accepts_leases;
+        let held = self.held.get_mut(&shard);
+        let lease = held.filter(|lease| accepts_leases && !lease.release_requested)?;
+        if now.saturating_add(duration) >= lease.expires_at
             && !fault_injection::is_injected(Fault::LeaseNeverExpires)
         {
             return None;
         }
-        hold.operations += 1;
+        lease.operations += 1;
         Some(LeaseGuard {
-            shard: part,
-            fencing_token: hold.fencing_token,
-            expires_at: hold.expires_at,
+            shard,
+            fencing_token: lease.fencing_token,
+            expires_at: lease.expires_at,
         })
     }
 
-    /// Whether an act that has begun may be sent now: it is to be asked again right before.
-    pub fn is_still_valid(&self, now: Micros, right: &LeaseGuard) -> bool {
-        let held = self
-            .held
-            .get(&right.shard)
-            .is_some_and(|h| h.fencing_token == right.fencing_token && now < h.expires_at);
-        held || fault_injection::is_injected(Fault::SkipRevalidation)
+    /// Whether an operation that has begun may still be sent, to be called right before it is.
+    pub fn is_still_valid(&self, now: Micros, guard: &LeaseGuard) -> bool {
+        let lease = self.held.get(&guard.shard);
+        lease.is_some_and(|lease| {
+            lease.fencing_token == guard.fencing_token && now < lease.expires_at
+        }) || fault_injection::is_injected(Fault::SkipRevalidation)
             || fault_injection::is_injected(Fault::LeaseNeverExpires)
     }
 
-    /// An act is over. Returns whether a lease can be given back by that.
-    pub fn end_operation(&mut self, right: &LeaseGuard) -> bool {
-        match self
-            .held
-            .get_mut(&right.shard)
-            .filter(|h| h.fencing_token == right.fencing_token)
-        {
-            Some(hold) => {
-                hold.operations = hold.operations.saturating_sub(1);
-                hold.operations == 0 && (hold.release_requested || !self.accepts_leases)
-            }
-            None => false,
-        }
+    /// Ends an operation. Returns whether its lease can now be released.
+    pub fn end_operation(&mut self, guard: &LeaseGuard) -> bool {
+        let accepts_leases = self.accepts_leases;
+        let held = self.held.get_mut(&guard.shard);
+        let Some(lease) = held.filter(|lease| lease.fencing_token == guard.fencing_token) else {
+            return false;
+        };
+        lease.operations = lease.operations.saturating_sub(1);
+        lease.operations == 0 && (lease.release_requested || !accepts_leases)
     }
 
-    /// Whether a lease is held, with time left.
-    pub fn is_holding(&self, now: Micros, part: Shard) -> bool {
-        self.held.get(&part).is_some_and(|h| now < h.expires_at)
+    /// Whether the lease of a shard is held and has not expired.
+    pub fn is_holding(&self, now: Micros, shard: Shard) -> bool {
+        let lease = self.held.get(&shard);
+        lease.is_some_and(|lease| now < lease.expires_at)
     }
 
-    /// What is to be done under a lease can't be done here: it is given back, for another to try.
-    pub fn request_release(&mut self, part: Shard) {
-        if let Some(hold) = self.held.get_mut(&part) {
-            hold.release_requested = true;
+    /// Requests the release of a lease whose task cannot be performed here, so that another router tries.
+    pub fn request_release(&mut self, shard: Shard) {
+        if let Some(lease) = self.held.get_mut(&shard) {
+            lease.release_requested = true;
         }
     }
 
-    /// Takes no leases any more, and gives back what it has.
+    /// Accepts no further leases, and releases those that are held.
     pub fn drain(&mut self) {
         self.accepts_leases = false;
     }
 
-    /// Leases that are held or not yet confirmed as given back.
+    /// The number of leases that are held or whose release is not confirmed.
     pub fn outstanding_leases(&self) -> usize {
         self.held.len() + self.released.len()
     }
 
-    /// What is known of a part: the number under which it is held, if it is, and what was noted last. `None`: there is
-    /// no such part.
-    pub fn shard_status(&self, part: Shard) -> Option<(Option<u64>, Option<&str>)> {
-        self.shards
-            .get(&part)
-            .map(|(number, note)| (*number, note.as_deref()))
+    /// The fencing token under which a shard is held, if it is, and the note that was recorded last. `None` where there is
+    /// no such shard.
+    pub fn shard_status(&self, shard: Shard) -> Option<(Option<u64>, Option<&str>)> {
+        let status = self.shards.get(&shard)?;
+        Some((status.fencing_token, status.note.as_deref()))
     }
 
-    /// Parts that a task has.
-    pub fn shard_count(&self, task: crate::lease_table::Task) -> u32 {
-        self.shards.keys().filter(|p| p.task == task).count() as u32
+    /// The number of shards of a task.
+    pub fn shard_count(&self, task: Task) -> u32 {
+        let shards = self.shards.keys();
+        shards.filter(|shard| shard.task == task).count() as u32
     }
 
-    /// Up to where the board is known.
+    /// The revision of the lease table that is known.
     pub fn table_revision(&self) -> u64 {
         self.table_revision
     }
