--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -3,8 +3,8 @@
 //! `serde(rename)`: `tests/wire_form.rs` compares all of them with stored bytes.
 
 use hoptiller_coordination::Micros;
-use hoptiller_coordination::fleet::{Granted, Head, Holder, Number, Refused};
-use hoptiller_coordination::lease::{NotNoted, Offer, Part};
+use hoptiller_coordination::{ConfigLeaseGrant, Holder, Rejection, VersionMetadata, VersionNumber};
+use hoptiller_coordination::{LeaseOffer, NoteError, Shard};
 use serde::{Deserialize, Serialize};
 
 /// A router renews its lease of the configuration: POST, [`LeaseRenewalRequest`] to [`LeaseRenewalResponse`].
@@ -19,11 +19,11 @@
 pub const LEASES: &str = "/v1/fleet/leases";
 /// The state of the cluster as one replica sees it: GET, [`ClusterStatus`].
 pub const STATUS: &str = "/v1/fleet/status";
-/// Proposes a version of the configuration: POST, [`Put`](hoptiller_coordination::Put) to [`ProposalResponse`].
+/// Proposes a version of the configuration: POST, [`Proposal`](hoptiller_coordination::Proposal) to [`ProposalResponse`].
 pub const PROPOSE: &str = "/v1/settings/put";
-/// Reads a version: POST, [`VersionRequest`] to [`Version`](hoptiller_coordination::fleet::Version).
+/// Reads a version: POST, [`VersionRequest`] to [`Version`](hoptiller_coordination::Version).
 pub const SHOW: &str = "/v1/settings/show";
-/// Lists the metadata of the versions kept: GET, `Vec<`[`Head`]`>`.
+/// Lists the metadata of the versions kept: GET, `Vec<`[`VersionMetadata`]`>`.
 pub const HISTORY: &str = "/v1/settings/history";
 /// Compares two versions: POST, [`DiffRequest`] to `Vec<`[`Difference`](hoptiller_coordination::Difference)`>`.
 pub const DIFF: &str = "/v1/settings/diff";
@@ -47,16 +47,16 @@
     pub holder: Holder,
     /// The last version that the router enforces.
     #[serde(rename = "heeds")]
-    pub enforced_version: Number,
+    pub enforced_version: VersionNumber,
     /// The version that the router believes to be in force.
-    pub in_force: Number,
+    pub in_force: VersionNumber,
     /// How long a lease lasts by the router's settings, in µs. Both sides must agree.
     pub term: Micros,
     /// Limit of the difference of two clocks' rates by the router's settings, in millionths. Both sides must agree.
     pub drift: u64,
     /// The router's offer to run shards of tasks, if it takes part in them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub offer: Option<Offer>,
+    pub offer: Option<LeaseOffer>,
 }
 
 /// The request of [`CHECKPOINT`].
@@ -66,7 +66,7 @@
     /// The holder of the lease.
     pub holder: Holder,
     /// The shard.
-    pub part: Part,
+    pub part: Shard,
     /// The fencing token of the lease.
     #[serde(rename = "number")]
     pub fencing_token: u64,
@@ -75,13 +75,13 @@
 }
 
 /// The response of [`CHECKPOINT`]: whether the progress was stored, or why not.
-pub type CheckpointResult = Result<(), NotNoted>;
+pub type CheckpointResult = Result<(), NoteError>;
 
 /// The lease of a shard, as one replica knows it: [`LEASES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// The shard.
-    pub part: Part,
+    pub part: Shard,
     /// The holder and its fencing token.
     pub holder: Option<(Holder, u64)>,
     /// Time until the lease expires by this replica's clock, in ms.
@@ -96,7 +96,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum LeaseRenewalResponse {
     /// The lease is renewed.
-    Granted(Granted),
+    Granted(ConfigLeaseGrant),
     /// The router knows of a version that the cluster never had.
     Ahead,
     /// There is no version yet.
@@ -124,9 +124,9 @@
 #[serde(deny_unknown_fields)]
 pub struct VersionNumbers {
     /// The version in force.
-    pub in_force: Number,
+    pub in_force: VersionNumber,
     /// The last version, in force or pending.
-    pub last: Number,
+    pub last: VersionNumber,
     /// The number of changes of the lease table.
     #[serde(rename = "board", default, skip_serializing_if = "is_zero")]
     pub lease_table: u64,
@@ -142,10 +142,10 @@
 pub enum ProposalResponse {
     /// Accepted as the version of this number.
     #[serde(rename = "taken")]
-    Accepted(Number),
+    Accepted(VersionNumber),
     /// Rejected.
     #[serde(rename = "refused")]
-    Rejected(Refused),
+    Rejected(Rejection),
 }
 
 /// The request of [`SHOW`].
@@ -153,7 +153,7 @@
 #[serde(deny_unknown_fields)]
 pub struct VersionRequest {
     /// The version's number; `None` for the last one.
-    pub number: Option<Number>,
+    pub number: Option<VersionNumber>,
 }
 
 /// The request of [`DIFF`].
@@ -161,9 +161,9 @@
 #[serde(deny_unknown_fields)]
 pub struct DiffRequest {
     /// The older version.
-    pub from: Number,
+    pub from: VersionNumber,
     /// The newer version.
-    pub to: Number,
+    pub to: VersionNumber,
 }
 
 /// A router's lease of the configuration, as one replica knows it.
@@ -173,7 +173,7 @@
     pub holder: Holder,
     /// The last version that the router enforces.
     #[serde(rename = "heeds")]
-    pub enforced_version: Number,
+    pub enforced_version: VersionNumber,
     /// Time until the lease expires by this replica's clock, in ms.
     pub left_ms: u64,
     /// Whether the next version waits for this router.
@@ -193,7 +193,7 @@
     #[serde(rename = "numbers")]
     pub versions: VersionNumbers,
     /// Versions not yet in force.
-    pub pending: Vec<Head>,
+    pub pending: Vec<VersionMetadata>,
     /// Routers that hold a lease of the configuration.
     pub holders: Vec<HolderStatus>,
     /// The number of the membership that this replica knows.
--- a/crates/coordination-server/src/reply.rs
+++ b/crates/coordination-server/src/reply.rs
@@ -1,7 +1,7 @@
 //! Owns what calls are answered with: from the state and from what acts came to.
 
-use hoptiller_coordination::lease::Posted;
-use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination::LeaseTableEntry;
+use hoptiller_coordination::{CommandResponse, ConfigState, Micros};
 use hoptiller_coordination_client::wire::{
     ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
     PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
@@ -35,41 +35,41 @@
     }
 }
 
-fn of_answer(answer: Answer) -> Response {
+fn of_answer(answer: CommandResponse) -> Response {
     match answer {
-        Answer::Granted(granted) => good(&LeaseRenewalResponse::Granted(granted)),
-        Answer::Ahead => good(&LeaseRenewalResponse::Ahead),
-        Answer::Empty => good(&LeaseRenewalResponse::Empty),
-        Answer::Crowded => good(&LeaseRenewalResponse::TooManyHolders),
-        Answer::Put(Ok(number)) => good(&ProposalResponse::Accepted(number)),
-        Answer::Put(Err(refused)) => good(&ProposalResponse::Rejected(refused)),
-        Answer::GivenBack | Answer::Settled(_) => good(&()),
-        Answer::Noted(noted) => good(&noted),
+        CommandResponse::LeaseGranted(granted) => good(&LeaseRenewalResponse::Granted(granted)),
+        CommandResponse::UnknownVersion => good(&LeaseRenewalResponse::Ahead),
+        CommandResponse::NoVersion => good(&LeaseRenewalResponse::Empty),
+        CommandResponse::TooManyHolders => good(&LeaseRenewalResponse::TooManyHolders),
+        CommandResponse::Proposed(Ok(number)) => good(&ProposalResponse::Accepted(number)),
+        CommandResponse::Proposed(Err(refused)) => good(&ProposalResponse::Rejected(refused)),
+        CommandResponse::LeaseReleased | CommandResponse::InForce(_) => good(&()),
+        CommandResponse::NoteRecorded(noted) => good(&noted),
     }
 }
 
-pub(crate) fn numbers(fleet: &Fleet) -> VersionNumbers {
+pub(crate) fn numbers(fleet: &ConfigState) -> VersionNumbers {
     VersionNumbers {
         in_force: fleet.in_force(),
-        last: fleet.last(),
-        lease_table: fleet.leases().upto(),
+        last: fleet.latest(),
+        lease_table: fleet.lease_table().revision(),
     }
 }
 
 /// Who does what for all.
 pub(crate) fn leases(core: &Core, now: Micros) -> Vec<LeaseStatus> {
-    let status = |posted: Posted| LeaseStatus {
+    let status = |posted: LeaseTableEntry| LeaseStatus {
         left_ms: core
-            .left_of_lease(now, &posted.part)
+            .left_of_lease(now, &posted.shard)
             .map(|left| left / 1000),
-        part: posted.part,
+        part: posted.shard,
         holder: posted.holder,
         checkpoint_bytes: posted.note.map_or(0, |n| n.len() as u64),
     };
     core.fleet()
-        .leases()
-        .board(0)
-        .posted
+        .lease_table()
+        .updates_since(0)
+        .entries
         .into_iter()
         .map(status)
         .collect()
@@ -77,19 +77,19 @@
 
 pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<PeerStatus>) -> ClusterStatus {
     let fleet = core.fleet();
-    let next = fleet.pending().next().map(|v| v.head.number);
+    let next = fleet.pending().next().map(|v| v.metadata.number);
     let holders = fleet.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
-        enforced_version: held.heeds,
+        enforced_version: held.enforced,
         left_ms: core.left(now, holder).unwrap_or(0) / 1000,
-        blocks_rollout: next.is_some_and(|next| held.heeds < next),
+        blocks_rollout: next.is_some_and(|next| held.enforced < next),
     });
     let (decided, kept) = core.sizes();
     ClusterStatus {
         replica: me,
         leader: core.leader(),
         versions: numbers(fleet),
-        pending: fleet.pending().map(|v| v.head.clone()).collect(),
+        pending: fleet.pending().map(|v| v.metadata.clone()).collect(),
         holders: holders.collect(),
         membership: core.members().number,
         replicas: core.members().all(),
