--- a/crates/coordination/src/endpoint_list.rs
+++ b/crates/coordination/src/endpoint_list.rs
@@ -15,7 +15,7 @@
 
 /// Starts within this time of each other are the same process's: a start is computed from the process's age, which takes
 /// time to read.
-const SAME_PROCESS_TOLERANCE_MS: u64 = 1500;
+pub const SAME_PROCESS_TOLERANCE_MS: u64 = 1500;
 
 /// The state of an engine's process, in the order of its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/coordination/src/fault_injection.rs
+++ b/crates/coordination/src/fault_injection.rs
@@ -27,7 +27,7 @@
 
 impl Fault {
     /// All faults, with their names on the command line.
-    const ALL: [(&str, Fault); 9] = [
+    pub const ALL: [(&str, Fault); 9] = [
         ("from-the-answer", Fault::TermFromResponse),
         ("never-ends", Fault::LeaseNeverExpires),
         ("no-wait", Fault::SkipRolloutWait),
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -40,7 +40,7 @@
     StatementClass, ValidationError,
 };
 pub use duration::ConfigDuration;
-pub use endpoint_list::{Endpoint, EndpointList, EngineState};
+pub use endpoint_list::{Endpoint, EndpointList, EngineState, SAME_PROCESS_TOLERANCE_MS};
 pub use endpoint_sources::{EndpointSources, SourceUpdate};
 pub use lease_expiry::ExpiryTracker;
 pub use lease_messages::{
@@ -50,5 +50,5 @@
 pub use merge::{Change, Difference, Merge};
 pub use proposal::{Proposal, Rejection};
 pub use shard::{InvalidShard, Shard, Task};
-pub use task_lease_client::{LeaseGuard, TaskLeaseClient};
+pub use task_lease_client::{LeaseGuard, ShardStatus, TaskLeaseClient};
 pub use version::{Holder, Version, VersionMetadata, VersionNumber};
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -26,11 +26,11 @@
 
 /// The last known state of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ShardStatus {
+pub struct ShardStatus {
     /// The fencing token under which it is held, if it is.
-    fencing_token: Option<u64>,
+    pub fencing_token: Option<u64>,
     /// The note that was recorded last.
-    note: Option<String>,
+    pub note: Option<String>,
 }
 
 /// A router's task leases, and what it knows of all others'.
@@ -296,11 +296,9 @@
         self.held.len() + self.released.len()
     }
 
-    /// The fencing token under which a shard is held, if it is, and the note that was recorded last. `None` where there is
-    /// no such shard.
-    pub fn shard_status(&self, shard: Shard) -> Option<(Option<u64>, Option<&str>)> {
-        let status = self.shards.get(&shard)?;
-        Some((status.fencing_token, status.note.as_deref()))
+    /// The last known state of a shard; `None` where there is no such shard.
+    pub fn shard_status(&self, shard: Shard) -> Option<&ShardStatus> {
+        self.shards.get(&shard)
     }
 
     /// The number of shards of a task.
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -480,7 +480,10 @@
     w.routers.remove(&who);
     w.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
     let next = &w.routers[&holder("r1", "1")].0;
-    assert_eq!(next.shard_status(part(0)).and_then(|p| p.1), Some("so far"));
+    assert_eq!(
+        next.shard_status(part(0)).and_then(|s| s.note.as_deref()),
+        Some("so far")
+    );
     assert!(next.is_holding(w.now, part(0)));
 }
 
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,53 +1,61 @@
-//! Tasks that one router does for the whole fleet: who does a part now, what is noted of it for all others, and what is
-//! done where nobody holds it. Decisions only: no I/O, no clock. Leases are [`hoptiller_coordination`]'s.
-//!
-//! [`duty`] says whose part something is at a moment; [`sheet`] is what is noted of engines' own states. The list of
-//! engines is noted as discovery told it.
+//! Tasks that one router performs for the whole fleet: which router performs a shard of a task now, and what it has recorded
+//! for the others. Decisions only: no I/O, no clock. The leases are [`hoptiller_coordination`]'s.
 
-pub mod sheet;
+#![warn(missing_docs)]
 
-use hoptiller_coordination::{Micros, Shard, Task, TaskLeaseClient};
+mod engine_observations;
 
-pub use sheet::{Seen, Sheet};
+use hoptiller_coordination::{Micros, Shard, ShardStatus, Task, TaskLeaseClient};
 
-/// Whose part something is.
+pub use engine_observations::{EngineObservation, EngineObservations};
+
+/// Which router performs a shard of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Duty {
-    /// Each router's own: there is no such task, nobody holds it, nothing was noted yet, or this router is in doubt. What
-    /// is done then is what would be done without tasks, and needs no lease.
-    Own,
-    /// This router does it for all.
-    Mine,
-    /// Another does it; what it noted last.
-    Others(String),
+pub enum TaskAssignment {
+    /// Each router for itself, without a lease: there is no such task, nobody holds the lease, nothing is recorded yet, or
+    /// this router is in doubt.
+    EachRouter,
+    /// This router, for all.
+    Local,
+    /// Another router, which has recorded this note last.
+    Remote(String),
 }
 
-/// Whose a part is now. `doubt`: this router's permit has ended, so that it hears nothing of the others.
-pub fn duty(tenant: &TaskLeaseClient, now: Micros, part: Shard, doubt: bool) -> Duty {
-    match tenant.shard_status(part) {
-        _ if doubt => Duty::Own,
-        None => Duty::Own,
-        Some(_) if tenant.is_holding(now, part) => Duty::Mine,
-        Some((Some(_), Some(note))) => Duty::Others(note.to_owned()),
-        Some(_) => Duty::Own,
+/// Which router performs a shard now. `in_doubt`: this router's configuration lease has expired, so that it receives no
+/// notes of the others.
+pub fn task_assignment(
+    leases: &TaskLeaseClient,
+    now: Micros,
+    shard: Shard,
+    in_doubt: bool,
+) -> TaskAssignment {
+    match leases.shard_status(shard) {
+        _ if in_doubt => TaskAssignment::EachRouter,
+        None => TaskAssignment::EachRouter,
+        Some(_) if leases.is_holding(now, shard) => TaskAssignment::Local,
+        Some(ShardStatus {
+            fencing_token: Some(_),
+            note: Some(note),
+        }) => TaskAssignment::Remote(note.clone()),
+        Some(_) => TaskAssignment::EachRouter,
     }
 }
 
-/// The part that reads discovery.
-pub const LIST: Shard = Shard {
+/// The shard that reads the list of engines from service discovery.
+pub const DISCOVERY_SHARD: Shard = Shard {
     task: Task::Discovery,
     index: 0,
 };
 
-/// The part in which an engine is asked how it is, of so many; `None` where there are none.
-pub fn probe_of(engine: &str, parts: u32) -> Option<Shard> {
+/// The shard, of so many, in which the health of an engine is checked; `None` where there are none.
+pub fn health_check_shard(engine: &str, shards: u32) -> Option<Shard> {
     let hash = blake3::hash(engine.as_bytes());
     let mut first = [0; 4];
     first.copy_from_slice(&hash.as_bytes()[..4]);
-    let shard = u32::from_be_bytes(first).checked_rem(parts)?;
+    let index = u32::from_be_bytes(first).checked_rem(shards)?;
     Some(Shard {
         task: Task::HealthCheck,
-        index: shard,
+        index,
     })
 }
 
--- a/crates/fleet-tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -3,15 +3,15 @@
 use hoptiller_coordination::{LeaseTableEntry, LeaseTableUpdate, TaskLeaseGrant};
 
 #[test]
-fn a_part_is_mine_while_i_hold_it_and_everybodys_where_nobody_does() {
-    let bounds = LeaseTiming {
+fn the_lease_holder_performs_a_shard_and_each_router_where_nobody_holds_it() {
+    let timing = LeaseTiming {
         term: 10_000,
         drift: 0,
     };
-    let mut tenant = TaskLeaseClient::new(&bounds, 100);
+    let mut leases = TaskLeaseClient::new(&timing, 100);
     assert_eq!(
-        duty(&tenant, 0, LIST, false),
-        Duty::Own,
+        task_assignment(&leases, 0, DISCOVERY_SHARD, false),
+        TaskAssignment::EachRouter,
         "there is no such task"
     );
     let holder = Some((
@@ -21,59 +21,70 @@
         },
         7,
     ));
-    let mut tell = |serial: u64, mine: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
-        let (part, note) = (LIST, note.map(str::to_owned));
-        let posted = vec![LeaseTableEntry {
-            shard: part,
-            holder: holder.clone(),
-            note,
-        }];
-        let board = LeaseTableUpdate {
-            revision: serial,
-            shards: vec![LIST],
-            entries: posted,
+    let mut accept =
+        |serial: u64, local: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
+            let (shard, note) = (DISCOVERY_SHARD, note.map(str::to_owned));
+            let entries = vec![LeaseTableEntry {
+                shard,
+                holder: holder.clone(),
+                note,
+            }];
+            let update = LeaseTableUpdate {
+                revision: serial,
+                shards: vec![DISCOVERY_SHARD],
+                entries,
+            };
+            let grants: Vec<TaskLeaseGrant> = local
+                .then_some(TaskLeaseGrant {
+                    shard,
+                    fencing_token: 7,
+                    release_requested: false,
+                })
+                .into_iter()
+                .collect();
+            leases.start_renewal(serial, 0);
+            leases.accept_grant(serial, 1, serial, Some(&grants), Some(&update));
+            leases.clone()
         };
-        let grants: Vec<TaskLeaseGrant> = mine
-            .then_some(TaskLeaseGrant {
-                shard: part,
-                fencing_token: 7,
-                release_requested: false,
-            })
-            .into_iter()
-            .collect();
-        tenant.start_renewal(serial, 0);
-        tenant.accept_grant(serial, 1, serial, Some(&grants), Some(&board));
-        tenant.clone()
-    };
     assert_eq!(
-        duty(&tell(1, false, &None, None), 2, LIST, false),
-        Duty::Own
+        task_assignment(&accept(1, false, &None, None), 2, DISCOVERY_SHARD, false),
+        TaskAssignment::EachRouter
     );
     assert_eq!(
-        duty(&tell(2, false, &holder, None), 2, LIST, false),
-        Duty::Own,
+        task_assignment(&accept(2, false, &holder, None), 2, DISCOVERY_SHARD, false),
+        TaskAssignment::EachRouter,
         "nothing is noted yet"
     );
-    let others = tell(3, false, &holder, Some("x"));
-    assert_eq!(duty(&others, 2, LIST, false), Duty::Others("x".into()));
-    assert_eq!(duty(&others, 2, LIST, true), Duty::Own, "in doubt");
-    let mine = tell(4, true, &holder, Some("x"));
-    assert_eq!(duty(&mine, 2, LIST, false), Duty::Mine);
+    let remote = accept(3, false, &holder, Some("x"));
+    assert_eq!(
+        task_assignment(&remote, 2, DISCOVERY_SHARD, false),
+        TaskAssignment::Remote("x".into())
+    );
+    assert_eq!(
+        task_assignment(&remote, 2, DISCOVERY_SHARD, true),
+        TaskAssignment::EachRouter,
+        "in doubt"
+    );
+    let local = accept(4, true, &holder, Some("x"));
+    assert_eq!(
+        task_assignment(&local, 2, DISCOVERY_SHARD, false),
+        TaskAssignment::Local
+    );
     assert_eq!(
-        duty(&mine, 9_900, LIST, false),
-        Duty::Others("x".into()),
+        task_assignment(&local, 9_900, DISCOVERY_SHARD, false),
+        TaskAssignment::Remote("x".into()),
         "its time is over"
     );
 }
 
 #[test]
-fn engines_spread_over_the_parts_and_stay_where_they_are() {
+fn engines_spread_evenly_over_the_shards_and_keep_theirs() {
     let mut counts = [0; 8];
     for n in 0..800 {
-        let part = probe_of(&format!("engine-{n}"), 8).expect("there are parts");
-        assert_eq!(Some(part), probe_of(&format!("engine-{n}"), 8));
-        counts[part.index as usize] += 1;
+        let shard = health_check_shard(&format!("engine-{n}"), 8).expect("there are parts");
+        assert_eq!(Some(shard), health_check_shard(&format!("engine-{n}"), 8));
+        counts[shard.index as usize] += 1;
     }
     assert!(counts.iter().all(|n| (70..130).contains(n)), "{counts:?}");
-    assert_eq!(probe_of("engine", 0), None);
+    assert_eq!(health_check_shard("engine", 0), None);
 }
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -1,12 +1,20 @@
-//! `hoptiller-check`: goes through all courses of leases within bounds, and says what it found.
+//! `hoptiller-check`: explores all executions of task leases within bounds, and reports violations.
+
+#![warn(missing_docs)]
 
 use std::process::ExitCode;
 use std::time::Instant;
 
 use clap::Parser;
-use hoptiller_model_check::{Leasing, Limits};
+use hoptiller_model_check::{
+    FREE_SHARD_TAKEN, HOLDER_ACTS_UNTIL_EXPIRY, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT,
+    NO_TOKEN_REUSED,
+};
 use stateright::{Checker, HasDiscoveries, Model};
 
+/// The exit code of wrong arguments.
+const USAGE_ERROR: u8 = 2;
+
 /// Goes through all courses of leases within bounds: keepers, would-be holders, messages lost, doubled and overtaken, clocks
 /// at their bounds, crashes at any step
 #[derive(Parser)]
@@ -45,90 +53,82 @@
     plant: Option<String>,
 }
 
+impl Args {
+    fn limits(&self) -> Limits {
+        Limits {
+            ticks: self.ticks,
+            term: self.term,
+            asks: self.asks,
+            crashes: self.crashes,
+            doubles: self.doubles,
+            way: self.way,
+            late_twin: self.late_twin,
+            processes: self.processes,
+        }
+    }
+}
+
 fn main() -> ExitCode {
     let args = Args::parse();
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
-        match hoptiller_coordination::fault_injection::Fault::from_name(name) {
-            Some(plant) => hoptiller_coordination::fault_injection::inject(plant),
-            None => {
-                eprintln!("hoptiller-check: {name:?} is no fault that is known");
-                return ExitCode::from(2);
-            }
-        }
+        use hoptiller_coordination::fault_injection::{Fault, inject};
+        let Some(fault) = Fault::from_name(name) else {
+            eprintln!("hoptiller-check: {name:?} is no fault that is known");
+            return ExitCode::from(USAGE_ERROR);
+        };
+        inject(fault);
     }
-    let Args {
-        ticks,
-        term,
-        asks,
-        crashes,
-        doubles,
-        way,
-        late_twin,
-        processes,
-        ..
-    } = args;
-    if processes < 2 || term < 2 {
+    if args.processes < 2 || args.term < 2 {
         eprintln!(
             "hoptiller-check: two processes or more and a term of two steps or more are wanted"
         );
-        return ExitCode::from(2);
+        return ExitCode::from(USAGE_ERROR);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let model = Leasing::new(Limits {
-        ticks,
-        term,
-        asks,
-        crashes,
-        doubles,
-        way,
-        late_twin,
-        processes,
-    });
-    let mut checker = model
+    let mut checker = LeaseModel::new(args.limits())
         .checker()
         .threads(threads)
         .finish_when(HasDiscoveries::AnyFailures);
     if args.states > 0 {
         checker = checker.target_state_count(args.states);
     }
-    let done = checker.spawn_bfs().join();
+    let checked = checker.spawn_bfs().join();
     println!(
         "{} states, {} different, {} steps deep, {:.1} s",
-        done.state_count(),
-        done.unique_state_count(),
-        done.max_depth(),
-        began.elapsed().as_secs_f64()
+        checked.state_count(),
+        checked.unique_state_count(),
+        checked.max_depth(),
+        started_at.elapsed().as_secs_f64()
     );
-    let mut wrong = false;
-    let found = done.discoveries();
-    for property in ["never two acting", "no number is given twice"] {
-        match found.get(property) {
-            None => println!("{property}: kept"),
-            Some(path) => {
-                wrong = true;
-                println!("{property}: BROKEN by");
-                path.clone()
-                    .into_actions()
-                    .iter()
-                    .for_each(|step| println!("  {step:?}"));
-            }
-        }
+    match report_properties(&checked) {
+        true => ExitCode::SUCCESS,
+        false => ExitCode::FAILURE,
     }
-    for property in ["a free part is taken", "a holder acts to its last moment"] {
-        println!(
-            "{property}: {}",
-            if found.contains_key(property) {
-                "seen"
-            } else {
-                "not seen"
-            }
-        );
+}
+
+/// Prints whether each property holds, with the steps to a violation. Returns whether all hold.
+fn report_properties(checked: &impl Checker<LeaseModel>) -> bool {
+    let discoveries = checked.discoveries();
+    let mut all_hold = true;
+    for property in [NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED] {
+        let Some(path) = discoveries.get(property) else {
+            println!("{property}: kept");
+            continue;
+        };
+        all_hold = false;
+        println!("{property}: BROKEN by");
+        for step in path.clone().into_actions() {
+            println!("  {step:?}");
+        }
     }
-    if wrong {
-        ExitCode::FAILURE
-    } else {
-        ExitCode::SUCCESS
+    for property in [FREE_SHARD_TAKEN, HOLDER_ACTS_UNTIL_EXPIRY] {
+        let reached = match discoveries.contains_key(property) {
+            true => "seen",
+            false => "not seen",
+        };
+        println!("{property}: {reached}");
     }
+    all_hold
 }
--- /dev/null
+++ b/crates/model-check/src/state.rs
@@ -0,0 +1,171 @@
+//! States of the model, and the steps between them.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
+
+use hoptiller_coordination::{
+    ConfigState, ExpiryTracker, Holder, LeaseGuard, LeaseOffer, Shard, TaskLeaseClient,
+};
+
+/// The state that the log leads to. Only what leases depend on matters for equality.
+#[derive(Clone, Debug)]
+pub(crate) struct LogState(pub(crate) ConfigState);
+
+impl PartialEq for LogState {
+    fn eq(&self, other: &LogState) -> bool {
+        self.0.lease_table() == other.0.lease_table() && self.0.holders().eq(other.0.holders())
+    }
+}
+
+impl Eq for LogState {}
+
+impl Hash for LogState {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.0.lease_table().hash(hasher);
+        for (holder, held) in self.0.holders() {
+            (holder, held.serial, held.enforced).hash(hasher);
+        }
+    }
+}
+
+/// A replica.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Replica {
+    /// What it has applied.
+    pub(crate) log: Arc<LogState>,
+    /// `None` while it does not run.
+    pub(crate) expiry: Option<ExpiryTracker>,
+}
+
+/// An operation under a lease.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Operation {
+    pub(crate) guard: LeaseGuard,
+    /// The tick in which it was sent; `None` where it has only begun.
+    pub(crate) sent_at: Option<u32>,
+}
+
+/// A router's process that wants the lease.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Process {
+    pub(crate) leases: TaskLeaseClient,
+    pub(crate) next_id: u64,
+    pub(crate) renewals: u32,
+    pub(crate) operation: Option<Operation>,
+}
+
+/// A [`LeaseOffer`] with an order.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(crate) struct OrderedOffer {
+    acknowledged_serial: u64,
+    accepts_leases: bool,
+    released: Vec<(Shard, u64)>,
+    table_revision: u64,
+}
+
+impl From<LeaseOffer> for OrderedOffer {
+    fn from(offer: LeaseOffer) -> OrderedOffer {
+        OrderedOffer {
+            acknowledged_serial: offer.acknowledged_serial,
+            accepts_leases: offer.accepts_leases,
+            released: offer.released,
+            table_revision: offer.table_revision,
+        }
+    }
+}
+
+impl From<OrderedOffer> for LeaseOffer {
+    fn from(offer: OrderedOffer) -> LeaseOffer {
+        LeaseOffer {
+            acknowledged_serial: offer.acknowledged_serial,
+            accepts_leases: offer.accepts_leases,
+            released: offer.released,
+            table_revision: offer.table_revision,
+        }
+    }
+}
+
+/// A message on its way.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(crate) enum Message {
+    /// A renewal. One that is a duplicate is not duplicated again.
+    Request {
+        process: usize,
+        id: u64,
+        offer: OrderedOffer,
+        duplicate: bool,
+    },
+    /// The response to one, with the fencing token of each lease and whether its release is requested.
+    Response {
+        process: usize,
+        id: u64,
+        serial: u64,
+        leases: Option<Vec<(u64, bool)>>,
+    },
+}
+
+/// A state of the model.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct State {
+    /// The time, in ticks.
+    pub(crate) now: u32,
+    pub(crate) log: Arc<LogState>,
+    pub(crate) replicas: Vec<Replica>,
+    pub(crate) processes: Vec<Process>,
+    pub(crate) messages: BTreeSet<Message>,
+    pub(crate) crashes: u32,
+    pub(crate) duplicates: u32,
+    /// The latest fencing token under which an operation has arrived, and its process.
+    pub(crate) latest_operation: Option<(u64, usize)>,
+    /// The holder to which each fencing token was assigned.
+    pub(crate) assigned: BTreeMap<u64, Holder>,
+    /// Violation: an operation has arrived after one with a later token, or two processes have acted with one token.
+    pub(crate) two_acted: bool,
+    /// Violation: a fencing token was assigned twice.
+    pub(crate) token_reused: bool,
+    /// Whether more than one process has acted.
+    pub(crate) taken_over: bool,
+}
+
+impl State {
+    pub(crate) fn is_violation(&self) -> bool {
+        self.two_acted || self.token_reused
+    }
+}
+
+/// A step from one state to the next. Processes, replicas and messages are named by their index.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Step {
+    /// Time passes for all.
+    Tick,
+    /// A process sends a renewal.
+    Renew(usize),
+    /// A message with a renewal reaches a replica.
+    ReceiveRequest {
+        /// The message.
+        message: usize,
+        /// The replica.
+        replica: usize,
+        /// Whether the message is duplicated, so that it may arrive once more.
+        duplicated: bool,
+    },
+    /// A message with a response reaches its process.
+    ReceiveResponse(usize),
+    /// A replica applies what the log holds.
+    CatchUp(usize),
+    /// A replica, as the leader, ends the task leases that have expired.
+    ExpireTaskLeases(usize),
+    /// A replica, as the leader, ends the configuration leases that have expired.
+    ExpireConfigLeases(usize),
+    /// A replica crashes.
+    Crash(usize),
+    /// A replica starts again.
+    Restart(usize),
+    /// A process begins an operation.
+    BeginOperation(usize),
+    /// A process sends its operation.
+    SendOperation(usize),
+    /// A process's operation arrives.
+    CompleteOperation(usize),
+}
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -1,12 +1,14 @@
-//! Within bounds that take seconds: no two holders act at once in any course; and each planted fault shows in some.
+//! Within bounds that take seconds: no two holders act at once in any execution, and each injected fault is found in one.
 
-use hoptiller_model_check::{Leasing, Limits};
+use hoptiller_model_check::{
+    FREE_SHARD_TAKEN, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED,
+};
 use stateright::{Checker, HasDiscoveries, Model};
 
-const NEVER: [&str; 2] = ["never two acting", "no number is given twice"];
+const SAFETY_PROPERTIES: [&str; 2] = [NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED];
 
-/// Acts that are long on their way, and take most of a term.
-const LONG_WAY: Limits = Limits {
+/// Operations that are on their way for most of a term.
+const SLOW_OPERATIONS: Limits = Limits {
     ticks: 5,
     term: 4,
     asks: 1,
@@ -16,27 +18,27 @@
     late_twin: false,
     processes: 2,
 };
-/// A keeper that crashes at any step.
+/// A replica that crashes at any step.
 const CRASH: Limits = Limits {
     ticks: 4,
     term: 3,
     way: 1,
     crashes: 1,
-    ..LONG_WAY
+    ..SLOW_OPERATIONS
 };
-/// Another life of the holder's router, which begins while the holder still acts.
-const TWIN: Limits = Limits {
+/// Another incarnation of the holder's router, which starts while the holder still acts.
+const SECOND_INCARNATION: Limits = Limits {
     ticks: 1,
     asks: 2,
     way: 1,
     late_twin: true,
-    ..LONG_WAY
+    ..SLOW_OPERATIONS
 };
 
-/// What is broken, and whether a part that came free was taken.
+/// The safety properties that are violated, and whether a shard that became free was taken.
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let model = Leasing::new(limits.clone()).checker().threads(threads);
+    let model = LeaseModel::new(limits.clone()).checker().threads(threads);
     let done = model
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
@@ -47,33 +49,33 @@
         done.unique_state_count(),
         done.max_depth()
     );
-    let broken = NEVER
+    let violated = SAFETY_PROPERTIES
         .into_iter()
         .filter(|p| found.contains_key(p))
         .collect();
-    (broken, found.contains_key("a free part is taken"))
+    (violated, found.contains_key(FREE_SHARD_TAKEN))
 }
 
 #[cfg(not(feature = "plant"))]
 #[test]
-fn no_two_holders_act_at_once_in_any_course() {
+fn no_two_holders_act_at_once_in_any_execution() {
     let none = Vec::<&str>::new();
-    assert_eq!(check(&LONG_WAY), (none.clone(), true));
+    assert_eq!(check(&SLOW_OPERATIONS), (none.clone(), true));
     assert_eq!(check(&CRASH), (none.clone(), true));
-    assert_eq!(check(&TWIN).0, none);
+    assert_eq!(check(&SECOND_INCARNATION).0, none);
 }
 
-/// One after the other: a fault is planted in the whole process.
+/// One after the other: a fault is injected into the whole process.
 #[cfg(feature = "plant")]
 #[test]
-fn each_planted_fault_shows_in_some_course() {
+fn each_injected_fault_is_found() {
     use hoptiller_coordination::fault_injection::{Fault, inject};
     for (name, fault) in Fault::ALL {
         let limits = match fault {
-            Fault::SkipRolloutWait | Fault::LoseDurableState => continue, // Of versions, and of a keeper's disk: not of leases.
+            Fault::SkipRolloutWait | Fault::LoseDurableState => continue, // Faults of rollouts and of a replica's disk, not of task leases.
             Fault::SkipStartupTerm => CRASH,
-            Fault::IgnoreIncarnation => TWIN,
-            _ => LONG_WAY,
+            Fault::IgnoreIncarnation => SECOND_INCARNATION,
+            _ => SLOW_OPERATIONS,
         };
         inject(fault);
         assert!(!check(&limits).0.is_empty(), "{name} is not found");
--- a/crates/statement-router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -14,7 +14,7 @@
 use hoptiller_coordination::fault_injection::{self, Fault};
 use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, Micros, Shard};
 use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, Secret, wire};
-use hoptiller_fleet_tasks::Duty;
+use hoptiller_fleet_tasks::TaskAssignment;
 
 use crate::learnt::{read, write_whole};
 use crate::leased::Leased;
@@ -192,11 +192,11 @@
     }
 
     /// Whose a part of a task is now.
-    pub fn duty(&self, part: Shard) -> Duty {
+    pub fn duty(&self, part: Shard) -> TaskAssignment {
         if self.has_tasks() {
             self.leased.duty(part, self.standing().0)
         } else {
-            Duty::Own
+            TaskAssignment::EachRouter
         }
     }
 
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -9,7 +9,9 @@
 use event_listener::Event as Bell;
 use futures_lite::future;
 use hoptiller_coordination::{LeaseGuard, Shard, Task};
-use hoptiller_fleet_tasks::{Duty, LIST, Seen, Sheet, probe_of};
+use hoptiller_fleet_tasks::{
+    DISCOVERY_SHARD, EngineObservation, EngineObservations, TaskAssignment, health_check_shard,
+};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
 use hoptiller_policy::ListScope;
@@ -42,7 +44,7 @@
     /// Where the fleet has tasks, one router looks for all.
     agreed: Option<Rc<Agreed>>,
     /// By part of the engines that this router asks for all: under which number, and what they told.
-    sheets: RefCell<BTreeMap<Shard, (u64, Sheet)>>,
+    sheets: RefCell<BTreeMap<Shard, (u64, EngineObservations)>>,
     /// Looks at discovery in a row that failed.
     failed: Cell<u32>,
     /// Rung when a look is wanted at once.
@@ -87,8 +89,8 @@
         let (mut failing, mut taken) = (false, String::new());
         loop {
             let changed = self.agreed.as_ref().map(|a| a.leased.changed.listen());
-            match self.duty(LIST) {
-                Duty::Others(note) => {
+            match self.duty(DISCOVERY_SHARD) {
+                TaskAssignment::Remote(note) => {
                     if note != taken {
                         if let Ok(list) = serde_json::from_str::<Services>(&note) {
                             self.take(&ex, &listener, &list);
@@ -116,14 +118,16 @@
     }
 
     /// Whose a part of a task is.
-    fn duty(&self, part: Shard) -> Duty {
-        self.agreed.as_ref().map_or(Duty::Own, |a| a.duty(part))
+    fn duty(&self, part: Shard) -> TaskAssignment {
+        self.agreed
+            .as_ref()
+            .map_or(TaskAssignment::EachRouter, |a| a.duty(part))
     }
 
     /// The right to do a part for all, where that is this router's duty. The inner `None`: its time is nearly over.
-    fn right(&self, duty: &Duty, part: Shard) -> Result<Option<LeaseGuard>, ()> {
+    fn right(&self, duty: &TaskAssignment, part: Shard) -> Result<Option<LeaseGuard>, ()> {
         match (duty, &self.agreed) {
-            (Duty::Mine, Some(agreed)) => agreed.leased.begin(part).map(Some).ok_or(()),
+            (TaskAssignment::Local, Some(agreed)) => agreed.leased.begin(part).map(Some).ok_or(()),
             _ => Ok(None),
         }
     }
@@ -138,13 +142,13 @@
     /// Asks discovery, for this router or for all.
     async fn look(
         &self,
-        duty: &Duty,
+        duty: &TaskAssignment,
         failing: &mut bool,
         ex: &Spawner,
         listener: &Rc<dyn Listener>,
     ) {
         let d = &self.settings.discovery;
-        let Ok(right) = self.right(duty, LIST) else {
+        let Ok(right) = self.right(duty, DISCOVERY_SHARD) else {
             return;
         };
         let target = format!("{SERVICE}{ENGINE_TYPE}/general");
@@ -240,9 +244,9 @@
                 .agreed
                 .as_ref()
                 .map_or(0, |a| a.leased.parts(Task::HealthCheck));
-            let part = probe_of(name, parts);
-            match part.map_or(Duty::Own, |part| self.duty(part)) {
-                Duty::Others(note) => self.take_seen(name, &note, listener.now()),
+            let part = health_check_shard(name, parts);
+            match part.map_or(TaskAssignment::EachRouter, |part| self.duty(part)) {
+                TaskAssignment::Remote(note) => self.take_seen(name, &note, listener.now()),
                 duty => {
                     self.ask_engine(name, addr, &duty, part, listener.as_ref())
                         .await
@@ -255,14 +259,14 @@
 
     /// Another router has asked the engine, for all.
     fn take_seen(&self, name: &str, note: &str, now: hoptiller_policy::Micros) {
-        let Some(seen) = Sheet::read(note).0.get(name).copied() else {
+        let Some(seen) = EngineObservations::from_note(note).0.get(name).copied() else {
             return;
         };
         let mut members = self.members.borrow_mut();
         members.uptime(
             now,
             name,
-            Duration::from_millis(wall().saturating_sub(seen.started)),
+            Duration::from_millis(wall().saturating_sub(seen.started_at_ms)),
         );
         members.state(
             name,
@@ -279,7 +283,7 @@
         &self,
         name: &str,
         addr: std::net::SocketAddr,
-        duty: &Duty,
+        duty: &TaskAssignment,
         part: Option<Shard>,
         listener: &dyn Listener,
     ) {
@@ -313,8 +317,8 @@
             self.note_seen(
                 right,
                 name,
-                Seen {
-                    started,
+                EngineObservation {
+                    started_at_ms: started,
                     draining: state == NodeState::ShuttingDown,
                 },
             );
@@ -323,7 +327,7 @@
     }
 
     /// An engine of a part of ours has told, for all.
-    fn note_seen(&self, right: &LeaseGuard, name: &str, seen: Seen) {
+    fn note_seen(&self, right: &LeaseGuard, name: &str, seen: EngineObservation) {
         let Some(agreed) = &self.agreed else { return };
         let mut sheets = self.sheets.borrow_mut();
         let (number, sheet) = sheets.entry(right.shard).or_default();
@@ -332,7 +336,10 @@
             let noted = agreed.leased.noted(right.shard);
             (*number, *sheet) = (
                 right.fencing_token,
-                noted.as_deref().map(Sheet::read).unwrap_or_default(),
+                noted
+                    .as_deref()
+                    .map(EngineObservations::from_note)
+                    .unwrap_or_default(),
             );
         }
         let listed: BTreeSet<String> = self
@@ -341,8 +348,8 @@
             .nodes()
             .map(|n| n.name.clone())
             .collect();
-        if sheet.tell(name, seen) | sheet.keep(&listed) {
-            agreed.leased.note(right, sheet.text());
+        if sheet.record(name, seen) | sheet.retain(&listed) {
+            agreed.leased.note(right, sheet.to_note());
         }
     }
 
--- a/crates/statement-router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -12,7 +12,7 @@
 };
 use hoptiller_coordination::{LeaseTableUpdate, NoteError, TaskLeaseGrant};
 use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, wire};
-use hoptiller_fleet_tasks::{Duty, duty};
+use hoptiller_fleet_tasks::{TaskAssignment, task_assignment};
 
 /// How much of each term is left unused, for the way of an act to what it acts on.
 const MARGIN: Micros = 100_000;
@@ -81,8 +81,8 @@
     }
 
     /// Whose a part is now.
-    pub fn duty(&self, part: Shard, doubt: bool) -> Duty {
-        duty(&self.tenant.borrow(), self.clock.now(), part, doubt)
+    pub fn duty(&self, part: Shard, doubt: bool) -> TaskAssignment {
+        task_assignment(&self.tenant.borrow(), self.clock.now(), part, doubt)
     }
 
     /// Parts that a task has.
@@ -95,7 +95,7 @@
         self.tenant
             .borrow()
             .shard_status(part)
-            .and_then(|(_, note)| note.map(str::to_owned))
+            .and_then(|status| status.note.clone())
     }
 
     /// An act under a lease may begin: it is cut short at the lease's end.
