--- a/crates/coordination/tests/meet.rs
+++ b/crates/coordination/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The meet of documents: a semilattice that permits nothing that either side forbids.
+//! The merge of documents: a semilattice that permits nothing that either side forbids.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use hoptiller_coordination::{Idempotency, InDoubtPolicy, RetryBudget, StatementClass};
 use proptest::prelude::*;
 
-fn some_of(names: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<String>> {
+fn subset_of(names: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<String>> {
     proptest::sample::subsequence(names, 0..=names.len())
         .prop_map(|picked| picked.into_iter().map(str::to_owned).collect())
 }
@@ -26,8 +26,8 @@
 prop_compose! {
     fn class()(
         aim in span(), patience in span(), never in any::<bool>(), in_order in any::<bool>(), worth in number(),
-        threads in number(), holds in any::<bool>(), kinds in proptest::option::of(some_of(&["a", "b", "c"])),
-        zones in proptest::option::of(some_of(&["x", "y"])), doubt in 0..3,
+        threads in number(), holds in any::<bool>(), kinds in proptest::option::of(subset_of(&["a", "b", "c"])),
+        zones in proptest::option::of(subset_of(&["x", "y"])), doubt in 0..3,
     ) -> StatementClass {
         StatementClass {
             aim, patience, in_order, worth, threads, holds, kinds, zones,
@@ -39,7 +39,7 @@
     }
 }
 
-fn member() -> impl Strategy<Value = Endpoint> {
+fn endpoint() -> impl Strategy<Value = Endpoint> {
     let standing = prop_oneof![
         Just(EngineState::Up),
         Just(EngineState::Draining),
@@ -51,16 +51,16 @@
     })
 }
 
-fn roster() -> impl Strategy<Value = EndpointList> {
-    proptest::collection::btree_map("[ef]", member(), 0..3).prop_map(EndpointList)
+fn endpoint_list() -> impl Strategy<Value = EndpointList> {
+    proptest::collection::btree_map("[ef]", endpoint(), 0..3).prop_map(EndpointList)
 }
 
 prop_compose! {
     fn documents()(
-        kinds in some_of(&["a", "b", "c"]), cores in number(), zones in some_of(&["x", "y"]),
+        kinds in subset_of(&["a", "b", "c"]), cores in number(), zones in subset_of(&["x", "y"]),
         classes in proptest::collection::btree_map("[lrk]", class(), 0..4), default in proptest::option::of("[lr]"),
         attempts in 1u32..4, budget in proptest::option::of((number(), span())), flags in any::<[bool; 5]>(),
-        overload in number(), pause in span(), list in proptest::option::of(roster()), tenants in some_of(&["t", "u"]),
+        overload in number(), pause in span(), list in proptest::option::of(endpoint_list()), tenants in subset_of(&["t", "u"]),
     ) -> Document {
         let mut d = document();
         d.kinds = kinds.into_iter().map(|k| (k, cores)).collect();
@@ -148,7 +148,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn the_meet_is_a_semilattice_and_never_looser(a in documents(), b in documents(), c in documents()) {
+    fn merge_is_a_semilattice_and_never_looser(a in documents(), b in documents(), c in documents()) {
         prop_assert_eq!(&a.merge(&b), &b.merge(&a));
         prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
         prop_assert_eq!(&a.merge(&a), &a);
@@ -157,7 +157,7 @@
     }
 
     #[test]
-    fn a_change_is_told_for_what_it_is(a in documents(), b in documents()) {
+    fn changes_are_classified_by_what_they_permit(a in documents(), b in documents()) {
         match a.change_to(&b) {
             Change::Neutral => prop_assert!(within(&a, &b) && within(&b, &a)),
             Change::Tighter => prop_assert!(within(&b, &a)),
@@ -168,14 +168,14 @@
     }
 
     #[test]
-    fn a_document_is_read_as_it_was_written(a in documents()) {
+    fn documents_round_trip_through_json(a in documents()) {
         let read = Document::from_json(&a.to_json()).expect("readable");
         prop_assert_eq!(read.digest(), a.digest());
         prop_assert_eq!(read, a);
     }
 
     #[test]
-    fn lists_have_one_sum_in_whatever_order_they_come(a in roster(), b in roster(), c in roster()) {
+    fn endpoint_lists_merge_to_the_same_in_any_order(a in endpoint_list(), b in endpoint_list(), c in endpoint_list()) {
         let sum = |order: [&EndpointList; 3]| {
             let mut seen = EndpointSources::default();
             for (at, list) in order.into_iter().enumerate() {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn each_rule_takes_the_stricter_side() {
+fn each_rule_merges_to_the_stricter_value() {
     let (mut a, mut b) = (document(), document());
     let report = |d: &mut Document, kinds: &[&str]| {
         d.classes.get_mut("report").expect("there").kinds =
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn an_unknown_setting_is_refused_and_not_dropped() {
+fn an_unknown_setting_is_an_error() {
     let mut value: serde_json::Value = serde_json::from_slice(&document().to_json()).expect("json");
     value["engines"]["teleports"] = true.into();
     let flaw =
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn flaws_name_the_rule_that_they_would_break() {
+fn validation_errors_name_the_rule() {
     let mut d = document();
     d.classes.get_mut("load").expect("there").in_doubt = Some(InDoubtPolicy::Serve);
     d.classes.get_mut("report").expect("there").kinds = Some(BTreeSet::from(["q".to_owned()]));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_list_that_goes_back_or_is_disputed_keeps_what_was_known() {
+fn a_regressed_or_conflicting_list_keeps_the_known_state() {
     let list = |all: &[(&str, u64, EngineState)]| {
         EndpointList(
             all.iter()
