--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -8,10 +8,10 @@
 use async_io::Timer;
 use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
 use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
-use hoptiller_coordination_server::core::Core;
-use hoptiller_coordination_server::disk::Disk;
-use hoptiller_coordination_server::log::Log;
-use hoptiller_coordination_server::members::Members;
+use hoptiller_coordination_server::membership::Membership;
+use hoptiller_coordination_server::replica::Replica;
+use hoptiller_coordination_server::replicated_log::ReplicatedLog;
+use hoptiller_coordination_server::storage::DiskStorage;
 use hoptiller_fault_harness::{Layout, Stage, stage::Between};
 use hoptiller_mock_servers::Running;
 use hoptiller_statement_router::agreed::Agreed;
@@ -245,26 +245,29 @@
         term: PERMIT.as_micros() as u64,
         drift: DRIFT,
     };
-    let members = Members::first(
+    let members = Membership::initial(
         (1..=3)
             .map(|n| (n, ([127, 0, 0, 1], n as u16).into()))
             .collect(),
     );
-    let open = |keeper: u64, now: u64| -> io::Result<Core> {
+    let open = |keeper: u64, now: u64| -> io::Result<Replica> {
         let dir = dir.join(keeper.to_string());
-        let disk = Disk::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
-        let life = disk.life();
-        let log = Log::open(keeper, members.clone(), disk).map_err(io::Error::other)?;
-        Ok(Core::new(keeper, life, bounds, log, now))
+        let disk = DiskStorage::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
+        let life = disk.incarnation();
+        let log = ReplicatedLog::open(keeper, members.clone(), disk).map_err(io::Error::other)?;
+        Ok(Replica::new(keeper, life, bounds, log, now))
     };
-    let mut cores = (1..=3)
+    let mut replicas = (1..=3)
         .map(|n| open(n, 0))
-        .collect::<io::Result<Vec<Core>>>()?;
+        .collect::<io::Result<Vec<Replica>>>()?;
     let (mut put, mut now) = (0, 0);
-    while cores.iter().any(|c| c.fleet().last() < versions) {
+    while replicas
+        .iter()
+        .any(|replica| replica.config_state().last() < versions)
+    {
         now += 10_000;
         // As many as one entry holds, one entry on its way.
-        if put < versions && cores[0].fleet().last() == put {
+        if put < versions && replicas[0].config_state().last() == put {
             for _ in 0..(versions - put).min(512) {
                 put += 1;
                 let document = document((put % 1000) as f64, 3)?;
@@ -277,31 +280,31 @@
                     why,
                     document,
                 };
-                cores[0].call(Act::Put(Box::new(wanted)));
+                replicas[0].submit(Act::Put(Box::new(wanted)));
             }
         }
         let mut messages = Vec::new();
-        for core in &mut cores {
-            core.tick(now);
-            core.take_answers();
-            messages.extend(core.take_messages());
+        for replica in &mut replicas {
+            replica.tick(now);
+            replica.take_completed();
+            messages.extend(replica.take_messages());
         }
         while let Some(message) = messages.pop() {
-            if let Some(core) = cores.get_mut(message.to() as usize - 1) {
-                core.messages(now, vec![message]);
-                messages.splice(0..0, core.take_messages());
+            if let Some(replica) = replicas.get_mut(message.receiver() as usize - 1) {
+                replica.handle_messages(now, vec![message]);
+                messages.splice(0..0, replica.take_messages());
             }
         }
         if now > 3_600_000_000 {
             return Err(io::Error::other("the versions were never decided"));
         }
     }
-    cores.clear();
+    replicas.clear();
     let file = dir.join("1").join("keeper.redb");
     let began = Instant::now();
-    let core = open(1, now)?;
+    let replica = open(1, now)?;
     let took = began.elapsed();
-    if core.fleet().last() != versions {
+    if replica.config_state().last() != versions {
         return Err(io::Error::other("versions are lost"));
     }
     println!(
@@ -309,7 +312,7 @@
         size_of(&file)? / 1024,
         took.as_secs_f64() * 1000.0
     );
-    drop(core);
+    drop(replica);
     std::fs::remove_dir_all(&dir)
 }
 
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -94,8 +94,8 @@
                 value,
                 format!(
                     "keeper {} of {} in fleet {}",
-                    k.keeper,
-                    k.keepers.len(),
+                    k.replica,
+                    k.replicas.len(),
                     k.fleet
                 ),
             ))
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 use hoptiller_coordination_client::{Clock, Secret};
 use hoptiller_coordination_server::join::join;
-use hoptiller_coordination_server::{Config, Keeper, StartError};
+use hoptiller_coordination_server::{Config, Server, StartError};
 
 use crate::run::{self, Failure};
 use crate::secret;
@@ -38,25 +38,25 @@
         let outside = |e: StartError| {
             Failure::Outside("the keeper can't start".into(), std::io::Error::other(e))
         };
-        let (number, fleet) = (config.keeper, config.fleet.clone());
-        let disk = Keeper::disk(&config, &secret::life()).map_err(outside)?;
+        let (number, fleet) = (config.replica, config.fleet.clone());
+        let storage = Server::open_storage(&config, &secret::life()).map_err(outside)?;
         if args.join {
             let joined = async {
-                join(&config, &fleet_secret, &disk)
+                join(&config, &fleet_secret, &storage)
                     .await
                     .map(Some)
-                    .map_err(outside)
+                    .map_err(|error| outside(error.into()))
             };
             let told = async { run::told_to_end().await.map(|()| None) };
             if future::or(told, joined).await?.is_none() {
                 return Ok(ExitCode::SUCCESS);
             }
         }
-        let keeper = Keeper::open(config, fleet_secret, clock, disk).map_err(outside)?;
-        let addr = keeper.start(&spawner).map_err(outside)?;
+        let server = Server::open(config, fleet_secret, clock, storage).map_err(outside)?;
+        let addr = server.start(&spawner).map_err(outside)?;
         println!("keeper {number} of {fleet} ready http://{addr}");
         let told = async { run::told_to_end().await.map(|()| None) };
-        let over = async { Ok(Some(keeper.over().await)) };
+        let over = async { Ok(Some(server.stopped().await)) };
         match future::or(told, over).await? {
             None => Ok(ExitCode::SUCCESS),
             Some(why) => Err(Failure::Outside(
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -1,4 +1,4 @@
-//! Owns what a keeper is told: who it is, who the others are, where its disk lies.
+//! The configuration of a replica: its id, the addresses of all replicas, its disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,141 +7,176 @@
 use hoptiller_coordination::{Bounds, Span};
 use serde::Deserialize;
 
-/// A keeper's configuration, as its file gives it.
+use crate::membership::REPLICA_IDS;
+
+const MAX_FLEET_NAME_BYTES: usize = 128;
+const MIN_LEASE_TERM_MS: u64 = 500;
+const MAX_LEASE_TERM_MS: u64 = 600_000;
+const MAX_DRIFT_MILLIONTHS: u64 = 100_000;
+const MIN_FILE_LIMIT_BYTES: u64 = 16 << 20;
+
+/// The configuration of a replica, as its file gives it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The name of the fleet: a disk of another fleet is refused.
+    /// The name of the fleet: a disk of another fleet is rejected.
     pub fleet: String,
-    /// This keeper's number, among those of `keepers`.
-    pub keeper: u64,
-    /// All keepers by number, three or five, at the addresses where they reach each other and routers reach them.
-    pub keepers: BTreeMap<u64, SocketAddr>,
-    /// Where it listens; none given: at its own address of `keepers`.
+    /// The id of this replica, among those of `replicas`.
+    #[serde(rename = "keeper")]
+    pub replica: u64,
+    /// The addresses of all replicas by id, three or five, for each other and for routers.
+    #[serde(rename = "keepers")]
+    pub replicas: BTreeMap<u64, SocketAddr>,
+    /// The address to listen on; by default this replica's among `replicas`.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
-    /// The folder of its disk.
+    /// The folder of the storage.
     pub dir: PathBuf,
     /// The file with the fleet's secret.
     pub secret: PathBuf,
-    /// How long a router's permit lasts: the same for all keepers and routers.
-    #[serde(default = "permit")]
-    pub permit: Span,
-    /// How far the rates of two clocks may differ, in millionths: the same for all.
-    #[serde(default = "drift")]
+    /// How long a router's lease lasts: the same for all replicas and routers.
+    #[serde(rename = "permit", default = "default_lease_term")]
+    pub lease_term: Span,
+    /// Limit of the difference of two clocks' rates, in millionths: the same for all.
+    #[serde(default = "default_drift")]
     pub drift: u64,
-    /// Bytes that its file may take at most.
-    #[serde(default = "most_bytes")]
-    pub most_bytes: u64,
+    /// Limit of the size of the storage's file, in bytes.
+    #[serde(rename = "most_bytes", default = "default_max_bytes")]
+    pub max_bytes: u64,
 }
 
-fn permit() -> Span {
+fn default_lease_term() -> Span {
     Span::millis(10_000)
 }
 
-fn drift() -> u64 {
+fn default_drift() -> u64 {
     1000
 }
 
-fn most_bytes() -> u64 {
+fn default_max_bytes() -> u64 {
     1 << 30
 }
 
-/// A configuration that can't work.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigError(pub Vec<String>);
-
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}", self.0.join("; "))
-    }
+/// Why a configuration is rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// It has another form than a configuration.
+    #[error(transparent)]
+    Parse(#[from] serde_json::Error),
+    /// Some settings have values that can't work.
+    #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
+    Invalid(Vec<InvalidSetting>),
 }
 
-impl std::error::Error for ConfigError {}
+/// A setting with a value that can't work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{name}: {requirement}")]
+pub struct InvalidSetting {
+    /// The key in the file.
+    pub name: &'static str,
+    /// What the value must be.
+    pub requirement: &'static str,
+}
 
 impl Config {
-    /// Reads an evaluated file, and checks it.
+    /// Reads and checks an evaluated file.
+    ///
+    /// # Errors
+    ///
+    /// When it has another form, or settings can't work.
     pub fn read(value: serde_json::Value) -> Result<Config, ConfigError> {
-        let config: Config =
-            serde_json::from_value(value).map_err(|e| ConfigError(vec![e.to_string()]))?;
-        let wrong = config.wrong();
-        if wrong.is_empty() {
+        let config: Config = serde_json::from_value(value)?;
+        let invalid = config.invalid_settings();
+        if invalid.is_empty() {
             Ok(config)
         } else {
-            Err(ConfigError(wrong))
+            Err(ConfigError::Invalid(invalid))
         }
     }
 
-    fn wrong(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
-        let mut note = |bad: bool, what: &str| {
-            if bad {
-                wrong.push(what.to_owned());
-            }
-        };
-        note(
-            self.fleet.is_empty() || self.fleet.len() > 128,
-            "fleet: a name of 1 to 128 bytes is wanted",
-        );
-        note(
-            !matches!(self.keepers.len(), 3 | 5),
-            "keepers: three or five are wanted",
-        );
-        note(
-            self.keepers.keys().any(|n| !(1..=99).contains(n)),
-            "keepers: numbers from 1 to 99 are wanted, and none is ever used again",
-        );
-        note(
-            !self.keepers.contains_key(&self.keeper),
-            "keeper: is none of keepers",
-        );
-        let mut addresses: Vec<&SocketAddr> = self.keepers.values().collect();
+    fn invalid_settings(&self) -> Vec<InvalidSetting> {
+        let rules = [
+            (
+                !self.fleet.is_empty() && self.fleet.len() <= MAX_FLEET_NAME_BYTES,
+                "fleet",
+                "a name of 1 to 128 bytes is wanted",
+            ),
+            (
+                matches!(self.replicas.len(), 3 | 5),
+                "keepers",
+                "three or five are wanted",
+            ),
+            (
+                self.replicas.keys().all(|id| REPLICA_IDS.contains(id)),
+                "keepers",
+                "numbers from 1 to 99 are wanted, and none is ever used again",
+            ),
+            (
+                self.replicas.contains_key(&self.replica),
+                "keeper",
+                "is none of keepers",
+            ),
+            (
+                self.has_distinct_addresses(),
+                "keepers",
+                "an address is given twice",
+            ),
+            (
+                self.lease_term >= Span::millis(MIN_LEASE_TERM_MS),
+                "permit",
+                "must be 500ms or more",
+            ),
+            (
+                self.lease_term <= Span::millis(MAX_LEASE_TERM_MS),
+                "permit",
+                "must be 10m or less",
+            ),
+            (
+                self.drift <= MAX_DRIFT_MILLIONTHS,
+                "drift",
+                "must be 100000 millionths or less",
+            ),
+            (
+                self.max_bytes >= MIN_FILE_LIMIT_BYTES,
+                "most_bytes",
+                "must be 16 MiB or more",
+            ),
+        ];
+        rules
+            .into_iter()
+            .filter(|(is_valid, ..)| !is_valid)
+            .map(|(_, name, requirement)| InvalidSetting { name, requirement })
+            .collect()
+    }
+
+    fn has_distinct_addresses(&self) -> bool {
+        let mut addresses: Vec<&SocketAddr> = self.replicas.values().collect();
         addresses.sort();
         addresses.dedup();
-        note(
-            addresses.len() != self.keepers.len(),
-            "keepers: an address is given twice",
-        );
-        note(
-            self.permit < Span::millis(500),
-            "permit: must be 500ms or more",
-        );
-        note(
-            self.permit > Span::millis(600_000),
-            "permit: must be 10m or less",
-        );
-        note(
-            self.drift > 100_000,
-            "drift: must be 100000 millionths or less",
-        );
-        note(
-            self.most_bytes < 16 << 20,
-            "most_bytes: must be 16 MiB or more",
-        );
-        wrong
+        addresses.len() == self.replicas.len()
     }
 
-    /// The bounds of permits.
+    /// The bounds of leases.
     pub fn bounds(&self) -> Bounds {
         Bounds {
-            term: self.permit.0,
+            term: self.lease_term.0,
             drift: self.drift,
         }
     }
 
-    /// Where it listens.
-    pub fn address(&self) -> SocketAddr {
+    /// The address to listen on.
+    pub fn listen_address(&self) -> SocketAddr {
         self.listen
-            .or_else(|| self.keepers.get(&self.keeper).copied())
+            .or_else(|| self.replicas.get(&self.replica).copied())
             .unwrap_or(([127, 0, 0, 1], 0).into())
     }
 
-    /// The others.
-    pub fn others(&self) -> impl Iterator<Item = (u64, SocketAddr)> + '_ {
-        self.keepers
+    /// The ids and addresses of the other replicas.
+    pub fn peers(&self) -> impl Iterator<Item = (u64, SocketAddr)> + '_ {
+        self.replicas
             .iter()
-            .filter(|(n, _)| **n != self.keeper)
-            .map(|(n, at)| (*n, *at))
+            .filter(|(id, _)| **id != self.replica)
+            .map(|(id, address)| (*id, *address))
     }
 }
 
--- /dev/null
+++ b/crates/coordination-server/src/entry.rs
@@ -0,0 +1,46 @@
+//! The entries of the replicated log.
+
+use hoptiller_coordination::Act;
+use omnipaxos::storage::Snapshot;
+use serde::{Deserialize, Serialize};
+
+use crate::membership::Replacement;
+use crate::state_machine::{EntryId, StateMachine};
+
+/// An entry of the replicated log.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Entry {
+    /// Commands for the state machine.
+    #[serde(rename = "a")]
+    Commands(EntryId, Vec<Act>),
+    /// Replaces one replica by another. Entries behind it, under the same membership, are void.
+    #[serde(rename = "r")]
+    Replace(EntryId, Replacement),
+    /// The first of a run of compacted entries: the index behind the run, and the state after its last entry.
+    #[serde(rename = "s")]
+    Snapshot(usize, Box<StateMachine>),
+    /// A further entry of a compacted run.
+    #[serde(rename = "f")]
+    Compacted,
+}
+
+impl omnipaxos::storage::Entry for Entry {
+    type Snapshot = NoSnapshot;
+}
+
+/// The snapshot type of the consensus library, which has no values: its snapshots are not used, see
+/// [`storage`](crate::storage).
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum NoSnapshot {}
+
+impl Snapshot<Entry> for NoSnapshot {
+    fn create(_: &[Entry]) -> NoSnapshot {
+        unreachable!("not called while `use_snapshots` is false")
+    }
+
+    fn merge(&mut self, _: NoSnapshot) {}
+
+    fn use_snapshots() -> bool {
+        false
+    }
+}
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -1,5 +1,5 @@
-//! Owns how a new keeper begins: with the state that the others hand to it, once one of their changes has put it in
-//! another's place. It has promised nothing under that list of keepers, so what it is told is all that it has to know.
+//! How a new replica joins the cluster: it begins with the state that another replica sends, once a replacement has made
+//! it a member. It has promised nothing under that membership, so that state is all that it has to know.
 
 use std::time::Duration;
 
@@ -7,53 +7,81 @@
 use hoptiller_coordination_client::{CallError, CoordinationClient, Secret, wire};
 
 use crate::config::Config;
-use crate::core::State;
-use crate::disk::Disk;
-use crate::peers::Join;
-use crate::service::StartError;
+use crate::peer_protocol::JoinRequest;
+use crate::replica::ReplicatedState;
+use crate::storage::{DiskStorage, StorageError};
 
-/// Time for each keeper that is asked; states may be large.
-const EACH: Duration = Duration::from_secs(5);
-/// Pause before all are asked again.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Limit of the time for each replica's answer; states may be large.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before all are called again.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Waits until another keeper hands the state over, and writes it down. A disk that holds something already is left as
-/// it is: that keeper has joined before.
-pub async fn join(config: &Config, secret: &Secret, disk: &Disk) -> Result<(), StartError> {
-    if !disk.is_blank() {
+/// Why a replica can't join.
+#[derive(Debug, thiserror::Error)]
+pub enum JoinError {
+    /// The state can't be stored.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+    /// The other replicas reject it.
+    #[error("the other keepers don't take it in: {0}")]
+    Rejected(String),
+}
+
+/// Waits until another replica sends the replicated state, and stores it. A storage that holds something already is left
+/// as it is: that replica has joined before.
+///
+/// # Errors
+///
+/// When the others reject the replica, or the state can't be stored.
+pub async fn join(
+    config: &Config,
+    secret: &Secret,
+    storage: &DiskStorage,
+) -> Result<(), JoinError> {
+    if !storage.is_blank() {
         return Ok(());
     }
-    let others =
-        CoordinationClient::new(config.others().map(|(_, at)| at).collect(), secret.clone());
-    let (fleet, name) = (config.fleet.clone(), disk.identity().disk);
-    let ask = Join {
-        fleet,
-        keeper: config.keeper,
-        disk: name,
+    let endpoints = config.peers().map(|(_, address)| address).collect();
+    let client = CoordinationClient::new(endpoints, secret.clone());
+    let request = JoinRequest {
+        fleet: config.fleet.clone(),
+        replica: config.replica,
+        disk_id: storage.identity().disk_id,
     };
-    let mut said = String::new();
+    let mut reported = String::new();
     loop {
-        for at in others.endpoints() {
-            let why = match others
-                .call_endpoint::<State>(*at, wire::STATE, Some(&ask), EACH)
+        for endpoint in client.endpoints() {
+            let reason = match client
+                .call_endpoint::<ReplicatedState>(
+                    *endpoint,
+                    wire::STATE,
+                    Some(&request),
+                    CALL_TIMEOUT,
+                )
                 .await
             {
-                Ok(state) if state.members.at.contains_key(&config.keeper) => {
-                    disk.move_on(state.members, state.index, state.machine);
-                    return match disk.shared().failed.borrow_mut().take() {
-                        Some(e) => Err(StartError::Disk(e)),
-                        None => Ok(()),
-                    };
+                Ok(state) if state.membership.contains(config.replica) => {
+                    return store(storage, state);
+                }
+                Ok(state) => format!("list {} does not name this keeper", state.membership.number),
+                Err(CallError::Rejected { message, .. }) => {
+                    return Err(JoinError::Rejected(message));
                 }
-                Ok(state) => format!("list {} does not name this keeper", state.members.number),
-                Err(CallError::Rejected { message: why, .. }) => return Err(StartError::Join(why)),
-                Err(e) => e.to_string(),
+                Err(error) => error.to_string(),
             };
-            if why != said {
-                tracing::info!(%why, "waiting to be taken in");
-                said = why;
+            if reason != reported {
+                tracing::info!(reason = %reason, "waiting to join");
+                reported = reason;
             }
         }
-        Timer::after(PAUSE).await;
+        Timer::after(RETRY_PAUSE).await;
+    }
+}
+
+fn store(storage: &DiskStorage, state: ReplicatedState) -> Result<(), JoinError> {
+    storage.reconfigure(state.membership, state.index, state.state_machine);
+    match storage.handles().failure.borrow_mut().take() {
+        Some(error) => Err(error.into()),
+        None => Ok(()),
     }
 }
--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -1,23 +1,27 @@
-//! Keepers: three or five processes that hold a fleet's versions and permits in a replicated, durable log, and go on as
-//! long as more than half of them reach each other.
+//! The coordination server: three or five replicas that hold the versions of the configuration and the leases in a
+//! replicated, durable log, and serve as long as a quorum of them reach each other.
 //!
-//! [`core`] is a keeper without I/O or clock; below it [`log`] hides the consensus library, and [`disk`] keeps what must
-//! outlive the process. [`service`] ties it to sockets. What versions and permits are is [`hoptiller_coordination`]'s.
+//! [`replica`] is a replica without I/O or clock; below it [`replicated_log`] hides the consensus library, and
+//! [`storage`] keeps what must outlive the process. [`server`] connects it to sockets. The state machine's commands are
+//! [`hoptiller_coordination`]'s.
+
+#![warn(missing_docs)]
 
 pub mod config;
-pub mod core;
-pub mod disk;
-mod held;
+pub mod entry;
 pub mod join;
-mod links;
-pub mod log;
-pub mod machine;
-pub mod members;
-mod peers;
-mod reply;
-pub mod service;
+pub mod membership;
+mod node;
+mod peer_link;
+mod peer_protocol;
+pub mod replica;
+pub mod replicated_log;
+mod replication;
+mod request_handlers;
+mod responses;
+pub mod server;
+pub mod state_machine;
+pub mod storage;
 
 pub use config::{Config, ConfigError};
-pub use disk::DiskError;
-pub use members::Members;
-pub use service::{Ended, Keeper, StartError};
+pub use server::{Server, StartError, StopReason};
--- /dev/null
+++ b/crates/coordination-server/src/node.rs
@@ -0,0 +1,267 @@
+//! A replica with its clock, storage and links: the state that request handlers and links share.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use async_io::Timer;
+use event_listener::Event;
+use futures_lite::future;
+use hoptiller_coordination::Micros;
+use hoptiller_coordination_client::{Clock, Secret, wire};
+
+use crate::config::Config;
+use crate::membership::Membership;
+use crate::peer_link::PeerLink;
+use crate::peer_protocol::{BatchReceiver, LocalView, PeerError};
+use crate::replica::{CompletedRequest, Replica, RequestId, Response};
+use crate::replicated_log::{LogError, Message, ReplicatedLog};
+use crate::responses;
+use crate::storage::{DiskStorage, StorageError, StorageHandles};
+
+/// How long a request waits for a quorum.
+const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit of the requests that wait at once.
+const MAX_PENDING_REQUESTS: usize = 8192;
+
+/// Why a replica has stopped by itself.
+#[derive(Debug, thiserror::Error)]
+pub enum StopReason {
+    /// Its storage failed.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+    /// Its peers reject it: it was replaced, or its disk is not the one that it had.
+    #[error("{0}")]
+    Rejected(String),
+    /// Its log could not continue under another membership.
+    #[error("the log can't go on: {0}")]
+    Log(#[source] LogError),
+}
+
+/// Why a request has no response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum SubmitError {
+    #[error("too many calls wait already")]
+    TooManyPending,
+    #[error("this keeper is ending")]
+    Stopped,
+    #[error("no more than half of the keepers reach each other; it may still be done")]
+    NoQuorum,
+}
+
+/// A replica with its clock, storage and links.
+pub(crate) struct Node {
+    pub(crate) config: Config,
+    pub(crate) secret: Secret,
+    pub(crate) clock: Clock,
+    pub(crate) incarnation: u64,
+    pub(crate) disk_id: String,
+    pub(crate) storage: StorageHandles,
+    pub(crate) replica: RefCell<Replica>,
+    /// What peers are compared with, for the membership in effect.
+    pub(crate) local: RefCell<LocalView>,
+    pub(crate) batches: RefCell<BatchReceiver>,
+    /// The links to the other members.
+    pub(crate) links: RefCell<BTreeMap<u64, Rc<PeerLink>>>,
+    pending: RefCell<BTreeMap<RequestId, Sender<Response>>>,
+    versions: Cell<wire::VersionNumbers>,
+    /// Notified when `versions` changes.
+    versions_changed: Event,
+    stop_reason: RefCell<Option<StopReason>>,
+    stopped: Event,
+}
+
+impl Node {
+    /// Opens the log in a storage.
+    pub(crate) fn open(
+        config: Config,
+        secret: Secret,
+        clock: Clock,
+        storage: DiskStorage,
+    ) -> Result<Node, LogError> {
+        let id = config.replica;
+        let (handles, incarnation) = (storage.handles(), storage.incarnation());
+        let disk_id = storage.identity().disk_id;
+        let initial = Membership::initial(config.replicas.clone());
+        let log = ReplicatedLog::open(id, initial, storage)?;
+        let replica = Replica::new(id, incarnation, config.bounds(), log, clock.now());
+        Ok(Node {
+            local: RefCell::new(local_view(&config, replica.membership())),
+            versions: Cell::new(responses::version_numbers(replica.config_state())),
+            replica: RefCell::new(replica),
+            config,
+            secret,
+            clock,
+            incarnation,
+            disk_id,
+            storage: handles,
+            batches: RefCell::default(),
+            links: RefCell::default(),
+            pending: RefCell::default(),
+            versions_changed: Event::new(),
+            stop_reason: RefCell::default(),
+            stopped: Event::new(),
+        })
+    }
+
+    /// Stops the replica; the first reason counts.
+    pub(crate) fn stop(&self, reason: StopReason) {
+        self.stop_reason.borrow_mut().get_or_insert(reason);
+        self.stopped.notify(usize::MAX);
+    }
+
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stop_reason.borrow().is_some()
+    }
+
+    /// Waits until the replica has stopped by itself.
+    pub(crate) async fn stopped(&self) -> StopReason {
+        loop {
+            let stopped = self.stopped.listen();
+            if let Some(reason) = self.stop_reason.borrow_mut().take() {
+                return reason;
+            }
+            stopped.await;
+        }
+    }
+
+    /// Changes the replica, and carries out what results: responses, messages, a new membership. Nothing leaves the
+    /// replica after a failure of its storage; then the result is `None`.
+    pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
+        if self.is_stopped() {
+            return None;
+        }
+        let mut replica = self.replica.borrow_mut();
+        let result = change(&mut replica, self.clock.now());
+        let (completed, messages) = (replica.take_completed(), replica.take_messages());
+        if let Some(error) = self.storage.failure.borrow_mut().take() {
+            self.stop(StopReason::Storage(error));
+            return None;
+        }
+        if let Some(error) = replica.take_failure() {
+            self.stop(StopReason::Log(error));
+            return None;
+        }
+        self.respond(completed);
+        self.update_membership(replica.membership());
+        if replica.is_replaced() {
+            self.stop(StopReason::Rejected(PeerError::Replaced.to_string()));
+            return None;
+        }
+        self.send(messages);
+        self.update_versions(responses::version_numbers(replica.config_state()));
+        Some(result)
+    }
+
+    fn respond(&self, completed: Vec<CompletedRequest>) {
+        let mut pending = self.pending.borrow_mut();
+        for CompletedRequest { request, response } in completed {
+            if let Some(sender) = pending.remove(&request) {
+                // Fails where the request has just timed out.
+                let _ = sender.try_send(response);
+            }
+        }
+    }
+
+    fn update_membership(&self, membership: &Membership) {
+        if membership.number == self.local.borrow().membership {
+            return;
+        }
+        *self.local.borrow_mut() = local_view(&self.config, membership);
+        tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "keepers");
+        // Messages under the previous membership are void.
+        for link in self.links.borrow().values() {
+            link.clear();
+        }
+    }
+
+    fn send(&self, messages: Vec<Message>) {
+        let links = self.links.borrow();
+        for message in messages {
+            if let Some(link) = links.get(&message.receiver()) {
+                link.push(message);
+            }
+        }
+    }
+
+    fn update_versions(&self, versions: wire::VersionNumbers) {
+        if self.versions.replace(versions) != versions {
+            tracing::info!(
+                in_force = versions.in_force,
+                last = versions.last,
+                "versions"
+            );
+            self.versions_changed.notify(usize::MAX);
+        }
+    }
+
+    /// The current version numbers.
+    pub(crate) fn versions(&self) -> wire::VersionNumbers {
+        self.versions.get()
+    }
+
+    /// Waits until the version numbers fulfil a condition.
+    pub(crate) async fn wait_for_versions(&self, condition: impl Fn(wire::VersionNumbers) -> bool) {
+        loop {
+            let changed = self.versions_changed.listen();
+            if condition(self.versions()) {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    /// Submits a request that goes through the log, and waits for its response.
+    pub(crate) async fn submit(
+        &self,
+        submit: impl FnOnce(&mut Replica, Micros) -> RequestId,
+    ) -> Result<Response, SubmitError> {
+        if self.pending.borrow().len() >= MAX_PENDING_REQUESTS {
+            return Err(SubmitError::TooManyPending);
+        }
+        let (sender, receiver) = async_channel::bounded(1);
+        let request = self.update(submit).ok_or(SubmitError::Stopped)?;
+        self.pending.borrow_mut().insert(request, sender);
+        let _pending = PendingRequest {
+            node: self,
+            request,
+        };
+        let response = async { receiver.recv().await.ok() };
+        let timeout = async {
+            Timer::after(QUORUM_TIMEOUT).await;
+            None
+        };
+        future::or(response, timeout)
+            .await
+            .ok_or(SubmitError::NoQuorum)
+    }
+}
+
+/// What peers are compared with under a membership.
+fn local_view(config: &Config, membership: &Membership) -> LocalView {
+    LocalView {
+        fleet: config.fleet.clone(),
+        replica: config.replica,
+        replicas: membership.replica_ids(),
+        membership: membership.number,
+        removed: membership.removed.clone(),
+        bounds: config.bounds(),
+    }
+}
+
+/// Cancels a request when dropped before its response, however the task that waits ends.
+struct PendingRequest<'a> {
+    node: &'a Node,
+    request: RequestId,
+}
+
+impl Drop for PendingRequest<'_> {
+    fn drop(&mut self) {
+        let sender = self.node.pending.borrow_mut().remove(&self.request);
+        if sender.is_some() {
+            self.node.replica.borrow_mut().cancel(self.request);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination-server/src/peer_link.rs
@@ -0,0 +1,201 @@
+//! The link to one peer: a queue of log messages, what is known of the link's health, and the connection.
+
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Async;
+use event_listener::Event;
+use hoptiller_coordination::Micros;
+use hoptiller_coordination_client::Secret;
+use hoptiller_coordination_client::secret::AuthenticationError;
+use hoptiller_http::client::{ClientError, Connection};
+use hoptiller_http::{Limits, Method, Request};
+use serde::Serialize;
+
+use crate::peer_protocol::PeerError;
+use crate::replicated_log::Message;
+
+/// Limit of the time for opening a connection, and for each exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit of the messages queued; with more all are dropped, which the log tolerates.
+const MAX_QUEUED_MESSAGES: usize = 4096;
+
+/// The link to one peer.
+pub(crate) struct PeerLink {
+    address: SocketAddr,
+    queue: RefCell<VecDeque<Message>>,
+    /// Notified when a message is queued, or the link is closed.
+    changed: Event,
+    /// Queued messages were dropped.
+    overflowed: Cell<bool>,
+    /// When the peer last accepted a batch, by the clock of leases.
+    heard_at: Cell<Option<Micros>>,
+    /// The last batch got no response.
+    broken: Cell<bool>,
+    closed: Cell<bool>,
+}
+
+impl PeerLink {
+    pub(crate) fn new(address: SocketAddr) -> Rc<PeerLink> {
+        Rc::new(PeerLink {
+            address,
+            queue: RefCell::default(),
+            changed: Event::new(),
+            overflowed: Cell::new(false),
+            heard_at: Cell::new(None),
+            broken: Cell::new(false),
+            closed: Cell::new(false),
+        })
+    }
+
+    /// A connection to the peer, not yet open.
+    pub(crate) fn connection(&self) -> PeerConnection {
+        PeerConnection {
+            address: self.address,
+            open: None,
+        }
+    }
+
+    /// Queues a message.
+    pub(crate) fn push(&self, message: Message) {
+        let mut queue = self.queue.borrow_mut();
+        if queue.len() >= MAX_QUEUED_MESSAGES {
+            queue.clear();
+            self.overflowed.set(true);
+        }
+        queue.push_back(message);
+        self.changed.notify(1);
+    }
+
+    /// Drops the messages queued.
+    pub(crate) fn clear(&self) {
+        self.queue.borrow_mut().clear();
+    }
+
+    /// Takes the messages queued, once there are some or the link is closed.
+    pub(crate) async fn take_messages(&self) -> Vec<Message> {
+        let changed = self.changed.listen();
+        if self.queue.borrow().is_empty() && !self.is_closed() {
+            changed.await;
+        }
+        self.queue.borrow_mut().drain(..).collect()
+    }
+
+    /// Closes the link: nothing more is sent.
+    pub(crate) fn close(&self) {
+        self.closed.set(true);
+        self.changed.notify(usize::MAX);
+    }
+
+    pub(crate) fn is_closed(&self) -> bool {
+        self.closed.get()
+    }
+
+    /// Returns whether queued messages were dropped since the last call.
+    pub(crate) fn take_overflowed(&self) -> bool {
+        self.overflowed.take()
+    }
+
+    pub(crate) fn set_heard_at(&self, now: Micros) {
+        self.heard_at.set(Some(now));
+    }
+
+    /// When the peer last accepted a batch.
+    pub(crate) fn heard_at(&self) -> Option<Micros> {
+        self.heard_at.get()
+    }
+
+    pub(crate) fn set_broken(&self, broken: bool) {
+        self.broken.set(broken);
+    }
+
+    /// Whether the last batch got no response.
+    pub(crate) fn is_broken(&self) -> bool {
+        self.broken.get()
+    }
+}
+
+/// Why a message was not accepted, as far as is known.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SendError {
+    /// The message has no JSON form.
+    #[error(transparent)]
+    Encode(serde_json::Error),
+    /// There is no response: whether the message arrived is unknown.
+    #[error(transparent)]
+    NoResponse(#[from] ClientError),
+    /// The response is not authenticated.
+    #[error("status {status}: not the fleet's")]
+    Unauthenticated {
+        /// The HTTP status.
+        status: u16,
+        /// What is wrong.
+        source: AuthenticationError,
+    },
+    /// The response is not the JSON expected.
+    #[error(transparent)]
+    Decode(serde_json::Error),
+    /// The peer answered with another error.
+    #[error("status {0}")]
+    Status(u16),
+    /// The peer rejects the message.
+    #[error(transparent)]
+    Rejected(PeerError),
+}
+
+impl SendError {
+    /// Whether the peer has not answered at all.
+    pub(crate) fn is_without_response(&self) -> bool {
+        matches!(self, SendError::Encode(_) | SendError::NoResponse(_))
+    }
+}
+
+/// A connection to a peer, opened again whenever it is needed.
+pub(crate) struct PeerConnection {
+    address: SocketAddr,
+    open: Option<Connection<Async<TcpStream>>>,
+}
+
+impl PeerConnection {
+    /// Closes the connection.
+    pub(crate) fn close(&mut self) {
+        self.open = None;
+    }
+
+    /// Sends a message, and waits until the peer has accepted it.
+    pub(crate) async fn send(
+        &mut self,
+        secret: &Secret,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<(), SendError> {
+        let mut request = Request::new(Method::Post, path);
+        request.body = serde_json::to_vec(body).map_err(SendError::Encode)?;
+        let request = secret.sign_request(request);
+        let reusable = self
+            .open
+            .take()
+            .filter(|connection| connection.is_reusable() && !connection.is_stale());
+        let mut connection = match reusable {
+            Some(connection) => connection,
+            None => Connection::open(self.address, EXCHANGE_TIMEOUT, Limits::default()).await?,
+        };
+        let response = connection.exchange(&request, EXCHANGE_TIMEOUT).await?;
+        let status = response.status.0;
+        secret
+            .verify_response(&request, &response)
+            .map_err(|source| SendError::Unauthenticated { status, source })?;
+        self.open = Some(connection);
+        match status {
+            200 => Ok(()),
+            409 => {
+                let error = serde_json::from_slice(&response.body).map_err(SendError::Decode)?;
+                Err(SendError::Rejected(error))
+            }
+            status => Err(SendError::Status(status)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination-server/src/responses.rs
@@ -0,0 +1,116 @@
+//! The bodies of HTTP responses, made from the replicated state and from the results of commands.
+
+use hoptiller_coordination::lease::Posted;
+use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination_client::wire::{
+    ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
+    PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
+};
+use hoptiller_http::Response as HttpResponse;
+use serde::Serialize;
+
+use crate::replica::{Replica, Response};
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: Micros = 1000;
+
+/// A response with status 200.
+pub(crate) fn ok(body: &impl Serialize) -> HttpResponse {
+    json(200, body)
+}
+
+/// A response with a status and a body.
+pub(crate) fn json(status: u16, body: &impl Serialize) -> HttpResponse {
+    match serde_json::to_vec(body) {
+        Ok(bytes) => HttpResponse::json(status, bytes),
+        Err(e) => error(500, &e.to_string()),
+    }
+}
+
+/// A response with an error's status and message.
+pub(crate) fn error(status: u16, message: &str) -> HttpResponse {
+    let body = ErrorBody {
+        message: message.to_owned(),
+    };
+    HttpResponse::json(status, serde_json::to_vec(&body).unwrap_or_default())
+}
+
+/// The response to a request that went through the log.
+pub(crate) fn completed(response: Response) -> HttpResponse {
+    match response {
+        Response::Command(answer) => command_result(answer),
+        Response::Replaced(Ok(membership)) => ok(&ReplaceResponse { membership }),
+        Response::Replaced(Err(reason)) => error(409, &reason.to_string()),
+    }
+}
+
+fn command_result(answer: Answer) -> HttpResponse {
+    match answer {
+        Answer::Granted(granted) => ok(&LeaseRenewalResponse::Granted(granted)),
+        Answer::Ahead => ok(&LeaseRenewalResponse::Ahead),
+        Answer::Empty => ok(&LeaseRenewalResponse::Empty),
+        Answer::Crowded => ok(&LeaseRenewalResponse::TooManyHolders),
+        Answer::Put(Ok(number)) => ok(&ProposalResponse::Accepted(number)),
+        Answer::Put(Err(refused)) => ok(&ProposalResponse::Rejected(refused)),
+        Answer::GivenBack | Answer::Settled(_) => ok(&()),
+        Answer::Noted(noted) => ok(&noted),
+    }
+}
+
+/// The current version numbers.
+pub(crate) fn version_numbers(config: &Fleet) -> VersionNumbers {
+    VersionNumbers {
+        in_force: config.in_force(),
+        last: config.last(),
+        lease_table: config.leases().upto(),
+    }
+}
+
+/// The leases of shards.
+pub(crate) fn leases(replica: &Replica, now: Micros) -> Vec<LeaseStatus> {
+    let status = |posted: Posted| LeaseStatus {
+        left_ms: replica
+            .shard_lease_left(now, &posted.part)
+            .map(|left| left / MICROS_PER_MS),
+        part: posted.part,
+        holder: posted.holder,
+        checkpoint_bytes: posted.note.map_or(0, |note| note.len() as u64),
+    };
+    let table = replica.config_state().leases().board(0);
+    table.posted.into_iter().map(status).collect()
+}
+
+/// The state of the cluster as one replica sees it.
+pub(crate) fn status(
+    id: u64,
+    replica: &Replica,
+    now: Micros,
+    peers: Vec<PeerStatus>,
+) -> ClusterStatus {
+    let config = replica.config_state();
+    let next = config.pending().next().map(|version| version.head.number);
+    let holders = config.holders().map(|(holder, held)| HolderStatus {
+        holder: holder.clone(),
+        enforced_version: held.heeds,
+        left_ms: replica.config_lease_left(now, holder).unwrap_or(0) / MICROS_PER_MS,
+        blocks_rollout: next.is_some_and(|next| held.heeds < next),
+    });
+    let log = replica.log_size();
+    ClusterStatus {
+        replica: id,
+        leader: replica.leader(),
+        versions: version_numbers(config),
+        pending: config
+            .pending()
+            .map(|version| version.head.clone())
+            .collect(),
+        holders: holders.collect(),
+        membership: replica.membership().number,
+        replicas: replica.membership().replica_ids(),
+        peers,
+        log: LogStatus {
+            decided: log.decided as u64,
+            retained: log.retained as u64,
+        },
+    }
+}
--- /dev/null
+++ b/crates/coordination-server/src/state_machine.rs
@@ -0,0 +1,80 @@
+//! The replicated state machine: the configuration state, and the ids of the log entries applied to it. An entry that a
+//! replica proposed twice, because it did not learn the outcome, is applied once.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use hoptiller_coordination::{Act, Answer, Fleet};
+use serde::{Deserialize, Serialize};
+
+/// How many entries of one replica are remembered one by one; older ones count as applied.
+const DEDUPLICATION_WINDOW: usize = 1024;
+
+/// The id of a log entry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct EntryId {
+    /// The replica that proposed the entry.
+    #[serde(rename = "keeper")]
+    pub replica: u64,
+    /// The incarnation of that replica.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The sequence number of the entry in that incarnation.
+    #[serde(rename = "number")]
+    pub sequence: u64,
+}
+
+/// The entries applied of one replica's last incarnation.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+struct AppliedEntries {
+    #[serde(rename = "life")]
+    incarnation: u64,
+    #[serde(rename = "numbers")]
+    sequences: BTreeSet<u64>,
+    /// All sequence numbers below count as applied.
+    floor: u64,
+}
+
+/// The replicated state.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct StateMachine {
+    #[serde(rename = "fleet")]
+    config: Fleet,
+    #[serde(rename = "seen")]
+    applied: BTreeMap<u64, AppliedEntries>,
+}
+
+impl StateMachine {
+    /// Applies the commands of an entry and returns their results; `None` if the entry was applied before.
+    pub fn apply(&mut self, id: EntryId, commands: Vec<Act>) -> Option<Vec<Answer>> {
+        let applied = self.applied.entry(id.replica).or_default();
+        if id.incarnation < applied.incarnation {
+            return None;
+        }
+        if id.incarnation > applied.incarnation {
+            *applied = AppliedEntries {
+                incarnation: id.incarnation,
+                ..AppliedEntries::default()
+            };
+        }
+        if id.sequence < applied.floor || !applied.sequences.insert(id.sequence) {
+            return None;
+        }
+        while applied.sequences.len() > DEDUPLICATION_WINDOW {
+            if let Some(oldest) = applied.sequences.pop_first() {
+                applied.floor = oldest + 1;
+            }
+        }
+        let results = commands
+            .into_iter()
+            .map(|command| self.config.apply(command));
+        Some(results.collect())
+    }
+
+    /// The configuration state.
+    pub fn config_state(&self) -> &Fleet {
+        &self.config
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coordination-server/src/storage.rs
@@ -0,0 +1,255 @@
+//! The durable state of a replica: promises, the log's entries, and the snapshot that stands for compacted entries, in
+//! one file. Each step is one transaction. All of it is held in memory too, from where it is read.
+//!
+//! The consensus library never learns of compaction: the log seems complete to it. Where it asks for compacted entries,
+//! the first is an [`Entry::Snapshot`](crate::entry::Entry::Snapshot) with the state behind all of them, the others are
+//! [`Entry::Compacted`](crate::entry::Entry::Compacted). So a replica that lags far behind catches up as any other. (The
+//! library's own snapshots, in 0.2.4, lose entries where a follower merges a part: `docs/agreement.md`.)
+//!
+//! A missing file is created; any other file that is not sound, or not this replica's, is an error that is reported for
+//! what it is. After a failed write nothing more may leave the replica, as it could forget what it says.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+use hoptiller_coordination::plant::{self, Plant};
+use redb::{Database, Durability};
+use serde::{Deserialize, Serialize};
+
+use crate::membership::Membership;
+use crate::state_machine::StateMachine;
+
+mod consensus;
+mod error;
+mod file;
+mod persistent_state;
+
+pub use error::{Corruption, FormatError, StorageError};
+use file::TableWriter;
+use persistent_state::{Change, PersistentState};
+
+/// The version of the file's contents.
+const FORMAT_VERSION: u32 = 1;
+/// The name of the file.
+const FILE_NAME: &str = "keeper.redb";
+/// The name of the file until it is complete.
+const TEMPORARY_FILE_NAME: &str = "keeper.redb.new";
+
+/// Whose disk it is.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DiskIdentity {
+    /// The version of the file's contents.
+    #[serde(rename = "form")]
+    pub format: u32,
+    /// The name of the fleet.
+    pub fleet: String,
+    /// The replica.
+    #[serde(rename = "keeper")]
+    pub replica: u64,
+    /// A random id, drawn when the file was created: tells it from another file of the same replica.
+    #[serde(rename = "disk")]
+    pub disk_id: String,
+}
+
+/// What is known of a peer's disk.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PeerDisk {
+    /// The id of its disk.
+    #[serde(rename = "disk")]
+    pub disk_id: String,
+    /// The number of its durable transactions.
+    #[serde(rename = "step")]
+    pub write_sequence: u64,
+}
+
+/// The storage of a replica, shared between the log and its owner.
+#[derive(Clone)]
+pub struct DiskStorage(Rc<RefCell<Inner>>);
+
+struct Inner {
+    path: PathBuf,
+    database: Database,
+    identity: DiskIdentity,
+    state: PersistentState,
+    incarnation: u64,
+    max_bytes: u64,
+    handles: StorageHandles,
+}
+
+/// What others share of a storage.
+#[derive(Clone)]
+pub struct StorageHandles {
+    /// The number of durable transactions.
+    pub write_sequence: Rc<RefCell<u64>>,
+    /// What is known of the peers' disks; stored with the next durable transaction.
+    pub peers: Rc<RefCell<BTreeMap<u64, PeerDisk>>>,
+    /// The first failure of a write.
+    pub failure: Rc<RefCell<Option<StorageError>>>,
+}
+
+impl DiskStorage {
+    /// Opens the file in a folder and begins an incarnation, or creates the file with the id `new_disk_id`. The file may
+    /// grow to `max_bytes`.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be read or written, is not sound, or belongs to another replica.
+    pub fn open(
+        dir: &Path,
+        fleet: &str,
+        replica: u64,
+        new_disk_id: &str,
+        max_bytes: u64,
+    ) -> Result<DiskStorage, StorageError> {
+        fs::create_dir_all(dir).map_err(|error| StorageError::io(dir, error))?;
+        let path = dir.join(FILE_NAME);
+        let exists = path
+            .try_exists()
+            .map_err(|error| StorageError::io(&path, error))?;
+        if !exists {
+            let identity = DiskIdentity {
+                format: FORMAT_VERSION,
+                fleet: fleet.into(),
+                replica,
+                disk_id: new_disk_id.into(),
+            };
+            file::create(&dir.join(TEMPORARY_FILE_NAME), &path, &identity)?;
+        }
+        let database = file::open(&path)?;
+        let mut contents = file::read(&path, &database, fleet, replica)?;
+        if plant::is(Plant::Forgets) {
+            let state = &mut contents.state;
+            (state.promise, state.accepted_round) = (None, None);
+            let decided = state.decided.saturating_sub(state.compacted);
+            state.entries.truncate(decided);
+        }
+        let incarnation = contents.incarnation + 1;
+        file::write_incarnation(&path, &database, incarnation)?;
+        Ok(DiskStorage(Rc::new(RefCell::new(Inner {
+            path,
+            database,
+            identity: contents.identity,
+            state: contents.state,
+            incarnation,
+            max_bytes,
+            handles: StorageHandles {
+                write_sequence: Rc::new(RefCell::new(contents.write_sequence)),
+                peers: Rc::new(RefCell::new(contents.peers)),
+                failure: Rc::default(),
+            },
+        }))))
+    }
+
+    /// Whose disk it is.
+    pub fn identity(&self) -> DiskIdentity {
+        self.0.borrow().identity.clone()
+    }
+
+    /// The number of times that the file was opened, this one included: tells this process from the ones before.
+    pub fn incarnation(&self) -> u64 {
+        self.0.borrow().incarnation
+    }
+
+    /// What others share of it.
+    pub fn handles(&self) -> StorageHandles {
+        self.0.borrow().handles.clone()
+    }
+
+    /// Compacts the entries before an index, if they are all decided; `snapshot` is the state after the last of them.
+    pub fn compact(&self, up_to: usize, snapshot: &StateMachine) {
+        let mut inner = self.0.borrow_mut();
+        let state = &inner.state;
+        if up_to > state.compacted && up_to <= state.decided.min(state.next_index()) {
+            inner.commit(vec![Change::Compact {
+                up_to,
+                snapshot: snapshot.clone(),
+            }]);
+        }
+    }
+
+    /// Puts a membership into effect from an index on; `snapshot` is the state after all entries before. It is one
+    /// transaction, so that after a crash either membership is in effect.
+    pub fn reconfigure(&self, membership: Membership, index: usize, snapshot: StateMachine) {
+        self.0.borrow_mut().commit(vec![Change::Reconfigure {
+            membership,
+            index,
+            snapshot,
+        }]);
+    }
+
+    /// The membership, unless the configured one is still in effect.
+    pub fn membership(&self) -> Option<Membership> {
+        self.0.borrow().state.membership.clone()
+    }
+
+    /// Whether nothing was ever promised or learned.
+    pub fn is_blank(&self) -> bool {
+        let state = &self.0.borrow().state;
+        state.membership.is_none() && state.promise.is_none() && state.next_index() == 0
+    }
+
+    /// The number of entries that are not compacted.
+    pub fn retained(&self) -> usize {
+        self.0.borrow().state.entries.len()
+    }
+}
+
+impl Inner {
+    /// Makes changes in one transaction. In memory they are made even if the write fails: after a failure nothing
+    /// leaves the replica.
+    fn commit(&mut self, changes: Vec<Change>) {
+        if self.handles.failure.borrow().is_some() || changes.is_empty() {
+            return;
+        }
+        let changes = self.state.normalize(changes);
+        if let Err(error) = self.write(&changes) {
+            tracing::error!(error = %error, "a step could not be written");
+            self.handles.failure.borrow_mut().get_or_insert(error);
+        }
+        for change in changes {
+            self.state.apply(change);
+        }
+    }
+
+    fn write(&self, changes: &[Change]) -> Result<(), StorageError> {
+        let write_error = |error: redb::Error| StorageError::write(&self.path, error);
+        // The number of decided entries is learned again from the peers: it alone need not be durable at once.
+        let durable = changes
+            .iter()
+            .any(|change| !matches!(change, Change::Decided(_)));
+        let bytes = fs::metadata(&self.path)
+            .map_err(|error| StorageError::io(&self.path, error))?
+            .len();
+        if bytes > self.max_bytes {
+            return Err(StorageError::Full(self.path.clone()));
+        }
+        let mut transaction = self
+            .database
+            .begin_write()
+            .map_err(|error| write_error(error.into()))?;
+        if !durable {
+            transaction
+                .set_durability(Durability::None)
+                .map_err(|error| write_error(error.into()))?;
+        }
+        let sequence = *self.handles.write_sequence.borrow() + 1;
+        let mut tables = TableWriter::open(&self.path, &transaction)?;
+        for change in changes {
+            tables.write_change(change)?;
+        }
+        if durable {
+            tables.write_sequence(sequence, &self.handles.peers.borrow())?;
+        }
+        drop(tables);
+        transaction
+            .commit()
+            .map_err(|error| write_error(error.into()))?;
+        if durable {
+            *self.handles.write_sequence.borrow_mut() = sequence;
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/coordination-server/src/storage/error.rs
@@ -0,0 +1,170 @@
+//! Why a replica's storage can't be used, or no longer.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use super::DiskIdentity;
+
+/// Why a replica's storage can't be used, or no longer.
+#[derive(Debug, thiserror::Error)]
+pub enum StorageError {
+    /// The file can't be read or written.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file or folder.
+        path: PathBuf,
+        /// What failed.
+        source: io::Error,
+    },
+    /// The device or the file's limit is full.
+    #[error("{}: the disk is full; make room, and start again", .0.display())]
+    Full(PathBuf),
+    /// Another process has the file open.
+    #[error("{}: another process holds it", .0.display())]
+    InUse(PathBuf),
+    /// The file is truncated.
+    #[error(
+        "{}: the file is cut short. What this keeper had promised is lost: replace the keeper, don't restore the file \
+         from a copy",
+        .0.display()
+    )]
+    Truncated(PathBuf),
+    /// The file is no replica's, or has another format.
+    #[error("{}: no file of a keeper of this version: {source}", path.display())]
+    UnsupportedFormat {
+        /// The file.
+        path: PathBuf,
+        /// What differs.
+        source: FormatError,
+    },
+    /// The file is sound, but belongs to another replica.
+    #[error(
+        "{}: belongs to keeper {} of fleet {:?}",
+        path.display(), owner.replica, owner.fleet
+    )]
+    OtherOwner {
+        /// The file.
+        path: PathBuf,
+        /// The identity in the file.
+        owner: Box<DiskIdentity>,
+    },
+    /// The checksums or the contents of the file are wrong.
+    #[error(
+        "{}: damaged: {source}. What this keeper had promised is lost: replace the keeper",
+        path.display()
+    )]
+    Corrupted {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong.
+        source: Corruption,
+    },
+    /// A value to be written has no JSON form.
+    #[error("{}: what is to be written has no form there: {source}", path.display())]
+    Encode {
+        /// The file.
+        path: PathBuf,
+        /// What failed.
+        source: serde_json::Error,
+    },
+}
+
+/// How a file differs from this version's format.
+#[derive(Debug, thiserror::Error)]
+pub enum FormatError {
+    /// The first bytes are not those of the database.
+    #[error("its first bytes are another kind's")]
+    Magic,
+    /// The database has another file format.
+    #[error("store format {0}")]
+    DatabaseVersion(u8),
+    /// A table is missing, or of another type.
+    #[error(transparent)]
+    Table(#[from] redb::TableError),
+    /// The file names no owner.
+    #[error("it says of nobody whose it is")]
+    NoIdentity,
+    /// The contents have another version.
+    #[error("form {found}, {expected} is known")]
+    Version {
+        /// The version in the file.
+        found: u32,
+        /// The version of this program.
+        expected: u32,
+    },
+}
+
+/// What is wrong with a file's contents.
+#[derive(Debug, thiserror::Error)]
+pub enum Corruption {
+    /// The database panicked while it opened the file.
+    #[error("its pages make no sense")]
+    Pages,
+    /// The checksums do not match.
+    #[error("its checksums are wrong")]
+    Checksums,
+    /// The database reports invalid data.
+    #[error(transparent)]
+    InvalidData(io::Error),
+    /// The database reports another error.
+    #[error(transparent)]
+    Database(Box<redb::Error>),
+    /// A value is not the JSON expected.
+    #[error(transparent)]
+    Decode(serde_json::Error),
+    /// An entry of the log is missing.
+    #[error("entry {0} of the log is missing")]
+    MissingEntry(u64),
+    /// More entries are decided than the log has.
+    #[error("{decided} entries are decided, {stored} are there")]
+    MissingDecidedEntries {
+        /// The number of entries decided.
+        decided: usize,
+        /// The number of entries there are.
+        stored: u64,
+    },
+}
+
+impl StorageError {
+    pub(super) fn io(path: &Path, source: io::Error) -> StorageError {
+        StorageError::Io {
+            path: path.to_owned(),
+            source,
+        }
+    }
+
+    pub(super) fn unsupported(path: &Path, source: impl Into<FormatError>) -> StorageError {
+        StorageError::UnsupportedFormat {
+            path: path.to_owned(),
+            source: source.into(),
+        }
+    }
+
+    pub(super) fn corrupted(path: &Path, source: Corruption) -> StorageError {
+        StorageError::Corrupted {
+            path: path.to_owned(),
+            source,
+        }
+    }
+
+    /// An error of a read: whatever the database reports counts as corruption.
+    pub(super) fn read(path: &Path, error: impl Into<redb::Error>) -> StorageError {
+        StorageError::corrupted(path, Corruption::Database(Box::new(error.into())))
+    }
+
+    /// An error of a write: a full disk and other I/O errors are told apart from corruption.
+    pub(super) fn write(path: &Path, error: impl Into<redb::Error>) -> StorageError {
+        match error.into() {
+            redb::Error::Io(error) if is_full(&error) => StorageError::Full(path.to_owned()),
+            redb::Error::Io(error) => StorageError::io(path, error),
+            error => StorageError::read(path, error),
+        }
+    }
+}
+
+fn is_full(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::StorageFull | io::ErrorKind::FileTooLarge
+    )
+}
--- /dev/null
+++ b/crates/coordination-server/tests/simulated/availability.rs
@@ -0,0 +1,169 @@
+//! Availability, durability and log compaction under crashes and partitions.
+
+use hoptiller_coordination::Answer;
+use hoptiller_coordination_server::replicated_log::LogSize;
+
+use super::cluster::{Cluster, propose, renew};
+
+#[test]
+fn a_version_accepted_by_any_replica_is_in_force_at_all_and_survives_a_full_restart() {
+    let mut cluster = Cluster::new("any", 1);
+    assert_eq!(
+        cluster.complete(2, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    assert_eq!(
+        cluster.complete(3, propose("two", 2)),
+        Some(Answer::Put(Ok(2)))
+    );
+    cluster.run(500);
+    assert_eq!([1, 2, 3].map(|k| cluster.in_force(k)), [2, 2, 2]);
+    for id in 1..=3 {
+        cluster.stop(id);
+    }
+    for id in 1..=3 {
+        cluster.start(id);
+    }
+    cluster.run(3000);
+    assert_eq!([1, 2, 3].map(|k| cluster.in_force(k)), [2, 2, 2]);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1))),
+        "known by its name"
+    );
+    assert_eq!(
+        cluster.complete(1, propose("three", 4)),
+        Some(Answer::Put(Ok(3)))
+    );
+}
+
+#[test]
+fn a_quorum_of_two_of_three_is_available_and_a_single_replica_is_not() {
+    let mut cluster = Cluster::new("two", 2);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    let leader = cluster.leader().expect("somebody leads");
+    cluster.stop(leader);
+    let other = (1..=3).find(|k| *k != leader).expect("two are left");
+    assert_eq!(
+        cluster.complete(other, propose("two", 2)),
+        Some(Answer::Put(Ok(2)))
+    );
+    let last = (1..=3)
+        .find(|k| *k != leader && *k != other)
+        .expect("one more");
+    cluster.stop(last);
+    assert_eq!(cluster.complete(other, propose("three", 4)), None);
+    cluster.start(last);
+    cluster.run(4000);
+    assert_eq!(
+        cluster.complete(last, propose("four", 5)),
+        Some(Answer::Put(Ok(4))),
+        "three was decided once two were back"
+    );
+}
+
+#[test]
+fn a_partitioned_leader_grants_no_lease() {
+    let mut cluster = Cluster::new("blocked", 3);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    let leader = cluster.leader().expect("somebody leads");
+    for other in (1..=3).filter(|k| *k != leader) {
+        cluster.blocked.extend([(leader, other), (other, leader)]);
+    }
+    assert_eq!(
+        cluster.complete(leader, renew("r", 0, 0)),
+        None,
+        "it still believes that it leads"
+    );
+    let other = (1..=3).find(|k| *k != leader).expect("others");
+    assert!(matches!(
+        cluster.complete(other, renew("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
+    cluster.blocked.clear();
+    cluster.run(4000);
+    assert!(matches!(
+        cluster.complete(leader, renew("r", 1, 1)),
+        Some(Answer::Granted(_))
+    ));
+}
+
+#[test]
+fn the_cluster_is_available_while_any_single_link_is_broken() {
+    let mut cluster = Cluster::new("ring", 4);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    // 1 hears 2, 2 hears 3, 3 hears 1, and nobody both ways but over the third.
+    cluster.blocked = vec![(1, 2), (2, 1)];
+    assert_eq!(
+        cluster.complete(3, propose("two", 2)),
+        Some(Answer::Put(Ok(2)))
+    );
+    cluster.blocked = vec![(2, 3), (3, 2)];
+    cluster.run(3000);
+    assert_eq!(
+        cluster.complete(1, propose("three", 4)),
+        Some(Answer::Put(Ok(3)))
+    );
+    cluster.blocked = vec![(3, 1), (1, 3)];
+    cluster.run(3000);
+    assert_eq!(
+        cluster.complete(2, propose("four", 5)),
+        Some(Answer::Put(Ok(4)))
+    );
+}
+
+#[test]
+fn a_lagging_replica_gets_a_snapshot_and_the_log_is_compacted() {
+    let mut cluster = Cluster::new("lag", 6);
+    assert_eq!(
+        cluster.complete(1, propose("0", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    cluster.stop(3);
+    for n in 1..=700u64 {
+        let id = 1 + n % 2;
+        assert!(
+            matches!(
+                cluster.complete(id, renew("r", 1, 1)),
+                Some(Answer::Granted(_))
+            ),
+            "{n}"
+        );
+    }
+    let LogSize { decided, retained } = cluster.replicas[&1].log_size();
+    assert!(
+        decided > 700 && retained <= 600,
+        "{decided} decided, {retained} retained"
+    );
+    cluster.start(3);
+    cluster.run(3000);
+    assert_eq!(
+        cluster.replicas[&3].config_state(),
+        cluster.replicas[&1].config_state()
+    );
+    // The state is on the disk, with who holds a permit.
+    assert!(matches!(
+        cluster.complete(1, renew("r", 1, 1)),
+        Some(Answer::Granted(_))
+    ));
+    for id in 1..=3 {
+        cluster.stop(id);
+    }
+    cluster.start(1);
+    assert_eq!(
+        (
+            cluster.in_force(1),
+            cluster.replicas[&1].config_state().holders().count()
+        ),
+        (1, 1)
+    );
+}
--- /dev/null
+++ b/crates/coordination-server/tests/simulated/replacement.rs
@@ -0,0 +1,124 @@
+//! Replacement of a lost replica.
+
+use hoptiller_coordination::Answer;
+use hoptiller_coordination_server::membership::ReplaceError;
+
+use super::cluster::{Cluster, propose};
+
+#[test]
+fn a_lost_replica_is_replaced_and_the_new_one_counts_for_a_quorum() {
+    let mut cluster = Cluster::new("lost", 8);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    cluster.stop(3);
+    std::fs::remove_dir_all(cluster.dir.join("3")).expect("lost");
+    assert!(!cluster.join(4), "it is no member yet");
+    // Commands in flight when the membership changes are not lost.
+    let before = cluster.submit(1, propose("two", 2));
+    let request = cluster.replace(2, 3, 4);
+    let beside = cluster.submit(2, propose("three", 1));
+    assert_eq!(cluster.wait_replaced(2, request), Some(Ok(2)));
+    assert!(cluster.join(4));
+    cluster.run(2000);
+    assert!(matches!(
+        cluster.answers.remove(&(1, before)),
+        Some(Answer::Put(Ok(2 | 3)))
+    ));
+    assert!(matches!(
+        cluster.answers.remove(&(2, beside)),
+        Some(Answer::Put(Ok(2 | 3)))
+    ));
+    cluster.stop(1);
+    assert_eq!(
+        cluster.complete(4, propose("four", 4)),
+        Some(Answer::Put(Ok(4))),
+        "with the new one they are two of three"
+    );
+    cluster.run(500);
+    cluster.start(1);
+    cluster.run(3000);
+    assert_eq!(
+        cluster.replicas[&1].config_state(),
+        cluster.replicas[&4].config_state()
+    );
+    assert_eq!(cluster.replicas[&1].membership().replica_ids(), [1, 2, 4]);
+    let again = cluster.replace(4, 3, 4);
+    assert_eq!(
+        cluster.wait_replaced(4, again),
+        Some(Ok(2)),
+        "requested twice, done once"
+    );
+    let unknown = cluster.replace(4, 3, 5);
+    assert_eq!(
+        cluster.wait_replaced(4, unknown),
+        Some(Err(ReplaceError::UnknownReplica(3)))
+    );
+}
+
+#[test]
+fn a_crash_at_any_step_of_a_replacement_leaves_the_cluster_available() {
+    for steps in 0..24 {
+        let mut cluster = Cluster::new(&format!("when{steps}"), 9);
+        assert_eq!(
+            cluster.complete(1, propose("one", 3)),
+            Some(Answer::Put(Ok(1)))
+        );
+        cluster.blocked = vec![(3, 1), (3, 2), (1, 3), (2, 3)];
+        cluster.replace(2, 3, 4);
+        (0..steps).for_each(|_| cluster.step());
+        cluster.stop(1);
+        cluster.run(300);
+        cluster.start(1);
+        cluster.run(2500);
+        assert!(cluster.join(4), "after {steps} steps");
+        cluster.run(1000);
+        cluster.stop(2);
+        assert_eq!(
+            cluster.complete(1, propose("two", 2)),
+            Some(Answer::Put(Ok(2))),
+            "after {steps} steps"
+        );
+        cluster.start(2);
+        // The replaced replica has not learned of it, and must stop once it is reached.
+        cluster.blocked.clear();
+        cluster.run(2500);
+        assert!(!cluster.replicas.contains_key(&3), "after {steps} steps");
+        assert_eq!(
+            cluster.replicas[&2].config_state(),
+            cluster.replicas[&4].config_state(),
+            "after {steps} steps"
+        );
+    }
+}
+
+#[test]
+fn entries_decided_behind_a_replacement_are_void_and_proposed_again() {
+    let mut cluster = Cluster::new("void", 10);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    let leader = cluster.leader().expect("somebody leads");
+    let lost = (1..=3).find(|k| *k != leader).expect("others");
+    // Both go out together, and are decided together.
+    cluster.replace(leader, lost, 4);
+    let request = cluster.submit(leader, propose("two", 2));
+    while cluster.replicas[&leader].membership().number == 1 {
+        cluster.step();
+    }
+    assert_eq!(
+        cluster.replicas[&leader].config_state().last(),
+        1,
+        "it was decided under a membership that had ended"
+    );
+    assert!(cluster.join(4));
+    cluster.run(3000);
+    assert_eq!(
+        cluster.answers.remove(&(leader, request)),
+        Some(Answer::Put(Ok(2))),
+        "and came again"
+    );
+    assert_eq!(cluster.replicas[&4].config_state().last(), 2);
+}
--- /dev/null
+++ b/crates/coordination-server/tests/simulated/rollout.rs
@@ -0,0 +1,66 @@
+//! Versions and leases across leader changes and message loss.
+
+use hoptiller_coordination::{Answer, Refused};
+
+use super::cluster::{BOUNDS, Cluster, propose, renew};
+
+#[test]
+fn a_version_waits_for_a_lease_across_a_leader_change_and_no_longer_than_its_term() {
+    let mut cluster = Cluster::new("term", 5);
+    assert_eq!(
+        cluster.complete(1, propose("one", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    assert!(matches!(
+        cluster.complete(1, renew("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
+    let granted = cluster.now;
+    cluster.run(1500);
+    let leader = cluster.leader().expect("somebody leads");
+    cluster.stop(leader);
+    let other = (1..=3).find(|k| *k != leader).expect("others");
+    assert_eq!(
+        cluster.complete(other, propose("two", 2)),
+        Some(Answer::Put(Ok(2)))
+    );
+    while cluster.now < granted + BOUNDS.term {
+        assert_eq!(cluster.in_force(other), 1, "at {}", cluster.now);
+        cluster.step();
+    }
+    cluster.run(4000);
+    assert_eq!(cluster.in_force(other), 2);
+}
+
+#[test]
+fn a_rejected_version_stays_rejected_when_its_entry_is_proposed_again() {
+    let mut cluster = Cluster::new("again", 7);
+    assert_eq!(
+        cluster.complete(1, propose("0", 3)),
+        Some(Answer::Put(Ok(1)))
+    );
+    assert!(matches!(
+        cluster.complete(1, renew("r", 0, 0)),
+        Some(Answer::Granted(_))
+    ));
+    for n in 0..8 {
+        assert!(matches!(
+            cluster.complete(1, propose(&format!("p{n}"), 1 + n % 3)),
+            Some(Answer::Put(Ok(_)))
+        ));
+    }
+    cluster.loss_interval = 3;
+    let refused = cluster.complete(2, propose("late", 9));
+    assert_eq!(
+        refused,
+        Some(Answer::Put(Err(Refused::Busy { pending: 8 })))
+    );
+    cluster.loss_interval = 0;
+    cluster.run(6000);
+    let fleet = cluster.replicas[&1].config_state();
+    assert_eq!(
+        (fleet.in_force(), fleet.last()),
+        (9, 9),
+        "its permit has run out, and nothing came behind"
+    );
+}
--- a/crates/coordination-server/tests/stored_form.rs
+++ b/crates/coordination-server/tests/stored_form.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 
 use hoptiller_coordination::Act;
-use hoptiller_coordination_server::disk::Disk;
-use hoptiller_coordination_server::log::{Entry, EntryId};
-use hoptiller_coordination_server::machine::Machine;
-use hoptiller_coordination_server::members::{Members, Replace};
+use hoptiller_coordination_server::entry::Entry;
+use hoptiller_coordination_server::membership::{Membership, Replacement};
+use hoptiller_coordination_server::state_machine::{EntryId, StateMachine};
+use hoptiller_coordination_server::storage::DiskStorage;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::Storage;
 
@@ -40,46 +40,48 @@
 }
 
 fn entry(number: u64, act: Act) -> Entry {
-    Entry::Acts(
+    Entry::Commands(
         EntryId {
-            keeper: 1,
-            life: 1,
-            number,
+            replica: 1,
+            incarnation: 1,
+            sequence: number,
         },
         vec![act],
     )
 }
 
-fn members() -> Members {
+fn members() -> Membership {
     let address = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    let first = Members::first([(1, address(7001)), (2, address(7002)), (3, address(7003))].into());
+    let first =
+        Membership::initial([(1, address(7001)), (2, address(7002)), (3, address(7003))].into());
     first
-        .replaced(&Replace {
+        .with_replacement(&Replacement {
             lost: 3,
             new: 4,
-            at: address(7004),
+            address: address(7004),
         })
         .expect("replaced")
 }
 
 /// Permits, leases and pending changes in the state; a promise, an accepted round and entries behind it.
 fn write_disk(dir: &Path) {
-    let mut disk = Disk::open(dir, "stored", 1, "disk-of-the-fixture", MOST_BYTES).expect("made");
-    let (mut machine, acts) = (Machine::default(), acts());
+    let mut disk =
+        DiskStorage::open(dir, "stored", 1, "disk-of-the-fixture", MOST_BYTES).expect("made");
+    let (mut machine, acts) = (StateMachine::default(), acts());
     let (before, behind) = acts.split_at(acts.len() - 6);
     for (number, act) in (0u64..).zip(before) {
         machine
             .apply(
                 EntryId {
-                    keeper: 1,
-                    life: 1,
-                    number,
+                    replica: 1,
+                    incarnation: 1,
+                    sequence: number,
                 },
                 vec![act.clone()],
             )
             .expect("applied");
     }
-    disk.move_on(members(), before.len(), machine);
+    disk.reconfigure(members(), before.len(), machine);
     let ballot = Ballot::with(2, 3, 0, 4);
     disk.set_promise(ballot).expect("written");
     disk.set_accepted_round(ballot).expect("written");
@@ -93,14 +95,14 @@
     disk.set_decided_idx(before.len() + 4).expect("written");
     disk.append_entry(Entry::Replace(
         EntryId {
-            keeper: 1,
-            life: 1,
-            number: 1000,
+            replica: 1,
+            incarnation: 1,
+            sequence: 1000,
         },
-        Replace {
+        Replacement {
             lost: 4,
             new: 5,
-            at: ([127, 0, 0, 1], 7005).into(),
+            address: ([127, 0, 0, 1], 7005).into(),
         },
     ))
     .expect("written");
@@ -110,16 +112,16 @@
     serde_json::to_string(value).expect("it has a JSON form")
 }
 
-fn describe(disk: &Disk) -> String {
+fn describe(disk: &DiskStorage) -> String {
     let length = disk.get_log_len().expect("read");
     let entries = disk.get_entries(0, length).expect("read");
     let kept: Vec<&Entry> = entries
         .iter()
-        .filter(|entry| **entry != Entry::Filler)
+        .filter(|entry| **entry != Entry::Compacted)
         .collect();
     [
         json(&disk.identity()),
-        json(&disk.members()),
+        json(&disk.membership()),
         json(&disk.get_promise().expect("read")),
         json(&disk.get_accepted_round().expect("read")),
         json(&disk.get_decided_idx().expect("read")),
@@ -139,7 +141,8 @@
     }
     let dir = scratch("old");
     std::fs::copy(fixture("keeper.redb"), dir.join("keeper.redb")).expect("copied");
-    let disk = Disk::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("an old disk opens");
+    let disk =
+        DiskStorage::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("an old disk opens");
     let described = describe(&disk);
     if updates() {
         std::fs::write(fixture("disk.txt"), &described).expect("the fixture can be written");
@@ -148,7 +151,7 @@
         std::fs::read_to_string(fixture("disk.txt")).expect("the fixture exists"),
         described
     );
-    assert_eq!(disk.life(), 2, "the fixture was opened once before");
+    assert_eq!(disk.incarnation(), 2, "the fixture was opened once before");
     drop(disk);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
@@ -157,7 +160,7 @@
 fn a_disk_written_now_has_the_same_contents() {
     let dir = scratch("new");
     write_disk(&dir);
-    let disk = Disk::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("opened");
+    let disk = DiskStorage::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("opened");
     assert_eq!(
         std::fs::read_to_string(fixture("disk.txt")).expect("the fixture exists"),
         describe(&disk)
