--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
+use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, LeaseTiming, Proposal};
 use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
 use hoptiller_coordination_server::membership::Membership;
 use hoptiller_coordination_server::replica::Replica;
@@ -61,7 +61,7 @@
     let text = json!({ "form": 1, "kinds": { "a": 8 }, "engines": { "max_attempts": attempts },
         "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe", "worth": worth } },
         "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" } });
-    Document::read(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
+    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -198,10 +198,10 @@
 async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
     let clock = Clock::new();
     let bounds = settings.bounds();
-    let mut follower = Follower::new(
+    let mut follower = ConfigWatcher::new(
         Holder {
             router: name,
-            life: "1".into(),
+            incarnation: "1".into(),
         },
         bounds,
         Vec::new(),
@@ -209,10 +209,10 @@
     let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
     keepers.set_preferred(n);
     loop {
-        let (id, act) = follower.ask(clock.now());
-        let Act::Ask {
+        let (id, act) = follower.start_renewal(clock.now());
+        let Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             offer,
         } = act
@@ -231,8 +231,10 @@
             .call(wire::RENEW_LEASE, Some(&body), Duration::from_millis(700))
             .await
         {
-            Ok(wire::LeaseRenewalResponse::Granted(granted)) => drop(follower.granted(id, granted)),
-            _ => follower.unanswered(id),
+            Ok(wire::LeaseRenewalResponse::Granted(granted)) => {
+                drop(follower.accept_grant(id, granted))
+            }
+            _ => follower.abandon_renewal(id),
         }
         Timer::after(settings.ask_every).await;
     }
@@ -241,21 +243,23 @@
 /// Keepers in one thread, on disks; then one of them starts.
 fn restart(versions: u64) -> io::Result<()> {
     let dir = folder("disks");
-    let bounds = Bounds {
+    let bounds = LeaseTiming {
         term: PERMIT.as_micros() as u64,
         drift: DRIFT,
     };
-    let members = Membership::initial(
+    let membership = Membership::initial(
         (1..=3)
             .map(|n| (n, ([127, 0, 0, 1], n as u16).into()))
             .collect(),
     );
     let open = |keeper: u64, now: u64| -> io::Result<Replica> {
         let dir = dir.join(keeper.to_string());
-        let disk = DiskStorage::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
-        let life = disk.incarnation();
-        let log = ReplicatedLog::open(keeper, members.clone(), disk).map_err(io::Error::other)?;
-        Ok(Replica::new(keeper, life, bounds, log, now))
+        let storage =
+            DiskStorage::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
+        let incarnation = storage.incarnation();
+        let log =
+            ReplicatedLog::open(keeper, membership.clone(), storage).map_err(io::Error::other)?;
+        Ok(Replica::new(keeper, incarnation, bounds, log, now))
     };
     let mut replicas = (1..=3)
         .map(|n| open(n, 0))
@@ -263,24 +267,24 @@
     let (mut put, mut now) = (0, 0);
     while replicas
         .iter()
-        .any(|replica| replica.config_state().last() < versions)
+        .any(|replica| replica.config_state().latest() < versions)
     {
         now += 10_000;
         // As many as one entry holds, one entry on its way.
-        if put < versions && replicas[0].config_state().last() == put {
+        if put < versions && replicas[0].config_state().latest() == put {
             for _ in 0..(versions - put).min(512) {
                 put += 1;
                 let document = document((put % 1000) as f64, 3)?;
                 let (change, why) = (put.to_string(), "measured".to_owned());
-                let wanted = Put {
-                    change,
+                let wanted = Proposal {
+                    change_name: change,
                     base: None,
-                    by: "measure".into(),
-                    at: put,
-                    why,
+                    author: "measure".into(),
+                    proposed_at_ms: put,
+                    reason: why,
                     document,
                 };
-                replicas[0].submit(Act::Put(Box::new(wanted)));
+                replicas[0].submit(Command::Propose(Box::new(wanted)));
             }
         }
         let mut messages = Vec::new();
@@ -304,7 +308,7 @@
     let began = Instant::now();
     let replica = open(1, now)?;
     let took = began.elapsed();
-    if replica.config_state().last() != versions {
+    if replica.config_state().latest() != versions {
         return Err(io::Error::other("versions are lost"));
     }
     println!(
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use hoptiller_coordination::{Bounds, Span};
+use hoptiller_coordination::{ConfigDuration, LeaseTiming};
 use serde::Deserialize;
 
 use crate::membership::REPLICA_IDS;
@@ -36,7 +36,7 @@
     pub secret: PathBuf,
     /// How long a router's lease lasts: the same for all replicas and routers.
     #[serde(rename = "permit", default = "default_lease_term")]
-    pub lease_term: Span,
+    pub lease_term: ConfigDuration,
     /// Limit of the difference of two clocks' rates, in millionths: the same for all.
     #[serde(default = "default_drift")]
     pub drift: u64,
@@ -45,8 +45,8 @@
     pub max_bytes: u64,
 }
 
-fn default_lease_term() -> Span {
-    Span::millis(10_000)
+fn default_lease_term() -> ConfigDuration {
+    ConfigDuration::from_millis(10_000)
 }
 
 fn default_drift() -> u64 {
@@ -122,12 +122,12 @@
                 "an address is given twice",
             ),
             (
-                self.lease_term >= Span::millis(MIN_LEASE_TERM_MS),
+                self.lease_term >= ConfigDuration::from_millis(MIN_LEASE_TERM_MS),
                 "permit",
                 "must be 500ms or more",
             ),
             (
-                self.lease_term <= Span::millis(MAX_LEASE_TERM_MS),
+                self.lease_term <= ConfigDuration::from_millis(MAX_LEASE_TERM_MS),
                 "permit",
                 "must be 10m or less",
             ),
@@ -157,8 +157,8 @@
     }
 
     /// The bounds of leases.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> LeaseTiming {
+        LeaseTiming {
             term: self.lease_term.0,
             drift: self.drift,
         }
--- a/crates/coordination-server/src/entry.rs
+++ b/crates/coordination-server/src/entry.rs
@@ -1,6 +1,6 @@
 //! The entries of the replicated log.
 
-use hoptiller_coordination::Act;
+use hoptiller_coordination::Command;
 use omnipaxos::storage::Snapshot;
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 pub enum Entry {
     /// Commands for the state machine.
     #[serde(rename = "a")]
-    Commands(EntryId, Vec<Act>),
+    Commands(EntryId, Vec<Command>),
     /// Replaces one replica by another. Entries behind it, under the same membership, are void.
     #[serde(rename = "r")]
     Replace(EntryId, Replacement),
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::Bounds;
+use hoptiller_coordination::LeaseTiming;
 use serde::{Deserialize, Serialize};
 
 use crate::replica::ReplicatedState;
@@ -150,7 +150,7 @@
     pub(crate) membership: u32,
     /// Replicas that were removed.
     pub(crate) removed: BTreeSet<u64>,
-    pub(crate) bounds: Bounds,
+    pub(crate) bounds: LeaseTiming,
 }
 
 impl LocalView {
@@ -178,7 +178,7 @@
         {
             return mismatch(format!("this is keeper {}", self.replica));
         }
-        let Bounds { term, drift, .. } = self.bounds;
+        let LeaseTiming { term, drift, .. } = self.bounds;
         if (batch.term, batch.drift) != (term, drift) {
             return mismatch(format!("permits here last {term} us, drift {drift}"));
         }
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -3,8 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::plant::{self, Plant};
-use hoptiller_coordination::{Act, Answer, Bounds, Fleet, Holder, Micros, Part, Terms};
+use hoptiller_coordination::fault_injection::{self, Fault};
+use hoptiller_coordination::{
+    Command, CommandResponse, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Entry;
@@ -39,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// The result of a command.
-    Command(Answer),
+    Command(CommandResponse),
     /// The number of the membership after a replacement.
     Replaced(Result<u32, ReplaceError>),
 }
@@ -70,13 +72,13 @@
 pub struct Replica {
     id: u64,
     incarnation: u64,
-    bounds: Bounds,
+    bounds: LeaseTiming,
     log: ReplicatedLog,
     state_machine: StateMachine,
     /// When leases expire by this replica's clock.
-    terms: Terms,
+    expiry: ExpiryTracker,
     /// Commands for the next entry.
-    batch: Vec<(RequestId, Act)>,
+    batch: Vec<(RequestId, Command)>,
     in_flight: BTreeMap<EntryId, InFlightEntry>,
     completed: Vec<CompletedRequest>,
     next_request: RequestId,
@@ -96,7 +98,7 @@
     pub fn new(
         id: u64,
         incarnation: u64,
-        bounds: Bounds,
+        bounds: LeaseTiming,
         log: ReplicatedLog,
         now: Micros,
     ) -> Replica {
@@ -106,7 +108,7 @@
             bounds,
             log,
             state_machine: StateMachine::default(),
-            terms: Terms::default(),
+            expiry: ExpiryTracker::default(),
             batch: Vec::new(),
             in_flight: BTreeMap::new(),
             completed: Vec::new(),
@@ -119,12 +121,12 @@
             failure: None,
         };
         replica.apply_decided(now);
-        replica.terms = Terms::begin(now, replica.config_state());
+        replica.expiry = ExpiryTracker::start(now, replica.config_state());
         replica
     }
 
     /// Submits a command. Its response follows once a quorum has it.
-    pub fn submit(&mut self, command: Act) -> RequestId {
+    pub fn submit(&mut self, command: Command) -> RequestId {
         let request = self.new_request();
         self.batch.push((request, command));
         request
@@ -153,7 +155,7 @@
         if state.membership.number > self.membership().number {
             self.state_machine = state.state_machine;
             self.reconfigure(now, state.membership, state.index);
-            self.terms.learn(now, self.state_machine.config_state());
+            self.expiry.observe(now, self.state_machine.config_state());
         }
     }
 
@@ -224,7 +226,7 @@
         &mut self,
         now: Micros,
         requests: Vec<Option<RequestId>>,
-        commands: Vec<Act>,
+        commands: Vec<Command>,
     ) -> EntryId {
         let id = self.new_entry_id();
         self.propose(now, id, Entry::Commands(id, commands), requests);
@@ -284,8 +286,8 @@
             return;
         }
         self.expiry_checked_at = now;
-        let last_version = self.config_state().last();
-        let lapsed = self.terms.lapsed(now, &self.bounds);
+        let last_version = self.config_state().latest();
+        let lapsed = self.expiry.expired_config_leases(now, &self.bounds);
         let expired: BTreeSet<&Holder> = lapsed.iter().map(|(holder, _)| holder).collect();
         self.unblocked_since = self
             .is_unblocked(&expired)
@@ -296,15 +298,15 @@
         let settles = self
             .unblocked_since
             .is_some_and(|since| leads || now >= since + FOLLOWER_DELAY);
-        let lapsed_leases = self.terms.lapsed_leases(now, &self.bounds);
+        let lapsed_leases = self.expiry.expired_task_leases(now, &self.bounds);
         if leads && !lapsed_leases.is_empty() {
-            self.propose_settling(now, Act::Free(lapsed_leases));
+            self.propose_settling(now, Command::ExpireTaskLeases(lapsed_leases));
         }
         if settles || drops_expired {
             self.settled_at = now;
             self.propose_settling(
                 now,
-                Act::Settle {
+                Command::CompleteRollout {
                     upto: last_version,
                     lapsed,
                 },
@@ -312,7 +314,7 @@
         }
     }
 
-    fn propose_settling(&mut self, now: Micros, command: Act) {
+    fn propose_settling(&mut self, now: Micros, command: Command) {
         let id = self.propose_commands(now, Vec::new(), vec![command]);
         self.settling = Some((id, now));
     }
@@ -321,9 +323,10 @@
     fn is_unblocked(&self, expired: &BTreeSet<&Holder>) -> bool {
         let config = self.config_state();
         let blocked = config
-            .waits_for()
+            .blocking_holders()
             .any(|(holder, _)| !expired.contains(holder));
-        config.pending().len() > 0 && (!blocked || plant::is(Plant::NoWait))
+        config.pending().len() > 0
+            && (!blocked || fault_injection::is_injected(Fault::SkipRolloutWait))
     }
 
     /// Whether this replica leads and can decide entries.
@@ -359,10 +362,10 @@
         if !self.is_replaced() {
             self.log.compact_if_long(&self.state_machine);
         }
-        self.terms.learn(now, self.state_machine.config_state());
+        self.expiry.observe(now, self.state_machine.config_state());
     }
 
-    fn apply_commands(&mut self, id: EntryId, commands: Vec<Act>) {
+    fn apply_commands(&mut self, id: EntryId, commands: Vec<Command>) {
         let requests = self.take_in_flight(id);
         if self.settling.is_some_and(|(settling, _)| settling == id) {
             self.settling = None;
@@ -416,18 +419,19 @@
     }
 
     /// The configuration state, as this replica knows it.
-    pub fn config_state(&self) -> &Fleet {
+    pub fn config_state(&self) -> &ConfigState {
         self.state_machine.config_state()
     }
 
     /// Time until a holder's lease of the configuration expires by this replica's clock.
     pub fn config_lease_left(&self, now: Micros, holder: &Holder) -> Option<Micros> {
-        self.terms.left(now, holder, &self.bounds)
+        self.expiry
+            .config_lease_remaining(now, holder, &self.bounds)
     }
 
     /// Time until the lease of a shard expires by this replica's clock.
-    pub fn shard_lease_left(&self, now: Micros, shard: &Part) -> Option<Micros> {
-        self.terms.left_of_lease(now, shard, &self.bounds)
+    pub fn shard_lease_left(&self, now: Micros, shard: &Shard) -> Option<Micros> {
+        self.expiry.task_lease_remaining(now, shard, &self.bounds)
     }
 
     /// The replica that leads, as far as this one knows.
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use hoptiller_coordination::{Act, Holder, Put};
+use hoptiller_coordination::{Command, Holder, Proposal};
 use hoptiller_coordination_client::wire;
 use hoptiller_http::{Method, Request, Response};
 use serde::de::DeserializeOwned;
@@ -96,7 +96,7 @@
         (Method::Post, wire::RENEW_LEASE) => renew_lease(node, parse(request)?).await,
         (Method::Post, wire::RELEASE_LEASE) => {
             let holder: Holder = parse(request)?;
-            submit_command(node, Act::GiveBack(holder)).await
+            submit_command(node, Command::ReleaseLease(holder)).await
         }
         (Method::Post, wire::CHECKPOINT) => store_checkpoint(node, parse(request)?).await,
         (Method::Get, wire::LEASES) => {
@@ -104,8 +104,8 @@
             Ok(responses::ok(&leases))
         }
         (Method::Post, wire::PROPOSE) => {
-            let proposal: Put = parse(request)?;
-            submit_command(node, Act::Put(Box::new(proposal))).await
+            let proposal: Proposal = parse(request)?;
+            submit_command(node, Command::Propose(Box::new(proposal))).await
         }
         (Method::Post, wire::REPLACE) => {
             let replacement: Replacement = parse(request)?;
@@ -121,7 +121,7 @@
         (Method::Post, wire::DIFF) => diff_versions(node, parse(request)?),
         (Method::Get, wire::HISTORY) => {
             let replica = node.replica.borrow();
-            let heads: Vec<_> = replica.config_state().heads().collect();
+            let heads: Vec<_> = replica.config_state().history().collect();
             Ok(responses::ok(&heads))
         }
         (Method::Get, wire::STATUS) => Ok(status(node)),
@@ -133,7 +133,7 @@
     Ok(serde_json::from_slice(&request.body)?)
 }
 
-async fn submit_command(node: &Node, command: Act) -> Result<Response, RequestError> {
+async fn submit_command(node: &Node, command: Command) -> Result<Response, RequestError> {
     let response = node.submit(|replica, _| replica.submit(command)).await?;
     Ok(responses::completed(response))
 }
@@ -150,12 +150,12 @@
         });
     }
     let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    if !is_name(&request.holder.router) || !is_name(&request.holder.life) {
+    if !is_name(&request.holder.router) || !is_name(&request.holder.incarnation) {
         return Err(RequestError::HolderName);
     }
-    let command = Act::Ask {
+    let command = Command::RenewLease {
         holder: request.holder,
-        heeds: request.enforced_version,
+        enforced: request.enforced_version,
         in_force: request.in_force,
         offer: request.offer,
     };
@@ -166,10 +166,10 @@
     node: &Node,
     request: wire::CheckpointRequest,
 ) -> Result<Response, RequestError> {
-    let command = Act::Note {
+    let command = Command::RecordNote {
         holder: request.holder,
-        part: request.part,
-        number: request.fencing_token,
+        shard: request.part,
+        fencing_token: request.fencing_token,
         text: request.text,
     };
     submit_command(node, command).await
@@ -194,7 +194,7 @@
     let replica = node.replica.borrow();
     let config = replica.config_state();
     config
-        .version(request.number.unwrap_or(config.last()))
+        .version(request.number.unwrap_or(config.latest()))
         .map(responses::ok)
         .ok_or(RequestError::UnknownVersion)
 }
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -1,7 +1,7 @@
 //! The bodies of HTTP responses, made from the replicated state and from the results of commands.
 
-use hoptiller_coordination::lease::Posted;
-use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination::LeaseTableEntry;
+use hoptiller_coordination::{CommandResponse, ConfigState, Micros};
 use hoptiller_coordination_client::wire::{
     ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
     PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
@@ -44,40 +44,40 @@
     }
 }
 
-fn command_result(answer: Answer) -> HttpResponse {
+fn command_result(answer: CommandResponse) -> HttpResponse {
     match answer {
-        Answer::Granted(granted) => ok(&LeaseRenewalResponse::Granted(granted)),
-        Answer::Ahead => ok(&LeaseRenewalResponse::Ahead),
-        Answer::Empty => ok(&LeaseRenewalResponse::Empty),
-        Answer::Crowded => ok(&LeaseRenewalResponse::TooManyHolders),
-        Answer::Put(Ok(number)) => ok(&ProposalResponse::Accepted(number)),
-        Answer::Put(Err(refused)) => ok(&ProposalResponse::Rejected(refused)),
-        Answer::GivenBack | Answer::Settled(_) => ok(&()),
-        Answer::Noted(noted) => ok(&noted),
+        CommandResponse::LeaseGranted(granted) => ok(&LeaseRenewalResponse::Granted(granted)),
+        CommandResponse::UnknownVersion => ok(&LeaseRenewalResponse::Ahead),
+        CommandResponse::NoVersion => ok(&LeaseRenewalResponse::Empty),
+        CommandResponse::TooManyHolders => ok(&LeaseRenewalResponse::TooManyHolders),
+        CommandResponse::Proposed(Ok(number)) => ok(&ProposalResponse::Accepted(number)),
+        CommandResponse::Proposed(Err(refused)) => ok(&ProposalResponse::Rejected(refused)),
+        CommandResponse::LeaseReleased | CommandResponse::InForce(_) => ok(&()),
+        CommandResponse::NoteRecorded(noted) => ok(&noted),
     }
 }
 
 /// The current version numbers.
-pub(crate) fn version_numbers(config: &Fleet) -> VersionNumbers {
+pub(crate) fn version_numbers(config: &ConfigState) -> VersionNumbers {
     VersionNumbers {
         in_force: config.in_force(),
-        last: config.last(),
-        lease_table: config.leases().upto(),
+        last: config.latest(),
+        lease_table: config.lease_table().revision(),
     }
 }
 
 /// The leases of shards.
 pub(crate) fn leases(replica: &Replica, now: Micros) -> Vec<LeaseStatus> {
-    let status = |posted: Posted| LeaseStatus {
+    let status = |posted: LeaseTableEntry| LeaseStatus {
         left_ms: replica
-            .shard_lease_left(now, &posted.part)
+            .shard_lease_left(now, &posted.shard)
             .map(|left| left / MICROS_PER_MS),
-        part: posted.part,
+        part: posted.shard,
         holder: posted.holder,
         checkpoint_bytes: posted.note.map_or(0, |note| note.len() as u64),
     };
-    let table = replica.config_state().leases().board(0);
-    table.posted.into_iter().map(status).collect()
+    let table = replica.config_state().lease_table().updates_since(0);
+    table.entries.into_iter().map(status).collect()
 }
 
 /// The state of the cluster as one replica sees it.
@@ -88,12 +88,15 @@
     peers: Vec<PeerStatus>,
 ) -> ClusterStatus {
     let config = replica.config_state();
-    let next = config.pending().next().map(|version| version.head.number);
+    let next = config
+        .pending()
+        .next()
+        .map(|version| version.metadata.number);
     let holders = config.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
-        enforced_version: held.heeds,
+        enforced_version: held.enforced,
         left_ms: replica.config_lease_left(now, holder).unwrap_or(0) / MICROS_PER_MS,
-        blocks_rollout: next.is_some_and(|next| held.heeds < next),
+        blocks_rollout: next.is_some_and(|next| held.enforced < next),
     });
     let log = replica.log_size();
     ClusterStatus {
@@ -102,7 +105,7 @@
         versions: version_numbers(config),
         pending: config
             .pending()
-            .map(|version| version.head.clone())
+            .map(|version| version.metadata.clone())
             .collect(),
         holders: holders.collect(),
         membership: replica.membership().number,
--- a/crates/coordination-server/src/state_machine.rs
+++ b/crates/coordination-server/src/state_machine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hoptiller_coordination::{Act, Answer, Fleet};
+use hoptiller_coordination::{Command, CommandResponse, ConfigState};
 use serde::{Deserialize, Serialize};
 
 /// How many entries of one replica are remembered one by one; older ones count as applied.
@@ -38,14 +38,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateMachine {
     #[serde(rename = "fleet")]
-    config: Fleet,
+    config: ConfigState,
     #[serde(rename = "seen")]
     applied: BTreeMap<u64, AppliedEntries>,
 }
 
 impl StateMachine {
     /// Applies the commands of an entry and returns their results; `None` if the entry was applied before.
-    pub fn apply(&mut self, id: EntryId, commands: Vec<Act>) -> Option<Vec<Answer>> {
+    pub fn apply(&mut self, id: EntryId, commands: Vec<Command>) -> Option<Vec<CommandResponse>> {
         let applied = self.applied.entry(id.replica).or_default();
         if id.incarnation < applied.incarnation {
             return None;
@@ -71,7 +71,7 @@
     }
 
     /// The configuration state.
-    pub fn config_state(&self) -> &Fleet {
+    pub fn config_state(&self) -> &ConfigState {
         &self.config
     }
 }
--- a/crates/coordination-server/src/state_machine/tests.rs
+++ b/crates/coordination-server/src/state_machine/tests.rs
@@ -4,7 +4,7 @@
 fn applies(state_machine: &mut StateMachine, incarnation: u64, sequence: u64) -> bool {
     let holder = Holder {
         router: "r".into(),
-        life: "1".into(),
+        incarnation: "1".into(),
     };
     state_machine
         .apply(
@@ -13,7 +13,7 @@
                 incarnation,
                 sequence,
             },
-            vec![Act::GiveBack(holder)],
+            vec![Command::ReleaseLease(holder)],
         )
         .is_some()
 }
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use hoptiller_coordination::plant::{self, Plant};
+use hoptiller_coordination::fault_injection::{self, Fault};
 use redb::{Database, Durability};
 use serde::{Deserialize, Serialize};
 
@@ -120,7 +120,7 @@
         }
         let database = file::open(&path)?;
         let mut contents = file::read(&path, &database, fleet, replica)?;
-        if plant::is(Plant::Forgets) {
+        if fault_injection::is_injected(Fault::LoseDurableState) {
             let state = &mut contents.state;
             (state.promise, state.accepted_round) = (None, None);
             let decided = state.decided.saturating_sub(state.compacted);
--- a/crates/coordination-server/tests/simulated/cluster.rs
+++ b/crates/coordination-server/tests/simulated/cluster.rs
@@ -3,14 +3,16 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use hoptiller_coordination::{Act, Answer, Bounds, Document, Holder, Micros, Put};
+use hoptiller_coordination::{
+    Command, CommandResponse, Document, Holder, LeaseTiming, Micros, Proposal,
+};
 use hoptiller_coordination_server::membership::{Membership, ReplaceError, Replacement};
 use hoptiller_coordination_server::replica::{Replica, ReplicatedState, RequestId, Response};
 use hoptiller_coordination_server::replicated_log::{Message, ReplicatedLog};
 use hoptiller_coordination_server::storage::DiskStorage;
 
 pub const MS: Micros = 1000;
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: LeaseTiming = LeaseTiming {
     term: 2000 * MS,
     drift: 1000,
 };
@@ -39,7 +41,7 @@
     /// One message in so many is lost; 0 for none.
     pub loss_interval: u64,
     pub random: Random,
-    pub answers: BTreeMap<(u64, RequestId), Answer>,
+    pub answers: BTreeMap<(u64, RequestId), CommandResponse>,
     pub replaced: BTreeMap<(u64, RequestId), Result<u32, ReplaceError>>,
 }
 
@@ -50,27 +52,27 @@
             "engines": {{"max_attempts": {attempts}}},
             "rules": {{"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}}}}"#
     );
-    Document::read(text.as_bytes()).expect("good")
+    Document::from_json(text.as_bytes()).expect("good")
 }
 
-pub fn propose(change: &str, attempts: u32) -> Act {
-    Act::Put(Box::new(Put {
-        change: change.into(),
+pub fn propose(change: &str, attempts: u32) -> Command {
+    Command::Propose(Box::new(Proposal {
+        change_name: change.into(),
         base: None,
-        by: "ann".into(),
-        at: 1,
-        why: "a test".into(),
+        author: "ann".into(),
+        proposed_at_ms: 1,
+        reason: "a test".into(),
         document: document(attempts),
     }))
 }
 
-pub fn renew(router: &str, heeds: u64, in_force: u64) -> Act {
-    Act::Ask {
+pub fn renew(router: &str, heeds: u64, in_force: u64) -> Command {
+    Command::RenewLease {
         holder: Holder {
             router: router.into(),
-            life: "1".into(),
+            incarnation: "1".into(),
         },
-        heeds,
+        enforced: heeds,
         in_force,
         offer: None,
     }
@@ -255,12 +257,12 @@
         }
     }
 
-    pub fn submit(&mut self, id: u64, command: Act) -> RequestId {
+    pub fn submit(&mut self, id: u64, command: Command) -> RequestId {
         self.replicas.get_mut(&id).expect("running").submit(command)
     }
 
     /// Submits a command, and runs until it has a response.
-    pub fn complete(&mut self, id: u64, command: Act) -> Option<Answer> {
+    pub fn complete(&mut self, id: u64, command: Command) -> Option<CommandResponse> {
         let request = self.submit(id, command);
         for _ in 0..1000 {
             self.step();
--- a/crates/coordination-server/tests/simulated/random_faults.rs
+++ b/crates/coordination-server/tests/simulated/random_faults.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller_coordination::Answer;
+use hoptiller_coordination::CommandResponse;
 use hoptiller_coordination_server::replica::RequestId;
 
 use super::cluster::{Cluster, propose};
@@ -83,7 +83,7 @@
             open.retain(
                 |(k, request, attempts)| match cluster.answers.remove(&(*k, *request)) {
                     None => true,
-                    Some(Answer::Put(Ok(number))) => {
+                    Some(CommandResponse::Proposed(Ok(number))) => {
                         let before = accepted.insert(number, *attempts);
                         assert_eq!(before, None, "version {number} was given to two changes");
                         false
--- a/crates/coordination-server/tests/simulated/replacement.rs
+++ b/crates/coordination-server/tests/simulated/replacement.rs
@@ -1,6 +1,6 @@
 //! Replacement of a lost replica.
 
-use hoptiller_coordination::Answer;
+use hoptiller_coordination::CommandResponse;
 use hoptiller_coordination_server::membership::ReplaceError;
 
 use super::cluster::{Cluster, propose};
@@ -10,7 +10,7 @@
     let mut cluster = Cluster::new("lost", 8);
     assert_eq!(
         cluster.complete(1, propose("one", 3)),
-        Some(Answer::Put(Ok(1)))
+        Some(CommandResponse::Proposed(Ok(1)))
     );
     cluster.stop(3);
     std::fs::remove_dir_all(cluster.dir.join("3")).expect("lost");
@@ -24,16 +24,16 @@
     cluster.run(2000);
     assert!(matches!(
         cluster.answers.remove(&(1, before)),
-        Some(Answer::Put(Ok(2 | 3)))
+        Some(CommandResponse::Proposed(Ok(2 | 3)))
     ));
     assert!(matches!(
         cluster.answers.remove(&(2, beside)),
-        Some(Answer::Put(Ok(2 | 3)))
+        Some(CommandResponse::Proposed(Ok(2 | 3)))
     ));
     cluster.stop(1);
     assert_eq!(
         cluster.complete(4, propose("four", 4)),
-        Some(Answer::Put(Ok(4))),
+        Some(CommandResponse::Proposed(Ok(4))),
         "with the new one they are two of three"
     );
     cluster.run(500);
@@ -63,7 +63,7 @@
         let mut cluster = Cluster::new(&format!("when{steps}"), 9);
         assert_eq!(
             cluster.complete(1, propose("one", 3)),
-            Some(Answer::Put(Ok(1)))
+            Some(CommandResponse::Proposed(Ok(1)))
         );
         cluster.blocked = vec![(3, 1), (3, 2), (1, 3), (2, 3)];
         cluster.replace(2, 3, 4);
@@ -77,7 +77,7 @@
         cluster.stop(2);
         assert_eq!(
             cluster.complete(1, propose("two", 2)),
-            Some(Answer::Put(Ok(2))),
+            Some(CommandResponse::Proposed(Ok(2))),
             "after {steps} steps"
         );
         cluster.start(2);
@@ -98,7 +98,7 @@
     let mut cluster = Cluster::new("void", 10);
     assert_eq!(
         cluster.complete(1, propose("one", 3)),
-        Some(Answer::Put(Ok(1)))
+        Some(CommandResponse::Proposed(Ok(1)))
     );
     let leader = cluster.leader().expect("somebody leads");
     let lost = (1..=3).find(|k| *k != leader).expect("others");
@@ -109,7 +109,7 @@
         cluster.step();
     }
     assert_eq!(
-        cluster.replicas[&leader].config_state().last(),
+        cluster.replicas[&leader].config_state().latest(),
         1,
         "it was decided under a membership that had ended"
     );
@@ -117,8 +117,8 @@
     cluster.run(3000);
     assert_eq!(
         cluster.answers.remove(&(leader, request)),
-        Some(Answer::Put(Ok(2))),
+        Some(CommandResponse::Proposed(Ok(2))),
         "and came again"
     );
-    assert_eq!(cluster.replicas[&4].config_state().last(), 2);
+    assert_eq!(cluster.replicas[&4].config_state().latest(), 2);
 }
--- a/crates/coordination-server/tests/storage.rs
+++ b/crates/coordination-server/tests/storage.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use hoptiller_coordination::{Act, Holder};
+use hoptiller_coordination::{Command, Holder};
 use hoptiller_coordination_server::entry::Entry;
 use hoptiller_coordination_server::state_machine::{EntryId, StateMachine};
 use hoptiller_coordination_server::storage::{DiskStorage, StorageError};
@@ -21,7 +21,7 @@
 fn entry(number: u64) -> Entry {
     let holder = Holder {
         router: "r".repeat(2000),
-        life: "1".into(),
+        incarnation: "1".into(),
     };
     Entry::Commands(
         EntryId {
@@ -29,7 +29,7 @@
             incarnation: 1,
             sequence: number,
         },
-        vec![Act::GiveBack(holder)],
+        vec![Command::ReleaseLease(holder)],
     )
 }
 
