--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -367,11 +367,11 @@
                 let left = l.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
                 format!(
                     "{holder} under number {number}, for {left} ms more, note of {} bytes",
-                    l.checkpoint_bytes
+                    l.note_bytes
                 )
             }
         };
-        out.push_str(&format!("{:<12} {line}\n", l.part.to_string()));
+        out.push_str(&format!("{:<12} {line}\n", l.shard.to_string()));
     }
     for (holder, n) in counts {
         out.push_str(&format!("{holder}: {n} of {}\n", all.len()));
--- a/crates/cli/src/commands/fleet/tests.rs
+++ b/crates/cli/src/commands/fleet/tests.rs
@@ -55,16 +55,16 @@
         9,
     ));
     let held = LeaseStatus {
-        part: part(0),
+        shard: part(0),
         holder,
         left_ms: Some(1200),
-        checkpoint_bytes: 80,
+        note_bytes: 80,
     };
     let free = LeaseStatus {
-        part: part(1),
+        shard: part(1),
         holder: None,
         left_ms: None,
-        checkpoint_bytes: 0,
+        note_bytes: 0,
     };
     let told = show_leases(&[held, free]);
     assert!(
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -111,7 +111,7 @@
             let held = self
                 .leases()
                 .into_iter()
-                .find(|l| l.part.to_string() == part)
+                .find(|l| l.shard.to_string() == part)
                 .and_then(|l| l.holder);
             if let Some((holder, _)) = held {
                 return holder.router[1..].parse::<usize>().expect("r and a number") - 1;
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -13,8 +13,8 @@
 pub const RELEASE_LEASE: &str = "/v1/fleet/give-back";
 /// Waits until the versions differ from those that the caller knows: POST, [`WatchRequest`] to [`VersionNumbers`].
 pub const WATCH: &str = "/v1/fleet/watch";
-/// The holder of a shard's lease stores its progress: POST, [`CheckpointRequest`] to [`CheckpointResult`].
-pub const CHECKPOINT: &str = "/v1/fleet/note";
+/// The holder of a shard's lease stores a note of its progress: POST, [`RecordNoteRequest`] to [`RecordNoteResult`].
+pub const RECORD_NOTE: &str = "/v1/fleet/note";
 /// The leases of shards: GET, `Vec<`[`LeaseStatus`]`>`.
 pub const LEASES: &str = "/v1/fleet/leases";
 /// The state of the cluster as one replica sees it: GET, [`ClusterStatus`].
@@ -59,36 +59,37 @@
     pub offer: Option<LeaseOffer>,
 }
 
-/// The request of [`CHECKPOINT`].
+/// The request of [`RECORD_NOTE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CheckpointRequest {
+pub struct RecordNoteRequest {
     /// The holder of the lease.
     pub holder: Holder,
     /// The shard.
-    pub part: Shard,
+    #[serde(rename = "part")]
+    pub shard: Shard,
     /// The fencing token of the lease.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// The progress to be stored.
+    /// The note to be stored.
     pub text: String,
 }
 
-/// The response of [`CHECKPOINT`]: whether the progress was stored, or why not.
-pub type CheckpointResult = Result<(), NoteError>;
+/// The response of [`RECORD_NOTE`]: whether the note was stored, or why not.
+pub type RecordNoteResult = Result<(), NoteError>;
 
 /// The lease of a shard, as one replica knows it: [`LEASES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// The shard.
-    pub part: Shard,
+    #[serde(rename = "part")]
+    pub shard: Shard,
     /// The holder and its fencing token.
     pub holder: Option<(Holder, u64)>,
     /// Time until the lease expires by this replica's clock, in ms.
     pub left_ms: Option<u64>,
-    /// The length of the progress stored, in bytes.
-    #[serde(rename = "note_bytes")]
-    pub checkpoint_bytes: u64,
+    /// The length of the note stored, in bytes.
+    pub note_bytes: u64,
 }
 
 /// The response of [`RENEW_LEASE`].
@@ -98,9 +99,11 @@
     /// The lease is renewed.
     Granted(ConfigLeaseGrant),
     /// The router knows of a version that the cluster never had.
-    Ahead,
+    #[serde(rename = "ahead")]
+    UnknownVersion,
     /// There is no version yet.
-    Empty,
+    #[serde(rename = "empty")]
+    NoVersion,
     /// The limit of routers is reached.
     #[serde(rename = "crowded")]
     TooManyHolders,
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -98,7 +98,7 @@
             let holder: Holder = parse(request)?;
             submit_command(node, Command::ReleaseLease(holder)).await
         }
-        (Method::Post, wire::CHECKPOINT) => store_checkpoint(node, parse(request)?).await,
+        (Method::Post, wire::RECORD_NOTE) => record_note(node, parse(request)?).await,
         (Method::Get, wire::LEASES) => {
             let leases = responses::leases(&node.replica.borrow(), node.clock.now());
             Ok(responses::ok(&leases))
@@ -162,13 +162,13 @@
     submit_command(node, command).await
 }
 
-async fn store_checkpoint(
+async fn record_note(
     node: &Node,
-    request: wire::CheckpointRequest,
+    request: wire::RecordNoteRequest,
 ) -> Result<Response, RequestError> {
     let command = Command::RecordNote {
         holder: request.holder,
-        shard: request.part,
+        shard: request.shard,
         fencing_token: request.fencing_token,
         text: request.text,
     };
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -47,8 +47,8 @@
 fn command_result(answer: CommandResponse) -> HttpResponse {
     match answer {
         CommandResponse::LeaseGranted(granted) => ok(&LeaseRenewalResponse::Granted(granted)),
-        CommandResponse::UnknownVersion => ok(&LeaseRenewalResponse::Ahead),
-        CommandResponse::NoVersion => ok(&LeaseRenewalResponse::Empty),
+        CommandResponse::UnknownVersion => ok(&LeaseRenewalResponse::UnknownVersion),
+        CommandResponse::NoVersion => ok(&LeaseRenewalResponse::NoVersion),
         CommandResponse::TooManyHolders => ok(&LeaseRenewalResponse::TooManyHolders),
         CommandResponse::Proposed(Ok(number)) => ok(&ProposalResponse::Accepted(number)),
         CommandResponse::Proposed(Err(refused)) => ok(&ProposalResponse::Rejected(refused)),
@@ -72,9 +72,9 @@
         left_ms: replica
             .shard_lease_left(now, &posted.shard)
             .map(|left| left / MICROS_PER_MS),
-        part: posted.shard,
+        shard: posted.shard,
         holder: posted.holder,
-        checkpoint_bytes: posted.note.map_or(0, |note| note.len() as u64),
+        note_bytes: posted.note.map_or(0, |note| note.len() as u64),
     };
     let table = replica.config_state().lease_table().updates_since(0);
     table.entries.into_iter().map(status).collect()
--- a/crates/statement-router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -248,7 +248,7 @@
             Ok(other) => {
                 self.unanswered(id);
                 self.say(&match other {
-                    wire::LeaseRenewalResponse::Ahead => {
+                    wire::LeaseRenewalResponse::UnknownVersion => {
                         "keepers don't know a version that this router knows: one went back"
                     }
                     wire::LeaseRenewalResponse::TooManyHolders => {
--- a/crates/statement-router/src/leased.rs
+++ b/crates/statement-router/src/leased.rs
@@ -152,14 +152,14 @@
                 noting.await;
                 continue;
             };
-            let note = wire::CheckpointRequest {
+            let note = wire::RecordNoteRequest {
                 holder: me.clone(),
-                part,
+                shard: part,
                 fencing_token: number,
                 text: text.clone(),
             };
-            let answer: Result<wire::CheckpointResult, CallError> =
-                keepers.call(wire::CHECKPOINT, Some(&note), EACH).await;
+            let answer: Result<wire::RecordNoteResult, CallError> =
+                keepers.call(wire::RECORD_NOTE, Some(&note), EACH).await;
             let mut notes = self.notes.borrow_mut();
             match answer {
                 Ok(Ok(())) => {
