--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -17,7 +17,6 @@
 
 use hoptiller_coordination::fault_injection::{self, Fault};
 use redb::{Database, Durability};
-use serde::{Deserialize, Serialize};
 
 use crate::membership::Membership;
 use crate::state_machine::StateMachine;
@@ -25,46 +24,20 @@
 mod consensus;
 mod error;
 mod file;
+mod identity;
 mod persistent_state;
 
 pub use error::{Corruption, FormatError, StorageError};
 use file::TableWriter;
+use identity::FORMAT_VERSION;
+pub use identity::{DiskIdentity, PeerDisk};
 use persistent_state::{Change, PersistentState};
 
-/// The version of the file's contents.
-const FORMAT_VERSION: u32 = 1;
 /// The name of the file.
 const FILE_NAME: &str = "keeper.redb";
 /// The name of the file until it is complete.
 const TEMPORARY_FILE_NAME: &str = "keeper.redb.new";
 
-/// Whose disk it is.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DiskIdentity {
-    /// The version of the file's contents.
-    #[serde(rename = "form")]
-    pub format: u32,
-    /// The name of the fleet.
-    pub fleet: String,
-    /// The replica.
-    #[serde(rename = "keeper")]
-    pub replica: u64,
-    /// A random id, drawn when the file was created: tells it from another file of the same replica.
-    #[serde(rename = "disk")]
-    pub disk_id: String,
-}
-
-/// What is known of a peer's disk.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerDisk {
-    /// The id of its disk.
-    #[serde(rename = "disk")]
-    pub disk_id: String,
-    /// The number of its durable transactions.
-    #[serde(rename = "step")]
-    pub write_sequence: u64,
-}
-
 /// The storage of a replica, shared between the log and its owner.
 #[derive(Clone)]
 pub struct DiskStorage(Rc<RefCell<Inner>>);
--- a/crates/coordination-server/src/storage/error.rs
+++ b/crates/coordination-server/src/storage/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use super::DiskIdentity;
+use super::identity::DiskIdentity;
 
 /// Why a replica's storage can't be used, or no longer.
 #[derive(Debug, thiserror::Error)]
--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -15,8 +15,8 @@
 use serde::de::DeserializeOwned;
 
 use super::error::{Corruption, FormatError, StorageError};
+use super::identity::{DiskIdentity, FORMAT_VERSION, PeerDisk};
 use super::persistent_state::{Change, PersistentState};
-use super::{DiskIdentity, FORMAT_VERSION, PeerDisk};
 
 /// The first bytes of a database file.
 const MAGIC: [u8; 4] = *b"redb";
