--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use hoptiller_coordination::{Act, Bounds, Document, Follower, Holder, Put};
-use hoptiller_coordination_client::{Clock, Keepers, Secret, wire};
+use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, LeaseTiming, Proposal};
+use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
 use hoptiller_coordination_server::core::Core;
 use hoptiller_coordination_server::disk::Disk;
 use hoptiller_coordination_server::log::Log;
@@ -61,7 +61,7 @@
     let text = json!({ "form": 1, "kinds": { "a": 8 }, "engines": { "max_attempts": attempts },
         "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe", "worth": worth } },
         "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" } });
-    Document::read(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
+    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -154,7 +154,13 @@
             .map(|l| l.carried())
             .sum()
     };
-    let steps = |s: &Stage| s.statuses().iter().map(|s| s.log.0).max().unwrap_or(0);
+    let steps = |s: &Stage| {
+        s.statuses()
+            .iter()
+            .map(|s| s.log.decided)
+            .max()
+            .unwrap_or(0)
+    };
     std::thread::sleep(Duration::from_secs(2));
     let (cores, bytes, decided, began) = (used()?, carried(&stage), steps(&stage), Instant::now());
     std::thread::sleep(Duration::from_secs(args.seconds));
@@ -166,7 +172,8 @@
     for n in 0..args.changes {
         let next = document(1.0, 1 + n % 2)?;
         let began = Instant::now();
-        let Ok(wire::PutAnswer::Taken(number)) = stage.put(&format!("change {n}"), &next) else {
+        let Ok(wire::ProposalResponse::Accepted(number)) = stage.put(&format!("change {n}"), &next)
+        else {
             return Err(io::Error::other("a change was not taken"));
         };
         if !stage.until_heeded(size, number, long) || !stage.until_in_force(number, long) {
@@ -191,41 +198,43 @@
 async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
     let clock = Clock::new();
     let bounds = settings.bounds();
-    let mut follower = Follower::new(
+    let mut follower = ConfigWatcher::new(
         Holder {
             router: name,
-            life: "1".into(),
+            incarnation: "1".into(),
         },
         bounds,
         Vec::new(),
     );
-    let keepers = Keepers::new(settings.keepers.clone(), secret);
-    keepers.begin_with(n);
+    let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
+    keepers.set_preferred(n);
     loop {
-        let (id, act) = follower.ask(clock.now());
-        let Act::Ask {
+        let (id, act) = follower.start_renewal(clock.now());
+        let Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             offer,
         } = act
         else {
             return;
         };
-        let body = wire::Ask {
+        let body = wire::LeaseRenewalRequest {
             holder,
-            heeds,
+            enforced_version: heeds,
             in_force,
             term: bounds.term,
             drift: bounds.drift,
             offer,
         };
         match keepers
-            .call(wire::ASK, Some(&body), Duration::from_millis(700))
+            .call(wire::RENEW_LEASE, Some(&body), Duration::from_millis(700))
             .await
         {
-            Ok(wire::Asked::Granted(granted)) => drop(follower.granted(id, granted)),
-            _ => follower.unanswered(id),
+            Ok(wire::LeaseRenewalResponse::Granted(granted)) => {
+                drop(follower.accept_grant(id, granted))
+            }
+            _ => follower.abandon_renewal(id),
         }
         Timer::after(settings.ask_every).await;
     }
@@ -234,7 +243,7 @@
 /// Keepers in one thread, on disks; then one of them starts.
 fn restart(versions: u64) -> io::Result<()> {
     let dir = folder("disks");
-    let bounds = Bounds {
+    let bounds = LeaseTiming {
         term: PERMIT.as_micros() as u64,
         drift: DRIFT,
     };
@@ -254,23 +263,23 @@
         .map(|n| open(n, 0))
         .collect::<io::Result<Vec<Core>>>()?;
     let (mut put, mut now) = (0, 0);
-    while cores.iter().any(|c| c.fleet().last() < versions) {
+    while cores.iter().any(|c| c.fleet().latest() < versions) {
         now += 10_000;
         // As many as one entry holds, one entry on its way.
-        if put < versions && cores[0].fleet().last() == put {
+        if put < versions && cores[0].fleet().latest() == put {
             for _ in 0..(versions - put).min(512) {
                 put += 1;
                 let document = document((put % 1000) as f64, 3)?;
                 let (change, why) = (put.to_string(), "measured".to_owned());
-                let wanted = Put {
-                    change,
+                let wanted = Proposal {
+                    change_name: change,
                     base: None,
-                    by: "measure".into(),
-                    at: put,
-                    why,
+                    author: "measure".into(),
+                    proposed_at_ms: put,
+                    reason: why,
                     document,
                 };
-                cores[0].call(Act::Put(Box::new(wanted)));
+                cores[0].call(Command::Propose(Box::new(wanted)));
             }
         }
         let mut messages = Vec::new();
@@ -294,7 +303,7 @@
     let began = Instant::now();
     let core = open(1, now)?;
     let took = began.elapsed();
-    if core.fleet().last() != versions {
+    if core.fleet().latest() != versions {
         return Err(io::Error::other("versions are lost"));
     }
     println!(
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -59,7 +59,7 @@
     if tasks {
         text["tasks"] = json!({ "list": 1, "probe": 8 });
     }
-    Document::read(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
+    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
 }
 
 /// Notes when each router knows that one engine drains, and how many it lists.
@@ -129,7 +129,7 @@
         engine.asked = asked.clone();
         engines.push(engine.start()?);
     }
-    let keepers = stage.keepers()?.addresses().to_vec();
+    let keepers = stage.keepers()?.endpoints().to_vec();
     let known: Arc<Mutex<(usize, Vec<Instant>)>> = Arc::default();
     let (own, secret, count) = (known.clone(), dir.join("secret"), args.engines);
     let at = discovery.addr;
--- a/crates/coordination-server/src/reply.rs
+++ b/crates/coordination-server/src/reply.rs
@@ -1,9 +1,10 @@
 //! Owns what calls are answered with: from the state and from what acts came to.
 
-use hoptiller_coordination::lease::Posted;
-use hoptiller_coordination::{Answer, Fleet, Micros};
+use hoptiller_coordination::LeaseTableEntry;
+use hoptiller_coordination::{CommandResponse, ConfigState, Micros};
 use hoptiller_coordination_client::wire::{
-    Asked, HolderStatus, LeaseStatus, Numbers, Problem, PutAnswer, Replaced, Status,
+    ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
+    PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
 };
 use hoptiller_http::Response;
 use serde::Serialize;
@@ -18,8 +19,8 @@
 }
 
 pub(crate) fn problem(status: u16, what: &str) -> Response {
-    let body = serde_json::to_vec(&Problem {
-        problem: what.to_owned(),
+    let body = serde_json::to_vec(&ErrorBody {
+        message: what.to_owned(),
     })
     .unwrap_or_default();
     Response::json(status, body)
@@ -29,70 +30,73 @@
 pub(crate) fn of_told(told: Told) -> Response {
     match told {
         Told::Act(answer) => of_answer(answer),
-        Told::Replaced(Ok(list)) => good(&Replaced { list }),
+        Told::Replaced(Ok(list)) => good(&ReplaceResponse { membership: list }),
         Told::Replaced(Err(why)) => problem(409, &why.to_string()),
     }
 }
 
-fn of_answer(answer: Answer) -> Response {
+fn of_answer(answer: CommandResponse) -> Response {
     match answer {
-        Answer::Granted(granted) => good(&Asked::Granted(granted)),
-        Answer::Ahead => good(&Asked::Ahead),
-        Answer::Empty => good(&Asked::Empty),
-        Answer::Crowded => good(&Asked::Crowded),
-        Answer::Put(Ok(number)) => good(&PutAnswer::Taken(number)),
-        Answer::Put(Err(refused)) => good(&PutAnswer::Refused(refused)),
-        Answer::GivenBack | Answer::Settled(_) => good(&()),
-        Answer::Noted(noted) => good(&noted),
+        CommandResponse::LeaseGranted(granted) => good(&LeaseRenewalResponse::Granted(granted)),
+        CommandResponse::UnknownVersion => good(&LeaseRenewalResponse::Ahead),
+        CommandResponse::NoVersion => good(&LeaseRenewalResponse::Empty),
+        CommandResponse::TooManyHolders => good(&LeaseRenewalResponse::TooManyHolders),
+        CommandResponse::Proposed(Ok(number)) => good(&ProposalResponse::Accepted(number)),
+        CommandResponse::Proposed(Err(refused)) => good(&ProposalResponse::Rejected(refused)),
+        CommandResponse::LeaseReleased | CommandResponse::InForce(_) => good(&()),
+        CommandResponse::NoteRecorded(noted) => good(&noted),
     }
 }
 
-pub(crate) fn numbers(fleet: &Fleet) -> Numbers {
-    Numbers {
+pub(crate) fn numbers(fleet: &ConfigState) -> VersionNumbers {
+    VersionNumbers {
         in_force: fleet.in_force(),
-        last: fleet.last(),
-        board: fleet.leases().upto(),
+        last: fleet.latest(),
+        lease_table: fleet.lease_table().revision(),
     }
 }
 
 /// Who does what for all.
 pub(crate) fn leases(core: &Core, now: Micros) -> Vec<LeaseStatus> {
-    let status = |posted: Posted| LeaseStatus {
+    let status = |posted: LeaseTableEntry| LeaseStatus {
         left_ms: core
-            .left_of_lease(now, &posted.part)
+            .left_of_lease(now, &posted.shard)
             .map(|left| left / 1000),
-        part: posted.part,
+        part: posted.shard,
         holder: posted.holder,
-        note_bytes: posted.note.map_or(0, |n| n.len() as u64),
+        checkpoint_bytes: posted.note.map_or(0, |n| n.len() as u64),
     };
     core.fleet()
-        .leases()
-        .board(0)
-        .posted
+        .lease_table()
+        .updates_since(0)
+        .entries
         .into_iter()
         .map(status)
         .collect()
 }
 
-pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<(u64, Option<u64>)>) -> Status {
+pub(crate) fn status(me: u64, core: &Core, now: Micros, heard: Vec<PeerStatus>) -> ClusterStatus {
     let fleet = core.fleet();
-    let next = fleet.pending().next().map(|v| v.head.number);
+    let next = fleet.pending().next().map(|v| v.metadata.number);
     let holders = fleet.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
-        heeds: held.heeds,
+        enforced_version: held.enforced,
         left_ms: core.left(now, holder).unwrap_or(0) / 1000,
-        holds_up: next.is_some_and(|next| held.heeds < next),
+        blocks_rollout: next.is_some_and(|next| held.enforced < next),
     });
     let (decided, kept) = core.sizes();
-    Status {
-        keeper: me,
+    ClusterStatus {
+        replica: me,
         leader: core.leader(),
-        numbers: numbers(fleet),
-        pending: fleet.pending().map(|v| v.head.clone()).collect(),
+        versions: numbers(fleet),
+        pending: fleet.pending().map(|v| v.metadata.clone()).collect(),
         holders: holders.collect(),
-        list: core.members().number,
-        keepers: core.members().all(),
-        heard_ms_ago: heard,
-        log: (decided as u64, kept as u64),
+        membership: core.members().number,
+        replicas: core.members().all(),
+        peers: heard,
+        log: LogStatus {
+            decided: decided as u64,
+            retained: kept as u64,
+        },
     }
 }
--- a/crates/statement-router/src/agreed.rs
+++ b/crates/statement-router/src/agreed.rs
@@ -9,11 +9,11 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_coordination::fleet::Version;
-use hoptiller_coordination::follower::Verdict;
-use hoptiller_coordination::plant::{self, Plant};
-use hoptiller_coordination::{Act, Document, Follower, Holder, Micros, Part};
-use hoptiller_coordination_client::{Clock, Keepers, Secret, Unreached, wire};
+use hoptiller_coordination::Decision;
+use hoptiller_coordination::Version;
+use hoptiller_coordination::fault_injection::{self, Fault};
+use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, Micros, Shard};
+use hoptiller_coordination_client::{CallError, Clock, CoordinationClient, Secret, wire};
 use hoptiller_fleet_tasks::Duty;
 
 use crate::learnt::{read, write_whole};
@@ -31,9 +31,9 @@
 
 /// A router's part in the agreement.
 pub struct Agreed {
-    follower: RefCell<Follower>,
+    follower: RefCell<ConfigWatcher>,
     clock: Clock,
-    keepers: Keepers,
+    keepers: CoordinationClient,
     settings: AgreementSettings,
     file: Option<PathBuf>,
     /// The rules of the versions heeded can't be used here: nothing is done under them.
@@ -65,13 +65,13 @@
         let known = file.as_deref().map(remembered).unwrap_or_default();
         let me = Holder {
             router: router.to_owned(),
-            life: life.to_owned(),
+            incarnation: life.to_owned(),
         };
-        let keepers = Keepers::new(settings.keepers.clone(), secret);
-        keepers.begin_with(hoptiller_router_core::group_of(router) as usize);
+        let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
+        keepers.set_preferred(hoptiller_router_core::group_of(router) as usize);
         let leased = Leased::new(&settings.bounds(), clock);
         Rc::new(Agreed {
-            follower: RefCell::new(Follower::new(me, settings.bounds(), known)),
+            follower: RefCell::new(ConfigWatcher::new(me, settings.bounds(), known)),
             clock,
             keepers,
             settings,
@@ -85,23 +85,23 @@
     }
 
     /// What may be done with a class now.
-    pub fn verdict(&self, class: &str) -> Verdict {
+    pub fn verdict(&self, class: &str) -> Decision {
         match self.unusable.get() {
-            true => Verdict::Refuse,
-            false => self.follower.borrow().verdict(self.clock.now(), class),
+            true => Decision::Reject,
+            false => self.follower.borrow().decide(self.clock.now(), class),
         }
     }
 
     /// The rules that contradict none of the versions heeded.
     pub fn rules(&self) -> Option<Document> {
-        self.follower.borrow().rules().cloned()
+        self.follower.borrow().merged_document().cloned()
     }
 
     /// Whether a statement that names no class has one.
     pub fn has_default(&self) -> bool {
         self.follower
             .borrow()
-            .rules()
+            .merged_document()
             .is_some_and(|r| r.default_class.is_some())
     }
 
@@ -109,9 +109,9 @@
     pub fn lists(&self, engine: &str, started: u64) -> bool {
         let follower = self.follower.borrow();
         follower
-            .rules()
+            .merged_document()
             .and_then(|r| r.list.as_ref())
-            .is_none_or(|list| list.takes_work(engine, started))
+            .is_none_or(|list| list.accepts_work(engine, started))
     }
 
     /// The rules of the versions heeded can be used here, or not.
@@ -123,15 +123,15 @@
     pub fn standing(&self) -> (bool, u64, u64) {
         let follower = self.follower.borrow();
         (
-            follower.in_doubt(self.clock.now()),
+            follower.is_in_doubt(self.clock.now()),
             follower.in_force(),
-            follower.heeds(),
+            follower.enforced(),
         )
     }
 
     /// Asks for ever; `changed` is called when other rules are to be heeded, before anything is done under them.
     pub async fn run(self: Rc<Self>, changed: impl Fn()) {
-        if self.follower.borrow().rules().is_some() {
+        if self.follower.borrow().merged_document().is_some() {
             changed();
         }
         loop {
@@ -151,7 +151,7 @@
         let told = async {
             match self
                 .keepers
-                .call::<wire::Numbers>(wire::WATCH, Some(&self.watch()), every + EACH)
+                .call::<wire::VersionNumbers>(wire::WATCH, Some(&self.watch()), every + EACH)
                 .await
             {
                 Ok(told) if self.is_news(&told) => {}
@@ -168,18 +168,18 @@
         future::or(wanted, future::or(told, over)).await;
     }
 
-    fn watch(&self) -> wire::Watch {
+    fn watch(&self) -> wire::WatchRequest {
         let (_, in_force, last) = self.standing();
         let wait_ms = self.settings.ask_every.as_millis() as u64;
-        let known = wire::Numbers {
+        let known = wire::VersionNumbers {
             in_force,
             last,
-            board: self.leased.board(),
+            lease_table: self.leased.board(),
         };
-        wire::Watch {
+        wire::WatchRequest {
             known,
             wait_ms,
-            board: self.has_tasks(),
+            watch_leases: self.has_tasks(),
         }
     }
 
@@ -187,12 +187,12 @@
     fn has_tasks(&self) -> bool {
         self.follower
             .borrow()
-            .rules()
+            .merged_document()
             .is_some_and(|r| !r.tasks.is_empty())
     }
 
     /// Whose a part of a task is now.
-    pub fn duty(&self, part: Part) -> Duty {
+    pub fn duty(&self, part: Shard) -> Duty {
         if self.has_tasks() {
             self.leased.duty(part, self.standing().0)
         } else {
@@ -202,7 +202,7 @@
 
     /// Has notes taken, for ever.
     pub async fn keep_noting(self: Rc<Self>) {
-        let me = self.follower.borrow().me().clone();
+        let me = self.follower.borrow().holder().clone();
         self.leased.keep_noting(&me, &self.keepers).await;
     }
 
@@ -211,18 +211,18 @@
         !self.has_tasks() || self.leased.hand_over(self.settings.permit / 2).await
     }
 
-    fn is_news(&self, told: &wire::Numbers) -> bool {
+    fn is_news(&self, told: &wire::VersionNumbers) -> bool {
         let (_, in_force, heeds) = self.standing();
-        let board = self.has_tasks() && told.board > self.leased.board();
+        let board = self.has_tasks() && told.lease_table > self.leased.board();
         told.in_force > in_force || told.last > heeds || board
     }
 
     /// Asks once. Returns whether there was news.
     async fn ask(&self, changed: &impl Fn()) -> bool {
-        let (id, act) = self.follower.borrow_mut().ask(self.clock.now());
-        let Act::Ask {
+        let (id, act) = self.follower.borrow_mut().start_renewal(self.clock.now());
+        let Command::RenewLease {
             holder,
-            heeds,
+            enforced: heeds,
             in_force,
             ..
         } = act
@@ -231,25 +231,29 @@
         };
         let offer = self.has_tasks().then(|| self.leased.offer(id));
         let bounds = self.settings.bounds();
-        let body = wire::Ask {
+        let body = wire::LeaseRenewalRequest {
             holder,
-            heeds,
+            enforced_version: heeds,
             in_force,
             term: bounds.term,
             drift: bounds.drift,
             offer,
         };
-        let answer: Result<wire::Asked, Unreached> =
-            self.keepers.call(wire::ASK, Some(&body), EACH).await;
+        let answer: Result<wire::LeaseRenewalResponse, CallError> = self
+            .keepers
+            .call(wire::RENEW_LEASE, Some(&body), EACH)
+            .await;
         let granted = match answer {
-            Ok(wire::Asked::Granted(granted)) => granted,
+            Ok(wire::LeaseRenewalResponse::Granted(granted)) => granted,
             Ok(other) => {
                 self.unanswered(id);
                 self.say(&match other {
-                    wire::Asked::Ahead => {
+                    wire::LeaseRenewalResponse::Ahead => {
                         "keepers don't know a version that this router knows: one went back"
                     }
-                    wire::Asked::Crowded => "keepers have too many routers already",
+                    wire::LeaseRenewalResponse::TooManyHolders => {
+                        "keepers have too many routers already"
+                    }
                     _ => "keepers have no version yet; put one with `hoptiller settings put`",
                 });
                 return false;
@@ -260,15 +264,15 @@
                 return false;
             }
         };
-        if plant::is(Plant::FromTheAnswer) {
-            self.follower.borrow_mut().count_from(id, self.clock.now());
+        if fault_injection::is_injected(Fault::TermFromResponse) {
+            self.follower.borrow_mut().set_sent_at(id, self.clock.now());
         }
         let (serial, leases, board) = (
             granted.serial,
             granted.leases.clone(),
-            granted.board.clone(),
+            granted.lease_table.clone(),
         );
-        let taken = self.follower.borrow_mut().granted(id, granted);
+        let taken = self.follower.borrow_mut().accept_grant(id, granted);
         match taken {
             Ok(news) => {
                 self.leased
@@ -289,15 +293,17 @@
     }
 
     fn unanswered(&self, id: u64) {
-        self.follower.borrow_mut().unanswered(id);
+        self.follower.borrow_mut().abandon_renewal(id);
         self.leased.unanswered(id);
     }
 
     /// Gives the permit back: nothing more is done under it.
     pub async fn give_back(&self) {
-        let me = self.follower.borrow().me().clone();
-        let given: Result<(), Unreached> =
-            self.keepers.call(wire::GIVE_BACK, Some(&me), EACH).await;
+        let me = self.follower.borrow().holder().clone();
+        let given: Result<(), CallError> = self
+            .keepers
+            .call(wire::RELEASE_LEASE, Some(&me), EACH)
+            .await;
         if let Err(e) = given {
             tracing::warn!(why = %e, "the permit was not given back; it runs out by itself");
         }
@@ -323,7 +329,7 @@
 
     fn write(&self) {
         let Some(file) = &self.file else { return };
-        let body = serde_json::to_vec(self.follower.borrow().course()).unwrap_or_default();
+        let body = serde_json::to_vec(self.follower.borrow().versions()).unwrap_or_default();
         let digest = hoptiller_coordination_client::secret::digest(&body);
         let bytes = [digest.as_bytes(), b"\n", &body].concat();
         if let Err(e) = write_whole(file, &bytes) {
