--- a/crates/policy/tests/common.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,12 +6,12 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: S,
         objective_stretch: 2.0,
         deadline: 5 * S,
-        idempotency: effect,
+        idempotency,
         ordered_by_key: false,
         late_weight_ratio: 0.3,
         priority_weight: 1.0,
@@ -92,26 +92,42 @@
     })
 }
 
+/// An arrival with other fields than those of [`arrival`].
+pub fn arrival_with(event: Event, change: impl FnOnce(&mut Arrival)) -> Event {
+    let Event::Arrival(mut arrival) = event else { unreachable!("an arrival") };
+    change(&mut arrival);
+    Event::Arrival(arrival)
+}
+
 pub fn keyed(id: u64, class: usize, valid_until: Micros, key: u64) -> Event {
-    match arrival(id, class, valid_until) {
-        Event::Arrival(a) => Event::Arrival(Arrival { key: Some(KeyId(key)), ..a }),
-        other => other,
-    }
+    arrival_with(arrival(id, class, valid_until), |a| a.key = Some(KeyId(key)))
 }
 
-pub fn outcome(id: u64, hop: u32, engine: u32, ending: AttemptStatus) -> Event {
+pub fn outcome(id: u64, attempt: u32, engine: u32, status: AttemptStatus) -> Event {
     Event::Outcome(Outcome {
         request: RequestId(id),
-        attempt: hop,
+        attempt,
         engine: EngineId(engine),
-        status: ending,
+        status,
         elapsed: 100 * MS,
-        terminal: ending == AttemptStatus::Succeeded,
+        terminal: status == AttemptStatus::Succeeded,
         work: None,
         report: None,
     })
 }
 
+/// A controller with seed 1.
+pub fn controller(settings: Settings) -> Controller {
+    Controller::new(settings, 1).expect("usable settings")
+}
+
+/// An outcome with other fields than those of [`outcome`].
+pub fn outcome_with(event: Event, change: impl FnOnce(&mut Outcome)) -> Event {
+    let Event::Outcome(mut outcome) = event else { unreachable!("an outcome") };
+    change(&mut outcome);
+    Event::Outcome(outcome)
+}
+
 /// One batch; its actions.
 pub fn step(c: &mut Controller, now: Micros, events: &[Event]) -> Vec<Action> {
     let mut out = Vec::new();
@@ -129,7 +145,7 @@
         .collect()
 }
 
-/// Refused (true) and failed (false) requests.
+/// Rejected (true) and failed (false) requests.
 pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
     actions
         .iter()
--- a/crates/policy/tests/generated.rs
+++ b/crates/policy/tests/generated.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn same_events_same_actions() {
+fn the_same_events_give_the_same_actions() {
     let play = || {
         let mut c = Controller::new(
             settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]),
--- a/crates/policy/tests/holds.rs
+++ b/crates/policy/tests/holds.rs
@@ -1,46 +1,40 @@
-//! Kinds and groups that are held: how many at once, where, and that nobody else waits for it.
+//! Holds on statement kinds and table groups: attempts at once, excluded engines, and that no other request waits.
 
 mod common;
 use common::*;
 use hoptiller_policy::*;
 
-fn controller(classes: Vec<Class>) -> Controller {
+fn with_priorities(classes: Vec<Class>) -> Controller {
     let mut cfg = settings(classes);
     cfg.limits.priorities = true;
-    Controller::new(cfg, 1).expect("usable settings")
+    controller(cfg)
 }
 
 fn of_kind(id: u64, kind: u64) -> Event {
-    match arrival(id, 0, 6 * S) {
-        Event::Arrival(a) => Event::Arrival(Arrival { kind: Some(kind), ..a }),
-        other => other,
-    }
+    arrival_with(arrival(id, 0, 6 * S), |a| a.kind = Some(kind))
 }
 
 fn of_group(id: u64, group: u64) -> Event {
-    match arrival(id, 0, 6 * S) {
-        Event::Arrival(a) => Event::Arrival(Arrival { group: Some(group), ..a }),
-        other => other,
-    }
+    arrival_with(arrival(id, 0, 6 * S), |a| a.group = Some(group))
 }
 
-fn hold(of: HoldTarget, most: u32, closed: &[u32], last: bool) -> Event {
+fn hold(target: HoldTarget, max_in_flight: u32, excluded: &[u32], low_priority: bool) -> Event {
     Event::Hold(Hold {
-        target: of,
-        max_in_flight: most,
-        excluded_engines: closed.iter().map(|e| EngineId(*e)).collect(),
-        low_priority: last,
+        target,
+        max_in_flight,
+        excluded_engines: excluded.iter().map(|e| EngineId(*e)).collect(),
+        low_priority,
     })
 }
 
-const K: HoldTarget = HoldTarget::Kind(7);
+const KIND: HoldTarget = HoldTarget::Kind(7);
 
 #[test]
-fn a_held_kind_runs_one_at_a_time_and_the_rest_of_its_class_goes_on() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn a_held_kind_is_limited_and_the_rest_of_its_class_continues() {
+    let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
     let events = [
         list(ListScope::All, &[1, 2]),
-        hold(K, 1, &[], false),
+        hold(KIND, 1, &[], false),
         of_kind(1, 7),
         of_kind(2, 7),
         of_kind(3, 8),
@@ -57,19 +51,19 @@
 }
 
 #[test]
-fn what_is_out_when_a_hold_begins_counts() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn attempts_in_flight_when_a_hold_begins_count() {
+    let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
     step(&mut c, S, &[list(ListScope::All, &[1, 2]), of_kind(1, 7), of_kind(2, 7)]);
-    let sent = sends(&step(&mut c, S + MS, &[hold(K, 2, &[], false), of_kind(3, 7)]));
+    let sent = sends(&step(&mut c, S + MS, &[hold(KIND, 2, &[], false), of_kind(3, 7)]));
     assert!(sent.is_empty());
-    let sent = sends(&step(&mut c, S + 40 * MS, &[hold(K, 3, &[], false)]));
+    let sent = sends(&step(&mut c, S + 40 * MS, &[hold(KIND, 3, &[], false)]));
     assert_eq!(sent.len(), 1, "it has grown by one");
 }
 
 #[test]
-fn closed_engines_get_none_of_it_and_others_get_all() {
-    for (of, event) in [(K, of_kind as fn(u64, u64) -> Event), (HoldTarget::Group(7), of_group)] {
-        let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn excluded_engines_get_no_held_requests() {
+    for (of, event) in [(KIND, of_kind as fn(u64, u64) -> Event), (HoldTarget::Group(7), of_group)] {
+        let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
         step(&mut c, S, &[list(ListScope::All, &[1, 2, 3]), hold(of, u32::MAX, &[1, 3], false)]);
         for id in 0..6 {
             let sent = sends(&step(&mut c, S + id * MS, &[event(id, 7)]));
@@ -81,33 +75,26 @@
 }
 
 #[test]
-fn a_lifted_hold_lets_all_go_and_one_out_of_time_is_refused() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
-    let begin = [list(ListScope::All, &[1]), hold(K, 0, &[], false), of_kind(1, 7)];
+fn a_lifted_hold_releases_requests_and_expired_ones_are_rejected() {
+    let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
+    let begin = [list(ListScope::All, &[1]), hold(KIND, 0, &[], false), of_kind(1, 7)];
     assert!(sends(&step(&mut c, S, &begin)).is_empty());
     let mut answered = Vec::new();
     for now in (S..6 * S).step_by(20_000) {
         answered.extend(answers(&step(&mut c, now, &[Event::Wakeup])));
     }
     assert_eq!(answered, [(1, true)], "exactly one answer, harmless, while it is held");
-    step(&mut c, 6 * S, &[Event::Arrival(Arrival { valid_until: 12 * S, ..parts(of_kind(2, 7)) })]);
-    let mut sent = sends(&step(&mut c, 7 * S, &[hold(K, u32::MAX, &[], false)]));
+    step(&mut c, 6 * S, &[arrival_with(of_kind(2, 7), |a| a.valid_until = 12 * S)]);
+    let mut sent = sends(&step(&mut c, 7 * S, &[hold(KIND, u32::MAX, &[], false)]));
     sent.extend(sends(&step(&mut c, 7 * S + 20 * MS, &[Event::Wakeup])));
     assert_eq!(sent, [(2, 1)]);
 }
 
-fn parts(event: Event) -> Arrival {
-    match event {
-        Event::Arrival(a) => a,
-        other => panic!("{other:?}"),
-    }
-}
-
 #[test]
-fn what_is_held_back_runs_behind_others_inside_engines() {
+fn a_low_priority_hold_lowers_the_engine_priority() {
     let priorities = |last| {
-        let mut c = controller(vec![class(Idempotency::Idempotent)]);
-        let out = step(&mut c, S, &[list(ListScope::All, &[1]), hold(K, 1, &[], last), of_kind(1, 7)]);
+        let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
+        let out = step(&mut c, S, &[list(ListScope::All, &[1]), hold(KIND, 1, &[], last), of_kind(1, 7)]);
         out.iter()
             .find_map(|a| if let Action::SetOptions { priority, .. } = a { Some(*priority) } else { None })
     };
@@ -115,9 +102,9 @@
 }
 
 #[test]
-fn thousands_of_a_held_kind_cost_little_and_all_are_answered() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
-    step(&mut c, S, &[list(ListScope::All, &[1, 2, 3, 4]), hold(K, 1, &[], false)]);
+fn thousands_of_held_requests_cost_little_and_are_all_answered() {
+    let mut c = with_priorities(vec![class(Idempotency::Idempotent)]);
+    step(&mut c, S, &[list(ListScope::All, &[1, 2, 3, 4]), hold(KIND, 1, &[], false)]);
     let all: Vec<Event> = (0..5000).map(|id| of_kind(id, 7)).collect();
     let mut answered = answers(&step(&mut c, S, &all)).len();
     let mut sent = 0;
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -1,21 +1,20 @@
-//! What many gateways, each of which sees only a part, must get right. No bench, no model of engines.
+//! Behaviour of many gateways that share engines, each of which sees only a part.
 
 mod common;
 use common::*;
 use hoptiller_policy::*;
 
-/// Settings in which an even part of an engine is less than one query.
+/// Settings in which the equal part of an engine's capacity is less than one query.
 fn many(gateways: u32, index: u32) -> Settings {
     Settings { gateways, index, ..settings(vec![class(Idempotency::Idempotent)]) }
 }
 
-fn told(outcome: Event, elapsed: Micros, in_flight: f64) -> Event {
-    let Event::Outcome(o) = outcome else { return outcome };
+fn reported(outcome: Event, elapsed: Micros, in_flight: f64) -> Event {
     let report = Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() });
-    Event::Outcome(Outcome { elapsed, report, ..o })
+    outcome_with(outcome, |o| (o.elapsed, o.report) = (elapsed, report))
 }
 
-/// Serves bursts of ten for a while; every engine tells `in_flight`.
+/// Serves bursts of ten for a while; every engine reports `in_flight`.
 fn serve(c: &mut Controller, first: u64, in_flight: f64) {
     let mut sent = Vec::new();
     for id in first..first + 40 {
@@ -23,26 +22,27 @@
         let burst: Vec<Event> = (0..10).map(|n| arrival(1000 + id * 10 + n, 0, now + S)).collect();
         sent.extend(sends(&step(c, now, &burst)));
         let back =
-            |(id, e): (u64, u32)| told(outcome(id, 0, e, AttemptStatus::Succeeded), 50 * MS, in_flight);
+            |(id, e): (u64, u32)| reported(outcome(id, 0, e, AttemptStatus::Succeeded), 50 * MS, in_flight);
         let back: Vec<Event> = sent.drain(..).map(back).collect();
         sent = sends(&step(c, now + 50 * MS, &back));
     }
-    let back = |(id, e): &(u64, u32)| told(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, in_flight);
+    let back =
+        |(id, e): &(u64, u32)| reported(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, in_flight);
     while !sent.is_empty() {
         sent = sends(&step(c, S + (first + 40) * 100 * MS, &sent.iter().map(back).collect::<Vec<_>>()));
     }
 }
 
 #[test]
-fn full_engines_shrink_the_window_and_room_opens_it() {
+fn the_congestion_window_shrinks_under_load_and_grows_with_free_capacity() {
     let fleet = list(ListScope::All, &(1..30).collect::<Vec<_>>());
     // Before any answer: thrice an even part of 29 engines of 8 threads.
-    let mut c = Controller::new(many(100, 0), 1).expect("usable settings");
+    let mut c = controller(many(100, 0));
     let events: Vec<Event> = (0..100).map(|id| arrival(id, 0, 20 * S)).collect();
     step(&mut c, S, std::slice::from_ref(&fleet));
     assert_eq!(sends(&step(&mut c, S, &events)).len(), 6, "thrice 2.32, whole queries");
     let burst = |in_flight| {
-        let mut c = Controller::new(many(100, 0), 1).expect("usable settings");
+        let mut c = controller(many(100, 0));
         step(&mut c, S, std::slice::from_ref(&fleet));
         serve(&mut c, 0, in_flight);
         let events: Vec<Event> = (500..600).map(|id| arrival(id, 0, 20 * S)).collect();
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn an_engine_that_told_it_is_full_is_left_alone_until_that_fades_or_a_probe_says_otherwise() {
+fn a_full_engine_gets_nothing_until_its_load_decays_or_a_health_check_reports_capacity() {
     let mut cfg = many(100, 0);
     cfg.limits.health_checks = true;
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &[1])]);
     let sent = sends(&step(&mut c, S, &[arrival(1, 0, 9 * S)]));
-    step(&mut c, S + 50 * MS, &[told(outcome(1, 0, sent[0].1, AttemptStatus::Succeeded), 50 * MS, 40.0)]);
+    step(&mut c, S + 50 * MS, &[reported(outcome(1, 0, sent[0].1, AttemptStatus::Succeeded), 50 * MS, 40.0)]);
     let out = step(&mut c, S + 300 * MS, &[arrival(2, 0, 9 * S)]);
     assert_eq!(sends(&out), []);
     assert!(out.contains(&Action::HealthCheck(EngineId(1))), "a waiting request asks: {out:?}");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn among_engines_without_own_queries_the_least_loaded_is_taken() {
+fn the_least_loaded_engine_wins_ties() {
     for seed in 0..8 {
         let mut c = Controller::new(many(100, 0), seed).expect("usable settings");
         step(&mut c, S, &[list(ListScope::All, &[1, 2, 3, 4])]);
@@ -84,12 +84,12 @@
 }
 
 #[test]
-fn queries_of_a_group_gather_and_loads_keep_away() {
+fn queries_of_a_table_group_share_home_engines_and_loads_avoid_them() {
     let mut load = class(Idempotency::Idempotent);
     load.locks_group = true;
     let cfg = Settings { gateways: 100, ..settings(vec![class(Idempotency::Idempotent), load]) };
     let engines: Vec<u32> = (1..=16).collect();
-    let places = |class: usize| {
+    let engines_used = |class: usize| {
         let taken = (0..20).map(|seed| {
             let mut c = Controller::new(cfg.clone(), seed).expect("usable settings");
             step(&mut c, S, &[list(ListScope::All, &engines)]);
@@ -98,13 +98,13 @@
         });
         taken.collect::<std::collections::BTreeSet<u32>>()
     };
-    let (queries, loads) = (places(0), places(1));
+    let (queries, loads) = (engines_used(0), engines_used(1));
     assert!(queries.len() <= 8, "homes are a part of the engines: {queries:?}");
     assert!(queries.is_disjoint(&loads), "{queries:?} {loads:?}");
 }
 
 #[test]
-fn all_gateways_together_keep_the_cold_budget_and_use_it() {
+fn all_gateways_together_keep_and_use_the_slow_start_budget() {
     let gateways = 60;
     let mut fleet: Vec<Controller> = (0..gateways)
         .map(|i| Controller::new(many(gateways, i), u64::from(i)).expect("usable settings"))
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_heavy_class_has_its_turn_at_cold_engines_too_and_the_sum_of_all_keeps_the_budget() {
+fn a_heavy_class_gets_turns_at_warming_engines_within_the_slow_start_budget() {
     let gateways = 60;
     let mut heavy = class(Idempotency::Idempotent);
     heavy.deadline = 12 * S;
@@ -166,8 +166,8 @@
 }
 
 #[test]
-fn a_gateway_in_turn_fills_its_part_of_a_cold_engine_before_it_goes_to_warm_ones() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn a_gateway_uses_its_slow_start_share_before_warm_engines() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let cold = EndpointEntry { ready_at: 20 * S, ..entry(2, 0) };
     step(&mut c, 20 * S, &[Event::EndpointList(ListScope::All, vec![entry(1, 0), cold])]);
     let events: Vec<Event> = (0..5).map(|id| arrival(id, 0, 25 * S)).collect();
@@ -177,11 +177,11 @@
 }
 
 #[test]
-fn dear_probes_are_rare_and_cheap_ones_come_with_each_send() {
+fn health_checks_get_rarer_as_their_cost_grows() {
     let probes = |price: f64| {
         let mut cfg = many(3, 0);
         (cfg.limits.health_checks, cfg.health_check_cost) = (true, price);
-        let mut c = Controller::new(cfg, 1).expect("usable settings");
+        let mut c = controller(cfg);
         step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
         let mut seen = (0, 0);
         for id in 0..160u64 {
@@ -191,7 +191,7 @@
             let sent = sends(&out);
             seen.1 += sent.len();
             let back =
-                |(id, e): &(u64, u32)| told(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, 1.0);
+                |(id, e): &(u64, u32)| reported(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, 1.0);
             step(&mut c, now + 50 * MS, &sent.iter().map(back).collect::<Vec<_>>());
         }
         seen
@@ -206,8 +206,8 @@
 }
 
 #[test]
-fn a_gateway_that_stood_still_blames_no_engine() {
-    let mut c = Controller::new(many(4, 0), 1).expect("usable settings");
+fn a_stalled_gateway_ejects_no_engine() {
+    let mut c = controller(many(4, 0));
     let mut out =
         step(&mut c, S, &[list(ListScope::All, &[1, 2]), arrival(1, 0, 60 * S), arrival(2, 0, 60 * S)]);
     for tick in 1..20u64 {
@@ -222,22 +222,22 @@
 }
 
 #[test]
-fn a_failing_engine_looks_full_however_idle_it_tells_it_is() {
-    let mut c = Controller::new(many(100, 0), 1).expect("usable settings");
+fn a_failing_engine_counts_as_full_whatever_it_reports() {
+    let mut c = controller(many(100, 0));
     step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
     let sent = sends(&step(&mut c, S, &[arrival(1, 0, 9 * S)]));
     let bad = sent[0].1;
     let out =
-        step(&mut c, S + 10 * MS, &[told(outcome(1, 0, bad, AttemptStatus::ErrorResponse), 5 * MS, 0.0)]);
+        step(&mut c, S + 10 * MS, &[reported(outcome(1, 0, bad, AttemptStatus::ErrorResponse), 5 * MS, 0.0)]);
     assert_eq!(sends(&out), [(1, 3 - bad)], "the next try goes elsewhere");
     let events: Vec<Event> = (2..5).map(|id| arrival(id, 0, 9 * S)).collect();
     assert!(sends(&step(&mut c, S + 20 * MS, &events)).iter().all(|s| s.1 != bad));
 }
 
 #[test]
-fn what_never_got_to_an_engine_tells_nothing_of_it() {
+fn an_unsent_attempt_does_not_change_the_engines_load() {
     let after = |ending| {
-        let mut c = Controller::new(many(100, 0), 1).expect("usable settings");
+        let mut c = controller(many(100, 0));
         let sent = sends(&step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 0, 9 * S)]));
         step(
             &mut c,
@@ -251,11 +251,11 @@
 }
 
 #[test]
-fn odd_probes_and_a_leaping_clock_do_no_harm() {
+fn invalid_load_reports_and_clock_jumps_do_no_harm() {
     let mut cfg = many(3, 77);
     cfg.cores = vec![];
     cfg.limits.health_checks = true;
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
     for v in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -3.0, f64::MAX] {
         let report = LoadReport { in_flight: Some(v), memory: Some(v), cpu: Some(v) };
@@ -270,7 +270,8 @@
     }
     step(&mut c, S, &[Event::HealthChecked(EngineId(1), None)]);
     let sent = sends(&step(&mut c, S, &[arrival(7, 0, 6 * S), arrival(8, 0, 6 * S)]));
-    let back = |(id, e): &(u64, u32)| told(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, f64::MAX);
+    let back =
+        |(id, e): &(u64, u32)| reported(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, f64::MAX);
     step(&mut c, S + 50 * MS, &sent.iter().map(back).collect::<Vec<_>>());
     let events: Vec<Event> = (20..40).map(|id| arrival(id, 0, 9 * S)).collect();
     let sent = sends(&step(&mut c, S + 60 * MS, &events));
--- a/crates/policy/tests/notes.rs
+++ b/crates/policy/tests/progress.rs
@@ -1,18 +1,18 @@
-//! Notes of progress and withdrawals: bad plans, lost answers, clients that left.
+//! Progress events and cancellation: slow attempts, lost answers, disconnected clients, memory grants.
 
 mod common;
 use common::*;
 use hoptiller_policy::*;
 
-fn noted(classes: Vec<Class>) -> Settings {
+fn with_progress(classes: Vec<Class>) -> Settings {
     let mut cfg = Settings { progress_interval: S, ..settings(classes) };
     cfg.limits.cancel = true;
     cfg
 }
 
-fn note(id: u64, hop: u32, engine: u32, done: f64) -> Event {
+fn progress(id: u64, attempt: u32, engine: u32, done: f64) -> Event {
     let progress = Progress::Completed(done);
-    Event::Progress { request: RequestId(id), attempt: hop, engine: EngineId(engine), progress }
+    Event::Progress { request: RequestId(id), attempt, engine: EngineId(engine), progress }
 }
 
 fn long() -> Class {
@@ -21,7 +21,7 @@
 
 fn cancels(actions: &[Action]) -> Vec<(u64, u32)> {
     let pick = |a: &Action| match a {
-        Action::Cancel { request, attempt: hop } => Some((request.0, *hop)),
+        Action::Cancel { request, attempt } => Some((request.0, *attempt)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -29,88 +29,88 @@
 
 /// A controller with one request out, and the engine that has it.
 fn running(cfg: Settings) -> (Controller, u32) {
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
     let sent = sends(&step(&mut c, S, &[arrival(1, 0, 26 * S)]));
     (c, sent[0].1)
 }
 
 #[test]
-fn a_bad_plan_is_withdrawn_and_tried_again_once() {
-    let (mut c, e) = running(noted(vec![long()]));
+fn a_slow_attempt_is_cancelled_and_retried_once() {
+    let (mut c, e) = running(with_progress(vec![long()]));
     // Half a second in and a hundredth done: 50 s to go against a usual run of 2.5 s.
-    let out = step(&mut c, 1500 * MS, &[note(1, 0, e, 0.01)]);
+    let out = step(&mut c, 1500 * MS, &[progress(1, 0, e, 0.01)]);
     assert_eq!(
         (cancels(&out), sends(&out)),
         (vec![(1, 0)], vec![]),
         "nothing else goes out before its outcome"
     );
-    assert_eq!(cancels(&step(&mut c, 1600 * MS, &[note(1, 0, e, 0.01)])), [], "withdrawn once");
+    assert_eq!(cancels(&step(&mut c, 1600 * MS, &[progress(1, 0, e, 0.01)])), [], "withdrawn once");
     let out = step(&mut c, 1700 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)]);
     assert_eq!(sends(&out), [(1, 3 - e)]);
     // The second is slow but in time: slow by itself.
-    let out = step(&mut c, 3700 * MS, &[note(1, 1, 3 - e, 0.15)]);
+    let out = step(&mut c, 3700 * MS, &[progress(1, 1, 3 - e, 0.15)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![], vec![]));
     // Past the client's patience: given up and answered at once.
-    let out = step(&mut c, 4700 * MS, &[note(1, 1, 3 - e, 0.05)]);
+    let out = step(&mut c, 4700 * MS, &[progress(1, 1, 3 - e, 0.05)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![(1, 1)], vec![(1, true)]));
 }
 
 #[test]
-fn a_usual_pace_goes_on_and_odd_notes_do_no_harm() {
-    let (mut c, e) = running(noted(vec![long()]));
-    let odd = [f64::NAN, -1.0, 7.0, f64::INFINITY].map(|done| note(1, 0, e, done));
+fn a_usual_pace_continues_and_invalid_progress_does_no_harm() {
+    let (mut c, e) = running(with_progress(vec![long()]));
+    let odd = [f64::NAN, -1.0, 7.0, f64::INFINITY].map(|done| progress(1, 0, e, done));
     assert_eq!(cancels(&step(&mut c, 1400 * MS, &odd)), []);
-    let strangers = [note(9, 0, e, 0.0), note(1, 4, e, 0.0), note(1, 0, 77, 0.0)];
+    let strangers = [progress(9, 0, e, 0.0), progress(1, 4, e, 0.0), progress(1, 0, 77, 0.0)];
     assert_eq!(cancels(&step(&mut c, 1450 * MS, &strangers)), []);
-    assert_eq!(cancels(&step(&mut c, 1500 * MS, &[note(1, 0, e, 0.2), note(1, 0, e, 0.1)])), []);
-    let out = step(&mut c, 1600 * MS, &[outcome(1, 0, e, AttemptStatus::Succeeded), note(1, 0, e, 0.0)]);
+    assert_eq!(cancels(&step(&mut c, 1500 * MS, &[progress(1, 0, e, 0.2), progress(1, 0, e, 0.1)])), []);
+    let out = step(&mut c, 1600 * MS, &[outcome(1, 0, e, AttemptStatus::Succeeded), progress(1, 0, e, 0.0)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![], vec![]), "a note of what is over");
 }
 
 #[test]
-fn an_unsafe_query_is_never_tried_again_for_its_pace() {
-    let (mut c, e) = running(noted(vec![Class { idempotency: Idempotency::NotIdempotent, ..long() }]));
-    let out = step(&mut c, 1500 * MS, &[note(1, 0, e, 0.01)]);
+fn a_non_idempotent_query_is_never_retried_for_its_pace() {
+    let (mut c, e) =
+        running(with_progress(vec![Class { idempotency: Idempotency::NotIdempotent, ..long() }]));
+    let out = step(&mut c, 1500 * MS, &[progress(1, 0, e, 0.01)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![(1, 0)], vec![(1, false)]), "failed, not refused");
     assert_eq!(sends(&step(&mut c, 1700 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)])), []);
 }
 
 #[test]
-fn an_attempt_without_notes_is_gone_and_its_request_tried_again() {
-    let (mut c, e) = running(noted(vec![long()]));
-    assert_eq!(cancels(&step(&mut c, 2 * S, &[note(1, 0, e, 0.5)])), []);
+fn an_attempt_without_progress_events_is_cancelled_and_retried() {
+    let (mut c, e) = running(with_progress(vec![long()]));
+    assert_eq!(cancels(&step(&mut c, 2 * S, &[progress(1, 0, e, 0.5)])), []);
     assert_eq!(cancels(&step(&mut c, 3500 * MS, &[])), [], "the next note is not surely due");
     assert_eq!(cancels(&step(&mut c, 3700 * MS, &[])), [(1, 0)]);
     // Danger: the answer may cross the withdrawal, and ends the request.
     let out = step(&mut c, 3710 * MS, &[outcome(1, 0, e, AttemptStatus::Succeeded)]);
     assert_eq!((sends(&out), answers(&out)), (vec![], vec![]));
-    let mut cfg = noted(vec![long()]);
+    let mut cfg = with_progress(vec![long()]);
     cfg.limits.cancel = false;
     let (mut c, _) = running(cfg);
     assert_eq!(cancels(&step(&mut c, 9 * S, &[])), [], "not where engines heed no cancel");
 }
 
 #[test]
-fn work_of_a_client_that_left_is_withdrawn() {
-    let (mut c, e) = running(noted(vec![long()]));
+fn attempts_of_a_disconnected_client_are_cancelled() {
+    let (mut c, e) = running(with_progress(vec![long()]));
     assert_eq!(cancels(&step(&mut c, 2 * S, &[Event::ClientDisconnected(RequestId(1))])), [(1, 0)]);
     let out = step(&mut c, 2100 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)]);
     assert_eq!((cancels(&out), sends(&out), answers(&out)), (vec![], vec![], vec![]));
 }
 
 /// Lets `n` queries of one gateway among a hundred end late after `elapsed`; how many then go out at once.
-fn after_late(progress_every: Micros, elapsed: Micros, n: u64) -> usize {
-    let mut cfg = Settings { gateways: 100, progress_interval: progress_every, ..settings(vec![long()]) };
+fn sends_after_time_outs(progress_interval: Micros, elapsed: Micros, n: u64) -> usize {
+    let mut cfg = Settings { gateways: 100, progress_interval, ..settings(vec![long()]) };
     cfg.limits.max_attempts = 1;
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &(1..60).collect::<Vec<_>>())]);
     for id in 0..n {
         let now = S + id * 100 * MS;
         let sent = sends(&step(&mut c, now, &[arrival(id, 0, now + 25 * S)]));
-        let late = |s: &(u64, u32)| match outcome(s.0, 0, s.1, AttemptStatus::TimedOut) {
-            Event::Outcome(o) => Event::Outcome(Outcome { elapsed, ..o }),
-            other => other,
+        let late = |s: &(u64, u32)| {
+            outcome_with(outcome(s.0, 0, s.1, AttemptStatus::TimedOut), |o| o.elapsed = elapsed)
         };
         step(&mut c, now + 50 * MS, &sent.iter().map(late).collect::<Vec<_>>());
     }
@@ -119,25 +119,36 @@
 }
 
 #[test]
-fn time_outs_close_the_window_where_notes_come() {
-    assert!(after_late(S, 20 * S, 12) <= 2, "crawling engines are buried: {}", after_late(S, 20 * S, 12));
-    assert!(after_late(0, 20 * S, 12) > 8, "one engine's time-outs close all: {}", after_late(0, 20 * S, 12));
-    assert!(after_late(S, S, 12) > 8, "clients in a hurry close all: {}", after_late(S, S, 12));
+fn time_outs_shrink_the_congestion_window_where_progress_is_reported() {
+    assert!(
+        sends_after_time_outs(S, 20 * S, 12) <= 2,
+        "crawling engines are buried: {}",
+        sends_after_time_outs(S, 20 * S, 12)
+    );
+    assert!(
+        sends_after_time_outs(0, 20 * S, 12) > 8,
+        "one engine's time-outs close all: {}",
+        sends_after_time_outs(0, 20 * S, 12)
+    );
+    assert!(
+        sends_after_time_outs(S, S, 12) > 8,
+        "clients in a hurry close all: {}",
+        sends_after_time_outs(S, S, 12)
+    );
 }
 
 #[test]
-fn a_window_under_one_query_is_kept_by_rests() {
+fn a_congestion_window_under_one_query_pauses_the_class() {
     let quick = class(Idempotency::Idempotent); // Worth as much for less work: it runs ahead, in its own window.
     let wide = Class { threads: 8.0, ..long() };
     let cfg = Settings { gateways: 100, load_reports: false, ..settings(vec![wide, quick]) };
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &(1..60).collect::<Vec<_>>())]);
     for id in 0..20 {
         let now = S + id * 10 * MS;
         let sent = sends(&step(&mut c, now, &[arrival(id, 1, now + 5 * S)]));
-        let slow = |s: &(u64, u32)| match outcome(s.0, 0, s.1, AttemptStatus::Rejected) {
-            Event::Outcome(o) => Event::Outcome(Outcome { terminal: true, ..o }),
-            other => other,
+        let slow = |s: &(u64, u32)| {
+            outcome_with(outcome(s.0, 0, s.1, AttemptStatus::Rejected), |o| o.terminal = true)
         };
         step(&mut c, now + 5 * MS, &sent.iter().map(slow).collect::<Vec<_>>());
     }
@@ -151,10 +162,10 @@
 }
 
 #[test]
-fn full_grants_only_where_they_take_nothing() {
+fn full_memory_grants_only_under_memory_overcommit() {
     let grant = |overcommits| {
         let cfg = Settings { max_grant_mb: 4096.0, memory_overcommit: overcommits, ..settings(vec![long()]) };
-        let mut c = Controller::new(cfg, 1).expect("usable settings");
+        let mut c = controller(cfg);
         let out = step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 0, 26 * S)]);
         out.iter().any(|a| matches!(a, Action::SetOptions { memory_grant_mb: grant, .. } if *grant == 4096.0))
     };
@@ -162,19 +173,19 @@
 }
 
 #[test]
-fn what_spills_at_its_start_is_withdrawn_once_and_granted_what_it_lacked() {
+fn an_early_spill_is_cancelled_once_and_retried_with_the_missing_memory() {
     let start = |cfg: Settings| {
-        let mut c = Controller::new(cfg, 1).expect("usable settings");
+        let mut c = controller(cfg);
         step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
         let Event::Arrival(a) = arrival(1, 0, 26 * S) else { unreachable!("an arrival") };
         let out = step(&mut c, S, &[Event::Arrival(Arrival { estimated_memory_mb: 100.0, ..a })]);
         (c, sends(&out)[0].1, grants(&out))
     };
-    let spills = |hop, engine, mb| {
+    let spills = |attempt, engine, mb| {
         let (request, engine) = (RequestId(1), EngineId(engine));
-        Event::Progress { request, attempt: hop, engine, progress: Progress::Spilling(mb) }
+        Event::Progress { request, attempt, engine, progress: Progress::Spilling(mb) }
     };
-    let cfg = || Settings { max_grant_mb: 4096.0, ..noted(vec![long()]) };
+    let cfg = || Settings { max_grant_mb: 4096.0, ..with_progress(vec![long()]) };
     let (mut c, e, granted) = start(cfg());
     assert_eq!(granted, [120.0], "a fifth over the estimate");
     for odd in [f64::NAN, -5.0, f64::INFINITY] {
@@ -195,9 +206,9 @@
 }
 
 #[test]
-fn spills_raise_the_grants_of_their_class() {
-    let cfg = Settings { max_grant_mb: 4096.0, ..noted(vec![class(Idempotency::NotIdempotent)]) };
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+fn spills_raise_the_memory_grants_of_their_class() {
+    let cfg = Settings { max_grant_mb: 4096.0, ..with_progress(vec![class(Idempotency::NotIdempotent)]) };
+    let mut c = controller(cfg);
     step(&mut c, S, &[list(ListScope::All, &[1])]);
     let mut granted = Vec::new();
     for id in 0..5 {
@@ -224,26 +235,24 @@
 }
 
 #[test]
-fn what_is_slow_by_itself_is_given_up_only_under_pressure() {
+fn a_slow_retry_is_abandoned_only_under_overload() {
     let slow_again = |full: u64| {
-        let mut c = Controller::new(noted(vec![long()]), 1).expect("usable settings");
+        let mut c = controller(with_progress(vec![long()]));
         step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
         // One in each period, which gives a full engine its places back.
         let mut t = S;
         for id in 10..10 + full {
             let sent = sends(&step(&mut c, t, &[arrival(id, 0, t + 25 * S)]));
-            let Event::Outcome(o) = outcome(id, 0, sent[0].1, AttemptStatus::Rejected) else {
-                unreachable!("an outcome")
-            };
-            step(&mut c, t, &[Event::Outcome(Outcome { terminal: true, ..o })]);
+            let rejected = outcome(id, 0, sent[0].1, AttemptStatus::Rejected);
+            step(&mut c, t, &[outcome_with(rejected, |o| o.terminal = true)]);
             t += 2_100 * MS;
             step(&mut c, t, &[]);
         }
         let e = sends(&step(&mut c, t, &[arrival(1, 0, t + 25 * S)]))[0].1;
-        step(&mut c, t + 500 * MS, &[note(1, 0, e, 0.01)]);
+        step(&mut c, t + 500 * MS, &[progress(1, 0, e, 0.01)]);
         let e = sends(&step(&mut c, t + 600 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)]))[0].1;
         // Eight seconds to go, over three runs, and in time.
-        let out = step(&mut c, t + 1600 * MS, &[note(1, 1, e, 0.11)]);
+        let out = step(&mut c, t + 1600 * MS, &[progress(1, 1, e, 0.11)]);
         (cancels(&out), answers(&out))
     };
     assert_eq!(slow_again(0), (vec![], vec![]));
@@ -251,20 +260,20 @@
 }
 
 #[test]
-fn what_waits_for_memory_or_behind_a_load_goes_elsewhere_once_and_is_not_given_up() {
-    let (mut c, e) = running(noted(vec![long()]));
-    assert_eq!(cancels(&step(&mut c, 1500 * MS, &[note(1, 0, e, 0.0)])), [(1, 0)]);
+fn a_blocked_query_is_retried_once_and_not_abandoned() {
+    let (mut c, e) = running(with_progress(vec![long()]));
+    assert_eq!(cancels(&step(&mut c, 1500 * MS, &[progress(1, 0, e, 0.0)])), [(1, 0)]);
     let e = sends(&step(&mut c, 1600 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)]))[0].1;
     // Danger: ten seconds of standing still, then a usual pace, must not read as a bad plan.
     for s in 2..=11 {
-        let out = step(&mut c, s * S, &[note(1, 1, e, 0.0)]);
+        let out = step(&mut c, s * S, &[progress(1, 1, e, 0.0)]);
         assert_eq!((cancels(&out), answers(&out)), (vec![], vec![]), "at {s} s");
     }
-    assert_eq!(cancels(&step(&mut c, 12 * S, &[note(1, 1, e, 0.1)])), []);
+    assert_eq!(cancels(&step(&mut c, 12 * S, &[progress(1, 1, e, 0.1)])), []);
 }
 
 #[test]
-fn an_endless_interval_of_notes_does_no_harm() {
-    let (mut c, _) = running(Settings { progress_interval: Micros::MAX, ..noted(vec![long()]) });
+fn an_endless_progress_interval_does_no_harm() {
+    let (mut c, _) = running(Settings { progress_interval: Micros::MAX, ..with_progress(vec![long()]) });
     assert_eq!(cancels(&step(&mut c, 9 * S, &[])), [], "none is due, and nothing overflows");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,13 +4,9 @@
 use common::*;
 use hoptiller_policy::*;
 
-fn controller(classes: Vec<Class>) -> Controller {
-    Controller::new(settings(classes), 1).expect("usable settings")
-}
-
 #[test]
 fn every_request_is_answered_when_no_engine_is_known() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let mut answered = answers(&step(&mut c, S, &[arrival(1, 0, 6 * S)]));
     for now in (S..6 * S).step_by(20_000) {
         answered.extend(answers(&step(&mut c, now, &[Event::Wakeup])));
@@ -20,15 +16,15 @@
 
 #[test]
 fn a_time_out_at_the_deadline_is_answered_in_the_same_batch() {
-    let mut c = controller(vec![class(Idempotency::NotIdempotent)]);
+    let mut c = controller(settings(vec![class(Idempotency::NotIdempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 0, 6 * S)]);
     let out = step(&mut c, 6 * S + MS, &[outcome(1, 0, 1, AttemptStatus::TimedOut)]);
     assert_eq!(answers(&out), [(1, false)], "it may have run: no refusal");
 }
 
 #[test]
-fn nothing_is_said_of_a_request_its_client_left() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn no_answer_is_sent_to_a_disconnected_client() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let out = step(&mut c, S, &[arrival(1, 0, 6 * S), Event::ClientDisconnected(RequestId(1))]);
     assert!(answers(&out).is_empty());
     let out = step(&mut c, 2 * S, &[list(ListScope::All, &[1])]);
@@ -36,8 +32,8 @@
 }
 
 #[test]
-fn an_unsafe_request_is_repeated_only_with_proof() {
-    let mut c = controller(vec![class(Idempotency::NotIdempotent)]);
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    let mut c = controller(settings(vec![class(Idempotency::NotIdempotent)]));
     let first = step(&mut c, S, &[list(ListScope::All, &[1, 2]), arrival(1, 0, 6 * S)]);
     let engine = sends(&first)[0].1;
     let out = step(&mut c, S + MS, &[outcome(1, 0, engine, AttemptStatus::ConnectFailed)]);
@@ -48,9 +44,9 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group_and_window() {
+fn an_idempotency_key_is_reused_only_in_its_scope_and_window() {
     let keyed_class = class(Idempotency::WithKey { scope: DeduplicationScope::Cell, window: 300 * MS });
-    let mut c = controller(vec![keyed_class]);
+    let mut c = controller(settings(vec![keyed_class]));
     let mut other = entry(2, 0);
     other.cell = 9;
     let fleet = Event::EndpointList(ListScope::All, vec![entry(1, 0), other]);
@@ -66,7 +62,7 @@
 #[test]
 fn draining_removed_and_missing_engines_get_nothing() {
     for gone in [Readiness::Draining, Readiness::Removed] {
-        let mut c = controller(vec![class(Idempotency::Idempotent)]);
+        let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
         let mut e = entry(1, 0);
         e.readiness = gone;
         let news = [
@@ -76,14 +72,14 @@
         ];
         assert!(sends(&step(&mut c, S, &news)).is_empty());
     }
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let news = [list(ListScope::All, &[1]), list(ListScope::All, &[2]), arrival(1, 0, 6 * S)];
     assert_eq!(sends(&step(&mut c, S, &news)), [(1, 2)]);
 }
 
 #[test]
-fn a_cold_engine_gets_its_safe_part_even_in_a_burst() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn slow_start_limits_a_burst() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let mut cold = entry(1, 0);
     cold.ready_at = 20 * S;
     let mut events = vec![Event::EndpointList(ListScope::All, vec![cold])];
@@ -99,8 +95,8 @@
 }
 
 #[test]
-fn a_restart_under_the_same_id_is_cold_again() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn a_restarted_engine_warms_up_again() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let mut again = entry(1, 0);
     again.ready_at = 19 * S;
     let mut events = vec![list(ListScope::All, &[1]), Event::EndpointList(ListScope::Changes, vec![again])];
@@ -109,10 +105,10 @@
 }
 
 #[test]
-fn one_key_runs_one_at_a_time_and_rests_after_a_time_out() {
+fn an_ordering_key_runs_one_request_at_a_time_and_pauses_after_a_time_out() {
     let mut ordered = class(Idempotency::Idempotent);
     ordered.ordered_by_key = true;
-    let mut c = controller(vec![ordered]);
+    let mut c = controller(settings(vec![ordered]));
     let first = [list(ListScope::All, &[1, 2]), keyed(1, 0, 3 * S, 7), keyed(2, 0, 9 * S, 7)];
     let out = step(&mut c, S, &first);
     let (id, engine) = sends(&out)[0];
@@ -129,10 +125,10 @@
 }
 
 #[test]
-fn a_bound_class_waits_rather_than_leave_its_kind() {
+fn a_class_restricted_to_a_kind_waits_for_it() {
     let mut bound = class(Idempotency::Idempotent);
     bound.kinds = Some(vec![1]);
-    let mut c = controller(vec![bound]);
+    let mut c = controller(settings(vec![bound]));
     let out = step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 0, 6 * S)]);
     assert!(sends(&out).is_empty());
     let out = step(&mut c, S + MS, &[Event::EndpointList(ListScope::Changes, vec![entry(2, 1)])]);
@@ -140,10 +136,10 @@
 }
 
 #[test]
-fn further_attempts_keep_to_the_budget() {
+fn retries_keep_to_the_retry_budget() {
     let mut cfg = settings(vec![class(Idempotency::Idempotent)]);
     cfg.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, ratio: 0.0, window: 10 * S });
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     let events = [list(ListScope::All, &[1, 2, 3, 4]), arrival(1, 0, 6 * S), arrival(2, 0, 6 * S)];
     let out = step(&mut c, S, &events);
     let failed: Vec<Event> =
@@ -162,17 +158,17 @@
 }
 
 #[test]
-fn a_first_try_with_a_little_less_patience_is_not_taken_for_a_repeat() {
+fn a_first_try_with_a_shorter_deadline_is_not_taken_for_a_retry() {
     let mut swift = class(Idempotency::Idempotent);
     (swift.late_weight_ratio, swift.deadline) = (0.0, 10 * S);
-    let mut c = controller(vec![swift]);
+    let mut c = controller(settings(vec![swift]));
     let out = step(&mut c, S, &[arrival(1, 0, 11 * S), arrival(2, 0, 10 * S)]);
     assert!(answers(&out).is_empty(), "refused at sight: {out:?}");
 }
 
 #[test]
-fn odd_numbers_do_not_panic_or_poison() {
-    let mut c = controller(vec![class(Idempotency::Idempotent)]);
+fn invalid_numbers_do_not_panic_or_persist() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let mut odd = entry(1, 99);
     odd.ready_at = Micros::MAX;
     let huge = Event::Arrival(Arrival {
@@ -197,20 +193,18 @@
     assert_eq!(sends(&out), [(1, engine)]);
     assert_eq!(answers(&out), [(3, true)], "out of time already: answered at once");
     let report = Some(LoadReport { in_flight: Some(f64::NAN), memory: Some(f64::INFINITY), cpu: Some(-1.0) });
-    let late = match outcome(1, 0, engine, AttemptStatus::TimedOut) {
-        Event::Outcome(o) => Event::Outcome(Outcome { elapsed: Micros::MAX, report, ..o }),
-        other => other,
-    };
+    let timed_out = outcome(1, 0, engine, AttemptStatus::TimedOut);
+    let late = outcome_with(timed_out, |o| (o.elapsed, o.report) = (Micros::MAX, report));
     step(&mut c, 2 * S, &[late, outcome(9, 9, 9, AttemptStatus::Succeeded), list(ListScope::All, &[])]);
     let out = step(&mut c, 3 * S, &[list(ListScope::All, &[4]), arrival(4, 0, 9 * S)]);
     assert!(sends(&out).contains(&(4, 4)));
 }
 
 #[test]
-fn a_refused_subscription_is_asked_for_again() {
+fn a_failed_subscription_is_retried() {
     let mut cfg = settings(vec![class(Idempotency::Idempotent)]);
     cfg.discovery = Discovery::Subscribe;
-    let mut c = Controller::new(cfg, 1).expect("usable settings");
+    let mut c = controller(cfg);
     assert!(step(&mut c, S, &[]).contains(&Action::Subscribe));
     step(&mut c, S + 20 * MS, &[Event::EndpointList(ListScope::Failed, vec![])]);
     let asks =
@@ -219,13 +213,13 @@
 }
 
 #[test]
-fn an_unsafe_request_is_refused_while_it_is_sure_not_to_have_run_rather_than_sent_too_late() {
+fn a_non_idempotent_request_without_time_for_a_run_is_rejected_unsent() {
     for (effect, left, sent) in [
         (Idempotency::NotIdempotent, 90, false),
         (Idempotency::NotIdempotent, 110, true),
         (Idempotency::Idempotent, 90, true),
     ] {
-        let mut c = Controller::new(settings(vec![class(effect)]), 1).expect("usable");
+        let mut c = controller(settings(vec![class(effect)]));
         // The first answer tells how long a run is: 100 ms. Before it, nothing is known, and nothing refused so.
         step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 0, S + 80 * MS)]);
         assert_eq!(
@@ -245,11 +239,11 @@
 }
 
 #[test]
-fn late_work_makes_room_once_clients_can_hardly_send_more() {
+fn late_requests_are_shed_when_open_requests_run_out() {
     let refused_early = |most: usize| {
         let mut cfg = settings(vec![class(Idempotency::Idempotent)]);
         cfg.limits.max_open_requests = most;
-        let mut c = Controller::new(cfg, 1).expect("usable settings");
+        let mut c = controller(cfg);
         // No engine: all wait, and are late within the aim; their clients wait 30 s.
         let news: Vec<Event> = (0..10).map(|id| arrival(id, 0, 31 * S)).collect();
         step(&mut c, S, &news);
@@ -265,8 +259,8 @@
 }
 
 #[test]
-fn a_full_engine_draws_no_more_than_it_holds_until_the_next_period() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn a_rejection_caps_an_engine_until_the_next_control_period() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
     let first: Vec<Event> = (0..8).map(|id| arrival(id, 0, 9 * S)).collect();
     let sent = sends(&step(&mut c, S, &first));
@@ -289,11 +283,11 @@
 }
 
 #[test]
-fn a_repeat_tells_until_when_its_first_byte_may_go_out_and_a_first_attempt_does_not() {
-    let mut c = controller(vec![
+fn a_retry_with_an_idempotency_key_has_a_send_deadline() {
+    let mut c = controller(settings(vec![
         class(Idempotency::WithKey { scope: DeduplicationScope::All, window: 300 * MS }),
         class(Idempotency::Idempotent),
-    ]);
+    ]));
     let by = |out: &[Action]| {
         let sent = out.iter().filter_map(|a| match a {
             Action::Send { send_by, .. } => Some(*send_by),
@@ -319,10 +313,13 @@
 }
 
 #[test]
-fn what_is_given_up_at_the_end_is_refused_only_where_trying_again_is_harmless() {
+fn abandoned_requests_are_rejected_only_where_a_retry_is_harmless() {
     let one_cell = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: S };
-    let mut c =
-        controller(vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent), class(one_cell)]);
+    let mut c = controller(settings(vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::NotIdempotent),
+        class(one_cell),
+    ]));
     let events = [arrival(1, 0, 6 * S), arrival(2, 1, 6 * S), arrival(3, 2, 6 * S)];
     assert_eq!(sends(&step(&mut c, S, &[&[list(ListScope::All, &[1])][..], &events].concat())).len(), 3);
     // Nowhere to go for this one: it has never been sent.
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/scheduling.rs
@@ -1,14 +1,15 @@
-//! The loop, the draw, the places and the health of engines.
+//! PI loop, lottery draw, concurrency limits and health of engines.
 
 mod common;
 use common::*;
 use hoptiller_policy::*;
 
 /// Two classes of 20 clients each, who ask again when served, on one engine; the mean waits once settled.
-fn waits(aims: [Micros; 2]) -> [f64; 2] {
+fn waits(objectives: [Micros; 2]) -> [f64; 2] {
     let mut classes = vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)];
-    for (c, aim) in classes.iter_mut().zip(aims) {
-        (c.latency_objective, c.deadline, c.objective_stretch, c.late_weight_ratio) = (aim, 60 * S, 1.0, 1.0);
+    for (c, objective) in classes.iter_mut().zip(objectives) {
+        (c.latency_objective, c.deadline, c.objective_stretch, c.late_weight_ratio) =
+            (objective, 60 * S, 1.0, 1.0);
     }
     let mut c = Controller::new(settings(classes), 3).expect("usable settings");
     let mut came: Vec<(Micros, usize)> = (0..40).map(|id| (S, id % 2)).collect();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_loop_converges_on_the_ratio_of_the_aims() {
+fn the_pi_loop_converges_on_the_ratio_of_the_latency_objectives() {
     let [a, b] = waits([2 * S, 6 * S]);
     assert!((0.23..0.45).contains(&(a / b)), "waits {a} and {b}, wanted 1 to 3");
     let [a, b] = waits([6 * S, 2 * S]);
@@ -50,17 +51,15 @@
 }
 
 #[test]
-fn an_empty_drawn_queue_yields() {
-    let mut c =
-        Controller::new(settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]), 1)
-            .expect("usable settings");
+fn an_empty_class_queue_yields_its_slots() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]));
     let out = step(&mut c, S, &[list(ListScope::All, &[1]), arrival(1, 1, 6 * S), arrival(2, 1, 6 * S)]);
     assert_eq!(sends(&out).len(), 2);
 }
 
 #[test]
-fn places_are_bounded_per_engine() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn attempts_in_flight_are_limited_per_engine() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     let mut events = vec![list(ListScope::All, &[1])];
     events.extend((0..50).map(|id| arrival(id, 0, 6 * S)));
     // One gateway, four cores, two threads a core.
@@ -68,24 +67,18 @@
 }
 
 #[test]
-fn an_engine_that_others_fill_gets_less() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn load_of_other_gateways_lowers_the_concurrency_limit() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1]), arrival(0, 0, 6 * S)]);
-    let told = |in_flight| match outcome(0, 0, 1, AttemptStatus::Succeeded) {
-        Event::Outcome(o) => Event::Outcome(Outcome {
-            report: Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }),
-            ..o
-        }),
-        other => other,
-    };
-    let mut events = vec![told(4.0)];
+    let report = Some(LoadReport { in_flight: Some(4.0), ..LoadReport::default() });
+    let mut events = vec![outcome_with(outcome(0, 0, 1, AttemptStatus::Succeeded), |o| o.report = report)];
     events.extend((1..50).map(|id| arrival(id, 0, 6 * S)));
     assert_eq!(sends(&step(&mut c, S + 100 * MS, &events)).len(), 5, "8 threads less 3 of others");
 }
 
 #[test]
-fn an_engine_that_fails_fast_is_ejected_and_tried_again() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn a_failing_engine_is_ejected_and_gets_trial_requests() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1, 2, 3])]);
     let (mut to_bad, mut id, mut tries) = ([0, 0], 0, (0, 0));
     for tick in 0..2_500u64 {
@@ -100,7 +93,7 @@
                 .map(|(r, e)| {
                     outcome(
                         *r,
-                        next_hop(*r, &mut tries),
+                        next_attempt_number(*r, &mut tries),
                         *e,
                         if *e == 1 { AttemptStatus::ErrorResponse } else { AttemptStatus::Succeeded },
                     )
@@ -114,7 +107,7 @@
 
 #[test]
 fn a_silent_engine_is_ejected() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1, 2, 3])]);
     let (mut to_silent, mut id) = (0, 0);
     for tick in 0..300u64 {
@@ -133,8 +126,8 @@
 }
 
 #[test]
-fn what_hits_all_engines_ejects_at_most_half() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn a_fault_of_all_engines_ejects_at_most_half() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1, 2, 3, 4])]);
     let (mut late_sends, mut tries) = (0, (0, 0));
     for tick in 0..200u64 {
@@ -145,7 +138,9 @@
             late_sends += usize::from(tick > 100 && !out.is_empty());
             events = out
                 .iter()
-                .map(|(r, e)| outcome(*r, next_hop(*r, &mut tries), *e, AttemptStatus::ErrorResponse))
+                .map(|(r, e)| {
+                    outcome(*r, next_attempt_number(*r, &mut tries), *e, AttemptStatus::ErrorResponse)
+                })
                 .collect();
         }
     }
@@ -153,21 +148,18 @@
 }
 
 /// Attempts are numbered from 0 for each request; `last` holds the request and its next number.
-fn next_hop(request: u64, last: &mut (u64, u32)) -> u32 {
-    let hop = if last.0 == request { last.1 } else { 0 };
-    *last = (request, hop + 1);
-    hop
+fn next_attempt_number(request: u64, last: &mut (u64, u32)) -> u32 {
+    let attempt = if last.0 == request { last.1 } else { 0 };
+    *last = (request, attempt + 1);
+    attempt
 }
 
 #[test]
-fn an_engine_short_of_memory_gets_the_least_part() {
-    let mut c = Controller::new(settings(vec![class(Idempotency::Idempotent)]), 1).expect("usable settings");
+fn an_engine_short_of_memory_gets_the_minimum_concurrency() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1]), arrival(0, 0, 6 * S)]);
     let report = Some(LoadReport { in_flight: Some(1.0), memory: Some(1.5), cpu: None });
-    let told = match outcome(0, 0, 1, AttemptStatus::Succeeded) {
-        Event::Outcome(o) => Event::Outcome(Outcome { report, ..o }),
-        other => other,
-    };
+    let told = outcome_with(outcome(0, 0, 1, AttemptStatus::Succeeded), |o| o.report = report);
     let mut events = vec![told];
     events.extend((1..50).map(|id| arrival(id, 0, 6 * S)));
     // The least part is half the slice of 8 threads.
@@ -175,7 +167,7 @@
 }
 
 #[test]
-fn at_first_both_classes_are_drawn_alike() {
+fn classes_are_drawn_with_equal_odds_at_first() {
     let mut first = [0, 0];
     for seed in 0..400 {
         let cfg = settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
@@ -195,8 +187,7 @@
 fn running_at(cores: f64, waiting: u64) -> Vec<usize> {
     let mut patient = class(Idempotency::Idempotent);
     (patient.latency_objective, patient.deadline) = (500 * S, 900 * S);
-    let mut c = Controller::new(Settings { cores: vec![cores], ..settings(vec![patient]) }, 1)
-        .expect("usable settings");
+    let mut c = controller(Settings { cores: vec![cores], ..settings(vec![patient]) });
     let mut events = vec![list(ListScope::All, &[1])];
     events.extend((0..waiting).map(|id| arrival(id, 0, 900 * S)));
     let (mut next, mut running) = (waiting, Vec::new());
@@ -210,9 +201,8 @@
         running.retain(|(end, id)| {
             let ended = *end <= now + 100 * MS;
             if ended {
-                if let Event::Outcome(o) = outcome(*id, 0, 1, AttemptStatus::Succeeded) {
-                    events.push(Event::Outcome(Outcome { elapsed: run, ..o }));
-                }
+                let served = outcome(*id, 0, 1, AttemptStatus::Succeeded);
+                events.push(outcome_with(served, |o| o.elapsed = run));
                 events.push(arrival(next, 0, 900 * S));
                 next += 1;
             }
@@ -223,7 +213,7 @@
 }
 
 #[test]
-fn a_bound_grows_while_aims_are_met_and_returns_as_latency_grows() {
+fn the_concurrency_limit_grows_while_objectives_are_met_and_backs_off_on_slowdown() {
     let peaks = running_at(4.0, 60);
     let most = |span: std::ops::Range<usize>| peaks[span].iter().copied().max();
     assert!(most(0..10) <= Some(12), "one slice and the calm room: {:?}", most(0..10));
@@ -232,25 +222,23 @@
 }
 
 #[test]
-fn a_wide_engines_bound_grows_as_fast_as_a_narrow_ones() {
+fn the_concurrency_limit_grows_in_proportion_to_the_fair_share() {
     // Eighty threads, and by 24 a period of two seconds.
     let peaks = running_at(40.0, 400);
     assert!(peaks[70] >= 80 + 2 * 24, "{}", peaks[70]);
 }
 
 #[test]
-fn a_request_that_every_engine_rejects_ejects_none_of_them() {
-    let mut c =
-        Controller::new(settings(vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)]), 1)
-            .expect("usable settings");
+fn a_request_that_fails_on_every_engine_ejects_none() {
+    let mut c = controller(settings(vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)]));
     step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
     let (mut now, mut last) = (S, 0);
     for id in 0..6 {
         now += 2 * MS;
         let mut out = sends(&step(&mut c, now, &[arrival(id, 0, now + 5 * S)]));
-        for hop in 0..3 {
+        for attempt in 0..3 {
             last = out.first().expect("sent").1;
-            out = sends(&step(&mut c, now, &[outcome(id, hop, last, AttemptStatus::ErrorResponse)]));
+            out = sends(&step(&mut c, now, &[outcome(id, attempt, last, AttemptStatus::ErrorResponse)]));
         }
     }
     // What must not run twice is not risked on an ejected engine: both are open to it, one after the other.
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Cold engines under the sum of what twenty and thirty routers send, each with its own view: of when the engine started, of
+//! Slow start of an engine under the sum of what twenty and thirty routers send, each with its own view: of when the engine started, of
 //! how many routers there are, of what it sent before it was restarted; and with connections that come up late, so that
 //! attempts of some time begin at once. Calls are counted when they begin.
 
@@ -29,11 +29,11 @@
     restart_at: Option<Micros>,
     events: Vec<Event>,
     next: u64,
-    /// Attempts that are out: when each ends, its request and hop, and what it then tells.
-    out: Vec<(Micros, Event)>,
+    /// Attempts that are out: when each ends, its request and attempt, and what it then tells.
+    in_flight: Vec<(Micros, Event)>,
 }
 
-fn controller(gateways: u32, index: u32, seed: u64) -> Controller {
+fn router_controller(gateways: u32, index: u32, seed: u64) -> Controller {
     let mut cfg =
         Settings { gateways, index, reports_work: true, ..settings(vec![class(Idempotency::Idempotent)]) };
     cfg.rules.slow_start_window = RAMP;
@@ -48,14 +48,14 @@
             // Each believes in a tenth more or fewer routers than there are.
             let believed = (f64::from(routers) * (0.9 + 0.2 * part(&mut rng))).round() as u32;
             Router {
-                c: controller(believed, index, seed ^ u64::from(index)),
+                c: router_controller(believed, index, seed ^ u64::from(index)),
                 told_at: START + (2e6 * part(&mut rng)) as Micros,
                 start: START + (2e5 * part(&mut rng)) as Micros - 100 * MS,
                 // Seven in ten are killed at once, in the ramp.
                 restart_at: (part(&mut rng) < 0.7).then_some(START + 3 * S),
                 events: Vec::new(),
                 next: 0,
-                out: Vec::new(),
+                in_flight: Vec::new(),
             }
         })
         .collect();
@@ -63,12 +63,12 @@
     for tick in 0..(RAMP / TICK) {
         let now = START + tick * TICK;
         // What runs at once shares 4 cores.
-        let crowd = all.iter().map(|r| r.out.len()).sum::<usize>() as f64;
+        let crowd = all.iter().map(|r| r.in_flight.len()).sum::<usize>() as f64;
         for (index, r) in all.iter_mut().enumerate() {
             if r.restart_at.is_some_and(|at| at <= now) {
                 r.restart_at = None;
-                r.c = controller(routers, index as u32, rng.next_u64());
-                (r.out, r.events, r.told_at) = (Vec::new(), Vec::new(), now);
+                r.c = router_controller(routers, index as u32, rng.next_u64());
+                (r.in_flight, r.events, r.told_at) = (Vec::new(), Vec::new(), now);
             }
             if (r.told_at..r.told_at + TICK).contains(&now) {
                 r.events.push(Event::EndpointList(
@@ -81,7 +81,7 @@
                 r.next += 1;
                 r.events.push(arrival(r.next, 0, now + 4 * S));
             }
-            r.out.retain(|(at, event)| {
+            r.in_flight.retain(|(at, event)| {
                 let over = *at <= now;
                 r.events.extend(over.then(|| event.clone()));
                 !over
@@ -93,12 +93,10 @@
                 let at = if late { now / LATE * LATE + LATE } else { now };
                 begun.push(at);
                 let work = (-(1.0 - part(&mut rng)).ln() * WORK) as Micros;
-                let Event::Outcome(o) = outcome(id, 0, engine, AttemptStatus::Succeeded) else {
-                    unreachable!()
-                };
+                let served = outcome(id, 0, engine, AttemptStatus::Succeeded);
                 let elapsed = (work as f64 * (crowd / 4.0).max(1.0)) as Micros;
-                let done = Outcome { elapsed, work: Some(work), ..o };
-                r.out.push((at + elapsed, Event::Outcome(done)));
+                let done = outcome_with(served, |o| (o.elapsed, o.work) = (elapsed, Some(work)));
+                r.in_flight.push((at + elapsed, done));
             }
         }
     }
@@ -113,7 +111,7 @@
 }
 
 #[test]
-fn twenty_and_thirty_routers_together_keep_a_cold_engine_within_chance() {
+fn twenty_and_thirty_routers_together_keep_the_slow_start_budget() {
     for routers in [20, 30] {
         let mut total = 0;
         for seed in 1..=12 {
