--- a/crates/platform-protocol/src/coordinator.rs
+++ b/crates/platform-protocol/src/coordinator.rs
@@ -103,8 +103,8 @@
                 let member = Member {
                     id,
                     addr: m.host_port,
-                    zone: hoptiller_policy_settings::index(zones, &m.locality),
-                    kind: hoptiller_policy_settings::index(kinds, &m.flavor),
+                    zone: hoptiller_policy_settings::position(zones, &m.locality),
+                    kind: hoptiller_policy_settings::position(kinds, &m.flavor),
                     cell: m.cell,
                     phase,
                     started_ms: m.up_since_ms,
--- a/crates/platform-protocol/src/engine.rs
+++ b/crates/platform-protocol/src/engine.rs
@@ -263,7 +263,7 @@
             continue;
         };
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
-        hoptiller_policy_settings::tell(&mut report, name.trim(), value);
+        hoptiller_policy_settings::set_load_value(&mut report, name.trim(), value);
     }
     Some(report)
 }
--- a/crates/platform-router/src/node.rs
+++ b/crates/platform-router/src/node.rs
@@ -144,7 +144,7 @@
         let known = config.known().map_err(StartError::Config)?;
         let s = &config.settings;
         let budget = Budget::of(&config.limits);
-        let mut cfg = hoptiller_policy_settings::settings(s);
+        let mut cfg = s.to_policy();
         // Usual clients hold a third of the descriptors at most, and have one request open on each connection.
         let most = config.limits.sockets / 3;
         cfg.limits.max_open_requests = if cfg.limits.max_open_requests == 0 {
@@ -172,7 +172,7 @@
             answer_margin: ANSWER_MARGIN,
         };
         let time = |ms: f64, least: f64| {
-            Duration::from_micros(hoptiller_policy_settings::micros(ms.max(least)))
+            Duration::from_micros(hoptiller_policy_settings::micros_from_millis(ms.max(least)))
         };
         let connect_within = time(s.limits.connect_timeout, 50.0);
         let manner = Manner {
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -42,7 +42,9 @@
         self.update_outlier_state(outcome);
         self.update_load(attempt.class, outcome);
         self.close_attempt(outcome, attempt.sent_at);
-        self.pause_key(outcome);
+        if outcome.status.may_still_run() {
+            self.pause_key(outcome.request);
+        }
         let Some(request) = self.requests.get(&outcome.request) else { return };
         if outcome.terminal || request.done {
             if outcome.status == AttemptStatus::Succeeded && !request.done {
@@ -55,11 +57,9 @@
     }
 
     /// Pauses the ordering key of an attempt that may still run: the key's next request must not overtake it.
-    fn pause_key(&mut self, outcome: &Outcome) {
-        let key = self.requests.get(&outcome.request).and_then(|request| request.key);
-        if let Some(key) = key.filter(|_| outcome.status.may_still_run())
-            && let Some(queue) = self.key_queues.get_mut(&key)
-        {
+    fn pause_key(&mut self, id: RequestId) {
+        let key = self.requests.get(&id).and_then(|request| request.key);
+        if let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) {
             let pause_end = self.now.saturating_add(self.settings.rules.key_pause);
             queue.paused_until = queue.paused_until.max(pause_end);
         }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -107,14 +107,14 @@
     /// Whether a request may be sent to an engine: every send has passed here.
     fn is_eligible(&self, request: &Request, id: EngineId, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
-        let max_load = self.admission_threshold() + OVERLOAD_MARGIN;
+        let max_load = || self.admission_threshold() + OVERLOAD_MARGIN;
         let healthy = |until| until <= self.now && class.idempotency == Idempotency::Idempotent;
         engine.entry.readiness == Readiness::Up
             && self.is_placement_allowed(request, engine)
             && engine.ejected_until.is_none_or(healthy)
             && engine.own_threads(&self.settings.classes) + class.threads <= self.concurrency_limit(engine)
             && (!self.window_enforced || self.fits_congestion_window(request))
-            && (!self.window_enforced || self.decayed_load(engine) <= max_load)
+            && (!self.window_enforced || self.decayed_load(engine) <= max_load())
             && !request.in_flight.iter().any(|(_, busy)| *busy == id)
             && self.fits_slow_start(request.class, id, engine)
             && self.holds_on(request).all(|hold| hold.has_slot_at(id))
--- a/crates/policy/tests/many_gateways.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -141,7 +141,7 @@
     let cold = |engine| EndpointEntry { ready_at: 20 * S, ..entry(engine, 0) };
     let mut open: Vec<Vec<Event>> =
         vec![vec![Event::EndpointList(ListScope::All, vec![cold(1), cold(2)])]; fleet.len()];
-    // Engine, gateway, time, work: a tenth of a class's patience, before any is taught.
+    // Engine, gateway, time, work: a tenth of a class's deadline, before the first answer.
     let mut sent: Vec<(u32, usize, Micros, f64)> = Vec::new();
     for tick in 0..400u64 {
         let now = 20 * S + tick * 20 * MS;
--- a/crates/policy/tests/progress.rs
+++ b/crates/policy/tests/progress.rs
@@ -51,7 +51,7 @@
     // The second is slow but in time: slow by itself.
     let out = step(&mut c, 3700 * MS, &[progress(1, 1, 3 - e, 0.15)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![], vec![]));
-    // Past the client's patience: given up and answered at once.
+    // Not within the client's deadline: abandoned and answered at once.
     let out = step(&mut c, 4700 * MS, &[progress(1, 1, 3 - e, 0.05)]);
     assert_eq!((cancels(&out), answers(&out)), (vec![(1, 1)], vec![(1, true)]));
 }
@@ -83,7 +83,7 @@
     assert_eq!(cancels(&step(&mut c, 2 * S, &[progress(1, 0, e, 0.5)])), []);
     assert_eq!(cancels(&step(&mut c, 3500 * MS, &[])), [], "the next note is not surely due");
     assert_eq!(cancels(&step(&mut c, 3700 * MS, &[])), [(1, 0)]);
-    // Danger: the answer may cross the withdrawal, and ends the request.
+    // The answer may cross the cancellation, and ends the request.
     let out = step(&mut c, 3710 * MS, &[outcome(1, 0, e, AttemptStatus::Succeeded)]);
     assert_eq!((sends(&out), answers(&out)), (vec![], vec![]));
     let mut cfg = with_progress(vec![long()]);
@@ -239,7 +239,7 @@
     let slow_again = |full: u64| {
         let mut c = controller(with_progress(vec![long()]));
         step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
-        // One in each period, which gives a full engine its places back.
+        // One in each period, which restores the limit of a full engine.
         let mut t = S;
         for id in 10..10 + full {
             let sent = sends(&step(&mut c, t, &[arrival(id, 0, t + 25 * S)]));
@@ -264,7 +264,7 @@
     let (mut c, e) = running(with_progress(vec![long()]));
     assert_eq!(cancels(&step(&mut c, 1500 * MS, &[progress(1, 0, e, 0.0)])), [(1, 0)]);
     let e = sends(&step(&mut c, 1600 * MS, &[outcome(1, 0, e, AttemptStatus::Cancelled)]))[0].1;
-    // Danger: ten seconds of standing still, then a usual pace, must not read as a bad plan.
+    // Ten seconds blocked, then a usual pace, must not count as a slow attempt.
     for s in 2..=11 {
         let out = step(&mut c, s * S, &[progress(1, 1, e, 0.0)]);
         assert_eq!((cancels(&out), answers(&out)), (vec![], vec![]), "at {s} s");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -244,7 +244,7 @@
         let mut cfg = settings(vec![class(Idempotency::Idempotent)]);
         cfg.limits.max_open_requests = most;
         let mut c = controller(cfg);
-        // No engine: all wait, and are late within the aim; their clients wait 30 s.
+        // No engine: all wait, and are late within the objective; their clients wait 30 s.
         let news: Vec<Event> = (0..10).map(|id| arrival(id, 0, 31 * S)).collect();
         step(&mut c, S, &news);
         let mut refused = Vec::new();
@@ -276,7 +276,7 @@
     events.extend((20..23).map(|id| arrival(id, 0, 9 * S)));
     let more = sends(&step(&mut c, S + 20 * MS, &events));
     assert_eq!(more.iter().filter(|s| s.1 == 1).count(), 1, "{more:?}");
-    // The next period brings its places back.
+    // The next control period restores its limit.
     step(&mut c, 4 * S, &[]);
     let later: Vec<Event> = (30..36).map(|id| arrival(id, 0, 9 * S)).collect();
     assert!(sends(&step(&mut c, 4 * S, &later)).iter().filter(|s| s.1 == 1).count() > 1);
--- a/crates/policy/tests/scheduling.rs
+++ b/crates/policy/tests/scheduling.rs
@@ -162,7 +162,7 @@
     let told = outcome_with(outcome(0, 0, 1, AttemptStatus::Succeeded), |o| o.report = report);
     let mut events = vec![told];
     events.extend((1..50).map(|id| arrival(id, 0, 6 * S)));
-    // The least part is half the slice of 8 threads.
+    // The minimum is half the fair share of 8 threads.
     assert_eq!(sends(&step(&mut c, S + 100 * MS, &events)).len(), 4);
 }
 
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -23,7 +23,7 @@
 
 struct Router {
     c: Controller,
-    /// When it is told of the engine, and what it believes of its start.
+    /// When it learns of the engine, and what it believes of its start.
     told_at: Micros,
     start: Micros,
     restart_at: Option<Micros>,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -4,7 +4,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use hoptiller_policy as core;
-use hoptiller_policy_settings::{index, micros, millis, report, settings};
+use hoptiller_policy_settings::{load_report, micros_from_millis, millis_from_micros, position};
 
 use crate::wire;
 
@@ -31,7 +31,7 @@
     /// The reply to one line, or what is wrong with it.
     pub fn reply(&mut self, line: &str) -> Result<String, String> {
         let batch: wire::Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
-        let now = micros(batch.at_time);
+        let now = micros_from_millis(batch.at_time);
         let mut pending: BTreeMap<u64, Vec<core::Event>> = BTreeMap::new();
         let mut actions = Vec::new();
         for event in batch.happened {
@@ -92,7 +92,8 @@
                 }
                 wire::Event::Health(h) => {
                     if self.instances.contains_key(&h.i) {
-                        let told = report(&h.report).filter(|_| h.ending == wire::Ending::Good);
+                        let told =
+                            load_report(&h.report).filter(|_| h.ending == wire::Ending::Good);
                         let event = core::Event::HealthChecked(core::EngineId(h.engine), told);
                         pending.entry(h.i).or_default().push(event);
                     }
@@ -147,7 +148,7 @@
     fn new(hello: &wire::Hello) -> Result<Self, core::SettingsError> {
         let s = &hello.settings;
         Ok(Instance {
-            controller: core::Controller::new(settings(s), hello.salt)?,
+            controller: core::Controller::new(s.to_policy(), hello.salt)?,
             classes: s.lanes.iter().map(|l| l.name.clone()).collect(),
             tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
             zones: s.zones.clone(),
@@ -161,10 +162,10 @@
     fn entry(&self, e: &wire::Entry) -> core::EndpointEntry {
         core::EndpointEntry {
             engine: core::EngineId(e.engine),
-            zone: index(&self.zones, &e.zone),
-            kind: index(&self.kinds, &e.machine),
+            zone: position(&self.zones, &e.zone),
+            kind: position(&self.kinds, &e.machine),
             cell: e.pod,
-            ready_at: micros(e.ready_at),
+            ready_at: micros_from_millis(e.ready_at),
             readiness: match e.readiness {
                 wire::Readiness::Up => core::Readiness::Up,
                 wire::Readiness::Draining => core::Readiness::Draining,
@@ -174,7 +175,7 @@
     }
 
     fn arrival(&mut self, w: &wire::WorkItem) -> Result<core::Arrival, String> {
-        let class = index(&self.classes, &w.profile)
+        let class = position(&self.classes, &w.profile)
             .ok_or_else(|| format!("workItem: unknown `profile` {:?}", w.profile))?;
         let request = core::RequestId(self.handles.len() as u64);
         self.handles.push(w.handle.clone());
@@ -187,10 +188,10 @@
         Ok(core::Arrival {
             request,
             class,
-            tenant: w.team.as_str().and_then(|t| index(&self.tenants, t)),
+            tenant: w.team.as_str().and_then(|t| position(&self.tenants, t)),
             key,
-            valid_until: micros(w.valid_until),
-            estimated_work: w.guess.map(micros),
+            valid_until: micros_from_millis(w.valid_until),
+            estimated_work: w.guess.map(micros_from_millis),
             estimated_memory_mb: w.want_mb,
             group: w.source_set,
             is_retry: w.retry,
@@ -231,10 +232,10 @@
                 wire::Ending::Cxl => core::AttemptStatus::Cancelled,
                 wire::Ending::Nop => core::AttemptStatus::NotSent,
             },
-            elapsed: micros(o.elapsed),
+            elapsed: micros_from_millis(o.elapsed),
             terminal: o.terminal,
             work: (o.stats > 0).then_some(work.saturating_mul(1000)),
-            report: report(&o.report),
+            report: load_report(&o.report),
         })
     }
 
@@ -272,7 +273,7 @@
             } => wire::Action::Busy {
                 i,
                 handle: name(request),
-                hold_off: hold_off.map(millis),
+                hold_off: hold_off.map(millis_from_micros),
             },
             core::Action::Fail(request) => wire::Action::EndFailed {
                 i,
@@ -285,7 +286,7 @@
             core::Action::Timer(after) => wire::Action::NotifyMe {
                 i,
                 reference: 0,
-                after: millis(after),
+                after: millis_from_micros(after),
             },
             core::Action::Subscribe => wire::Action::StreamChanges { i, on: true },
         }
