--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -5,17 +5,19 @@
 use hoptiller_policy_settings::Settings;
 use serde::{Deserialize, Serialize};
 
+/// A line of input: what happened up to a time.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Batch {
-    pub at_time: f64,
-    pub batch: u64,
-    pub happened: Vec<Event>,
+pub(crate) struct Batch {
+    pub(crate) at_time: f64,
+    pub(crate) batch: u64,
+    pub(crate) happened: Vec<Event>,
 }
 
+/// Something that happened.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Event {
+pub(crate) enum Event {
     Hello(Box<Hello>),
     Detach(Only),
     Roster(Roster),
@@ -30,117 +32,128 @@
     Memo(Only),
 }
 
+/// An event that says nothing but its instance.
 #[derive(Deserialize)]
-pub struct Only {
-    pub i: u64,
+pub(crate) struct Only {
+    pub(crate) i: u64,
 }
 
+/// An instance starts.
 #[derive(Deserialize)]
-pub struct Hello {
-    pub i: u64,
+pub(crate) struct Hello {
+    pub(crate) i: u64,
     #[serde(default)]
-    pub salt: u64,
-    pub settings: Settings,
+    pub(crate) salt: u64,
+    pub(crate) settings: Settings,
 }
 
+/// Declares an endpoint list under a number.
 #[derive(Deserialize)]
-pub struct Roster {
-    pub table: u64,
-    pub elements: Vec<Entry>,
+pub(crate) struct Roster {
+    pub(crate) table: u64,
+    pub(crate) elements: Vec<Entry>,
 }
 
+/// One entry of an endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Entry {
-    pub engine: u32,
+pub(crate) struct Entry {
+    pub(crate) engine: u32,
     #[serde(default)]
-    pub zone: String,
+    pub(crate) zone: String,
     #[serde(default)]
-    pub machine: String,
+    pub(crate) machine: String,
     #[serde(default)]
-    pub pod: u64,
+    pub(crate) pod: u64,
     #[serde(default)]
-    pub ready_at: f64,
-    pub readiness: Readiness,
+    pub(crate) ready_at: f64,
+    pub(crate) readiness: Readiness,
 }
 
+/// State of a listed engine.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "camelCase")]
-pub enum Readiness {
+pub(crate) enum Readiness {
     Up,
     Draining,
     Removed,
 }
 
+/// An instance gets a declared endpoint list.
 #[derive(Deserialize)]
-pub struct Sync {
-    pub i: u64,
-    pub scope: Scope,
+pub(crate) struct Sync {
+    pub(crate) i: u64,
+    pub(crate) scope: Scope,
     #[serde(default)]
-    pub table: u64,
+    pub(crate) table: u64,
 }
 
+/// How the list relates to the one known so far.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "camelCase")]
-pub enum Scope {
+pub(crate) enum Scope {
     Changes,
     All,
     Remembered,
     Refused,
 }
 
+/// A request has arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct WorkItem {
-    pub i: u64,
-    pub handle: String,
-    pub profile: String,
+pub(crate) struct WorkItem {
+    pub(crate) i: u64,
+    pub(crate) handle: String,
+    pub(crate) profile: String,
     #[serde(default)]
-    pub team: serde_json::Value,
-    pub table: Option<String>,
-    pub valid_until: f64,
-    pub guess: Option<f64>,
+    pub(crate) team: serde_json::Value,
+    pub(crate) table: Option<String>,
+    pub(crate) valid_until: f64,
+    pub(crate) guess: Option<f64>,
     #[serde(default)]
-    pub want_mb: f64,
-    pub source_set: Option<u64>,
+    pub(crate) want_mb: f64,
+    pub(crate) source_set: Option<u64>,
     #[serde(default)]
-    pub retry: bool,
+    pub(crate) retry: bool,
 }
 
+/// Progress of an attempt in flight.
 #[derive(Deserialize)]
-pub struct Notice {
-    pub i: u64,
-    pub handle: String,
+pub(crate) struct Notice {
+    pub(crate) i: u64,
+    pub(crate) handle: String,
     #[serde(default)]
-    pub hop: u32,
-    pub engine: u32,
+    pub(crate) hop: u32,
+    pub(crate) engine: u32,
     #[serde(default)]
-    pub sort: u32,
+    pub(crate) sort: u32,
     #[serde(default)]
-    pub level: f64,
+    pub(crate) level: f64,
 }
 
+/// An attempt has ended.
 #[derive(Deserialize)]
-pub struct Outcome {
-    pub i: u64,
-    pub handle: String,
+pub(crate) struct Outcome {
+    pub(crate) i: u64,
+    pub(crate) handle: String,
     #[serde(default)]
-    pub hop: u32,
-    pub engine: u32,
-    pub ending: Ending,
+    pub(crate) hop: u32,
+    pub(crate) engine: u32,
+    pub(crate) ending: Ending,
     #[serde(default)]
-    pub elapsed: f64,
+    pub(crate) elapsed: f64,
     #[serde(default)]
-    pub terminal: bool,
+    pub(crate) terminal: bool,
     #[serde(default)]
-    pub stats: u64,
+    pub(crate) stats: u64,
     #[serde(default)]
-    pub report: BTreeMap<String, serde_json::Value>,
+    pub(crate) report: BTreeMap<String, serde_json::Value>,
 }
 
+/// How an attempt or a health check ended.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Ending {
+pub(crate) enum Ending {
     Good,
     Bad,
     Full,
@@ -151,31 +164,35 @@
     Nop,
 }
 
+/// A health check has ended.
 #[derive(Deserialize)]
-pub struct Health {
-    pub i: u64,
-    pub engine: u32,
-    pub ending: Ending,
+pub(crate) struct Health {
+    pub(crate) i: u64,
+    pub(crate) engine: u32,
+    pub(crate) ending: Ending,
     #[serde(default)]
-    pub report: BTreeMap<String, serde_json::Value>,
+    pub(crate) report: BTreeMap<String, serde_json::Value>,
 }
 
+/// The client of a request has disconnected.
 #[derive(Deserialize)]
-pub struct Dropped {
-    pub i: u64,
-    pub handle: String,
+pub(crate) struct Dropped {
+    pub(crate) i: u64,
+    pub(crate) handle: String,
 }
 
+/// A line of output: what to do.
 #[derive(Serialize)]
-pub struct Reply {
-    pub batch: u64,
+pub(crate) struct Reply {
+    pub(crate) batch: u64,
     #[serde(rename = "do")]
-    pub actions: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
 }
 
+/// Something that the simulator is to do.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase", rename_all_fields = "camelCase")]
-pub enum Action {
+pub(crate) enum Action {
     HandOff {
         i: u64,
         handle: String,
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_everything() {
+fn a_restart_in_one_batch_discards_all_requests() {
     let lines = batch(1, 1000, &format!("{},{}", start(3), work(3, "rq_a")))
         + &batch(2, 2000, &format!(r#"{{"detach":{{"i":3}}}},{}"#, hello(3)))
         + &batch(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_instance_acts_alike_alone_and_beside_others() {
+fn instances_are_independent_of_each_other() {
     let own = |text: &[u8]| {
         String::from_utf8_lossy(text)
             .split("{\"")
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn malformed_lines_end_it_with_a_plain_message() {
+fn malformed_lines_end_the_program_with_a_message() {
     for (bad, named) in [
         ("no json", "line 2"),
         (r#"{"batch":2,"happened":[]}"#, "atTime"),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn probes_go_out_and_their_results_come_in() {
+fn health_checks_are_requested_and_their_reports_accepted() {
     let hello = hello(3).replace(r#""maxAttempts":2"#, r#""maxAttempts":2,"mayProbe":true"#);
     let blind = play(&batch(
         1,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn notes_reach_the_controller_and_withdrawals_the_wire() {
+fn progress_reaches_the_controller_and_cancellations_the_wire() {
     let hello = hello(3)
         .replace(r#""maxAttempts":2"#, r#""maxAttempts":2,"cancel":true"#)
         .replace(
