--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -28,6 +28,7 @@
 }
 
 /// A pseudo-random number for a pair that is the same at all gateways.
+#[inline]
 pub(crate) fn pair_hash(group: u64, engine: EngineId) -> u64 {
     Pcg64Mcg::seed_from_u64(group << 32 ^ u64::from(engine.0)).next_u64()
 }
