--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -10,8 +10,8 @@
     AttemptStatus, EndpointEntry, EngineId, ListScope, LoadReport, Micros, Progress, Readiness,
 };
 use hoptiller_router_core::{
-    Bounds, Command, Content, Core, Ended, Final, Names, Page, Poll, StatementId, Submission, Work,
-    group_of,
+    AttemptOutcome, Command, Core, CoreLimits, EngineStatement, FinalResponse, PollOutcome,
+    ResponseContent, ResultPage, RouterIdentity, StatementId, Submission, group_of,
 };
 use hoptiller_runaway::{Finding, Holder, News, Proof, Stands, Watch};
 use hoptiller_statement_router::service::ANSWER_MARGIN;
@@ -118,7 +118,7 @@
 
 struct RouterState {
     core: Core,
-    names: Names,
+    names: RouterIdentity,
     round: bool,
     wake: Option<Micros>,
     /// Jobs of attempts that are out.
@@ -157,20 +157,20 @@
         let n = plan.settings.router.of as usize;
         let l = &plan.settings.limits;
         let micros = |d: std::time::Duration| d.as_micros() as Micros;
-        let bounds = Bounds {
-            statements: l.statements,
-            answered: l.answered,
-            keep: micros(l.keep),
+        let bounds = CoreLimits {
+            max_open_statements: l.statements,
+            max_retained_responses: l.answered,
+            retention: micros(l.keep),
             abandon_after: Micros::MAX / 4,
-            held_bytes: l.held_bytes,
-            answer_margin: ANSWER_MARGIN,
+            max_buffered_bytes: l.held_bytes,
+            response_margin: ANSWER_MARGIN,
         };
         let routers = (0..n).map(|index| {
             let mut settings = plan.settings.clone();
             settings.router.index = index as u32;
-            let names = Names {
+            let names = RouterIdentity {
                 router: format!("r{index}"),
-                life: "emulated".into(),
+                incarnation: "emulated".into(),
             };
             let watch = Watch::new(settings.watch());
             let core = Core::new(
@@ -224,7 +224,7 @@
         for router in 0..n {
             world.routers[router]
                 .core
-                .list(START, ListScope::All, entries.clone());
+                .update_endpoints(START, ListScope::All, entries.clone());
             world.settle(router);
         }
         for (at, s) in plan.statements.iter().enumerate() {
@@ -246,7 +246,7 @@
                 let r = &mut self.routers[router];
                 r.round = false;
                 r.wake = r.wake.filter(|at| *at > self.now);
-                r.core.round(self.now);
+                r.core.run_batch(self.now);
                 self.settle(router);
             }
             What::Arrive(router, id, hop, engine) => self.arrive(router, id, hop, engine),
@@ -275,7 +275,7 @@
                 let report = self.report(engine);
                 self.routers[router]
                     .core
-                    .probed(EngineId(engine as u32), report);
+                    .report_health_check(EngineId(engine as u32), report);
                 self.settle(router);
             }
             What::Ask(router, id) => self.ask(router, id),
@@ -290,16 +290,16 @@
         let submission = Submission {
             class: s.class,
             tenant: None,
-            key: None,
+            ordering_key: None,
             group: s.tables.as_deref().map(group_of),
-            guess: None,
-            want_mb: 0.0,
+            estimated_work: None,
+            estimated_memory_mb: 0.0,
             fingerprint: s.fingerprint,
             label: format!("kind {}", s.fingerprint).into(),
             announced: s.announced,
-            repeat: false,
-            patience: None,
-            work: Rc::new(Work {
+            is_retry: false,
+            timeout: None,
+            work: Rc::new(EngineStatement {
                 text: at.to_string(),
                 fields: Vec::new(),
             }),
@@ -323,7 +323,7 @@
             let Some(page) = r.pages.get(&id).copied() else {
                 return;
             };
-            let Poll::Answer(answer) = r.core.poll(self.now, id, page) else {
+            let PollOutcome::Response(answer) = r.core.poll(self.now, id, page) else {
                 break;
             };
             r.pages.insert(id, page + 1);
@@ -332,8 +332,12 @@
             }
             r.pages.remove(&id);
             let came = match &answer.content {
-                Content::Rows(_) | Content::Final(Final::Served) => Came::Served,
-                Content::Final(Final::Refused { .. } | Final::EndedByRule { .. }) => Came::Refused,
+                ResponseContent::Rows(_) | ResponseContent::Final(FinalResponse::Completed) => {
+                    Came::Served
+                }
+                ResponseContent::Final(
+                    FinalResponse::Rejected { .. } | FinalResponse::TerminatedByRule { .. },
+                ) => Came::Refused,
                 _ => Came::Failed,
             };
             if let Some(at) = self.run.numbers[router].get(&id) {
@@ -348,7 +352,7 @@
 
     /// Carries out what a core wants, and sees to its next round.
     fn settle(&mut self, router: usize) {
-        while let Some(command) = self.routers[router].core.command() {
+        while let Some(command) = self.routers[router].core.next_command() {
             self.command(router, command);
         }
         let r = &mut self.routers[router];
@@ -371,19 +375,22 @@
             Command::Send(a) => {
                 self.routers[router]
                     .terms
-                    .insert((a.id, a.hop), (a.priority, a.grant));
-                self.after(WAY, What::Arrive(router, a.id, a.hop, a.engine.0 as usize));
+                    .insert((a.id, a.number), (a.priority, a.memory_grant_mb));
+                self.after(
+                    WAY,
+                    What::Arrive(router, a.id, a.number, a.engine.0 as usize),
+                );
                 self.after(
-                    a.until.saturating_sub(self.now),
-                    What::Late(router, a.id, a.hop),
+                    a.deadline.saturating_sub(self.now),
+                    What::Late(router, a.id, a.number),
                 );
             }
-            Command::Withdraw { id, hop } => {
+            Command::Cancel { id, attempt: hop } => {
                 self.take_off(router, id, hop);
                 self.end(router, id, hop, AttemptStatus::Cancelled, "withdrawn", None);
             }
-            Command::Release { id, hop } => self.take_off(router, id, hop),
-            Command::Kill { id, hop } => {
+            Command::Release { id, attempt: hop } => self.take_off(router, id, hop),
+            Command::Kill { id, attempt: hop } => {
                 let Some((engine, job)) = self.routers[router].out.remove(&(id, hop)) else {
                     return;
                 };
@@ -396,20 +403,32 @@
                 self.wake(engine);
                 if killed {
                     let core = &mut self.routers[router].core;
-                    core.killed(self.now, id, hop, Proof::RolledBack, "by rule".into());
+                    core.finish_killed_attempt(
+                        self.now,
+                        id,
+                        hop,
+                        Proof::RolledBack,
+                        "by rule".into(),
+                    );
                 }
             }
-            Command::Pause { id, hop, paused } => {
+            Command::Pause {
+                id,
+                attempt: hop,
+                paused,
+            } => {
                 if let Some((engine, job)) = self.routers[router].out.get(&(id, hop)).copied() {
                     self.advance(engine);
                     self.engines[engine].model.pause(self.now, job, paused);
                     self.wake(engine);
                 }
             }
-            Command::Probe(engine) => self.after(2 * WAY, What::Probe(router, engine.0 as usize)),
-            Command::Wake(id) => self.after(WAY, What::Ask(router, id)),
-            Command::Found(finding) => self.run.findings.push((router, self.now, *finding)),
-            Command::Fetch { .. } | Command::AskDiscovery | Command::Settled { .. } => {}
+            Command::HealthCheck(engine) => {
+                self.after(2 * WAY, What::Probe(router, engine.0 as usize))
+            }
+            Command::NotifyWaiters(id) => self.after(WAY, What::Ask(router, id)),
+            Command::ReportFinding(finding) => self.run.findings.push((router, self.now, *finding)),
+            Command::Fetch { .. } | Command::RefreshDiscovery | Command::Settled { .. } => {}
         }
     }
 
@@ -444,12 +463,14 @@
         why: &str,
         report: Option<LoadReport>,
     ) {
-        let ended = Ended {
-            ending,
-            why: why.into(),
-            report,
+        let ended = AttemptOutcome {
+            status: ending,
+            reason: why.into(),
+            load_report: report,
         };
-        self.routers[router].core.ended(self.now, id, hop, ended);
+        self.routers[router]
+            .core
+            .finish_attempt(self.now, id, hop, ended);
         self.settle(router);
     }
 
@@ -552,15 +573,15 @@
             let statement = self.run.attempts[held.attempt].statement;
             let work = self.plan.statements[statement].job.work as Micros;
             let work = self.plan.settings.engines.bills.then_some(work);
-            let page = Page {
-                last: true,
-                report,
+            let page = ResultPage {
+                is_last: true,
+                load_report: report,
                 work,
-                ..Page::default()
+                ..ResultPage::default()
             };
             self.routers[held.router]
                 .core
-                .page(self.now, held.id, held.hop, page);
+                .accept_page(self.now, held.id, held.hop, page);
             self.settle(held.router);
         }
         self.wake(engine);
@@ -602,7 +623,7 @@
             model::Stands::Memory => Stands::Memory,
             model::Stands::Paused => Stands::Behind(None),
             model::Stands::Behind(other) => Stands::Behind(e.held.get(&other).map(|h| Holder {
-                name: self.routers[h.router].names.of(h.id),
+                name: self.routers[h.router].names.statement_name(h.id),
                 class: Some(self.plan.statements[self.run.attempts[h.attempt].statement].class),
                 age: e.model.course(other).map(|c| c.ran),
             })),
@@ -621,8 +642,8 @@
             stands,
         };
         let core = &mut self.routers[held.router].core;
-        core.note(held.id, held.hop, progress);
-        core.told(self.now, held.id, held.hop, news);
+        core.report_progress(held.id, held.hop, progress);
+        core.update_attempt_status(self.now, held.id, held.hop, news);
         self.settle(held.router);
     }
 }
--- a/crates/platform-router/src/front.rs
+++ b/crates/platform-router/src/front.rs
@@ -12,8 +12,10 @@
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
 use hoptiller_platform_protocol::call::{self, CallError};
 use hoptiller_platform_protocol::{Call, Names};
-use hoptiller_router_core::rounds::Rounds;
-use hoptiller_router_core::{Content, Final, Poll, StatementId, Submission, Work};
+use hoptiller_router_core::event_loop::EventLoop;
+use hoptiller_router_core::{
+    EngineStatement, FinalResponse, PollOutcome, ResponseContent, StatementId, Submission,
+};
 use hoptiller_runaway::Announced;
 
 use crate::budget::Budget;
@@ -43,7 +45,7 @@
 /// What answers clients: the core at its rounds, the names that clients may use, and what they may take.
 pub struct Front {
     /// The core.
-    pub rounds: Rc<Rounds>,
+    pub rounds: Rc<EventLoop>,
     /// Classes and tenants.
     pub names: Rc<Names>,
     /// How the router's means are divided.
@@ -111,12 +113,12 @@
 impl Drop for Asking {
     fn drop(&mut self) {
         self.front.open_ids.0.borrow_mut().remove(&self.name);
-        self.front.rounds.unlisten(self.id);
+        self.front.rounds.release_listener(self.id);
         if !self.answered {
             tracing::debug!(id = %self.name, "its client left");
             self.front
                 .rounds
-                .with(|core, now| core.cancel(now, self.id));
+                .with_core(|core, now| core.cancel(now, self.id));
         }
     }
 }
@@ -139,16 +141,16 @@
     let submission = Submission {
         class: call.class,
         tenant: call.tenant,
-        key: None,
+        ordering_key: None,
         group: call.group,
-        guess: call.guess,
-        want_mb: call.want_mb,
+        estimated_work: call.guess,
+        estimated_memory_mb: call.want_mb,
         fingerprint: 0,
         label: "".into(),
         announced: Announced::default(),
-        repeat: call.repeat,
-        patience: Some(call.patience),
-        work: Rc::new(Work {
+        is_retry: call.repeat,
+        timeout: Some(call.patience),
+        work: Rc::new(EngineStatement {
             text: call.text,
             fields: std::iter::once(("Trace-Id".into(), call.id))
                 .chain(call.replay_key.map(|key| ("Replay-Key".into(), key)))
@@ -156,7 +158,10 @@
         }),
     };
     front.retries.taken(Instant::now());
-    let Ok(id) = front.rounds.with(|core, now| core.submit(now, submission)) else {
+    let Ok(id) = front
+        .rounds
+        .with_core(|core, now| core.submit(now, submission))
+    else {
         front.open_ids.0.borrow_mut().remove(&name);
         return call::refused(None);
     };
@@ -170,20 +175,20 @@
     loop {
         // The ear is there before the question, so that no news falls between them.
         let news = front.rounds.listen(id);
-        match front.rounds.with(|core, now| core.poll(now, id, page)) {
-            Poll::Wait => news.await,
-            Poll::Answer(answer) => match &answer.content {
-                Content::News => page = answer.page + 1,
-                Content::Rows(rows) => {
+        match front.rounds.with_core(|core, now| core.poll(now, id, page)) {
+            PollOutcome::Pending => news.await,
+            PollOutcome::Response(answer) => match &answer.content {
+                ResponseContent::NoChange => page = answer.page + 1,
+                ResponseContent::Rows(rows) => {
                     asking.answered = true;
                     return call::served(rows.rows.as_deref().map_or("[]", |r| r.get()));
                 }
-                Content::Final(how) => {
+                ResponseContent::Final(how) => {
                     asking.answered = true;
                     return last(how);
                 }
             },
-            Poll::Gone | Poll::Unknown => {
+            PollOutcome::Gone | PollOutcome::Unknown => {
                 asking.answered = true;
                 return call::failed("the request was lost");
             }
@@ -191,11 +196,16 @@
     }
 }
 
-fn last(how: &Final) -> Response {
+fn last(how: &FinalResponse) -> Response {
     match how {
-        Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => {
-            call::refused(*hold_off)
+        FinalResponse::Rejected {
+            retry_after: hold_off,
+            ..
         }
-        other => call::failed(other.why()),
+        | FinalResponse::TerminatedByRule {
+            retry_after: hold_off,
+            ..
+        } => call::refused(*hold_off),
+        other => call::failed(other.reason()),
     }
 }
--- a/crates/platform-router/src/node.rs
+++ b/crates/platform-router/src/node.rs
@@ -16,9 +16,9 @@
 use hoptiller_platform_protocol::engine::Send;
 use hoptiller_platform_protocol::{Config, ConfigError, Names, Phase, Update};
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
-use hoptiller_router_core::rounds::{Carry, Rounds};
+use hoptiller_router_core::event_loop::{CommandExecutor, EventLoop};
 use hoptiller_router_core::{
-    self as core, Attempt, Bounds, Command, Core, Ended, Page, StatementId,
+    self as core, Attempt, AttemptOutcome, Command, Core, CoreLimits, ResultPage, StatementId,
 };
 use serde_json::value::RawValue;
 
@@ -81,7 +81,7 @@
     file: PathBuf,
     name: String,
     listen: SocketAddr,
-    rounds: Rc<Rounds>,
+    rounds: Rc<EventLoop>,
     names: Rc<Names>,
     front: Rc<Front>,
     links: Links,
@@ -162,14 +162,14 @@
                 .collect(),
             tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
         });
-        let bounds = Bounds {
-            statements: budget.open,
-            answered: 0,
-            keep: 0,
+        let bounds = CoreLimits {
+            max_open_statements: budget.open,
+            max_retained_responses: 0,
+            retention: 0,
             // A client is heard when it closes: nobody goes unseen.
             abandon_after: 600_000_000,
-            held_bytes: budget.held,
-            answer_margin: ANSWER_MARGIN,
+            max_buffered_bytes: budget.held,
+            response_margin: ANSWER_MARGIN,
         };
         let time = |ms: f64, least: f64| {
             Duration::from_micros(hoptiller_policy_settings::micros_from_millis(ms.max(least)))
@@ -190,14 +190,14 @@
             .max()
             .unwrap_or(KILL);
         let retries = Rc::new(Retries::new(cfg.rules.retry_budget));
-        let core_names = core::Names {
+        let core_names = core::RouterIdentity {
             router: config.name.clone(),
-            life: config.seed.clone(),
+            incarnation: config.seed.clone(),
         };
         let core = Core::new(cfg, config.seed(), bounds, None, core_names)
             .map_err(StartError::Settings)?;
         let node = Rc::new_cyclic(|me: &Weak<Node>| {
-            let rounds = Rc::new(Rounds::new(core, tick, me.clone()));
+            let rounds = Rc::new(EventLoop::new(core, tick, me.clone()));
             let unix = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
@@ -309,11 +309,14 @@
         self.stop_accepting.notify(usize::MAX);
         Timer::after(LAST_ACCEPTED).await;
         self.gate.close_idle();
-        while self.accepting.get() || self.gate.counts().1 > 0 || self.rounds.core().sizes().0 > 0 {
+        while self.accepting.get()
+            || self.gate.counts().1 > 0
+            || self.rounds.core().usage().open_statements > 0
+        {
             if began.elapsed() >= self.give_up_after {
-                self.with_core(|core, _| core.give_up_all());
+                self.with_core(|core, _| core.abandon_all());
             }
-            let all_answered = self.rounds.core().sizes().0 == 0;
+            let all_answered = self.rounds.core().usage().open_statements == 0;
             if all_answered && began.elapsed() >= self.give_up_after + LEAVE_AFTER {
                 return;
             }
@@ -323,7 +326,7 @@
 
     /// The core, for one call; rounds are rung for behind it.
     fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
-        self.rounds.with(act)
+        self.rounds.with_core(act)
     }
 
     /// Number of the coordinator's last event.
@@ -348,7 +351,8 @@
 
     /// Requests in the table, and ids that are open.
     pub fn requests_known(&self) -> (usize, usize) {
-        let (open, kept, _) = self.rounds.core().sizes();
+        let usage = self.rounds.core().usage();
+        let (open, kept) = (usage.open_statements, usage.retained_statements);
         (open + kept, self.front.open_ids.len())
     }
 
@@ -382,7 +386,7 @@
         };
         let entries: Vec<EndpointEntry> = update.members.iter().map(entry).collect();
         tracing::debug!(number = update.number, ?scope, ?entries, "list");
-        self.with_core(|core, now| core.list(now, scope, entries));
+        self.with_core(|core, now| core.update_endpoints(now, scope, entries));
     }
 
     async fn attempt(self: Rc<Self>, a: Attempt, listing: Listing, token: Rc<CancelToken>) {
@@ -395,51 +399,51 @@
                 priority: a.priority,
                 text: &a.work.text,
             },
-            until: self.rounds.instant(a.until),
+            until: self.rounds.instant(a.deadline),
             send_by: a.send_by.map(|at| self.rounds.instant(at)),
-            further: a.hop > 0,
+            further: a.number > 0,
             token: &token,
             listing,
         };
         let came = self.links.attempt(a.engine, &order).await;
-        self.under_way.borrow_mut().remove(&(a.id, a.hop));
+        self.under_way.borrow_mut().remove(&(a.id, a.number));
         match came {
             Ok(whole) => {
                 tracing::debug!(
                     target: TRACE_TARGET,
                     id = name,
-                    hop = a.hop,
+                    hop = a.number,
                     engine = a.engine.0,
                     work = whole.work,
                     "served"
                 );
                 let rows = RawValue::from_string(whole.rows).ok().map(Rc::from);
                 let (work, report) = (whole.work, whole.report);
-                let page = Page {
+                let page = ResultPage {
                     rows,
-                    last: true,
+                    is_last: true,
                     work,
-                    report,
-                    ..Page::default()
+                    load_report: report,
+                    ..ResultPage::default()
                 };
-                self.with_core(|core, now| core.page(now, a.id, a.hop, page));
+                self.with_core(|core, now| core.accept_page(now, a.id, a.number, page));
             }
             Err(why) => {
                 tracing::debug!(target: TRACE_TARGET,
-                    id = name, hop = a.hop, engine = a.engine.0, %why, "ended");
-                let ended = Ended {
-                    ending: why.ending(),
-                    why: why.to_string(),
-                    report: None,
+                    id = name, hop = a.number, engine = a.engine.0, %why, "ended");
+                let ended = AttemptOutcome {
+                    status: why.ending(),
+                    reason: why.to_string(),
+                    load_report: None,
                 };
-                self.with_core(|core, now| core.ended(now, a.id, a.hop, ended));
+                self.with_core(|core, now| core.finish_attempt(now, a.id, a.number, ended));
             }
         }
     }
 }
 
-impl Carry for Node {
-    fn carry(&self, command: Command) {
+impl CommandExecutor for Node {
+    fn execute(&self, command: Command) {
         let Some(me) = self.me.upgrade() else { return };
         match command {
             Command::Send(attempt) => {
@@ -447,60 +451,60 @@
                 tracing::debug!(
                     target: TRACE_TARGET,
                     id = attempt.work.fields.first().map_or("", |f| f.1.as_str()),
-                    hop = attempt.hop,
+                    hop = attempt.number,
                     engine = attempt.engine.0,
-                    round = me.rounds.spent().0,
-                    believed = me.rounds.core().believed_out(attempt.engine),
+                    round = me.rounds.batch_stats().batches,
+                    believed = me.rounds.core().in_flight_at(attempt.engine),
                     class = attempt.class,
                     priority = attempt.priority,
-                    until = attempt.until,
+                    until = attempt.deadline,
                     "send"
                 );
                 // What takes it back and what the list says are those of the decision, not of its task's first step.
                 let Some(listing) = self.links.listing(attempt.engine) else {
                     let why = Failed::NoEngine;
-                    let ended = Ended {
-                        ending: why.ending(),
-                        why: why.to_string(),
-                        report: None,
+                    let ended = AttemptOutcome {
+                        status: why.ending(),
+                        reason: why.to_string(),
+                        load_report: None,
                     };
-                    return self.rounds.core().ended(
+                    return self.rounds.core().finish_attempt(
                         self.rounds.now(),
                         attempt.id,
-                        attempt.hop,
+                        attempt.number,
                         ended,
                     );
                 };
                 let token = Rc::<CancelToken>::default();
                 self.under_way
                     .borrow_mut()
-                    .insert((attempt.id, attempt.hop), token.clone());
+                    .insert((attempt.id, attempt.number), token.clone());
                 self.ex.spawn(me.attempt(attempt, listing, token));
             }
-            Command::Withdraw { id, hop } => {
+            Command::Cancel { id, attempt: hop } => {
                 if let Some(token) = self.under_way.borrow().get(&(id, hop)) {
                     token.cancel();
                 }
             }
-            Command::Probe(engine) => self.ex.spawn(async move {
+            Command::HealthCheck(engine) => self.ex.spawn(async move {
                 let report = me.links.probe(engine).await;
                 tracing::debug!(engine = engine.0, ?report, "probed");
-                me.with_core(|core, _| core.probed(engine, report));
+                me.with_core(|core, _| core.report_health_check(engine, report));
             }),
-            Command::Wake(id) => self.rounds.wake(id),
+            Command::NotifyWaiters(id) => self.rounds.notify_waiters(id),
             Command::Settled {
                 id,
                 class,
-                how,
-                after,
+                response: how,
+                elapsed: after,
                 attempts,
             } => {
                 tracing::debug!(
                     target: TRACE_TARGET,
                     id,
                     class,
-                    how = how.word(),
-                    why = how.why(),
+                    how = how.label(),
+                    why = how.reason(),
                     after,
                     attempts,
                     "settled"
@@ -515,10 +519,10 @@
             // of itself; runaways are not looked for here.
             Command::Fetch { .. }
             | Command::Release { .. }
-            | Command::AskDiscovery
+            | Command::RefreshDiscovery
             | Command::Kill { .. }
             | Command::Pause { .. }
-            | Command::Found(_) => {}
+            | Command::ReportFinding(_) => {}
         }
     }
 }
--- a/crates/router-core/src/rounds.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use event_listener::{Event as Bell, EventListener};
+use event_listener::{Event, EventListener};
 use futures_lite::future;
 use hoptiller_policy::Micros;
 
@@ -18,36 +18,45 @@
 const CLOCK_START: Micros = 24 * 3_600_000_000;
 
 /// Who carries out what a core orders.
-pub trait Carry {
+pub trait CommandExecutor {
     /// One command.
-    fn carry(&self, command: Command);
+    fn execute(&self, command: Command);
+}
+
+/// How many batches the event loop has run, and for how long.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct BatchStats {
+    /// Batches run so far.
+    pub batches: u64,
+    /// Wall-clock time spent in them.
+    pub busy: Duration,
 }
 
 /// A core that runs.
-pub struct Rounds {
+pub struct EventLoop {
     core: RefCell<Core>,
-    carrier: Weak<dyn Carry>,
+    carrier: Weak<dyn CommandExecutor>,
     /// The longest pause between rounds while there is something to decide.
     tick: Duration,
     started: Instant,
     /// Rung when the core has something for a round.
-    bell: Bell,
-    waiting: RefCell<HashMap<StatementId, Rc<Bell>>>,
-    /// Rounds, and the time they took.
-    spent: Cell<(u64, Duration)>,
+    bell: Event,
+    waiting: RefCell<HashMap<StatementId, Rc<Event>>>,
+    /// EventLoop, and the time they took.
+    stats: Cell<BatchStats>,
 }
 
-impl Rounds {
+impl EventLoop {
     /// Of a core, whose clock starts now, and of who carries out what it orders; once that one is gone, nobody does.
-    pub fn new(core: Core, tick: Duration, carrier: Weak<dyn Carry>) -> Rounds {
-        Rounds {
+    pub fn new(core: Core, tick: Duration, carrier: Weak<dyn CommandExecutor>) -> EventLoop {
+        EventLoop {
             core: RefCell::new(core),
             carrier,
             tick,
             started: Instant::now(),
-            bell: Bell::new(),
+            bell: Event::new(),
             waiting: RefCell::default(),
-            spent: Cell::default(),
+            stats: Cell::default(),
         }
     }
 
@@ -67,7 +76,7 @@
     }
 
     /// The core, for one call; what it orders is carried out, and a round is rung for where it has events.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
+    pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.now();
         let (value, more) = {
             let mut core = self.core();
@@ -87,7 +96,7 @@
     }
 
     /// Nobody may wait for a statement any more: forgets its bell then.
-    pub fn unlisten(&self, id: StatementId) {
+    pub fn release_listener(&self, id: StatementId) {
         let mut waiting = self.waiting.borrow_mut();
         if waiting
             .get(&id)
@@ -98,18 +107,18 @@
     }
 
     /// There is news of a statement.
-    pub fn wake(&self, id: StatementId) {
+    pub fn notify_waiters(&self, id: StatementId) {
         if let Some(bell) = self.waiting.borrow().get(&id) {
             bell.notify(usize::MAX);
         }
     }
 
-    /// Rounds so far, and the time they took.
-    pub fn spent(&self) -> (u64, Duration) {
-        self.spent.get()
+    /// EventLoop so far, and the time they took.
+    pub fn batch_stats(&self) -> BatchStats {
+        self.stats.get()
     }
 
-    /// Rounds for ever: when something has come, and when one is due.
+    /// EventLoop for ever: when something has come, and when one is due.
     pub async fn run(&self) {
         loop {
             let rung = self.bell.listen();
@@ -129,12 +138,15 @@
             }
             let began = Instant::now();
             let now = self.now();
-            self.core().round(now);
+            self.core().run_batch(now);
             self.carry_out();
             let took = began.elapsed();
-            let (n, spent) = self.spent.get();
-            self.spent.set((n + 1, spent + took));
-            // Rounds take a tenth of the thread at most; the tick is the longest pause.
+            let stats = self.stats.get();
+            self.stats.set(BatchStats {
+                batches: stats.batches + 1,
+                busy: stats.busy + took,
+            });
+            // EventLoop take a tenth of the thread at most; the tick is the longest pause.
             Timer::after((took * 9).min(self.tick)).await;
         }
     }
@@ -144,9 +156,9 @@
             return;
         };
         loop {
-            let command = self.core().command();
+            let command = self.core().next_command();
             let Some(command) = command else { break };
-            carrier.carry(command);
+            carrier.execute(command);
         }
     }
 }
--- a/crates/router-core/src/course.rs
+++ b/crates/router-core/src/history.rs
@@ -4,30 +4,30 @@
 
 /// The course of a statement; times are in ms since it came.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct StatementHistory {
     /// Its class, by number.
     pub class: usize,
     /// Where it stands.
     pub state: &'static str,
     /// Why it was refused or failed.
-    pub why: String,
+    pub reason: String,
     /// Up to its end, or to now.
     pub elapsed_ms: u64,
     /// How long its client waits.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// Before its first attempt.
-    pub waited_ms: u64,
+    pub queued_ms: u64,
     /// Answers given out.
-    pub answers: u64,
+    pub responses: u64,
     /// Its attempts.
-    pub attempts: Vec<CourseAttempt>,
+    pub attempts: Vec<AttemptHistory>,
 }
 
 /// One attempt.
 #[derive(Clone, Debug)]
-pub struct CourseAttempt {
+pub struct AttemptHistory {
     /// Which, from 0.
-    pub hop: u32,
+    pub number: u32,
     /// Where.
     pub engine: EngineId,
     /// When it was sent.
@@ -37,13 +37,13 @@
     /// When it ended.
     pub ended_ms: Option<u64>,
     /// How.
-    pub ending: Option<AttemptStatus>,
+    pub status: Option<AttemptStatus>,
     /// What was seen.
-    pub why: String,
+    pub reason: String,
 }
 
 /// A word for an ending.
-pub fn ending_word(ending: AttemptStatus) -> &'static str {
+pub fn status_description(ending: AttemptStatus) -> &'static str {
     match ending {
         AttemptStatus::Succeeded => "served",
         AttemptStatus::ErrorResponse => "engine error; it may have run",
--- a/crates/router-core/src/lib.rs
+++ b/crates/router-core/src/lib.rs
@@ -4,10 +4,10 @@
 //! A statement is *taken* by [`Core::submit`]; from then on it owes exactly one final answer. Its answers are
 //! numbered; each can be asked for again, until the next one is asked for, and is then the same.
 
-mod course;
+pub mod event_loop;
+mod history;
 mod interface;
 mod page;
-pub mod rounds;
 mod runaways;
 mod statement;
 mod table;
@@ -17,9 +17,9 @@
 use hoptiller_policy::{Action, Arrival, Controller, EngineId, Event, KeyId, Micros, RequestId};
 use hoptiller_runaway::{End, Watch};
 
-pub use course::{Course, CourseAttempt, ending_word};
+pub use history::{AttemptHistory, StatementHistory, status_description};
 pub use interface::*;
-pub use page::{Answer, Content, Failure, Final, Page};
+pub use page::{EngineError, FinalResponse, ResponseContent, ResultPage, StatementResponse};
 pub use statement::Place;
 use statement::{Stage, Statement, Watched};
 use table::Table;
@@ -30,8 +30,8 @@
     /// Looks for runaways; `None`: nobody does.
     watch: Option<Watch>,
     fleet: runaways::Fleet,
-    names: Names,
-    bounds: Bounds,
+    names: RouterIdentity,
+    bounds: CoreLimits,
     patience: Vec<Micros>,
     table: Table,
     events: Vec<Event>,
@@ -49,9 +49,9 @@
     pub fn new(
         cfg: hoptiller_policy::Settings,
         seed: u64,
-        bounds: Bounds,
+        bounds: CoreLimits,
         watch: Option<Watch>,
-        names: Names,
+        names: RouterIdentity,
     ) -> Result<Core, hoptiller_policy::SettingsError> {
         Ok(Core {
             fleet: runaways::Fleet::new(&cfg),
@@ -74,15 +74,15 @@
     // ---- clients --------------------------------------------------------------------------------
 
     /// Takes a statement, or turns it away before anything is owed.
-    pub fn submit(&mut self, now: Micros, s: Submission) -> Result<StatementId, Turned> {
+    pub fn submit(&mut self, now: Micros, s: Submission) -> Result<StatementId, SubmitError> {
         if self.ending {
-            return Err(Turned::Ending);
+            return Err(SubmitError::ShuttingDown);
         }
-        if self.table.open() >= self.bounds.statements {
-            return Err(Turned::Full);
+        if self.table.open() >= self.bounds.max_open_statements {
+            return Err(SubmitError::TableFull);
         }
         let longest = self.patience[s.class];
-        let valid_until = now.saturating_add(s.patience.unwrap_or(longest).min(longest));
+        let valid_until = now.saturating_add(s.timeout.unwrap_or(longest).min(longest));
         let group = s.group;
         let watched = self.watch.as_mut().map(|watch| {
             let kind = watch.kind(s.class, s.fingerprint);
@@ -104,66 +104,70 @@
             request: RequestId(id),
             class: s.class,
             tenant: s.tenant,
-            key: s.key.as_deref().map(|k| KeyId(hash(k))),
+            key: s.ordering_key.as_deref().map(|k| KeyId(hash(k))),
             valid_until,
-            estimated_work: s.guess,
-            estimated_memory_mb: s.want_mb,
+            estimated_work: s.estimated_work,
+            estimated_memory_mb: s.estimated_memory_mb,
             group,
-            is_retry: s.repeat,
+            is_retry: s.is_retry,
             kind: held_as,
         }));
         Ok(id)
     }
 
     /// The answer of that number.
-    pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> Poll {
+    pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
         let Some(s) = self.table.get_mut(id) else {
             return if id < self.table.next() {
-                Poll::Gone
+                PollOutcome::Gone
             } else {
-                Poll::Unknown
+                PollOutcome::Unknown
             };
         };
         s.asked = now;
         match s.place_of(page) {
-            Place::Same => Poll::Answer(s.last.clone()),
-            Place::Old => Poll::Gone,
-            Place::Never => Poll::Unknown,
+            Place::Same => PollOutcome::Response(s.last.clone()),
+            Place::Old => PollOutcome::Gone,
+            Place::Never => PollOutcome::Unknown,
             Place::Next if s.has_news() => self.deliver(now, id),
-            Place::Next => Poll::Wait,
+            Place::Next => PollOutcome::Pending,
         }
     }
 
     /// The answer of that number, now, also where there is nothing new.
-    pub fn poll_at_once(&mut self, now: Micros, id: StatementId, page: u64) -> Poll {
+    pub fn poll_now(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
         match self.poll(now, id, page) {
-            Poll::Wait => match self.table.get_mut(id) {
-                Some(s) => Poll::Answer(s.no_news(now)),
-                None => Poll::Gone,
+            PollOutcome::Pending => match self.table.get_mut(id) {
+                Some(s) => PollOutcome::Response(s.no_news(now)),
+                None => PollOutcome::Gone,
             },
             other => other,
         }
     }
 
-    /// Someone waits for news of a statement, or no longer.
-    pub fn waiting(&mut self, now: Micros, id: StatementId, more: bool) {
+    /// A client starts to wait for news of a statement.
+    pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(s) = self.table.get_mut(id) {
             s.asked = now;
-            s.waiters = if more {
-                s.waiters + 1
-            } else {
-                s.waiters.saturating_sub(1)
-            };
+            s.waiters += 1;
+        }
+    }
+
+    /// A client no longer waits for news of a statement.
+    pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
+        if let Some(s) = self.table.get_mut(id) {
+            s.asked = now;
+            s.waiters = s.waiters.saturating_sub(1);
         }
     }
 
     /// The client ends its statement.
     pub fn cancel(&mut self, now: Micros, id: StatementId) {
-        self.leave(now, id, Final::Canceled);
+        self.leave(now, id, FinalResponse::Canceled);
     }
 
     /// Settles a statement that its client has left, and lets go of what is held for it.
-    fn leave(&mut self, now: Micros, id: StatementId, how: Final) {
+    fn leave(&mut self, now: Micros, id: StatementId, how: FinalResponse) {
         let Some(s) = self.table.get_mut(id) else {
             return;
         };
@@ -174,7 +178,8 @@
             Stage::Held { hop, .. } | Stage::Flowing { hop, .. } => {
                 // Its work is done: only the rest of the result is let go.
                 let told = matches!(s.stage, Stage::Flowing { .. });
-                self.commands.push_back(Command::Release { id, hop });
+                self.commands
+                    .push_back(Command::Release { id, attempt: hop });
                 self.watch_ended(now, id, hop, End::Good, None);
                 if !told {
                     self.tell_served(now, id, hop);
@@ -186,12 +191,12 @@
     }
 
     /// What is known of a statement's course.
-    pub fn course(&self, now: Micros, id: StatementId) -> Option<Course> {
+    pub fn history(&self, now: Micros, id: StatementId) -> Option<StatementHistory> {
         self.table.get(id).map(|s| s.course(now))
     }
 
     /// Gives up all that is not answered: the router ends before it could be.
-    pub fn give_up_all(&mut self) {
+    pub fn abandon_all(&mut self) {
         let mut open: Vec<StatementId> = self.table.unsettled().collect();
         open.sort_unstable();
         self.events
@@ -199,7 +204,7 @@
     }
 
     /// Takes nothing new from now on.
-    pub fn end(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.ending = true;
     }
 
@@ -209,12 +214,20 @@
     }
 
     /// Statements that are not answered, answered ones that are kept, and bytes of pages held.
-    pub fn sizes(&self) -> (usize, usize, u64) {
-        (self.table.open(), self.table.kept(), self.held)
+    pub fn usage(&self) -> CoreUsage {
+        CoreUsage {
+            open_statements: self.table.open(),
+            retained_statements: self.table.kept(),
+            buffered_bytes: self.held,
+        }
     }
 
     /// Other rules hold from now on, for what waits too. Classes keep their numbers; further ones come behind.
-    pub fn rules(&mut self, cfg: hoptiller_policy::Settings, watch: hoptiller_runaway::Settings) {
+    pub fn update_settings(
+        &mut self,
+        cfg: hoptiller_policy::Settings,
+        watch: hoptiller_runaway::Settings,
+    ) {
         self.patience = cfg.classes.iter().map(|c| c.deadline).collect();
         self.fleet.rules(&cfg);
         self.watch.iter_mut().for_each(|w| w.rules(watch.clone()));
@@ -224,7 +237,7 @@
     // ---- engines --------------------------------------------------------------------------------
 
     /// News of the engine list.
-    pub fn list(
+    pub fn update_endpoints(
         &mut self,
         now: Micros,
         scope: hoptiller_policy::ListScope,
@@ -235,17 +248,26 @@
     }
 
     /// Attempts that the decisions believe to be out at an engine.
-    pub fn believed_out(&self, engine: EngineId) -> usize {
+    pub fn in_flight_at(&self, engine: EngineId) -> usize {
         self.controller.in_flight_at(engine)
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, engine: EngineId, report: Option<hoptiller_policy::LoadReport>) {
+    pub fn report_health_check(
+        &mut self,
+        engine: EngineId,
+        report: Option<hoptiller_policy::LoadReport>,
+    ) {
         self.events.push(Event::HealthChecked(engine, report));
     }
 
     /// Word on an attempt that runs.
-    pub fn note(&mut self, id: StatementId, hop: u32, progress: hoptiller_policy::Progress) {
+    pub fn report_progress(
+        &mut self,
+        id: StatementId,
+        hop: u32,
+        progress: hoptiller_policy::Progress,
+    ) {
         let Some(engine) = self.table.get(id).and_then(|s| s.engine_of(hop)) else {
             return;
         };
@@ -258,11 +280,12 @@
     }
 
     /// A page of an attempt's result has come.
-    pub fn page(&mut self, now: Micros, id: StatementId, hop: u32, page: Page) {
+    pub fn accept_page(&mut self, now: Micros, id: StatementId, hop: u32, page: ResultPage) {
         let held = page.bytes();
         self.watch_page(now, id, hop, &page);
         let Some(s) = self.table.get_mut(id) else {
-            self.commands.push_back(Command::Release { id, hop });
+            self.commands
+                .push_back(Command::Release { id, attempt: hop });
             return;
         };
         let stage = std::mem::replace(&mut s.stage, Stage::Waiting);
@@ -285,9 +308,10 @@
         s.stage = stage;
         if taken {
             self.held += held;
-            self.commands.push_back(Command::Wake(id));
+            self.commands.push_back(Command::NotifyWaiters(id));
         } else {
-            self.commands.push_back(Command::Release { id, hop });
+            self.commands
+                .push_back(Command::Release { id, attempt: hop });
             if let Some(event) = self
                 .table
                 .get_mut(id)
@@ -299,19 +323,31 @@
     }
 
     /// An engine's own answer that the statement is wrong: it is final.
-    pub fn wrong(&mut self, now: Micros, id: StatementId, hop: u32, failure: Failure) {
+    pub fn fail_with_engine_error(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        hop: u32,
+        failure: EngineError,
+    ) {
         self.watch_ended(now, id, hop, End::Failed, None);
         let Some(s) = self.table.get_mut(id) else {
             return;
         };
         let event = s.outcome_good(hop, now);
         self.events.extend(event);
-        self.settle(now, id, Final::Engine(failure));
+        self.settle(now, id, FinalResponse::EngineError(failure));
     }
 
     /// An attempt has ended without its result, or before the end of it.
-    pub fn ended(&mut self, now: Micros, id: StatementId, hop: u32, ended: Ended) {
-        self.watch_outcome(now, id, hop, ended.ending);
+    pub fn finish_attempt(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        hop: u32,
+        ended: AttemptOutcome,
+    ) {
+        self.watch_outcome(now, id, hop, ended.status);
         let Some(s) = self.table.get_mut(id) else {
             return;
         };
@@ -319,7 +355,7 @@
         match s.stage {
             Stage::Flowing { hop: from, .. } if from == hop => {
                 // Danger: rows have gone out. A second attempt could repeat them, so there is none.
-                self.settle(now, id, Final::Cut(ended.why));
+                self.settle(now, id, FinalResponse::Truncated(ended.reason));
             }
             Stage::Held { hop: from, .. } if from == hop => {
                 let stage = std::mem::replace(&mut s.stage, Stage::Waiting);
@@ -344,7 +380,7 @@
     }
 
     /// One round of decisions over what came since the last.
-    pub fn round(&mut self, now: Micros) {
+    pub fn run_batch(&mut self, now: Micros) {
         self.tidy(now);
         self.look(now);
         if self.wake_at.is_some_and(|at| at <= now) {
@@ -365,7 +401,7 @@
     }
 
     /// The next command, until there is none.
-    pub fn command(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
@@ -390,10 +426,10 @@
                 };
                 let until = s
                     .valid_until
-                    .saturating_sub(self.bounds.answer_margin)
+                    .saturating_sub(self.bounds.response_margin)
                     .max(now);
                 let attempt = s.attempt(now, engine, until, send_by);
-                let hop = attempt.hop;
+                let hop = attempt.number;
                 self.commands.push_back(Command::Send(attempt));
                 self.watch_sent(now, request.0, hop, engine);
             }
@@ -401,27 +437,32 @@
                 request,
                 attempt: hop,
             } => {
-                self.commands
-                    .push_back(Command::Withdraw { id: request.0, hop });
+                self.commands.push_back(Command::Cancel {
+                    id: request.0,
+                    attempt: hop,
+                });
             }
             Action::Reject {
                 request,
                 retry_after: hold_off,
             } => {
-                self.refuse(now, request.0, |why| Final::Refused { hold_off, why });
+                self.refuse(now, request.0, |why| FinalResponse::Rejected {
+                    retry_after: hold_off,
+                    reason: why,
+                });
             }
-            Action::Fail(request) => self.refuse(now, request.0, Final::MayHaveRun),
-            Action::HealthCheck(engine) => self.commands.push_back(Command::Probe(engine)),
+            Action::Fail(request) => self.refuse(now, request.0, FinalResponse::MayHaveRun),
+            Action::HealthCheck(engine) => self.commands.push_back(Command::HealthCheck(engine)),
             Action::Timer(after) => {
                 let at = now.saturating_add(after);
                 self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
             }
-            Action::Subscribe => self.commands.push_back(Command::AskDiscovery),
+            Action::Subscribe => self.commands.push_back(Command::RefreshDiscovery),
         }
     }
 
     /// The module gives a statement up. A result that has come meanwhile is better than that.
-    fn refuse(&mut self, now: Micros, id: StatementId, how: impl FnOnce(String) -> Final) {
+    fn refuse(&mut self, now: Micros, id: StatementId, how: impl FnOnce(String) -> FinalResponse) {
         let Some(s) = self.table.get(id) else { return };
         if matches!(s.stage, Stage::Waiting) {
             let how = how(s.why_given_up(now));
@@ -430,7 +471,7 @@
     }
 
     /// Settles the final answer, once.
-    fn settle(&mut self, now: Micros, id: StatementId, how: Final) {
+    fn settle(&mut self, now: Micros, id: StatementId, how: FinalResponse) {
         let Some(s) = self.table.get_mut(id) else {
             return;
         };
@@ -442,25 +483,25 @@
         s.over_at = Some(now);
         s.work = None;
         self.held -= stage.bytes();
-        if matches!(how, Final::Canceled | Final::Abandoned) {
+        if matches!(how, FinalResponse::Canceled | FinalResponse::Abandoned) {
             s.delivered = true;
         }
         self.table.settled();
         self.commands.push_back(Command::Settled {
             id,
             class,
-            how,
-            after,
+            response: how,
+            elapsed: after,
             attempts,
         });
-        self.commands.push_back(Command::Wake(id));
+        self.commands.push_back(Command::NotifyWaiters(id));
         self.keep(now, id);
     }
 
     /// Gives out what is new, and moves the statement on.
-    fn deliver(&mut self, now: Micros, id: StatementId) -> Poll {
+    fn deliver(&mut self, now: Micros, id: StatementId) -> PollOutcome {
         let Some(s) = self.table.get_mut(id) else {
-            return Poll::Gone;
+            return PollOutcome::Gone;
         };
         let stage = std::mem::replace(&mut s.stage, Stage::Waiting);
         let held = stage.bytes();
@@ -468,35 +509,35 @@
             Stage::Held { hop, page } => {
                 // The commitment: from here on no other attempt can give this result.
                 self.held -= held;
-                let last = page.last;
+                let last = page.is_last;
                 s.stage = Stage::Flowing { hop, next: None };
-                let answer = s.give(now, Content::Rows(page));
+                let answer = s.give(now, ResponseContent::Rows(page));
                 self.tell_served(now, id, hop);
                 self.after_page(now, id, hop, last);
-                Poll::Answer(answer)
+                PollOutcome::Response(answer)
             }
             Stage::Flowing {
                 hop,
                 next: Some(page),
             } => {
                 self.held -= held;
-                let last = page.last;
+                let last = page.is_last;
                 s.stage = Stage::Flowing { hop, next: None };
-                let answer = s.give(now, Content::Rows(page));
+                let answer = s.give(now, ResponseContent::Rows(page));
                 self.after_page(now, id, hop, last);
-                Poll::Answer(answer)
+                PollOutcome::Response(answer)
             }
             Stage::Over(how) => {
                 s.stage = Stage::Over(how.clone());
                 s.delivered = true;
-                let answer = s.give(now, Content::Final(how));
+                let answer = s.give(now, ResponseContent::Final(how));
                 self.table.given(id);
                 self.keep(now, id);
-                Poll::Answer(answer)
+                PollOutcome::Response(answer)
             }
             other => {
                 s.stage = other;
-                Poll::Wait
+                PollOutcome::Pending
             }
         }
     }
@@ -506,7 +547,7 @@
             if let Some(s) = self.table.get_mut(id) {
                 s.delivered = true;
             }
-            self.settle(now, id, Final::Served);
+            self.settle(now, id, FinalResponse::Completed);
         } else {
             self.hungry.push_back((id, hop));
             self.feed();
@@ -524,12 +565,12 @@
 
     /// Lets pages be fetched while there is room for them.
     fn feed(&mut self) {
-        while self.held < self.bounds.held_bytes {
+        while self.held < self.bounds.max_buffered_bytes {
             let Some((id, hop)) = self.hungry.pop_front() else {
                 break;
             };
             if self.table.get(id).is_some_and(|s| !s.is_settled()) {
-                self.commands.push_back(Command::Fetch { id, hop });
+                self.commands.push_back(Command::Fetch { id, attempt: hop });
             }
         }
     }
@@ -545,7 +586,7 @@
                 let kept = s
                     .asked
                     .max(s.over_at.unwrap_or(0))
-                    .saturating_add(self.bounds.keep);
+                    .saturating_add(self.bounds.retention);
                 if kept > now {
                     self.table.watch(kept, id);
                 } else {
@@ -559,7 +600,7 @@
                 };
                 self.table.watch(at, id);
             } else {
-                self.leave(now, id, Final::Abandoned);
+                self.leave(now, id, FinalResponse::Abandoned);
             }
         }
     }
@@ -572,8 +613,8 @@
             .is_some_and(|s| s.delivered && s.is_settled())
         {
             self.table.given(id);
-            self.table.watch(now + self.bounds.keep, id);
-            self.table.trim(self.bounds.answered);
+            self.table.watch(now + self.bounds.retention, id);
+            self.table.trim(self.bounds.max_retained_responses);
         }
     }
 }
--- a/crates/router-core/src/page.rs
+++ b/crates/router-core/src/page.rs
@@ -7,24 +7,24 @@
 
 /// A page of a result, as an engine sent it.
 #[derive(Clone, Debug, Default)]
-pub struct Page {
+pub struct ResultPage {
     /// What its rows consist of, as JSON text.
     pub columns: Option<Rc<RawValue>>,
     /// Rows, as JSON text.
     pub rows: Option<Rc<RawValue>>,
     /// Session fields to pass on to the client.
-    pub fields: Vec<(String, String)>,
+    pub session_fields: Vec<(String, String)>,
     /// What a change changed, and how many rows.
     pub update: Option<(String, Option<u64>)>,
     /// Whether it is the last one.
-    pub last: bool,
+    pub is_last: bool,
     /// The engine's load, where told.
-    pub report: Option<hoptiller_policy::LoadReport>,
-    /// Work that the statement needed, where told.
+    pub load_report: Option<hoptiller_policy::LoadReport>,
+    /// Work that the statement needed, if reported.
     pub work: Option<Micros>,
 }
 
-impl Page {
+impl ResultPage {
     /// Bytes that it takes.
     pub fn bytes(&self) -> u64 {
         let texts = [&self.columns, &self.rows]
@@ -34,7 +34,7 @@
             .sum::<usize>();
         (texts
             + self
-                .fields
+                .session_fields
                 .iter()
                 .map(|f| f.0.len() + f.1.len())
                 .sum::<usize>()) as u64
@@ -43,7 +43,7 @@
 
 /// An engine's own error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct EngineError {
     /// For people.
     pub message: String,
     /// Its code.
@@ -54,98 +54,99 @@
 
 /// How a statement ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalResponse {
     /// All rows were given out.
-    Served,
+    Completed,
     /// Not done; trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back.
-        hold_off: Option<Micros>,
+        retry_after: Option<Micros>,
         /// For people.
-        why: String,
+        reason: String,
     },
     /// A rule ended it, and nothing of it stands; trying again is harmless.
-    EndedByRule {
+    TerminatedByRule {
         /// When to come back.
-        hold_off: Option<Micros>,
+        retry_after: Option<Micros>,
         /// For people.
-        why: String,
+        reason: String,
     },
     /// Nothing promised: it may have run.
     MayHaveRun(String),
     /// Rows were given out, and the rest is lost.
-    Cut(String),
+    Truncated(String),
     /// The engine says that the statement is wrong.
-    Engine(Failure),
+    EngineError(EngineError),
     /// The client ended it.
     Canceled,
     /// The client went away.
     Abandoned,
 }
 
-impl Final {
+impl FinalResponse {
     /// Why it was not served, for people.
-    pub fn why(&self) -> &str {
+    pub fn reason(&self) -> &str {
         match self {
-            Final::Refused { why, .. } | Final::EndedByRule { why, .. } => why,
-            Final::MayHaveRun(why) | Final::Cut(why) => why,
-            Final::Engine(failure) => &failure.message,
-            Final::Served | Final::Canceled | Final::Abandoned => "",
+            FinalResponse::Rejected { reason: why, .. }
+            | FinalResponse::TerminatedByRule { reason: why, .. } => why,
+            FinalResponse::MayHaveRun(why) | FinalResponse::Truncated(why) => why,
+            FinalResponse::EngineError(failure) => &failure.message,
+            FinalResponse::Completed | FinalResponse::Canceled | FinalResponse::Abandoned => "",
         }
     }
 
     /// A word for logs and metrics.
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
-            Final::Served => "served",
-            Final::Refused { .. } => "refused",
-            Final::EndedByRule { .. } => "ended by rule",
-            Final::MayHaveRun(_) => "failed",
-            Final::Cut(_) => "cut",
-            Final::Engine(_) => "wrong",
-            Final::Canceled => "canceled",
-            Final::Abandoned => "abandoned",
+            FinalResponse::Completed => "served",
+            FinalResponse::Rejected { .. } => "refused",
+            FinalResponse::TerminatedByRule { .. } => "ended by rule",
+            FinalResponse::MayHaveRun(_) => "failed",
+            FinalResponse::Truncated(_) => "cut",
+            FinalResponse::EngineError(_) => "wrong",
+            FinalResponse::Canceled => "canceled",
+            FinalResponse::Abandoned => "abandoned",
         }
     }
 }
 
 /// What an answer holds.
 #[derive(Clone, Debug)]
-pub enum Content {
+pub enum ResponseContent {
     /// Nothing new.
-    News,
+    NoChange,
     /// Rows; final where the page is the last.
-    Rows(Page),
+    Rows(ResultPage),
     /// The final answer.
-    Final(Final),
+    Final(FinalResponse),
 }
 
 /// One numbered answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct StatementResponse {
     /// Its number.
     pub page: u64,
     /// Its statement's class.
     pub class: usize,
     /// What it holds.
-    pub content: Content,
+    pub content: ResponseContent,
     /// Whether an engine had it.
     pub running: bool,
     /// Whether rows have been given out, with it or before.
-    pub flowing: bool,
+    pub streaming: bool,
     /// Time since the statement came.
     pub elapsed: Micros,
     /// Part of that before its first attempt.
     pub queued: Micros,
 }
 
-impl Answer {
+impl StatementResponse {
     /// Whether no other answer follows.
     pub fn is_final(&self) -> bool {
         match &self.content {
-            Content::News => false,
-            Content::Rows(page) => page.last,
-            Content::Final(_) => true,
+            ResponseContent::NoChange => false,
+            ResponseContent::Rows(page) => page.is_last,
+            ResponseContent::Final(_) => true,
         }
     }
 }
--- a/crates/router-core/src/runaways.rs
+++ b/crates/router-core/src/runaways.rs
@@ -11,9 +11,9 @@
     answer_after_end,
 };
 
-use super::page::{Final, Page};
+use super::page::{FinalResponse, ResultPage};
 use super::statement::Stage;
-use super::{Command, Core, Ended, StatementId};
+use super::{AttemptOutcome, Command, Core, StatementId};
 
 /// Zones or kinds that a class may go to; `None`: all.
 type Only = Option<Vec<usize>>;
@@ -94,12 +94,12 @@
 
 impl Core {
     /// The watch for runaways, where there is one.
-    pub fn watch(&self) -> Option<&Watch> {
+    pub fn runaway_watch(&self) -> Option<&Watch> {
         self.watch.as_ref()
     }
 
     /// Takes in what an earlier life had learnt.
-    pub fn restore_watch(
+    pub fn restore_runaway_watch(
         &mut self,
         now: Micros,
         bytes: &[u8],
@@ -109,21 +109,28 @@
     }
 
     /// An operator frees a kind. False where it is not held.
-    pub fn release_kind(&mut self, kind: KindId) -> bool {
+    pub fn release_fingerprint(&mut self, kind: KindId) -> bool {
         let held = self.watch.as_mut().is_some_and(|watch| watch.release(kind));
         self.decided();
         held
     }
 
     /// An engine tells of an attempt that runs.
-    pub fn told(&mut self, now: Micros, id: StatementId, hop: u32, news: News) {
+    pub fn update_attempt_status(&mut self, now: Micros, id: StatementId, hop: u32, news: News) {
         if let Some(watch) = &mut self.watch {
             watch.told(now, AttemptId { statement: id, hop }, news);
         }
     }
 
     /// An attempt was ended at its engine on demand, ours or an administrator's there: this is the statement's end.
-    pub fn killed(&mut self, now: Micros, id: StatementId, hop: u32, proof: Proof, why: String) {
+    pub fn finish_killed_attempt(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        hop: u32,
+        proof: Proof,
+        why: String,
+    ) {
         self.watch_ended(now, id, hop, End::Failed, None);
         let Some(s) = self.table.get_mut(id) else {
             return;
@@ -131,10 +138,10 @@
         match s.stage {
             // Danger: rows have gone out; what is left of the result is lost.
             Stage::Flowing { hop: from, .. } if from == hop => {
-                return self.settle(now, id, Final::Cut(why));
+                return self.settle(now, id, FinalResponse::Truncated(why));
             }
             Stage::Flowing { .. } | Stage::Over(_) => {
-                return self.ended(now, id, hop, cancelled(why));
+                return self.finish_attempt(now, id, hop, cancelled(why));
             }
             // Its end was told before: this is no news.
             _ if !s.is_out(hop) => return,
@@ -146,11 +153,14 @@
         let (since, effect) = (s.first_sent().unwrap_or(now), self.fleet.effects[s.class]);
         let hold_off = self.fleet.hold_off;
         let how = match answer_after_end(effect, proof, since, now) {
-            EndingVerdict::Harmless => Final::EndedByRule { hold_off, why },
-            EndingVerdict::MayHaveRun => Final::MayHaveRun(format!(
+            EndingVerdict::Harmless => FinalResponse::TerminatedByRule {
+                retry_after: hold_off,
+                reason: why,
+            },
+            EndingVerdict::MayHaveRun => FinalResponse::MayHaveRun(format!(
                 "it was ended at its engine, which does not say what stands of it ({why})"
             )),
-            EndingVerdict::HasRun => Final::MayHaveRun(format!(
+            EndingVerdict::HasRun => FinalResponse::MayHaveRun(format!(
                 "it was ended at its engine, and its effects stand ({why})"
             )),
         };
@@ -168,7 +178,7 @@
             attempt: AttemptId { statement: id, hop },
             engine,
             class: s.class,
-            name: self.names.of(id),
+            name: self.names.statement_name(id),
             kind: w.kind,
             held_as: w.held_as,
             label: w.label.clone(),
@@ -179,10 +189,10 @@
     }
 
     /// A page has come: the engine has a result, or all of it.
-    pub(super) fn watch_page(&mut self, now: Micros, id: StatementId, hop: u32, page: &Page) {
+    pub(super) fn watch_page(&mut self, now: Micros, id: StatementId, hop: u32, page: &ResultPage) {
         let Some(watch) = &mut self.watch else { return };
         let attempt = AttemptId { statement: id, hop };
-        match page.last {
+        match page.is_last {
             true => watch.ended(now, attempt, End::Good, page.work),
             false => watch.flowing(now, attempt),
         }
@@ -249,20 +259,20 @@
                     self.events.push(Event::Hold(hold));
                     continue;
                 }
-                Decision::Found(finding) => Command::Found(finding),
+                Decision::Found(finding) => Command::ReportFinding(finding),
                 Decision::Pause(a) => Command::Pause {
                     id: a.statement,
-                    hop: a.hop,
+                    attempt: a.hop,
                     paused: true,
                 },
                 Decision::Resume(a) => Command::Pause {
                     id: a.statement,
-                    hop: a.hop,
+                    attempt: a.hop,
                     paused: false,
                 },
                 Decision::End(a) => Command::Kill {
                     id: a.statement,
-                    hop: a.hop,
+                    attempt: a.hop,
                 },
             };
             self.commands.push_back(command);
@@ -270,11 +280,11 @@
     }
 }
 
-fn cancelled(why: String) -> Ended {
-    Ended {
-        ending: AttemptStatus::Cancelled,
-        why,
-        report: None,
+fn cancelled(why: String) -> AttemptOutcome {
+    AttemptOutcome {
+        status: AttemptStatus::Cancelled,
+        reason: why,
+        load_report: None,
     }
 }
 
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -5,9 +5,9 @@
 use hoptiller_policy::{AttemptStatus, EngineId, Event, Micros, Outcome, RequestId};
 use hoptiller_runaway::{Announced, KindId};
 
-use super::course::{Course, CourseAttempt};
-use super::page::{Answer, Content, Final, Page};
-use super::{Attempt, Ended, StatementId, Submission, Work};
+use super::history::{AttemptHistory, StatementHistory};
+use super::page::{FinalResponse, ResponseContent, ResultPage, StatementResponse};
+use super::{Attempt, AttemptOutcome, EngineStatement, StatementId, Submission};
 
 /// How far a statement has come.
 #[derive(Debug)]
@@ -15,11 +15,11 @@
     /// With the module: it waits, or its attempts run.
     Waiting,
     /// A first page has come, and was not given out: another attempt could still take its place.
-    Held { hop: u32, page: Page },
+    Held { hop: u32, page: ResultPage },
     /// Rows were given out: only this attempt can go on.
-    Flowing { hop: u32, next: Option<Page> },
+    Flowing { hop: u32, next: Option<ResultPage> },
     /// The final answer is settled.
-    Over(Final),
+    Over(FinalResponse),
 }
 
 impl Stage {
@@ -75,11 +75,11 @@
     pub(super) class: usize,
     pub(super) came: Micros,
     pub(super) valid_until: Micros,
-    pub(super) work: Option<Rc<Work>>,
+    pub(super) work: Option<Rc<EngineStatement>>,
     pub(super) terms: (Option<u8>, f64),
     pub(super) attempts: Vec<Try>,
     pub(super) stage: Stage,
-    pub(super) last: Rc<Answer>,
+    pub(super) last: Rc<StatementResponse>,
     /// When its client last asked, and how many ask now.
     pub(super) asked: Micros,
     pub(super) waiters: u32,
@@ -99,13 +99,13 @@
         now: Micros,
         valid_until: Micros,
     ) -> Statement {
-        let content = Content::News;
-        let first = Answer {
+        let content = ResponseContent::NoChange;
+        let first = StatementResponse {
             page: 0,
             class: s.class,
             content,
             running: false,
-            flowing: false,
+            streaming: false,
             elapsed: 0,
             queued: 0,
         };
@@ -162,11 +162,11 @@
     }
 
     /// The next numbered answer; the one before it is forgotten.
-    pub(super) fn give(&mut self, now: Micros, content: Content) -> Rc<Answer> {
-        let answer = Answer {
+    pub(super) fn give(&mut self, now: Micros, content: ResponseContent) -> Rc<StatementResponse> {
+        let answer = StatementResponse {
             page: self.last.page + 1,
             class: self.class,
-            flowing: self.last.flowing || matches!(content, Content::Rows(_)),
+            streaming: self.last.streaming || matches!(content, ResponseContent::Rows(_)),
             content,
             running: !self.attempts.is_empty(),
             elapsed: now - self.came,
@@ -176,8 +176,8 @@
         self.last.clone()
     }
 
-    pub(super) fn no_news(&mut self, now: Micros) -> Rc<Answer> {
-        self.give(now, Content::News)
+    pub(super) fn no_news(&mut self, now: Micros) -> Rc<StatementResponse> {
+        self.give(now, ResponseContent::NoChange)
     }
 
     pub(super) fn attempt(
@@ -199,12 +199,12 @@
         let work = self.work.clone().unwrap_or_default();
         Attempt {
             id: self.id,
-            hop,
+            number: hop,
             engine,
             class: self.class,
             priority,
-            grant,
-            until,
+            memory_grant_mb: grant,
+            deadline: until,
             send_by,
             work,
         }
@@ -229,9 +229,9 @@
     /// how fast a client reads the rest says nothing of the engine.
     pub(super) fn outcome_good(&mut self, hop: u32, now: Micros) -> Option<Event> {
         let (report, work) = match &self.stage {
-            Stage::Held { page, .. } => (page.report, page.work),
+            Stage::Held { page, .. } => (page.load_report, page.work),
             _ => match &self.last.content {
-                Content::Rows(page) => (page.report, page.work),
+                ResponseContent::Rows(page) => (page.load_report, page.work),
                 _ => (None, None),
             },
         };
@@ -259,24 +259,24 @@
         &mut self,
         hop: u32,
         now: Micros,
-        e: &Ended,
+        e: &AttemptOutcome,
         terminal: bool,
     ) -> Option<Event> {
         let t = self.attempts.get_mut(hop as usize)?;
-        t.why = e.why.clone();
+        t.why = e.reason.clone();
         if t.ended.is_some() {
             return None;
         }
-        t.ended = Some((now, e.ending));
+        t.ended = Some((now, e.status));
         Some(Event::Outcome(Outcome {
             request: RequestId(self.id),
             attempt: hop,
             engine: t.engine,
-            status: e.ending,
+            status: e.status,
             elapsed: now - t.sent,
             terminal,
             work: None,
-            report: e.report,
+            report: e.load_report,
         }))
     }
 
@@ -302,19 +302,19 @@
         }
     }
 
-    pub(super) fn course(&self, now: Micros) -> Course {
+    pub(super) fn course(&self, now: Micros) -> StatementHistory {
         let attempts = self
             .attempts
             .iter()
             .enumerate()
-            .map(|(hop, t)| CourseAttempt {
-                hop: hop as u32,
+            .map(|(hop, t)| AttemptHistory {
+                number: hop as u32,
                 engine: t.engine,
                 sent_ms: (t.sent - self.came) / 1000,
                 first_page_ms: t.page.map(|at| (at - self.came) / 1000),
                 ended_ms: t.ended.map(|(at, _)| (at - self.came) / 1000),
-                ending: t.ended.map(|(_, how)| how),
-                why: t.why.clone(),
+                status: t.ended.map(|(_, how)| how),
+                reason: t.why.clone(),
             });
         let state = match &self.stage {
             Stage::Waiting if self.attempts.is_empty() => "waits for a place",
@@ -322,25 +322,25 @@
             Stage::Waiting => "runs",
             Stage::Held { .. } => "has a result that nobody has fetched",
             Stage::Flowing { .. } => "gives out rows",
-            Stage::Over(how) => how.word(),
+            Stage::Over(how) => how.label(),
         };
         let why = match &self.stage {
-            Stage::Over(how) => how.why().to_owned(),
+            Stage::Over(how) => how.reason().to_owned(),
             _ => String::new(),
         };
-        Course {
+        StatementHistory {
             class: self.class,
             state,
-            why,
+            reason: why,
             elapsed_ms: (self.over_at.unwrap_or(now) - self.came) / 1000,
-            patience_ms: (self.valid_until - self.came) / 1000,
-            waited_ms: (self
+            timeout_ms: (self.valid_until - self.came) / 1000,
+            queued_ms: (self
                 .attempts
                 .first()
                 .map_or(self.over_at.unwrap_or(now), |a| a.sent)
                 - self.came)
                 / 1000,
-            answers: self.last.page,
+            responses: self.last.page,
             attempts: attempts.collect(),
         }
     }
--- a/crates/statement-router/src/desk.rs
+++ b/crates/statement-router/src/desk.rs
@@ -12,7 +12,7 @@
 use crate::agreed::Agreed;
 use crate::engines::Engines;
 use crate::settings::Settings;
-use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::event_loop::EventLoop;
 use hoptiller_router_core::{Core, StatementId};
 
 /// What is asked at a running router.
@@ -26,7 +26,7 @@
     /// The name of this life.
     pub life: String,
     /// Its core, and the rounds of it.
-    pub rounds: Rounds,
+    pub rounds: EventLoop,
     /// Its engines.
     pub engines: Rc<Engines>,
     /// Coarse timers, for the waits of polls.
@@ -47,7 +47,7 @@
 
     /// The core, for one call; rounds are rung for behind it.
     pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
-        self.rounds.with(act)
+        self.rounds.with_core(act)
     }
 
     /// An engine's name.
@@ -62,6 +62,6 @@
 
     /// Nobody may wait for a statement any more: forgets its bell then.
     pub fn unlisten(&self, id: StatementId) {
-        self.rounds.unlisten(id);
+        self.rounds.release_listener(id);
     }
 }
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -19,7 +19,7 @@
 
 use super::pool::Unsent;
 use super::{Control, Engines, Report, Told, load_of_headers};
-use hoptiller_router_core::{Attempt, Ended, Failure, Page};
+use hoptiller_router_core::{Attempt, AttemptOutcome, EngineError, ResultPage};
 
 /// Polls in a row that may fail before the engine counts as gone. A poll asks for the same answer again: that
 /// repeats nothing.
@@ -39,7 +39,7 @@
 
 /// Why an attempt stops.
 enum Stop {
-    Ended(Ended),
+    Ended(AttemptOutcome),
     Released,
 }
 
@@ -71,11 +71,11 @@
         let why = "the engine is not listed any more".to_owned();
         return report.ended(
             a.id,
-            a.hop,
-            Ended {
-                ending: AttemptStatus::NotSent,
-                why,
-                report: None,
+            a.number,
+            AttemptOutcome {
+                status: AttemptStatus::NotSent,
+                reason: why,
+                load_report: None,
             },
         );
     };
@@ -95,25 +95,25 @@
         Ok(()) => {}
         Err(Stop::Ended(ended)) => {
             if matches!(
-                ended.ending,
+                ended.status,
                 AttemptStatus::ConnectionReset | AttemptStatus::ConnectFailed
             ) {
                 engines.pool.forget(a.engine);
             }
-            if ended.ending == AttemptStatus::Cancelled {
+            if ended.status == AttemptStatus::Cancelled {
                 run.farewell().await;
             }
-            report.ended(a.id, a.hop, ended);
+            report.ended(a.id, a.number, ended);
         }
         Err(Stop::Released) => run.farewell().await,
     }
 }
 
 fn stop<T>(ending: AttemptStatus, why: impl Into<String>) -> Outcome<T> {
-    Err(Stop::Ended(Ended {
-        ending,
-        why: why.into(),
-        report: None,
+    Err(Stop::Ended(AttemptOutcome {
+        status: ending,
+        reason: why.into(),
+        load_report: None,
     }))
 }
 
@@ -136,7 +136,7 @@
         request.headers.push(extra::ROUTER, &manner.router);
         request
             .headers
-            .push(extra::STATEMENT_ID, &manner.names.of(a.id));
+            .push(extra::STATEMENT_ID, &manner.names.statement_name(a.id));
         let class = self
             .engines
             .classes
@@ -145,14 +145,14 @@
             .cloned()
             .unwrap_or_default();
         request.headers.push(extra::CLASS, &class);
-        let mut terms = vec![("hop", f64::from(a.hop))];
+        let mut terms = vec![("hop", f64::from(a.number))];
         terms.extend(a.priority.map(|p| ("priority", f64::from(p))));
-        terms.extend((a.grant > 0.0).then_some(("grant_mb", a.grant)));
+        terms.extend((a.memory_grant_mb > 0.0).then_some(("grant_mb", a.memory_grant_mb)));
         request.headers.push(extra::TERMS, &extra::text(&terms));
         request.body = a.work.text.clone().into_bytes();
         // The whole patience: the attempt's own limit ends it earlier.
         let within =
-            Duration::from_micros(self.a.until.saturating_sub(self.report.now()) + 1_000_000);
+            Duration::from_micros(self.a.deadline.saturating_sub(self.report.now()) + 1_000_000);
         let answer = match self.send(&request, within).await {
             Step::Answered(Ok(answer)) => answer,
             Step::Held(why) => return stop(AttemptStatus::NotSent, why),
@@ -168,10 +168,10 @@
         match answer.status.0 {
             200 => Ok(answer),
             // The specification: not accepted, the client is to try again.
-            status @ (429 | 503) => Err(Stop::Ended(Ended {
-                ending: AttemptStatus::Rejected,
-                why: format!("the engine turned it away unseen ({status})"),
-                report: load_of_headers(&answer),
+            status @ (429 | 503) => Err(Stop::Ended(AttemptOutcome {
+                status: AttemptStatus::Rejected,
+                reason: format!("the engine turned it away unseen ({status})"),
+                load_report: load_of_headers(&answer),
             })),
             status => stop(
                 AttemptStatus::ErrorResponse,
@@ -278,7 +278,7 @@
             if self.flowing {
                 return future::pending().await;
             }
-            let left = self.a.until.saturating_sub(self.report.now());
+            let left = self.a.deadline.saturating_sub(self.report.now());
             Timer::after(Duration::from_micros(left)).await;
             Step::Late
         };
@@ -330,22 +330,22 @@
             if error.error_name == ErrorName::KILLED {
                 // Danger: what may have had its effect is not called harmless before the engine says so.
                 let proof = self.proof().await;
-                self.report.killed(self.a.id, self.a.hop, proof, why);
+                self.report.killed(self.a.id, self.a.number, proof, why);
                 return Ok(true);
             }
             if error.error_type == ErrorType::UserError {
-                let failure = Failure {
+                let failure = EngineError {
                     message: error.message,
                     code: error.error_code,
                     name: error.error_name,
                 };
-                self.report.wrong(self.a.id, self.a.hop, failure);
+                self.report.wrong(self.a.id, self.a.number, failure);
                 return Ok(true);
             }
-            return Err(Stop::Ended(Ended {
-                ending: AttemptStatus::ErrorResponse,
-                why,
-                report,
+            return Err(Stop::Ended(AttemptOutcome {
+                status: AttemptStatus::ErrorResponse,
+                reason: why,
+                load_report: report,
             }));
         }
         self.next = match results.next_uri.as_deref().map(|uri| self.path_of(uri)) {
@@ -372,16 +372,16 @@
             .headers
             .iter()
             .filter(|(name, _)| is_session_field(name));
-        let page = Page {
+        let page = ResultPage {
             columns: self.columns.clone(),
             rows: results.data.map(Rc::from),
-            fields: fields.map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
+            session_fields: fields.map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
             update: results.update_type.map(|kind| (kind, results.update_count)),
-            last,
-            report,
+            is_last: last,
+            load_report: report,
             work: work_of(answer),
         };
-        self.report.page(self.a.id, self.a.hop, page);
+        self.report.page(self.a.id, self.a.number, page);
         if last {
             return Ok(true);
         }
@@ -434,10 +434,10 @@
                 }
                 _ => continue,
             };
-            self.report.note(self.a.id, self.a.hop, progress);
+            self.report.note(self.a.id, self.a.number, progress);
         }
         if !told.news.is_empty() {
-            self.report.told(self.a.id, self.a.hop, told);
+            self.report.told(self.a.id, self.a.number, told);
         }
     }
 
--- a/crates/statement-router/src/engines/mod.rs
+++ b/crates/statement-router/src/engines/mod.rs
@@ -18,7 +18,9 @@
 use hoptiller_statement::discovery::NodeStatus;
 use hoptiller_statement::extra;
 
-use hoptiller_router_core::{Attempt, Ended, Failure, Names, Page, StatementId};
+use hoptiller_router_core::{
+    Attempt, AttemptOutcome, EngineError, ResultPage, RouterIdentity, StatementId,
+};
 use pool::Pool;
 
 /// Where what was seen goes.
@@ -26,11 +28,11 @@
     /// The clock of the core.
     fn now(&self) -> Micros;
     /// A page has come.
-    fn page(&self, id: StatementId, hop: u32, page: Page);
+    fn page(&self, id: StatementId, hop: u32, page: ResultPage);
     /// The engine says that the statement is wrong.
-    fn wrong(&self, id: StatementId, hop: u32, failure: Failure);
+    fn wrong(&self, id: StatementId, hop: u32, failure: EngineError);
     /// An attempt has ended without its result.
-    fn ended(&self, id: StatementId, hop: u32, ended: Ended);
+    fn ended(&self, id: StatementId, hop: u32, ended: AttemptOutcome);
     /// An attempt was ended at its engine on demand.
     fn killed(&self, id: StatementId, hop: u32, proof: Proof, why: String);
     /// What an engine tells of an attempt that runs.
@@ -84,7 +86,7 @@
     /// This router's name.
     pub router: String,
     /// What statements are called towards engines.
-    pub names: Names,
+    pub names: RouterIdentity,
     /// Time to connect.
     pub connect_within: Duration,
     /// Time for the answer to a poll.
@@ -215,7 +217,7 @@
     /// Carries out an attempt to its end.
     pub async fn attempt(self: Rc<Self>, a: Attempt, report: Rc<dyn Report>) {
         let (sender, control) = async_channel::bounded(8);
-        let key = (a.id, a.hop);
+        let key = (a.id, a.number);
         let query = Rc::default();
         let under_way = UnderWay {
             control: sender,
--- a/crates/statement-router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -53,7 +53,7 @@
             );
         };
         return match request.method {
-            Method::Delete if desk.with_core(|core, _| core.release_kind(kind)) => {
+            Method::Delete if desk.with_core(|core, _| core.release_fingerprint(kind)) => {
                 tracing::warn!(%kind, "an administrator has freed a kind");
                 Response::new(204)
             }
@@ -87,7 +87,7 @@
 fn runaways(desk: &Desk) -> Value {
     let now = desk.rounds.now();
     desk.with_core(|core, _| {
-        let Some(watch) = core.watch() else { return json!({ "router": desk.settings().router.name }) };
+        let Some(watch) = core.runaway_watch() else { return json!({ "router": desk.settings().router.name }) };
         let named = |f: &&Finding| f.class.is_none_or(|c| desk.settings().runaways.acts[c].name);
         let open: Vec<Value> = watch.open().filter(named).map(|f| finding(desk, f, now)).collect();
         let past: Vec<Value> = watch.past().filter(named).map(|f| finding(desk, f, now)).collect();
--- a/crates/statement-router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -15,7 +15,9 @@
 
 use super::render;
 use crate::desk::Desk;
-use hoptiller_router_core::{Poll, StatementId, Submission, Turned, Work, group_of};
+use hoptiller_router_core::{
+    EngineStatement, PollOutcome, StatementId, Submission, SubmitError, group_of,
+};
 
 /// What else is answered, by path: metrics, for one.
 pub type Extra = Rc<dyn Fn(&str) -> Option<Response>>;
@@ -113,7 +115,7 @@
     match desk.with_core(|core, now| core.submit(now, submission)) {
         Ok(id) => {
             let Some(first) = desk.with_core(|core, now| match core.poll(now, id, 0) {
-                Poll::Answer(first) => Some(first),
+                PollOutcome::Response(first) => Some(first),
                 _ => None,
             }) else {
                 return Response::text(500, "the statement was lost");
@@ -121,10 +123,14 @@
             let id = QueryId::new(SystemTime::now(), id, &desk.life);
             render::answer(desk, &id, &first, &base(desk, request))
         }
-        Err(Turned::Full) => Response::text(429, "too many statements are open; come back later")
-            .with("Retry-After", &render::seconds(hold_off)),
-        Err(Turned::Ending) => Response::text(503, "this router is ending; come back later")
-            .with("Retry-After", &render::seconds(hold_off)),
+        Err(SubmitError::TableFull) => {
+            Response::text(429, "too many statements are open; come back later")
+                .with("Retry-After", &render::seconds(hold_off))
+        }
+        Err(SubmitError::ShuttingDown) => {
+            Response::text(503, "this router is ending; come back later")
+                .with("Retry-After", &render::seconds(hold_off))
+        }
     }
 }
 
@@ -182,16 +188,16 @@
         tenant: headers
             .tenant
             .and_then(|t| settings.tenants.iter().position(|(name, _)| *name == t)),
-        key: headers.key,
+        ordering_key: headers.key,
         group: headers.tables.as_deref().map(group_of),
-        guess: None,
-        want_mb: 0.0,
+        estimated_work: None,
+        estimated_memory_mb: 0.0,
         fingerprint: kind.fingerprint.0,
         label: kind.label.into(),
         announced,
-        repeat: headers.repeat,
-        patience: headers.patience.map(|p| p.as_micros() as u64),
-        work: Rc::new(Work {
+        is_retry: headers.repeat,
+        timeout: headers.patience.map(|p| p.as_micros() as u64),
+        work: Rc::new(EngineStatement {
             text,
             fields: passed.map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
         }),
@@ -205,30 +211,30 @@
     }
     let id: StatementId = token.id.number;
     let mut found = desk.with_core(|core, now| core.poll(now, id, token.page));
-    if matches!(found, Poll::Wait) {
-        desk.with_core(|core, now| core.waiting(now, id, true));
+    if matches!(found, PollOutcome::Pending) {
+        desk.with_core(|core, now| core.add_waiter(now, id));
         found = wait(desk, id, token.page).await;
-        desk.with_core(|core, now| core.waiting(now, id, false));
+        desk.with_core(|core, now| core.remove_waiter(now, id));
         desk.unlisten(id);
     }
     match found {
-        Poll::Answer(answer) => render::answer(desk, &token.id, &answer, base),
-        Poll::Gone => Response::text(
+        PollOutcome::Response(answer) => render::answer(desk, &token.id, &answer, base),
+        PollOutcome::Gone => Response::text(
             410,
             "that answer was given; the one after it, or the end, is known",
         ),
-        Poll::Wait | Poll::Unknown => Response::text(404, "no such answer"),
+        PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such answer"),
     }
 }
 
 /// Waits for news as long as a poll waits.
-async fn wait(desk: &Rc<Desk>, id: StatementId, page: u64) -> Poll {
+async fn wait(desk: &Rc<Desk>, id: StatementId, page: u64) -> PollOutcome {
     let mut time = desk.ticks.sleep(desk.settings().limits.long_poll);
     loop {
         // The ear is there before the question, so that no news falls between them.
         let news = desk.listen(id);
         match desk.with_core(|core, now| core.poll(now, id, page)) {
-            Poll::Wait => {}
+            PollOutcome::Pending => {}
             found => return found,
         }
         let timed_out = future::or(
@@ -243,7 +249,7 @@
         )
         .await;
         if timed_out {
-            return desk.with_core(|core, now| core.poll_at_once(now, id, page));
+            return desk.with_core(|core, now| core.poll_now(now, id, page));
         }
     }
 }
@@ -259,7 +265,7 @@
     if id.life() != desk.life {
         return Response::text(410, "an earlier life of this router had that statement");
     }
-    match desk.with_core(|core, now| core.course(now, id.number)) {
+    match desk.with_core(|core, now| core.history(now, id.number)) {
         Some(course) => render::course(desk, id, &course),
         None => Response::text(
             410,
--- a/crates/statement-router/src/fronts/render.rs
+++ b/crates/statement-router/src/fronts/render.rs
@@ -10,7 +10,10 @@
 use crate::desk::Desk;
 use crate::restart;
 use crate::settings::RepeatSettings;
-use hoptiller_router_core::{Answer, Content, Course, Failure, Final, Page, ending_word};
+use hoptiller_router_core::{
+    EngineError, FinalResponse, ResponseContent, ResultPage, StatementHistory, StatementResponse,
+    status_description,
+};
 
 /// What a `QueryResults` is written from. It is written by hand: polls are most of what a router answers.
 struct Results<'a> {
@@ -18,7 +21,7 @@
     /// The next answer, by the base of URIs.
     next: Option<&'a Token>,
     base: &'a str,
-    page: &'a Page,
+    page: &'a ResultPage,
     state: State,
     running: bool,
     elapsed_ms: u64,
@@ -107,23 +110,23 @@
 }
 
 /// A numbered answer.
-pub(super) fn answer(desk: &Desk, id: &QueryId, a: &Answer, base: &str) -> Response {
+pub(super) fn answer(desk: &Desk, id: &QueryId, a: &StatementResponse, base: &str) -> Response {
     let token = (!a.is_final()).then(|| {
-        let known = known(desk, a.class, a.flowing);
+        let known = known(desk, a.class, a.streaming);
         Token {
             id: id.clone(),
             page: a.page + 1,
             known,
         }
     });
-    let empty = Page::default();
+    let empty = ResultPage::default();
     let (page, over) = match &a.content {
-        Content::News => (&empty, None),
-        Content::Rows(page) => (page, None),
-        Content::Final(how) => (&empty, Some(how)),
+        ResponseContent::NoChange => (&empty, None),
+        ResponseContent::Rows(page) => (page, None),
+        ResponseContent::Final(how) => (&empty, Some(how)),
     };
     let state = match (over, a.is_final()) {
-        (Some(Final::Served), _) | (None, true) => State::Finished,
+        (Some(FinalResponse::Completed), _) | (None, true) => State::Finished,
         (Some(_), _) => State::Failed,
         (None, false) if a.running => State::Running,
         (None, false) => State::Queued,
@@ -140,16 +143,16 @@
         error: over.and_then(error),
     };
     let mut response = Response::json(200, results.write(&desk.key));
-    for (name, value) in &page.fields {
+    for (name, value) in &page.session_fields {
         response.headers.push(name, value);
     }
     if let Some(
-        Final::Refused {
-            hold_off: Some(after),
+        FinalResponse::Rejected {
+            retry_after: Some(after),
             ..
         }
-        | Final::EndedByRule {
-            hold_off: Some(after),
+        | FinalResponse::TerminatedByRule {
+            retry_after: Some(after),
             ..
         },
     ) = over
@@ -161,10 +164,13 @@
     response
 }
 
-fn error(how: &Final) -> Option<QueryError> {
+fn error(how: &FinalResponse) -> Option<QueryError> {
     Some(match how {
-        Final::Served => return None,
-        Final::Refused { hold_off, why } => {
+        FinalResponse::Completed => return None,
+        FinalResponse::Rejected {
+            retry_after: hold_off,
+            reason: why,
+        } => {
             let after = hold_off.map_or(String::new(), |h| {
                 let s = seconds(Duration::from_micros(h));
                 format!("; come back in {s} s")
@@ -172,28 +178,30 @@
             let message = format!("refused: {why}. Trying again is harmless{after}");
             QueryError::of(ErrorName::Refused, message)
         }
-        Final::EndedByRule { why, .. } => {
+        FinalResponse::TerminatedByRule { reason: why, .. } => {
             let message = format!(
                 "ended by rule: {why}. Nothing of it stands; the same again will end alike"
             );
             QueryError::of(ErrorName::EndedByRule, message)
         }
-        Final::MayHaveRun(why) => {
+        FinalResponse::MayHaveRun(why) => {
             let message =
                 format!("failed: {why}. It may have run: look it up before it is sent again");
             QueryError::of(ErrorName::MayHaveRun, message)
         }
-        Final::Cut(why) => {
+        FinalResponse::Truncated(why) => {
             let message = format!("the result is cut: {why}. The rows given out are not all");
             QueryError::of(ErrorName::ResultCut, message)
         }
-        Final::Engine(Failure {
+        FinalResponse::EngineError(EngineError {
             name,
             code,
             message,
         }) => QueryError::new(name.clone(), *code, ErrorType::UserError, message.clone()),
-        Final::Canceled => QueryError::of(ErrorName::UserCanceled, "the client ended it".into()),
-        Final::Abandoned => QueryError::of(
+        FinalResponse::Canceled => {
+            QueryError::of(ErrorName::UserCanceled, "the client ended it".into())
+        }
+        FinalResponse::Abandoned => QueryError::of(
             ErrorName::Abandoned,
             "the client had stopped asking for its result".into(),
         ),
@@ -219,7 +227,7 @@
         id: &token.id,
         next: None,
         base,
-        page: &Page::default(),
+        page: &ResultPage::default(),
         state: State::Failed,
         running: false,
         elapsed_ms: 0,
@@ -235,8 +243,14 @@
 
 /// The router as a node of its own.
 pub(super) fn info(desk: &Desk) -> Response {
-    let (open, kept, held) = desk.with_core(|core, _| core.sizes());
-    let (rounds, spent) = desk.rounds.spent();
+    let usage = desk.with_core(|core, _| core.usage());
+    let (open, kept, held) = (
+        usage.open_statements,
+        usage.retained_statements,
+        usage.buffered_bytes,
+    );
+    let stats = desk.rounds.batch_stats();
+    let (rounds, spent) = (stats.batches, stats.busy);
     let value = serde_json::json!({
         "nodeVersion": { "version": env!("CARGO_PKG_VERSION") },
         "environment": desk.settings().discovery.environment,
@@ -256,19 +270,19 @@
 }
 
 /// The course of a statement.
-pub(super) fn course(desk: &Desk, id: &QueryId, c: &Course) -> Response {
+pub(super) fn course(desk: &Desk, id: &QueryId, c: &StatementHistory) -> Response {
     let attempts: Vec<serde_json::Value> = c
         .attempts
         .iter()
         .map(|t| {
             serde_json::json!({
-                "hop": t.hop,
+                "hop": t.number,
                 "engine": desk.engine_name(t.engine),
                 "sentMs": t.sent_ms,
                 "firstPageMs": t.first_page_ms,
                 "endedMs": t.ended_ms,
-                "ending": t.ending.map_or("has not ended", ending_word),
-                "seen": t.why,
+                "ending": t.status.map_or("has not ended", status_description),
+                "seen": t.reason,
             })
         })
         .collect();
@@ -277,11 +291,11 @@
         "router": desk.settings().router.name,
         "class": desk.settings().classes[c.class].name,
         "state": c.state,
-        "why": c.why,
+        "why": c.reason,
         "elapsedMs": c.elapsed_ms,
-        "patienceMs": c.patience_ms,
-        "waitedMs": c.waited_ms,
-        "answers": c.answers,
+        "patienceMs": c.timeout_ms,
+        "waitedMs": c.queued_ms,
+        "answers": c.responses,
         "attempts": attempts,
     });
     Response::json(200, format!("{value:#}"))
--- a/crates/statement-router/src/learnt.rs
+++ b/crates/statement-router/src/learnt.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::event_loop::EventLoop;
 
 /// The file's name in the state folder.
 pub const NAME: &str = "runaways";
@@ -31,7 +31,7 @@
     }
 
     /// Reads it, if there is one.
-    pub fn take_up(&self, rounds: &Rounds) {
+    pub fn take_up(&self, rounds: &EventLoop) {
         let path = self.dir.join(NAME);
         let bytes = match read(&path) {
             Ok(bytes) => bytes,
@@ -45,7 +45,8 @@
                 return tracing::warn!(file = %path.display(), why, "what was learnt of kinds can't be read");
             }
         };
-        let Some(done) = rounds.with(|core, now| core.restore_watch(now, &bytes)) else {
+        let Some(done) = rounds.with_core(|core, now| core.restore_runaway_watch(now, &bytes))
+        else {
             return;
         };
         match done {
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -24,9 +24,10 @@
 use crate::fronts::http::Extra;
 use crate::learnt::Learnt;
 use crate::settings::Settings;
-use hoptiller_router_core::rounds::{Carry, Rounds};
+use hoptiller_router_core::event_loop::{CommandExecutor, EventLoop};
 use hoptiller_router_core::{
-    Bounds, Command, Core, Ended, Failure, Names, Page, StatementId, ending_word,
+    AttemptOutcome, Command, Core, CoreLimits, EngineError, ResultPage, RouterIdentity,
+    StatementId, status_description,
 };
 
 /// For the last attempt's end, the decision and the answer before a client gives up.
@@ -76,17 +77,17 @@
     ) -> Result<Rc<Service>, hoptiller_policy::SettingsError> {
         let l = &settings.limits;
         let micros = |d: Duration| d.as_micros() as Micros;
-        let bounds = Bounds {
-            statements: l.statements,
-            answered: l.answered,
-            keep: micros(l.keep),
+        let bounds = CoreLimits {
+            max_open_statements: l.statements,
+            max_retained_responses: l.answered,
+            retention: micros(l.keep),
             abandon_after: micros(l.abandon_after),
-            held_bytes: l.held_bytes,
-            answer_margin: ANSWER_MARGIN,
+            max_buffered_bytes: l.held_bytes,
+            response_margin: ANSWER_MARGIN,
         };
-        let names = Names {
+        let names = RouterIdentity {
             router: settings.router.name.clone(),
-            life: life.clone(),
+            incarnation: life.clone(),
         };
         let watch = Watch::new(settings.watch());
         let core = Core::new(
@@ -115,7 +116,7 @@
             desk: Rc::new(Desk {
                 key: Key::new(secret, &settings.router.name),
                 life,
-                rounds: Rounds::new(core, settings.limits.tick, me.clone()),
+                rounds: EventLoop::new(core, settings.limits.tick, me.clone()),
                 engines: Rc::new(engines),
                 current: RefCell::new(settings),
                 agreed,
@@ -209,7 +210,8 @@
                 let (decisions, watch) = (settings.decisions(), settings.watch());
                 let settings = Rc::new(settings);
                 *self.desk.current.borrow_mut() = settings.clone();
-                self.desk.with_core(|core, _| core.rules(decisions, watch));
+                self.desk
+                    .with_core(|core, _| core.update_settings(decisions, watch));
                 self.discovery.rules(&settings, self);
                 let (_, in_force, heeds) = agreed.standing();
                 tracing::info!(in_force, heeds, "other rules of the fleet are heeded");
@@ -234,7 +236,7 @@
     /// Writes what was learnt of kinds, where there is a place for it.
     fn save(&self) {
         if let Some(learnt) = &self.learnt {
-            let bytes = self.desk.rounds.core().watch().map(Watch::save);
+            let bytes = self.desk.rounds.core().runaway_watch().map(Watch::save);
             bytes.into_iter().for_each(|bytes| learnt.write(&bytes));
         }
     }
@@ -247,7 +249,7 @@
     }
 
     async fn finish(&self) -> Stopped {
-        self.desk.rounds.core().end();
+        self.desk.rounds.core().begin_shutdown();
         let until = Instant::now() + self.desk.settings().limits.drain_within;
         loop {
             if self.desk.rounds.core().is_idle() {
@@ -256,7 +258,7 @@
                 return Stopped::Clean;
             }
             if Instant::now() >= until {
-                return Stopped::Cut(self.desk.rounds.core().sizes().0);
+                return Stopped::Cut(self.desk.rounds.core().usage().open_statements);
             }
             Timer::after(Duration::from_millis(20)).await;
         }
@@ -318,8 +320,8 @@
     settings.classes.iter().map(|c| c.name.clone()).collect()
 }
 
-impl Carry for Service {
-    fn carry(&self, command: Command) {
+impl CommandExecutor for Service {
+    fn execute(&self, command: Command) {
         let Some(me) = self.me.upgrade() else { return };
         match command {
             Command::Send(attempt) => {
@@ -328,8 +330,7 @@
                 let settings = self.desk.settings();
                 let class = settings.classes[attempt.class].name.as_str();
                 let statement = self.name_of(attempt.id);
-                let span =
-                    tracing::debug_span!("attempt", %statement, class, hop = attempt.hop, %engine);
+                let span = tracing::debug_span!("attempt", %statement, class, hop = attempt.number, %engine);
                 span.in_scope(|| tracing::debug!("sent"));
                 self.desk.ex.spawn(
                     self.desk
@@ -339,40 +340,50 @@
                         .instrument(span),
                 );
             }
-            Command::Fetch { id, hop } => self.desk.engines.control(id, hop, Control::Fetch),
-            Command::Withdraw { id, hop } => self.desk.engines.control(id, hop, Control::Withdraw),
-            Command::Release { id, hop } => self.desk.engines.control(id, hop, Control::Release),
-            Command::Kill { id, hop } => {
+            Command::Fetch { id, attempt: hop } => {
+                self.desk.engines.control(id, hop, Control::Fetch)
+            }
+            Command::Cancel { id, attempt: hop } => {
+                self.desk.engines.control(id, hop, Control::Withdraw)
+            }
+            Command::Release { id, attempt: hop } => {
+                self.desk.engines.control(id, hop, Control::Release)
+            }
+            Command::Kill { id, attempt: hop } => {
                 let why = "it runs away, and a rule of this installation ends it".to_owned();
                 self.order(id, hop, Order::End(why));
             }
-            Command::Pause { id, hop, paused } => self.order(id, hop, Order::Pause(paused)),
-            Command::Found(finding) => self.found(&finding),
-            Command::Probe(engine) => self
+            Command::Pause {
+                id,
+                attempt: hop,
+                paused,
+            } => self.order(id, hop, Order::Pause(paused)),
+            Command::ReportFinding(finding) => self.found(&finding),
+            Command::HealthCheck(engine) => self
                 .desk
                 .ex
                 .spawn(self.desk.engines.clone().probe(engine, me)),
-            Command::AskDiscovery => {
+            Command::RefreshDiscovery => {
                 self.discovery.now.notify(1);
             }
-            Command::Wake(id) => {
-                self.desk.rounds.wake(id);
+            Command::NotifyWaiters(id) => {
+                self.desk.rounds.notify_waiters(id);
             }
             Command::Settled {
                 id,
                 class,
-                how,
-                after,
+                response: how,
+                elapsed: after,
                 attempts,
             } => {
                 let class = &self.desk.settings().classes[class].name;
-                let outcome = how.word();
+                let outcome = how.label();
                 metrics::counter!("hoptiller_statements_total", "class" => class.clone(), "outcome" => outcome)
                     .increment(1);
                 metrics::histogram!("hoptiller_answer_seconds", "class" => class.clone())
                     .record(after as f64 / 1e6);
                 let statement = self.name_of(id);
-                let why = how.why();
+                let why = how.reason();
                 tracing::info!(%statement, %class, outcome, ms = after / 1000, attempts, why, "answered");
             }
         }
@@ -384,29 +395,29 @@
         self.desk.rounds.now()
     }
 
-    fn page(&self, id: StatementId, hop: u32, page: Page) {
+    fn page(&self, id: StatementId, hop: u32, page: ResultPage) {
         self.desk
-            .with_core(|core, now| core.page(now, id, hop, page));
+            .with_core(|core, now| core.accept_page(now, id, hop, page));
     }
 
-    fn wrong(&self, id: StatementId, hop: u32, failure: Failure) {
+    fn wrong(&self, id: StatementId, hop: u32, failure: EngineError) {
         self.desk
-            .with_core(|core, now| core.wrong(now, id, hop, failure));
+            .with_core(|core, now| core.fail_with_engine_error(now, id, hop, failure));
     }
 
-    fn ended(&self, id: StatementId, hop: u32, ended: Ended) {
-        let how = ending_word(ended.ending);
+    fn ended(&self, id: StatementId, hop: u32, ended: AttemptOutcome) {
+        let how = status_description(ended.status);
         metrics::counter!("hoptiller_attempts_failed_total", "ending" => how).increment(1);
         // Inside the attempt's span, which names the statement and the engine.
-        tracing::debug!(how, why = %ended.why, "ended");
+        tracing::debug!(how, why = %ended.reason, "ended");
         self.desk
-            .with_core(|core, now| core.ended(now, id, hop, ended));
+            .with_core(|core, now| core.finish_attempt(now, id, hop, ended));
     }
 
     fn killed(&self, id: StatementId, hop: u32, proof: Proof, why: String) {
         tracing::warn!(?proof, why, "ended at its engine");
         self.desk
-            .with_core(|core, now| core.killed(now, id, hop, proof, why));
+            .with_core(|core, now| core.finish_killed_attempt(now, id, hop, proof, why));
     }
 
     fn told(&self, id: StatementId, hop: u32, mut told: Told) {
@@ -417,15 +428,17 @@
                 .and_then(|name| self.desk.settings().class(name));
         }
         self.desk
-            .with_core(|core, now| core.told(now, id, hop, told.news));
+            .with_core(|core, now| core.update_attempt_status(now, id, hop, told.news));
     }
 
     fn note(&self, id: StatementId, hop: u32, progress: Progress) {
-        self.desk.with_core(|core, _| core.note(id, hop, progress));
+        self.desk
+            .with_core(|core, _| core.report_progress(id, hop, progress));
     }
 
     fn probed(&self, engine: EngineId, report: Option<LoadReport>) {
-        self.desk.with_core(|core, _| core.probed(engine, report));
+        self.desk
+            .with_core(|core, _| core.report_health_check(engine, report));
     }
 
     fn may_send(&self, engine: EngineId, class: usize) -> Result<Option<String>, String> {
@@ -487,7 +500,7 @@
             tracing::info!(engines = entries.len(), "the engine list has changed");
         }
         self.desk
-            .with_core(|core, now| core.list(now, scope, entries));
+            .with_core(|core, now| core.update_endpoints(now, scope, entries));
     }
 
     fn place(&self, engine: EngineId, name: &str, addr: SocketAddr) {
--- a/crates/statement-router/tests/core.rs
+++ b/crates/statement-router/tests/core.rs
@@ -5,8 +5,9 @@
 
 use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, ListScope, Micros, Readiness};
 use hoptiller_router_core::{
-    Answer, Bounds, Command, Content, Core, Ended, Failure, Final, Names, Page, Poll, StatementId,
-    Submission, Work,
+    AttemptOutcome, Command, Core, CoreLimits, EngineError, EngineStatement, FinalResponse,
+    PollOutcome, ResponseContent, ResultPage, RouterIdentity, StatementId, StatementResponse,
+    Submission,
 };
 use hoptiller_runaway::{Announced, Proof, Watch};
 use hoptiller_statement_router::Settings;
@@ -58,7 +59,7 @@
     class: usize,
     /// The number to ask for next, and the answer before it.
     next: u64,
-    last: Option<Rc<Answer>>,
+    last: Option<Rc<StatementResponse>>,
     finals: u32,
     /// The attempts whose rows came, by the text of the rows.
     sources: Vec<String>,
@@ -72,9 +73,9 @@
     /// Attempts that run: statement and hop; whether they may give a page now.
     out: Vec<(StatementId, u32, bool)>,
     sends: BTreeMap<StatementId, Vec<(EngineId, Vec<AttemptStatus>)>>,
-    settled: BTreeMap<StatementId, Final>,
+    settled: BTreeMap<StatementId, FinalResponse>,
     proofs: BTreeMap<StatementId, Vec<Proof>>,
-    bounds: Bounds,
+    bounds: CoreLimits,
 }
 
 impl World {
@@ -86,18 +87,18 @@
     fn with(change: &str) -> World {
         let text = format!("({EXAMPLE}) + {change}");
         let settings = Settings::from_text("derby", &text).expect("good");
-        let bounds = Bounds {
-            statements: 20,
-            answered: 10,
-            keep: 5_000 * MS,
+        let bounds = CoreLimits {
+            max_open_statements: 20,
+            max_retained_responses: 10,
+            retention: 5_000 * MS,
             abandon_after: 9_000 * MS,
-            held_bytes: 60,
-            answer_margin: 150 * MS,
+            max_buffered_bytes: 60,
+            response_margin: 150 * MS,
         };
         let watch = Watch::new(settings.watch());
-        let names = Names {
+        let names = RouterIdentity {
             router: "r1".into(),
-            life: "life".into(),
+            incarnation: "life".into(),
         };
         let mut core =
             Core::new(settings.decisions(), 5, bounds, Some(watch), names).expect("usable");
@@ -109,7 +110,7 @@
             ready_at: 0,
             readiness: Readiness::Up,
         };
-        core.list(START, ListScope::All, (0..3).map(entry).collect());
+        core.update_endpoints(START, ListScope::All, (0..3).map(entry).collect());
         let (clients, sends, settled, proofs) = Default::default();
         World {
             core,
@@ -124,8 +125,8 @@
     }
 
     fn round(&mut self) -> Result<(), TestCaseError> {
-        self.core.round(self.now);
-        while let Some(command) = self.core.command() {
+        self.core.run_batch(self.now);
+        while let Some(command) = self.core.next_command() {
             match command {
                 Command::Send(a) => {
                     let before = self.sends.entry(a.id).or_default();
@@ -143,32 +144,39 @@
                         prop_assert!(proved, "a load was sent again: {before:?}");
                     }
                     before.push((a.engine, Vec::new()));
-                    prop_assert_eq!(a.hop as usize + 1, before.len());
-                    prop_assert!(a.until >= self.now);
-                    self.out.push((a.id, a.hop, true));
+                    prop_assert_eq!(a.number as usize + 1, before.len());
+                    prop_assert!(a.deadline >= self.now);
+                    self.out.push((a.id, a.number, true));
                 }
-                Command::Fetch { id, hop } => {
+                Command::Fetch { id, attempt: hop } => {
                     for o in self.out.iter_mut().filter(|o| (o.0, o.1) == (id, hop)) {
                         o.2 = true;
                     }
                 }
-                Command::Withdraw { .. } => {
+                Command::Cancel { .. } => {
                     prop_assert!(false, "engines allow no withdrawing here")
                 }
-                Command::Release { id, hop } => self.out.retain(|o| (o.0, o.1) != (id, hop)),
-                Command::Settled { id, how, .. } => {
+                Command::Release { id, attempt: hop } => {
+                    self.out.retain(|o| (o.0, o.1) != (id, hop))
+                }
+                Command::Settled {
+                    id, response: how, ..
+                } => {
                     prop_assert!(self.settled.insert(id, how).is_none(), "settled twice");
                 }
-                Command::Probe(engine) => self.core.probed(engine, None),
+                Command::HealthCheck(engine) => self.core.report_health_check(engine, None),
                 Command::Kill { .. } | Command::Pause { .. } => {
                     prop_assert!(false, "nothing here may be ended or paused");
                 }
-                Command::AskDiscovery | Command::Wake(_) | Command::Found(_) => {}
+                Command::RefreshDiscovery
+                | Command::NotifyWaiters(_)
+                | Command::ReportFinding(_) => {}
             }
         }
-        let (open, kept, _) = self.core.sizes();
+        let usage = self.core.usage();
+        let (open, kept) = (usage.open_statements, usage.retained_statements);
         prop_assert!(
-            open <= self.bounds.statements && kept <= self.bounds.answered,
+            open <= self.bounds.max_open_statements && kept <= self.bounds.max_retained_responses,
             "{open} {kept}"
         );
         Ok(())
@@ -179,8 +187,8 @@
         (!ids.is_empty()).then(|| ids[n % ids.len()])
     }
 
-    fn take(&mut self, id: StatementId, page: u64, poll: Poll) -> Result<(), TestCaseError> {
-        let Poll::Answer(answer) = poll else {
+    fn take(&mut self, id: StatementId, page: u64, poll: PollOutcome) -> Result<(), TestCaseError> {
+        let PollOutcome::Response(answer) = poll else {
             return Ok(());
         };
         let seen = self.clients.get_mut(&id).expect("known");
@@ -194,7 +202,7 @@
         }
         prop_assert_eq!(seen.finals, 0, "an answer behind the final one");
         seen.finals += u32::from(answer.is_final());
-        if let Content::Rows(page) = &answer.content {
+        if let ResponseContent::Rows(page) = &answer.content {
             seen.sources
                 .extend(page.rows.as_ref().map(|r| r.get().to_owned()));
         }
@@ -216,15 +224,15 @@
     fn play(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
             Step::Submit(class) => {
-                let work = Rc::new(Work::default());
+                let work = Rc::new(EngineStatement::default());
                 let (tenant, key, group, repeat, patience) = Default::default();
                 let s = Submission {
                     class,
                     tenant,
-                    key,
+                    ordering_key: key,
                     group,
-                    repeat,
-                    patience,
+                    is_retry: repeat,
+                    timeout: patience,
                     work,
                     ..submission()
                 };
@@ -241,7 +249,10 @@
                         let poll = self.core.poll(self.now, id, 0);
                         self.take(id, 0, poll)?;
                     }
-                    Err(_) => prop_assert_eq!(self.core.sizes().0, self.bounds.statements),
+                    Err(_) => prop_assert_eq!(
+                        self.core.usage().open_statements,
+                        self.bounds.max_open_statements
+                    ),
                 }
             }
             Step::Poll(n) | Step::PollAtOnce(n) => {
@@ -249,11 +260,11 @@
                     let page = self.clients[&id].next;
                     let poll = match step {
                         Step::Poll(_) => self.core.poll(self.now, id, page),
-                        _ => self.core.poll_at_once(self.now, id, page),
+                        _ => self.core.poll_now(self.now, id, page),
                     };
                     let over = self.clients[&id].finals > 0;
                     prop_assert!(
-                        !over || !matches!(poll, Poll::Answer(_)),
+                        !over || !matches!(poll, PollOutcome::Response(_)),
                         "an answer behind the final one"
                     );
                     self.take(id, page, poll)?;
@@ -263,13 +274,16 @@
                 if let Some(id) = self.pick(n) {
                     let last = self.clients[&id].next.saturating_sub(1);
                     let poll = self.core.poll(self.now, id, last);
-                    prop_assert!(matches!(poll, Poll::Answer(_) | Poll::Gone));
+                    prop_assert!(matches!(poll, PollOutcome::Response(_) | PollOutcome::Gone));
                     self.take(id, last, poll)?;
                     if last > 0 {
-                        prop_assert!(matches!(self.core.poll(self.now, id, last - 1), Poll::Gone));
+                        prop_assert!(matches!(
+                            self.core.poll(self.now, id, last - 1),
+                            PollOutcome::Gone
+                        ));
                     }
                     let far = self.core.poll(self.now, id, last + 2);
-                    prop_assert!(matches!(far, Poll::Unknown | Poll::Gone));
+                    prop_assert!(matches!(far, PollOutcome::Unknown | PollOutcome::Gone));
                 }
             }
             Step::Cancel(n) => {
@@ -284,14 +298,14 @@
                     let at = ready[n % ready.len()];
                     let (id, hop, _) = self.out[at];
                     let rows = RawValue::from_string(format!("[[\"{id}.{hop}\"]]")).expect("JSON");
-                    self.core.page(
+                    self.core.accept_page(
                         self.now,
                         id,
                         hop,
-                        Page {
+                        ResultPage {
                             rows: Some(rows.into()),
-                            last,
-                            ..Page::default()
+                            is_last: last,
+                            ..ResultPage::default()
                         },
                     );
                     match last {
@@ -322,14 +336,14 @@
                     {
                         a.1.push(ending);
                     }
-                    self.core.ended(
+                    self.core.finish_attempt(
                         self.now,
                         id,
                         hop,
-                        Ended {
-                            ending,
-                            why: "x".into(),
-                            report: None,
+                        AttemptOutcome {
+                            status: ending,
+                            reason: "x".into(),
+                            load_report: None,
                         },
                     );
                 }
@@ -337,12 +351,12 @@
             Step::Wrong(n) => {
                 if !self.out.is_empty() {
                     let (id, hop, _) = self.out.remove(n % self.out.len());
-                    let failure = Failure {
+                    let failure = EngineError {
                         message: "x".into(),
                         code: 1,
                         name: "X".into(),
                     };
-                    self.core.wrong(self.now, id, hop, failure);
+                    self.core.fail_with_engine_error(self.now, id, hop, failure);
                 }
             }
             Step::Killed(n, proof) => {
@@ -358,7 +372,8 @@
                     {
                         a.1.push(AttemptStatus::Cancelled);
                     }
-                    self.core.killed(self.now, id, hop, proof, "x".into());
+                    self.core
+                        .finish_killed_attempt(self.now, id, hop, proof, "x".into());
                 }
             }
             Step::Stale(n) => {
@@ -374,13 +389,13 @@
                 if !all.is_empty() {
                     let (id, hop) = all[n % all.len()];
                     let rows = RawValue::from_string("[[\"stale\"]]".into()).expect("JSON");
-                    self.core.page(
+                    self.core.accept_page(
                         self.now,
                         id,
                         hop,
-                        Page {
+                        ResultPage {
                             rows: Some(rows.into()),
-                            ..Page::default()
+                            ..ResultPage::default()
                         },
                     );
                 }
@@ -394,12 +409,12 @@
     fn finish(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..400 {
             while let Some((id, hop, _)) = self.out.pop() {
-                let ended = Ended {
-                    ending: AttemptStatus::TimedOut,
-                    why: "x".into(),
-                    report: None,
+                let ended = AttemptOutcome {
+                    status: AttemptStatus::TimedOut,
+                    reason: "x".into(),
+                    load_report: None,
                 };
-                self.core.ended(self.now, id, hop, ended);
+                self.core.finish_attempt(self.now, id, hop, ended);
             }
             self.now += 100 * MS;
             self.round()?;
@@ -416,27 +431,30 @@
             }
             self.round()?;
         }
-        prop_assert_eq!(self.core.sizes().0, 0, "still open");
-        prop_assert_eq!(self.core.sizes().2, 0, "pages still held");
+        prop_assert_eq!(self.core.usage().open_statements, 0, "still open");
+        prop_assert_eq!(self.core.usage().buffered_bytes, 0, "pages still held");
         let gone: Vec<StatementId> = self.clients.keys().copied().collect();
         let gone: Vec<StatementId> = gone.into_iter().filter(|id| self.forgotten(*id)).collect();
         for (id, seen) in &self.clients {
             let settled = self.settled.get(id);
             prop_assert!(settled.is_some(), "{} was never settled", id);
             // A client that went away for longer than it may is not waited for; all others were answered.
-            let away = matches!(settled, Some(Final::Abandoned | Final::Canceled));
+            let away = matches!(
+                settled,
+                Some(FinalResponse::Abandoned | FinalResponse::Canceled)
+            );
             prop_assert!(
                 seen.finals == 1 || seen.left || away || gone.contains(id),
                 "{id}: {:?}",
                 settled
             );
             // Unsafe work that was ended is called harmless only where its engine said that all is undone.
-            if let (2, Some(Final::EndedByRule { .. })) = (seen.class, settled) {
+            if let (2, Some(FinalResponse::TerminatedByRule { .. })) = (seen.class, settled) {
                 let proofs = self.proofs.get(id).map_or(&[][..], |p| p);
                 prop_assert_eq!(proofs, &[Proof::RolledBack][..]);
             }
             // Unsafe work is refused only where no attempt can have run.
-            if let (2, Some(Final::Refused { .. })) = (seen.class, settled) {
+            if let (2, Some(FinalResponse::Rejected { .. })) = (seen.class, settled) {
                 let none = Vec::new();
                 let proof = |e: &AttemptStatus| {
                     matches!(
@@ -460,7 +478,7 @@
     fn forgotten(&mut self, id: StatementId) -> bool {
         matches!(
             self.core.poll(self.now, id, self.clients[&id].next),
-            Poll::Gone
+            PollOutcome::Gone
         )
     }
 }
@@ -488,12 +506,12 @@
     }
 }
 
-fn page(text: &str, last: bool) -> Page {
+fn page(text: &str, last: bool) -> ResultPage {
     let rows = RawValue::from_string(format!("[[\"{text}\"]]")).expect("JSON");
-    Page {
+    ResultPage {
         rows: Some(rows.into()),
-        last,
-        ..Page::default()
+        is_last: last,
+        ..ResultPage::default()
     }
 }
 
@@ -501,41 +519,41 @@
     Submission {
         class: 0,
         tenant: None,
-        key: None,
+        ordering_key: None,
         group: None,
-        guess: None,
-        want_mb: 0.0,
+        estimated_work: None,
+        estimated_memory_mb: 0.0,
         fingerprint: 1,
         label: "select ?".into(),
         announced: Announced::default(),
-        repeat: false,
-        patience: None,
-        work: Rc::new(Work::default()),
+        is_retry: false,
+        timeout: None,
+        work: Rc::new(EngineStatement::default()),
     }
 }
 
 /// Submits a statement that an engine gets at once.
 fn taken(world: &mut World, class: usize) -> StatementId {
-    let work = Rc::new(Work::default());
+    let work = Rc::new(EngineStatement::default());
     let (tenant, key, group, repeat, patience) = Default::default();
     let s = Submission {
         class,
         tenant,
-        key,
+        ordering_key: key,
         group,
-        repeat,
-        patience,
+        is_retry: repeat,
+        timeout: patience,
         work,
         ..submission()
     };
     let id = world.core.submit(world.now, s).expect("taken");
     world.now += 20 * MS;
-    world.core.round(world.now);
+    world.core.run_batch(world.now);
     id
 }
 
 fn commands(core: &mut Core) -> Vec<Command> {
-    std::iter::from_fn(|| core.command()).collect()
+    std::iter::from_fn(|| core.next_command()).collect()
 }
 
 #[test]
@@ -544,8 +562,11 @@
     let (a, b) = (taken(&mut world, 0), taken(&mut world, 0));
     let now = world.now;
     for id in [a, b] {
-        world.core.page(now, id, 0, page("small", false));
-        assert!(matches!(world.core.poll(now, id, 1), Poll::Answer(_)));
+        world.core.accept_page(now, id, 0, page("small", false));
+        assert!(matches!(
+            world.core.poll(now, id, 1),
+            PollOutcome::Response(_)
+        ));
     }
     let fetched = |core: &mut Core, id| {
         commands(core)
@@ -553,11 +574,19 @@
             .any(|c| matches!(c, Command::Fetch { id: of, .. } if *of == id))
     };
     commands(&mut world.core);
-    world.core.page(now, a, 0, page(&"x".repeat(100), false));
-    world.core.page(now, b, 0, page("small", false));
-    assert!(matches!(world.core.poll(now, b, 2), Poll::Answer(_)));
+    world
+        .core
+        .accept_page(now, a, 0, page(&"x".repeat(100), false));
+    world.core.accept_page(now, b, 0, page("small", false));
+    assert!(matches!(
+        world.core.poll(now, b, 2),
+        PollOutcome::Response(_)
+    ));
     assert!(!fetched(&mut world.core, b), "the room is taken");
-    assert!(matches!(world.core.poll(now, a, 2), Poll::Answer(_)));
+    assert!(matches!(
+        world.core.poll(now, a, 2),
+        PollOutcome::Response(_)
+    ));
     assert!(fetched(&mut world.core, b), "there is room again");
 }
 
@@ -566,13 +595,13 @@
     let mut world = World::with("{ engines+: { cancel: true, notes_every: '100ms' } }");
     let id = taken(&mut world, 2);
     world.now += 5_000 * MS;
-    world.core.page(world.now, id, 0, page("here", true));
+    world.core.accept_page(world.now, id, 0, page("here", true));
     // Word that came late says that it would never end in time: the module gives it up.
     world
         .core
-        .note(id, 0, hoptiller_policy::Progress::Completed(0.001));
-    world.core.round(world.now);
+        .report_progress(id, 0, hoptiller_policy::Progress::Completed(0.001));
+    world.core.run_batch(world.now);
     assert!(
-        matches!(world.core.poll(world.now, id, 1), Poll::Answer(a) if matches!(a.content, Content::Rows(_)))
+        matches!(world.core.poll(world.now, id, 1), PollOutcome::Response(a) if matches!(a.content, ResponseContent::Rows(_)))
     );
 }
