--- /dev/null
+++ b/crates/router-core/src/core.rs
@@ -0,0 +1,168 @@
+//! The core of one router: its state, its settings, and its batches of decisions.
+
+mod actions;
+mod admission;
+mod attempts;
+mod delivery;
+mod expiry;
+mod runaways;
+
+use std::collections::VecDeque;
+
+use hoptiller_policy::{
+    Action, Controller, EndpointEntry, EngineId, Event, ListScope, LoadReport, Micros, Settings,
+    SettingsError,
+};
+use hoptiller_runaway::Watch;
+
+use crate::command::Command;
+use crate::endpoints::EndpointTable;
+use crate::identity::{RouterIdentity, StatementId};
+use crate::limits::{CoreLimits, CoreUsage};
+use crate::statement_table::StatementTable;
+
+/// The core of one router.
+///
+/// Calls leave events for the controller; [`Core::run_batch`] has the controller decide on all of them, and
+/// [`Core::next_command`] yields what is to be done.
+pub struct Core {
+    controller: Controller,
+    /// `None` if runaways are not detected.
+    runaway_watch: Option<Watch>,
+    endpoints: EndpointTable,
+    identity: RouterIdentity,
+    limits: CoreLimits,
+    /// By class: how long a statement may take.
+    class_deadlines: Vec<Micros>,
+    statements: StatementTable,
+    /// Events for the next batch.
+    events: Vec<Event>,
+    /// Reused between batches.
+    actions: Vec<Action>,
+    commands: VecDeque<Command>,
+    wake_at: Option<Micros>,
+    is_shutting_down: bool,
+    /// Statements, with their attempts, whose next page is fetched once the buffers have space.
+    awaiting_fetch: VecDeque<(StatementId, u32)>,
+    buffered_bytes: u64,
+}
+
+impl Core {
+    /// A core that knows no engine yet.
+    ///
+    /// # Errors
+    ///
+    /// If the controller does not accept the settings.
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        limits: CoreLimits,
+        runaway_watch: Option<Watch>,
+        identity: RouterIdentity,
+    ) -> Result<Core, SettingsError> {
+        Ok(Core {
+            endpoints: EndpointTable::new(&settings),
+            runaway_watch,
+            identity,
+            class_deadlines: class_deadlines(&settings),
+            controller: Controller::new(settings, seed)?,
+            limits,
+            statements: StatementTable::default(),
+            events: Vec::new(),
+            actions: Vec::new(),
+            commands: VecDeque::new(),
+            wake_at: Some(0),
+            is_shutting_down: false,
+            awaiting_fetch: VecDeque::new(),
+            buffered_bytes: 0,
+        })
+    }
+
+    /// Applies other settings, also to statements that wait. Classes keep their indexes; new ones follow.
+    pub fn update_settings(
+        &mut self,
+        settings: Settings,
+        runaway_settings: hoptiller_runaway::Settings,
+    ) {
+        self.class_deadlines = class_deadlines(&settings);
+        self.endpoints.update_settings(&settings);
+        if let Some(watch) = &mut self.runaway_watch {
+            watch.rules(runaway_settings);
+        }
+        self.events.push(Event::SettingsChanged(Box::new(settings)));
+    }
+
+    /// Applies an update of the engine list.
+    pub fn update_endpoints(&mut self, now: Micros, scope: ListScope, entries: Vec<EndpointEntry>) {
+        self.update_runaway_endpoints(now, scope, &entries);
+        self.events.push(Event::EndpointList(scope, entries));
+    }
+
+    /// Reports the result of a health check: the engine's load, or `None` if it failed.
+    pub fn report_health_check(&mut self, engine: EngineId, load_report: Option<LoadReport>) {
+        self.events.push(Event::HealthChecked(engine, load_report));
+    }
+
+    /// Number of attempts that the controller takes to be in flight at an engine.
+    pub fn in_flight_at(&self, engine: EngineId) -> usize {
+        self.controller.in_flight_at(engine)
+    }
+
+    /// Whether no statement is open, and no final response is undelivered.
+    pub fn is_idle(&self) -> bool {
+        self.statements.open() == 0 && self.statements.undelivered() == 0
+    }
+
+    /// What the core holds at the moment.
+    pub fn usage(&self) -> CoreUsage {
+        CoreUsage {
+            open_statements: self.statements.open(),
+            retained_statements: self.statements.retained(),
+            buffered_bytes: self.buffered_bytes,
+        }
+    }
+
+    /// When the next batch is due even without an event.
+    pub fn wake_at(&self) -> Option<Micros> {
+        self.wake_at
+    }
+
+    /// Whether events wait for a batch.
+    pub fn has_events(&self) -> bool {
+        !self.events.is_empty()
+    }
+
+    /// Runs one batch: the controller decides on the events since the last one.
+    pub fn run_batch(&mut self, now: Micros) {
+        self.handle_due_timers(now);
+        self.detect_runaways(now);
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
+            self.events.push(Event::Wakeup);
+        }
+        if self.events.is_empty() {
+            return;
+        }
+        let events = std::mem::take(&mut self.events);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.controller.handle(now, &events, &mut actions);
+        for action in actions.drain(..) {
+            self.apply_action(now, action);
+        }
+        self.actions = actions;
+        self.fetch_while_space();
+    }
+
+    /// Takes the next command; `None` if there is none.
+    pub fn next_command(&mut self) -> Option<Command> {
+        self.commands.pop_front()
+    }
+}
+
+fn class_deadlines(settings: &Settings) -> Vec<Micros> {
+    settings
+        .classes
+        .iter()
+        .map(|class| class.deadline)
+        .collect()
+}
--- /dev/null
+++ b/crates/router-core/src/core/admission.rs
@@ -0,0 +1,123 @@
+//! Statements that clients submit and leave.
+
+use hoptiller_policy::{Arrival, Event, KeyId, Micros, RequestId};
+use hoptiller_runaway::End;
+
+use super::Core;
+use crate::command::Command;
+use crate::hash::hash_name;
+use crate::history::StatementHistory;
+use crate::identity::StatementId;
+use crate::response::FinalResponse;
+use crate::statement::{RunawayProfile, Statement, StatementState};
+use crate::submission::{Submission, SubmitError};
+
+impl Core {
+    /// Accepts a statement, which is then owed one final response.
+    ///
+    /// # Errors
+    ///
+    /// If the router is shutting down, or too many statements are open. Nothing is owed then.
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        submission: Submission,
+    ) -> Result<StatementId, SubmitError> {
+        if self.is_shutting_down {
+            return Err(SubmitError::ShuttingDown);
+        }
+        if self.statements.open() >= self.limits.max_open_statements {
+            return Err(SubmitError::TableFull);
+        }
+        let class_deadline = self.class_deadlines[submission.class];
+        let timeout = submission
+            .timeout
+            .unwrap_or(class_deadline)
+            .min(class_deadline);
+        let valid_until = now.saturating_add(timeout);
+        let profile = self.runaway_profile(now, &submission);
+        let held_as = profile.as_ref().map(|profile| profile.held_as.0);
+        let id = self
+            .statements
+            .insert(|id| Statement::new(id, &submission, profile, now, valid_until));
+        self.statements
+            .set_timer(now + self.limits.abandon_after, id);
+        let key = submission.ordering_key.as_deref();
+        self.events.push(Event::Arrival(Arrival {
+            request: RequestId(id),
+            class: submission.class,
+            tenant: submission.tenant,
+            key: key.map(|key| KeyId(hash_name(key))),
+            valid_until,
+            estimated_work: submission.estimated_work,
+            estimated_memory_mb: submission.estimated_memory_mb,
+            group: submission.group,
+            is_retry: submission.is_retry,
+            kind: held_as,
+        }));
+        Ok(id)
+    }
+
+    /// Registers an arrival with the runaway detector, if there is one.
+    fn runaway_profile(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
+        let watch = self.runaway_watch.as_mut()?;
+        let kind = watch.kind(submission.class, submission.fingerprint);
+        let held_as = watch.arrived(now, kind, submission.class, &submission.label);
+        Some(RunawayProfile {
+            kind,
+            held_as,
+            label: submission.label.clone(),
+            announced: submission.announced,
+            group: submission.group,
+        })
+    }
+
+    /// The client cancels its statement.
+    pub fn cancel(&mut self, now: Micros, id: StatementId) {
+        self.disconnect(now, id, FinalResponse::Canceled);
+    }
+
+    /// Settles a statement that its client has left, and releases what is held for it.
+    pub(super) fn disconnect(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
+        let Some(statement) = self.statements.get(id) else {
+            return;
+        };
+        match statement.state {
+            StatementState::Settled(_) => return,
+            StatementState::Pending => self.events.push(Event::ClientDisconnected(RequestId(id))),
+            // The engine has done the work: only the rest of the result is discarded.
+            StatementState::FirstPageReady { attempt, .. } => {
+                self.release_attempt(now, id, attempt);
+                self.report_success(now, id, attempt);
+            }
+            // Its success was reported with the first page.
+            StatementState::Streaming { attempt, .. } => self.release_attempt(now, id, attempt),
+        }
+        self.settle(now, id, response);
+    }
+
+    fn release_attempt(&mut self, now: Micros, id: StatementId, attempt: u32) {
+        self.commands.push_back(Command::Release { id, attempt });
+        self.end_runaway_detection(now, id, attempt, End::Good, None);
+    }
+
+    /// The history of a statement up to now; `None` if it is not retained.
+    pub fn history(&self, now: Micros, id: StatementId) -> Option<StatementHistory> {
+        self.statements
+            .get(id)
+            .map(|statement| statement.history(now))
+    }
+
+    /// Accepts no further statements.
+    pub fn begin_shutdown(&mut self) {
+        self.is_shutting_down = true;
+    }
+
+    /// Has the controller give up all open statements: the router stops before they could be answered.
+    pub fn abandon_all(&mut self) {
+        let mut open: Vec<StatementId> = self.statements.unsettled().collect();
+        open.sort_unstable();
+        let abandoned = open.into_iter().map(|id| Event::Abandoned(RequestId(id)));
+        self.events.extend(abandoned);
+    }
+}
--- /dev/null
+++ b/crates/router-core/src/core/attempts.rs
@@ -0,0 +1,193 @@
+//! What is reported of attempts, and the settling of statements.
+
+use hoptiller_policy::{Event, Micros, Progress, RequestId};
+use hoptiller_runaway::{End, EndingVerdict, Proof, answer_after_end};
+
+use super::Core;
+use crate::command::{AttemptOutcome, Command};
+use crate::identity::StatementId;
+use crate::response::{EngineError, FinalResponse, ResultPage};
+use crate::statement::StatementState;
+
+impl Core {
+    /// Reports the progress of a running attempt.
+    pub fn report_progress(&mut self, id: StatementId, attempt: u32, progress: Progress) {
+        let statement = self.statements.get(id);
+        let Some(engine) = statement.and_then(|statement| statement.engine_of(attempt)) else {
+            return;
+        };
+        self.events.push(Event::Progress {
+            request: RequestId(id),
+            attempt,
+            engine,
+            progress,
+        });
+    }
+
+    /// Accepts a page of an attempt's result, or releases the attempt if its result is not wanted.
+    pub fn accept_page(&mut self, now: Micros, id: StatementId, attempt: u32, page: ResultPage) {
+        let size_bytes = page.size_bytes();
+        self.report_page_to_runaway_watch(now, id, attempt, &page);
+        let Some(statement) = self.statements.get_mut(id) else {
+            self.commands.push_back(Command::Release { id, attempt });
+            return;
+        };
+        let (state, is_accepted) = match statement.take_state() {
+            // An attempt whose end was reported is not accepted: its rows could mix with those of a later attempt.
+            StatementState::Pending if statement.is_in_flight(attempt) => {
+                statement.record_page(attempt, now);
+                (StatementState::FirstPageReady { attempt, page }, true)
+            }
+            StatementState::Streaming {
+                attempt: streaming, ..
+            } if streaming == attempt => {
+                let next = Some(page);
+                (StatementState::Streaming { attempt, next }, true)
+            }
+            // Another attempt delivers its result, or the statement is settled.
+            state => (state, false),
+        };
+        statement.state = state;
+        if is_accepted {
+            self.buffered_bytes += size_bytes;
+            self.commands.push_back(Command::NotifyWaiters(id));
+        } else {
+            self.commands.push_back(Command::Release { id, attempt });
+            self.report_success(now, id, attempt);
+        }
+    }
+
+    /// The engine reports an error in the statement, which is its final response.
+    pub fn fail_with_engine_error(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        error: EngineError,
+    ) {
+        self.end_runaway_detection(now, id, attempt, End::Failed, None);
+        self.report_success(now, id, attempt);
+        self.settle(now, id, FinalResponse::EngineError(error));
+    }
+
+    /// An attempt has ended without its result, or before the end of it.
+    pub fn finish_attempt(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+    ) {
+        self.end_runaway_detection_by_status(now, id, attempt, outcome.status);
+        let Some(statement) = self.statements.get_mut(id) else {
+            return;
+        };
+        let event = statement.record_outcome(attempt, now, &outcome, false);
+        match statement.state {
+            // Rows were delivered, and another attempt could repeat them: there is none.
+            StatementState::Streaming {
+                attempt: streaming, ..
+            } if streaming == attempt => {
+                self.settle(now, id, FinalResponse::Truncated(outcome.reason));
+            }
+            StatementState::FirstPageReady { attempt: ready, .. } if ready == attempt => {
+                self.buffered_bytes -= statement.take_state().buffered_bytes();
+                self.events.extend(event);
+            }
+            _ => self.events.extend(event),
+        }
+        self.statements.remove_if_finished(id);
+    }
+
+    /// The engine has killed an attempt on demand, of this router or of an administrator. This ends the statement.
+    pub fn finish_killed_attempt(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        proof: Proof,
+        reason: String,
+    ) {
+        self.end_runaway_detection(now, id, attempt, End::Failed, None);
+        let Some(statement) = self.statements.get_mut(id) else {
+            return;
+        };
+        match statement.state {
+            // Rows were delivered; the rest of the result is lost.
+            StatementState::Streaming {
+                attempt: streaming, ..
+            } if streaming == attempt => {
+                self.settle(now, id, FinalResponse::Truncated(reason));
+                return;
+            }
+            StatementState::Streaming { .. } | StatementState::Settled(_) => {
+                self.finish_attempt(now, id, attempt, AttemptOutcome::cancelled(reason));
+                return;
+            }
+            // Its end was reported before.
+            _ if !statement.is_in_flight(attempt) => return,
+            _ => {}
+        }
+        let outcome = AttemptOutcome::cancelled(reason.clone());
+        let event = statement.record_outcome(attempt, now, &outcome, true);
+        self.events.extend(event);
+        let first_sent_at = statement.first_sent_at().unwrap_or(now);
+        let idempotency = self.endpoints.idempotency(statement.class);
+        let verdict = answer_after_end(idempotency, proof, first_sent_at, now);
+        let response = self.response_after_kill(verdict, reason);
+        self.settle(now, id, response);
+        self.statements.remove_if_finished(id);
+    }
+
+    fn response_after_kill(&self, verdict: EndingVerdict, reason: String) -> FinalResponse {
+        match verdict {
+            EndingVerdict::Harmless => FinalResponse::TerminatedByRule {
+                retry_after: self.endpoints.retry_after(),
+                reason,
+            },
+            EndingVerdict::MayHaveRun => FinalResponse::MayHaveRun(format!(
+                "it was ended at its engine, which does not say what stands of it ({reason})"
+            )),
+            EndingVerdict::HasRun => FinalResponse::MayHaveRun(format!(
+                "it was ended at its engine, and its effects stand ({reason})"
+            )),
+        }
+    }
+
+    /// Reports to the controller that an attempt succeeded, unless its outcome was reported before.
+    pub(super) fn report_success(&mut self, now: Micros, id: StatementId, attempt: u32) {
+        let event = self
+            .statements
+            .get_mut(id)
+            .and_then(|statement| statement.record_success(attempt, now));
+        self.events.extend(event);
+    }
+
+    /// Settles the final response; later calls do nothing.
+    pub(super) fn settle(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
+        let Some(statement) = self.statements.get_mut(id) else {
+            return;
+        };
+        if statement.is_settled() {
+            return;
+        }
+        let settled = Command::Settled {
+            id,
+            class: statement.class,
+            response: response.clone(),
+            elapsed: now - statement.received_at,
+            attempts: statement.attempt_count(),
+        };
+        if matches!(response, FinalResponse::Canceled | FinalResponse::Abandoned) {
+            statement.is_delivered = true;
+        }
+        let previous = std::mem::replace(&mut statement.state, StatementState::Settled(response));
+        statement.settled_at = Some(now);
+        statement.work = None;
+        self.buffered_bytes -= previous.buffered_bytes();
+        self.statements.mark_settled();
+        self.commands.push_back(settled);
+        self.commands.push_back(Command::NotifyWaiters(id));
+        self.retain_if_delivered(now, id);
+    }
+}
--- /dev/null
+++ b/crates/router-core/src/core/delivery.rs
@@ -0,0 +1,139 @@
+//! Delivery of numbered responses to clients that poll.
+
+use hoptiller_policy::Micros;
+
+use super::Core;
+use crate::command::Command;
+use crate::identity::StatementId;
+use crate::response::{FinalResponse, PollOutcome, ResponseContent, ResultPage};
+use crate::statement::{ResponsePosition, StatementState};
+
+impl Core {
+    /// Polls for the response of that number.
+    pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
+        let Some(statement) = self.statements.get_mut(id) else {
+            return if id < self.statements.next_id() {
+                PollOutcome::Gone
+            } else {
+                PollOutcome::Unknown
+            };
+        };
+        statement.last_polled_at = now;
+        match statement.position_of(page) {
+            ResponsePosition::Latest => PollOutcome::Response(statement.latest.clone()),
+            ResponsePosition::Superseded => PollOutcome::Gone,
+            ResponsePosition::NeverOffered => PollOutcome::Unknown,
+            ResponsePosition::Next if statement.has_news() => self.deliver(now, id),
+            ResponsePosition::Next => PollOutcome::Pending,
+        }
+    }
+
+    /// Polls for the response of that number without waiting: if there is nothing new, the response says so.
+    pub fn poll_now(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
+        match self.poll(now, id, page) {
+            PollOutcome::Pending => match self.statements.get_mut(id) {
+                Some(statement) => {
+                    PollOutcome::Response(statement.respond(now, ResponseContent::NoChange))
+                }
+                None => PollOutcome::Gone,
+            },
+            outcome => outcome,
+        }
+    }
+
+    /// A client starts to wait for news of a statement.
+    pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
+        if let Some(statement) = self.statements.get_mut(id) {
+            statement.last_polled_at = now;
+            statement.waiters += 1;
+        }
+    }
+
+    /// A client no longer waits for news of a statement.
+    pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
+        if let Some(statement) = self.statements.get_mut(id) {
+            statement.last_polled_at = now;
+            statement.waiters = statement.waiters.saturating_sub(1);
+        }
+    }
+
+    /// Delivers what is new, and moves the statement to its next state.
+    fn deliver(&mut self, now: Micros, id: StatementId) -> PollOutcome {
+        let Some(statement) = self.statements.get_mut(id) else {
+            return PollOutcome::Gone;
+        };
+        match statement.take_state() {
+            StatementState::FirstPageReady { attempt, page } => {
+                self.deliver_page(now, id, attempt, page, true)
+            }
+            StatementState::Streaming {
+                attempt,
+                next: Some(page),
+            } => self.deliver_page(now, id, attempt, page, false),
+            StatementState::Settled(response) => {
+                statement.state = StatementState::Settled(response.clone());
+                statement.is_delivered = true;
+                let response = statement.respond(now, ResponseContent::Final(response));
+                self.statements.mark_delivered(id);
+                self.retain_if_delivered(now, id);
+                PollOutcome::Response(response)
+            }
+            state => {
+                statement.state = state;
+                PollOutcome::Pending
+            }
+        }
+    }
+
+    /// Delivers a page. The first page commits the statement: no other attempt can deliver its result from then on.
+    fn deliver_page(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        page: ResultPage,
+        is_first: bool,
+    ) -> PollOutcome {
+        self.buffered_bytes -= page.size_bytes();
+        let is_last = page.is_last;
+        let Some(statement) = self.statements.get_mut(id) else {
+            return PollOutcome::Gone;
+        };
+        statement.state = StatementState::Streaming {
+            attempt,
+            next: None,
+        };
+        let response = statement.respond(now, ResponseContent::Rows(page));
+        if is_first {
+            self.report_success(now, id, attempt);
+        }
+        if is_last {
+            self.settle_completed(now, id);
+        } else {
+            self.awaiting_fetch.push_back((id, attempt));
+            self.fetch_while_space();
+        }
+        PollOutcome::Response(response)
+    }
+
+    /// Settles a statement whose last page was delivered.
+    fn settle_completed(&mut self, now: Micros, id: StatementId) {
+        if let Some(statement) = self.statements.get_mut(id) {
+            statement.is_delivered = true;
+        }
+        self.settle(now, id, FinalResponse::Completed);
+    }
+
+    /// Has further pages fetched while the buffers have space for them.
+    pub(super) fn fetch_while_space(&mut self) {
+        while self.buffered_bytes < self.limits.max_buffered_bytes {
+            let Some((id, attempt)) = self.awaiting_fetch.pop_front() else {
+                break;
+            };
+            let statement = self.statements.get(id);
+            if statement.is_some_and(|statement| !statement.is_settled()) {
+                self.commands.push_back(Command::Fetch { id, attempt });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router-core/src/core/runaways.rs
@@ -0,0 +1,200 @@
+//! The bridge to the runaway detector: what it is told, and what becomes of its decisions.
+//!
+//! Holds go to the controller as events, so that the controller alone decides on every send.
+
+use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, Event, ListScope, Micros};
+use hoptiller_runaway::snapshot::Restored;
+use hoptiller_runaway::{AttemptId, Decision, End, KindId, News, SnapshotError, Start, Watch};
+
+use super::Core;
+use crate::command::Command;
+use crate::identity::StatementId;
+use crate::response::ResultPage;
+
+impl Core {
+    /// The runaway detector, if there is one.
+    pub fn runaway_watch(&self) -> Option<&Watch> {
+        self.runaway_watch.as_ref()
+    }
+
+    /// Restores the statistics of an earlier incarnation into the runaway detector; `None` if there is no detector.
+    pub fn restore_runaway_watch(
+        &mut self,
+        now: Micros,
+        snapshot: &[u8],
+    ) -> Option<Result<Restored, SnapshotError>> {
+        self.runaway_watch
+            .as_mut()
+            .map(|watch| watch.restore(now, snapshot))
+    }
+
+    /// An operator releases a fingerprint that is held. Returns whether it was held.
+    pub fn release_fingerprint(&mut self, kind: KindId) -> bool {
+        let was_held = self
+            .runaway_watch
+            .as_mut()
+            .is_some_and(|watch| watch.release(kind));
+        self.apply_runaway_decisions();
+        was_held
+    }
+
+    /// An engine reports the status of a running attempt.
+    pub fn update_attempt_status(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        news: News,
+    ) {
+        if let Some(watch) = &mut self.runaway_watch {
+            watch.told(now, attempt_id(id, attempt), news);
+        }
+    }
+
+    /// Tells the detector of an attempt that is sent.
+    pub(super) fn start_runaway_detection(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        engine: EngineId,
+    ) {
+        let (Some(watch), Some(statement)) = (&mut self.runaway_watch, self.statements.get(id))
+        else {
+            return;
+        };
+        let Some(profile) = &statement.runaway_profile else {
+            return;
+        };
+        let start = Start {
+            attempt: attempt_id(id, attempt),
+            engine,
+            class: statement.class,
+            name: self.identity.statement_name(id),
+            kind: profile.kind,
+            held_as: profile.held_as,
+            label: profile.label.clone(),
+            announced: profile.announced,
+            group: profile.group,
+        };
+        watch.started(now, start);
+    }
+
+    /// Tells the detector that a page was received: the engine has a result, or with the last page all of it.
+    pub(super) fn report_page_to_runaway_watch(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        page: &ResultPage,
+    ) {
+        let Some(watch) = &mut self.runaway_watch else {
+            return;
+        };
+        let attempt = attempt_id(id, attempt);
+        if page.is_last {
+            watch.ended(now, attempt, End::Good, page.work);
+        } else {
+            watch.flowing(now, attempt);
+        }
+    }
+
+    /// Tells the detector that an attempt has ended.
+    pub(super) fn end_runaway_detection(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        end: End,
+        work: Option<Micros>,
+    ) {
+        if let Some(watch) = &mut self.runaway_watch {
+            watch.ended(now, attempt_id(id, attempt), end, work);
+        }
+    }
+
+    /// Tells the detector what the status of an ended attempt says of the engine's side.
+    pub(super) fn end_runaway_detection_by_status(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        attempt: u32,
+        status: AttemptStatus,
+    ) {
+        let end = match status {
+            AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent => {
+                End::NeverRan
+            }
+            AttemptStatus::Succeeded | AttemptStatus::ErrorResponse => End::Failed,
+            AttemptStatus::Cancelled if self.endpoints.cancel_stops_work() => End::Failed,
+            AttemptStatus::TimedOut | AttemptStatus::ConnectionReset | AttemptStatus::Cancelled => {
+                End::GoesOn
+            }
+        };
+        self.end_runaway_detection(now, id, attempt, end, None);
+    }
+
+    /// Tells the detector of an update of the engine list, except one that failed.
+    pub(super) fn update_runaway_endpoints(
+        &mut self,
+        now: Micros,
+        scope: ListScope,
+        entries: &[EndpointEntry],
+    ) {
+        if scope == ListScope::Failed {
+            return;
+        }
+        let Some(watch) = &mut self.runaway_watch else {
+            return;
+        };
+        for engine in self.endpoints.update(scope, entries) {
+            watch.restarted(now, engine);
+        }
+        watch.listed(self.endpoints.listed());
+        self.apply_runaway_decisions();
+    }
+
+    /// Has the detector look for runaways, if it is time.
+    pub(super) fn detect_runaways(&mut self, now: Micros) {
+        if let Some(watch) = &mut self.runaway_watch {
+            watch.look(now);
+        }
+        self.apply_runaway_decisions();
+    }
+
+    /// Turns the detector's decisions into events and commands.
+    fn apply_runaway_decisions(&mut self) {
+        let decisions = self.runaway_watch.as_mut().map(Watch::take);
+        for decision in decisions.into_iter().flatten() {
+            let command = match decision {
+                Decision::Hold(hold) => {
+                    self.events.push(Event::Hold(hold));
+                    continue;
+                }
+                Decision::Found(finding) => Command::ReportFinding(finding),
+                Decision::Pause(attempt) => pause_command(attempt, true),
+                Decision::Resume(attempt) => pause_command(attempt, false),
+                Decision::End(attempt) => Command::Kill {
+                    id: attempt.statement,
+                    attempt: attempt.hop,
+                },
+            };
+            self.commands.push_back(command);
+        }
+    }
+}
+
+fn attempt_id(statement: StatementId, attempt: u32) -> AttemptId {
+    AttemptId {
+        statement,
+        hop: attempt,
+    }
+}
+
+fn pause_command(attempt: AttemptId, paused: bool) -> Command {
+    Command::Pause {
+        id: attempt.statement,
+        attempt: attempt.hop,
+        paused,
+    }
+}
--- /dev/null
+++ b/crates/router-core/src/endpoints.rs
@@ -0,0 +1,121 @@
+//! The engine list as the runaway detector needs it: which engines are up, and which classes may run on them.
+
+use std::collections::BTreeMap;
+
+use hoptiller_policy::{
+    EndpointEntry, EngineId, Idempotency, ListScope, Micros, Readiness, Settings,
+};
+use hoptiller_runaway::Listed;
+
+/// Where a class may run. `None` allows all zones or kinds.
+struct Placement {
+    zones: Option<Vec<usize>>,
+    kinds: Option<Vec<usize>>,
+}
+
+impl Placement {
+    fn allows(&self, entry: &EndpointEntry) -> bool {
+        is_allowed(&self.zones, entry.zone) && is_allowed(&self.kinds, entry.kind)
+    }
+}
+
+fn is_allowed(allowed: &Option<Vec<usize>>, value: Option<usize>) -> bool {
+    allowed
+        .as_ref()
+        .is_none_or(|set| value.is_some_and(|index| set.contains(&index)))
+}
+
+/// The engine list, and the settings that say which classes may run where.
+pub(crate) struct EndpointTable {
+    entries: BTreeMap<EngineId, EndpointEntry>,
+    /// By class.
+    placement: Vec<Placement>,
+    /// By class.
+    idempotency: Vec<Idempotency>,
+    /// Whether an engine stops the work of an attempt that is cancelled.
+    cancel_stops_work: bool,
+    /// What clients are told to wait after a rule terminated their statement.
+    retry_after: Option<Micros>,
+}
+
+impl EndpointTable {
+    /// A table without engines.
+    pub(crate) fn new(settings: &Settings) -> EndpointTable {
+        EndpointTable::with_entries(settings, BTreeMap::new())
+    }
+
+    /// Applies other settings to the same engines.
+    pub(crate) fn update_settings(&mut self, settings: &Settings) {
+        *self = EndpointTable::with_entries(settings, std::mem::take(&mut self.entries));
+    }
+
+    fn with_entries(
+        settings: &Settings,
+        entries: BTreeMap<EngineId, EndpointEntry>,
+    ) -> EndpointTable {
+        let limits = &settings.limits;
+        EndpointTable {
+            entries,
+            placement: settings
+                .classes
+                .iter()
+                .map(|class| Placement {
+                    zones: class.zones.clone(),
+                    kinds: class.kinds.clone(),
+                })
+                .collect(),
+            idempotency: settings.classes.iter().map(|c| c.idempotency).collect(),
+            cancel_stops_work: limits.cancel,
+            retry_after: limits.retry_after.then_some(limits.max_retry_after),
+        }
+    }
+
+    /// Applies an update of the engine list; returns the engines that have restarted.
+    pub(crate) fn update(&mut self, scope: ListScope, entries: &[EndpointEntry]) -> Vec<EngineId> {
+        if matches!(scope, ListScope::All | ListScope::Cached) {
+            self.entries
+                .retain(|id, _| entries.iter().any(|entry| entry.engine == *id));
+        }
+        let mut restarted = Vec::new();
+        for entry in entries {
+            let previous = self.entries.insert(entry.engine, entry.clone());
+            restarted.extend(
+                previous
+                    .filter(|previous| entry.ready_at > previous.ready_at)
+                    .map(|previous| previous.engine),
+            );
+        }
+        restarted
+    }
+
+    /// The engines that are not removed, with the classes that may run on each.
+    pub(crate) fn listed(&self) -> Vec<Listed> {
+        self.entries
+            .values()
+            .filter(|entry| entry.readiness != Readiness::Removed)
+            .map(|entry| Listed {
+                engine: entry.engine,
+                up: entry.readiness == Readiness::Up,
+                classes: self.placement.iter().map(|p| p.allows(entry)).collect(),
+            })
+            .collect()
+    }
+
+    /// Whether statements of a class can be repeated safely.
+    pub(crate) fn idempotency(&self, class: usize) -> Idempotency {
+        self.idempotency[class]
+    }
+
+    /// Whether an engine stops the work of an attempt that is cancelled.
+    pub(crate) fn cancel_stops_work(&self) -> bool {
+        self.cancel_stops_work
+    }
+
+    /// What clients are told to wait after a rule terminated their statement.
+    pub(crate) fn retry_after(&self) -> Option<Micros> {
+        self.retry_after
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/router-core/src/runaways/tests.rs
+++ b/crates/router-core/src/endpoints/tests.rs
@@ -10,34 +10,37 @@
 }
 
 #[test]
-fn lists_are_followed_and_processes_told_apart() {
-    let placement = vec![(None, Some(vec![1])), (None, None)];
-    let effects = vec![Idempotency::Idempotent, Idempotency::NotIdempotent];
-    let mut fleet = Fleet {
+fn updates_replace_entries_and_detect_restarts() {
+    let placement = [Some(vec![1]), None]
+        .into_iter()
+        .map(|kinds| Placement { zones: None, kinds })
+        .collect();
+    let idempotency = vec![Idempotency::Idempotent, Idempotency::NotIdempotent];
+    let mut table = EndpointTable {
         entries: BTreeMap::new(),
         placement,
-        effects,
-        cancels: false,
-        hold_off: None,
+        idempotency,
+        cancel_stops_work: false,
+        retry_after: None,
     };
     assert!(
-        fleet
-            .take(ListScope::All, &[entry(1, 0, 5), entry(2, 1, 5)])
+        table
+            .update(ListScope::All, &[entry(1, 0, 5), entry(2, 1, 5)])
             .is_empty()
     );
-    let fits: Vec<Vec<bool>> = fleet.listed().into_iter().map(|l| l.classes).collect();
+    let fits: Vec<Vec<bool>> = table.listed().into_iter().map(|l| l.classes).collect();
     assert_eq!(fits, [[false, true], [true, true]]);
     assert_eq!(
-        fleet.take(ListScope::Changes, &[entry(1, 0, 9)]),
+        table.update(ListScope::Changes, &[entry(1, 0, 9)]),
         [EngineId(1)]
     );
     let draining = EndpointEntry {
         readiness: Readiness::Draining,
         ..entry(2, 1, 5)
     };
-    fleet.take(ListScope::All, &[draining]);
+    table.update(ListScope::All, &[draining]);
     assert_eq!(
-        fleet
+        table
             .listed()
             .iter()
             .map(|l| (l.engine.0, l.up))
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -1,6 +1,7 @@
-//! Owns a core that runs: its clock, its rounds, and the bells of those who wait for news of a statement. What the
-//! core orders goes to whoever carries it out. Fronts, and what else asks the core, know this and not the router that
-//! ties them together.
+//! Runs a core: its clock, its batches of decisions, and notifications to those who wait for news of a statement.
+//!
+//! The commands that the core yields go to a [`CommandExecutor`]. Client protocols, and other parts that ask the core,
+//! depend on this module and not on the router that connects them.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashMap;
@@ -12,14 +13,19 @@
 use futures_lite::future;
 use hoptiller_policy::Micros;
 
-use crate::{Command, Core, StatementId};
+use crate::command::Command;
+use crate::core::Core;
+use crate::identity::StatementId;
 
-/// The clock starts here, so that engines which started before the router have a time of their start too.
-const CLOCK_START: Micros = 24 * 3_600_000_000;
+/// Reading of the core's clock at its start, 24 hours: engines that started before the router have a start time too.
+const CLOCK_ORIGIN: Micros = 24 * 3_600_000_000;
 
-/// Who carries out what a core orders.
+/// Pause after a batch, as a multiple of the batch's duration: batches take a tenth of the thread at most.
+const PAUSE_PER_BATCH: u32 = 9;
+
+/// Carries out what a core orders.
 pub trait CommandExecutor {
-    /// One command.
+    /// Carries out one command.
     fn execute(&self, command: Command);
 }
 
@@ -35,130 +41,153 @@
 /// A core that runs.
 pub struct EventLoop {
     core: RefCell<Core>,
-    carrier: Weak<dyn CommandExecutor>,
-    /// The longest pause between rounds while there is something to decide.
+    executor: Weak<dyn CommandExecutor>,
+    /// The longest pause between batches while there is something to decide.
     tick: Duration,
-    started: Instant,
-    /// Rung when the core has something for a round.
-    bell: Event,
-    waiting: RefCell<HashMap<StatementId, Rc<Event>>>,
-    /// EventLoop, and the time they took.
+    started_at: Instant,
+    /// Notified when the core has events for a batch.
+    events_available: Event,
+    /// By statement: notified when there is news of it.
+    statement_news: RefCell<HashMap<StatementId, Rc<Event>>>,
     stats: Cell<BatchStats>,
 }
 
 impl EventLoop {
-    /// Of a core, whose clock starts now, and of who carries out what it orders; once that one is gone, nobody does.
-    pub fn new(core: Core, tick: Duration, carrier: Weak<dyn CommandExecutor>) -> EventLoop {
+    /// An event loop for a core, whose clock starts now. Once the executor is dropped, commands stay in the core.
+    pub fn new(core: Core, tick: Duration, executor: Weak<dyn CommandExecutor>) -> EventLoop {
         EventLoop {
             core: RefCell::new(core),
-            carrier,
+            executor,
             tick,
-            started: Instant::now(),
-            bell: Event::new(),
-            waiting: RefCell::default(),
+            started_at: Instant::now(),
+            events_available: Event::new(),
+            statement_news: RefCell::default(),
             stats: Cell::default(),
         }
     }
 
-    /// The core's clock.
+    /// The current time of the core's clock.
     pub fn now(&self) -> Micros {
-        CLOCK_START + self.started.elapsed().as_micros() as Micros
+        CLOCK_ORIGIN + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A time of the core's clock on the machine's.
+    /// Converts a time of the core's clock to one of the machine's monotonic clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.started + Duration::from_micros(at.saturating_sub(CLOCK_START))
+        self.started_at + Duration::from_micros(at.saturating_sub(CLOCK_ORIGIN))
     }
 
-    /// The core; nothing that it orders is carried out.
+    /// Borrows the core; commands that it yields meanwhile are not carried out.
+    ///
+    /// # Panics
+    ///
+    /// If the core is borrowed already.
     pub fn core(&self) -> RefMut<'_, Core> {
         self.core.borrow_mut()
     }
 
-    /// The core, for one call; what it orders is carried out, and a round is rung for where it has events.
+    /// Calls a function on the core, carries out the commands that it yields, and starts a batch if it left events.
+    ///
+    /// # Panics
+    ///
+    /// If the core is borrowed already.
     pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.now();
-        let (value, more) = {
+        let (value, has_events) = {
             let mut core = self.core();
             let value = act(&mut core, now);
             (value, core.has_events())
         };
-        self.carry_out();
-        if more {
-            self.bell.notify(1);
+        self.execute_commands();
+        if has_events {
+            self.events_available.notify(1);
         }
         value
     }
 
-    /// Waits for news of a statement; to be made before the core is asked, so that no news is missed.
+    /// Listens for news of a statement. To be called before the core is polled, so that no news is missed.
     pub fn listen(&self, id: StatementId) -> EventListener {
-        self.waiting.borrow_mut().entry(id).or_default().listen()
+        self.statement_news
+            .borrow_mut()
+            .entry(id)
+            .or_default()
+            .listen()
     }
 
-    /// Nobody may wait for a statement any more: forgets its bell then.
+    /// Removes the statement's event if nobody listens for it any more.
     pub fn release_listener(&self, id: StatementId) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting
+        let mut statement_news = self.statement_news.borrow_mut();
+        if statement_news
             .get(&id)
-            .is_some_and(|bell| bell.total_listeners() == 0)
+            .is_some_and(|news| news.total_listeners() == 0)
         {
-            waiting.remove(&id);
+            statement_news.remove(&id);
         }
     }
 
-    /// There is news of a statement.
+    /// Notifies all who listen for news of a statement.
     pub fn notify_waiters(&self, id: StatementId) {
-        if let Some(bell) = self.waiting.borrow().get(&id) {
-            bell.notify(usize::MAX);
+        if let Some(news) = self.statement_news.borrow().get(&id) {
+            news.notify(usize::MAX);
         }
     }
 
-    /// EventLoop so far, and the time they took.
+    /// How many batches have run so far, and for how long.
     pub fn batch_stats(&self) -> BatchStats {
         self.stats.get()
     }
 
-    /// EventLoop for ever: when something has come, and when one is due.
+    /// Runs batches for ever: when the core has events, and when its timer is due.
+    ///
+    /// # Panics
+    ///
+    /// If the core is borrowed by a task that waits.
     pub async fn run(&self) {
         loop {
-            let rung = self.bell.listen();
-            let (events, due) = {
+            let events_available = self.events_available.listen();
+            let (has_events, wake_at) = {
                 let core = self.core();
                 (core.has_events(), core.wake_at())
             };
-            if !events {
-                let left = due.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
-                future::or(rung, async {
-                    match left {
-                        Some(left) => Timer::after(left).await,
+            if !has_events {
+                let timeout =
+                    wake_at.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
+                future::or(events_available, async {
+                    match timeout {
+                        Some(timeout) => Timer::after(timeout).await,
                         None => future::pending().await,
                     };
                 })
                 .await;
             }
-            let began = Instant::now();
-            let now = self.now();
-            self.core().run_batch(now);
-            self.carry_out();
-            let took = began.elapsed();
-            let stats = self.stats.get();
-            self.stats.set(BatchStats {
-                batches: stats.batches + 1,
-                busy: stats.busy + took,
-            });
-            // EventLoop take a tenth of the thread at most; the tick is the longest pause.
-            Timer::after((took * 9).min(self.tick)).await;
+            let batch_duration = self.run_batch();
+            Timer::after((batch_duration * PAUSE_PER_BATCH).min(self.tick)).await;
         }
     }
 
-    fn carry_out(&self) {
-        let Some(carrier) = self.carrier.upgrade() else {
+    /// Runs one batch and carries out its commands; returns how long that took.
+    fn run_batch(&self) -> Duration {
+        let started_at = Instant::now();
+        let now = self.now();
+        self.core().run_batch(now);
+        self.execute_commands();
+        let duration = started_at.elapsed();
+        let stats = self.stats.get();
+        self.stats.set(BatchStats {
+            batches: stats.batches + 1,
+            busy: stats.busy + duration,
+        });
+        duration
+    }
+
+    fn execute_commands(&self) {
+        let Some(executor) = self.executor.upgrade() else {
             return;
         };
         loop {
+            // The borrow ends before the command is carried out: the executor may use the core.
             let command = self.core().next_command();
             let Some(command) = command else { break };
-            carrier.execute(command);
+            executor.execute(command);
         }
     }
 }
--- a/crates/router-core/src/history.rs
+++ b/crates/router-core/src/history.rs
@@ -1,50 +1,50 @@
-//! Owns what someone woken at night asks first: the course of one statement.
+//! The history of one statement, for diagnosis.
 
 use hoptiller_policy::{AttemptStatus, EngineId};
 
-/// The course of a statement; times are in ms since it came.
+/// The history of a statement. Times are in milliseconds since the statement was received.
 #[derive(Clone, Debug)]
 pub struct StatementHistory {
-    /// Its class, by number.
+    /// Index of its class.
     pub class: usize,
-    /// Where it stands.
+    /// Its current state, for people.
     pub state: &'static str,
-    /// Why it was refused or failed.
+    /// Why it was rejected or failed; empty otherwise.
     pub reason: String,
-    /// Up to its end, or to now.
+    /// Time up to its final response, or to now.
     pub elapsed_ms: u64,
     /// How long its client waits.
     pub timeout_ms: u64,
-    /// Before its first attempt.
+    /// Time before its first attempt.
     pub queued_ms: u64,
-    /// Answers given out.
+    /// Number of responses delivered.
     pub responses: u64,
     /// Its attempts.
     pub attempts: Vec<AttemptHistory>,
 }
 
-/// One attempt.
+/// The history of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptHistory {
-    /// Which, from 0.
+    /// Its number, from 0.
     pub number: u32,
-    /// Where.
+    /// The engine that it was sent to.
     pub engine: EngineId,
     /// When it was sent.
     pub sent_ms: u64,
-    /// When its first page came.
+    /// When its first page was received.
     pub first_page_ms: Option<u64>,
     /// When it ended.
     pub ended_ms: Option<u64>,
-    /// How.
+    /// How it ended.
     pub status: Option<AttemptStatus>,
-    /// What was seen.
+    /// What was observed at its end.
     pub reason: String,
 }
 
-/// A word for an ending.
-pub fn status_description(ending: AttemptStatus) -> &'static str {
-    match ending {
+/// Describes the status of an attempt, for people.
+pub fn status_description(status: AttemptStatus) -> &'static str {
+    match status {
         AttemptStatus::Succeeded => "served",
         AttemptStatus::ErrorResponse => "engine error; it may have run",
         AttemptStatus::Rejected => "turned away unseen; it did not run",
--- /dev/null
+++ b/crates/router-core/src/statement_table.rs
@@ -0,0 +1,151 @@
+//! The table of statements: open ones, answered ones that are retained for a while, and the timers of both.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap, VecDeque};
+
+use hoptiller_policy::Micros;
+
+use crate::identity::StatementId;
+use crate::statement::Statement;
+
+/// All statements of a router, by number.
+#[derive(Default)]
+pub(crate) struct StatementTable {
+    statements: HashMap<StatementId, Statement>,
+    next_id: StatementId,
+    open: usize,
+    undelivered: usize,
+    /// Delivered ones, oldest first; some may have been removed since.
+    delivered: VecDeque<StatementId>,
+    retained: usize,
+    /// Timers, earliest first.
+    timers: BinaryHeap<Reverse<(Micros, StatementId)>>,
+}
+
+impl StatementTable {
+    /// Inserts a statement under the next number.
+    pub(crate) fn insert(
+        &mut self,
+        make_statement: impl FnOnce(StatementId) -> Statement,
+    ) -> StatementId {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.statements.insert(id, make_statement(id));
+        self.open += 1;
+        id
+    }
+
+    pub(crate) fn get(&self, id: StatementId) -> Option<&Statement> {
+        self.statements.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: StatementId) -> Option<&mut Statement> {
+        self.statements.get_mut(&id)
+    }
+
+    /// The number that the next statement will have.
+    pub(crate) fn next_id(&self) -> StatementId {
+        self.next_id
+    }
+
+    /// Number of statements whose final response is not settled.
+    pub(crate) fn open(&self) -> usize {
+        self.open
+    }
+
+    /// The statements whose final response is not settled, in no particular order.
+    pub(crate) fn unsettled(&self) -> impl Iterator<Item = StatementId> {
+        self.statements
+            .iter()
+            .filter(|(_, statement)| !statement.is_settled())
+            .map(|(id, _)| *id)
+    }
+
+    /// Number of statements whose final response is settled and not delivered.
+    pub(crate) fn undelivered(&self) -> usize {
+        self.undelivered
+    }
+
+    /// Number of answered statements retained for clients that poll again.
+    pub(crate) fn retained(&self) -> usize {
+        self.retained
+    }
+
+    /// Counts a statement whose final response is settled. [`StatementTable::mark_delivered`] follows, at once or at a
+    /// later poll.
+    pub(crate) fn mark_settled(&mut self) {
+        self.open -= 1;
+        self.undelivered += 1;
+    }
+
+    /// Counts a statement whose final response was delivered, or that nobody will poll; repeated calls do nothing.
+    pub(crate) fn mark_delivered(&mut self, id: StatementId) {
+        if let Some(statement) = self.statements.get_mut(&id)
+            && !statement.is_counted_as_delivered
+            && !statement.is_retired
+        {
+            statement.is_counted_as_delivered = true;
+            self.undelivered -= 1;
+            self.retained += 1;
+            self.delivered.push_back(id);
+        }
+    }
+
+    /// Sets a timer on a statement; earlier ones stay.
+    pub(crate) fn set_timer(&mut self, at: Micros, id: StatementId) {
+        self.timers.push(Reverse((at, id)));
+    }
+
+    /// Takes a timer that is due.
+    pub(crate) fn pop_due_timer(&mut self, now: Micros) -> Option<StatementId> {
+        let Reverse((at, id)) = *self.timers.peek()?;
+        if at > now {
+            return None;
+        }
+        self.timers.pop();
+        Some(id)
+    }
+
+    /// Removes a statement, as soon as its last attempt has ended.
+    pub(crate) fn retire(&mut self, id: StatementId) {
+        if let Some(statement) = self.statements.get_mut(&id)
+            && !std::mem::replace(&mut statement.is_retired, true)
+        {
+            if statement.is_counted_as_delivered {
+                self.retained -= 1;
+            } else {
+                self.undelivered -= 1;
+            }
+        }
+        self.remove_if_finished(id);
+    }
+
+    /// Removes a retired statement whose attempts have all ended.
+    pub(crate) fn remove_if_finished(&mut self, id: StatementId) {
+        if self
+            .statements
+            .get(&id)
+            .is_some_and(|statement| statement.is_retired && statement.all_attempts_ended())
+        {
+            self.statements.remove(&id);
+        }
+    }
+
+    /// Retires the oldest delivered statements until at most `max_retained` are left.
+    pub(crate) fn trim_retained(&mut self, max_retained: usize) {
+        while self.retained > max_retained {
+            let Some(id) = self.delivered.pop_front() else {
+                break;
+            };
+            self.retire(id);
+        }
+        // Statements that expired are still in the queue, which would otherwise grow without bound.
+        while self
+            .delivered
+            .front()
+            .is_some_and(|id| !self.statements.contains_key(id))
+        {
+            self.delivered.pop_front();
+        }
+    }
+}
