--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,106 +1,113 @@
-//! Owns the file that tells a router who it is, what it may use, and what it deals with.
+//! A router's configuration file: its name and address, its resource limits, the coordinator, and the policy settings.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-use crate::coordinator::{Known, Update};
+use crate::endpoint_list::EndpointListUpdate;
+use crate::initial_events::{InitialEvents, InitialEventsError};
 
-/// What a router is told when it starts.
+/// The smallest usable memory limit, in MB.
+const MIN_MEMORY_MB: f64 = 16.0;
+/// The smallest usable limit of descriptors.
+const MIN_SOCKETS: usize = 64;
+
+/// A router's configuration.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// For random numbers, in hex digits; new with each start.
+    /// The seed for random numbers, in hex digits; another one at each start.
     pub seed: String,
-    /// What it may use.
+    /// The resource limits.
     pub limits: Limits,
-    /// Who tells of changes of the engine list.
+    /// The address of the coordinator, which reports changes of the endpoint list.
     pub coordinator: SocketAddr,
-    /// What was told so far.
-    #[serde(default)]
-    known: Known,
-    /// What the decision module is told.
+    #[serde(rename = "known", default)]
+    initial_events: InitialEvents,
+    /// The settings of the policy.
     pub settings: hoptiller_policy_settings::Settings,
 }
 
-/// What a router's processes may use together.
+/// The resources that a router's processes may use together.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// Part of a core.
-    #[serde(default = "one")]
+    /// CPU, in cores.
+    #[serde(default = "default_cores")]
     pub cores: f64,
     /// Memory, in MB.
-    #[serde(default = "usual_memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
-    /// Descriptors.
-    #[serde(default = "usual_sockets")]
+    /// File descriptors.
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
 
-fn one() -> f64 {
+fn default_cores() -> f64 {
     1.0
 }
 
-fn usual_memory() -> f64 {
+fn default_memory_mb() -> f64 {
     192.0
 }
 
-fn usual_sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-/// A file that tells nothing usable.
-#[derive(Debug)]
+/// A configuration that can't be used.
+#[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No JSON, or not of this form.
-    Json(serde_json::Error),
-    /// A figure that nothing can be done with.
-    Figure(&'static str),
-    /// The engine list as of the start.
-    Known(&'static str),
-}
-
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ConfigError::Json(e) => write!(f, "not a configuration: {e}"),
-            ConfigError::Figure(what) => write!(f, "unusable figure: {what}"),
-            ConfigError::Known(what) => write!(f, "known: {what}"),
-        }
-    }
+    /// The file is not JSON of the configuration's form.
+    #[error("not a configuration: {0}")]
+    Json(#[source] serde_json::Error),
+    /// `limits.memory_mb` is below its minimum.
+    #[error("limits.memory_mb: {0} is less than {MIN_MEMORY_MB}")]
+    Memory(f64),
+    /// `limits.sockets` is below its minimum.
+    #[error("limits.sockets: {0} is less than {MIN_SOCKETS}")]
+    Sockets(usize),
+    /// The endpoint list as of the start is invalid.
+    #[error("known: {0}")]
+    InitialEvents(#[source] InitialEventsError),
 }
 
-impl std::error::Error for ConfigError {}
-
 impl Config {
-    /// From the text of the file.
-    pub fn read(bytes: &[u8]) -> Result<Config, ConfigError> {
+    /// Parses the contents of the configuration file.
+    ///
+    /// # Errors
+    /// If it is not JSON of the expected form, or a limit is too low.
+    pub fn parse(bytes: &[u8]) -> Result<Config, ConfigError> {
         let config: Config = serde_json::from_slice(bytes).map_err(ConfigError::Json)?;
-        let l = &config.limits;
-        if !(l.memory_mb.is_finite() && l.memory_mb >= 16.0) {
-            return Err(ConfigError::Figure("limits.memory_mb: 16 at least"));
+        let Limits {
+            memory_mb, sockets, ..
+        } = config.limits;
+        if !(memory_mb.is_finite() && memory_mb >= MIN_MEMORY_MB) {
+            return Err(ConfigError::Memory(memory_mb));
         }
-        if l.sockets < 64 {
-            return Err(ConfigError::Figure("limits.sockets: 64 at least"));
+        if sockets < MIN_SOCKETS {
+            return Err(ConfigError::Sockets(sockets));
         }
         Ok(config)
     }
 
-    /// The number of the last event known at the start, and the events as one list.
-    pub fn known(&self) -> Result<Update, ConfigError> {
-        self.known
-            .fold(&self.settings.zones, &self.settings.kinds)
-            .map_err(ConfigError::Known)
+    /// The endpoint list as of the start, with the number of its last event.
+    ///
+    /// # Errors
+    /// If an event has an endpoint with an invalid id or phase.
+    pub fn initial_endpoints(&self) -> Result<EndpointListUpdate, ConfigError> {
+        self.initial_events
+            .to_update(&self.settings.zones, &self.settings.kinds)
+            .map_err(ConfigError::InitialEvents)
     }
 
-    /// The seed as a number; other text than 16 hex digits gives one too.
+    /// The seed as a number; text other than 16 hex digits is hashed.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
-            self.seed.bytes().fold(0, |h: u64, b| {
-                h.wrapping_mul(1_099_511_628_211) ^ u64::from(b)
+            self.seed.bytes().fold(0, |hash: u64, byte| {
+                hash.wrapping_mul(1_099_511_628_211) ^ u64::from(byte)
             })
         })
     }
--- a/crates/platform-protocol/src/config/tests.rs
+++ b/crates/platform-protocol/src/config/tests.rs
@@ -1,5 +1,7 @@
+//! Valid and invalid configuration files.
+
 use super::*;
-use crate::coordinator::Phase;
+use crate::endpoint_list::Phase;
 
 const TEXT: &str = r#"{"name":"n3","listen":"127.0.0.4:8080","seed":"8c1f30d27a5be964",
     "limits":{"cores":0.4,"memory_mb":64,"sockets":256},"peer_listen":"127.0.0.4:7946","peers":[],
@@ -16,35 +18,40 @@
     "settings":{"balancers":3,"zones":["hall-a","hall-b"],"kinds":["std-8a","std-8b"]}}"#;
 
 #[test]
-fn a_file_tells_the_list_as_of_the_start() {
-    let config = Config::read(TEXT.as_bytes()).expect("good");
+fn initial_events_are_applied_in_order() {
+    let config = Config::parse(TEXT.as_bytes()).expect("good");
     assert_eq!(
         (config.seed(), config.limits.sockets),
         (0x8c1f_30d2_7a5b_e964, 256)
     );
-    let known = config.known().expect("good");
+    let initial = config.initial_endpoints().expect("good");
     assert_eq!(
-        (known.number, known.whole, known.members.len()),
+        (initial.number, initial.is_complete, initial.endpoints.len()),
         (4, true, 1)
     );
-    let m = &known.members[0];
+    let endpoint = &initial.endpoints[0];
     assert_eq!(
-        (m.id, m.zone, m.kind, m.phase),
+        (endpoint.id, endpoint.zone, endpoint.kind, endpoint.phase),
         (0x00c4_1f7a, Some(1), Some(0), Phase::Ready)
     );
 }
 
 #[test]
-fn half_a_file_and_mad_figures_are_errors() {
+fn truncated_file_and_invalid_values_are_errors() {
     assert!(matches!(
-        Config::read(&TEXT.as_bytes()[..TEXT.len() / 2]),
+        Config::parse(&TEXT.as_bytes()[..TEXT.len() / 2]),
         Err(ConfigError::Json(_))
     ));
     let few = TEXT.replace("\"sockets\":256", "\"sockets\":3");
     assert!(matches!(
-        Config::read(few.as_bytes()),
-        Err(ConfigError::Figure(_))
+        Config::parse(few.as_bytes()),
+        Err(ConfigError::Sockets(3))
     ));
     let odd = TEXT.replace("s-00000002", "s-02");
-    assert!(Config::read(odd.as_bytes()).expect("JSON").known().is_err());
+    assert!(
+        Config::parse(odd.as_bytes())
+            .expect("JSON")
+            .initial_endpoints()
+            .is_err()
+    );
 }
--- /dev/null
+++ b/crates/platform-protocol/src/frame_decoder.rs
@@ -0,0 +1,191 @@
+//! Decoding of the coordinator's frames, each of which is an update of the endpoint list or a keep-alive.
+//!
+//! A frame is a length (32 bits), an event number (64 bits), a kind (8 bits) and records of 27 bytes, one an endpoint;
+//! all numbers are big-endian.
+
+use std::net::Ipv4Addr;
+
+use crate::endpoint_list::{Endpoint, EndpointListUpdate, Phase};
+
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of the event number and the kind, which the length counts.
+const HEADER_BYTES: usize = 9;
+/// Bytes of an endpoint's record.
+const RECORD_BYTES: usize = 27;
+/// Records of a frame at most.
+const MAX_RECORDS: usize = 4096;
+
+/// The kinds of frames.
+const KIND_KEEP_ALIVE: u8 = 0;
+const KIND_COMPLETE: u8 = 1;
+const KIND_CHANGES: u8 = 2;
+
+/// Bytes that are no valid frame. The rest of their connection can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// A length that no frame of this kind has.
+    #[error("a frame of {0} bytes")]
+    Length(u32),
+    /// A kind that does not exist.
+    #[error("a frame of kind {0}")]
+    Kind(u8),
+    /// A phase that does not exist.
+    #[error("an engine in state {0}")]
+    Phase(u8),
+    /// The events before this one are missing.
+    #[error("events are missing before number {0}")]
+    Gap(u64),
+}
+
+/// A decoded frame.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Frame {
+    /// A keep-alive, or an event that was received before.
+    NoChange,
+    /// The next update.
+    Update(EndpointListUpdate),
+}
+
+/// Decodes the bytes of one connection into frames.
+#[derive(Debug)]
+pub struct FrameDecoder {
+    last_event: u64,
+    buffer: Vec<u8>,
+    /// Bytes of `buffer` that belong to decoded frames.
+    consumed: usize,
+}
+
+impl FrameDecoder {
+    /// For a connection on which the events after this number were requested.
+    pub fn new(last_event: u64) -> FrameDecoder {
+        FrameDecoder {
+            last_event,
+            buffer: Vec::new(),
+            consumed: 0,
+        }
+    }
+
+    /// Appends bytes that were received.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        self.buffer.drain(..std::mem::take(&mut self.consumed));
+        self.buffer.extend_from_slice(bytes);
+    }
+
+    /// Decodes the next frame; `None` until it is complete.
+    ///
+    /// # Errors
+    /// If the frame is invalid, or events before it are missing.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
+        let bytes = &self.buffer[self.consumed..];
+        let Some((length, rest)) = bytes.split_first_chunk() else {
+            return Ok(None);
+        };
+        let length = u32::from_be_bytes(*length);
+        let size = length as usize;
+        let valid_sizes = HEADER_BYTES..=HEADER_BYTES + MAX_RECORDS * RECORD_BYTES;
+        if !valid_sizes.contains(&size) || !(size - HEADER_BYTES).is_multiple_of(RECORD_BYTES) {
+            return Err(FrameError::Length(length));
+        }
+        let Some(frame) = rest.get(..size) else {
+            return Ok(None);
+        };
+        let frame = parse_frame(self.last_event, frame, length)?;
+        self.consumed += LENGTH_BYTES + size;
+        if let Frame::Update(update) = &frame {
+            self.last_event = update.number;
+        }
+        Ok(Some(frame))
+    }
+}
+
+fn parse_frame(last_event: u64, frame: &[u8], length: u32) -> Result<Frame, FrameError> {
+    let mut reader = Reader(frame);
+    let (number, kind) = (reader.u64(), reader.u8());
+    let is_complete = match kind {
+        KIND_KEEP_ALIVE if reader.is_empty() => return Ok(Frame::NoChange),
+        KIND_KEEP_ALIVE => return Err(FrameError::Length(length)),
+        KIND_COMPLETE => true,
+        KIND_CHANGES => false,
+        other => return Err(FrameError::Kind(other)),
+    };
+    if number <= last_event {
+        return Ok(Frame::NoChange);
+    }
+    // Changes after a missed event would be applied to the wrong list.
+    if !is_complete && number != last_event + 1 {
+        return Err(FrameError::Gap(number));
+    }
+    let mut endpoints = Vec::with_capacity(reader.0.len() / RECORD_BYTES);
+    while !reader.is_empty() {
+        endpoints.push(reader.endpoint()?);
+    }
+    Ok(Frame::Update(EndpointListUpdate {
+        number,
+        is_complete,
+        endpoints,
+    }))
+}
+
+/// Reads big-endian numbers; past the end, zeros. Lengths are checked before.
+struct Reader<'a>(&'a [u8]);
+
+impl Reader<'_> {
+    fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    fn bytes<const N: usize>(&mut self) -> [u8; N] {
+        let (bytes, rest) = self
+            .0
+            .split_first_chunk()
+            .map_or(([0; N], &[][..]), |(bytes, rest)| (*bytes, rest));
+        self.0 = rest;
+        bytes
+    }
+
+    fn u8(&mut self) -> u8 {
+        self.bytes::<1>()[0]
+    }
+
+    fn u16(&mut self) -> u16 {
+        u16::from_be_bytes(self.bytes())
+    }
+
+    fn u32(&mut self) -> u32 {
+        u32::from_be_bytes(self.bytes())
+    }
+
+    fn u64(&mut self) -> u64 {
+        u64::from_be_bytes(self.bytes())
+    }
+
+    fn endpoint(&mut self) -> Result<Endpoint, FrameError> {
+        let id = self.u32();
+        let ip = Ipv4Addr::from(self.bytes::<4>());
+        let port = self.u16();
+        let phase = match self.u8() {
+            0 => Phase::Ready,
+            1 => Phase::Draining,
+            2 => Phase::Removed,
+            other => return Err(FrameError::Phase(other)),
+        };
+        let zone = Some(self.u8().into());
+        let kind = Some(self.u8().into());
+        let cell = self.u16().into();
+        let _weight = self.u32();
+        let started_ms = self.u64();
+        Ok(Endpoint {
+            id,
+            addr: (ip, port).into(),
+            zone,
+            kind,
+            cell,
+            phase,
+            started_ms,
+        })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,17 +1,25 @@
-//! Our platform's protocol, without I/O: what clients ask ([`call`]) and are answered, what engines are sent and say
-//! ([`engine`], [`rows`]), what the coordinator tells ([`coordinator`]), and how a router is set up ([`config`]).
+//! The platform's protocol, without I/O: requests of clients and their responses ([`request`], [`table_group`]),
+//! commands to engines and their responses ([`engine_command`], [`engine_response`], [`result_rows`]), the
+//! coordinator's endpoint list ([`endpoint_list`], [`frame_decoder`]), and a router's configuration file ([`config`]).
 //!
-//! Every length is checked before anything is kept for it; no input is a panic.
+//! Every length is checked before memory is reserved for it; no input causes a panic.
+#![warn(missing_docs)]
 
-pub mod call;
 pub mod config;
-pub mod coordinator;
-pub mod engine;
-pub mod group;
-pub mod rows;
+pub mod endpoint_list;
+pub mod engine_command;
+pub mod engine_response;
+pub mod frame_decoder;
+mod initial_events;
+pub mod request;
+pub mod result_rows;
+pub mod table_group;
 
-pub use call::{Call, CallError, Names};
 pub use config::{Config, ConfigError};
-pub use coordinator::{Frames, Member, Phase, Update};
-pub use engine::{Answer, Lines, Said};
-pub use rows::{Gather, RowsError};
+pub use endpoint_list::{Endpoint, EndpointListUpdate, Phase};
+pub use engine_command::StatementCommand;
+pub use engine_response::{EngineResponse, LineDecoder, ResponseBody};
+pub use frame_decoder::FrameDecoder;
+pub use initial_events::InitialEventsError;
+pub use request::{Catalog, RequestError, StatementRequest};
+pub use result_rows::{RowAssembler, RowsError};
--- a/crates/platform-protocol/src/group/tests.rs
+++ b/crates/platform-protocol/src/table_group/tests.rs
@@ -1,7 +1,9 @@
+//! Groups of tables in statements.
+
 use super::*;
 
 #[test]
-fn the_schema_of_the_table_tells_the_group() {
+fn group_is_the_number_of_the_tables_schema() {
     for (text, group) in [
         (
             "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
@@ -26,6 +28,6 @@
         ("select * from sales_99999999999999999999999.orders", None),
         ("", None),
     ] {
-        assert_eq!(group_of(text), group, "{text}");
+        assert_eq!(table_group(text), group, "{text}");
     }
 }
--- a/crates/platform-protocol/tests/wire_form.rs
+++ b/crates/platform-protocol/tests/wire_form.rs
@@ -1,68 +1,78 @@
 //! The bytes that pass between a router, its clients, its engines and the coordinator.
 
-use hoptiller_platform_protocol::call::{CallError, failed, refused, served, wrong};
-use hoptiller_platform_protocol::coordinator::{Frame, Frames};
-use hoptiller_platform_protocol::engine::{self, Lines, Said, Send};
+use hoptiller_platform_protocol::engine_command::{
+    StatementCommand, encode_end, encode_fetch, encode_stat, encode_statement, encode_stop,
+};
+use hoptiller_platform_protocol::engine_response::{LineDecoder, ResponseBody};
+use hoptiller_platform_protocol::frame_decoder::{Frame, FrameDecoder};
+use hoptiller_platform_protocol::request::{
+    RequestError, failed_response, invalid_request_response, rejected_response, served_response,
+};
 use hoptiller_platform_protocol::{Config, Phase};
 use hoptiller_policy::LoadReport;
 
 #[test]
 fn commands_to_engines_stay() {
-    let mut send = Send {
+    let mut command = StatementCommand {
         id: "9b1f03aa5c7e2d41",
         class: "re\"port",
-        replay_key: Some("key-1"),
+        idempotency_key: Some("key-1"),
         priority: Some(7),
-        text: "SELECT 1",
+        statement: "SELECT 1",
     };
     assert_eq!(
-        engine::request(&send, 1500),
+        encode_statement(&command, 1500),
         "{\"t\":\"REQ\",\"i\":\"9b1f03aa5c7e2d41\",\"f\":{\"c\":\"re\\\"port\",\"w\":1500,\"i\":\"key-1\",\"weight\":3},\
          \"b\":\"U0VMRUNUIDE=\"}\n"
     );
-    (send.replay_key, send.priority) = (None, None);
+    (command.idempotency_key, command.priority) = (None, None);
     assert_eq!(
-        engine::request(&send, 0),
+        encode_statement(&command, 0),
         "{\"t\":\"REQ\",\"i\":\"9b1f03aa5c7e2d41\",\"f\":{\"c\":\"re\\\"port\",\"w\":0},\"b\":\"U0VMRUNUIDE=\"}\n"
     );
     assert_eq!(
-        engine::fetch("a", 2),
+        encode_fetch("a", 2),
         "{\"t\":\"FETCH\",\"i\":\"a\",\"x\":2}\n"
     );
-    assert_eq!(engine::end("a"), "{\"t\":\"END\",\"i\":\"a\"}\n");
-    assert_eq!(engine::stop("a"), "{\"t\":\"STOP\",\"i\":\"a\"}\n");
-    assert_eq!(engine::stat("p1"), "{\"t\":\"STAT\",\"i\":\"p1\"}\n");
+    assert_eq!(encode_end("a"), "{\"t\":\"END\",\"i\":\"a\"}\n");
+    assert_eq!(encode_stop("a"), "{\"t\":\"STOP\",\"i\":\"a\"}\n");
+    assert_eq!(encode_stat("p1"), "{\"t\":\"STAT\",\"i\":\"p1\"}\n");
 }
 
 #[test]
 fn answers_of_engines_are_read_as_before() {
-    let mut lines = Lines::default();
-    lines.feed(
+    let mut decoder = LineDecoder::default();
+    decoder.feed(
         b"{\"t\":\"served\",\"i\":\"a\",\"f\":{\"fetches\":\"2\",\"effort\":820.5,\"load\":\"inflight:7;x0:0.5;util:0.61\"},\"b\":\"YQ==\"}\n\
           {\"t\":\"rows\",\"i\":\"a\",\"f\":{\"fetch_no\":1},\"b\":\"Yg==\"}\n\
           {\"t\":\"overload\",\"i\":\"b\"}\n{\"t\":\"crashed\",\"i\":\"c\"}\n{\"t\":\"nobody\",\"i\":\"d\"}\n\
           {\"t\":\"red\",\"i\":\"p1\",\"f\":{\"load\":\"util:0.2\"}}\n",
     );
-    let mut next = || lines.next().expect("a good line").expect("a whole line");
+    let mut next = || {
+        decoder
+            .next_response()
+            .expect("a good line")
+            .expect("a whole line")
+    };
     let answer = next();
-    let Said::Served(result) = answer.said else {
+    let ResponseBody::Served(result) = answer.body else {
         panic!("served")
     };
     let LoadReport {
         in_flight,
         memory,
         cpu,
-    } = result.report.expect("a report");
+    } = result.load_report.expect("a report");
     assert_eq!(
         (answer.id.as_str(), result.pages, result.work),
         ("a", 2, Some(820_500))
     );
     assert_eq!((in_flight, memory, cpu), (Some(7.0), Some(0.5), Some(0.61)));
-    assert!(matches!(next().said, Said::Rows(1, page) if page == b"b"));
-    assert!(matches!(next().said, Said::Full));
-    assert!(matches!(next().said, Said::Error));
-    assert!(matches!(next().said, Said::Nobody));
-    assert!(matches!(next().said, Said::Probed(Some(report)) if report.cpu == Some(0.2)));
+    assert!(matches!(next().body, ResponseBody::Page { number: 1, bytes } if bytes == b"b"));
+    assert!(matches!(next().body, ResponseBody::Overloaded));
+    assert!(matches!(next().body, ResponseBody::Crashed));
+    assert!(matches!(next().body, ResponseBody::NotExecuted));
+    assert!(matches!(next().body, ResponseBody::Load(Some(report)) if report.cpu == Some(0.2)));
 }
 
 #[test]
@@ -72,15 +82,25 @@
             .expect("UTF-8")
             .replace("\r\n", "\n")
     };
-    assert_eq!(text(served("[[1]]")), SERVED);
-    assert_eq!(text(refused(Some(1_500_001))), REFUSED);
+    assert_eq!(text(served_response("[[1]]")), SERVED);
+    assert_eq!(text(rejected_response(Some(1_500_001))), REFUSED);
     assert_eq!(
-        text(refused(None)),
+        text(rejected_response(None)),
         REFUSED.replace("Hold-Off-Ms: 1501\n", "")
     );
-    assert_eq!(text(failed("it \"broke\"")), FAILED);
-    assert_eq!(text(wrong(CallError::Field("Max-Wait-Ms"))), WRONG);
-    let status = [CallError::Class, CallError::Open, CallError::Body].map(CallError::status);
+    assert_eq!(text(failed_response("it \"broke\"")), FAILED);
+    assert_eq!(
+        text(invalid_request_response(RequestError::Header(
+            "Max-Wait-Ms"
+        ))),
+        WRONG
+    );
+    let status = [
+        RequestError::UnknownClass,
+        RequestError::DuplicateId,
+        RequestError::Body,
+    ]
+    .map(RequestError::status);
     assert_eq!(status, [404, 409, 400]);
 }
 
@@ -95,7 +115,7 @@
 
 #[test]
 fn a_configuration_and_a_frame_are_read_as_before() {
-    let config = Config::read(
+    let config = Config::parse(
         br#"{"name":"n3","listen":"127.0.0.4:8080","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":96,"sockets":300},
         "coordinator":"127.0.0.9:7000","known":{"index":41,"updates":[{"endpoints":{"complete":true,"members":[
         {"id":"s-0000002a","host_port":"127.1.2.3:9000","locality":"y","flavor":"k","cell":4,"phase":"terminating","up_since_ms":7}]}}]},
@@ -106,31 +126,36 @@
         (config.seed(), config.limits.sockets),
         (0x8c1f_30d2_7a5b_e964, 300)
     );
-    let known = config.known().expect("a list");
-    let member = &known.members[0];
+    let known = config.initial_endpoints().expect("a list");
+    let endpoint = &known.endpoints[0];
     assert_eq!(
-        (known.number, member.id, member.zone, member.phase),
+        (known.number, endpoint.id, endpoint.zone, endpoint.phase),
         (41, 42, Some(1), Phase::Draining)
     );
     let mut record = vec![0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2];
     record.extend([
         0, 0, 0, 43, 127, 1, 2, 4, 0x23, 0x28, 2, 1, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9,
     ]);
-    let mut frames = Frames::new(41);
-    frames.feed(&record);
-    let Some(Frame::Next(update)) = frames.next().expect("a good frame") else {
+    let mut decoder = FrameDecoder::new(41);
+    decoder.feed(&record);
+    let Some(Frame::Update(update)) = decoder.next_frame().expect("a good frame") else {
         panic!("an event")
     };
-    let member = &update.members[0];
+    let endpoint = &update.endpoints[0];
     assert_eq!(
-        (update.number, update.whole, member.id, member.phase),
-        (42, false, 43, Phase::Gone)
+        (
+            update.number,
+            update.is_complete,
+            endpoint.id,
+            endpoint.phase
+        ),
+        (42, false, 43, Phase::Removed)
     );
     assert_eq!(
         (
-            member.addr.to_string().as_str(),
-            member.cell,
-            member.started_ms
+            endpoint.addr.to_string().as_str(),
+            endpoint.cell,
+            endpoint.started_ms
         ),
         ("127.1.2.4:9000", 5, 9)
     );
--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use hoptiller_platform_protocol::RowsError;
-use hoptiller_platform_protocol::engine::{LineError, Send};
+use hoptiller_platform_protocol::StatementCommand;
+use hoptiller_platform_protocol::engine_response::LineError;
 use hoptiller_policy::{AttemptStatus, LoadReport, Micros};
 
 use crate::cancel::CancelToken;
@@ -122,7 +123,7 @@
 /// What is to be sent, and when it may be.
 pub struct Order<'a> {
     /// The request.
-    pub send: Send<'a>,
+    pub send: StatementCommand<'a>,
     /// When its answer is no longer waited for.
     pub until: Instant,
     /// Its first byte is written before that, or not at all.
--- a/crates/platform-router/src/follower.rs
+++ b/crates/platform-router/src/follower.rs
@@ -9,8 +9,8 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_platform_protocol::Update;
-use hoptiller_platform_protocol::coordinator::{Frame, FrameError, Frames};
+use hoptiller_platform_protocol::frame_decoder::{Frame, FrameError};
+use hoptiller_platform_protocol::{EndpointListUpdate, FrameDecoder};
 
 /// An empty frame comes each second: without a whole one for so long, it has stopped. Single bytes are no sign of life.
 const SILENT: Duration = Duration::from_millis(2_200);
@@ -76,7 +76,7 @@
     }
 
     /// Follows for ever; each event is told once, in order.
-    pub async fn run(&self, told: impl Fn(Update)) {
+    pub async fn run(&self, told: impl Fn(EndpointListUpdate)) {
         loop {
             let moved = self.moved.listen();
             let addr = self.addr.get();
@@ -97,7 +97,7 @@
         }
     }
 
-    async fn connection(&self, addr: SocketAddr, told: &impl Fn(Update)) -> Broken {
+    async fn connection(&self, addr: SocketAddr, told: &impl Fn(EndpointListUpdate)) -> Broken {
         match self.follow(addr, told).await {
             Ok(never) => match never {},
             Err(why) => why,
@@ -107,7 +107,7 @@
     async fn follow(
         &self,
         addr: SocketAddr,
-        told: &impl Fn(Update),
+        told: &impl Fn(EndpointListUpdate),
     ) -> Result<std::convert::Infallible, Broken> {
         let mut stream = limited(CONNECT_WITHIN, Async::<TcpStream>::connect(addr)).await?;
         let _ = stream.get_ref().set_nodelay(true);
@@ -116,7 +116,7 @@
             stream.write_all(&self.last.get().to_be_bytes()),
         )
         .await?;
-        let mut frames = Frames::new(self.last.get());
+        let mut frames = FrameDecoder::new(self.last.get());
         let mut bytes = vec![0; 8 << 10];
         let mut heard = Instant::now();
         loop {
@@ -126,10 +126,10 @@
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
             frames.feed(&bytes[..n]);
-            while let Some(frame) = frames.next().map_err(Broken::Frame)? {
+            while let Some(frame) = frames.next_frame().map_err(Broken::Frame)? {
                 *self.pause.borrow_mut() = PAUSE.0;
                 heard = Instant::now();
-                if let Frame::Next(update) = frame {
+                if let Frame::Update(update) = frame {
                     self.last.set(update.number);
                     told(update);
                 }
--- a/crates/platform-router/src/front.rs
+++ b/crates/platform-router/src/front.rs
@@ -10,8 +10,8 @@
 use hoptiller_http::gate::Gate;
 use hoptiller_http::server::{self, Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
-use hoptiller_platform_protocol::call::{self, CallError};
-use hoptiller_platform_protocol::{Call, Names};
+use hoptiller_platform_protocol::request::{self, RequestError};
+use hoptiller_platform_protocol::{Catalog, StatementRequest};
 use hoptiller_router_core::rounds::Rounds;
 use hoptiller_router_core::{Content, Final, Poll, StatementId, Submission, Work};
 use hoptiller_runaway::Announced;
@@ -45,7 +45,7 @@
     /// The core.
     pub rounds: Rc<Rounds>,
     /// Classes and tenants.
-    pub names: Rc<Names>,
+    pub names: Rc<Catalog>,
     /// How the router's means are divided.
     pub budget: Budget,
     /// Further attempts are rationed by the requests taken.
@@ -89,11 +89,11 @@
 
 async fn answer(front: &Rc<Front>, request: Request) -> Response {
     match (&request.method, request.path()) {
-        (Method::Get, call::HEALTH) => Response::text(200, "ready"),
-        (Method::Post, path) if path.starts_with(call::PATH) => {
-            match Call::read(request, &front.names) {
+        (Method::Get, request::HEALTH_PATH) => Response::text(200, "ready"),
+        (Method::Post, path) if path.starts_with(request::STATEMENT_PATH) => {
+            match StatementRequest::from_http(request, &front.names) {
                 Ok(call) => carry(front, call).await,
-                Err(e) => call::wrong(e),
+                Err(e) => request::invalid_request_response(e),
             }
         }
         _ => Response::text(404, "nothing here"),
@@ -121,17 +121,17 @@
     }
 }
 
-async fn carry(front: &Rc<Front>, call: Call) -> Response {
+async fn carry(front: &Rc<Front>, call: StatementRequest) -> Response {
     if !front.open_ids.0.borrow_mut().insert(call.id.clone()) {
-        return call::wrong(CallError::Open);
+        return request::invalid_request_response(RequestError::DuplicateId);
     }
-    let Call {
+    let StatementRequest {
         class,
-        patience,
-        repeat,
-        guess,
-        want_mb,
-        group,
+        timeout: patience,
+        is_retry: repeat,
+        estimated_work: guess,
+        memory_mb: want_mb,
+        table_group: group,
         ..
     } = call;
     tracing::debug!(id = %call.id, class, patience, repeat, guess, want_mb, group, "taken");
@@ -140,25 +140,25 @@
         class: call.class,
         tenant: call.tenant,
         key: None,
-        group: call.group,
-        guess: call.guess,
-        want_mb: call.want_mb,
+        group: call.table_group,
+        guess: call.estimated_work,
+        want_mb: call.memory_mb,
         fingerprint: 0,
         label: "".into(),
         announced: Announced::default(),
-        repeat: call.repeat,
-        patience: Some(call.patience),
+        repeat: call.is_retry,
+        patience: Some(call.timeout),
         work: Rc::new(Work {
-            text: call.text,
+            text: call.statement,
             fields: std::iter::once(("Trace-Id".into(), call.id))
-                .chain(call.replay_key.map(|key| ("Replay-Key".into(), key)))
+                .chain(call.idempotency_key.map(|key| ("Replay-Key".into(), key)))
                 .collect(),
         }),
     };
     front.retries.taken(Instant::now());
     let Ok(id) = front.rounds.with(|core, now| core.submit(now, submission)) else {
         front.open_ids.0.borrow_mut().remove(&name);
-        return call::refused(None);
+        return request::rejected_response(None);
     };
     let mut asking = Asking {
         front: front.clone(),
@@ -176,7 +176,9 @@
                 Content::News => page = answer.page + 1,
                 Content::Rows(rows) => {
                     asking.answered = true;
-                    return call::served(rows.rows.as_deref().map_or("[]", |r| r.get()));
+                    return request::served_response(
+                        rows.rows.as_deref().map_or("[]", |r| r.get()),
+                    );
                 }
                 Content::Final(how) => {
                     asking.answered = true;
@@ -185,7 +187,7 @@
             },
             Poll::Gone | Poll::Unknown => {
                 asking.answered = true;
-                return call::failed("the request was lost");
+                return request::failed_response("the request was lost");
             }
         }
     }
@@ -194,8 +196,8 @@
 fn last(how: &Final) -> Response {
     match how {
         Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => {
-            call::refused(*hold_off)
+            request::rejected_response(*hold_off)
         }
-        other => call::failed(other.why()),
+        other => request::failed_response(other.why()),
     }
 }
--- a/crates/platform-router/src/links.rs
+++ b/crates/platform-router/src/links.rs
@@ -17,8 +17,10 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_platform_protocol::engine::{self, LineError, Served};
-use hoptiller_platform_protocol::{Gather, Lines, Member, Phase, Said};
+use hoptiller_platform_protocol::engine_response::{LineError, ServedResult};
+use hoptiller_platform_protocol::{
+    Endpoint, LineDecoder, Phase, ResponseBody, RowAssembler, engine_command,
+};
 use hoptiller_policy::{EngineId, LoadReport};
 
 use crate::attempt::{Failed, NotBegun, Order, Whole};
@@ -43,7 +45,7 @@
 }
 
 impl Listing {
-    fn of(m: &Member) -> Listing {
+    fn of(m: &Endpoint) -> Listing {
         Listing {
             addr: m.addr,
             started_ms: m.started_ms,
@@ -52,7 +54,7 @@
     }
 
     fn is_gone(&self) -> bool {
-        self.phase == Phase::Gone
+        self.phase == Phase::Removed
     }
 
     fn is_same_process(&self, other: &Listing) -> bool {
@@ -72,7 +74,7 @@
 /// A connection.
 struct Link {
     stream: Async<TcpStream>,
-    lines: Lines,
+    lines: LineDecoder,
     since: Instant,
     /// The process it leads to.
     listing: Listing,
@@ -134,7 +136,7 @@
     }
 
     /// News of an engine. By its id, not its address: another one may get that.
-    pub fn told(&self, m: &Member) {
+    pub fn told(&self, m: &Endpoint) {
         let mut targets = self.targets.borrow_mut();
         let (id, listing) = (EngineId(m.id), Listing::of(m));
         let fresh = || Target {
@@ -153,10 +155,10 @@
     }
 
     /// Engines that were listed before and are not on a whole list have gone.
-    pub fn keep_only(&self, listed: &[Member]) {
+    pub fn keep_only(&self, listed: &[Endpoint]) {
         self.targets.borrow_mut().retain(|id, t| {
             if !listed.iter().any(|m| m.id == id.0) {
-                t.listing.phase = Phase::Gone;
+                t.listing.phase = Phase::Removed;
                 t.idle.clear();
             }
             !t.listing.is_gone() || t.used > 0
@@ -223,14 +225,14 @@
         link.carried.push(key);
         let served = loop {
             match link.answer(order.send.id).await? {
-                Said::Served(served) => break served,
-                Said::Full => return self.refused(engine, link, Failed::Full),
-                Said::Error => return self.refused(engine, link, Failed::Error),
-                Said::Nobody => return self.refused(engine, link, Failed::Nobody),
-                Said::Rows(..) | Said::Probed(_) => {}
+                ResponseBody::Served(served) => break served,
+                ResponseBody::Overloaded => return self.refused(engine, link, Failed::Full),
+                ResponseBody::Crashed => return self.refused(engine, link, Failed::Error),
+                ResponseBody::NotExecuted => return self.refused(engine, link, Failed::Nobody),
+                ResponseBody::Page { .. } | ResponseBody::Load(_) => {}
             }
         };
-        let (work, report) = (served.work, served.report);
+        let (work, report) = (served.work, served.load_report);
         let rows = match self.gather(&mut link, order, served).await {
             Err(Failed::Abandoned) => return self.refused(engine, link, Failed::Abandoned),
             rows => rows?,
@@ -254,7 +256,7 @@
                 .saturating_duration_since(Instant::now())
                 .as_millis()
                 .max(1) as u64;
-            let line = engine::request(&order.send, wait_ms);
+            let line = engine_command::encode_statement(&order.send, wait_ms);
             match io::Write::write(&mut link.stream.get_ref(), line.as_bytes()) {
                 Ok(0) => return Err(Failed::Unsent(io::ErrorKind::WriteZero.into())),
                 Ok(n) => break (line, n),
@@ -304,37 +306,42 @@
         &self,
         link: &mut Link,
         order: &Order<'_>,
-        served: Served,
+        served: ServedResult,
     ) -> Result<String, Failed> {
         let id = order.send.id;
-        let mut gather = Gather::new(served.pages);
-        gather.take(0, served.page).map_err(Failed::Rows)?;
+        let mut gather = RowAssembler::new(served.pages);
+        gather
+            .add_page(0, served.first_page)
+            .map_err(Failed::Rows)?;
         if served.pages > 1 {
-            let bytes = served.pages as u64 * hoptiller_platform_protocol::rows::PAGE as u64;
+            let bytes = served.pages as u64
+                * hoptiller_platform_protocol::result_rows::MAX_PAGE_BYTES as u64;
             let Some(_share) = self.room(bytes, order.token).await else {
                 link.stream
-                    .write_all(engine::end(id).as_bytes())
+                    .write_all(engine_command::encode_end(id).as_bytes())
                     .await
                     .map_err(Failed::Broken)?;
                 return Err(Failed::Abandoned);
             };
             let lines: String = (1..served.pages)
-                .map(|page| engine::fetch(id, page))
+                .map(|page| engine_command::encode_fetch(id, page))
                 .collect();
             link.stream
                 .write_all(lines.as_bytes())
                 .await
                 .map_err(Failed::Broken)?;
-            while !gather.is_whole() {
+            while !gather.is_complete() {
                 match link.answer(id).await? {
-                    Said::Rows(number, page) => gather.take(number, page).map_err(Failed::Rows)?,
-                    Said::Error => return Err(Failed::Error),
+                    ResponseBody::Page { number, bytes } => {
+                        gather.add_page(number, bytes).map_err(Failed::Rows)?
+                    }
+                    ResponseBody::Crashed => return Err(Failed::Error),
                     // A second copy of what was had.
                     _ => {}
                 }
             }
         }
-        gather.json().map_err(Failed::Rows)
+        gather.to_json().map_err(Failed::Rows)
     }
 
     /// Waits for room for a result; `None` once nobody waits for that.
@@ -367,11 +374,11 @@
         let work = async {
             let (mut link, _) = self.link(engine, None).await.ok()?;
             link.stream
-                .write_all(engine::stat(&tag).as_bytes())
+                .write_all(engine_command::encode_stat(&tag).as_bytes())
                 .await
                 .ok()?;
             loop {
-                if let Said::Probed(report) = link.answer(&tag).await.ok()? {
+                if let ResponseBody::Load(report) = link.answer(&tag).await.ok()? {
                     self.give_back(engine, link);
                     return report;
                 }
@@ -417,7 +424,7 @@
         });
         let stream = stream.await.map_err(Failed::Connect)?;
         let _ = stream.get_ref().set_nodelay(true);
-        let (lines, since) = (Lines::default(), Instant::now());
+        let (lines, since) = (LineDecoder::default(), Instant::now());
         let (carried, read) = (Vec::new(), 0);
         Ok((
             Link {
@@ -482,7 +489,7 @@
     }
 
     fn give_back(&self, engine: EngineId, mut link: Link) {
-        link.lines.shrink();
+        link.lines.release_empty_buffer();
         (link.since, link.read) = (Instant::now(), 0);
         if let Some(t) = self.targets.borrow_mut().get_mut(&engine)
             && !t.listing.is_gone()
@@ -498,11 +505,11 @@
 
 impl Link {
     /// The next answer to this request; others are passed over, up to a bound.
-    async fn answer(&mut self, id: &str) -> Result<Said, Failed> {
+    async fn answer(&mut self, id: &str) -> Result<ResponseBody, Failed> {
         loop {
-            while let Some(answer) = self.lines.next().map_err(Failed::Line)? {
+            while let Some(answer) = self.lines.next_response().map_err(Failed::Line)? {
                 if answer.id == id {
-                    return Ok(answer.said);
+                    return Ok(answer.body);
                 }
             }
             let mut bytes = [0; 4096];
@@ -533,10 +540,10 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => return false,
             }
-            while let Ok(Some(_)) = self.lines.next() {}
+            while let Ok(Some(_)) = self.lines.next_response() {}
         }
         // Half a line may be the start of noise.
-        self.lines.next().is_ok() && !self.lines.holds()
+        self.lines.next_response().is_ok() && !self.lines.has_pending_bytes()
     }
 }
 
--- a/crates/platform-router/src/node.rs
+++ b/crates/platform-router/src/node.rs
@@ -12,9 +12,10 @@
 use event_listener::Event;
 use hoptiller_http::gate::Gate;
 use hoptiller_http::{Spawner, server};
-use hoptiller_platform_protocol::call::ClassTerms;
-use hoptiller_platform_protocol::engine::Send;
-use hoptiller_platform_protocol::{Config, ConfigError, Names, Phase, Update};
+use hoptiller_platform_protocol::request::ClassOptions;
+use hoptiller_platform_protocol::{
+    Catalog, Config, ConfigError, Endpoint, EndpointListUpdate, Phase, StatementCommand,
+};
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
 use hoptiller_router_core::rounds::{Carry, Rounds};
 use hoptiller_router_core::{
@@ -82,7 +83,7 @@
     name: String,
     listen: SocketAddr,
     rounds: Rc<Rounds>,
-    names: Rc<Names>,
+    names: Rc<Catalog>,
     front: Rc<Front>,
     links: Links,
     follower: Follower,
@@ -120,28 +121,28 @@
 }
 
 /// What clients may ask for of a class.
-fn terms(name: &str, class: &hoptiller_policy::Class) -> ClassTerms {
+fn terms(name: &str, class: &hoptiller_policy::Class) -> ClassOptions {
     let keyed = matches!(
         class.idempotency,
         hoptiller_policy::Idempotency::WithKey { .. }
     );
-    ClassTerms {
+    ClassOptions {
         name: name.to_owned(),
-        patience: class.deadline,
-        keyed,
+        timeout: class.deadline,
+        requires_idempotency_key: keyed,
     }
 }
 
 fn read(file: &std::path::Path) -> Result<Config, StartError> {
     let bytes = std::fs::read(file).map_err(StartError::File)?;
-    Config::read(&bytes).map_err(StartError::Config)
+    Config::parse(&bytes).map_err(StartError::Config)
 }
 
 impl Node {
     /// A router from its configuration file.
     pub fn load(file: PathBuf, ex: Spawner) -> Result<Rc<Node>, StartError> {
         let config = read(&file)?;
-        let known = config.known().map_err(StartError::Config)?;
+        let known = config.initial_endpoints().map_err(StartError::Config)?;
         let s = &config.settings;
         let budget = Budget::of(&config.limits);
         let mut cfg = s.to_policy();
@@ -153,7 +154,7 @@
             cfg.limits.max_open_requests.min(most)
         };
         tracing::debug!(limits = ?config.limits, settings = ?cfg, "starting");
-        let names = Rc::new(Names {
+        let names = Rc::new(Catalog {
             classes: s
                 .lanes
                 .iter()
@@ -245,8 +246,8 @@
         self.ex.spawn(async move { me.rounds.run().await });
         let me = self.clone();
         self.ex.spawn(async move {
-            let scope = |update: &Update| {
-                if update.whole {
+            let scope = |update: &EndpointListUpdate| {
+                if update.is_complete {
                     ListScope::All
                 } else {
                     ListScope::Changes
@@ -363,12 +364,12 @@
     }
 
     /// News of the engine list.
-    fn told(&self, scope: ListScope, update: Update) {
-        if update.whole {
-            self.links.keep_only(&update.members);
+    fn told(&self, scope: ListScope, update: EndpointListUpdate) {
+        if update.is_complete {
+            self.links.keep_only(&update.endpoints);
         }
-        update.members.iter().for_each(|m| self.links.told(m));
-        let entry = |m: &hoptiller_platform_protocol::Member| EndpointEntry {
+        update.endpoints.iter().for_each(|m| self.links.told(m));
+        let entry = |m: &Endpoint| EndpointEntry {
             engine: EngineId(m.id),
             zone: m.zone,
             kind: m.kind,
@@ -377,10 +378,10 @@
             readiness: match m.phase {
                 Phase::Ready => Readiness::Up,
                 Phase::Draining => Readiness::Draining,
-                Phase::Gone => Readiness::Removed,
+                Phase::Removed => Readiness::Removed,
             },
         };
-        let entries: Vec<EndpointEntry> = update.members.iter().map(entry).collect();
+        let entries: Vec<EndpointEntry> = update.endpoints.iter().map(entry).collect();
         tracing::debug!(number = update.number, ?scope, ?entries, "list");
         self.with_core(|core, now| core.list(now, scope, entries));
     }
@@ -388,12 +389,12 @@
     async fn attempt(self: Rc<Self>, a: Attempt, listing: Listing, token: Rc<CancelToken>) {
         let name = a.work.fields.first().map_or("", |f| f.1.as_str());
         let order = Order {
-            send: Send {
+            send: StatementCommand {
                 id: name,
                 class: &self.names.classes[a.class].name,
-                replay_key: a.work.fields.get(1).map(|f| f.1.as_str()),
+                idempotency_key: a.work.fields.get(1).map(|f| f.1.as_str()),
                 priority: a.priority,
-                text: &a.work.text,
+                statement: &a.work.text,
             },
             until: self.rounds.instant(a.until),
             send_by: a.send_by.map(|at| self.rounds.instant(at)),
--- a/crates/platform-router/tests/links.rs
+++ b/crates/platform-router/tests/links.rs
@@ -10,8 +10,7 @@
 use async_io::Timer;
 use common::*;
 use futures_lite::future;
-use hoptiller_platform_protocol::engine::Send;
-use hoptiller_platform_protocol::{Member, Phase};
+use hoptiller_platform_protocol::{Endpoint, Phase, StatementCommand};
 use hoptiller_platform_router::attempt::{Failed, NotBegun, Order, Whole};
 use hoptiller_platform_router::cancel::CancelToken;
 use hoptiller_platform_router::links::{Links, Manner};
@@ -32,8 +31,8 @@
     Links::new(manner, Rc::new(Retries::new(None)))
 }
 
-fn member(addr: SocketAddr, phase: Phase, started_ms: u64) -> Member {
-    Member {
+fn member(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
+    Endpoint {
         id: 7,
         addr,
         zone: None,
@@ -69,12 +68,12 @@
     async fn at(&self, engine: u32, links: &Links, id: &str) -> Result<Whole, Failed> {
         let listing = links.listing(EngineId(engine)).expect("listed");
         let (until, send_by, token) = (self.until, self.send_by, &self.token);
-        let send = Send {
+        let send = StatementCommand {
             id,
             class: "lookup",
-            replay_key: None,
+            idempotency_key: None,
             priority: None,
-            text: "SELECT 1",
+            statement: "SELECT 1",
         };
         let order = Order {
             send,
@@ -157,9 +156,9 @@
 
 #[test]
 fn what_the_list_says_at_the_moment_of_the_first_byte_decides() {
-    let changes: [fn(SocketAddr) -> Member; 4] = [
+    let changes: [fn(SocketAddr) -> Endpoint; 4] = [
         |addr| member(addr, Phase::Draining, 0),
-        |addr| member(addr, Phase::Gone, 0),
+        |addr| member(addr, Phase::Removed, 0),
         |addr| member(addr, Phase::Ready, 1_800_000_000_000),
         |_| member(([127, 0, 0, 1], 9).into(), Phase::Ready, 0),
     ];
@@ -455,7 +454,7 @@
         let links = Links::new(manner, Rc::new(Retries::new(None)));
         let (first, second) = (Peer::new(), Peer::new());
         links.told(&member(first.addr, Phase::Ready, 0));
-        links.told(&Member {
+        links.told(&Endpoint {
             id: 8,
             ..member(second.addr, Phase::Ready, 0)
         });
