--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use hoptiller_platform_router::trace::{Seen, Trace};
+use hoptiller_platform_router::trace::{EngineObservations, Trace};
 
 use crate::run::Failure;
 
@@ -29,62 +29,66 @@
         );
     }
     let (mut engines, mut wrong, mut compared, mut unread) =
-        (BTreeMap::<u32, Seen>::new(), 0, 0, 0);
+        (BTreeMap::<u32, EngineObservations>::new(), 0, 0, 0);
     for file in &files {
         let trace = read(file).map_err(|e| Failure::Outside(format!("{}", file.display()), e))?;
-        for w in &trace.wrong {
+        for mismatch in &trace.mismatches {
             println!(
                 "{}:{}: engine {}: {} attempts are out, and {} are believed to be",
                 file.display(),
-                w.line,
-                w.engine,
-                w.counted,
-                w.believed
+                mismatch.line,
+                mismatch.engine,
+                mismatch.counted,
+                mismatch.believed
             );
         }
         (wrong, compared, unread) = (
-            wrong + trace.wrong_in_all,
-            compared + trace.compared,
-            unread + trace.unread,
+            wrong + trace.mismatch_count,
+            compared + trace.comparisons,
+            unread + trace.unparsed_lines,
         );
         for (id, s) in trace.engines {
             let all = engines.entry(id).or_default();
             all.sent += s.sent;
             all.served += s.served;
-            all.full += s.full;
+            all.rejected += s.rejected;
             all.unreached += s.unreached;
-            all.again += s.again;
-            all.most_out = all.most_out.max(s.most_out);
+            all.resent_early += s.resent_early;
+            all.max_in_flight = all.max_in_flight.max(s.max_in_flight);
         }
     }
     if compared == 0 {
         let what = "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)";
         return Err(Failure::Usage(what.to_owned()));
     }
-    let mut worst: Vec<(u32, Seen)> = engines.into_iter().collect();
-    worst.sort_by_key(|(id, s)| (std::cmp::Reverse(s.full + s.unreached), *id));
+    let mut worst: Vec<(u32, EngineObservations)> = engines.into_iter().collect();
+    worst.sort_by_key(|(id, s)| (std::cmp::Reverse(s.rejected + s.unreached), *id));
     println!(
         "{:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
         "engine", "sent", "served", "full", "unreached", "asked again", "most out"
     );
-    let row = |name: &str, s: &Seen| {
+    let row = |name: &str, s: &EngineObservations| {
         println!(
             "{name:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
-            s.sent, s.served, s.full, s.unreached, s.again, s.most_out
+            s.sent, s.served, s.rejected, s.unreached, s.resent_early, s.max_in_flight
         );
     };
     worst
         .iter()
         .take(args.most)
         .for_each(|(id, s)| row(&id.to_string(), s));
-    let sum = |of: fn(&Seen) -> u64| worst.iter().map(|(_, s)| of(s)).sum::<u64>();
-    let all = Seen {
+    let sum = |of: fn(&EngineObservations) -> u64| worst.iter().map(|(_, s)| of(s)).sum::<u64>();
+    let all = EngineObservations {
         sent: sum(|s| s.sent),
         served: sum(|s| s.served),
-        full: sum(|s| s.full),
+        rejected: sum(|s| s.rejected),
         unreached: sum(|s| s.unreached),
-        again: sum(|s| s.again),
-        most_out: worst.iter().map(|(_, s)| s.most_out).max().unwrap_or(0),
+        resent_early: sum(|s| s.resent_early),
+        max_in_flight: worst
+            .iter()
+            .map(|(_, s)| s.max_in_flight)
+            .max()
+            .unwrap_or(0),
     };
     row("all", &all);
     println!(
@@ -117,5 +121,5 @@
         return Err(std::io::Error::new(std::io::ErrorKind::InvalidData, what));
     }
     let bytes = std::fs::read(file)?;
-    Ok(Trace::read(String::from_utf8_lossy(&bytes).lines()))
+    Ok(Trace::parse(String::from_utf8_lossy(&bytes).lines()))
 }
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -5,7 +5,7 @@
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use hoptiller_platform_router::Node;
+use hoptiller_platform_router::Router;
 
 use crate::run::{self, Failure};
 
@@ -22,21 +22,21 @@
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
         let mut signals =
             signals.map_err(|e| Failure::Outside("signals can't be listened to".into(), e))?;
-        let node = Node::load(args.config.clone(), spawner.clone())
+        let router = Router::load(args.config.clone(), spawner.clone())
             .map_err(|e| Failure::Usage(format!("{}: {e}", args.config.display())))?;
-        let addr = node
+        let addr = router
             .start()
             .map_err(|e| Failure::Outside("can't listen".into(), e))?;
         println!("ready http://{addr}");
         while let Some(signal) = signals.next().await {
             if let Ok(Signal::Hup) = signal {
-                let node = node.clone();
-                spawner.spawn(async move { node.reload().await });
+                let router = router.clone();
+                spawner.spawn(async move { router.reload().await });
                 continue;
             }
             break;
         }
-        node.end().await;
+        router.shutdown().await;
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -1,137 +1,125 @@
-//! What is to be sent to an engine, what came of it, and why nothing did.
+//! One attempt at an engine: what is sent and until when, the response, and the reasons why there is none.
 
 use std::io;
 use std::time::Instant;
 
-use hoptiller_platform_protocol::RowsError;
-use hoptiller_platform_protocol::StatementCommand;
 use hoptiller_platform_protocol::engine_response::LineError;
+use hoptiller_platform_protocol::{RowsError, StatementCommand};
 use hoptiller_policy::{AttemptStatus, LoadReport, Micros};
 
 use crate::cancel::CancelToken;
-use crate::links::Listing;
+use crate::endpoint::EndpointState;
 
-/// An answer, gathered whole.
+/// An attempt that the policy decided on.
+pub struct AttemptRequest<'a> {
+    /// The statement to be executed.
+    pub command: StatementCommand<'a>,
+    /// When the attempt times out.
+    pub deadline: Instant,
+    /// If set, the first byte is written before this time or not at all.
+    pub send_by: Option<Instant>,
+    /// Whether an attempt of the same request was made before.
+    pub is_retry: bool,
+    /// Cancels the attempt.
+    pub token: &'a CancelToken,
+    /// The state of the engine's endpoint at the time of the decision.
+    pub endpoint: EndpointState,
+}
+
+/// A response with all pages of its result.
 #[derive(Debug)]
-pub struct Whole {
+pub struct CompleteResponse {
     /// The rows as JSON.
     pub rows: String,
-    /// Work that it needed, where told.
+    /// The work that the statement took, if reported.
     pub work: Option<Micros>,
-    /// The engine's load, where told.
-    pub report: Option<LoadReport>,
+    /// The engine's load, if reported.
+    pub load_report: Option<LoadReport>,
 }
 
-/// Why an attempt has no result.
-#[derive(Debug)]
-pub enum Failed {
-    /// Not sent: no descriptor was left for it.
+/// Why an attempt has no response. The trace analysis matches the messages of `Overloaded` and `Connect`.
+#[derive(Debug, thiserror::Error)]
+pub enum AttemptError {
+    /// Not sent: the limit of connections is reached.
+    #[error("no descriptor was left for it")]
     NoDescriptor,
-    /// Not sent: the engine is not on the list.
-    NoEngine,
-    /// Not sent: at the moment of its first byte, that spoke against it.
-    NotBegun(NotBegun),
-    /// No connection came about.
-    Connect(io::Error),
-    /// It broke before any byte of the request was written.
-    Unsent(io::Error),
-    /// It broke after that.
-    Broken(io::Error),
-    /// A line that is no answer.
-    Line(LineError),
-    /// Pages that make no result.
-    Rows(RowsError),
-    /// `overload`.
-    Full,
-    /// `crashed`.
-    Error,
-    /// `nobody`.
-    Nobody,
-    /// No answer in time.
-    Late,
-    /// Withdrawn.
-    Withdrawn,
-    /// Its client left before all pages of its result were fetched.
+    /// Not sent: the engine is not on the endpoint list.
+    #[error("the engine has gone from the list")]
+    UnknownEngine,
+    /// Not sent: when the first byte could be written, the attempt was no longer allowed.
+    #[error("not sent: {0}")]
+    NotSent(#[source] NotSentReason),
+    /// No connection was established.
+    #[error("no connection: {0}")]
+    Connect(#[source] io::Error),
+    /// The connection broke before a byte of the request was written.
+    #[error("the connection broke before it was sent: {0}")]
+    Unsent(#[source] io::Error),
+    /// The connection broke after that.
+    #[error("the connection broke: {0}")]
+    ConnectionReset(#[source] io::Error),
+    /// The engine sent an invalid line.
+    #[error("{0}")]
+    Line(#[source] LineError),
+    /// The pages of the result are invalid.
+    #[error("{0}")]
+    Rows(#[source] RowsError),
+    /// The engine rejected the request for lack of capacity.
+    #[error("the engine is full")]
+    Overloaded,
+    /// The engine failed.
+    #[error("the engine's own error")]
+    Crashed,
+    /// The request was over when the engine received it.
+    #[error("it was over before it began")]
+    NotExecuted,
+    /// No response before the deadline.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The policy cancelled the attempt.
+    #[error("withdrawn")]
+    Cancelled,
+    /// The client disconnected before all pages of the result were fetched.
+    #[error("its client left")]
     Abandoned,
 }
 
-/// Why an attempt that was decided on was not sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotBegun {
-    /// It was taken back, or its client has left.
+/// Why an attempt that the policy decided on was not sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NotSentReason {
+    /// It was cancelled, or the client disconnected.
+    #[error("it was taken back")]
     Cancelled,
-    /// Its time was over.
-    Late,
-    /// A repeat would no longer be recognised as one.
-    WindowPassed,
-    /// Too many further attempts have begun.
-    Budget,
-    /// What the list says of the engine has changed since.
-    Relisted,
-}
-
-impl std::fmt::Display for NotBegun {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            NotBegun::Cancelled => "it was taken back",
-            NotBegun::Late => "its time was over",
-            NotBegun::WindowPassed => "a repeat would no longer be recognised",
-            NotBegun::Budget => "too many further attempts have begun",
-            NotBegun::Relisted => "the list tells something else of the engine now",
-        })
-    }
+    /// Its deadline had passed.
+    #[error("its time was over")]
+    TimedOut,
+    /// The engine would no longer recognise it as a duplicate.
+    #[error("a repeat would no longer be recognised")]
+    IdempotencyWindowPassed,
+    /// The retry budget was spent.
+    #[error("too many further attempts have begun")]
+    RetryBudgetSpent,
+    /// The state of the engine's endpoint had changed.
+    #[error("the list tells something else of the engine now")]
+    EndpointChanged,
 }
 
-impl Failed {
-    /// What the decision module is told.
-    pub fn ending(&self) -> AttemptStatus {
+impl AttemptError {
+    /// The outcome that is reported to the policy.
+    pub fn status(&self) -> AttemptStatus {
         match self {
-            Failed::NoDescriptor | Failed::NoEngine | Failed::NotBegun(_) | Failed::Nobody => {
-                AttemptStatus::NotSent
+            AttemptError::NoDescriptor
+            | AttemptError::UnknownEngine
+            | AttemptError::NotSent(_)
+            | AttemptError::NotExecuted => AttemptStatus::NotSent,
+            AttemptError::Connect(_) | AttemptError::Unsent(_) => AttemptStatus::ConnectFailed,
+            AttemptError::ConnectionReset(_) => AttemptStatus::ConnectionReset,
+            AttemptError::Line(_) | AttemptError::Rows(_) | AttemptError::Crashed => {
+                AttemptStatus::ErrorResponse
             }
-            Failed::Connect(_) | Failed::Unsent(_) => AttemptStatus::ConnectFailed,
-            Failed::Broken(_) => AttemptStatus::ConnectionReset,
-            Failed::Line(_) | Failed::Rows(_) | Failed::Error => AttemptStatus::ErrorResponse,
-            Failed::Full => AttemptStatus::Rejected,
-            Failed::Late => AttemptStatus::TimedOut,
-            Failed::Withdrawn | Failed::Abandoned => AttemptStatus::Cancelled,
+            AttemptError::Overloaded => AttemptStatus::Rejected,
+            AttemptError::TimedOut => AttemptStatus::TimedOut,
+            AttemptError::Cancelled | AttemptError::Abandoned => AttemptStatus::Cancelled,
         }
     }
 }
-
-impl std::fmt::Display for Failed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Failed::NoDescriptor => write!(f, "no descriptor was left for it"),
-            Failed::NoEngine => write!(f, "the engine has gone from the list"),
-            Failed::NotBegun(why) => write!(f, "not sent: {why}"),
-            Failed::Connect(e) => write!(f, "no connection: {e}"),
-            Failed::Unsent(e) => write!(f, "the connection broke before it was sent: {e}"),
-            Failed::Broken(e) => write!(f, "the connection broke: {e}"),
-            Failed::Line(e) => write!(f, "{e}"),
-            Failed::Rows(e) => write!(f, "{e}"),
-            Failed::Full => write!(f, "the engine is full"),
-            Failed::Error => write!(f, "the engine's own error"),
-            Failed::Nobody => write!(f, "it was over before it began"),
-            Failed::Late => write!(f, "no answer in time"),
-            Failed::Withdrawn => write!(f, "withdrawn"),
-            Failed::Abandoned => write!(f, "its client left"),
-        }
-    }
-}
-
-/// What is to be sent, and when it may be.
-pub struct Order<'a> {
-    /// The request.
-    pub send: StatementCommand<'a>,
-    /// When its answer is no longer waited for.
-    pub until: Instant,
-    /// Its first byte is written before that, or not at all.
-    pub send_by: Option<Instant>,
-    /// It is not the request's first attempt.
-    pub further: bool,
-    /// Takes it back.
-    pub token: &'a CancelToken,
-    /// What the list said of the engine when it was decided on.
-    pub listing: Listing,
-}
--- a/crates/platform-router/src/budget/tests.rs
+++ b/crates/platform-router/src/budget/tests.rs
@@ -1,18 +1,25 @@
+//! The division of descriptors and memory.
+
 use super::*;
 
 #[test]
-fn clients_get_more_than_their_third_and_engines_a_share_of_their_own() {
+fn clients_get_over_a_third_of_the_descriptors_and_engines_the_rest() {
     for sockets in [64, 256, 1024, 65536] {
-        let b = Budget::of(&Limits {
+        let budget = Budget::from_limits(&Limits {
             cores: 0.4,
             memory_mb: 32.0,
             sockets,
         });
-        assert!(b.clients * 3 > sockets, "{b:?}");
+        assert!(budget.client_connections * 3 > sockets, "{budget:?}");
+        assert!(
+            budget.engine_connections > 0
+                && budget.client_connections + budget.engine_connections + PROCESS_DESCRIPTORS
+                    <= sockets,
+            "{budget:?}"
+        );
         assert!(
-            b.engines > 0 && b.clients + b.engines + OWN <= sockets,
-            "{b:?}"
+            budget.incoming_bytes + budget.result_bytes < 32 << 18,
+            "under a quarter: {budget:?}"
         );
-        assert!(b.incoming + b.held < 32 << 18, "under a quarter: {b:?}");
     }
 }
--- a/crates/platform-router/src/cancel.rs
+++ b/crates/platform-router/src/cancel.rs
@@ -1,55 +1,55 @@
-//! Owns the way in which an attempt is taken back. What was said stays said: a task that looks only later still sees it.
+//! Cancellation of an attempt. It is a state and not only a notification, so a task that checks later still sees it.
 
 use std::cell::Cell;
 
 use event_listener::Event;
 
-/// Shared by an attempt and by those who may take it back.
+/// Shared by an attempt and by those who may cancel it.
 #[derive(Debug, Default)]
 pub struct CancelToken {
     cancelled: Cell<bool>,
     abandoned: Cell<bool>,
-    begun: Cell<bool>,
+    started: Cell<bool>,
     changed: Event,
 }
 
 impl CancelToken {
-    /// Takes the attempt back, whether or not it has begun.
+    /// Cancels the attempt, whether or not it has started.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.changed.notify(usize::MAX);
     }
 
-    /// Nobody waits for its result any more: nothing further of it may begin. One whose first byte was written goes on,
-    /// as whoever decides on it has not taken it back; one that has not begun is over.
+    /// Notes that the client no longer waits: an attempt that has not started is cancelled; one whose first byte was
+    /// written goes on, as the policy has not cancelled it, but fetches nothing further.
     pub fn abandon(&self) {
         self.abandoned.set(true);
-        if !self.begun.get() {
+        if !self.started.get() {
             self.cancel();
         }
     }
 
-    /// Its first byte was written.
-    pub fn begin(&self) {
-        self.begun.set(true);
+    /// Notes that the first byte was written.
+    pub fn mark_started(&self) {
+        self.started.set(true);
     }
 
-    /// Whether a byte of it was written: it may have run.
-    pub fn has_begun(&self) -> bool {
-        self.begun.get()
+    /// Whether a byte was written, so that the engine may have executed the statement.
+    pub fn has_started(&self) -> bool {
+        self.started.get()
     }
 
-    /// Whether it was taken back.
+    /// Whether the attempt was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Whether nobody waits for its result.
+    /// Whether the client no longer waits for the result.
     pub fn is_abandoned(&self) -> bool {
         self.abandoned.get()
     }
 
-    /// Waits until it is taken back; at once where it has been.
+    /// Waits until the attempt is cancelled; returns at once if it has been.
     pub async fn cancelled(&self) {
         loop {
             let changed = self.changed.listen();
--- /dev/null
+++ b/crates/platform-router/src/clock.rs
@@ -0,0 +1,25 @@
+//! Conversion from Unix time to the clock of the core.
+
+use hoptiller_policy::Micros;
+
+/// The same moment on the core's clock and in Unix time.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClockReference {
+    pub(crate) core: Micros,
+    pub(crate) unix: Micros,
+}
+
+impl ClockReference {
+    /// The time of an engine's start on the core's clock; 0, long ago, stays 0.
+    pub(crate) fn start_time(self, unix_ms: u64) -> Micros {
+        match unix_ms {
+            0 => 0,
+            ms => (self.core.saturating_add(ms.saturating_mul(1000)))
+                .saturating_sub(self.unix)
+                .max(1),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-router/src/command_executor.rs
@@ -0,0 +1,191 @@
+//! Execution of the core's commands: attempts at engines, their cancellation, health checks, and notifications.
+
+use std::rc::Rc;
+
+use hoptiller_platform_protocol::StatementCommand;
+use hoptiller_policy::EngineId;
+use hoptiller_router_core::rounds::Carry;
+use hoptiller_router_core::{Attempt, Command, Ended, Page, StatementId};
+use serde_json::value::RawValue;
+
+use crate::attempt::{AttemptError, AttemptRequest, CompleteResponse};
+use crate::cancel::CancelToken;
+use crate::endpoint::EndpointState;
+use crate::router::Router;
+use crate::trace::TRACE_TARGET;
+
+impl Carry for Router {
+    fn carry(&self, command: Command) {
+        let Some(router) = self.this.upgrade() else {
+            return;
+        };
+        match command {
+            Command::Send(attempt) => router.start_attempt(attempt),
+            Command::Withdraw { id, hop } => router.cancel_attempt(id, hop),
+            Command::Probe(engine) => router.start_probe(engine),
+            Command::Wake(id) => router.rounds.wake(id),
+            Command::Settled {
+                id,
+                class,
+                how,
+                after,
+                attempts,
+            } => {
+                tracing::debug!(
+                    target: TRACE_TARGET,
+                    id,
+                    class,
+                    how = how.word(),
+                    why = how.why(),
+                    after,
+                    attempts,
+                    "settled"
+                );
+                router.abandon_attempts(id);
+            }
+            // Results are returned complete, so there are no further pages and nothing to release; the coordinator
+            // reports by itself; runaways are not detected here.
+            Command::Fetch { .. }
+            | Command::Release { .. }
+            | Command::AskDiscovery
+            | Command::Kill { .. }
+            | Command::Pause { .. }
+            | Command::Found(_) => {}
+        }
+    }
+}
+
+impl Router {
+    fn start_attempt(self: &Rc<Self>, attempt: Attempt) {
+        // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
+        tracing::debug!(
+            target: TRACE_TARGET,
+            id = request_id(&attempt),
+            hop = attempt.hop,
+            engine = attempt.engine.0,
+            round = self.rounds.spent().0,
+            believed = self.rounds.core().believed_out(attempt.engine),
+            class = attempt.class,
+            priority = attempt.priority,
+            until = attempt.until,
+            "send"
+        );
+        // The token and the endpoint's state are those of the decision, not of the task's first step.
+        let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
+            let outcome = failed_outcome(&AttemptError::UnknownEngine);
+            let now = self.rounds.now();
+            self.rounds
+                .core()
+                .ended(now, attempt.id, attempt.hop, outcome);
+            return;
+        };
+        let token = Rc::<CancelToken>::default();
+        self.in_flight
+            .borrow_mut()
+            .insert((attempt.id, attempt.hop), token.clone());
+        self.spawner
+            .spawn(self.clone().run_attempt(attempt, endpoint, token));
+    }
+
+    async fn run_attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        endpoint: EndpointState,
+        token: Rc<CancelToken>,
+    ) {
+        let request = AttemptRequest {
+            command: StatementCommand {
+                id: request_id(&attempt),
+                class: &self.catalog.classes[attempt.class].name,
+                idempotency_key: attempt.work.fields.get(1).map(|field| field.1.as_str()),
+                priority: attempt.priority,
+                statement: &attempt.work.text,
+            },
+            deadline: self.rounds.instant(attempt.until),
+            send_by: attempt.send_by.map(|at| self.rounds.instant(at)),
+            is_retry: attempt.hop > 0,
+            token: &token,
+            endpoint,
+        };
+        let result = self.pool.attempt(attempt.engine, &request).await;
+        self.in_flight
+            .borrow_mut()
+            .remove(&(attempt.id, attempt.hop));
+        match result {
+            Ok(response) => self.report_served(&attempt, response),
+            Err(error) => self.report_failed(&attempt, &error),
+        }
+    }
+
+    fn report_served(&self, attempt: &Attempt, response: CompleteResponse) {
+        tracing::debug!(
+            target: TRACE_TARGET,
+            id = request_id(attempt),
+            hop = attempt.hop,
+            engine = attempt.engine.0,
+            work = response.work,
+            "served"
+        );
+        let page = Page {
+            rows: RawValue::from_string(response.rows).ok().map(Rc::from),
+            last: true,
+            work: response.work,
+            report: response.load_report,
+            ..Page::default()
+        };
+        self.with_core(|core, now| core.page(now, attempt.id, attempt.hop, page));
+    }
+
+    fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
+        tracing::debug!(
+            target: TRACE_TARGET,
+            id = request_id(attempt),
+            hop = attempt.hop,
+            engine = attempt.engine.0,
+            why = %error,
+            "ended"
+        );
+        let outcome = failed_outcome(error);
+        self.with_core(|core, now| core.ended(now, attempt.id, attempt.hop, outcome));
+    }
+
+    fn cancel_attempt(&self, id: StatementId, number: u32) {
+        if let Some(token) = self.in_flight.borrow().get(&(id, number)) {
+            token.cancel();
+        }
+    }
+
+    /// The client has its response or has disconnected, so no further attempt may start for it.
+    fn abandon_attempts(&self, id: StatementId) {
+        self.in_flight
+            .borrow()
+            .range((id, 0)..=(id, u32::MAX))
+            .for_each(|(_, token)| token.abandon());
+    }
+
+    fn start_probe(self: &Rc<Self>, engine: EngineId) {
+        let router = self.clone();
+        self.spawner.spawn(async move {
+            let report = router.pool.probe(engine).await;
+            tracing::debug!(engine = engine.0, ?report, "health check completed");
+            router.with_core(|core, _| core.probed(engine, report));
+        });
+    }
+}
+
+/// The id that the client gave its request: the first of the statement's fields.
+fn request_id(attempt: &Attempt) -> &str {
+    attempt
+        .work
+        .fields
+        .first()
+        .map_or("", |field| field.1.as_str())
+}
+
+fn failed_outcome(error: &AttemptError) -> Ended {
+    Ended {
+        ending: error.status(),
+        why: error.to_string(),
+        report: None,
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/front_end.rs
@@ -0,0 +1,240 @@
+//! The front end: reads clients' requests, submits them to the core, and responds once to each.
+
+use std::cell::RefCell;
+use std::collections::HashSet;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Async;
+use hoptiller_http::gate::Gate;
+use hoptiller_http::server::{self, Config, Handler, Reply};
+use hoptiller_http::{Limits, Method, Request, Response, Spawner};
+use hoptiller_platform_protocol::request::{
+    HEALTH_PATH, RequestError, STATEMENT_PATH, failed_response, invalid_request_response,
+    rejected_response, served_response,
+};
+use hoptiller_platform_protocol::{Catalog, StatementRequest};
+use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::{Content, Final, Poll, StatementId, Submission, Work};
+use hoptiller_runaway::Announced;
+
+use crate::budget::Budget;
+use crate::retry_limiter::RetryLimiter;
+
+/// A client that has not sent a complete request so long after it connected gets an error, or is disconnected.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(5_500);
+/// Bytes of a statement at most; usual ones are far shorter.
+const MAX_BODY_BYTES: u64 = 64 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
+const MAX_HEADERS: usize = 40;
+const MAX_TARGET_BYTES: usize = 256;
+
+/// The ids of requests in flight.
+#[derive(Default)]
+pub(crate) struct InFlightIds(RefCell<HashSet<String>>);
+
+impl InFlightIds {
+    pub(crate) fn len(&self) -> usize {
+        self.0.borrow().len()
+    }
+
+    /// Adds an id; `false` if it is in flight already.
+    fn insert(&self, id: String) -> bool {
+        self.0.borrow_mut().insert(id)
+    }
+
+    fn remove(&self, id: &str) {
+        self.0.borrow_mut().remove(id);
+    }
+}
+
+/// What requests are served with.
+pub(crate) struct FrontEnd {
+    pub(crate) rounds: Rc<Rounds>,
+    pub(crate) catalog: Rc<Catalog>,
+    pub(crate) budget: Budget,
+    /// Counts requests, as retries are limited in proportion.
+    pub(crate) retries: Rc<RetryLimiter>,
+    pub(crate) in_flight_ids: InFlightIds,
+    pub(crate) spawner: Spawner,
+}
+
+/// Serves clients until it is told to stop, and then those that have connected by then.
+pub(crate) async fn serve(
+    front_end: Rc<FrontEnd>,
+    listener: Async<TcpListener>,
+    gate: Rc<Gate>,
+    stop: impl Future<Output = ()>,
+) {
+    let config = server_config(&front_end.budget);
+    let handler_front_end = front_end.clone();
+    let handler: Handler = Rc::new(move |request| {
+        let front_end = handler_front_end.clone();
+        Box::pin(async move { Reply::Send(respond(&front_end, request).await) })
+    });
+    let spawner = front_end.spawner.clone();
+    server::serve_until(listener, config, handler, spawner, &gate, stop).await;
+}
+
+fn server_config(budget: &Budget) -> Config {
+    Config {
+        limits: Limits {
+            head: MAX_HEAD_BYTES,
+            fields: MAX_HEADERS,
+            target: MAX_TARGET_BYTES,
+            body: MAX_BODY_BYTES,
+        },
+        connections: budget.client_connections,
+        incoming: budget.incoming_bytes,
+        request_within: REQUEST_TIMEOUT,
+        first_byte: REQUEST_TIMEOUT,
+        idle: IDLE_TIMEOUT,
+        stalled: STALL_TIMEOUT,
+        linger: LINGER_TIMEOUT,
+        watch: true,
+    }
+}
+
+async fn respond(front_end: &Rc<FrontEnd>, request: Request) -> Response {
+    match (&request.method, request.path()) {
+        (Method::Get, HEALTH_PATH) => Response::text(200, "ready"),
+        (Method::Post, path) if path.starts_with(STATEMENT_PATH) => {
+            match StatementRequest::from_http(request, &front_end.catalog) {
+                Ok(request) => execute(front_end, request).await,
+                Err(error) => invalid_request_response(error),
+            }
+        }
+        _ => Response::text(404, "nothing here"),
+    }
+}
+
+/// A request in flight. If it is dropped before its response, the client has disconnected and the request is cancelled.
+struct InFlightRequest {
+    front_end: Rc<FrontEnd>,
+    statement: StatementId,
+    id: String,
+    is_completed: bool,
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        self.front_end.in_flight_ids.remove(&self.id);
+        self.front_end.rounds.unlisten(self.statement);
+        if !self.is_completed {
+            tracing::debug!(id = %self.id, "client disconnected");
+            self.front_end
+                .rounds
+                .with(|core, now| core.cancel(now, self.statement));
+        }
+    }
+}
+
+async fn execute(front_end: &Rc<FrontEnd>, request: StatementRequest) -> Response {
+    if !front_end.in_flight_ids.insert(request.id.clone()) {
+        return invalid_request_response(RequestError::DuplicateId);
+    }
+    log_request(&request);
+    let id = request.id.clone();
+    let submission = submission(request);
+    front_end.retries.record_request(Instant::now());
+    let submitted = front_end
+        .rounds
+        .with(|core, now| core.submit(now, submission));
+    let Ok(statement) = submitted else {
+        front_end.in_flight_ids.remove(&id);
+        return rejected_response(None);
+    };
+    let mut in_flight = InFlightRequest {
+        front_end: front_end.clone(),
+        statement,
+        id,
+        is_completed: false,
+    };
+    let response = wait_for_response(front_end, statement).await;
+    in_flight.is_completed = true;
+    response
+}
+
+async fn wait_for_response(front_end: &FrontEnd, statement: StatementId) -> Response {
+    let mut page = 0;
+    loop {
+        // The listener is registered before the core is polled, so that no notification is missed.
+        let notified = front_end.rounds.listen(statement);
+        let poll = front_end
+            .rounds
+            .with(|core, now| core.poll(now, statement, page));
+        match poll {
+            Poll::Wait => notified.await,
+            Poll::Answer(answer) => match &answer.content {
+                Content::News => page = answer.page + 1,
+                Content::Rows(rows) => {
+                    return served_response(rows.rows.as_deref().map_or("[]", |rows| rows.get()));
+                }
+                Content::Final(outcome) => return final_response(outcome),
+            },
+            Poll::Gone | Poll::Unknown => return failed_response("the request was lost"),
+        }
+    }
+}
+
+fn log_request(request: &StatementRequest) {
+    let StatementRequest {
+        id,
+        class,
+        timeout,
+        is_retry,
+        estimated_work,
+        memory_mb,
+        table_group,
+        ..
+    } = request;
+    tracing::debug!(
+        %id,
+        class,
+        timeout,
+        is_retry,
+        estimated_work,
+        memory_mb,
+        table_group,
+        "request received"
+    );
+}
+
+fn submission(request: StatementRequest) -> Submission {
+    Submission {
+        class: request.class,
+        tenant: request.tenant,
+        key: None,
+        group: request.table_group,
+        guess: request.estimated_work,
+        want_mb: request.memory_mb,
+        fingerprint: 0,
+        label: "".into(),
+        announced: Announced::default(),
+        repeat: request.is_retry,
+        patience: Some(request.timeout),
+        work: Rc::new(Work {
+            text: request.statement,
+            fields: std::iter::once(("Trace-Id".into(), request.id))
+                .chain(
+                    request
+                        .idempotency_key
+                        .map(|key| ("Replay-Key".into(), key)),
+                )
+                .collect(),
+        }),
+    }
+}
+
+fn final_response(outcome: &Final) -> Response {
+    match outcome {
+        Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => {
+            rejected_response(*hold_off)
+        }
+        other => failed_response(other.why()),
+    }
+}
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,24 +1,36 @@
-//! The router on our platform: its protocol as one more way in and out of [`hoptiller_router_core`].
+//! The router on the platform's protocol: a front end, a connection pool and a watch client for
+//! [`hoptiller_router_core`].
 //!
-//! - [`node`]: ties the core to the rest, and runs its rounds.
-//! - [`front`]: clients, over [`hoptiller_http::server`].
-//! - [`attempt`], [`cancel`]: one attempt: what is sent, what came of it, and how it is taken back.
-//! - [`links`]: connections to engines; one request a connection.
-//! - [`follower`]: the coordinator.
-//! - [`budget`]: how descriptors and memory are divided.
-//! - [`retries`]: further attempts, counted when they begin.
-//! - [`trace`]: what the trace tells of attempts, against what the decisions believed.
+//! - [`Router`]: the running router; `startup`, `reload` and `shutdown` are the phases of its life.
+//! - `command_executor`: carries out the commands of the core.
+//! - `front_end`: clients, over [`hoptiller_http::server`].
+//! - [`connection_pool`], `connection`: connections to engines; one request at a time on each.
+//! - [`attempt`], [`cancel`]: one attempt, its outcome, and its cancellation.
+//! - `watch_client`: the connection to the coordinator, and the updates of the endpoint list.
+//! - [`budget`], `connection_limiter`, `result_memory`, [`retry_limiter`]: resource limits.
+//! - [`trace`]: checks the log of attempts against what the policy counted.
 //!
-//! Parsers are in `hoptiller_platform_protocol`; decisions are in `hoptiller`.
+//! The wire format is in `hoptiller_platform_protocol`; decisions are made in `hoptiller_policy`.
+#![warn(missing_docs)]
 
 pub mod attempt;
 pub mod budget;
 pub mod cancel;
-pub mod follower;
-pub mod front;
-pub mod links;
-pub mod node;
-pub mod retries;
+mod clock;
+mod command_executor;
+mod connection;
+mod connection_limiter;
+pub mod connection_pool;
+pub mod endpoint;
+mod front_end;
+mod reload;
+mod result_memory;
+pub mod retry_limiter;
+mod router;
+mod shutdown;
+mod startup;
 pub mod trace;
+mod watch_client;
 
-pub use node::Node;
+pub use router::Router;
+pub use startup::StartError;
--- /dev/null
+++ b/crates/platform-router/src/reload.rs
@@ -0,0 +1,46 @@
+//! Reloading of the configuration file, of which a running router follows the coordinator's address.
+
+use std::time::Duration;
+
+use async_io::Timer;
+use hoptiller_platform_protocol::Config;
+
+use crate::router::Router;
+use crate::startup::{StartError, read_config};
+
+/// A file that can't be read may be half written: it is read again after this time, up to so many times.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_TRIES: usize = 100;
+
+impl Router {
+    /// Reloads the configuration file, and connects to the coordinator that it names. Until it can be read, the present
+    /// configuration is used; a later call replaces an earlier one that still tries.
+    pub async fn reload(&self) {
+        let request = self.reloads_requested.get() + 1;
+        self.reloads_requested.set(request);
+        let file = self.config_file.display();
+        for _ in 0..MAX_TRIES {
+            match self.read_own_config() {
+                Ok(config) => {
+                    tracing::info!(coordinator = %config.coordinator, "configuration reloaded");
+                    return self.watch_client.set_addr(config.coordinator);
+                }
+                Err(error) => {
+                    tracing::warn!(%file, %error, "configuration not reloaded, trying again");
+                }
+            }
+            Timer::after(RETRY_INTERVAL).await;
+            if self.reloads_requested.get() != request {
+                return;
+            }
+        }
+        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded");
+    }
+
+    fn read_own_config(&self) -> Result<Config, StartError> {
+        match read_config(&self.config_file) {
+            Ok(config) if config.name != self.name => Err(StartError::OtherRouter(config.name)),
+            result => result,
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/retry_limiter.rs
@@ -0,0 +1,77 @@
+//! The retry budget at the moment at which retries are sent. The policy counts a retry when it decides on it; while a
+//! connection is slow to come up, several may be sent at once, and the budget has to hold then too.
+
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+use hoptiller_policy::RetryBudget;
+
+/// Counts requests received and retries sent within the budget's window.
+#[derive(Debug)]
+pub struct RetryLimiter {
+    budget: Option<RetryBudget>,
+    window: RefCell<Window>,
+}
+
+/// The times of what lies within the budget's window, oldest first.
+#[derive(Debug, Default)]
+struct Window {
+    requests: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
+}
+
+impl Window {
+    fn prune(&mut self, now: Instant, length: Duration) {
+        for times in [&mut self.requests, &mut self.retries] {
+            while times
+                .front()
+                .is_some_and(|at| now.saturating_duration_since(*at) > length)
+            {
+                times.pop_front();
+            }
+        }
+    }
+}
+
+impl RetryLimiter {
+    /// With no requests counted yet. `None`: retries are not limited, and nothing is counted.
+    pub fn new(budget: Option<RetryBudget>) -> RetryLimiter {
+        RetryLimiter {
+            budget,
+            window: RefCell::default(),
+        }
+    }
+
+    /// Counts a request that was received.
+    pub fn record_request(&self, now: Instant) {
+        let Some(budget) = self.budget else { return };
+        let mut window = self.window.borrow_mut();
+        window.requests.push_back(now);
+        window.prune(now, Duration::from_micros(budget.window));
+    }
+
+    /// Whether the budget allows one more retry.
+    pub fn allows_retry(&self, now: Instant) -> bool {
+        let Some(budget) = self.budget else {
+            return true;
+        };
+        let length = Duration::from_micros(budget.window);
+        let mut window = self.window.borrow_mut();
+        window.prune(now, length);
+        // At the very edge of the window retries still count, and requests no longer do.
+        let requests = window
+            .requests
+            .iter()
+            .filter(|at| now.saturating_duration_since(**at) < length)
+            .count();
+        window.retries.len() as f64 + 1.0 <= budget.min_retries + budget.ratio * requests as f64
+    }
+
+    /// Counts a retry that was sent.
+    pub fn record_retry(&self, now: Instant) {
+        if self.budget.is_some() {
+            self.window.borrow_mut().retries.push_back(now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/router.rs
@@ -0,0 +1,132 @@
+//! The running router: the core, its front end, the connections to engines and the watch on the endpoint list.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use event_listener::Event;
+use hoptiller_http::Spawner;
+use hoptiller_http::gate::Gate;
+use hoptiller_platform_protocol::{Catalog, Endpoint, EndpointListUpdate, Phase};
+use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
+use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::{Core, StatementId};
+
+use crate::budget::Budget;
+use crate::cancel::CancelToken;
+use crate::clock::ClockReference;
+use crate::connection_pool::ConnectionPool;
+use crate::front_end::FrontEnd;
+use crate::watch_client::WatchClient;
+
+/// A running router.
+pub struct Router {
+    pub(crate) this: Weak<Router>,
+    pub(crate) config_file: PathBuf,
+    pub(crate) name: String,
+    pub(crate) listen: SocketAddr,
+    pub(crate) rounds: Rc<Rounds>,
+    pub(crate) catalog: Rc<Catalog>,
+    pub(crate) front_end: Rc<FrontEnd>,
+    pub(crate) pool: ConnectionPool,
+    pub(crate) watch_client: WatchClient,
+    pub(crate) spawner: Spawner,
+    pub(crate) gate: Rc<Gate>,
+    /// Attempts from the decision to the outcome, by request and attempt number.
+    pub(crate) in_flight: RefCell<BTreeMap<(StatementId, u32), Rc<CancelToken>>>,
+    /// How often a reload was requested; only the last request is carried out.
+    pub(crate) reloads_requested: Cell<u64>,
+    pub(crate) clock: ClockReference,
+    pub(crate) stop_accepting: Event,
+    pub(crate) is_accepting: Cell<bool>,
+    /// Requests that are in flight so long after the start of the shutdown are given up.
+    pub(crate) shutdown_timeout: Duration,
+}
+
+impl Router {
+    /// The number of the coordinator's last event.
+    pub fn last_event(&self) -> u64 {
+        self.watch_client.last_event()
+    }
+
+    /// Attempts that were decided on and have no outcome yet.
+    pub fn attempts_in_flight(&self) -> usize {
+        self.in_flight.borrow().len()
+    }
+
+    /// Connections to engines, including those that are being established.
+    pub fn engine_connections(&self) -> usize {
+        self.pool.open_connections()
+    }
+
+    /// Engines known.
+    pub fn known_engines(&self) -> usize {
+        self.pool.known_engines()
+    }
+
+    /// Requests that the core knows.
+    pub fn known_requests(&self) -> usize {
+        let (open, kept, _) = self.rounds.core().sizes();
+        open + kept
+    }
+
+    /// Requests in flight, by id.
+    pub fn requests_in_flight(&self) -> usize {
+        self.front_end.in_flight_ids.len()
+    }
+
+    /// How descriptors and memory are divided.
+    pub fn budget(&self) -> &Budget {
+        &self.front_end.budget
+    }
+
+    /// Connections of clients.
+    pub fn client_connections(&self) -> usize {
+        self.gate.counts().0
+    }
+
+    /// Calls the core; the commands that follow are carried out, and the event loop is woken if need be.
+    pub(crate) fn with_core<T>(&self, call: impl FnOnce(&mut Core, Micros) -> T) -> T {
+        self.rounds.with(call)
+    }
+
+    /// Applies an update of the endpoint list.
+    pub(crate) fn update_endpoints(&self, scope: ListScope, update: EndpointListUpdate) {
+        if update.is_complete {
+            self.pool.retain_listed(&update.endpoints);
+        }
+        for endpoint in &update.endpoints {
+            self.pool.update_endpoint(endpoint);
+        }
+        let entries: Vec<EndpointEntry> = update
+            .endpoints
+            .iter()
+            .map(|endpoint| self.policy_entry(endpoint))
+            .collect();
+        tracing::debug!(
+            event = update.number,
+            ?scope,
+            ?entries,
+            "endpoint list updated"
+        );
+        self.with_core(|core, now| core.list(now, scope, entries));
+    }
+
+    fn policy_entry(&self, endpoint: &Endpoint) -> EndpointEntry {
+        EndpointEntry {
+            engine: EngineId(endpoint.id),
+            zone: endpoint.zone,
+            kind: endpoint.kind,
+            cell: endpoint.cell.into(),
+            ready_at: self.clock.start_time(endpoint.started_ms),
+            readiness: match endpoint.phase {
+                Phase::Ready => Readiness::Up,
+                Phase::Draining => Readiness::Draining,
+                Phase::Removed => Readiness::Removed,
+            },
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/startup.rs
@@ -0,0 +1,238 @@
+//! The start of a router from its configuration file.
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::{Rc, Weak};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use async_io::Timer;
+use event_listener::Event;
+use hoptiller_http::gate::Gate;
+use hoptiller_http::{Spawner, server};
+use hoptiller_platform_protocol::request::ClassOptions;
+use hoptiller_platform_protocol::{Catalog, Config, ConfigError, EndpointListUpdate};
+use hoptiller_policy::{Class, Idempotency, ListScope, Micros};
+use hoptiller_policy_settings::Settings;
+use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::{self as core, Bounds, Core};
+
+use crate::budget::Budget;
+use crate::clock::ClockReference;
+use crate::connection_pool::{ConnectionPool, PoolConfig};
+use crate::front_end::{self, FrontEnd, InFlightIds};
+use crate::retry_limiter::RetryLimiter;
+use crate::router::Router;
+use crate::shutdown;
+use crate::watch_client::WatchClient;
+
+/// The time kept for the outcome of the last attempt, the decision and the response before a client's timeout.
+const RESPONSE_MARGIN: Micros = 30_000;
+/// Requests are abandoned when their client closes its connection, and so never for want of polling.
+const ABANDON_AFTER: Micros = 600_000_000;
+/// Pause between checks for idle connections that have expired.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Idle connections are closed after this part of the time after which engines close them.
+const IDLE_TIMEOUT_FACTOR: f64 = 0.7;
+const MIN_CONNECT_TIMEOUT_MS: f64 = 50.0;
+const MIN_IDLE_TIMEOUT_MS: f64 = 500.0;
+const MIN_TICK_MS: f64 = 1.0;
+
+/// Why a router can't start, or its configuration can't be reloaded.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The configuration file can't be read.
+    #[error("can't be read: {0}")]
+    File(#[source] io::Error),
+    /// The configuration is invalid.
+    #[error("{0}")]
+    Config(#[source] ConfigError),
+    /// The policy can't work with the settings.
+    #[error("settings: {0}")]
+    Settings(#[source] hoptiller_policy::SettingsError),
+    /// On reload: the configuration is that of the router of this name.
+    #[error("name: it is for the router {0}")]
+    OtherRouter(String),
+}
+
+/// Reads and checks a configuration file.
+pub(crate) fn read_config(file: &Path) -> Result<Config, StartError> {
+    let bytes = std::fs::read(file).map_err(StartError::File)?;
+    Config::parse(&bytes).map_err(StartError::Config)
+}
+
+impl Router {
+    /// Creates a router from its configuration file.
+    ///
+    /// # Errors
+    /// If the file can't be read, or the configuration or its settings are invalid.
+    pub fn load(config_file: PathBuf, spawner: Spawner) -> Result<Rc<Router>, StartError> {
+        let config = read_config(&config_file)?;
+        let endpoints = config.initial_endpoints().map_err(StartError::Config)?;
+        let budget = Budget::from_limits(&config.limits);
+        let policy = policy_settings(&config);
+        tracing::debug!(limits = ?config.limits, settings = ?policy, "starting");
+        let catalog = Rc::new(catalog(&config.settings, &policy.classes));
+        let pool_config = pool_config(&config.settings, &budget);
+        let tick = duration_from_millis(config.settings.tick, MIN_TICK_MS);
+        let shutdown_timeout = shutdown::timeout(&policy.classes);
+        let retries = Rc::new(RetryLimiter::new(policy.rules.retry_budget));
+        let names = core::Names {
+            router: config.name.clone(),
+            life: config.seed.clone(),
+        };
+        let core = Core::new(policy, config.seed(), core_bounds(&budget), None, names)
+            .map_err(StartError::Settings)?;
+        let router = Rc::new_cyclic(|this: &Weak<Router>| {
+            let rounds = Rc::new(Rounds::new(core, tick, this.clone()));
+            let clock = clock_reference(&rounds);
+            let front_end = FrontEnd {
+                rounds: rounds.clone(),
+                catalog: catalog.clone(),
+                budget,
+                retries: retries.clone(),
+                in_flight_ids: InFlightIds::default(),
+                spawner: spawner.clone(),
+            };
+            Router {
+                this: this.clone(),
+                config_file,
+                name: config.name,
+                listen: config.listen,
+                rounds,
+                catalog,
+                front_end: Rc::new(front_end),
+                pool: ConnectionPool::new(pool_config, retries),
+                watch_client: WatchClient::new(config.coordinator, endpoints.number),
+                spawner,
+                gate: Rc::new(Gate::new(budget.client_connections)),
+                in_flight: RefCell::default(),
+                reloads_requested: Cell::new(0),
+                clock,
+                stop_accepting: Event::new(),
+                is_accepting: Cell::new(false),
+                shutdown_timeout,
+            }
+        });
+        router.update_endpoints(ListScope::Cached, endpoints);
+        Ok(router)
+    }
+
+    /// Listens for clients, and starts all tasks. Returns the address.
+    ///
+    /// # Errors
+    /// If the address can't be listened on.
+    pub fn start(self: &Rc<Self>) -> io::Result<SocketAddr> {
+        let listener = server::bind(self.listen)?;
+        let addr = listener.get_ref().local_addr()?;
+        let router = self.clone();
+        self.spawner.spawn(async move { router.rounds.run().await });
+        let router = self.clone();
+        self.spawner.spawn(async move {
+            let apply = |update| router.update_endpoints(list_scope(&update), update);
+            router.watch_client.run(apply).await;
+        });
+        let router = self.clone();
+        self.spawner.spawn(async move {
+            loop {
+                Timer::after(EXPIRY_INTERVAL).await;
+                router.pool.close_expired();
+            }
+        });
+        let (router, stop) = (self.clone(), self.stop_accepting.listen());
+        self.is_accepting.set(true);
+        self.spawner.spawn(async move {
+            let front_end = router.front_end.clone();
+            front_end::serve(front_end, listener, router.gate.clone(), stop).await;
+            router.is_accepting.set(false);
+        });
+        Ok(addr)
+    }
+}
+
+/// The settings of the policy. Well-behaved clients hold a third of the descriptors at most, with one request in flight
+/// on each connection, which limits the requests in flight.
+fn policy_settings(config: &Config) -> hoptiller_policy::Settings {
+    let mut policy = config.settings.to_policy();
+    let max_open = config.limits.sockets / 3;
+    policy.limits.max_open_requests = match policy.limits.max_open_requests {
+        0 => max_open,
+        configured => configured.min(max_open),
+    };
+    policy
+}
+
+fn catalog(settings: &Settings, classes: &[Class]) -> Catalog {
+    Catalog {
+        classes: settings
+            .lanes
+            .iter()
+            .zip(classes)
+            .map(|(lane, class)| class_options(&lane.name, class))
+            .collect(),
+        tenants: settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.name.clone())
+            .collect(),
+    }
+}
+
+fn class_options(name: &str, class: &Class) -> ClassOptions {
+    ClassOptions {
+        name: name.to_owned(),
+        timeout: class.deadline,
+        requires_idempotency_key: matches!(class.idempotency, Idempotency::WithKey { .. }),
+    }
+}
+
+fn pool_config(settings: &Settings, budget: &Budget) -> PoolConfig {
+    let limits = &settings.limits;
+    let connect_timeout = duration_from_millis(limits.connect_timeout, MIN_CONNECT_TIMEOUT_MS);
+    PoolConfig {
+        connect_timeout,
+        probe_timeout: connect_timeout,
+        idle_timeout: duration_from_millis(
+            limits.conn_idle * IDLE_TIMEOUT_FACTOR,
+            MIN_IDLE_TIMEOUT_MS,
+        ),
+        max_connections: budget.engine_connections,
+        max_result_bytes: budget.result_bytes,
+    }
+}
+
+fn core_bounds(budget: &Budget) -> Bounds {
+    Bounds {
+        statements: budget.open_requests,
+        answered: 0,
+        keep: 0,
+        abandon_after: ABANDON_AFTER,
+        held_bytes: budget.result_bytes,
+        answer_margin: RESPONSE_MARGIN,
+    }
+}
+
+fn clock_reference(rounds: &Rounds) -> ClockReference {
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    ClockReference {
+        core: rounds.now(),
+        unix: unix.as_micros() as Micros,
+    }
+}
+
+fn duration_from_millis(ms: f64, min_ms: f64) -> Duration {
+    Duration::from_micros(hoptiller_policy_settings::micros_from_millis(
+        ms.max(min_ms),
+    ))
+}
+
+fn list_scope(update: &EndpointListUpdate) -> ListScope {
+    if update.is_complete {
+        ListScope::All
+    } else {
+        ListScope::Changes
+    }
+}
--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -1,8 +1,8 @@
-//! Owns what a router's own trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`) tells of its attempts: how many are out at each
-//! engine by what was sent and what ended, held against how many its decisions believed; and what was sent to an engine
-//! that had just turned it away. Reads text; asks no router.
+//! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each engine,
+//! counted from the events, are compared with what the policy believed; and attempts at engines that had just rejected one
+//! are counted. It reads text only.
 //!
-//! The lines are written in [`node`](crate::node): `send`, `served`, `ended`.
+//! The events `send`, `served` and `ended` are written where the core's commands are executed.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -11,156 +11,181 @@
 /// The target of the same events in traces of releases before the package was renamed.
 const FORMER_TRACE_TARGET: &str = "hoptiller_node::node";
 
-/// An engine that turned a router away is asked again at once within this time, in µs.
-pub const AT_ONCE: u64 = 1_000_000;
-/// Wrong beliefs that are kept; beyond that they are counted.
-const KEPT: usize = 100;
+/// An attempt counts as early if it is sent within this time after the engine rejected one or was not reached.
+const EARLY_RESEND_MICROS: u64 = 1_000_000;
+/// Mismatches that are kept; further ones are only counted.
+const MAX_MISMATCHES: usize = 100;
+/// How the reason of an `ended` event starts if the engine rejected the attempt.
+const REJECTED_REASON: &str = "the engine is full";
+/// How it starts if no connection was established.
+const UNREACHED_REASON: &str = "no connection";
 
-/// An engine as the trace shows it.
+/// The attempts at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct EngineObservations {
     /// Attempts sent.
     pub sent: u64,
-    /// Those that were served.
+    /// Attempts served.
     pub served: u64,
-    /// Those that it turned away as full.
-    pub full: u64,
-    /// Those for which no connection came about.
+    /// Attempts that the engine rejected for lack of capacity.
+    pub rejected: u64,
+    /// Attempts for which no connection was established.
     pub unreached: u64,
-    /// Those that were sent within [`AT_ONCE`] of one that it turned away or that did not reach it.
-    pub again: u64,
-    /// The most that were out at once.
-    pub most_out: u64,
+    /// Attempts sent within a second after the engine rejected one or was not reached.
+    pub resent_early: u64,
+    /// The most attempts in flight at once.
+    pub max_in_flight: u64,
 }
 
-/// A belief that does not hold.
+/// A difference between the attempts in flight and what the policy believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct Mismatch {
     /// The line of the trace, from 1.
     pub line: usize,
     /// The engine.
     pub engine: u32,
-    /// Attempts out there by the trace.
+    /// Attempts in flight by the trace.
     pub counted: u64,
-    /// By the decisions.
+    /// Attempts in flight by the policy.
     pub believed: u64,
 }
 
-/// What a router's trace tells.
+/// The result of the analysis of a router's trace.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// By engine.
-    pub engines: BTreeMap<u32, Seen>,
-    /// The first beliefs that do not hold, and how many there are.
-    pub wrong: Vec<Wrong>,
-    /// How many beliefs do not hold.
-    pub wrong_in_all: usize,
-    /// How many were held against the count.
-    pub compared: usize,
-    /// Lines of attempts that can't be read, or that end what was not sent.
-    pub unread: usize,
-    out: BTreeMap<u32, HashSet<(String, u32)>>,
-    turned_away: BTreeMap<u32, u64>,
+    /// The observations by engine.
+    pub engines: BTreeMap<u32, EngineObservations>,
+    /// The first mismatches.
+    pub mismatches: Vec<Mismatch>,
+    /// The number of all mismatches.
+    pub mismatch_count: usize,
+    /// The number of comparisons.
+    pub comparisons: usize,
+    /// Lines of attempts that can't be parsed, or that end an attempt that was not sent.
+    pub unparsed_lines: usize,
+    in_flight: BTreeMap<u32, HashSet<AttemptId>>,
+    /// By engine: when it last rejected an attempt or was not reached, in microseconds of the day.
+    last_rejections: BTreeMap<u32, u64>,
     round: Option<Round>,
 }
 
-/// The sends of a round, which are all believed out at its first one.
+/// An attempt: the request's id and the attempt number.
+type AttemptId = (String, u32);
+
+/// The attempts sent in one round of the core. Already at the first of them the policy counts all as in flight.
 #[derive(Debug)]
 struct Round {
     number: u64,
-    /// By engine: the last line, and the belief.
-    sends: BTreeMap<u32, (usize, u64)>,
+    /// By engine: the last `send` event.
+    sends: BTreeMap<u32, SendEvent>,
+}
+
+#[derive(Debug)]
+struct SendEvent {
+    line: usize,
+    believed: u64,
 }
 
 impl Trace {
-    /// Reads a whole trace.
-    pub fn read<'a>(lines: impl IntoIterator<Item = &'a str>) -> Trace {
+    /// Analyses a complete trace.
+    pub fn parse<'a>(lines: impl IntoIterator<Item = &'a str>) -> Trace {
         let mut trace = Trace::default();
-        for (n, line) in lines.into_iter().enumerate() {
-            let Some((head, said)) = split_event(line) else {
+        for (index, line) in lines.into_iter().enumerate() {
+            let Some((head, event)) = split_event(line) else {
                 continue;
             };
-            let (word, fields) = said.split_once(' ').unwrap_or((said, ""));
-            let read = match word {
-                "send" => trace.sent(n + 1, time_of(head), fields),
-                "served" | "ended" => trace.ended(time_of(head), fields),
+            let (name, fields) = event.split_once(' ').unwrap_or((event, ""));
+            let parsed = match name {
+                "send" => trace.record_send(index + 1, time_of_day(head), fields),
+                "served" | "ended" => trace.record_end(time_of_day(head), fields),
                 _ => Some(()),
             };
-            trace.unread += usize::from(read.is_none());
+            trace.unparsed_lines += usize::from(parsed.is_none());
         }
-        trace.settle();
+        trace.compare_round();
         trace
     }
 
-    fn sent(&mut self, line: usize, at: Option<u64>, fields: &str) -> Option<()> {
-        let (name, hop) = (text(fields, "id")?, number(fields, "hop")? as u32);
-        let (engine, round) = (number(fields, "engine")? as u32, number(fields, "round")?);
+    fn record_send(&mut self, line: usize, at: Option<u64>, fields: &str) -> Option<()> {
+        let attempt = attempt_id(fields)?;
+        let engine = number(fields, "engine")? as u32;
+        let round_number = number(fields, "round")?;
         let believed = number(fields, "believed")?;
         let at = at?;
-        if self.round.as_ref().is_some_and(|r| r.number != round) {
-            self.settle();
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| round.number != round_number)
+        {
+            self.compare_round();
         }
-        let fresh = || Round {
-            number: round,
+        let round = self.round.get_or_insert_with(|| Round {
+            number: round_number,
             sends: BTreeMap::new(),
-        };
-        self.round
-            .get_or_insert_with(fresh)
-            .sends
-            .insert(engine, (line, believed));
-        let out = self.out.entry(engine).or_default();
-        out.insert((name, hop));
-        let seen = self.engines.entry(engine).or_default();
-        seen.sent += 1;
-        seen.most_out = seen.most_out.max(out.len() as u64);
-        let away = self.turned_away.get(&engine);
-        seen.again += u64::from(away.is_some_and(|away| at.saturating_sub(*away) < AT_ONCE));
+        });
+        round.sends.insert(engine, SendEvent { line, believed });
+        let in_flight = self.in_flight.entry(engine).or_default();
+        in_flight.insert(attempt);
+        let observations = self.engines.entry(engine).or_default();
+        observations.sent += 1;
+        observations.max_in_flight = observations.max_in_flight.max(in_flight.len() as u64);
+        let rejection = self.last_rejections.get(&engine);
+        let is_early = rejection.is_some_and(|time| at.saturating_sub(*time) < EARLY_RESEND_MICROS);
+        observations.resent_early += u64::from(is_early);
         Some(())
     }
 
-    fn ended(&mut self, at: Option<u64>, fields: &str) -> Option<()> {
-        self.settle();
-        let (name, hop) = (text(fields, "id")?, number(fields, "hop")? as u32);
+    fn record_end(&mut self, at: Option<u64>, fields: &str) -> Option<()> {
+        self.compare_round();
+        let attempt = attempt_id(fields)?;
         let (engine, at) = (number(fields, "engine")? as u32, at?);
-        let was_out = self.out.get_mut(&engine)?.remove(&(name, hop));
-        let seen = self.engines.get_mut(&engine)?;
-        let why = fields.split_once("why=").map(|(_, why)| why);
-        match why {
-            None => seen.served += 1,
-            Some(why) if why.starts_with("the engine is full") => seen.full += 1,
-            Some(why) if why.starts_with("no connection") => seen.unreached += 1,
-            Some(_) => return was_out.then_some(()),
-        }
-        if why.is_some() {
-            self.turned_away.insert(engine, at);
+        let was_in_flight = self.in_flight.get_mut(&engine)?.remove(&attempt);
+        let observations = self.engines.get_mut(&engine)?;
+        let reason = fields.split_once("why=").map(|(_, reason)| reason);
+        match reason {
+            None => observations.served += 1,
+            Some(reason) if reason.starts_with(REJECTED_REASON) => {
+                observations.rejected += 1;
+                self.last_rejections.insert(engine, at);
+            }
+            Some(reason) if reason.starts_with(UNREACHED_REASON) => {
+                observations.unreached += 1;
+                self.last_rejections.insert(engine, at);
+            }
+            Some(_) => {}
         }
-        was_out.then_some(())
+        was_in_flight.then_some(())
     }
 
-    /// A round's sends are all there: the count is held against the belief.
-    fn settle(&mut self) {
+    /// Compares the attempts in flight with the policy's belief, once all of a round are sent.
+    fn compare_round(&mut self) {
         let Some(round) = self.round.take() else {
             return;
         };
-        for (engine, (line, believed)) in round.sends {
-            let counted = self.out.get(&engine).map_or(0, HashSet::len) as u64;
-            self.compared += 1;
-            if counted != believed {
-                self.wrong_in_all += 1;
-                if self.wrong.len() < KEPT {
-                    self.wrong.push(Wrong {
-                        line,
-                        engine,
-                        counted,
-                        believed,
-                    });
-                }
+        for (engine, SendEvent { line, believed }) in round.sends {
+            let counted = self.in_flight.get(&engine).map_or(0, HashSet::len) as u64;
+            self.comparisons += 1;
+            if counted == believed {
+                continue;
+            }
+            self.mismatch_count += 1;
+            if self.mismatches.len() < MAX_MISMATCHES {
+                self.mismatches.push(Mismatch {
+                    line,
+                    engine,
+                    counted,
+                    believed,
+                });
             }
         }
     }
 }
 
-/// Splits a log line of an attempt's event into what stands before its target, and the event with its fields.
+fn attempt_id(fields: &str) -> Option<AttemptId> {
+    Some((text(fields, "id")?, number(fields, "hop")? as u32))
+}
+
+/// Splits the log line of an attempt's event into the part before its target, and the event with its fields.
 fn split_event(line: &str) -> Option<(&str, &str)> {
     [TRACE_TARGET, FORMER_TRACE_TARGET]
         .into_iter()
@@ -170,8 +195,8 @@
         })
 }
 
-/// The time of day of a line, in µs: hours, minutes and seconds as RFC 3339 writes them.
-fn time_of(head: &str) -> Option<u64> {
+/// The time of day of a line in microseconds, from its RFC 3339 timestamp.
+fn time_of_day(head: &str) -> Option<u64> {
     let stamp = head
         .split_whitespace()
         .find(|word| word.contains('T') && word.ends_with('Z'))?;
--- a/crates/platform-router/src/trace/tests.rs
+++ b/crates/platform-router/src/trace/tests.rs
@@ -1,7 +1,9 @@
+//! The analysis of traces.
+
 use super::*;
 
-fn line(second: f64, said: &str) -> String {
-    format!("0.1 2026-12-01T22:15:{second:09.6}Z DEBUG {TRACE_TARGET}: {said}")
+fn line(second: f64, event: &str) -> String {
+    format!("0.1 2026-12-01T22:15:{second:09.6}Z DEBUG {TRACE_TARGET}: {event}")
 }
 
 fn send(second: f64, id: &str, engine: u32, round: u64, believed: u64) -> String {
@@ -19,13 +21,13 @@
 }
 
 fn read(lines: &[String]) -> Trace {
-    Trace::read(lines.iter().map(String::as_str))
+    Trace::parse(lines.iter().map(String::as_str))
 }
 
 #[test]
-fn a_belief_that_holds_is_not_reported_and_one_that_does_not_is_named() {
+fn only_mismatched_beliefs_are_reported() {
     let served = line(3.0, "served id=\"a\" hop=0 engine=1 work=Some(5)");
-    // Two sends of one round are both believed out at the first of them.
+    // Two sends of one round are both believed in flight at the first of them.
     let mut lines = vec![
         send(1.0, "a", 1, 7, 2),
         send(1.0, "b", 1, 7, 2),
@@ -34,25 +36,29 @@
     lines.extend([served, send(4.0, "d", 1, 8, 2)]);
     let trace = read(&lines);
     assert_eq!(
-        (trace.compared, trace.wrong_in_all, trace.unread),
+        (
+            trace.comparisons,
+            trace.mismatch_count,
+            trace.unparsed_lines
+        ),
         (3, 0, 0),
         "{:?}",
-        trace.wrong
+        trace.mismatches
     );
     assert_eq!(
         trace.engines[&1],
-        Seen {
+        EngineObservations {
             sent: 3,
             served: 1,
-            most_out: 2,
-            ..Seen::default()
+            max_in_flight: 2,
+            ..EngineObservations::default()
         }
     );
     lines[4] = send(4.0, "d", 1, 8, 3);
     let trace = read(&lines);
     assert_eq!(
-        trace.wrong,
-        [Wrong {
+        trace.mismatches,
+        [Mismatch {
             line: 5,
             engine: 1,
             counted: 2,
@@ -62,7 +68,7 @@
 }
 
 #[test]
-fn an_engine_that_turned_it_away_and_is_asked_at_once_is_counted() {
+fn early_attempts_after_a_rejection_are_counted() {
     let lines = [
         send(1.0, "a", 1, 1, 1),
         end(1.1, "a", 1, "the engine is full"),
@@ -72,23 +78,23 @@
         end(2.5, "b", 1, "no answer in time"),
         send(2.6, "c", 1, 4, 1),
     ];
-    let seen = read(&lines).engines[&1];
-    let want = Seen {
+    let observations = read(&lines).engines[&1];
+    let expected = EngineObservations {
         sent: 4,
-        full: 1,
+        rejected: 1,
         unreached: 1,
-        again: 1,
-        most_out: 1,
-        ..Seen::default()
+        resent_early: 1,
+        max_in_flight: 1,
+        ..EngineObservations::default()
     };
     assert_eq!(
-        seen, want,
-        "1.1 s after the last one it turned away is no longer at once"
+        observations, expected,
+        "1.1 s after the last rejection is no longer early"
     );
 }
 
 #[test]
-fn what_cannot_be_read_is_counted_and_does_no_harm() {
+fn unparsable_lines_are_counted() {
     let lines = [
         "noise".to_owned(),
         line(1.0, "send id=\"a\" hop=0"),
@@ -99,7 +105,7 @@
     ];
     let trace = read(&lines);
     assert_eq!(
-        (trace.unread, trace.compared, trace.engines.len()),
+        (trace.unparsed_lines, trace.comparisons, trace.engines.len()),
         (4, 0, 0)
     );
 }
--- a/crates/platform-router/tests/clients.rs
+++ b/crates/platform-router/tests/clients.rs
@@ -93,11 +93,11 @@
                 .0,
             409
         );
-        assert_eq!((seen.borrow().len(), node.requests_known().1), (1, 1));
+        assert_eq!((seen.borrow().len(), node.requests_in_flight()), (1, 1));
         // Its owner leaves: the module hears of it at once, and the id is free.
         drop(owner);
         let left = Instant::now();
-        while node.requests_known().1 > 0 {
+        while node.requests_in_flight() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
         assert!(
@@ -144,9 +144,9 @@
             }
         }
         assert!(
-            node.connections() <= node.budget().clients + 1,
+            node.client_connections() <= node.budget().client_connections + 1,
             "{}",
-            node.connections()
+            node.client_connections()
         );
         // Each is closed in the end, within 3 s of connecting.
         let first = &mut silent[0];
@@ -197,7 +197,7 @@
         let (mut kept, mut idle) = (connect(listen).await, connect(listen).await);
         let ended = Cell::new(false);
         let ending = async {
-            node.end().await;
+            node.shutdown().await;
             ended.set(true);
         };
         let late = async {
@@ -231,6 +231,6 @@
             0,
             "idle ones are closed"
         );
-        assert_eq!(node.connections(), 0);
+        assert_eq!(node.client_connections(), 0);
     });
 }
--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use futures_lite::io::BufReader;
 use futures_lite::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, StreamExt};
 use hoptiller_http::Spawner;
-use hoptiller_platform_router::Node;
+use hoptiller_platform_router::Router;
 
 pub const ROWS: &str = "YQkxCXgK"; // a, 1, x
 
@@ -270,8 +270,8 @@
     })));
 }
 
-pub fn router(file: &File, ex: &Spawner) -> (Rc<Node>, SocketAddr) {
-    let node = Node::load(file.0.clone(), ex.clone()).expect("usable");
+pub fn router(file: &File, ex: &Spawner) -> (Rc<Router>, SocketAddr) {
+    let node = Router::load(file.0.clone(), ex.clone()).expect("usable");
     let addr = node.start().expect("listens");
     (node, addr)
 }
--- a/crates/platform-router/tests/links.rs
+++ b/crates/platform-router/tests/connection_pool.rs
@@ -11,24 +11,26 @@
 use common::*;
 use futures_lite::future;
 use hoptiller_platform_protocol::{Endpoint, Phase, StatementCommand};
-use hoptiller_platform_router::attempt::{Failed, NotBegun, Order, Whole};
+use hoptiller_platform_router::attempt::{
+    AttemptError, AttemptRequest, CompleteResponse, NotSentReason,
+};
 use hoptiller_platform_router::cancel::CancelToken;
-use hoptiller_platform_router::links::{Links, Manner};
-use hoptiller_platform_router::retries::Retries;
+use hoptiller_platform_router::connection_pool::{ConnectionPool, PoolConfig};
+use hoptiller_platform_router::retry_limiter::RetryLimiter;
 use hoptiller_policy::EngineId;
 
 const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
-fn links() -> Links {
+fn pool() -> ConnectionPool {
     let long = Duration::from_secs(20);
-    let manner = Manner {
-        connect_within: long,
-        idle: long,
-        probe_within: long,
-        most: 8,
-        held: 1 << 20,
+    let manner = PoolConfig {
+        connect_timeout: long,
+        idle_timeout: long,
+        probe_timeout: long,
+        max_connections: 8,
+        max_result_bytes: 1 << 20,
     };
-    Links::new(manner, Rc::new(Retries::new(None)))
+    ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)))
 }
 
 fn member(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
@@ -45,69 +47,74 @@
 
 struct Asked {
     token: CancelToken,
-    until: Instant,
+    deadline: Instant,
     send_by: Option<Instant>,
-    further: bool,
+    is_retry: bool,
 }
 
 impl Asked {
     fn new() -> Asked {
-        let until = Instant::now() + Duration::from_secs(15);
+        let deadline = Instant::now() + Duration::from_secs(15);
         Asked {
             token: CancelToken::default(),
-            until,
+            deadline,
             send_by: None,
-            further: false,
+            is_retry: false,
         }
     }
 
-    async fn of(&self, links: &Links, id: &str) -> Result<Whole, Failed> {
-        self.at(7, links, id).await
+    async fn of(&self, pool: &ConnectionPool, id: &str) -> Result<CompleteResponse, AttemptError> {
+        self.at(7, pool, id).await
     }
 
-    async fn at(&self, engine: u32, links: &Links, id: &str) -> Result<Whole, Failed> {
-        let listing = links.listing(EngineId(engine)).expect("listed");
-        let (until, send_by, token) = (self.until, self.send_by, &self.token);
-        let send = StatementCommand {
+    async fn at(
+        &self,
+        engine: u32,
+        pool: &ConnectionPool,
+        id: &str,
+    ) -> Result<CompleteResponse, AttemptError> {
+        let endpoint = pool.endpoint(EngineId(engine)).expect("listed");
+        let (send_by, token) = (self.send_by, &self.token);
+        let command = StatementCommand {
             id,
             class: "lookup",
             idempotency_key: None,
             priority: None,
             statement: "SELECT 1",
         };
-        let order = Order {
-            send,
-            until,
+        let request = AttemptRequest {
+            command,
+            deadline: self.deadline,
             send_by,
-            further: self.further,
+            is_retry: self.is_retry,
             token,
-            listing,
+            endpoint,
         };
-        links.attempt(EngineId(engine), &order).await
+        pool.attempt(EngineId(engine), &request).await
     }
 }
 
 /// What became of an attempt whose connection came up only after that had happened, and that the engine saw no line of it.
 async fn after_a_late_connection(
     asked: &Asked,
-    happens: impl AsyncFnOnce(&Links, SocketAddr),
-) -> NotBegun {
-    let (peer, links) = (Peer::late().await, links());
-    links.told(&member(peer.addr, Phase::Ready, 0));
+    happens: impl AsyncFnOnce(&ConnectionPool, SocketAddr),
+) -> NotSentReason {
+    let (peer, pool) = (Peer::late().await, pool());
+    pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
     let meanwhile = async {
-        until(|| links.sizes().0 == 1).await;
-        happens(&links, peer.addr).await;
+        until(|| pool.open_connections() == 1).await;
+        happens(&pool, peer.addr).await;
         peer.connections_come_up().await;
         future::pending::<()>().await;
     };
-    let attempt = async { asked.of(&links, IDS[0]).await };
+    let attempt = async { asked.of(&pool, IDS[0]).await };
     let came = future::or(async { Some(attempt.await) }, async {
         meanwhile.await;
         None
     });
     match came.await {
-        Some(Err(Failed::NotBegun(why))) => {
-            assert!(!asked.token.has_begun());
+        Some(Err(AttemptError::NotSent(why))) => {
+            assert!(!asked.token.has_started());
             why
         }
         other => panic!("it was sent: {other:?}"),
@@ -117,8 +124,8 @@
 #[test]
 fn an_attempt_that_is_taken_back_before_its_task_runs_is_never_sent() {
     play(async |_| {
-        let (peer, links) = (Peer::new(), links());
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        let (peer, pool) = (Peer::new(), pool());
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let engine = async {
             let mut line = peer.accept().await;
             line.next().await.expect("the first request");
@@ -128,16 +135,16 @@
         };
         let router = async {
             // With a connection that rests, it could be written in its task's first step.
-            Asked::new().of(&links, IDS[0]).await.expect("served");
+            Asked::new().of(&pool, IDS[0]).await.expect("served");
             let asked = Asked::new();
             asked.token.cancel();
-            let came = asked.of(&links, IDS[1]).await;
+            let came = asked.of(&pool, IDS[1]).await;
             assert!(
-                matches!(came, Err(Failed::NotBegun(NotBegun::Cancelled))),
+                matches!(came, Err(AttemptError::NotSent(NotSentReason::Cancelled))),
                 "{came:?}"
             );
             Asked::new()
-                .of(&links, IDS[2])
+                .of(&pool, IDS[2])
                 .await
                 .expect("served over the same connection");
         };
@@ -150,7 +157,7 @@
     play(async |_| {
         let asked = Asked::new();
         let why = after_a_late_connection(&asked, async |_, _| asked.token.abandon()).await;
-        assert_eq!(why, NotBegun::Cancelled);
+        assert_eq!(why, NotSentReason::Cancelled);
     });
 }
 
@@ -164,18 +171,18 @@
     ];
     for change in changes {
         play(async move |_| {
-            let changed = async |links: &Links, addr| links.told(&change(addr));
+            let changed = async |pool: &ConnectionPool, addr| pool.update_endpoint(&change(addr));
             assert_eq!(
                 after_a_late_connection(&Asked::new(), changed).await,
-                NotBegun::Relisted
+                NotSentReason::EndpointChanged
             );
         });
     }
     play(async |_| {
-        let left_out = async |links: &Links, _| links.keep_only(&[]);
+        let left_out = async |pool: &ConnectionPool, _| pool.retain_listed(&[]);
         assert_eq!(
             after_a_late_connection(&Asked::new(), left_out).await,
-            NotBegun::Relisted
+            NotSentReason::EndpointChanged
         );
     });
 }
@@ -188,10 +195,10 @@
             send_by: Some(send_by),
             ..Asked::new()
         };
-        let passed = async |_: &Links, _| until(|| Instant::now() >= send_by).await;
+        let passed = async |_: &ConnectionPool, _| until(|| Instant::now() >= send_by).await;
         assert_eq!(
             after_a_late_connection(&asked, passed).await,
-            NotBegun::WindowPassed
+            NotSentReason::IdempotencyWindowPassed
         );
     });
 }
@@ -205,15 +212,15 @@
             ratio: 0.0,
             window: 60_000_000,
         };
-        let manner = Manner {
-            connect_within: long,
-            idle: long,
-            probe_within: long,
-            most: 8,
-            held: 1 << 20,
+        let manner = PoolConfig {
+            connect_timeout: long,
+            idle_timeout: long,
+            probe_timeout: long,
+            max_connections: 8,
+            max_result_bytes: 1 << 20,
         };
-        let links = Links::new(manner, Rc::new(Retries::new(Some(budget))));
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(Some(budget))));
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let engine = async {
             let mut line = peer.accept().await;
             for _ in 0..2 {
@@ -222,21 +229,24 @@
             }
         };
         let further = || Asked {
-            further: true,
+            is_retry: true,
             ..Asked::new()
         };
         let router = async {
             further()
-                .of(&links, IDS[0])
+                .of(&pool, IDS[0])
                 .await
                 .expect("the one that there is");
-            let second = further().of(&links, IDS[1]).await;
+            let second = further().of(&pool, IDS[1]).await;
             assert!(
-                matches!(second, Err(Failed::NotBegun(NotBegun::Budget))),
+                matches!(
+                    second,
+                    Err(AttemptError::NotSent(NotSentReason::RetryBudgetSpent))
+                ),
                 "{second:?}"
             );
             Asked::new()
-                .of(&links, IDS[2])
+                .of(&pool, IDS[2])
                 .await
                 .expect("a first attempt is not rationed");
         };
@@ -249,13 +259,13 @@
     play(async |_| {
         let over = Instant::now() + Duration::from_millis(100);
         let asked = Asked {
-            until: over,
+            deadline: over,
             ..Asked::new()
         };
-        let passed = async |_: &Links, _| future::pending().await;
+        let passed = async |_: &ConnectionPool, _| future::pending().await;
         assert_eq!(
             after_a_late_connection(&asked, passed).await,
-            NotBegun::Late
+            NotSentReason::TimedOut
         );
     });
 }
@@ -263,23 +273,23 @@
 #[test]
 fn the_wait_told_to_an_engine_is_what_is_left_when_its_connection_stands() {
     play(async |_| {
-        let (peer, links) = (Peer::late().await, links());
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        let (peer, pool) = (Peer::late().await, pool());
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let asked = Asked {
-            until: Instant::now() + Duration::from_secs(10),
+            deadline: Instant::now() + Duration::from_secs(10),
             ..Asked::new()
         };
         let engine = async {
-            until(|| links.sizes().0 == 1).await;
+            until(|| pool.open_connections() == 1).await;
             peer.connections_come_up().await;
             let mut line = peer.accept().await;
-            let left = asked.until.saturating_duration_since(Instant::now());
+            let left = asked.deadline.saturating_duration_since(Instant::now());
             let request: serde_json::Value =
                 serde_json::from_str(&line.next().await.expect("a request")).expect("JSON");
             line.say(&served(IDS[0])).await;
             (request["f"]["w"].as_u64().expect("w"), left)
         };
-        let (came, (told, left)) = future::zip(asked.of(&links, IDS[0]), engine).await;
+        let (came, (told, left)) = future::zip(asked.of(&pool, IDS[0]), engine).await;
         came.expect("served");
         // It was written after the connection came up, and before it was accepted here or soon after.
         let at_first = Duration::from_secs(10);
@@ -294,8 +304,8 @@
 #[test]
 fn an_id_never_goes_twice_over_a_connection_though_others_went_between() {
     play(async |_| {
-        let (peer, links) = (Peer::new(), links());
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        let (peer, pool) = (Peer::new(), pool());
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let full = |id: &str| format!("{{\"t\":\"overload\",\"i\":\"{id}\"}}\n").into_bytes();
         let engine = async {
             let mut first = peer.accept().await;
@@ -313,17 +323,17 @@
         };
         let router = async {
             assert!(matches!(
-                Asked::new().of(&links, IDS[0]).await,
-                Err(Failed::Full)
+                Asked::new().of(&pool, IDS[0]).await,
+                Err(AttemptError::Overloaded)
             ));
-            Asked::new().of(&links, IDS[1]).await.expect("served");
+            Asked::new().of(&pool, IDS[1]).await.expect("served");
             Asked::new()
-                .of(&links, IDS[0])
+                .of(&pool, IDS[0])
                 .await
                 .expect("served, and not turned away by what was said before");
         };
         future::zip(engine, router).await;
-        assert_eq!(links.sizes().0, 2);
+        assert_eq!(pool.open_connections(), 2);
     });
 }
 
@@ -332,15 +342,15 @@
     let foreign = served(IDS[2]).repeat(2_000);
     for meanwhile in [b"{\"t\":\"served\",".to_vec(), foreign] {
         play(async move |_| {
-            let (peer, links) = (Peer::new(), links());
-            links.told(&member(peer.addr, Phase::Ready, 0));
+            let (peer, pool) = (Peer::new(), pool());
+            pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
             let engine = async {
                 let mut first = peer.accept().await;
                 first.next().await.expect("the first request");
                 first.say(&served(IDS[0])).await;
                 first
             };
-            let (came, mut first) = future::zip(Asked::new().of(&links, IDS[0]), engine).await;
+            let (came, mut first) = future::zip(Asked::new().of(&pool, IDS[0]), engine).await;
             came.expect("served");
             // It has come to this side once the peer's write is done: both are one kernel's.
             first.say(&meanwhile).await;
@@ -352,7 +362,7 @@
                 );
                 second.say(&served(IDS[1])).await;
             };
-            let (came, ()) = future::zip(Asked::new().of(&links, IDS[1]), engine).await;
+            let (came, ()) = future::zip(Asked::new().of(&pool, IDS[1]), engine).await;
             came.expect("served");
         });
     }
@@ -361,8 +371,8 @@
 #[test]
 fn answers_to_others_without_end_end_the_attempt_and_hold_up_nobody() {
     play(async |ex| {
-        let (peer, links) = (Peer::new(), links());
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        let (peer, pool) = (Peer::new(), pool());
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let addr = peer.addr;
         ex.spawn(async move {
             let mut line = peer.accept().await;
@@ -373,9 +383,12 @@
             }
         });
         let asked = Asked::new();
-        let came = asked.of(&links, IDS[0]).await;
-        assert!(matches!(came, Err(Failed::Line(_))), "{addr}: {came:?}");
-        assert!(Instant::now() < asked.until, "before its time");
+        let came = asked.of(&pool, IDS[0]).await;
+        assert!(
+            matches!(came, Err(AttemptError::Line(_))),
+            "{addr}: {came:?}"
+        );
+        assert!(Instant::now() < asked.deadline, "before its time");
     });
 }
 
@@ -384,16 +397,16 @@
     play(async |_| {
         let long = Duration::from_secs(20);
         // Room for one result of several pages.
-        let manner = Manner {
-            connect_within: long,
-            idle: long,
-            probe_within: long,
-            most: 8,
-            held: 20_000,
+        let manner = PoolConfig {
+            connect_timeout: long,
+            idle_timeout: long,
+            probe_timeout: long,
+            max_connections: 8,
+            max_result_bytes: 20_000,
         };
-        let links = Links::new(manner, Rc::new(Retries::new(None)));
+        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)));
         let peer = Peer::new();
-        links.told(&member(peer.addr, Phase::Ready, 0));
+        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
         let pages = |id: &str| {
             format!(
                 "{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":3}},\"b\":\"{ROWS}\"}}\n"
@@ -423,14 +436,14 @@
             first
         };
         let second = async {
-            until(|| holds.token.has_begun()).await;
-            let came = left.of(&links, IDS[1]).await;
-            assert!(matches!(came, Err(Failed::Abandoned)), "{came:?}");
-            next.of(&links, IDS[2]).await.expect("served");
+            until(|| holds.token.has_started()).await;
+            let came = left.of(&pool, IDS[1]).await;
+            assert!(matches!(came, Err(AttemptError::Abandoned)), "{came:?}");
+            next.of(&pool, IDS[2]).await.expect("served");
         };
         let others = future::zip(engine, second);
         let first = async {
-            let _ = holds.of(&links, IDS[0]).await;
+            let _ = holds.of(&pool, IDS[0]).await;
             panic!("its pages never come");
         };
         future::or(first, async {
@@ -444,31 +457,31 @@
 fn two_connections_that_are_given_back_at_once_make_room_for_two_that_wait() {
     play(async |_| {
         let long = Duration::from_secs(20);
-        let manner = Manner {
-            connect_within: long,
-            idle: long,
-            probe_within: long,
-            most: 2,
-            held: 1 << 20,
+        let manner = PoolConfig {
+            connect_timeout: long,
+            idle_timeout: long,
+            probe_timeout: long,
+            max_connections: 2,
+            max_result_bytes: 1 << 20,
         };
-        let links = Links::new(manner, Rc::new(Retries::new(None)));
+        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)));
         let (first, second) = (Peer::new(), Peer::new());
-        links.told(&member(first.addr, Phase::Ready, 0));
-        links.told(&Endpoint {
+        pool.update_endpoint(&member(first.addr, Phase::Ready, 0));
+        pool.update_endpoint(&Endpoint {
             id: 8,
             ..member(second.addr, Phase::Ready, 0)
         });
         let (a, b, c, d) = (Asked::new(), Asked::new(), Asked::new(), Asked::new());
         let waiting = async {
-            until(|| a.token.has_begun() && b.token.has_begun()).await;
-            let to_the_other = async |asked: &Asked, id| asked.at(8, &links, id).await.map(|_| ());
+            until(|| a.token.has_started() && b.token.has_started()).await;
+            let to_the_other = async |asked: &Asked, id| asked.at(8, &pool, id).await.map(|_| ());
             future::zip(
                 to_the_other(&c, "9b1f03aa5c7e2d51"),
                 to_the_other(&d, "9b1f03aa5c7e2d52"),
             )
             .await
         };
-        let running = future::zip(a.of(&links, IDS[0]), b.of(&links, IDS[1]));
+        let running = future::zip(a.of(&pool, IDS[0]), b.of(&pool, IDS[1]));
         let engines = async {
             let (mut x, mut y) = (first.accept().await, first.accept().await);
             let (of_x, of_y) = (
--- a/crates/platform-router/tests/crossings.rs
+++ b/crates/platform-router/tests/crossings.rs
@@ -42,11 +42,11 @@
             .write_all(request("load", ID, 90_000).as_bytes())
             .await
             .expect("written");
-        until(|| node.attempts() == 1 && node.engine_connections() == 1).await;
+        until(|| node.attempts_in_flight() == 1 && node.engine_connections() == 1).await;
         drop(client);
-        until(|| node.requests_known() == (0, 0)).await;
+        until(|| (node.known_requests(), node.requests_in_flight()) == (0, 0)).await;
         // Its attempt is over before any connection has come up: nothing is left that could be sent.
-        until(|| node.attempts() == 0).await;
+        until(|| node.attempts_in_flight() == 0).await;
         peer.connections_come_up().await;
         let next = async {
             let mut line = peer.accept().await;
@@ -89,7 +89,11 @@
             .await
             .expect("it is read on");
         drop(client);
-        until(|| node.requests_known() == (0, 0) && node.connections() == 0).await;
+        until(|| {
+            (node.known_requests(), node.requests_in_flight()) == (0, 0)
+                && node.client_connections() == 0
+        })
+        .await;
     });
 }
 
@@ -131,7 +135,7 @@
         let ended = Rc::new(Cell::new(false));
         let (done, ending) = (ended.clone(), node.clone());
         ex.spawn(async move {
-            ending.end().await;
+            ending.shutdown().await;
             done.set(true);
         });
         client
@@ -176,7 +180,7 @@
             assert!(head.contains("Connection: close"), "{head}");
             assert!(matches!(kept.read(&mut [0; 8]).await, Ok(0)));
         };
-        future::zip(node.end(), next).await;
+        future::zip(node.shutdown(), next).await;
     });
 }
 
@@ -196,9 +200,9 @@
         bad.write_all(b"no request\r\n\r\n").await.expect("written");
         assert_eq!(response(&mut bad).await.expect("an answer").0, 400);
         let end = async {
-            until(|| node.attempts() == 2).await;
+            until(|| node.attempts_in_flight() == 2).await;
             let began = Instant::now();
-            node.end().await;
+            node.shutdown().await;
             began.elapsed()
         };
         let ((safe, unsafe_), took) = future::zip(asked, end).await;
@@ -267,13 +271,13 @@
         let (node, listen) = router(&file, &ex);
         let budget = *node.budget();
         let mut clients = Vec::new();
-        for _ in 0..budget.clients {
+        for _ in 0..budget.client_connections {
             clients.push(connect(listen).await);
         }
         // One is told to go before the next one comes, so that there always is room for that.
-        until(|| node.connections() + 1 >= budget.clients).await;
+        until(|| node.client_connections() + 1 >= budget.client_connections).await;
         assert!(
-            budget.clients + budget.engines + 24 <= 64,
+            budget.client_connections + budget.engine_connections + 24 <= 64,
             "24 are left to the process itself: {budget:?}"
         );
         rustix::net::listen(&down, 16).expect("discovery is back");
--- a/crates/platform-router/tests/engines.rs
+++ b/crates/platform-router/tests/engines.rs
@@ -207,7 +207,7 @@
                 .0,
             200
         );
-        assert_eq!((seen.borrow().len(), node.engines_known()), (1, 1));
+        assert_eq!((seen.borrow().len(), node.known_engines()), (1, 1));
     });
 }
 
@@ -229,7 +229,7 @@
         while node.last_event() < 201 {
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert_eq!(node.engines_known(), 1);
+        assert_eq!(node.known_engines(), 1);
         for n in 0..300 {
             let mut s = connect(listen).await;
             s.write_all(request("lookup", &format!("{n:016x}"), 1500).as_bytes())
@@ -239,7 +239,7 @@
         }
         Timer::after(Duration::from_millis(100)).await;
         assert_eq!(
-            node.requests_known(),
+            (node.known_requests(), node.requests_in_flight()),
             (0, 0),
             "neither requests nor ids are kept"
         );
--- a/crates/platform-router/tests/floods.rs
+++ b/crates/platform-router/tests/floods.rs
@@ -17,7 +17,7 @@
 /// A router of 128 descriptors before an engine that serves all.
 fn scene<F: Future<Output = ()>>(
     name: &'static str,
-    bad: impl FnOnce(Rc<hoptiller_platform_router::Node>, std::net::SocketAddr) -> F,
+    bad: impl FnOnce(Rc<hoptiller_platform_router::Router>, std::net::SocketAddr) -> F,
 ) {
     play(async |ex: Spawner| {
         let (addr, _) = engine(&ex, Rc::new(|_, line| (served(&id_of(line)), false)));
@@ -33,9 +33,9 @@
                     "usual client {n}"
                 );
                 assert!(
-                    node.connections() <= node.budget().clients,
+                    node.client_connections() <= node.budget().client_connections,
                     "{}",
-                    node.connections()
+                    node.client_connections()
                 );
                 Timer::after(Duration::from_millis(20)).await;
             }
@@ -74,7 +74,7 @@
                 .matches("HTTP/1.1 200")
                 .count();
             assert!(
-                node.requests_known().1 <= 2,
+                node.requests_in_flight() <= 2,
                 "one at a time, beside that of a usual client"
             );
         }
@@ -121,7 +121,7 @@
             open.push((connect(listen).await, Instant::now()));
             if n % 50 == 0 {
                 // So many at most wait in the kernel's queue.
-                until(|| node.connections() < node.budget().clients).await;
+                until(|| node.client_connections() < node.budget().client_connections).await;
             }
         }
         let (mut last, at) = open.pop().expect("one");
