--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -4,8 +4,8 @@
 
 use hoptiller_platform_protocol::StatementCommand;
 use hoptiller_policy::EngineId;
-use hoptiller_router_core::rounds::Carry;
-use hoptiller_router_core::{Attempt, Command, Ended, Page, StatementId};
+use hoptiller_router_core::event_loop::CommandExecutor;
+use hoptiller_router_core::{Attempt, AttemptOutcome, Command, ResultPage, StatementId};
 use serde_json::value::RawValue;
 
 use crate::attempt::{AttemptError, AttemptRequest, CompleteResponse};
@@ -14,30 +14,30 @@
 use crate::router::Router;
 use crate::trace::TRACE_TARGET;
 
-impl Carry for Router {
-    fn carry(&self, command: Command) {
+impl CommandExecutor for Router {
+    fn execute(&self, command: Command) {
         let Some(router) = self.this.upgrade() else {
             return;
         };
         match command {
             Command::Send(attempt) => router.start_attempt(attempt),
-            Command::Withdraw { id, hop } => router.cancel_attempt(id, hop),
-            Command::Probe(engine) => router.start_probe(engine),
-            Command::Wake(id) => router.rounds.wake(id),
+            Command::Cancel { id, attempt } => router.cancel_attempt(id, attempt),
+            Command::HealthCheck(engine) => router.start_probe(engine),
+            Command::NotifyWaiters(id) => router.event_loop.notify_waiters(id),
             Command::Settled {
                 id,
                 class,
-                how,
-                after,
+                response,
+                elapsed,
                 attempts,
             } => {
                 tracing::debug!(
                     target: TRACE_TARGET,
                     id,
                     class,
-                    how = how.word(),
-                    why = how.why(),
-                    after,
+                    how = response.label(),
+                    why = response.reason(),
+                    after = elapsed,
                     attempts,
                     "settled"
                 );
@@ -47,10 +47,10 @@
             // reports by itself; runaways are not detected here.
             Command::Fetch { .. }
             | Command::Release { .. }
-            | Command::AskDiscovery
+            | Command::RefreshDiscovery
             | Command::Kill { .. }
             | Command::Pause { .. }
-            | Command::Found(_) => {}
+            | Command::ReportFinding(_) => {}
         }
     }
 }
@@ -61,28 +61,28 @@
         tracing::debug!(
             target: TRACE_TARGET,
             id = request_id(&attempt),
-            hop = attempt.hop,
+            hop = attempt.number,
             engine = attempt.engine.0,
-            round = self.rounds.spent().0,
-            believed = self.rounds.core().believed_out(attempt.engine),
+            round = self.event_loop.batch_stats().batches,
+            believed = self.event_loop.core().in_flight_at(attempt.engine),
             class = attempt.class,
             priority = attempt.priority,
-            until = attempt.until,
+            until = attempt.deadline,
             "send"
         );
         // The token and the endpoint's state are those of the decision, not of the task's first step.
         let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
             let outcome = failed_outcome(&AttemptError::UnknownEngine);
-            let now = self.rounds.now();
-            self.rounds
+            let now = self.event_loop.now();
+            self.event_loop
                 .core()
-                .ended(now, attempt.id, attempt.hop, outcome);
+                .finish_attempt(now, attempt.id, attempt.number, outcome);
             return;
         };
         let token = Rc::<CancelToken>::default();
         self.in_flight
             .borrow_mut()
-            .insert((attempt.id, attempt.hop), token.clone());
+            .insert((attempt.id, attempt.number), token.clone());
         self.spawner
             .spawn(self.clone().run_attempt(attempt, endpoint, token));
     }
@@ -101,16 +101,16 @@
                 priority: attempt.priority,
                 statement: &attempt.work.text,
             },
-            deadline: self.rounds.instant(attempt.until),
-            send_by: attempt.send_by.map(|at| self.rounds.instant(at)),
-            is_retry: attempt.hop > 0,
+            deadline: self.event_loop.instant(attempt.deadline),
+            send_by: attempt.send_by.map(|at| self.event_loop.instant(at)),
+            is_retry: attempt.number > 0,
             token: &token,
             endpoint,
         };
         let result = self.pool.attempt(attempt.engine, &request).await;
         self.in_flight
             .borrow_mut()
-            .remove(&(attempt.id, attempt.hop));
+            .remove(&(attempt.id, attempt.number));
         match result {
             Ok(response) => self.report_served(&attempt, response),
             Err(error) => self.report_failed(&attempt, &error),
@@ -121,32 +121,32 @@
         tracing::debug!(
             target: TRACE_TARGET,
             id = request_id(attempt),
-            hop = attempt.hop,
+            hop = attempt.number,
             engine = attempt.engine.0,
             work = response.work,
             "served"
         );
-        let page = Page {
+        let page = ResultPage {
             rows: RawValue::from_string(response.rows).ok().map(Rc::from),
-            last: true,
+            is_last: true,
             work: response.work,
-            report: response.load_report,
-            ..Page::default()
+            load_report: response.load_report,
+            ..ResultPage::default()
         };
-        self.with_core(|core, now| core.page(now, attempt.id, attempt.hop, page));
+        self.with_core(|core, now| core.accept_page(now, attempt.id, attempt.number, page));
     }
 
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
         tracing::debug!(
             target: TRACE_TARGET,
             id = request_id(attempt),
-            hop = attempt.hop,
+            hop = attempt.number,
             engine = attempt.engine.0,
             why = %error,
             "ended"
         );
         let outcome = failed_outcome(error);
-        self.with_core(|core, now| core.ended(now, attempt.id, attempt.hop, outcome));
+        self.with_core(|core, now| core.finish_attempt(now, attempt.id, attempt.number, outcome));
     }
 
     fn cancel_attempt(&self, id: StatementId, number: u32) {
@@ -168,7 +168,7 @@
         self.spawner.spawn(async move {
             let report = router.pool.probe(engine).await;
             tracing::debug!(engine = engine.0, ?report, "health check completed");
-            router.with_core(|core, _| core.probed(engine, report));
+            router.with_core(|core, _| core.report_health_check(engine, report));
         });
     }
 }
@@ -182,10 +182,10 @@
         .map_or("", |field| field.1.as_str())
 }
 
-fn failed_outcome(error: &AttemptError) -> Ended {
-    Ended {
-        ending: error.status(),
-        why: error.to_string(),
-        report: None,
+fn failed_outcome(error: &AttemptError) -> AttemptOutcome {
+    AttemptOutcome {
+        status: error.status(),
+        reason: error.to_string(),
+        load_report: None,
     }
 }
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -15,8 +15,10 @@
     rejected_response, served_response,
 };
 use hoptiller_platform_protocol::{Catalog, StatementRequest};
-use hoptiller_router_core::rounds::Rounds;
-use hoptiller_router_core::{Content, Final, Poll, StatementId, Submission, Work};
+use hoptiller_router_core::event_loop::EventLoop;
+use hoptiller_router_core::{
+    EngineStatement, FinalResponse, PollOutcome, ResponseContent, StatementId, Submission,
+};
 use hoptiller_runaway::Announced;
 
 use crate::budget::Budget;
@@ -54,7 +56,7 @@
 
 /// What requests are served with.
 pub(crate) struct FrontEnd {
-    pub(crate) rounds: Rc<Rounds>,
+    pub(crate) event_loop: Rc<EventLoop>,
     pub(crate) catalog: Rc<Catalog>,
     pub(crate) budget: Budget,
     /// Counts requests, as retries are limited in proportion.
@@ -123,12 +125,12 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.front_end.in_flight_ids.remove(&self.id);
-        self.front_end.rounds.unlisten(self.statement);
+        self.front_end.event_loop.release_listener(self.statement);
         if !self.is_completed {
             tracing::debug!(id = %self.id, "client disconnected");
             self.front_end
-                .rounds
-                .with(|core, now| core.cancel(now, self.statement));
+                .event_loop
+                .with_core(|core, now| core.cancel(now, self.statement));
         }
     }
 }
@@ -142,8 +144,8 @@
     let submission = submission(request);
     front_end.retries.record_request(Instant::now());
     let submitted = front_end
-        .rounds
-        .with(|core, now| core.submit(now, submission));
+        .event_loop
+        .with_core(|core, now| core.submit(now, submission));
     let Ok(statement) = submitted else {
         front_end.in_flight_ids.remove(&id);
         return rejected_response(None);
@@ -163,20 +165,22 @@
     let mut page = 0;
     loop {
         // The listener is registered before the core is polled, so that no notification is missed.
-        let notified = front_end.rounds.listen(statement);
+        let notified = front_end.event_loop.listen(statement);
         let poll = front_end
-            .rounds
-            .with(|core, now| core.poll(now, statement, page));
+            .event_loop
+            .with_core(|core, now| core.poll(now, statement, page));
         match poll {
-            Poll::Wait => notified.await,
-            Poll::Answer(answer) => match &answer.content {
-                Content::News => page = answer.page + 1,
-                Content::Rows(rows) => {
+            PollOutcome::Pending => notified.await,
+            PollOutcome::Response(response) => match &response.content {
+                ResponseContent::NoChange => page = response.page + 1,
+                ResponseContent::Rows(rows) => {
                     return served_response(rows.rows.as_deref().map_or("[]", |rows| rows.get()));
                 }
-                Content::Final(outcome) => return final_response(outcome),
+                ResponseContent::Final(outcome) => return final_response(outcome),
             },
-            Poll::Gone | Poll::Unknown => return failed_response("the request was lost"),
+            PollOutcome::Gone | PollOutcome::Unknown => {
+                return failed_response("the request was lost");
+            }
         }
     }
 }
@@ -208,16 +212,16 @@
     Submission {
         class: request.class,
         tenant: request.tenant,
-        key: None,
+        ordering_key: None,
         group: request.table_group,
-        guess: request.estimated_work,
-        want_mb: request.memory_mb,
+        estimated_work: request.estimated_work,
+        estimated_memory_mb: request.memory_mb,
         fingerprint: 0,
         label: "".into(),
         announced: Announced::default(),
-        repeat: request.is_retry,
-        patience: Some(request.timeout),
-        work: Rc::new(Work {
+        is_retry: request.is_retry,
+        timeout: Some(request.timeout),
+        work: Rc::new(EngineStatement {
             text: request.statement,
             fields: std::iter::once(("Trace-Id".into(), request.id))
                 .chain(
@@ -230,11 +234,10 @@
     }
 }
 
-fn final_response(outcome: &Final) -> Response {
+fn final_response(outcome: &FinalResponse) -> Response {
     match outcome {
-        Final::Refused { hold_off, .. } | Final::EndedByRule { hold_off, .. } => {
-            rejected_response(*hold_off)
-        }
-        other => failed_response(other.why()),
+        FinalResponse::Rejected { retry_after, .. }
+        | FinalResponse::TerminatedByRule { retry_after, .. } => rejected_response(*retry_after),
+        other => failed_response(other.reason()),
     }
 }
--- a/crates/platform-router/src/router.rs
+++ b/crates/platform-router/src/router.rs
@@ -12,7 +12,7 @@
 use hoptiller_http::gate::Gate;
 use hoptiller_platform_protocol::{Catalog, Endpoint, EndpointListUpdate, Phase};
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
-use hoptiller_router_core::rounds::Rounds;
+use hoptiller_router_core::event_loop::EventLoop;
 use hoptiller_router_core::{Core, StatementId};
 
 use crate::budget::Budget;
@@ -28,7 +28,7 @@
     pub(crate) config_file: PathBuf,
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
-    pub(crate) rounds: Rc<Rounds>,
+    pub(crate) event_loop: Rc<EventLoop>,
     pub(crate) catalog: Rc<Catalog>,
     pub(crate) front_end: Rc<FrontEnd>,
     pub(crate) pool: ConnectionPool,
@@ -69,8 +69,8 @@
 
     /// Requests that the core knows.
     pub fn known_requests(&self) -> usize {
-        let (open, kept, _) = self.rounds.core().sizes();
-        open + kept
+        let usage = self.event_loop.core().usage();
+        usage.open_statements + usage.retained_statements
     }
 
     /// Requests in flight, by id.
@@ -90,7 +90,7 @@
 
     /// Calls the core; the commands that follow are carried out, and the event loop is woken if need be.
     pub(crate) fn with_core<T>(&self, call: impl FnOnce(&mut Core, Micros) -> T) -> T {
-        self.rounds.with(call)
+        self.event_loop.with_core(call)
     }
 
     /// Applies an update of the endpoint list.
@@ -112,7 +112,7 @@
             ?entries,
             "endpoint list updated"
         );
-        self.with_core(|core, now| core.list(now, scope, entries));
+        self.with_core(|core, now| core.update_endpoints(now, scope, entries));
     }
 
     fn policy_entry(&self, endpoint: &Endpoint) -> EndpointEntry {
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -43,7 +43,7 @@
         self.gate.close_idle();
         while self.is_accepting.get() || self.gate.counts().1 > 0 || self.open_requests() > 0 {
             if started.elapsed() >= self.shutdown_timeout {
-                self.with_core(|core, _| core.give_up_all());
+                self.with_core(|core, _| core.abandon_all());
             }
             let all_completed = self.open_requests() == 0;
             if all_completed && started.elapsed() >= self.shutdown_timeout + CLOSE_AFTER {
@@ -54,6 +54,6 @@
     }
 
     fn open_requests(&self) -> usize {
-        self.rounds.core().sizes().0
+        self.event_loop.core().usage().open_statements
     }
 }
--- a/crates/platform-router/src/startup.rs
+++ b/crates/platform-router/src/startup.rs
@@ -15,8 +15,8 @@
 use hoptiller_platform_protocol::{Catalog, Config, ConfigError, EndpointListUpdate};
 use hoptiller_policy::{Class, Idempotency, ListScope, Micros};
 use hoptiller_policy_settings::Settings;
-use hoptiller_router_core::rounds::Rounds;
-use hoptiller_router_core::{self as core, Bounds, Core};
+use hoptiller_router_core::event_loop::EventLoop;
+use hoptiller_router_core::{self as core, Core, CoreLimits};
 
 use crate::budget::Budget;
 use crate::clock::ClockReference;
@@ -78,17 +78,17 @@
         let tick = duration_from_millis(config.settings.tick, MIN_TICK_MS);
         let shutdown_timeout = shutdown::timeout(&policy.classes);
         let retries = Rc::new(RetryLimiter::new(policy.rules.retry_budget));
-        let names = core::Names {
+        let names = core::RouterIdentity {
             router: config.name.clone(),
-            life: config.seed.clone(),
+            incarnation: config.seed.clone(),
         };
-        let core = Core::new(policy, config.seed(), core_bounds(&budget), None, names)
+        let core = Core::new(policy, config.seed(), core_limits(&budget), None, names)
             .map_err(StartError::Settings)?;
         let router = Rc::new_cyclic(|this: &Weak<Router>| {
-            let rounds = Rc::new(Rounds::new(core, tick, this.clone()));
-            let clock = clock_reference(&rounds);
+            let event_loop = Rc::new(EventLoop::new(core, tick, this.clone()));
+            let clock = clock_reference(&event_loop);
             let front_end = FrontEnd {
-                rounds: rounds.clone(),
+                event_loop: event_loop.clone(),
                 catalog: catalog.clone(),
                 budget,
                 retries: retries.clone(),
@@ -100,7 +100,7 @@
                 config_file,
                 name: config.name,
                 listen: config.listen,
-                rounds,
+                event_loop,
                 catalog,
                 front_end: Rc::new(front_end),
                 pool: ConnectionPool::new(pool_config, retries),
@@ -127,7 +127,8 @@
         let listener = server::bind(self.listen)?;
         let addr = listener.get_ref().local_addr()?;
         let router = self.clone();
-        self.spawner.spawn(async move { router.rounds.run().await });
+        self.spawner
+            .spawn(async move { router.event_loop.run().await });
         let router = self.clone();
         self.spawner.spawn(async move {
             let apply = |update| router.update_endpoints(list_scope(&update), update);
@@ -202,23 +203,23 @@
     }
 }
 
-fn core_bounds(budget: &Budget) -> Bounds {
-    Bounds {
-        statements: budget.open_requests,
-        answered: 0,
-        keep: 0,
+fn core_limits(budget: &Budget) -> CoreLimits {
+    CoreLimits {
+        max_open_statements: budget.open_requests,
+        max_retained_responses: 0,
+        retention: 0,
         abandon_after: ABANDON_AFTER,
-        held_bytes: budget.result_bytes,
-        answer_margin: RESPONSE_MARGIN,
+        max_buffered_bytes: budget.result_bytes,
+        response_margin: RESPONSE_MARGIN,
     }
 }
 
-fn clock_reference(rounds: &Rounds) -> ClockReference {
+fn clock_reference(event_loop: &EventLoop) -> ClockReference {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     ClockReference {
-        core: rounds.now(),
+        core: event_loop.now(),
         unix: unix.as_micros() as Micros,
     }
 }
