--- a/crates/platform-router/tests/floods.rs
+++ b/crates/platform-router/tests/abusive_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send too much, too slowly, or nothing: each gets an answer or a close within 3 s, usual ones are served
+//! Clients that send too much, too slowly, or nothing: each gets a response or a close within 3 s, others are served
 //! throughout, and connections stay within their budget.
 
 mod common;
@@ -11,41 +11,43 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use hoptiller_http::Spawner;
 
-const ID: &str = "9b1f03aa5c7e2d41";
 const DUE: Duration = Duration::from_secs(3);
 
-/// A router of 128 descriptors before an engine that serves all.
-fn scene<F: Future<Output = ()>>(
+/// Runs clients against a router with 128 descriptors, while another client is served without a failure.
+fn run_with_active_client<F: Future<Output = ()>>(
     name: &'static str,
-    bad: impl FnOnce(Rc<hoptiller_platform_router::Router>, std::net::SocketAddr) -> F,
+    abusive: impl FnOnce(Rc<hoptiller_platform_router::Router>, std::net::SocketAddr) -> F,
 ) {
-    play(async |ex: Spawner| {
-        let (addr, _) = engine(&ex, Rc::new(|_, line| (served(&id_of(line)), false)));
-        let (coordinator, _) = coordinator(&ex, Rc::new(|_, _| (Vec::new(), false)));
-        let file = File::new(name, &[(7, addr)], coordinator, 128);
-        let (node, listen) = router(&file, &ex);
-        let usual = async {
+    run_test(async |ex: Spawner| {
+        let (addr, _) = spawn_engine(
+            &ex,
+            Rc::new(|_, line| (served_line(&command_id(line)), false)),
+        );
+        let coordinator = spawn_idle_coordinator(&ex);
+        let file = ConfigFile::new(name, &[(7, addr)], coordinator, 128);
+        let (router, listen) = start_router(&file, &ex);
+        let active = async {
             for n in 0u64.. {
-                let text = request("lookup", &format!("{n:016x}"), 1500);
+                let text = statement_request("lookup", &format!("{n:016x}"), 1500);
                 assert_eq!(
-                    ask(listen, &text).await.expect("an answer").0,
+                    send_request(listen, &text).await.expect("an answer").0,
                     200,
-                    "usual client {n}"
+                    "active client {n}"
                 );
                 assert!(
-                    node.client_connections() <= node.budget().client_connections,
+                    router.client_connections() <= router.budget().client_connections,
                     "{}",
-                    node.client_connections()
+                    router.client_connections()
                 );
                 Timer::after(Duration::from_millis(20)).await;
             }
         };
-        future::or(bad(node.clone(), listen), usual).await;
+        future::or(abusive(router.clone(), listen), active).await;
     });
 }
 
 /// Reads to the end, and how long that took from `began`.
-async fn end_of(
+async fn read_to_end(
     stream: &mut async_io::Async<std::net::TcpStream>,
     began: Instant,
 ) -> (String, Duration) {
@@ -57,12 +59,12 @@
 }
 
 #[test]
-fn hundreds_of_requests_in_one_write_get_answers_one_after_the_other() {
-    scene("pipelined", async |node, listen| {
+fn pipelined_requests_are_served_one_at_a_time() {
+    run_with_active_client("pipelined", async |router, listen| {
         let began = Instant::now();
         let mut client = connect(listen).await;
         let all: String = (0..300)
-            .map(|n| request("lookup", &format!("{:016x}", 0xf000 + n), 1500))
+            .map(|n| statement_request("lookup", &format!("{:016x}", 0xf000 + n), 1500))
             .collect();
         client.write_all(all.as_bytes()).await.expect("taken");
         let (mut all, mut part, mut answers) = (Vec::new(), [0; 4096], 0);
@@ -74,7 +76,7 @@
                 .matches("HTTP/1.1 200")
                 .count();
             assert!(
-                node.requests_in_flight() <= 2,
+                router.requests_in_flight() <= 2,
                 "one at a time, beside that of a usual client"
             );
         }
@@ -83,11 +85,11 @@
 }
 
 #[test]
-fn a_body_that_trickles_and_a_head_past_the_limit_get_an_error_or_a_close_in_time() {
-    scene("slow", async |_, listen| {
+fn slow_bodies_and_oversized_heads_get_an_error_or_a_close_in_time() {
+    run_with_active_client("slow", async |_, listen| {
         let began = Instant::now();
         let mut trickles = connect(listen).await;
-        let text = request("lookup", ID, 1500);
+        let text = statement_request("lookup", ID, 1500);
         trickles
             .write_all(&text.as_bytes()[..text.len() - 20])
             .await
@@ -105,7 +107,7 @@
                 &format!("Host: h\r\nX-Long: {}", "x".repeat(9 << 10)),
             );
             client.write_all(long.as_bytes()).await.expect("written");
-            end_of(&mut client, Instant::now()).await
+            read_to_end(&mut client, Instant::now()).await
         };
         let (took, (answer, _)) = future::zip(byte, head).await;
         assert!(took < DUE, "{took:?}");
@@ -115,20 +117,21 @@
 
 #[test]
 fn a_thousand_silent_connections_are_closed_in_time() {
-    scene("thousand", async |node, listen| {
+    run_with_active_client("thousand", async |router, listen| {
         let mut open = Vec::new();
         for n in 0..1_000 {
             open.push((connect(listen).await, Instant::now()));
             if n % 50 == 0 {
                 // So many at most wait in the kernel's queue.
-                until(|| node.client_connections() < node.budget().client_connections).await;
+                wait_until(|| router.client_connections() < router.budget().client_connections)
+                    .await;
             }
         }
         let (mut last, at) = open.pop().expect("one");
-        let (_, took) = end_of(&mut last, at).await;
+        let (_, took) = read_to_end(&mut last, at).await;
         assert!(took < DUE, "{took:?}");
         for (mut stream, at) in open {
-            let (text, _) = end_of(&mut stream, at).await;
+            let (text, _) = read_to_end(&mut stream, at).await;
             assert!(text.is_empty(), "{text}");
         }
     });
--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router on loopback, with a scripted engine, a scripted coordinator and plain clients round it.
+//! A router on loopback with scripted engines, a scripted coordinator and clients.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -15,30 +15,32 @@
 use hoptiller_http::Spawner;
 use hoptiller_platform_router::Router;
 
-pub const ROWS: &str = "YQkxCXgK"; // a, 1, x
+/// The id of a request.
+pub const ID: &str = "9b1f03aa5c7e2d41";
+pub const ENCODED_PAGE: &str = "YQkxCXgK"; // a, 1, x
 
-/// What an engine does with a request: the bytes to write, and whether it then closes.
-pub type Script = Rc<dyn Fn(usize, &str) -> (Vec<u8>, bool)>;
+/// An engine's reaction to the n-th command: the bytes to write, and whether it then closes the connection.
+pub type EngineScript = Rc<dyn Fn(usize, &str) -> (Vec<u8>, bool)>;
 
-/// The lines that an engine was sent, each behind the number of its connection.
-pub type Seen = Rc<RefCell<Vec<String>>>;
+/// The commands that an engine received, each behind the number of its connection.
+pub type ReceivedCommands = Rc<RefCell<Vec<String>>>;
 
-pub fn served(id: &str) -> Vec<u8> {
-    format!("{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":1,\"effort\":5}},\"b\":\"{ROWS}\"}}\n")
+pub fn served_line(id: &str) -> Vec<u8> {
+    format!("{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":1,\"effort\":5}},\"b\":\"{ENCODED_PAGE}\"}}\n")
         .into_bytes()
 }
 
-pub fn id_of(line: &str) -> String {
+pub fn command_id(line: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(line).expect("a command");
     value["i"].as_str().expect("an id").to_owned()
 }
 
-/// An engine that answers each line by its script, told the number of the request.
-pub fn engine(ex: &Spawner, script: Script) -> (SocketAddr, Seen) {
+/// An engine that responds to each command by its script.
+pub fn spawn_engine(ex: &Spawner, script: EngineScript) -> (SocketAddr, ReceivedCommands) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
     let (addr, seen) = (
         listener.get_ref().local_addr().expect("bound"),
-        Seen::default(),
+        ReceivedCommands::default(),
     );
     let (lines, spawner) = (seen.clone(), ex.clone());
     ex.spawn(async move {
@@ -53,7 +55,7 @@
                     if line.contains("\"STAT\"") {
                         let answer = format!(
                             "{{\"t\":\"green\",\"i\":\"{}\",\"f\":{{\"load\":\"util:0.1\"}}}}\n",
-                            id_of(&line)
+                            command_id(&line)
                         );
                         let _ = (&*stream).write_all(answer.as_bytes()).await;
                         continue;
@@ -72,8 +74,8 @@
     (addr, seen)
 }
 
-/// A record of the engine list, as a frame holds it.
-pub fn record(id: u32, addr: SocketAddr, state: u8) -> Vec<u8> {
+/// An endpoint's record in a frame.
+pub fn endpoint_record(id: u32, addr: SocketAddr, state: u8) -> Vec<u8> {
     let SocketAddr::V4(v4) = addr else {
         panic!("IPv4")
     };
@@ -94,8 +96,8 @@
     f
 }
 
-/// A coordinator that gives each connection the bytes that its script says, for the number that was asked after.
-pub fn coordinator(
+/// A coordinator that sends each connection the bytes of its script, given the number of the connection and of the last event.
+pub fn spawn_coordinator(
     ex: &Spawner,
     script: Rc<dyn Fn(usize, u64) -> (Vec<u8>, bool)>,
 ) -> (SocketAddr, Rc<RefCell<Vec<u64>>>) {
@@ -128,20 +130,27 @@
     (addr, asked)
 }
 
-/// A configuration file of its own; removed when dropped.
-pub struct File(pub PathBuf);
+/// A coordinator that sends keep-alives only.
+pub fn spawn_idle_coordinator(ex: &Spawner) -> SocketAddr {
+    spawn_coordinator(ex, Rc::new(|_, _| (Vec::new(), false))).0
+}
+
+/// A configuration file; removed when dropped.
+pub struct ConfigFile(pub PathBuf);
 
-impl File {
+impl ConfigFile {
     pub fn new(
         name: &str,
         engines: &[(u32, SocketAddr)],
         coordinator: SocketAddr,
         sockets: usize,
-    ) -> File {
-        let file =
-            std::env::temp_dir().join(format!("hoptiller-node-{}-{name}.json", std::process::id()));
-        std::fs::write(&file, File::text(engines, coordinator, sockets)).expect("written");
-        File(file)
+    ) -> ConfigFile {
+        let file = std::env::temp_dir().join(format!(
+            "hoptiller-router-{}-{name}.json",
+            std::process::id()
+        ));
+        std::fs::write(&file, ConfigFile::text(engines, coordinator, sockets)).expect("written");
+        ConfigFile(file)
     }
 
     pub fn text(engines: &[(u32, SocketAddr)], coordinator: SocketAddr, sockets: usize) -> String {
@@ -170,69 +179,65 @@
     }
 }
 
-impl Drop for File {
+impl Drop for ConfigFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// An engine that a scene plays itself, line by line.
-pub struct Peer {
+/// An engine whose connections a test handles itself, line by line.
+pub struct ManualEngine {
     listener: Async<TcpListener>,
     pub addr: SocketAddr,
-    /// Fills the kernel's queue: as long as it is there, connections don't come up.
-    filling: RefCell<Option<Async<TcpStream>>>,
+    /// Fills the listener's backlog; as long as it is open, no connection is established.
+    backlog_filler: RefCell<Option<Async<TcpStream>>>,
 }
 
-impl Peer {
-    pub fn new() -> Peer {
+impl ManualEngine {
+    pub fn new() -> ManualEngine {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
         let addr = listener.get_ref().local_addr().expect("bound");
-        Peer {
+        ManualEngine {
             listener,
             addr,
-            filling: RefCell::default(),
+            backlog_filler: RefCell::default(),
         }
     }
 
-    /// Connections to it stay half up until [`Peer::connections_come_up`]: its queue holds one, which is taken.
-    pub async fn late() -> Peer {
-        let peer = Peer::new();
-        rustix::net::listen(peer.listener.get_ref(), 0).expect("a shorter queue");
-        *peer.filling.borrow_mut() = Some(connect(peer.addr).await);
-        peer
+    /// No connection to it is established until [`ManualEngine::accept_backlog`]: its backlog holds one, which is used.
+    pub async fn with_full_backlog() -> ManualEngine {
+        let manual_engine = ManualEngine::new();
+        rustix::net::listen(manual_engine.listener.get_ref(), 0).expect("a shorter queue");
+        *manual_engine.backlog_filler.borrow_mut() = Some(connect(manual_engine.addr).await);
+        manual_engine
     }
 
-    /// What waits comes up when the kernel tries again, within about a second.
-    pub async fn connections_come_up(&self) {
+    /// Waiting connections are established when the kernel tries again, within about a second.
+    pub async fn accept_backlog(&self) {
         rustix::net::listen(self.listener.get_ref(), 128).expect("a longer queue");
-        let filling = self.filling.borrow_mut().take();
-        let (first, _) = self
-            .listener
-            .accept()
-            .await
-            .expect("the one that filled it");
-        drop((first, filling));
+        let filler = self.backlog_filler.borrow_mut().take();
+        let (first, _) = self.listener.accept().await.expect("the filler");
+        drop((first, filler));
     }
 
-    pub async fn accept(&self) -> Line {
+    pub async fn accept(&self) -> EngineConnection {
         let (stream, _) = self.listener.accept().await.expect("accepted");
-        Line {
+        EngineConnection {
             stream,
             bytes: Vec::new(),
         }
     }
 }
 
-/// A connection that a router opened to a [`Peer`].
-pub struct Line {
+/// A connection that a router opened to a [`ManualEngine`].
+pub struct EngineConnection {
     stream: Async<TcpStream>,
     bytes: Vec<u8>,
 }
 
-impl Line {
+impl EngineConnection {
     /// The next command; `None` at the end.
-    pub async fn next(&mut self) -> Option<String> {
+    pub async fn next_command(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.bytes.iter().position(|b| *b == b'\n') {
                 let rest = self.bytes.split_off(end + 1);
@@ -247,37 +252,37 @@
         }
     }
 
-    /// Writes as much as the peer takes.
-    pub async fn say(&mut self, bytes: &[u8]) {
+    /// Writes as much as the router accepts.
+    pub async fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
     }
 }
 
-/// Waits until something is seen; a scene that never sees it hangs, and fails.
-pub async fn until(seen: impl Fn() -> bool) {
+/// Waits until a condition holds; a test in which it never does fails.
+pub async fn wait_until(seen: impl Fn() -> bool) {
     while !seen() {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// Plays a scene on an executor of its own; one that hangs fails.
-pub fn play<F: Future<Output = ()>>(scene: impl FnOnce(Spawner) -> F) {
+/// Runs a test on an executor of its own; one that hangs fails.
+pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Spawner) -> F) {
     let ex = Rc::new(LocalExecutor::new());
-    let scene = scene(Spawner::of(&ex));
-    async_io::block_on(ex.run(futures_lite::future::or(scene, async {
+    let test = test(Spawner::of(&ex));
+    async_io::block_on(ex.run(futures_lite::future::or(test, async {
         Timer::after(Duration::from_secs(30)).await;
-        panic!("the scene hangs");
+        panic!("the test hangs");
     })));
 }
 
-pub fn router(file: &File, ex: &Spawner) -> (Rc<Router>, SocketAddr) {
-    let node = Router::load(file.0.clone(), ex.clone()).expect("usable");
-    let addr = node.start().expect("listens");
-    (node, addr)
+pub fn start_router(file: &ConfigFile, ex: &Spawner) -> (Rc<Router>, SocketAddr) {
+    let router = Router::load(file.0.clone(), ex.clone()).expect("usable");
+    let addr = router.start().expect("listens");
+    (router, addr)
 }
 
-/// A usual request.
-pub fn request(class: &str, id: &str, wait_ms: u64) -> String {
+/// A valid request.
+pub fn statement_request(class: &str, id: &str, wait_ms: u64) -> String {
     let body = "SELECT a FROM sales_17.orders";
     format!(
         "POST /call/{class} HTTP/1.1\r\nHost: h\r\nTrace-Id: {id}\r\nMax-Wait-Ms: {wait_ms}\r\nProject: acme\r\n\
@@ -291,7 +296,7 @@
 }
 
 /// Reads one response whole: its status, its head and its body. `None`: the connection ended before one.
-pub async fn response(s: &mut Async<TcpStream>) -> Option<(u16, String, String)> {
+pub async fn read_response(s: &mut Async<TcpStream>) -> Option<(u16, String, String)> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
@@ -315,9 +320,9 @@
     }
 }
 
-/// Asks over a connection of its own.
-pub async fn ask(addr: SocketAddr, request: &str) -> Option<(u16, String, String)> {
+/// Sends a request over a connection of its own, and reads the response.
+pub async fn send_request(addr: SocketAddr, request: &str) -> Option<(u16, String, String)> {
     let mut s = connect(addr).await;
     s.write_all(request.as_bytes()).await.ok()?;
-    response(&mut s).await
+    read_response(&mut s).await
 }
--- a/crates/platform-router/tests/connection_pool.rs
+++ b/crates/platform-router/tests/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Crossings at the connections to engines: what happens between the decision to send and the first byte, and what comes
-//! over a connection that is not asked for.
+//! The connection pool: events between the decision on an attempt and its first byte, and bytes on a connection that no
+//! request asked for.
 
 mod common;
 
@@ -21,19 +21,28 @@
 
 const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
-fn pool() -> ConnectionPool {
-    let long = Duration::from_secs(20);
-    let manner = PoolConfig {
-        connect_timeout: long,
-        idle_timeout: long,
-        probe_timeout: long,
-        max_connections: 8,
-        max_result_bytes: 1 << 20,
+/// A pool whose timeouts are longer than a test.
+fn pool_with(
+    max_connections: usize,
+    max_result_bytes: u64,
+    retries: RetryLimiter,
+) -> ConnectionPool {
+    let timeout = Duration::from_secs(20);
+    let config = PoolConfig {
+        connect_timeout: timeout,
+        idle_timeout: timeout,
+        probe_timeout: timeout,
+        max_connections,
+        max_result_bytes,
     };
-    ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)))
+    ConnectionPool::new(config, Rc::new(retries))
 }
 
-fn member(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
+fn pool() -> ConnectionPool {
+    pool_with(8, 1 << 20, RetryLimiter::new(None))
+}
+
+fn listed_endpoint(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
     Endpoint {
         id: 7,
         addr,
@@ -45,17 +54,17 @@
     }
 }
 
-struct Asked {
+struct TestAttempt {
     token: CancelToken,
     deadline: Instant,
     send_by: Option<Instant>,
     is_retry: bool,
 }
 
-impl Asked {
-    fn new() -> Asked {
+impl TestAttempt {
+    fn new() -> TestAttempt {
         let deadline = Instant::now() + Duration::from_secs(15);
-        Asked {
+        TestAttempt {
             token: CancelToken::default(),
             deadline,
             send_by: None,
@@ -63,11 +72,11 @@
         }
     }
 
-    async fn of(&self, pool: &ConnectionPool, id: &str) -> Result<CompleteResponse, AttemptError> {
-        self.at(7, pool, id).await
+    async fn run(&self, pool: &ConnectionPool, id: &str) -> Result<CompleteResponse, AttemptError> {
+        self.run_at(7, pool, id).await
     }
 
-    async fn at(
+    async fn run_at(
         &self,
         engine: u32,
         pool: &ConnectionPool,
@@ -94,57 +103,60 @@
     }
 }
 
-/// What became of an attempt whose connection came up only after that had happened, and that the engine saw no line of it.
-async fn after_a_late_connection(
-    asked: &Asked,
+/// The reason why an attempt was not sent whose connection was established only after `happens` was done.
+async fn not_sent_reason_after(
+    attempt: &TestAttempt,
     happens: impl AsyncFnOnce(&ConnectionPool, SocketAddr),
 ) -> NotSentReason {
-    let (peer, pool) = (Peer::late().await, pool());
-    pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
+    let (manual_engine, pool) = (ManualEngine::with_full_backlog().await, pool());
+    pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
     let meanwhile = async {
-        until(|| pool.open_connections() == 1).await;
-        happens(&pool, peer.addr).await;
-        peer.connections_come_up().await;
+        wait_until(|| pool.open_connections() == 1).await;
+        happens(&pool, manual_engine.addr).await;
+        manual_engine.accept_backlog().await;
         future::pending::<()>().await;
     };
-    let attempt = async { asked.of(&pool, IDS[0]).await };
-    let came = future::or(async { Some(attempt.await) }, async {
+    let running = async { attempt.run(&pool, IDS[0]).await };
+    let result = future::or(async { Some(running.await) }, async {
         meanwhile.await;
         None
     });
-    match came.await {
-        Some(Err(AttemptError::NotSent(why))) => {
-            assert!(!asked.token.has_started());
-            why
+    match result.await {
+        Some(Err(AttemptError::NotSent(reason))) => {
+            assert!(!attempt.token.has_started());
+            reason
         }
         other => panic!("it was sent: {other:?}"),
     }
 }
 
 #[test]
-fn an_attempt_that_is_taken_back_before_its_task_runs_is_never_sent() {
-    play(async |_| {
-        let (peer, pool) = (Peer::new(), pool());
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
+fn attempt_cancelled_before_its_task_runs_is_not_sent() {
+    run_test(async |_| {
+        let (manual_engine, pool) = (ManualEngine::new(), pool());
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let engine = async {
-            let mut line = peer.accept().await;
-            line.next().await.expect("the first request");
-            line.say(&served(IDS[0])).await;
-            assert_eq!(id_of(&line.next().await.expect("the next request")), IDS[2]);
-            line.say(&served(IDS[2])).await;
+            let mut line = manual_engine.accept().await;
+            line.next_command().await.expect("the first request");
+            line.send(&served_line(IDS[0])).await;
+            assert_eq!(
+                command_id(&line.next_command().await.expect("the next request")),
+                IDS[2]
+            );
+            line.send(&served_line(IDS[2])).await;
         };
         let router = async {
-            // With a connection that rests, it could be written in its task's first step.
-            Asked::new().of(&pool, IDS[0]).await.expect("served");
-            let asked = Asked::new();
-            asked.token.cancel();
-            let came = asked.of(&pool, IDS[1]).await;
+            // With an idle connection, it could be written in its task's first step.
+            TestAttempt::new().run(&pool, IDS[0]).await.expect("served");
+            let attempt = TestAttempt::new();
+            attempt.token.cancel();
+            let result = attempt.run(&pool, IDS[1]).await;
             assert!(
-                matches!(came, Err(AttemptError::NotSent(NotSentReason::Cancelled))),
-                "{came:?}"
+                matches!(result, Err(AttemptError::NotSent(NotSentReason::Cancelled))),
+                "{result:?}"
             );
-            Asked::new()
-                .of(&pool, IDS[2])
+            TestAttempt::new()
+                .run(&pool, IDS[2])
                 .await
                 .expect("served over the same connection");
         };
@@ -153,91 +165,81 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_the_connection_comes_up_has_nothing_sent() {
-    play(async |_| {
-        let asked = Asked::new();
-        let why = after_a_late_connection(&asked, async |_, _| asked.token.abandon()).await;
-        assert_eq!(why, NotSentReason::Cancelled);
+fn abandoned_attempt_is_not_sent_when_its_connection_is_established() {
+    run_test(async |_| {
+        let attempt = TestAttempt::new();
+        let reason = not_sent_reason_after(&attempt, async |_, _| attempt.token.abandon()).await;
+        assert_eq!(reason, NotSentReason::Cancelled);
     });
 }
 
 #[test]
-fn what_the_list_says_at_the_moment_of_the_first_byte_decides() {
+fn endpoint_state_is_checked_at_the_first_byte() {
     let changes: [fn(SocketAddr) -> Endpoint; 4] = [
-        |addr| member(addr, Phase::Draining, 0),
-        |addr| member(addr, Phase::Removed, 0),
-        |addr| member(addr, Phase::Ready, 1_800_000_000_000),
-        |_| member(([127, 0, 0, 1], 9).into(), Phase::Ready, 0),
+        |addr| listed_endpoint(addr, Phase::Draining, 0),
+        |addr| listed_endpoint(addr, Phase::Removed, 0),
+        |addr| listed_endpoint(addr, Phase::Ready, 1_800_000_000_000),
+        |_| listed_endpoint(([127, 0, 0, 1], 9).into(), Phase::Ready, 0),
     ];
     for change in changes {
-        play(async move |_| {
+        run_test(async move |_| {
             let changed = async |pool: &ConnectionPool, addr| pool.update_endpoint(&change(addr));
             assert_eq!(
-                after_a_late_connection(&Asked::new(), changed).await,
+                not_sent_reason_after(&TestAttempt::new(), changed).await,
                 NotSentReason::EndpointChanged
             );
         });
     }
-    play(async |_| {
+    run_test(async |_| {
         let left_out = async |pool: &ConnectionPool, _| pool.retain_listed(&[]);
         assert_eq!(
-            after_a_late_connection(&Asked::new(), left_out).await,
+            not_sent_reason_after(&TestAttempt::new(), left_out).await,
             NotSentReason::EndpointChanged
         );
     });
 }
 
 #[test]
-fn a_repeat_whose_window_passes_while_the_connection_comes_up_is_not_sent() {
-    play(async |_| {
+fn retry_is_not_sent_after_its_idempotency_window() {
+    run_test(async |_| {
         let send_by = Instant::now() + Duration::from_millis(100);
-        let asked = Asked {
+        let attempt = TestAttempt {
             send_by: Some(send_by),
-            ..Asked::new()
+            ..TestAttempt::new()
         };
-        let passed = async |_: &ConnectionPool, _| until(|| Instant::now() >= send_by).await;
+        let passed = async |_: &ConnectionPool, _| wait_until(|| Instant::now() >= send_by).await;
         assert_eq!(
-            after_a_late_connection(&asked, passed).await,
+            not_sent_reason_after(&attempt, passed).await,
             NotSentReason::IdempotencyWindowPassed
         );
     });
 }
 
 #[test]
-fn a_further_attempt_that_is_over_the_budget_by_the_time_it_could_begin_is_not_sent() {
-    play(async |_| {
-        let (peer, long) = (Peer::new(), Duration::from_secs(20));
+fn retry_over_the_budget_is_not_sent() {
+    run_test(async |_| {
+        let manual_engine = ManualEngine::new();
         let budget = hoptiller_policy::RetryBudget {
             min_retries: 1.0,
             ratio: 0.0,
             window: 60_000_000,
         };
-        let manner = PoolConfig {
-            connect_timeout: long,
-            idle_timeout: long,
-            probe_timeout: long,
-            max_connections: 8,
-            max_result_bytes: 1 << 20,
-        };
-        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(Some(budget))));
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
+        let pool = pool_with(8, 1 << 20, RetryLimiter::new(Some(budget)));
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let engine = async {
-            let mut line = peer.accept().await;
+            let mut line = manual_engine.accept().await;
             for _ in 0..2 {
-                let id = id_of(&line.next().await.expect("a request"));
-                line.say(&served(&id)).await;
+                let id = command_id(&line.next_command().await.expect("a request"));
+                line.send(&served_line(&id)).await;
             }
         };
-        let further = || Asked {
+        let retry = || TestAttempt {
             is_retry: true,
-            ..Asked::new()
+            ..TestAttempt::new()
         };
         let router = async {
-            further()
-                .of(&pool, IDS[0])
-                .await
-                .expect("the one that there is");
-            let second = further().of(&pool, IDS[1]).await;
+            retry().run(&pool, IDS[0]).await.expect("within the budget");
+            let second = retry().run(&pool, IDS[1]).await;
             assert!(
                 matches!(
                     second,
@@ -245,92 +247,101 @@
                 ),
                 "{second:?}"
             );
-            Asked::new()
-                .of(&pool, IDS[2])
+            TestAttempt::new()
+                .run(&pool, IDS[2])
                 .await
-                .expect("a first attempt is not rationed");
+                .expect("a first attempt is not limited");
         };
         future::zip(engine, router).await;
     });
 }
 
 #[test]
-fn one_whose_time_ends_while_the_connection_comes_up_is_known_not_to_have_run() {
-    play(async |_| {
+fn timeout_before_the_connection_is_established_counts_as_not_sent() {
+    run_test(async |_| {
         let over = Instant::now() + Duration::from_millis(100);
-        let asked = Asked {
+        let attempt = TestAttempt {
             deadline: over,
-            ..Asked::new()
+            ..TestAttempt::new()
         };
         let passed = async |_: &ConnectionPool, _| future::pending().await;
         assert_eq!(
-            after_a_late_connection(&asked, passed).await,
+            not_sent_reason_after(&attempt, passed).await,
             NotSentReason::TimedOut
         );
     });
 }
 
 #[test]
-fn the_wait_told_to_an_engine_is_what_is_left_when_its_connection_stands() {
-    play(async |_| {
-        let (peer, pool) = (Peer::late().await, pool());
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
-        let asked = Asked {
+fn engine_is_given_the_time_left_when_the_command_is_written() {
+    run_test(async |_| {
+        let (manual_engine, pool) = (ManualEngine::with_full_backlog().await, pool());
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
+        let attempt = TestAttempt {
             deadline: Instant::now() + Duration::from_secs(10),
-            ..Asked::new()
+            ..TestAttempt::new()
         };
         let engine = async {
-            until(|| pool.open_connections() == 1).await;
-            peer.connections_come_up().await;
-            let mut line = peer.accept().await;
-            let left = asked.deadline.saturating_duration_since(Instant::now());
+            wait_until(|| pool.open_connections() == 1).await;
+            manual_engine.accept_backlog().await;
+            let mut line = manual_engine.accept().await;
+            let left = attempt.deadline.saturating_duration_since(Instant::now());
             let request: serde_json::Value =
-                serde_json::from_str(&line.next().await.expect("a request")).expect("JSON");
-            line.say(&served(IDS[0])).await;
+                serde_json::from_str(&line.next_command().await.expect("a request")).expect("JSON");
+            line.send(&served_line(IDS[0])).await;
             (request["f"]["w"].as_u64().expect("w"), left)
         };
-        let (came, (told, left)) = future::zip(asked.of(&pool, IDS[0]), engine).await;
-        came.expect("served");
+        let (result, (wait_ms, left)) = future::zip(attempt.run(&pool, IDS[0]), engine).await;
+        result.expect("served");
         // It was written after the connection came up, and before it was accepted here or soon after.
         let at_first = Duration::from_secs(10);
         assert!(
-            left < at_first && Duration::from_millis(told) < at_first - Duration::from_millis(500),
-            "{told}"
+            left < at_first
+                && Duration::from_millis(wait_ms) < at_first - Duration::from_millis(500),
+            "{wait_ms}"
+        );
+        assert!(
+            wait_ms + 500 > left.as_millis() as u64,
+            "{wait_ms} {left:?}"
         );
-        assert!(told + 500 > left.as_millis() as u64, "{told} {left:?}");
     });
 }
 
 #[test]
-fn an_id_never_goes_twice_over_a_connection_though_others_went_between() {
-    play(async |_| {
-        let (peer, pool) = (Peer::new(), pool());
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
-        let full = |id: &str| format!("{{\"t\":\"overload\",\"i\":\"{id}\"}}\n").into_bytes();
+fn connection_never_carries_the_same_request_id_twice() {
+    run_test(async |_| {
+        let (manual_engine, pool) = (ManualEngine::new(), pool());
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
+        let overloaded = |id: &str| format!("{{\"t\":\"overload\",\"i\":\"{id}\"}}\n").into_bytes();
         let engine = async {
-            let mut first = peer.accept().await;
-            first.next().await.expect("the first attempt");
-            first.say(&full(IDS[0])).await;
-            first.next().await.expect("another request, over the same");
-            // With its answer, a second one to the first attempt, which is late.
-            first.say(&[served(IDS[1]), full(IDS[0])].concat()).await;
-            let mut second = peer.accept().await;
+            let mut first = manual_engine.accept().await;
+            first.next_command().await.expect("the first attempt");
+            first.send(&overloaded(IDS[0])).await;
+            first
+                .next_command()
+                .await
+                .expect("another request, over the same");
+            // With its response, a late second one to the first attempt.
+            first
+                .send(&[served_line(IDS[1]), overloaded(IDS[0])].concat())
+                .await;
+            let mut second = manual_engine.accept().await;
             assert_eq!(
-                id_of(&second.next().await.expect("the further attempt")),
+                command_id(&second.next_command().await.expect("the retry")),
                 IDS[0]
             );
-            second.say(&served(IDS[0])).await;
+            second.send(&served_line(IDS[0])).await;
         };
         let router = async {
             assert!(matches!(
-                Asked::new().of(&pool, IDS[0]).await,
+                TestAttempt::new().run(&pool, IDS[0]).await,
                 Err(AttemptError::Overloaded)
             ));
-            Asked::new().of(&pool, IDS[1]).await.expect("served");
-            Asked::new()
-                .of(&pool, IDS[0])
+            TestAttempt::new().run(&pool, IDS[1]).await.expect("served");
+            TestAttempt::new()
+                .run(&pool, IDS[0])
                 .await
-                .expect("served, and not turned away by what was said before");
+                .expect("served, and not rejected by the late response");
         };
         future::zip(engine, router).await;
         assert_eq!(pool.open_connections(), 2);
@@ -338,112 +349,108 @@
 }
 
 #[test]
-fn a_connection_over_which_half_a_line_or_too_much_came_meanwhile_is_not_used_again() {
-    let foreign = served(IDS[2]).repeat(2_000);
+fn idle_connection_with_a_partial_line_or_too_many_bytes_is_not_reused() {
+    let foreign = served_line(IDS[2]).repeat(2_000);
     for meanwhile in [b"{\"t\":\"served\",".to_vec(), foreign] {
-        play(async move |_| {
-            let (peer, pool) = (Peer::new(), pool());
-            pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
+        run_test(async move |_| {
+            let (manual_engine, pool) = (ManualEngine::new(), pool());
+            pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
             let engine = async {
-                let mut first = peer.accept().await;
-                first.next().await.expect("the first request");
-                first.say(&served(IDS[0])).await;
+                let mut first = manual_engine.accept().await;
+                first.next_command().await.expect("the first request");
+                first.send(&served_line(IDS[0])).await;
                 first
             };
-            let (came, mut first) = future::zip(Asked::new().of(&pool, IDS[0]), engine).await;
-            came.expect("served");
-            // It has come to this side once the peer's write is done: both are one kernel's.
-            first.say(&meanwhile).await;
+            let (result, mut first) =
+                future::zip(TestAttempt::new().run(&pool, IDS[0]), engine).await;
+            result.expect("served");
+            // It is received once the engine's write is done, as both run on one kernel.
+            first.send(&meanwhile).await;
             let engine = async {
-                let mut second = peer.accept().await;
+                let mut second = manual_engine.accept().await;
                 assert_eq!(
-                    id_of(&second.next().await.expect("the second request")),
+                    command_id(&second.next_command().await.expect("the second request")),
                     IDS[1]
                 );
-                second.say(&served(IDS[1])).await;
+                second.send(&served_line(IDS[1])).await;
             };
-            let (came, ()) = future::zip(Asked::new().of(&pool, IDS[1]), engine).await;
-            came.expect("served");
+            let (result, ()) = future::zip(TestAttempt::new().run(&pool, IDS[1]), engine).await;
+            result.expect("served");
         });
     }
 }
 
 #[test]
-fn answers_to_others_without_end_end_the_attempt_and_hold_up_nobody() {
-    play(async |ex| {
-        let (peer, pool) = (Peer::new(), pool());
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
-        let addr = peer.addr;
+fn endless_responses_to_other_requests_fail_the_attempt() {
+    run_test(async |ex| {
+        let (manual_engine, pool) = (ManualEngine::new(), pool());
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
+        let addr = manual_engine.addr;
         ex.spawn(async move {
-            let mut line = peer.accept().await;
-            line.next().await.expect("a request");
-            let foreign = served(IDS[2]).repeat(100);
+            let mut line = manual_engine.accept().await;
+            line.next_command().await.expect("a request");
+            let foreign = served_line(IDS[2]).repeat(100);
             for _ in 0..4_000 {
-                line.say(&foreign).await;
+                line.send(&foreign).await;
             }
         });
-        let asked = Asked::new();
-        let came = asked.of(&pool, IDS[0]).await;
+        let attempt = TestAttempt::new();
+        let result = attempt.run(&pool, IDS[0]).await;
         assert!(
-            matches!(came, Err(AttemptError::Line(_))),
-            "{addr}: {came:?}"
+            matches!(result, Err(AttemptError::Line(_))),
+            "{addr}: {result:?}"
         );
-        assert!(Instant::now() < asked.deadline, "before its time");
+        assert!(Instant::now() < attempt.deadline, "before its time");
     });
 }
 
 #[test]
-fn nothing_more_is_fetched_for_a_client_that_has_left_and_the_connection_is_used_again() {
-    play(async |_| {
-        let long = Duration::from_secs(20);
+fn no_pages_are_fetched_for_a_disconnected_client_and_the_connection_is_reused() {
+    run_test(async |_| {
         // Room for one result of several pages.
-        let manner = PoolConfig {
-            connect_timeout: long,
-            idle_timeout: long,
-            probe_timeout: long,
-            max_connections: 8,
-            max_result_bytes: 20_000,
-        };
-        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)));
-        let peer = Peer::new();
-        pool.update_endpoint(&member(peer.addr, Phase::Ready, 0));
+        let pool = pool_with(8, 20_000, RetryLimiter::new(None));
+        let manual_engine = ManualEngine::new();
+        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let pages = |id: &str| {
             format!(
-                "{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":3}},\"b\":\"{ROWS}\"}}\n"
+                "{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":3}},\"b\":\"{ENCODED_PAGE}\"}}\n"
             )
             .into_bytes()
         };
-        let (holds, left, next) = (Asked::new(), Asked::new(), Asked::new());
+        let (holds, left, next) = (TestAttempt::new(), TestAttempt::new(), TestAttempt::new());
         let engine = async {
-            let mut first = peer.accept().await;
-            first.next().await.expect("a request");
-            first.say(&pages(IDS[0])).await;
-            first.next().await.expect("it fetches, and has the room");
-            let mut second = peer.accept().await;
-            second.next().await.expect("a request");
-            second.say(&pages(IDS[1])).await;
+            let mut first = manual_engine.accept().await;
+            first.next_command().await.expect("a request");
+            first.send(&pages(IDS[0])).await;
+            first
+                .next_command()
+                .await
+                .expect("it fetches, and has the room");
+            let mut second = manual_engine.accept().await;
+            second.next_command().await.expect("a request");
+            second.send(&pages(IDS[1])).await;
             left.token.abandon();
-            let said = second.next().await.expect("a command");
+            let said = second.next_command().await.expect("a command");
             assert!(
                 said.contains("\"END\"") && !said.contains("FETCH"),
                 "{said}"
             );
             assert_eq!(
-                id_of(&second.next().await.expect("the next request")),
+                command_id(&second.next_command().await.expect("the next request")),
                 IDS[2]
             );
-            second.say(&served(IDS[2])).await;
+            second.send(&served_line(IDS[2])).await;
             first
         };
         let second = async {
-            until(|| holds.token.has_started()).await;
-            let came = left.of(&pool, IDS[1]).await;
-            assert!(matches!(came, Err(AttemptError::Abandoned)), "{came:?}");
-            next.of(&pool, IDS[2]).await.expect("served");
+            wait_until(|| holds.token.has_started()).await;
+            let result = left.run(&pool, IDS[1]).await;
+            assert!(matches!(result, Err(AttemptError::Abandoned)), "{result:?}");
+            next.run(&pool, IDS[2]).await.expect("served");
         };
         let others = future::zip(engine, second);
         let first = async {
-            let _ = holds.of(&pool, IDS[0]).await;
+            let _ = holds.run(&pool, IDS[0]).await;
             panic!("its pages never come");
         };
         future::or(first, async {
@@ -454,52 +461,50 @@
 }
 
 #[test]
-fn two_connections_that_are_given_back_at_once_make_room_for_two_that_wait() {
-    play(async |_| {
-        let long = Duration::from_secs(20);
-        let manner = PoolConfig {
-            connect_timeout: long,
-            idle_timeout: long,
-            probe_timeout: long,
-            max_connections: 2,
-            max_result_bytes: 1 << 20,
-        };
-        let pool = ConnectionPool::new(manner, Rc::new(RetryLimiter::new(None)));
-        let (first, second) = (Peer::new(), Peer::new());
-        pool.update_endpoint(&member(first.addr, Phase::Ready, 0));
+fn two_connections_released_at_once_wake_two_waiting_attempts() {
+    run_test(async |_| {
+        let pool = pool_with(2, 1 << 20, RetryLimiter::new(None));
+        let (first, second) = (ManualEngine::new(), ManualEngine::new());
+        pool.update_endpoint(&listed_endpoint(first.addr, Phase::Ready, 0));
         pool.update_endpoint(&Endpoint {
             id: 8,
-            ..member(second.addr, Phase::Ready, 0)
+            ..listed_endpoint(second.addr, Phase::Ready, 0)
         });
-        let (a, b, c, d) = (Asked::new(), Asked::new(), Asked::new(), Asked::new());
+        let (a, b, c, d) = (
+            TestAttempt::new(),
+            TestAttempt::new(),
+            TestAttempt::new(),
+            TestAttempt::new(),
+        );
         let waiting = async {
-            until(|| a.token.has_started() && b.token.has_started()).await;
-            let to_the_other = async |asked: &Asked, id| asked.at(8, &pool, id).await.map(|_| ());
+            wait_until(|| a.token.has_started() && b.token.has_started()).await;
+            let to_the_other =
+                async |attempt: &TestAttempt, id| attempt.run_at(8, &pool, id).await.map(|_| ());
             future::zip(
                 to_the_other(&c, "9b1f03aa5c7e2d51"),
                 to_the_other(&d, "9b1f03aa5c7e2d52"),
             )
             .await
         };
-        let running = future::zip(a.of(&pool, IDS[0]), b.of(&pool, IDS[1]));
+        let running = future::zip(a.run(&pool, IDS[0]), b.run(&pool, IDS[1]));
         let engines = async {
             let (mut x, mut y) = (first.accept().await, first.accept().await);
             let (of_x, of_y) = (
-                x.next().await.expect("a request"),
-                y.next().await.expect("a request"),
+                x.next_command().await.expect("a request"),
+                y.next_command().await.expect("a request"),
             );
-            // Both wait for a descriptor by now: nothing else is due on this thread.
+            // Both wait for a permit by now: nothing else is due on this thread.
             for _ in 0..20 {
                 future::yield_now().await;
             }
             Timer::after(Duration::from_millis(20)).await;
-            x.say(&served(&id_of(&of_x))).await;
-            y.say(&served(&id_of(&of_y))).await;
+            x.send(&served_line(&command_id(&of_x))).await;
+            y.send(&served_line(&command_id(&of_y))).await;
             // Neither is answered before both have come.
             let mut both = [second.accept().await, second.accept().await];
             for line in &mut both {
-                let id = id_of(&line.next().await.expect("a request"));
-                line.say(&served(&id)).await;
+                let id = command_id(&line.next_command().await.expect("a request"));
+                line.send(&served_line(&id)).await;
             }
             (x, y, both)
         };
--- a/crates/platform-router/tests/retry_limiter.rs
+++ b/crates/platform-router/tests/retry_limiter.rs
@@ -1,48 +1,51 @@
-//! The budget of further attempts, at the moments at which they begin.
+//! The retry budget at the times at which retries are sent.
 
 use std::time::{Duration, Instant};
 
 use hoptiller_platform_router::retry_limiter::RetryLimiter;
 use hoptiller_policy::RetryBudget;
 
-const BACK: Duration = Duration::from_secs(4);
+const WINDOW: Duration = Duration::from_secs(4);
 
-fn retries(spare: f64, ratio: f64) -> RetryLimiter {
+fn limiter_with(min_retries: f64, ratio: f64) -> RetryLimiter {
     RetryLimiter::new(Some(RetryBudget {
-        min_retries: spare,
+        min_retries,
         ratio,
-        window: BACK.as_micros() as u64,
+        window: WINDOW.as_micros() as u64,
     }))
 }
 
 #[test]
-fn those_of_some_time_that_begin_at_once_count_when_they_begin() {
-    let (r, t) = (retries(2.0, 0.0), Instant::now());
+fn retries_count_from_the_time_they_are_sent() {
+    let (limiter, now) = (limiter_with(2.0, 0.0), Instant::now());
     for _ in 0..2 {
-        assert!(r.allows_retry(t));
-        r.record_retry(t);
+        assert!(limiter.allows_retry(now));
+        limiter.record_retry(now);
     }
     assert!(
-        !r.allows_retry(t) && !r.allows_retry(t + BACK),
-        "both are still in sight"
+        !limiter.allows_retry(now) && !limiter.allows_retry(now + WINDOW),
+        "both are still in the window"
     );
-    assert!(r.allows_retry(t + BACK + Duration::from_micros(1)));
+    assert!(limiter.allows_retry(now + WINDOW + Duration::from_micros(1)));
 }
 
 #[test]
-fn requests_earn_a_share_as_long_as_they_are_in_sight() {
-    let (r, t) = (retries(0.0, 0.5), Instant::now());
-    assert!(!r.allows_retry(t));
-    r.record_request(t);
-    assert!(!r.allows_retry(t), "half a one");
-    r.record_request(t + Duration::from_secs(1));
-    assert!(r.allows_retry(t + Duration::from_secs(2)));
-    assert!(!r.allows_retry(t + BACK), "the first one is out of sight");
+fn requests_add_to_the_budget_within_its_window() {
+    let (limiter, now) = (limiter_with(0.0, 0.5), Instant::now());
+    assert!(!limiter.allows_retry(now));
+    limiter.record_request(now);
+    assert!(!limiter.allows_retry(now), "half a retry");
+    limiter.record_request(now + Duration::from_secs(1));
+    assert!(limiter.allows_retry(now + Duration::from_secs(2)));
+    assert!(
+        !limiter.allows_retry(now + WINDOW),
+        "the first request has left the window"
+    );
 }
 
 #[test]
-fn without_a_budget_nothing_is_rationed() {
-    let (r, t) = (RetryLimiter::new(None), Instant::now());
-    (0..100).for_each(|_| r.record_retry(t));
-    assert!(r.allows_retry(t));
+fn retries_are_unlimited_without_a_budget() {
+    let (limiter, now) = (RetryLimiter::new(None), Instant::now());
+    (0..100).for_each(|_| limiter.record_retry(now));
+    assert!(limiter.allows_retry(now));
 }
