--- a/crates/platform-protocol/src/request/tests.rs
+++ b/crates/platform-protocol/src/request/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn invalid_headers_class_and_body_are_rejected() {
+fn missing_repeated_and_invalid_headers_are_rejected() {
     let without = |name: &str| {
         let mut request = valid_request();
         let kept: Vec<(String, String)> = request
@@ -100,6 +100,10 @@
             "{name}: {value}"
         );
     }
+}
+
+#[test]
+fn unknown_class_and_invalid_bodies_are_rejected() {
     let other = Request {
         target: "/call/other".into(),
         ..valid_request()
