--- /dev/null
+++ b/crates/model-check/src/exploration.rs
@@ -0,0 +1,171 @@
+//! The search space of the model checker: initial states, the steps that each state permits, and the properties of states.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use hoptiller_coordination::ExpiryTracker;
+use stateright::{Model, Property};
+
+use crate::model::{LATE_REPLICA, LeaseModel, REPLICAS, SHARD};
+use crate::state::{LogState, Message, Process, Replica, State, Step};
+use crate::transitions::apply_step;
+
+/// Property: an operation never arrives after one of a later holder.
+pub const NEVER_TWO_HOLDERS_ACT: &str = "never two acting";
+/// Property: no fencing token is assigned twice.
+pub const NO_TOKEN_REUSED: &str = "no number is given twice";
+/// Reached: a shard whose lease has ended is assigned to another process, which acts.
+pub const FREE_SHARD_TAKEN: &str = "a free part is taken";
+/// Reached: an operation is on its way when its lease is about to expire.
+pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "a holder acts to its last moment";
+
+/// Renewals of one process without a response, at most.
+const MAX_OPEN_RENEWALS: usize = 2;
+
+impl LeaseModel {
+    fn message_steps(&self, state: &State, steps: &mut Vec<Step>) {
+        let is_running = |replica: &usize| state.replicas[*replica].expiry.is_some();
+        for (message, content) in state.messages.iter().enumerate() {
+            let Message::Request { duplicate, .. } = content else {
+                steps.push(Step::ReceiveResponse(message));
+                continue;
+            };
+            // Which replica receives it matters only for the one that learns late.
+            let first = (0..REPLICAS).find(is_running);
+            let late = Some(LATE_REPLICA).filter(|r| is_running(r) && first != Some(*r));
+            for replica in first.into_iter().chain(late) {
+                let receive = |duplicated| Step::ReceiveRequest {
+                    message,
+                    replica,
+                    duplicated,
+                };
+                steps.push(receive(false));
+                if !duplicate && state.duplicates < self.limits.doubles {
+                    steps.push(receive(true));
+                }
+            }
+        }
+    }
+
+    fn replica_steps(&self, state: &State, steps: &mut Vec<Step>) {
+        for (r, replica) in state.replicas.iter().enumerate() {
+            let Some(expiry) = &replica.expiry else {
+                steps.push(Step::Restart(r));
+                continue;
+            };
+            if replica.log != state.log {
+                steps.push(Step::CatchUp(r));
+            }
+            let now = self.replica_clock(r, state.now);
+            if !expiry.expired_task_leases(now, &self.timing).is_empty() {
+                steps.push(Step::ExpireTaskLeases(r));
+            }
+            if !expiry.expired_config_leases(now, &self.timing).is_empty() {
+                steps.push(Step::ExpireConfigLeases(r));
+            }
+            if state.crashes < self.limits.crashes {
+                steps.push(Step::Crash(r));
+            }
+        }
+    }
+
+    fn process_steps(&self, state: &State, steps: &mut Vec<Step>) {
+        for (p, process) in state.processes.iter().enumerate() {
+            let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == p);
+            // A renewal that is lost stays open for good.
+            let open = state.messages.iter().filter(is_own).count();
+            if process.renewals < self.limits.asks && open < MAX_OPEN_RENEWALS {
+                steps.push(Step::Renew(p));
+            }
+            let now = self.process_clock(p, state.now);
+            match &process.operation {
+                None if process.leases.is_holding(now, SHARD) => {
+                    steps.push(Step::BeginOperation(p));
+                }
+                None => {}
+                Some(operation) => steps.push(match operation.sent_at {
+                    None => Step::SendOperation(p),
+                    Some(_) => Step::CompleteOperation(p),
+                }),
+            }
+        }
+    }
+}
+
+/// Whether a process's operation is on its way.
+fn is_in_flight(process: &Process) -> bool {
+    let operation = process.operation.as_ref();
+    operation.is_some_and(|operation| operation.sent_at.is_some())
+}
+
+impl Model for LeaseModel {
+    type State = State;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<State> {
+        let log = Arc::new(LogState(self.initial.clone()));
+        let replica = Replica {
+            log: log.clone(),
+            expiry: Some(ExpiryTracker::start(0, &log.0)),
+        };
+        let processes = self.clients.iter().map(|(leases, next_id)| Process {
+            leases: leases.clone(),
+            next_id: *next_id,
+            renewals: 0,
+            operation: None,
+        });
+        let table = log.0.lease_table().updates_since(0);
+        let holders = table.entries.into_iter().filter_map(|entry| entry.holder);
+        vec![State {
+            now: 0,
+            replicas: vec![replica; REPLICAS],
+            processes: processes.collect(),
+            messages: BTreeSet::new(),
+            crashes: 0,
+            duplicates: 0,
+            latest_operation: None,
+            assigned: holders.map(|(holder, token)| (token, holder)).collect(),
+            two_acted: false,
+            token_reused: false,
+            taken_over: false,
+            log,
+        }]
+    }
+
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.is_violation() {
+            return;
+        }
+        // An operation is on its way for the margin at most.
+        let is_overdue = |process: &Process| {
+            let sent_at = process.operation.as_ref().and_then(|o| o.sent_at);
+            sent_at.is_some_and(|sent_at| sent_at + self.limits.way <= state.now)
+        };
+        if state.now < self.limits.ticks && !state.processes.iter().any(is_overdue) {
+            steps.push(Step::Tick);
+        }
+        self.message_steps(state, steps);
+        self.replica_steps(state, steps);
+        self.process_steps(state, steps);
+    }
+
+    fn next_state(&self, last: &State, step: Step) -> Option<State> {
+        let mut state = last.clone();
+        apply_step(self, &mut state, step)?;
+        Some(state)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always(NEVER_TWO_HOLDERS_ACT, |_, state: &State| !state.two_acted),
+            Property::always(NO_TOKEN_REUSED, |_, state: &State| !state.token_reused),
+            Property::sometimes(FREE_SHARD_TAKEN, |_, state: &State| state.taken_over),
+            Property::sometimes(
+                HOLDER_ACTS_UNTIL_EXPIRY,
+                |model: &LeaseModel, state: &State| {
+                    state.now + 2 >= model.limits.term && state.processes.iter().any(is_in_flight)
+                },
+            ),
+        ]
+    }
+}
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -8,12 +8,13 @@
 
 #![warn(missing_docs)]
 
+mod exploration;
 mod model;
 mod state;
 mod transitions;
 
-pub use model::{
-    FREE_SHARD_TAKEN, HOLDER_ACTS_UNTIL_EXPIRY, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT,
-    NO_TOKEN_REUSED, TICK,
+pub use exploration::{
+    FREE_SHARD_TAKEN, HOLDER_ACTS_UNTIL_EXPIRY, NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED,
 };
+pub use model::{LeaseModel, Limits, TICK};
 pub use state::{State, Step};
