--- /dev/null
+++ b/crates/coordination/tests/rollout/main.rs
@@ -0,0 +1,9 @@
+//! Rollouts of versions, with routers that are disconnected, responses that are late or lost, and clocks that run at
+//! different rates: no two routers ever enforce versions that contradict each other.
+
+#[path = "../common.rs"]
+mod common;
+mod leases;
+mod proposals;
+mod random_executions;
+mod support;
--- /dev/null
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -0,0 +1,186 @@
+//! Which router each shard is assigned to.
+
+use hoptiller_coordination::{Holder, MIN_CONSECUTIVE_RENEWALS, Shard};
+
+use crate::cluster::{TIMING, TestCluster, holder, shard};
+
+#[test]
+fn leases_spread_evenly_and_joins_and_leaves_move_the_fewest() {
+    let mut cluster = TestCluster::new(100);
+    for n in 0..6 {
+        cluster.join(&format!("r{n}"), "1");
+    }
+    cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
+    assert!(
+        cluster.counts().iter().all(|n| (16..=17).contains(n)),
+        "{:?}",
+        cluster.counts()
+    );
+    let before = cluster.held();
+    cluster.join("r6", "1");
+    cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
+    assert!(
+        cluster.counts().iter().all(|n| (14..=15).contains(n)),
+        "{:?}",
+        cluster.counts()
+    );
+    let moved: Vec<(Shard, Holder)> = cluster
+        .held()
+        .into_iter()
+        .filter(|(p, h)| before[p] != *h)
+        .collect();
+    assert_eq!(moved.len(), 14, "a seventh of them");
+    assert!(
+        moved.iter().all(|(_, h)| h.router == "r6"),
+        "and to nobody else: {moved:?}"
+    );
+    // A draining router releases its leases with its next two renewals, long before a term is over.
+    let leaving = holder("r2", "1");
+    cluster.routers.get_mut(&leaving).expect("there").0.drain();
+    cluster.rounds(3);
+    assert_eq!(cluster.routers[&leaving].0.outstanding_leases(), 0);
+    assert_eq!(
+        (
+            cluster.held().len(),
+            cluster.config.lease_table().count_held_by(&leaving)
+        ),
+        (100, 0)
+    );
+    assert!(
+        cluster
+            .acting()
+            .values()
+            .filter(|all| all.len() == 1)
+            .count()
+            >= 86,
+        "the others act on"
+    );
+}
+
+#[test]
+fn a_flapping_router_gets_no_leases_and_moves_none() {
+    let mut cluster = TestCluster::new(60);
+    for n in 0..3 {
+        cluster.join(&format!("r{n}"), "1");
+    }
+    cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
+    let before = cluster.held();
+    for incarnation in 0..10 {
+        let flapping = holder("r9", &incarnation.to_string());
+        cluster.join(&flapping.router, &flapping.incarnation);
+        cluster.rounds(MIN_CONSECUTIVE_RENEWALS - 1);
+        cluster.routers.remove(&flapping);
+    }
+    assert_eq!(cluster.held(), before);
+}
+
+#[test]
+fn a_thousand_leases_of_a_dead_router_are_reassigned_together_after_a_term() {
+    let mut cluster = TestCluster::new(1000);
+    cluster.join("r0", "1");
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    cluster.join("r1", "1");
+    let dead = holder("r0", "1");
+    assert_eq!(cluster.config.lease_table().count_held_by(&dead), 1000);
+    // It dies before the other has renewed often enough to be assigned any.
+    cluster.rounds(1);
+    cluster.routers.remove(&dead);
+    let (died_at, last_token) = (
+        cluster.now,
+        cluster.config.lease_table().last_fencing_token(),
+    );
+    while cluster.config.lease_table().count_held_by(&dead) > 0 {
+        cluster.round();
+        assert!(
+            cluster.now < died_at + 2 * TIMING.term,
+            "the leases never expire"
+        );
+    }
+    assert!(
+        cluster.now > died_at + TIMING.term,
+        "not before the term has passed"
+    );
+    cluster.rounds(2);
+    assert_eq!(
+        cluster
+            .config
+            .lease_table()
+            .count_held_by(&holder("r1", "1")),
+        1000
+    );
+    assert_eq!(
+        cluster.config.lease_table().last_fencing_token(),
+        last_token + 1000,
+        "each under a fencing token of its own"
+    );
+}
+
+#[test]
+fn a_router_that_receives_no_responses_loses_its_leases() {
+    let mut cluster = TestCluster::new(8);
+    cluster.join("r0", "1");
+    cluster.join("r1", "1");
+    cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
+    assert_eq!(cluster.counts(), [4, 4]);
+    cluster.unreachable.push("r0".into());
+    cluster.rounds(7);
+    assert_eq!(
+        cluster.counts(),
+        [0, 8],
+        "a term and a little after the last response that it received"
+    );
+    cluster.unreachable.clear();
+    cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
+    assert_eq!(cluster.counts(), [4, 4], "it is assigned some again");
+}
+
+#[test]
+fn two_incarnations_of_a_router_are_two_holders() {
+    let mut cluster = TestCluster::new(4);
+    cluster.join("r0", "1");
+    cluster.join("r0", "2");
+    cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
+    assert_eq!(cluster.counts(), [2, 2]);
+    assert_eq!(
+        cluster
+            .acting()
+            .values()
+            .filter(|all| all.len() == 1)
+            .count(),
+        4
+    );
+}
+
+#[test]
+fn a_shard_that_one_router_releases_is_assigned_to_another() {
+    let mut cluster = TestCluster::new(3);
+    for n in 0..3 {
+        cluster.join(&format!("r{n}"), "1");
+    }
+    cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
+    let first = cluster.held()[&shard(0)].clone();
+    cluster
+        .routers
+        .get_mut(&first)
+        .expect("there")
+        .0
+        .request_release(shard(0));
+    cluster.rounds(3);
+    let second = cluster.held()[&shard(0)].clone();
+    assert_ne!(
+        second, first,
+        "each holds as many as the others, and another is a candidate first"
+    );
+    // With no other router there, it is assigned to the same again.
+    cluster.routers.retain(|holder, _| *holder == second);
+    cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
+    cluster
+        .routers
+        .get_mut(&second)
+        .expect("there")
+        .0
+        .request_release(shard(0));
+    cluster.rounds(3);
+    assert_eq!(cluster.held()[&shard(0)], second);
+    assert!(cluster.routers[&second].0.is_holding(cluster.now, shard(0)));
+}
--- /dev/null
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -0,0 +1,162 @@
+//! A cluster of routers that renew task leases with one replica, in simulated time.
+
+use std::collections::BTreeMap;
+
+use hoptiller_coordination::{
+    Command, CommandResponse, ConfigLeaseGrant, ConfigState, ExpiryTracker, Holder, LeaseTiming,
+    Micros, Proposal, Shard, Task, TaskLeaseClient,
+};
+
+use crate::common::document;
+
+const MILLISECOND: Micros = 1000;
+pub const TIMING: LeaseTiming = LeaseTiming {
+    term: 2000 * MILLISECOND,
+    drift: 1000,
+};
+pub const MARGIN: Micros = 50 * MILLISECOND;
+/// The time between two renewals of a router.
+const RENEWAL_INTERVAL: Micros = 400 * MILLISECOND;
+
+/// Routers and one replica in simulated time.
+pub struct TestCluster {
+    pub now: Micros,
+    pub config: ConfigState,
+    pub expiry: ExpiryTracker,
+    pub routers: BTreeMap<Holder, (TaskLeaseClient, u64)>,
+    /// Routers whose responses are lost.
+    pub unreachable: Vec<String>,
+}
+
+pub fn holder(router: &str, incarnation: &str) -> Holder {
+    Holder {
+        router: router.into(),
+        incarnation: incarnation.into(),
+    }
+}
+
+pub fn shard(index: u32) -> Shard {
+    Shard {
+        task: Task::HealthCheck,
+        index,
+    }
+}
+
+impl TestCluster {
+    pub fn new(shards: u32) -> TestCluster {
+        let mut config = ConfigState::default();
+        let mut document = document();
+        document.tasks = [(Task::HealthCheck, shards)].into();
+        config.apply(Command::Propose(Box::new(Proposal {
+            change_name: "first".to_owned(),
+            base: None,
+            author: "ann".to_owned(),
+            proposed_at_ms: 1,
+            reason: "a test".to_owned(),
+            document,
+        })));
+        TestCluster {
+            now: 0,
+            config,
+            expiry: ExpiryTracker::default(),
+            routers: BTreeMap::new(),
+            unreachable: Vec::new(),
+        }
+    }
+
+    pub fn join(&mut self, router: &str, incarnation: &str) {
+        self.routers.insert(
+            holder(router, incarnation),
+            (TaskLeaseClient::new(&TIMING, MARGIN), 0),
+        );
+    }
+
+    /// Sends a renewal, and returns its response, which the router has not received yet.
+    pub fn renew(&mut self, holder: &Holder) -> (u64, ConfigLeaseGrant) {
+        let (leases, next_id) = self.routers.get_mut(holder).expect("there");
+        let id = *next_id;
+        *next_id += 1;
+        let offer = Some(leases.start_renewal(id, self.now));
+        match self.config.apply(Command::RenewLease {
+            holder: holder.clone(),
+            enforced: 1,
+            in_force: 1,
+            offer,
+        }) {
+            CommandResponse::LeaseGranted(grant) => (id, grant),
+            other => panic!("{other:?}"),
+        }
+    }
+
+    pub fn receive(&mut self, holder: &Holder, id: u64, grant: &ConfigLeaseGrant) {
+        let (leases, _) = self.routers.get_mut(holder).expect("there");
+        leases.accept_grant(
+            id,
+            self.now,
+            grant.serial,
+            grant.leases.as_deref(),
+            grant.lease_table.as_ref(),
+        );
+    }
+
+    /// Time passes: each router renews once, and the replica expires leases.
+    pub fn round(&mut self) {
+        self.now += RENEWAL_INTERVAL;
+        for holder in self.routers.keys().cloned().collect::<Vec<_>>() {
+            let (id, grant) = self.renew(&holder);
+            if !self.unreachable.contains(&holder.router) {
+                self.receive(&holder, id, &grant);
+            }
+        }
+        self.expiry.observe(self.now, &self.config);
+        self.config.apply(Command::ExpireTaskLeases(
+            self.expiry.expired_task_leases(self.now, &TIMING),
+        ));
+        let expired = self.expiry.expired_config_leases(self.now, &TIMING);
+        self.config.apply(Command::CompleteRollout {
+            upto: 1,
+            lapsed: expired,
+        });
+        self.expiry.observe(self.now, &self.config);
+        let acting = self.acting();
+        assert!(
+            acting.values().all(|all| all.len() <= 1),
+            "two may act: {acting:?}"
+        );
+    }
+
+    pub fn rounds(&mut self, n: u32) {
+        (0..n).for_each(|_| self.round());
+    }
+
+    /// By shard: the routers that may act now.
+    pub fn acting(&self) -> BTreeMap<Shard, Vec<Holder>> {
+        let mut all: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
+        for entry in self.config.lease_table().updates_since(0).entries {
+            let is_holding = |(_, (leases, _)): &(&Holder, &(TaskLeaseClient, u64))| {
+                leases.is_holding(self.now, entry.shard)
+            };
+            let holding = self.routers.iter().filter(is_holding);
+            all.insert(
+                entry.shard,
+                holding.map(|(holder, _)| holder.clone()).collect(),
+            );
+        }
+        all
+    }
+
+    /// By shard: its holder, as the replica knows.
+    pub fn held(&self) -> BTreeMap<Shard, Holder> {
+        let entries = self.config.lease_table().updates_since(0).entries;
+        entries
+            .into_iter()
+            .filter_map(|entry| Some((entry.shard, entry.holder?.0)))
+            .collect()
+    }
+
+    /// By router: how many leases it holds, as the replica knows.
+    pub fn counts(&self) -> Vec<usize> {
+        let count = |holder: &Holder| self.held().values().filter(|h| *h == holder).count();
+        self.routers.keys().map(count).collect()
+    }
+}
--- /dev/null
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -0,0 +1,210 @@
+//! What a holder may do under its lease, and what ends it.
+
+use hoptiller_coordination::{
+    Command, CommandResponse, LeaseOffer, MAX_NOTE_BYTES, MIN_CONSECUTIVE_RENEWALS, NoteError,
+};
+
+use crate::cluster::{MARGIN, TIMING, TestCluster, holder, shard};
+
+#[test]
+fn a_late_response_does_not_restore_a_released_lease() {
+    let mut cluster = TestCluster::new(1);
+    cluster.join("r0", "1");
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    let router = holder("r0", "1");
+    assert!(cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
+    // The response names the lease, and is late.
+    let (late_id, late_grant) = cluster.renew(&router);
+    assert_eq!(late_grant.leases.as_ref().map(Vec::len), Some(1));
+    cluster
+        .routers
+        .get_mut(&router)
+        .expect("there")
+        .0
+        .request_release(shard(0));
+    let (id, grant) = cluster.renew(&router);
+    cluster.receive(&router, late_id, &late_grant);
+    assert!(
+        !cluster.routers[&router].0.is_holding(cluster.now, shard(0)),
+        "it has released it with its last renewal"
+    );
+    cluster.receive(&router, id, &grant);
+    assert!(!cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
+    // It had not received the response before when it renewed: the release is confirmed with the next ones.
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    assert!(
+        cluster.routers[&router].0.is_holding(cluster.now, shard(0)),
+        "no other router takes it: it holds it again, under another fencing token"
+    );
+    // An older response that does not name the new lease yet does not end it.
+    let (first_id, mut old) = cluster.renew(&router);
+    let (second_id, new) = cluster.renew(&router);
+    old.leases = Some(Vec::new());
+    cluster.receive(&router, second_id, &new);
+    cluster.receive(&router, first_id, &old);
+    assert!(cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
+}
+
+#[test]
+fn a_late_expiry_or_release_frees_nothing() {
+    let mut cluster = TestCluster::new(1);
+    cluster.join("r0", "1");
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    let router = holder("r0", "1");
+    // A replica finds the lease expired, and the holder's renewal comes before the expiry in the log.
+    cluster.expiry.observe(cluster.now, &cluster.config);
+    let expired = cluster
+        .expiry
+        .expired_task_leases(cluster.now + 2 * TIMING.term, &TIMING);
+    assert_eq!(expired.len(), 1);
+    let (id, grant) = cluster.renew(&router);
+    cluster.receive(&router, id, &grant);
+    cluster.config.apply(Command::ExpireTaskLeases(expired));
+    assert_eq!(
+        cluster.config.lease_table().count_held_by(&router),
+        1,
+        "it was renewed meanwhile"
+    );
+    // A duplicate of a renewal from when it released an earlier lease of that shard.
+    let token = cluster.config.lease_table().updates_since(0).entries[0]
+        .holder
+        .as_ref()
+        .expect("held")
+        .1;
+    let offer = Some(LeaseOffer {
+        acknowledged_serial: 1,
+        accepts_leases: true,
+        released: vec![(shard(0), token - 1)],
+        table_revision: 0,
+    });
+    cluster.config.apply(Command::RenewLease {
+        holder: router.clone(),
+        enforced: 1,
+        in_force: 1,
+        offer,
+    });
+    assert_eq!(
+        cluster.config.lease_table().updates_since(0).entries[0].holder,
+        Some((router, token)),
+        "it is another lease"
+    );
+}
+
+#[test]
+fn an_operation_begins_only_with_time_to_end_and_delays_the_release() {
+    let mut cluster = TestCluster::new(1);
+    cluster.join("r0", "1");
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    let (router, renewed_at) = (holder("r0", "1"), cluster.now);
+    let expires_at = renewed_at + TIMING.router_term() - MARGIN;
+    let leases = &mut cluster.routers.get_mut(&router).expect("there").0;
+    assert!(
+        leases
+            .begin_operation(renewed_at, shard(0), expires_at - renewed_at)
+            .is_none(),
+        "it would end too late"
+    );
+    let guard = leases
+        .begin_operation(renewed_at, shard(0), expires_at - renewed_at - 1)
+        .expect("just in time");
+    assert_eq!(guard.expires_at, expires_at);
+    assert!(
+        leases.is_still_valid(expires_at - 1, &guard) && !leases.is_still_valid(expires_at, &guard),
+        "checked again before it is sent"
+    );
+    leases.drain();
+    assert!(
+        leases.begin_operation(renewed_at, shard(0), 0).is_none(),
+        "no new operation"
+    );
+    let (id, grant) = cluster.renew(&router);
+    cluster.receive(&router, id, &grant);
+    assert_eq!(
+        cluster.config.lease_table().count_held_by(&router),
+        1,
+        "not released while an operation runs under it"
+    );
+    let leases = &mut cluster.routers.get_mut(&router).expect("there").0;
+    assert!(leases.end_operation(&guard), "now it can be released");
+    let (id, grant) = cluster.renew(&router);
+    cluster.receive(&router, id, &grant);
+    assert_eq!(cluster.config.lease_table().count_held_by(&router), 0);
+}
+
+#[test]
+fn only_the_current_holder_records_notes_and_each_router_is_notified_once() {
+    let mut cluster = TestCluster::new(2);
+    cluster.join("r0", "1");
+    cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
+    let router = holder("r0", "1");
+    let guard = cluster
+        .routers
+        .get_mut(&router)
+        .expect("there")
+        .0
+        .begin_operation(cluster.now, shard(0), 0)
+        .expect("held");
+    let note = |fencing_token, text: &str| Command::RecordNote {
+        holder: router.clone(),
+        shard: shard(0),
+        fencing_token,
+        text: text.into(),
+    };
+    assert_eq!(
+        cluster.config.apply(note(guard.fencing_token, "so far")),
+        CommandResponse::NoteRecorded(Ok(()))
+    );
+    assert_eq!(
+        cluster.config.apply(note(guard.fencing_token - 1, "old")),
+        CommandResponse::NoteRecorded(Err(NoteError::StaleToken))
+    );
+    let other = Command::RecordNote {
+        holder: holder("r0", "2"),
+        shard: shard(0),
+        fencing_token: guard.fencing_token,
+        text: "x".into(),
+    };
+    assert_eq!(
+        cluster.config.apply(other),
+        CommandResponse::NoteRecorded(Err(NoteError::StaleToken)),
+        "an earlier or later incarnation"
+    );
+    let long = "x".repeat(MAX_NOTE_BYTES + 1);
+    assert_eq!(
+        cluster.config.apply(note(guard.fencing_token, &long)),
+        CommandResponse::NoteRecorded(Err(NoteError::TooLong))
+    );
+    let revision = cluster.config.lease_table().revision();
+    assert_eq!(
+        cluster.config.apply(note(guard.fencing_token, "so far")),
+        CommandResponse::NoteRecorded(Ok(()))
+    );
+    assert_eq!(
+        cluster.config.lease_table().revision(),
+        revision,
+        "the same note again is no change"
+    );
+    let entries = cluster
+        .config
+        .lease_table()
+        .updates_since(revision - 1)
+        .entries;
+    assert_eq!(
+        entries
+            .iter()
+            .map(|entry| (entry.shard, entry.note.as_deref()))
+            .collect::<Vec<_>>(),
+        [(shard(0), Some("so far"))]
+    );
+    // The next holder continues from there.
+    cluster.join("r1", "1");
+    cluster.rounds(MIN_CONSECUTIVE_RENEWALS);
+    cluster.routers.remove(&router);
+    cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
+    let next = &cluster.routers[&holder("r1", "1")].0;
+    assert_eq!(
+        next.shard_status(shard(0)).and_then(|s| s.note.as_deref()),
+        Some("so far")
+    );
+    assert!(next.is_holding(cluster.now, shard(0)));
+}
