--- a/crates/cli/src/commands/day/plan.rs
+++ b/crates/cli/src/commands/day/plan.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hoptiller_mock_servers::fault::Faults;
-use hoptiller_statement::client::duration;
+use hoptiller_statement::parse_duration;
 use hoptiller_statement_router::settings::evaluate_file;
 use hoptiller_statement_router::{Problem, Settings};
 use serde::{Deserialize, Deserializer};
@@ -147,7 +147,7 @@
 
 fn time<'de, D: Deserializer<'de>>(d: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(d)?;
-    duration(&text).ok_or_else(|| {
+    parse_duration(&text).ok_or_else(|| {
         serde::de::Error::custom(format!(
             "{text:?} is no duration; one with its unit is wanted, such as '1.5s'"
         ))
--- a/crates/coordination/src/duration.rs
+++ b/crates/coordination/src/duration.rs
@@ -36,7 +36,7 @@
 impl<'de> Deserialize<'de> for ConfigDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ConfigDuration, D::Error> {
         let text = String::deserialize(deserializer)?;
-        let duration = hoptiller_statement::client::duration(&text).ok_or_else(|| {
+        let duration = hoptiller_statement::parse_duration(&text).ok_or_else(|| {
             de::Error::custom(format!(
                 "{text:?} is no duration with its unit, such as '250ms' or '2m'"
             ))
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -8,7 +8,7 @@
 use hoptiller_audit::{How, Record, Recorder, now as wall};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_statement::{QueryResults, STATEMENT, client::names};
+use hoptiller_statement::{QueryResults, STATEMENT_PATH, client::names};
 
 /// A statement to be done.
 #[derive(Clone, Debug)]
@@ -143,13 +143,17 @@
         if !ask.tags.is_empty() {
             tags.push_str(&format!(",{}", ask.tags));
         }
-        let mut post = Request::new(Method::Post, STATEMENT)
+        let mut post = Request::new(Method::Post, STATEMENT_PATH)
             .with(names::USER, "scripted")
-            .with(names::TAGS, &tags)
-            .with(names::TRACE, &ask.trace)
+            .with(names::CLIENT_TAGS, &tags)
+            .with(names::TRACE_TOKEN, &ask.trace)
             .with(
                 names::SESSION,
-                &format!("{}={}ms", names::PATIENCE, ask.patience.as_millis()),
+                &format!(
+                    "{}={}ms",
+                    names::MAX_RUN_TIME_PROPERTY,
+                    ask.patience.as_millis()
+                ),
             );
         post.body = ask.text.clone().into_bytes();
         let answer = match self.exchange(&post, ask.patience).await {
@@ -189,7 +193,7 @@
     async fn follow(&mut self, ask: &Ask, first: Response, began: Instant) -> Came {
         let request = ask.request;
         let (mut rows, mut answers) = (0, 0);
-        let (mut answer, mut from) = (first, STATEMENT.to_owned());
+        let (mut answer, mut from) = (first, STATEMENT_PATH.to_owned());
         loop {
             answers += 1;
             self.answers.push((from.clone(), answer.clone()));
@@ -217,7 +221,7 @@
                     .and_then(|v| v.parse().ok());
                 let refused = hoptiller_statement::ErrorName::ALL
                     .iter()
-                    .any(|n| n.is_harmless() && n.name() == error.error_name);
+                    .any(|n| n.is_retryable() && n.name() == error.error_name);
                 let how = if refused { How::Refused } else { How::Failed };
                 self.ended(request, how, Some(error.error_name.clone()));
                 return match how {
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -13,7 +13,9 @@
 use hoptiller_audit::{Record, Recorder, now as wall};
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Method, Request, Response, Spawner};
-use hoptiller_statement::discovery::{ANNOUNCEMENT, Announcement, SERVICE, Service, Services};
+use hoptiller_statement::discovery::{
+    ANNOUNCEMENT_PATH, Announcement, SERVICE_PATH, Service, Services,
+};
 use hoptiller_statement::extra;
 
 use crate::Running;
@@ -107,10 +109,10 @@
             return Reply::Close;
         }
         let path = request.path();
-        if let Some(node) = path.strip_prefix(ANNOUNCEMENT) {
+        if let Some(node) = path.strip_prefix(ANNOUNCEMENT_PATH) {
             return self.announce(inner, node, request).into();
         }
-        if path.starts_with(SERVICE) && request.method == Method::Get {
+        if path.starts_with(SERVICE_PATH) && request.method == Method::Get {
             self.asked.fetch_add(1, Ordering::Relaxed);
             if let Some(over) = inner
                 .leases
--- a/crates/mock-servers/src/engine.rs
+++ b/crates/mock-servers/src/engine.rs
@@ -18,10 +18,11 @@
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
 use hoptiller_statement::discovery::{
-    ANNOUNCEMENT, AnnouncedService, Announcement, ENGINE_TYPE, NodeStatus,
+    ANNOUNCEMENT_PATH, AnnouncedService, Announcement, ENGINE_SERVICE_TYPE, NodeStatus,
+};
+use hoptiller_statement::{
+    ErrorName, ErrorType, QueryError, QueryResults, STATEMENT_PATH, State, Stats, client, extra,
 };
-use hoptiller_statement::results::{QueryError, Stats};
-use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT, State, client, extra};
 use serde_json::value::{RawValue, to_raw_value};
 
 use crate::Running;
@@ -230,7 +231,7 @@
 
     fn load(&self) -> String {
         let load = self.model.load();
-        extra::text(&[
+        extra::format_numbers(&[
             ("in_flight", load.in_flight as f64),
             ("cpu", load.cpu),
             ("memory", load.memory),
@@ -290,7 +291,7 @@
                 "{:032x}",
                 u128::from(wall()) << 16 | u128::from(addr.port())
             ),
-            kind: ENGINE_TYPE.into(),
+            kind: ENGINE_SERVICE_TYPE.into(),
             properties: properties.map(|(k, v)| (k.to_owned(), v)).into(),
         };
         let announcement = Announcement {
@@ -304,7 +305,7 @@
     };
     let mut request = Request::new(
         Method::Put,
-        format!("{ANNOUNCEMENT}{}", announcement.node_id),
+        format!("{ANNOUNCEMENT_PATH}{}", announcement.node_id),
     );
     request.body = serde_json::to_vec(&announcement).unwrap_or_default();
     let request = request
@@ -334,7 +335,7 @@
         }
     }
     let path = request.path().to_owned();
-    if path == STATEMENT && request.method == Method::Post {
+    if path == STATEMENT_PATH && request.method == Method::Post {
         return post(engine, &request, addr);
     }
     if let Some(rest) = path.strip_prefix("/v1/statement/executing/") {
@@ -438,15 +439,16 @@
         header(extra::ROUTER),
         header(extra::STATEMENT_ID),
     );
-    let trace = match header(client::names::TRACE) {
+    let trace = match header(client::names::TRACE_TOKEN) {
         trace if trace.is_empty() => statement,
         trace => trace,
     };
     let body_text = String::from_utf8_lossy(&request.body).into_owned();
-    let terms = header(extra::TERMS);
-    let hop = extra::number(&terms, "hop").unwrap_or(0.0) as u32;
+    let terms = header(extra::ATTEMPT_OPTIONS);
+    let hop = extra::find_number(&terms, "hop").unwrap_or(0.0) as u32;
     let (node, kind) = (inner.config.node.clone(), inner.config.kind.clone());
-    let versions = extra::versions(&header(extra::VERSIONS));
+    let versions = extra::ConfigVersions::parse(&header(extra::CONFIG_VERSIONS))
+        .map(|v| (v.in_force, v.enforced, v.in_doubt));
     if let Some((in_force, heeds, _)) = versions.filter(|_| inner.config.fences) {
         if heeds < inner.newest {
             inner.config.recorder.write(Record::Fenced {
@@ -492,8 +494,9 @@
         .bytes()
         .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
     let mut shape = shape::of(&class, &body_text, seed);
-    shape.job.grant = extra::number(&terms, "grant_mb");
-    shape.job.priority = extra::number(&terms, "priority").map_or(1, |p| p.clamp(0.0, 3.0) as u8);
+    shape.job.grant = extra::find_number(&terms, "grant_mb");
+    shape.job.priority =
+        extra::find_number(&terms, "priority").map_or(1, |p| p.clamp(0.0, 3.0) as u8);
     let now = inner.now();
     let id = inner.next;
     inner.next += 1;
@@ -554,7 +557,7 @@
         (inner.process, id),
         addr,
         Some(0),
-        Stats::of(State::Queued),
+        Stats::from_state(State::Queued),
         None,
         None,
     )
@@ -618,7 +621,7 @@
     };
     if let Some(why) = &s.killed {
         let (name, message) = (
-            ErrorName::KILLED.to_owned(),
+            ErrorName::ADMINISTRATIVELY_KILLED.to_owned(),
             format!("Query killed. Message: {why}"),
         );
         let error = QueryError::new(name, 32, ErrorType::UserError, message);
@@ -626,7 +629,7 @@
             (inner.process, id),
             addr,
             None,
-            Stats::of(State::Failed),
+            Stats::from_state(State::Failed),
             None,
             Some(error),
         )
@@ -634,7 +637,7 @@
     }
     if !s.done {
         let course = inner.model.course(id).filter(|_| inner.config.notes);
-        let stats = course.map_or_else(|| Stats::of(State::Running), |c| stats_of(s, &c));
+        let stats = course.map_or_else(|| Stats::from_state(State::Running), |c| stats_of(s, &c));
         let mut answer = results((inner.process, id), addr, Some(page), stats, None, None)
             .with(extra::LOAD, &load);
         if let Some(course) = course {
@@ -643,13 +646,15 @@
                 Some(_) => ("waits", 1.0),
                 None => ("done", course.done),
             };
-            answer.headers.push(extra::NOTE, &extra::text(&[note]));
+            answer
+                .headers
+                .push(extra::PROGRESS, &extra::format_numbers(&[note]));
             if let Some(Stands::Behind(holder)) = course.stands
                 && let Some(h) = inner.sessions.get(&holder)
             {
                 let age = inner.model.course(holder).map_or(0, |c| c.ran / 1000);
                 answer.headers.push(
-                    extra::BEHIND,
+                    extra::BLOCKED_BY,
                     &format!("{}; class={}; age_ms={age}", h.name, h.class),
                 );
             }
@@ -676,7 +681,7 @@
             (inner.process, id),
             addr,
             None,
-            Stats::of(State::Failed),
+            Stats::from_state(State::Failed),
             None,
             Some(error),
         )
@@ -688,7 +693,7 @@
     let last = page + 1 == s.shape.pages;
     let next = (!last).then_some(page + 1);
     let rows = rows_of(&inner.config.node, s, page);
-    let cost = extra::text(&[("work_ms", s.shape.job.work / 1000.0)]);
+    let cost = extra::format_numbers(&[("work_ms", s.shape.job.work / 1000.0)]);
     let state = if last {
         State::Finished
     } else {
@@ -698,7 +703,7 @@
         (inner.process, id),
         addr,
         next,
-        Stats::of(state),
+        Stats::from_state(state),
         Some(rows),
         None,
     )
@@ -725,7 +730,7 @@
             0
         },
         progress_percentage: Some(c.done * 100.0),
-        ..Stats::of(State::Running)
+        ..Stats::from_state(State::Running)
     }
 }
 
--- a/crates/mock-servers/src/lease.rs
+++ b/crates/mock-servers/src/lease.rs
@@ -20,7 +20,8 @@
         compares: bool,
         recorder: &Recorder,
     ) -> Option<Response> {
-        let (part, number) = extra::lease(request.headers.get(extra::LEASE)?)?;
+        let lease = extra::TaskLease::parse(request.headers.get(extra::LEASE)?)?;
+        let (part, number) = (lease.shard, lease.fencing_token);
         let newest = self.0.entry(part.to_owned()).or_default();
         let refused = compares && number < *newest;
         *newest = number.max(*newest);
--- a/crates/mock-servers/src/shape.rs
+++ b/crates/mock-servers/src/shape.rs
@@ -3,7 +3,7 @@
 //! `SELECT … /* work=250ms threads=2 io=0.3 memory=40 set=7 then=0.5:8 plan=20 rows=100 pages=4 width=20
 //! wrong */`; `plan` does so many times the work for the same rows read
 
-use hoptiller_statement::client::duration;
+use hoptiller_statement::parse_duration;
 
 use crate::model::Job;
 
@@ -68,7 +68,7 @@
             .filter(|n| n.is_finite() && *n >= 0.0);
         match (name, number) {
             ("work", _) => {
-                if let Some(work) = duration(value) {
+                if let Some(work) = parse_duration(value) {
                     shape.job.work = (work.as_micros() as f64).max(1.0);
                 }
             }
--- a/crates/statement-router/src/desk.rs
+++ b/crates/statement-router/src/desk.rs
@@ -7,7 +7,7 @@
 use event_listener::EventListener;
 use hoptiller_http::{Spawner, Ticks};
 use hoptiller_policy::{EngineId, Micros};
-use hoptiller_statement::Key;
+use hoptiller_statement::TokenKey;
 
 use crate::agreed::Agreed;
 use crate::engines::Engines;
@@ -22,7 +22,7 @@
     /// Its part in the fleet's agreement, where it has one.
     pub agreed: Option<Rc<Agreed>>,
     /// The key of its tokens.
-    pub key: Key,
+    pub key: TokenKey,
     /// The name of this life.
     pub life: String,
     /// Its core, and the rounds of it.
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -15,9 +15,11 @@
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
 use hoptiller_policy::ListScope;
-use hoptiller_statement::client::duration;
-use hoptiller_statement::discovery::{ENGINE_TYPE, NodeInfo, NodeState, SERVICE, Services};
+use hoptiller_statement::discovery::{
+    ENGINE_SERVICE_TYPE, NodeInfo, NodeState, SERVICE_PATH, Services,
+};
 use hoptiller_statement::extra;
+use hoptiller_statement::parse_duration;
 
 use crate::agreed::Agreed;
 use crate::membership::Membership;
@@ -151,7 +153,7 @@
         let Ok(right) = self.right(duty, DISCOVERY_SHARD) else {
             return;
         };
-        let target = format!("{SERVICE}{ENGINE_TYPE}/general");
+        let target = format!("{SERVICE_PATH}{ENGINE_SERVICE_TYPE}/general");
         match self.ask(d.address, &target, d.within, right.as_ref()).await {
             Ok(answer) => match serde_json::from_slice::<Services>(&answer.body) {
                 Ok(list) if answer.status.0 == 200 => {
@@ -296,7 +298,7 @@
         if let Ok(answer) = self.ask(addr, "/v1/info", within, right.as_ref()).await
             && let Ok(info) = serde_json::from_slice::<NodeInfo>(&answer.body)
         {
-            uptime = duration(&info.uptime);
+            uptime = parse_duration(&info.uptime);
         }
         if let Ok(answer) = self
             .ask(addr, "/v1/info/state", within, right.as_ref())
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -13,8 +13,7 @@
 use hoptiller_http::{Method, Request, Response};
 use hoptiller_policy::{AttemptStatus, Progress};
 use hoptiller_runaway::{Holder, Proof, Stands};
-use hoptiller_statement::results::Stats;
-use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT, extra};
+use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT_PATH, Stats, extra};
 use serde_json::value::RawValue;
 
 use super::pool::Unsent;
@@ -129,7 +128,7 @@
     /// The one send.
     async fn post(&mut self) -> Outcome<Response> {
         let (a, manner) = (self.a, &self.engines.manner);
-        let mut request = Request::new(Method::Post, STATEMENT);
+        let mut request = Request::new(Method::Post, STATEMENT_PATH);
         for (name, value) in &a.work.fields {
             request.headers.push(name, value);
         }
@@ -148,7 +147,9 @@
         let mut terms = vec![("hop", f64::from(a.hop))];
         terms.extend(a.priority.map(|p| ("priority", f64::from(p))));
         terms.extend((a.grant > 0.0).then_some(("grant_mb", a.grant)));
-        request.headers.push(extra::TERMS, &extra::text(&terms));
+        request
+            .headers
+            .push(extra::ATTEMPT_OPTIONS, &extra::format_numbers(&terms));
         request.body = a.work.text.clone().into_bytes();
         // The whole patience: the attempt's own limit ends it earlier.
         let within =
@@ -327,7 +328,7 @@
         let report = load_of_headers(answer);
         if let Some(error) = results.error {
             let why = format!("{}: {}", error.error_name, error.message);
-            if error.error_name == ErrorName::KILLED {
+            if error.error_name == ErrorName::ADMINISTRATIVELY_KILLED {
                 // Danger: what may have had its effect is not called harmless before the engine says so.
                 let proof = self.proof().await;
                 self.report.killed(self.a.id, self.a.hop, proof, why);
@@ -404,9 +405,9 @@
         news.spills = stats.spilled_bytes > 0;
         for (name, value) in answer
             .headers
-            .get(extra::NOTE)
+            .get(extra::PROGRESS)
             .into_iter()
-            .flat_map(extra::numbers)
+            .flat_map(extra::parse_numbers)
         {
             let progress = match name {
                 "done" if (0.0..=1.0).contains(&value) => {
@@ -422,7 +423,10 @@
                     Progress::Blocked
                 }
                 "waits" => {
-                    let holder = answer.headers.get(extra::BEHIND).and_then(extra::holder);
+                    let holder = answer
+                        .headers
+                        .get(extra::BLOCKED_BY)
+                        .and_then(extra::BlockingStatement::parse);
                     told.holder_class = holder.as_ref().and_then(|h| h.class.map(str::to_owned));
                     let holder = holder.map(|h| Holder {
                         name: h.name.to_owned(),
@@ -510,7 +514,7 @@
 }
 
 fn work_of(answer: &Response) -> Option<hoptiller_policy::Micros> {
-    let ms = extra::number(answer.headers.get(extra::COST)?, "work_ms")?;
+    let ms = extra::find_number(answer.headers.get(extra::COST)?, "work_ms")?;
     (ms > 0.0 && ms < 1e12).then_some((ms * 1000.0) as hoptiller_policy::Micros)
 }
 
--- a/crates/statement-router/src/engines/mod.rs
+++ b/crates/statement-router/src/engines/mod.rs
@@ -265,7 +265,7 @@
 /// The load that an answer tells in its optional header.
 fn load_of_headers(answer: &Response) -> Option<LoadReport> {
     let text = answer.headers.get(extra::LOAD)?;
-    let of = |name| extra::number(text, name).filter(|v| *v >= 0.0);
+    let of = |name| extra::find_number(text, name).filter(|v| *v >= 0.0);
     Some(LoadReport {
         in_flight: of("in_flight"),
         memory: of("memory"),
--- a/crates/statement-router/src/engines/pool.rs
+++ b/crates/statement-router/src/engines/pool.rs
@@ -60,7 +60,7 @@
     }
 
     /// The same, with a guard that is asked once there is a connection, right before the first byte is written; what
-    /// it gives goes along as [`extra::VERSIONS`].
+    /// it gives goes along as [`extra::CONFIG_VERSIONS`].
     pub(super) async fn guarded(
         &self,
         engine: EngineId,
@@ -84,7 +84,10 @@
             Ok(None) => connection.exchange(request, within).await,
             Ok(Some(stamp)) => {
                 connection
-                    .exchange(&request.clone().with(extra::VERSIONS, &stamp), within)
+                    .exchange(
+                        &request.clone().with(extra::CONFIG_VERSIONS, &stamp),
+                        within,
+                    )
                     .await
             }
         };
--- a/crates/statement-router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -11,7 +11,7 @@
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_runaway::Announced;
-use hoptiller_statement::{ClientHeaders, QueryId, STATEMENT, Token};
+use hoptiller_statement::{ClientHeaders, PageToken, QueryId, STATEMENT_PATH};
 
 use super::render;
 use crate::desk::Desk;
@@ -44,14 +44,14 @@
 
 async fn answer(desk: &Rc<Desk>, request: Request, extra: &Extra) -> Response {
     let path = request.path();
-    if path == STATEMENT {
+    if path == STATEMENT_PATH {
         return match request.method {
             Method::Post => submit(desk, &request),
             _ => not_allowed("POST"),
         };
     }
     if path.starts_with("/v1/statement/") {
-        let Ok(token) = desk.key.read(path) else {
+        let Ok(token) = desk.key.parse_page_path(path) else {
             return Response::text(404, "no such statement");
         };
         let base = base(desk, &request);
@@ -62,7 +62,7 @@
         };
     }
     if path.starts_with("/v1/query/") {
-        return match (desk.key.read_course(path), &request.method) {
+        return match (desk.key.parse_query_path(path), &request.method) {
             (Ok(id), Method::Get) => course(desk, &id),
             (Ok(_), _) => not_allowed("GET"),
             (Err(_), _) => Response::text(404, "no such statement"),
@@ -149,7 +149,7 @@
 /// What a client wants, and whether it leaves the class to us; or what is wrong with it.
 fn read(desk: &Desk, request: &Request) -> Result<(Submission, bool), String> {
     let settings = desk.settings();
-    let headers = ClientHeaders::read(request.headers.iter()).map_err(|e| e.to_string())?;
+    let headers = ClientHeaders::parse(request.headers.iter()).map_err(|e| e.to_string())?;
     let text = String::from_utf8(request.body.clone())
         .map_err(|_| "the statement is not UTF-8".to_owned())?;
     if text.trim().is_empty() {
@@ -172,7 +172,7 @@
     let kind = hoptiller_sql::kind_of(&text, hoptiller_sql::Dialect::STANDARD);
     let announced = Announced {
         size: headers.size.unwrap_or(kind.size),
-        estimate: headers.estimate.map(|e| e.as_micros() as u64),
+        estimate: headers.estimated_work.map(|e| e.as_micros() as u64),
     };
     let passed = request.headers.iter().filter(|(name, _)| {
         name.len() > 8 && name.as_bytes()[..8].eq_ignore_ascii_case(b"x-trino-")
@@ -182,15 +182,15 @@
         tenant: headers
             .tenant
             .and_then(|t| settings.tenants.iter().position(|(name, _)| *name == t)),
-        key: headers.key,
-        group: headers.tables.as_deref().map(group_of),
+        key: headers.ordering_key,
+        group: headers.table_group.as_deref().map(group_of),
         guess: None,
         want_mb: 0.0,
         fingerprint: kind.fingerprint.0,
         label: kind.label.into(),
         announced,
-        repeat: headers.repeat,
-        patience: headers.patience.map(|p| p.as_micros() as u64),
+        repeat: headers.is_retry,
+        patience: headers.timeout.map(|p| p.as_micros() as u64),
         work: Rc::new(Work {
             text,
             fields: passed.map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
@@ -199,11 +199,11 @@
     Ok((submission, named.is_none()))
 }
 
-async fn poll(desk: &Rc<Desk>, token: &Token, base: &str) -> Response {
-    if token.id.life() != desk.life {
+async fn poll(desk: &Rc<Desk>, token: &PageToken, base: &str) -> Response {
+    if token.id.incarnation() != desk.life {
         return render::earlier_life(desk, token, base);
     }
-    let id: StatementId = token.id.number;
+    let id: StatementId = token.id.number();
     let mut found = desk.with_core(|core, now| core.poll(now, id, token.page));
     if matches!(found, Poll::Wait) {
         desk.with_core(|core, now| core.waiting(now, id, true));
@@ -248,18 +248,18 @@
     }
 }
 
-fn cancel(desk: &Rc<Desk>, token: &Token) -> Response {
-    if token.id.life() == desk.life {
-        desk.with_core(|core, now| core.cancel(now, token.id.number));
+fn cancel(desk: &Rc<Desk>, token: &PageToken) -> Response {
+    if token.id.incarnation() == desk.life {
+        desk.with_core(|core, now| core.cancel(now, token.id.number()));
     }
     Response::new(204)
 }
 
 fn course(desk: &Rc<Desk>, id: &QueryId) -> Response {
-    if id.life() != desk.life {
+    if id.incarnation() != desk.life {
         return Response::text(410, "an earlier life of this router had that statement");
     }
-    match desk.with_core(|core, now| core.course(now, id.number)) {
+    match desk.with_core(|core, now| core.course(now, id.number())) {
         Some(course) => render::course(desk, id, &course),
         None => Response::text(
             410,
--- a/crates/statement-router/src/fronts/render.rs
+++ b/crates/statement-router/src/fronts/render.rs
@@ -4,8 +4,10 @@
 use std::time::Duration;
 
 use hoptiller_http::Response;
-use hoptiller_statement::results::QueryError;
-use hoptiller_statement::{ErrorName, ErrorType, Key, Known, Phase, QueryId, Repeat, State, Token};
+use hoptiller_statement::{
+    ErrorName, ErrorType, Idempotency, PageToken, Phase, QueryError, QueryId, RecoveryState, State,
+    TokenKey,
+};
 
 use crate::desk::Desk;
 use crate::restart;
@@ -16,7 +18,7 @@
 struct Results<'a> {
     id: &'a QueryId,
     /// The next answer, by the base of URIs.
-    next: Option<&'a Token>,
+    next: Option<&'a PageToken>,
     base: &'a str,
     page: &'a Page,
     state: State,
@@ -27,7 +29,7 @@
 }
 
 impl Results<'_> {
-    fn write(&self, key: &Key) -> String {
+    fn write(&self, key: &TokenKey) -> String {
         let held = self.page.columns.as_ref().map_or(0, |c| c.get().len())
             + self.page.rows.as_ref().map_or(0, |r| r.get().len());
         let mut out = String::with_capacity(768 + held);
@@ -35,11 +37,11 @@
         out.push_str(self.id.as_str());
         out.push_str("\",\"infoUri\":\"");
         out.push_str(self.base);
-        key.push_course_path(&mut out, self.id);
+        key.push_query_path(&mut out, self.id);
         if let Some(token) = self.next {
             out.push_str("\",\"nextUri\":\"");
             out.push_str(self.base);
-            key.push_path(&mut out, token);
+            key.push_page_path(&mut out, token);
         }
         out.push('"');
         if let Some(columns) = &self.page.columns {
@@ -110,10 +112,10 @@
 pub(super) fn answer(desk: &Desk, id: &QueryId, a: &Answer, base: &str) -> Response {
     let token = (!a.is_final()).then(|| {
         let known = known(desk, a.class, a.flowing);
-        Token {
+        PageToken {
             id: id.clone(),
             page: a.page + 1,
-            known,
+            recovery: known,
         }
     });
     let empty = Page::default();
@@ -170,30 +172,32 @@
                 format!("; come back in {s} s")
             });
             let message = format!("refused: {why}. Trying again is harmless{after}");
-            QueryError::of(ErrorName::Refused, message)
+            QueryError::from_name(ErrorName::Rejected, message)
         }
         Final::EndedByRule { why, .. } => {
             let message = format!(
                 "ended by rule: {why}. Nothing of it stands; the same again will end alike"
             );
-            QueryError::of(ErrorName::EndedByRule, message)
+            QueryError::from_name(ErrorName::EndedByRule, message)
         }
         Final::MayHaveRun(why) => {
             let message =
                 format!("failed: {why}. It may have run: look it up before it is sent again");
-            QueryError::of(ErrorName::MayHaveRun, message)
+            QueryError::from_name(ErrorName::MayHaveRun, message)
         }
         Final::Cut(why) => {
             let message = format!("the result is cut: {why}. The rows given out are not all");
-            QueryError::of(ErrorName::ResultCut, message)
+            QueryError::from_name(ErrorName::ResultTruncated, message)
         }
         Final::Engine(Failure {
             name,
             code,
             message,
         }) => QueryError::new(name.clone(), *code, ErrorType::UserError, message.clone()),
-        Final::Canceled => QueryError::of(ErrorName::UserCanceled, "the client ended it".into()),
-        Final::Abandoned => QueryError::of(
+        Final::Canceled => {
+            QueryError::from_name(ErrorName::UserCanceled, "the client ended it".into())
+        }
+        Final::Abandoned => QueryError::from_name(
             ErrorName::Abandoned,
             "the client had stopped asking for its result".into(),
         ),
@@ -201,20 +205,24 @@
 }
 
 /// What a URI tells of a statement of that class.
-fn known(desk: &Desk, class: usize, flowing: bool) -> Known {
-    let repeat = match desk.settings().classes[class].repeat {
-        RepeatSettings::Safe => Repeat::Safe,
-        RepeatSettings::Never => Repeat::Unsafe,
+fn known(desk: &Desk, class: usize, flowing: bool) -> RecoveryState {
+    let idempotency = match desk.settings().classes[class].repeat {
+        RepeatSettings::Safe => Idempotency::Idempotent,
+        RepeatSettings::Never => Idempotency::NotIdempotent,
     };
-    Known {
-        repeat,
-        phase: if flowing { Phase::Rows } else { Phase::Waiting },
+    RecoveryState {
+        idempotency,
+        phase: if flowing {
+            Phase::RowsDelivered
+        } else {
+            Phase::Waiting
+        },
     }
 }
 
 /// The answer for a URI of an earlier life of this router.
-pub(super) fn earlier_life(desk: &Desk, token: &Token, base: &str) -> Response {
-    let (name, message) = restart::answer(token.known);
+pub(super) fn earlier_life(desk: &Desk, token: &PageToken, base: &str) -> Response {
+    let (name, message) = restart::answer(token.recovery);
     let results = Results {
         id: &token.id,
         next: None,
@@ -224,10 +232,10 @@
         running: false,
         elapsed_ms: 0,
         queued_ms: 0,
-        error: Some(QueryError::of(name, message.to_owned())),
+        error: Some(QueryError::from_name(name, message.to_owned())),
     };
     let response = Response::json(200, results.write(&desk.key));
-    match name.is_harmless() {
+    match name.is_retryable() {
         true => response.with("Retry-After", &seconds(desk.settings().limits.hold_off)),
         false => response,
     }
--- a/crates/statement-router/src/membership.rs
+++ b/crates/statement-router/src/membership.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use hoptiller_policy::{EndpointEntry, EngineId, Micros, Readiness};
-use hoptiller_statement::discovery::{ENGINE_TYPE, NodeState, Service, Services};
+use hoptiller_statement::discovery::{ENGINE_SERVICE_TYPE, NodeState, Service, Services};
 
 /// Engines that one list may name; more are passed over.
 const MOST: usize = 10_000;
@@ -62,7 +62,11 @@
     pub fn list(&mut self, now: Micros, list: &Services) -> Vec<String> {
         let mut passed = Vec::new();
         let mut nodes = BTreeMap::new();
-        for service in list.services.iter().filter(|s| s.kind == ENGINE_TYPE) {
+        for service in list
+            .services
+            .iter()
+            .filter(|s| s.kind == ENGINE_SERVICE_TYPE)
+        {
             if nodes.len() == MOST {
                 passed.push(format!("more than {MOST} engines"));
                 break;
--- a/crates/statement-router/src/restart/tests.rs
+++ b/crates/statement-router/src/restart/tests.rs
@@ -2,22 +2,22 @@
 
 #[test]
 fn what_must_not_run_twice_is_never_said_to_be_harmless() {
-    for phase in [Phase::Waiting, Phase::Rows] {
+    for phase in [Phase::Waiting, Phase::RowsDelivered] {
         assert!(
-            !answer(Known {
-                repeat: Repeat::Unsafe,
+            !answer(RecoveryState {
+                idempotency: Idempotency::NotIdempotent,
                 phase
             })
             .0
-            .is_harmless()
+            .is_retryable()
         );
     }
     assert!(
-        answer(Known {
-            repeat: Repeat::Safe,
+        answer(RecoveryState {
+            idempotency: Idempotency::Idempotent,
             phase: Phase::Waiting
         })
         .0
-        .is_harmless()
+        .is_retryable()
     );
 }
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -13,7 +13,7 @@
 use hoptiller_http::{Spawner, Ticks};
 use hoptiller_policy::{EngineId, ListScope, LoadReport, Micros, Progress};
 use hoptiller_runaway::{Finding, Proof, Stands, Verdict, Watch};
-use hoptiller_statement::Key;
+use hoptiller_statement::TokenKey;
 use tracing::Instrument;
 
 use crate::agreed::{self, Agreed};
@@ -113,7 +113,7 @@
             learnt,
             discovery: Discovery::new(settings.clone(), agreed.clone()),
             desk: Rc::new(Desk {
-                key: Key::new(secret, &settings.router.name),
+                key: TokenKey::new(secret, &settings.router.name),
                 life,
                 rounds: Rounds::new(core, settings.limits.tick, me.clone()),
                 engines: Rc::new(engines),
--- a/crates/statement-router/src/settings/read.rs
+++ b/crates/statement-router/src/settings/read.rs
@@ -185,13 +185,11 @@
         let value = match usual {
             None => self.require(of, key)?,
             Some(usual) => match self.optional(of, key) {
-                None => return hoptiller_statement::client::duration(usual),
+                None => return hoptiller_statement::parse_duration(usual),
                 Some(value) => value,
             },
         };
-        let parsed = value
-            .as_str()
-            .and_then(hoptiller_statement::client::duration);
+        let parsed = value.as_str().and_then(hoptiller_statement::parse_duration);
         if parsed.is_none() {
             self.note(of.at(key), format!("{value} is no duration; {DURATION}"));
         }
--- a/crates/statement/src/client/names.rs
+++ b/crates/statement/src/client/names.rs
@@ -1,14 +1,14 @@
-//! Names of the headers that are read.
+//! Names of the headers and session properties of clients.
 
-/// Who asks; required.
+/// The user who submits a statement; required.
 pub const USER: &str = "X-Trino-User";
-/// Which program asks.
+/// The program that submits a statement.
 pub const SOURCE: &str = "X-Trino-Source";
-/// Marks, comma-separated; those of the form `name=value` are read.
-pub const TAGS: &str = "X-Trino-Client-Tags";
+/// Tags, comma-separated; those of the form `name=value` are parsed.
+pub const CLIENT_TAGS: &str = "X-Trino-Client-Tags";
 /// Session properties, comma-separated `name=value`.
 pub const SESSION: &str = "X-Trino-Session";
-/// The client's own identity of a statement, passed on.
-pub const TRACE: &str = "X-Trino-Trace-Token";
-/// The session property that shortens a client's patience.
-pub const PATIENCE: &str = "query_max_run_time";
+/// The client's own id of a statement, which is forwarded.
+pub const TRACE_TOKEN: &str = "X-Trino-Trace-Token";
+/// The session property that shortens a statement's timeout.
+pub const MAX_RUN_TIME_PROPERTY: &str = "query_max_run_time";
--- a/crates/statement/src/client/tests.rs
+++ b/crates/statement/src/client/tests.rs
@@ -1,34 +1,40 @@
 use super::*;
 
-fn read(fields: &[(&str, &str)]) -> Result<ClientHeaders, HeaderError> {
-    ClientHeaders::read(fields.iter().copied())
+fn parse(fields: &[(&str, &str)]) -> Result<ClientHeaders, HeaderError> {
+    ClientHeaders::parse(fields.iter().copied())
 }
 
 #[test]
-fn tags_and_properties_are_read() {
+fn tags_and_session_properties_are_parsed() {
     let tags = (
         "x-trino-client-tags",
         "class=report, tenant=kestrel, x, key=k1, repeat",
     );
-    let all = read(&[
+    let headers = parse(&[
         ("X-Trino-User", "ann"),
         tags,
         ("X-Trino-Session", "a=b,query_max_run_time=1.5s"),
     ]);
-    let all = all.expect("readable");
+    let headers = headers.expect("valid");
     assert_eq!(
-        (all.class.as_deref(), all.tenant.as_deref()),
+        (headers.class.as_deref(), headers.tenant.as_deref()),
         (Some("report"), Some("kestrel"))
     );
-    assert_eq!((all.key.as_deref(), all.repeat), (Some("k1"), true));
-    assert_eq!(all.patience, Some(Duration::from_millis(1500)));
+    assert_eq!(
+        (headers.ordering_key.as_deref(), headers.is_retry),
+        (Some("k1"), true)
+    );
+    assert_eq!(headers.timeout, Some(Duration::from_millis(1500)));
 }
 
 #[test]
-fn unreadable_headers_are_named() {
-    assert_eq!(read(&[]), Err(HeaderError::NoUser));
-    let tags = |value| read(&[("X-Trino-User", "a"), ("X-Trino-Client-Tags", value)]);
-    assert_eq!(tags("class=a,class=b"), Err(HeaderError::Twice("class")));
+fn invalid_headers_are_rejected_by_name() {
+    assert_eq!(parse(&[]), Err(HeaderError::MissingUser));
+    let tags = |value| parse(&[("X-Trino-User", "a"), ("X-Trino-Client-Tags", value)]);
+    assert_eq!(
+        tags("class=a,class=b"),
+        Err(HeaderError::ConflictingTag("class"))
+    );
     for tag in [
         "size=",
         "size=0",
@@ -37,22 +43,25 @@
         "size=x",
         "size=9999999999999",
     ] {
-        assert_eq!(tags(tag), Err(HeaderError::Number(tag[5..].into())));
+        assert_eq!(tags(tag), Err(HeaderError::InvalidSize(tag[5..].into())));
     }
-    assert_eq!(tags("estimate=0s"), Err(HeaderError::Estimate("0s".into())));
-    let told = tags("size=12,estimate=40s").expect("readable");
     assert_eq!(
-        (told.size, told.estimate),
+        tags("estimate=0s"),
+        Err(HeaderError::InvalidEstimate("0s".into()))
+    );
+    let headers = tags("size=12,estimate=40s").expect("valid");
+    assert_eq!(
+        (headers.size, headers.estimated_work),
         (Some(12), Some(Duration::from_secs(40)))
     );
-    assert_eq!(tags("key="), Err(HeaderError::Size("key")));
+    assert_eq!(tags("key="), Err(HeaderError::TagLength("key")));
     assert_eq!(
         tags(&format!("key={}", "x".repeat(129))),
-        Err(HeaderError::Size("key"))
+        Err(HeaderError::TagLength("key"))
     );
     for text in ["", "5", "s", "-1s", "1..5s", "1x", "99999999d", "1e400s"] {
         let session = format!("query_max_run_time={text}");
-        let got = read(&[("X-Trino-User", "a"), ("X-Trino-Session", &session)]);
-        assert_eq!(got, Err(HeaderError::Duration(text.into())), "{text}");
+        let got = parse(&[("X-Trino-User", "a"), ("X-Trino-Session", &session)]);
+        assert_eq!(got, Err(HeaderError::InvalidTimeout(text.into())), "{text}");
     }
 }
--- a/crates/statement/src/discovery.rs
+++ b/crates/statement/src/discovery.rs
@@ -1,68 +1,68 @@
-//! Owns the discovery protocol: engines announce themselves, routers ask for the list.
+//! The discovery protocol: engines announce themselves, and routers poll the list of services.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Where an engine announces itself: `PUT` and `DELETE` of this and its node id.
-pub const ANNOUNCEMENT: &str = "/v1/announcement/";
-/// Where the list is asked for: this, a type, and optionally a pool.
-pub const SERVICE: &str = "/v1/service/";
-/// The type that engines announce.
-pub const ENGINE_TYPE: &str = "trino";
+/// The path at which an engine announces itself, with `PUT` and `DELETE`: this, followed by its node id.
+pub const ANNOUNCEMENT_PATH: &str = "/v1/announcement/";
+/// The path of the list of services: this, followed by a service type and optionally a pool.
+pub const SERVICE_PATH: &str = "/v1/service/";
+/// The service type that engines announce.
+pub const ENGINE_SERVICE_TYPE: &str = "trino";
 
-/// What an engine announces.
+/// The announcement of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Announcement {
-    /// The installation.
+    /// The environment (installation) that it belongs to.
     pub environment: String,
-    /// The engine; kept over restarts.
+    /// The id of the engine, which survives restarts.
     pub node_id: String,
-    /// The pool.
+    /// The pool that it belongs to.
     pub pool: String,
-    /// Where it stands, `/zone/node`.
+    /// The location, `/zone/node`.
     pub location: String,
-    /// What it offers.
+    /// The services that it offers.
     pub services: Vec<AnnouncedService>,
 }
 
-/// One thing that an engine offers.
+/// A service that an engine announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedService {
-    /// Fresh with each start of the process.
+    /// The id of the service, another with each start of the process.
     pub id: String,
-    /// What it is.
+    /// The service type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Properties: `http` is its address; `kind` and `cell` are ours.
+    /// Properties: `http` is the address; `kind` and `cell` are extensions of the specification.
     #[serde(default)]
     pub properties: BTreeMap<String, String>,
 }
 
-/// The list.
+/// The list of services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Services {
-    /// The installation.
+    /// The environment (installation) that it belongs to.
     pub environment: String,
-    /// What is offered.
+    /// The services that are announced.
     pub services: Vec<Service>,
 }
 
-/// One line of the list.
+/// A service in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Service {
-    /// Fresh with each start of the process.
+    /// The id of the service, another with each start of the process.
     pub id: String,
-    /// The engine.
+    /// The id of the engine.
     pub node_id: String,
-    /// What it is.
+    /// The service type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The pool.
+    /// The pool that it belongs to.
     pub pool: String,
-    /// Where it stands.
+    /// The location, `/zone/node`.
     #[serde(default)]
     pub location: String,
     /// Properties.
@@ -70,46 +70,46 @@
     pub properties: BTreeMap<String, String>,
 }
 
-/// What an engine says of its own state at `/v1/info/state`, in JSON.
+/// The state that an engine reports at `/v1/info/state`, in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum NodeState {
-    /// Takes work.
+    /// It accepts work.
     Active,
-    /// Does not yet, or not any more, take work.
+    /// It does not accept work yet, or no longer.
     #[serde(alias = "INACTIVE", alias = "DRAINING", alias = "DRAINED")]
     ShuttingDown,
 }
 
-/// What an engine says of itself at `/v1/info`.
+/// What an engine reports at `/v1/info`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The installation.
+    /// The environment (installation) that it belongs to.
     pub environment: String,
-    /// Whether it is a coordinator.
+    /// Whether the node is a coordinator.
     pub coordinator: bool,
-    /// Whether it is still starting.
+    /// Whether the node is still starting.
     pub starting: bool,
-    /// How long it has run, as a duration: `1.50m`.
+    /// The time since the start, as a duration: `1.50m`.
     pub uptime: String,
 }
 
-/// What an engine says of its load at `/v1/status`.
+/// The load that an engine reports at `/v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct NodeStatus {
-    /// The engine.
+    /// The id of the engine.
     pub node_id: String,
-    /// Its cores.
+    /// The number of cores.
     #[serde(default)]
     pub processors: u32,
-    /// Share of its cores that is busy.
+    /// The share of the cores that is busy, from 0 to 1.
     #[serde(default)]
     pub process_cpu_load: f64,
-    /// Memory in use, in bytes.
+    /// The memory in use, in bytes.
     #[serde(default)]
     pub heap_used: u64,
-    /// Memory in all, in bytes.
+    /// The memory in all, in bytes.
     #[serde(default)]
     pub heap_available: u64,
 }
--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -1,98 +1,98 @@
-//! Owns the names, codes and types of errors that a client can be answered with.
+//! Names, codes and types of the errors in responses to clients.
 
 use serde::{Deserialize, Serialize};
 
-/// Whose fault an error is, as clients sort them.
+/// The category of an error, by which clients sort them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum ErrorType {
-    /// The statement is wrong, or its user ended it.
+    /// The statement is wrong, or its user cancelled it.
     UserError,
     /// The service is at fault.
     InternalError,
-    /// There is no room for it now.
+    /// There is no capacity for the statement now.
     InsufficientResources,
-    /// Something that the service depends on is at fault.
+    /// A dependency of the service is at fault.
     External,
 }
 
-/// The errors that the router answers with itself. Those of engines pass through with their own names.
+/// The errors of the router itself. Those of engines are forwarded under their own names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorName {
-    /// Refused: it has not run, or running it again changes nothing. Trying again is harmless.
-    Refused,
-    /// Refused: a rule ended it at its engine, and nothing of it stands. Trying again is harmless, and will end alike.
+    /// The statement was rejected: it has not run, or running it again changes nothing. A retry is safe.
+    Rejected,
+    /// A rule ended the statement at its engine, and its effects were rolled back. A retry is safe, but will end alike.
     EndedByRule,
-    /// Failed: it may have run, and must be looked up before it is sent again.
+    /// The statement failed and may have run: whether it did must be checked before a retry.
     MayHaveRun,
-    /// Failed after rows were delivered: the result is cut short.
-    ResultCut,
-    /// Its router was restarted; nothing was changed by it. Trying again is harmless.
+    /// The statement failed after rows were delivered: the result is truncated.
+    ResultTruncated,
+    /// The router was restarted; the statement has changed nothing. A retry is safe.
     RouterRestarted,
-    /// Ended at its client's wish.
+    /// The client cancelled the statement.
     UserCanceled,
-    /// Its client did not ask for its result any more.
+    /// The client stopped polling for the result.
     Abandoned,
 }
 
 impl ErrorName {
-    /// The specification's name of what an administrator ended at an engine.
-    pub const KILLED: &'static str = "ADMINISTRATIVELY_KILLED";
+    /// The specification's name of the error of a statement that an administrator ended at an engine.
+    pub const ADMINISTRATIVELY_KILLED: &'static str = "ADMINISTRATIVELY_KILLED";
 
-    /// All of them, for the documentation and its test.
+    /// All error names.
     pub const ALL: [ErrorName; 7] = [
-        ErrorName::Refused,
+        ErrorName::Rejected,
         ErrorName::EndedByRule,
         ErrorName::MayHaveRun,
-        ErrorName::ResultCut,
+        ErrorName::ResultTruncated,
         ErrorName::RouterRestarted,
         ErrorName::UserCanceled,
         ErrorName::Abandoned,
     ];
 
-    /// The name as answered.
+    /// The name in responses.
     pub fn name(self) -> &'static str {
         match self {
-            ErrorName::Refused => "HOPTILLER_REFUSED",
+            ErrorName::Rejected => "HOPTILLER_REFUSED",
             ErrorName::EndedByRule => "HOPTILLER_ENDED_BY_RULE",
             ErrorName::MayHaveRun => "HOPTILLER_MAY_HAVE_RUN",
-            ErrorName::ResultCut => "HOPTILLER_RESULT_CUT",
+            ErrorName::ResultTruncated => "HOPTILLER_RESULT_CUT",
             ErrorName::RouterRestarted => "HOPTILLER_ROUTER_RESTARTED",
             ErrorName::UserCanceled => "USER_CANCELED",
             ErrorName::Abandoned => "ABANDONED_QUERY",
         }
     }
 
-    /// The code as answered: the specification's ranges by type, ours from 0xF000 in each.
+    /// The code in responses: within the specification's range of the type, the router's own from 0xF000.
     pub fn code(self) -> u32 {
         match self {
             ErrorName::UserCanceled => 3,
             ErrorName::Abandoned => 0x0001_0006,
-            ErrorName::Refused => 0x0002_F001,
+            ErrorName::Rejected => 0x0002_F001,
             ErrorName::RouterRestarted => 0x0002_F002,
             ErrorName::EndedByRule => 0x0002_F003,
             ErrorName::MayHaveRun => 0x0100_F001,
-            ErrorName::ResultCut => 0x0100_F002,
+            ErrorName::ResultTruncated => 0x0100_F002,
         }
     }
 
-    /// The type as answered.
+    /// The type in responses.
     pub fn error_type(self) -> ErrorType {
         match self {
             ErrorName::UserCanceled => ErrorType::UserError,
             ErrorName::Abandoned => ErrorType::InternalError,
-            ErrorName::Refused | ErrorName::RouterRestarted | ErrorName::EndedByRule => {
+            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::EndedByRule => {
                 ErrorType::InsufficientResources
             }
-            ErrorName::MayHaveRun | ErrorName::ResultCut => ErrorType::External,
+            ErrorName::MayHaveRun | ErrorName::ResultTruncated => ErrorType::External,
         }
     }
 
-    /// Whether the answer promises that trying again is harmless.
-    pub fn is_harmless(self) -> bool {
+    /// Whether the response promises that a retry is safe.
+    pub fn is_retryable(self) -> bool {
         matches!(
             self,
-            ErrorName::Refused | ErrorName::RouterRestarted | ErrorName::EndedByRule
+            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::EndedByRule
         )
     }
 }
--- a/crates/statement/src/error/tests.rs
+++ b/crates/statement/src/error/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn names_and_codes_differ_and_the_operators_page_has_each() {
+fn names_and_codes_are_unique_and_documented_in_the_operating_page() {
     let page = include_str!("../../../../docs/operating.md");
     let names: BTreeSet<&str> = ErrorName::ALL.iter().map(|n| n.name()).collect();
     let codes: BTreeSet<u32> = ErrorName::ALL.iter().map(|n| n.code()).collect();
--- a/crates/statement/src/extra/tests.rs
+++ b/crates/statement/src/extra/tests.rs
@@ -1,46 +1,64 @@
 use super::*;
 
 #[test]
-fn a_holder_is_read_as_far_as_it_can_be() {
-    let whole = holder("r1/00017_ab; class=rent-load;age_ms=12000");
+fn a_blocking_statement_is_parsed_as_far_as_possible() {
+    let whole = BlockingStatement::parse("r1/00017_ab; class=rent-load;age_ms=12000");
     assert_eq!(
         whole,
-        Some(Holder {
+        Some(BlockingStatement {
             name: "r1/00017_ab",
             class: Some("rent-load"),
             age_ms: Some(12_000)
         })
     );
-    let some = holder("x; class=; age_ms=-1; y; age_ms=99999999999999999");
+    let some = BlockingStatement::parse("x; class=; age_ms=-1; y; age_ms=99999999999999999");
     assert_eq!(
         some,
-        Some(Holder {
+        Some(BlockingStatement {
             name: "x",
             class: None,
             age_ms: None
         })
     );
     assert_eq!(
-        (holder(""), holder("; class=a"), holder(&"x".repeat(129))),
+        (
+            BlockingStatement::parse(""),
+            BlockingStatement::parse("; class=a"),
+            BlockingStatement::parse(&"x".repeat(129))
+        ),
         (None, None, None)
     );
 }
 
 #[test]
-fn versions_are_read_whole_or_not_at_all() {
-    assert_eq!(versions("3..4"), Some((3, 4, false)));
-    assert_eq!(versions("3..4 doubt"), Some((3, 4, true)));
+fn configuration_versions_are_parsed_completely_or_not_at_all() {
+    assert_eq!(
+        ConfigVersions::parse("3..4"),
+        Some(ConfigVersions {
+            in_force: 3,
+            enforced: 4,
+            in_doubt: false
+        })
+    );
+    assert_eq!(
+        ConfigVersions::parse("3..4 doubt"),
+        Some(ConfigVersions {
+            in_force: 3,
+            enforced: 4,
+            in_doubt: true
+        })
+    );
     for bad in ["", "3", "3..", "..4", "3..x", "3..4 sure", "-1..4"] {
-        assert_eq!(versions(bad), None, "{bad:?}");
+        assert_eq!(ConfigVersions::parse(bad), None, "{bad:?}");
     }
 }
 
 #[test]
-fn what_is_no_number_is_passed_over() {
+fn what_is_not_a_finite_number_is_ignored() {
     let value = "in_flight=3; memory=0.5;cpu=x; =; a; nan=NaN; inf=inf; cpu=1e999";
     assert_eq!(
-        numbers(value).collect::<Vec<_>>(),
+        parse_numbers(value).collect::<Vec<_>>(),
         vec![("in_flight", 3.0), ("memory", 0.5)]
     );
-    assert_eq!(text(&[("a", 1.0), ("b", 0.25)]), "a=1; b=0.25");
+    assert_eq!(format_numbers(&[("a", 1.0), ("b", 0.25)]), "a=1; b=0.25");
 }
--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -1,22 +1,26 @@
 //! The statement protocol, without I/O: messages, headers, paging tokens, states and errors.
 //!
 //! Source: the client REST API and the discovery protocol in Trino's public documentation. What that
-//! specification lacks (a load report, notes of progress, terms of an attempt) travels in optional headers
-//! that start with `X-Hoptiller-`; a peer that leaves them out is served all the same.
+//! specification lacks (load reports, progress, options of an attempt) travels in optional headers that start
+//! with `X-Hoptiller-`; a peer that leaves them out is served all the same.
+
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod discovery;
-pub mod error;
+mod duration;
+mod error;
 pub mod extra;
-pub mod ids;
-pub mod results;
-pub mod token;
+mod query_id;
+mod results;
+mod token;
 
 pub use client::{ClientHeaders, HeaderError};
+pub use duration::parse_duration;
 pub use error::{ErrorName, ErrorType};
-pub use ids::QueryId;
-pub use results::{Column, QueryError, QueryResults, State, Stats};
-pub use token::{Key, Known, Phase, Repeat, Token, TokenError};
+pub use query_id::QueryId;
+pub use results::{Column, FailureInfo, QueryError, QueryResults, State, Stats};
+pub use token::{Idempotency, PageToken, Phase, RecoveryState, TokenError, TokenKey};
 
 /// The path that statements are posted to.
-pub const STATEMENT: &str = "/v1/statement";
+pub const STATEMENT_PATH: &str = "/v1/statement";
--- a/crates/statement/src/ids/tests.rs
+++ b/crates/statement/src/query_id/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ids_come_back_and_other_texts_do_not() {
+fn ids_are_parsed_and_other_texts_are_not() {
     for (secs, day) in [
         (0, "19700101"),
         (951_782_400, "20000229"),
--- a/crates/statement/src/results.rs
+++ b/crates/statement/src/results.rs
@@ -1,93 +1,93 @@
-//! Owns `QueryResults`, the one message that answers submitting and polling. Rows stay the JSON text that the
-//! engine sent: the router passes values on and reads none.
+//! `QueryResults`, the response to submitting and to polling. Rows stay the JSON text that the engine sent: the
+//! router forwards values without parsing them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
 use crate::error::{ErrorName, ErrorType};
 
-/// Where a statement stands.
+/// The state of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum State {
-    /// Waits for a place.
+    /// Waiting for a slot.
     Queued,
-    /// Is being planned.
+    /// Being planned.
     Planning,
-    /// Is about to run.
+    /// About to run.
     Starting,
-    /// Runs.
+    /// Running.
     Running,
-    /// Has run; rows are being fetched.
+    /// Has run, while rows are still fetched.
     Finishing,
-    /// Is over, served.
+    /// Completed.
     Finished,
-    /// Is over, refused or failed.
+    /// Rejected or failed.
     Failed,
-    /// Any other state that an engine names.
+    /// Any other state that an engine reports.
     #[serde(other)]
     Other,
 }
 
-/// Figures of a statement's course. Those that are not known are 0.
+/// Statistics of a statement. Those that are not known are 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Stats {
-    /// Where it stands.
+    /// The state of the statement.
     pub state: State,
-    /// Whether it waits.
+    /// Whether it is queued.
     #[serde(default)]
     pub queued: bool,
-    /// Whether it was given to an engine.
+    /// Whether it was sent to an engine.
     #[serde(default)]
     pub scheduled: bool,
-    /// Engines that work on it.
+    /// The number of nodes that work on it.
     #[serde(default)]
     pub nodes: u32,
-    /// Parts, done or not.
+    /// The number of splits.
     #[serde(default)]
     pub total_splits: u64,
-    /// Parts that wait.
+    /// The number of splits that are queued.
     #[serde(default)]
     pub queued_splits: u64,
-    /// Parts that run.
+    /// The number of splits that are running.
     #[serde(default)]
     pub running_splits: u64,
-    /// Parts that are done.
+    /// The number of splits that are completed.
     #[serde(default)]
     pub completed_splits: u64,
-    /// Work of all threads, in ms.
+    /// CPU time of all threads, in milliseconds.
     #[serde(default)]
     pub cpu_time_millis: u64,
-    /// Time since it began to run, in ms.
+    /// Time since it began to run, in milliseconds.
     #[serde(default)]
     pub wall_time_millis: u64,
-    /// Time that it waited, in ms.
+    /// Time for which it was queued, in milliseconds.
     #[serde(default)]
     pub queued_time_millis: u64,
-    /// Time since it came, in ms.
+    /// Time since its arrival, in milliseconds.
     #[serde(default)]
     pub elapsed_time_millis: u64,
-    /// Rows read.
+    /// The number of rows that it has read.
     #[serde(default)]
     pub processed_rows: u64,
-    /// Bytes read.
+    /// The number of bytes that it has read.
     #[serde(default)]
     pub processed_bytes: u64,
-    /// The most memory that it held, in bytes.
+    /// The peak of its memory, in bytes.
     #[serde(default)]
     pub peak_memory_bytes: u64,
-    /// Bytes that it wrote aside for want of memory.
+    /// The bytes that it has spilled for want of memory.
     #[serde(default)]
     pub spilled_bytes: u64,
-    /// Share of its work that is done, in percent, where known.
+    /// The share of its work that is completed, in percent, where known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub progress_percentage: Option<f64>,
 }
 
 impl Stats {
-    /// Figures of which only the state is known.
-    pub fn of(state: State) -> Stats {
+    /// Statistics of which only the state is known.
+    pub fn from_state(state: State) -> Stats {
         Stats {
             state,
             queued: state == State::Queued,
@@ -114,36 +114,36 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Column {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its type as text.
+    /// The type as text.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Its type in parts, which clients read values by.
+    /// The structured type, by which clients parse values.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub type_signature: Option<Box<RawValue>>,
 }
 
-/// Why a statement was not served.
+/// The error of a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct QueryError {
-    /// For people.
+    /// The text for people.
     pub message: String,
-    /// The code.
+    /// The code of the error.
     pub error_code: u32,
-    /// The name that goes with it.
+    /// The name of the error.
     pub error_name: String,
-    /// Whose fault it is.
+    /// The type of the error.
     pub error_type: ErrorType,
-    /// Where in the service it arose; clients expect it to be there.
+    /// Details of the failure; clients expect them to be present.
     #[serde(default)]
     pub failure_info: FailureInfo,
 }
 
 impl QueryError {
     /// An error of the router.
-    pub fn of(name: ErrorName, message: String) -> QueryError {
+    pub fn from_name(name: ErrorName, message: String) -> QueryError {
         QueryError::new(
             name.name().to_owned(),
             name.code(),
@@ -152,7 +152,7 @@
         )
     }
 
-    /// Any error.
+    /// An error of any name.
     pub fn new(name: String, code: u32, error_type: ErrorType, message: String) -> QueryError {
         let failure_info = FailureInfo {
             kind: name.clone(),
@@ -168,56 +168,56 @@
     }
 }
 
-/// Where in a service an error arose.
+/// Details of a failure.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FailureInfo {
-    /// Its kind.
+    /// The kind of the failure, here the error's name.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// For people.
+    /// The text for people.
     #[serde(default)]
     pub message: String,
 }
 
-/// The answer to submitting and to each poll. Without `next_uri` it is the last one.
+/// The response to submitting and to each poll. Without `next_uri` it is the last one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct QueryResults {
-    /// The statement.
+    /// The id of the statement.
     pub id: String,
-    /// Where its course can be read.
+    /// The URI at which the course of the statement is reported.
     #[serde(default)]
     pub info_uri: String,
-    /// Where to ask for more.
+    /// The URI to poll next.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next_uri: Option<String>,
-    /// What its rows consist of.
+    /// The columns of the rows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub columns: Option<Box<RawValue>>,
-    /// Rows.
+    /// The rows of this page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<Box<RawValue>>,
-    /// Figures.
+    /// Statistics of the statement.
     pub stats: Stats,
-    /// Why it was not served.
+    /// The error, where the statement failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<QueryError>,
-    /// Warnings, passed on.
+    /// Warnings, as the engine sent them.
     #[serde(default)]
     pub warnings: Vec<Box<RawValue>>,
-    /// What a change changes.
+    /// The kind of an update, such as `INSERT`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub update_type: Option<String>,
-    /// How many rows it changed.
+    /// The number of rows that an update changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub update_count: Option<u64>,
 }
 
 impl QueryResults {
-    /// Whether it holds any row.
+    /// Whether the page has any row.
     pub fn has_rows(&self) -> bool {
         self.data
             .as_ref()
-            .is_some_and(|d| !d.get().trim_start_matches(['[', ' ']).starts_with(']'))
+            .is_some_and(|rows| !rows.get().trim_start_matches(['[', ' ']).starts_with(']'))
     }
 }
--- a/crates/statement/src/token.rs
+++ b/crates/statement/src/token.rs
@@ -1,199 +1,219 @@
-//! Owns the part of a `nextUri` that is ours: which page is asked for, and what was known of the statement
-//! when that URI was given out, authenticated. A router that lost all else answers truthfully from it.
+//! The part of a `nextUri` that the router issues: which page is requested, and what was known of the statement
+//! when that URI was issued, with an authentication code. A router that has lost all else answers truthfully from
+//! it.
 
 use std::fmt::Write as _;
 
 use data_encoding::BASE32_NOPAD;
+use thiserror::Error;
+
+use crate::query_id::QueryId;
+
+/// The bytes of the hash that the authentication code keeps: a guess succeeds with a probability of 2^-80.
+const CODE_BYTES: usize = 10;
+/// The length of the authentication code as text.
+const CODE_LETTERS: usize = 16;
+/// At most 19 digits fit into a `u64` whichever they are.
+const MAX_PAGE_DIGITS: usize = 19;
+const PAGE_PREFIX: &str = "/v1/statement/";
+const QUERY_PREFIX: &str = "/v1/query/";
+/// Room for most paths of pages and of queries, in bytes.
+const PAGE_PATH_CAPACITY: usize = 96;
+const QUERY_PATH_CAPACITY: usize = 80;
+
+/// Whether running a statement again is safe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// Running it again has no further effect.
+    Idempotent,
+    /// Running it again may have a second effect.
+    NotIdempotent,
+}
 
-use crate::ids::QueryId;
+impl Idempotency {
+    const ALL: [Idempotency; 2] = [Idempotency::Idempotent, Idempotency::NotIdempotent];
 
-/// What repeating a statement may do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// Nothing.
-    Safe,
-    /// A second effect.
-    Unsafe,
+    /// The form in a path.
+    fn as_str(self) -> &'static str {
+        match self {
+            Idempotency::Idempotent => "s",
+            Idempotency::NotIdempotent => "u",
+        }
+    }
 }
 
-/// How far a statement had come when the URI was given out.
+/// How far a statement had come when the URI was issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// No rows had been delivered.
     Waiting,
     /// Rows had been delivered.
-    Rows,
+    RowsDelivered,
+}
+
+impl Phase {
+    const ALL: [Phase; 2] = [Phase::Waiting, Phase::RowsDelivered];
+
+    /// The form in a path.
+    fn as_str(self) -> &'static str {
+        match self {
+            Phase::Waiting => "queued",
+            Phase::RowsDelivered => "executing",
+        }
+    }
 }
 
-/// What a URI tells of its statement.
+/// What a URI says of its statement to a router that has lost all else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// What repeating it may do.
-    pub repeat: Repeat,
-    /// How far it had come.
+pub struct RecoveryState {
+    /// Whether running the statement again is safe.
+    pub idempotency: Idempotency,
+    /// How far the statement had come.
     pub phase: Phase,
 }
 
-/// A page of a statement, with what was known.
+/// A page of a statement's results, with what was known when its URI was issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Token {
+pub struct PageToken {
     /// The statement.
     pub id: QueryId,
-    /// Which answer, from 0.
+    /// The number of the page, from 0.
     pub page: u64,
-    /// What was known when the URI was given out.
-    pub known: Known,
+    /// What was known when the URI was issued.
+    pub recovery: RecoveryState,
 }
 
-/// A path that is no token of this router.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A path that is no token of this router. It does not say which part is wrong, lest that helps in guessing one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("no such statement")]
 pub struct TokenError;
 
-impl std::fmt::Display for TokenError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "no such statement")
-    }
-}
-
-impl std::error::Error for TokenError {}
-
-/// A router's key. Tokens of one key mean nothing to another.
+/// The key with which a router authenticates its paths. Paths of one key are invalid under another.
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct TokenKey([u8; 32]);
 
-/// Bytes of the authentication code that travel: 2^-80 for a guess.
-const CODE: usize = 10;
-
-/// The code's length in letters.
-const LETTERS: usize = 16;
-
-impl Key {
-    /// The key of a router, from the secret that it keeps and its own name.
-    pub fn new(secret: &[u8], router: &str) -> Key {
+impl TokenKey {
+    /// The key of a router, derived from its stored secret and its name.
+    pub fn new(secret: &[u8], router: &str) -> TokenKey {
         let mut material = secret.to_vec();
         material.push(0);
         material.extend_from_slice(router.as_bytes());
-        Key(blake3::derive_key(
+        TokenKey(blake3::derive_key(
             "hoptiller 2026 statement tokens",
             &material,
         ))
     }
 
-    fn code(&self, what: &[u8]) -> [u8; LETTERS] {
-        let hash = blake3::keyed_hash(&self.0, what);
-        let mut letters = [0; LETTERS];
-        BASE32_NOPAD.encode_mut(&hash.as_bytes()[..CODE], &mut letters);
+    fn authentication_code(&self, message: &[u8]) -> [u8; CODE_LETTERS] {
+        let hash = blake3::keyed_hash(&self.0, message);
+        let mut letters = [0; CODE_LETTERS];
+        BASE32_NOPAD.encode_mut(&hash.as_bytes()[..CODE_BYTES], &mut letters);
         letters.make_ascii_lowercase();
         letters
     }
 
-    /// Puts the path of a token below [`STATEMENT`](crate::STATEMENT) behind a text.
-    pub fn push_path(&self, out: &mut String, token: &Token) {
-        // Authenticated is the path without its code, so that nothing in it can be altered.
-        let from = out.len();
-        out.push_str("/v1/statement/");
-        out.push_str(phase_name(token.known.phase));
+    /// Appends the path of a page, which lies below [`STATEMENT_PATH`](crate::STATEMENT_PATH).
+    pub fn push_page_path(&self, out: &mut String, token: &PageToken) {
+        // The whole path without its code is authenticated, so that nothing in it can be altered.
+        let path_start = out.len();
+        out.push_str(PAGE_PREFIX);
+        out.push_str(token.recovery.phase.as_str());
         out.push('/');
         out.push_str(token.id.as_str());
         out.push('/');
-        out.push_str(repeat_name(token.known.repeat));
-        let slug = out.len();
+        out.push_str(token.recovery.idempotency.as_str());
+        let code_start = out.len();
         out.push('/');
         let _ = write!(out, "{}", token.page);
-        let code = self.code(&out.as_bytes()[from..]);
-        out.insert_str(slug, std::str::from_utf8(&code).unwrap_or_default());
+        let code = self.authentication_code(&out.as_bytes()[path_start..]);
+        out.insert_str(code_start, std::str::from_utf8(&code).unwrap_or_default());
     }
 
-    /// The path of a token.
-    pub fn path(&self, token: &Token) -> String {
-        let mut path = String::with_capacity(96);
-        self.push_path(&mut path, token);
+    /// The path of a page.
+    pub fn page_path(&self, token: &PageToken) -> String {
+        let mut path = String::with_capacity(PAGE_PATH_CAPACITY);
+        self.push_page_path(&mut path, token);
         path
     }
 
-    /// Reads the path of a token. Any change to any character makes it an error.
-    pub fn read(&self, path: &str) -> Result<Token, TokenError> {
-        let rest = path.strip_prefix("/v1/statement/").ok_or(TokenError)?;
-        let mut parts = rest.split('/');
-        let (Some(phase), Some(id), Some(slug), Some(page), None) = (
-            parts.next(),
-            parts.next(),
-            parts.next(),
-            parts.next(),
-            parts.next(),
-        ) else {
-            return Err(TokenError);
-        };
-        let phase = [Phase::Waiting, Phase::Rows]
-            .into_iter()
-            .find(|p| phase_name(*p) == phase);
-        let repeat = [Repeat::Safe, Repeat::Unsafe]
-            .into_iter()
-            .find(|r| slug.starts_with(repeat_name(*r)));
-        let (Some(phase), Some(repeat), Some(id)) = (phase, repeat, QueryId::parse(id)) else {
+    /// Parses the path of a page.
+    ///
+    /// # Errors
+    ///
+    /// Where the path was not issued under this key, or any character of it was altered.
+    pub fn parse_page_path(&self, path: &str) -> Result<PageToken, TokenError> {
+        let token = parse_unauthenticated(path).ok_or(TokenError)?;
+        if !constant_time_eq(self.page_path(&token).as_bytes(), path.as_bytes()) {
             return Err(TokenError);
-        };
-        if page.len() > 19 || !page.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(TokenError);
-        }
-        let token = Token {
-            id,
-            page: page.parse().map_err(|_| TokenError)?,
-            known: Known { repeat, phase },
-        };
-        if same(self.path(&token).as_bytes(), path.as_bytes()) {
-            Ok(token)
-        } else {
-            Err(TokenError)
         }
+        Ok(token)
     }
 
-    /// Puts the path of a statement's course behind a text.
-    pub fn push_course_path(&self, out: &mut String, id: &QueryId) {
-        let from = out.len();
-        out.push_str("/v1/query/");
+    /// Appends the path at which the course of a statement is reported.
+    pub fn push_query_path(&self, out: &mut String, id: &QueryId) {
+        let path_start = out.len();
+        out.push_str(QUERY_PREFIX);
         out.push_str(id.as_str());
-        let code = self.code(&out.as_bytes()[from..]);
+        let code = self.authentication_code(&out.as_bytes()[path_start..]);
         out.push('/');
         out.push_str(std::str::from_utf8(&code).unwrap_or_default());
     }
 
-    /// The path of a statement's course.
-    pub fn course_path(&self, id: &QueryId) -> String {
-        let mut path = String::with_capacity(80);
-        self.push_course_path(&mut path, id);
+    /// The path at which the course of a statement is reported.
+    pub fn query_path(&self, id: &QueryId) -> String {
+        let mut path = String::with_capacity(QUERY_PATH_CAPACITY);
+        self.push_query_path(&mut path, id);
         path
     }
 
-    /// Reads the path of a statement's course.
-    pub fn read_course(&self, path: &str) -> Result<QueryId, TokenError> {
-        let rest = path.strip_prefix("/v1/query/").ok_or(TokenError)?;
+    /// Parses the path at which the course of a statement is reported.
+    ///
+    /// # Errors
+    ///
+    /// Where the path was not issued under this key, or any character of it was altered.
+    pub fn parse_query_path(&self, path: &str) -> Result<QueryId, TokenError> {
+        let rest = path.strip_prefix(QUERY_PREFIX).ok_or(TokenError)?;
         let id = QueryId::parse(rest.split('/').next().unwrap_or_default()).ok_or(TokenError)?;
-        if same(self.course_path(&id).as_bytes(), path.as_bytes()) {
-            Ok(id)
-        } else {
-            Err(TokenError)
+        if !constant_time_eq(self.query_path(&id).as_bytes(), path.as_bytes()) {
+            return Err(TokenError);
         }
+        Ok(id)
     }
 }
 
-/// Compares in time that does not tell where the difference is.
-fn same(a: &[u8], b: &[u8]) -> bool {
-    a.len() == b.len() && a.iter().zip(b).fold(0, |all, (x, y)| all | (x ^ y)) == 0
-}
-
-fn phase_name(phase: Phase) -> &'static str {
-    match phase {
-        Phase::Waiting => "queued",
-        Phase::Rows => "executing",
+/// Parses the path of a page without looking at its authentication code.
+fn parse_unauthenticated(path: &str) -> Option<PageToken> {
+    let mut parts = path.strip_prefix(PAGE_PREFIX)?.split('/');
+    let [Some(phase), Some(id), Some(code), Some(page), None] =
+        std::array::from_fn(|_| parts.next())
+    else {
+        return None;
+    };
+    let phase = Phase::ALL
+        .into_iter()
+        .find(|known| known.as_str() == phase)?;
+    // The code follows the letter of the idempotency.
+    let idempotency = Idempotency::ALL
+        .into_iter()
+        .find(|known| code.starts_with(known.as_str()))?;
+    let id = QueryId::parse(id)?;
+    if page.len() > MAX_PAGE_DIGITS || !page.bytes().all(|b| b.is_ascii_digit()) {
+        return None;
     }
+    Some(PageToken {
+        id,
+        page: page.parse().ok()?,
+        recovery: RecoveryState { idempotency, phase },
+    })
 }
 
-fn repeat_name(repeat: Repeat) -> &'static str {
-    match repeat {
-        Repeat::Safe => "s",
-        Repeat::Unsafe => "u",
-    }
+/// Compares in a time that does not depend on where the first difference is.
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
+    a.len() == b.len()
+        && a.iter()
+            .zip(b)
+            .fold(0, |difference, (x, y)| difference | (x ^ y))
+            == 0
 }
 
 #[cfg(test)]
--- a/crates/statement/tests/wire_form.rs
+++ b/crates/statement/tests/wire_form.rs
@@ -3,17 +3,16 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 use hoptiller_statement::discovery::{AnnouncedService, Announcement, NodeState};
-use hoptiller_statement::results::{QueryError, Stats};
 use hoptiller_statement::{
-    ErrorName, HeaderError, Key, Known, Phase, QueryId, QueryResults, Repeat, State, Token, client,
-    extra,
+    ErrorName, HeaderError, Idempotency, PageToken, Phase, QueryError, QueryId, QueryResults,
+    RecoveryState, State, Stats, TokenKey, client, extra,
 };
 
 #[test]
 fn error_names_codes_and_types_stay() {
     let all = ErrorName::ALL.map(|error| {
         let error_type = serde_json::to_string(&error.error_type()).expect("JSON");
-        let retryable = error.is_harmless();
+        let retryable = error.is_retryable();
         format!(
             "{} {:#x} {error_type} {retryable}",
             error.name(),
@@ -32,28 +31,31 @@
             r#"ABANDONED_QUERY 0x10006 "INTERNAL_ERROR" false"#,
         ]
     );
-    assert_eq!(ErrorName::KILLED, "ADMINISTRATIVELY_KILLED");
+    assert_eq!(
+        ErrorName::ADMINISTRATIVELY_KILLED,
+        "ADMINISTRATIVELY_KILLED"
+    );
 }
 
 #[test]
 fn token_paths_stay() {
-    let key = Key::new(b"secret", "r1");
+    let key = TokenKey::new(b"secret", "r1");
     let id = QueryId::new(UNIX_EPOCH + Duration::from_secs(1_796_083_200), 7, "ab12");
-    let token = |phase, repeat| Token {
+    let token = |phase, idempotency| PageToken {
         id: id.clone(),
         page: 12,
-        known: Known { repeat, phase },
+        recovery: RecoveryState { idempotency, phase },
     };
     assert_eq!(
-        key.path(&token(Phase::Waiting, Repeat::Unsafe)),
+        key.page_path(&token(Phase::Waiting, Idempotency::NotIdempotent)),
         "/v1/statement/queued/20261201_000000_00007_ab12/usvekozlo7ymbfpik/12"
     );
     assert_eq!(
-        key.path(&token(Phase::Rows, Repeat::Safe)),
+        key.page_path(&token(Phase::RowsDelivered, Idempotency::Idempotent)),
         "/v1/statement/executing/20261201_000000_00007_ab12/ss3dxozvaqlatvlhn/12"
     );
     assert_eq!(
-        key.course_path(&id),
+        key.query_path(&id),
         "/v1/query/20261201_000000_00007_ab12/ba4sldc4coeverr4"
     );
 }
@@ -65,10 +67,10 @@
         [
             names::USER,
             names::SOURCE,
-            names::TAGS,
+            names::CLIENT_TAGS,
             names::SESSION,
-            names::TRACE,
-            names::PATIENCE
+            names::TRACE_TOKEN,
+            names::MAX_RUN_TIME_PROPERTY
         ],
         [
             "X-Trino-User",
@@ -82,14 +84,14 @@
     assert_eq!(
         [
             extra::LOAD,
-            extra::NOTE,
-            extra::BEHIND,
+            extra::PROGRESS,
+            extra::BLOCKED_BY,
             extra::EFFECTS,
             extra::COST,
-            extra::TERMS,
+            extra::ATTEMPT_OPTIONS,
             extra::STATEMENT_ID,
             extra::CLASS,
-            extra::VERSIONS,
+            extra::CONFIG_VERSIONS,
             extra::ROUTER,
             extra::LEASE,
         ],
@@ -109,7 +111,7 @@
     );
     assert_eq!(extra::statement_name("r1", "ab12", 7), "r1/00007_ab12");
     assert_eq!(
-        extra::text(&[("cpu", 0.12349), ("in_flight", 3.0)]),
+        extra::format_numbers(&[("cpu", 0.12349), ("in_flight", 3.0)]),
         "cpu=0.123; in_flight=3"
     );
 }
@@ -117,12 +119,12 @@
 #[test]
 fn header_errors_keep_their_texts() {
     let errors = [
-        HeaderError::NoUser,
-        HeaderError::Twice("key"),
-        HeaderError::Size("key"),
-        HeaderError::Number("x".into()),
-        HeaderError::Estimate("0s".into()),
-        HeaderError::Duration("1x".into()),
+        HeaderError::MissingUser,
+        HeaderError::ConflictingTag("key"),
+        HeaderError::TagLength("key"),
+        HeaderError::InvalidSize("x".into()),
+        HeaderError::InvalidEstimate("0s".into()),
+        HeaderError::InvalidTimeout("1x".into()),
     ];
     assert_eq!(
         errors.map(|error| error.to_string()),
@@ -148,8 +150,8 @@
         next_uri: Some("n".into()),
         columns: None,
         data: None,
-        stats: Stats::of(State::Queued),
-        error: Some(QueryError::of(ErrorName::Refused, "no slot".into())),
+        stats: Stats::from_state(State::Queued),
+        error: Some(QueryError::from_name(ErrorName::Rejected, "no slot".into())),
         warnings: Vec::new(),
         update_type: None,
         update_count: Some(1),
