--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -19,7 +19,7 @@
 pub use duration::parse_duration;
 pub use error::{ErrorName, ErrorType};
 pub use query_id::QueryId;
-pub use results::{Column, FailureInfo, QueryError, QueryResults, State, Stats};
+pub use results::{FailureInfo, QueryError, QueryResults, State, Stats};
 pub use token::{Idempotency, PageToken, Phase, RecoveryState, TokenError, TokenKey};
 
 /// The path that statements are posted to.
--- a/crates/statement/src/results.rs
+++ b/crates/statement/src/results.rs
@@ -110,20 +110,6 @@
     }
 }
 
-/// A column of a result.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Column {
-    /// The name.
-    pub name: String,
-    /// The type as text.
-    #[serde(rename = "type")]
-    pub kind: String,
-    /// The structured type, by which clients parse values.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub type_signature: Option<Box<RawValue>>,
-}
-
 /// The error of a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
