--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -15,7 +15,9 @@
         self.abandon_expired(out);
         self.requeue_late(out);
         // Each open request takes a connection of its clients: with none left, new requests are not sent.
-        while let Some(id) = self.longest_late().filter(|_| self.open_requests_run_out()) {
+        while self.open_requests_run_out() {
+            let longest_open = self.late_heads().min_by_key(|id| (self.requests[id].started_at, *id));
+            let Some(id) = longest_open else { break };
             self.abandon(id, out);
         }
         self.unblock(out);
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -4,7 +4,7 @@
 
 use crate::endpoints::pair_hash;
 use crate::interface::{Action, DeduplicationScope, EngineId, Idempotency, Micros, Readiness, RequestId};
-use crate::state::{Controller, Engine, Request};
+use crate::state::{Controller, Engine, HoldState, Request};
 
 /// Time in which the load that an engine showed decays. If it decays too fast, a query from each of many
 /// gateways keeps an engine short of memory crawling.
@@ -109,6 +109,9 @@
         let class = &self.settings.classes[request.class];
         let max_load = || self.admission_threshold() + OVERLOAD_MARGIN;
         let healthy = |until| until <= self.now && class.idempotency == Idempotency::Idempotent;
+        let has_slot = |state: &HoldState| {
+            state.in_flight < state.hold.max_in_flight && !state.hold.excluded_engines.contains(&id)
+        };
         engine.entry.readiness == Readiness::Up
             && self.is_placement_allowed(request, engine)
             && engine.ejected_until.is_none_or(healthy)
@@ -117,7 +120,7 @@
             && (!self.window_enforced || self.decayed_load(engine) <= max_load())
             && !request.in_flight.iter().any(|(_, busy)| *busy == id)
             && self.fits_slow_start(request.class, id, engine)
-            && self.holds_on(request).all(|hold| hold.has_slot_at(id))
+            && self.holds_on(request).all(has_slot)
     }
 
     /// Zones and kinds of the class. A request with an idempotency key that may have run goes only to engines
@@ -127,15 +130,11 @@
         let within = |allowed: &Option<Vec<usize>>, value: Option<usize>| {
             allowed.as_ref().is_none_or(|set| value.is_some_and(|v| set.contains(&v)))
         };
-        let deduplicated = match (class.idempotency, request.possible_run) {
-            (Idempotency::WithKey { scope: DeduplicationScope::Zone, .. }, Some(run)) => {
-                engine.entry.zone == run.zone
-            }
-            (Idempotency::WithKey { scope: DeduplicationScope::Cell, .. }, Some(run)) => {
-                engine.entry.cell == run.cell
-            }
+        let deduplicated = request.possible_run.is_none_or(|run| match class.idempotency {
+            Idempotency::WithKey { scope: DeduplicationScope::Zone, .. } => engine.entry.zone == run.zone,
+            Idempotency::WithKey { scope: DeduplicationScope::Cell, .. } => engine.entry.cell == run.cell,
             _ => true,
-        };
+        });
         within(&class.zones, engine.entry.zone) && within(&class.kinds, engine.entry.kind) && deduplicated
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -225,13 +225,6 @@
     pub(crate) in_flight: u32,
 }
 
-impl HoldState {
-    /// Whether the hold leaves room for an attempt at an engine.
-    pub(crate) fn has_slot_at(&self, engine: EngineId) -> bool {
-        self.in_flight < self.hold.max_in_flight && !self.hold.excluded_engines.contains(&engine)
-    }
-}
-
 /// The decision module of one gateway: no I/O and no clock of its own.
 pub struct Controller {
     pub(crate) settings: Settings,
@@ -401,10 +394,9 @@
         self.classes.iter_mut().map(mean).collect()
     }
 
-    /// The queued late request that began first.
-    pub(crate) fn longest_late(&self) -> Option<RequestId> {
-        let late = (0..self.classes.len()).filter_map(|class| self.first_queued(class, true));
-        late.min_by_key(|id| (self.requests[id].started_at, *id))
+    /// The first late request of each class queue.
+    pub(crate) fn late_heads(&self) -> impl Iterator<Item = RequestId> {
+        (0..self.classes.len()).filter_map(|class| self.first_queued(class, true))
     }
 
     /// Removes what is older than the windows of the retry budget and of overload.
