--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -10,7 +10,7 @@
 use hoptiller_mock_servers::client::{Ask, Client, Manner};
 use hoptiller_policy::EngineId;
 use hoptiller_runaway::{Announced, AttemptId, End, KindId, Listed, News, Start, Watch};
-use hoptiller_sql::{Dialect, kind_of};
+use hoptiller_sql::{Dialect, normalize};
 use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
 
@@ -41,7 +41,7 @@
         let began = Instant::now();
         let mut times = 0u32;
         while began.elapsed() < Duration::from_millis(300) {
-            std::hint::black_box(kind_of(&text, Dialect::STANDARD));
+            std::hint::black_box(normalize(&text, Dialect::STANDARD));
             times += 1;
         }
         let each = began.elapsed().as_secs_f64() / f64::from(times);
--- a/crates/platform-protocol/src/group.rs
+++ b/crates/platform-protocol/src/group.rs
@@ -9,7 +9,7 @@
 /// `sales_17.orders`. Strings, comments and the schema `staging` don't count.
 pub fn group_of(text: &str) -> Option<u64> {
     let tokens: Vec<Token> = Lexer::new(text, Dialect::STANDARD)
-        .filter(|t| !t.is_blank())
+        .filter(|t| !t.is_trivia())
         .collect();
     let mut elsewhere = None;
     let mut at = 0;
@@ -41,7 +41,7 @@
 }
 
 fn is_name(token: &Token) -> bool {
-    matches!(token.kind, TokenKind::Word | TokenKind::Quoted)
+    matches!(token.kind, TokenKind::Word | TokenKind::QuotedIdentifier)
 }
 
 fn numbered(schema: &str) -> Option<u64> {
--- a/crates/sql/src/lexer.rs
+++ b/crates/sql/src/lexer.rs
@@ -1,17 +1,25 @@
-//! Owns how SQL text is cut into tokens. Each byte of the text belongs to exactly one token, in order, so that a
-//! reader can copy, skip or replace any part. Nothing is an error: what is not closed runs to the end of the
-//! text and says so, and a byte that starts nothing is a token of its own.
+//! Splits SQL text into tokens.
+//!
+//! Each byte of the text belongs to exactly one token, in order, so that a caller can copy, skip or replace any part.
+//! Nothing is an error: what is not terminated extends to the end of the text and is marked, and a character that starts
+//! no known token is a token of its own.
 //!
 //! Lexical rules: ISO/IEC 9075-2, section 5 (tokens, separators, literals); where products differ, [`Dialect`].
 
-/// Where products differ.
+/// Operators of several characters; longer ones before their prefixes.
+const LONG_OPERATORS: [&str; 16] = [
+    "<=>", "->>", "||", "<>", "!=", "<=", ">=", "=>", "->", "::", ":=", "==", "&&", "<<", ">>",
+    "..",
+];
+
+/// Lexical rules in which products differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// A backslash keeps the next character of a string from ending it (MySQL).
-    pub backslash: bool,
-    /// `"…"` is a string, not a name (MySQL without ANSI_QUOTES).
+    /// In a string, a backslash escapes the next character (MySQL).
+    pub backslash_escapes: bool,
+    /// `"…"` is a string, not an identifier (MySQL without ANSI_QUOTES).
     pub double_quoted_strings: bool,
-    /// `#` starts a comment that runs to the end of its line (MySQL).
+    /// `#` starts a comment that extends to the end of its line (MySQL).
     pub hash_comments: bool,
     /// `/* /* */ */` is one comment (PostgreSQL; the standard leaves it open).
     pub nested_comments: bool,
@@ -20,68 +28,94 @@
 impl Dialect {
     /// The standard, as Trino reads it.
     pub const STANDARD: Dialect = Dialect {
-        backslash: false,
+        backslash_escapes: false,
         double_quoted_strings: false,
         hash_comments: false,
         nested_comments: false,
     };
     /// MySQL's default modes.
     pub const MYSQL: Dialect = Dialect {
-        backslash: true,
+        backslash_escapes: true,
         double_quoted_strings: true,
         hash_comments: true,
         nested_comments: false,
     };
 }
 
-/// What a token is.
+/// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenKind {
-    /// Spaces, line ends.
-    Space,
+    /// Spaces and line ends.
+    Whitespace,
     /// `-- …`, `/* … */`, `# …`.
     Comment,
-    /// A keyword or a plain name.
+    /// A keyword or an identifier without quotes.
     Word,
-    /// A name in quotes: `"…"`, `` `…` ``.
-    Quoted,
-    /// A string: `'…'`.
+    /// An identifier in quotes: `"…"`, `` `…` ``.
+    QuotedIdentifier,
+    /// A string literal: `'…'`.
     String,
-    /// A number.
+    /// A numeric literal.
     Number,
-    /// A place for a value: `?`, `$1`, `:name`, `@name`.
+    /// A parameter: `?`, `$1`, `:name`, `@name`.
     Parameter,
-    /// An operator, a bracket, a comma: one character, or one operator of several.
+    /// An operator, a bracket, a comma.
     Symbol,
-    /// A byte that starts nothing known.
-    Other,
+    /// A character that starts no known token.
+    Unknown,
 }
 
-/// A token: its kind, and the bytes that it takes.
+/// A token and its place in the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token<'a> {
-    /// What it is.
+    /// Its kind.
     pub kind: TokenKind,
-    /// Its text, as it stands.
+    /// Its text, unchanged.
     pub text: &'a str,
     /// Byte offset of its start.
-    pub at: usize,
-    /// False where a string, a quoted name or a comment is not closed.
-    pub closed: bool,
+    pub offset: usize,
+    /// False for a string, a quoted identifier or a comment that lacks its end.
+    pub is_terminated: bool,
 }
 
 impl Token<'_> {
-    /// Whether a reader of meaning passes over it.
-    pub fn is_blank(&self) -> bool {
-        matches!(self.kind, TokenKind::Space | TokenKind::Comment)
+    /// Whether it is whitespace or a comment, which have no meaning.
+    pub fn is_trivia(&self) -> bool {
+        matches!(self.kind, TokenKind::Whitespace | TokenKind::Comment)
+    }
+}
+
+/// What the lexer recognized at the current offset.
+struct Lexeme {
+    kind: TokenKind,
+    /// Byte offset of its end.
+    end: usize,
+    is_terminated: bool,
+}
+
+impl Lexeme {
+    fn terminated(kind: TokenKind, end: usize) -> Lexeme {
+        Lexeme {
+            kind,
+            end,
+            is_terminated: true,
+        }
+    }
+
+    fn unterminated(kind: TokenKind, end: usize) -> Lexeme {
+        Lexeme {
+            kind,
+            end,
+            is_terminated: false,
+        }
     }
 }
 
-/// Cuts a text into tokens.
+/// An iterator over the tokens of a text.
 #[derive(Clone, Debug)]
 pub struct Lexer<'a> {
     text: &'a str,
-    at: usize,
+    offset: usize,
     dialect: Dialect,
 }
 
@@ -90,7 +124,7 @@
     pub fn new(text: &'a str, dialect: Dialect) -> Lexer<'a> {
         Lexer {
             text,
-            at: 0,
+            offset: 0,
             dialect,
         }
     }
@@ -99,160 +133,168 @@
         self.text.as_bytes().get(at).copied()
     }
 
-    /// The end of the run from `at` whose characters are as wanted.
-    fn run(&self, at: usize, wanted: impl Fn(char) -> bool) -> usize {
-        self.text[at..]
-            .find(|c| !wanted(c))
-            .map_or(self.text.len(), |n| at + n)
+    /// Recognizes the token at the current offset; `None` at the end of the text.
+    fn recognize(&self) -> Option<Lexeme> {
+        let start = self.offset;
+        let first = self.text[start..].chars().next()?;
+        let next = start + first.len_utf8();
+        let second = self.byte(next);
+        let lexeme = match first {
+            c if c.is_whitespace() => Lexeme::terminated(
+                TokenKind::Whitespace,
+                self.end_of_run(start, char::is_whitespace),
+            ),
+            '-' if second == Some(b'-') => self.line_comment(start),
+            '#' if self.dialect.hash_comments => self.line_comment(start),
+            '/' if second == Some(b'*') => self.block_comment(start),
+            '\'' => self.string(start, b'\''),
+            '"' if self.dialect.double_quoted_strings => self.string(start, b'"'),
+            '"' => self.quoted(start, TokenKind::QuotedIdentifier, b'"', false),
+            '`' => self.quoted(start, TokenKind::QuotedIdentifier, b'`', false),
+            c if c.is_ascii_digit() => self.number(start),
+            '.' if is_digit(second) => self.number(start),
+            c if is_word_start(c) => {
+                Lexeme::terminated(TokenKind::Word, self.end_of_run(start, is_word_part))
+            }
+            '?' => Lexeme::terminated(TokenKind::Parameter, next),
+            '$' if is_digit(second) => Lexeme::terminated(
+                TokenKind::Parameter,
+                self.end_of_run(next, |c| c.is_ascii_digit()),
+            ),
+            ':' | '@' if second.is_some_and(|b| b.is_ascii_alphabetic() || b == b'_') => {
+                Lexeme::terminated(TokenKind::Parameter, self.end_of_run(next, is_word_part))
+            }
+            c if c.is_ascii_punctuation() => self.symbol(start),
+            _ => Lexeme::terminated(TokenKind::Unknown, next),
+        };
+        Some(lexeme)
+    }
+
+    /// The end of the longest run from `start` whose characters are all accepted.
+    fn end_of_run(&self, start: usize, accepts: impl Fn(char) -> bool) -> usize {
+        self.text[start..]
+            .find(|c| !accepts(c))
+            .map_or(self.text.len(), |length| start + length)
     }
 
-    fn line_end(&self, at: usize) -> usize {
-        self.text[at..]
-            .find('\n')
-            .map_or(self.text.len(), |n| at + n)
+    /// A comment up to the end of its line.
+    fn line_comment(&self, start: usize) -> Lexeme {
+        Lexeme::terminated(TokenKind::Comment, self.end_of_run(start, |c| c != '\n'))
     }
 
-    /// The end of a block comment that starts at `at`, and whether it is closed.
-    fn block(&self, at: usize) -> (usize, bool) {
+    /// A comment in `/* */`.
+    fn block_comment(&self, start: usize) -> Lexeme {
         let bytes = self.text.as_bytes();
-        let (mut depth, mut i) = (1usize, at + 2);
-        while i + 1 < bytes.len() {
-            match (bytes[i], bytes[i + 1]) {
+        let mut depth = 1usize;
+        let mut at = start + 2;
+        while at + 1 < bytes.len() {
+            match (bytes[at], bytes[at + 1]) {
                 (b'*', b'/') => {
                     depth -= 1;
-                    i += 2;
+                    at += 2;
                     if depth == 0 {
-                        return (i, true);
+                        return Lexeme::terminated(TokenKind::Comment, at);
                     }
                 }
                 (b'/', b'*') if self.dialect.nested_comments => {
                     depth += 1;
-                    i += 2;
+                    at += 2;
                 }
-                _ => i += 1,
+                _ => at += 1,
             }
         }
-        (bytes.len(), false)
+        Lexeme::unterminated(TokenKind::Comment, bytes.len())
     }
 
-    /// The end of what a quote at `at` opens; a doubled quote stands for one.
-    fn quoted(&self, at: usize, quote: u8, backslash: bool) -> (usize, bool) {
+    /// A string literal.
+    fn string(&self, start: usize, quote: u8) -> Lexeme {
+        self.quoted(
+            start,
+            TokenKind::String,
+            quote,
+            self.dialect.backslash_escapes,
+        )
+    }
+
+    /// A token in quotes; a doubled quote stands for one.
+    fn quoted(&self, start: usize, kind: TokenKind, quote: u8, backslash_escapes: bool) -> Lexeme {
         let bytes = self.text.as_bytes();
-        let mut i = at + 1;
-        while i < bytes.len() {
-            match bytes[i] {
-                b if b == quote && self.byte(i + 1) == Some(quote) => i += 2,
-                b if b == quote => return (i + 1, true),
-                b'\\' if backslash => i += 2,
-                _ => i += 1,
+        let mut at = start + 1;
+        while at < bytes.len() {
+            match bytes[at] {
+                byte if byte == quote && self.byte(at + 1) == Some(quote) => at += 2,
+                byte if byte == quote => return Lexeme::terminated(kind, at + 1),
+                b'\\' if backslash_escapes => at += 2,
+                _ => at += 1,
             }
         }
-        (bytes.len(), false)
+        Lexeme::unterminated(kind, bytes.len())
     }
 
-    /// The end of a number at `at`: digits with `_`, a fraction, an exponent; or hexadecimal, octal, binary.
-    fn number(&self, at: usize) -> usize {
+    /// A number: digits with `_`, a fraction, an exponent; or hexadecimal, octal, binary.
+    fn number(&self, start: usize) -> Lexeme {
+        Lexeme::terminated(TokenKind::Number, self.end_of_number(start))
+    }
+
+    fn end_of_number(&self, start: usize) -> usize {
         if let (Some(b'0'), Some(b'x' | b'X' | b'o' | b'O' | b'b' | b'B')) =
-            (self.byte(at), self.byte(at + 1))
-            && self.byte(at + 2).is_some_and(|b| b.is_ascii_hexdigit())
+            (self.byte(start), self.byte(start + 1))
+            && self.byte(start + 2).is_some_and(|b| b.is_ascii_hexdigit())
         {
-            return self.run(at + 2, |c| c.is_ascii_hexdigit() || c == '_');
+            return self.end_of_run(start + 2, |c| c.is_ascii_hexdigit() || c == '_');
         }
-        let digits = |c: char| c.is_ascii_digit() || c == '_';
-        let mut end = self.run(at, digits);
+        let is_digit_or_separator = |c: char| c.is_ascii_digit() || c == '_';
+        let mut end = self.end_of_run(start, is_digit_or_separator);
         if self.byte(end) == Some(b'.') {
-            end = self.run(end + 1, digits);
+            end = self.end_of_run(end + 1, is_digit_or_separator);
         }
         if matches!(self.byte(end), Some(b'e' | b'E')) {
-            let sign = usize::from(matches!(self.byte(end + 1), Some(b'+' | b'-')));
-            if self
-                .byte(end + 1 + sign)
-                .is_some_and(|b| b.is_ascii_digit())
-            {
-                end = self.run(end + 1 + sign, |c| c.is_ascii_digit());
+            let sign_length = usize::from(matches!(self.byte(end + 1), Some(b'+' | b'-')));
+            let exponent = end + 1 + sign_length;
+            if is_digit(self.byte(exponent)) {
+                end = self.end_of_run(exponent, |c| c.is_ascii_digit());
             }
         }
         end
     }
 
-    fn symbol(&self, at: usize) -> usize {
-        // Operators of several characters; longer ones first.
-        const LONG: [&str; 16] = [
-            "<=>", "->>", "||", "<>", "!=", "<=", ">=", "=>", "->", "::", ":=", "==", "&&", "<<",
-            ">>", "..",
-        ];
-        let rest = &self.text[at..];
-        LONG.iter()
-            .find(|op| rest.starts_with(**op))
-            .map_or(at + 1, |op| at + op.len())
+    /// An operator or another punctuation character.
+    fn symbol(&self, start: usize) -> Lexeme {
+        let rest = &self.text[start..];
+        let length = LONG_OPERATORS
+            .iter()
+            .find(|operator| rest.starts_with(**operator))
+            .map_or(1, |operator| operator.len());
+        Lexeme::terminated(TokenKind::Symbol, start + length)
     }
 }
 
-fn starts_word(c: char) -> bool {
-    c.is_alphabetic() || c == '_'
-}
-
-fn goes_on(c: char) -> bool {
-    c.is_alphanumeric() || c == '_' || c == '$'
-}
-
 impl<'a> Iterator for Lexer<'a> {
     type Item = Token<'a>;
 
     fn next(&mut self) -> Option<Token<'a>> {
-        let at = self.at;
-        let first = self.text[at..].chars().next()?;
-        let second = self.byte(at + first.len_utf8());
-        let is_digit = |b: Option<u8>| b.is_some_and(|b| b.is_ascii_digit());
-        let is_name = |b: Option<u8>| b.is_some_and(|b| b.is_ascii_alphabetic() || b == b'_');
-        let open = |kind, end| (kind, end, true);
-        let (kind, end, closed) = match first {
-            c if c.is_whitespace() => open(TokenKind::Space, self.run(at, char::is_whitespace)),
-            '-' if second == Some(b'-') => open(TokenKind::Comment, self.line_end(at)),
-            '#' if self.dialect.hash_comments => open(TokenKind::Comment, self.line_end(at)),
-            '/' if second == Some(b'*') => {
-                let (end, closed) = self.block(at);
-                (TokenKind::Comment, end, closed)
-            }
-            '\'' => {
-                let (end, closed) = self.quoted(at, b'\'', self.dialect.backslash);
-                (TokenKind::String, end.min(self.text.len()), closed)
-            }
-            '"' => {
-                let strings = self.dialect.double_quoted_strings;
-                let (end, closed) = self.quoted(at, b'"', strings && self.dialect.backslash);
-                let kind = if strings {
-                    TokenKind::String
-                } else {
-                    TokenKind::Quoted
-                };
-                (kind, end.min(self.text.len()), closed)
-            }
-            '`' => {
-                let (end, closed) = self.quoted(at, b'`', false);
-                (TokenKind::Quoted, end, closed)
-            }
-            c if c.is_ascii_digit() => open(TokenKind::Number, self.number(at)),
-            '.' if is_digit(second) => open(TokenKind::Number, self.number(at)),
-            c if starts_word(c) => open(TokenKind::Word, self.run(at, goes_on)),
-            '?' => open(TokenKind::Parameter, at + 1),
-            '$' if is_digit(second) => open(
-                TokenKind::Parameter,
-                self.run(at + 1, |c| c.is_ascii_digit()),
-            ),
-            ':' | '@' if is_name(second) => open(TokenKind::Parameter, self.run(at + 1, goes_on)),
-            c if c.is_ascii_punctuation() => open(TokenKind::Symbol, self.symbol(at)),
-            c => open(TokenKind::Other, at + c.len_utf8()),
-        };
-        self.at = end;
+        let lexeme = self.recognize()?;
+        let offset = std::mem::replace(&mut self.offset, lexeme.end);
         Some(Token {
-            kind,
-            text: &self.text[at..end],
-            at,
-            closed,
+            kind: lexeme.kind,
+            text: &self.text[offset..lexeme.end],
+            offset,
+            is_terminated: lexeme.is_terminated,
         })
     }
 }
 
+fn is_digit(byte: Option<u8>) -> bool {
+    byte.is_some_and(|byte| byte.is_ascii_digit())
+}
+
+fn is_word_start(c: char) -> bool {
+    c.is_alphabetic() || c == '_'
+}
+
+fn is_word_part(c: char) -> bool {
+    c.is_alphanumeric() || c == '_' || c == '$'
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/sql/src/lexer/tests.rs
+++ b/crates/sql/src/lexer/tests.rs
@@ -3,19 +3,19 @@
 
 fn tokens(text: &str, dialect: Dialect) -> Vec<(TokenKind, &str)> {
     Lexer::new(text, dialect)
-        .filter(|t| t.kind != Space)
+        .filter(|t| t.kind != Whitespace)
         .map(|t| (t.kind, t.text))
         .collect()
 }
 
 #[test]
-fn tokens_of_the_standard() {
+fn standard_dialect_tokens() {
     let text = "SELECT a.\"b \"\"c\", 'it''s' || x'0F' -- to the end\n FROM t1 WHERE x>=-1.5e-3 /* no /* nest */;";
     let want = [
         (Word, "SELECT"),
         (Word, "a"),
         (Symbol, "."),
-        (Quoted, "\"b \"\"c\""),
+        (QuotedIdentifier, "\"b \"\"c\""),
         (Symbol, ","),
         (String, "'it''s'"),
         (Symbol, "||"),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn products_differ_in_quotes_and_comments() {
+fn dialects_differ_in_quotes_and_comments() {
     let text = r#"'a\'b' "c" # d"#;
     let want = [(String, r"'a\'b'"), (String, "\"c\""), (Comment, "# d")];
     assert_eq!(tokens(text, Dialect::MYSQL), want);
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn what_is_not_closed_says_so_and_ends_with_the_text() {
+fn unterminated_tokens_extend_to_the_end_and_are_marked() {
     for text in ["'abc", "\"abc", "`abc", "/* abc", "/*", "/*/", "'a''", "'"] {
         let all: Vec<Token> = Lexer::new(text, Dialect::STANDARD).collect();
         assert!(
-            all.len() == 1 && !all[0].closed && all[0].text == text,
+            all.len() == 1 && !all[0].is_terminated && all[0].text == text,
             "{text}: {all:?}"
         );
     }
     let all: Vec<Token> = Lexer::new("'a\\", Dialect::MYSQL).collect();
-    assert!(all.len() == 1 && !all[0].closed);
+    assert!(all.len() == 1 && !all[0].is_terminated);
 }
--- a/crates/sql/src/kind/tests.rs
+++ b/crates/sql/src/normalize/tests.rs
@@ -1,18 +1,20 @@
 use super::*;
+use crate::fingerprint::MAX_LABEL_BYTES;
 
-fn kind(text: &str) -> Kind {
-    kind_of(text, Dialect::STANDARD)
+fn normalized(text: &str) -> NormalizedStatement {
+    normalize(text, Dialect::STANDARD)
 }
 
 fn label(text: &str) -> String {
-    kind(text).label
+    normalized(text).label
 }
 
 #[test]
-fn values_spaces_comments_case_and_quotes_are_folded() {
-    let one =
-        kind("SELECT name FROM rent WHERE id = 7 AND due < DATE '2026-12-01' AND paid = true");
-    let two = kind(
+fn values_whitespace_comments_case_and_plain_quotes_are_normalized() {
+    let one = normalized(
+        "SELECT name FROM rent WHERE id = 7 AND due < DATE '2026-12-01' AND paid = true",
+    );
+    let two = normalized(
         "select  \"name\"\n from Rent -- by id\nwhere ID=-8.5e3 and due<date '1999-01-01' /* x */ and paid = ?;",
     );
     assert_eq!(
@@ -23,23 +25,24 @@
 }
 
 #[test]
-fn lists_and_rows_become_one_and_are_counted() {
-    let one = kind("SELECT * FROM rent WHERE id IN (1)");
-    let many = kind("SELECT * FROM rent WHERE id IN (1, -2, 'x', $4)");
+fn value_lists_and_rows_collapse_and_are_counted() {
+    let one = normalized("SELECT * FROM rent WHERE id IN (1)");
+    let many = normalized("SELECT * FROM rent WHERE id IN (1, -2, 'x', $4)");
     assert_eq!(one.fingerprint, many.fingerprint);
     assert_eq!((one.size, many.size), (1, 4));
     assert_eq!(one.label, "select * from rent where id in (?+)");
-    let rows =
-        kind("INSERT INTO rent (a, b) VALUES (1, now(), 'x'), (2, now(), 'y'), (3, now(), 'z')");
-    let row = kind("insert into rent (a,b) values (9, now(), 'q')");
+    let rows = normalized(
+        "INSERT INTO rent (a, b) VALUES (1, now(), 'x'), (2, now(), 'y'), (3, now(), 'z')",
+    );
+    let row = normalized("insert into rent (a,b) values (9, now(), 'q')");
     assert_eq!((rows.fingerprint, rows.size), (row.fingerprint, 3));
-    let more = kind("INSERT INTO rent VALUES (1), (2), (3, 4) ON CONFLICT DO NOTHING");
+    let more = normalized("INSERT INTO rent VALUES (1), (2), (3, 4) ON CONFLICT DO NOTHING");
     assert_eq!(more.size, 3);
     assert!(label("INSERT INTO r VALUES (1), (f(2))").ends_with("( f ( ? ) )"));
 }
 
 #[test]
-fn other_statements_are_other_kinds() {
+fn different_statements_have_different_fingerprints() {
     let texts = [
         "SELECT a FROM t",
         "SELECT b FROM t",
@@ -62,15 +65,15 @@
         "?",
     ];
     let prints: std::collections::BTreeSet<u64> =
-        texts.iter().map(|t| kind(t).fingerprint.0).collect();
+        texts.iter().map(|t| normalized(t).fingerprint.0).collect();
     // The last two are a value each.
     assert_eq!(prints.len(), texts.len() - 1);
 }
 
 #[test]
-fn no_value_is_kept_for_people_and_labels_are_bounded() {
+fn labels_hold_no_values_and_are_bounded() {
     let secret = "SELECT * FROM t WHERE a = 'hunter2' AND b IN ('hunter2', 'x') AND c = 'hunter2";
     assert!(!label(secret).contains("hunter2"), "{}", label(secret));
     let long = format!("SELECT {} FROM t", "ä_very_long_name, ".repeat(1000));
-    assert!(label(&long).len() <= LABEL + 1);
+    assert!(label(&long).len() <= MAX_LABEL_BYTES + 1);
 }
--- a/crates/sql/tests/generated.rs
+++ b/crates/sql/tests/generated.rs
@@ -1,6 +1,6 @@
 //! Generated texts: nothing is lost, nothing panics, and what must not matter does not.
 
-use hoptiller_sql::{Dialect, Lexer, TokenKind, kind_of};
+use hoptiller_sql::{Dialect, Lexer, TokenKind, normalize};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -48,11 +48,11 @@
     #![proptest_config(config())]
 
     #[test]
-    fn every_byte_is_in_one_token(text in prop_oneof![nasty(), any::<String>()]) {
+    fn every_byte_is_in_exactly_one_token(text in prop_oneof![nasty(), any::<String>()]) {
         for dialect in [Dialect::STANDARD, Dialect::MYSQL] {
             let mut at = 0;
             for token in Lexer::new(&text, dialect) {
-                prop_assert_eq!(token.at, at);
+                prop_assert_eq!(token.offset, at);
                 prop_assert!(!token.text.is_empty());
                 at += token.text.len();
             }
@@ -61,41 +61,41 @@
     }
 
     #[test]
-    fn any_text_has_a_kind_and_the_same_one_again(text in prop_oneof![nasty(), any::<String>()]) {
-        let kind = kind_of(&text, Dialect::STANDARD);
-        prop_assert!(kind.size >= 1 && kind.label.len() <= hoptiller_sql::kind::LABEL + 1);
-        prop_assert_eq!(kind, kind_of(&text, Dialect::STANDARD));
+    fn any_text_is_normalized_deterministically(text in prop_oneof![nasty(), any::<String>()]) {
+        let normalized = normalize(&text, Dialect::STANDARD);
+        prop_assert!(normalized.size >= 1 && normalized.label.len() <= hoptiller_sql::MAX_LABEL_BYTES + 1);
+        prop_assert_eq!(normalized, normalize(&text, Dialect::STANDARD));
     }
 
     #[test]
-    fn values_and_what_stands_between_words_do_not_matter(parts in parts()) {
+    fn values_and_trivia_do_not_change_the_fingerprint(parts in parts()) {
         let plain = text(&parts, &["1"], " ");
-        let kind = kind_of(&plain, Dialect::STANDARD);
+        let normalized = normalize(&plain, Dialect::STANDARD);
         for (values, space) in [
             (&["'it''s'", "2.5e3", "?", "$7", "TRUE", "'/*'"][..], "\n\t"),
             (&["'--'", ":x", "0xFF"][..], " /* a ' comment */ "),
             (&["9"][..], " -- one\n"),
         ] {
             let other = text(&parts, values, space);
-            prop_assert_eq!(&kind, &kind_of(&other, Dialect::STANDARD), "{} / {}", plain, other);
+            prop_assert_eq!(&normalized, &normalize(&other, Dialect::STANDARD), "{} / {}", plain, other);
         }
-        prop_assert_eq!(&kind, &kind_of(&plain.to_uppercase(), Dialect::STANDARD));
+        prop_assert_eq!(&normalized, &normalize(&plain.to_uppercase(), Dialect::STANDARD));
     }
 
     #[test]
-    fn words_matter(parts in parts(), at in any::<prop::sample::Index>()) {
+    fn words_change_the_fingerprint(parts in parts(), at in any::<prop::sample::Index>()) {
         let mut other = parts.clone();
         let at = at.index(other.len());
         prop_assume!(other[at] != "VALUE");
         other[at] = "something_else";
         let prints = [text(&parts, &["1"], " "), text(&other, &["1"], " ")]
-            .map(|t| kind_of(&t, Dialect::STANDARD).fingerprint);
+            .map(|t| normalize(&t, Dialect::STANDARD).fingerprint);
         // A word that stands in the second of two rows alike makes them differ, too.
         prop_assert_ne!(prints[0], prints[1]);
     }
 
     #[test]
-    fn literals_are_found_whole(value in "[a-z \\-/*\"`]{0,20}") {
+    fn string_literals_are_single_tokens(value in "[a-z \\-/*\"`]{0,20}") {
         let quoted = format!("'{}'", value.replace('\'', "''"));
         let text = format!("a {quoted} b");
         let strings: Vec<_> = Lexer::new(&text, Dialect::STANDARD).filter(|t| t.kind == TokenKind::String).collect();
--- a/crates/statement-router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -175,7 +175,7 @@
             .and_then(|source| settings.class(source)),
     };
     let class = named.unwrap_or(settings.default_class);
-    let kind = hoptiller_sql::kind_of(&text, hoptiller_sql::Dialect::STANDARD);
+    let kind = hoptiller_sql::normalize(&text, hoptiller_sql::Dialect::STANDARD);
     let announced = Announced {
         size: headers.size.unwrap_or(kind.size),
         estimate: headers.estimate.map(|e| e.as_micros() as u64),
