--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::leases::{Leases, leases};
-use crate::record::{How, Record};
+use crate::leases::{LeaseReport, leases};
+use crate::record::{Outcome, Record, SentVersions};
 
 /// What the rules are here.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rules {
     /// Classes by name.
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, ClassRules>,
     /// Nothing new to an engine later than this after its drain was told, in µs.
     pub drain_grace: u64,
     /// Attempts at a statement at most.
@@ -20,36 +20,45 @@
     #[serde(default)]
     pub order_pause: u64,
     /// Attempts beyond the first: so many, and so many per statement taken, within a span in µs.
-    pub budget: Option<(f64, f64, u64)>,
+    #[serde(rename = "budget")]
+    pub retry_budget: Option<RetryBudget>,
     /// Where routers agree on versions: what the records are held against.
     #[serde(default)]
-    pub agreement: Option<Agreement>,
+    #[serde(rename = "agreement")]
+    pub versions: Option<VersionRules>,
 }
 
 /// What is promised of versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreement {
+pub struct VersionRules {
     /// Acts under versions that contradict each other may overlap for so long, in µs.
-    pub overlap: u64,
+    #[serde(rename = "overlap")]
+    pub max_overlap: u64,
     /// Versions that contradict nothing in the version before them.
     #[serde(default)]
-    pub neutral: BTreeSet<u64>,
+    #[serde(rename = "neutral")]
+    pub compatible: BTreeSet<u64>,
     /// A part of a task may be done by nobody for so long, in µs; `None`: not judged.
     #[serde(default)]
-    pub unheld: Option<u64>,
+    #[serde(rename = "unheld")]
+    pub max_unheld: Option<u64>,
 }
 
 /// What the rules say of a class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Class {
+pub struct ClassRules {
     /// It must never take effect twice.
-    pub never_twice: bool,
+    #[serde(rename = "never_twice")]
+    pub non_idempotent: bool,
     /// Same keys run one at a time, in the order taken.
-    pub in_order: bool,
+    #[serde(rename = "in_order")]
+    pub ordered: bool,
     /// Machine kinds that it may run on; all where empty.
-    pub kinds: BTreeSet<String>,
+    #[serde(rename = "kinds")]
+    pub machine_kinds: BTreeSet<String>,
     /// An answer within this is on time, in µs...
-    pub aim: u64,
+    #[serde(rename = "aim")]
+    pub latency_objective: u64,
     /// ...and later by this times its work over its threads.
     #[serde(default)]
     pub stretch: f64,
@@ -60,22 +69,25 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// Which, 1 to 7; 8: routers act on versions that contradict each other; 9: two do a task that is one's, or none does.
     pub rule: u8,
     /// What was seen.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
-/// How statements of a class fared.
+/// Outcome statements of a class fared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct ClassTally {
     /// Submitted.
     pub submitted: u64,
     /// Taken.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub admitted: u64,
     /// Not taken.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
     /// Served.
     pub served: u64,
     /// Served after the aim.
@@ -85,37 +97,84 @@
     /// Failed.
     pub failed: u64,
     /// Left by their clients.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub cancelled: u64,
     /// Held by a router that was killed, and not answered since.
     pub lost: u64,
     /// Attempts at engines.
     pub attempts: u64,
     /// Effects in the ledger.
-    pub postings: u64,
+    #[serde(rename = "postings")]
+    pub effects: u64,
 }
 
 /// The verdict.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     /// What was broken.
-    pub breaks: Vec<Break>,
-    /// How each class fared.
-    pub classes: BTreeMap<String, Tally>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
+    /// Outcome each class fared.
+    pub classes: BTreeMap<String, ClassTally>,
     /// The longest overlap of acts under contradicting versions, in µs, and how many acts overlapped; `None` where
     /// nothing was sent under versions.
-    pub overlap: Option<(u64, u64)>,
+    pub overlap: Option<VersionOverlap>,
     /// What was seen of leases; `None` where nothing was done under one.
-    pub leases: Option<Leases>,
+    pub leases: Option<LeaseReport>,
 }
 
 impl Verdict {
     fn add(&mut self, rule: u8, what: String) {
-        self.breaks.push(Break { rule, what });
+        self.violations.push(Violation {
+            rule,
+            description: what,
+        });
     }
 
     /// The rules that were broken.
     pub fn rules_broken(&self) -> BTreeSet<u8> {
-        self.breaks.iter().map(|b| b.rule).collect()
+        self.violations.iter().map(|b| b.rule).collect()
+    }
+}
+
+/// The retry budget of a router: within each `span`, at most `spare + ratio × admitted` retries. Stored as the sequence
+/// `[spare, ratio, span]`.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, u64)", into = "(f64, f64, u64)")]
+pub struct RetryBudget {
+    /// Retries allowed whatever was admitted.
+    pub spare: f64,
+    /// Retries allowed per statement admitted.
+    pub ratio: f64,
+    /// Length of the window, in µs.
+    pub span: u64,
+}
+
+impl From<(f64, f64, u64)> for RetryBudget {
+    fn from((spare, ratio, span): (f64, f64, u64)) -> Self {
+        Self { spare, ratio, span }
+    }
+}
+
+impl From<RetryBudget> for (f64, f64, u64) {
+    fn from(budget: RetryBudget) -> Self {
+        (budget.spare, budget.ratio, budget.span)
+    }
+}
+
+/// Overlap of attempts under contradicting versions. Printed as the sequence `[longest, acts]`.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+#[serde(into = "(u64, u64)")]
+pub struct VersionOverlap {
+    /// The longest overlap, in µs.
+    pub longest: u64,
+    /// Attempts that overlapped.
+    pub acts: u64,
+}
+
+impl From<VersionOverlap> for (u64, u64) {
+    fn from(overlap: VersionOverlap) -> Self {
+        (overlap.longest, overlap.acts)
     }
 }
 
@@ -128,7 +187,7 @@
     at: u64,
     gives_up: u64,
     taken: Option<u64>,
-    finals: Vec<(u64, How)>,
+    finals: Vec<(u64, Outcome)>,
     first_rows: Option<u64>,
     left: bool,
     gave_up: bool,
@@ -142,14 +201,14 @@
     no_effect_twice(records, &requests, rules, &mut verdict);
     drains(records, rules, &mut verdict);
     for record in records {
-        if let Record::Fell { at, engine } = record {
+        if let Record::EngineCrashed { at, engine } = record {
             verdict.add(4, format!("engine {engine} was pushed over at {at}"));
         }
     }
     order(records, &requests, rules, &mut verdict);
     placement(records, rules, &mut verdict);
     attempts(records, &requests, rules, &mut verdict);
-    if let Some(agreement) = &rules.agreement {
+    if let Some(agreement) = &rules.versions {
         versions(records, agreement, &mut verdict);
         let mut broken = Vec::new();
         verdict.leases = leases(records, agreement, |what| broken.push(what));
@@ -160,7 +219,7 @@
 
 /// What was sent under versions, in the order of time: an act under one that is over, while a later one that contradicts
 /// it has been acted on alone, overlaps with it. What was sent in doubt is outside the promise, and left out.
-fn versions(records: &[Record], agreement: &Agreement, verdict: &mut Verdict) {
+fn versions(records: &[Record], agreement: &VersionRules, verdict: &mut Verdict) {
     // By version in force: the first act under it, and whose.
     let mut first: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
     let (mut longest, mut overlapping, mut any) = (0, 0, false);
@@ -170,7 +229,12 @@
             engine,
             router,
             trace,
-            versions: Some((in_force, heeds, false)),
+            versions:
+                Some(SentVersions {
+                    in_force,
+                    enforced: heeds,
+                    in_doubt: false,
+                }),
             ..
         } = record
         else {
@@ -181,14 +245,14 @@
         // The first act under a version that this one does not heed, and that contradicts it.
         let later = first
             .range(heeds + 1..)
-            .find(|(v, _)| (heeds + 1..=**v).any(|n| !agreement.neutral.contains(&n)));
+            .find(|(v, _)| (heeds + 1..=**v).any(|n| !agreement.compatible.contains(&n)));
         let Some((version, (since, other))) = later else {
             continue;
         };
         let overlap = at.saturating_sub(*since);
         overlapping += 1;
         longest = longest.max(overlap);
-        if overlap > agreement.overlap {
+        if overlap > agreement.max_overlap {
             verdict.add(
                 8,
                 format!(
@@ -199,7 +263,10 @@
             );
         }
     }
-    verdict.overlap = any.then_some((longest, overlapping));
+    verdict.overlap = any.then_some(VersionOverlap {
+        longest,
+        acts: overlapping,
+    });
 }
 
 fn requests<'a>(records: &'a [Record], verdict: &mut Verdict) -> BTreeMap<u64, Request<'a>> {
@@ -213,7 +280,7 @@
                 router,
                 class,
                 key,
-                gives_up,
+                deadline: gives_up,
             } => {
                 verdict.classes.entry(class.clone()).or_default().submitted += 1;
                 let (at, gives_up, key) = (*at, *gives_up, key.as_deref());
@@ -230,17 +297,17 @@
                     },
                 );
             }
-            Record::Taken { at, request } => with(&mut all, *request, |r| r.taken = Some(*at)),
-            Record::Rows { at, request, .. } => with(&mut all, *request, |r| {
+            Record::Admitted { at, request } => with(&mut all, *request, |r| r.taken = Some(*at)),
+            Record::RowsReceived { at, request, .. } => with(&mut all, *request, |r| {
                 r.first_rows.get_or_insert(*at);
                 if !r.finals.is_empty() {
-                    r.finals.push((*at, How::Served));
+                    r.finals.push((*at, Outcome::Served));
                 }
             }),
             Record::Answered {
                 at,
                 request,
-                how,
+                outcome: how,
                 error,
             } => {
                 with(&mut all, *request, |r| r.finals.push((*at, *how)));
@@ -252,9 +319,9 @@
                     );
                 }
             }
-            Record::Left { request, .. } => with(&mut all, *request, |r| r.left = true),
-            Record::GaveUp { request, .. } => with(&mut all, *request, |r| r.gave_up = true),
-            Record::Changed { at, request } => {
+            Record::Cancelled { request, .. } => with(&mut all, *request, |r| r.left = true),
+            Record::TimedOut { request, .. } => with(&mut all, *request, |r| r.gave_up = true),
+            Record::FinalAnswerChanged { at, request } => {
                 verdict.add(
                     1,
                     format!("request {request}: another answer behind the final one, at {at}"),
@@ -290,22 +357,22 @@
     let mut stops: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
     for record in records {
         match record {
-            Record::Killed { at, router } => kills.entry(router).or_default().push(*at),
-            Record::StoodStill { at, router, until } => {
+            Record::RouterKilled { at, router } => kills.entry(router).or_default().push(*at),
+            Record::RouterPaused { at, router, until } => {
                 stops.entry(router).or_default().push((*at, *until))
             }
             _ => {}
         }
     }
     for record in records {
-        if let Record::TurnedAway { request, .. } = record
+        if let Record::Rejected { request, .. } = record
             && let Some(r) = requests.get(request)
         {
             verdict
                 .classes
                 .entry(r.class.to_owned())
                 .or_default()
-                .turned_away += 1;
+                .rejected += 1;
         }
     }
     for (number, r) in requests {
@@ -319,7 +386,7 @@
             continue;
         };
         let tally = verdict.classes.entry(r.class.to_owned()).or_default();
-        tally.taken += 1;
+        tally.admitted += 1;
         let until = r.finals.first().map_or(u64::MAX, |f| f.0);
         let killed = kills
             .get(r.router)
@@ -332,7 +399,7 @@
                 .flatten()
                 .any(|(from, to)| r.at <= *to && *from <= until);
         match r.finals.as_slice() {
-            [] if r.left => tally.left += 1,
+            [] if r.left => tally.cancelled += 1,
             [] if killed => tally.lost += 1,
             [] => verdict.add(
                 1,
@@ -340,17 +407,18 @@
             ),
             [(at, how), rest @ ..] => {
                 match how {
-                    How::Served => tally.served += 1,
-                    How::Refused => tally.refused += 1,
-                    How::Failed => tally.failed += 1,
+                    Outcome::Served => tally.served += 1,
+                    Outcome::Refused => tally.refused += 1,
+                    Outcome::Failed => tally.failed += 1,
                 }
                 let answered = r.first_rows.map_or(*at, |rows| rows.min(*at));
                 let work = works.get(r.trace).copied().unwrap_or(0) as f64;
                 let aim = rules.classes.get(r.class).map_or(u64::MAX, |c| {
-                    c.aim
+                    c.latency_objective
                         + (c.stretch * work / if c.threads > 0.0 { c.threads } else { 1.0 }) as u64
                 });
-                tally.late += u64::from(*how == How::Served && answered - r.at.min(answered) > aim);
+                tally.late +=
+                    u64::from(*how == Outcome::Served && answered - r.at.min(answered) > aim);
                 if !rest.is_empty() {
                     verdict.add(
                         1,
@@ -383,11 +451,11 @@
 ) {
     let mut postings: BTreeMap<&str, u64> = BTreeMap::new();
     for record in records {
-        if let Record::Posted { trace, .. } = record {
+        if let Record::EffectWritten { trace, .. } = record {
             *postings.entry(trace).or_default() += 1;
         }
     }
-    let never = |class: &str| rules.classes.get(class).is_some_and(|c| c.never_twice);
+    let never = |class: &str| rules.classes.get(class).is_some_and(|c| c.non_idempotent);
     let mut by_logical: BTreeMap<&str, u64> = BTreeMap::new();
     for (trace, n) in &postings {
         *by_logical.entry(logical(trace)).or_default() += n;
@@ -403,15 +471,15 @@
             .classes
             .entry(r.class.to_owned())
             .or_default()
-            .postings += n;
+            .effects += n;
         match r.finals.first() {
-            Some((_, How::Served)) if n == 0 => {
+            Some((_, Outcome::Served)) if n == 0 => {
                 verdict.add(
                     2,
                     format!("request {number}: served, and no effect in the ledger"),
                 );
             }
-            Some((_, How::Refused)) if n > 0 => {
+            Some((_, Outcome::Refused)) if n > 0 => {
                 verdict.add(
                     2,
                     format!(
@@ -429,14 +497,14 @@
     let mut told: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for record in records {
         match record {
-            Record::ToldDrain { at, engine, router } => {
+            Record::DrainNotified { at, engine, router } => {
                 told.entry((engine, router)).or_insert(*at);
             }
-            Record::ToldUp { engine, router, .. } => {
+            Record::UpNotified { engine, router, .. } => {
                 told.remove(&(engine.as_str(), router.as_str()));
             }
-            Record::Started { engine, .. } => told.retain(|(e, _), _| e != engine),
-            Record::Killed { router, .. } => told.retain(|(_, r), _| r != router),
+            Record::EngineStarted { engine, .. } => told.retain(|(e, _), _| e != engine),
+            Record::RouterKilled { router, .. } => told.retain(|(_, r), _| r != router),
             Record::Sent {
                 at,
                 engine,
@@ -469,7 +537,7 @@
     rules: &Rules,
     verdict: &mut Verdict,
 ) {
-    let in_order = |class: &str| rules.classes.get(class).is_some_and(|c| c.in_order);
+    let in_order = |class: &str| rules.classes.get(class).is_some_and(|c| c.ordered);
     // By trace: key, router, and the submission.
     let keyed: BTreeMap<&str, (&str, &str, &Request)> = requests
         .values()
@@ -484,7 +552,7 @@
     let mut newest: BTreeMap<(&str, &str), (u64, &str)> = BTreeMap::new();
     for record in records {
         match record {
-            Record::Killed { router, .. } => {
+            Record::RouterKilled { router, .. } => {
                 running.retain(|(_, r), _| r != router);
                 newest.retain(|(_, r), _| r != router);
             }
@@ -538,7 +606,7 @@
         } = record
         {
             verdict.classes.entry(class.clone()).or_default().attempts += 1;
-            let kinds = rules.classes.get(class).map(|c| &c.kinds);
+            let kinds = rules.classes.get(class).map(|c| &c.machine_kinds);
             if kinds.is_some_and(|k| !k.is_empty() && !k.contains(kind)) {
                 verdict.add(6, format!("{trace}: {class} sent to {engine}, a {kind}"));
             }
@@ -570,7 +638,7 @@
     for (trace, n) in each.iter().filter(|(_, n)| **n > rules.max_attempts) {
         verdict.add(7, format!("{trace}: {n} attempts"));
     }
-    let Some((spare, ratio, span)) = rules.budget else {
+    let Some(RetryBudget { spare, ratio, span }) = rules.retry_budget else {
         return;
     };
     for (router, times) in &extra {
--- a/crates/audit/src/leases.rs
+++ b/crates/audit/src/leases.rs
@@ -5,20 +5,22 @@
 
 use serde::Serialize;
 
-use crate::judge::Agreement;
+use crate::judge::VersionRules;
 use crate::record::Record;
 
 /// What was seen of leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Leases {
+pub struct LeaseReport {
     /// Acts under leases that took effect.
     pub acts: u64,
     /// Acts that were refused, as a newer number had been seen there.
     pub refused: u64,
     /// Parts, and numbers under which something was done.
-    pub parts: u64,
+    #[serde(rename = "parts")]
+    pub shards: u64,
     /// See `parts`.
-    pub numbers: u64,
+    #[serde(rename = "numbers")]
+    pub fencing_tokens: u64,
     /// Acts under an older number after one under a newer number, and the longest time between, in µs.
     pub overlaps: u64,
     /// See `overlaps`.
@@ -39,18 +41,18 @@
 /// Judges acts under leases, in the order of time. `None`: there were none.
 pub(crate) fn leases(
     records: &[Record],
-    agreement: &Agreement,
+    agreement: &VersionRules,
     mut add: impl FnMut(String),
-) -> Option<Leases> {
-    let mut all = Leases::default();
+) -> Option<LeaseReport> {
+    let mut all = LeaseReport::default();
     let mut parts: BTreeMap<&str, Part> = BTreeMap::new();
     for record in records {
-        let Record::Leased {
+        let Record::LeasedRequest {
             at,
             resource,
             router,
-            part,
-            number,
+            shard: part,
+            fencing_token: number,
             refused,
         } = record
         else {
@@ -72,7 +74,7 @@
             let overlap = at.saturating_sub(*since);
             all.overlaps += 1;
             all.longest_overlap = all.longest_overlap.max(overlap);
-            if overlap > agreement.overlap {
+            if overlap > agreement.max_overlap {
                 add(format!(
                     "{part}: {router} acted on {resource} under number {number}, {} ms after {other} under {newer}",
                     overlap / 1000
@@ -85,7 +87,7 @@
             if before != *number {
                 all.takeovers.push(gap);
             }
-            if agreement.unheld.is_some_and(|most| gap > most) {
+            if agreement.max_unheld.is_some_and(|most| gap > most) {
                 add(format!(
                     "{part}: nobody did it for {} ms, up to {at}",
                     gap / 1000
@@ -94,7 +96,7 @@
         }
     }
     all.takeovers.sort_unstable();
-    all.parts = parts.len() as u64;
-    all.numbers = parts.values().map(|p| p.first.len() as u64).sum();
+    all.shards = parts.len() as u64;
+    all.fencing_tokens = parts.values().map(|p| p.first.len() as u64).sum();
     (all.acts + all.refused > 0).then_some(all)
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -5,6 +5,11 @@
 pub mod leases;
 pub mod record;
 
-pub use judge::{Agreement, Break, Class, Rules, Tally, Verdict, judge};
-pub use leases::Leases;
-pub use record::{How, Record, Recorder, now, read_dir};
+pub use judge::{
+    ClassRules, ClassTally, RetryBudget, Rules, Verdict, VersionOverlap, VersionRules, Violation,
+    judge,
+};
+pub use leases::LeaseReport;
+pub use record::{
+    MalformedLine, Outcome, Record, Recorder, SentVersions, read_records, unix_micros,
+};
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -8,10 +8,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a client was answered.
+/// Outcome a client was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum Outcome {
     /// All rows came.
     Served,
     /// Refused: trying again is harmless.
@@ -20,6 +20,34 @@
     Failed,
 }
 
+/// The configuration versions that an attempt was sent under. Stored as the sequence `[in_force, enforced, in_doubt]`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64, bool)", into = "(u64, u64, bool)")]
+pub struct SentVersions {
+    /// The version in force at the router.
+    pub in_force: u64,
+    /// The newest version that the router enforced.
+    pub enforced: u64,
+    /// Whether the router could not be sure that its versions were current.
+    pub in_doubt: bool,
+}
+
+impl From<(u64, u64, bool)> for SentVersions {
+    fn from((in_force, enforced, in_doubt): (u64, u64, bool)) -> Self {
+        Self {
+            in_force,
+            enforced,
+            in_doubt,
+        }
+    }
+}
+
+impl From<SentVersions> for (u64, u64, bool) {
+    fn from(versions: SentVersions) -> Self {
+        (versions.in_force, versions.enforced, versions.in_doubt)
+    }
+}
+
 /// Something that was seen. Times are µs since 1970. `request` is a client's own number of one submission;
 /// `trace` names what is to be done, and stays the same when a client submits it again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,29 +62,38 @@
         router: String,
         class: String,
         key: Option<String>,
-        gives_up: u64,
+        #[serde(rename = "gives_up")]
+        deadline: u64,
     },
     /// It was taken.
-    Taken { at: u64, request: u64 },
+    #[serde(rename = "taken")]
+    Admitted { at: u64, request: u64 },
     /// It was not taken.
-    TurnedAway { at: u64, request: u64, status: u16 },
+    #[serde(rename = "turned_away")]
+    Rejected { at: u64, request: u64, status: u16 },
     /// The client can't know whether it was taken: the connection broke.
-    Unknown { at: u64, request: u64 },
+    #[serde(rename = "unknown")]
+    AdmissionUnknown { at: u64, request: u64 },
     /// Rows came.
-    Rows { at: u64, request: u64, rows: u64 },
+    #[serde(rename = "rows")]
+    RowsReceived { at: u64, request: u64, rows: u64 },
     /// The final answer came.
     Answered {
         at: u64,
         request: u64,
-        how: How,
+        #[serde(rename = "how")]
+        outcome: Outcome,
         error: Option<String>,
     },
     /// Something came behind the final answer that was not the same.
-    Changed { at: u64, request: u64 },
+    #[serde(rename = "changed")]
+    FinalAnswerChanged { at: u64, request: u64 },
     /// The client gave up waiting, without a final answer.
-    GaveUp { at: u64, request: u64 },
+    #[serde(rename = "gave_up")]
+    TimedOut { at: u64, request: u64 },
     /// The client left on purpose, or ended the statement.
-    Left { at: u64, request: u64 },
+    #[serde(rename = "left")]
+    Cancelled { at: u64, request: u64 },
 
     /// An attempt reached an engine.
     Sent {
@@ -66,11 +103,11 @@
         router: String,
         trace: String,
         class: String,
-        hop: u32,
-        /// The versions of the fleet's settings that it was sent under: the one in force, the last heeded, and whether
-        /// the router was in doubt.
+        #[serde(rename = "hop")]
+        attempt: u32,
+        /// The configuration versions that it was sent under; absent where routers do not use versions.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        versions: Option<(u64, u64, bool)>,
+        versions: Option<SentVersions>,
     },
     /// The engine is done with it, however it ended.
     Done {
@@ -86,44 +123,55 @@
         at: u64,
         engine: String,
         router: String,
-        heeds: u64,
+        #[serde(rename = "heeds")]
+        enforced: u64,
     },
     /// Discovery or an engine was asked something under a lease, and has answered it or refused it as outdated.
-    Leased {
+    #[serde(rename = "leased")]
+    LeasedRequest {
         at: u64,
         resource: String,
         router: String,
-        part: String,
-        number: u64,
+        #[serde(rename = "part")]
+        shard: String,
+        #[serde(rename = "number")]
+        fencing_token: u64,
         refused: bool,
     },
     /// An effect was written to the ledger.
-    Posted {
+    #[serde(rename = "posted")]
+    EffectWritten {
         at: u64,
         engine: String,
         trace: String,
     },
     /// An engine's process began.
-    Started { at: u64, engine: String, cold: bool },
+    #[serde(rename = "started")]
+    EngineStarted { at: u64, engine: String, cold: bool },
     /// An engine was pushed over.
-    Fell { at: u64, engine: String },
+    #[serde(rename = "fell")]
+    EngineCrashed { at: u64, engine: String },
     /// A router was told that an engine drains or is gone.
-    ToldDrain {
+    #[serde(rename = "told_drain")]
+    DrainNotified {
         at: u64,
         engine: String,
         router: String,
     },
     /// A router was told that an engine is up.
-    ToldUp {
+    #[serde(rename = "told_up")]
+    UpNotified {
         at: u64,
         engine: String,
         router: String,
     },
 
     /// A router's process was ended at once; what it held then is not owed.
-    Killed { at: u64, router: String },
+    #[serde(rename = "killed")]
+    RouterKilled { at: u64, router: String },
     /// A router's process was stopped then, and went on later: what came or was held meanwhile is not owed in time.
-    StoodStill { at: u64, router: String, until: u64 },
+    #[serde(rename = "stood_still")]
+    RouterPaused { at: u64, router: String, until: u64 },
 }
 
 impl Record {
@@ -131,31 +179,31 @@
     pub fn at(&self) -> u64 {
         match self {
             Record::Submitted { at, .. }
-            | Record::Taken { at, .. }
-            | Record::TurnedAway { at, .. }
-            | Record::Unknown { at, .. }
-            | Record::Rows { at, .. }
+            | Record::Admitted { at, .. }
+            | Record::Rejected { at, .. }
+            | Record::AdmissionUnknown { at, .. }
+            | Record::RowsReceived { at, .. }
             | Record::Answered { at, .. }
-            | Record::Changed { at, .. }
-            | Record::GaveUp { at, .. }
-            | Record::Left { at, .. }
+            | Record::FinalAnswerChanged { at, .. }
+            | Record::TimedOut { at, .. }
+            | Record::Cancelled { at, .. }
             | Record::Sent { at, .. }
             | Record::Done { at, .. }
             | Record::Fenced { at, .. }
-            | Record::Leased { at, .. }
-            | Record::Posted { at, .. }
-            | Record::Started { at, .. }
-            | Record::Fell { at, .. }
-            | Record::ToldDrain { at, .. }
-            | Record::ToldUp { at, .. }
-            | Record::Killed { at, .. }
-            | Record::StoodStill { at, .. } => *at,
+            | Record::LeasedRequest { at, .. }
+            | Record::EffectWritten { at, .. }
+            | Record::EngineStarted { at, .. }
+            | Record::EngineCrashed { at, .. }
+            | Record::DrainNotified { at, .. }
+            | Record::UpNotified { at, .. }
+            | Record::RouterKilled { at, .. }
+            | Record::RouterPaused { at, .. } => *at,
         }
     }
 }
 
 /// Now, in µs since 1970.
-pub fn now() -> u64 {
+pub fn unix_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
@@ -182,7 +230,7 @@
         }))))
     }
 
-    /// Writes one. A full disk is told by [`Recorder::all`], not by a panic in whoever writes.
+    /// Writes one. A full disk is told by [`Recorder::records`], not by a panic in whoever writes.
     pub fn write(&self, record: Record) {
         let Ok(mut sink) = self.0.lock() else { return };
         if let Some(file) = &mut sink.file {
@@ -196,7 +244,7 @@
     }
 
     /// All of them so far, or why some are not in the file.
-    pub fn all(&self) -> io::Result<Vec<Record>> {
+    pub fn records(&self) -> io::Result<Vec<Record>> {
         let Ok(mut sink) = self.0.lock() else {
             return Err(io::Error::other("a writer panicked"));
         };
@@ -209,15 +257,15 @@
 
 /// A line of a record file that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadLine {
+pub struct MalformedLine {
     /// File and line.
-    pub place: String,
+    pub location: String,
     /// Why.
-    pub why: String,
+    pub error: String,
 }
 
 /// Reads all `*.jsonl` of a folder. Lines that can't be read are told, and the rest is used.
-pub fn read_dir(dir: &Path) -> io::Result<(Vec<Record>, Vec<BadLine>)> {
+pub fn read_records(dir: &Path) -> io::Result<(Vec<Record>, Vec<MalformedLine>)> {
     let mut paths: Vec<_> = std::fs::read_dir(dir)?
         .filter_map(|e| e.ok().map(|e| e.path()))
         .filter(|p| p.extension().is_some_and(|e| e == "jsonl"))
@@ -233,10 +281,10 @@
             match serde_json::from_slice(&line) {
                 Ok(record) => records.push(record),
                 Err(e) => {
-                    let place = format!("{}:{}", path.display(), at + 1);
-                    bad.push(BadLine {
-                        place,
-                        why: e.to_string(),
+                    let location = format!("{}:{}", path.display(), at + 1);
+                    bad.push(MalformedLine {
+                        location,
+                        error: e.to_string(),
                     });
                 }
             }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -1,32 +1,32 @@
 //! For each rule, a good record, and the same with that break planted: caught and named.
 
-use hoptiller_audit::{Class, How, Record, Rules, judge, read_dir};
+use hoptiller_audit::{ClassRules, Outcome, Record, Rules, SentVersions, judge, read_records};
 
 fn rules() -> Rules {
     let kinds = ["a".to_owned()].into();
     let classes = [
         (
             "lookup".to_owned(),
-            Class {
-                aim: 1_000,
-                ..Class::default()
+            ClassRules {
+                latency_objective: 1_000,
+                ..ClassRules::default()
             },
         ),
         (
             "report".to_owned(),
-            Class {
-                kinds,
-                aim: 1_000,
-                ..Class::default()
+            ClassRules {
+                machine_kinds: kinds,
+                latency_objective: 1_000,
+                ..ClassRules::default()
             },
         ),
         (
             "load".to_owned(),
-            Class {
-                never_twice: true,
-                in_order: true,
-                aim: 1_000,
-                ..Class::default()
+            ClassRules {
+                non_idempotent: true,
+                ordered: true,
+                latency_objective: 1_000,
+                ..ClassRules::default()
             },
         ),
     ];
@@ -34,9 +34,9 @@
         classes: classes.into(),
         drain_grace: 100,
         max_attempts: 2,
-        budget: Some((1.0, 0.0, 1_000)),
+        retry_budget: Some((1.0, 0.0, 1_000).into()),
         order_pause: 20_020,
-        agreement: None,
+        versions: None,
     }
 }
 
@@ -49,7 +49,7 @@
         router,
         class: class.into(),
         key,
-        gives_up: at + 5_000,
+        deadline: at + 5_000,
     }
 }
 
@@ -62,22 +62,22 @@
         router,
         trace: trace.into(),
         class: class.into(),
-        hop: 0,
+        attempt: 0,
         versions: None,
     }
 }
 
-fn answered(at: u64, request: u64, how: How) -> Record {
+fn answered(at: u64, request: u64, how: Outcome) -> Record {
     Record::Answered {
         at,
         request,
-        how,
+        outcome: how,
         error: None,
     }
 }
 
 fn posted(at: u64, trace: &str) -> Record {
-    Record::Posted {
+    Record::EffectWritten {
         at,
         engine: "e".into(),
         trace: trace.into(),
@@ -97,34 +97,34 @@
 fn good() -> Vec<Record> {
     vec![
         submitted(10, 1, "a.0", "load"),
-        Record::Taken { at: 11, request: 1 },
-        answered(20, 1, How::Refused),
+        Record::Admitted { at: 11, request: 1 },
+        answered(20, 1, Outcome::Refused),
         submitted(30, 2, "a.1", "load"),
-        Record::Taken { at: 31, request: 2 },
+        Record::Admitted { at: 31, request: 2 },
         sent(40, "a.1", "load", "b"),
         posted(50, "a.1"),
         done(50, "a.1"),
-        answered(60, 2, How::Served),
+        answered(60, 2, Outcome::Served),
         submitted(100, 3, "b.0", "lookup"),
-        Record::Taken {
+        Record::Admitted {
             at: 101,
             request: 3,
         },
         sent(110, "b.0", "lookup", "b"),
-        Record::ToldDrain {
+        Record::DrainNotified {
             at: 115,
             engine: "e".into(),
             router: "r".into(),
         },
         sent(120, "b.0", "lookup", "b"),
-        answered(130, 3, How::Served),
+        answered(130, 3, Outcome::Served),
         submitted(140, 4, "c.0", "report"),
-        Record::Taken {
+        Record::Admitted {
             at: 141,
             request: 4,
         },
         sent(150, "c.0", "report", "a"),
-        answered(160, 4, How::Failed),
+        answered(160, 4, Outcome::Failed),
     ]
 }
 
@@ -145,15 +145,15 @@
 #[test]
 fn a_good_record_breaks_nothing_and_is_counted() {
     let verdict = judge(&good(), &rules());
-    assert_eq!(verdict.breaks, vec![]);
+    assert_eq!(verdict.violations, vec![]);
     let load = &verdict.classes["load"];
     assert_eq!(
         (
             load.submitted,
-            load.taken,
+            load.admitted,
             load.served,
             load.refused,
-            load.postings
+            load.effects
         ),
         (2, 2, 1, 1, 1)
     );
@@ -168,10 +168,10 @@
 
 #[test]
 fn rule_1_a_missing_second_late_or_changed_answer() {
-    assert_eq!(without(&answered(130, 3, How::Served)), [1]);
-    assert_eq!(with(&[answered(135, 3, How::Failed)]), [1]);
+    assert_eq!(without(&answered(130, 3, Outcome::Served)), [1]);
+    assert_eq!(with(&[answered(135, 3, Outcome::Failed)]), [1]);
     assert_eq!(
-        with(&[Record::Rows {
+        with(&[Record::RowsReceived {
             at: 135,
             request: 3,
             rows: 1
@@ -179,7 +179,7 @@
         [1]
     );
     assert_eq!(
-        with(&[Record::Changed {
+        with(&[Record::FinalAnswerChanged {
             at: 170,
             request: 3
         }]),
@@ -187,31 +187,31 @@
     );
     let gone = [
         submitted(200, 9, "d.0", "lookup"),
-        Record::Taken {
+        Record::Admitted {
             at: 201,
             request: 9,
         },
         Record::Answered {
             at: 210,
             request: 9,
-            how: How::Failed,
+            outcome: Outcome::Failed,
             error: Some("HTTP 404".into()),
         },
     ];
     assert_eq!(with(&gone), [1]);
     let late = [
         submitted(200, 9, "d.0", "lookup"),
-        Record::Taken {
+        Record::Admitted {
             at: 201,
             request: 9,
         },
-        answered(5_300, 9, How::Served),
+        answered(5_300, 9, Outcome::Served),
     ];
     assert_eq!(with(&late), [1]);
     assert_eq!(
         with(&[
             submitted(200, 9, "d.0", "lookup"),
-            answered(210, 9, How::Served)
+            answered(210, 9, Outcome::Served)
         ]),
         [1]
     );
@@ -221,7 +221,7 @@
 fn rule_1_owes_nothing_for_a_killed_router_or_a_client_that_left() {
     let open = [
         submitted(200, 9, "d.0", "lookup"),
-        Record::Taken {
+        Record::Admitted {
             at: 201,
             request: 9,
         },
@@ -229,7 +229,7 @@
     assert_eq!(with(&open), [1]);
     let killed = [
         open.as_slice(),
-        &[Record::Killed {
+        &[Record::RouterKilled {
             at: 210,
             router: "r".into(),
         }],
@@ -238,7 +238,7 @@
     assert_eq!(with(&killed), [] as [u8; 0]);
     let other = [
         open.as_slice(),
-        &[Record::Killed {
+        &[Record::RouterKilled {
             at: 210,
             router: "q".into(),
         }],
@@ -247,7 +247,7 @@
     assert_eq!(with(&other), [1]);
     let left = [
         open.as_slice(),
-        &[Record::Left {
+        &[Record::Cancelled {
             at: 210,
             request: 9,
         }],
@@ -268,13 +268,13 @@
     let late = |at| [sent(at, "e.0", "lookup", "b")];
     assert_eq!(with(&late(215)), [] as [u8; 0]);
     assert_eq!(with(&late(216)), [3]);
-    let up = Record::ToldUp {
+    let up = Record::UpNotified {
         at: 200,
         engine: "e".into(),
         router: "r".into(),
     };
     assert_eq!(with(&[up, late(216)[0].clone()]), [] as [u8; 0]);
-    let started = Record::Started {
+    let started = Record::EngineStarted {
         at: 200,
         engine: "e".into(),
         cold: true,
@@ -285,7 +285,7 @@
 #[test]
 fn rule_4_an_engine_that_fell() {
     assert_eq!(
-        with(&[Record::Fell {
+        with(&[Record::EngineCrashed {
             at: 300,
             engine: "e".into()
         }]),
@@ -297,21 +297,21 @@
 fn rule_5_same_keys_together_or_out_of_turn() {
     let pair = [
         submitted(200, 8, "f.0", "load"),
-        Record::Taken {
+        Record::Admitted {
             at: 201,
             request: 8,
         },
         submitted(202, 9, "g.0", "load"),
-        Record::Taken {
+        Record::Admitted {
             at: 203,
             request: 9,
         },
-        answered(290, 8, How::Failed),
-        answered(291, 9, How::Failed),
+        answered(290, 8, Outcome::Failed),
+        answered(291, 9, Outcome::Failed),
     ];
     let run = |trace: &str, from, to| vec![sent(from, trace, "load", "b"), done(to, trace)];
     // Past the grace of the drain that the good record tells.
-    let up = vec![Record::ToldUp {
+    let up = vec![Record::UpNotified {
         at: 204,
         engine: "e".into(),
         router: "r".into(),
@@ -339,7 +339,7 @@
 #[test]
 fn rule_7_too_many_attempts_at_one_and_by_a_router() {
     let far = |at: u64, trace: &str| sent(at, trace, "lookup", "b");
-    let up = Record::ToldUp {
+    let up = Record::UpNotified {
         at: 1_500,
         engine: "e".into(),
         router: "r".into(),
@@ -365,7 +365,7 @@
 fn damaged_lines_are_told_with_their_place() {
     let dir = std::env::temp_dir().join(format!("hoptiller-audit-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
-    let good = serde_json::to_string(&answered(5, 1, How::Served)).expect("text");
+    let good = serde_json::to_string(&answered(5, 1, Outcome::Served)).expect("text");
     let bytes = [
         good.as_bytes(),
         b"\n{\"what\":\"fel\n\xff\xfe\n",
@@ -373,11 +373,11 @@
     ]
     .concat();
     std::fs::write(dir.join("a.jsonl"), bytes).expect("written");
-    let (records, bad) = read_dir(&dir).expect("read");
+    let (records, bad) = read_records(&dir).expect("read");
     std::fs::remove_dir_all(&dir).expect("removed");
     assert_eq!(records.len(), 1);
     assert_eq!(bad.len(), 3);
-    assert!(bad[0].place.ends_with("a.jsonl:2"), "{bad:?}");
+    assert!(bad[0].location.ends_with("a.jsonl:2"), "{bad:?}");
 }
 
 #[test]
@@ -385,11 +385,11 @@
     let mut rules = rules();
     rules.classes.insert(
         "lookup".into(),
-        Class {
-            aim: 100,
+        ClassRules {
+            latency_objective: 100,
             stretch: 2.0,
             threads: 2.0,
-            ..Class::default()
+            ..ClassRules::default()
         },
     );
     let late = |answer| {
@@ -401,9 +401,9 @@
         };
         let records = [
             submitted(10, 1, "b.0", "lookup"),
-            Record::Taken { at: 11, request: 1 },
+            Record::Admitted { at: 11, request: 1 },
             done,
-            answered(answer, 1, How::Served),
+            answered(answer, 1, Outcome::Served),
         ];
         judge(&records, &rules).classes["lookup"].late
     };
@@ -412,7 +412,7 @@
 
 #[test]
 fn acts_under_contradicting_versions_are_found_and_those_that_heed_both_are_not() {
-    use hoptiller_audit::Agreement;
+    use hoptiller_audit::VersionRules;
     let act = |at, router: &str, versions| Record::Sent {
         at,
         engine: "e".into(),
@@ -420,20 +420,23 @@
         router: router.into(),
         trace: format!("t{at}"),
         class: "lookup".into(),
-        hop: 0,
-        versions: Some(versions),
+        attempt: 0,
+        versions: Some(SentVersions::from(versions)),
     };
     let rules = |neutral: &[u64]| Rules {
-        agreement: Some(Agreement {
-            overlap: 1000,
-            neutral: neutral.iter().copied().collect(),
-            unheld: None,
+        versions: Some(VersionRules {
+            max_overlap: 1000,
+            compatible: neutral.iter().copied().collect(),
+            max_unheld: None,
         }),
         ..rules()
     };
     let broken = |records: &[Record], neutral: &[u64]| {
         let verdict = judge(records, &rules(neutral));
-        (verdict.rules_broken().contains(&8), verdict.overlap)
+        (
+            verdict.rules_broken().contains(&8),
+            verdict.overlap.map(|o| (o.longest, o.acts)),
+        )
     };
     let kept = [
         act(1, "r1", (1, 1, false)),
@@ -474,25 +477,25 @@
         router.to_owned(),
         "list/0".to_owned(),
     );
-    Record::Leased {
+    Record::LeasedRequest {
         at,
         resource,
         router,
-        part,
-        number,
+        shard: part,
+        fencing_token: number,
         refused,
     }
 }
 
 #[test]
 fn an_act_under_an_older_lease_and_a_part_done_by_nobody_are_caught() {
-    let agreement = hoptiller_audit::Agreement {
-        overlap: 100,
-        unheld: Some(5_000),
+    let agreement = hoptiller_audit::VersionRules {
+        max_overlap: 100,
+        max_unheld: Some(5_000),
         ..Default::default()
     };
     let rules = Rules {
-        agreement: Some(agreement),
+        versions: Some(agreement),
         ..rules()
     };
     let good = [
@@ -504,21 +507,26 @@
         leased(8_000, "b", 2, false),
     ];
     let verdict = judge(&good, &rules);
-    assert!(verdict.breaks.is_empty(), "{:?}", verdict.breaks);
+    assert!(verdict.violations.is_empty(), "{:?}", verdict.violations);
     let leases = verdict.leases.expect("there were some");
     assert_eq!(
-        (leases.acts, leases.refused, leases.numbers, leases.overlaps),
+        (
+            leases.acts,
+            leases.refused,
+            leases.fencing_tokens,
+            leases.overlaps
+        ),
         (5, 1, 2, 1)
     );
     assert_eq!((leases.longest_overlap, leases.longest_gap), (50, 3_950));
     let broken = |more: Record| {
         let mut all = good.to_vec();
         all.push(more);
-        let breaks = judge(&all, &rules).breaks;
+        let breaks = judge(&all, &rules).violations;
         assert!(breaks.iter().all(|b| b.rule == 9), "{breaks:?}");
         breaks
             .into_iter()
-            .map(|b| b.what)
+            .map(|b| b.description)
             .collect::<Vec<_>>()
             .join("; ")
     };
--- a/crates/cli/src/commands/audit.rs
+++ b/crates/cli/src/commands/audit.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use hoptiller_audit::{Rules, Verdict, judge, read_dir};
+use hoptiller_audit::{Rules, Verdict, judge, read_records};
 
 use crate::run::Failure;
 
@@ -19,7 +19,7 @@
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
     let verdict = of_dir(&args.dir)?;
     print(&verdict, args.json);
-    Ok(ExitCode::from(u8::from(!verdict.breaks.is_empty())))
+    Ok(ExitCode::from(u8::from(!verdict.violations.is_empty())))
 }
 
 /// Judges a folder. Records that can't be read make it no verdict at all.
@@ -29,13 +29,13 @@
         .map_err(|e| Failure::Outside(format!("{} can't be read", place.display()), e))?;
     let rules: Rules = serde_json::from_str(&text)
         .map_err(|e| Failure::Usage(format!("{}: {e}", place.display())))?;
-    let (records, bad) = read_dir(dir)
+    let (records, bad) = read_records(dir)
         .map_err(|e| Failure::Outside(format!("{} can't be read", dir.display()), e))?;
     if let Some(first) = bad.first() {
         let n = bad.len();
         let what = format!(
             "{n} damaged lines, the first: {}: {}; no verdict",
-            first.place, first.why
+            first.location, first.error
         );
         return Err(Failure::Usage(what));
     }
@@ -76,26 +76,26 @@
         println!(
             "{class:<12} {:>9} {:>7} {:>7} {:>7} {:>6} {:>8} {:>7} {:>6} {:>6} {:>9} {:>9}",
             t.submitted,
-            t.taken,
-            t.turned_away,
+            t.admitted,
+            t.rejected,
             t.served,
             t.late,
             t.refused,
             t.failed,
-            t.left,
+            t.cancelled,
             t.lost,
             t.attempts,
-            t.postings
+            t.effects
         );
     }
-    match verdict.breaks.len() {
+    match verdict.violations.len() {
         0 => println!("all rules kept"),
         n => {
             println!("{n} breaks of the rules:");
             verdict
-                .breaks
+                .violations
                 .iter()
-                .for_each(|b| println!("  rule {}: {}", b.rule, b.what));
+                .for_each(|b| println!("  rule {}: {}", b.rule, b.description));
         }
     }
 }
--- a/crates/cli/src/commands/day/mod.rs
+++ b/crates/cli/src/commands/day/mod.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::{Record, now as wall};
+use hoptiller_audit::{Record, unix_micros};
 
 use super::audit;
 use crate::run::Failure;
@@ -84,7 +84,7 @@
     let text = serde_json::to_string_pretty(&verdict).unwrap_or_default();
     std::fs::write(args.report.join("verdict.json"), text).map_err(outside)?;
     audit::print(&verdict, args.json);
-    Ok(ExitCode::from(u8::from(!verdict.breaks.is_empty())))
+    Ok(ExitCode::from(u8::from(!verdict.violations.is_empty())))
 }
 
 /// What a script is, in words, where nothing is wrong with it.
@@ -99,8 +99,8 @@
 
 /// A record of a router's sudden end.
 fn killed(router: &str) -> Record {
-    Record::Killed {
-        at: wall(),
+    Record::RouterKilled {
+        at: unix_micros(),
         router: router.to_owned(),
     }
 }
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use hoptiller_audit::{Agreement, Rules, judge};
+use hoptiller_audit::{Rules, VersionRules, judge};
 use hoptiller_coordination::ConfigDuration;
 use hoptiller_coordination_client::wire::{self, ClusterStatus, LeaseStatus};
 use hoptiller_fault_harness::stage::EnginePlan;
@@ -36,7 +36,7 @@
     /// The folder of records, logs and the verdict; it must not be there yet
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// The same day without agreement: each router goes by its own file
+    /// The same day without versions: each router goes by its own file
     #[arg(long)]
     without: bool,
     /// Acts under contradicting versions may overlap for so long, in ms. Engines record what comes when they get to
@@ -228,17 +228,17 @@
         .day
         .play(&mut stage, routers, keepers, args.seed)
         .map_err(outside("the day"))?;
-    let records = stage.recorder.all().map_err(outside("the records"))?;
+    let records = stage.recorder.records().map_err(outside("the records"))?;
     let rules = Rules {
         classes: Default::default(),
         drain_grace: u64::MAX,
         max_attempts: u32::MAX,
         order_pause: 0,
-        budget: None,
-        agreement: Some(Agreement {
-            overlap: args.overlap * 1000,
-            neutral: outcome.neutral.clone(),
-            unheld: file.unheld.map(|span| span.0),
+        retry_budget: None,
+        versions: Some(VersionRules {
+            max_overlap: args.overlap * 1000,
+            compatible: outcome.neutral.clone(),
+            max_unheld: file.unheld.map(|span| span.0),
         }),
     };
     let rules = file.day.rules(rules);
@@ -265,10 +265,11 @@
         );
     } else {
         crate::commands::audit::print(&verdict, false);
-        let (longest, acts) = verdict.overlap.unwrap_or_default();
+        let overlap = verdict.overlap.unwrap_or_default();
         println!(
-            "acts under contradicting versions: {acts}, the longest overlap {} ms",
-            longest / 1000
+            "acts under contradicting versions: {}, the longest overlap {} ms",
+            overlap.acts,
+            overlap.longest / 1000
         );
         if let Some(leases) = &verdict.leases {
             let takeover = |part: f64| {
@@ -282,8 +283,8 @@
                 "acts under leases: {} of {} parts under {} numbers, {} refused as outdated; after a newer one: {}, the \
                  longest {} ms",
                 leases.acts,
-                leases.parts,
-                leases.numbers,
+                leases.shards,
+                leases.fencing_tokens,
                 leases.refused,
                 leases.overlaps,
                 leases.longest_overlap / 1000
@@ -316,7 +317,8 @@
             .iter()
             .for_each(|p| println!("ended by itself: {p}"));
     }
-    let kept = verdict.breaks.is_empty() && outcome.lost.is_empty() && outcome.fallen.is_empty();
+    let kept =
+        verdict.violations.is_empty() && outcome.lost.is_empty() && outcome.fallen.is_empty();
     Ok(if kept {
         ExitCode::SUCCESS
     } else {
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::Record;
+use hoptiller_audit::{Record, SentVersions};
 use hoptiller_coordination::Rejection;
 use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::stage::Between;
@@ -19,7 +19,7 @@
             at,
             kind,
             class,
-            versions: Some((_, h, _)),
+            versions: Some(SentVersions { enforced: h, .. }),
             ..
         } if *at >= from && class == "report" && *h >= heeds => Some(kind.clone()),
         _ => None,
@@ -73,9 +73,9 @@
     let before = night.acts("r1").len();
     assert!(
         night.stage.until(LONG, |s| {
-            let all = s.recorder.all().expect("recorded");
+            let all = s.recorder.records().expect("recorded");
             all.iter()
-                .filter(|r| matches!(r, Record::TurnedAway { status: 503, .. }))
+                .filter(|r| matches!(r, Record::Rejected { status: 503, .. }))
                 .count()
                 > 3
         }),
@@ -87,7 +87,7 @@
     assert!(night.until_act("r1", number, number), "it comes back");
     let records = night.judged();
     let loads = records.iter().filter(
-        |r| matches!(r, Record::Sent { class, versions: Some((.., true)), .. } if class == "rent-load"),
+        |r| matches!(r, Record::Sent { class, versions: Some(SentVersions { in_doubt: true, .. }), .. } if class == "rent-load"),
     );
     assert_eq!(
         loads.count(),
@@ -210,7 +210,12 @@
     let sent = |r: &Record| match r {
         Record::Sent {
             engine,
-            versions: Some((in_force, heeds, false)),
+            versions:
+                Some(SentVersions {
+                    in_force,
+                    enforced: heeds,
+                    in_doubt: false,
+                }),
             ..
         } if *heeds >= drain => Some((engine.clone(), *in_force)),
         _ => None,
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -62,10 +62,10 @@
 
     fn leased(&self) -> Vec<Act> {
         let of = |r: Record| match r {
-            Record::Leased {
+            Record::LeasedRequest {
                 router,
-                part,
-                number,
+                shard: part,
+                fencing_token: number,
                 refused,
                 ..
             } => Some((router, part, number, refused)),
@@ -73,7 +73,7 @@
         };
         self.stage
             .recorder
-            .all()
+            .records()
             .expect("recorded")
             .into_iter()
             .filter_map(of)
@@ -149,7 +149,7 @@
     let (_, verdict) = night.verdict();
     let leases = verdict.leases.expect("acts under leases");
     assert_eq!(
-        (leases.parts, leases.overlaps, leases.refused),
+        (leases.shards, leases.overlaps, leases.refused),
         (4, 0, 0),
         "{leases:?}"
     );
@@ -309,7 +309,7 @@
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
     let told = records
         .iter()
-        .any(|r| matches!(r, Record::Leased { router, .. } if *router == name));
+        .any(|r| matches!(r, Record::LeasedRequest { router, .. } if *router == name));
     assert!(told, "{name} had done some of it");
 }
 
--- a/crates/cli/tests/night/mod.rs
+++ b/crates/cli/tests/night/mod.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::{Agreement, Record, Rules, Verdict, judge};
+use hoptiller_audit::{Record, Rules, Verdict, VersionRules, judge};
 use hoptiller_coordination::{ConfigDuration, Document};
 use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::stage::EnginePlan;
@@ -146,13 +146,13 @@
 
     /// Acts of a router that engines recorded, with the versions of each.
     pub fn acts(&self, router: &str) -> Vec<(u64, u64, bool)> {
-        let all = self.stage.recorder.all().expect("recorded");
+        let all = self.stage.recorder.records().expect("recorded");
         let of = |r: &Record| match r {
             Record::Sent {
                 router: by,
                 versions: Some(v),
                 ..
-            } if by == router => Some(*v),
+            } if by == router => Some((v.in_force, v.enforced, v.in_doubt)),
             _ => None,
         };
         all.iter().filter_map(of).collect()
@@ -180,25 +180,25 @@
     pub fn verdict(mut self) -> (Vec<Record>, Verdict) {
         self.stage.heal();
         self.crowd.take().into_iter().for_each(Crowd::finish);
-        let records = self.stage.recorder.all().expect("recorded");
+        let records = self.stage.recorder.records().expect("recorded");
         let rules = Rules {
             classes: Default::default(),
             drain_grace: u64::MAX,
             max_attempts: 3,
             order_pause: 0,
-            budget: None,
+            retry_budget: None,
             // Engines record what comes when they get to run; acts that overlap overlap for a permit.
-            agreement: Some(Agreement {
-                overlap: 500_000,
-                ..Agreement::default()
+            versions: Some(VersionRules {
+                max_overlap: 500_000,
+                ..VersionRules::default()
             }),
         };
         let verdict = judge(&records, &rules);
-        let broken: Vec<_> = verdict.breaks.iter().take(5).collect();
+        let broken: Vec<_> = verdict.violations.iter().take(5).collect();
         assert!(
-            verdict.breaks.is_empty(),
+            verdict.violations.is_empty(),
             "{} breaks: {broken:?}",
-            verdict.breaks.len()
+            verdict.violations.len()
         );
         assert!(verdict.overlap.is_some(), "nothing was sent under versions");
         (records, verdict)
--- a/crates/fault-harness/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::{Class, Rules};
+use hoptiller_audit::{ClassRules, Rules};
 use hoptiller_coordination::Idempotency;
 use hoptiller_coordination::VersionMetadata;
 use hoptiller_coordination::{Change, ConfigDuration, Document};
@@ -116,20 +116,23 @@
         for document in self.documents.values() {
             for (name, class) in &document.classes {
                 let kinds: BTreeSet<String> = class.kinds.clone().unwrap_or_default();
-                let never_twice = class.repeat == Idempotency::NonIdempotent;
-                let known = rules.classes.entry(name.clone()).or_insert_with(|| Class {
-                    never_twice,
-                    in_order: false,
-                    kinds: kinds.clone(),
-                    aim: class.aim.0,
-                    stretch: class.stretch,
-                    threads: class.threads,
-                });
-                known.never_twice &= never_twice;
+                let non_idempotent = class.repeat == Idempotency::NonIdempotent;
+                let known = rules
+                    .classes
+                    .entry(name.clone())
+                    .or_insert_with(|| ClassRules {
+                        non_idempotent,
+                        ordered: false,
+                        machine_kinds: kinds.clone(),
+                        latency_objective: class.aim.0,
+                        stretch: class.stretch,
+                        threads: class.threads,
+                    });
+                known.non_idempotent &= non_idempotent;
                 // No kinds given permits all.
-                known.kinds = match known.kinds.is_empty() || kinds.is_empty() {
+                known.machine_kinds = match known.machine_kinds.is_empty() || kinds.is_empty() {
                     true => BTreeSet::new(),
-                    false => &known.kinds | &kinds,
+                    false => &known.machine_kinds | &kinds,
                 };
             }
             let most = if rules.max_attempts == u32::MAX {
--- a/crates/fault-harness/src/stage.rs
+++ b/crates/fault-harness/src/stage.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::{Record, Recorder, now as wall};
+use hoptiller_audit::{Record, Recorder, unix_micros};
 use hoptiller_coordination::{Document, Proposal};
 use hoptiller_coordination_client::client::EndpointError;
 use hoptiller_coordination_client::{CallError, CoordinationClient, Secret, wire};
@@ -372,8 +372,8 @@
     pub fn kill_router(&mut self, router: usize) {
         self.go_on_router(router);
         if self.routers[router].take().is_some() {
-            self.recorder.write(Record::Killed {
-                at: wall(),
+            self.recorder.write(Record::RouterKilled {
+                at: unix_micros(),
                 router: format!("r{}", router + 1),
             });
         }
@@ -382,7 +382,7 @@
     /// A router stands still.
     pub fn stop_router(&mut self, router: usize) {
         if let Some(process) = &self.routers[router] {
-            self.stopped[router].get_or_insert(wall());
+            self.stopped[router].get_or_insert(unix_micros());
             process.stop();
         }
     }
@@ -391,10 +391,10 @@
     pub fn go_on_router(&mut self, router: usize) {
         if let Some(at) = self.stopped[router].take() {
             let name = format!("r{}", router + 1);
-            self.recorder.write(Record::StoodStill {
+            self.recorder.write(Record::RouterPaused {
                 at,
                 router: name,
-                until: wall(),
+                until: unix_micros(),
             });
         }
         self.routers[router].iter().for_each(Process::go_on);
@@ -503,7 +503,7 @@
             change_name: change.to_owned(),
             base: None,
             author: "the stage".into(),
-            proposed_at_ms: wall() / 1000,
+            proposed_at_ms: unix_micros() / 1000,
             reason: "a day on the stage".into(),
             document: document.clone(),
         };
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use hoptiller_audit::{How, Record, Recorder, now as wall};
+use hoptiller_audit::{Outcome, Record, Recorder, unix_micros};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_statement::{QueryResults, STATEMENT_PATH, client::names};
@@ -25,13 +25,13 @@
     pub tags: String,
     /// Text.
     pub text: String,
-    /// How long the client waits.
+    /// Outcome long the client waits.
     pub patience: Duration,
-    /// How it behaves.
+    /// Outcome it behaves.
     pub manner: Manner,
 }
 
-/// How a client behaves.
+/// Outcome a client behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Manner {
     /// Stops asking after so many answers.
@@ -87,7 +87,7 @@
     }
 }
 
-/// How long a client waits for the answer to one poll before it asks again.
+/// Outcome long a client waits for the answer to one poll before it asks again.
 const POLL: Duration = Duration::from_secs(8);
 /// Pause before asking again after a connection that broke.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -128,13 +128,13 @@
         let request = ask.request;
         self.answers.clear();
         self.recorder.write(Record::Submitted {
-            at: wall(),
+            at: unix_micros(),
             request,
             trace: ask.trace.clone(),
             router: self.router.clone(),
             class: ask.class.clone(),
             key: ask.key.clone(),
-            gives_up: wall() + (ask.patience + ask.manner.lenience).as_micros() as u64,
+            deadline: unix_micros() + (ask.patience + ask.manner.lenience).as_micros() as u64,
         });
         let mut tags = format!("class={}", ask.class);
         if let Some(key) = &ask.key {
@@ -159,16 +159,16 @@
         let answer = match self.exchange(&post, ask.patience).await {
             Ok(answer) => answer,
             Err(ClientError::Connect(_)) => {
-                self.recorder.write(Record::TurnedAway {
-                    at: wall(),
+                self.recorder.write(Record::Rejected {
+                    at: unix_micros(),
                     request,
                     status: 0,
                 });
                 return Came::TurnedAway(0);
             }
             Err(_) => {
-                self.recorder.write(Record::Unknown {
-                    at: wall(),
+                self.recorder.write(Record::AdmissionUnknown {
+                    at: unix_micros(),
                     request,
                 });
                 return Came::Unknown;
@@ -176,15 +176,15 @@
         };
         if answer.status.0 != 200 {
             let status = answer.status.0;
-            self.recorder.write(Record::TurnedAway {
-                at: wall(),
+            self.recorder.write(Record::Rejected {
+                at: unix_micros(),
                 request,
                 status,
             });
             return Came::TurnedAway(status);
         }
-        self.recorder.write(Record::Taken {
-            at: wall(),
+        self.recorder.write(Record::Admitted {
+            at: unix_micros(),
             request,
         });
         self.follow(ask, answer, began).await
@@ -198,21 +198,21 @@
             answers += 1;
             self.answers.push((from.clone(), answer.clone()));
             let Ok(results) = serde_json::from_slice::<QueryResults>(&answer.body) else {
-                return self.ended(request, How::Failed, Some("NO_RESULTS".into()));
+                return self.ended(request, Outcome::Failed, Some("NO_RESULTS".into()));
             };
             if let Some(data) = &results.data {
                 let n = serde_json::from_str::<Vec<serde_json::Value>>(data.get())
                     .map_or(0, |r| r.len() as u64);
                 rows += n;
-                self.recorder.write(Record::Rows {
-                    at: wall(),
+                self.recorder.write(Record::RowsReceived {
+                    at: unix_micros(),
                     request,
                     rows: n,
                 });
             }
             let Some(next) = results.next_uri else {
                 let Some(error) = results.error else {
-                    self.ended(request, How::Served, None);
+                    self.ended(request, Outcome::Served, None);
                     return Came::Served(rows);
                 };
                 let after = answer
@@ -222,16 +222,20 @@
                 let refused = hoptiller_statement::ErrorName::ALL
                     .iter()
                     .any(|n| n.is_retryable() && n.name() == error.error_name);
-                let how = if refused { How::Refused } else { How::Failed };
+                let how = if refused {
+                    Outcome::Refused
+                } else {
+                    Outcome::Failed
+                };
                 self.ended(request, how, Some(error.error_name.clone()));
                 return match how {
-                    How::Refused => Came::Refused(error.error_name, after),
+                    Outcome::Refused => Came::Refused(error.error_name, after),
                     _ => Came::Failed(error.error_name),
                 };
             };
             if ask.manner.leaves_after.is_some_and(|n| answers >= n) {
-                self.recorder.write(Record::Left {
-                    at: wall(),
+                self.recorder.write(Record::Cancelled {
+                    at: unix_micros(),
                     request,
                 });
                 return Came::Left;
@@ -244,8 +248,8 @@
                 let _ = self
                     .exchange(&Request::new(Method::Delete, path), POLL)
                     .await;
-                self.recorder.write(Record::Left {
-                    at: wall(),
+                self.recorder.write(Record::Cancelled {
+                    at: unix_micros(),
                     request,
                 });
                 return Came::Left;
@@ -273,15 +277,15 @@
         loop {
             // One who reads rows already goes on; the wait was for their beginning.
             if !reading && began.elapsed() > ask.patience + ask.manner.lenience {
-                self.recorder.write(Record::GaveUp {
-                    at: wall(),
+                self.recorder.write(Record::TimedOut {
+                    at: unix_micros(),
                     request: ask.request,
                 });
                 return Err(Came::GaveUp);
             }
             if began.elapsed() > ask.patience + Duration::from_secs(60) {
-                self.recorder.write(Record::GaveUp {
-                    at: wall(),
+                self.recorder.write(Record::TimedOut {
+                    at: unix_micros(),
                     request: ask.request,
                 });
                 return Err(Came::GaveUp);
@@ -295,9 +299,9 @@
                 Ok(answer) if answer.status.0 == 200 => return Ok(answer),
                 Ok(answer) if matches!(answer.status.0, 404 | 410) => {
                     self.recorder.write(Record::Answered {
-                        at: wall(),
+                        at: unix_micros(),
                         request: ask.request,
-                        how: How::Failed,
+                        outcome: Outcome::Failed,
                         error: Some(format!("HTTP {}", answer.status.0)),
                     });
                     return Err(Came::Failed(format!("HTTP {}", answer.status.0)));
@@ -319,19 +323,19 @@
         let (one, two) = futures_lite::future::zip(self.exchange(poll, POLL), other).await;
         let (one, two) = (one?, two?);
         if one.status == two.status && one.body != two.body {
-            self.recorder.write(Record::Changed {
-                at: wall(),
+            self.recorder.write(Record::FinalAnswerChanged {
+                at: unix_micros(),
                 request: ask.request,
             });
         }
         Ok(one)
     }
 
-    fn ended(&self, request: u64, how: How, error: Option<String>) -> Came {
+    fn ended(&self, request: u64, how: Outcome, error: Option<String>) -> Came {
         self.recorder.write(Record::Answered {
-            at: wall(),
+            at: unix_micros(),
             request,
-            how,
+            outcome: how,
             error: error.clone(),
         });
         Came::Failed(error.unwrap_or_default())
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use hoptiller_audit::{Record, Recorder, now as wall};
+use hoptiller_audit::{Record, Recorder, unix_micros};
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Method, Request, Response, Spawner};
 use hoptiller_statement::discovery::{
@@ -185,15 +185,15 @@
             .insert(router.to_owned(), names.clone())
             .unwrap_or_default();
         for engine in before.difference(&names).cloned() {
-            self.recorder.write(Record::ToldDrain {
-                at: wall(),
+            self.recorder.write(Record::DrainNotified {
+                at: unix_micros(),
                 engine,
                 router: router.to_owned(),
             });
         }
         for engine in names.difference(&before).cloned() {
-            self.recorder.write(Record::ToldUp {
-                at: wall(),
+            self.recorder.write(Record::UpNotified {
+                at: unix_micros(),
                 engine,
                 router: router.to_owned(),
             });
--- a/crates/mock-servers/src/engine.rs
+++ b/crates/mock-servers/src/engine.rs
@@ -13,7 +13,7 @@
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future;
-use hoptiller_audit::{Record, Recorder, now as wall};
+use hoptiller_audit::{Record, Recorder, SentVersions, unix_micros};
 use hoptiller_http::client::Connection;
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
@@ -146,15 +146,15 @@
 fn start(config: EngineConfig, spawner: Spawner) -> io::Result<SocketAddr> {
     let listener = hoptiller_http::server::bind(config.listen)?;
     let addr = listener.get_ref().local_addr()?;
-    config.recorder.write(Record::Started {
-        at: wall(),
+    config.recorder.write(Record::EngineStarted {
+        at: unix_micros(),
         engine: config.node.clone(),
         cold: config.cold,
     });
     let model = Model::new(config.spec.clone(), PAST, config.cold);
     let inner = Inner {
         started: Instant::now(),
-        process: wall(),
+        process: unix_micros(),
         model,
         sessions: BTreeMap::new(),
         next: 0,
@@ -212,15 +212,15 @@
             s.done = true;
             let (engine, trace) = (self.config.node.clone(), s.trace.clone());
             if s.shape.posts && !s.shape.wrong && self.config.ledger.post(&trace).is_ok() {
-                self.config.recorder.write(Record::Posted {
-                    at: wall(),
+                self.config.recorder.write(Record::EffectWritten {
+                    at: unix_micros(),
                     engine: engine.clone(),
                     trace: trace.clone(),
                 });
             }
             let work = s.shape.job.work as u64;
             self.config.recorder.write(Record::Done {
-                at: wall(),
+                at: unix_micros(),
                 engine,
                 trace,
                 work,
@@ -289,7 +289,7 @@
         let service = AnnouncedService {
             id: format!(
                 "{:032x}",
-                u128::from(wall()) << 16 | u128::from(addr.port())
+                u128::from(unix_micros()) << 16 | u128::from(addr.port())
             ),
             kind: ENGINE_SERVICE_TYPE.into(),
             properties: properties.map(|(k, v)| (k.to_owned(), v)).into(),
@@ -380,8 +380,8 @@
         ("/v1/info/state", Method::Get) => {
             if let (true, Some(router)) = (inner.draining, router) {
                 let engine = inner.config.node.clone();
-                inner.config.recorder.write(Record::ToldDrain {
-                    at: wall(),
+                inner.config.recorder.write(Record::DrainNotified {
+                    at: unix_micros(),
                     engine,
                     router,
                 });
@@ -447,15 +447,24 @@
     let terms = header(extra::ATTEMPT_OPTIONS);
     let hop = extra::find_number(&terms, "hop").unwrap_or(0.0) as u32;
     let (node, kind) = (inner.config.node.clone(), inner.config.kind.clone());
-    let versions = extra::ConfigVersions::parse(&header(extra::CONFIG_VERSIONS))
-        .map(|v| (v.in_force, v.enforced, v.in_doubt));
-    if let Some((in_force, heeds, _)) = versions.filter(|_| inner.config.fences) {
+    let versions =
+        extra::ConfigVersions::parse(&header(extra::CONFIG_VERSIONS)).map(|v| SentVersions {
+            in_force: v.in_force,
+            enforced: v.enforced,
+            in_doubt: v.in_doubt,
+        });
+    if let Some(SentVersions {
+        in_force,
+        enforced: heeds,
+        ..
+    }) = versions.filter(|_| inner.config.fences)
+    {
         if heeds < inner.newest {
             inner.config.recorder.write(Record::Fenced {
-                at: wall(),
+                at: unix_micros(),
                 engine: node,
                 router,
-                heeds,
+                enforced: heeds,
             });
             return Response::text(503, "that version of the rules is over")
                 .with(extra::LOAD, &inner.load())
@@ -464,13 +473,13 @@
         inner.newest = inner.newest.max(in_force);
     }
     inner.config.recorder.write(Record::Sent {
-        at: wall(),
+        at: unix_micros(),
         engine: node.clone(),
         kind,
         router,
         trace: trace.clone(),
         class: class.clone(),
-        hop,
+        attempt: hop,
         versions,
     });
     let hit = inner
@@ -481,7 +490,7 @@
         .and_then(|mut f| f.hits(&class).then(|| f.clone()));
     let faults = hit.unwrap_or_default();
     let over = Record::Done {
-        at: wall(),
+        at: unix_micros(),
         engine: node.clone(),
         trace: trace.clone(),
         work: 0,
@@ -513,8 +522,8 @@
                 .into();
         }
         Admission::Fell => {
-            inner.config.recorder.write(Record::Fell {
-                at: wall(),
+            inner.config.recorder.write(Record::EngineCrashed {
+                at: unix_micros(),
                 engine: node,
             });
             inner.sessions.clear();
@@ -574,7 +583,7 @@
     {
         let (engine, trace) = (inner.config.node.clone(), s.trace.clone());
         inner.config.recorder.write(Record::Done {
-            at: wall(),
+            at: unix_micros(),
             engine,
             trace,
             work: 0,
@@ -793,7 +802,7 @@
                 s.bell.notify(usize::MAX);
                 let trace = s.trace.clone();
                 inner.config.recorder.write(Record::Done {
-                    at: wall(),
+                    at: unix_micros(),
                     engine: node,
                     trace,
                     work: 0,
--- a/crates/mock-servers/src/lease.rs
+++ b/crates/mock-servers/src/lease.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller_audit::{Record, Recorder, now as wall};
+use hoptiller_audit::{Record, Recorder, unix_micros};
 use hoptiller_http::{Request, Response};
 use hoptiller_statement::extra;
 
@@ -25,16 +25,16 @@
         let newest = self.0.entry(part.to_owned()).or_default();
         let refused = compares && number < *newest;
         *newest = number.max(*newest);
-        recorder.write(Record::Leased {
-            at: wall(),
+        recorder.write(Record::LeasedRequest {
+            at: unix_micros(),
             resource: resource.to_owned(),
             router: request
                 .headers
                 .get(extra::ROUTER)
                 .unwrap_or_default()
                 .to_owned(),
-            part: part.to_owned(),
-            number,
+            shard: part.to_owned(),
+            fencing_token: number,
             refused,
         });
         refused.then(|| Response::text(409, "that lease is over"))
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -128,8 +128,8 @@
 
     pub fn crash_router(&mut self) {
         if let Some(router) = self.router.take() {
-            self.recorder.write(Record::Killed {
-                at: hoptiller_audit::now(),
+            self.recorder.write(Record::RouterKilled {
+                at: hoptiller_audit::unix_micros(),
                 router: "r1".into(),
             });
             router.crash();
@@ -223,7 +223,7 @@
     }
 
     pub fn records(&self) -> Vec<Record> {
-        let mut all = self.recorder.all().expect("records");
+        let mut all = self.recorder.records().expect("records");
         all.sort_by_key(Record::at);
         all
     }
@@ -288,7 +288,7 @@
     /// The auditor finds nothing wrong.
     pub fn assert_rules_kept(&self) {
         let verdict = self.verdict();
-        assert!(verdict.breaks.is_empty(), "{:#?}", verdict.breaks);
+        assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     }
 }
 
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -103,7 +103,7 @@
     stage
         .records()
         .iter()
-        .any(|r| matches!(r, hoptiller_audit::Record::Rows { rows, .. } if *rows > 0))
+        .any(|r| matches!(r, hoptiller_audit::Record::RowsReceived { rows, .. } if *rows > 0))
 }
 
 #[test]
--- a/crates/statement-router/tests/runaways.rs
+++ b/crates/statement-router/tests/runaways.rs
@@ -423,7 +423,7 @@
                 break;
             }
             if began.elapsed() > Duration::from_secs(40) {
-                for r in stage.recorder.all().expect("r") {
+                for r in stage.recorder.records().expect("r") {
                     eprintln!("REC {}", serde_json::to_string(&r).expect("j"));
                 }
             }
