--- a/crates/audit/tests/common/mod.rs
+++ b/crates/audit/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The rules that the tests check records against.
 
-use hoptiller_audit::{ClassRules, Rules};
+use hoptiller_audit::{ClassRules, RetryBudget, Rules};
 
 pub fn rules() -> Rules {
     let kinds = ["a".to_owned()].into();
@@ -34,7 +34,11 @@
         classes: classes.into(),
         drain_grace: 100,
         max_attempts: 2,
-        retry_budget: Some((1.0, 0.0, 1_000).into()),
+        retry_budget: Some(RetryBudget {
+            spare: 1.0,
+            ratio: 0.0,
+            span: 1_000,
+        }),
         order_pause: 20_020,
         versions: None,
     }
