--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -9,7 +9,10 @@
 use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::client::{Ask, Client, Manner};
 use hoptiller_policy::EngineId;
-use hoptiller_runaway::{Announced, AttemptId, End, KindId, Listed, News, Start, Watch};
+use hoptiller_runaway::{
+    Announced, AttemptId, AttemptStart, EngineStatus, ExecutionOutcome, FingerprintId,
+    ProgressReport, RunawayDetector,
+};
 use hoptiller_sql::{Dialect, kind_of};
 use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
@@ -57,22 +60,25 @@
 /// A look at so many attempts, and what is kept of so many kinds.
 fn watch(settings: &Settings) {
     for n in [100u64, 1_000, 10_000] {
-        let mut watch = Watch::new(settings.watch());
-        let listed = |e| Listed {
+        let mut watch = RunawayDetector::new(settings.watch());
+        let listed = |e| EngineStatus {
             engine: EngineId(e),
             up: true,
             classes: vec![true; settings.classes.len()],
         };
-        watch.listed((0..70).map(listed).collect());
+        watch.update_engines((0..70).map(listed).collect());
         let mut now = 1_000_000_000;
-        let start = |watch: &mut Watch, now, id: u64| {
-            let (kind, label) = (KindId(id % 4000), "select a from t where b = ?".into());
-            let held_as = watch.arrived(now, kind, 0, &label);
+        let start = |watch: &mut RunawayDetector, now, id: u64| {
+            let (kind, label) = (
+                FingerprintId(id % 4000),
+                "select a from t where b = ?".into(),
+            );
+            let held_as = watch.observe_arrival(now, kind, 0, &label);
             let attempt = AttemptId {
                 statement: id,
                 hop: 0,
             };
-            let start = Start {
+            let start = AttemptStart {
                 attempt,
                 engine: EngineId((id % 70) as u32),
                 class: 0,
@@ -83,14 +89,14 @@
                 announced: Announced::default(),
                 group: None,
             };
-            watch.started(now, start);
+            watch.start_attempt(now, start);
             attempt
         };
         // Every kind gets a past.
         for id in 0..80_000 {
             let attempt = start(&mut watch, now, id);
             now += 200_000 + id % 100_000;
-            watch.ended(now, attempt, End::Good, Some(200_000));
+            watch.end_attempt(now, attempt, ExecutionOutcome::Succeeded, Some(200_000));
         }
         let ids: Vec<AttemptId> = (0..n)
             .map(|id| start(&mut watch, now, 1_000_000 + id))
@@ -99,25 +105,25 @@
         for _ in 0..12 {
             now += 500_000;
             for id in &ids {
-                let news = News {
+                let news = ProgressReport {
                     work: Some(now % 300_000),
                     done: Some(0.5),
-                    ..News::default()
+                    ..ProgressReport::default()
                 };
-                watch.told(now, *id, news);
+                watch.report_progress(now, *id, news);
             }
             let began = Instant::now();
-            watch.look(now);
+            watch.run_detection(now);
             spent += began.elapsed();
             looks += 1;
-            watch.take();
+            watch.take_decisions();
         }
         let each = spent.as_secs_f64() / f64::from(looks) * 1e3;
         let began = Instant::now();
         let saved = watch.save();
         println!(
             "look at {n:>6} attempts, {} kinds: {each:>8.2} ms, {:.2}% of a thread; state {:.1} MB, made in {:.0} ms",
-            watch.sizes().0,
+            watch.tracked_counts().0,
             each / 5.0,
             saved.len() as f64 / 1e6,
             began.elapsed().as_secs_f64() * 1e3
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -13,7 +13,7 @@
     AttemptOutcome, Command, Core, CoreLimits, EngineStatement, FinalResponse, PollOutcome,
     ResponseContent, ResultPage, RouterIdentity, StatementId, Submission, group_of,
 };
-use hoptiller_runaway::{Finding, Holder, News, Proof, Stands, Watch};
+use hoptiller_runaway::{BlockedState, Finding, Holder, ProgressReport, Proof, RunawayDetector};
 use hoptiller_statement_router::service::ANSWER_MARGIN;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -172,7 +172,7 @@
                 router: format!("r{index}"),
                 incarnation: "emulated".into(),
             };
-            let watch = Watch::new(settings.watch());
+            let watch = RunawayDetector::new(settings.watch());
             let core = Core::new(
                 settings.decisions(),
                 seed ^ index as u64,
@@ -620,26 +620,28 @@
         let noise = 1.0 + self.plan.rough * self.rng.random_range(-1.0..1.0);
         let done = (course.done * noise).clamp(0.0, 0.99);
         let stands = course.stands.map(|why| match why {
-            model::Stands::Memory => Stands::Memory,
-            model::Stands::Paused => Stands::Behind(None),
-            model::Stands::Behind(other) => Stands::Behind(e.held.get(&other).map(|h| Holder {
-                name: self.routers[h.router].names.statement_name(h.id),
-                class: Some(self.plan.statements[self.run.attempts[h.attempt].statement].class),
-                age: e.model.course(other).map(|c| c.ran),
-            })),
+            model::Stands::Memory => BlockedState::Memory,
+            model::Stands::Paused => BlockedState::Behind(None),
+            model::Stands::Behind(other) => {
+                BlockedState::Behind(e.held.get(&other).map(|h| Holder {
+                    name: self.routers[h.router].names.statement_name(h.id),
+                    class: Some(self.plan.statements[self.run.attempts[h.attempt].statement].class),
+                    age: e.model.course(other).map(|c| c.ran),
+                }))
+            }
         });
         let progress = if stands.is_some() {
             Progress::Blocked
         } else {
             Progress::Completed(done)
         };
-        let news = News {
+        let news = ProgressReport {
             work: (course.worked > 1000.0).then_some(course.worked as Micros),
             done: stands.is_none().then_some(done),
             rows: Some((reads as f64 * course.done) as u64),
             memory_mb: (course.memory > 0.0).then_some(course.memory),
             spills: course.spills,
-            stands,
+            blocked_state: stands,
         };
         let core = &mut self.routers[held.router].core;
         core.report_progress(held.id, held.hop, progress);
--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -13,7 +13,7 @@
     Action, Controller, EndpointEntry, EngineId, Event, ListScope, LoadReport, Micros, Settings,
     SettingsError,
 };
-use hoptiller_runaway::Watch;
+use hoptiller_runaway::RunawayDetector;
 
 use crate::command::Command;
 use crate::endpoints::EndpointTable;
@@ -28,7 +28,7 @@
 pub struct Core {
     controller: Controller,
     /// `None` if runaways are not detected.
-    runaway_watch: Option<Watch>,
+    runaway_detector: Option<RunawayDetector>,
     endpoints: EndpointTable,
     identity: RouterIdentity,
     limits: CoreLimits,
@@ -57,12 +57,12 @@
         settings: Settings,
         seed: u64,
         limits: CoreLimits,
-        runaway_watch: Option<Watch>,
+        runaway_detector: Option<RunawayDetector>,
         identity: RouterIdentity,
     ) -> Result<Core, SettingsError> {
         Ok(Core {
             endpoints: EndpointTable::new(&settings),
-            runaway_watch,
+            runaway_detector,
             identity,
             class_deadlines: class_deadlines(&settings),
             controller: Controller::new(settings, seed)?,
@@ -86,8 +86,8 @@
     ) {
         self.class_deadlines = class_deadlines(&settings);
         self.endpoints.update_settings(&settings);
-        if let Some(watch) = &mut self.runaway_watch {
-            watch.rules(runaway_settings);
+        if let Some(watch) = &mut self.runaway_detector {
+            watch.update_settings(runaway_settings);
         }
         self.events.push(Event::SettingsChanged(Box::new(settings)));
     }
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -1,7 +1,7 @@
 //! Statements that clients submit and leave.
 
 use hoptiller_policy::{Arrival, Event, KeyId, Micros, RequestId};
-use hoptiller_runaway::End;
+use hoptiller_runaway::ExecutionOutcome;
 
 use super::Core;
 use crate::command::Command;
@@ -60,9 +60,9 @@
 
     /// Registers an arrival with the runaway detector, if there is one.
     fn runaway_profile(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
-        let watch = self.runaway_watch.as_mut()?;
-        let kind = watch.kind(submission.class, submission.fingerprint);
-        let held_as = watch.arrived(now, kind, submission.class, &submission.label);
+        let watch = self.runaway_detector.as_mut()?;
+        let kind = watch.fingerprint_id(submission.class, submission.fingerprint);
+        let held_as = watch.observe_arrival(now, kind, submission.class, &submission.label);
         Some(RunawayProfile {
             kind,
             held_as,
@@ -98,7 +98,7 @@
 
     fn release_attempt(&mut self, now: Micros, id: StatementId, attempt: u32) {
         self.commands.push_back(Command::Release { id, attempt });
-        self.end_runaway_detection(now, id, attempt, End::Good, None);
+        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Succeeded, None);
     }
 
     /// The history of a statement up to now; `None` if it is not retained.
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -1,7 +1,7 @@
 //! What is reported of attempts, and the settling of statements.
 
 use hoptiller_policy::{Event, Micros, Progress, RequestId};
-use hoptiller_runaway::{End, EndingVerdict, Proof, answer_after_end};
+use hoptiller_runaway::{EndingVerdict, ExecutionOutcome, Proof, answer_after_end};
 
 use super::Core;
 use crate::command::{AttemptOutcome, Command};
@@ -27,7 +27,7 @@
     /// Accepts a page of an attempt's result, or releases the attempt if its result is not wanted.
     pub fn accept_page(&mut self, now: Micros, id: StatementId, attempt: u32, page: ResultPage) {
         let size_bytes = page.size_bytes();
-        self.report_page_to_runaway_watch(now, id, attempt, &page);
+        self.report_page_to_runaway_detector(now, id, attempt, &page);
         let Some(statement) = self.statements.get_mut(id) else {
             self.commands.push_back(Command::Release { id, attempt });
             return;
@@ -65,7 +65,7 @@
         attempt: u32,
         error: EngineError,
     ) {
-        self.end_runaway_detection(now, id, attempt, End::Failed, None);
+        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Failed, None);
         self.report_success(now, id, attempt);
         self.settle(now, id, FinalResponse::EngineError(error));
     }
@@ -108,7 +108,7 @@
         proof: Proof,
         reason: String,
     ) {
-        self.end_runaway_detection(now, id, attempt, End::Failed, None);
+        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Failed, None);
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -4,7 +4,10 @@
 
 use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, Event, ListScope, Micros};
 use hoptiller_runaway::snapshot::Restored;
-use hoptiller_runaway::{AttemptId, Decision, End, KindId, News, SnapshotError, Start, Watch};
+use hoptiller_runaway::{
+    AttemptId, AttemptStart, Decision, ExecutionOutcome, FingerprintId, ProgressReport,
+    RunawayDetector, SnapshotError,
+};
 
 use super::Core;
 use crate::command::Command;
@@ -13,27 +16,27 @@
 
 impl Core {
     /// The runaway detector, if there is one.
-    pub fn runaway_watch(&self) -> Option<&Watch> {
-        self.runaway_watch.as_ref()
+    pub fn runaway_detector(&self) -> Option<&RunawayDetector> {
+        self.runaway_detector.as_ref()
     }
 
     /// Restores the statistics of an earlier incarnation into the runaway detector; `None` if there is no detector.
-    pub fn restore_runaway_watch(
+    pub fn restore_runaway_detector(
         &mut self,
         now: Micros,
         snapshot: &[u8],
     ) -> Option<Result<Restored, SnapshotError>> {
-        self.runaway_watch
+        self.runaway_detector
             .as_mut()
-            .map(|watch| watch.restore(now, snapshot))
+            .map(|detector| detector.restore(now, snapshot))
     }
 
     /// An operator releases a fingerprint that is held. Returns whether it was held.
-    pub fn release_fingerprint(&mut self, kind: KindId) -> bool {
+    pub fn release_fingerprint(&mut self, kind: FingerprintId) -> bool {
         let was_held = self
-            .runaway_watch
+            .runaway_detector
             .as_mut()
-            .is_some_and(|watch| watch.release(kind));
+            .is_some_and(|detector| detector.release_hold(kind));
         self.apply_runaway_decisions();
         was_held
     }
@@ -44,10 +47,10 @@
         now: Micros,
         id: StatementId,
         attempt: u32,
-        news: News,
+        progress: ProgressReport,
     ) {
-        if let Some(watch) = &mut self.runaway_watch {
-            watch.told(now, attempt_id(id, attempt), news);
+        if let Some(detector) = &mut self.runaway_detector {
+            detector.report_progress(now, attempt_id(id, attempt), progress);
         }
     }
 
@@ -59,14 +62,15 @@
         attempt: u32,
         engine: EngineId,
     ) {
-        let (Some(watch), Some(statement)) = (&mut self.runaway_watch, self.statements.get(id))
+        let (Some(detector), Some(statement)) =
+            (&mut self.runaway_detector, self.statements.get(id))
         else {
             return;
         };
         let Some(profile) = &statement.runaway_profile else {
             return;
         };
-        let start = Start {
+        let start = AttemptStart {
             attempt: attempt_id(id, attempt),
             engine,
             class: statement.class,
@@ -77,25 +81,25 @@
             announced: profile.announced,
             group: profile.group,
         };
-        watch.started(now, start);
+        detector.start_attempt(now, start);
     }
 
     /// Tells the detector that a page was received: the engine has a result, or with the last page all of it.
-    pub(super) fn report_page_to_runaway_watch(
+    pub(super) fn report_page_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
         attempt: u32,
         page: &ResultPage,
     ) {
-        let Some(watch) = &mut self.runaway_watch else {
+        let Some(detector) = &mut self.runaway_detector else {
             return;
         };
         let attempt = attempt_id(id, attempt);
         if page.is_last {
-            watch.ended(now, attempt, End::Good, page.work);
+            detector.end_attempt(now, attempt, ExecutionOutcome::Succeeded, page.work);
         } else {
-            watch.flowing(now, attempt);
+            detector.start_streaming(now, attempt);
         }
     }
 
@@ -105,11 +109,11 @@
         now: Micros,
         id: StatementId,
         attempt: u32,
-        end: End,
+        outcome: ExecutionOutcome,
         work: Option<Micros>,
     ) {
-        if let Some(watch) = &mut self.runaway_watch {
-            watch.ended(now, attempt_id(id, attempt), end, work);
+        if let Some(detector) = &mut self.runaway_detector {
+            detector.end_attempt(now, attempt_id(id, attempt), outcome, work);
         }
     }
 
@@ -121,17 +125,19 @@
         attempt: u32,
         status: AttemptStatus,
     ) {
-        let end = match status {
+        let outcome = match status {
             AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::NotSent => {
-                End::NeverRan
+                ExecutionOutcome::NeverRan
+            }
+            AttemptStatus::Succeeded | AttemptStatus::ErrorResponse => ExecutionOutcome::Failed,
+            AttemptStatus::Cancelled if self.endpoints.cancel_stops_work() => {
+                ExecutionOutcome::Failed
             }
-            AttemptStatus::Succeeded | AttemptStatus::ErrorResponse => End::Failed,
-            AttemptStatus::Cancelled if self.endpoints.cancel_stops_work() => End::Failed,
             AttemptStatus::TimedOut | AttemptStatus::ConnectionReset | AttemptStatus::Cancelled => {
-                End::GoesOn
+                ExecutionOutcome::Abandoned
             }
         };
-        self.end_runaway_detection(now, id, attempt, end, None);
+        self.end_runaway_detection(now, id, attempt, outcome, None);
     }
 
     /// Tells the detector of an update of the engine list, except one that failed.
@@ -144,27 +150,30 @@
         if scope == ListScope::Failed {
             return;
         }
-        let Some(watch) = &mut self.runaway_watch else {
+        let Some(detector) = &mut self.runaway_detector else {
             return;
         };
         for engine in self.endpoints.update(scope, entries) {
-            watch.restarted(now, engine);
+            detector.reset_engine(now, engine);
         }
-        watch.listed(self.endpoints.listed());
+        detector.update_engines(self.endpoints.listed());
         self.apply_runaway_decisions();
     }
 
     /// Has the detector look for runaways, if it is time.
     pub(super) fn detect_runaways(&mut self, now: Micros) {
-        if let Some(watch) = &mut self.runaway_watch {
-            watch.look(now);
+        if let Some(detector) = &mut self.runaway_detector {
+            detector.run_detection(now);
         }
         self.apply_runaway_decisions();
     }
 
     /// Turns the detector's decisions into events and commands.
     fn apply_runaway_decisions(&mut self) {
-        let decisions = self.runaway_watch.as_mut().map(Watch::take);
+        let decisions = self
+            .runaway_detector
+            .as_mut()
+            .map(RunawayDetector::take_decisions);
         for decision in decisions.into_iter().flatten() {
             let command = match decision {
                 Decision::Hold(hold) => {
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -5,7 +5,7 @@
 use hoptiller_policy::{
     EndpointEntry, EngineId, Idempotency, ListScope, Micros, Readiness, Settings,
 };
-use hoptiller_runaway::Listed;
+use hoptiller_runaway::EngineStatus;
 
 /// Where a class may run. `None` allows all zones or kinds.
 struct Placement {
@@ -89,11 +89,11 @@
     }
 
     /// The engines that are not removed, with the classes that may run on each.
-    pub(crate) fn listed(&self) -> Vec<Listed> {
+    pub(crate) fn listed(&self) -> Vec<EngineStatus> {
         self.entries
             .values()
             .filter(|entry| entry.readiness != Readiness::Removed)
-            .map(|entry| Listed {
+            .map(|entry| EngineStatus {
                 engine: entry.engine,
                 up: entry.readiness == Readiness::Up,
                 classes: self.placement.iter().map(|p| p.allows(entry)).collect(),
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hoptiller_policy::{AttemptStatus, EngineId, Event, LoadReport, Micros, Outcome, RequestId};
-use hoptiller_runaway::{Announced, KindId};
+use hoptiller_runaway::{Announced, FingerprintId};
 
 use crate::command::{Attempt, AttemptOutcome};
 use crate::history::{AttemptHistory, StatementHistory};
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RunawayProfile {
     /// Its fingerprint and class.
-    pub(crate) kind: KindId,
+    pub(crate) kind: FingerprintId,
     /// What a hold on it applies to.
-    pub(crate) held_as: KindId,
+    pub(crate) held_as: FingerprintId,
     /// Its text without literal values.
     pub(crate) label: Rc<str>,
     /// What the client announced of its size.
--- a/crates/runaway/src/acts.rs
+++ b/crates/runaway/src/acts.rs
@@ -6,13 +6,13 @@
 use hoptiller_policy::{EngineId, Micros};
 
 use crate::interface::*;
-use crate::watch::Watch;
+use crate::watch::RunawayDetector;
 
 /// Runaways of kinds hardly known, within this time, for which such kinds are held together.
 const STRANGERS: usize = 3;
 const STRANGERS_IN: Micros = 300_000_000;
 
-impl Watch {
+impl RunawayDetector {
     /// What is done about a runaway, by the rules for its class.
     pub(crate) fn act(&mut self, now: Micros, id: AttemptId, cause: Cause, blocks: &[String]) {
         let youngest = blocks
@@ -25,25 +25,26 @@
         };
         let (class, kind, label) = (o.start.class, o.start.kind, o.start.label.clone());
         let spec = &self.cfg.classes[class];
-        let acts = spec.acts;
+        let enforcement = spec.enforcement;
         let alive = o.gone.is_none() && o.flowing.is_none();
         // Of a circle, the last to come is ended: it has the least to lose, and the others can go on.
         let later = cause == Cause::Deadlock && youngest.is_some_and(|y| y != id);
-        if acts.end && alive && !later {
+        if enforcement.end && alive && !later {
             o.end_at = Some(now + self.cfg.end_after);
         }
         // Danger: one that holds what others wait for would hold it all the longer.
         let holds_up =
             spec.holds || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
-        if acts.pause && alive && !holds_up && !o.paused {
+        if enforcement.pause && alive && !holds_up && !o.paused {
             (o.paused, o.resume_at) = (true, Some(now + self.cfg.pause_for));
             self.decisions.push(Decision::Pause(id));
         }
-        if !acts.hold {
+        if !enforcement.hold {
             return;
         }
         let held_as = self.hold_kind(now, kind, class);
-        self.holds.found(now, held_as, class, &label, acts.lower);
+        self.holds
+            .found(now, held_as, class, &label, enforcement.lower);
         if let Some(o) = self.outs.get_mut(&id) {
             (o.counts, o.start.held_as) = (true, held_as);
         }
@@ -51,7 +52,7 @@
 
     /// The kind to hold: the statement's own, or all that are hardly known where several of them ran away, as
     /// when every text is another one.
-    fn hold_kind(&mut self, now: Micros, kind: KindId, class: usize) -> KindId {
+    fn hold_kind(&mut self, now: Micros, kind: FingerprintId, class: usize) -> FingerprintId {
         if self.book.is_known(kind) {
             return kind;
         }
@@ -62,7 +63,7 @@
         }
         // While the class itself is new, all of its kinds are.
         match times.len() >= STRANGERS && self.book.known_of(class) > 0 {
-            true => KindId::unknown(&self.cfg.classes[class].name),
+            true => FingerprintId::unknown(&self.cfg.classes[class].name),
             false => kind,
         }
     }
@@ -87,7 +88,8 @@
         let mut away: BTreeMap<u64, Vec<EngineId>> = BTreeMap::new();
         for o in self.outs.values() {
             let spec = &self.cfg.classes[o.start.class];
-            let (true, true, Some(group)) = (spec.holds, spec.acts.hold, o.start.group) else {
+            let (true, true, Some(group)) = (spec.holds, spec.enforcement.hold, o.start.group)
+            else {
                 continue;
             };
             if self
@@ -103,7 +105,7 @@
         for f in self.foreign.values().filter(|f| now < f.away_until) {
             // Where its class is not told, what any class permits.
             let mut classes = self.cfg.classes.iter().enumerate();
-            if classes.any(|(n, c)| f.class.is_none_or(|of| of == n) && c.acts.hold) {
+            if classes.any(|(n, c)| f.class.is_none_or(|of| of == n) && c.enforcement.hold) {
                 for group in &f.groups {
                     let engines = away.entry(*group).or_default();
                     if !engines.contains(&f.engine) {
--- a/crates/runaway/src/change.rs
+++ b/crates/runaway/src/change.rs
@@ -8,7 +8,7 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::interface::{AttemptId, KindId};
+use crate::interface::{AttemptId, FingerprintId};
 
 /// Runs that are long, at least, for a kind to have changed.
 const MANY: usize = 4;
@@ -43,7 +43,7 @@
 /// Kinds of which something runs long.
 #[derive(Debug, Default)]
 pub struct Changes {
-    of: BTreeMap<KindId, Change>,
+    of: BTreeMap<FingerprintId, Change>,
 }
 
 impl Changes {
@@ -51,7 +51,7 @@
     pub fn long(
         &mut self,
         now: Micros,
-        kind: KindId,
+        kind: FingerprintId,
         attempt: AttemptId,
         started: Micros,
         engine: EngineId,
@@ -78,7 +78,7 @@
     }
 
     /// A statement has run as usual.
-    pub fn usual(&mut self, kind: KindId, attempt: AttemptId, started: Micros) {
+    pub fn usual(&mut self, kind: FingerprintId, attempt: AttemptId, started: Micros) {
         let Some(c) = self.of.get_mut(&kind) else {
             return;
         };
@@ -92,7 +92,7 @@
 
     /// What to say of one that has been over its bound for some time. With one engine alone, a slow engine can't
     /// be told from a changed kind by where it happens.
-    pub fn say(&self, kind: KindId, over_for: Micros, engines: usize) -> Says {
+    pub fn say(&self, kind: FingerprintId, over_for: Micros, engines: usize) -> Says {
         let Some(c) = self.of.get(&kind) else {
             return Says::Alone;
         };
@@ -109,12 +109,12 @@
     }
 
     /// The kind's new figures were taken as usual, or it runs as it did.
-    pub fn forget(&mut self, kind: KindId) {
+    pub fn forget(&mut self, kind: FingerprintId) {
         self.of.remove(&kind);
     }
 
     /// Whether anything is counted of a kind.
-    pub fn knows(&self, kind: KindId) -> bool {
+    pub fn knows(&self, kind: FingerprintId) -> bool {
         self.of.contains_key(&kind)
     }
 }
--- a/crates/runaway/src/change/tests.rs
+++ b/crates/runaway/src/change/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const K: KindId = KindId(1);
+const K: FingerprintId = FingerprintId(1);
 
 fn id(n: u64) -> AttemptId {
     AttemptId {
@@ -60,6 +60,6 @@
 #[test]
 fn counts_are_bounded() {
     let mut c = Changes::default();
-    (0..1000).for_each(|n| c.long(n, KindId(n), id(n), n, EngineId(0)));
-    assert!(c.of.len() == KINDS && c.knows(KindId(999)));
+    (0..1000).for_each(|n| c.long(n, FingerprintId(n), id(n), n, EngineId(0)));
+    assert!(c.of.len() == KINDS && c.knows(FingerprintId(999)));
 }
--- a/crates/runaway/src/engines.rs
+++ b/crates/runaway/src/engines.rs
@@ -5,7 +5,7 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::interface::KindId;
+use crate::interface::FingerprintId;
 
 /// Ends that count, and for how long.
 const ENDS: usize = 16;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// Its kind.
-    pub kind: KindId,
+    pub kind: FingerprintId,
     /// Times as long as usual.
     pub times: f64,
 }
@@ -57,7 +57,7 @@
             .into_iter()
             .flatten()
             .filter(|(at, _)| *at >= since);
-        let mut kinds: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
+        let mut kinds: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
         for s in ended.map(|(_, s)| s).chain(running) {
             kinds.entry(s.kind).or_default().push(s.times);
         }
--- a/crates/runaway/src/engines/tests.rs
+++ b/crates/runaway/src/engines/tests.rs
@@ -4,7 +4,7 @@
     times
         .iter()
         .map(|t| Sample {
-            kind: KindId(1),
+            kind: FingerprintId(1),
             times: *t,
         })
         .collect()
@@ -21,7 +21,7 @@
     // A kind that takes long among others that don't.
     let mut mixed = samples(&[50.0; 9]);
     mixed.push(Sample {
-        kind: KindId(2),
+        kind: FingerprintId(2),
         times: 1.1,
     });
     assert_eq!(paces.slowness(0, EngineId(1), &mixed), (1.1, 10));
--- a/crates/runaway/src/expect.rs
+++ b/crates/runaway/src/expect.rs
@@ -12,7 +12,7 @@
 
 use hoptiller_policy::Micros;
 
-use crate::interface::{Announced, Basis, Class, KindId};
+use crate::interface::{Announced, Basis, Class, FingerprintId};
 use crate::sketch::Sketch;
 
 /// A statement is too long from this multiple of its kind's median. Ten times is a large one that is to be
@@ -118,10 +118,10 @@
 #[derive(Debug)]
 pub struct Book {
     most: usize,
-    pub(crate) kinds: HashMap<KindId, KindBook>,
+    pub(crate) kinds: HashMap<FingerprintId, KindBook>,
     pub(crate) classes: Vec<(Figures, Sketch)>,
     /// By the time of their last use: kinds hardly known, kinds known.
-    line: [BTreeSet<(Micros, KindId)>; 2],
+    line: [BTreeSet<(Micros, FingerprintId)>; 2],
 }
 
 impl Book {
@@ -153,7 +153,7 @@
     }
 
     /// Whether a kind has been seen often enough to be told from its class.
-    pub fn is_known(&self, kind: KindId) -> bool {
+    pub fn is_known(&self, kind: FingerprintId) -> bool {
         self.kinds.get(&kind).is_some_and(|k| k.runs() >= KNOWN)
     }
 
@@ -164,12 +164,12 @@
     }
 
     /// The text of a kind, for people.
-    pub fn label(&self, kind: KindId) -> Option<Rc<str>> {
+    pub fn label(&self, kind: FingerprintId) -> Option<Rc<str>> {
         self.kinds.get(&kind).map(|k| k.label.clone())
     }
 
     /// A statement of this kind has come: remembers the kind, and forgets another where there is no room.
-    pub fn touch(&mut self, kind: KindId, class: usize, label: &Rc<str>, now: Micros) {
+    pub fn touch(&mut self, kind: FingerprintId, class: usize, label: &Rc<str>, now: Micros) {
         let known = usize::from(self.is_known(kind));
         let k = self.kinds.entry(kind).or_insert_with(|| KindBook {
             class,
@@ -199,7 +199,7 @@
         }
     }
 
-    pub(crate) fn restore(&mut self, kind: KindId, book: KindBook) {
+    pub(crate) fn restore(&mut self, kind: FingerprintId, book: KindBook) {
         let known = usize::from(book.runs() >= KNOWN);
         self.line[known].insert((book.last, kind));
         self.kinds.insert(kind, book);
@@ -207,7 +207,13 @@
     }
 
     /// What is expected of a statement of this kind and class that announces this.
-    pub fn expect(&self, kind: KindId, class: usize, spec: &Class, says: Announced) -> Expectation {
+    pub fn expect(
+        &self,
+        kind: FingerprintId,
+        class: usize,
+        spec: &Class,
+        says: Announced,
+    ) -> Expectation {
         let (of_class, class_honesty) = &self.classes[class];
         let book = self.kinds.get(&kind);
         let (own, scale) = book.map_or((None, 1.0), |k| k.of_size(says.size));
@@ -272,7 +278,7 @@
     }
 
     /// Takes in a run that was within its bound.
-    pub fn learn(&mut self, kind: KindId, class: usize, says: Announced, run: &Run) {
+    pub fn learn(&mut self, kind: FingerprintId, class: usize, says: Announced, run: &Run) {
         self.classes[class].0.learn(run);
         let honest = says
             .estimate
@@ -294,7 +300,7 @@
     }
 
     /// Notes a run that was beyond its bound. It teaches nothing yet; returns how many there have been.
-    pub fn note_beyond(&mut self, kind: KindId, run: &Run) -> u64 {
+    pub fn note_beyond(&mut self, kind: FingerprintId, run: &Run) -> u64 {
         let Some(k) = self.kinds.get_mut(&kind) else {
             return 0;
         };
@@ -303,7 +309,7 @@
     }
 
     /// The kind has changed: what was beyond its bound is usual now.
-    pub fn adopt(&mut self, kind: KindId) {
+    pub fn adopt(&mut self, kind: FingerprintId) {
         let Some(k) = self.kinds.get_mut(&kind) else {
             return;
         };
@@ -314,7 +320,7 @@
     }
 
     /// The kind runs as it did: those beyond were strays.
-    pub fn disown(&mut self, kind: KindId) {
+    pub fn disown(&mut self, kind: FingerprintId) {
         if let Some(k) = self.kinds.get_mut(&kind) {
             k.beyond = Figures::default();
         }
--- a/crates/runaway/src/expect/tests.rs
+++ b/crates/runaway/src/expect/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::Acts;
+use crate::interface::EnforcementOptions;
 use hoptiller_policy::Idempotency;
 
 const S: f64 = 1e6;
@@ -12,7 +12,7 @@
         threads: 2.0,
         effect: Idempotency::Idempotent,
         holds: false,
-        acts: Acts::default(),
+        enforcement: EnforcementOptions::default(),
     }
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-fn book(kind: KindId, runs: usize) -> Book {
+fn book(kind: FingerprintId, runs: usize) -> Book {
     let mut b = Book::new(1, 400);
     b.touch(kind, 0, &"select ?".into(), 1);
     for n in 0..runs {
@@ -39,7 +39,7 @@
 }
 
 fn bar_of(b: &Book, kind: u64, says: Announced) -> Expected {
-    b.expect(KindId(kind), 0, &spec(), says).run
+    b.expect(FingerprintId(kind), 0, &spec(), says).run
 }
 
 #[test]
@@ -47,21 +47,21 @@
     let (nothing, some) = (Announced::default(), |b: &Book| {
         bar_of(b, 1, Announced::default())
     });
-    assert_eq!(some(&book(KindId(1), 0)).basis, Basis::Settings);
-    let ten = some(&book(KindId(1), 10));
+    assert_eq!(some(&book(FingerprintId(1), 0)).basis, Basis::Settings);
+    let ten = some(&book(FingerprintId(1), 10));
     assert_eq!((ten.basis, ten.bar), (Basis::Settings, 25.0 * S));
-    let law = some(&book(KindId(1), 60));
+    let law = some(&book(FingerprintId(1), 60));
     assert_eq!(law.basis, Basis::Kind(60));
     assert!((11.0 * S..13.0 * S).contains(&law.bar), "{law:?}");
     // A kind never seen, in a class that is known: wider than the class's own kinds.
-    let stranger = bar_of(&book(KindId(1), 60), 2, nothing);
+    let stranger = bar_of(&book(FingerprintId(1), 60), 2, nothing);
     assert_eq!(stranger.basis, Basis::Class(60));
     assert!(stranger.bar > 1.8 * law.bar, "{stranger:?}");
 }
 
 #[test]
 fn what_is_announced_counts_where_it_was_right_before() {
-    let b = book(KindId(1), 60);
+    let b = book(FingerprintId(1), 60);
     let says = |size, estimate| Announced { size, estimate };
     let (plain, twelve) = (bar_of(&b, 1, says(0, None)), bar_of(&b, 1, says(12, None)));
     assert!(
@@ -70,11 +70,16 @@
     );
     // Estimates of which nothing is known are not believed.
     assert_eq!(bar_of(&b, 1, says(0, Some(900_000_000))), plain);
-    let mut honest = book(KindId(1), 60);
-    let mut liar = book(KindId(1), 60);
+    let mut honest = book(FingerprintId(1), 60);
+    let mut liar = book(FingerprintId(1), 60);
     for n in 0..20u64 {
-        honest.learn(KindId(1), 0, says(0, Some(1_000_000)), &run(1.0));
-        liar.learn(KindId(1), 0, says(0, Some(10_000 << (n % 14))), &run(1.0));
+        honest.learn(FingerprintId(1), 0, says(0, Some(1_000_000)), &run(1.0));
+        liar.learn(
+            FingerprintId(1),
+            0,
+            says(0, Some(10_000 << (n % 14))),
+            &run(1.0),
+        );
     }
     assert!(bar_of(&honest, 1, says(0, Some(10_000_000))).bar > 9.0 * plain.bar);
     assert!(bar_of(&liar, 1, says(0, Some(10_000_000))).bar < 1.1 * plain.bar);
@@ -82,33 +87,42 @@
 
 #[test]
 fn usual_moves_with_the_month_and_not_with_strays() {
-    let mut b = book(KindId(1), 200);
+    let mut b = book(FingerprintId(1), 200);
     let before = bar_of(&b, 1, Announced::default());
     for _ in 0..20 {
-        b.note_beyond(KindId(1), &run(100.0));
+        b.note_beyond(FingerprintId(1), &run(100.0));
     }
     assert_eq!(bar_of(&b, 1, Announced::default()), before);
     for _ in 0..400 {
-        b.learn(KindId(1), 0, Announced::default(), &run(4.0));
+        b.learn(FingerprintId(1), 0, Announced::default(), &run(4.0));
     }
     assert!(bar_of(&b, 1, Announced::default()).usual > 3.5 * before.usual);
-    b.adopt(KindId(1));
+    b.adopt(FingerprintId(1));
     assert!(bar_of(&b, 1, Announced::default()).usual > 90.0 * S);
 }
 
 #[test]
 fn invented_kinds_push_out_only_each_other() {
-    let mut b = book(KindId(1), 60);
+    let mut b = book(FingerprintId(1), 60);
     for n in 0..100_000u64 {
-        b.touch(KindId(n + 10), 0, &"x".into(), 2 + n);
+        b.touch(FingerprintId(n + 10), 0, &"x".into(), 2 + n);
     }
     assert_eq!(b.len(), 101);
-    assert!(b.is_known(KindId(1)) && !b.is_known(KindId(100_009)));
-    assert!(b.kinds.contains_key(&KindId(100_009)) && !b.kinds.contains_key(&KindId(10)));
+    assert!(b.is_known(FingerprintId(1)) && !b.is_known(FingerprintId(100_009)));
+    assert!(
+        b.kinds.contains_key(&FingerprintId(100_009)) && !b.kinds.contains_key(&FingerprintId(10))
+    );
     // Known ones are bounded too.
     for n in 0..1000u64 {
-        b.touch(KindId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
-        (0..KNOWN).for_each(|_| b.learn(KindId(n + 1_000_000), 0, Announced::default(), &run(1.0)));
+        b.touch(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
+        (0..KNOWN).for_each(|_| {
+            b.learn(
+                FingerprintId(n + 1_000_000),
+                0,
+                Announced::default(),
+                &run(1.0),
+            )
+        });
     }
     assert!(b.len() <= 400 && b.known_of(0) == 300);
 }
--- a/crates/runaway/src/hold.rs
+++ b/crates/runaway/src/hold.rs
@@ -10,7 +10,7 @@
 use hoptiller_policy::{EngineId, Hold, HoldTarget, Micros};
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{KindId, Listed};
+use crate::interface::{EngineStatus, FingerprintId};
 
 /// Clean runs for a step, at first.
 const CLEAN: u32 = 3;
@@ -50,17 +50,24 @@
 /// All holds.
 #[derive(Debug, Default)]
 pub struct Holds {
-    pub(crate) kinds: BTreeMap<KindId, KindHold>,
+    pub(crate) kinds: BTreeMap<FingerprintId, KindHold>,
     /// Groups and the engines that they are kept away from.
     pub(crate) groups: BTreeMap<u64, Vec<EngineId>>,
-    engines: Vec<Listed>,
+    engines: Vec<EngineStatus>,
     /// What was told last of each, so that only news is told.
     told: BTreeMap<HoldTarget, Hold>,
 }
 
 impl Holds {
     /// A runaway of a kind was found.
-    pub fn found(&mut self, now: Micros, kind: KindId, class: usize, label: &str, lower: bool) {
+    pub fn found(
+        &mut self,
+        now: Micros,
+        kind: FingerprintId,
+        class: usize,
+        label: &str,
+        lower: bool,
+    ) {
         if self.kinds.len() >= MOST_HOLDS && !self.kinds.contains_key(&kind) {
             let nearest = self
                 .kinds
@@ -95,7 +102,7 @@
     }
 
     /// A runaway of a held kind is over.
-    pub fn over(&mut self, now: Micros, kind: KindId) {
+    pub fn over(&mut self, now: Micros, kind: FingerprintId) {
         if let Some(h) = self.kinds.get_mut(&kind) {
             h.out = h.out.saturating_sub(1);
             h.last = now;
@@ -103,7 +110,7 @@
     }
 
     /// A statement of a kind has ended, within half of its bound or not.
-    pub fn ended(&mut self, now: Micros, kind: KindId, clean: bool) {
+    pub fn ended(&mut self, now: Micros, kind: FingerprintId, clean: bool) {
         let Some(h) = self.kinds.get_mut(&kind) else {
             return;
         };
@@ -122,7 +129,7 @@
     }
 
     /// An operator frees a kind. False where it is not held.
-    pub fn release(&mut self, kind: KindId) -> bool {
+    pub fn release(&mut self, kind: FingerprintId) -> bool {
         self.kinds.remove(&kind).is_some()
     }
 
@@ -132,7 +139,7 @@
     }
 
     /// The engine list.
-    pub fn listed(&mut self, engines: &[Listed]) {
+    pub fn listed(&mut self, engines: &[EngineStatus]) {
         self.engines = engines.to_vec();
     }
 
@@ -204,8 +211,8 @@
 
     /// The engines where a held kind may not run: all but as many as may run at once, chosen by a hash that is
     /// alike at all routers, so that together they hold it to few engines without a word between them.
-    fn closed_to(&self, kind: KindId, h: &KindHold) -> Vec<EngineId> {
-        let fits = |e: &&Listed| e.up && e.classes.get(h.class).copied().unwrap_or(true);
+    fn closed_to(&self, kind: FingerprintId, h: &KindHold) -> Vec<EngineId> {
+        let fits = |e: &&EngineStatus| e.up && e.classes.get(h.class).copied().unwrap_or(true);
         let mut open: Vec<EngineId> = self.engines.iter().filter(fits).map(|e| e.engine).collect();
         let own = |id: &EngineId| {
             let mut hash = blake3::Hasher::new();
--- a/crates/runaway/src/hold/tests.rs
+++ b/crates/runaway/src/hold/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-const K: KindId = KindId(7);
+const K: FingerprintId = FingerprintId(7);
 
 fn holds(engines: u32) -> Holds {
     let mut h = Holds::default();
-    let listed = |n| Listed {
+    let listed = |n| EngineStatus {
         engine: EngineId(n),
         up: true,
         classes: vec![true, n % 2 == 0],
@@ -71,7 +71,7 @@
         .collect();
     assert_eq!(open.len(), 1);
     // Its engine goes: another takes its place.
-    let listed = |n| Listed {
+    let listed = |n| EngineStatus {
         engine: EngineId(n),
         up: n != open[0],
         classes: vec![true, n % 2 == 0],
@@ -109,7 +109,7 @@
 #[test]
 fn holds_are_bounded() {
     let mut h = holds(2);
-    (0..1000).for_each(|n| h.found(n, KindId(n), 0, "x", false));
+    (0..1000).for_each(|n| h.found(n, FingerprintId(n), 0, "x", false));
     assert_eq!(h.kinds.len(), MOST_HOLDS);
-    assert!(h.kinds.contains_key(&KindId(999)));
+    assert!(h.kinds.contains_key(&FingerprintId(999)));
 }
--- a/crates/runaway/src/interface.rs
+++ b/crates/runaway/src/interface.rs
@@ -1,40 +1,40 @@
-//! What goes into and comes out of [`Watch`](crate::Watch). Plain data.
+//! What goes into and comes out of [`RunawayDetector`](crate::RunawayDetector). Plain data.
 
 use hoptiller_policy::{EngineId, Hold, Idempotency, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A statement's kind: its class and the fingerprint of its text, in one number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct KindId(pub u64);
+pub struct FingerprintId(pub u64);
 
-impl KindId {
+impl FingerprintId {
     /// The kind of a fingerprint within a class. The class goes by name, which outlives a change of its number.
-    pub fn new(class: &str, fingerprint: u64) -> KindId {
+    pub fn new(class: &str, fingerprint: u64) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(&fingerprint.to_le_bytes())
             .update(class.as_bytes());
-        KindId(first_of(&hash))
+        FingerprintId(first_of(&hash))
     }
 
     /// What stands for all kinds of a class that are hardly known.
-    pub fn unknown(class: &str) -> KindId {
+    pub fn unknown(class: &str) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(b"hardly known kinds of ")
             .update(class.as_bytes());
-        KindId(first_of(&hash))
+        FingerprintId(first_of(&hash))
     }
 }
 
-impl std::fmt::Display for KindId {
+impl std::fmt::Display for FingerprintId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl std::str::FromStr for KindId {
+impl std::str::FromStr for FingerprintId {
     type Err = std::num::ParseIntError;
-    fn from_str(text: &str) -> Result<KindId, Self::Err> {
-        u64::from_str_radix(text, 16).map(KindId)
+    fn from_str(text: &str) -> Result<FingerprintId, Self::Err> {
+        u64::from_str_radix(text, 16).map(FingerprintId)
     }
 }
 
@@ -55,7 +55,7 @@
 
 /// What may be done about runaways of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Acts {
+pub struct EnforcementOptions {
     /// Say so.
     pub name: bool,
     /// Bound how many of its kind run at once, and where.
@@ -84,10 +84,10 @@
     /// A load: holds its group of tables while it runs.
     pub holds: bool,
     /// What may be done about its runaways.
-    pub acts: Acts,
+    pub enforcement: EnforcementOptions,
 }
 
-/// All that a watch is told when it starts.
+/// All that a detector is configured with when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Classes; events name them by position.
@@ -111,7 +111,7 @@
 
 /// Why a statement stands still.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stands {
+pub enum BlockedState {
     /// For memory.
     Memory,
     /// Behind another, which engines name where they can.
@@ -131,7 +131,7 @@
 
 /// What an engine tells of a running attempt. What is absent was not told.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct ProgressReport {
     /// Work done so far, over all threads.
     pub work: Option<Micros>,
     /// Share done, rough.
@@ -143,19 +143,19 @@
     /// It lacks memory and spills.
     pub spills: bool,
     /// It stands still.
-    pub stands: Option<Stands>,
+    pub blocked_state: Option<BlockedState>,
 }
 
-impl News {
+impl ProgressReport {
     /// Whether anything was told.
     pub fn is_empty(&self) -> bool {
-        *self == News::default()
+        *self == ProgressReport::default()
     }
 }
 
 /// A start.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct AttemptStart {
     /// Which attempt.
     pub attempt: AttemptId,
     /// Where.
@@ -165,9 +165,9 @@
     /// What engines call the statement: `ROUTER/NUMBER_LIFE`.
     pub name: String,
     /// Its kind.
-    pub kind: KindId,
+    pub kind: FingerprintId,
     /// The kind under which it can be held: its own, or that of all kinds hardly known.
-    pub held_as: KindId,
+    pub held_as: FingerprintId,
     /// Its kind's text, for people.
     pub label: std::rc::Rc<str>,
     /// What it announces.
@@ -178,20 +178,20 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ExecutionOutcome {
     /// With its result.
-    Good,
+    Succeeded,
     /// It is over at the engine, without a result.
     Failed,
     /// It never ran.
     NeverRan,
     /// The router stopped waiting; at the engine it may go on.
-    GoesOn,
+    Abandoned,
 }
 
 /// An engine that is listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct EngineStatus {
     /// Which.
     pub engine: EngineId,
     /// It takes work.
@@ -238,7 +238,7 @@
 
 impl Cause {
     /// In words.
-    pub fn word(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Cause::Heavy => "heavy by itself",
             Cause::BadPlan => "bad plan",
@@ -332,7 +332,7 @@
     /// A statement, as its router names it; of this router or, as engines tell it, of another.
     Statement(String),
     /// A kind.
-    Kind(KindId),
+    Kind(FingerprintId),
     /// An engine.
     Engine(EngineId),
 }
@@ -351,7 +351,7 @@
     /// The class of the statement or kind, where known.
     pub class: Option<usize>,
     /// Its kind, where known.
-    pub kind: Option<KindId>,
+    pub kind: Option<FingerprintId>,
     /// The kind's text, for people.
     pub label: String,
     /// Where it runs.
--- a/crates/runaway/src/judge.rs
+++ b/crates/runaway/src/judge.rs
@@ -12,7 +12,7 @@
 use crate::engines::stands_out;
 use crate::expect::{Expectation, Expected};
 use crate::interface::*;
-use crate::watch::{Out, Watch};
+use crate::watch::{Out, RunawayDetector};
 
 /// Nothing is judged that has run for less.
 const YOUNG: f64 = 1_000_000.0;
@@ -47,7 +47,7 @@
     certain: bool,
 }
 
-impl Watch {
+impl RunawayDetector {
     pub(crate) fn judge(&mut self, now: Micros) {
         let ids: Vec<AttemptId> = self.outs.keys().copied().collect();
         for id in &ids {
@@ -274,7 +274,7 @@
     fn hogs_memory(&self, now: Micros, o: &Out, expected: &Expectation) -> Option<Evidence> {
         let (memory, e) = (o.news.memory_mb?, expected.memory?);
         let waits = |other: &&Out| {
-            other.start.engine == o.start.engine && other.stands(now) == Some(&Stands::Memory)
+            other.start.engine == o.start.engine && other.stands(now) == Some(&BlockedState::Memory)
         };
         let far = memory > e.bar && o.stands(now).is_none();
         (far && self.outs.values().filter(waits).count() >= CROWD)
@@ -304,7 +304,13 @@
     }
 
     /// All of a kind run long: one notice, and what was said of some of them is taken back.
-    fn kind_changed(&mut self, now: Micros, kind: KindId, id: AttemptId, evidence: Evidence) {
+    fn kind_changed(
+        &mut self,
+        now: Micros,
+        kind: FingerprintId,
+        id: AttemptId,
+        evidence: Evidence,
+    ) {
         let Some(o) = self.outs.get(&id) else { return };
         let found = Finding {
             id: 0,
@@ -347,7 +353,7 @@
     }
 
     /// A kind that has changed has new figures once enough of it has run.
-    pub(crate) fn maybe_adopt(&mut self, now: Micros, kind: KindId, runs: u64) {
+    pub(crate) fn maybe_adopt(&mut self, now: Micros, kind: FingerprintId, runs: u64) {
         let subject = Subject::Kind(kind);
         let told = self
             .findings
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -1,6 +1,6 @@
 //! Statements that run far longer and heavier than their kind should: found, named, held, ended by rule.
 //!
-//! [`Watch`] is fed with attempts' starts, what engines tell of them, and their ends; it yields [`Decision`]s. It
+//! [`RunawayDetector`] is fed with attempts' starts, what engines tell of them, and their ends; it yields [`Decision`]s. It
 //! does no I/O and has no clock: same events, same decisions. What it holds is carried out by the routing
 //! decisions (`hoptiller_policy::Event::Hold`), so that every send still passes their one door.
 //!
@@ -35,4 +35,4 @@
 pub use ending::{Proof, Verdict as EndingVerdict, answer_after_end};
 pub use interface::*;
 pub use snapshot::SnapshotError;
-pub use watch::Watch;
+pub use watch::RunawayDetector;
--- a/crates/runaway/src/others.rs
+++ b/crates/runaway/src/others.rs
@@ -10,7 +10,7 @@
 use crate::expect::Expected;
 use crate::interface::*;
 use crate::judge::{CROWD, CROWD_PART, SURE, behind_of, evidence};
-use crate::watch::{Out, Watch};
+use crate::watch::{Out, RunawayDetector};
 
 /// Where nothing tells who waits for whom: times usual from which a statement may stand behind a load.
 const MAY_STAND: f64 = 4.0;
@@ -21,7 +21,7 @@
 /// A statement that is not known here, and was not told of for so long, is gone.
 const UNTOLD: Micros = 5_000_000;
 
-impl Watch {
+impl RunawayDetector {
     /// Statements of other routers, or of an earlier life of this one, by what stands behind them here.
     pub(crate) fn judge_foreign(&mut self, now: Micros, waits: &Waits) {
         let mut names: BTreeSet<String> = self.foreign.keys().cloned().collect();
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -9,9 +9,9 @@
 
 use crate::expect::{Figures, KindBook};
 use crate::hold::KindHold;
-use crate::interface::{Class, KindId};
+use crate::interface::{Class, FingerprintId};
 use crate::sketch::Sketch;
-use crate::watch::Watch;
+use crate::watch::RunawayDetector;
 
 /// The first line; the number is the version of the form.
 const FIRST: &str = "hoptiller runaways 1";
@@ -47,7 +47,7 @@
     classes: Vec<SavedClass>,
     /// The least lately used first.
     kinds: Vec<SavedKind>,
-    holds: Vec<(KindId, KindHold)>,
+    holds: Vec<(FingerprintId, KindHold)>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -59,7 +59,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct SavedKind {
-    id: KindId,
+    id: FingerprintId,
     class: usize,
     label: String,
     sizes: BTreeMap<u8, [Pairs; 4]>,
@@ -101,7 +101,7 @@
     pub dropped: usize,
 }
 
-impl Watch {
+impl RunawayDetector {
     /// What survives a restart.
     pub fn save(&self) -> Vec<u8> {
         let class = |(spec, (f, honesty)): (&Class, &(Figures, Sketch))| SavedClass {
@@ -109,9 +109,9 @@
             figures: pairs(f),
             honesty: honesty.pairs(),
         };
-        let mut kinds: Vec<(&KindId, &KindBook)> = self.book.kinds.iter().collect();
+        let mut kinds: Vec<(&FingerprintId, &KindBook)> = self.book.kinds.iter().collect();
         kinds.sort_by_key(|(id, k)| (k.last, **id));
-        let kind = |(id, k): (&KindId, &KindBook)| SavedKind {
+        let kind = |(id, k): (&FingerprintId, &KindBook)| SavedKind {
             id: *id,
             class: k.class,
             label: k.label.to_string(),
--- a/crates/runaway/src/watch.rs
+++ b/crates/runaway/src/watch.rs
@@ -37,13 +37,13 @@
 /// An attempt that is out.
 #[derive(Debug)]
 pub(crate) struct Out {
-    pub start: Start,
+    pub start: AttemptStart,
     pub at: Micros,
     told: Micros,
     /// How long it stood still, as told; and why it does, and since when that is known.
     pub stood: Micros,
-    pub stands: Option<(Micros, Stands)>,
-    pub news: News,
+    pub stands: Option<(Micros, BlockedState)>,
+    pub news: ProgressReport,
     /// How often its progress was told.
     pub notes: u32,
     /// Since when its client takes rows.
@@ -73,7 +73,7 @@
     }
 
     /// Why it stands still, as lately told.
-    pub fn stands(&self, now: Micros) -> Option<&Stands> {
+    pub fn stands(&self, now: Micros) -> Option<&BlockedState> {
         self.stands
             .as_ref()
             .filter(|(at, _)| now.saturating_sub(*at) <= TOLD)
@@ -98,7 +98,7 @@
 
 /// Finds runaways. See the [crate].
 #[derive(Debug)]
-pub struct Watch {
+pub struct RunawayDetector {
     pub(crate) cfg: Settings,
     pub(crate) book: Book,
     pub(crate) outs: BTreeMap<AttemptId, Out>,
@@ -109,7 +109,7 @@
     pub(crate) changes: Changes,
     pub(crate) findings: Findings,
     pub(crate) holds: Holds,
-    pub(crate) engines: Vec<Listed>,
+    pub(crate) engines: Vec<EngineStatus>,
     /// By class: when runaways of kinds hardly known were found.
     pub(crate) strangers: Vec<VecDeque<Micros>>,
     next_look: Micros,
@@ -122,10 +122,10 @@
     pub(crate) decisions: Vec<Decision>,
 }
 
-impl Watch {
+impl RunawayDetector {
     /// A watch that knows no kind yet.
-    pub fn new(cfg: Settings) -> Watch {
-        Watch {
+    pub fn new(cfg: Settings) -> RunawayDetector {
+        RunawayDetector {
             book: Book::new(cfg.classes.len(), cfg.kinds),
             strangers: vec![VecDeque::new(); cfg.classes.len()],
             outs: BTreeMap::new(),
@@ -147,7 +147,7 @@
     }
 
     /// Other settings hold from now on. Classes keep their numbers; further ones come behind.
-    pub fn rules(&mut self, cfg: Settings) {
+    pub fn update_settings(&mut self, cfg: Settings) {
         if cfg.classes.len() >= self.cfg.classes.len() {
             self.book.grow(cfg.classes.len());
             self.strangers.resize(cfg.classes.len(), VecDeque::new());
@@ -156,17 +156,23 @@
     }
 
     /// The kind of a fingerprint in a class.
-    pub fn kind(&self, class: usize, fingerprint: u64) -> KindId {
-        KindId::new(&self.cfg.classes[class].name, fingerprint)
+    pub fn fingerprint_id(&self, class: usize, fingerprint: u64) -> FingerprintId {
+        FingerprintId::new(&self.cfg.classes[class].name, fingerprint)
     }
 
     // ---- what happens ---------------------------------------------------------------------------
 
     /// A statement has come. The kind under which it can be held: its own, or that of all kinds hardly known,
     /// while those are held together.
-    pub fn arrived(&mut self, now: Micros, kind: KindId, class: usize, label: &Rc<str>) -> KindId {
+    pub fn observe_arrival(
+        &mut self,
+        now: Micros,
+        kind: FingerprintId,
+        class: usize,
+        label: &Rc<str>,
+    ) -> FingerprintId {
         self.book.touch(kind, class, label, now);
-        let together = KindId::unknown(&self.cfg.classes[class].name);
+        let together = FingerprintId::unknown(&self.cfg.classes[class].name);
         match self.holds.kinds.contains_key(&together) && !self.book.is_known(kind) {
             true => together,
             false => kind,
@@ -174,7 +180,7 @@
     }
 
     /// An attempt was sent.
-    pub fn started(&mut self, now: Micros, start: Start) {
+    pub fn start_attempt(&mut self, now: Micros, start: AttemptStart) {
         let (name, id) = (start.name.clone(), start.attempt);
         let out = Out {
             start,
@@ -182,7 +188,7 @@
             told: now,
             stood: 0,
             stands: None,
-            news: News::default(),
+            news: ProgressReport::default(),
             notes: 0,
             flowing: None,
             gone: None,
@@ -200,30 +206,30 @@
     }
 
     /// An engine tells of an attempt.
-    pub fn told(&mut self, now: Micros, attempt: AttemptId, news: News) {
+    pub fn report_progress(&mut self, now: Micros, attempt: AttemptId, news: ProgressReport) {
         self.last_told = Some(now);
         let Some(o) = self.outs.get_mut(&attempt) else {
             return;
         };
-        if news.stands.is_some() {
+        if news.blocked_state.is_some() {
             o.stood += now.saturating_sub(o.told);
         }
         o.told = now;
         o.notes += u32::from(news.done.is_some() || news.work.is_some());
-        o.stands = news.stands.clone().map(|why| (now, why));
+        o.stands = news.blocked_state.clone().map(|why| (now, why));
         // What is not told again stays as told.
         let old = std::mem::take(&mut o.news);
         let sane = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
-        o.news = News {
+        o.news = ProgressReport {
             work: news.work.or(old.work),
             done: sane(news.done).filter(|d| *d <= 1.0).or(old.done),
             rows: news.rows.or(old.rows),
             memory_mb: sane(news.memory_mb).or(old.memory_mb),
             spills: news.spills || old.spills,
-            stands: None,
+            blocked_state: None,
         };
         let engine = o.start.engine;
-        if let Some(Stands::Behind(Some(holder))) = &news.stands
+        if let Some(BlockedState::Behind(Some(holder))) = &news.blocked_state
             && !self.names.contains_key(&holder.name)
         {
             self.told_of(now, engine, holder);
@@ -262,15 +268,21 @@
     }
 
     /// Its client has begun to take rows.
-    pub fn flowing(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn start_streaming(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(o) = self.outs.get_mut(&attempt) {
             o.flowing.get_or_insert(now);
         }
     }
 
     /// An attempt has ended. `work` is what it took in all, where told.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, how: End, work: Option<Micros>) {
-        if how == End::GoesOn {
+    pub fn end_attempt(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        how: ExecutionOutcome,
+        work: Option<Micros>,
+    ) {
+        if how == ExecutionOutcome::Abandoned {
             return self.goes_on(now, attempt);
         }
         let Some(expected) = self.expectation(now, attempt) else {
@@ -287,12 +299,12 @@
         if o.counts {
             self.holds.over(now, o.start.held_as);
         }
-        if how == End::Good {
+        if how == ExecutionOutcome::Succeeded {
             self.take_in(now, &o, &expected, was_runaway);
         }
         let note = match how {
-            End::Good => "it has ended, with its result",
-            End::NeverRan => "it never ran",
+            ExecutionOutcome::Succeeded => "it has ended, with its result",
+            ExecutionOutcome::NeverRan => "it never ran",
             _ => "it has ended, without a result",
         };
         self.findings
@@ -412,8 +424,8 @@
         }
     }
 
-    /// News of the engine list.
-    pub fn listed(&mut self, engines: Vec<Listed>) {
+    /// Update of the engine list.
+    pub fn update_engines(&mut self, engines: Vec<EngineStatus>) {
         self.holds.listed(&engines);
         self.paces
             .retain(|id| engines.iter().any(|e| e.engine == id));
@@ -422,7 +434,7 @@
     }
 
     /// An engine's process is another one: what it held is gone.
-    pub fn restarted(&mut self, now: Micros, engine: EngineId) {
+    pub fn reset_engine(&mut self, now: Micros, engine: EngineId) {
         let gone: Vec<AttemptId> = self
             .ghosts
             .iter()
@@ -435,7 +447,7 @@
     }
 
     /// An operator frees a kind. False where it is not held.
-    pub fn release(&mut self, kind: KindId) -> bool {
+    pub fn release_hold(&mut self, kind: FingerprintId) -> bool {
         let held = self.holds.release(kind);
         self.tell_holds();
         held
@@ -444,12 +456,12 @@
     // ---- looking --------------------------------------------------------------------------------
 
     /// When the next look is due.
-    pub fn wake_at(&self) -> Micros {
+    pub fn next_detection_at(&self) -> Micros {
         self.next_look
     }
 
     /// Looks at everything, if it is time.
-    pub fn look(&mut self, now: Micros) {
+    pub fn run_detection(&mut self, now: Micros) {
         if now < self.next_look {
             return;
         }
@@ -471,7 +483,7 @@
     }
 
     /// Decisions since the last call.
-    pub fn take(&mut self) -> Vec<Decision> {
+    pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
@@ -483,32 +495,32 @@
     // ---- what is known --------------------------------------------------------------------------
 
     /// Verdicts that stand.
-    pub fn open(&self) -> impl Iterator<Item = &Finding> {
+    pub fn open_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.open()
     }
 
     /// The last verdicts that no longer stand, oldest first.
-    pub fn past(&self) -> impl Iterator<Item = &Finding> {
+    pub fn past_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.past()
     }
 
     /// Kinds that are held.
-    pub fn holds(&self) -> impl Iterator<Item = (&KindId, &KindHold)> {
+    pub fn holds(&self) -> impl Iterator<Item = (&FingerprintId, &KindHold)> {
         self.holds.kinds.iter()
     }
 
     /// Groups of tables that are kept away from engines.
-    pub fn kept_away(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
+    pub fn excluded_engines(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
         self.holds.groups.iter()
     }
 
     /// Kinds remembered, attempts watched, statements of others known.
-    pub fn sizes(&self) -> (usize, usize, usize) {
+    pub fn tracked_counts(&self) -> (usize, usize, usize) {
         (self.book.len(), self.outs.len(), self.foreign.len())
     }
 
     /// What was expected of a kind's attempts is looked up anew.
-    pub(crate) fn expect_anew(&mut self, kind: KindId) {
+    pub(crate) fn expect_anew(&mut self, kind: FingerprintId) {
         self.outs
             .values_mut()
             .filter(|o| o.start.kind == kind)
@@ -599,7 +611,7 @@
     pub(crate) fn waits(&self, now: Micros) -> Waits {
         let mut waits = Waits::default();
         for o in self.outs.values().filter(|o| o.gone.is_none()) {
-            if let Some(Stands::Behind(Some(holder))) = o.stands(now) {
+            if let Some(BlockedState::Behind(Some(holder))) = o.stands(now) {
                 waits.add(&o.start.name, &holder.name);
             }
         }
--- a/crates/runaway/tests/acts.rs
+++ b/crates/runaway/tests/acts.rs
@@ -5,7 +5,7 @@
 use hoptiller_policy::{EngineId, Hold, HoldTarget};
 use hoptiller_runaway::*;
 
-const ALL: Acts = Acts {
+const ALL: EnforcementOptions = EnforcementOptions {
     name: true,
     hold: true,
     lower: true,
@@ -25,9 +25,9 @@
     w.go(60);
     assert!(w.runaways().len() == 1 && w.holds().len() == 1 && acts_on(&w).is_empty());
     let mut w = World::with_past(
-        Acts {
+        EnforcementOptions {
             name: true,
-            ..Acts::default()
+            ..EnforcementOptions::default()
         },
         4,
     );
@@ -91,7 +91,7 @@
     // Nor one whose client already takes rows.
     let id = w.start(REPORT, REPORT as u64, 0, 900e6);
     w.go(15);
-    w.watch.flowing(w.now, World::attempt(id));
+    w.detector.start_streaming(w.now, World::attempt(id));
     w.lose(id);
     w.go(60);
     assert!(!acts_on(&w).iter().any(|d| matches!(d, Decision::End(_))));
@@ -117,7 +117,10 @@
     w.start(REPORT, REPORT as u64, 0, 900e6);
     w.go(15);
     assert!(most(&w) < Some(u32::MAX));
-    assert!(w.watch.release(KindId(REPORT as u64)) && !w.watch.release(KindId(REPORT as u64)));
+    assert!(
+        w.detector.release_hold(FingerprintId(REPORT as u64))
+            && !w.detector.release_hold(FingerprintId(REPORT as u64))
+    );
     w.hear();
     assert_eq!(most(&w), Some(u32::MAX));
 }
@@ -127,14 +130,14 @@
     let mut w = World::with_past(NAME_AND_HOLD, 4);
     w.start(REPORT, REPORT as u64, 0, 900e6);
     w.go(15);
-    let saved = w.watch.save();
+    let saved = w.detector.save();
     let mut next = World::new(NAME_AND_HOLD, 4);
-    let done = next.watch.restore(next.now, &saved).expect("our own");
+    let done = next.detector.restore(next.now, &saved).expect("our own");
     assert_eq!((done.kinds, done.holds, done.dropped), (3, 1, 0));
     next.hear();
     let held: Vec<HoldTarget> = next.holds().iter().map(|h: &&Hold| h.target).collect();
     assert_eq!(held, [HoldTarget::Kind(REPORT as u64)]);
-    assert_eq!(next.watch.save(), next.watch.save());
+    assert_eq!(next.detector.save(), next.detector.save());
     let id = next.start(LOOKUP, LOOKUP as u64, 0, 900e6);
     next.go(10);
     assert_eq!(
@@ -147,11 +150,11 @@
 #[test]
 fn classes_go_by_name_and_those_that_are_no_more_are_dropped() {
     let w = World::with_past(NAME_AND_HOLD, 4);
-    let saved = w.watch.save();
+    let saved = w.detector.save();
     let mut other = settings(NAME_AND_HOLD);
     other.classes.swap(0, 1);
     other.classes.pop();
-    let mut next = Watch::new(other);
+    let mut next = RunawayDetector::new(other);
     let done = next.restore(0, &saved).expect("our own");
     assert_eq!((done.kinds, done.dropped), (2, 1));
 }
@@ -159,8 +162,8 @@
 #[test]
 fn cut_changed_and_foreign_state_is_refused_whole() {
     let w = World::with_past(NAME_AND_HOLD, 4);
-    let saved = w.watch.save();
-    let mut fresh = Watch::new(settings(NAME_AND_HOLD));
+    let saved = w.detector.save();
+    let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
     let empty = fresh.save();
     let mut check = |bytes: &[u8]| {
         let error = fresh.restore(0, bytes).expect_err("refused");
@@ -193,28 +196,32 @@
     let id = w.start(REPORT, REPORT as u64, 0, 4e6);
     w.lose(id);
     for done in [f64::NAN, -1.0, 7.0, f64::INFINITY] {
-        let news = News {
+        let news = ProgressReport {
             work: Some(0),
             done: Some(done),
             memory_mb: Some(done),
-            ..News::default()
+            ..ProgressReport::default()
         };
-        w.watch.told(w.now, World::attempt(id), news);
+        w.detector.report_progress(w.now, World::attempt(id), news);
         w.go(1);
     }
     w.behind(id, &name(id));
-    w.watch
-        .told(w.now, World::attempt(999_999), News::default());
-    w.watch
-        .ended(w.now, World::attempt(999_999), End::Good, Some(1));
-    w.watch.flowing(w.now, World::attempt(999_999));
-    w.watch.restarted(w.now, EngineId(77));
-    w.watch.listed(Vec::new());
+    w.detector
+        .report_progress(w.now, World::attempt(999_999), ProgressReport::default());
+    w.detector.end_attempt(
+        w.now,
+        World::attempt(999_999),
+        ExecutionOutcome::Succeeded,
+        Some(1),
+    );
+    w.detector.start_streaming(w.now, World::attempt(999_999));
+    w.detector.reset_engine(w.now, EngineId(77));
+    w.detector.update_engines(Vec::new());
     w.go(5);
     assert_eq!(w.runaways(), []);
     // Engines that name thousands of holders.
     for n in 0..5000 {
         w.behind(id, &format!("x/{n}"));
     }
-    assert!(w.watch.sizes().2 <= 256);
+    assert!(w.detector.tracked_counts().2 <= 256);
 }
--- a/crates/runaway/tests/common.rs
+++ b/crates/runaway/tests/common.rs
@@ -12,7 +12,13 @@
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
 
-pub fn class(name: &str, aim: Micros, threads: f64, effect: Idempotency, acts: Acts) -> Class {
+pub fn class(
+    name: &str,
+    aim: Micros,
+    threads: f64,
+    effect: Idempotency,
+    acts: EnforcementOptions,
+) -> Class {
     let holds = effect == Idempotency::NotIdempotent;
     Class {
         name: name.into(),
@@ -21,11 +27,11 @@
         threads,
         effect,
         holds,
-        acts,
+        enforcement: acts,
     }
 }
 
-pub const NAME_AND_HOLD: Acts = Acts {
+pub const NAME_AND_HOLD: EnforcementOptions = EnforcementOptions {
     name: true,
     hold: true,
     lower: false,
@@ -33,7 +39,7 @@
     end: false,
 };
 
-pub fn settings(acts: Acts) -> Settings {
+pub fn settings(acts: EnforcementOptions) -> Settings {
     Settings {
         classes: vec![
             class("lookup", 3 * S / 2, 1.0, Idempotency::Idempotent, acts),
@@ -64,7 +70,7 @@
 }
 
 pub struct World {
-    pub watch: Watch,
+    pub detector: RunawayDetector,
     pub now: Micros,
     /// Engines tell of progress and work.
     pub notes: bool,
@@ -79,21 +85,21 @@
 }
 
 impl World {
-    pub fn new(acts: Acts, engines: u32) -> World {
+    pub fn new(acts: EnforcementOptions, engines: u32) -> World {
         World::of(settings(acts), engines)
     }
 
     pub fn of(settings: Settings, engines: u32) -> World {
         let threads = settings.classes.iter().map(|c| c.threads).collect();
-        let mut watch = Watch::new(settings);
-        let listed = |n| Listed {
+        let mut detector = RunawayDetector::new(settings);
+        let listed = |n| EngineStatus {
             engine: EngineId(n),
             up: true,
             classes: vec![true; 3],
         };
-        watch.listed((0..engines).map(listed).collect());
+        detector.update_engines((0..engines).map(listed).collect());
         World {
-            watch,
+            detector,
             now: 100 * S,
             notes: true,
             running: vec![],
@@ -104,7 +110,7 @@
     }
 
     /// A world in which each of three kinds has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
-    pub fn with_past(acts: Acts, engines: u32) -> World {
+    pub fn with_past(acts: EnforcementOptions, engines: u32) -> World {
         let mut w = World::new(acts, engines);
         w.past(100);
         w
@@ -146,14 +152,16 @@
     }
 
     pub fn run(&mut self, job: Job) -> u64 {
-        let kind = KindId(job.kind);
+        let kind = FingerprintId(job.kind);
         let label: Rc<str> = format!("kind {}", job.kind).into();
-        let held_as = self.watch.arrived(self.now, kind, job.class, &label);
+        let held_as = self
+            .detector
+            .observe_arrival(self.now, kind, job.class, &label);
         let attempt = AttemptId {
             statement: job.id,
             hop: 0,
         };
-        let start = Start {
+        let start = AttemptStart {
             attempt,
             engine: EngineId(job.engine),
             class: job.class,
@@ -164,7 +172,7 @@
             announced: job.announced,
             group: job.group,
         };
-        self.watch.started(self.now, start);
+        self.detector.start_attempt(self.now, start);
         let id = job.id;
         self.running.push(job);
         id
@@ -183,13 +191,17 @@
         };
         let job = self.running.swap_remove(at);
         let work = Some(job.work as Micros).filter(|_| self.notes);
-        self.watch
-            .ended(self.now, World::attempt(id), End::Good, work);
+        self.detector.end_attempt(
+            self.now,
+            World::attempt(id),
+            ExecutionOutcome::Succeeded,
+            work,
+        );
         self.hear();
     }
 
     pub fn hear(&mut self) {
-        self.heard.extend(self.watch.take());
+        self.heard.extend(self.detector.take_decisions());
     }
 
     /// Time goes on in half seconds; jobs progress, are told of each second, and end when they are done.
@@ -204,17 +216,18 @@
                     over.push(job.id);
                 } else if self.notes && half % 2 == 1 {
                     let share = job.done / job.work;
-                    let news = News {
+                    let news = ProgressReport {
                         work: Some(job.done as Micros),
                         done: Some(share),
                         rows: job.rows.map(|r| (r as f64 * share) as u64),
-                        ..News::default()
+                        ..ProgressReport::default()
                     };
-                    self.watch.told(self.now, World::attempt(job.id), news);
+                    self.detector
+                        .report_progress(self.now, World::attempt(job.id), news);
                 }
             }
             over.into_iter().for_each(|id| self.finish(id));
-            self.watch.look(self.now);
+            self.detector.run_detection(self.now);
             self.hear();
         }
     }
@@ -225,12 +238,13 @@
     }
 
     /// An engine tells that one stands still.
-    pub fn stands(&mut self, id: u64, why: Stands) {
-        let news = News {
-            stands: Some(why),
-            ..News::default()
+    pub fn stands(&mut self, id: u64, why: BlockedState) {
+        let news = ProgressReport {
+            blocked_state: Some(why),
+            ..ProgressReport::default()
         };
-        self.watch.told(self.now, World::attempt(id), news);
+        self.detector
+            .report_progress(self.now, World::attempt(id), news);
     }
 
     pub fn behind(&mut self, id: u64, holder: &str) {
@@ -239,7 +253,7 @@
             class: None,
             age: None,
         };
-        self.stands(id, Stands::Behind(Some(holder)));
+        self.stands(id, BlockedState::Behind(Some(holder)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -27,9 +27,9 @@
     world.start(REPORT, REPORT as u64, 0, 400e6);
     world.go(12);
     assert!(!world.holds().is_empty(), "the fixture must contain a hold");
-    let mut fresh = Watch::new(settings(NAME_AND_HOLD));
+    let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
     fresh
-        .restore(RESTORED_AT, &world.watch.save())
+        .restore(RESTORED_AT, &world.detector.save())
         .expect("restored");
     fresh.save()
 }
@@ -40,8 +40,8 @@
         std::fs::write(fixture(), saved_by_a_world()).expect("the fixture can be written");
     }
     let stored = std::fs::read(fixture()).expect("the fixture exists");
-    let mut watch = Watch::new(settings(NAME_AND_HOLD));
-    let restored = watch
+    let mut detector = RunawayDetector::new(settings(NAME_AND_HOLD));
+    let restored = detector
         .restore(RESTORED_AT, &stored)
         .expect("an old snapshot can be read");
     assert_eq!(
@@ -50,7 +50,7 @@
     );
     assert_eq!(
         String::from_utf8_lossy(&stored),
-        String::from_utf8_lossy(&watch.save())
+        String::from_utf8_lossy(&detector.save())
     );
 }
 
--- a/crates/runaway/tests/verdicts.rs
+++ b/crates/runaway/tests/verdicts.rs
@@ -100,9 +100,13 @@
         w.go(1);
     }
     assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
-    let f = w.watch.open().next().expect("stands").clone();
+    let f = w.detector.open_findings().next().expect("stands").clone();
     assert_eq!(
-        (f.blocked, f.blocks.len(), w.watch.open().count()),
+        (
+            f.blocked,
+            f.blocks.len(),
+            w.detector.open_findings().count()
+        ),
         (40, 40, 1)
     );
     // Those who read the same tables are kept away from that engine; when it is over, no longer.
@@ -122,7 +126,7 @@
             .count(),
         2
     );
-    assert_eq!(w.watch.kept_away().count(), 0);
+    assert_eq!(w.detector.excluded_engines().count(), 0);
 }
 
 use hoptiller_policy::Hold;
@@ -174,7 +178,7 @@
             (vec![], vec![Cause::SlowEngine]),
             "notes: {notes}"
         );
-        let subject = w.watch.open().next().map(|f| f.subject.clone());
+        let subject = w.detector.open_findings().next().map(|f| f.subject.clone());
         assert_eq!(subject, Some(Subject::Engine(EngineId(3))));
     }
 }
@@ -189,7 +193,7 @@
     let id = w.start(LOOKUP, 901, 1, 300e6);
     w.go(25);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
-    let f = w.watch.open().next().expect("stands");
+    let f = w.detector.open_findings().next().expect("stands");
     assert!(
         matches!(f.evidence.basis, Basis::Class(_)),
         "{:?}",
@@ -210,7 +214,7 @@
     w.go(29);
     assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
     assert_eq!(
-        w.watch.open().next().map(|f| f.evidence.basis),
+        w.detector.open_findings().next().map(|f| f.evidence.basis),
         Some(Basis::Settings)
     );
 }
@@ -239,20 +243,22 @@
     // The circle is broken: neither is at fault any more.
     w.finish(b);
     for id in [a, c] {
-        w.watch.told(
+        w.detector.report_progress(
             w.now,
             World::attempt(id),
-            News {
+            ProgressReport {
                 work: Some(1),
-                ..News::default()
+                ..ProgressReport::default()
             },
         );
     }
     w.go(2);
     assert!(
-        w.watch.open().all(|f| f.verdict != Verdict::Runaway),
+        w.detector
+            .open_findings()
+            .all(|f| f.verdict != Verdict::Runaway),
         "{:?}",
-        w.watch.open().collect::<Vec<_>>()
+        w.detector.open_findings().collect::<Vec<_>>()
     );
 }
 
@@ -267,11 +273,15 @@
     assert_eq!(w.notices(), [Cause::KindChanged], "one notice");
     assert!(w.runaways().len() <= 1, "{:?}", w.runaways());
     assert!(
-        w.watch.holds().next().is_none(),
+        w.detector.holds().next().is_none(),
         "a changed kind is not held"
     );
     w.go(60);
-    assert_eq!(w.watch.open().count(), 0, "the new figures are usual now");
+    assert_eq!(
+        w.detector.open_findings().count(),
+        0,
+        "the new figures are usual now"
+    );
     w.heard.clear();
     for n in 0..20u32 {
         w.start(REPORT, REPORT as u64, n % 4, 100e6);
@@ -315,8 +325,12 @@
         (vec![(name(id), Cause::Heavy)], vec![])
     );
     // It taught nothing: the next one is found as fast.
-    w.watch
-        .ended(w.now, World::attempt(id), End::Good, Some(900 * S));
+    w.detector.end_attempt(
+        w.now,
+        World::attempt(id),
+        ExecutionOutcome::Succeeded,
+        Some(900 * S),
+    );
     w.lose(id);
     w.hear();
     let next = w.start(REPORT, REPORT as u64, 0, 900e6);
@@ -327,14 +341,15 @@
 #[test]
 fn waiting_for_memory_excuses_and_whoever_takes_it_all_is_named() {
     let mut w = World::new(NAME_AND_HOLD, 2);
-    let memory = |mb: f64| News {
+    let memory = |mb: f64| ProgressReport {
         work: Some(1000),
         memory_mb: Some(mb),
-        ..News::default()
+        ..ProgressReport::default()
     };
     for _ in 0..40 {
         let id = w.start(REPORT, 1, 0, 4e6);
-        w.watch.told(w.now, World::attempt(id), memory(200.0));
+        w.detector
+            .report_progress(w.now, World::attempt(id), memory(200.0));
         w.now += 2 * S;
         w.finish(id);
     }
@@ -342,13 +357,16 @@
     let waiting: Vec<u64> = (0..10).map(|_| w.start(REPORT, 1, 0, 4e6)).collect();
     w.running.clear();
     for _ in 0..100 {
-        w.watch.told(w.now, World::attempt(hog), memory(3800.0));
-        waiting.iter().for_each(|id| w.stands(*id, Stands::Memory));
+        w.detector
+            .report_progress(w.now, World::attempt(hog), memory(3800.0));
+        waiting
+            .iter()
+            .for_each(|id| w.stands(*id, BlockedState::Memory));
         w.go(1);
     }
     assert_eq!(w.runaways(), [(name(hog), Cause::Memory)]);
     assert_eq!(
-        w.watch.open().count(),
+        w.detector.open_findings().count(),
         1,
         "a hundred seconds of standing are nobody's fault"
     );
@@ -362,13 +380,13 @@
         w.running.clear();
         for second in 1..=20 {
             let work = (4e6 * times * f64::from(second.min(10)) / 10.0) as u64;
-            w.watch.told(
+            w.detector.report_progress(
                 w.now,
                 World::attempt(id),
-                News {
+                ProgressReport {
                     work: Some(work),
                     spills: true,
-                    ..News::default()
+                    ..ProgressReport::default()
                 },
             );
             w.go(1);
@@ -405,15 +423,19 @@
     let id = w.start(REPORT, REPORT as u64, 0, 4e6);
     w.lose(id);
     w.go(2);
-    w.watch.flowing(w.now, World::attempt(id));
+    w.detector.start_streaming(w.now, World::attempt(id));
     w.go(120);
     assert_eq!(
         (w.runaways(), w.notices()),
         (vec![], vec![Cause::SlowReader])
     );
-    w.watch
-        .ended(w.now, World::attempt(id), End::Good, Some(4 * S));
-    assert_eq!(w.watch.open().count(), 0);
+    w.detector.end_attempt(
+        w.now,
+        World::attempt(id),
+        ExecutionOutcome::Succeeded,
+        Some(4 * S),
+    );
+    assert_eq!(w.detector.open_findings().count(), 0);
 }
 
 #[test]
@@ -436,8 +458,12 @@
     let load = w.run(load);
     w.lose(load);
     w.go(1);
-    w.watch
-        .ended(w.now, World::attempt(load), End::GoesOn, None);
+    w.detector.end_attempt(
+        w.now,
+        World::attempt(load),
+        ExecutionOutcome::Abandoned,
+        None,
+    );
     let blocked = |w: &mut World, holder: &str, age| {
         let waiting: Vec<u64> = (0..10)
             .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
@@ -451,7 +477,7 @@
                     class: Some(LOAD),
                     age,
                 };
-                w.stands(*id, Stands::Behind(Some(holder)));
+                w.stands(*id, BlockedState::Behind(Some(holder)));
             }
             w.go(1);
         }
@@ -460,16 +486,16 @@
     blocked(&mut w, &name(load), S);
     assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
     assert!(
-        w.watch
-            .kept_away()
+        w.detector
+            .excluded_engines()
             .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     );
     // Its engine's process is another one: it is gone with the old one.
-    w.watch.restarted(w.now, EngineId(2));
+    w.detector.reset_engine(w.now, EngineId(2));
     w.go(1);
     assert!(
-        w.watch
-            .open()
+        w.detector
+            .open_findings()
             .all(|f| f.subject != Subject::Statement(name(load)))
     );
     // One of a router that died, of which nothing was ever known here.
@@ -477,15 +503,16 @@
     let waiting = blocked(&mut w, "r2/00009_gone", 40 * S);
     assert_eq!(w.runaways(), [("r2/00009_gone".to_owned(), Cause::Blocks)]);
     for id in waiting {
-        w.watch.ended(w.now, World::attempt(id), End::Failed, None);
+        w.detector
+            .end_attempt(w.now, World::attempt(id), ExecutionOutcome::Failed, None);
     }
     w.go(60);
     assert!(
-        w.watch
-            .open()
+        w.detector
+            .open_findings()
             .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
     );
-    assert_eq!(w.watch.sizes().2, 0, "and it is forgotten");
+    assert_eq!(w.detector.tracked_counts().2, 0, "and it is forgotten");
 }
 
 #[test]
@@ -494,25 +521,25 @@
     let id = w.start(REPORT, REPORT as u64, 0, 4e6);
     w.running.clear();
     for _ in 0..20 {
-        let stands = Some(Stands::Behind(None));
-        w.watch.told(
+        let stands = Some(BlockedState::Behind(None));
+        w.detector.report_progress(
             w.now,
             World::attempt(id),
-            News {
+            ProgressReport {
                 work: Some(400 * S),
-                stands,
-                ..News::default()
+                blocked_state: stands,
+                ..ProgressReport::default()
             },
         );
         w.go(1);
     }
     assert_eq!(w.runaways(), []);
-    w.watch.told(
+    w.detector.report_progress(
         w.now,
         World::attempt(id),
-        News {
+        ProgressReport {
             work: Some(400 * S),
-            ..News::default()
+            ..ProgressReport::default()
         },
     );
     w.go(3);
@@ -586,7 +613,7 @@
                 class: Some(LOAD),
                 age: Some(age),
             };
-            w.stands(*id, Stands::Behind(Some(holder)));
+            w.stands(*id, BlockedState::Behind(Some(holder)));
         }
         w.go(1);
     }
@@ -612,16 +639,18 @@
                     class: Some(LOAD),
                     age,
                 };
-                w.stands(*id, Stands::Behind(Some(holder)));
+                w.stands(*id, BlockedState::Behind(Some(holder)));
             }
             w.go(1);
         }
-        ids.iter()
-            .for_each(|id| w.watch.ended(w.now, World::attempt(*id), End::Failed, None));
+        ids.iter().for_each(|id| {
+            w.detector
+                .end_attempt(w.now, World::attempt(*id), ExecutionOutcome::Failed, None)
+        });
     };
     let away = |w: &World| {
-        w.watch
-            .kept_away()
+        w.detector
+            .excluded_engines()
             .any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]))
     };
     stand(&mut w, 10, 6);
@@ -639,7 +668,10 @@
     w.go(35);
     assert!(away(&w), "for longer this time");
     w.go(20);
-    assert!(!away(&w) && w.watch.sizes().2 == 0, "gone, and forgotten");
+    assert!(
+        !away(&w) && w.detector.tracked_counts().2 == 0,
+        "gone, and forgotten"
+    );
     assert_eq!(w.runaways().len(), 1, "one verdict");
 }
 
@@ -650,13 +682,13 @@
         let id = w.start(LOOKUP, 1_000_000 + kind, (kind % 4) as u32, 250_000.0);
         w.finish(id);
     }
-    assert!(w.watch.sizes().0 <= 1000 && w.watch.sizes().1 == 0);
+    assert!(w.detector.tracked_counts().0 <= 1000 && w.detector.tracked_counts().1 == 0);
     // Runaways whose text is another one each time.
     for kind in 0..4 {
         w.start(LOOKUP, 2_000_000 + kind, 0, 900e6);
         w.go(20);
     }
-    let together = HoldTarget::Kind(KindId::unknown("lookup").0);
+    let together = HoldTarget::Kind(FingerprintId::unknown("lookup").0);
     assert!(
         w.holds().iter().any(|h| h.target == together),
         "{:?}",
@@ -664,13 +696,14 @@
     );
     let label = "x".into();
     assert_eq!(
-        w.watch.arrived(w.now, KindId(3_000_000), LOOKUP, &label),
-        KindId::unknown("lookup")
+        w.detector
+            .observe_arrival(w.now, FingerprintId(3_000_000), LOOKUP, &label),
+        FingerprintId::unknown("lookup")
     );
     assert_eq!(
-        w.watch
-            .arrived(w.now, KindId(LOOKUP as u64), LOOKUP, &label),
-        KindId(LOOKUP as u64)
+        w.detector
+            .observe_arrival(w.now, FingerprintId(LOOKUP as u64), LOOKUP, &label),
+        FingerprintId(LOOKUP as u64)
     );
 }
 
@@ -687,7 +720,7 @@
             );
             w.go(1);
         }
-        (format!("{:?}", w.heard), w.watch.save())
+        (format!("{:?}", w.heard), w.detector.save())
     };
     let (one, two) = (play(), play());
     assert!(one.0.contains("Runaway") && one == two);
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -12,7 +12,7 @@
 use hoptiller_http::client::ClientError;
 use hoptiller_http::{Method, Request, Response};
 use hoptiller_policy::{AttemptStatus, Progress};
-use hoptiller_runaway::{Holder, Proof, Stands};
+use hoptiller_runaway::{BlockedState, Holder, Proof};
 use hoptiller_statement::{ErrorName, ErrorType, QueryResults, STATEMENT_PATH, Stats, extra};
 use serde_json::value::RawValue;
 
@@ -419,7 +419,7 @@
                     Progress::Spilling(value)
                 }
                 "lacks" => {
-                    news.stands = Some(Stands::Memory);
+                    news.blocked_state = Some(BlockedState::Memory);
                     Progress::Blocked
                 }
                 "waits" => {
@@ -433,7 +433,7 @@
                         class: None,
                         age: h.age_ms.map(|ms| ms * 1000),
                     });
-                    news.stands = Some(Stands::Behind(holder));
+                    news.blocked_state = Some(BlockedState::Behind(holder));
                     Progress::Blocked
                 }
                 _ => continue,
--- a/crates/statement-router/src/engines/mod.rs
+++ b/crates/statement-router/src/engines/mod.rs
@@ -14,7 +14,7 @@
 use async_io::Timer;
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_policy::{EngineId, LoadReport, Micros, Progress};
-use hoptiller_runaway::{News, Proof};
+use hoptiller_runaway::{ProgressReport, Proof};
 use hoptiller_statement::discovery::NodeStatus;
 use hoptiller_statement::extra;
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Told {
     /// What it tells; who holds it up has no class here.
-    pub news: News,
+    pub news: ProgressReport,
     /// The class of who holds it up.
     pub holder_class: Option<String>,
 }
--- a/crates/statement-router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -9,7 +9,7 @@
 use hoptiller_http::server::{Config, Handler, Reply};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_policy::{EngineId, Micros};
-use hoptiller_runaway::{Finding, KindId, Subject};
+use hoptiller_runaway::{Finding, FingerprintId, Subject};
 use serde_json::{Value, json};
 
 use crate::desk::Desk;
@@ -46,7 +46,7 @@
 fn answer(desk: &Desk, request: &Request) -> Response {
     let path = request.path();
     if let Some(kind) = path.strip_prefix(HOLDS) {
-        let Ok(kind) = kind.parse::<KindId>() else {
+        let Ok(kind) = kind.parse::<FingerprintId>() else {
             return problem(
                 404,
                 "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways shows them",
@@ -87,10 +87,10 @@
 fn runaways(desk: &Desk) -> Value {
     let now = desk.rounds.now();
     desk.with_core(|core, _| {
-        let Some(watch) = core.runaway_watch() else { return json!({ "router": desk.settings().router.name }) };
+        let Some(watch) = core.runaway_detector() else { return json!({ "router": desk.settings().router.name }) };
         let named = |f: &&Finding| f.class.is_none_or(|c| desk.settings().runaways.acts[c].name);
-        let open: Vec<Value> = watch.open().filter(named).map(|f| finding(desk, f, now)).collect();
-        let past: Vec<Value> = watch.past().filter(named).map(|f| finding(desk, f, now)).collect();
+        let open: Vec<Value> = watch.open_findings().filter(named).map(|f| finding(desk, f, now)).collect();
+        let past: Vec<Value> = watch.past_findings().filter(named).map(|f| finding(desk, f, now)).collect();
         let holds: Vec<Value> = watch
             .holds()
             .map(|(kind, h)| {
@@ -110,10 +110,10 @@
             engines.iter().map(|e| desk.engine_name(*e)).collect()
         };
         let away: Vec<Value> = watch
-            .kept_away()
+            .excluded_engines()
             .map(|(group, engines)| json!({ "tables": format!("{group:08x}"), "engines": engine_names(engines) }))
             .collect();
-        let (kinds, attempts, others) = watch.sizes();
+        let (kinds, attempts, others) = watch.tracked_counts();
         json!({
             "router": desk.settings().router.name,
             "findings": open,
@@ -134,7 +134,7 @@
         "subject": subject(desk, f),
         "verdict": f.verdict,
         "cause": f.cause,
-        "inWords": f.cause.word(),
+        "inWords": f.cause.description(),
         "class": f.class.map(|c| desk.settings().classes[c].name.clone()),
         "kind": f.kind.map(|k| k.to_string()),
         "text": f.label,
--- a/crates/statement-router/src/learnt.rs
+++ b/crates/statement-router/src/learnt.rs
@@ -45,7 +45,7 @@
                 return tracing::warn!(file = %path.display(), why, "what was learnt of kinds can't be read");
             }
         };
-        let Some(done) = rounds.with_core(|core, now| core.restore_runaway_watch(now, &bytes))
+        let Some(done) = rounds.with_core(|core, now| core.restore_runaway_detector(now, &bytes))
         else {
             return;
         };
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -12,7 +12,7 @@
 use hoptiller_coordination::Decision as Permitted;
 use hoptiller_http::{Spawner, Ticks};
 use hoptiller_policy::{EngineId, ListScope, LoadReport, Micros, Progress};
-use hoptiller_runaway::{Finding, Proof, Stands, Verdict, Watch};
+use hoptiller_runaway::{BlockedState, Finding, Proof, RunawayDetector, Verdict};
 use hoptiller_statement::TokenKey;
 use tracing::Instrument;
 
@@ -89,7 +89,7 @@
             router: settings.router.name.clone(),
             incarnation: life.clone(),
         };
-        let watch = Watch::new(settings.watch());
+        let watch = RunawayDetector::new(settings.watch());
         let core = Core::new(
             settings.decisions(),
             settings.router.seed,
@@ -236,7 +236,12 @@
     /// Writes what was learnt of kinds, where there is a place for it.
     fn save(&self) {
         if let Some(learnt) = &self.learnt {
-            let bytes = self.desk.rounds.core().runaway_watch().map(Watch::save);
+            let bytes = self
+                .desk
+                .rounds
+                .core()
+                .runaway_detector()
+                .map(RunawayDetector::save);
             bytes.into_iter().for_each(|bytes| learnt.write(&bytes));
         }
     }
@@ -286,7 +291,7 @@
         if !named {
             return;
         }
-        let (cause, subject) = (f.cause.word(), fronts::admin::subject(&self.desk, f));
+        let (cause, subject) = (f.cause.description(), fronts::admin::subject(&self.desk, f));
         let engine = f
             .engine
             .map(|e| self.desk.engines.name(e))
@@ -421,7 +426,7 @@
     }
 
     fn told(&self, id: StatementId, hop: u32, mut told: Told) {
-        if let Some(Stands::Behind(Some(holder))) = &mut told.news.stands {
+        if let Some(BlockedState::Behind(Some(holder))) = &mut told.news.blocked_state {
             holder.class = told
                 .holder_class
                 .as_deref()
--- a/crates/statement-router/src/settings/mod.rs
+++ b/crates/statement-router/src/settings/mod.rs
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RunawaySettings {
     /// By class, in the order of the classes.
-    pub acts: Vec<hoptiller_runaway::Acts>,
+    pub acts: Vec<hoptiller_runaway::EnforcementOptions>,
     /// Time between naming a statement and ending it.
     pub end_after: Duration,
     /// How long a paused statement stands still.
@@ -338,16 +338,17 @@
     /// The settings of the watch for runaways.
     pub fn watch(&self) -> hoptiller_runaway::Settings {
         let micros = |d: Duration| d.as_micros() as u64;
-        let class =
-            |(c, acts): (&ClassSettings, &hoptiller_runaway::Acts)| hoptiller_runaway::Class {
+        let class = |(c, acts): (&ClassSettings, &hoptiller_runaway::EnforcementOptions)| {
+            hoptiller_runaway::Class {
                 name: c.name.clone(),
                 aim: micros(c.aim),
                 patience: micros(c.patience),
                 threads: c.threads,
                 effect: c.decisions().idempotency,
                 holds: c.holds,
-                acts: *acts,
-            };
+                enforcement: *acts,
+            }
+        };
         hoptiller_runaway::Settings {
             classes: self
                 .classes
--- a/crates/statement-router/src/settings/read.rs
+++ b/crates/statement-router/src/settings/read.rs
@@ -523,7 +523,7 @@
     ) -> Option<RunawaySettings> {
         let value = self.optional(top, "runaways").unwrap_or(&Value::Null);
         let mut o = self.object(value, "runaways");
-        let usual = hoptiller_runaway::Acts {
+        let usual = hoptiller_runaway::EnforcementOptions {
             name: true,
             hold: true,
             ..Default::default()
@@ -532,7 +532,7 @@
             None => Some(usual),
             Some(value) => self.acts(value, "runaways.acts".into()),
         };
-        let mut acts: Vec<Option<hoptiller_runaway::Acts>> =
+        let mut acts: Vec<Option<hoptiller_runaway::EnforcementOptions>> =
             vec![usual; classes.as_ref().map_or(0, Vec::len)];
         let by_class = self.optional(&mut o, "classes").unwrap_or(&Value::Null);
         let by_class = self.object(by_class, "runaways.classes");
@@ -558,8 +558,12 @@
         })
     }
 
-    fn acts(&mut self, value: &Value, path: String) -> Option<hoptiller_runaway::Acts> {
-        let mut acts = hoptiller_runaway::Acts::default();
+    fn acts(
+        &mut self,
+        value: &Value,
+        path: String,
+    ) -> Option<hoptiller_runaway::EnforcementOptions> {
+        let mut acts = hoptiller_runaway::EnforcementOptions::default();
         let Some(list) = value.as_array() else {
             self.note(path, format!("a list of {ACTS} is wanted"));
             return None;
--- a/crates/statement-router/tests/core.rs
+++ b/crates/statement-router/tests/core.rs
@@ -9,7 +9,7 @@
     PollOutcome, ResponseContent, ResultPage, RouterIdentity, StatementId, StatementResponse,
     Submission,
 };
-use hoptiller_runaway::{Announced, Proof, Watch};
+use hoptiller_runaway::{Announced, Proof, RunawayDetector};
 use hoptiller_statement_router::Settings;
 use proptest::prelude::*;
 use serde_json::value::RawValue;
@@ -95,7 +95,7 @@
             max_buffered_bytes: 60,
             response_margin: 150 * MS,
         };
-        let watch = Watch::new(settings.watch());
+        let watch = RunawayDetector::new(settings.watch());
         let names = RouterIdentity {
             router: "r1".into(),
             incarnation: "life".into(),
