--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -123,7 +123,7 @@
         let saved = watch.save();
         println!(
             "look at {n:>6} attempts, {} kinds: {each:>8.2} ms, {:.2}% of a thread; state {:.1} MB, made in {:.0} ms",
-            watch.tracked_counts().0,
+            watch.tracked_counts().fingerprints,
             each / 5.0,
             saved.len() as f64 / 1e6,
             began.elapsed().as_secs_f64() * 1e3
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -1,14 +1,14 @@
-//! Owns what may be said of a statement that was ended at its engine. The one mistake that must not happen: to
-//! invite a second run of what may have had its effect.
+//! What a client is told of a statement that was ended at its engine. It must never invite a second run of a
+//! statement that may have had its effect.
 
 use hoptiller_policy::{DeduplicationScope, Idempotency, Micros};
 
 /// What the engine says of the effects of a statement that it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// All are undone.
+    /// They are undone.
     RolledBack,
-    /// They stand.
+    /// They are durable.
     Committed,
     /// It does not say.
     Unknown,
@@ -17,19 +17,19 @@
 /// What its client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Refused: trying again is harmless.
+    /// Rejected: a retry is safe.
     Harmless,
     /// Failed: it may have run.
     MayHaveRun,
-    /// Failed: it has run, and its effects stand.
+    /// Failed: it has run, and its effects are durable.
     HasRun,
 }
 
-/// What may be said. `since` is when its first attempt that may have run was sent.
+/// What a client is told. `since` is when the first attempt that may have run was sent.
 pub fn answer_after_end(effect: Idempotency, proof: Proof, since: Micros, now: Micros) -> Verdict {
     match (effect, proof) {
         (Idempotency::Idempotent, _) | (_, Proof::RolledBack) => Verdict::Harmless,
-        // Repeats are dropped wherever the client's next try goes, but only inside the window.
+        // Repeats are discarded at any engine, but only within the window.
         (
             Idempotency::WithKey {
                 scope: DeduplicationScope::All,
--- /dev/null
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+
+fn samples(times: &[f64]) -> Vec<Sample> {
+    times
+        .iter()
+        .map(|t| Sample {
+            kind: FingerprintId(1),
+            times: *t,
+        })
+        .collect()
+}
+
+fn slowness(factor: f64, samples: usize) -> Slowness {
+    Slowness { factor, samples }
+}
+
+#[test]
+fn slowness_needs_several_samples() {
+    let speeds = EngineSpeeds::default();
+    let factor = |times: &[f64]| speeds.slowness(0, EngineId(1), &samples(times)).factor;
+    assert_eq!(factor(&[50.0, 50.0]), 1.0);
+    assert_eq!(factor(&[1.0, 1.2, 50.0, 0.9]), 1.0);
+    assert_eq!(factor(&[4.0, 5.0, 50.0, 6.0]), 5.0);
+    assert_eq!(factor(&[400.0; 5]), MAX_SLOWNESS);
+    // One fingerprint that takes long among others that don't.
+    let mut mixed = samples(&[50.0; 9]);
+    mixed.push(Sample {
+        kind: FingerprintId(2),
+        times: 1.1,
+    });
+    assert_eq!(speeds.slowness(0, EngineId(1), &mixed), slowness(1.1, 10));
+}
+
+#[test]
+fn old_completions_do_not_count() {
+    let mut speeds = EngineSpeeds::default();
+    for _ in 0..100 {
+        speeds.record_completion(0, EngineId(1), samples(&[8.0])[0]);
+    }
+    assert_eq!(
+        speeds.slowness(COMPLETION_TTL, EngineId(1), &[]),
+        slowness(8.0, MAX_COMPLETIONS)
+    );
+    assert_eq!(
+        speeds.slowness(COMPLETION_TTL + 1, EngineId(1), &[]),
+        slowness(1.0, 0)
+    );
+    speeds.retain(|_| false);
+    assert_eq!(speeds.slowness(0, EngineId(1), &[]).samples, 0);
+}
+
+#[test]
+fn an_engine_stands_out_only_against_the_others() {
+    let new = |own, others: &[_]| stands_out(own, others, false);
+    assert!(
+        new(slowness(4.0, 8), &[slowness(1.0, 8), slowness(1.2, 8)]) && new(slowness(4.0, 8), &[])
+    );
+    assert!(!new(
+        slowness(4.0, 8),
+        &[slowness(3.0, 8), slowness(4.0, 8), slowness(1.0, 0)]
+    ));
+    assert!(
+        !new(slowness(2.5, 8), &[slowness(1.0, 8)])
+            && !new(slowness(9.0, MIN_SAMPLES), &[slowness(1.0, 8)])
+    );
+    assert!(
+        stands_out(slowness(2.5, 8), &[slowness(1.0, 8)], true)
+            && !stands_out(slowness(1.2, 8), &[slowness(1.0, 8)], true)
+    );
+}
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -1,5 +1,5 @@
-//! Owns the verdicts that stand and the last of those that did. One for each subject: what changes is told, what
-//! stays is kept up to date in silence.
+//! The open findings, one per subject, and the latest cleared ones. A changed finding is reported; an unchanged one is
+//! updated without a report.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,61 +7,63 @@
 
 use crate::interface::{Decision, Finding, Subject, Verdict};
 
-/// Verdicts that no longer stand, kept for people.
-const PAST: usize = 256;
-/// Verdicts that stand at most; a suspect goes before a runaway, an old one before a new one.
-const OPEN: usize = 1024;
+/// Cleared findings that are kept.
+const MAX_PAST: usize = 256;
+/// Open findings that are kept; a suspect is evicted before a runaway, an old finding before a new one.
+const MAX_OPEN: usize = 1024;
 
-/// All of them.
+/// Open and cleared findings.
 #[derive(Debug, Default)]
-pub struct Findings {
-    next: u64,
+pub(crate) struct Findings {
+    last_id: u64,
     open: BTreeMap<Subject, Finding>,
     past: VecDeque<Finding>,
 }
 
 impl Findings {
-    /// The verdict that stands on a subject.
-    pub fn of(&self, subject: &Subject) -> Option<&Finding> {
+    /// The open finding on a subject.
+    pub(crate) fn get(&self, subject: &Subject) -> Option<&Finding> {
         self.open.get(subject)
     }
 
-    /// Whether it is found to be at fault.
-    pub fn is_runaway(&self, subject: &Subject) -> bool {
-        self.of(subject)
+    /// Whether a subject is found to be a runaway.
+    pub(crate) fn is_runaway(&self, subject: &Subject) -> bool {
+        self.get(subject)
             .is_some_and(|f| f.verdict == Verdict::Runaway)
     }
 
-    /// Verdicts that stand.
-    pub fn open(&self) -> impl Iterator<Item = &Finding> {
+    /// The open findings.
+    pub(crate) fn open(&self) -> impl Iterator<Item = &Finding> {
         self.open.values()
     }
 
-    /// The last ones that did, oldest first.
-    pub fn past(&self) -> impl Iterator<Item = &Finding> {
+    /// The latest cleared findings, oldest first.
+    pub(crate) fn past(&self) -> impl Iterator<Item = &Finding> {
         self.past.iter()
     }
 
-    /// A verdict. Told where it is new, surer or of another cause. True where it was told.
-    pub fn say(&mut self, mut f: Finding, out: &mut Vec<Decision>) -> bool {
-        let old = self.open.get(&f.subject);
-        f.id = old.map_or_else(|| self.next + 1, |o| o.id);
-        self.next = self.next.max(f.id);
-        // What is found stays found until it is cleared.
-        let known = old
-            .is_some_and(|o| o.verdict > f.verdict || (o.verdict, o.cause) == (f.verdict, f.cause));
+    /// Records a finding and reports it if it is new, more certain or of another cause. True if it was reported.
+    pub(crate) fn report(&mut self, mut finding: Finding, out: &mut Vec<Decision>) -> bool {
+        let old = self.open.get(&finding.subject);
+        finding.id = old.map_or_else(|| self.last_id + 1, |o| o.id);
+        self.last_id = self.last_id.max(finding.id);
+        // A finding does not become less certain until it is cleared.
+        let known = old.is_some_and(|o| {
+            o.verdict > finding.verdict || (o.verdict, o.cause) == (finding.verdict, finding.cause)
+        });
         if let Some(o) = old.filter(|_| known) {
-            (f.verdict, f.cause, f.at, f.since) = (o.verdict, o.cause, o.at, o.since);
+            (finding.verdict, finding.cause, finding.at, finding.since) =
+                (o.verdict, o.cause, o.at, o.since);
         } else {
-            out.push(Decision::Found(Box::new(f.clone())));
+            out.push(Decision::Found(Box::new(finding.clone())));
         }
-        self.open.insert(f.subject.clone(), f);
-        self.trim(out);
+        self.open.insert(finding.subject.clone(), finding);
+        self.evict_excess(out);
         !known
     }
 
-    /// The verdict stands no longer.
-    pub fn clear(
+    /// Clears the finding on a subject, if there is one.
+    pub(crate) fn clear(
         &mut self,
         now: Micros,
         subject: &Subject,
@@ -73,14 +75,14 @@
         };
         (f.verdict, f.at, f.note) = (Verdict::Cleared, now, note);
         self.past.push_back(f.clone());
-        if self.past.len() > PAST {
+        if self.past.len() > MAX_PAST {
             self.past.pop_front();
         }
         out.push(Decision::Found(Box::new(f)));
     }
 
-    fn trim(&mut self, out: &mut Vec<Decision>) {
-        while self.open.len() > OPEN {
+    fn evict_excess(&mut self, out: &mut Vec<Decision>) {
+        while self.open.len() > MAX_OPEN {
             let least = self
                 .open
                 .values()
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn only_what_changes_is_told_and_a_verdict_is_not_taken_back_in_silence() {
+fn only_changes_are_reported_and_a_finding_stays_until_it_is_cleared() {
     let (mut all, mut out) = (Findings::default(), Vec::new());
-    assert!(all.say(finding("a", Verdict::Suspect, 1), &mut out));
-    assert!(!all.say(finding("a", Verdict::Suspect, 2), &mut out));
-    assert!(all.say(finding("a", Verdict::Runaway, 3), &mut out));
-    assert!(!all.say(finding("a", Verdict::Suspect, 4), &mut out));
+    assert!(all.report(finding("a", Verdict::Suspect, 1), &mut out));
+    assert!(!all.report(finding("a", Verdict::Suspect, 2), &mut out));
+    assert!(all.report(finding("a", Verdict::Runaway, 3), &mut out));
+    assert!(!all.report(finding("a", Verdict::Suspect, 4), &mut out));
     let a = Subject::Statement("a".into());
-    let f = all.of(&a).expect("stands");
+    let f = all.get(&a).expect("stands");
     assert_eq!((f.id, f.verdict, f.at), (1, Verdict::Runaway, 3));
     all.clear(5, &a, "over", &mut out);
     all.clear(5, &a, "over", &mut out);
@@ -44,23 +44,26 @@
         (out.len(), all.open().count(), all.past().count()),
         (3, 0, 1)
     );
-    assert!(all.say(finding("b", Verdict::Suspect, 6), &mut out));
+    assert!(all.report(finding("b", Verdict::Suspect, 6), &mut out));
     assert_eq!(all.open().next().map(|f| f.id), Some(2));
 }
 
 #[test]
-fn they_are_bounded_and_suspects_go_first() {
+fn findings_are_bounded_and_suspects_are_evicted_first() {
     let (mut all, mut out) = (Findings::default(), Vec::new());
-    all.say(finding("r", Verdict::Runaway, 0), &mut out);
+    all.report(finding("r", Verdict::Runaway, 0), &mut out);
     (0..5000).for_each(|n| {
-        all.say(finding(&format!("s{n}"), Verdict::Suspect, n), &mut out);
+        all.report(finding(&format!("s{n}"), Verdict::Suspect, n), &mut out);
     });
-    assert_eq!((all.open().count(), all.past().count()), (OPEN, PAST));
+    assert_eq!(
+        (all.open().count(), all.past().count()),
+        (MAX_OPEN, MAX_PAST)
+    );
     assert!(all.is_runaway(&Subject::Statement("r".into())));
 }
 
 #[test]
-fn evidence_reads_as_a_sentence() {
+fn evidence_is_displayed_as_a_sentence() {
     let told = finding("a", Verdict::Runaway, 0).evidence.to_string();
     assert_eq!(
         told,
--- /dev/null
+++ b/crates/runaway/src/holds/tests.rs
@@ -0,0 +1,127 @@
+use super::*;
+
+const K: FingerprintId = FingerprintId(7);
+
+fn holds(engines: u32) -> Holds {
+    let mut h = Holds::default();
+    let listed = |n| EngineStatus {
+        engine: EngineId(n),
+        up: true,
+        classes: vec![true, n % 2 == 0],
+    };
+    h.update_engines(&(0..engines).map(listed).collect::<Vec<_>>());
+    h
+}
+
+fn bound(news: &[Hold]) -> Vec<(u32, usize)> {
+    news.iter()
+        .map(|h| (h.max_in_flight, h.excluded_engines.len()))
+        .collect()
+}
+
+#[test]
+fn a_hold_recovers_in_steps_and_is_lifted() {
+    let mut h = holds(5);
+    h.add_runaway(1, K, 0, "x", true);
+    let news = h.take_changes();
+    assert_eq!(
+        bound(&news),
+        [(2, 4)],
+        "one beside the one that ran away, on one engine of five"
+    );
+    assert!(
+        news[0].low_priority && h.take_changes().is_empty(),
+        "only news is told"
+    );
+    h.remove_runaway(2, K);
+    assert_eq!(bound(&h.take_changes()), [(1, 4)]);
+    for (runs, want) in [(3, (2, 3)), (3, (4, 1)), (3, (u32::MAX, 0))] {
+        (0..runs).for_each(|_| h.record_run(3, K, true));
+        assert_eq!(bound(&h.take_changes()), [want]);
+    }
+    assert!(h.fingerprints.is_empty());
+}
+
+#[test]
+fn a_further_runaway_resets_the_hold_and_doubles_the_clean_runs_needed() {
+    let mut h = holds(5);
+    h.add_runaway(1, K, 0, "x", false);
+    h.remove_runaway(2, K);
+    (0..3).for_each(|_| h.record_run(3, K, true));
+    assert_eq!(h.fingerprints[&K].max_in_flight, 2);
+    h.record_run(3, K, true);
+    h.record_run(3, K, false);
+    assert_eq!(
+        h.fingerprints[&K].clean_runs, 0,
+        "clean runs count in a row"
+    );
+    h.add_runaway(4, K, 0, "x", false);
+    assert_eq!(
+        (
+            h.fingerprints[&K].max_in_flight,
+            h.fingerprints[&K].clean_runs_needed
+        ),
+        (1, 2 * MIN_CLEAN_RUNS)
+    );
+    (5..20).for_each(|n| h.add_runaway(n, K, 0, "x", false));
+    assert_eq!(h.fingerprints[&K].clean_runs_needed, MAX_CLEAN_RUNS);
+}
+
+#[test]
+fn all_routers_choose_the_same_eligible_engine() {
+    let (mut one, mut two) = (holds(6), holds(6));
+    for h in [&mut one, &mut two] {
+        h.add_runaway(1, K, 1, "x", false);
+    }
+    let (a, b) = (one.take_changes(), two.take_changes());
+    assert_eq!(a, b);
+    let open: Vec<u32> = (0..6)
+        .filter(|n| n % 2 == 0 && !a[0].excluded_engines.contains(&EngineId(*n)))
+        .collect();
+    assert_eq!(open.len(), 1);
+    // Its engine goes: another takes its place.
+    let listed = |n| EngineStatus {
+        engine: EngineId(n),
+        up: n != open[0],
+        classes: vec![true, n % 2 == 0],
+    };
+    one.update_engines(&(0..6).map(listed).collect::<Vec<_>>());
+    let news = one.take_changes();
+    assert!(
+        (0..6).any(|n| n % 2 == 0
+            && n != open[0]
+            && !news[0].excluded_engines.contains(&EngineId(n)))
+    );
+}
+
+#[test]
+fn holds_are_lifted_by_time_and_by_operators_and_a_group_keeps_one_engine() {
+    let mut h = holds(2);
+    h.add_runaway(0, K, 0, "x", false);
+    h.relax_idle(10 * IDLE_STEP);
+    assert_eq!(
+        h.fingerprints[&K].max_in_flight, 1,
+        "not while the runaway runs"
+    );
+    h.remove_runaway(10 * IDLE_STEP, K);
+    (11..14).for_each(|n| h.relax_idle(n * IDLE_STEP));
+    assert!(h.fingerprints.is_empty());
+    h.add_runaway(0, K, 0, "x", false);
+    assert!(h.release(K) && !h.release(K));
+    h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0)])]));
+    assert_eq!(bound(&h.take_changes()), [(u32::MAX, 1)]);
+    h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0), EngineId(1)])]));
+    assert_eq!(
+        bound(&h.take_changes()),
+        [(u32::MAX, 0)],
+        "kept away from all, it would never run"
+    );
+}
+
+#[test]
+fn holds_are_bounded() {
+    let mut h = holds(2);
+    (0..1000).for_each(|n| h.add_runaway(n, FingerprintId(n), 0, "x", false));
+    assert_eq!(h.fingerprints.len(), MAX_HOLDS);
+    assert!(h.fingerprints.contains_key(&FingerprintId(999)));
+}
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -1,38 +1,52 @@
-//! Statements that run far longer and heavier than their kind should: found, named, held, ended by rule.
+//! Detects runaway statements: those that run far longer or use far more than is usual for their fingerprint. It
+//! reports them, limits the concurrency of their fingerprint and ends them, as the options of their class allow.
 //!
-//! [`RunawayDetector`] is fed with attempts' starts, what engines tell of them, and their ends; it yields [`Decision`]s. It
-//! does no I/O and has no clock: same events, same decisions. What it holds is carried out by the routing
-//! decisions (`hoptiller_policy::Event::Hold`), so that every send still passes their one door.
+//! [`RunawayDetector`] receives starts, progress reports and ends of attempts and returns [`Decision`]s. It does no
+//! I/O and reads no clock: the same events lead to the same decisions. Holds take effect through the routing
+//! decisions (`hoptiller_policy::Event::Hold`).
 //!
-//! - [`interface`]: what goes in and comes out.
-//! - [`expect`]: what is usual for a kind, a class, an announced size.
-//! - [`watch`]: the attempts that are out, and what engines tell of them.
-//! - [`judge`]: the verdicts on them.
-//! - `others`: those of other routers and of earlier lives; `acts`: what is done about them.
-//! - [`change`]: whether all of a kind run long.
-//! - [`findings`]: verdicts that stand, and those that did.
-//! - [`blame`]: who stands behind whom.
-//! - [`engines`]: how slow each engine is by itself.
-//! - [`hold`]: how many of a kind may run, where, and how that grows back.
-//! - [`ending`]: what may be said of a statement that was ended.
+//! Modules, each of which uses only earlier ones:
+//!
+//! - `interface`: events, findings and decisions.
+//! - `sketch`, `statistics`: what is usual for a fingerprint, a class and an announced size.
+//! - `wait_graph`, `fingerprint_change`, `engine_speed`, `findings`, `holds`: state of one concern each.
+//! - `attempt`, `detector`: running attempts and the state of the detector.
+//! - `measures`, `wait_inference`, `enforcement`: figures against bounds, waits, consequences.
+//! - `engine_detection`, `fingerprint_detection`, `attempt_detection`, `remote`: the findings.
+//! - `lifecycle`, `detection`: events and the periodic detection run.
+//! - `ending`: what a client is told of a statement that was ended.
 //! - [`snapshot`]: what survives a restart.
 
-mod acts;
-pub mod blame;
-pub mod change;
-pub mod ending;
-pub mod engines;
-pub mod expect;
-pub mod findings;
-pub mod hold;
-pub mod interface;
-pub mod judge;
-mod others;
+#![warn(missing_docs)]
+
+mod attempt;
+mod attempt_detection;
+mod detection;
+mod detector;
+mod ending;
+mod enforcement;
+mod engine_detection;
+mod engine_speed;
+mod findings;
+mod fingerprint_change;
+mod fingerprint_detection;
+mod holds;
+mod interface;
+mod lifecycle;
+mod measures;
+mod remote;
 mod sketch;
 pub mod snapshot;
-pub mod watch;
+mod statistics;
+mod wait_graph;
+mod wait_inference;
 
+pub use detector::{RunawayDetector, TrackedCounts};
 pub use ending::{Proof, Verdict as EndingVerdict, answer_after_end};
-pub use interface::*;
+pub use holds::FingerprintHold;
+pub use interface::{
+    Announced, AttemptId, AttemptStart, BLOCKED, Basis, BlockedState, Cause, Class, Decision,
+    EnforcementOptions, EngineStatus, Evidence, ExecutionOutcome, Finding, FingerprintId, Holder,
+    Measure, ProgressReport, Settings, Subject, Verdict,
+};
 pub use snapshot::SnapshotError;
-pub use watch::RunawayDetector;
--- /dev/null
+++ b/crates/runaway/src/measures.rs
@@ -0,0 +1,149 @@
+//! Comparison of an attempt's figures with what is expected of it.
+
+use hoptiller_policy::Micros;
+
+use crate::attempt::RunningAttempt;
+use crate::interface::{Evidence, Measure};
+use crate::statistics::{Expectation, Expected};
+
+/// Attempts that have run for less, in µs, are not judged.
+pub(crate) const MIN_ACTIVE_TIME: f64 = 1_000_000.0;
+/// Error of a reported share done: it is added to the share.
+const PROGRESS_ERROR: f64 = 0.02;
+/// Tolerance of a figure that is projected from the share done.
+const PROJECTION_TOLERANCE: f64 = 1.25;
+/// Multiple of the usual run time from which a reported share done counts.
+const MIN_RUN_FOR_PROGRESS: f64 = 2.0;
+/// The same while the share done is still zero.
+const MIN_RUN_WITHOUT_PROGRESS: f64 = 6.0;
+/// Progress reports from which a reported share done counts.
+const MIN_PROGRESS_REPORTS: u32 = 3;
+/// An attempt that lacks memory and spills repeats work through no fault of its own.
+pub(crate) const SPILL_TOLERANCE: f64 = 3.0;
+/// Multiple of the usual figure from which an attempt counts as long for a change of its fingerprint.
+pub(crate) const LONG_RUN_FACTOR: f64 = 4.0;
+/// Multiple of the usual work per row that shows a bad plan.
+const BAD_PLAN_FACTOR: f64 = 4.0;
+
+/// A figure must be over its bound for this long; work already done needs no confirmation.
+pub(crate) const CONFIRMATION_TIME: Micros = 3_000_000;
+/// Number of blocked attempts from which their blocker is judged by a part of its bound.
+pub(crate) const MIN_CROWD: usize = 8;
+/// That part.
+pub(crate) const CROWD_BOUND_FACTOR: f64 = 0.25;
+
+/// A figure of an attempt that is over its bound.
+pub(crate) struct Excess {
+    pub(crate) evidence: Evidence,
+    /// It is work already done, which needs no confirmation over time.
+    pub(crate) certain: bool,
+}
+
+/// A figure of an attempt and what is expected of it.
+pub(crate) struct Measurement<'e> {
+    pub(crate) measure: Measure,
+    pub(crate) value: f64,
+    pub(crate) expected: &'e Expected,
+    /// Factor by which the value may exceed the bound.
+    pub(crate) tolerance: f64,
+}
+
+/// Evidence of a value against what is expected.
+pub(crate) fn evidence(measure: Measure, figure: f64, e: &Expected) -> Evidence {
+    Evidence {
+        measure,
+        figure,
+        usual: e.usual,
+        bar: e.bar,
+        basis: e.basis,
+    }
+}
+
+/// All figures of an attempt that can be compared. `slowness` is the factor of its engine.
+pub(crate) fn measurements<'e>(
+    attempt: &RunningAttempt,
+    expectation: &'e Expectation,
+    now: Micros,
+    slowness: f64,
+) -> Vec<Measurement<'e>> {
+    let active = attempt.active_time(now);
+    let (measure, projected, value, expected) = match attempt.progress.work {
+        Some(work) => (
+            Measure::Work,
+            Measure::WorkToCome,
+            work as f64,
+            &expectation.work,
+        ),
+        None => (
+            Measure::Run,
+            Measure::RunToCome,
+            active / slowness,
+            &expectation.run,
+        ),
+    };
+    let mut all = vec![Measurement {
+        measure,
+        value,
+        expected,
+        tolerance: 1.0,
+    }];
+    let done = attempt.progress.done.filter(|done| {
+        let min_run = if *done > 0.0 {
+            MIN_RUN_FOR_PROGRESS
+        } else {
+            MIN_RUN_WITHOUT_PROGRESS
+        };
+        attempt.progress_reports >= MIN_PROGRESS_REPORTS
+            && active >= min_run * expectation.run.usual
+    });
+    if let Some(done) = done {
+        all.push(Measurement {
+            measure: projected,
+            value: value / (done + PROGRESS_ERROR),
+            expected,
+            tolerance: PROJECTION_TOLERANCE,
+        });
+    }
+    all
+}
+
+/// The figure that is furthest over its bound, if any is. `bound_factor` scales all bounds.
+pub(crate) fn largest_excess(
+    attempt: &RunningAttempt,
+    expectation: &Expectation,
+    now: Micros,
+    slowness: f64,
+    bound_factor: f64,
+) -> Option<Excess> {
+    if attempt.active_time(now) < MIN_ACTIVE_TIME {
+        return None;
+    }
+    let spills = if attempt.progress.spills {
+        SPILL_TOLERANCE
+    } else {
+        1.0
+    };
+    let ratio_over_bound = |m: Measurement<'_>| {
+        let bar = m.expected.bar * m.tolerance * spills * bound_factor;
+        let bounded = Expected { bar, ..*m.expected };
+        (m.value > bar).then(|| (m.value / bar, evidence(m.measure, m.value, &bounded)))
+    };
+    let worst = measurements(attempt, expectation, now, slowness)
+        .into_iter()
+        .filter_map(ratio_over_bound)
+        .max_by(|a, b| a.0.total_cmp(&b.0));
+    worst.map(|(_, evidence)| Excess {
+        certain: evidence.measure == Measure::Work && bound_factor == 1.0,
+        evidence,
+    })
+}
+
+/// Whether an attempt does far more work per row than is usual for its fingerprint.
+pub(crate) fn has_bad_plan(attempt: &RunningAttempt, e: &Expectation) -> bool {
+    let (Some(work), Some(rows), Some(usual)) =
+        (attempt.progress.work, attempt.progress.rows, e.per_rows)
+    else {
+        return false;
+    };
+    work as f64 * 1000.0 / (rows as f64).max(1.0) > BAD_PLAN_FACTOR * usual
+}
--- a/crates/runaway/src/sketch/tests.rs
+++ b/crates/runaway/src/sketch/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn quantiles_follow_what_came_lately() {
+fn quantiles_follow_recent_figures() {
     let mut s = Sketch::default();
     assert_eq!((s.quantile(0.5), s.count()), (None, 0));
     for n in 0..400 {
@@ -13,11 +13,11 @@
         s.add(8000.0);
     }
     assert!(s.quantile(0.5).expect("figures") > 7000.0);
-    assert!(s.count() < FULL);
+    assert!(s.count() < MAX_COUNT);
 }
 
 #[test]
-fn few_figures_far_apart_do_not_vanish_and_nonsense_is_passed_over() {
+fn a_few_distant_figures_survive_halving_and_invalid_ones_are_ignored() {
     let mut s = Sketch::default();
     for _ in 0..511 {
         s.add(100.0);
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -1,53 +1,50 @@
-//! Owns the form in which kinds, classes and holds survive a restart: a line that says what the file is, a line
-//! with the BLAKE3 checksum of the rest, and the rest as JSON. Who writes it sees to it that it is whole or old;
-//! who reads it takes all of it or nothing, and then starts from the priors.
+//! The form in which statistics and holds survive a restart: a line that names the format and its version, a line with
+//! the BLAKE3 checksum of the rest, and the rest as JSON. The writer replaces the file atomically; the reader restores
+//! all of it or nothing.
 
 use std::collections::BTreeMap;
 
 use hoptiller_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-use crate::expect::{Figures, KindBook};
-use crate::hold::KindHold;
+use crate::detector::RunawayDetector;
+use crate::holds::FingerprintHold;
 use crate::interface::{Class, FingerprintId};
 use crate::sketch::Sketch;
-use crate::watch::RunawayDetector;
+use crate::statistics::{ClassStatistics, Distributions, FingerprintStatistics};
 
-/// The first line; the number is the version of the form.
+/// The first line; the number is the version of the format.
 const FIRST: &str = "hoptiller runaways 1";
 
-/// Why a snapshot can't be taken in.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// The length of the line with the checksum: 64 hexadecimal digits and a line feed.
+const CHECKSUM_LINE: usize = 65;
+
+/// Why a snapshot can't be restored.
+#[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no file of this kind, or of another version.
-    Foreign,
-    /// Its checksum is of other bytes: it was cut or changed.
+    /// It is no snapshot, or one of another version.
+    #[error("it does not begin with {FIRST:?}")]
+    UnknownFormat,
+    /// Its checksum does not match: it was cut or changed.
+    #[error("its checksum is wrong: it was cut or changed")]
     Damaged,
-    /// It is whole, and can't be understood.
-    Unreadable(String),
+    /// Its checksum matches, but its content is not the expected JSON.
+    #[error("it can't be understood: {0}")]
+    InvalidJson(#[source] serde_json::Error),
+    /// Its checksum matches, but one of its distributions has weights or figures out of bounds.
+    #[error("it can't be understood: a distribution out of bounds")]
+    InvalidDistribution,
 }
 
-impl std::fmt::Display for SnapshotError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            SnapshotError::Foreign => write!(f, "it does not begin with {FIRST:?}"),
-            SnapshotError::Damaged => write!(f, "its checksum is wrong: it was cut or changed"),
-            SnapshotError::Unreadable(why) => write!(f, "it can't be understood: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for SnapshotError {}
-
 /// Pairs of a sketch.
 type Pairs = Vec<(u64, u16)>;
 
 #[derive(Serialize, Deserialize)]
 struct Saved {
     classes: Vec<SavedClass>,
-    /// The least lately used first.
-    kinds: Vec<SavedKind>,
-    holds: Vec<(FingerprintId, KindHold)>,
+    /// The least recently used first.
+    kinds: Vec<SavedFingerprint>,
+    holds: Vec<(FingerprintId, FingerprintHold)>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -58,7 +55,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct SavedKind {
+struct SavedFingerprint {
     id: FingerprintId,
     class: usize,
     label: String,
@@ -67,7 +64,7 @@
     beyond: [Pairs; 4],
 }
 
-fn pairs(f: &Figures) -> [Pairs; 4] {
+fn pairs(f: &Distributions) -> [Pairs; 4] {
     [
         f.run.pairs(),
         f.work.pairs(),
@@ -77,12 +74,11 @@
 }
 
 fn sketch(pairs: &Pairs) -> Result<Sketch, SnapshotError> {
-    Sketch::from_pairs(pairs)
-        .ok_or_else(|| SnapshotError::Unreadable("a distribution out of bounds".into()))
+    Sketch::from_pairs(pairs).ok_or(SnapshotError::InvalidDistribution)
 }
 
-fn figures(p: &[Pairs; 4]) -> Result<Figures, SnapshotError> {
-    Ok(Figures {
+fn distributions(p: &[Pairs; 4]) -> Result<Distributions, SnapshotError> {
+    Ok(Distributions {
         run: sketch(&p[0])?,
         work: sketch(&p[1])?,
         per_rows: sketch(&p[2])?,
@@ -90,50 +86,45 @@
     })
 }
 
-/// What was taken in.
+fn saved_fingerprint((id, s): (&FingerprintId, &FingerprintStatistics)) -> SavedFingerprint {
+    SavedFingerprint {
+        id: *id,
+        class: s.class,
+        label: s.label.to_string(),
+        sizes: s.sizes.iter().map(|(size, f)| (*size, pairs(f))).collect(),
+        honesty: s.estimate_accuracy.pairs(),
+        beyond: pairs(&s.beyond_bound),
+    }
+}
+
+/// How much was restored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// Kinds.
+    /// Fingerprints.
     pub kinds: usize,
     /// Holds.
     pub holds: usize,
-    /// Kinds and holds of classes that the settings have no more.
+    /// Fingerprints and holds of classes that are not in the settings any more.
     pub dropped: usize,
 }
 
 impl RunawayDetector {
-    /// What survives a restart.
+    /// Encodes what survives a restart.
     pub fn save(&self) -> Vec<u8> {
-        let class = |(spec, (f, honesty)): (&Class, &(Figures, Sketch))| SavedClass {
-            name: spec.name.clone(),
-            figures: pairs(f),
-            honesty: honesty.pairs(),
-        };
-        let mut kinds: Vec<(&FingerprintId, &KindBook)> = self.book.kinds.iter().collect();
-        kinds.sort_by_key(|(id, k)| (k.last, **id));
-        let kind = |(id, k): (&FingerprintId, &KindBook)| SavedKind {
-            id: *id,
-            class: k.class,
-            label: k.label.to_string(),
-            sizes: k.sizes.iter().map(|(size, f)| (*size, pairs(f))).collect(),
-            honesty: k.honesty.pairs(),
-            beyond: pairs(&k.beyond),
+        let class = |(class, statistics): (&Class, &ClassStatistics)| SavedClass {
+            name: class.name.clone(),
+            figures: pairs(&statistics.distributions),
+            honesty: statistics.estimate_accuracy.pairs(),
         };
+        let mut kinds: Vec<(&FingerprintId, &FingerprintStatistics)> =
+            self.statistics.fingerprints.iter().collect();
+        kinds.sort_by_key(|(id, statistics)| (statistics.last_use, **id));
+        let classes = self.settings.classes.iter().zip(&self.statistics.classes);
+        let holds = self.holds.fingerprints.iter();
         let saved = Saved {
-            classes: self
-                .cfg
-                .classes
-                .iter()
-                .zip(&self.book.classes)
-                .map(class)
-                .collect(),
-            kinds: kinds.into_iter().map(kind).collect(),
-            holds: self
-                .holds
-                .kinds
-                .iter()
-                .map(|(id, h)| (*id, h.clone()))
-                .collect(),
+            classes: classes.map(class).collect(),
+            kinds: kinds.into_iter().map(saved_fingerprint).collect(),
+            holds: holds.map(|(id, hold)| (*id, hold.clone())).collect(),
         };
         let body = serde_json::to_vec(&saved).unwrap_or_default();
         let mut all = format!("{FIRST}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
@@ -141,81 +132,110 @@
         all
     }
 
-    /// Takes in what was saved. All or nothing: on an error, nothing has changed.
+    /// Restores what was saved, all or nothing: on an error, nothing has changed.
+    ///
+    /// # Errors
+    ///
+    /// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<Restored, SnapshotError> {
-        let rest = bytes
-            .strip_prefix(FIRST.as_bytes())
-            .and_then(|r| r.strip_prefix(b"\n"));
-        let rest = rest.ok_or(SnapshotError::Foreign)?;
-        let (sum, body) = rest.split_at_checked(65).ok_or(SnapshotError::Damaged)?;
-        let expected = format!("{}\n", blake3::hash(body).to_hex());
-        if sum != expected.as_bytes() {
-            return Err(SnapshotError::Damaged);
-        }
-        let saved: Saved =
-            serde_json::from_slice(body).map_err(|e| SnapshotError::Unreadable(e.to_string()))?;
-        // Classes go by name: the settings may have others now, or in another order.
-        let by_name = |name: &str| self.cfg.classes.iter().position(|c| c.name == name);
+        let saved = decode(bytes)?;
+        // Classes are matched by name: the settings may have others now, or in another order.
+        let by_name = |name: &str| self.settings.classes.iter().position(|c| c.name == name);
         let numbers: Vec<Option<usize>> = saved.classes.iter().map(|c| by_name(&c.name)).collect();
-        let number = |class: usize| numbers.get(class).copied().flatten();
-        let mut done = Restored::default();
         let mut classes = Vec::new();
-        for (c, at) in saved.classes.iter().zip(&numbers) {
-            if let Some(at) = at {
-                classes.push((*at, figures(&c.figures)?, sketch(&c.honesty)?));
+        for (c, number) in saved.classes.iter().zip(&numbers) {
+            if let Some(number) = number {
+                classes.push((*number, restored_class(c)?));
             }
         }
-        let mut kinds = Vec::new();
-        for (age, k) in saved.kinds.into_iter().enumerate() {
-            let Some(class) = number(k.class) else {
-                done.dropped += 1;
-                continue;
-            };
-            let sizes: Result<BTreeMap<u8, Figures>, SnapshotError> = k
-                .sizes
-                .iter()
-                .map(|(size, p)| Ok((*size, figures(p)?)))
-                .collect();
-            let (sizes, honesty, beyond) = (sizes?, sketch(&k.honesty)?, figures(&k.beyond)?);
-            // The clock of an earlier life says nothing now; the order does.
-            let last = age as Micros;
-            kinds.push((
-                k.id,
-                KindBook {
-                    class,
-                    label: k.label.into(),
-                    sizes,
-                    honesty,
-                    beyond,
-                    last,
-                },
-            ));
+        let total = saved.kinds.len() + saved.holds.len();
+        let fingerprints = restored_fingerprints(saved.kinds, &numbers)?;
+        let holds = restored_holds(now, saved.holds, &numbers);
+        let restored = Restored {
+            kinds: fingerprints.len(),
+            holds: holds.len(),
+            dropped: total - fingerprints.len() - holds.len(),
+        };
+        for (number, class) in classes {
+            self.statistics.classes[number] = class;
         }
-        let mut holds = Vec::new();
-        for (id, hold) in saved.holds {
-            match number(hold.class) {
-                Some(class) => holds.push((
-                    id,
-                    KindHold {
-                        class,
-                        since: now,
-                        last: now,
-                        out: 0,
-                        ..hold
-                    },
-                )),
-                None => done.dropped += 1,
-            }
+        for (id, statistics) in fingerprints {
+            self.statistics.restore(id, statistics);
         }
-        (done.kinds, done.holds) = (kinds.len(), holds.len());
-        classes
-            .into_iter()
-            .for_each(|(at, figures, honesty)| self.book.classes[at] = (figures, honesty));
-        kinds
-            .into_iter()
-            .for_each(|(id, book)| self.book.restore(id, book));
-        self.holds.kinds.extend(holds);
-        self.tell_holds();
-        Ok(done)
+        self.holds.fingerprints.extend(holds);
+        self.publish_holds();
+        Ok(restored)
     }
 }
+
+/// Checks the header and the checksum, and decodes the rest.
+fn decode(bytes: &[u8]) -> Result<Saved, SnapshotError> {
+    let rest = bytes
+        .strip_prefix(FIRST.as_bytes())
+        .and_then(|rest| rest.strip_prefix(b"\n"))
+        .ok_or(SnapshotError::UnknownFormat)?;
+    let (checksum, body) = rest
+        .split_at_checked(CHECKSUM_LINE)
+        .ok_or(SnapshotError::Damaged)?;
+    let expected = format!("{}\n", blake3::hash(body).to_hex());
+    if checksum != expected.as_bytes() {
+        return Err(SnapshotError::Damaged);
+    }
+    serde_json::from_slice(body).map_err(SnapshotError::InvalidJson)
+}
+
+fn restored_class(saved: &SavedClass) -> Result<ClassStatistics, SnapshotError> {
+    Ok(ClassStatistics {
+        distributions: distributions(&saved.figures)?,
+        estimate_accuracy: sketch(&saved.honesty)?,
+    })
+}
+
+/// The statistics of fingerprints whose class still exists.
+fn restored_fingerprints(
+    saved: Vec<SavedFingerprint>,
+    numbers: &[Option<usize>],
+) -> Result<Vec<(FingerprintId, FingerprintStatistics)>, SnapshotError> {
+    let mut restored = Vec::new();
+    for (age, saved) in saved.into_iter().enumerate() {
+        let Some(class) = numbers.get(saved.class).copied().flatten() else {
+            continue;
+        };
+        let sizes: Result<BTreeMap<u8, Distributions>, SnapshotError> = saved
+            .sizes
+            .iter()
+            .map(|(size, pairs)| Ok((*size, distributions(pairs)?)))
+            .collect();
+        let statistics = FingerprintStatistics {
+            class,
+            label: saved.label.into(),
+            sizes: sizes?,
+            estimate_accuracy: sketch(&saved.honesty)?,
+            beyond_bound: distributions(&saved.beyond)?,
+            // The clock of an earlier process means nothing now; the order does.
+            last_use: age as Micros,
+        };
+        restored.push((saved.id, statistics));
+    }
+    Ok(restored)
+}
+
+/// The holds of fingerprints whose class still exists.
+fn restored_holds(
+    now: Micros,
+    saved: Vec<(FingerprintId, FingerprintHold)>,
+    numbers: &[Option<usize>],
+) -> Vec<(FingerprintId, FingerprintHold)> {
+    let restore = |(id, hold): (FingerprintId, FingerprintHold)| {
+        let class = numbers.get(hold.class).copied().flatten()?;
+        let hold = FingerprintHold {
+            class,
+            since: now,
+            last_end: now,
+            runaways: 0,
+            ..hold
+        };
+        Some((id, hold))
+    };
+    saved.into_iter().filter_map(restore).collect()
+}
--- a/crates/runaway/src/expect/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -24,9 +24,9 @@
     }
 }
 
-fn book(kind: FingerprintId, runs: usize) -> Book {
-    let mut b = Book::new(1, 400);
-    b.touch(kind, 0, &"select ?".into(), 1);
+fn book(kind: FingerprintId, runs: usize) -> Statistics {
+    let mut b = Statistics::new(1, 400);
+    b.record_arrival(kind, 0, &"select ?".into(), 1);
     for n in 0..runs {
         b.learn(
             kind,
@@ -38,13 +38,13 @@
     b
 }
 
-fn bar_of(b: &Book, kind: u64, says: Announced) -> Expected {
-    b.expect(FingerprintId(kind), 0, &spec(), says).run
+fn bar_of(b: &Statistics, kind: u64, says: Announced) -> Expected {
+    b.expectation(FingerprintId(kind), 0, &spec(), says).run
 }
 
 #[test]
-fn a_kind_of_ten_runs_is_no_law() {
-    let (nothing, some) = (Announced::default(), |b: &Book| {
+fn the_bound_of_the_class_applies_until_a_fingerprint_has_enough_runs() {
+    let (nothing, some) = (Announced::default(), |b: &Statistics| {
         bar_of(b, 1, Announced::default())
     });
     assert_eq!(some(&book(FingerprintId(1), 0)).basis, Basis::Settings);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_is_announced_counts_where_it_was_right_before() {
+fn estimates_are_used_where_earlier_ones_were_right() {
     let b = book(FingerprintId(1), 60);
     let says = |size, estimate| Announced { size, estimate };
     let (plain, twelve) = (bar_of(&b, 1, says(0, None)), bar_of(&b, 1, says(12, None)));
@@ -86,36 +86,37 @@
 }
 
 #[test]
-fn usual_moves_with_the_month_and_not_with_strays() {
+fn the_usual_run_time_follows_trends_and_not_outliers() {
     let mut b = book(FingerprintId(1), 200);
     let before = bar_of(&b, 1, Announced::default());
     for _ in 0..20 {
-        b.note_beyond(FingerprintId(1), &run(100.0));
+        b.record_beyond_bound(FingerprintId(1), &run(100.0));
     }
     assert_eq!(bar_of(&b, 1, Announced::default()), before);
     for _ in 0..400 {
         b.learn(FingerprintId(1), 0, Announced::default(), &run(4.0));
     }
     assert!(bar_of(&b, 1, Announced::default()).usual > 3.5 * before.usual);
-    b.adopt(FingerprintId(1));
+    b.adopt_beyond_bound(FingerprintId(1));
     assert!(bar_of(&b, 1, Announced::default()).usual > 90.0 * S);
 }
 
 #[test]
-fn invented_kinds_push_out_only_each_other() {
+fn generated_fingerprints_evict_only_each_other() {
     let mut b = book(FingerprintId(1), 60);
     for n in 0..100_000u64 {
-        b.touch(FingerprintId(n + 10), 0, &"x".into(), 2 + n);
+        b.record_arrival(FingerprintId(n + 10), 0, &"x".into(), 2 + n);
     }
     assert_eq!(b.len(), 101);
     assert!(b.is_known(FingerprintId(1)) && !b.is_known(FingerprintId(100_009)));
     assert!(
-        b.kinds.contains_key(&FingerprintId(100_009)) && !b.kinds.contains_key(&FingerprintId(10))
+        b.fingerprints.contains_key(&FingerprintId(100_009))
+            && !b.fingerprints.contains_key(&FingerprintId(10))
     );
     // Known ones are bounded too.
     for n in 0..1000u64 {
-        b.touch(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
-        (0..KNOWN).for_each(|_| {
+        b.record_arrival(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
+        (0..MIN_RUNS_KNOWN).for_each(|_| {
             b.learn(
                 FingerprintId(n + 1_000_000),
                 0,
@@ -124,5 +125,5 @@
             )
         });
     }
-    assert!(b.len() <= 400 && b.known_of(0) == 300);
+    assert!(b.len() <= 400 && b.known_in_class(0) == 300);
 }
--- a/crates/runaway/tests/acts.rs
+++ b/crates/runaway/tests/acts.rs
@@ -178,16 +178,19 @@
         changed[at] ^= 0x40;
         check(&changed);
     }
-    assert_eq!(check(b""), SnapshotError::Foreign);
-    assert_eq!(
+    assert!(matches!(check(b""), SnapshotError::UnknownFormat));
+    assert!(matches!(
         check(b"\x7fELF\x00\x00 something else"),
-        SnapshotError::Foreign
-    );
-    assert_eq!(check(&saved[..saved.len() - 1]), SnapshotError::Damaged);
+        SnapshotError::UnknownFormat
+    ));
+    assert!(matches!(
+        check(&saved[..saved.len() - 1]),
+        SnapshotError::Damaged
+    ));
     let body = br#"{"classes":[],"kinds":[{"id":1}],"holds":[]}"#;
     let sum = blake3::hash(body).to_hex();
     let whole = [format!("hoptiller runaways 1\n{sum}\n").as_bytes(), body].concat();
-    assert!(matches!(check(&whole), SnapshotError::Unreadable(_)));
+    assert!(matches!(check(&whole), SnapshotError::InvalidJson(_)));
 }
 
 #[test]
@@ -223,5 +226,5 @@
     for n in 0..5000 {
         w.behind(id, &format!("x/{n}"));
     }
-    assert!(w.detector.tracked_counts().2 <= 256);
+    assert!(w.detector.tracked_counts().remote_statements <= 256);
 }
--- a/crates/runaway/tests/verdicts.rs
+++ b/crates/runaway/tests/verdicts.rs
@@ -512,7 +512,11 @@
             .open_findings()
             .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
     );
-    assert_eq!(w.detector.tracked_counts().2, 0, "and it is forgotten");
+    assert_eq!(
+        w.detector.tracked_counts().remote_statements,
+        0,
+        "and it is forgotten"
+    );
 }
 
 #[test]
@@ -669,7 +673,7 @@
     assert!(away(&w), "for longer this time");
     w.go(20);
     assert!(
-        !away(&w) && w.detector.tracked_counts().2 == 0,
+        !away(&w) && w.detector.tracked_counts().remote_statements == 0,
         "gone, and forgotten"
     );
     assert_eq!(w.runaways().len(), 1, "one verdict");
@@ -682,7 +686,10 @@
         let id = w.start(LOOKUP, 1_000_000 + kind, (kind % 4) as u32, 250_000.0);
         w.finish(id);
     }
-    assert!(w.detector.tracked_counts().0 <= 1000 && w.detector.tracked_counts().1 == 0);
+    assert!(
+        w.detector.tracked_counts().fingerprints <= 1000
+            && w.detector.tracked_counts().attempts == 0
+    );
     // Runaways whose text is another one each time.
     for kind in 0..4 {
         w.start(LOOKUP, 2_000_000 + kind, 0, 900e6);
--- a/crates/statement-router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -98,10 +98,10 @@
                     "kind": kind.to_string(),
                     "class": desk.settings().classes[h.class].name,
                     "text": h.label,
-                    "atOnce": h.at_once,
-                    "cleanRuns": h.clean,
-                    "cleanRunsForNextStep": h.wanted,
-                    "runawaysOut": h.out,
+                    "atOnce": h.max_in_flight,
+                    "cleanRuns": h.clean_runs,
+                    "cleanRunsForNextStep": h.clean_runs_needed,
+                    "runawaysOut": h.runaways,
                     "heldForMs": now.saturating_sub(h.since) / 1000,
                 })
             })
@@ -113,16 +113,16 @@
             .excluded_engines()
             .map(|(group, engines)| json!({ "tables": format!("{group:08x}"), "engines": engine_names(engines) }))
             .collect();
-        let (kinds, attempts, others) = watch.tracked_counts();
+        let counts = watch.tracked_counts();
         json!({
             "router": desk.settings().router.name,
             "findings": open,
             "past": past,
             "holds": holds,
             "keptAway": away,
-            "kindsKnown": kinds,
-            "attemptsWatched": attempts,
-            "statementsOfOthers": others,
+            "kindsKnown": counts.fingerprints,
+            "attemptsWatched": counts.attempts,
+            "statementsOfOthers": counts.remote_statements,
         })
     })
 }
