--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -63,7 +63,7 @@
         let mut watch = RunawayDetector::new(settings.watch());
         let listed = |e| EngineStatus {
             engine: EngineId(e),
-            up: true,
+            is_up: true,
             classes: vec![true; settings.classes.len()],
         };
         watch.update_engines((0..70).map(listed).collect());
@@ -76,7 +76,7 @@
             let held_as = watch.observe_arrival(now, kind, 0, &label);
             let attempt = AttemptId {
                 statement: id,
-                hop: 0,
+                number: 0,
             };
             let start = AttemptStart {
                 attempt,
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -185,7 +185,7 @@
                 Decision::Resume(attempt) => pause_command(attempt, false),
                 Decision::End(attempt) => Command::Kill {
                     id: attempt.statement,
-                    attempt: attempt.hop,
+                    attempt: attempt.number,
                 },
             };
             self.commands.push_back(command);
@@ -196,14 +196,14 @@
 fn attempt_id(statement: StatementId, attempt: u32) -> AttemptId {
     AttemptId {
         statement,
-        hop: attempt,
+        number: attempt,
     }
 }
 
 fn pause_command(attempt: AttemptId, paused: bool) -> Command {
     Command::Pause {
         id: attempt.statement,
-        attempt: attempt.hop,
+        attempt: attempt.number,
         paused,
     }
 }
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -95,7 +95,7 @@
             .filter(|entry| entry.readiness != Readiness::Removed)
             .map(|entry| EngineStatus {
                 engine: entry.engine,
-                up: entry.readiness == Readiness::Up,
+                is_up: entry.readiness == Readiness::Up,
                 classes: self.placement.iter().map(|p| p.allows(entry)).collect(),
             })
             .collect()
--- a/crates/router-core/src/endpoints/tests.rs
+++ b/crates/router-core/src/endpoints/tests.rs
@@ -43,7 +43,7 @@
         table
             .listed()
             .iter()
-            .map(|l| (l.engine.0, l.up))
+            .map(|l| (l.engine.0, l.is_up))
             .collect::<Vec<_>>(),
         [(2, false)]
     );
--- a/crates/runaway/src/attempt_detection.rs
+++ b/crates/runaway/src/attempt_detection.rs
@@ -10,7 +10,8 @@
 use crate::detector::RunawayDetector;
 use crate::fingerprint_change::ChangeStatus;
 use crate::interface::{
-    AttemptId, BLOCKED, Basis, BlockedState, Cause, Evidence, Finding, Measure, Subject, Verdict,
+    AttemptId, Basis, BlockedState, Cause, Evidence, Finding, MAX_BLOCKED_NAMES, Measure, Subject,
+    Verdict,
 };
 use crate::measures::{
     CONFIRMATION_TIME, CROWD_BOUND_FACTOR, Excess, MIN_CROWD, evidence, has_bad_plan,
@@ -104,7 +105,7 @@
             measure: Measure::Time,
             figure: attempt.blocked_time as f64,
             usual: 0.0,
-            bar: 0.0,
+            bound: 0.0,
             basis: Basis::Settings,
         };
         let excess = Excess {
@@ -123,7 +124,7 @@
         excess: &Excess,
         blocks: Vec<String>,
     ) {
-        let engines = self.engines.iter().filter(|e| e.up).count();
+        let engines = self.engines.iter().filter(|e| e.is_up).count();
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -163,7 +164,7 @@
         };
         let found = Finding {
             blocked: blocks.len(),
-            blocks: blocks.into_iter().take(BLOCKED).collect(),
+            blocks: blocks.into_iter().take(MAX_BLOCKED_NAMES).collect(),
             ..attempt.finding(now, since, verdict, cause, excess.evidence)
         };
         let is_new = self.findings.report(found, &mut self.decisions);
@@ -209,7 +210,7 @@
             measure: Measure::Time,
             figure: (now - since) as f64,
             usual: 0.0,
-            bar: SLOW_READER_AFTER as f64,
+            bound: SLOW_READER_AFTER as f64,
             basis: Basis::Settings,
         };
         let found = Finding {
@@ -231,7 +232,7 @@
             other.start.engine == attempt.start.engine
                 && other.blocked_state(now) == Some(&BlockedState::Memory)
         };
-        let far = memory > e.bar && attempt.blocked_state(now).is_none();
+        let far = memory > e.bound && attempt.blocked_state(now).is_none();
         (far && self.attempts.values().filter(waits).count() >= MIN_CROWD)
             .then(|| evidence(Measure::Memory, memory, &e))
     }
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -61,7 +61,7 @@
     /// A detector without statistics.
     pub fn new(settings: Settings) -> RunawayDetector {
         RunawayDetector {
-            statistics: Statistics::new(settings.classes.len(), settings.kinds),
+            statistics: Statistics::new(settings.classes.len(), settings.max_fingerprints),
             unknown_runaways: vec![VecDeque::new(); settings.classes.len()],
             attempts: BTreeMap::new(),
             attempt_ids: HashMap::new(),
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -39,7 +39,7 @@
         }
         // A paused statement would keep what others wait for even longer.
         let blocks_others =
-            spec.holds || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
+            spec.holds_tables || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
         if enforcement.pause && is_executing && !blocks_others && !attempt.is_paused {
             (attempt.is_paused, attempt.resume_at) = (true, Some(now + self.settings.pause_for));
             self.decisions.push(Decision::Pause(id));
@@ -105,9 +105,11 @@
         let mut excluded: BTreeMap<u64, Vec<EngineId>> = BTreeMap::new();
         for attempt in self.attempts.values() {
             let spec = &self.settings.classes[attempt.start.class];
-            let (true, true, Some(group)) =
-                (spec.holds, spec.enforcement.hold, attempt.start.group)
-            else {
+            let (true, true, Some(group)) = (
+                spec.holds_tables,
+                spec.enforcement.hold,
+                attempt.start.group,
+            ) else {
                 continue;
             };
             if self.findings.is_runaway(&attempt.subject()) {
--- a/crates/runaway/src/engine_detection.rs
+++ b/crates/runaway/src/engine_detection.rs
@@ -75,7 +75,7 @@
             measure: Measure::Times,
             figure: slowness.factor,
             usual: 1.0,
-            bar: SLOW,
+            bound: SLOW,
             basis: Basis::Class(slowness.samples as u64),
         },
         blocks: Vec::new(),
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -6,7 +6,7 @@
         measure: Measure::Work,
         figure: 9e6,
         usual: 1e5,
-        bar: 1e6,
+        bound: 1e6,
         basis: Basis::Kind(40),
     };
     Finding {
--- a/crates/runaway/src/fingerprint_change/tests.rs
+++ b/crates/runaway/src/fingerprint_change/tests.rs
@@ -5,7 +5,7 @@
 fn id(n: u64) -> AttemptId {
     AttemptId {
         statement: n,
-        hop: 0,
+        number: 0,
     }
 }
 
--- a/crates/runaway/src/fingerprint_detection.rs
+++ b/crates/runaway/src/fingerprint_detection.rs
@@ -87,7 +87,7 @@
             .findings
             .get(&subject)
             .is_some_and(|f| f.cause == Cause::KindChanged);
-        let engines = self.engines.iter().filter(|e| e.up).count();
+        let engines = self.engines.iter().filter(|e| e.is_up).count();
         let changed =
             told || self.fingerprint_changes.classify(kind, 0, engines) == ChangeStatus::Changed;
         if changed && runs >= MIN_RUNS_TO_ADOPT {
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -181,7 +181,7 @@
             let up: Vec<EngineId> = self
                 .engines
                 .iter()
-                .filter(|e| e.up)
+                .filter(|e| e.is_up)
                 .map(|e| e.engine)
                 .collect();
             if up.iter().any(|e| !engines.contains(e)) {
@@ -218,7 +218,7 @@
     /// The engines where a held fingerprint may not run: all but as many as its limit, chosen by a hash that is the same
     /// at all routers, so that they agree on a few engines without communication (rendezvous hashing).
     fn excluded_engines(&self, kind: FingerprintId, h: &FingerprintHold) -> Vec<EngineId> {
-        let fits = |e: &&EngineStatus| e.up && e.classes.get(h.class).copied().unwrap_or(true);
+        let fits = |e: &&EngineStatus| e.is_up && e.classes.get(h.class).copied().unwrap_or(true);
         let mut open: Vec<EngineId> = self.engines.iter().filter(fits).map(|e| e.engine).collect();
         let own = |id: &EngineId| {
             let mut hash = blake3::Hasher::new();
--- a/crates/runaway/src/holds/tests.rs
+++ b/crates/runaway/src/holds/tests.rs
@@ -6,7 +6,7 @@
     let mut h = Holds::default();
     let listed = |n| EngineStatus {
         engine: EngineId(n),
-        up: true,
+        is_up: true,
         classes: vec![true, n % 2 == 0],
     };
     h.update_engines(&(0..engines).map(listed).collect::<Vec<_>>());
@@ -82,7 +82,7 @@
     // Its engine goes: another takes its place.
     let listed = |n| EngineStatus {
         engine: EngineId(n),
-        up: n != open[0],
+        is_up: n != open[0],
         classes: vec![true, n % 2 == 0],
     };
     one.update_engines(&(0..6).map(listed).collect::<Vec<_>>());
--- a/crates/runaway/src/interface.rs
+++ b/crates/runaway/src/interface.rs
@@ -1,14 +1,14 @@
-//! What goes into and comes out of [`RunawayDetector`](crate::RunawayDetector). Plain data.
+//! The events, findings and decisions of the detector: plain data.
 
 use hoptiller_policy::{EngineId, Hold, Idempotency, Micros};
 use serde::{Deserialize, Serialize};
 
-/// A statement's kind: its class and the fingerprint of its text, in one number.
+/// The id of a fingerprint within a class: a hash of both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FingerprintId(pub u64);
 
 impl FingerprintId {
-    /// The kind of a fingerprint within a class. The class goes by name, which outlives a change of its number.
+    /// The id of a fingerprint within a class. The class is identified by its name, as its number may change.
     pub fn new(class: &str, fingerprint: u64) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(&fingerprint.to_le_bytes())
@@ -16,7 +16,7 @@
         FingerprintId(first_of(&hash))
     }
 
-    /// What stands for all kinds of a class that are hardly known.
+    /// The id that stands for all unknown fingerprints of a class.
     pub fn unknown(class: &str) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(b"hardly known kinds of ")
@@ -44,135 +44,135 @@
     u64::from_le_bytes(first)
 }
 
-/// An attempt of a statement of this router.
+/// The id of an attempt of a statement of this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The statement, by this router's number.
+    /// The number of the statement at this router.
     pub statement: u64,
-    /// Which of its attempts, from 0.
-    pub hop: u32,
+    /// The attempt number, from 0.
+    pub number: u32,
 }
 
 /// What may be done about runaways of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnforcementOptions {
-    /// Say so.
+    /// Report them.
     pub name: bool,
-    /// Bound how many of its kind run at once, and where.
+    /// Limit how many of the fingerprint run at once, and on which engines.
     pub hold: bool,
-    /// Let its kind run behind all others inside engines.
+    /// Run the fingerprint at low priority inside engines.
     pub lower: bool,
-    /// Let it stand still for a while.
+    /// Pause them for a while.
     pub pause: bool,
-    /// End it.
+    /// End them.
     pub end: bool,
 }
 
-/// A class, as far as this module asks.
+/// The settings of a class.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// What it should take at most, waiting included.
-    pub aim: Micros,
+    /// The latency objective, queueing included.
+    pub latency_objective: Micros,
     /// How long its clients wait.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Threads that a statement runs on.
     pub threads: f64,
-    /// What repeating does.
-    pub effect: Idempotency,
-    /// A load: holds its group of tables while it runs.
-    pub holds: bool,
+    /// Whether its statements may run more than once.
+    pub idempotency: Idempotency,
+    /// Whether its statements lock their table group while they run, as loads do.
+    pub holds_tables: bool,
     /// What may be done about its runaways.
     pub enforcement: EnforcementOptions,
 }
 
-/// All that a detector is configured with when it starts.
+/// The settings of a detector.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes; events name them by position.
+    /// Classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// Kinds that are remembered at most.
-    pub kinds: usize,
-    /// How long a paused statement stands still.
+    /// Fingerprints with statistics that are kept at most.
+    pub max_fingerprints: usize,
+    /// How long a statement is paused.
     pub pause_for: Micros,
-    /// Time between naming a statement and ending it.
+    /// Time between the finding on a runaway and its end.
     pub end_after: Micros,
 }
 
-/// What a statement announces of its size.
+/// What a client announces of the size of a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Announced {
-    /// Values in its lists, rows that it inserts, months, properties: what its cost grows with. 0: nothing.
+    /// What its cost grows with, such as values in lists or inserted rows; 0 if nothing is announced.
     pub size: u64,
-    /// Its own estimate of its work, over all threads.
+    /// The estimate of its work in µs, over all threads.
     pub estimate: Option<Micros>,
 }
 
-/// Why a statement stands still.
+/// Why an attempt is blocked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BlockedState {
-    /// For memory.
+    /// It waits for memory.
     Memory,
-    /// Behind another, which engines name where they can.
+    /// It waits for another statement, which engines name if they can.
     Behind(Option<Holder>),
 }
 
-/// Who holds what others wait for, as an engine tells it.
+/// The statement that blocks another, as an engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// `ROUTER/NUMBER_LIFE`.
+    /// Its name: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
-    /// Its class, where told.
+    /// Its class, if reported.
     pub class: Option<usize>,
-    /// How long it has run, standing still left out, where told.
+    /// How long it has run without blocked time, if reported.
     pub age: Option<Micros>,
 }
 
-/// What an engine tells of a running attempt. What is absent was not told.
+/// What an engine reports of a running attempt; `None` for what it does not report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProgressReport {
-    /// Work done so far, over all threads.
+    /// Work done so far in µs, over all threads.
     pub work: Option<Micros>,
-    /// Share done, rough.
+    /// The approximate share done, from 0 to 1.
     pub done: Option<f64>,
     /// Rows read so far.
     pub rows: Option<u64>,
-    /// The most memory that it has held, in MB.
+    /// Peak memory in MB.
     pub memory_mb: Option<f64>,
-    /// It lacks memory and spills.
+    /// Whether it lacks memory and spills.
     pub spills: bool,
-    /// It stands still.
+    /// Why it is blocked, if it is.
     pub blocked_state: Option<BlockedState>,
 }
 
 impl ProgressReport {
-    /// Whether anything was told.
+    /// Whether nothing was reported.
     pub fn is_empty(&self) -> bool {
         *self == ProgressReport::default()
     }
 }
 
-/// A start.
+/// The start of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptStart {
-    /// Which attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
     /// Where.
     pub engine: EngineId,
     /// Its class.
     pub class: usize,
-    /// What engines call the statement: `ROUTER/NUMBER_LIFE`.
+    /// The name of the statement at engines: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
-    /// Its kind.
+    /// Its fingerprint.
     pub kind: FingerprintId,
-    /// The kind under which it can be held: its own, or that of all kinds hardly known.
+    /// The fingerprint under which it can be held: its own, or that of all unknown ones.
     pub held_as: FingerprintId,
-    /// Its kind's text, for people.
+    /// The text of its fingerprint, for display.
     pub label: std::rc::Rc<str>,
-    /// What it announces.
+    /// What its client announces of its size.
     pub announced: Announced,
-    /// The group of tables that it reads or writes.
+    /// The table group that it reads or writes.
     pub group: Option<u64>,
 }
 
@@ -185,59 +185,59 @@
     Failed,
     /// It never ran.
     NeverRan,
-    /// The router stopped waiting; at the engine it may go on.
+    /// The router stopped waiting; the engine may still run it.
     Abandoned,
 }
 
-/// An engine that is listed.
+/// The status of a listed engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// Which.
+    /// The engine.
     pub engine: EngineId,
-    /// It takes work.
-    pub up: bool,
-    /// Classes that may run there.
+    /// Whether it accepts work.
+    pub is_up: bool,
+    /// By class: whether it may run there.
     pub classes: Vec<bool>,
 }
 
-/// How sure it is.
+/// How certain a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Over its bound, not for long enough.
+    /// Over its bound, but not for long enough.
     Suspect,
     /// At fault.
     Runaway,
-    /// Something to know that is no statement's fault.
+    /// An observation that is no statement's fault.
     Notice,
-    /// No longer.
+    /// The finding no longer holds.
     Cleared,
 }
 
-/// What is wrong.
+/// The cause of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It does far more work than its kind.
+    /// It does far more work than is usual for its fingerprint.
     Heavy,
-    /// It does far more work for what it reads than its kind.
+    /// It does far more work per row than is usual for its fingerprint.
     BadPlan,
-    /// Others wait behind it, and it takes longer than its kind.
+    /// Others wait for it, and it takes longer than is usual.
     Blocks,
     /// It and others wait for each other.
     Deadlock,
-    /// It takes far more memory than its kind while others wait for some.
+    /// It uses far more memory than is usual while others wait for memory.
     Memory,
-    /// All statements of the kind run long: the kind has changed.
+    /// All statements of the fingerprint run long: it has changed.
     KindChanged,
     /// Everything on the engine runs long.
     SlowEngine,
-    /// The engine is done, and the client takes the rows slowly.
+    /// The engine is done, and the client receives the rows slowly.
     SlowReader,
 }
 
 impl Cause {
-    /// In words.
+    /// The description on pages and in metrics.
     pub fn description(self) -> &'static str {
         match self {
             Cause::Heavy => "heavy by itself",
@@ -252,23 +252,23 @@
     }
 }
 
-/// Which figure.
+/// Which figure a finding rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
     /// Work so far, in µs.
     Work,
-    /// Work that the share done leads to, in µs.
+    /// Total work projected from the share done, in µs.
     WorkToCome,
-    /// Run time without standing still, by how slow the engine is, in µs.
+    /// Run time without blocked time, divided by the slowness of the engine, in µs.
     Run,
-    /// Run time that the share done leads to, in µs.
+    /// Total run time projected from the share done, in µs.
     RunToCome,
     /// Memory, in MB.
     Memory,
-    /// Time for which it has stood, or its client has read, in µs.
+    /// Time for which it was blocked, or its client has received rows, in µs.
     Time,
-    /// Times as long as usual.
+    /// Ratio to the usual run time.
     Times,
 }
 
@@ -276,26 +276,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "on", content = "runs")]
 pub enum Basis {
-    /// So many runs of the kind.
+    /// This many runs of the fingerprint.
     Kind(u64),
-    /// So many runs of the class; the kind is hardly known.
+    /// This many runs of the class; the fingerprint is unknown.
     Class(u64),
-    /// The settings; nothing is known yet.
+    /// The settings; there are no runs yet.
     Settings,
 }
 
-/// Which figure, against which expectation.
+/// A figure and what was expected of it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Evidence {
-    /// The figure's meaning.
+    /// Which figure it is.
     pub measure: Measure,
     /// Its value.
     pub figure: f64,
     /// What is usual.
     pub usual: f64,
-    /// From where on it is too much.
-    pub bar: f64,
-    /// What `usual` and `bar` rest on.
+    /// The bound that it exceeds.
+    #[serde(rename = "bar")]
+    pub bound: f64,
+    /// What `usual` and `bound` rest on.
     pub basis: Basis,
 }
 
@@ -322,39 +323,39 @@
             show(self.figure),
             show(self.usual)
         )?;
-        write!(f, "bound {} by {basis}", show(self.bar))
+        write!(f, "bound {} by {basis}", show(self.bound))
     }
 }
 
-/// Who or what a finding is about.
+/// What a finding is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A statement, as its router names it; of this router or, as engines tell it, of another.
+    /// A statement of this router or, as engines report it, of another; by name.
     Statement(String),
-    /// A kind.
+    /// A fingerprint.
     Kind(FingerprintId),
     /// An engine.
     Engine(EngineId),
 }
 
-/// A verdict with its evidence.
+/// A verdict on a subject, with its evidence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Its number; verdicts on the same subject for the same reason keep it.
+    /// Its number; it stays while the finding on the subject is open.
     pub id: u64,
-    /// About whom.
+    /// What it is about.
     pub subject: Subject,
-    /// How sure.
+    /// How certain it is.
     pub verdict: Verdict,
-    /// What is wrong.
+    /// The cause.
     pub cause: Cause,
-    /// The class of the statement or kind, where known.
+    /// The class of the statement or fingerprint, if known.
     pub class: Option<usize>,
-    /// Its kind, where known.
+    /// Its fingerprint, if known.
     pub kind: Option<FingerprintId>,
-    /// The kind's text, for people.
+    /// The text of the fingerprint, for display.
     pub label: String,
-    /// Where it runs.
+    /// The engine where it runs.
     pub engine: Option<EngineId>,
     /// When it started, as far as known.
     pub started: Micros,
@@ -362,30 +363,30 @@
     pub since: Micros,
     /// When this verdict was reached.
     pub at: Micros,
-    /// Which figure, against what.
+    /// The figure that shows it.
     pub evidence: Evidence,
-    /// Whom it blocks, by name; the first [`BLOCKED`] of them.
+    /// Names of the statements that it blocks; the first [`MAX_BLOCKED_NAMES`] of them.
     pub blocks: Vec<String>,
-    /// How many it blocks.
+    /// How many statements it blocks.
     pub blocked: usize,
-    /// Why it was cleared, or what else to know.
+    /// Why it was cleared, or a remark.
     pub note: &'static str,
 }
 
-/// Names of blocked statements that a finding keeps.
-pub const BLOCKED: usize = 64;
+/// Names of blocked statements that a finding keeps at most.
+pub const MAX_BLOCKED_NAMES: usize = 64;
 
-/// Something to be done.
+/// A decision that the router carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A new verdict.
+    /// Report a new, changed or cleared finding.
     Found(Box<Finding>),
-    /// A bound on what may be sent, to be told to the routing decisions.
+    /// Apply a hold to routing decisions.
     Hold(Hold),
-    /// An attempt is to stand still.
+    /// Pause an attempt.
     Pause(AttemptId),
-    /// A paused one is to go on.
+    /// Resume a paused attempt.
     Resume(AttemptId),
-    /// An attempt is to be ended; what it ends with still comes from the engine.
+    /// End an attempt; its outcome still comes from the engine.
     End(AttemptId),
 }
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -45,8 +45,8 @@
 pub use ending::{Proof, Verdict as EndingVerdict, answer_after_end};
 pub use holds::FingerprintHold;
 pub use interface::{
-    Announced, AttemptId, AttemptStart, BLOCKED, Basis, BlockedState, Cause, Class, Decision,
+    Announced, AttemptId, AttemptStart, Basis, BlockedState, Cause, Class, Decision,
     EnforcementOptions, EngineStatus, Evidence, ExecutionOutcome, Finding, FingerprintId, Holder,
-    Measure, ProgressReport, Settings, Subject, Verdict,
+    MAX_BLOCKED_NAMES, Measure, ProgressReport, Settings, Subject, Verdict,
 };
 pub use snapshot::SnapshotError;
--- a/crates/runaway/src/lifecycle.rs
+++ b/crates/runaway/src/lifecycle.rs
@@ -171,7 +171,7 @@
         } else {
             1.0
         };
-        let beyond = was_runaway || figure > of.bar * spills;
+        let beyond = was_runaway || figure > of.bound * spills;
         let run = Run {
             ran: moved / slow,
             work: attempt.progress.work.map(|w| w as f64),
@@ -186,7 +186,7 @@
             self.engine_speeds.record_completion(now, s.engine, sample);
         }
         self.holds
-            .record_run(now, s.held_as, figure <= of.bar * CLEAN_RUN_PART);
+            .record_run(now, s.held_as, figure <= of.bound * CLEAN_RUN_PART);
         if beyond {
             let runs = self.statistics.record_beyond_bound(s.kind, &run);
             self.fingerprint_changes
@@ -226,7 +226,7 @@
             return;
         };
         attempt.abandoned_at.get_or_insert(now);
-        let holds = self.settings.classes[attempt.start.class].holds;
+        let holds = self.settings.classes[attempt.start.class].holds_tables;
         if !holds && attempt.over_bound_since.is_none() {
             // It holds no tables and was within its bound: it needs no further observation.
             return self.remove_attempt(now, id, "its router has stopped waiting");
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -54,7 +54,7 @@
         measure,
         figure,
         usual: e.usual,
-        bar: e.bar,
+        bound: e.bound,
         basis: e.basis,
     }
 }
@@ -124,9 +124,12 @@
         1.0
     };
     let ratio_over_bound = |m: Measurement<'_>| {
-        let bar = m.expected.bar * m.tolerance * spills * bound_factor;
-        let bounded = Expected { bar, ..*m.expected };
-        (m.value > bar).then(|| (m.value / bar, evidence(m.measure, m.value, &bounded)))
+        let bound = m.expected.bound * m.tolerance * spills * bound_factor;
+        let bounded = Expected {
+            bound,
+            ..*m.expected
+        };
+        (m.value > bound).then(|| (m.value / bound, evidence(m.measure, m.value, &bounded)))
     };
     let worst = measurements(attempt, expectation, now, slowness)
         .into_iter()
--- a/crates/runaway/src/remote.rs
+++ b/crates/runaway/src/remote.rs
@@ -7,7 +7,7 @@
 
 use crate::detector::RunawayDetector;
 use crate::interface::{
-    AttemptId, BLOCKED, Cause, Finding, FingerprintId, Measure, Subject, Verdict,
+    AttemptId, Cause, Finding, FingerprintId, MAX_BLOCKED_NAMES, Measure, Subject, Verdict,
 };
 use crate::measures::{CONFIRMATION_TIME, CROWD_BOUND_FACTOR, MIN_CROWD, evidence};
 use crate::statistics::Expected;
@@ -109,7 +109,7 @@
         let longest = || {
             (0..self.settings.classes.len())
                 .map(of_class)
-                .max_by(|a, b| a.bar.total_cmp(&b.bar))
+                .max_by(|a, b| a.bound.total_cmp(&b.bound))
         };
         let own = blocker
             .id
@@ -123,10 +123,10 @@
             return;
         };
         if blocked.len() >= MIN_CROWD {
-            expected.bar *= CROWD_BOUND_FACTOR;
+            expected.bound *= CROWD_BOUND_FACTOR;
         }
         let run_time = now.saturating_sub(blocker.started_at) as f64;
-        if run_time <= expected.bar {
+        if run_time <= expected.bound {
             return;
         }
         let since = blocker.over_bound_since.unwrap_or(now);
@@ -150,7 +150,7 @@
             at: now,
             evidence: evidence(Measure::Run, run_time, &expected),
             blocked: blocked.len(),
-            blocks: blocked.iter().take(BLOCKED).cloned().collect(),
+            blocks: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
             note: match id {
                 Some(_) => "this router waits for it no longer; its engine goes on",
                 None => "not a statement of this router's present life",
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -103,7 +103,7 @@
     /// The median.
     pub(crate) usual: f64,
     /// The bound.
-    pub(crate) bar: f64,
+    pub(crate) bound: f64,
     /// What both rest on.
     pub(crate) basis: Basis,
 }
@@ -234,7 +234,7 @@
         } = &self.classes[class];
         let book = self.fingerprints.get(&kind);
         let (own, scale) = book.map_or((None, 1.0), |k| k.of_size(says.size));
-        let per_thread = spec.aim as f64;
+        let per_thread = spec.latency_objective as f64;
         let run = expected(own.map(|f| &f.run), &of_class.run, scale, per_thread, spec);
         let work = expected(
             own.map(|f| &f.work),
@@ -252,7 +252,7 @@
             .map_or(1.0, |e| larger_by(e as f64, accuracy, work.usual));
         let larger = |e: Expected| Expected {
             usual: e.usual * more,
-            bar: e.bar * more,
+            bound: e.bound * more,
             ..e
         };
         let memory = own
@@ -262,10 +262,10 @@
                     f.memory.quantile(0.5)? * scale,
                     f.memory.quantile(0.99)? * scale,
                 );
-                let bar = (usual * MAX_ESTIMATE_ERROR).max(top * BOUND_OVER_P99);
+                let bound = (usual * MAX_ESTIMATE_ERROR).max(top * BOUND_OVER_P99);
                 Some(Expected {
                     usual,
-                    bar,
+                    bound,
                     basis: Basis::Kind(f.memory.count()),
                 })
             });
@@ -284,12 +284,15 @@
 
     /// The expected run time in a class, for statements of which no more is known.
     pub(crate) fn class_expectation(&self, class: usize, spec: &Class) -> Expected {
-        let (run, usual) = (&self.classes[class].distributions.run, spec.aim as f64);
+        let (run, usual) = (
+            &self.classes[class].distributions.run,
+            spec.latency_objective as f64,
+        );
         let expected = expected(None, run, 1.0, usual, spec);
         // Another router knows its fingerprint: the factor for unknown fingerprints does not apply.
-        match (expected.basis, bar(run, BOUND_OVER_MEDIAN)) {
-            (Basis::Class(_), Some(bar)) => Expected {
-                bar: bar.max(usual),
+        match (expected.basis, bound(run, BOUND_OVER_MEDIAN)) {
+            (Basis::Class(_), Some(bound)) => Expected {
+                bound: bound.max(usual),
                 ..expected
             },
             _ => expected,
@@ -375,7 +378,7 @@
 }
 
 /// The bound over a distribution, at `far` times its median.
-fn bar(of: &Sketch, far: f64) -> Option<f64> {
+fn bound(of: &Sketch, far: f64) -> Option<f64> {
     Some((of.quantile(0.5)? * far).max(of.quantile(0.99)? * BOUND_OVER_P99))
 }
 
@@ -389,21 +392,21 @@
     let floor = by_settings;
     let of_class = if class.count() >= MIN_CLASS_RUNS {
         let usual = class.quantile(0.5).unwrap_or(floor);
-        let bar = bar(class, BOUND_OVER_MEDIAN * UNKNOWN_FACTOR)
+        let bound = bound(class, BOUND_OVER_MEDIAN * UNKNOWN_FACTOR)
             .unwrap_or(floor)
             .max(floor);
         Expected {
             usual,
-            bar,
+            bound,
             basis: Basis::Class(class.count()),
         }
     } else {
         // Without runs, the latency objective is what a statement should take, and it may take at least as long as
         // its clients wait.
-        let bar = (floor * BOUND_OVER_MEDIAN).max(spec.patience as f64);
+        let bound = (floor * BOUND_OVER_MEDIAN).max(spec.client_timeout as f64);
         Expected {
             usual: floor,
-            bar,
+            bound,
             basis: Basis::Settings,
         }
     };
@@ -412,7 +415,7 @@
         return of_class;
     };
     let own_usual = own.quantile(0.5).unwrap_or(floor) * scale;
-    let own_bar = bar(own, BOUND_OVER_MEDIAN).unwrap_or(floor) * scale;
+    let own_bar = bound(own, BOUND_OVER_MEDIAN).unwrap_or(floor) * scale;
     let usual = if n >= MIN_RUNS_KNOWN {
         own_usual
     } else {
@@ -421,13 +424,13 @@
     if n >= MIN_RUNS_FOR_OWN_BOUND {
         Expected {
             usual,
-            bar: own_bar.max(floor),
+            bound: own_bar.max(floor),
             basis: Basis::Kind(n),
         }
     } else {
         Expected {
             usual,
-            bar: own_bar.max(of_class.bar),
+            bound: own_bar.max(of_class.bound),
             basis: of_class.basis,
         }
     }
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -7,11 +7,11 @@
 fn spec() -> Class {
     Class {
         name: "report".into(),
-        aim: 2_000_000,
-        patience: 25_000_000,
+        latency_objective: 2_000_000,
+        client_timeout: 25_000_000,
         threads: 2.0,
-        effect: Idempotency::Idempotent,
-        holds: false,
+        idempotency: Idempotency::Idempotent,
+        holds_tables: false,
         enforcement: EnforcementOptions::default(),
     }
 }
@@ -49,14 +49,14 @@
     });
     assert_eq!(some(&book(FingerprintId(1), 0)).basis, Basis::Settings);
     let ten = some(&book(FingerprintId(1), 10));
-    assert_eq!((ten.basis, ten.bar), (Basis::Settings, 25.0 * S));
+    assert_eq!((ten.basis, ten.bound), (Basis::Settings, 25.0 * S));
     let law = some(&book(FingerprintId(1), 60));
     assert_eq!(law.basis, Basis::Kind(60));
-    assert!((11.0 * S..13.0 * S).contains(&law.bar), "{law:?}");
+    assert!((11.0 * S..13.0 * S).contains(&law.bound), "{law:?}");
     // A kind never seen, in a class that is known: wider than the class's own kinds.
     let stranger = bar_of(&book(FingerprintId(1), 60), 2, nothing);
     assert_eq!(stranger.basis, Basis::Class(60));
-    assert!(stranger.bar > 1.8 * law.bar, "{stranger:?}");
+    assert!(stranger.bound > 1.8 * law.bound, "{stranger:?}");
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let says = |size, estimate| Announced { size, estimate };
     let (plain, twelve) = (bar_of(&b, 1, says(0, None)), bar_of(&b, 1, says(12, None)));
     assert!(
-        (7.0..9.0).contains(&(twelve.bar / plain.bar)),
+        (7.0..9.0).contains(&(twelve.bound / plain.bound)),
         "the power of two under 12"
     );
     // Estimates of which nothing is known are not believed.
@@ -81,8 +81,8 @@
             &run(1.0),
         );
     }
-    assert!(bar_of(&honest, 1, says(0, Some(10_000_000))).bar > 9.0 * plain.bar);
-    assert!(bar_of(&liar, 1, says(0, Some(10_000_000))).bar < 1.1 * plain.bar);
+    assert!(bar_of(&honest, 1, says(0, Some(10_000_000))).bound > 9.0 * plain.bound);
+    assert!(bar_of(&liar, 1, says(0, Some(10_000_000))).bound < 1.1 * plain.bound);
 }
 
 #[test]
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -34,7 +34,7 @@
             return;
         }
         let loads = |attempt: &&RunningAttempt| {
-            self.settings.classes[attempt.start.class].holds && attempt.start.group.is_some()
+            self.settings.classes[attempt.start.class].holds_tables && attempt.start.group.is_some()
         };
         for load in self.attempts.values().filter(loads) {
             for attempt in self
@@ -69,9 +69,10 @@
         let (engine, Some(group)) = (attempt.start.engine, attempt.start.group) else {
             return false;
         };
-        let loads = || (0..self.settings.classes.len()).filter(|c| self.settings.classes[*c].holds);
+        let loads =
+            || (0..self.settings.classes.len()).filter(|c| self.settings.classes[*c].holds_tables);
         if self.has_recent_reports(now)
-            || self.settings.classes[attempt.start.class].holds
+            || self.settings.classes[attempt.start.class].holds_tables
             || loads().next().is_none()
         {
             return false;
@@ -92,7 +93,7 @@
             .map(|c| {
                 self.statistics
                     .class_expectation(c, &self.settings.classes[c])
-                    .bar
+                    .bound
             })
             .fold(0.0, f64::max);
         self.attempts.values().any(|other| long(&other)) || run_time <= longest_load
--- a/crates/runaway/tests/common.rs
+++ b/crates/runaway/tests/common.rs
@@ -1,4 +1,4 @@
-//! A small world for verdicts: engines, kinds with a past, attempts that are told of.
+//! A simulation of engines that run and report on attempts, with a history of three fingerprints.
 #![allow(dead_code)]
 
 use std::rc::Rc;
@@ -22,11 +22,11 @@
     let holds = effect == Idempotency::NotIdempotent;
     Class {
         name: name.into(),
-        aim,
-        patience: 25 * S,
+        latency_objective: aim,
+        client_timeout: 25 * S,
         threads,
-        effect,
-        holds,
+        idempotency: effect,
+        holds_tables: holds,
         enforcement: acts,
     }
 }
@@ -46,13 +46,13 @@
             class("report", 2 * S, 2.0, Idempotency::Idempotent, acts),
             class("rent-load", 3 * S, 2.0, Idempotency::NotIdempotent, acts),
         ],
-        kinds: 1000,
+        max_fingerprints: 1000,
         pause_for: 10 * S,
         end_after: 5 * S,
     }
 }
 
-/// A statement that runs in this world.
+/// A statement that runs in the simulation.
 #[derive(Clone)]
 pub struct Job {
     pub id: u64,
@@ -61,21 +61,22 @@
     pub engine: u32,
     pub group: Option<u64>,
     pub announced: Announced,
-    /// Work in all, over all threads, in µs; and how many times slower it runs than its threads could.
+    /// Total work over all threads, in µs.
     pub work: f64,
+    /// How many times slower it runs than its threads could.
     pub slow: f64,
     pub rows: Option<u64>,
-    /// It ends only when told to.
+    /// Work done so far, in µs.
     pub done: f64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub detector: RunawayDetector,
     pub now: Micros,
-    /// Engines tell of progress and work.
-    pub notes: bool,
+    /// Whether engines report progress and work.
+    pub reports_progress: bool,
     pub running: Vec<Job>,
-    pub heard: Vec<Decision>,
+    pub decisions: Vec<Decision>,
     next: u64,
     threads: Vec<f64>,
 }
@@ -84,39 +85,39 @@
     format!("r1/{id:05}_life")
 }
 
-impl World {
-    pub fn new(acts: EnforcementOptions, engines: u32) -> World {
-        World::of(settings(acts), engines)
+impl Simulation {
+    pub fn new(acts: EnforcementOptions, engines: u32) -> Simulation {
+        Simulation::of(settings(acts), engines)
     }
 
-    pub fn of(settings: Settings, engines: u32) -> World {
+    pub fn of(settings: Settings, engines: u32) -> Simulation {
         let threads = settings.classes.iter().map(|c| c.threads).collect();
         let mut detector = RunawayDetector::new(settings);
         let listed = |n| EngineStatus {
             engine: EngineId(n),
-            up: true,
+            is_up: true,
             classes: vec![true; 3],
         };
         detector.update_engines((0..engines).map(listed).collect());
-        World {
+        Simulation {
             detector,
             now: 100 * S,
-            notes: true,
+            reports_progress: true,
             running: vec![],
-            heard: vec![],
+            decisions: vec![],
             next: 0,
             threads,
         }
     }
 
-    /// A world in which each of three kinds has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
-    pub fn with_past(acts: EnforcementOptions, engines: u32) -> World {
-        let mut w = World::new(acts, engines);
-        w.past(100);
+    /// A simulation in which each of three fingerprints has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
+    pub fn with_history(acts: EnforcementOptions, engines: u32) -> Simulation {
+        let mut w = Simulation::new(acts, engines);
+        w.run_history(100);
         w
     }
 
-    pub fn past(&mut self, runs: u64) {
+    pub fn run_history(&mut self, runs: u64) {
         for n in 0..runs {
             for (class, work) in [(LOOKUP, 250_000.0), (REPORT, 4e6), (LOAD, 4e6)] {
                 let spread = 0.7 + 0.6 * (n % 10) as f64 / 9.0;
@@ -127,7 +128,7 @@
             }
         }
         self.now += 60 * S;
-        self.heard.clear();
+        self.decisions.clear();
     }
 
     pub fn job(&mut self, class: usize, kind: u64, engine: u32, work: f64) -> Job {
@@ -159,7 +160,7 @@
             .observe_arrival(self.now, kind, job.class, &label);
         let attempt = AttemptId {
             statement: job.id,
-            hop: 0,
+            number: 0,
         };
         let start = AttemptStart {
             attempt,
@@ -181,7 +182,7 @@
     pub fn attempt(id: u64) -> AttemptId {
         AttemptId {
             statement: id,
-            hop: 0,
+            number: 0,
         }
     }
 
@@ -190,22 +191,22 @@
             return;
         };
         let job = self.running.swap_remove(at);
-        let work = Some(job.work as Micros).filter(|_| self.notes);
+        let work = Some(job.work as Micros).filter(|_| self.reports_progress);
         self.detector.end_attempt(
             self.now,
-            World::attempt(id),
+            Simulation::attempt(id),
             ExecutionOutcome::Succeeded,
             work,
         );
-        self.hear();
+        self.collect_decisions();
     }
 
-    pub fn hear(&mut self) {
-        self.heard.extend(self.detector.take_decisions());
+    pub fn collect_decisions(&mut self) {
+        self.decisions.extend(self.detector.take_decisions());
     }
 
-    /// Time goes on in half seconds; jobs progress, are told of each second, and end when they are done.
-    pub fn go(&mut self, seconds: u64) {
+    /// Advances time in half seconds; jobs progress, are reported each second, and end when they are done.
+    pub fn advance(&mut self, seconds: u64) {
         for half in 0..2 * seconds {
             self.now += S / 2;
             let mut over = Vec::new();
@@ -214,50 +215,50 @@
                 job.done += rate * (S / 2) as f64;
                 if job.done >= job.work {
                     over.push(job.id);
-                } else if self.notes && half % 2 == 1 {
+                } else if self.reports_progress && half % 2 == 1 {
                     let share = job.done / job.work;
-                    let news = ProgressReport {
+                    let report = ProgressReport {
                         work: Some(job.done as Micros),
                         done: Some(share),
                         rows: job.rows.map(|r| (r as f64 * share) as u64),
                         ..ProgressReport::default()
                     };
                     self.detector
-                        .report_progress(self.now, World::attempt(job.id), news);
+                        .report_progress(self.now, Simulation::attempt(job.id), report);
                 }
             }
             over.into_iter().for_each(|id| self.finish(id));
             self.detector.run_detection(self.now);
-            self.hear();
+            self.collect_decisions();
         }
     }
 
-    /// Takes a job out of the world without its end being told.
-    pub fn lose(&mut self, id: u64) {
+    /// Drops a job without a report of its end.
+    pub fn drop_job(&mut self, id: u64) {
         self.running.retain(|j| j.id != id);
     }
 
-    /// An engine tells that one stands still.
-    pub fn stands(&mut self, id: u64, why: BlockedState) {
-        let news = ProgressReport {
+    /// An engine reports that an attempt is blocked.
+    pub fn report_blocked(&mut self, id: u64, why: BlockedState) {
+        let report = ProgressReport {
             blocked_state: Some(why),
             ..ProgressReport::default()
         };
         self.detector
-            .report_progress(self.now, World::attempt(id), news);
+            .report_progress(self.now, Simulation::attempt(id), report);
     }
 
-    pub fn behind(&mut self, id: u64, holder: &str) {
+    pub fn report_blocked_by(&mut self, id: u64, holder: &str) {
         let holder = Holder {
             name: holder.into(),
             class: None,
             age: None,
         };
-        self.stands(id, BlockedState::Behind(Some(holder)));
+        self.report_blocked(id, BlockedState::Behind(Some(holder)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
-        self.heard
+        self.decisions
             .iter()
             .filter_map(|d| {
                 if let Decision::Found(f) = d {
@@ -292,7 +293,7 @@
     }
 
     pub fn holds(&self) -> Vec<&Hold> {
-        self.heard
+        self.decisions
             .iter()
             .filter_map(|d| {
                 if let Decision::Hold(h) = d {
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -15,21 +15,24 @@
 }
 
 /// Statistics of three kinds with announced sizes, and a hold.
-fn saved_by_a_world() -> Vec<u8> {
-    let mut world = World::with_past(NAME_AND_HOLD, 4);
-    let mut job = world.job(REPORT, REPORT as u64, 1, 40e6);
+fn saved_by_a_simulation() -> Vec<u8> {
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut job = simulation.job(REPORT, REPORT as u64, 1, 40e6);
     job.announced = Announced {
         size: 12,
         estimate: Some(5_000_000),
     };
-    world.run(job);
-    world.go(25);
-    world.start(REPORT, REPORT as u64, 0, 400e6);
-    world.go(12);
-    assert!(!world.holds().is_empty(), "the fixture must contain a hold");
+    simulation.run(job);
+    simulation.advance(25);
+    simulation.start(REPORT, REPORT as u64, 0, 400e6);
+    simulation.advance(12);
+    assert!(
+        !simulation.holds().is_empty(),
+        "the fixture must contain a hold"
+    );
     let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
     fresh
-        .restore(RESTORED_AT, &world.detector.save())
+        .restore(RESTORED_AT, &simulation.detector.save())
         .expect("restored");
     fresh.save()
 }
@@ -37,7 +40,7 @@
 #[test]
 fn an_old_snapshot_is_restored_and_saved_with_the_same_bytes() {
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(fixture(), saved_by_a_world()).expect("the fixture can be written");
+        std::fs::write(fixture(), saved_by_a_simulation()).expect("the fixture can be written");
     }
     let stored = std::fs::read(fixture()).expect("the fixture exists");
     let mut detector = RunawayDetector::new(settings(NAME_AND_HOLD));
@@ -59,6 +62,6 @@
     let stored = std::fs::read(fixture()).expect("the fixture exists");
     assert_eq!(
         String::from_utf8_lossy(&stored),
-        String::from_utf8_lossy(&saved_by_a_world())
+        String::from_utf8_lossy(&saved_by_a_simulation())
     );
 }
--- a/crates/statement-router/src/settings/mod.rs
+++ b/crates/statement-router/src/settings/mod.rs
@@ -341,11 +341,11 @@
         let class = |(c, acts): (&ClassSettings, &hoptiller_runaway::EnforcementOptions)| {
             hoptiller_runaway::Class {
                 name: c.name.clone(),
-                aim: micros(c.aim),
-                patience: micros(c.patience),
+                latency_objective: micros(c.aim),
+                client_timeout: micros(c.patience),
                 threads: c.threads,
-                effect: c.decisions().idempotency,
-                holds: c.holds,
+                idempotency: c.decisions().idempotency,
+                holds_tables: c.holds,
                 enforcement: *acts,
             }
         };
@@ -356,7 +356,7 @@
                 .zip(&self.runaways.acts)
                 .map(class)
                 .collect(),
-            kinds: self.runaways.kinds,
+            max_fingerprints: self.runaways.kinds,
             pause_for: micros(self.runaways.pause_for),
             end_after: micros(self.runaways.end_after),
         }
