--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -83,7 +83,7 @@
                 engine: EngineId((id % 70) as u32),
                 class: 0,
                 name: format!("r1/{id}_x"),
-                kind,
+                fingerprint: kind,
                 held_as,
                 label,
                 announced: Announced::default(),
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -75,7 +75,7 @@
             engine,
             class: statement.class,
             name: self.identity.statement_name(id),
-            kind: profile.kind,
+            fingerprint: profile.kind,
             held_as: profile.held_as,
             label: profile.label.clone(),
             announced: profile.announced,
--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -113,7 +113,7 @@
             verdict,
             cause,
             class: Some(self.start.class),
-            kind: Some(self.start.kind),
+            fingerprint: Some(self.start.fingerprint),
             label: self.start.label.to_string(),
             engine: Some(self.start.engine),
             started: self.started_at,
--- a/crates/runaway/src/attempt_detection.rs
+++ b/crates/runaway/src/attempt_detection.rs
@@ -129,12 +129,12 @@
             return;
         };
         let since = *attempt.over_bound_since.get_or_insert(now);
-        let (kind, subject) = (attempt.start.kind, attempt.subject());
-        let of_fingerprint = Subject::Kind(kind);
+        let (fingerprint, subject) = (attempt.start.fingerprint, attempt.subject());
+        let of_fingerprint = Subject::Fingerprint(fingerprint);
         if self
             .findings
             .get(&of_fingerprint)
-            .is_some_and(|f| f.cause == Cause::KindChanged)
+            .is_some_and(|f| f.cause == Cause::FingerprintChanged)
         {
             return; // One notice covers all of them.
         }
@@ -148,11 +148,11 @@
         let change = match own_fault && !self.findings.is_runaway(&subject) {
             true => self
                 .fingerprint_changes
-                .classify(kind, now - since, engines),
+                .classify(fingerprint, now - since, engines),
             false => ChangeStatus::Isolated,
         };
         if confirmed && change == ChangeStatus::Changed {
-            return self.report_fingerprint_change(now, kind, id, excess.evidence);
+            return self.report_fingerprint_change(now, fingerprint, id, excess.evidence);
         }
         let verdict = if confirmed && change == ChangeStatus::Isolated {
             Verdict::Runaway
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -166,10 +166,10 @@
     }
 
     /// Drops the cached expectations of a fingerprint's attempts.
-    pub(crate) fn invalidate_expectations(&mut self, kind: FingerprintId) {
+    pub(crate) fn invalidate_expectations(&mut self, fingerprint: FingerprintId) {
         self.attempts
             .values_mut()
-            .filter(|attempt| attempt.start.kind == kind)
+            .filter(|attempt| attempt.start.fingerprint == fingerprint)
             .for_each(|attempt| attempt.expectation = None);
     }
 
@@ -187,7 +187,7 @@
         }
         let s = &attempt.start;
         let expected = self.statistics.expectation(
-            s.kind,
+            s.fingerprint,
             s.class,
             &self.settings.classes[s.class],
             s.announced,
@@ -241,7 +241,7 @@
                     attempt.start.engine,
                     *id,
                     Sample {
-                        kind: attempt.start.kind,
+                        fingerprint: attempt.start.fingerprint,
                         times,
                     },
                 ))
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -24,9 +24,9 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        let (class, kind, label) = (
+        let (class, fingerprint, label) = (
             attempt.start.class,
-            attempt.start.kind,
+            attempt.start.fingerprint,
             attempt.start.label.clone(),
         );
         let spec = &self.settings.classes[class];
@@ -47,7 +47,7 @@
         if !enforcement.hold {
             return;
         }
-        let held_as = self.fingerprint_to_hold(now, kind, class);
+        let held_as = self.fingerprint_to_hold(now, fingerprint, class);
         self.holds
             .add_runaway(now, held_as, class, &label, enforcement.lower);
         if let Some(attempt) = self.attempts.get_mut(&id) {
@@ -60,11 +60,11 @@
     fn fingerprint_to_hold(
         &mut self,
         now: Micros,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         class: usize,
     ) -> FingerprintId {
-        if self.statistics.is_known(kind) {
-            return kind;
+        if self.statistics.is_known(fingerprint) {
+            return fingerprint;
         }
         let times = &mut self.unknown_runaways[class];
         times.push_back(now);
@@ -77,7 +77,7 @@
         // While the class itself is new, all of its fingerprints are unknown.
         match times.len() >= MIN_UNKNOWN_RUNAWAYS && self.statistics.known_in_class(class) > 0 {
             true => FingerprintId::unknown(&self.settings.classes[class].name),
-            false => kind,
+            false => fingerprint,
         }
     }
 
--- a/crates/runaway/src/engine_detection.rs
+++ b/crates/runaway/src/engine_detection.rs
@@ -65,7 +65,7 @@
         verdict: Verdict::Notice,
         cause: Cause::SlowEngine,
         class: None,
-        kind: None,
+        fingerprint: None,
         label: String::new(),
         engine: Some(engine),
         started: now,
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     /// Its fingerprint.
-    pub(crate) kind: FingerprintId,
+    pub(crate) fingerprint: FingerprintId,
     /// Ratio of its run time to the usual one.
     pub(crate) times: f64,
 }
@@ -70,7 +70,7 @@
             .filter(|(at, _)| *at >= since);
         let mut kinds: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
         for s in ended.map(|(_, s)| s).chain(running) {
-            kinds.entry(s.kind).or_default().push(s.times);
+            kinds.entry(s.fingerprint).or_default().push(s.times);
         }
         let samples = kinds.values().map(Vec::len).sum();
         if samples < MIN_SAMPLES {
@@ -80,9 +80,9 @@
             };
         }
         // By fingerprint: one that has changed is slow everywhere and says nothing of an engine.
-        let mut of_kinds: Vec<f64> = kinds.values_mut().map(|times| median(times)).collect();
+        let mut of_fingerprints: Vec<f64> = kinds.values_mut().map(|times| median(times)).collect();
         Slowness {
-            factor: median(&mut of_kinds).clamp(1.0, MAX_SLOWNESS),
+            factor: median(&mut of_fingerprints).clamp(1.0, MAX_SLOWNESS),
             samples,
         }
     }
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -4,7 +4,7 @@
     times
         .iter()
         .map(|t| Sample {
-            kind: FingerprintId(1),
+            fingerprint: FingerprintId(1),
             times: *t,
         })
         .collect()
@@ -25,7 +25,7 @@
     // One fingerprint that takes long among others that don't.
     let mut mixed = samples(&[50.0; 9]);
     mixed.push(Sample {
-        kind: FingerprintId(2),
+        fingerprint: FingerprintId(2),
         times: 1.1,
     });
     assert_eq!(speeds.slowness(0, EngineId(1), &mixed), slowness(1.1, 10));
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -7,7 +7,7 @@
         figure: 9e6,
         usual: 1e5,
         bound: 1e6,
-        basis: Basis::Kind(40),
+        basis: Basis::Fingerprint(40),
     };
     Finding {
         id: 0,
@@ -15,7 +15,7 @@
         verdict,
         cause: Cause::Heavy,
         class: Some(0),
-        kind: None,
+        fingerprint: None,
         label: String::new(),
         engine: None,
         started: 0,
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -54,12 +54,12 @@
     pub(crate) fn record_long_run(
         &mut self,
         now: Micros,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         attempt: AttemptId,
         started: Micros,
         engine: EngineId,
     ) {
-        if self.counters.len() >= MAX_FINGERPRINTS && !self.counters.contains_key(&kind) {
+        if self.counters.len() >= MAX_FINGERPRINTS && !self.counters.contains_key(&fingerprint) {
             let oldest = self
                 .counters
                 .iter()
@@ -73,7 +73,7 @@
             usual: 0,
             updated_at: now,
         };
-        let c = self.counters.entry(kind).or_insert_with(first);
+        let c = self.counters.entry(fingerprint).or_insert_with(first);
         c.updated_at = now;
         if c.long.len() < MAX_LONG_RUNS {
             c.long.insert(attempt, engine);
@@ -83,11 +83,11 @@
     /// Records that an attempt ran as usual.
     pub(crate) fn record_usual_run(
         &mut self,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         attempt: AttemptId,
         started: Micros,
     ) {
-        let Some(c) = self.counters.get_mut(&kind) else {
+        let Some(c) = self.counters.get_mut(&fingerprint) else {
             return;
         };
         c.long.remove(&attempt);
@@ -95,7 +95,7 @@
         if c.long.is_empty()
             || (c.usual >= MIN_USUAL_RUNS && (c.long.len() as f64) < MIN_LONG_PART * c.usual as f64)
         {
-            self.counters.remove(&kind);
+            self.counters.remove(&fingerprint);
         }
     }
 
@@ -103,11 +103,11 @@
     /// slow engine can't be told from a changed fingerprint.
     pub(crate) fn classify(
         &self,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         over_for: Micros,
         engines: usize,
     ) -> ChangeStatus {
-        let Some(c) = self.counters.get(&kind) else {
+        let Some(c) = self.counters.get(&fingerprint) else {
             return ChangeStatus::Isolated;
         };
         let (long, all) = (c.long.len(), c.long.len() + c.usual);
@@ -123,13 +123,13 @@
     }
 
     /// Stops counting for a fingerprint.
-    pub(crate) fn remove(&mut self, kind: FingerprintId) {
-        self.counters.remove(&kind);
+    pub(crate) fn remove(&mut self, fingerprint: FingerprintId) {
+        self.counters.remove(&fingerprint);
     }
 
     /// Whether a fingerprint has long runs.
-    pub(crate) fn contains(&self, kind: FingerprintId) -> bool {
-        self.counters.contains_key(&kind)
+    pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
+        self.counters.contains_key(&fingerprint)
     }
 }
 
--- a/crates/runaway/src/fingerprint_detection.rs
+++ b/crates/runaway/src/fingerprint_detection.rs
@@ -30,7 +30,7 @@
             if long && attempt.active_time(now) >= MIN_ACTIVE_TIME {
                 self.fingerprint_changes.record_long_run(
                     now,
-                    attempt.start.kind,
+                    attempt.start.fingerprint,
                     *id,
                     attempt.started_at,
                     attempt.start.engine,
@@ -43,7 +43,7 @@
     pub(crate) fn report_fingerprint_change(
         &mut self,
         now: Micros,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         id: AttemptId,
         evidence: Evidence,
     ) {
@@ -52,19 +52,25 @@
         };
         let since = attempt.over_bound_since.unwrap_or(now);
         let found = Finding {
-            subject: Subject::Kind(kind),
+            subject: Subject::Fingerprint(fingerprint),
             engine: None,
             note: "all statements of this kind run long since then",
-            ..attempt.finding(now, since, Verdict::Notice, Cause::KindChanged, evidence)
+            ..attempt.finding(
+                now,
+                since,
+                Verdict::Notice,
+                Cause::FingerprintChanged,
+                evidence,
+            )
         };
         self.findings.report(found, &mut self.decisions);
-        let of_kind: Vec<(AttemptId, Subject)> = self
+        let of_fingerprint: Vec<(AttemptId, Subject)> = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| attempt.start.kind == kind)
+            .filter(|(_, attempt)| attempt.start.fingerprint == fingerprint)
             .map(|(id, attempt)| (*id, attempt.subject()))
             .collect();
-        for (id, subject) in of_kind {
+        for (id, subject) in of_fingerprint {
             self.findings.clear(
                 now,
                 &subject,
@@ -76,24 +82,24 @@
                 attempt.end_at = None;
             }
         }
-        self.holds.release(kind);
+        self.holds.release(fingerprint);
         self.publish_holds();
     }
 
     /// Adopts the new figures of a changed fingerprint once it has run often enough.
-    pub(crate) fn adopt_if_changed(&mut self, now: Micros, kind: FingerprintId, runs: u64) {
-        let subject = Subject::Kind(kind);
+    pub(crate) fn adopt_if_changed(&mut self, now: Micros, fingerprint: FingerprintId, runs: u64) {
+        let subject = Subject::Fingerprint(fingerprint);
         let told = self
             .findings
             .get(&subject)
-            .is_some_and(|f| f.cause == Cause::KindChanged);
+            .is_some_and(|f| f.cause == Cause::FingerprintChanged);
         let engines = self.engines.iter().filter(|e| e.is_up).count();
-        let changed =
-            told || self.fingerprint_changes.classify(kind, 0, engines) == ChangeStatus::Changed;
+        let changed = told
+            || self.fingerprint_changes.classify(fingerprint, 0, engines) == ChangeStatus::Changed;
         if changed && runs >= MIN_RUNS_TO_ADOPT {
-            self.statistics.adopt_beyond_bound(kind);
-            self.fingerprint_changes.remove(kind);
-            self.invalidate_expectations(kind);
+            self.statistics.adopt_beyond_bound(fingerprint);
+            self.fingerprint_changes.remove(fingerprint);
+            self.invalidate_expectations(fingerprint);
             self.findings.clear(
                 now,
                 &subject,
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -68,12 +68,12 @@
     pub(crate) fn add_runaway(
         &mut self,
         now: Micros,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         class: usize,
         label: &str,
         low_priority: bool,
     ) {
-        if self.fingerprints.len() >= MAX_HOLDS && !self.fingerprints.contains_key(&kind) {
+        if self.fingerprints.len() >= MAX_HOLDS && !self.fingerprints.contains_key(&fingerprint) {
             let nearest = self
                 .fingerprints
                 .iter()
@@ -82,7 +82,7 @@
                 self.fingerprints.remove(&id);
             }
         }
-        match self.fingerprints.get_mut(&kind) {
+        match self.fingerprints.get_mut(&fingerprint) {
             Some(h) => {
                 h.clean_runs_needed = (h.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
                 (h.max_in_flight, h.clean_runs, h.last_end, h.runaways) =
@@ -100,22 +100,22 @@
                     low_priority,
                     runaways: 1,
                 };
-                self.fingerprints.insert(kind, hold);
+                self.fingerprints.insert(fingerprint, hold);
             }
         }
     }
 
     /// Records that a runaway of a held fingerprint ended or was cleared.
-    pub(crate) fn remove_runaway(&mut self, now: Micros, kind: FingerprintId) {
-        if let Some(h) = self.fingerprints.get_mut(&kind) {
+    pub(crate) fn remove_runaway(&mut self, now: Micros, fingerprint: FingerprintId) {
+        if let Some(h) = self.fingerprints.get_mut(&fingerprint) {
             h.runaways = h.runaways.saturating_sub(1);
             h.last_end = now;
         }
     }
 
     /// Records that a statement of a fingerprint ended; `clean` if within half of its bound.
-    pub(crate) fn record_run(&mut self, now: Micros, kind: FingerprintId, clean: bool) {
-        let Some(h) = self.fingerprints.get_mut(&kind) else {
+    pub(crate) fn record_run(&mut self, now: Micros, fingerprint: FingerprintId, clean: bool) {
+        let Some(h) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
         h.last_end = now;
@@ -128,13 +128,13 @@
             (h.max_in_flight, h.clean_runs) = ((h.max_in_flight * 2).min(RELEASE_LIMIT), 0);
         }
         if h.max_in_flight >= RELEASE_LIMIT && h.runaways == 0 {
-            self.fingerprints.remove(&kind);
+            self.fingerprints.remove(&fingerprint);
         }
     }
 
     /// Lifts a hold. False if the fingerprint is not held.
-    pub(crate) fn release(&mut self, kind: FingerprintId) -> bool {
-        self.fingerprints.remove(&kind).is_some()
+    pub(crate) fn release(&mut self, fingerprint: FingerprintId) -> bool {
+        self.fingerprints.remove(&fingerprint).is_some()
     }
 
     /// Replaces the exclusions of table groups.
@@ -162,9 +162,9 @@
     /// The holds that are new or changed since the last call; lifted ones come as holds without a limit.
     pub(crate) fn take_changes(&mut self) -> Vec<Hold> {
         let mut wanted: BTreeMap<HoldTarget, Hold> = BTreeMap::new();
-        for (kind, h) in &self.fingerprints {
-            let of = HoldTarget::Kind(kind.0);
-            let excluded = self.excluded_engines(*kind, h);
+        for (fingerprint, h) in &self.fingerprints {
+            let of = HoldTarget::Kind(fingerprint.0);
+            let excluded = self.excluded_engines(*fingerprint, h);
             wanted.insert(
                 of,
                 Hold {
@@ -217,12 +217,12 @@
 
     /// The engines where a held fingerprint may not run: all but as many as its limit, chosen by a hash that is the same
     /// at all routers, so that they agree on a few engines without communication (rendezvous hashing).
-    fn excluded_engines(&self, kind: FingerprintId, h: &FingerprintHold) -> Vec<EngineId> {
+    fn excluded_engines(&self, fingerprint: FingerprintId, h: &FingerprintHold) -> Vec<EngineId> {
         let fits = |e: &&EngineStatus| e.is_up && e.classes.get(h.class).copied().unwrap_or(true);
         let mut open: Vec<EngineId> = self.engines.iter().filter(fits).map(|e| e.engine).collect();
         let own = |id: &EngineId| {
             let mut hash = blake3::Hasher::new();
-            hash.update(&kind.0.to_le_bytes())
+            hash.update(&fingerprint.0.to_le_bytes())
                 .update(&id.0.to_le_bytes());
             *hash.finalize().as_bytes()
         };
--- a/crates/runaway/src/interface.rs
+++ b/crates/runaway/src/interface.rs
@@ -165,7 +165,7 @@
     /// The name of the statement at engines: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
     /// Its fingerprint.
-    pub kind: FingerprintId,
+    pub fingerprint: FingerprintId,
     /// The fingerprint under which it can be held: its own, or that of all unknown ones.
     pub held_as: FingerprintId,
     /// The text of its fingerprint, for display.
@@ -229,7 +229,8 @@
     /// It uses far more memory than is usual while others wait for memory.
     Memory,
     /// All statements of the fingerprint run long: it has changed.
-    KindChanged,
+    #[serde(rename = "kind_changed")]
+    FingerprintChanged,
     /// Everything on the engine runs long.
     SlowEngine,
     /// The engine is done, and the client receives the rows slowly.
@@ -245,7 +246,7 @@
             Cause::Blocks => "blocks others",
             Cause::Deadlock => "waits in a circle",
             Cause::Memory => "takes memory that others wait for",
-            Cause::KindChanged => "its kind has changed",
+            Cause::FingerprintChanged => "its kind has changed",
             Cause::SlowEngine => "slow engine",
             Cause::SlowReader => "its client reads slowly",
         }
@@ -277,7 +278,8 @@
 #[serde(rename_all = "snake_case", tag = "on", content = "runs")]
 pub enum Basis {
     /// This many runs of the fingerprint.
-    Kind(u64),
+    #[serde(rename = "kind")]
+    Fingerprint(u64),
     /// This many runs of the class; the fingerprint is unknown.
     Class(u64),
     /// The settings; there are no runs yet.
@@ -304,7 +306,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let seconds = |v: f64| format!("{:.1} s", v / 1e6);
         let basis = match self.basis {
-            Basis::Kind(n) => format!("{n} runs of its kind"),
+            Basis::Fingerprint(n) => format!("{n} runs of its kind"),
             Basis::Class(n) => format!("{n} runs of its class"),
             Basis::Settings => "the settings alone".into(),
         };
@@ -333,7 +335,7 @@
     /// A statement of this router or, as engines report it, of another; by name.
     Statement(String),
     /// A fingerprint.
-    Kind(FingerprintId),
+    Fingerprint(FingerprintId),
     /// An engine.
     Engine(EngineId),
 }
@@ -352,7 +354,7 @@
     /// The class of the statement or fingerprint, if known.
     pub class: Option<usize>,
     /// Its fingerprint, if known.
-    pub kind: Option<FingerprintId>,
+    pub fingerprint: Option<FingerprintId>,
     /// The text of the fingerprint, for display.
     pub label: String,
     /// The engine where it runs.
--- a/crates/runaway/src/lifecycle.rs
+++ b/crates/runaway/src/lifecycle.rs
@@ -36,15 +36,18 @@
     pub fn observe_arrival(
         &mut self,
         now: Micros,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         class: usize,
         label: &Rc<str>,
     ) -> FingerprintId {
-        self.statistics.record_arrival(kind, class, label, now);
+        self.statistics
+            .record_arrival(fingerprint, class, label, now);
         let together = FingerprintId::unknown(&self.settings.classes[class].name);
-        match self.holds.fingerprints.contains_key(&together) && !self.statistics.is_known(kind) {
+        match self.holds.fingerprints.contains_key(&together)
+            && !self.statistics.is_known(fingerprint)
+        {
             true => together,
-            false => kind,
+            false => fingerprint,
         }
     }
 
@@ -180,7 +183,7 @@
         };
         if expected.known && !beyond && !(attempt.is_blocked && attempt.blocked_time == 0) {
             let sample = Sample {
-                kind: s.kind,
+                fingerprint: s.fingerprint,
                 times: moved / expected.run.usual.max(1.0),
             };
             self.engine_speeds.record_completion(now, s.engine, sample);
@@ -188,23 +191,29 @@
         self.holds
             .record_run(now, s.held_as, figure <= of.bound * CLEAN_RUN_PART);
         if beyond {
-            let runs = self.statistics.record_beyond_bound(s.kind, &run);
-            self.fingerprint_changes
-                .record_long_run(now, s.kind, id, attempt.started_at, s.engine);
-            self.adopt_if_changed(now, s.kind, runs);
+            let runs = self.statistics.record_beyond_bound(s.fingerprint, &run);
+            self.fingerprint_changes.record_long_run(
+                now,
+                s.fingerprint,
+                id,
+                attempt.started_at,
+                s.engine,
+            );
+            self.adopt_if_changed(now, s.fingerprint, runs);
             return;
         }
         if figure < of.usual * LONG_RUN_FACTOR || known_by_work && moved < expected.run.usual {
             self.fingerprint_changes
-                .record_usual_run(s.kind, id, attempt.started_at);
+                .record_usual_run(s.fingerprint, id, attempt.started_at);
         }
         if let (Some(group), true) = (s.group, figure < of.usual * LONG_RUN_FACTOR) {
             self.record_completion(now, (s.engine, group), attempt.started_at);
         }
-        if !self.fingerprint_changes.contains(s.kind) {
-            self.statistics.discard_beyond_bound(s.kind);
+        if !self.fingerprint_changes.contains(s.fingerprint) {
+            self.statistics.discard_beyond_bound(s.fingerprint);
         }
-        self.statistics.learn(s.kind, s.class, s.announced, &run);
+        self.statistics
+            .learn(s.fingerprint, s.class, s.announced, &run);
     }
 
     /// Records that an attempt on a table group ran as usual at an engine.
@@ -287,8 +296,8 @@
     }
 
     /// Lifts the hold of a fingerprint on behalf of an operator. False if it is not held.
-    pub fn release_hold(&mut self, kind: FingerprintId) -> bool {
-        let held = self.holds.release(kind);
+    pub fn release_hold(&mut self, fingerprint: FingerprintId) -> bool {
+        let held = self.holds.release(fingerprint);
         self.publish_holds();
         held
     }
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
     /// Fingerprints.
-    pub kinds: usize,
+    pub fingerprints: usize,
     /// Holds.
     pub holds: usize,
     /// Fingerprints and holds of classes that are not in the settings any more.
@@ -152,7 +152,7 @@
         let fingerprints = restored_fingerprints(saved.kinds, &numbers)?;
         let holds = restored_holds(now, saved.holds, &numbers);
         let restored = Restored {
-            kinds: fingerprints.len(),
+            fingerprints: fingerprints.len(),
             holds: holds.len(),
             dropped: total - fingerprints.len() - holds.len(),
         };
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -155,9 +155,9 @@
     }
 
     /// Whether a fingerprint has run often enough to be judged apart from its class.
-    pub(crate) fn is_known(&self, kind: FingerprintId) -> bool {
+    pub(crate) fn is_known(&self, fingerprint: FingerprintId) -> bool {
         self.fingerprints
-            .get(&kind)
+            .get(&fingerprint)
             .is_some_and(|k| k.runs() >= MIN_RUNS_KNOWN)
     }
 
@@ -172,15 +172,15 @@
     /// Records that a statement of a fingerprint arrived. Evicts the least recently used fingerprint if there is no room.
     pub(crate) fn record_arrival(
         &mut self,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         class: usize,
         label: &Rc<str>,
         now: Micros,
     ) {
-        let known = usize::from(self.is_known(kind));
+        let known = usize::from(self.is_known(fingerprint));
         let k = self
             .fingerprints
-            .entry(kind)
+            .entry(fingerprint)
             .or_insert_with(|| FingerprintStatistics {
                 class,
                 label: label.clone(),
@@ -190,10 +190,10 @@
                 last_use: now,
             });
         for line in &mut self.by_last_use {
-            line.remove(&(k.last_use, kind));
+            line.remove(&(k.last_use, fingerprint));
         }
         k.last_use = now;
-        self.by_last_use[known].insert((now, kind));
+        self.by_last_use[known].insert((now, fingerprint));
         self.evict_excess();
     }
 
@@ -213,17 +213,17 @@
         }
     }
 
-    pub(crate) fn restore(&mut self, kind: FingerprintId, book: FingerprintStatistics) {
+    pub(crate) fn restore(&mut self, fingerprint: FingerprintId, book: FingerprintStatistics) {
         let known = usize::from(book.runs() >= MIN_RUNS_KNOWN);
-        self.by_last_use[known].insert((book.last_use, kind));
-        self.fingerprints.insert(kind, book);
+        self.by_last_use[known].insert((book.last_use, fingerprint));
+        self.fingerprints.insert(fingerprint, book);
         self.evict_excess();
     }
 
     /// What is expected of a statement of this fingerprint and class that announces this.
     pub(crate) fn expectation(
         &self,
-        kind: FingerprintId,
+        fingerprint: FingerprintId,
         class: usize,
         spec: &Class,
         says: Announced,
@@ -232,7 +232,7 @@
             distributions: of_class,
             estimate_accuracy: class_accuracy,
         } = &self.classes[class];
-        let book = self.fingerprints.get(&kind);
+        let book = self.fingerprints.get(&fingerprint);
         let (own, scale) = book.map_or((None, 1.0), |k| k.of_size(says.size));
         let per_thread = spec.latency_objective as f64;
         let run = expected(own.map(|f| &f.run), &of_class.run, scale, per_thread, spec);
@@ -266,7 +266,7 @@
                 Some(Expected {
                     usual,
                     bound,
-                    basis: Basis::Kind(f.memory.count()),
+                    basis: Basis::Fingerprint(f.memory.count()),
                 })
             });
         let per_rows = own
@@ -300,7 +300,13 @@
     }
 
     /// Learns from a run that was within its bound.
-    pub(crate) fn learn(&mut self, kind: FingerprintId, class: usize, says: Announced, run: &Run) {
+    pub(crate) fn learn(
+        &mut self,
+        fingerprint: FingerprintId,
+        class: usize,
+        says: Announced,
+        run: &Run,
+    ) {
         self.classes[class].distributions.learn(run);
         let honest = says
             .estimate
@@ -309,14 +315,14 @@
         self.classes[class]
             .estimate_accuracy
             .add(honest.unwrap_or(0.0));
-        let Some(k) = self.fingerprints.get_mut(&kind) else {
+        let Some(k) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
         let was_known = k.runs() >= MIN_RUNS_KNOWN;
         k.estimate_accuracy.add(honest.unwrap_or(0.0));
         k.sizes.entry(bucket(says.size)).or_default().learn(run);
         if !was_known && k.runs() >= MIN_RUNS_KNOWN {
-            let at = (k.last_use, kind);
+            let at = (k.last_use, fingerprint);
             self.by_last_use[0].remove(&at);
             self.by_last_use[1].insert(at);
             self.evict_excess();
@@ -324,8 +330,8 @@
     }
 
     /// Records a run beyond its bound, which is not learned from yet. Returns how many there have been.
-    pub(crate) fn record_beyond_bound(&mut self, kind: FingerprintId, run: &Run) -> u64 {
-        let Some(k) = self.fingerprints.get_mut(&kind) else {
+    pub(crate) fn record_beyond_bound(&mut self, fingerprint: FingerprintId, run: &Run) -> u64 {
+        let Some(k) = self.fingerprints.get_mut(&fingerprint) else {
             return 0;
         };
         k.beyond_bound.learn(run);
@@ -333,8 +339,8 @@
     }
 
     /// The fingerprint has changed: runs beyond its bound become the usual ones.
-    pub(crate) fn adopt_beyond_bound(&mut self, kind: FingerprintId) {
-        let Some(k) = self.fingerprints.get_mut(&kind) else {
+    pub(crate) fn adopt_beyond_bound(&mut self, fingerprint: FingerprintId) {
+        let Some(k) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
         if k.beyond_bound.run.count() > 0 {
@@ -344,8 +350,8 @@
     }
 
     /// The fingerprint has not changed: runs beyond its bound were outliers.
-    pub(crate) fn discard_beyond_bound(&mut self, kind: FingerprintId) {
-        if let Some(k) = self.fingerprints.get_mut(&kind) {
+    pub(crate) fn discard_beyond_bound(&mut self, fingerprint: FingerprintId) {
+        if let Some(k) = self.fingerprints.get_mut(&fingerprint) {
             k.beyond_bound = Distributions::default();
         }
     }
@@ -425,7 +431,7 @@
         Expected {
             usual,
             bound: own_bar.max(floor),
-            basis: Basis::Kind(n),
+            basis: Basis::Fingerprint(n),
         }
     } else {
         Expected {
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -24,12 +24,12 @@
     }
 }
 
-fn book(kind: FingerprintId, runs: usize) -> Statistics {
+fn book(fingerprint: FingerprintId, runs: usize) -> Statistics {
     let mut b = Statistics::new(1, 400);
-    b.record_arrival(kind, 0, &"select ?".into(), 1);
+    b.record_arrival(fingerprint, 0, &"select ?".into(), 1);
     for n in 0..runs {
         b.learn(
-            kind,
+            fingerprint,
             0,
             Announced::default(),
             &run(0.8 + 0.4 * (n % 10) as f64 / 9.0),
@@ -38,8 +38,9 @@
     b
 }
 
-fn bar_of(b: &Statistics, kind: u64, says: Announced) -> Expected {
-    b.expectation(FingerprintId(kind), 0, &spec(), says).run
+fn bar_of(b: &Statistics, fingerprint: u64, says: Announced) -> Expected {
+    b.expectation(FingerprintId(fingerprint), 0, &spec(), says)
+        .run
 }
 
 #[test]
@@ -51,9 +52,9 @@
     let ten = some(&book(FingerprintId(1), 10));
     assert_eq!((ten.basis, ten.bound), (Basis::Settings, 25.0 * S));
     let law = some(&book(FingerprintId(1), 60));
-    assert_eq!(law.basis, Basis::Kind(60));
+    assert_eq!(law.basis, Basis::Fingerprint(60));
     assert!((11.0 * S..13.0 * S).contains(&law.bound), "{law:?}");
-    // A kind never seen, in a class that is known: wider than the class's own kinds.
+    // A fingerprint never seen, in a class that is known: wider than the class's own kinds.
     let stranger = bar_of(&book(FingerprintId(1), 60), 2, nothing);
     assert_eq!(stranger.basis, Basis::Class(60));
     assert!(stranger.bound > 1.8 * law.bound, "{stranger:?}");
--- a/crates/runaway/tests/common.rs
+++ b/crates/runaway/tests/common.rs
@@ -57,7 +57,7 @@
 pub struct Job {
     pub id: u64,
     pub class: usize,
-    pub kind: u64,
+    pub fingerprint: u64,
     pub engine: u32,
     pub group: Option<u64>,
     pub announced: Announced,
@@ -131,12 +131,12 @@
         self.decisions.clear();
     }
 
-    pub fn job(&mut self, class: usize, kind: u64, engine: u32, work: f64) -> Job {
+    pub fn job(&mut self, class: usize, fingerprint: u64, engine: u32, work: f64) -> Job {
         self.next += 1;
         Job {
             id: self.next,
             class,
-            kind,
+            fingerprint,
             engine,
             group: None,
             announced: Announced::default(),
@@ -147,17 +147,17 @@
         }
     }
 
-    pub fn start(&mut self, class: usize, kind: u64, engine: u32, work: f64) -> u64 {
-        let job = self.job(class, kind, engine, work);
+    pub fn start(&mut self, class: usize, fingerprint: u64, engine: u32, work: f64) -> u64 {
+        let job = self.job(class, fingerprint, engine, work);
         self.run(job)
     }
 
     pub fn run(&mut self, job: Job) -> u64 {
-        let kind = FingerprintId(job.kind);
-        let label: Rc<str> = format!("kind {}", job.kind).into();
+        let fingerprint = FingerprintId(job.fingerprint);
+        let label: Rc<str> = format!("kind {}", job.fingerprint).into();
         let held_as = self
             .detector
-            .observe_arrival(self.now, kind, job.class, &label);
+            .observe_arrival(self.now, fingerprint, job.class, &label);
         let attempt = AttemptId {
             statement: job.id,
             number: 0,
@@ -167,7 +167,7 @@
             engine: EngineId(job.engine),
             class: job.class,
             name: name(job.id),
-            kind,
+            fingerprint,
             held_as,
             label,
             announced: job.announced,
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -19,7 +19,7 @@
         .expect("found")
         .clone();
     assert_eq!(f.evidence.measure, Measure::WorkToCome);
-    assert!(matches!(f.evidence.basis, Basis::Kind(n) if n >= 100));
+    assert!(matches!(f.evidence.basis, Basis::Fingerprint(n) if n >= 100));
     assert!(
         f.evidence.figure > f.evidence.bound && f.at - f.started < 10 * S,
         "{f:?}"
@@ -157,7 +157,7 @@
         w.start(LOOKUP, LOOKUP as u64, n % 4, 250_000.0);
         w.advance(1);
     }
-    assert_eq!(w.notices(), [Cause::KindChanged], "one notice");
+    assert_eq!(w.notices(), [Cause::FingerprintChanged], "one notice");
     assert!(w.runaways().len() <= 1, "{:?}", w.runaways());
     assert!(
         w.detector.holds().next().is_none(),
@@ -196,7 +196,7 @@
         w.start(REPORT, REPORT as u64, n % 4, 100e6);
     }
     w.advance(20);
-    assert_eq!(w.notices(), [Cause::KindChanged]);
+    assert_eq!(w.notices(), [Cause::FingerprintChanged]);
 }
 
 #[test]
@@ -340,8 +340,13 @@
 #[test]
 fn generated_fingerprints_use_bounded_memory_and_are_held_together() {
     let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    for kind in 0..20_000 {
-        let id = w.start(LOOKUP, 1_000_000 + kind, (kind % 4) as u32, 250_000.0);
+    for fingerprint in 0..20_000 {
+        let id = w.start(
+            LOOKUP,
+            1_000_000 + fingerprint,
+            (fingerprint % 4) as u32,
+            250_000.0,
+        );
         w.finish(id);
     }
     assert!(
@@ -349,8 +354,8 @@
             && w.detector.tracked_counts().attempts == 0
     );
     // Runaways whose text is another one each time.
-    for kind in 0..4 {
-        w.start(LOOKUP, 2_000_000 + kind, 0, 900e6);
+    for fingerprint in 0..4 {
+        w.start(LOOKUP, 2_000_000 + fingerprint, 0, 900e6);
         w.advance(20);
     }
     let together = HoldTarget::Kind(FingerprintId::unknown("lookup").0);
--- a/crates/runaway/tests/enforcement.rs
+++ b/crates/runaway/tests/enforcement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hoptiller_policy::{EngineId, Hold};
+use hoptiller_policy::EngineId;
 use hoptiller_runaway::*;
 
 const ALL: EnforcementOptions = EnforcementOptions {
--- a/crates/runaway/tests/snapshot.rs
+++ b/crates/runaway/tests/snapshot.rs
@@ -14,7 +14,7 @@
     let saved = w.detector.save();
     let mut next = Simulation::new(NAME_AND_HOLD, 4);
     let done = next.detector.restore(next.now, &saved).expect("our own");
-    assert_eq!((done.kinds, done.holds, done.dropped), (3, 1, 0));
+    assert_eq!((done.fingerprints, done.holds, done.dropped), (3, 1, 0));
     next.collect_decisions();
     let held: Vec<HoldTarget> = next.holds().iter().map(|h: &&Hold| h.target).collect();
     assert_eq!(held, [HoldTarget::Kind(REPORT as u64)]);
@@ -37,7 +37,7 @@
     other.classes.pop();
     let mut next = RunawayDetector::new(other);
     let done = next.restore(0, &saved).expect("our own");
-    assert_eq!((done.kinds, done.dropped), (2, 1));
+    assert_eq!((done.fingerprints, done.dropped), (2, 1));
 }
 
 #[test]
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -48,7 +48,7 @@
         .restore(RESTORED_AT, &stored)
         .expect("an old snapshot can be read");
     assert_eq!(
-        (restored.kinds, restored.holds, restored.dropped),
+        (restored.fingerprints, restored.holds, restored.dropped),
         (3, 1, 0)
     );
     assert_eq!(
--- a/crates/statement-router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -79,7 +79,7 @@
 pub fn subject(desk: &Desk, f: &Finding) -> String {
     match &f.subject {
         Subject::Statement(name) => format!("statement {name}"),
-        Subject::Kind(kind) => format!("kind {kind}"),
+        Subject::Fingerprint(kind) => format!("kind {kind}"),
         Subject::Engine(engine) => format!("engine {}", desk.engine_name(*engine)),
     }
 }
@@ -136,7 +136,7 @@
         "cause": f.cause,
         "inWords": f.cause.description(),
         "class": f.class.map(|c| desk.settings().classes[c].name.clone()),
-        "kind": f.kind.map(|k| k.to_string()),
+        "kind": f.fingerprint.map(|k| k.to_string()),
         "text": f.label,
         "engine": f.engine.map(|e| desk.engine_name(e)),
         "startedMsAgo": ago(f.started),
--- a/crates/statement-router/src/learnt.rs
+++ b/crates/statement-router/src/learnt.rs
@@ -52,7 +52,7 @@
         match done {
             Ok(done) => {
                 tracing::info!(
-                    kinds = done.kinds,
+                    kinds = done.fingerprints,
                     holds = done.holds,
                     dropped = done.dropped,
                     "taken up"
