--- a/crates/runaway/src/attempt_detection.rs
+++ b/crates/runaway/src/attempt_detection.rs
@@ -232,8 +232,8 @@
             other.start.engine == attempt.start.engine
                 && other.blocked_state(now) == Some(&BlockedState::Memory)
         };
-        let far = memory > e.bound && attempt.blocked_state(now).is_none();
-        (far && self.attempts.values().filter(waits).count() >= MIN_CROWD)
+        let is_excessive = memory > e.bound && attempt.blocked_state(now).is_none();
+        (is_excessive && self.attempts.values().filter(waits).count() >= MIN_CROWD)
             .then(|| evidence(Measure::Memory, memory, &e))
     }
 }
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -231,12 +231,12 @@
                 let e = self.expectation(*id).filter(|e| e.known)?;
                 // Run time so far is a lower bound. A larger statement, as its reported work shows, takes longer at
                 // any engine and says nothing of this one.
-                let larger = attempt
+                let size_ratio = attempt
                     .progress
                     .work
                     .map_or(1.0, |work| work as f64 / e.work.usual.max(1.0))
                     .max(1.0);
-                let times = attempt.active_time(now) / (e.run.usual.max(1.0) * larger);
+                let times = attempt.active_time(now) / (e.run.usual.max(1.0) * size_ratio);
                 (times >= MIN_SLOW_SAMPLE).then_some((
                     attempt.start.engine,
                     *id,
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -29,8 +29,8 @@
             attempt.start.fingerprint,
             attempt.start.label.clone(),
         );
-        let spec = &self.settings.classes[class];
-        let enforcement = spec.enforcement;
+        let class_settings = &self.settings.classes[class];
+        let enforcement = class_settings.enforcement;
         let is_executing = attempt.is_executing();
         // Of a deadlock, the youngest is ended: it has done the least work, and the others can continue.
         let is_older = cause == Cause::Deadlock && youngest.is_some_and(|y| y != id);
@@ -38,8 +38,8 @@
             attempt.end_at = Some(now + self.settings.end_after);
         }
         // A paused statement would keep what others wait for even longer.
-        let blocks_others =
-            spec.holds_tables || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
+        let blocks_others = class_settings.holds_tables
+            || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
         if enforcement.pause && is_executing && !blocks_others && !attempt.is_paused {
             (attempt.is_paused, attempt.resume_at) = (true, Some(now + self.settings.pause_for));
             self.decisions.push(Decision::Pause(id));
@@ -104,10 +104,10 @@
     pub(crate) fn exclude_blocked_groups(&mut self, now: Micros) {
         let mut excluded: BTreeMap<u64, Vec<EngineId>> = BTreeMap::new();
         for attempt in self.attempts.values() {
-            let spec = &self.settings.classes[attempt.start.class];
+            let class_settings = &self.settings.classes[attempt.start.class];
             let (true, true, Some(group)) = (
-                spec.holds_tables,
-                spec.enforcement.hold,
+                class_settings.holds_tables,
+                class_settings.enforcement.hold,
                 attempt.start.group,
             ) else {
                 continue;
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -68,11 +68,14 @@
             .into_iter()
             .flatten()
             .filter(|(at, _)| *at >= since);
-        let mut kinds: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
+        let mut by_fingerprint: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
         for s in ended.map(|(_, s)| s).chain(running) {
-            kinds.entry(s.fingerprint).or_default().push(s.times);
+            by_fingerprint
+                .entry(s.fingerprint)
+                .or_default()
+                .push(s.times);
         }
-        let samples = kinds.values().map(Vec::len).sum();
+        let samples = by_fingerprint.values().map(Vec::len).sum();
         if samples < MIN_SAMPLES {
             return Slowness {
                 factor: 1.0,
@@ -80,9 +83,12 @@
             };
         }
         // By fingerprint: one that has changed is slow everywhere and says nothing of an engine.
-        let mut of_fingerprints: Vec<f64> = kinds.values_mut().map(|times| median(times)).collect();
+        let mut medians: Vec<f64> = by_fingerprint
+            .values_mut()
+            .map(|times| median(times))
+            .collect();
         Slowness {
-            factor: median(&mut of_fingerprints).clamp(1.0, MAX_SLOWNESS),
+            factor: median(&mut medians).clamp(1.0, MAX_SLOWNESS),
             samples,
         }
     }
--- a/crates/runaway/src/fingerprint_detection.rs
+++ b/crates/runaway/src/fingerprint_detection.rs
@@ -89,12 +89,12 @@
     /// Adopts the new figures of a changed fingerprint once it has run often enough.
     pub(crate) fn adopt_if_changed(&mut self, now: Micros, fingerprint: FingerprintId, runs: u64) {
         let subject = Subject::Fingerprint(fingerprint);
-        let told = self
+        let is_reported = self
             .findings
             .get(&subject)
             .is_some_and(|f| f.cause == Cause::FingerprintChanged);
         let engines = self.engines.iter().filter(|e| e.is_up).count();
-        let changed = told
+        let changed = is_reported
             || self.fingerprint_changes.classify(fingerprint, 0, engines) == ChangeStatus::Changed;
         if changed && runs >= MIN_RUNS_TO_ADOPT {
             self.statistics.adopt_beyond_bound(fingerprint);
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! Modules, each of which uses only earlier ones:
 //!
-//! - `interface`: events, findings and decisions.
+//! - `interface`: settings, events, findings and decisions.
 //! - `sketch`, `statistics`: what is usual for a fingerprint, a class and an announced size.
 //! - `wait_graph`, `fingerprint_change`, `engine_speed`, `findings`, `holds`: state of one concern each.
 //! - `attempt`, `detector`: running attempts and the state of the detector.
--- a/crates/runaway/src/lifecycle.rs
+++ b/crates/runaway/src/lifecycle.rs
@@ -162,35 +162,39 @@
         was_runaway: bool,
     ) {
         let (id, s) = (attempt.start.attempt, &attempt.start);
-        let moved = attempt.active_time(now).max(1.0);
-        let slow = self.engine_slowness(now, s.engine, Some(id)).factor;
+        let active = attempt.active_time(now).max(1.0);
+        let slowness = self.engine_slowness(now, s.engine, Some(id)).factor;
         let known_by_work = attempt.progress.work.is_some();
-        let (figure, of) = match attempt.progress.work {
+        let (figure, expected_figure) = match attempt.progress.work {
             Some(work) => (work as f64, &expected.work),
-            None => (moved / slow, &expected.run),
+            None => (active / slowness, &expected.run),
         };
         let spills = if attempt.progress.spills {
             SPILL_TOLERANCE
         } else {
             1.0
         };
-        let beyond = was_runaway || figure > of.bound * spills;
+        let is_beyond_bound = was_runaway || figure > expected_figure.bound * spills;
         let run = Run {
-            ran: moved / slow,
+            ran: active / slowness,
             work: attempt.progress.work.map(|w| w as f64),
             rows: attempt.progress.rows.map(|r| r as f64),
             memory: attempt.progress.memory_mb,
         };
-        if expected.known && !beyond && !(attempt.is_blocked && attempt.blocked_time == 0) {
+        if expected.known && !is_beyond_bound && !(attempt.is_blocked && attempt.blocked_time == 0)
+        {
             let sample = Sample {
                 fingerprint: s.fingerprint,
-                times: moved / expected.run.usual.max(1.0),
+                times: active / expected.run.usual.max(1.0),
             };
             self.engine_speeds.record_completion(now, s.engine, sample);
         }
-        self.holds
-            .record_run(now, s.held_as, figure <= of.bound * CLEAN_RUN_PART);
-        if beyond {
+        self.holds.record_run(
+            now,
+            s.held_as,
+            figure <= expected_figure.bound * CLEAN_RUN_PART,
+        );
+        if is_beyond_bound {
             let runs = self.statistics.record_beyond_bound(s.fingerprint, &run);
             self.fingerprint_changes.record_long_run(
                 now,
@@ -202,18 +206,33 @@
             self.adopt_if_changed(now, s.fingerprint, runs);
             return;
         }
-        if figure < of.usual * LONG_RUN_FACTOR || known_by_work && moved < expected.run.usual {
+        let is_usual = figure < expected_figure.usual * LONG_RUN_FACTOR;
+        let is_usual_by_time = known_by_work && active < expected.run.usual;
+        self.learn_run_within_bound(now, attempt, &run, is_usual, is_usual_by_time);
+    }
+
+    /// Updates statistics with a run within its bound.
+    fn learn_run_within_bound(
+        &mut self,
+        now: Micros,
+        attempt: &RunningAttempt,
+        run: &Run,
+        is_usual: bool,
+        is_usual_by_time: bool,
+    ) {
+        let s = &attempt.start;
+        if is_usual || is_usual_by_time {
             self.fingerprint_changes
-                .record_usual_run(s.fingerprint, id, attempt.started_at);
+                .record_usual_run(s.fingerprint, s.attempt, attempt.started_at);
         }
-        if let (Some(group), true) = (s.group, figure < of.usual * LONG_RUN_FACTOR) {
+        if let (Some(group), true) = (s.group, is_usual) {
             self.record_completion(now, (s.engine, group), attempt.started_at);
         }
         if !self.fingerprint_changes.contains(s.fingerprint) {
             self.statistics.discard_beyond_bound(s.fingerprint);
         }
         self.statistics
-            .learn(s.fingerprint, s.class, s.announced, &run);
+            .learn(s.fingerprint, s.class, s.announced, run);
     }
 
     /// Records that an attempt on a table group ran as usual at an engine.
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -116,14 +116,14 @@
             figures: pairs(&statistics.distributions),
             honesty: statistics.estimate_accuracy.pairs(),
         };
-        let mut kinds: Vec<(&FingerprintId, &FingerprintStatistics)> =
+        let mut fingerprints: Vec<(&FingerprintId, &FingerprintStatistics)> =
             self.statistics.fingerprints.iter().collect();
-        kinds.sort_by_key(|(id, statistics)| (statistics.last_use, **id));
+        fingerprints.sort_by_key(|(id, statistics)| (statistics.last_use, **id));
         let classes = self.settings.classes.iter().zip(&self.statistics.classes);
         let holds = self.holds.fingerprints.iter();
         let saved = Saved {
             classes: classes.map(class).collect(),
-            kinds: kinds.into_iter().map(saved_fingerprint).collect(),
+            kinds: fingerprints.into_iter().map(saved_fingerprint).collect(),
             holds: holds.map(|(id, hold)| (*id, hold.clone())).collect(),
         };
         let body = serde_json::to_vec(&saved).unwrap_or_default();
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -213,10 +213,14 @@
         }
     }
 
-    pub(crate) fn restore(&mut self, fingerprint: FingerprintId, book: FingerprintStatistics) {
-        let known = usize::from(book.runs() >= MIN_RUNS_KNOWN);
-        self.by_last_use[known].insert((book.last_use, fingerprint));
-        self.fingerprints.insert(fingerprint, book);
+    pub(crate) fn restore(
+        &mut self,
+        fingerprint: FingerprintId,
+        statistics: FingerprintStatistics,
+    ) {
+        let known = usize::from(statistics.runs() >= MIN_RUNS_KNOWN);
+        self.by_last_use[known].insert((statistics.last_use, fingerprint));
+        self.fingerprints.insert(fingerprint, statistics);
         self.evict_excess();
     }
 
@@ -225,29 +229,35 @@
         &self,
         fingerprint: FingerprintId,
         class: usize,
-        spec: &Class,
-        says: Announced,
+        class_settings: &Class,
+        announced: Announced,
     ) -> Expectation {
         let ClassStatistics {
             distributions: of_class,
             estimate_accuracy: class_accuracy,
         } = &self.classes[class];
-        let book = self.fingerprints.get(&fingerprint);
-        let (own, scale) = book.map_or((None, 1.0), |k| k.of_size(says.size));
-        let per_thread = spec.latency_objective as f64;
-        let run = expected(own.map(|f| &f.run), &of_class.run, scale, per_thread, spec);
+        let statistics = self.fingerprints.get(&fingerprint);
+        let (own, scale) = statistics.map_or((None, 1.0), |k| k.of_size(announced.size));
+        let objective = class_settings.latency_objective as f64;
+        let run = expected(
+            own.map(|f| &f.run),
+            &of_class.run,
+            scale,
+            objective,
+            class_settings,
+        );
         let work = expected(
             own.map(|f| &f.work),
             &of_class.work,
             scale,
-            per_thread * spec.threads,
-            spec,
+            objective * class_settings.threads,
+            class_settings,
         );
-        let accuracy = book
+        let accuracy = statistics
             .map(|k| &k.estimate_accuracy)
             .filter(|h| h.count() >= MIN_RUNS_KNOWN)
             .unwrap_or(class_accuracy);
-        let more = says
+        let more = announced
             .estimate
             .map_or(1.0, |e| larger_by(e as f64, accuracy, work.usual));
         let larger = |e: Expected| Expected {
@@ -272,7 +282,7 @@
         let per_rows = own
             .filter(|f| f.per_rows.count() >= MIN_RUNS_KNOWN)
             .and_then(|f| f.per_rows.quantile(0.5));
-        let known = book.is_some_and(|k| k.runs() >= MIN_RUNS_KNOWN);
+        let known = statistics.is_some_and(|k| k.runs() >= MIN_RUNS_KNOWN);
         Expectation {
             run: larger(run),
             work: larger(work),
@@ -283,12 +293,12 @@
     }
 
     /// The expected run time in a class, for statements of which no more is known.
-    pub(crate) fn class_expectation(&self, class: usize, spec: &Class) -> Expected {
+    pub(crate) fn class_expectation(&self, class: usize, class_settings: &Class) -> Expected {
         let (run, usual) = (
             &self.classes[class].distributions.run,
-            spec.latency_objective as f64,
+            class_settings.latency_objective as f64,
         );
-        let expected = expected(None, run, 1.0, usual, spec);
+        let expected = expected(None, run, 1.0, usual, class_settings);
         // Another router knows its fingerprint: the factor for unknown fingerprints does not apply.
         match (expected.basis, bound(run, BOUND_OVER_MEDIAN)) {
             (Basis::Class(_), Some(bound)) => Expected {
@@ -304,23 +314,26 @@
         &mut self,
         fingerprint: FingerprintId,
         class: usize,
-        says: Announced,
+        announced: Announced,
         run: &Run,
     ) {
         self.classes[class].distributions.learn(run);
-        let honest = says
+        let accuracy_sample = announced
             .estimate
             .zip(run.work)
             .map(|(e, work)| work * 1000.0 / (e as f64).max(1.0));
         self.classes[class]
             .estimate_accuracy
-            .add(honest.unwrap_or(0.0));
+            .add(accuracy_sample.unwrap_or(0.0));
         let Some(k) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
         let was_known = k.runs() >= MIN_RUNS_KNOWN;
-        k.estimate_accuracy.add(honest.unwrap_or(0.0));
-        k.sizes.entry(bucket(says.size)).or_default().learn(run);
+        k.estimate_accuracy.add(accuracy_sample.unwrap_or(0.0));
+        k.sizes
+            .entry(bucket(announced.size))
+            .or_default()
+            .learn(run);
         if !was_known && k.runs() >= MIN_RUNS_KNOWN {
             let at = (k.last_use, fingerprint);
             self.by_last_use[0].remove(&at);
@@ -393,7 +406,7 @@
     class: &Sketch,
     scale: f64,
     by_settings: f64,
-    spec: &Class,
+    class_settings: &Class,
 ) -> Expected {
     let floor = by_settings;
     let of_class = if class.count() >= MIN_CLASS_RUNS {
@@ -409,7 +422,7 @@
     } else {
         // Without runs, the latency objective is what a statement should take, and it may take at least as long as
         // its clients wait.
-        let bound = (floor * BOUND_OVER_MEDIAN).max(spec.client_timeout as f64);
+        let bound = (floor * BOUND_OVER_MEDIAN).max(class_settings.client_timeout as f64);
         Expected {
             usual: floor,
             bound,
