--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -1,5 +1,7 @@
 //! The database file of a replica: how it is created, opened, read and written.
 
+mod key;
+
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{self, File};
 use std::io::{self, Read as _};
@@ -26,21 +28,6 @@
 /// The entries of the log by index, as JSON.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// Keys of the table of single values.
-mod key {
-    pub(super) const IDENTITY: &str = "identity";
-    pub(super) const INCARNATION: &str = "life";
-    pub(super) const WRITE_SEQUENCE: &str = "step";
-    pub(super) const PEERS: &str = "peers";
-    pub(super) const PROMISE: &str = "promise";
-    pub(super) const ACCEPTED_ROUND: &str = "accepted_round";
-    pub(super) const DECIDED: &str = "decided";
-    pub(super) const STOP_SIGN: &str = "stopsign";
-    pub(super) const COMPACTED: &str = "base";
-    pub(super) const SNAPSHOT: &str = "state";
-    pub(super) const MEMBERSHIP: &str = "members";
-}
-
 /// Everything that a file holds.
 pub(super) struct Contents {
     pub(super) identity: DiskIdentity,
