--- a/crates/benchmarks/src/site.rs
+++ b/crates/benchmarks/src/site.rs
@@ -165,8 +165,8 @@
 /// A submission.
 pub fn post(class: &str, text: &str) -> Request {
     let mut request = Request::new(Method::Post, "/v1/statement")
-        .with("X-Trino-User", "measure")
-        .with("X-Trino-Client-Tags", &format!("class={class}"));
+        .with_header("X-Trino-User", "measure")
+        .with_header("X-Trino-Client-Tags", &format!("class={class}"));
     request.body = text.into();
     request
 }
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -71,13 +71,13 @@
             admin,
             WITHIN,
             Limits {
-                body: 16 << 20,
+                max_body_bytes: 16 << 20,
                 ..Limits::default()
             },
         )
         .await?;
         c.exchange(
-            &Request::new(method, target).with("Connection", "close"),
+            &Request::new(method, target).with_header("Connection", "close"),
             WITHIN,
         )
         .await
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -69,7 +69,7 @@
 /// Runs a command's task on an executor of this thread.
 pub fn block_on<T>(task: impl AsyncFnOnce(Spawner) -> T) -> T {
     let ex = Rc::new(LocalExecutor::new());
-    async_io::block_on(ex.run(task(Spawner::of(&ex))))
+    async_io::block_on(ex.run(task(Spawner::new(&ex))))
 }
 
 /// Waits for SIGTERM or SIGINT.
--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -180,9 +180,9 @@
         }
         let request = self
             .secret
-            .sign_request(request.with("Connection", "close"));
+            .sign_request(request.with_header("Connection", "close"));
         let limits = Limits {
-            body: MAX_BODY_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
             ..Limits::default()
         };
         let mut connection =
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -77,7 +77,7 @@
     /// Adds the authentication code to a request.
     pub fn sign_request(&self, request: Request) -> Request {
         let code = self.request_code(&request).to_hex();
-        request.with(CODE_HEADER, &code)
+        request.with_header(CODE_HEADER, &code)
     }
 
     /// Verifies the code of a request.
@@ -102,7 +102,7 @@
     /// Adds the authentication code to the response to a request.
     pub fn sign_response(&self, request: &Request, response: Response) -> Response {
         let code = self.response_code(request, &response).to_hex();
-        response.with(CODE_HEADER, &code)
+        response.with_header(CODE_HEADER, &code)
     }
 
     /// Verifies the code of the response to this very request.
--- a/crates/coordination-server/src/server.rs
+++ b/crates/coordination-server/src/server.rs
@@ -104,16 +104,16 @@
         });
         let config = server::Config {
             limits: Limits {
-                body: wire::MAX_BODY_BYTES,
+                max_body_bytes: wire::MAX_BODY_BYTES,
                 ..Limits::default()
             },
-            connections: MAX_CONNECTIONS,
-            watch: true,
+            max_connections: MAX_CONNECTIONS,
+            cancels_on_disconnect: true,
             ..server::Config::default()
         };
         let http_spawner = spawner.clone();
         spawner.spawn(async move {
-            let _ = server::serve(listener, config, handler, http_spawner).await;
+            server::serve(listener, config, handler, http_spawner).await;
         });
         spawner.spawn(tick(self.node.clone(), spawner.clone()));
         Ok(local_address)
--- a/crates/coordination-server/tests/old_and_new.rs
+++ b/crates/coordination-server/tests/old_and_new.rs
@@ -105,7 +105,7 @@
     )
     .expect("copied");
     let executor = Rc::new(LocalExecutor::new());
-    let spawner = Spawner::of(&executor);
+    let spawner = Spawner::new(&executor);
     let scenario = async {
         let old = config(&dir, 1);
         let storage = Server::open_storage(&old, "unused").expect("an old disk opens");
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,5 +1,5 @@
-//! Owns one client connection: a request out, its response in. Never repeats anything: the error says whether
-//! the request can have reached the server.
+//! Client connections: one request out, its response in. Nothing is retried: the error says whether the request can
+//! have reached the server.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -8,148 +8,186 @@
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt};
 
-use crate::codec::{Decoder, Event, Limits, ParseError, Side};
-use crate::io::{read_into, within};
-use crate::message::{Method, Request, Response, StartLine};
+use crate::codec::{Decoder, Event, Limits, MessageKind, ParseError};
+use crate::io::{read_into, timeout};
+use crate::message::{Head, Method, Request, Response, StartLine};
 
 /// Why there is no response.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection came about: the server has seen nothing.
-    Connect(io::Error),
+    /// The connection was not established: the server has received nothing.
+    #[error("no connection: {0}")]
+    Connect(#[source] io::Error),
     /// The connection broke after the request was begun: the server may have acted on it.
-    Broken(io::Error),
-    /// No response in time; the server may have acted, or may still.
+    #[error("connection broken: {0}")]
+    Broken(#[source] io::Error),
+    /// There was no response in time: the server may have acted, or may still.
+    #[error("no response in time")]
     TimedOut,
-    /// The response is no HTTP; the server may have acted.
-    Parse(ParseError),
+    /// The response is not HTTP/1.1: the server may have acted.
+    #[error("response: {0}")]
+    Parse(#[source] ParseError),
+}
+
+/// Why an exchange over an open connection failed.
+#[derive(Debug, thiserror::Error)]
+enum ExchangeError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Parse(#[from] ParseError),
 }
 
-impl std::fmt::Display for ClientError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ClientError::Connect(e) => write!(f, "no connection: {e}"),
-            ClientError::Broken(e) => write!(f, "connection broken: {e}"),
-            ClientError::TimedOut => write!(f, "no response in time"),
-            ClientError::Parse(e) => write!(f, "response: {e}"),
+impl From<ExchangeError> for ClientError {
+    fn from(error: ExchangeError) -> ClientError {
+        match error {
+            ExchangeError::Parse(error) => ClientError::Parse(error),
+            ExchangeError::Io(error) if error.kind() == io::ErrorKind::TimedOut => {
+                ClientError::TimedOut
+            }
+            ExchangeError::Io(error) => ClientError::Broken(error),
         }
     }
 }
 
-impl std::error::Error for ClientError {}
+/// A response of which the head has arrived.
+struct IncomingResponse {
+    response: Response,
+    is_keep_alive: bool,
+}
+
+impl IncomingResponse {
+    fn new(head: Head) -> Option<IncomingResponse> {
+        let is_keep_alive = head.is_keep_alive();
+        match head.start {
+            StartLine::Response(status) => Some(IncomingResponse {
+                response: Response {
+                    status,
+                    headers: head.headers,
+                    body: Vec::new(),
+                },
+                is_keep_alive,
+            }),
+            StartLine::Request { .. } => None,
+        }
+    }
+
+    /// Whether the final response follows it (RFC 9110, section 15.2).
+    fn is_interim(&self) -> bool {
+        self.response.status.0 < 200
+    }
+}
 
-/// A connection to a server.
+/// A connection to a server, for one exchange at a time.
 #[derive(Debug)]
 pub struct Connection<S> {
     stream: S,
     decoder: Decoder,
     host: String,
-    reusable: bool,
+    is_reusable: bool,
 }
 
 impl Connection<Async<TcpStream>> {
-    /// Connects, within `limit`.
+    /// Connects within `limit`.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError::Connect`] where that fails or takes longer.
     pub async fn open(
-        to: SocketAddr,
+        address: SocketAddr,
         limit: Duration,
         limits: Limits,
     ) -> Result<Connection<Async<TcpStream>>, ClientError> {
-        let stream = within(limit, Async::<TcpStream>::connect(to))
+        let stream = timeout(limit, Async::<TcpStream>::connect(address))
             .await
             .map_err(ClientError::Connect)?;
+        // Without it the connection works, only slower.
         let _ = stream.get_ref().set_nodelay(true);
-        Ok(Connection::over(stream, to.to_string(), limits))
+        Ok(Connection::new(stream, address.to_string(), limits))
     }
 
-    /// Whether the server has closed it, or sent what nobody asked for, since it was last used.
+    /// Whether the server has closed the connection, or sent bytes that answer no request, since it was last used.
     pub fn is_stale(&self) -> bool {
-        let mut one = [0; 1];
-        !matches!(self.stream.get_ref().peek(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        let mut byte = [0; 1];
+        let peeked = self.stream.get_ref().peek(&mut byte);
+        !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
-    /// Over a stream that is there already.
-    pub fn over(stream: S, host: String, limits: Limits) -> Connection<S> {
+    /// A connection over an open stream; `host` is what its requests name.
+    pub fn new(stream: S, host: String, limits: Limits) -> Connection<S> {
         Connection {
             stream,
-            decoder: Decoder::new(Side::Responses, limits),
+            decoder: Decoder::new(MessageKind::Response, limits),
             host,
-            reusable: true,
+            is_reusable: true,
         }
     }
 
-    /// Whether a further request may be sent over it.
+    /// Whether a further request may be sent over it: it was never used, or the last exchange left it open and clean.
     pub fn is_reusable(&self) -> bool {
-        self.reusable
+        self.is_reusable
     }
 
-    /// Sends a request and waits for the whole response, within `limit` for both.
+    /// Sends a request and waits for the complete response, within `limit` for both. A future that is dropped before
+    /// its end leaves the connection unusable.
+    ///
+    /// # Errors
+    ///
+    /// Any but [`ClientError::Connect`]; the connection is then not reusable.
     pub async fn exchange(
         &mut self,
         request: &Request,
         limit: Duration,
     ) -> Result<Response, ClientError> {
-        self.reusable = false;
-        let outcome = within(limit, async {
-            self.stream.write_all(&request.encode(&self.host)).await?;
-            if request.method == Method::Head {
-                self.decoder.expect_no_body();
-            }
-            self.response().await
-        });
-        match outcome.await {
-            Ok(Ok((response, keep))) => {
-                self.reusable = keep && !self.decoder.holds();
-                self.decoder.shrink();
-                Ok(response)
-            }
-            Ok(Err(e)) => Err(ClientError::Parse(e)),
-            Err(e) if e.kind() == io::ErrorKind::TimedOut => Err(ClientError::TimedOut),
-            Err(e) => Err(ClientError::Broken(e)),
-        }
+        self.is_reusable = false;
+        let incoming = timeout(limit, self.send_and_receive(request)).await?;
+        self.is_reusable = incoming.is_keep_alive && !self.decoder.has_buffered_bytes();
+        self.decoder.shrink();
+        Ok(incoming.response)
     }
 
-    async fn response(&mut self) -> io::Result<Result<(Response, bool), ParseError>> {
-        let mut response: Option<(Response, bool)> = None;
+    async fn send_and_receive(
+        &mut self,
+        request: &Request,
+    ) -> Result<IncomingResponse, ExchangeError> {
+        self.stream.write_all(&request.encode(&self.host)).await?;
+        if request.method == Method::Head {
+            self.decoder.expect_no_body();
+        }
+        let mut incoming = None;
         loop {
-            let event = match self.decoder.next() {
-                Ok(Some(event)) => event,
-                Err(e) => return Ok(Err(e)),
-                Ok(None) if read_into(&mut self.stream, &mut self.decoder).await? > 0 => continue,
-                Ok(None) => match self.decoder.finish() {
-                    Ok(Some(event)) => event,
-                    Ok(None) | Err(ParseError::Cut) => {
-                        return Err(io::ErrorKind::UnexpectedEof.into());
-                    }
-                    Err(e) => return Ok(Err(e)),
-                },
-            };
-            match event {
-                Event::Head(head) => {
-                    let keep = head.keeps_alive();
-                    if let StartLine::Response(status) = head.start {
-                        let (headers, body) = (head.headers, Vec::new());
-                        response = Some((
-                            Response {
-                                status,
-                                headers,
-                                body,
-                            },
-                            keep,
-                        ));
-                    }
-                }
+            match self.next_event().await? {
+                Event::Head(head) => incoming = IncomingResponse::new(head),
                 Event::Body(part) => {
-                    if let Some((r, _)) = &mut response {
-                        r.body.extend_from_slice(&part);
+                    if let Some(incoming) = &mut incoming {
+                        incoming.response.body.extend_from_slice(&part);
                     }
                 }
-                Event::End => match response.take() {
-                    Some(whole) if whole.0.status.0 >= 200 => return Ok(Ok(whole)),
-                    _ => {} // An interim response: the real one follows.
+                Event::End => match incoming.take() {
+                    Some(complete) if !complete.is_interim() => return Ok(complete),
+                    _ => {}
                 },
             }
         }
     }
+
+    async fn next_event(&mut self) -> Result<Event, ExchangeError> {
+        loop {
+            if let Some(event) = self.decoder.next_event()? {
+                return Ok(event);
+            }
+            if read_into(&mut self.stream, &mut self.decoder).await? > 0 {
+                continue;
+            }
+            return match self.decoder.finish() {
+                Ok(Some(event)) => Ok(event),
+                Ok(None) | Err(ParseError::UnexpectedEof) => {
+                    Err(io::Error::from(io::ErrorKind::UnexpectedEof).into())
+                }
+                Err(error) => Err(error.into()),
+            };
+        }
+    }
 }
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -1,62 +1,79 @@
-//! Owns the text of a head: start line, fields, and what they say of the content's length.
+//! Parser of a message's head: start line, header fields, and how they delimit the content.
 
-use super::{Limits, ParseError, Side};
-use crate::message::{Head, Headers, Method, StartLine, Status};
+use super::{Limits, MessageKind, ParseError};
+use crate::headers::Headers;
+use crate::message::{Head, Method, StartLine, Status, Version};
 
-/// A head without its last empty line.
-pub(super) fn parse(side: Side, bytes: &[u8], limits: &Limits) -> Result<Head, ParseError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| ParseError::Field("not UTF-8"))?;
+/// How the content of a message is delimited.
+pub(super) enum Framing {
+    /// By the chunked transfer coding.
+    Chunked,
+    /// By a number of bytes.
+    Length(u64),
+    /// The head does not say.
+    Unspecified,
+}
+
+/// Parses a head without its last, empty line.
+pub(super) fn parse(kind: MessageKind, bytes: &[u8], limits: &Limits) -> Result<Head, ParseError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| ParseError::HeaderField("not UTF-8"))?;
     let mut lines = text.split("\r\n");
-    let (start, old) = match side {
-        Side::Requests => request_line(lines.next().unwrap_or_default(), limits)?,
-        Side::Responses => status_line(lines.next().unwrap_or_default())?,
+    let start_line = lines.next().unwrap_or_default();
+    let (start, version) = match kind {
+        MessageKind::Request => parse_request_line(start_line, limits)?,
+        MessageKind::Response => parse_status_line(start_line)?,
     };
-    let mut headers = Headers::with_room(text.len());
-    for line in lines.filter(|l| !l.is_empty()) {
-        if headers.len() == limits.fields {
+    let mut headers = Headers::with_capacity(text.len());
+    for line in lines.filter(|line| !line.is_empty()) {
+        if headers.len() == limits.max_fields {
             return Err(ParseError::HeadTooLarge);
         }
-        let Some((name, value)) = line.split_once(':') else {
-            return Err(ParseError::Field("no colon"));
-        };
-        if name.is_empty() || !name.bytes().all(is_token) {
-            return Err(ParseError::Field(
-                "a name with other than token characters, or a folded line",
-            ));
-        }
-        let value = value.trim_matches([' ', '\t']);
-        if value.chars().any(|c| c.is_control() && c != '\t') {
-            return Err(ParseError::Field("a control character in a value"));
-        }
+        let (name, value) = parse_field(line)?;
         headers.push(name, value);
     }
-    if side == Side::Requests {
-        let hosts = headers.all("host").count();
-        if hosts > 1 || (hosts == 0 && !old) {
-            return Err(ParseError::Field("host must be given once"));
+    if kind == MessageKind::Request {
+        let hosts = headers.get_all("host").count();
+        if hosts > 1 || (hosts == 0 && version == Version::Http11) {
+            return Err(ParseError::HeaderField("host must be given once"));
         }
     }
     Ok(Head {
         start,
         headers,
-        old,
+        version,
     })
 }
 
-fn request_line(line: &str, limits: &Limits) -> Result<(StartLine, bool), ParseError> {
+fn parse_field(line: &str) -> Result<(&str, &str), ParseError> {
+    let Some((name, value)) = line.split_once(':') else {
+        return Err(ParseError::HeaderField("no colon"));
+    };
+    if !is_token(name) {
+        return Err(ParseError::HeaderField(
+            "a name with other than token characters, or a folded line",
+        ));
+    }
+    let value = value.trim_matches([' ', '\t']);
+    if value.chars().any(|c| c.is_control() && c != '\t') {
+        return Err(ParseError::HeaderField("a control character in a value"));
+    }
+    Ok((name, value))
+}
+
+fn parse_request_line(line: &str, limits: &Limits) -> Result<(StartLine, Version), ParseError> {
     let mut parts = line.split(' ');
     let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(ParseError::StartLine("not method, target and version"));
     };
-    if method.is_empty() || !method.bytes().all(is_token) {
+    if !is_token(method) {
         return Err(ParseError::StartLine(
             "a method with other than token characters",
         ));
     }
-    let old = version_of(version)?;
-    if target.len() > limits.target {
+    let version = parse_version(version)?;
+    if target.len() > limits.max_target_bytes {
         return Err(ParseError::TargetTooLong);
     }
     if !target.starts_with('/')
@@ -65,59 +82,71 @@
     {
         return Err(ParseError::StartLine("the target is no path"));
     }
-    Ok((
-        StartLine::Request {
-            method: Method::of(method),
-            target: target.to_owned(),
-        },
-        old,
-    ))
+    let start = StartLine::Request {
+        method: Method::from_token(method),
+        target: target.to_owned(),
+    };
+    Ok((start, version))
 }
 
-fn status_line(line: &str) -> Result<(StartLine, bool), ParseError> {
+fn parse_status_line(line: &str) -> Result<(StartLine, Version), ParseError> {
     let mut parts = line.splitn(3, ' ');
-    let old = version_of(parts.next().unwrap_or_default())?;
+    let version = parse_version(parts.next().unwrap_or_default())?;
     let code = parts.next().unwrap_or_default();
-    let digits = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
+    let is_three_digits = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
     match code.parse() {
-        Ok(code) if digits && code >= 100 => Ok((StartLine::Response(Status(code)), old)),
+        Ok(code) if is_three_digits && code >= 100 => {
+            Ok((StartLine::Response(Status(code)), version))
+        }
         _ => Err(ParseError::StartLine("no status code")),
     }
 }
 
-fn version_of(version: &str) -> Result<bool, ParseError> {
+fn parse_version(version: &str) -> Result<Version, ParseError> {
     match version {
-        "HTTP/1.1" => Ok(false),
-        "HTTP/1.0" => Ok(true),
+        "HTTP/1.1" => Ok(Version::Http11),
+        "HTTP/1.0" => Ok(Version::Http10),
         _ => Err(ParseError::Version),
     }
 }
 
-/// The content's length where given, and whether it is chunked.
-pub(super) fn framing(head: &Head) -> Result<(Option<u64>, bool), ParseError> {
-    let mut codings = head.headers.all("transfer-encoding");
-    let chunked = match (codings.next(), codings.next()) {
+/// How the content behind a head is delimited, as far as the head says.
+pub(super) fn framing(head: &Head) -> Result<Framing, ParseError> {
+    let mut codings = head.headers.get_all("transfer-encoding");
+    let is_chunked = match (codings.next(), codings.next()) {
         (None, _) => false,
-        (Some(one), None) if one.eq_ignore_ascii_case("chunked") && !head.old => true,
-        _ => return Err(ParseError::Coding),
-    };
-    let mut lengths = head.headers.all("content-length");
-    let length = match (lengths.next(), lengths.next()) {
-        (None, _) => None,
-        (Some(_), Some(_)) => return Err(ParseError::Length("given more than once")),
-        (Some(_), None) if chunked => return Err(ParseError::Length("given beside chunked")),
-        (Some(one), None) if one.is_empty() || !one.bytes().all(|b| b.is_ascii_digit()) => {
-            return Err(ParseError::Length("no number"));
+        (Some(coding), None) => {
+            let is_known = coding.eq_ignore_ascii_case("chunked");
+            if !is_known || head.version == Version::Http10 {
+                return Err(ParseError::TransferCoding);
+            }
+            true
         }
-        (Some(one), None) => Some(
-            one.parse()
-                .map_err(|_| ParseError::Length("past any number"))?,
-        ),
+        (Some(_), Some(_)) => return Err(ParseError::TransferCoding),
     };
-    Ok((length, chunked))
+    let mut lengths = head.headers.get_all("content-length");
+    match (lengths.next(), lengths.next()) {
+        (None, _) if is_chunked => Ok(Framing::Chunked),
+        (None, _) => Ok(Framing::Unspecified),
+        (Some(_), Some(_)) => Err(ParseError::ContentLength("given more than once")),
+        (Some(_), None) if is_chunked => Err(ParseError::ContentLength("given beside chunked")),
+        (Some(length), None) => parse_length(length).map(Framing::Length),
+    }
+}
+
+fn parse_length(length: &str) -> Result<u64, ParseError> {
+    if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
+        return Err(ParseError::ContentLength("no number"));
+    }
+    length
+        .parse()
+        .map_err(|_| ParseError::ContentLength("past any number"))
 }
 
-/// Characters of a token (RFC 9110, section 5.6.2).
-fn is_token(b: u8) -> bool {
-    b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
+/// Whether it is a token (RFC 9110, section 5.6.2).
+fn is_token(text: &str) -> bool {
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
--- /dev/null
+++ b/crates/http/src/headers.rs
@@ -0,0 +1,91 @@
+//! Header fields of a message.
+
+/// Where a field stands in the text of its [`Headers`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FieldSpan {
+    name_start: u32,
+    value_start: u32,
+    end: u32,
+}
+
+/// Header fields in the order received. Names compare without regard to case.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Headers {
+    /// Names and values one behind the other: one allocation for all fields.
+    text: String,
+    spans: Vec<FieldSpan>,
+}
+
+impl Headers {
+    /// No fields yet, with capacity for text of that many bytes.
+    pub(crate) fn with_capacity(bytes: usize) -> Headers {
+        Headers {
+            text: String::with_capacity(bytes),
+            spans: Vec::with_capacity(8),
+        }
+    }
+
+    /// Adds a field. Control characters in the value are replaced by spaces, so that no text from elsewhere can add
+    /// fields of its own.
+    pub fn push(&mut self, name: &str, value: &str) {
+        let name_start = self.text.len() as u32;
+        self.text.push_str(name);
+        let value_start = self.text.len() as u32;
+        if value.contains(char::is_control) {
+            let without_controls = value.chars().map(|c| if c.is_control() { ' ' } else { c });
+            self.text.extend(without_controls);
+        } else {
+            self.text.push_str(value);
+        }
+        self.spans.push(FieldSpan {
+            name_start,
+            value_start,
+            end: self.text.len() as u32,
+        });
+    }
+
+    /// All fields, as name and value.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
+        let slice = |start: u32, end: u32| &self.text[start as usize..end as usize];
+        self.spans.iter().map(move |span| {
+            let name = slice(span.name_start, span.value_start);
+            (name, slice(span.value_start, span.end))
+        })
+    }
+
+    /// The value of the first field of that name.
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.iter()
+            .find(|(other, _)| other.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
+    }
+
+    /// The values of all fields of that name.
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+        self.iter()
+            .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
+    }
+
+    /// Number of fields.
+    pub fn len(&self) -> usize {
+        self.spans.len()
+    }
+
+    /// Whether there are no fields.
+    pub fn is_empty(&self) -> bool {
+        self.spans.is_empty()
+    }
+
+    /// Whether a field of that name contains the token in its comma-separated list.
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
+        self.get_all(name)
+            .flat_map(|value| value.split(','))
+            .any(|listed| listed.trim().eq_ignore_ascii_case(token))
+    }
+
+    /// Bytes of all names and values.
+    pub(crate) fn text_bytes(&self) -> usize {
+        self.text.len()
+    }
+}
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -1,4 +1,4 @@
-//! Owns reading and writing with time limits, without a buffer in every waiting future.
+//! Reading and writing with timeouts, without a buffer in every waiting future.
 
 use std::cell::RefCell;
 use std::io;
@@ -8,63 +8,69 @@
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt, future};
 
+use crate::coarse_timer::CoarseTimer;
 use crate::codec::Decoder;
-use crate::ticks::Ticks;
+
+/// Bytes of one read at most.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 thread_local! {
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 << 10]);
+    /// Shared by all reads of a thread: it is used only within a poll.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BUFFER_BYTES]);
 }
 
 /// Reads once into the decoder: the number of bytes, 0 at the end of the stream.
 pub(crate) async fn read_into<S: AsyncRead + Unpin>(
-    s: &mut S,
+    stream: &mut S,
     decoder: &mut Decoder,
 ) -> io::Result<usize> {
     future::poll_fn(|cx| {
-        SCRATCH.with_borrow_mut(|scratch| {
-            Pin::new(&mut *s).poll_read(cx, scratch).map_ok(|n| {
-                decoder.feed(&scratch[..n]);
-                n
-            })
+        READ_BUFFER.with_borrow_mut(|buffer| {
+            Pin::new(&mut *stream)
+                .poll_read(cx, buffer)
+                .map_ok(|count| {
+                    decoder.feed(&buffer[..count]);
+                    count
+                })
         })
     })
     .await
 }
 
-/// Reads once, and keeps nothing: the number of bytes, 0 at the end of the stream.
-pub(crate) async fn discard<S: AsyncRead + Unpin>(s: &mut S) -> io::Result<usize> {
+/// Reads once and discards the bytes: their number, 0 at the end of the stream.
+pub(crate) async fn discard<S: AsyncRead + Unpin>(stream: &mut S) -> io::Result<usize> {
     future::poll_fn(|cx| {
-        SCRATCH.with_borrow_mut(|scratch| Pin::new(&mut *s).poll_read(cx, scratch))
+        READ_BUFFER.with_borrow_mut(|buffer| Pin::new(&mut *stream).poll_read(cx, buffer))
     })
     .await
 }
 
-/// The outcome of a future, or a time-out error.
-pub(crate) async fn within<T>(
+/// Waits for a future for `limit` at most, by a timer of its own; then an I/O error of kind `TimedOut`.
+pub(crate) async fn timeout<T, E: From<io::Error>>(
     limit: Duration,
-    work: impl Future<Output = io::Result<T>>,
-) -> io::Result<T> {
+    work: impl Future<Output = Result<T, E>>,
+) -> Result<T, E> {
     future::or(work, async {
         Timer::after(limit).await;
-        Err(io::Error::from(io::ErrorKind::TimedOut))
+        Err(io::Error::from(io::ErrorKind::TimedOut).into())
     })
     .await
 }
 
-/// Writes all; the limit is for each write that makes no progress, so that a slow reader is borne and one that
-/// stands still is not.
+/// Writes all bytes. The limit is for each write that makes no progress, so that a slow reader is served and one that
+/// has stopped reading is not.
 pub(crate) async fn write_all<S: AsyncWrite + Unpin>(
-    s: &mut S,
+    stream: &mut S,
     mut bytes: &[u8],
     limit: Duration,
-    ticks: &Ticks,
+    timer: &CoarseTimer,
 ) -> io::Result<()> {
     while !bytes.is_empty() {
-        let n = ticks.within(limit, s.write(bytes)).await?;
-        if n == 0 {
+        let count = timer.timeout(limit, stream.write(bytes)).await?;
+        if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        bytes = &bytes[n..];
+        bytes = &bytes[count..];
     }
-    s.flush().await
+    stream.flush().await
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,20 +1,21 @@
-//! HTTP/1.1 for the router and its stand-ins: a codec without I/O ([`codec`]), and [`server`] and [`client`]
-//! connections over any futures-lite stream.
+//! HTTP/1.1 for the routers and the mock servers: a codec without I/O ([`codec`]), and [`server`] and [`client`]
+//! connections over it.
 //!
-//! The codec follows RFC 9112 and is strict where leniency lets two parsers disagree: bare line feeds, folded
-//! lines, repeated or conflicting lengths and unknown transfer codings are errors. Nothing here repeats a
-//! request by itself: what may have reached the peer is told apart from what can't have.
+//! The codec follows RFC 9112 and is strict where leniency lets two parsers disagree: bare line feeds, folded lines,
+//! repeated or conflicting lengths and unknown transfer codings are errors. Nothing here retries a request: an error
+//! says whether the request may have reached the peer.
 
 pub mod client;
+mod coarse_timer;
 pub mod codec;
-pub mod gate;
+mod headers;
 mod io;
 pub mod message;
 pub mod server;
-mod spawn;
-mod ticks;
+mod spawner;
 
-pub use codec::{Decoder, Event, Limits, ParseError, Side};
-pub use message::{Head, Headers, Method, Request, Response, StartLine, Status};
-pub use spawn::Spawner;
-pub use ticks::{TICK, Ticks};
+pub use coarse_timer::{CoarseTimer, RESOLUTION};
+pub use codec::{Decoder, Event, Limits, MessageKind, ParseError};
+pub use headers::Headers;
+pub use message::{Head, Method, Request, Response, StartLine, Status, Version};
+pub use spawner::Spawner;
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,198 +1,208 @@
-//! Crossings at a server: its end while connections wait in the kernel, and peers that send without end.
+//! The server over real sockets: shutdown with connections in the accept queue, disconnects, and clients that never
+//! stop sending.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, future};
-use hoptiller_http::gate::Gate;
-use hoptiller_http::server::{Config, Handler, Reply, bind, serve_until};
+use hoptiller_http::server::{
+    Config, ConnectionCounts, Handler, Reply, ServerConnections, bind, serve_until,
+};
 use hoptiller_http::{Response, Spawner};
 
 const GET: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// A server whose answers wait for `release`; it stops at `stop`.
-struct Scene {
-    addr: std::net::SocketAddr,
-    gate: Rc<Gate>,
-    asked: Rc<Cell<usize>>,
+/// Limit of the time of one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// A server whose responses wait for `release`; it stops at `stop`.
+struct TestServer {
+    address: SocketAddr,
+    connections: Rc<ServerConnections>,
+    requests: Rc<Cell<usize>>,
     release: Rc<Event>,
     stop: Rc<Event>,
-    ended: Rc<Cell<bool>>,
+    has_stopped: Rc<Cell<bool>>,
+}
+
+impl TestServer {
+    fn open_connections(&self) -> usize {
+        self.connections.counts().open
+    }
 }
 
-fn play<F: Future<Output = ()>>(connections: usize, scene: impl FnOnce(Scene) -> F) {
-    let ex = Rc::new(LocalExecutor::new());
+/// Runs a test against a server with a bounded number of connections.
+fn run_test<F: Future<Output = ()>>(max_connections: usize, test: impl FnOnce(TestServer) -> F) {
+    let executor = Rc::new(LocalExecutor::new());
     let listener = bind(([127, 0, 0, 1], 0).into()).expect("bound");
-    let addr = listener.get_ref().local_addr().expect("bound");
-    let (gate, asked) = (Rc::new(Gate::new(connections)), Rc::new(Cell::new(0)));
-    let (release, stop, ended) = (
-        Rc::new(Event::new()),
-        Rc::new(Event::new()),
-        Rc::new(Cell::new(false)),
-    );
-    let (count, wait) = (asked.clone(), release.clone());
+    let server = TestServer {
+        address: listener.get_ref().local_addr().expect("bound"),
+        connections: Rc::new(ServerConnections::new(max_connections)),
+        requests: Rc::default(),
+        release: Rc::new(Event::new()),
+        stop: Rc::new(Event::new()),
+        has_stopped: Rc::default(),
+    };
+    let (requests, release) = (server.requests.clone(), server.release.clone());
     let handler: Handler = Rc::new(move |_| {
-        count.set(count.get() + 1);
-        let released = wait.listen();
+        requests.set(requests.get() + 1);
+        let released = release.listen();
         Box::pin(async move {
             released.await;
             Reply::Send(Response::text(200, "ok"))
         })
     });
     let config = Config {
-        connections,
-        watch: true,
-        linger: Duration::from_secs(60),
+        max_connections,
+        cancels_on_disconnect: true,
+        linger_timeout: Duration::from_secs(60),
         ..Config::default()
     };
-    let (spawner, at, told, done) = (Spawner::of(&ex), gate.clone(), stop.listen(), ended.clone());
-    Spawner::of(&ex).spawn(async move {
-        serve_until(listener, config, handler, spawner, &at, told).await;
-        done.set(true);
-    });
-    let scene = scene(Scene {
-        addr,
-        gate,
-        asked,
-        release,
-        stop,
-        ended,
+    let spawner = Spawner::new(&executor);
+    let (connections, stop) = (server.connections.clone(), server.stop.listen());
+    let has_stopped = server.has_stopped.clone();
+    Spawner::new(&executor).spawn(async move {
+        serve_until(listener, config, handler, spawner, &connections, stop).await;
+        has_stopped.set(true);
     });
-    async_io::block_on(ex.run(future::or(scene, async {
-        Timer::after(Duration::from_secs(20)).await;
-        panic!("the scene hangs");
+    let test = test(server);
+    async_io::block_on(executor.run(future::or(test, async {
+        Timer::after(TEST_TIMEOUT).await;
+        panic!("the test hangs");
     })));
 }
 
-async fn until(seen: impl Fn() -> bool) {
-    while !seen() {
-        Timer::after(Duration::from_millis(2)).await;
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Connects and sends a request in one step, in which the server's task does not run.
-fn asks(addr: std::net::SocketAddr) -> TcpStream {
-    let mut stream = TcpStream::connect(addr).expect("the kernel accepts");
+fn send_request(address: SocketAddr) -> TcpStream {
+    let mut stream = TcpStream::connect(address).expect("the kernel accepts");
     stream.write_all(GET).expect("written");
     stream
 }
 
-async fn answer(stream: TcpStream) -> std::io::Result<String> {
+async fn read_response(stream: TcpStream) -> std::io::Result<String> {
     let mut stream = Async::new(stream)?;
     let (mut bytes, mut part) = (Vec::new(), [0; 512]);
     while !bytes.ends_with(b"ok\n") {
         match stream.read(&mut part).await? {
             0 => break,
-            n => bytes.extend_from_slice(&part[..n]),
+            count => bytes.extend_from_slice(&part[..count]),
         }
     }
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
 #[test]
-fn what_waits_in_the_kernel_when_the_server_stops_is_served_before_its_listener_goes() {
-    play(1, async |s| {
-        let first = asks(s.addr);
-        until(|| s.asked.get() == 1).await;
-        // All places are taken: these wait in the kernel, with their requests.
-        let waiting = [asks(s.addr), asks(s.addr)];
-        s.gate.announce_end();
-        s.stop.notify(1);
-        let releases = async {
+fn connections_in_the_accept_queue_are_served_when_the_server_stops() {
+    run_test(1, async |server| {
+        let first = send_request(server.address);
+        wait_until(|| server.requests.get() == 1).await;
+        // The bound is reached: these wait in the accept queue, with their requests.
+        let waiting = [send_request(server.address), send_request(server.address)];
+        server.connections.announce_end();
+        server.stop.notify(1);
+        let release = async {
             loop {
-                s.release.notify(usize::MAX);
+                server.release.notify(usize::MAX);
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        let answers = async {
+        let responses = async {
             for stream in [first].into_iter().chain(waiting) {
-                let text = answer(stream).await.expect("an answer, and no reset");
+                let text = read_response(stream)
+                    .await
+                    .expect("a response, and no reset");
                 assert!(
                     text.starts_with("HTTP/1.1 200") && text.contains("Connection: close"),
                     "{text}"
                 );
             }
-            until(|| s.ended.get() && s.gate.counts().0 == 0).await;
+            wait_until(|| server.has_stopped.get() && server.open_connections() == 0).await;
         };
-        future::or(answers, releases).await;
+        future::or(responses, release).await;
     });
 }
 
 #[test]
-fn a_peer_that_sends_without_end_behind_its_request_holds_up_nobody() {
-    play(8, async |s| {
-        let (addr, floods) = (
-            s.addr,
-            std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true)),
-        );
-        let goes_on = floods.clone();
-        let flood = std::thread::spawn(move || {
-            let mut stream = asks(addr);
+fn a_client_that_never_stops_sending_does_not_block_other_clients() {
+    run_test(8, async |server| {
+        let address = server.address;
+        let is_sending = Arc::new(AtomicBool::new(true));
+        let may_send = is_sending.clone();
+        let sender = std::thread::spawn(move || {
+            let mut stream = send_request(address);
             let part = vec![b'x'; 256 << 10];
-            // Bounded: 16 GiB at most, and the scene ends long before.
+            // Bounded: 16 GiB at most, and the test ends long before.
             for _ in 0..65_536 {
-                if !goes_on.load(std::sync::atomic::Ordering::Relaxed)
-                    || stream.write_all(&part).is_err()
-                {
+                if !may_send.load(Ordering::Relaxed) || stream.write_all(&part).is_err() {
                     break;
                 }
             }
         });
-        until(|| s.asked.get() == 1).await;
+        wait_until(|| server.requests.get() == 1).await;
         for n in 2..22 {
-            let other = asks(s.addr);
-            until(|| s.asked.get() == n).await;
+            let other = send_request(server.address);
+            wait_until(|| server.requests.get() == n).await;
             drop(other);
         }
-        // It still is at work, and is seen to go.
-        assert!(s.gate.counts().1 >= 1);
-        floods.store(false, std::sync::atomic::Ordering::Relaxed);
-        until(|| s.gate.counts().0 == 0).await;
-        flood.join().expect("ended");
+        // Its request is still open, and its close is noticed.
+        assert!(server.connections.counts().active >= 1);
+        is_sending.store(false, Ordering::Relaxed);
+        wait_until(|| server.open_connections() == 0).await;
+        sender.join().expect("ended");
     });
 }
 
 #[test]
-fn a_request_is_answered_though_its_client_closes_its_sending_side_only_after_the_answer() {
-    play(2, async |s| {
-        let mut stream = asks(s.addr);
-        until(|| s.asked.get() == 1).await;
-        s.release.notify(usize::MAX);
-        let text = answer(stream.try_clone().expect("a copy"))
+fn closing_the_sending_side_after_the_response_ends_the_connection() {
+    run_test(2, async |server| {
+        let mut stream = send_request(server.address);
+        wait_until(|| server.requests.get() == 1).await;
+        server.release.notify(usize::MAX);
+        let text = read_response(stream.try_clone().expect("a copy"))
             .await
-            .expect("an answer");
+            .expect("a response");
         assert!(
             text.starts_with("HTTP/1.1 200") && !text.contains("Connection: close"),
             "{text}"
         );
         stream.set_nonblocking(false).expect("blocking");
         stream.shutdown(std::net::Shutdown::Write).expect("shut");
-        until(|| s.gate.counts().0 == 0).await;
+        wait_until(|| server.open_connections() == 0).await;
         assert_eq!(stream.read(&mut [0; 8]).expect("an end"), 0);
     });
 }
 
 #[test]
-fn a_client_that_closes_its_sending_side_while_it_waits_has_left() {
-    play(2, async |s| {
-        let stream = asks(s.addr);
-        until(|| s.asked.get() == 1).await;
+fn closing_the_sending_side_before_the_response_cancels_the_request() {
+    run_test(2, async |server| {
+        let stream = send_request(server.address);
+        wait_until(|| server.requests.get() == 1).await;
         stream.shutdown(std::net::Shutdown::Write).expect("shut");
-        // Nothing was released: its handler was dropped.
-        until(|| s.gate.counts().0 == 0).await;
+        // No response was released: the handler was dropped.
+        wait_until(|| server.open_connections() == 0).await;
     });
 }
 
 #[test]
-fn a_client_that_waits_for_the_end_behind_an_error_answer_sees_it_while_it_is_still_read_from() {
-    play(2, async |s| {
-        let mut stream = TcpStream::connect(s.addr).expect("connected");
+fn the_end_of_an_error_response_is_visible_while_the_server_lingers() {
+    run_test(2, async |server| {
+        let mut stream = TcpStream::connect(server.address).expect("connected");
         stream.write_all(b"no request\r\n\r\n").expect("written");
         let mut read = Async::new(stream.try_clone().expect("a copy")).expect("usable");
         let mut all = Vec::new();
@@ -204,8 +214,12 @@
             "{}",
             String::from_utf8_lossy(&all)
         );
-        assert_eq!(s.gate.counts(), (1, 1), "it is still read from");
+        assert_eq!(
+            server.connections.counts(),
+            ConnectionCounts { open: 1, active: 1 },
+            "it is still read from"
+        );
         drop((stream, read));
-        until(|| s.gate.counts().0 == 0).await;
+        wait_until(|| server.open_connections() == 0).await;
     });
 }
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -81,8 +81,8 @@
 /// Limits of what a client reads.
 fn limits() -> Limits {
     Limits {
-        body: 64 << 20,
-        head: 64 << 10,
+        max_body_bytes: 64 << 20,
+        max_head_bytes: 64 << 10,
         ..Limits::default()
     }
 }
@@ -144,10 +144,10 @@
             tags.push_str(&format!(",{}", ask.tags));
         }
         let mut post = Request::new(Method::Post, STATEMENT_PATH)
-            .with(names::USER, "scripted")
-            .with(names::CLIENT_TAGS, &tags)
-            .with(names::TRACE_TOKEN, &ask.trace)
-            .with(
+            .with_header(names::USER, "scripted")
+            .with_header(names::CLIENT_TAGS, &tags)
+            .with_header(names::TRACE_TOKEN, &ask.trace)
+            .with_header(
                 names::SESSION,
                 &format!(
                     "{}={}ms",
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -97,7 +97,7 @@
     });
     let own = spawner.clone();
     spawner.spawn(async move {
-        let _ = hoptiller_http::server::serve(listener, Config::default(), handler, own).await;
+        hoptiller_http::server::serve(listener, Config::default(), handler, own).await;
     });
     Ok(addr)
 }
--- a/crates/mock-servers/src/engine.rs
+++ b/crates/mock-servers/src/engine.rs
@@ -172,14 +172,14 @@
     });
     let config = Config {
         limits: Limits {
-            body: 8 << 20,
+            max_body_bytes: 8 << 20,
             ..Limits::default()
         },
         ..Config::default()
     };
     let own = spawner.clone();
     spawner.spawn(async move {
-        let _ = hoptiller_http::server::serve(listener, config, handler, own).await;
+        hoptiller_http::server::serve(listener, config, handler, own).await;
     });
     Ok(addr)
 }
@@ -309,8 +309,8 @@
     );
     request.body = serde_json::to_vec(&announcement).unwrap_or_default();
     let request = request
-        .with("Content-Type", "application/json")
-        .with("Connection", "close");
+        .with_header("Content-Type", "application/json")
+        .with_header("Connection", "close");
     loop {
         if engine.0.borrow().model.has_fallen() {
             return;
@@ -413,7 +413,7 @@
             };
             let body = serde_json::to_vec(&status).unwrap_or_default();
             Response::json(200, body)
-                .with(extra::LOAD, &inner.load())
+                .with_header(extra::LOAD, &inner.load())
                 .into()
         }
         ("/v1/standin/faults", Method::Put) => {
@@ -467,7 +467,7 @@
                 enforced: heeds,
             });
             return Response::text(503, "that version of the rules is over")
-                .with(extra::LOAD, &inner.load())
+                .with_header(extra::LOAD, &inner.load())
                 .into();
         }
         inner.newest = inner.newest.max(in_force);
@@ -518,7 +518,7 @@
         Admission::Full => {
             inner.config.recorder.write(over);
             return Response::text(503, "full")
-                .with(extra::LOAD, &inner.load())
+                .with_header(extra::LOAD, &inner.load())
                 .into();
         }
         Admission::Fell => {
@@ -546,20 +546,20 @@
     inner.sessions.insert(id, session);
     engine.1.notify(1);
     if faults.hang {
-        return Reply::Never;
+        return Reply::Hang;
     }
     if faults.lose {
         return Reply::Close;
     }
     if faults.garbage {
         let junk = Response::text(200, "x");
-        return Reply::Cut(
-            Response {
+        return Reply::Truncate {
+            response: Response {
                 body: b"\x00\x01not json".to_vec(),
                 ..junk
             },
-            usize::MAX,
-        );
+            max_bytes: usize::MAX,
+        };
     }
     let load = inner.load();
     results(
@@ -570,7 +570,7 @@
         None,
         None,
     )
-    .with(extra::LOAD, &load)
+    .with_header(extra::LOAD, &load)
     .into()
 }
 
@@ -605,7 +605,7 @@
         }
     };
     if mute {
-        return Reply::Never;
+        return Reply::Hang;
     }
     if !done {
         let news = bell.listen();
@@ -648,7 +648,7 @@
         let course = inner.model.course(id).filter(|_| inner.config.notes);
         let stats = course.map_or_else(|| Stats::from_state(State::Running), |c| stats_of(s, &c));
         let mut answer = results((inner.process, id), addr, Some(page), stats, None, None)
-            .with(extra::LOAD, &load);
+            .with_header(extra::LOAD, &load);
         if let Some(course) = course {
             let note = match course.stands {
                 Some(Stands::Memory) => ("lacks", s.shape.job.memory),
@@ -716,13 +716,16 @@
         Some(rows),
         None,
     )
-    .with(extra::LOAD, &load)
-    .with(extra::COST, &cost);
+    .with_header(extra::LOAD, &load)
+    .with_header(extra::COST, &cost);
     if s.faults.lose_page.is_some_and(|from| page >= from) {
         return Reply::Close;
     }
     match s.faults.cut_page {
-        Some(most) => Reply::Cut(answer, most),
+        Some(max_bytes) => Reply::Truncate {
+            response: answer,
+            max_bytes,
+        },
         None => answer.into(),
     }
 }
@@ -784,8 +787,8 @@
             let body = serde_json::json!({ "queryId": query, "state": state });
             let answer = Response::json(200, body.to_string());
             match (s.faults.no_proof, s.killed.is_some(), s.done) {
-                (false, true, _) => answer.with(extra::EFFECTS, "rolled-back").into(),
-                (false, false, true) => answer.with(extra::EFFECTS, "committed").into(),
+                (false, true, _) => answer.with_header(extra::EFFECTS, "rolled-back").into(),
+                (false, false, true) => answer.with_header(extra::EFFECTS, "committed").into(),
                 _ => answer.into(),
             }
         }
--- a/crates/mock-servers/src/thread.rs
+++ b/crates/mock-servers/src/thread.rs
@@ -30,7 +30,7 @@
             .name(name.to_owned())
             .spawn(move || {
                 let ex = Rc::new(LocalExecutor::new());
-                let started = start(Spawner::of(&ex));
+                let started = start(Spawner::new(&ex));
                 let good = started.is_ok();
                 let _ = tell.send(started);
                 if good {
--- a/crates/platform-protocol/src/request.rs
+++ b/crates/platform-protocol/src/request.rs
@@ -209,7 +209,7 @@
     request: &'a Request,
     name: &'static str,
 ) -> Result<Option<&'a str>, RequestError> {
-    let mut values = request.headers.all(name);
+    let mut values = request.headers.get_all(name);
     match (values.next(), values.next()) {
         (value, None) => Ok(value),
         (_, Some(_)) => Err(RequestError::Header(name)),
@@ -250,7 +250,7 @@
 pub fn rejected_response(retry_after: Option<Micros>) -> Response {
     let response = Response::json(429, "{\"reason\":\"Throttled\"}");
     match retry_after {
-        Some(time) => response.with(RETRY_AFTER_HEADER, &time.div_ceil(1000).to_string()),
+        Some(time) => response.with_header(RETRY_AFTER_HEADER, &time.div_ceil(1000).to_string()),
         None => response,
     }
 }
--- a/crates/platform-protocol/src/request/tests.rs
+++ b/crates/platform-protocol/src/request/tests.rs
@@ -22,19 +22,20 @@
 
 fn valid_request() -> Request {
     let mut request = Request::new(Method::Post, "/call/report")
-        .with("Trace-Id", "9b1f03aa5c7e2d41")
-        .with("Max-Wait-Ms", "1500")
-        .with("Project", "acme")
-        .with("Expected-Ms", "820.5")
-        .with("X-Heap-Mb", "96");
+        .with_header("Trace-Id", "9b1f03aa5c7e2d41")
+        .with_header("Max-Wait-Ms", "1500")
+        .with_header("Project", "acme")
+        .with_header("Expected-Ms", "820.5")
+        .with_header("X-Heap-Mb", "96");
     request.body = b"SELECT a FROM sales_17.orders".to_vec();
     request
 }
 
 #[test]
 fn valid_request_is_read() {
-    let request = StatementRequest::from_http(valid_request().with("Is-Retry", "1"), &catalog())
-        .expect("good");
+    let request =
+        StatementRequest::from_http(valid_request().with_header("Is-Retry", "1"), &catalog())
+            .expect("good");
     assert_eq!(
         (
             request.class,
@@ -73,7 +74,7 @@
             StatementRequest::from_http(without(name), &catalog()),
             Err(RequestError::Header(name))
         );
-        let twice = valid_request().with(name, "1");
+        let twice = valid_request().with_header(name, "1");
         assert_eq!(
             StatementRequest::from_http(twice, &catalog()),
             Err(RequestError::Header(name))
@@ -93,7 +94,7 @@
         ("X-Heap-Mb", "99999999999999999999"),
         ("Is-Retry", "yes"),
     ] {
-        let r = without(name).with(name, value);
+        let r = without(name).with_header(name, value);
         assert_eq!(
             StatementRequest::from_http(r, &catalog()),
             Err(RequestError::Header(name)),
@@ -133,7 +134,7 @@
             target: format!("/call/{class}"),
             ..valid_request()
         };
-        let r = key.iter().fold(r, |r, k| r.with("Replay-Key", k));
+        let r = key.iter().fold(r, |r, k| r.with_header("Replay-Key", k));
         StatementRequest::from_http(r, &catalog()).map(|request| request.idempotency_key)
     };
     let long = "k".repeat(65);
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -7,8 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Async;
-use hoptiller_http::gate::Gate;
-use hoptiller_http::server::{self, Config, Handler, Reply};
+use hoptiller_http::server::{self, Config, Handler, Reply, ServerConnections};
 use hoptiller_http::{Limits, Method, Request, Response, Spawner};
 use hoptiller_platform_protocol::request::{
     HEALTH_PATH, RequestError, STATEMENT_PATH, failed_response, invalid_request_response,
@@ -69,7 +68,7 @@
 pub(crate) async fn serve(
     front_end: Rc<FrontEnd>,
     listener: Async<TcpListener>,
-    gate: Rc<Gate>,
+    connections: Rc<ServerConnections>,
     stop: impl Future<Output = ()>,
 ) {
     let config = server_config(&front_end.budget);
@@ -79,25 +78,25 @@
         Box::pin(async move { Reply::Send(respond(&front_end, request).await) })
     });
     let spawner = front_end.spawner.clone();
-    server::serve_until(listener, config, handler, spawner, &gate, stop).await;
+    server::serve_until(listener, config, handler, spawner, &connections, stop).await;
 }
 
 fn server_config(budget: &Budget) -> Config {
     Config {
         limits: Limits {
-            head: MAX_HEAD_BYTES,
-            fields: MAX_HEADERS,
-            target: MAX_TARGET_BYTES,
-            body: MAX_BODY_BYTES,
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_fields: MAX_HEADERS,
+            max_target_bytes: MAX_TARGET_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
         },
-        connections: budget.client_connections,
-        incoming: budget.incoming_bytes,
-        request_within: REQUEST_TIMEOUT,
-        first_byte: REQUEST_TIMEOUT,
-        idle: IDLE_TIMEOUT,
-        stalled: STALL_TIMEOUT,
-        linger: LINGER_TIMEOUT,
-        watch: true,
+        max_connections: budget.client_connections,
+        max_incoming_bytes: budget.incoming_bytes,
+        request_timeout: REQUEST_TIMEOUT,
+        first_byte_timeout: REQUEST_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
+        write_timeout: STALL_TIMEOUT,
+        linger_timeout: LINGER_TIMEOUT,
+        cancels_on_disconnect: true,
     }
 }
 
--- a/crates/platform-router/src/router.rs
+++ b/crates/platform-router/src/router.rs
@@ -9,7 +9,7 @@
 
 use event_listener::Event;
 use hoptiller_http::Spawner;
-use hoptiller_http::gate::Gate;
+use hoptiller_http::server::ServerConnections;
 use hoptiller_platform_protocol::{Catalog, Endpoint, EndpointListUpdate, Phase};
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
 use hoptiller_router_core::event_loop::EventLoop;
@@ -34,7 +34,7 @@
     pub(crate) pool: ConnectionPool,
     pub(crate) watch_client: WatchClient,
     pub(crate) spawner: Spawner,
-    pub(crate) gate: Rc<Gate>,
+    pub(crate) client_connections: Rc<ServerConnections>,
     /// Attempts from the decision to the outcome, by request and attempt number.
     pub(crate) in_flight: RefCell<BTreeMap<(StatementId, u32), Rc<CancelToken>>>,
     /// How often a reload was requested; only the last request is carried out.
@@ -85,7 +85,7 @@
 
     /// Connections of clients.
     pub fn client_connections(&self) -> usize {
-        self.gate.counts().0
+        self.client_connections.counts().open
     }
 
     /// Calls the core; the commands that follow are carried out, and the event loop is woken if need be.
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -36,12 +36,15 @@
     /// are not completed in time are given up, and their clients get a response that says so.
     pub async fn shutdown(&self) {
         let started = Instant::now();
-        self.gate.announce_end();
+        self.client_connections.announce_end();
         Timer::after(DEREGISTRATION_DELAY).await;
         self.stop_accepting.notify(usize::MAX);
         Timer::after(LAST_ACCEPTED_DELAY).await;
-        self.gate.close_idle();
-        while self.is_accepting.get() || self.gate.counts().1 > 0 || self.open_requests() > 0 {
+        self.client_connections.close_idle();
+        while self.is_accepting.get()
+            || self.client_connections.counts().active > 0
+            || self.open_requests() > 0
+        {
             if started.elapsed() >= self.shutdown_timeout {
                 self.with_core(|core, _| core.abandon_all());
             }
--- a/crates/platform-router/src/startup.rs
+++ b/crates/platform-router/src/startup.rs
@@ -9,8 +9,8 @@
 
 use async_io::Timer;
 use event_listener::Event;
-use hoptiller_http::gate::Gate;
-use hoptiller_http::{Spawner, server};
+use hoptiller_http::Spawner;
+use hoptiller_http::server::{self, ServerConnections};
 use hoptiller_platform_protocol::request::ClassOptions;
 use hoptiller_platform_protocol::{Catalog, Config, ConfigError, EndpointListUpdate};
 use hoptiller_policy::{Class, Idempotency, ListScope, Micros};
@@ -106,7 +106,7 @@
                 pool: ConnectionPool::new(pool_config, retries),
                 watch_client: WatchClient::new(config.coordinator, endpoints.number),
                 spawner,
-                gate: Rc::new(Gate::new(budget.client_connections)),
+                client_connections: Rc::new(ServerConnections::new(budget.client_connections)),
                 in_flight: RefCell::default(),
                 reloads_requested: Cell::new(0),
                 clock,
@@ -145,7 +145,7 @@
         self.is_accepting.set(true);
         self.spawner.spawn(async move {
             let front_end = router.front_end.clone();
-            front_end::serve(front_end, listener, router.gate.clone(), stop).await;
+            front_end::serve(front_end, listener, router.client_connections.clone(), stop).await;
             router.is_accepting.set(false);
         });
         Ok(addr)
--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -268,7 +268,7 @@
 /// Runs a test on an executor of its own; one that hangs fails.
 pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Spawner) -> F) {
     let ex = Rc::new(LocalExecutor::new());
-    let test = test(Spawner::of(&ex));
+    let test = test(Spawner::new(&ex));
     async_io::block_on(ex.run(futures_lite::future::or(test, async {
         Timer::after(Duration::from_secs(30)).await;
         panic!("the test hangs");
--- a/crates/statement-router/src/desk.rs
+++ b/crates/statement-router/src/desk.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use event_listener::EventListener;
-use hoptiller_http::{Spawner, Ticks};
+use hoptiller_http::{CoarseTimer, Spawner};
 use hoptiller_policy::{EngineId, Micros};
 use hoptiller_statement::TokenKey;
 
@@ -30,7 +30,7 @@
     /// Its engines.
     pub engines: Rc<Engines>,
     /// Coarse timers, for the waits of polls.
-    pub ticks: Ticks,
+    pub timer: CoarseTimer,
     /// What its tasks are started with.
     pub ex: Spawner,
     /// Whether it was told to end.
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -363,10 +363,10 @@
         right: Option<&LeaseGuard>,
     ) -> Result<Response, ClientError> {
         let mut request = Request::new(Method::Get, target)
-            .with(extra::ROUTER, &self.settings.router.name)
-            .with("Connection", "close");
+            .with_header(extra::ROUTER, &self.settings.router.name)
+            .with_header("Connection", "close");
         if let Some(right) = right {
-            request = request.with(
+            request = request.with_header(
                 extra::LEASE,
                 &format!("{}#{}", right.shard, right.fencing_token),
             );
@@ -375,7 +375,7 @@
             addr,
             within,
             Limits {
-                body: 8 << 20,
+                max_body_bytes: 8 << 20,
                 ..Limits::default()
             },
         )
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -188,8 +188,8 @@
             let Some(target) = self.next.clone() else {
                 return stop(AttemptStatus::ErrorResponse, "no next answer");
             };
-            let request =
-                Request::new(Method::Get, target).with(extra::ROUTER, &self.engines.manner.router);
+            let request = Request::new(Method::Get, target)
+                .with_header(extra::ROUTER, &self.engines.manner.router);
             let why = match self.step(&request, self.engines.manner.poll_within).await {
                 Step::Answered(Ok(answer)) => match answer.status.0 {
                     200 => return Ok(answer),
@@ -452,7 +452,7 @@
         };
         let manner = &self.engines.manner;
         let request = Request::new(Method::Get, format!("/v1/query/{query}"))
-            .with(extra::ROUTER, &manner.router);
+            .with_header(extra::ROUTER, &manner.router);
         for _ in 0..POLLS {
             let pool = &self.engines.pool;
             let asked = pool
@@ -504,8 +504,8 @@
         let Some(target) = self.next.clone() else {
             return;
         };
-        let request =
-            Request::new(Method::Delete, target).with(extra::ROUTER, &self.engines.manner.router);
+        let request = Request::new(Method::Delete, target)
+            .with_header(extra::ROUTER, &self.engines.manner.router);
         let pool = &self.engines.pool;
         let _ = pool
             .exchange(self.a.engine, self.addr, &request, FAREWELL, FAREWELL)
--- a/crates/statement-router/src/engines/mod.rs
+++ b/crates/statement-router/src/engines/mod.rs
@@ -117,8 +117,8 @@
     /// No engine yet.
     pub fn new(manner: Manner, classes: Vec<String>) -> Engines {
         let limits = Limits {
-            body: manner.page_bytes,
-            head: 64 << 10,
+            max_body_bytes: manner.page_bytes,
+            max_head_bytes: 64 << 10,
             ..Limits::default()
         };
         Engines {
@@ -191,7 +191,7 @@
             let query = query.borrow().clone();
             if let Some(query) = query {
                 let mut request = Request::new(Method::Put, format!("/v1/query/{query}/{target}"))
-                    .with(extra::ROUTER, &self.manner.router);
+                    .with_header(extra::ROUTER, &self.manner.router);
                 request.body = body.clone().into_bytes();
                 let (connect, within) = (self.manner.connect_within, self.manner.poll_within);
                 match self
@@ -236,7 +236,7 @@
             None => None,
             Some(addr) => {
                 let request = Request::new(Method::Get, "/v1/status")
-                    .with(extra::ROUTER, &self.manner.router);
+                    .with_header(extra::ROUTER, &self.manner.router);
                 let limit = self.manner.connect_within;
                 self.pool
                     .exchange(engine, addr, &request, limit, limit)
--- a/crates/statement-router/src/engines/pool.rs
+++ b/crates/statement-router/src/engines/pool.rs
@@ -85,7 +85,7 @@
             Ok(Some(stamp)) => {
                 connection
                     .exchange(
-                        &request.clone().with(extra::CONFIG_VERSIONS, &stamp),
+                        &request.clone().with_header(extra::CONFIG_VERSIONS, &stamp),
                         within,
                     )
                     .await
--- a/crates/statement-router/src/fronts/admin.rs
+++ b/crates/statement-router/src/fronts/admin.rs
@@ -26,13 +26,13 @@
 /// Answers administrators for ever.
 pub async fn serve(desk: Rc<Desk>, listener: Async<TcpListener>) -> io::Result<()> {
     let limits = Limits {
-        body: BODY,
+        max_body_bytes: BODY,
         ..Limits::default()
     };
     let config = Config {
         limits,
-        connections: CONNECTIONS,
-        incoming: 1 << 20,
+        max_connections: CONNECTIONS,
+        max_incoming_bytes: 1 << 20,
         ..Config::default()
     };
     let ex = desk.ex.clone();
@@ -40,7 +40,8 @@
         let desk = desk.clone();
         Box::pin(async move { Reply::Send(answer(&desk, &request)) })
     });
-    hoptiller_http::server::serve(listener, config, handler, ex).await
+    hoptiller_http::server::serve(listener, config, handler, ex).await;
+    Ok(())
 }
 
 fn answer(desk: &Desk, request: &Request) -> Response {
@@ -58,12 +59,12 @@
                 Response::new(204)
             }
             Method::Delete => problem(404, "that kind is not held"),
-            _ => problem(405, "DELETE frees a held kind").with("Allow", "DELETE"),
+            _ => problem(405, "DELETE frees a held kind").with_header("Allow", "DELETE"),
         };
     }
     match (path, &request.method) {
         (RUNAWAYS, Method::Get) => Response::json(200, format!("{:#}", runaways(desk))),
-        (RUNAWAYS, _) => problem(405, "GET shows what runs away").with("Allow", "GET"),
+        (RUNAWAYS, _) => problem(405, "GET shows what runs away").with_header("Allow", "GET"),
         _ => problem(
             404,
             "nothing here; GET /v1/admin/runaways shows what runs away",
--- a/crates/statement-router/src/fronts/http.rs
+++ b/crates/statement-router/src/fronts/http.rs
@@ -28,11 +28,11 @@
     let l = &settings.limits;
     let config = Config {
         limits: Limits {
-            body: l.statement_bytes,
+            max_body_bytes: l.statement_bytes,
             ..Limits::default()
         },
-        connections: l.connections,
-        incoming: l.incoming_bytes,
+        max_connections: l.connections,
+        max_incoming_bytes: l.incoming_bytes,
         ..Config::default()
     };
     let ex = desk.ex.clone();
@@ -41,7 +41,8 @@
         let (me, extra) = (me.clone(), extra.clone());
         Box::pin(async move { Reply::Send(answer(&me, request, &extra).await) })
     });
-    hoptiller_http::server::serve(listener, config, handler, ex).await
+    hoptiller_http::server::serve(listener, config, handler, ex).await;
+    Ok(())
 }
 
 async fn answer(desk: &Rc<Desk>, request: Request, extra: &Extra) -> Response {
@@ -89,7 +90,7 @@
 }
 
 fn not_allowed(allowed: &str) -> Response {
-    Response::text(405, "method not allowed here").with("Allow", allowed)
+    Response::text(405, "method not allowed here").with_header("Allow", allowed)
 }
 
 /// Where the client reaches this router: by its own words where they are sane.
@@ -110,7 +111,7 @@
     };
     // Danger: what is taken under rules that the fleet has left would be kept by them. Nothing is owed for it yet.
     if let Err(what) = may_take(desk, submission.class, by_default) {
-        return Response::text(503, what).with("Retry-After", &render::seconds(hold_off));
+        return Response::text(503, what).with_header("Retry-After", &render::seconds(hold_off));
     }
     match desk.with_core(|core, now| core.submit(now, submission)) {
         Ok(id) => {
@@ -125,11 +126,11 @@
         }
         Err(SubmitError::TableFull) => {
             Response::text(429, "too many statements are open; come back later")
-                .with("Retry-After", &render::seconds(hold_off))
+                .with_header("Retry-After", &render::seconds(hold_off))
         }
         Err(SubmitError::ShuttingDown) => {
             Response::text(503, "this router is ending; come back later")
-                .with("Retry-After", &render::seconds(hold_off))
+                .with_header("Retry-After", &render::seconds(hold_off))
         }
     }
 }
@@ -229,7 +230,7 @@
 
 /// Waits for news as long as a poll waits.
 async fn wait(desk: &Rc<Desk>, id: StatementId, page: u64) -> PollOutcome {
-    let mut time = desk.ticks.sleep(desk.settings().limits.long_poll);
+    let mut time = desk.timer.sleep(desk.settings().limits.long_poll);
     loop {
         // The ear is there before the question, so that no news falls between them.
         let news = desk.listen(id);
--- a/crates/statement-router/src/fronts/render.rs
+++ b/crates/statement-router/src/fronts/render.rs
@@ -242,7 +242,7 @@
     };
     let response = Response::json(200, results.write(&desk.key));
     match name.is_retryable() {
-        true => response.with("Retry-After", &seconds(desk.settings().limits.hold_off)),
+        true => response.with_header("Retry-After", &seconds(desk.settings().limits.hold_off)),
         false => response,
     }
 }
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use hoptiller_coordination::Decision as Permitted;
-use hoptiller_http::{Spawner, Ticks};
+use hoptiller_http::{CoarseTimer, Spawner};
 use hoptiller_policy::{EngineId, ListScope, LoadReport, Micros, Progress};
 use hoptiller_runaway::{BlockedState, Finding, Proof, RunawayDetector, Verdict};
 use hoptiller_statement::TokenKey;
@@ -120,7 +120,7 @@
                 engines: Rc::new(engines),
                 current: RefCell::new(settings),
                 agreed,
-                ticks: Ticks::new(&ex),
+                timer: CoarseTimer::new(&ex),
                 ex,
                 ending: Cell::new(false),
                 listed: Cell::new(0),
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -28,7 +28,8 @@
 }
 
 fn post(fields: &[(&str, &str)], body: &str) -> Request {
-    let mut request = Request::new(Method::Post, "/v1/statement").with("X-Trino-User", "ann");
+    let mut request =
+        Request::new(Method::Post, "/v1/statement").with_header("X-Trino-User", "ann");
     for (name, value) in fields {
         request.headers.push(name, value);
     }
