--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! A router on loopback with scripted engines, a scripted coordinator and clients.
 #![allow(dead_code)]
 
+pub mod pool;
+
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener, TcpStream};
