--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -1,112 +1,148 @@
-//! `hoptiller beliefs`: what routers' traces tell of their attempts, against what their decisions believed.
+//! `hoptiller beliefs`: compares the attempts in routers' traces with what their policy believed to be in flight.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use hoptiller_platform_router::trace::{EngineObservations, Trace};
 
-use crate::run::Failure;
+use crate::error::CommandError;
 
-/// More than a day's trace has.
-const MOST: u64 = 1 << 30;
+/// Bytes of a trace at most: more than a router writes in a day.
+const MAX_TRACE_BYTES: u64 = 1 << 30;
 
+/// Extension of the traces in a folder.
+const TRACE_EXTENSION: &str = "log";
+
+/// Arguments of `hoptiller beliefs`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// Traces (HOPTILLER_LOG=hoptiller_platform_router=debug), one file a router, or folders of them (*.log)
+pub(crate) struct Args {
+    /// Traces (HOPTILLER_LOG=hoptiller_platform_router=debug), one file per router, or folders of them (*.log)
     #[arg(required = true)]
     traces: Vec<PathBuf>,
-    /// Engines to show, those that turned most attempts away first
-    #[arg(long, default_value_t = 12)]
-    most: usize,
+    /// Number of engines to show, those with the most rejections first
+    #[arg(long = "most", value_name = "N", default_value_t = 12)]
+    max_engines: usize,
+}
+
+/// The traces contain no attempt.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)"
+)]
+pub(crate) struct EmptyTraceError;
+
+/// The sum of all traces.
+#[derive(Default)]
+struct Summary {
+    files: usize,
+    engines: BTreeMap<u32, EngineObservations>,
+    comparisons: usize,
+    mismatches: usize,
+    unparsed_lines: usize,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     let mut files = Vec::new();
     for path in &args.traces {
-        files.extend(
-            files_of(path).map_err(|e| Failure::Outside(format!("{}", path.display()), e))?,
-        );
+        let found = trace_files(path).map_err(CommandError::io(path.display().to_string()))?;
+        files.extend(found);
     }
-    let (mut engines, mut wrong, mut compared, mut unread) =
-        (BTreeMap::<u32, EngineObservations>::new(), 0, 0, 0);
+    let mut summary = Summary::default();
     for file in &files {
-        let trace = read(file).map_err(|e| Failure::Outside(format!("{}", file.display()), e))?;
-        for mismatch in &trace.mismatches {
-            println!(
-                "{}:{}: engine {}: {} attempts are out, and {} are believed to be",
-                file.display(),
-                mismatch.line,
-                mismatch.engine,
-                mismatch.counted,
-                mismatch.believed
-            );
+        let trace = read_trace(file).map_err(CommandError::io(file.display().to_string()))?;
+        print_mismatches(file, &trace);
+        summary.add(trace);
+    }
+    if summary.comparisons == 0 {
+        return Err(EmptyTraceError.into());
+    }
+    summary.print(args.max_engines);
+    Ok(ExitCode::from(u8::from(summary.mismatches > 0)))
+}
+
+impl Summary {
+    fn add(&mut self, trace: Trace) {
+        self.files += 1;
+        self.comparisons += trace.comparisons;
+        self.mismatches += trace.mismatch_count;
+        self.unparsed_lines += trace.unparsed_lines;
+        for (id, observations) in &trace.engines {
+            add_observations(self.engines.entry(*id).or_default(), observations);
         }
-        (wrong, compared, unread) = (
-            wrong + trace.mismatch_count,
-            compared + trace.comparisons,
-            unread + trace.unparsed_lines,
+    }
+
+    /// Prints a row for each engine, the one with the most failed attempts first, and one for all.
+    fn print(&self, max_engines: usize) {
+        let mut rows: Vec<(u32, &EngineObservations)> =
+            self.engines.iter().map(|(id, row)| (*id, row)).collect();
+        rows.sort_by_key(|(id, row)| (Reverse(row.rejected + row.unreached), *id));
+        println!(
+            "{:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
+            "engine", "sent", "served", "full", "unreached", "asked again", "most out"
         );
-        for (id, s) in trace.engines {
-            let all = engines.entry(id).or_default();
-            all.sent += s.sent;
-            all.served += s.served;
-            all.rejected += s.rejected;
-            all.unreached += s.unreached;
-            all.resent_early += s.resent_early;
-            all.max_in_flight = all.max_in_flight.max(s.max_in_flight);
+        for (id, row) in rows.iter().take(max_engines) {
+            print_row(&id.to_string(), row);
         }
+        let mut total = EngineObservations::default();
+        for row in self.engines.values() {
+            add_observations(&mut total, row);
+        }
+        print_row("all", &total);
+        println!(
+            "{} routers, {} engines; {} beliefs held against the count, {} wrong; {} lines unread",
+            self.files,
+            self.engines.len(),
+            self.comparisons,
+            self.mismatches,
+            self.unparsed_lines
+        );
     }
-    if compared == 0 {
-        let what = "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)";
-        return Err(Failure::Usage(what.to_owned()));
-    }
-    let mut worst: Vec<(u32, EngineObservations)> = engines.into_iter().collect();
-    worst.sort_by_key(|(id, s)| (std::cmp::Reverse(s.rejected + s.unreached), *id));
+}
+
+fn add_observations(total: &mut EngineObservations, row: &EngineObservations) {
+    total.sent += row.sent;
+    total.served += row.served;
+    total.rejected += row.rejected;
+    total.unreached += row.unreached;
+    total.resent_early += row.resent_early;
+    total.max_in_flight = total.max_in_flight.max(row.max_in_flight);
+}
+
+fn print_row(name: &str, row: &EngineObservations) {
     println!(
-        "{:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
-        "engine", "sent", "served", "full", "unreached", "asked again", "most out"
+        "{name:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
+        row.sent, row.served, row.rejected, row.unreached, row.resent_early, row.max_in_flight
     );
-    let row = |name: &str, s: &EngineObservations| {
+}
+
+fn print_mismatches(file: &Path, trace: &Trace) {
+    for mismatch in &trace.mismatches {
         println!(
-            "{name:>10} {:>7} {:>7} {:>6} {:>9} {:>12} {:>8}",
-            s.sent, s.served, s.rejected, s.unreached, s.resent_early, s.max_in_flight
+            "{}:{}: engine {}: {} attempts are out, and {} are believed to be",
+            file.display(),
+            mismatch.line,
+            mismatch.engine,
+            mismatch.counted,
+            mismatch.believed
         );
-    };
-    worst
-        .iter()
-        .take(args.most)
-        .for_each(|(id, s)| row(&id.to_string(), s));
-    let sum = |of: fn(&EngineObservations) -> u64| worst.iter().map(|(_, s)| of(s)).sum::<u64>();
-    let all = EngineObservations {
-        sent: sum(|s| s.sent),
-        served: sum(|s| s.served),
-        rejected: sum(|s| s.rejected),
-        unreached: sum(|s| s.unreached),
-        resent_early: sum(|s| s.resent_early),
-        max_in_flight: worst
-            .iter()
-            .map(|(_, s)| s.max_in_flight)
-            .max()
-            .unwrap_or(0),
-    };
-    row("all", &all);
-    println!(
-        "{} routers, {} engines; {compared} beliefs held against the count, {wrong} wrong; {unread} lines unread",
-        files.len(),
-        worst.len()
-    );
-    Ok(ExitCode::from(u8::from(wrong > 0)))
+    }
 }
 
-fn files_of(path: &Path) -> std::io::Result<Vec<PathBuf>> {
+/// The file itself, or the traces of a folder.
+fn trace_files(path: &Path) -> io::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
     let mut files = Vec::new();
     for entry in std::fs::read_dir(path)? {
         let file = entry?.path();
-        if file.extension().is_some_and(|e| e == "log") {
+        if file
+            .extension()
+            .is_some_and(|extension| extension == TRACE_EXTENSION)
+        {
             files.push(file);
         }
     }
@@ -114,11 +150,11 @@
     Ok(files)
 }
 
-fn read(file: &Path) -> std::io::Result<Trace> {
+fn read_trace(file: &Path) -> io::Result<Trace> {
     let size = std::fs::metadata(file)?.len();
-    if size > MOST {
-        let what = format!("{size} bytes are more than a day's trace has");
-        return Err(std::io::Error::new(std::io::ErrorKind::InvalidData, what));
+    if size > MAX_TRACE_BYTES {
+        let message = format!("{size} bytes are more than a day's trace has");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     let bytes = std::fs::read(file)?;
     Ok(Trace::parse(String::from_utf8_lossy(&bytes).lines()))
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,115 +1,125 @@
-//! `hoptiller check`: all that is wrong with a file: a router's settings, a keeper's configuration, a fleet's document, or
-//! a scripted day.
+//! `hoptiller check`: validates a file, which is a router's settings, a replica's configuration, a fleet's document or a
+//! scenario.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+use hoptiller_statement_router::settings::evaluate_file;
 use hoptiller_statement_router::{Problem, Settings};
-use serde_json::Value;
+use serde_json::{Value, json};
 
+use super::print_json;
 use crate::commands::{day, fleet, settings};
-use crate::run::Failure;
+use crate::error::CommandError;
 
+/// Exit code of an invalid file whose problems are printed in JSON.
+const EXIT_INVALID: u8 = 2;
+
+/// Arguments of `hoptiller check`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The file, in Jsonnet
+pub(crate) struct Args {
+    /// The file, in Jsonnet: settings, a replica's configuration, a fleet's document or a scenario
     file: PathBuf,
-    /// Print the settings as they are understood, or the problems, in JSON
+    /// Print the settings with all defaults, or the problems, in JSON
     #[arg(long)]
     json: bool,
 }
 
-/// What a file is, by the keys that only such a one has.
-enum Kind {
-    Settings,
-    Keeper,
-    Document,
-    FleetDay,
-    Day,
+/// What a file contains.
+enum FileKind {
+    RouterSettings,
+    ReplicaConfig,
+    FleetDocument,
+    FleetScenario,
+    RouterScenario,
 }
 
-fn kind_of(value: &Value) -> Kind {
-    let has = |key: &str| value.get(key).is_some();
-    match () {
-        _ if has("form") => Kind::Document,
-        _ if has("keeper") => Kind::Keeper,
-        _ if has("day") => Kind::FleetDay,
-        _ if has("lasts") => Kind::Day,
-        _ => Kind::Settings,
+impl FileKind {
+    /// The kind of a file, by keys that no other kind has.
+    fn of_value(value: &Value) -> FileKind {
+        let keys = [
+            ("form", FileKind::FleetDocument),
+            ("keeper", FileKind::ReplicaConfig),
+            ("day", FileKind::FleetScenario),
+            ("lasts", FileKind::RouterScenario),
+        ];
+        keys.into_iter()
+            .find(|(key, _)| value.get(key).is_some())
+            .map_or(FileKind::RouterSettings, |(_, kind)| kind)
     }
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    match checked(&args.file) {
-        Ok((value, _)) if args.json => {
-            println!(
-                "{}",
-                serde_json::to_string_pretty(&value).unwrap_or_default()
-            );
+/// A valid file.
+struct ValidFile {
+    /// Its content, of settings with all defaults.
+    value: Value,
+    /// What it is, in words.
+    description: String,
+}
+
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    match validate(&args.file) {
+        Ok(file) if args.json => {
+            print_json(&file.value);
             Ok(ExitCode::SUCCESS)
         }
-        Ok((_, what)) => {
-            println!("{}: good; {what}", args.file.display());
+        Ok(file) => {
+            println!("{}: good; {}", args.file.display(), file.description);
             Ok(ExitCode::SUCCESS)
         }
-        Err(Failure::Settings(problems)) if args.json => {
-            let told = serde_json::json!({ "problems": problems });
-            println!(
-                "{}",
-                serde_json::to_string_pretty(&told).unwrap_or_default()
-            );
-            Ok(ExitCode::from(2))
+        Err(CommandError::Settings(problems)) if args.json => {
+            print_json(&json!({ "problems": problems }));
+            Ok(ExitCode::from(EXIT_INVALID))
         }
-        Err(e) => Err(e),
+        Err(error) => Err(error),
     }
 }
 
-/// A good file as it is understood, and what it is in words.
-fn checked(file: &Path) -> Result<(Value, String), Failure> {
-    let value = hoptiller_statement_router::settings::evaluate_file(file)
-        .map_err(|p| Failure::Settings(vec![p]))?;
-    let one = |what: String| {
-        Failure::Settings(vec![Problem {
-            place: file.display().to_string(),
-            what,
-        }])
+fn validate(file: &Path) -> Result<ValidFile, CommandError> {
+    let value = evaluate_file(file)?;
+    let description = match FileKind::of_value(&value) {
+        FileKind::RouterSettings => return validate_settings(file, &value),
+        FileKind::ReplicaConfig => describe_replica(file, value.clone())?,
+        FileKind::FleetDocument => describe_document(file)?,
+        FileKind::FleetScenario => fleet::check(file)?,
+        FileKind::RouterScenario => day::check(file)?,
     };
-    match kind_of(&value) {
-        Kind::Settings => {
-            let s = Settings::from_value(&file.display().to_string(), &value)
-                .map_err(Failure::Settings)?;
-            let r = &s.router;
-            let what = format!(
-                "settings of router {} of {}, {} classes",
-                r.name,
-                r.of,
-                s.classes.len()
-            );
-            Ok((serde_json::to_value(&s).unwrap_or_default(), what))
-        }
-        Kind::Keeper => {
-            let k = hoptiller_coordination_server::Config::read(value.clone())
-                .map_err(|e| one(e.to_string()))?;
-            Ok((
-                value,
-                format!(
-                    "keeper {} of {} in fleet {}",
-                    k.replica,
-                    k.replicas.len(),
-                    k.fleet
-                ),
-            ))
-        }
-        Kind::Document => {
-            let d = settings::read(file)?;
-            let what = format!(
-                "a fleet's document, {} classes, digest {:.12}",
-                d.classes.len(),
-                d.digest()
-            );
-            Ok((value, what))
-        }
-        Kind::FleetDay => fleet::check(file).map(|what| (value, what)),
-        Kind::Day => day::check(file).map(|what| (value, what)),
-    }
+    Ok(ValidFile { value, description })
+}
+
+fn validate_settings(file: &Path, value: &Value) -> Result<ValidFile, CommandError> {
+    let settings = Settings::from_value(&file.display().to_string(), value)?;
+    let router = &settings.router;
+    let description = format!(
+        "settings of router {} of {}, {} classes",
+        router.name,
+        router.of,
+        settings.classes.len()
+    );
+    Ok(ValidFile {
+        value: serde_json::to_value(&settings).unwrap_or_default(),
+        description,
+    })
+}
+
+fn describe_replica(file: &Path, value: Value) -> Result<String, CommandError> {
+    let config = hoptiller_coordination_server::Config::read(value).map_err(|error| Problem {
+        place: file.display().to_string(),
+        what: error.to_string(),
+    })?;
+    Ok(format!(
+        "keeper {} of {} in fleet {}",
+        config.replica,
+        config.replicas.len(),
+        config.fleet
+    ))
+}
+
+fn describe_document(file: &Path) -> Result<String, CommandError> {
+    let document = settings::read_document(file)?;
+    Ok(format!(
+        "a fleet's document, {} classes, digest {:.12}",
+        document.classes.len(),
+        document.digest()
+    ))
 }
--- a/crates/cli/src/commands/day/crowd.rs
+++ b/crates/cli/src/commands/day/crowd.rs
@@ -18,7 +18,7 @@
 
 use super::plan::{ClientPlan, Plan};
 use super::stage::Stage;
-use crate::run::Failure;
+use crate::error::CommandError;
 
 struct Shared {
     stop: AtomicBool,
@@ -38,7 +38,7 @@
 const AGAIN: u32 = 3;
 
 impl Crowd {
-    pub fn start(plan: &Plan, stage: &Stage, seed: u64) -> Result<Crowd, Failure> {
+    pub fn start(plan: &Plan, stage: &Stage, seed: u64) -> Result<Crowd, CommandError> {
         let (stop, rush, next) = (
             AtomicBool::new(false),
             AtomicU64::new(1000),
@@ -77,7 +77,7 @@
                         }
                     }));
                 });
-            threads.push(thread.map_err(|e| Failure::Outside("a thread for clients".into(), e))?);
+            threads.push(thread.map_err(|e| CommandError::io("a thread for clients")(e))?);
         }
         Ok(Crowd { shared, threads })
     }
--- a/crates/cli/src/commands/day/mod.rs
+++ b/crates/cli/src/commands/day/mod.rs
@@ -14,7 +14,7 @@
 use hoptiller_audit::{Record, unix_micros};
 
 use super::audit;
-use crate::run::Failure;
+use crate::error::CommandError;
 use crowd::Crowd;
 use plan::{Act, Plan};
 use stage::Stage;
@@ -34,17 +34,17 @@
     json: bool,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    crate::run::raise_descriptors();
+pub fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    crate::runtime::raise_descriptor_limit();
     let plan = Plan::load(&args.file)?;
-    let outside = |e| Failure::Outside(format!("the report folder {}", args.report.display()), e);
+    let outside = |e| CommandError::io(format!("the report folder {}", args.report.display()))(e);
     std::fs::create_dir_all(&args.report).map_err(outside)?;
     if std::fs::read_dir(&args.report)
         .map_err(outside)?
         .next()
         .is_some()
     {
-        return Err(Failure::Usage(format!(
+        return Err(CommandError::Usage(format!(
             "{}: not empty; give a new folder",
             args.report.display()
         )));
@@ -80,15 +80,15 @@
         began.elapsed().as_secs_f64()
     );
     stage.end()?;
-    let verdict = audit::of_dir(&args.report)?;
+    let verdict = audit::judge_folder(&args.report)?;
     let text = serde_json::to_string_pretty(&verdict).unwrap_or_default();
     std::fs::write(args.report.join("verdict.json"), text).map_err(outside)?;
-    audit::print(&verdict, args.json);
+    audit::print_verdict(&verdict, args.json);
     Ok(ExitCode::from(u8::from(!verdict.violations.is_empty())))
 }
 
 /// What a script is, in words, where nothing is wrong with it.
-pub fn check(file: &std::path::Path) -> Result<String, Failure> {
+pub fn check(file: &std::path::Path) -> Result<String, CommandError> {
     let plan = Plan::load(file)?;
     let (routers, engines, clients) = (plan.routers, plan.engines.len(), plan.clients.count);
     Ok(format!(
--- a/crates/cli/src/commands/day/plan.rs
+++ b/crates/cli/src/commands/day/plan.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-use crate::run::Failure;
+use crate::error::CommandError;
 
 /// A script, as it stands in the file.
 #[derive(Deserialize)]
@@ -156,17 +156,17 @@
 
 impl Plan {
     /// Reads a script and checks it whole.
-    pub fn load(path: &Path) -> Result<Plan, Failure> {
+    pub fn load(path: &Path) -> Result<Plan, CommandError> {
         let place = path.display().to_string();
-        let value = evaluate_file(path).map_err(|p| Failure::Settings(vec![p]))?;
+        let value = evaluate_file(path).map_err(|p| CommandError::Settings(vec![p]))?;
         let written: Written = serde_json::from_value(value).map_err(|e| {
-            Failure::Settings(vec![Problem {
+            CommandError::Settings(vec![Problem {
                 place: place.clone(),
                 what: e.to_string(),
             }])
         })?;
         let checked = Settings::from_value(&format!("{place}: settings"), &written.settings)
-            .map_err(Failure::Settings)?;
+            .map_err(CommandError::Settings)?;
         let Written {
             lasts,
             routers,
@@ -189,7 +189,7 @@
         if problems.is_empty() {
             Ok(plan)
         } else {
-            Err(Failure::Settings(problems))
+            Err(CommandError::Settings(problems))
         }
     }
 
--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -17,7 +17,7 @@
 use serde_json::json;
 
 use super::plan::{Act, Plan};
-use crate::run::Failure;
+use crate::error::CommandError;
 
 struct Router {
     name: String,
@@ -36,13 +36,13 @@
     routers: Vec<Router>,
 }
 
-fn outside(what: &str) -> impl FnOnce(std::io::Error) -> Failure {
+fn outside(what: &str) -> impl FnOnce(std::io::Error) -> CommandError {
     let what = what.to_owned();
-    move |e| Failure::Outside(what, e)
+    move |e| CommandError::io(what)(e)
 }
 
 impl Stage {
-    pub fn start(plan: &Plan, dir: &Path) -> Result<Stage, Failure> {
+    pub fn start(plan: &Plan, dir: &Path) -> Result<Stage, CommandError> {
         let recorder = |name: &str| {
             Recorder::to_file(&dir.join(format!("{name}.jsonl"))).map_err(outside(name))
         };
@@ -115,7 +115,7 @@
             .collect()
     }
 
-    pub fn act(&mut self, act: &Act) -> Result<(), Failure> {
+    pub fn act(&mut self, act: &Act) -> Result<(), CommandError> {
         match act {
             Act::Rush(_) => {}
             Act::Fault { engine, faults } => self.engines[*engine].0.fail(faults.clone()),
@@ -166,7 +166,7 @@
     }
 
     /// Ends the routers as an operator would, then everything else.
-    pub fn end(mut self) -> Result<(), Failure> {
+    pub fn end(mut self) -> Result<(), CommandError> {
         for router in &mut self.routers {
             router.tell_to_end()?;
         }
@@ -217,7 +217,7 @@
 }
 
 impl Router {
-    fn new(plan: &Plan, dir: &Path, n: u32, discovery: SocketAddr) -> Result<Router, Failure> {
+    fn new(plan: &Plan, dir: &Path, n: u32, discovery: SocketAddr) -> Result<Router, CommandError> {
         let name = format!("router-{n}");
         // A free port, kept over restarts so that clients find their URIs again.
         let free = std::net::TcpListener::bind(("127.0.0.1", 0)).and_then(|l| l.local_addr());
@@ -240,7 +240,7 @@
         })
     }
 
-    fn start(&mut self) -> Result<(), Failure> {
+    fn start(&mut self) -> Result<(), CommandError> {
         let mut log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -263,7 +263,7 @@
         self.child = Some(child);
         match line.starts_with("ready ") {
             true => Ok(()),
-            false => Err(Failure::Usage(format!(
+            false => Err(CommandError::Usage(format!(
                 "{} did not start; see {}",
                 self.name,
                 self.log.display()
@@ -272,7 +272,7 @@
     }
 
     /// Waits until it knows all engines.
-    fn wait_for(&self, engines: usize) -> Result<(), Failure> {
+    fn wait_for(&self, engines: usize) -> Result<(), CommandError> {
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(20) {
             let info = ask(self.addr, &Request::new(Method::Get, "/v1/info"));
@@ -283,14 +283,14 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(Failure::Usage(format!(
+        Err(CommandError::Usage(format!(
             "{} does not see its engines; see {}",
             self.name,
             self.log.display()
         )))
     }
 
-    fn tell_to_end(&mut self) -> Result<(), Failure> {
+    fn tell_to_end(&mut self) -> Result<(), CommandError> {
         use rustix::process::{Pid, Signal, kill_process};
         if let Some(child) = &self.child
             && let Some(pid) = Pid::from_raw(child.id() as i32)
@@ -302,7 +302,7 @@
     }
 
     /// Waits for its process to end.
-    fn join(&mut self) -> Result<(), Failure> {
+    fn join(&mut self) -> Result<(), CommandError> {
         if let Some(mut child) = self.child.take() {
             child.wait().map_err(outside(&self.name))?;
         }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -5,76 +5,105 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
+use hoptiller_http::Spawner;
+use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_statement_router::{Service, Settings};
 
-use crate::run::{self, Failure};
-use crate::secret;
+use super::service::shut_down;
+use crate::error::CommandError;
+use crate::random_id::random_id;
+use crate::runtime::{self, wait_for_termination};
+use crate::{metrics_endpoint, secret};
 
 /// The settings that the demo starts from.
 const EXAMPLE: &str = include_str!("../../../../examples/derby.jsonnet");
 
+const EXAMPLE_NAME: &str = "derby.jsonnet";
+
+const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
+
+/// Limit of the time that the router may take to discover all engines.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(10);
+
+const DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Arguments of `hoptiller demo`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// Where the router listens; port 0 takes a free one
+pub(crate) struct Args {
+    /// The router's address; port 0 selects a free one
     #[arg(long, default_value = "127.0.0.1:0", value_name = "ADDR")]
     http: SocketAddr,
-    /// Stand-in engines
+    /// Number of mock engines
     #[arg(long, default_value_t = 8, value_name = "N", value_parser = clap::value_parser!(u16).range(1..=64))]
     engines: u16,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    run::raise_descriptors();
-    let outside = |what: &str| {
-        let what = what.to_owned();
-        move |e| Failure::Outside(what, e)
-    };
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    runtime::raise_descriptor_limit();
     let discovery = DiscoveryConfig::default()
         .start()
-        .map_err(outside("the stand-in discovery"))?;
+        .map_err(CommandError::io("the stand-in discovery"))?;
+    let engines = start_engines(args.engines, discovery.addr)?;
+    let settings = settings(args.http, discovery.addr)?;
+    runtime::block_on(async |spawner| {
+        serve(args, settings, engines.len(), spawner).await?;
+        Ok(ExitCode::SUCCESS)
+    })
+}
+
+fn start_engines(count: u16, discovery: SocketAddr) -> Result<Vec<Running>, CommandError> {
     let mut running = Vec::new();
-    for n in 0..args.engines {
-        // Four in seven are of the kind that reports may run on.
+    for n in 0..count {
+        // Four in seven are of the kind that may run reports.
         let kind = if n % 7 < 4 { "std-8a" } else { "std-8b" };
-        let zone = ["hall-a", "hall-b", "hall-c"][usize::from(n % 3)];
+        let zone = ZONES[usize::from(n) % ZONES.len()];
         let mut engine = EngineConfig::new(&format!("engine-{n}"), kind, zone);
-        engine.discovery = Some(discovery.addr);
+        engine.discovery = Some(discovery);
         engine.notes = true;
-        running.push(engine.start().map_err(outside("a stand-in engine"))?);
+        let engine = engine
+            .start()
+            .map_err(CommandError::io("a stand-in engine"))?;
+        running.push(engine);
     }
-    let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
-        .map_err(|p| Failure::Settings(vec![p]))?;
-    value["router"]["listen"] = args.http.to_string().into();
+    Ok(running)
+}
+
+/// The example's settings, on loopback and without a state folder.
+fn settings(listen: SocketAddr, discovery: SocketAddr) -> Result<Settings, CommandError> {
+    let mut value = hoptiller_statement_router::settings::evaluate(EXAMPLE_NAME, EXAMPLE)?;
+    value["router"]["listen"] = listen.to_string().into();
     value["router"]["state"] = serde_json::Value::Null;
     value["router"]["admin"] = "127.0.0.1:0".into();
-    value["discovery"]["address"] = discovery.addr.to_string().into();
-    let settings = Settings::from_value("derby.jsonnet", &value).map_err(Failure::Settings)?;
-    run::block_on(async |spawner| {
-        let extra = run::extra(run::metrics(&spawner));
-        let service = Service::new(settings, &secret::fresh(), secret::life(), spawner)
-            .map_err(|e| Failure::Usage(e.to_string()))?;
-        let addr = service
-            .start(extra)
-            .map_err(outside(&format!("can't listen on {}", args.http)))?;
-        let began = Instant::now();
-        while service.desk.listed.get() < usize::from(args.engines)
-            && began.elapsed() < Duration::from_secs(10)
-        {
-            Timer::after(Duration::from_millis(20)).await;
-        }
-        println!("ready http://{addr}");
-        if let Some(admin) = service.admin_addr() {
-            eprintln!("What runs away: hoptiller runaways --admin {admin}");
-        }
-        eprintln!(
-            "{} stand-in engines, classes lookup, report, rent-load (by client tag class=…). Try:\n  \
-             curl -s -X POST http://{addr}/v1/statement -H 'X-Trino-User: me' -d 'SELECT 1'\nCtrl-C ends it.",
-            running.len()
-        );
-        run::told_to_end().await?;
-        run::end(&service).await;
-        Ok(ExitCode::SUCCESS)
-    })
+    value["discovery"]["address"] = discovery.to_string().into();
+    Ok(Settings::from_value(EXAMPLE_NAME, &value)?)
+}
+
+async fn serve(
+    args: &Args,
+    settings: Settings,
+    engines: usize,
+    spawner: Spawner,
+) -> Result<(), CommandError> {
+    let metrics = metrics_endpoint::start(&spawner);
+    let service = Service::new(settings, &secret::generate(), random_id(), spawner)?;
+    let address = service
+        .start(metrics)
+        .map_err(CommandError::io(format!("can't listen on {}", args.http)))?;
+    let start = Instant::now();
+    while service.desk.listed.get() < engines && start.elapsed() < DISCOVERY_TIMEOUT {
+        Timer::after(DISCOVERY_POLL_INTERVAL).await;
+    }
+    println!("ready http://{address}");
+    if let Some(admin) = service.admin_addr() {
+        eprintln!("What runs away: hoptiller runaways --admin {admin}");
+    }
+    eprintln!(
+        "{engines} stand-in engines, classes lookup, report, rent-load (by client tag class=…). Try:\n  \
+         curl -s -X POST http://{address}/v1/statement -H 'X-Trino-User: me' -d 'SELECT 1'\nCtrl-C ends it."
+    );
+    wait_for_termination().await?;
+    shut_down(&service).await;
+    Ok(())
 }
--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -1,61 +1,72 @@
-//! Owns the study's plot.
+//! The study's plot: the part of the runaways that were found, by time, in SVG.
 
-use plotters::prelude::*;
+use std::error::Error;
 
-/// Share of runaways found by time, a curve a condition, with fixed limits beside. SVG text.
-pub fn found_by_time(curves: &[(String, Vec<f64>, usize)], limits: &[u64]) -> String {
+use plotters::coord::types::RangedCoordf64;
+use plotters::prelude::{
+    BLACK, Cartesian2d, ChartBuilder, ChartContext, Color, IntoDrawingArea, LineSeries, Palette,
+    Palette99, PathElement, SVGBackend, SeriesLabelPosition, Text, WHITE,
+};
+
+const TITLE: &str = "Runaways found, by time since an engine took them (simulated servers)";
+
+/// Width and height of the plot, in pixels.
+const SIZE: (u32, u32) = (960, 540);
+
+const FONT: &str = "sans-serif";
+
+/// Seconds that the time axis shows at least, so that all fixed limits are on it.
+const MIN_TIME_AXIS: f64 = 62.0;
+
+/// The top of the axis of parts, with some space above 1.
+const PART_AXIS: f64 = 1.02;
+
+/// The runaways of one condition.
+pub(super) struct Curve {
+    pub(super) name: String,
+    /// Times to detection, in seconds, ascending.
+    pub(super) times: Vec<f64>,
+    /// All runaways, found or not.
+    pub(super) planted: usize,
+}
+
+type Chart<'c, 'svg> =
+    ChartContext<'c, SVGBackend<'svg>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
+/// A curve for each condition and a line for each fixed limit in seconds, as SVG text.
+pub(super) fn draw_found_by_time(curves: &[Curve], limits: &[u64]) -> String {
     let mut svg = String::new();
-    // Drawing into a text can't fail for want of anything outside.
+    // Drawing into a string fails only by a fault of the drawing code.
     if draw(&mut svg, curves, limits).is_err() {
         svg.clear();
     }
     svg
 }
 
-fn draw(
-    svg: &mut String,
-    curves: &[(String, Vec<f64>, usize)],
-    limits: &[u64],
-) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::with_string(svg, (960, 540)).into_drawing_area();
+fn draw(svg: &mut String, curves: &[Curve], limits: &[u64]) -> Result<(), Box<dyn Error>> {
+    let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let title = "Runaways found, by time since an engine took them (simulated servers)";
     let latest = curves
         .iter()
-        .filter_map(|c| c.1.last())
-        .fold(30.0, |a: f64, b| a.max(*b));
+        .filter_map(|curve| curve.times.last().copied())
+        .fold(MIN_TIME_AXIS, f64::max);
     let mut chart = ChartBuilder::on(&root)
-        .caption(title, ("sans-serif", 18))
+        .caption(TITLE, (FONT, 18))
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..(latest.max(62.0) * 1.02), 0.0..1.02)?;
+        .build_cartesian_2d(0.0..(latest * 1.02), 0.0..PART_AXIS)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .y_desc("share found")
         .light_line_style(WHITE)
         .draw()?;
-    for (n, (word, found, planted)) in curves.iter().enumerate() {
-        let color = Palette99::pick(n).to_rgba();
-        // A step at each one found.
-        let mut points = vec![(0.0, 0.0)];
-        for (at, after) in found.iter().enumerate() {
-            points.push((*after, at as f64 / (*planted).max(1) as f64));
-            points.push((*after, (at + 1) as f64 / (*planted).max(1) as f64));
-        }
-        let label = format!("{word}: {} of {planted}", found.len());
-        chart
-            .draw_series(LineSeries::new(points, color.stroke_width(2)))?
-            .label(label)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], color.stroke_width(2)));
+    for (index, curve) in curves.iter().enumerate() {
+        draw_curve(&mut chart, index, curve)?;
     }
     for limit in limits {
-        let at = *limit as f64;
-        let line = BLACK.mix(0.5).stroke_width(1);
-        chart.draw_series(LineSeries::new([(at, 0.0), (at, 1.02)], line))?;
-        let text = format!("fixed limit {limit} s");
-        chart.draw_series([Text::new(text, (at + 0.4, 0.06), ("sans-serif", 13))])?;
+        draw_limit(&mut chart, *limit)?;
     }
     chart
         .configure_series_labels()
@@ -64,8 +75,36 @@
         .border_style(BLACK.mix(0.3))
         .draw()?;
     root.present()?;
-    drop(chart);
-    drop(root);
+    Ok(())
+}
+
+/// Draws a step at each runaway that was found.
+fn draw_curve(
+    chart: &mut Chart<'_, '_>,
+    index: usize,
+    curve: &Curve,
+) -> Result<(), Box<dyn Error>> {
+    let color = Palette99::pick(index).to_rgba();
+    let planted = curve.planted.max(1) as f64;
+    let mut points = vec![(0.0, 0.0)];
+    for (found, time) in curve.times.iter().enumerate() {
+        points.push((*time, found as f64 / planted));
+        points.push((*time, (found + 1) as f64 / planted));
+    }
+    let label = format!("{}: {} of {}", curve.name, curve.times.len(), curve.planted);
+    chart
+        .draw_series(LineSeries::new(points, color.stroke_width(2)))?
+        .label(label)
+        .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], color.stroke_width(2)));
+    Ok(())
+}
+
+fn draw_limit(chart: &mut Chart<'_, '_>, seconds: u64) -> Result<(), Box<dyn Error>> {
+    let time = seconds as f64;
+    let style = BLACK.mix(0.5).stroke_width(1);
+    chart.draw_series(LineSeries::new([(time, 0.0), (time, PART_AXIS)], style))?;
+    let text = format!("fixed limit {seconds} s");
+    chart.draw_series([Text::new(text, (time + 0.4, 0.06), (FONT, 13))])?;
     Ok(())
 }
 
--- a/crates/cli/src/commands/experiment/chart/tests.rs
+++ b/crates/cli/src/commands/experiment/chart/tests.rs
@@ -1,12 +1,20 @@
 use super::*;
 
 #[test]
-fn a_plot_holds_its_curves_and_limits() {
-    let curves = vec![
-        ("as set".to_owned(), vec![3.0, 5.0, 8.0], 4),
-        ("none".to_owned(), vec![], 0),
+fn a_plot_contains_all_curves_and_limits() {
+    let curves = [
+        Curve {
+            name: "as set".to_owned(),
+            times: vec![3.0, 5.0, 8.0],
+            planted: 4,
+        },
+        Curve {
+            name: "none".to_owned(),
+            times: vec![],
+            planted: 0,
+        },
     ];
-    let svg = found_by_time(&curves, &[5, 15]);
+    let svg = draw_found_by_time(&curves, &[5, 15]);
     assert!(
         svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"),
         "{}",
--- a/crates/cli/src/commands/experiment/mod.rs
+++ b/crates/cli/src/commands/experiment/mod.rs
@@ -2,18 +2,21 @@
 
 mod chart;
 mod runaways;
+mod summary;
+mod table;
 
 use std::process::ExitCode;
 
-use crate::run::Failure;
+use crate::error::CommandError;
 
+/// The study.
 #[derive(clap::Subcommand)]
-pub enum Args {
-    /// Runaways: how soon they are found, whether anything else is, and what holding changes. Simulated servers.
+pub(crate) enum Args {
+    /// Runaways: how soon they are found, false positives, and the effect of holds. Simulated servers.
     Runaways(runaways::Args),
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     match args {
         Args::Runaways(args) => runaways::run(args),
     }
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -1,12 +1,14 @@
-//! `hoptiller experiment runaways`: plays the study's runs in parallel, and tells its figures.
+//! `hoptiller experiment runaways`: runs the study's simulations in parallel, and reports their figures.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
 use std::io::{self, Write};
-use std::path::PathBuf;
+use std::num::NonZero;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::thread;
 use std::time::Instant;
 
 use hoptiller_emulator::study::{self, Condition, Figures, LIMITS};
@@ -14,27 +16,37 @@
 use serde_json::{Value, json};
 
 use super::chart;
-use crate::run::Failure;
+use super::summary::ConditionSummary;
+use super::table::print_tables;
+use crate::commands::print_json;
+use crate::error::CommandError;
 
-/// The settings that are used without a file.
+/// The settings that are used without a file, and the file that they import.
 const EXAMPLE: &str = include_str!("../../../../../examples/runaways.jsonnet");
-const DERBY: &str = include_str!("../../../../../examples/derby.jsonnet");
+const IMPORTED_EXAMPLE: &str = include_str!("../../../../../examples/derby.jsonnet");
 
+/// Classes that the study's traffic uses.
+const CLASSES: [&str; 3] = ["lookup", "report", "rent-load"];
+
+/// Progress is reported after so many runs.
+const PROGRESS_INTERVAL: usize = 8;
+
+/// Arguments of `hoptiller experiment runaways`.
 #[derive(clap::Args)]
-pub struct Args {
+pub(crate) struct Args {
     /// Runs of each condition, each with another seed
     #[arg(long, default_value_t = 24, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
     /// The first seed
-    #[arg(long, default_value_t = 1, value_name = "SEED")]
-    first: u64,
-    /// Engines of eight cores; the traffic takes some 32 cores
+    #[arg(long = "first", default_value_t = 1, value_name = "SEED")]
+    first_seed: u64,
+    /// Number of engines with eight cores; the traffic uses about 32 cores
     #[arg(long, default_value_t = 8, value_name = "N", value_parser = clap::value_parser!(u16).range(2..=64))]
     engines: u16,
-    /// Settings, in Jsonnet, with classes lookup, report and rent-load; without: examples/runaways.jsonnet
+    /// Settings, in Jsonnet, with classes lookup, report and rent-load; by default examples/runaways.jsonnet
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// Folder for the plot (runaways.svg) and each run's figures (runs.jsonl); made if need be
+    /// Folder for the plot (runaways.svg) and the figures of each run (runs.jsonl); created if needed
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
     /// Print the figures in JSON
@@ -42,257 +54,100 @@
     json: bool,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let settings = match &args.settings {
-        Some(file) => Settings::load(file).map_err(Failure::Settings)?,
-        None => {
-            // The example imports its neighbour: both are in this program.
-            let text = EXAMPLE.replace("import 'derby.jsonnet'", DERBY);
-            Settings::from_text("runaways.jsonnet", &text).map_err(Failure::Settings)?
-        }
-    };
-    for name in ["lookup", "report", "rent-load"] {
-        if settings.class(name).is_none() {
-            return Err(Failure::Usage(format!(
-                "the settings have no class {name:?}: the study needs it"
-            )));
-        }
-    }
-    let seeds: Vec<u64> = (args.first..).take(args.seeds as usize).collect();
-    let jobs: Vec<(Condition, u64)> = Condition::ALL
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    let settings = load_settings(args.settings.as_deref())?;
+    let seeds: Vec<u64> = (args.first_seed..).take(args.seeds as usize).collect();
+    let runs: Vec<(Condition, u64)> = Condition::ALL
         .iter()
-        .flat_map(|c| seeds.iter().map(move |s| (*c, *s)))
+        .flat_map(|condition| seeds.iter().map(move |seed| (*condition, *seed)))
+        .collect();
+    let figures = run_all(&settings, &runs, usize::from(args.engines));
+    let summaries: Vec<ConditionSummary> = Condition::ALL
+        .iter()
+        .map(|condition| ConditionSummary::new(*condition, &figures))
         .collect();
-    let all = play(&settings, &jobs, args.engines);
-    let told: Vec<Told> = Condition::ALL.iter().map(|c| Told::of(*c, &all)).collect();
     if let Some(dir) = &args.report {
-        let outside = |e: io::Error| Failure::Outside(dir.display().to_string(), e);
-        fs::create_dir_all(dir).map_err(outside)?;
-        let mut lines = io::BufWriter::new(File::create(dir.join("runs.jsonl")).map_err(outside)?);
-        for figures in &all {
-            let line = serde_json::to_string(figures).unwrap_or_default();
-            writeln!(lines, "{line}").map_err(outside)?;
-        }
-        lines.flush().map_err(outside)?;
-        let curves: Vec<(String, Vec<f64>, usize)> = told
-            .iter()
-            .map(|t| (t.condition.word(), t.found.clone(), t.planted))
-            .collect();
-        let svg = chart::found_by_time(&curves, &LIMITS);
-        fs::write(dir.join("runaways.svg"), svg).map_err(outside)?;
-        eprintln!(
-            "written: {} and runs.jsonl beside it",
-            dir.join("runaways.svg").display()
-        );
+        write_report(dir, &figures, &summaries)
+            .map_err(CommandError::io(dir.display().to_string()))?;
     }
     if args.json {
-        let all: Vec<Value> = told.iter().map(Told::json).collect();
-        let value = json!({ "seeds": seeds, "engines": args.engines, "simulated": true, "conditions": all });
-        println!(
-            "{}",
-            serde_json::to_string_pretty(&value).unwrap_or_default()
-        );
+        let conditions: Vec<Value> = summaries.iter().map(ConditionSummary::to_json).collect();
+        print_json(&json!({
+            "seeds": seeds, "engines": args.engines, "simulated": true, "conditions": conditions,
+        }));
     } else {
-        print(&told, seeds.len());
+        print_tables(&summaries, seeds.len());
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Plays all runs on all cores, and says how far it is.
-fn play(settings: &Settings, jobs: &[(Condition, u64)], engines: u16) -> Vec<Figures> {
-    let threads = std::thread::available_parallelism()
-        .map_or(1, |n| n.get())
-        .min(jobs.len());
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
-    let began = Instant::now();
-    std::thread::scope(|s| {
-        for _ in 0..threads {
-            s.spawn(|| {
-                loop {
-                    let at = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((condition, seed)) = jobs.get(at) else {
-                        return;
-                    };
-                    let figures = study::run(settings, *condition, *seed, usize::from(engines));
-                    if let Ok(mut done) = done.lock() {
-                        done.insert(at, figures);
-                        let (n, all) = (done.len(), jobs.len());
-                        if n % 8 == 0 || n == all {
-                            eprintln!("{n} of {all} runs, {:.0} s", began.elapsed().as_secs_f64());
-                        }
-                    }
-                }
-            });
+fn load_settings(file: Option<&Path>) -> Result<Settings, CommandError> {
+    let settings = match file {
+        Some(file) => Settings::load(file)?,
+        None => {
+            // The example imports its neighbour: both are in this program.
+            let text = EXAMPLE.replace("import 'derby.jsonnet'", IMPORTED_EXAMPLE);
+            Settings::from_text("runaways.jsonnet", &text)?
         }
-    });
-    done.into_inner()
-        .map(|done| done.into_values().collect())
-        .unwrap_or_default()
-}
-
-/// The figures of a condition, over its runs.
-struct Told {
-    condition: Condition,
-    /// Times to detection of those found, in s, by time; and how many were planted.
-    found: Vec<f64>,
-    planted: usize,
-    by_cause: BTreeMap<&'static str, (usize, Vec<f64>)>,
-    large: (usize, usize),
-    others: (usize, usize),
-    notices: usize,
-    limits: Vec<(u64, usize, usize, usize)>,
-    worth: f64,
-    behind: (usize, usize),
-    fallen: usize,
+    };
+    match CLASSES.iter().find(|name| settings.class(name).is_none()) {
+        Some(missing) => Err(CommandError::Usage(format!(
+            "the settings have no class {missing:?}: the study needs it"
+        ))),
+        None => Ok(settings),
+    }
 }
 
-impl Told {
-    fn of(condition: Condition, all: &[Figures]) -> Told {
-        let runs: Vec<&Figures> = all.iter().filter(|f| f.condition == condition).collect();
-        let sum = |of: &dyn Fn(&Figures) -> usize| runs.iter().map(|f| of(f)).sum::<usize>();
-        let mut found: Vec<f64> = runs
-            .iter()
-            .flat_map(|f| f.found.iter().filter_map(|x| x.1))
-            .collect();
-        found.sort_by(f64::total_cmp);
-        let mut by_cause: BTreeMap<&'static str, (usize, Vec<f64>)> = BTreeMap::new();
-        for (what, after) in runs.iter().flat_map(|f| &f.found) {
-            let of = by_cause.entry(what).or_default();
-            of.0 += 1;
-            of.1.extend(after);
+/// Runs all simulations on all cores, and reports the progress. The figures are in the order of the runs.
+fn run_all(settings: &Settings, runs: &[(Condition, u64)], engines: usize) -> Vec<Figures> {
+    let threads = thread::available_parallelism()
+        .map_or(1, NonZero::get)
+        .min(runs.len());
+    let (next, completed) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
+    let start = Instant::now();
+    let work = || {
+        loop {
+            let index = next.fetch_add(1, Ordering::Relaxed);
+            let Some((condition, seed)) = runs.get(index) else {
+                return;
+            };
+            let figures = study::run(settings, *condition, *seed, engines);
+            let Ok(mut completed) = completed.lock() else {
+                return;
+            };
+            completed.insert(index, figures);
+            report_progress(completed.len(), runs.len(), start);
         }
-        by_cause
-            .values_mut()
-            .for_each(|of| of.1.sort_by(f64::total_cmp));
-        let limit = |(at, l): (usize, &u64)| {
-            (
-                *l,
-                sum(&|f| f.limits[at].1),
-                sum(&|f| f.limits[at].2),
-                sum(&|f| f.limits[at].3),
-            )
-        };
-        Told {
-            condition,
-            planted: sum(&|f| f.found.len()),
-            found,
-            by_cause,
-            large: (sum(&|f| f.large), sum(&|f| f.large_flagged)),
-            others: (sum(&|f| f.others), sum(&|f| f.others_flagged)),
-            notices: sum(&|f| f.notices),
-            limits: LIMITS.iter().enumerate().map(limit).collect(),
-            worth: runs.iter().map(|f| f.worth).sum::<f64>() / runs.len().max(1) as f64,
-            behind: (sum(&|f| f.behind), sum(&|f| f.behind_on_time)),
-            fallen: sum(&|f| f.fallen),
+    };
+    thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(work);
         }
-    }
-
-    fn json(&self) -> Value {
-        let causes: BTreeMap<&str, Value> = self
-            .by_cause
-            .iter()
-            .map(|(cause, (n, found))| {
-                let of = json!({ "planted": n, "found": found.len(), "p50": at(found, 0.5), "p95": at(found, 0.95) });
-                (*cause, of)
-            })
-            .collect();
-        let limits: Vec<Value> = self
-            .limits
-            .iter()
-            .map(|l| json!({ "seconds": l.0, "found": l.1, "largeFlagged": l.2, "othersFlagged": l.3 }))
-            .collect();
-        json!({
-            "condition": self.condition,
-            "planted": self.planted,
-            "found": self.found.len(),
-            "p50": at(&self.found, 0.5),
-            "p95": at(&self.found, 0.95),
-            "latest": at(&self.found, 1.0),
-            "byCause": causes,
-            "large": self.large.0,
-            "largeFlagged": self.large.1,
-            "others": self.others.0,
-            "othersFlagged": self.others.1,
-            "notices": self.notices,
-            "fixedLimits": limits,
-            "worthOnTime": self.worth,
-            "lookupsBehind": self.behind.0,
-            "lookupsBehindOnTime": self.behind.1,
-            "enginesFallen": self.fallen,
-        })
-    }
-}
-
-/// A quantile of sorted figures.
-fn at(sorted: &[f64], q: f64) -> Option<f64> {
-    let last = sorted.len().checked_sub(1)?;
-    sorted.get((q * last as f64).ceil() as usize).copied()
+    });
+    completed
+        .into_inner()
+        .map(|figures| figures.into_values().collect())
+        .unwrap_or_default()
 }
 
-fn seconds(v: Option<f64>) -> String {
-    v.map_or("-".into(), |v| format!("{v:.1} s"))
+fn report_progress(completed: usize, runs: usize, start: Instant) {
+    if completed.is_multiple_of(PROGRESS_INTERVAL) || completed == runs {
+        let seconds = start.elapsed().as_secs_f64();
+        eprintln!("{completed} of {runs} runs, {seconds:.0} s");
+    }
 }
 
-fn print(told: &[Told], runs: usize) {
-    println!("{runs} runs of each condition (simulated servers)\n");
-    let head = [
-        "condition",
-        "found",
-        "p50",
-        "p95",
-        "latest",
-        "large",
-        "others",
-        "notices",
-        "worth",
-        "behind a load",
-    ];
-    println!(
-        "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6}  {:>13}",
-        head[0], head[1], head[2], head[3], head[4], head[5], head[6], head[7], head[8], head[9]
-    );
-    for t in told {
-        let behind = t.behind.1 as f64 / (t.behind.0 as f64).max(1.0);
-        println!(
-            "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
-            t.condition.word(),
-            format!("{} of {}", t.found.len(), t.planted),
-            seconds(at(&t.found, 0.5)),
-            seconds(at(&t.found, 0.95)),
-            seconds(at(&t.found, 1.0)),
-            format!("{} of {}", t.large.1, t.large.0),
-            format!("{} of {}", t.others.1, t.others.0),
-            t.notices,
-            t.worth,
-            behind,
-            t.behind.0,
-        );
-    }
-    println!(
-        "\nfound: runaways named, after the engine took them. large, others: flagged, of all that ran; none should be."
-    );
-    println!(
-        "worth: answered on time, of all. behind a load: lookups whose tables a planted load held, on time.\n"
-    );
-    for t in told {
-        println!("{}, by what was planted", t.condition.word());
-        for (cause, (n, found)) in &t.by_cause {
-            println!(
-                "  {cause:<16} {} of {n}, p50 {}, p95 {}, latest {}",
-                found.len(),
-                seconds(at(found, 0.5)),
-                seconds(at(found, 0.95)),
-                seconds(at(found, 1.0))
-            );
-        }
-    }
-    if let Some(t) = told.first() {
-        println!("\nfixed limits in the same runs ({})", t.condition.word());
-        for (limit, found, large, others) in &t.limits {
-            println!(
-                "  {limit:>3} s: finds {found} of {} runaways, flags {large} of {} large reports and {others} others",
-                t.planted, t.large.0
-            );
-        }
+fn write_report(dir: &Path, figures: &[Figures], summaries: &[ConditionSummary]) -> io::Result<()> {
+    fs::create_dir_all(dir)?;
+    let mut lines = io::BufWriter::new(File::create(dir.join("runs.jsonl"))?);
+    for run in figures {
+        let line = serde_json::to_string(run).unwrap_or_default();
+        writeln!(lines, "{line}")?;
     }
+    lines.flush()?;
+    let curves: Vec<chart::Curve> = summaries.iter().map(ConditionSummary::curve).collect();
+    let plot = dir.join("runaways.svg");
+    fs::write(&plot, chart::draw_found_by_time(&curves, &LIMITS))?;
+    eprintln!("written: {} and runs.jsonl beside it", plot.display());
+    Ok(())
 }
--- /dev/null
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -0,0 +1,175 @@
+//! The figures of a condition over all of its runs.
+
+use std::collections::BTreeMap;
+
+use hoptiller_emulator::study::{Condition, Figures, LIMITS};
+use serde_json::{Value, json};
+
+use super::chart::Curve;
+
+/// Some of a number of statements.
+#[derive(Clone, Copy)]
+pub(super) struct Part {
+    pub(super) count: usize,
+    pub(super) total: usize,
+}
+
+/// The runaways that were planted, and those that were found.
+#[derive(Default)]
+pub(super) struct Detections {
+    pub(super) planted: usize,
+    /// Times from start to detection, in seconds, ascending.
+    pub(super) times: Vec<f64>,
+}
+
+impl Detections {
+    fn new<'f>(runaways: impl Iterator<Item = &'f Option<f64>>) -> Detections {
+        let mut detections = Detections::default();
+        for time in runaways {
+            detections.planted += 1;
+            detections.times.extend(time);
+        }
+        detections.times.sort_by(f64::total_cmp);
+        detections
+    }
+
+    /// A quantile of the times; none where nothing was found.
+    pub(super) fn quantile(&self, quantile: f64) -> Option<f64> {
+        let last = self.times.len().checked_sub(1)?;
+        let index = (quantile * last as f64).ceil() as usize;
+        self.times.get(index).copied()
+    }
+}
+
+/// What a fixed limit of run time would have flagged in the same runs.
+pub(super) struct FixedLimit {
+    pub(super) seconds: u64,
+    pub(super) found: usize,
+    pub(super) large_flagged: usize,
+    pub(super) others_flagged: usize,
+}
+
+/// The figures of a condition over all of its runs.
+pub(super) struct ConditionSummary {
+    condition: Condition,
+    pub(super) runaways: Detections,
+    pub(super) by_cause: BTreeMap<&'static str, Detections>,
+    /// Large reports that were flagged.
+    pub(super) large_flagged: Part,
+    /// Other statements that were flagged.
+    pub(super) others_flagged: Part,
+    pub(super) notices: usize,
+    pub(super) fixed_limits: Vec<FixedLimit>,
+    /// Value of the responses in time, as a part of all.
+    pub(super) value: f64,
+    /// Lookups on time, of those whose tables a planted load blocked.
+    pub(super) blocked_on_time: Part,
+    /// Engines that failed.
+    failed_engines: usize,
+}
+
+impl ConditionSummary {
+    pub(super) fn new(condition: Condition, figures: &[Figures]) -> ConditionSummary {
+        let runs: Vec<&Figures> = figures
+            .iter()
+            .filter(|run| run.condition == condition)
+            .collect();
+        let sum = |count: &dyn Fn(&Figures) -> usize| runs.iter().map(|run| count(run)).sum();
+        let part = |count: &dyn Fn(&Figures) -> usize, total: &dyn Fn(&Figures) -> usize| Part {
+            count: sum(count),
+            total: sum(total),
+        };
+        let fixed_limit = |(index, seconds): (usize, &u64)| FixedLimit {
+            seconds: *seconds,
+            found: sum(&|run| run.limits[index].1),
+            large_flagged: sum(&|run| run.limits[index].2),
+            others_flagged: sum(&|run| run.limits[index].3),
+        };
+        let value: f64 = runs.iter().map(|run| run.worth).sum();
+        ConditionSummary {
+            condition,
+            runaways: Detections::new(runs.iter().flat_map(|run| run.found.iter().map(|f| &f.1))),
+            by_cause: detections_by_cause(&runs),
+            large_flagged: part(&|run| run.large_flagged, &|run| run.large),
+            others_flagged: part(&|run| run.others_flagged, &|run| run.others),
+            notices: sum(&|run| run.notices),
+            fixed_limits: LIMITS.iter().enumerate().map(fixed_limit).collect(),
+            value: value / runs.len().max(1) as f64,
+            blocked_on_time: part(&|run| run.behind_on_time, &|run| run.behind),
+            failed_engines: sum(&|run| run.fallen),
+        }
+    }
+
+    /// The condition in words.
+    pub(super) fn name(&self) -> String {
+        self.condition.word()
+    }
+
+    pub(super) fn curve(&self) -> Curve {
+        Curve {
+            name: self.name(),
+            times: self.runaways.times.clone(),
+            planted: self.runaways.planted,
+        }
+    }
+
+    pub(super) fn to_json(&self) -> Value {
+        let causes: BTreeMap<&str, Value> = self
+            .by_cause
+            .iter()
+            .map(|(cause, detections)| (*cause, detections_json(detections)))
+            .collect();
+        let limits: Vec<Value> = self
+            .fixed_limits
+            .iter()
+            .map(|limit| {
+                json!({
+                    "seconds": limit.seconds,
+                    "found": limit.found,
+                    "largeFlagged": limit.large_flagged,
+                    "othersFlagged": limit.others_flagged,
+                })
+            })
+            .collect();
+        let runaways = &self.runaways;
+        json!({
+            "condition": self.condition,
+            "planted": runaways.planted,
+            "found": runaways.times.len(),
+            "p50": runaways.quantile(0.5),
+            "p95": runaways.quantile(0.95),
+            "latest": runaways.quantile(1.0),
+            "byCause": causes,
+            "large": self.large_flagged.total,
+            "largeFlagged": self.large_flagged.count,
+            "others": self.others_flagged.total,
+            "othersFlagged": self.others_flagged.count,
+            "notices": self.notices,
+            "fixedLimits": limits,
+            "worthOnTime": self.value,
+            "lookupsBehind": self.blocked_on_time.total,
+            "lookupsBehindOnTime": self.blocked_on_time.count,
+            "enginesFallen": self.failed_engines,
+        })
+    }
+}
+
+fn detections_by_cause(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
+    let mut times: BTreeMap<&'static str, Vec<&Option<f64>>> = BTreeMap::new();
+    for (cause, time) in runs.iter().flat_map(|run| &run.found) {
+        times.entry(cause).or_default().push(time);
+    }
+    times
+        .into_iter()
+        .map(|(cause, times)| (cause, Detections::new(times.into_iter())))
+        .collect()
+}
+
+fn detections_json(detections: &Detections) -> Value {
+    json!({
+        "planted": detections.planted,
+        "found": detections.times.len(),
+        "p50": detections.quantile(0.5),
+        "p95": detections.quantile(0.95),
+    })
+}
--- /dev/null
+++ b/crates/cli/src/commands/experiment/table.rs
@@ -0,0 +1,91 @@
+//! The study's figures as tables for people.
+
+use super::summary::{ConditionSummary, Part};
+
+pub(super) fn print_tables(summaries: &[ConditionSummary], runs: usize) {
+    println!("{runs} runs of each condition (simulated servers)\n");
+    print_conditions(summaries);
+    println!(
+        "\nfound: runaways named, after the engine took them. large, others: flagged, of all that ran; none should be."
+    );
+    println!(
+        "worth: answered on time, of all. behind a load: lookups whose tables a planted load held, on time.\n"
+    );
+    for summary in summaries {
+        print_causes(summary);
+    }
+    if let Some(summary) = summaries.first() {
+        print_fixed_limits(summary);
+    }
+}
+
+fn print_conditions(summaries: &[ConditionSummary]) {
+    println!(
+        "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6}  {:>13}",
+        "condition",
+        "found",
+        "p50",
+        "p95",
+        "latest",
+        "large",
+        "others",
+        "notices",
+        "worth",
+        "behind a load"
+    );
+    for summary in summaries {
+        let runaways = &summary.runaways;
+        let blocked = summary.blocked_on_time;
+        println!(
+            "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
+            summary.name(),
+            format!("{} of {}", runaways.times.len(), runaways.planted),
+            seconds(runaways.quantile(0.5)),
+            seconds(runaways.quantile(0.95)),
+            seconds(runaways.quantile(1.0)),
+            ratio(summary.large_flagged),
+            ratio(summary.others_flagged),
+            summary.notices,
+            summary.value,
+            blocked.count as f64 / (blocked.total as f64).max(1.0),
+            blocked.total,
+        );
+    }
+}
+
+fn print_causes(summary: &ConditionSummary) {
+    println!("{}, by what was planted", summary.name());
+    for (cause, detections) in &summary.by_cause {
+        println!(
+            "  {cause:<16} {} of {}, p50 {}, p95 {}, latest {}",
+            detections.times.len(),
+            detections.planted,
+            seconds(detections.quantile(0.5)),
+            seconds(detections.quantile(0.95)),
+            seconds(detections.quantile(1.0))
+        );
+    }
+}
+
+fn print_fixed_limits(summary: &ConditionSummary) {
+    println!("\nfixed limits in the same runs ({})", summary.name());
+    for limit in &summary.fixed_limits {
+        println!(
+            "  {:>3} s: finds {} of {} runaways, flags {} of {} large reports and {} others",
+            limit.seconds,
+            limit.found,
+            summary.runaways.planted,
+            limit.large_flagged,
+            summary.large_flagged.total,
+            limit.others_flagged
+        );
+    }
+}
+
+fn ratio(part: Part) -> String {
+    format!("{} of {}", part.count, part.total)
+}
+
+fn seconds(value: Option<f64>) -> String {
+    value.map_or("-".into(), |value| format!("{value:.1} s"))
+}
--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -11,8 +11,8 @@
 use hoptiller_fault_harness::stage::EnginePlan;
 use hoptiller_fault_harness::{Day, Layout, Stage};
 
-use crate::keepers::KeeperArgs;
-use crate::run::Failure;
+use crate::error::CommandError;
+use crate::replicas::ReplicaArgs;
 
 #[derive(clap::Subcommand)]
 pub enum Args {
@@ -56,7 +56,7 @@
 #[derive(clap::Args)]
 pub struct ReplaceArgs {
     #[command(flatten)]
-    keepers: KeeperArgs,
+    keepers: ReplicaArgs,
     /// The keeper that is lost
     #[arg(long, value_name = "N")]
     lost: u64,
@@ -71,13 +71,13 @@
 #[derive(clap::Args)]
 pub struct StatusArgs {
     #[command(flatten)]
-    keepers: KeeperArgs,
+    keepers: ReplicaArgs,
     /// What each keeper answers, in JSON
     #[arg(long)]
     json: bool,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+pub fn run(args: &Args) -> Result<ExitCode, CommandError> {
     match args {
         Args::ClusterStatus(args) => status(args),
         Args::Leases(args) => leases(args),
@@ -120,11 +120,11 @@
 }
 
 /// A file of a day, checked as far as can be without playing it.
-fn written(file: &std::path::Path) -> Result<Written, Failure> {
+fn written(file: &std::path::Path) -> Result<Written, CommandError> {
     let value = hoptiller_statement_router::settings::evaluate_file(file)
-        .map_err(|p| Failure::Settings(vec![p]))?;
+        .map_err(|p| CommandError::Settings(vec![p]))?;
     let day: Written = serde_json::from_value(value)
-        .map_err(|e| Failure::Usage(format!("{}: {e}", file.display())))?;
+        .map_err(|e| CommandError::Usage(format!("{}: {e}", file.display())))?;
     let problem = |path: &str, what: String| hoptiller_statement_router::Problem {
         place: format!("{}: {path}", file.display()),
         what,
@@ -157,19 +157,19 @@
     if problems.is_empty() {
         Ok(day)
     } else {
-        Err(Failure::Settings(problems))
+        Err(CommandError::Settings(problems))
     }
 }
 
 /// What a day is, in words, where nothing is wrong with it.
-pub fn check(file: &std::path::Path) -> Result<String, Failure> {
+pub fn check(file: &std::path::Path) -> Result<String, CommandError> {
     let w = written(file)?;
     let mut settings = w.settings;
     settings["router"] =
         serde_json::json!({ "name": "r1", "of": w.routers, "listen": "127.0.0.1:0" });
     let name = format!("{}: settings", file.display());
     hoptiller_statement_router::Settings::from_value(&name, &settings)
-        .map_err(Failure::Settings)?;
+        .map_err(CommandError::Settings)?;
     let (seconds, documents) = (w.day.lasts.0 / 1_000_000, w.day.documents.len());
     Ok(format!(
         "a fleet's day of {seconds} s, {} keepers, {} routers, {documents} documents",
@@ -177,19 +177,19 @@
     ))
 }
 
-fn play(args: &RunArgs) -> Result<ExitCode, Failure> {
+fn play(args: &RunArgs) -> Result<ExitCode, CommandError> {
     let file = written(&args.day)?;
     let outside = |what: &str| {
         let what = what.to_owned();
-        move |e: std::io::Error| Failure::Outside(what, e)
+        move |e: std::io::Error| CommandError::io(what)(e)
     };
     if args.report.exists() {
-        return Err(Failure::Usage(format!(
+        return Err(CommandError::Usage(format!(
             "{} is there already",
             args.report.display()
         )));
     }
-    crate::run::raise_descriptors();
+    crate::runtime::raise_descriptor_limit();
     end_with_signals();
     let program = std::env::current_exe().map_err(outside("this program"))?;
     let layout = Layout {
@@ -218,7 +218,7 @@
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
         if hoptiller_coordination::fault_injection::Fault::from_name(name).is_none() {
-            return Err(Failure::Usage(format!(
+            return Err(CommandError::Usage(format!(
                 "--plant: {name:?} is no fault that is known"
             )));
         }
@@ -264,7 +264,7 @@
             serde_json::to_string_pretty(&told).unwrap_or_default()
         );
     } else {
-        crate::commands::audit::print(&verdict, false);
+        crate::commands::audit::print_verdict(&verdict, false);
         let overlap = verdict.overlap.unwrap_or_default();
         println!(
             "acts under contradicting versions: {}, the longest overlap {} ms",
@@ -329,14 +329,14 @@
 /// The fleet's processes end with this one, also where it is told to end.
 fn end_with_signals() {
     std::thread::spawn(|| {
-        if async_io::block_on(crate::run::told_to_end()).is_ok() {
+        if async_io::block_on(crate::runtime::wait_for_termination()).is_ok() {
             hoptiller_fault_harness::process::end_all();
             std::process::exit(130);
         }
     });
 }
 
-fn replace_keeper(args: &ReplaceArgs) -> Result<ExitCode, Failure> {
+fn replace_keeper(args: &ReplaceArgs) -> Result<ExitCode, CommandError> {
     let ask = serde_json::json!({ "lost": args.lost, "new": args.new, "at": args.at });
     let done: wire::ReplaceResponse = args.keepers.open()?.post(wire::REPLACE, &ask)?;
     println!(
@@ -347,7 +347,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn leases(args: &StatusArgs) -> Result<ExitCode, Failure> {
+fn leases(args: &StatusArgs) -> Result<ExitCode, CommandError> {
     let all: Vec<LeaseStatus> = args.keepers.open()?.get(wire::LEASES)?;
     if args.json {
         println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
@@ -384,8 +384,11 @@
     out
 }
 
-fn status(args: &StatusArgs) -> Result<ExitCode, Failure> {
-    let all = args.keepers.open()?.each::<ClusterStatus>(wire::STATUS);
+fn status(args: &StatusArgs) -> Result<ExitCode, CommandError> {
+    let all = args
+        .keepers
+        .open()?
+        .get_from_each::<ClusterStatus>(wire::STATUS);
     if args.json {
         let shown: Vec<_> = all
             .iter()
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -1,4 +1,4 @@
-//! `hoptiller keep`: one of a fleet's keepers.
+//! `hoptiller keep`: a replica of the coordination server.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,62 +7,73 @@
 use hoptiller_coordination_client::{Clock, Secret};
 use hoptiller_coordination_server::join::join;
 use hoptiller_coordination_server::{Config, Server, StartError};
+use hoptiller_http::Spawner;
+use hoptiller_statement_router::settings::evaluate_file;
 
-use crate::run::{self, Failure};
-use crate::secret;
+use crate::error::CommandError;
+use crate::random_id::random_id;
+use crate::replicas::load_fleet_secret;
+use crate::runtime::{self, wait_for_termination};
 
+/// Arguments of `hoptiller keep`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The keeper's configuration, in Jsonnet
+pub(crate) struct Args {
+    /// The replica's configuration, in Jsonnet
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// A new keeper in another's place: it waits until the others have taken it in, and begins with what they know.
-    /// Where it was taken in before, it goes on as any other
+    /// Starts a new replica in place of a lost one: it waits until the others have made it a member, and begins with
+    /// their state. A replica that is a member already starts as without this option
     #[arg(long)]
     join: bool,
-    /// For tests: the clock runs fast by so many millionths (slow, where under 0)
+    /// For tests: the clock is fast by so many millionths (slow, if negative)
     #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
     clock_skew: i64,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let value = hoptiller_statement_router::settings::evaluate_file(&args.config)
-        .map_err(|p| Failure::Settings(vec![p]))?;
-    let place = |e| Failure::Usage(format!("{}: {e}", args.config.display()));
-    let config = Config::read(value).map_err(|e| place(e.to_string()))?;
-    let fleet_secret = Secret::load(&config.secret)
-        .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
-    run::raise_descriptors();
-    run::block_on(async |spawner| {
-        let clock = Clock::with_skew(args.clock_skew);
-        let outside = |e: StartError| {
-            Failure::Outside("the keeper can't start".into(), std::io::Error::other(e))
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    let value = evaluate_file(&args.config)?;
+    let config = Config::read(value).map_err(CommandError::invalid_file(&args.config))?;
+    let secret = load_fleet_secret(&config.secret)?;
+    runtime::raise_descriptor_limit();
+    runtime::block_on(async |spawner| {
+        serve(args, config, secret, &spawner).await?;
+        Ok(ExitCode::SUCCESS)
+    })
+}
+
+async fn serve(
+    args: &Args,
+    config: Config,
+    secret: Secret,
+    spawner: &Spawner,
+) -> Result<(), CommandError> {
+    let clock = Clock::with_skew(args.clock_skew);
+    let (number, fleet) = (config.replica, config.fleet.clone());
+    let storage = Server::open_storage(&config, &random_id()).map_err(start_error)?;
+    if args.join {
+        let joined = async {
+            let joined = join(&config, &secret, &storage).await;
+            joined.map(Some).map_err(|error| start_error(error.into()))
         };
-        let (number, fleet) = (config.replica, config.fleet.clone());
-        let storage = Server::open_storage(&config, &secret::life()).map_err(outside)?;
-        if args.join {
-            let joined = async {
-                join(&config, &fleet_secret, &storage)
-                    .await
-                    .map(Some)
-                    .map_err(|error| outside(error.into()))
-            };
-            let told = async { run::told_to_end().await.map(|()| None) };
-            if future::or(told, joined).await?.is_none() {
-                return Ok(ExitCode::SUCCESS);
-            }
+        if future::or(terminated(), joined).await?.is_none() {
+            return Ok(());
         }
-        let server = Server::open(config, fleet_secret, clock, storage).map_err(outside)?;
-        let addr = server.start(&spawner).map_err(outside)?;
-        println!("keeper {number} of {fleet} ready http://{addr}");
-        let told = async { run::told_to_end().await.map(|()| None) };
-        let over = async { Ok(Some(server.stopped().await)) };
-        match future::or(told, over).await? {
-            None => Ok(ExitCode::SUCCESS),
-            Some(why) => Err(Failure::Outside(
-                "the keeper may not go on".into(),
-                std::io::Error::other(why.to_string()),
-            )),
-        }
-    })
+    }
+    let server = Server::open(config, secret, clock, storage).map_err(start_error)?;
+    let address = server.start(spawner).map_err(start_error)?;
+    println!("keeper {number} of {fleet} ready http://{address}");
+    let stopped = async { Ok(Some(server.stopped().await)) };
+    match future::or(terminated(), stopped).await? {
+        None => Ok(()),
+        Some(reason) => Err(CommandError::io("the keeper may not go on")(reason)),
+    }
+}
+
+/// None, once the process is to end.
+async fn terminated<T>() -> Result<Option<T>, CommandError> {
+    wait_for_termination().await.map(|()| None)
+}
+
+fn start_error(error: StartError) -> CommandError {
+    CommandError::io("the keeper can't start")(error)
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,15 +1,26 @@
-//! The sub-commands.
+//! The subcommands: each has its arguments and a function `run` that returns the exit code.
 
-pub mod audit;
-pub mod beliefs;
-pub mod check;
-pub mod day;
-pub mod demo;
-pub mod experiment;
-pub mod fleet;
-pub mod keep;
-pub mod node;
-pub mod route;
-pub mod runaways;
-pub mod settings;
-pub mod standin;
+pub(crate) mod audit;
+pub(crate) mod beliefs;
+pub(crate) mod check;
+pub(crate) mod day;
+pub(crate) mod demo;
+pub(crate) mod experiment;
+pub(crate) mod fleet;
+pub(crate) mod keep;
+pub(crate) mod node;
+pub(crate) mod route;
+pub(crate) mod runaways;
+mod service;
+pub(crate) mod settings;
+pub(crate) mod standin;
+
+use serde::Serialize;
+
+/// Prints a value as JSON for people.
+fn print_json(value: &impl Serialize) {
+    println!(
+        "{}",
+        serde_json::to_string_pretty(value).unwrap_or_default()
+    );
+}
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -1,40 +1,37 @@
-//! `hoptiller node`: a router on our platform.
+//! `hoptiller node`: a router on the platform's protocol.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use async_signal::{Signal, Signals};
+use async_signal::Signal;
 use futures_lite::StreamExt;
 use hoptiller_platform_router::Router;
 
-use crate::run::{self, Failure};
+use crate::error::CommandError;
+use crate::runtime;
 
+/// Arguments of `hoptiller node`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The configuration, in JSON: name, address, limits, coordinator, engines as of the start, settings
+pub(crate) struct Args {
+    /// The configuration, in JSON: name, address, limits, coordinator, initial endpoint list, settings
     #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
     config: PathBuf,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    run::block_on(async |spawner| {
-        // They stand before the listener: a signal that comes early must not end the process.
-        let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-        let mut signals =
-            signals.map_err(|e| Failure::Outside("signals can't be listened to".into(), e))?;
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    runtime::block_on(async |spawner| {
+        // Before the listener is bound: a signal that arrives early must not end the process.
+        let mut signals = runtime::listen_to_signals([Signal::Term, Signal::Int, Signal::Hup])?;
         let router = Router::load(args.config.clone(), spawner.clone())
-            .map_err(|e| Failure::Usage(format!("{}: {e}", args.config.display())))?;
-        let addr = router
-            .start()
-            .map_err(|e| Failure::Outside("can't listen".into(), e))?;
-        println!("ready http://{addr}");
+            .map_err(CommandError::invalid_file(&args.config))?;
+        let address = router.start().map_err(CommandError::io("can't listen"))?;
+        println!("ready http://{address}");
         while let Some(signal) = signals.next().await {
-            if let Ok(Signal::Hup) = signal {
-                let router = router.clone();
-                spawner.spawn(async move { router.reload().await });
-                continue;
+            if !matches!(signal, Ok(Signal::Hup)) {
+                break;
             }
-            break;
+            let router = router.clone();
+            spawner.spawn(async move { router.reload().await });
         }
         router.shutdown().await;
         Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -1,68 +1,82 @@
-//! `hoptiller route`: a router.
+//! `hoptiller route`: a router on the statement API.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::rc::Rc;
 
-use hoptiller_coordination_client::{Clock, Secret};
+use hoptiller_coordination_client::Clock;
 use hoptiller_statement_router::agreed::Agreed;
 use hoptiller_statement_router::{Service, Settings};
 
-use crate::run::{self, Failure};
-use crate::secret;
+use super::service::shut_down;
+use crate::error::CommandError;
+use crate::random_id::random_id;
+use crate::replicas::load_fleet_secret;
+use crate::runtime::{self, wait_for_termination};
+use crate::{metrics_endpoint, secret};
 
+/// File descriptors that are used beside those for clients: for engines, files and replicas.
+const OTHER_DESCRIPTORS: u64 = 500;
+
+/// Arguments of `hoptiller route`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The settings, in Jsonnet; try `hoptiller check` on them first
+pub(crate) struct Args {
+    /// The settings, in Jsonnet; `hoptiller check` validates them
     file: PathBuf,
-    /// For tests: the clock of permits runs fast by so many millionths (slow, where under 0)
+    /// For tests: the clock of config leases is fast by so many millionths (slow, if negative)
     #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
     clock_skew: i64,
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let settings = Settings::load(&args.file).map_err(Failure::Settings)?;
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    let settings = Settings::load(&args.file)?;
     let secret = match &settings.router.state {
-        None => secret::fresh(),
-        Some(dir) => secret::load_or_make(dir)
-            .map_err(|e| Failure::Outside(format!("the state folder {}", dir.display()), e))?,
-    };
-    let life = secret::life();
-    let agreed = match &settings.agreement {
-        None => None,
-        Some(a) => {
-            let fleet = Secret::load(&a.secret)
-                .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
-            let (router, state) = (&settings.router.name, settings.router.state.as_deref());
-            Some(Agreed::new(
-                a.clone(),
-                fleet,
-                router,
-                &life,
-                state,
-                Clock::with_skew(args.clock_skew),
-            ))
-        }
+        None => secret::generate(),
+        Some(dir) => secret::load_or_create(dir).map_err(CommandError::io(format!(
+            "the state folder {}",
+            dir.display()
+        )))?,
     };
-    let descriptors = run::raise_descriptors();
-    // One for each client, and some for engines and the rest.
-    if descriptors < settings.limits.connections as u64 + 500 {
+    let incarnation = random_id();
+    let fleet = fleet_member(args, &settings, &incarnation)?;
+    let descriptors = runtime::raise_descriptor_limit();
+    if descriptors < settings.limits.connections as u64 + OTHER_DESCRIPTORS {
         tracing::warn!(
             descriptors,
             connections = settings.limits.connections,
-            "the system permits fewer descriptors than limits.connections may need: raise `ulimit -n`, or lower it"
+            "file descriptors may not suffice for limits.connections: raise `ulimit -n`, or lower the limit"
         );
     }
-    run::block_on(async |spawner| {
-        let extra = run::extra(run::metrics(&spawner));
-        let service = Service::agreeing(settings, &secret, life, spawner, agreed)
-            .map_err(|e| Failure::Usage(format!("{}: {e}", args.file.display())))?;
+    runtime::block_on(async |spawner| {
+        let metrics = metrics_endpoint::start(&spawner);
+        let service = Service::agreeing(settings, &secret, incarnation, spawner, fleet)
+            .map_err(CommandError::invalid_file(&args.file))?;
         let listen = service.desk.settings().router.listen;
-        let addr = service
-            .start(extra)
-            .map_err(|e| Failure::Outside(format!("can't listen on {listen}"), e))?;
-        println!("ready http://{addr}");
-        run::told_to_end().await?;
-        run::end(&service).await;
+        let address = service
+            .start(metrics)
+            .map_err(CommandError::io(format!("can't listen on {listen}")))?;
+        println!("ready http://{address}");
+        wait_for_termination().await?;
+        shut_down(&service).await;
         Ok(ExitCode::SUCCESS)
     })
 }
+
+/// The router's membership of a coordinated fleet; none where its settings name no replicas.
+fn fleet_member(
+    args: &Args,
+    settings: &Settings,
+    incarnation: &str,
+) -> Result<Option<Rc<Agreed>>, CommandError> {
+    let Some(agreement) = &settings.agreement else {
+        return Ok(None);
+    };
+    Ok(Some(Agreed::new(
+        agreement.clone(),
+        load_fleet_secret(&agreement.secret)?,
+        &settings.router.name,
+        incarnation,
+        settings.router.state.as_deref(),
+        Clock::with_skew(args.clock_skew),
+    )))
+}
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -1,20 +1,29 @@
-//! `hoptiller runaways`: what a running router has found, and freeing what it holds.
+//! `hoptiller runaways`: shows what a running router has found, and releases its holds.
+
+mod report;
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use futures_lite::future;
-use hoptiller_http::client::Connection;
+use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_statement_router::fronts::admin::{HOLDS, RUNAWAYS};
-use serde_json::Value;
+use serde::Deserialize;
+
+use crate::error::CommandError;
+use report::Report;
+
+/// Limit of the time to connect, and of the time for the response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-use crate::run::Failure;
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
+/// Arguments of `hoptiller runaways`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// Where the router's administrators reach it: `router.admin` of its settings
+pub(crate) struct Args {
+    /// The router's address for administrators: `router.admin` in its settings
     #[arg(
         long,
         env = "HOPTILLER_ADMIN",
@@ -22,165 +31,91 @@
         value_name = "ADDR"
     )]
     admin: SocketAddr,
-    /// Free a held kind: its 16 digits, as the list shows them
+    /// Release the hold of a fingerprint (kind): its 16 digits, as the list shows them
     #[arg(long, value_name = "KIND")]
     release: Option<String>,
-    /// Also show the last verdicts that no longer stand
-    #[arg(long)]
-    past: bool,
-    /// Print what the router answers, in JSON
+    /// Also show the last findings that no longer apply
+    #[arg(long = "past")]
+    with_past: bool,
+    /// Print the router's response, in JSON
     #[arg(long)]
     json: bool,
 }
 
-/// How long the router may take.
-const WITHIN: Duration = Duration::from_secs(5);
-
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    if let Some(kind) = &args.release {
-        let answer = ask(args.admin, Method::Delete, &format!("{HOLDS}{kind}"))?;
-        return match answer.status.0 {
-            204 => {
-                println!("kind {kind} is free");
-                Ok(ExitCode::SUCCESS)
-            }
-            _ => Err(Failure::Usage(format!("kind {kind}: {}", problem(&answer)))),
-        };
-    }
-    let answer = ask(args.admin, Method::Get, RUNAWAYS)?;
-    if answer.status.0 != 200 {
-        let what = format!("the router at {} answered {}", args.admin, answer.status.0);
-        return Err(Failure::Outside(
-            what,
-            std::io::Error::other(problem(&answer)),
-        ));
-    }
-    if args.json {
-        println!("{}", String::from_utf8_lossy(&answer.body));
-        return Ok(ExitCode::SUCCESS);
-    }
-    let value: Value = serde_json::from_slice(&answer.body)
-        .map_err(|e| Failure::Outside("the router's answer".into(), std::io::Error::other(e)))?;
-    print!("{}", show(&value, args.past));
-    Ok(ExitCode::SUCCESS)
+/// The router does not release a hold.
+#[derive(Debug, thiserror::Error)]
+#[error("kind {fingerprint}: {reason}")]
+pub(crate) struct ReleaseError {
+    fingerprint: String,
+    /// The router's reason.
+    reason: String,
 }
 
-fn ask(admin: SocketAddr, method: Method, target: &str) -> Result<Response, Failure> {
-    let asked = future::block_on(async {
-        let mut c = Connection::open(
-            admin,
-            WITHIN,
-            Limits {
-                max_body_bytes: 16 << 20,
-                ..Limits::default()
-            },
-        )
-        .await?;
-        c.exchange(
-            &Request::new(method, target).with_header("Connection", "close"),
-            WITHIN,
-        )
-        .await
-    });
-    asked.map_err(|e| {
-        let what =
-            format!("no answer from {admin}; is router.admin set there, and --admin the same");
-        Failure::Outside(what, std::io::Error::other(e.to_string()))
-    })
+/// A response that reports an error.
+#[derive(Deserialize)]
+struct ErrorBody {
+    problem: String,
 }
 
-fn problem(answer: &Response) -> String {
-    let value: Option<Value> = serde_json::from_slice(&answer.body).ok();
-    let told = value.and_then(|v| v["problem"].as_str().map(str::to_owned));
-    told.unwrap_or_else(|| format!("status {}", answer.status.0))
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    match &args.release {
+        Some(fingerprint) => release(args.admin, fingerprint)?,
+        None => show(args)?,
+    }
+    Ok(ExitCode::SUCCESS)
 }
 
-/// The router's answer for people.
-fn show(all: &Value, past: bool) -> String {
-    let list = |key: &str| all[key].as_array().cloned().unwrap_or_default();
-    let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
-    let seconds = |v: &Value| format!("{} s", v.as_u64().unwrap_or(0) / 1000);
-    let mut out = String::new();
-    let mut findings = |title: &str, all: Vec<Value>| {
-        if all.is_empty() {
-            return;
+fn release(admin: SocketAddr, fingerprint: &str) -> Result<(), CommandError> {
+    let path = format!("{HOLDS}{fingerprint}");
+    let response = send(admin, Method::Delete, &path)?;
+    if response.status.0 != 204 {
+        return Err(ReleaseError {
+            fingerprint: fingerprint.to_owned(),
+            reason: error_reason(&response),
         }
-        out.push_str(&format!("{title}\n"));
-        for f in all {
-            let place = if f["engine"].is_null() {
-                String::new()
-            } else {
-                format!(" on {}", text(&f["engine"]))
-            };
-            let class = if f["class"].is_null() {
-                String::new()
-            } else {
-                format!(", class {}", text(&f["class"]))
-            };
-            out.push_str(&format!(
-                "  {:<9} {}{place}{class}\n",
-                text(&f["verdict"]),
-                text(&f["subject"])
-            ));
-            out.push_str(&format!(
-                "            {}: {}\n",
-                text(&f["inWords"]),
-                text(&f["seen"])
-            ));
-            let (started, verdict) = (seconds(&f["startedMsAgo"]), seconds(&f["verdictMsAgo"]));
-            out.push_str(&format!(
-                "            began {started} ago, verdict {verdict} ago"
-            ));
-            match f["blocked"].as_u64().unwrap_or(0) {
-                0 => out.push('\n'),
-                n => out.push_str(&format!(", {n} wait behind it\n")),
-            }
-            for line in [text(&f["text"]), text(&f["note"])]
-                .iter()
-                .filter(|l| !l.is_empty())
-            {
-                out.push_str(&format!("            {line}\n"));
-            }
-        }
-    };
-    findings("found", list("findings"));
-    if past {
-        findings("no longer", list("past"));
-    }
-    let holds = list("holds");
-    if !holds.is_empty() {
-        out.push_str("held kinds (free one with --release KIND)\n");
+        .into());
     }
-    for h in holds {
-        out.push_str(&format!(
-            "  {}  class {}, {} at once, {} of {} clean runs to the next step, for {}\n      {}\n",
-            text(&h["kind"]),
-            text(&h["class"]),
-            h["atOnce"],
-            h["cleanRuns"],
-            h["cleanRunsForNextStep"],
-            seconds(&h["heldForMs"]),
-            text(&h["text"])
-        ));
-    }
-    for away in list("keptAway") {
-        let engines: Vec<String> = away["engines"]
-            .as_array()
-            .into_iter()
-            .flatten()
-            .map(text)
-            .collect();
-        out.push_str(&format!(
-            "  tables {} are kept away from {}\n",
-            text(&away["tables"]),
-            engines.join(", ")
-        ));
+    println!("kind {fingerprint} is free");
+    Ok(())
+}
+
+fn show(args: &Args) -> Result<(), CommandError> {
+    let response = send(args.admin, Method::Get, RUNAWAYS)?;
+    let status = response.status.0;
+    if status != 200 {
+        let context = format!("the router at {} answered {status}", args.admin);
+        return Err(CommandError::io(context)(error_reason(&response)));
     }
-    if out.is_empty() {
-        out.push_str("nothing runs away, and nothing is held\n");
+    if args.json {
+        println!("{}", String::from_utf8_lossy(&response.body));
+        return Ok(());
     }
-    out
+    let report: Report =
+        serde_json::from_slice(&response.body).map_err(CommandError::io("the router's answer"))?;
+    print!("{}", report.to_text(args.with_past));
+    Ok(())
+}
+
+fn send(admin: SocketAddr, method: Method, target: &str) -> Result<Response, CommandError> {
+    let request = Request::new(method, target).with_header("Connection", "close");
+    let limits = Limits {
+        max_body_bytes: MAX_RESPONSE_BYTES,
+        ..Limits::default()
+    };
+    let exchange = async {
+        let mut connection = Connection::open(admin, REQUEST_TIMEOUT, limits).await?;
+        connection.exchange(&request, REQUEST_TIMEOUT).await
+    };
+    let response: Result<Response, ClientError> = future::block_on(exchange);
+    response.map_err(CommandError::io(format!(
+        "no answer from {admin}; is router.admin set there, and --admin the same"
+    )))
 }
 
-#[cfg(test)]
-mod tests;
+fn error_reason(response: &Response) -> String {
+    let body: Option<ErrorBody> = serde_json::from_slice(&response.body).ok();
+    body.map_or_else(
+        || format!("status {}", response.status.0),
+        |body| body.problem,
+    )
+}
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -1,102 +1,116 @@
-//! `hoptiller standin`: what a router talks to, as stand-ins.
+//! `hoptiller standin`: mock servers of what a router connects to.
 
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use hoptiller_audit::Recorder;
+use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_mock_servers::ledger::Ledger;
 
-use crate::run::{self, Failure};
+use crate::error::CommandError;
+use crate::runtime::{self, wait_for_termination};
 
+/// The mock server to run.
 #[derive(clap::Subcommand)]
-pub enum Args {
-    /// An engine: models work and burns none. `PUT /v1/info/state` with "SHUTTING_DOWN" drains it,
-    /// `PUT /v1/standin/faults` makes it fail.
+pub(crate) enum Args {
+    /// An engine, which simulates work without using the processor. `PUT /v1/info/state` with "SHUTTING_DOWN" drains it,
+    /// `PUT /v1/standin/faults` injects faults.
     Engine(EngineArgs),
     /// A discovery service
     Discovery(DiscoveryArgs),
 }
 
+/// Arguments of `hoptiller standin engine`.
 #[derive(clap::Args)]
-pub struct EngineArgs {
-    /// Its name; kept over restarts
+pub(crate) struct EngineArgs {
+    /// The engine's name, the same after a restart
     #[arg(long)]
     node: String,
-    /// Where it listens
+    /// The address to listen on
     #[arg(long, default_value = "127.0.0.1:0", value_name = "ADDR")]
     listen: SocketAddr,
-    /// Where it announces itself
+    /// The discovery service to register with
     #[arg(long, value_name = "ADDR")]
     discovery: Option<SocketAddr>,
-    /// Its machine kind
+    /// The kind of machine
     #[arg(long, default_value = "std-8a")]
     kind: String,
-    /// Its zone
+    /// The zone
     #[arg(long, default_value = "hall-a")]
     zone: String,
-    /// It starts cold
+    /// The engine starts with a cold cache
     #[arg(long)]
     cold: bool,
-    /// File of its effects
+    /// File of the effects of statements
     #[arg(long, value_name = "FILE")]
     ledger: Option<PathBuf>,
-    /// File of what passes on its sockets
+    /// File of records of the engine's messages, for `hoptiller audit`
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
 }
 
+/// Arguments of `hoptiller standin discovery`.
 #[derive(clap::Args)]
-pub struct DiscoveryArgs {
-    /// Where it listens
+pub(crate) struct DiscoveryArgs {
+    /// The address to listen on
     #[arg(long, default_value = "127.0.0.1:0", value_name = "ADDR")]
     listen: SocketAddr,
-    /// How long an announcement counts, in seconds
-    #[arg(long, default_value_t = 2, value_name = "S")]
-    keep: u64,
-    /// File of what it tells whom
+    /// How long an announcement is valid, in seconds
+    #[arg(long = "keep", default_value_t = 2, value_name = "S")]
+    announcement_ttl: u64,
+    /// File of records of the lists served, for `hoptiller audit`
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
 }
 
-fn recorder(path: &Option<PathBuf>) -> Result<Recorder, Failure> {
+pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
+    let server = match args {
+        Args::Engine(args) => start_engine(args)?,
+        Args::Discovery(args) => start_discovery(args)?,
+    };
+    println!("ready http://{}", server.addr);
+    runtime::block_on(async |_| wait_for_termination().await)?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn start_engine(args: &EngineArgs) -> Result<Running, CommandError> {
+    let mut engine = EngineConfig::new(&args.node, &args.kind, &args.zone);
+    engine.listen = args.listen;
+    engine.discovery = args.discovery;
+    engine.cold = args.cold;
+    engine.recorder = recorder(args.records.as_deref())?;
+    if let Some(path) = &args.ledger {
+        engine.ledger = Ledger::open(path).map_err(file_error(path))?;
+    }
+    engine.start().map_err(start_error())
+}
+
+fn start_discovery(args: &DiscoveryArgs) -> Result<Running, CommandError> {
+    let discovery = DiscoveryConfig {
+        listen: args.listen,
+        keep: Duration::from_secs(args.announcement_ttl),
+        recorder: recorder(args.records.as_deref())?,
+        ..DiscoveryConfig::default()
+    };
+    discovery.start().map_err(start_error())
+}
+
+fn start_error() -> impl FnOnce(io::Error) -> CommandError {
+    CommandError::io("the stand-in can't start")
+}
+
+fn recorder(path: Option<&Path>) -> Result<Recorder, CommandError> {
     match path {
         None => Ok(Recorder::default()),
-        Some(path) => {
-            Recorder::to_file(path).map_err(|e| Failure::Outside(path.display().to_string(), e))
-        }
+        Some(path) => Recorder::to_file(path).map_err(file_error(path)),
     }
 }
 
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let started = match args {
-        Args::Engine(a) => {
-            let mut engine = EngineConfig::new(&a.node, &a.kind, &a.zone);
-            (engine.listen, engine.discovery, engine.cold) = (a.listen, a.discovery, a.cold);
-            engine.recorder = recorder(&a.records)?;
-            if let Some(path) = &a.ledger {
-                engine.ledger = Ledger::open(path)
-                    .map_err(|e| Failure::Outside(path.display().to_string(), e))?;
-            }
-            engine.start()
-        }
-        Args::Discovery(a) => {
-            let keep = Duration::from_secs(a.keep);
-            let recorder = recorder(&a.records)?;
-            DiscoveryConfig {
-                listen: a.listen,
-                keep,
-                recorder,
-                ..DiscoveryConfig::default()
-            }
-            .start()
-        }
-    };
-    let running = started.map_err(|e| Failure::Outside("the stand-in can't start".into(), e))?;
-    println!("ready http://{}", running.addr);
-    run::block_on(async |_| run::told_to_end().await)?;
-    Ok(ExitCode::SUCCESS)
+fn file_error(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
+    CommandError::io(path.display().to_string())
 }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,23 +1,24 @@
-//! Owns the log: on stderr, readable or JSON, at a level that `--log` or `HOPTILLER_LOG` sets.
+//! The log: on stderr, as text or JSON, at the level that `--log` or `HOPTILLER_LOG` sets.
 
 use std::io::IsTerminal;
 
 use clap::{Args, ValueEnum};
 use tracing_subscriber::EnvFilter;
 
-/// How lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, ValueEnum)]
-pub enum Format {
-    /// For people.
+pub(crate) enum Format {
+    /// Text for people
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line
     Json,
 }
 
+/// The command-line arguments of the log.
 #[derive(Args)]
-pub struct LogArgs {
-    /// What is logged on stderr: error, warn, info (each statement's end), debug (each attempt), or a filter
+pub(crate) struct LogArgs {
+    /// What is logged on stderr: error, warn, info (the end of each statement), debug (each attempt), or a filter
     #[arg(
         long,
         global = true,
@@ -26,7 +27,7 @@
         value_name = "LEVEL"
     )]
     log: String,
-    /// How log lines look
+    /// The format of log lines
     #[arg(long, global = true, default_value = "text", value_name = "FORMAT")]
     log_format: Format,
 }
@@ -54,10 +55,10 @@
     directives.collect::<Vec<String>>().join(",")
 }
 
-/// Starts logging; a filter that can't be read falls back to warnings, and says so.
-pub fn start(args: &LogArgs) {
+/// Starts logging. With an invalid filter warnings are logged, of which the first says so.
+pub(crate) fn start(args: &LogArgs) {
     let filter = EnvFilter::try_new(with_present_targets(&args.log));
-    let bad = filter.as_ref().err().map(ToString::to_string);
+    let invalid = filter.as_ref().err().map(ToString::to_string);
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter.unwrap_or_else(|_| EnvFilter::new("warn")))
         .with_ansi(std::io::stderr().is_terminal())
@@ -66,8 +67,8 @@
         Format::Text => builder.init(),
         Format::Json => builder.json().init(),
     }
-    if let Some(why) = bad {
-        tracing::warn!(%why, "--log can't be read; warnings are logged");
+    if let Some(error) = invalid {
+        tracing::warn!(%error, "log filter invalid, warnings are logged");
     }
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,22 +1,27 @@
-//! The `hoptiller` program: routes statements, plays stand-ins, checks settings, judges records.
+//! The `hoptiller` program: routers, replicas, administration, mock servers and studies, as subcommands.
 
 mod commands;
-mod keepers;
+mod error;
 mod logging;
-mod run;
+mod metrics_endpoint;
+mod random_id;
+mod replicas;
+mod runtime;
 mod secret;
 
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 
+use crate::error::CommandError;
+
 /// A workload manager for shared SQL engines.
 ///
-/// Clients submit statements over HTTP and poll for the rest (Trino's client protocol); each waits in the queue of
-/// its class until an engine has a place for it, and gets exactly one final answer.
+/// Clients submit statements over HTTP and poll for the rows (Trino's client protocol); each statement waits in the
+/// queue of its class until an engine has a free slot, and gets exactly one final response.
 ///
-/// Exit codes: 0 done; 1 a rule was broken; 2 the command line or the settings are wrong, and nothing was started;
-/// 3 something outside failed.
+/// Exit codes: 0 success; 1 a rule was violated; 2 the command line or the settings are wrong, and nothing was started;
+/// 3 something outside of the program failed.
 #[derive(Parser)]
 #[command(version, propagate_version = true)]
 struct Cli {
@@ -28,39 +33,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs everything in one process on loopback: engines, discovery and a router, to try it out.
+    /// Runs engines, discovery and a router in one process on loopback, to try them out.
     Demo(commands::demo::Args),
-    /// Runs a router.
+    /// Runs a router on the statement API.
     Route(commands::route::Args),
-    /// Runs a router on our platform, as its configuration file says (SIGHUP: read it again; SIGTERM: end).
+    /// Runs a router on the platform's protocol, as its configuration file says (SIGHUP: reload; SIGTERM: shut down).
     Node(commands::node::Args),
-    /// Checks a file of settings, and tells all that is wrong with it.
+    /// Validates a file of settings, and reports all its problems.
     Check(commands::check::Args),
-    /// Runs a stand-in of what a router talks to.
+    /// Runs a mock server (stand-in) of what a router connects to.
     #[command(subcommand)]
     Standin(commands::standin::Args),
-    /// Plays a scripted day over sockets: routers, engines, clients and what goes wrong; then judges it.
+    /// Runs a scenario with faults: routers, engines and clients over sockets; then judges it.
     Day(commands::day::Args),
-    /// Runs one of the keepers that hold a fleet's settings and lists, in versions.
+    /// Runs a replica of the coordination server (a keeper), which stores the fleet's configuration versions and leases.
     Keep(commands::keep::Args),
-    /// The fleet's settings and lists: puts, shows and compares versions.
+    /// The fleet's configuration: proposes, shows and compares versions.
     #[command(subcommand)]
     Settings(commands::settings::Args),
-    /// The fleet: who is on which version, and whom a change waits for.
+    /// The fleet: which version each member enforces, and for whom a rollout waits.
     #[command(subcommand)]
     Fleet(commands::fleet::Args),
-    /// Shows what a running router found to run away and what it holds, and frees held kinds.
+    /// Shows the runaways that a running router has found and its holds, and releases holds.
     Runaways(commands::runaways::Args),
     /// Studies in simulated time, with the routers' own code.
     #[command(subcommand)]
     Experiment(commands::experiment::Args),
     /// Judges the seven rules from a folder of records.
     Audit(commands::audit::Args),
-    /// Holds what routers' traces tell of their attempts against what their decisions believed.
+    /// Compares the attempts in routers' traces with what their policy believed to be in flight.
     Beliefs(commands::beliefs::Args),
 }
 
-/// The fault that a process of a program with the feature `plant` is to have.
+/// The fault that is injected into this process, in programs with the feature `plant`.
 #[cfg(feature = "plant")]
 const PLANT: &str = "HOPTILLER_PLANT";
 
@@ -68,13 +73,27 @@
     let cli = Cli::parse();
     logging::start(&cli.logging);
     #[cfg(feature = "plant")]
-    if let Some(plant) = std::env::var(PLANT)
-        .ok()
-        .and_then(|name| hoptiller_coordination::fault_injection::Fault::from_name(&name))
-    {
-        hoptiller_coordination::fault_injection::inject(plant);
+    inject_fault();
+    match run(cli.command) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("hoptiller: {error}");
+            ExitCode::from(error.exit_code())
+        }
     }
-    let done = match cli.command {
+}
+
+#[cfg(feature = "plant")]
+fn inject_fault() {
+    use hoptiller_coordination::fault_injection::{self, Fault};
+    let name = std::env::var(PLANT).ok();
+    if let Some(fault) = name.and_then(|name| Fault::from_name(&name)) {
+        fault_injection::inject(fault);
+    }
+}
+
+fn run(command: Command) -> Result<ExitCode, CommandError> {
+    match command {
         Command::Demo(args) => commands::demo::run(&args),
         Command::Route(args) => commands::route::run(&args),
         Command::Node(args) => commands::node::run(&args),
@@ -88,12 +107,5 @@
         Command::Experiment(args) => commands::experiment::run(&args),
         Command::Audit(args) => commands::audit::run(&args),
         Command::Beliefs(args) => commands::beliefs::run(&args),
-    };
-    match done {
-        Ok(code) => code,
-        Err(e) => {
-            eprintln!("hoptiller: {e}");
-            ExitCode::from(e.code())
-        }
     }
 }
--- a/crates/cli/src/secret.rs
+++ b/crates/cli/src/secret.rs
@@ -1,71 +1,88 @@
-//! Owns the secret of a router's tokens: a file that outlives its process, so that a restarted router knows the
-//! URIs that it gave out before.
+//! The secret with which a router signs the tokens in its URIs: a file that outlives the process, so that a restarted
+//! router accepts the URIs that it gave out before.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::os::unix::fs::OpenOptionsExt;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use rand::RngCore;
 
-/// Bytes of a secret.
-const LEN: usize = 32;
+const SECRET_BYTES: usize = 32;
 
-/// The secret kept in a folder; made there at the first start.
-pub fn load_or_make(dir: &Path) -> io::Result<Vec<u8>> {
+/// The file's name in the state folder.
+const FILE_NAME: &str = "secret";
+
+/// The owner alone may read it.
+const FILE_MODE: u32 = 0o600;
+
+/// Why a secret can't be loaded or created.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SecretError {
+    /// The file holds something else.
+    #[error(
+        "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it: clients of statements taken \
+         before are then answered 404",
+        path.display(),
+        SECRET_BYTES * 2
+    )]
+    Malformed {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file can't be read or written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Loads the secret of a state folder; creates folder and secret at the first start.
+///
+/// # Errors
+///
+/// Where the file is malformed, or can't be read or written.
+pub(crate) fn load_or_create(dir: &Path) -> Result<Vec<u8>, SecretError> {
     fs::create_dir_all(dir)?;
-    let path = dir.join("secret");
+    let path = dir.join(FILE_NAME);
     match fs::read_to_string(&path) {
-        Ok(text) => decode(text.trim()).ok_or_else(|| {
-            let why = format!(
-                "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it: clients of \
-                 statements taken before are then answered 404",
-                path.display(),
-                LEN * 2
-            );
-            io::Error::new(io::ErrorKind::InvalidData, why)
-        }),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => {
-            let secret = fresh();
-            // Written beside and renamed: a crash leaves either no secret or a whole one.
-            let beside = dir.join(format!("secret.{}", std::process::id()));
-            let mut file =
-                OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(&beside)?;
-            let hex: String = secret.iter().map(|b| format!("{b:02x}")).collect();
-            file.write_all(format!("{hex}\n").as_bytes())?;
-            file.sync_all()?;
-            fs::rename(&beside, &path)?;
-            File::open(dir)?.sync_all()?;
+        Ok(text) => decode(text.trim()).ok_or(SecretError::Malformed { path }),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {
+            let secret = generate();
+            store(dir, &path, &secret)?;
             Ok(secret)
         }
-        Err(e) => Err(e),
+        Err(error) => Err(error.into()),
     }
 }
 
-/// A secret that nobody keeps.
-pub fn fresh() -> Vec<u8> {
-    let mut secret = vec![0; LEN];
+/// A new secret.
+pub(crate) fn generate() -> Vec<u8> {
+    let mut secret = vec![0; SECRET_BYTES];
     rand::rng().fill_bytes(&mut secret);
     secret
 }
 
-/// A name for one life of a router.
-pub fn life() -> String {
-    const LETTERS: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
-    let mut bytes = [0; 8];
-    rand::rng().fill_bytes(&mut bytes);
-    bytes
-        .iter()
-        .map(|b| char::from(LETTERS[usize::from(*b) % LETTERS.len()]))
-        .collect()
+/// Stores a secret by a rename: a crash leaves either no secret or a complete one.
+fn store(dir: &Path, path: &Path, secret: &[u8]) -> io::Result<()> {
+    let temporary = dir.join(format!("{FILE_NAME}.{}", std::process::id()));
+    let mut file = OpenOptions::new()
+        .create(true)
+        .truncate(true)
+        .write(true)
+        .mode(FILE_MODE)
+        .open(&temporary)?;
+    let hex: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
+    file.write_all(format!("{hex}\n").as_bytes())?;
+    file.sync_all()?;
+    fs::rename(&temporary, path)?;
+    File::open(dir)?.sync_all()
 }
 
 fn decode(hex: &str) -> Option<Vec<u8>> {
-    if hex.len() != LEN * 2 || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
+    if hex.len() != SECRET_BYTES * 2 || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
     }
-    (0..LEN)
-        .map(|at| u8::from_str_radix(&hex[at * 2..at * 2 + 2], 16).ok())
+    (0..SECRET_BYTES)
+        .map(|index| u8::from_str_radix(&hex[index * 2..index * 2 + 2], 16).ok())
         .collect()
 }
 
