--- a/crates/cli/tests/recorded.rs
+++ b/crates/cli/tests/recorded.rs
@@ -1,5 +1,4 @@
-//! What the program reads and prints, against what it read and printed before any type was renamed: a router's trace, and
-//! the examples.
+//! The output of the program for recorded input, against fixtures: a trace of a router, and the example document.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -32,13 +31,13 @@
 }
 
 #[test]
-fn a_recorded_trace_gives_the_recorded_table() {
+fn a_recorded_trace_gives_the_pinned_table() {
     let trace = fixture("router-trace.txt");
     assert_prints("beliefs.txt", &["beliefs", trace.to_str().expect("UTF-8")]);
 }
 
 #[test]
-fn the_digest_of_the_example_document_stays() {
+fn the_digest_of_the_example_document_is_unchanged() {
     let example =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/fleet-document.jsonnet");
     let output = Command::new(PROGRAM)
