--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/command.rs
@@ -1,53 +1,52 @@
-//! `hoptiller-check`: explores all executions of task leases within bounds, and reports violations.
-
-#![warn(missing_docs)]
+//! The command of the program: explores all executions of task leases within bounds, and reports violations.
 
+use std::path::Path;
 use std::process::ExitCode;
 use std::time::Instant;
 
-use clap::Parser;
-use hoptiller_model_check::{
+use crate::{
     FREE_SHARD_TAKEN, HOLDER_ACTS_UNTIL_EXPIRY, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT,
     NO_TOKEN_REUSED,
 };
+use clap::Parser;
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// The exit code of wrong arguments.
 const USAGE_ERROR: u8 = 2;
 
-/// Goes through all courses of leases within bounds: keepers, would-be holders, messages lost, doubled and overtaken, clocks
-/// at their bounds, crashes at any step
+/// Explores all executions of task leases within bounds: replicas (keepers), candidates, messages lost, duplicated and
+/// reordered, clocks at their bounds, crashes at any step
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// Steps of the time
+    /// Duration of an execution, in steps
     #[arg(long, default_value_t = 5)]
     ticks: u32,
     /// Length of a term, in steps
     #[arg(long, default_value_t = 4)]
     term: u32,
-    /// Questions that each process asks
+    /// Lease requests of each process
     #[arg(long, default_value_t = 1)]
     asks: u32,
-    /// Crashes of keepers, in all
+    /// Crashes of replicas, in total
     #[arg(long, default_value_t = 1)]
     crashes: u32,
-    /// Questions that arrive twice, in all
+    /// Lease requests that arrive twice, in total
     #[arg(long, default_value_t = 0)]
     doubles: u32,
-    /// Steps for which an act may be on its way
+    /// Steps for which an operation may be in flight
     #[arg(long, default_value_t = 2)]
     way: u32,
     /// The second process starts only when the check begins
     #[arg(long)]
     late_twin: bool,
-    /// Processes that want the part; the first two are lives of one router
+    /// Processes that request the shard; the first two are incarnations of one router
     #[arg(long, default_value_t = 2)]
     processes: usize,
-    /// States at most; 0: all there are
+    /// Number of states at most; 0: all
     #[arg(long, default_value_t = 0)]
     states: usize,
-    /// Have the state machines do this wrong, to see whether it is found
+    /// The fault to inject into the state machines, to see whether it is found
     #[cfg(feature = "plant")]
     #[arg(long, value_name = "FAULT")]
     plant: Option<String>,
@@ -68,20 +67,22 @@
     }
 }
 
-fn main() -> ExitCode {
+/// Runs the model check that the command line describes. Exit code 1: a property is violated; 2: wrong arguments.
+pub fn main() -> ExitCode {
     let args = Args::parse();
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
         use hoptiller_coordination::fault_injection::{Fault, inject};
         let Some(fault) = Fault::from_name(name) else {
-            eprintln!("hoptiller-check: {name:?} is no fault that is known");
+            eprintln!("{}: {name:?} is no fault that is known", program_name());
             return ExitCode::from(USAGE_ERROR);
         };
         inject(fault);
     }
     if args.processes < 2 || args.term < 2 {
         eprintln!(
-            "hoptiller-check: two processes or more and a term of two steps or more are wanted"
+            "{}: two processes or more and a term of two steps or more are wanted",
+            program_name()
         );
         return ExitCode::from(USAGE_ERROR);
     }
@@ -108,6 +109,13 @@
     }
 }
 
+/// The name under which the program was called.
+fn program_name() -> String {
+    let path = std::env::args_os().next().unwrap_or_default();
+    let name = Path::new(&path).file_name().unwrap_or(&path);
+    name.to_string_lossy().into_owned()
+}
+
 /// Prints whether each property holds, with the steps to a violation. Returns whether all hold.
 fn report_properties(checked: &impl Checker<LeaseModel>) -> bool {
     let discoveries = checked.discoveries();
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -8,6 +8,7 @@
 
 #![warn(missing_docs)]
 
+pub mod command;
 mod exploration;
 mod model;
 mod state;
