--- /dev/null
+++ b/crates/benchmarks/src/bin/hoptiller-benchmarks.rs
@@ -0,0 +1,7 @@
+//! The program `hoptiller-benchmarks`.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    hoptiller_benchmarks::main()
+}
--- a/crates/benchmarks/src/closed_loop.rs
+++ b/crates/benchmarks/src/closed_loop.rs
@@ -1,8 +1,9 @@
-//! Owns a closed loop of requests on many connections: how many a second, and how long each took.
+//! A closed loop of requests: each connection sends its next request once it has the response to the one before.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::thread;
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -10,86 +11,133 @@
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Request, Response};
 
-/// Requests answered, and their times in µs.
-pub struct Answered {
-    pub answered: u64,
-    pub failed: u64,
-    pub times: Histogram<u64>,
+use crate::error::BenchmarkError;
+
+/// Limit of the time to connect, and of the time of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Significant digits of the times.
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// What a load sends, and where.
+#[derive(Clone, Copy)]
+pub(crate) struct ClosedLoop {
+    pub(crate) address: SocketAddr,
+    pub(crate) threads: usize,
+    pub(crate) connections: usize,
+    pub(crate) duration: Duration,
 }
 
-/// Runs `connections` loops on `threads` threads for `time`; each asks what `first` says, and then what `next`
-/// makes of the answer.
-pub fn closed(
-    addr: SocketAddr,
-    threads: usize,
-    connections: usize,
-    time: Duration,
-    first: impl Fn(usize) -> Request + Clone + Send + 'static,
-    next: fn(&Request, &Response) -> Request,
-) -> Answered {
-    let handles: Vec<_> = (0..threads)
-        .map(|t| {
-            let first = first.clone();
-            std::thread::spawn(move || {
-                let ex = LocalExecutor::new();
-                let answered = Rc::new(Cell::new((0u64, 0u64)));
-                let times = Rc::new(RefCell::new(Histogram::<u64>::new(3).expect("a histogram")));
-                let until = Instant::now() + time;
-                let tasks: Vec<_> = (t..connections)
-                    .step_by(threads)
-                    .map(|n| {
-                        let (answered, times, mut request) =
-                            (answered.clone(), times.clone(), first(n));
-                        ex.spawn(async move {
-                            let limit = Duration::from_secs(10);
-                            let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await
-                            else {
-                                return;
-                            };
-                            while Instant::now() < until {
-                                let began = Instant::now();
-                                let got = c.exchange(&request, limit).await;
-                                // Read behind the wait: others count too meanwhile.
-                                let (good, bad) = answered.get();
-                                match got {
-                                    Ok(answer) if answer.status.0 == 200 => {
-                                        answered.set((good + 1, bad));
-                                        let _ = times
-                                            .borrow_mut()
-                                            .record(began.elapsed().as_micros() as u64);
-                                        request = next(&request, &answer);
-                                    }
-                                    _ => {
-                                        answered.set((good, bad + 1));
-                                        return;
-                                    }
-                                }
-                            }
-                        })
-                    })
-                    .collect();
-                async_io::block_on(ex.run(async {
-                    for task in tasks {
-                        task.await;
-                    }
-                }));
-                let times = times.borrow().clone();
-                (answered.get(), times)
-            })
+/// What a load has measured.
+pub(crate) struct LoadResult {
+    /// Exchanges that succeeded.
+    pub(crate) responses: u64,
+    /// Connections that ended with an error.
+    pub(crate) failed: u64,
+    /// Times of the exchanges, in microseconds.
+    pub(crate) times: Histogram<u64>,
+}
+
+impl LoadResult {
+    fn new() -> Result<LoadResult, BenchmarkError> {
+        Ok(LoadResult {
+            responses: 0,
+            failed: 0,
+            times: Histogram::new(HISTOGRAM_DIGITS)?,
         })
-        .collect();
-    let mut all = Answered {
-        answered: 0,
-        failed: 0,
-        times: Histogram::new(3).expect("a histogram"),
+    }
+
+    fn add(&mut self, other: &LoadResult) -> Result<(), BenchmarkError> {
+        self.responses += other.responses;
+        self.failed += other.failed;
+        self.times.add(&other.times)?;
+        Ok(())
+    }
+}
+
+impl ClosedLoop {
+    /// Runs the load: `first` gives the first request of each connection, and `next` the one that follows a response.
+    pub(crate) fn run(
+        self,
+        first: impl Fn(usize) -> Request + Clone + Send + 'static,
+        next: fn(&Request, &Response) -> Request,
+    ) -> Result<LoadResult, BenchmarkError> {
+        let handles: Vec<_> = (0..self.threads)
+            .map(|thread| {
+                let first = first.clone();
+                thread::spawn(move || self.run_thread(thread, first, next))
+            })
+            .collect();
+        let mut total = LoadResult::new()?;
+        for handle in handles {
+            let result = handle.join().map_err(|_| BenchmarkError::ClientPanicked)?;
+            total.add(&result?)?;
+        }
+        Ok(total)
+    }
+
+    /// Runs those connections that belong to a thread.
+    fn run_thread(
+        self,
+        thread: usize,
+        first: impl Fn(usize) -> Request,
+        next: fn(&Request, &Response) -> Request,
+    ) -> Result<LoadResult, BenchmarkError> {
+        let result = Rc::new(RefCell::new(LoadResult::new()?));
+        let end = Instant::now() + self.duration;
+        let executor = LocalExecutor::new();
+        let tasks: Vec<_> = (thread..self.connections)
+            .step_by(self.threads)
+            .map(|index| {
+                let request = first(index);
+                executor.spawn(run_connection(
+                    self.address,
+                    request,
+                    next,
+                    end,
+                    result.clone(),
+                ))
+            })
+            .collect();
+        async_io::block_on(executor.run(async {
+            for task in tasks {
+                task.await;
+            }
+        }));
+        drop(executor);
+        Ok(Rc::into_inner(result)
+            .expect("the tasks have ended")
+            .into_inner())
+    }
+}
+
+async fn run_connection(
+    address: SocketAddr,
+    mut request: Request,
+    next: fn(&Request, &Response) -> Request,
+    end: Instant,
+    result: Rc<RefCell<LoadResult>>,
+) {
+    let opened = Connection::open(address, EXCHANGE_TIMEOUT, Limits::default()).await;
+    let Ok(mut connection) = opened else {
+        return;
     };
-    for handle in handles {
-        let Ok(((good, bad), times)) = handle.join() else {
-            continue;
-        };
-        all.answered += good;
-        all.failed += bad;
-        let _ = all.times.add(times);
+    while Instant::now() < end {
+        let start = Instant::now();
+        let exchanged = connection.exchange(&request, EXCHANGE_TIMEOUT).await;
+        let mut result = result.borrow_mut();
+        match exchanged {
+            Ok(response) if response.status.0 == 200 => {
+                result.responses += 1;
+                let micros = start.elapsed().as_micros() as u64;
+                // The histogram resizes itself: each value fits.
+                let _ = result.times.record(micros);
+                request = next(&request, &response);
+            }
+            _ => {
+                result.failed += 1;
+                return;
+            }
+        }
     }
-    all
 }
--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -1,213 +1,165 @@
-//! What discovery and engines are asked by fleets of several sizes: each router for itself, and one for all. Routers are the
-//! looks of real ones, with their part in the agreement, many in one process; keepers are processes.
+//! Requests to discovery and engines of fleets of several sizes: where each router polls for itself, and where holders of
+//! task leases poll for all. Routers are the discovery clients of real ones with their leases, many in this process;
+//! replicas are processes.
 
-use std::io;
+mod routers;
+
+use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::rc::Rc;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::thread;
 use std::time::{Duration, Instant};
 
-use hoptiller_coordination::Document;
-use hoptiller_coordination_client::{Clock, Secret};
-use hoptiller_fault_harness::{Layout, Stage};
+use hoptiller_coordination::{Document, ValidationError};
+use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
-use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros};
-use hoptiller_statement_router::Settings;
-use hoptiller_statement_router::agreed::Agreed;
-use hoptiller_statement_router::discovery::{Discovery, Listener};
 use serde_json::json;
 
-const PERMIT: Duration = Duration::from_secs(4);
-const LONG: Duration = Duration::from_secs(90);
+use crate::error::BenchmarkError;
+use crate::requests::exchange_once;
+use crate::statistics::median;
+use crate::test_fleet::{self, start_fleet, temporary_dir};
+use routers::{Observations, RouterConfig, start_routers};
+
+/// Term of config leases.
+const LEASE_TERM: Duration = Duration::from_secs(4);
+
+/// Far longer than anything here takes.
+const TIMEOUT: Duration = Duration::from_secs(90);
 
+/// Arguments of `tasks`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The program whose keepers take part
+pub(crate) struct Args {
+    /// The program whose replicas take part
     #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
     program: PathBuf,
-    /// Routers
+    /// Numbers of routers
     #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
     sizes: Vec<usize>,
-    /// Engines
+    /// Number of engines
     #[arg(long, default_value_t = 8)]
     engines: usize,
-    /// Seconds that are counted
+    /// Seconds for which requests are counted
     #[arg(long, default_value_t = 8)]
     seconds: u64,
 }
 
-pub fn run(args: &Args) -> io::Result<()> {
+/// Discovery and engines, with the number of requests that they have received.
+struct CountedServers {
+    engines: Vec<Running>,
+    discovery: Running,
+    list_reads: Arc<AtomicU64>,
+    engine_polls: Arc<AtomicU64>,
+}
+
+impl CountedServers {
+    fn start(engines: usize) -> Result<CountedServers, BenchmarkError> {
+        let config = DiscoveryConfig::default();
+        let list_reads = config.asked.clone();
+        let discovery = config.start()?;
+        let engine_polls: Arc<AtomicU64> = Arc::default();
+        let mut running = Vec::new();
+        for n in 0..engines {
+            let mut engine = EngineConfig::new(&format!("engine-{n}"), "a", "x");
+            engine.discovery = Some(discovery.addr);
+            engine.asked = engine_polls.clone();
+            running.push(engine.start()?);
+        }
+        Ok(CountedServers {
+            engines: running,
+            discovery,
+            list_reads,
+            engine_polls,
+        })
+    }
+
+    /// Counts the requests to discovery and to the engines, per second.
+    fn request_rates(&self, duration: Duration) -> (f64, f64) {
+        let counts = || {
+            (
+                self.list_reads.load(Ordering::Relaxed),
+                self.engine_polls.load(Ordering::Relaxed),
+            )
+        };
+        let (earlier, start) = (counts(), Instant::now());
+        thread::sleep(duration);
+        let seconds = start.elapsed().as_secs_f64();
+        let later = counts();
+        (
+            (later.0 - earlier.0) as f64 / seconds,
+            (later.1 - earlier.1) as f64 / seconds,
+        )
+    }
+}
+
+pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     println!(
         "{:>8} {:>8} {:>14} {:>16} {:>18} {:>18}",
         "routers", "tasks", "list reads/s", "questions/s", "drain known p50, ms", "by all, ms"
     );
     for size in &args.sizes {
-        for tasks in [false, true] {
-            one(args, *size, tasks)?;
+        for with_tasks in [false, true] {
+            run_size(args, *size, with_tasks)?;
         }
     }
     Ok(())
 }
 
-fn document(tasks: bool) -> io::Result<Document> {
-    let mut text = json!({ "form": 1, "kinds": { "a": 8 }, "engines": {},
-        "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe" } },
-        "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" } });
-    if tasks {
-        text["tasks"] = json!({ "list": 1, "probe": 8 });
+fn run_size(args: &Args, size: usize, with_tasks: bool) -> Result<(), BenchmarkError> {
+    let dir = temporary_dir("tasks");
+    let first = document(with_tasks)?;
+    let mut fleet = start_fleet(&args.program, &dir, 0, LEASE_TERM, &first, TIMEOUT)?;
+    let servers = CountedServers::start(args.engines)?;
+    let observations = Arc::new(Observations::default());
+    let config = RouterConfig {
+        replicas: fleet.keepers()?.endpoints().to_vec(),
+        secret_file: dir.join("secret"),
+        discovery: servers.discovery.addr,
+        engines: args.engines,
+    };
+    let routers = start_routers(size, config, observations.clone())?;
+    if !fleet.until(TIMEOUT, |_| observations.complete_lists() == size) {
+        return Err(BenchmarkError::EnginesNotKnown);
     }
-    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
-}
-
-/// Notes when each router knows that one engine drains, and how many it lists.
-struct Looker {
-    began: Instant,
-    known: Arc<Mutex<(usize, Vec<Instant>)>>,
-    seen: std::cell::Cell<(bool, bool)>,
-    engines: usize,
-}
-
-impl Listener for Looker {
-    fn now(&self) -> Micros {
-        // Long after its start, so that ages reach back before it.
-        self.began.elapsed().as_micros() as Micros + 3_600_000_000
+    // A router is granted task leases after a term in which it has asked for them; then they are balanced.
+    thread::sleep(LEASE_TERM * 3);
+    let (list_reads, engine_polls) = servers.request_rates(Duration::from_secs(args.seconds));
+    let start = Instant::now();
+    drain(servers.engines[0].addr)?;
+    if !fleet.until(TIMEOUT, |_| observations.drains().len() == size) {
+        return Err(BenchmarkError::DrainNotKnown);
     }
-
-    fn list(&self, scope: ListScope, entries: Vec<EndpointEntry>) {
-        if scope == ListScope::Failed {
-            return;
-        }
-        let (all, drains) = self.seen.get();
-        let now_all = all || entries.len() == self.engines;
-        let now_drains = entries
-            .iter()
-            .any(|e| e.readiness == hoptiller_policy::Readiness::Draining);
-        if let Ok(mut known) = self.known.lock() {
-            known.0 += usize::from(now_all && !all);
-            if now_drains && !drains {
-                known.1.push(Instant::now());
-            }
-        }
-        self.seen.set((now_all, drains || now_drains));
-    }
-
-    fn place(&self, _: EngineId, _: &str, _: std::net::SocketAddr) {}
+    let times: Vec<u128> = observations
+        .drains()
+        .iter()
+        .map(|time| (*time - start).as_millis())
+        .collect();
+    println!(
+        "{size:>8} {:>8} {list_reads:>14.1} {engine_polls:>16.1} {:>18} {:>18}",
+        if with_tasks { "with" } else { "without" },
+        median(times.iter().copied(), u128::cmp).unwrap_or(0),
+        times.iter().max().copied().unwrap_or(0)
+    );
+    drop((routers, servers, fleet));
+    std::fs::remove_dir_all(&dir)?;
+    Ok(())
 }
 
-fn one(args: &Args, size: usize, tasks: bool) -> io::Result<()> {
-    let dir = std::env::temp_dir().join(format!("hoptiller-measure-tasks-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    let layout = Layout {
-        keepers: 3,
-        routers: 0,
-        engines: Vec::new(),
-        settings: json!({}),
-        permit: PERMIT,
-        drift: 1000,
-        router_skews: Vec::new(),
-        keeper_skews: Vec::new(),
-        most_bytes: None,
-        agreement: true,
-    };
-    let mut stage = Stage::new(layout, &args.program, &dir)?;
-    stage.start()?;
-    let first = document(tasks)?;
-    if !stage.until(LONG, |s| s.put("first", &first).is_ok()) {
-        return Err(io::Error::other("keepers took no version"));
-    }
-    let discovery = DiscoveryConfig::default();
-    let reads = discovery.asked.clone();
-    let discovery = discovery.start()?;
-    let asked: Arc<AtomicU64> = Arc::default();
-    let mut engines = Vec::new();
-    for n in 0..args.engines {
-        let mut engine = EngineConfig::new(&format!("engine-{n}"), "a", "x");
-        engine.discovery = Some(discovery.addr);
-        engine.asked = asked.clone();
-        engines.push(engine.start()?);
-    }
-    let keepers = stage.keepers()?.endpoints().to_vec();
-    let known: Arc<Mutex<(usize, Vec<Instant>)>> = Arc::default();
-    let (own, secret, count) = (known.clone(), dir.join("secret"), args.engines);
-    let at = discovery.addr;
-    let routers = Running::new("routers", move |ex| {
-        for n in 0..size {
-            let value = json!({
-                "router": { "name": format!("r{n}"), "listen": "127.0.0.1:0" }, "kinds": { "a": 8 }, "zones": ["x"],
-                "classes": [{ "name": "lookup", "aim": "1s", "patience": "7s", "repeat": "safe" }], "default_class": "lookup",
-                "engines": {}, "rules": { "start_capacity": 0.3, "ramp": "4s", "overload": 3, "fall": "2s" },
-                "discovery": { "address": at, "environment": "lettings", "every": "1s", "state_every": "1s" },
-                "agreement": { "keepers": keepers, "secret": secret, "permit": "4s" },
-            });
-            let settings = Settings::from_value("measured", &value)
-                .map_err(|p| io::Error::other(format!("{p:?}")))?;
-            let Some(agreement) = settings.agreement.clone() else {
-                return Err(io::Error::other("no agreement"));
-            };
-            let secret = Secret::load(&agreement.secret)?;
-            let agreed = Agreed::new(agreement, secret, &format!("r{n}"), "1", None, Clock::new());
-            ex.spawn(agreed.clone().run(|| ()));
-            ex.spawn(agreed.clone().keep_noting());
-            let looks = Discovery::new(Rc::new(settings), Some(agreed));
-            let listener = Looker {
-                began: Instant::now(),
-                known: own.clone(),
-                seen: std::cell::Cell::new((false, false)),
-                engines: count,
-            };
-            ex.spawn(looks.run(ex.clone(), Rc::new(listener)));
+fn document(with_tasks: bool) -> Result<Document, ValidationError> {
+    test_fleet::document(|value| {
+        if with_tasks {
+            value["tasks"] = json!({ "list": 1, "probe": 8 });
         }
-        Ok(([127, 0, 0, 1], 0).into())
-    })?;
-    let all = |known: &Mutex<(usize, Vec<Instant>)>| known.lock().map_or(0, |k| k.0);
-    if !stage.until(LONG, |_| all(&known) == size) {
-        return Err(io::Error::other("not all routers know all engines"));
-    }
-    // A router is given leases after a term in which it has asked; then they spread.
-    std::thread::sleep(PERMIT * 3);
-    let (before, began) = (
-        (reads.load(Ordering::Relaxed), asked.load(Ordering::Relaxed)),
-        Instant::now(),
-    );
-    std::thread::sleep(Duration::from_secs(args.seconds));
-    let passed = began.elapsed().as_secs_f64();
-    let rate = |now: u64, before: u64| (now - before) as f64 / passed;
-    let rates = (
-        rate(reads.load(Ordering::Relaxed), before.0),
-        rate(asked.load(Ordering::Relaxed), before.1),
-    );
-    // An engine is told to drain: when does each router know?
-    let mut drain = hoptiller_http::Request::new(hoptiller_http::Method::Put, "/v1/info/state");
-    drain.body = b"\"SHUTTING_DOWN\"".to_vec();
-    let told = Instant::now();
-    async_io::block_on(async {
-        let limits = hoptiller_http::Limits::default();
-        let mut c = hoptiller_http::client::Connection::open(engines[0].addr, LONG, limits).await?;
-        c.exchange(&drain, LONG).await
     })
-    .map_err(io::Error::other)?;
-    let knows = |known: &Mutex<(usize, Vec<Instant>)>| known.lock().map_or(0, |k| k.1.len());
-    if !stage.until(LONG, |_| knows(&known) == size) {
-        return Err(io::Error::other(
-            "not all routers came to know of the drain",
-        ));
-    }
-    let mut times: Vec<u128> = known
-        .lock()
-        .map(|k| k.1.iter().map(|t| (*t - told).as_millis()).collect())
-        .unwrap_or_default();
-    times.sort_unstable();
-    println!(
-        "{size:>8} {:>8} {:>14.1} {:>16.1} {:>18} {:>18}",
-        if tasks { "with" } else { "without" },
-        rates.0,
-        rates.1,
-        times.get(times.len() / 2).copied().unwrap_or(0),
-        times.last().copied().unwrap_or(0)
-    );
-    drop((routers, engines, discovery, stage));
-    std::fs::remove_dir_all(&dir)
+}
+
+/// Has an engine drain.
+fn drain(engine: SocketAddr) -> Result<(), BenchmarkError> {
+    let mut request = Request::new(Method::Put, "/v1/info/state");
+    request.body = b"\"SHUTTING_DOWN\"".to_vec();
+    exchange_once(engine, &request)?;
+    Ok(())
 }
--- a/crates/benchmarks/src/latency.rs
+++ b/crates/benchmarks/src/latency.rs
@@ -1,91 +1,110 @@
-//! What the router adds: the same statements, asked of a stand-in engine directly and through the router, in turn,
-//! at half of the engine's load.
+//! The latency that the router adds: the same statements, sent to a mock engine directly and through the router, in
+//! turn, at half of the engine's load.
 
-use std::io;
 use std::time::Duration;
 
-use hdrhistogram::Histogram;
-use hoptiller_http::{Request, Response};
+use hoptiller_http::{Method, Request, Response};
 
-use crate::load::{Answered, closed};
-use crate::site::{Place, Site, next, post};
+use crate::closed_loop::{ClosedLoop, LoadResult};
+use crate::error::BenchmarkError;
+use crate::requests::{next_path, submission};
+use crate::statistics::median;
+use crate::test_site::{SiteArgs, TestSite};
 
+/// Arguments of `latency`.
 #[derive(clap::Args)]
-pub struct Args {
+pub(crate) struct Args {
     /// Seconds of each run
     #[arg(long, default_value_t = 5)]
     seconds: u64,
     /// Pairs of runs
     #[arg(long, default_value_t = 5)]
     pairs: usize,
-    /// Statements under way; an engine of eight cores is half loaded by four
-    #[arg(long, default_value_t = 4)]
-    under_way: usize,
+    /// Statements in flight; four are half of the load of an engine with eight cores
+    #[arg(long = "under-way", default_value_t = 4)]
+    in_flight: usize,
     #[command(flatten)]
-    place: Place,
+    site: SiteArgs,
 }
 
-/// The request behind an answer: its `nextUri`, or a new statement.
-fn follow(_: &Request, answer: &Response) -> Request {
-    match next(answer) {
-        Some(path) => Request::new(hoptiller_http::Method::Get, path),
-        None => statement(),
-    }
+/// Quantiles of the polls of a run, in microseconds.
+#[derive(Clone, Copy)]
+struct PollTimes {
+    p50: u64,
+    p99: u64,
 }
 
-fn statement() -> Request {
-    post("lookup", "SELECT 1 /* work=20ms rows=5 */")
+impl PollTimes {
+    fn new(result: &LoadResult) -> PollTimes {
+        // A statement is two exchanges: the submission, and a poll, which is the slower one.
+        PollTimes {
+            p50: result.times.value_at_quantile(0.75),
+            p99: result.times.value_at_quantile(0.995),
+        }
+    }
 }
 
-pub fn run(args: &Args) -> io::Result<()> {
-    let site = Site::new(&args.place, 1, |_| {}, |_| {})?;
-    let engine = site.engines[0].listen;
-    let time = Duration::from_secs(args.seconds);
-    // A statement is two exchanges: posted, and polled for its one page, which waits for the 20 ms of its work.
+pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
+    let site = TestSite::start(&args.site, 1, |_| {}, |_| {})?;
     println!(
         "exchanges in µs; {} statements of 20 ms under way on eight cores",
-        args.under_way
+        args.in_flight
     );
     println!(
         "{:>4} {:>8} {:>10} {:>10} {:>10}",
         "pair", "", "p50 poll", "p99 poll", "answered"
     );
+    let direct = ClosedLoop {
+        address: site.engine_addresses()[0],
+        threads: 1,
+        connections: args.in_flight,
+        duration: Duration::from_secs(args.seconds),
+    };
+    let routed = ClosedLoop {
+        address: site.router().address(),
+        ..direct
+    };
     let mut added = Vec::new();
     for pair in 0..args.pairs {
-        let direct = closed(engine, 1, args.under_way, time, |_| statement(), follow);
-        let routed = closed(
-            site.router.addr,
-            1,
-            args.under_way,
-            time,
-            |_| statement(),
-            follow,
-        );
+        let direct = direct.run(|_| statement(), following_request)?;
+        let routed = routed.run(|_| statement(), following_request)?;
         if direct.failed + routed.failed > 0 {
-            return Err(io::Error::other("some exchanges failed"));
+            return Err(BenchmarkError::ExchangesFailed);
         }
-        let line = |name: &str, m: &Answered| {
-            // Polls are the slower half of the exchanges.
-            let (p50, p99) = (of(&m.times, 0.75), of(&m.times, 0.995));
-            println!("{pair:>4} {name:>8} {p50:>10} {p99:>10} {:>10}", m.answered);
-            (p50, p99)
-        };
-        let (d, r) = (line("direct", &direct), line("routed", &routed));
-        added.push((r.0 as i64 - d.0 as i64, r.1 as i64 - d.1 as i64));
+        print_run(pair, "direct", &direct);
+        print_run(pair, "routed", &routed);
+        added.push((PollTimes::new(&direct), PollTimes::new(&routed)));
     }
-    let median = |of: fn(&(i64, i64)) -> i64| {
-        let mut all: Vec<i64> = added.iter().map(of).collect();
-        all.sort_unstable();
-        all[all.len() / 2]
+    let median_added = |quantile: fn(PollTimes) -> u64| {
+        let differences = added
+            .iter()
+            .map(|(direct, routed)| quantile(*routed) as i64 - quantile(*direct) as i64);
+        median(differences, i64::cmp).unwrap_or(0)
     };
     println!(
         "the router adds, median of pairs: {} µs at p50, {} µs at p99",
-        median(|a| a.0),
-        median(|a| a.1)
+        median_added(|times| times.p50),
+        median_added(|times| times.p99)
     );
     Ok(())
 }
 
-fn of(times: &Histogram<u64>, quantile: f64) -> u64 {
-    times.value_at_quantile(quantile)
+fn print_run(pair: usize, name: &str, result: &LoadResult) {
+    let times = PollTimes::new(result);
+    println!(
+        "{pair:>4} {name:>8} {:>10} {:>10} {:>10}",
+        times.p50, times.p99, result.responses
+    );
+}
+
+fn statement() -> Request {
+    submission("lookup", "SELECT 1 /* work=20ms rows=5 */")
+}
+
+/// The poll of a response's `nextUri`, or a new statement.
+fn following_request(_: &Request, response: &Response) -> Request {
+    match next_path(response) {
+        Some(path) => Request::new(Method::Get, path),
+        None => statement(),
+    }
 }
--- a/crates/benchmarks/src/lib.rs
+++ b/crates/benchmarks/src/lib.rs
@@ -1,20 +1,31 @@
-//! Measurements of the router, each beside a peer or a baseline in the same run. Loads end by themselves and go to
-//! loopback only.
+//! Benchmarks of the router, each beside a peer or a baseline in the same run. Loads end by themselves and use loopback
+//! only.
 
-mod crowd;
-mod keepers;
+mod bare_server;
+mod closed_loop;
+mod error;
+mod fleet_tasks;
 mod latency;
-mod load;
 mod polls;
+mod process;
+mod replicas;
+mod requests;
 mod runaways;
-mod site;
-mod tasks;
+mod statistics;
+mod test_fleet;
+mod test_site;
+mod waiting_clients;
 
+use std::path::Path;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use error::BenchmarkError;
 
-/// Measures the router. Run it in release, on a machine that is otherwise idle; read ratios, not single figures.
+/// The exit code of a benchmark that failed.
+const EXIT_FAILED: u8 = 3;
+
+/// Benchmarks of the router. Run them in release, on a machine that is otherwise idle; read ratios, not single figures.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -24,38 +35,50 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Polls a second of a router on one thread, beside a bare hyper server that sends the same bytes
+    /// Polls per second of a router on one thread, beside a bare hyper server that sends the same bytes
     Polls(polls::Args),
-    /// The bare hyper server itself
+    /// The bare hyper server
     #[command(hide = true)]
-    Bare(polls::BareArgs),
-    /// What the router adds over asking a stand-in engine directly
+    Bare(bare_server::Args),
+    /// Latency that the router adds to requests sent to a mock engine directly
     Latency(latency::Args),
-    /// Clients mid-poll on one router: memory, p99 of a poll, time of a round
-    Crowd(crowd::Args),
-    /// Keepers with many routers: cores, links, time until a change is heeded; their start with many versions
-    Keepers(keepers::Args),
-    /// What discovery and engines are asked by fleets of several sizes, with fleet-wide tasks and without
-    Tasks(tasks::Args),
-    /// The watch for runaways: cost of a kind, of a look, of its state; time to find planted ones over sockets
+    /// Many clients that poll one router: its memory, p99 of a poll, time of a round of decisions
+    Crowd(waiting_clients::Args),
+    /// Replicas of the coordination server (keepers) with many routers: processor time, bytes on links, time of a
+    /// rollout; start of a replica with many versions
+    Keepers(replicas::Args),
+    /// Requests to discovery and engines of fleets of several sizes, with fleet-wide tasks and without
+    Tasks(fleet_tasks::Args),
+    /// The runaway detector: cost of a fingerprint, of a detection and of its state; time to find runaways over sockets
     Runaways(runaways::Args),
 }
 
-fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+/// Runs the benchmark that the command line names.
+pub fn main() -> ExitCode {
+    match run(Cli::parse().command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{}: {error}", program_name());
+            ExitCode::from(EXIT_FAILED)
+        }
+    }
+}
+
+fn run(command: Command) -> Result<(), BenchmarkError> {
+    match command {
         Command::Polls(args) => polls::run(&args),
-        Command::Bare(args) => polls::bare(&args),
+        Command::Bare(args) => bare_server::run(&args),
         Command::Latency(args) => latency::run(&args),
+        Command::Crowd(args) => waiting_clients::run(&args),
+        Command::Keepers(args) => replicas::run(&args),
+        Command::Tasks(args) => fleet_tasks::run(&args),
         Command::Runaways(args) => runaways::run(&args),
-        Command::Keepers(args) => keepers::run(&args),
-        Command::Tasks(args) => tasks::run(&args),
-        Command::Crowd(args) => crowd::run(&args),
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("hoptiller-measure: {e}");
-            ExitCode::from(3)
-        }
     }
 }
+
+/// The name under which the program was called.
+fn program_name() -> String {
+    let path = std::env::args_os().next().unwrap_or_default();
+    let name = Path::new(&path).file_name().unwrap_or(&path);
+    name.to_string_lossy().into_owned()
+}
--- a/crates/benchmarks/src/polls.rs
+++ b/crates/benchmarks/src/polls.rs
@@ -1,23 +1,26 @@
-//! Polls a second of a router's one thread, in turn with a bare hyper server on one thread that sends the same
-//! bytes to the same load.
+//! Polls per second of a router's one thread, in turn with a bare hyper server on one thread that sends the same bytes
+//! to the same load.
 
-use std::io;
+use std::net::SocketAddr;
 use std::process::Command;
-use std::rc::Rc;
 use std::time::Duration;
 
-use async_executor::LocalExecutor;
-use async_io::Async;
 use hoptiller_http::{Method, Request, Response};
-use http_body_util::Full;
-use hyper::body::Bytes;
-use hyper::service::service_fn;
+use serde_json::{Value, json};
 
-use crate::load::{Answered, closed};
-use crate::site::{Measured, Place, Site, ask, next, patient, post};
+use crate::closed_loop::{ClosedLoop, LoadResult};
+use crate::error::BenchmarkError;
+use crate::process::ServerProcess;
+use crate::requests::{exchange_once, next_path, submission};
+use crate::statistics::median;
+use crate::test_site::{SiteArgs, TestSite, extend_deadlines};
 
+/// Speed of engines on which statements never end during the benchmark.
+const ENGINE_SPEED: f64 = 1e-6;
+
+/// Arguments of `polls`.
 #[derive(clap::Args)]
-pub struct Args {
+pub(crate) struct Args {
     /// Seconds of each run
     #[arg(long, default_value_t = 3)]
     seconds: u64,
@@ -31,37 +34,32 @@
     #[arg(long, default_value_t = 2)]
     threads: usize,
     #[command(flatten)]
-    place: Place,
+    site: SiteArgs,
 }
 
-pub fn run(args: &Args) -> io::Result<()> {
-    // Statements that never end meanwhile: each poll is answered at once, that nothing is new, and moves on.
-    let change = |v: &mut serde_json::Value| {
-        v["limits"] =
-            serde_json::json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
-        patient(v);
-    };
-    let site = Site::new(&args.place, 2, change, |e| e.spec.speed = 1e-6)?;
-    let router = site.router.addr;
-    let submit = || {
-        let first =
-            ask(router, &post("lookup", "SELECT 1 /* work=1h */")).map_err(io::Error::other)?;
-        next(&first).ok_or_else(|| io::Error::other("no nextUri"))
-    };
-    let again = submit()?;
-    let same = ask(router, &Request::new(Method::Get, &again)).map_err(io::Error::other)?;
-    let hyper = Measured::start(
+/// Polls per second of a router as a part of those of the bare server.
+struct Ratios {
+    /// Polls that repeat the same token.
+    repeated: f64,
+    /// Polls that follow each response to the next token.
+    following: f64,
+}
+
+pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
+    let site = TestSite::start(&args.site, 2, respond_at_once, |engine| {
+        engine.spec.speed = ENGINE_SPEED;
+    })?;
+    let router = site.router().address();
+    let repeated_path = submit(router)?;
+    let response = exchange_once(router, &Request::new(Method::Get, &repeated_path))?;
+    let body_bytes = response.body.len();
+    let bare_server = ServerProcess::start(
         Command::new(std::env::current_exe()?)
             .arg("bare")
-            .arg(same.body.len().to_string()),
+            .arg(body_bytes.to_string()),
     )?;
-    let time = Duration::from_secs(args.seconds);
-    let mut paths: Vec<String> = (0..args.connections)
-        .map(|_| submit())
-        .collect::<io::Result<_>>()?;
     println!(
-        "{} bytes of body; polls a second, one thread each; {} connections",
-        same.body.len(),
+        "{body_bytes} bytes of body; polls a second, one thread each; {} connections",
         args.connections
     );
     println!(
@@ -69,98 +67,88 @@
         "pair", "bare hyper", "same again", "moving on", "ratio", "ratio"
     );
     let mut ratios = Vec::new();
-    let repeat = |request: &Request, _: &Response| request.clone();
-    let moving = |_: &Request, answer: &Response| {
-        Request::new(Method::Get, next(answer).unwrap_or_default())
-    };
     for pair in 0..args.pairs {
-        let path = again.clone();
-        let bare = closed(
-            hyper.addr,
-            args.threads,
-            args.connections,
-            time,
-            move |_| Request::new(Method::Get, &path),
-            repeat,
-        );
-        let path = again.clone();
-        let same = closed(
+        ratios.push(run_pair(
+            args,
+            pair,
             router,
-            args.threads,
-            args.connections,
-            time,
-            move |_| Request::new(Method::Get, &path),
-            repeat,
-        );
-        let from = paths.clone();
-        let on = closed(
-            router,
-            args.threads,
-            args.connections,
-            time,
-            move |n| Request::new(Method::Get, &from[n]),
-            moving,
-        );
-        // New statements for the next pair: the last tokens stayed with the load.
-        paths = (0..args.connections)
-            .map(|_| submit())
-            .collect::<io::Result<_>>()?;
-        let rate = |m: &Answered| m.answered as f64 / args.seconds as f64;
-        let failed = bare.failed + same.failed + on.failed;
-        if failed > 0 {
-            return Err(io::Error::other(format!("{failed} connections failed")));
-        }
-        let (b, s, o) = (rate(&bare), rate(&same), rate(&on));
-        println!(
-            "{pair:>4} {b:>12.0} {s:>12.0} {o:>12.0} {:>8.2} {:>8.2}",
-            s / b,
-            o / b
-        );
-        ratios.push((s / b, o / b));
+            bare_server.address(),
+            &repeated_path,
+        )?);
     }
-    let median = |of: fn(&(f64, f64)) -> f64| {
-        let mut all: Vec<f64> = ratios.iter().map(of).collect();
-        all.sort_by(f64::total_cmp);
-        all[all.len() / 2]
-    };
+    let median_of =
+        |ratio: fn(&Ratios) -> f64| median(ratios.iter().map(ratio), f64::total_cmp).unwrap_or(0.0);
     println!(
         "median ratio to bare hyper: same again {:.2}, moving on {:.2}",
-        median(|r| r.0),
-        median(|r| r.1)
+        median_of(|pair| pair.repeated),
+        median_of(|pair| pair.following)
     );
     Ok(())
 }
 
-#[derive(clap::Args)]
-pub struct BareArgs {
-    /// Bytes of the body
-    bytes: usize,
+/// Changes settings so that each poll gets its response at once: there is nothing new, and a next token.
+fn respond_at_once(settings: &mut Value) {
+    settings["limits"] = json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
+    extend_deadlines(settings);
+}
+
+fn run_pair(
+    args: &Args,
+    pair: usize,
+    router: SocketAddr,
+    bare_server: SocketAddr,
+    repeated_path: &str,
+) -> Result<Ratios, BenchmarkError> {
+    let load = ClosedLoop {
+        address: router,
+        threads: args.threads,
+        connections: args.connections,
+        duration: Duration::from_secs(args.seconds),
+    };
+    // New statements for each pair: the load keeps the last tokens of those before.
+    let paths = (0..args.connections)
+        .map(|_| submit(router))
+        .collect::<Result<Vec<String>, BenchmarkError>>()?;
+    let repeated_request = Request::new(Method::Get, repeated_path);
+    let first = move |_| repeated_request.clone();
+    let bare = ClosedLoop {
+        address: bare_server,
+        ..load
+    }
+    .run(first.clone(), repeat_request)?;
+    let repeated = load.run(first, repeat_request)?;
+    let following = load.run(
+        move |index| Request::new(Method::Get, &paths[index]),
+        follow_response,
+    )?;
+    let failed = bare.failed + repeated.failed + following.failed;
+    if failed > 0 {
+        return Err(BenchmarkError::ConnectionsFailed(failed));
+    }
+    let rate = |result: &LoadResult| result.responses as f64 / args.seconds as f64;
+    let (bare, repeated, following) = (rate(&bare), rate(&repeated), rate(&following));
+    let ratios = Ratios {
+        repeated: repeated / bare,
+        following: following / bare,
+    };
+    println!(
+        "{pair:>4} {bare:>12.0} {repeated:>12.0} {following:>12.0} {:>8.2} {:>8.2}",
+        ratios.repeated, ratios.following
+    );
+    Ok(ratios)
+}
+
+/// Submits a statement that outlasts the benchmark: the path of its first poll.
+fn submit(router: SocketAddr) -> Result<String, BenchmarkError> {
+    let request = submission("lookup", "SELECT 1 /* work=1h */");
+    let response = exchange_once(router, &request)?;
+    next_path(&response).ok_or(BenchmarkError::NoNextUri)
+}
+
+fn repeat_request(request: &Request, _: &Response) -> Request {
+    request.clone()
 }
 
-/// A hyper server on one thread that answers everything with so many bytes.
-pub fn bare(args: &BareArgs) -> io::Result<()> {
-    let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0))?;
-    println!("ready http://{}", listener.get_ref().local_addr()?);
-    let ex = Rc::new(LocalExecutor::new());
-    let body = Bytes::from(vec![b'x'; args.bytes]);
-    async_io::block_on(ex.run(async {
-        loop {
-            let (stream, _) = listener.accept().await?;
-            stream.get_ref().set_nodelay(true)?;
-            let body = body.clone();
-            ex.spawn(async move {
-                let service = service_fn(move |_| {
-                    let response = hyper::Response::builder()
-                        .header("Content-Type", "application/json")
-                        .body(Full::new(body.clone()));
-                    async { response }
-                });
-                let io = smol_hyper::rt::FuturesIo::new(stream);
-                let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(io, service)
-                    .await;
-            })
-            .detach();
-        }
-    }))
+fn follow_response(_: &Request, response: &Response) -> Request {
+    Request::new(Method::Get, next_path(response).unwrap_or_default())
 }
--- a/crates/benchmarks/src/replicas.rs
+++ b/crates/benchmarks/src/replicas.rs
@@ -1,325 +1,64 @@
-//! Keepers with many routers: what they take of cores and links while nothing changes, how long a change takes until all
-//! heed it; and how long a keeper takes to start on a disk with many versions.
+//! Replicas of the coordination server: what they use with many routers while nothing changes, how long a rollout takes,
+//! and how long a replica takes to start on a disk with many versions.
 
-use std::io;
-use std::path::{Path, PathBuf};
-use std::time::{Duration, Instant};
+mod polling_router;
+mod restart;
+mod rollout;
 
-use async_io::Timer;
-use hoptiller_coordination::{Command, ConfigWatcher, Document, Holder, LeaseTiming, Proposal};
-use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
-use hoptiller_coordination_server::membership::Membership;
-use hoptiller_coordination_server::replica::Replica;
-use hoptiller_coordination_server::replicated_log::ReplicatedLog;
-use hoptiller_coordination_server::storage::DiskStorage;
-use hoptiller_fault_harness::{Layout, Stage, stage::Between};
-use hoptiller_mock_servers::Running;
-use hoptiller_statement_router::agreed::Agreed;
-use hoptiller_statement_router::settings::AgreementSettings;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use hoptiller_coordination::{Document, ValidationError};
 use serde_json::json;
 
-const PERMIT: Duration = Duration::from_secs(10);
-const DRIFT: u64 = 1000;
+use crate::error::BenchmarkError;
+use crate::test_fleet;
+use rollout::RouterMode;
+
+/// Term of config leases.
+const LEASE_TERM: Duration = Duration::from_secs(10);
 
+/// Arguments of `keepers`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The program whose keepers are measured
+pub(crate) struct Args {
+    /// The program whose replicas are measured
     #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
     program: PathBuf,
-    /// Routers
+    /// Numbers of routers
     #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
     sizes: Vec<usize>,
-    /// Seconds of calm for each size
+    /// Seconds without changes for each size
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Changes put for each size
+    /// Versions proposed for each size
     #[arg(long, default_value_t = 20)]
     changes: u32,
-    /// Versions on the disks on which a keeper starts
+    /// Numbers of versions on the disks on which a replica starts
     #[arg(long, value_delimiter = ',', default_value = "10,1000,100000")]
     versions: Vec<u64>,
 }
 
-pub fn run(args: &Args) -> io::Result<()> {
+pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     println!(
         "{:>8} {:>10} {:>16} {:>12} {:>12} {:>14} {:>14}",
         "routers", "manner", "a keeper's core", "KB/s", "steps/s", "heeded p50, ms", "at most, ms"
     );
     for size in &args.sizes {
-        for watch in [false, true] {
-            routers(args, *size, watch)?;
+        for mode in [RouterMode::Polling, RouterMode::Watching] {
+            rollout::run(args, *size, mode)?;
         }
     }
     println!("\n{:>9} {:>10} {:>12}", "versions", "disk, KB", "start, ms");
     for versions in &args.versions {
-        restart(*versions)?;
+        restart::run(*versions)?;
     }
     Ok(())
 }
 
-fn document(worth: f64, attempts: u32) -> io::Result<Document> {
-    let text = json!({ "form": 1, "kinds": { "a": 8 }, "engines": { "max_attempts": attempts },
-        "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe", "worth": worth } },
-        "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" } });
-    Document::from_json(text.to_string().as_bytes()).map_err(|f| io::Error::other(f.to_string()))
-}
-
-fn folder(name: &str) -> PathBuf {
-    let dir = std::env::temp_dir().join(format!("hoptiller-measure-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    dir
-}
-
-/// Seconds of a core that a process has used.
-fn core_seconds(pid: u32) -> io::Result<f64> {
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let rest: Vec<&str> = stat
-        .rsplit(") ")
-        .next()
-        .unwrap_or_default()
-        .split(' ')
-        .collect();
-    // Behind the name come the state and ten more fields; then the ticks of user and system, 100 a second.
-    let ticks = |n: usize| {
-        rest.get(n)
-            .and_then(|t| t.parse::<f64>().ok())
-            .unwrap_or(0.0)
-    };
-    Ok((ticks(11) + ticks(12)) / 100.0)
-}
-
-fn routers(args: &Args, size: usize, watch: bool) -> io::Result<()> {
-    let dir = folder("keepers");
-    let layout = Layout {
-        keepers: 3,
-        routers: 1,
-        engines: Vec::new(),
-        settings: json!({}),
-        permit: PERMIT,
-        drift: DRIFT,
-        router_skews: Vec::new(),
-        keeper_skews: Vec::new(),
-        most_bytes: None,
-        agreement: true,
-    };
-    let mut stage = Stage::new(layout, &args.program, &dir)?;
-    stage.start()?;
-    let long = Duration::from_secs(60);
-    let first = document(1.0, 3)?;
-    if !stage.until(long, |s| s.put("first", &first).is_ok()) {
-        return Err(io::Error::other("keepers took no version"));
-    }
-    let links: Vec<_> = (0..3)
-        .filter_map(|k| stage.link(Between::Router(0, k)))
-        .collect();
-    let settings = AgreementSettings {
-        keepers: links.iter().map(|l| l.addr()).collect(),
-        secret: dir.join("secret"),
-        permit: PERMIT,
-        drift: DRIFT,
-        ask_every: if watch {
-            PERMIT / 5
-        } else {
-            Duration::from_millis(250)
-        },
-    };
-    let secret = Secret::load(&settings.secret)?;
-    let watchers = Running::new("routers", move |ex| {
-        for n in 0..size {
-            let (settings, secret) = (settings.clone(), secret.clone());
-            let name = format!("r{n}");
-            if watch {
-                let agreed = Agreed::new(settings, secret, &name, "1", None, Clock::new());
-                ex.spawn(agreed.run(|| ()));
-            } else {
-                ex.spawn(ask_for_ever(settings, secret, name, n));
-            }
-        }
-        Ok(([127, 0, 0, 1], 0).into())
-    })?;
-    if !stage.until_heeded(size, 1, long) {
-        return Err(io::Error::other("not all routers heeded the first version"));
-    }
-    let pids: Vec<u32> = (0..3)
-        .filter_map(|k| stage.keeper(k).map(|p| p.id()))
-        .collect();
-    let used = || {
-        pids.iter()
-            .map(|p| core_seconds(*p))
-            .sum::<io::Result<f64>>()
-    };
-    let carried = |s: &Stage| -> u64 {
-        (0..3)
-            .filter_map(|k| s.link(Between::Router(0, k)))
-            .map(|l| l.carried())
-            .sum()
-    };
-    let steps = |s: &Stage| {
-        s.statuses()
-            .iter()
-            .map(|s| s.log.decided)
-            .max()
-            .unwrap_or(0)
-    };
-    std::thread::sleep(Duration::from_secs(2));
-    let (cores, bytes, decided, began) = (used()?, carried(&stage), steps(&stage), Instant::now());
-    std::thread::sleep(Duration::from_secs(args.seconds));
-    let passed = began.elapsed().as_secs_f64();
-    let core = (used()? - cores) / passed / 3.0 * 100.0;
-    let rate = (carried(&stage) - bytes) as f64 / passed / 1000.0;
-    let decided = (steps(&stage) - decided) as f64 / passed;
-    let mut times = Vec::new();
-    for n in 0..args.changes {
-        let next = document(1.0, 1 + n % 2)?;
-        let began = Instant::now();
-        let Ok(wire::ProposalResponse::Accepted(number)) = stage.put(&format!("change {n}"), &next)
-        else {
-            return Err(io::Error::other("a change was not taken"));
-        };
-        if !stage.until_heeded(size, number, long) || !stage.until_in_force(number, long) {
-            return Err(io::Error::other("a change did not come in force"));
-        }
-        times.push(began.elapsed().as_millis());
-    }
-    times.sort_unstable();
-    let (middle, most) = (times.get(times.len() / 2), times.last());
-    println!(
-        "{size:>8} {:>10} {core:>14.1} % {rate:>12.1} {decided:>12.1} {:>14} {:>14}",
-        if watch { "watching" } else { "asking" },
-        middle.map_or("-".into(), u128::to_string),
-        most.map_or("-".into(), u128::to_string)
-    );
-    drop(watchers);
-    drop(stage);
-    std::fs::remove_dir_all(&dir)
-}
-
-/// A router that hears of nothing between its questions, and so asks often.
-async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
-    let clock = Clock::new();
-    let bounds = settings.bounds();
-    let mut follower = ConfigWatcher::new(
-        Holder {
-            router: name,
-            incarnation: "1".into(),
-        },
-        bounds,
-        Vec::new(),
-    );
-    let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
-    keepers.set_preferred(n);
-    loop {
-        let (id, act) = follower.start_renewal(clock.now());
-        let Command::RenewLease {
-            holder,
-            enforced: heeds,
-            in_force,
-            offer,
-        } = act
-        else {
-            return;
-        };
-        let body = wire::LeaseRenewalRequest {
-            holder,
-            enforced_version: heeds,
-            in_force,
-            term: bounds.term,
-            drift: bounds.drift,
-            offer,
-        };
-        match keepers
-            .call(wire::RENEW_LEASE, Some(&body), Duration::from_millis(700))
-            .await
-        {
-            Ok(wire::LeaseRenewalResponse::Granted(granted)) => {
-                drop(follower.accept_grant(id, granted))
-            }
-            _ => follower.abandon_renewal(id),
-        }
-        Timer::after(settings.ask_every).await;
-    }
-}
-
-/// Keepers in one thread, on disks; then one of them starts.
-fn restart(versions: u64) -> io::Result<()> {
-    let dir = folder("disks");
-    let bounds = LeaseTiming {
-        term: PERMIT.as_micros() as u64,
-        drift: DRIFT,
-    };
-    let membership = Membership::initial(
-        (1..=3)
-            .map(|n| (n, ([127, 0, 0, 1], n as u16).into()))
-            .collect(),
-    );
-    let open = |keeper: u64, now: u64| -> io::Result<Replica> {
-        let dir = dir.join(keeper.to_string());
-        let storage =
-            DiskStorage::open(&dir, "f", keeper, "d", 1 << 30).map_err(io::Error::other)?;
-        let incarnation = storage.incarnation();
-        let log =
-            ReplicatedLog::open(keeper, membership.clone(), storage).map_err(io::Error::other)?;
-        Ok(Replica::new(keeper, incarnation, bounds, log, now))
-    };
-    let mut replicas = (1..=3)
-        .map(|n| open(n, 0))
-        .collect::<io::Result<Vec<Replica>>>()?;
-    let (mut put, mut now) = (0, 0);
-    while replicas
-        .iter()
-        .any(|replica| replica.config_state().latest() < versions)
-    {
-        now += 10_000;
-        // As many as one entry holds, one entry on its way.
-        if put < versions && replicas[0].config_state().latest() == put {
-            for _ in 0..(versions - put).min(512) {
-                put += 1;
-                let document = document((put % 1000) as f64, 3)?;
-                let (change, why) = (put.to_string(), "measured".to_owned());
-                let wanted = Proposal {
-                    change_name: change,
-                    base: None,
-                    author: "measure".into(),
-                    proposed_at_ms: put,
-                    reason: why,
-                    document,
-                };
-                replicas[0].submit(Command::Propose(Box::new(wanted)));
-            }
-        }
-        let mut messages = Vec::new();
-        for replica in &mut replicas {
-            replica.tick(now);
-            replica.take_completed();
-            messages.extend(replica.take_messages());
-        }
-        while let Some(message) = messages.pop() {
-            if let Some(replica) = replicas.get_mut(message.receiver() as usize - 1) {
-                replica.handle_messages(now, vec![message]);
-                messages.splice(0..0, replica.take_messages());
-            }
-        }
-        if now > 3_600_000_000 {
-            return Err(io::Error::other("the versions were never decided"));
-        }
-    }
-    replicas.clear();
-    let file = dir.join("1").join("keeper.redb");
-    let began = Instant::now();
-    let replica = open(1, now)?;
-    let took = began.elapsed();
-    if replica.config_state().latest() != versions {
-        return Err(io::Error::other("versions are lost"));
-    }
-    println!(
-        "{versions:>9} {:>10} {:>12.1}",
-        size_of(&file)? / 1024,
-        took.as_secs_f64() * 1000.0
-    );
-    drop(replica);
-    std::fs::remove_dir_all(&dir)
-}
-
-fn size_of(file: &Path) -> io::Result<u64> {
-    Ok(std::fs::metadata(file)?.len())
+/// A document that differs from others in its weight or its number of attempts.
+fn document(weight: f64, max_attempts: u32) -> Result<Document, ValidationError> {
+    test_fleet::document(|value| {
+        value["engines"]["max_attempts"] = json!(max_attempts);
+        value["classes"]["lookup"]["worth"] = json!(weight);
+    })
 }
--- /dev/null
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -0,0 +1,197 @@
+//! What replicas use with many routers while nothing changes, and how long a version takes until all routers enforce it.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use hoptiller_coordination_client::{Clock, Secret, wire};
+use hoptiller_fault_harness::{Stage, stage::Between};
+use hoptiller_mock_servers::Running;
+use hoptiller_statement_router::agreed::Agreed;
+use hoptiller_statement_router::settings::AgreementSettings;
+
+use super::polling_router::renew_forever;
+use super::{Args, LEASE_TERM, document};
+use crate::error::BenchmarkError;
+use crate::process::cpu_seconds;
+use crate::statistics::median;
+use crate::test_fleet::{DRIFT, REPLICAS, start_fleet, temporary_dir};
+
+/// Far longer than anything here takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Interval at which polling routers renew their leases.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Time after the start that is not measured.
+const WARM_UP: Duration = Duration::from_secs(2);
+
+/// How routers learn of a version.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum RouterMode {
+    /// By frequent renewals of their leases.
+    Polling,
+    /// By a call that waits until there is one.
+    Watching,
+}
+
+impl RouterMode {
+    fn renewal_interval(self) -> Duration {
+        match self {
+            RouterMode::Polling => POLL_INTERVAL,
+            RouterMode::Watching => LEASE_TERM / 5,
+        }
+    }
+}
+
+impl fmt::Display for RouterMode {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.pad(match self {
+            RouterMode::Polling => "asking",
+            RouterMode::Watching => "watching",
+        })
+    }
+}
+
+/// What the replicas have used since they started.
+struct Usage {
+    /// Processor time of all replicas, in seconds.
+    cpu_seconds: f64,
+    /// Bytes on the links between routers and replicas.
+    link_bytes: u64,
+    /// Entries of the log.
+    log_entries: u64,
+    sampled_at: Instant,
+}
+
+impl Usage {
+    fn sample(fleet: &mut Stage) -> Result<Usage, BenchmarkError> {
+        let mut cpu_time = 0.0;
+        for replica in 0..REPLICAS {
+            if let Some(process) = fleet.keeper(replica) {
+                cpu_time += cpu_seconds(process.id())?;
+            }
+        }
+        let links = (0..REPLICAS).filter_map(|replica| fleet.link(Between::Router(0, replica)));
+        let statuses = fleet.statuses();
+        Ok(Usage {
+            cpu_seconds: cpu_time,
+            link_bytes: links.map(|link| link.carried()).sum(),
+            log_entries: statuses
+                .iter()
+                .map(|status| status.log.decided)
+                .max()
+                .unwrap_or(0),
+            sampled_at: Instant::now(),
+        })
+    }
+}
+
+/// What the replicas use per second.
+struct UsageRates {
+    /// Part of a core that one replica uses, in percent.
+    core_percent: f64,
+    link_kilobytes: f64,
+    log_entries: f64,
+}
+
+impl UsageRates {
+    fn between(earlier: &Usage, later: &Usage) -> UsageRates {
+        let seconds = (later.sampled_at - earlier.sampled_at).as_secs_f64();
+        let cpu_seconds = later.cpu_seconds - earlier.cpu_seconds;
+        UsageRates {
+            core_percent: cpu_seconds / seconds / REPLICAS as f64 * 100.0,
+            link_kilobytes: (later.link_bytes - earlier.link_bytes) as f64 / seconds / 1000.0,
+            log_entries: (later.log_entries - earlier.log_entries) as f64 / seconds,
+        }
+    }
+}
+
+pub(super) fn run(args: &Args, size: usize, mode: RouterMode) -> Result<(), BenchmarkError> {
+    let dir = temporary_dir("replicas");
+    let first = document(1.0, 3)?;
+    let mut fleet = start_fleet(&args.program, &dir, 1, LEASE_TERM, &first, TIMEOUT)?;
+    let replicas = (0..REPLICAS)
+        .filter_map(|replica| fleet.link(Between::Router(0, replica)))
+        .map(|link| link.addr())
+        .collect();
+    let routers = start_routers(size, mode, replicas, &dir)?;
+    if !fleet.until_heeded(size, 1, TIMEOUT) {
+        return Err(BenchmarkError::FirstVersionNotEnforced);
+    }
+    thread::sleep(WARM_UP);
+    let earlier = Usage::sample(&mut fleet)?;
+    thread::sleep(Duration::from_secs(args.seconds));
+    let rates = UsageRates::between(&earlier, &Usage::sample(&mut fleet)?);
+    let times = (0..args.changes)
+        .map(|change| roll_out(&mut fleet, size, change))
+        .collect::<Result<Vec<Duration>, BenchmarkError>>()?;
+    println!(
+        "{size:>8} {mode:>10} {:>14.1} % {:>12.1} {:>12.1} {:>14} {:>14}",
+        rates.core_percent,
+        rates.link_kilobytes,
+        rates.log_entries,
+        milliseconds(median(times.iter().copied(), Duration::cmp)),
+        milliseconds(times.iter().max().copied())
+    );
+    drop(routers);
+    drop(fleet);
+    std::fs::remove_dir_all(&dir)?;
+    Ok(())
+}
+
+/// Runs routers' leases on a thread of this process.
+fn start_routers(
+    size: usize,
+    mode: RouterMode,
+    replicas: Vec<SocketAddr>,
+    dir: &Path,
+) -> io::Result<Running> {
+    let settings = AgreementSettings {
+        keepers: replicas,
+        secret: dir.join("secret"),
+        permit: LEASE_TERM,
+        drift: DRIFT,
+        ask_every: mode.renewal_interval(),
+    };
+    let secret = Secret::load(&settings.secret)?;
+    Running::new("routers", move |spawner| {
+        for index in 0..size {
+            let (settings, secret) = (settings.clone(), secret.clone());
+            let name = format!("r{index}");
+            match mode {
+                RouterMode::Watching => {
+                    let member = Agreed::new(settings, secret, &name, "1", None, Clock::new());
+                    spawner.spawn(member.run(|| ()));
+                }
+                RouterMode::Polling => {
+                    spawner.spawn(renew_forever(settings, secret, name, index));
+                }
+            }
+        }
+        // There is no server on this thread: the address is not used.
+        Ok(([127, 0, 0, 1], 0).into())
+    })
+}
+
+/// Proposes a version: the time until it is in force.
+fn roll_out(fleet: &mut Stage, size: usize, change: u32) -> Result<Duration, BenchmarkError> {
+    let next = document(1.0, 1 + change % 2)?;
+    let start = Instant::now();
+    let Ok(wire::ProposalResponse::Accepted(number)) =
+        fleet.put(&format!("change {change}"), &next)
+    else {
+        return Err(BenchmarkError::ProposalNotAccepted);
+    };
+    if !fleet.until_heeded(size, number, TIMEOUT) || !fleet.until_in_force(number, TIMEOUT) {
+        return Err(BenchmarkError::VersionNotInForce);
+    }
+    Ok(start.elapsed())
+}
+
+fn milliseconds(time: Option<Duration>) -> String {
+    time.map_or("-".into(), |time| time.as_millis().to_string())
+}
--- /dev/null
+++ b/crates/benchmarks/src/requests.rs
@@ -0,0 +1,41 @@
+//! Requests of the statement API.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use futures_lite::future::block_on;
+use hoptiller_http::client::{ClientError, Connection};
+use hoptiller_http::{Limits, Method, Request, Response};
+use serde_json::Value;
+
+/// Limit of the time to connect, and of the time of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// One exchange on a connection of its own.
+pub(crate) fn exchange_once(
+    address: SocketAddr,
+    request: &Request,
+) -> Result<Response, ClientError> {
+    block_on(async {
+        Connection::open(address, EXCHANGE_TIMEOUT, Limits::default())
+            .await?
+            .exchange(request, EXCHANGE_TIMEOUT)
+            .await
+    })
+}
+
+/// The submission of a statement.
+pub(crate) fn submission(class: &str, text: &str) -> Request {
+    let mut request = Request::new(Method::Post, "/v1/statement")
+        .with_header("X-Trino-User", "measure")
+        .with_header("X-Trino-Client-Tags", &format!("class={class}"));
+    request.body = text.into();
+    request
+}
+
+/// The path of a response's `nextUri`.
+pub(crate) fn next_path(response: &Response) -> Option<String> {
+    let value: Value = serde_json::from_slice(&response.body).ok()?;
+    let uri = value["nextUri"].as_str()?;
+    Some(uri[uri.find("/v1")?..].to_owned())
+}
--- /dev/null
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -0,0 +1,65 @@
+//! A fleet's replicas as processes, with a first version, for benchmarks whose routers run in this process.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use hoptiller_coordination::{Document, ValidationError};
+use hoptiller_fault_harness::{Layout, Stage};
+use serde_json::{Value, json};
+
+use crate::error::BenchmarkError;
+
+/// Replicas of the coordination server.
+pub(crate) const REPLICAS: usize = 3;
+
+/// Bound of the drift of clocks, in millionths.
+pub(crate) const DRIFT: u64 = 1000;
+
+/// An empty path for a benchmark's files.
+pub(crate) fn temporary_dir(name: &str) -> PathBuf {
+    let name = format!("hoptiller-benchmarks-{name}-{}", std::process::id());
+    let dir = std::env::temp_dir().join(name);
+    let _ = std::fs::remove_dir_all(&dir);
+    dir
+}
+
+/// A document of one class, with changes.
+pub(crate) fn document(change: impl FnOnce(&mut Value)) -> Result<Document, ValidationError> {
+    let mut value = json!({
+        "form": 1, "kinds": { "a": 8 }, "engines": {},
+        "classes": { "lookup": { "aim": "1s", "patience": "7s", "repeat": "safe" } },
+        "rules": { "start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s" },
+    });
+    change(&mut value);
+    Document::from_json(value.to_string().as_bytes())
+}
+
+/// Starts replicas, and proposes the first version until they accept it. The harness provides links for `routers`
+/// routers, and no engines.
+pub(crate) fn start_fleet(
+    program: &Path,
+    dir: &Path,
+    routers: usize,
+    lease_term: Duration,
+    first: &Document,
+    timeout: Duration,
+) -> Result<Stage, BenchmarkError> {
+    let layout = Layout {
+        keepers: REPLICAS,
+        routers,
+        engines: Vec::new(),
+        settings: json!({}),
+        permit: lease_term,
+        drift: DRIFT,
+        router_skews: Vec::new(),
+        keeper_skews: Vec::new(),
+        most_bytes: None,
+        agreement: true,
+    };
+    let mut fleet = Stage::new(layout, program, dir)?;
+    fleet.start()?;
+    if !fleet.until(timeout, |fleet| fleet.put("first", first).is_ok()) {
+        return Err(BenchmarkError::NoFirstVersion);
+    }
+    Ok(fleet)
+}
--- a/crates/benchmarks/src/test_site.rs
+++ b/crates/benchmarks/src/test_site.rs
@@ -1,23 +1,30 @@
-//! Owns the place that is measured: discovery and engines on threads here, a router as a process of its own, so
-//! that it shares nothing with the load.
+//! What a router is measured with: discovery and engines on threads of this process, and the router as a process of its
+//! own, so that it shares nothing with the load.
 
-use std::io::{self, BufRead, BufReader};
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::path::{Path, PathBuf};
+use std::process::Command;
 use std::time::{Duration, Instant};
 
-use futures_lite::future::block_on;
-use hoptiller_http::client::{ClientError, Connection};
-use hoptiller_http::{Limits, Method, Request, Response};
+use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
 
-/// What each measurement starts from.
+use crate::error::BenchmarkError;
+use crate::process::ServerProcess;
+use crate::requests::exchange_once;
+
+/// Limit of the time that the router may take to discover its engines.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+
+const DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The command-line arguments that say what is measured.
 #[derive(Clone, clap::Args)]
-pub struct Place {
+pub(crate) struct SiteArgs {
     /// The program, built in release
     #[arg(long, default_value = "target/release/hoptiller")]
     program: PathBuf,
@@ -26,154 +33,97 @@
     settings: PathBuf,
 }
 
-impl Place {
+impl SiteArgs {
     /// The settings that the router starts from.
-    pub fn settings_file(&self) -> PathBuf {
-        self.settings.clone()
+    pub(crate) fn settings_file(&self) -> &Path {
+        &self.settings
     }
 }
 
-/// A process that is measured; ended with this.
-pub struct Measured {
-    pub addr: SocketAddr,
-    child: Child,
-}
-
-impl Measured {
-    /// Starts a process that says `ready http://ADDR`.
-    pub fn start(command: &mut Command) -> io::Result<Measured> {
-        let mut child = command
-            .stdin(Stdio::null())
-            .stdout(Stdio::piped())
-            .spawn()?;
-        let mut line = String::new();
-        if let Some(out) = child.stdout.take() {
-            BufReader::new(out).read_line(&mut line)?;
-        }
-        match line
-            .trim()
-            .strip_prefix("ready http://")
-            .and_then(|a| a.parse().ok())
-        {
-            Some(addr) => Ok(Measured { addr, child }),
-            None => {
-                let _ = child.kill();
-                let _ = child.wait();
-                Err(io::Error::other(format!("{command:?} did not start")))
-            }
-        }
-    }
-
-    /// Its resident memory, in bytes.
-    pub fn memory(&self) -> io::Result<u64> {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        let kb = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse::<u64>().ok());
-        kb.map(|kb| kb * 1024)
-            .ok_or_else(|| io::Error::other("no VmRSS"))
-    }
-}
-
-impl Drop for Measured {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-pub struct Site {
+/// A router with its engines and discovery; stopped when dropped.
+pub(crate) struct TestSite {
+    router: ServerProcess,
+    engine_addresses: Vec<SocketAddr>,
+    _engines: Vec<Running>,
     _discovery: Running,
-    pub engines: Vec<EngineConfig>,
-    _running: Vec<Running>,
-    pub router: Measured,
 }
 
-impl Site {
-    pub fn new(
-        place: &Place,
+impl TestSite {
+    /// Starts everything, and waits until the router has discovered its engines. The settings of the router and the
+    /// configuration of each engine can be changed before the start.
+    pub(crate) fn start(
+        args: &SiteArgs,
         engines: usize,
-        change: impl FnOnce(&mut Value),
-        engine: impl Fn(&mut EngineConfig),
-    ) -> io::Result<Site> {
+        change_settings: impl FnOnce(&mut Value),
+        change_engine: impl Fn(&mut EngineConfig),
+    ) -> Result<TestSite, BenchmarkError> {
         let discovery = DiscoveryConfig::default().start()?;
-        let (mut configs, mut running) = (Vec::new(), Vec::new());
-        for n in 0..engines {
-            let mut config = EngineConfig::new(&format!("e{n}"), "std-8a", "hall-a");
-            config.discovery = Some(discovery.addr);
-            engine(&mut config);
-            let started = config.start()?;
-            config.listen = started.addr;
-            configs.push(config);
-            running.push(started);
-        }
-        let mut value = hoptiller_statement_router::settings::evaluate_file(&place.settings)
-            .map_err(|p| io::Error::other(p.to_string()))?;
-        value["router"]["listen"] = json!("127.0.0.1:0");
-        value["router"]["state"] = Value::Null;
-        value["discovery"]["address"] = json!(discovery.addr.to_string());
-        change(&mut value);
-        // JSON is Jsonnet too.
-        let file =
-            std::env::temp_dir().join(format!("hoptiller-measure-{}.jsonnet", std::process::id()));
-        std::fs::write(&file, value.to_string())?;
-        let router = Measured::start(Command::new(&place.program).arg("route").arg(&file));
-        std::fs::remove_file(&file)?;
-        let site = Site {
+        let running = (0..engines)
+            .map(|n| {
+                let mut config = EngineConfig::new(&format!("e{n}"), "std-8a", "hall-a");
+                config.discovery = Some(discovery.addr);
+                change_engine(&mut config);
+                config.start()
+            })
+            .collect::<io::Result<Vec<Running>>>()?;
+        let site = TestSite {
+            router: start_router(args, discovery.addr, change_settings)?,
+            engine_addresses: running.iter().map(|engine| engine.addr).collect(),
+            _engines: running,
             _discovery: discovery,
-            engines: configs,
-            _running: running,
-            router: router?,
         };
-        let began = Instant::now();
-        while site.info()["engines"] != json!(engines) {
-            if began.elapsed() > Duration::from_secs(20) {
-                return Err(io::Error::other("the router does not see its engines"));
+        let start = Instant::now();
+        while site.router_info()["engines"] != json!(engines) {
+            if start.elapsed() > DISCOVERY_TIMEOUT {
+                return Err(BenchmarkError::EnginesNotDiscovered);
             }
-            std::thread::sleep(Duration::from_millis(20));
+            std::thread::sleep(DISCOVERY_POLL_INTERVAL);
         }
         Ok(site)
     }
 
-    pub fn info(&self) -> Value {
-        let answer = ask(self.router.addr, &Request::new(Method::Get, "/v1/info"));
-        answer
-            .ok()
-            .and_then(|a| serde_json::from_slice(&a.body).ok())
-            .unwrap_or_default()
+    pub(crate) fn router(&self) -> &ServerProcess {
+        &self.router
     }
-}
 
-/// Statements and answers that last for the whole measurement.
-pub fn patient(v: &mut Value) {
-    for class in v["classes"].as_array_mut().into_iter().flatten() {
-        class["patience"] = json!("1h");
-        class["aim"] = json!("30m");
+    pub(crate) fn engine_addresses(&self) -> &[SocketAddr] {
+        &self.engine_addresses
     }
-}
 
-/// One exchange on a connection of its own.
-pub fn ask(addr: SocketAddr, request: &Request) -> Result<Response, ClientError> {
-    let limit = Duration::from_secs(30);
-    block_on(async {
-        Connection::open(addr, limit, Limits::default())
-            .await?
-            .exchange(request, limit)
-            .await
-    })
+    /// The router's response to `/v1/info`; null where it does not respond.
+    pub(crate) fn router_info(&self) -> Value {
+        let request = Request::new(Method::Get, "/v1/info");
+        exchange_once(self.router.address(), &request)
+            .ok()
+            .and_then(|response| serde_json::from_slice(&response.body).ok())
+            .unwrap_or_default()
+    }
 }
 
-/// A submission.
-pub fn post(class: &str, text: &str) -> Request {
-    let mut request = Request::new(Method::Post, "/v1/statement")
-        .with_header("X-Trino-User", "measure")
-        .with_header("X-Trino-Client-Tags", &format!("class={class}"));
-    request.body = text.into();
-    request
+fn start_router(
+    args: &SiteArgs,
+    discovery: SocketAddr,
+    change_settings: impl FnOnce(&mut Value),
+) -> Result<ServerProcess, BenchmarkError> {
+    let mut settings = hoptiller_statement_router::settings::evaluate_file(&args.settings)
+        .map_err(|problem| BenchmarkError::Settings(problem.to_string()))?;
+    settings["router"]["listen"] = json!("127.0.0.1:0");
+    settings["router"]["state"] = Value::Null;
+    settings["discovery"]["address"] = json!(discovery.to_string());
+    change_settings(&mut settings);
+    // JSON is Jsonnet too.
+    let name = format!("hoptiller-benchmarks-{}.jsonnet", std::process::id());
+    let file = std::env::temp_dir().join(name);
+    std::fs::write(&file, settings.to_string())?;
+    let router = ServerProcess::start(Command::new(&args.program).arg("route").arg(&file));
+    std::fs::remove_file(&file)?;
+    router
 }
 
-/// The path of an answer's `nextUri`.
-pub fn next(answer: &Response) -> Option<String> {
-    let value: Value = serde_json::from_slice(&answer.body).ok()?;
-    let uri = value["nextUri"].as_str()?;
-    Some(uri[uri.find("/v1")?..].to_owned())
+/// Changes settings so that statements and their deadlines outlast the benchmark.
+pub(crate) fn extend_deadlines(settings: &mut Value) {
+    for class in settings["classes"].as_array_mut().into_iter().flatten() {
+        class["patience"] = json!("1h");
+        class["aim"] = json!("30m");
+    }
 }
--- a/crates/benchmarks/src/waiting_clients.rs
+++ b/crates/benchmarks/src/waiting_clients.rs
@@ -1,8 +1,10 @@
-//! Many clients mid-poll on one router, which is a process of its own: memory for each that waits, the time that a
+//! Many clients that poll one router, which is a process of its own: memory for each client that waits, the time that a
 //! poll takes beyond its wait, the time of a round of decisions.
 
-use std::io;
+use std::cell::RefCell;
 use std::net::SocketAddr;
+use std::rc::Rc;
+use std::thread;
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -11,127 +13,196 @@
 use hoptiller_http::{Limits, Method, Request};
 use serde_json::{Value, json};
 
-use crate::site::{Place, Site, next, patient, post};
+use crate::error::BenchmarkError;
+use crate::requests::{next_path, submission};
+use crate::test_site::{SiteArgs, TestSite, extend_deadlines};
 
+/// Speed of an engine that accepts some statements and completes none: all others wait in the router.
+const ENGINE_SPEED: f64 = 1e-6;
+
+const THREADS: usize = 2;
+
+/// Time for which the router holds a poll without news, in microseconds.
+const POLL_WAIT_MICROS: u128 = 1_000_000;
+
+/// Interval between the connects of a thread, as the queue of a listener is short.
+const CONNECT_INTERVAL: Duration = Duration::from_micros(400);
+
+/// Time that each client adds to a run, in which all connect and submit.
+const SETUP_TIME_PER_CLIENT: Duration = Duration::from_micros(500);
+
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Significant digits of the times.
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// Arguments of `crowd`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// Sizes of the crowd; a router needs a descriptor for each client (`ulimit -n`)
+pub(crate) struct Args {
+    /// Numbers of clients; a router needs a file descriptor for each (`ulimit -n`)
     #[arg(long, value_delimiter = ',', default_value = "1000,5000,20000")]
     sizes: Vec<usize>,
-    /// Seconds that each crowd polls
+    /// Seconds for which the clients of each size poll
     #[arg(long, default_value_t = 15)]
     seconds: u64,
     #[command(flatten)]
-    place: Place,
+    site: SiteArgs,
+}
+
+/// What the clients have measured.
+struct PollResult {
+    /// Time of each poll beyond its wait, in microseconds.
+    delays: Histogram<u64>,
+    failed: u64,
+}
+
+impl PollResult {
+    fn new() -> Result<PollResult, BenchmarkError> {
+        Ok(PollResult {
+            delays: Histogram::new(HISTOGRAM_DIGITS)?,
+            failed: 0,
+        })
+    }
+}
+
+/// What the router shows at some moment.
+struct RouterSample {
+    info: Value,
+    resident_bytes: u64,
 }
 
-pub fn run(args: &Args) -> io::Result<()> {
+impl RouterSample {
+    fn take(site: &TestSite) -> Result<RouterSample, BenchmarkError> {
+        Ok(RouterSample {
+            info: site.router_info(),
+            resident_bytes: site.router().resident_bytes()?,
+        })
+    }
+
+    fn number(&self, key: &str) -> f64 {
+        self.info[key].as_f64().unwrap_or(0.0)
+    }
+
+    fn open_statements(&self) -> u64 {
+        self.info["openStatements"].as_u64().unwrap_or(0)
+    }
+}
+
+pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     println!(
         "{:>8} {:>12} {:>14} {:>12} {:>12} {:>12} {:>12}",
         "clients", "RSS, MB", "KB a client", "polls/s", "p50, ms", "p99, ms", "round, µs"
     );
     for size in &args.sizes {
-        one(args, *size)?;
+        run_size(args, *size)?;
     }
     Ok(())
 }
 
-fn one(args: &Args, size: usize) -> io::Result<()> {
-    let change = |v: &mut Value| {
-        patient(v);
-        v["limits"] =
+fn run_size(args: &Args, size: usize) -> Result<(), BenchmarkError> {
+    let change_settings = |settings: &mut Value| {
+        extend_deadlines(settings);
+        settings["limits"] =
             json!({ "statements": size + 10, "connections": size + 100, "abandon_after": "1h" });
     };
-    // It takes some statements and is done with none: all others wait in the router.
-    let site = Site::new(&args.place, 1, change, |e| e.spec.speed = 1e-6)?;
-    let addr = site.router.addr;
-    let before = site.router.memory()?;
-    let threads = 2;
-    let until = Instant::now()
-        + Duration::from_secs(args.seconds)
-        + Duration::from_micros(size as u64 * 500);
-    let handles: Vec<_> = (0..threads)
-        .map(|t| {
-            std::thread::spawn(move || clients((t..size).step_by(threads).count(), addr, until))
+    let site = TestSite::start(&args.site, 1, change_settings, |engine| {
+        engine.spec.speed = ENGINE_SPEED;
+    })?;
+    let bytes_before = site.router().resident_bytes()?;
+    let address = site.router().address();
+    let end =
+        Instant::now() + Duration::from_secs(args.seconds) + SETUP_TIME_PER_CLIENT * size as u32;
+    let handles: Vec<_> = (0..THREADS)
+        .map(|thread| {
+            let clients = (thread..size).step_by(THREADS).count();
+            thread::spawn(move || run_clients(clients, address, end))
         })
         .collect();
-    // Settled: all have submitted and poll. Then rounds and memory are read.
-    std::thread::sleep(until.saturating_duration_since(Instant::now()).mul_f64(0.6));
-    let early = site.info();
-    std::thread::sleep(until.saturating_duration_since(Instant::now()).mul_f64(0.8));
-    let (late, after) = (site.info(), site.router.memory()?);
-    let mut times = Histogram::<u64>::new(3).map_err(io::Error::other)?;
-    let mut failed = 0;
+    // By then all have submitted, and poll.
+    thread::sleep(remaining(end).mul_f64(0.6));
+    let early = RouterSample::take(&site)?;
+    thread::sleep(remaining(end).mul_f64(0.8));
+    let late = RouterSample::take(&site)?;
+    let mut total = PollResult::new()?;
     for handle in handles {
-        let (part, bad) = handle
+        let result = handle
             .join()
-            .map_err(|_| io::Error::other("a client thread panicked"))?;
-        times.add(part).map_err(io::Error::other)?;
-        failed += bad;
+            .map_err(|_| BenchmarkError::ClientPanicked)??;
+        total.delays.add(result.delays)?;
+        total.failed += result.failed;
     }
-    let number = |v: &Value, name: &str| v[name].as_f64().unwrap_or(0.0);
-    let rounds = number(&late, "rounds") - number(&early, "rounds");
-    let round = (number(&late, "roundsMicros") - number(&early, "roundsMicros")) / rounds.max(1.0);
-    let open = late["openStatements"].as_u64().unwrap_or(0);
-    if failed > 0 || open < size as u64 {
-        return Err(io::Error::other(format!(
-            "{failed} clients failed; {open} of {size} statements are open"
-        )));
+    if total.failed > 0 || late.open_statements() < size as u64 {
+        return Err(BenchmarkError::ClientsFailed {
+            failed: total.failed,
+            open: late.open_statements(),
+            expected: size,
+        });
     }
+    let rounds = late.number("rounds") - early.number("rounds");
+    let round_micros = late.number("roundsMicros") - early.number("roundsMicros");
     println!(
-        "{size:>8} {:>12.1} {:>14.2} {:>12.0} {:>12.2} {:>12.2} {round:>12.1}",
-        after as f64 / 1e6,
-        (after - before) as f64 / 1e3 / size as f64,
-        times.len() as f64 / args.seconds as f64,
-        times.value_at_quantile(0.5) as f64 / 1e3,
-        times.value_at_quantile(0.99) as f64 / 1e3,
+        "{size:>8} {:>12.1} {:>14.2} {:>12.0} {:>12.2} {:>12.2} {:>12.1}",
+        late.resident_bytes as f64 / 1e6,
+        (late.resident_bytes - bytes_before) as f64 / 1e3 / size as f64,
+        total.delays.len() as f64 / args.seconds as f64,
+        total.delays.value_at_quantile(0.5) as f64 / 1e3,
+        total.delays.value_at_quantile(0.99) as f64 / 1e3,
+        round_micros / rounds.max(1.0),
     );
     Ok(())
 }
 
-/// Each submits once, then polls until the end. Times are those that a poll took beyond the second it waits.
-fn clients(count: usize, addr: SocketAddr, until: Instant) -> (Histogram<u64>, u64) {
-    let ex = LocalExecutor::new();
-    let times = std::rc::Rc::new(std::cell::RefCell::new(
-        Histogram::<u64>::new(3).expect("a histogram"),
-    ));
+fn remaining(end: Instant) -> Duration {
+    end.saturating_duration_since(Instant::now())
+}
+
+fn run_clients(
+    count: usize,
+    address: SocketAddr,
+    end: Instant,
+) -> Result<PollResult, BenchmarkError> {
+    let executor = LocalExecutor::new();
+    let delays = Rc::new(RefCell::new(PollResult::new()?.delays));
     let tasks: Vec<_> = (0..count)
-        .map(|n| {
-            let times = times.clone();
-            ex.spawn(async move {
-                // One after the other: a listener's queue is short.
-                async_io::Timer::after(Duration::from_micros(n as u64 * 400)).await;
-                let limit = Duration::from_secs(30);
-                let Ok(mut c) = Connection::open(addr, limit, Limits::default()).await else {
-                    return 1;
-                };
-                let Ok(mut answer) = c
-                    .exchange(&post("lookup", "SELECT 1 /* work=1h */"), limit)
-                    .await
-                else {
-                    return 1;
-                };
-                while Instant::now() < until {
-                    let Some(path) = next(&answer) else { return 1 };
-                    let began = Instant::now();
-                    match c.exchange(&Request::new(Method::Get, path), limit).await {
-                        Ok(got) if got.status.0 == 200 => answer = got,
-                        _ => return 1,
-                    }
-                    let beyond = began.elapsed().as_micros().saturating_sub(1_000_000) as u64;
-                    let _ = times.borrow_mut().record(beyond);
-                }
-                0
+        .map(|index| {
+            let delays = delays.clone();
+            executor.spawn(async move {
+                async_io::Timer::after(CONNECT_INTERVAL * index as u32).await;
+                run_client(address, end, &delays).await
             })
         })
         .collect();
-    let failed = async_io::block_on(ex.run(async {
+    let failed = async_io::block_on(executor.run(async {
         let mut failed = 0;
         for task in tasks {
-            failed += task.await;
+            failed += u64::from(task.await.is_err());
         }
         failed
     }));
-    let times = times.borrow().clone();
-    (times, failed)
+    let delays = delays.borrow().clone();
+    Ok(PollResult { delays, failed })
+}
+
+/// Submits a statement, and polls for it until the end.
+async fn run_client(
+    address: SocketAddr,
+    end: Instant,
+    delays: &RefCell<Histogram<u64>>,
+) -> Result<(), BenchmarkError> {
+    let mut connection = Connection::open(address, EXCHANGE_TIMEOUT, Limits::default()).await?;
+    let request = submission("lookup", "SELECT 1 /* work=1h */");
+    let mut response = connection.exchange(&request, EXCHANGE_TIMEOUT).await?;
+    while Instant::now() < end {
+        let path = next_path(&response).ok_or(BenchmarkError::NoNextUri)?;
+        let start = Instant::now();
+        let poll = Request::new(Method::Get, path);
+        response = connection.exchange(&poll, EXCHANGE_TIMEOUT).await?;
+        if response.status.0 != 200 {
+            return Err(BenchmarkError::ExchangesFailed);
+        }
+        let delay = start.elapsed().as_micros().saturating_sub(POLL_WAIT_MICROS);
+        // The histogram resizes itself: each value fits.
+        let _ = delays.borrow_mut().record(delay as u64);
+    }
+    Ok(())
 }
