--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -18,7 +18,7 @@
     let work = work_by_trace(records);
     let interruptions = Interruptions::collect(records);
     for (request, submission) in submissions {
-        let Some(admitted_at) = submission.admitted_at else {
+        if submission.admitted_at.is_none() {
             if !submission.final_answers.is_empty() {
                 verdict.add(
                     Rule::SingleFinalAnswer,
@@ -26,9 +26,9 @@
                 );
             }
             continue;
-        };
+        }
         verdict.tally(submission.class).admitted += 1;
-        let interrupted = interruptions.affect(submission, admitted_at);
+        let interrupted = interruptions.affect(submission);
         let Some(answer) = submission.final_answers.first() else {
             check_unanswered(*request, submission, interrupted, verdict);
             continue;
@@ -158,15 +158,16 @@
         interruptions
     }
 
-    /// Whether the router was killed between admission and the final answer, or paused between submission and answer.
-    fn affect(&self, submission: &Submission, admitted_at: u64) -> bool {
+    /// Whether the router was killed or paused between submission and final answer. The router admits a statement before its
+    /// client has read so: a kill between submission and the recorded admission may hit a statement that is held.
+    fn affect(&self, submission: &Submission) -> bool {
         let ended_at = submission
             .final_answers
             .first()
             .map_or(u64::MAX, |answer| answer.at);
         let mut kills = self.kills.get(submission.router).into_iter().flatten();
         let mut pauses = self.pauses.get(submission.router).into_iter().flatten();
-        kills.any(|at| (admitted_at..=ended_at).contains(at))
+        kills.any(|at| (submission.submitted_at..=ended_at).contains(at))
             || pauses.any(|pause| submission.submitted_at <= pause.until && pause.from <= ended_at)
     }
 }
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -229,6 +229,30 @@
     assert_eq!(with(&left), [] as [u8; 0]);
 }
 
+#[test]
+fn rule_1_exempts_a_statement_whose_admission_its_client_reads_after_the_kill() {
+    let killed = |at| Record::RouterKilled {
+        at,
+        router: "r".into(),
+    };
+    let admitted = Record::Admitted {
+        at: 205,
+        request: 9,
+    };
+    let admitted_before_the_kill = [submitted(200, 9, "d.0", "lookup"), killed(203), admitted];
+    assert_eq!(with(&admitted_before_the_kill), [] as [u8; 0]);
+    let submitted_after_the_kill = [killed(199), submitted(200, 9, "d.0", "lookup")];
+    let admitted_by_the_successor = [
+        submitted_after_the_kill.as_slice(),
+        &[Record::Admitted {
+            at: 205,
+            request: 9,
+        }],
+    ]
+    .concat();
+    assert_eq!(with(&admitted_by_the_successor), [1]);
+}
+
 #[test]
 fn rule_2_finds_duplicate_effects_effects_of_refused_statements_and_missing_effects() {
     assert_eq!(with(&[posted(55, "a.1")]), [2]);
