--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -99,13 +99,13 @@
     pub request: RequestId,
     /// Its class.
     pub class: usize,
-    /// Its tenant, where there are any.
+    /// Its tenant, where there are any. No decision reads it yet.
     pub tenant: Option<usize>,
     /// Its ordering key.
     pub key: Option<KeyId>,
     /// When the client gives up.
     pub valid_until: Micros,
-    /// Estimated work of all threads.
+    /// Estimated work of all threads. No decision reads it yet.
     pub estimated_work: Option<Micros>,
     /// Estimated memory that it needs, in MB; 0: none given.
     pub estimated_memory_mb: f64,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -138,9 +138,9 @@
     pub classes: Vec<Class>,
     /// Cores of each machine kind; events name kinds by position.
     pub cores: Vec<f64>,
-    /// Quota of each tenant, as a part of the service; events name tenants by position. Not used yet.
+    /// Quota of each tenant, as a part of the service; events name tenants by position. No decision reads it yet.
     pub tenant_quotas: Vec<f64>,
-    /// Weight of a request beyond its tenant's quota, against one within it. Not used yet.
+    /// Weight of a request beyond its tenant's quota, against one within it. No decision reads it yet.
     pub over_quota_weight: f64,
     /// Engines report queries in flight, memory or busy cores, in answers or to health checks.
     pub load_reports: bool,
@@ -156,7 +156,7 @@
     pub reports_work: bool,
     /// Cost of a health check with each request, in points of the goal; 0: nothing.
     pub health_check_cost: f64,
-    /// Clients mark their retries.
+    /// Clients mark their retries. No decision reads it: a marked retry is believed in any case.
     pub clients_mark_retries: bool,
     /// How changes of the endpoint list come.
     pub discovery: Discovery,
