--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -5,7 +5,6 @@
 mod routers;
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -21,7 +20,7 @@
 use crate::error::BenchmarkError;
 use crate::requests::exchange_once;
 use crate::statistics::median;
-use crate::test_fleet::{self, start_fleet, temporary_dir};
+use crate::test_fleet::{self, FleetArgs, start_fleet, temporary_dir};
 use routers::{Observations, RouterConfig, start_routers};
 
 /// Term of config leases.
@@ -33,12 +32,8 @@
 /// Arguments of `tasks`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The program whose replicas take part
-    #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
-    program: PathBuf,
-    /// Numbers of routers
-    #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
-    sizes: Vec<usize>,
+    #[command(flatten)]
+    fleet: FleetArgs,
     /// Number of engines
     #[arg(long, default_value_t = 8)]
     engines: usize,
@@ -100,7 +95,7 @@
         "{:>8} {:>8} {:>14} {:>16} {:>18} {:>18}",
         "routers", "tasks", "list reads/s", "questions/s", "drain known p50, ms", "by all, ms"
     );
-    for size in &args.sizes {
+    for size in &args.fleet.sizes {
         for with_tasks in [false, true] {
             run_size(args, *size, with_tasks)?;
         }
@@ -111,7 +106,7 @@
 fn run_size(args: &Args, size: usize, with_tasks: bool) -> Result<(), BenchmarkError> {
     let dir = temporary_dir("tasks");
     let first = document(with_tasks)?;
-    let mut fleet = start_fleet(&args.program, &dir, 0, LEASE_TERM, &first, TIMEOUT)?;
+    let mut fleet = start_fleet(&args.fleet.program, &dir, 0, LEASE_TERM, &first, TIMEOUT)?;
     let servers = CountedServers::start(args.engines)?;
     let observations = Arc::new(Observations::default());
     let config = RouterConfig {
--- a/crates/benchmarks/src/replicas.rs
+++ b/crates/benchmarks/src/replicas.rs
@@ -5,14 +5,13 @@
 mod restart;
 mod rollout;
 
-use std::path::PathBuf;
 use std::time::Duration;
 
 use hoptiller_coordination::{Document, ValidationError};
 use serde_json::json;
 
 use crate::error::BenchmarkError;
-use crate::test_fleet;
+use crate::test_fleet::{self, FleetArgs};
 use rollout::RouterMode;
 
 /// Term of config leases.
@@ -21,12 +20,8 @@
 /// Arguments of `keepers`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The program whose replicas are measured
-    #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
-    program: PathBuf,
-    /// Numbers of routers
-    #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
-    sizes: Vec<usize>,
+    #[command(flatten)]
+    fleet: FleetArgs,
     /// Seconds without changes for each size
     #[arg(long, default_value_t = 10)]
     seconds: u64,
@@ -43,7 +38,7 @@
         "{:>8} {:>10} {:>16} {:>12} {:>12} {:>14} {:>14}",
         "routers", "manner", "a keeper's core", "KB/s", "steps/s", "heeded p50, ms", "at most, ms"
     );
-    for size in &args.sizes {
+    for size in &args.fleet.sizes {
         for mode in [RouterMode::Polling, RouterMode::Watching] {
             rollout::run(args, *size, mode)?;
         }
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -113,7 +113,7 @@
 pub(super) fn run(args: &Args, size: usize, mode: RouterMode) -> Result<(), BenchmarkError> {
     let dir = temporary_dir("replicas");
     let first = document(1.0, 3)?;
-    let mut fleet = start_fleet(&args.program, &dir, 1, LEASE_TERM, &first, TIMEOUT)?;
+    let mut fleet = start_fleet(&args.fleet.program, &dir, 1, LEASE_TERM, &first, TIMEOUT)?;
     let replicas = (0..REPLICAS)
         .filter_map(|replica| fleet.link(Between::Router(0, replica)))
         .map(|link| link.addr())
--- a/crates/benchmarks/src/test_fleet.rs
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -15,6 +15,17 @@
 /// Bound of the drift of clocks, in millionths.
 pub(crate) const DRIFT: u64 = 1000;
 
+/// The command-line arguments that say which fleets are measured.
+#[derive(clap::Args)]
+pub(crate) struct FleetArgs {
+    /// The program whose replicas take part
+    #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
+    pub(crate) program: PathBuf,
+    /// Numbers of routers
+    #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
+    pub(crate) sizes: Vec<usize>,
+}
+
 /// An empty path for a benchmark's files.
 pub(crate) fn temporary_dir(name: &str) -> PathBuf {
     let name = format!("hoptiller-benchmarks-{name}-{}", std::process::id());
--- a/crates/cli/src/commands/experiment/mod.rs
+++ b/crates/cli/src/commands/experiment/mod.rs
@@ -8,6 +8,7 @@
 use std::process::ExitCode;
 
 use crate::error::CommandError;
+pub(crate) use runaways::MissingClassError;
 
 /// The study.
 #[derive(clap::Subcommand)]
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -54,6 +54,13 @@
     json: bool,
 }
 
+/// The settings lack a class that the study's traffic uses.
+#[derive(Debug, thiserror::Error)]
+#[error("the settings have no class {class:?}: the study needs it")]
+pub(crate) struct MissingClassError {
+    class: &'static str,
+}
+
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     let settings = load_settings(args.settings.as_deref())?;
     let seeds: Vec<u64> = (args.first_seed..).take(args.seeds as usize).collect();
@@ -91,9 +98,7 @@
         }
     };
     match CLASSES.iter().find(|name| settings.class(name).is_none()) {
-        Some(missing) => Err(CommandError::Usage(format!(
-            "the settings have no class {missing:?}: the study needs it"
-        ))),
+        Some(class) => Err(MissingClassError { class }.into()),
         None => Ok(settings),
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -9,6 +9,7 @@
 
 use crate::commands::audit::AuditError;
 use crate::commands::beliefs::EmptyTraceError;
+use crate::commands::experiment::MissingClassError;
 use crate::commands::runaways::ReleaseError;
 
 /// An error of another package or of the system.
@@ -46,6 +47,9 @@
     /// There are no attempts to compare.
     #[error(transparent)]
     EmptyTrace(#[from] EmptyTraceError),
+    /// The settings do not fit the study.
+    #[error(transparent)]
+    Study(#[from] MissingClassError),
     /// A router does not release a hold.
     #[error(transparent)]
     Release(#[from] ReleaseError),
