--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -1,31 +1,20 @@
-//! Clients that ask twice, ask late, leave, read slowly, and send bytes that are no requests.
+//! Clients that poll twice, poll late, leave, read slowly, and send bytes that are no requests.
 
 mod common;
 
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-use common::{Stage, next_path};
-use futures_lite::future;
+use common::{ClientOptions, ClientOutcome, TestCluster, next_path, parse_json, path_of};
 use hoptiller_audit::Record;
-use hoptiller_http::client::Connection;
-use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_mock_servers::client::{Came, Manner};
+use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::fault::Faults;
-use serde_json::json;
+use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
+use serde_json::{Value, json};
 
-/// One request on a connection of its own.
-fn send(stage: &Stage, request: &Request) -> Response {
-    future::block_on(async {
-        let mut c = Connection::open(stage.addr, Duration::from_secs(2), Limits::default())
-            .await
-            .expect("open");
-        c.exchange(request, Duration::from_secs(10))
-            .await
-            .expect("an answer")
-    })
-}
+/// How long a router may take to close a connection on a loaded machine.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn post(fields: &[(&str, &str)], body: &str) -> Request {
     let mut request = Request::new(Method::Post, "/v1/statement").with("X-Trino-User", "ann");
@@ -36,17 +25,23 @@
     request
 }
 
+/// The path of the history of a statement.
+fn history_path(results: &Value) -> String {
+    let uri = results["infoUri"].as_str().expect("an infoUri");
+    path_of(uri).expect("a path")
+}
+
 #[test]
-fn the_same_token_gives_the_same_answer_on_two_connections_at_once_and_an_old_one_is_gone() {
-    let stage = Stage::new(2);
-    let mut ask = stage.ask("report", "SELECT 1 /* work=300ms rows=40 pages=4 */");
-    ask.manner = Manner {
+fn concurrent_polls_of_a_token_get_the_same_response_and_an_older_token_is_gone() {
+    let cluster = TestCluster::new(2);
+    let mut request = cluster.request("report", "SELECT 1 /* work=300ms rows=40 pages=4 */");
+    request.manner = ClientOptions {
         doubles: true,
-        ..Manner::default()
+        ..ClientOptions::default()
     };
-    let (came, client) = stage.run(&ask);
-    assert_eq!(came, Came::Served(40));
-    // The last answer can be had again, all before it are gone, and none follows.
+    let (outcome, client) = cluster.run_with_client(&request);
+    assert_eq!(outcome, ClientOutcome::Served(40));
+    // The last response can be polled again; all before it are gone.
     let paths: Vec<&String> = client
         .answers
         .iter()
@@ -55,50 +50,48 @@
         .collect();
     let (last, older) = paths.split_last().expect("polled");
     assert_eq!(
-        stage.get(last).body,
+        cluster.get(last).body,
         client.answers.last().expect("answered").1.body
     );
-    assert!(older.iter().all(|path| stage.get(path).status.0 == 410));
-    stage.assert_rules_kept();
+    assert!(older.iter().all(|path| cluster.get(path).status.0 == 410));
+    cluster.assert_rules_kept();
 }
 
 #[test]
 fn forged_and_altered_tokens_are_not_found() {
-    let stage = Stage::new(1);
-    let answer = send(&stage, &post(&[], "SELECT 1 /* work=2s */"));
-    let path = next_path(&answer).expect("more to come");
-    let info: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
-    let course = info["infoUri"]
-        .as_str()
-        .and_then(|u| u.split_once("/v1"))
-        .map(|(_, p)| format!("/v1{p}"));
-    let course = course.expect("a course");
-    assert_eq!(stage.get(&course).status.0, 200);
+    let cluster = TestCluster::new(1);
+    let response = cluster.exchange(&post(&[], "SELECT 1 /* work=2s */"));
+    let path = next_path(&response).expect("a nextUri");
+    let history = history_path(&parse_json(&response));
+    assert_eq!(cluster.get(&history).status.0, 200);
     let alter = |path: &str, at: usize| {
         let mut bytes = path.as_bytes().to_vec();
         bytes[at] = if bytes[at] == b'a' { b'b' } else { b'a' };
         String::from_utf8(bytes).expect("text")
     };
     for at in "/v1/statement/".len()..path.len() {
-        assert_eq!(stage.get(&alter(&path, at)).status.0, 404, "{at}");
+        assert_eq!(cluster.get(&alter(&path, at)).status.0, 404, "{at}");
     }
-    assert_eq!(stage.get(&alter(&course, course.len() - 1)).status.0, 404);
+    assert_eq!(
+        cluster.get(&alter(&history, history.len() - 1)).status.0,
+        404
+    );
     let delete = Request::new(Method::Delete, alter(&path, path.len() - 4));
-    assert_eq!(send(&stage, &delete).status.0, 404);
-    for trick in [
+    assert_eq!(cluster.exchange(&delete).status.0, 404);
+    for invalid in [
         "/v1/statement/../info",
         "/v1/statement/",
         "/v1/statement//",
         "/v1/query/",
         "/v1/statement/%00",
     ] {
-        assert_eq!(stage.get(trick).status.0, 404, "{trick}");
+        assert_eq!(cluster.get(invalid).status.0, 404, "{invalid}");
     }
 }
 
 #[test]
-fn what_a_client_says_wrong_is_told_with_its_place() {
-    let stage = Stage::new(1);
+fn an_invalid_request_is_rejected_with_what_is_wrong() {
+    let cluster = TestCluster::new(1);
     let cases: [(Request, &str); 6] = [
         (
             post(&[("X-Trino-Client-Tags", "class=nonsense")], "SELECT 1"),
@@ -129,16 +122,14 @@
         ),
     ];
     for (request, wanted) in cases {
-        let answer = send(&stage, &request);
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
-        assert!(
-            answer.status.0 == 400 && text.contains(wanted),
-            "{} {text}",
-            answer.status.0
-        );
+        let response = cluster.exchange(&request);
+        let text = String::from_utf8_lossy(&response.body);
+        assert_eq!(response.status.0, 400, "{text}");
+        assert!(text.contains(wanted), "{text}");
     }
     assert_eq!(
-        send(&stage, &Request::new(Method::Put, "/v1/statement"))
+        cluster
+            .exchange(&Request::new(Method::Put, "/v1/statement"))
             .status
             .0,
         405
@@ -147,190 +138,193 @@
         body: vec![b'x'; 2 << 20],
         ..post(&[], "")
     };
-    assert_eq!(send(&stage, &big).status.0, 413);
-    assert_eq!(stage.info()["openStatements"], json!(0));
+    assert_eq!(cluster.exchange(&big).status.0, 413);
+    assert_eq!(cluster.info()["openStatements"], json!(0));
 }
 
 #[test]
-fn a_client_that_leaves_has_its_work_withdrawn_where_engines_allow() {
+fn the_statement_of_a_client_that_left_is_cancelled_where_engines_support_it() {
     for cancel in [true, false] {
-        let change = |v: &mut serde_json::Value| {
+        let change = |v: &mut Value| {
             v["engines"]["cancel"] = json!(cancel);
             v["limits"]["abandon_after"] = json!("600ms");
         };
-        let stage = Stage::with(1, change, |e| e.spec.cancels = cancel);
-        let mut ask = stage.ask("report", "SELECT 1 /* work=4s threads=2 */");
-        ask.manner.leaves_after = Some(2);
-        let (came, client) = stage.run(&ask);
-        assert_eq!(came, Came::Left);
-        stage.wait_for("the statement to be let go", |info| {
+        let cluster = TestCluster::with_config(1, change, |e| e.spec.cancels = cancel);
+        let mut request = cluster.request("report", "SELECT 1 /* work=4s threads=2 */");
+        request.manner.leaves_after = Some(2);
+        let (outcome, client) = cluster.run_with_client(&request);
+        assert_eq!(outcome, ClientOutcome::Left);
+        cluster.wait_for_info("the statement to be released", |info| {
             info["openStatements"] == json!(0)
         });
-        let done = || {
-            stage
-                .records()
-                .iter()
-                .any(|r| matches!(r, Record::Done { trace, .. } if *trace == ask.trace))
+        let is_done = || {
+            let is_end = |record: &Record| matches!(record, Record::Done { trace, .. } if *trace == request.trace);
+            cluster.records().iter().any(is_end)
         };
         if cancel {
-            stage.wait_for("its work to be withdrawn", |info| {
+            cluster.wait_for_info("its work to be cancelled", |info| {
                 info["attemptsUnderWay"] == json!(0)
             });
-            assert!(done(), "the engine has stopped it");
+            assert!(is_done(), "the engine has stopped it");
         } else {
-            assert!(!done(), "the engine goes on");
+            assert!(!is_done(), "the engine goes on");
             assert_eq!(
-                stage.info()["attemptsUnderWay"],
+                cluster.info()["attemptsUnderWay"],
                 json!(1),
-                "its place is still counted"
+                "it still counts as in flight"
             );
         }
-        // One who comes back is told what became of it.
-        let next = next_path(&client.answers.last().expect("answers").1).expect("more");
-        let answer = stage.get(&next);
-        assert!(String::from_utf8_lossy(&answer.body).contains("ABANDONED_QUERY"));
-        stage.assert_rules_kept();
+        // A client that comes back gets the final response.
+        let next = next_path(&client.answers.last().expect("a response").1).expect("a nextUri");
+        let response = cluster.get(&next);
+        assert!(String::from_utf8_lossy(&response.body).contains("ABANDONED_QUERY"));
+        cluster.assert_rules_kept();
     }
 }
 
 #[test]
-fn a_client_that_ends_its_statement_is_heard() {
-    let change = |v: &mut serde_json::Value| v["engines"]["cancel"] = json!(true);
-    let stage = Stage::with(1, change, |e| e.spec.cancels = true);
-    let mut ask = stage.ask("report", "SELECT 1 /* work=4s threads=2 */");
-    ask.manner.ends_after = Some(2);
-    assert_eq!(stage.run(&ask).0, Came::Left);
-    stage.wait_for("its work to be withdrawn", |info| {
+fn a_client_can_cancel_its_statement() {
+    let change = |v: &mut Value| v["engines"]["cancel"] = json!(true);
+    let cluster = TestCluster::with_config(1, change, |e| e.spec.cancels = true);
+    let mut request = cluster.request("report", "SELECT 1 /* work=4s threads=2 */");
+    request.manner.ends_after = Some(2);
+    assert_eq!(cluster.run(&request), ClientOutcome::Left);
+    cluster.wait_for_info("its work to be cancelled", |info| {
         info["attemptsUnderWay"] == json!(0)
     });
-    assert_eq!(stage.info()["openStatements"], json!(0));
-    stage.assert_rules_kept();
+    assert_eq!(cluster.info()["openStatements"], json!(0));
+    cluster.assert_rules_kept();
 }
 
 #[test]
 fn a_large_result_read_slowly_takes_little_memory() {
-    const PAGE: u64 = 100 * (1000 + 12);
-    let change = |v: &mut serde_json::Value| v["limits"]["page_bytes"] = json!(1 << 20);
-    let stage = Stage::with(1, change, |_| {});
-    let mut ask = stage.ask(
+    const PAGE_BYTES: u64 = 100 * (1000 + 12);
+    let change = |v: &mut Value| v["limits"]["page_bytes"] = json!(1 << 20);
+    let cluster = TestCluster::with_config(1, change, |_| {});
+    let mut request = cluster.request(
         "report",
         "SELECT 1 /* work=5ms rows=2000 pages=20 width=1000 */",
     );
-    ask.manner.pause = Duration::from_millis(25);
-    let most = std::thread::scope(|s| {
-        let run = s.spawn(|| stage.run(&ask).0);
-        let mut most = 0;
+    request.manner.pause = Duration::from_millis(25);
+    let max_held = std::thread::scope(|s| {
+        let run = s.spawn(|| cluster.run(&request));
+        let mut max_held = 0;
         while !run.is_finished() {
-            most = most.max(stage.info()["heldBytes"].as_u64().expect("a number"));
+            max_held = max_held.max(cluster.info()["heldBytes"].as_u64().expect("a number"));
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(run.join().expect("ends"), Came::Served(2000));
-        most
+        assert_eq!(run.join().expect("ends"), ClientOutcome::Served(2000));
+        max_held
     });
     assert!(
-        (1..=2 * PAGE).contains(&most),
-        "{most} bytes held of a result of {}",
-        20 * PAGE
+        (1..=2 * PAGE_BYTES).contains(&max_held),
+        "{max_held} bytes held of a result of {}",
+        20 * PAGE_BYTES
     );
-    assert_eq!(stage.info()["heldBytes"], json!(0));
+    assert_eq!(cluster.info()["heldBytes"], json!(0));
 }
 
 #[test]
-fn pages_are_fetched_only_while_there_is_room_for_all() {
-    let change = |v: &mut serde_json::Value| {
+fn pages_are_fetched_only_while_the_buffers_have_room() {
+    let change = |v: &mut Value| {
         v["limits"]["page_bytes"] = json!(200_000);
         v["limits"]["held_bytes"] = json!(300_000);
     };
-    let stage = Stage::with(2, change, |_| {});
-    let asks: Vec<_> = (0..6)
+    let cluster = TestCluster::with_config(2, change, |_| {});
+    let requests: Vec<_> = (0..6)
         .map(|n| {
-            let mut ask = stage.ask(
+            let mut request = cluster.request(
                 "lookup",
                 &format!("SELECT {n} /* work=5ms rows=1000 pages=10 width=1000 */"),
             );
-            ask.manner.pause = Duration::from_millis(15);
-            ask
+            request.manner.pause = Duration::from_millis(15);
+            request
         })
         .collect();
     std::thread::scope(|s| {
-        let runs: Vec<_> = asks
+        let runs: Vec<_> = requests
             .iter()
-            .map(|ask| s.spawn(|| stage.run(ask).0))
+            .map(|request| s.spawn(|| cluster.run(request)))
             .collect();
         while runs.iter().any(|r| !r.is_finished()) {
-            // First pages come without asking; what is fetched ahead is bounded.
-            let held = stage.info()["heldBytes"].as_u64().expect("a number");
+            // First pages are not limited by it; what is fetched ahead is.
+            let held = cluster.info()["heldBytes"].as_u64().expect("a number");
             assert!(held < 300_000 + 6 * 110_000, "{held}");
             std::thread::sleep(Duration::from_millis(5));
         }
         for run in runs {
-            assert_eq!(run.join().expect("ends"), Came::Served(1000));
+            assert_eq!(run.join().expect("ends"), ClientOutcome::Served(1000));
         }
     });
 }
 
 #[test]
-fn the_table_is_bounded_and_says_when_to_come_back() {
-    let change = |v: &mut serde_json::Value| v["limits"]["statements"] = json!(3);
-    let stage = Stage::with(1, change, |_| {});
+fn statements_beyond_the_limit_are_rejected_with_retry_after() {
+    let change = |v: &mut Value| v["limits"]["statements"] = json!(3);
+    let cluster = TestCluster::with_config(1, change, |_| {});
     for _ in 0..3 {
         assert_eq!(
-            send(&stage, &post(&[], "SELECT 1 /* work=3s */")).status.0,
+            cluster
+                .exchange(&post(&[], "SELECT 1 /* work=3s */"))
+                .status
+                .0,
             200
         );
     }
-    let turned = send(&stage, &post(&[], "SELECT 1"));
+    let rejected = cluster.exchange(&post(&[], "SELECT 1"));
     assert_eq!(
-        (turned.status.0, turned.headers.get("retry-after")),
+        (rejected.status.0, rejected.headers.get("retry-after")),
         (429, Some("2"))
     );
 }
 
-/// What a raw connection gets for some bytes: the status line, or nothing where it was closed.
-fn raw(stage: &Stage, bytes: &[u8]) -> String {
-    let mut s = TcpStream::connect(stage.addr).expect("connected");
-    s.set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("set");
-    let _ = s.write_all(bytes);
-    let _ = s.shutdown(std::net::Shutdown::Write);
-    let mut got = Vec::new();
-    let _ = s.read_to_end(&mut got);
-    String::from_utf8_lossy(&got)
-        .lines()
-        .next()
-        .unwrap_or_default()
-        .to_owned()
+fn connect(cluster: &TestCluster) -> TcpStream {
+    let stream = TcpStream::connect(cluster.addr).expect("connected");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
+    stream
 }
 
-#[test]
-fn hostile_bytes_get_an_error_or_a_closed_connection_and_others_are_served() {
-    let stage = Stage::new(1);
+/// The status line that a connection receives until it is closed; empty where there is none.
+fn read_status_line(stream: &mut TcpStream) -> String {
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    let text = String::from_utf8_lossy(&received);
+    text.lines().next().unwrap_or_default().to_owned()
+}
+
+/// The status line of the response to these bytes.
+fn send_bytes(cluster: &TestCluster, bytes: &[u8]) -> String {
+    let mut stream = connect(cluster);
+    let _ = stream.write_all(bytes);
+    let _ = stream.shutdown(Shutdown::Write);
+    read_status_line(&mut stream)
+}
+
+/// Malformed requests, with the status of their responses; empty where there is none.
+fn malformed_requests() -> Vec<(Vec<u8>, &'static str)> {
     let head = "POST /v1/statement HTTP/1.1\r\nHost: h\r\nX-Trino-User: a\r\n";
-    let hostile: Vec<(Vec<u8>, &str)> = vec![
+    let with_head = |rest: &str| format!("{head}{rest}").into_bytes();
+    let long_field = format!("X: {}\r\n\r\n", "y".repeat(40_000));
+    let many_fields = format!("{}\r\n", "X: y\r\n".repeat(500));
+    vec![
         (
-            format!("{head}Content-Length: 8\r\nContent-Length: 9\r\n\r\nSELECT 1").into(),
+            with_head("Content-Length: 8\r\nContent-Length: 9\r\n\r\nSELECT 1"),
             "400",
         ),
         (
-            format!("{head}Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\nSELECT 1").into(),
+            with_head("Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\nSELECT 1"),
             "400",
         ),
         (
-            format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\nSELECT 1\r\n0\r\n\r\n").into(),
+            with_head("Transfer-Encoding: chunked\r\n\r\nzz\r\nSELECT 1\r\n0\r\n\r\n"),
             "400",
         ),
         (
-            format!("{head}Transfer-Encoding: chunked\r\n\r\nfffffffffffffff\r\nx").into(),
+            with_head("Transfer-Encoding: chunked\r\n\r\nfffffffffffffff\r\nx"),
             "413",
         ),
-        (
-            format!("{head}X: {}\r\n\r\n", "y".repeat(40_000)).into(),
-            "431",
-        ),
-        (
-            format!("{head}{}\r\n", "X: y\r\n".repeat(500)).into(),
-            "431",
-        ),
+        (with_head(&long_field), "431"),
+        (with_head(&many_fields), "431"),
         (b"GET /v1/info HTTP/1.1\nHost: h\n\n".to_vec(), "400"),
         (
             b"GET /v1/\xc3\x28 HTTP/1.1\r\nHost: h\r\n\r\n".to_vec(),
@@ -344,140 +338,109 @@
             b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03".to_vec(),
             "400",
         ),
-        (
-            format!("{head}Content-Length: 80\r\n\r\nSELECT").into(),
-            "400",
-        ),
+        (with_head("Content-Length: 80\r\n\r\nSELECT"), "400"),
         (b"GET /v1/info HTTP/1.1\r\nHo".to_vec(), "400"),
         (Vec::new(), ""),
-    ];
-    for (at, (bytes, status)) in hostile.iter().enumerate() {
-        let line = raw(&stage, bytes);
-        let wanted = if status.is_empty() {
-            line.is_empty()
+    ]
+}
+
+#[test]
+fn malformed_requests_are_rejected_and_other_clients_are_served() {
+    let cluster = TestCluster::new(1);
+    for (index, (bytes, status)) in malformed_requests().iter().enumerate() {
+        let line = send_bytes(&cluster, bytes);
+        if status.is_empty() {
+            assert_eq!(line, "", "case {index}");
         } else {
-            line.contains(status)
-        };
-        assert!(wanted, "case {at}: {line:?}");
+            assert!(line.contains(status), "case {index}: {line:?}");
+        }
     }
     assert_eq!(
-        stage.info()["openStatements"],
+        cluster.info()["openStatements"],
         json!(0),
-        "nothing of it was taken"
+        "nothing of it was accepted"
     );
-    assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
-    ));
+    cluster.assert_served(&cluster.request("lookup", "SELECT 1 /* work=5ms */"));
 }
 
 #[test]
-fn a_thousand_half_requests_hold_nobody_up_and_are_closed_in_time() {
+fn a_thousand_incomplete_requests_delay_nobody_and_time_out() {
     // Both ends of each connection are in this process.
-    let had = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    let raised = rustix::process::Rlimit {
-        current: had.maximum,
-        maximum: had.maximum,
+    let limit = getrlimit(Resource::Nofile);
+    let raised = Rlimit {
+        current: limit.maximum,
+        maximum: limit.maximum,
     };
-    rustix::process::setrlimit(rustix::process::Resource::Nofile, raised).expect("raised");
-    let stage = Stage::new(1);
-    let mut half: Vec<TcpStream> = (0..1000)
+    setrlimit(Resource::Nofile, raised).expect("raised");
+    let cluster = TestCluster::new(1);
+    let mut incomplete: Vec<TcpStream> = (0..1000)
         .map(|_| {
-            let mut s = TcpStream::connect(stage.addr).expect("connected");
+            let mut s = connect(&cluster);
             s.write_all(b"POST /v1/statement HTTP/1.1\r\nHost: h\r\nContent-Le")
                 .expect("written");
             s
         })
         .collect();
     for n in 0..5 {
-        let ask = stage.ask("lookup", &format!("SELECT {n} /* work=5ms */"));
-        assert!(matches!(stage.run(&ask).0, Came::Served(_)));
+        let request = cluster.request("lookup", &format!("SELECT {n} /* work=5ms */"));
+        cluster.assert_served(&request);
+    }
+    // A further byte does not extend the timeout, which is that of the whole request.
+    for stream in &mut incomplete {
+        let _ = stream.write_all(b"n");
     }
-    // A byte now and then does not prolong it: the limit is for the whole request.
-    for s in &mut half {
-        s.set_read_timeout(Some(Duration::from_secs(60)))
-            .expect("set");
-        let _ = s.write_all(b"n");
+    for stream in &mut incomplete {
+        assert!(matches!(stream.read(&mut [0; 64]), Ok(0) | Err(_)));
     }
-    let closed = half
-        .iter_mut()
-        .all(|s| matches!(s.read(&mut [0; 64]), Ok(0) | Err(_)));
-    assert!(closed);
-    assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
-    ));
+    cluster.assert_served(&cluster.request("lookup", "SELECT 1 /* work=5ms */"));
 }
 
 #[test]
-fn a_statement_tells_its_whole_course() {
-    let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
+fn the_history_of_a_statement_is_shown() {
+    let cluster = TestCluster::new(2);
+    cluster.set_faults(&Faults {
         swallow: true,
         ..Faults::default()
     });
-    stage.engines[1].fail(Faults {
-        swallow: true,
-        ..Faults::default()
-    });
-    let ask = stage.ask("rent-load", "INSERT /* work=5ms */");
-    let (came, client) = stage.run(&ask);
-    assert!(matches!(came, Came::Failed(_)));
-    let last: serde_json::Value =
-        serde_json::from_slice(&client.answers.last().expect("answers").1.body).expect("JSON");
-    let uri = last["infoUri"].as_str().expect("a course").to_owned();
-    let path = &uri[uri.find("/v1").expect("a path")..];
-    let course: serde_json::Value = serde_json::from_slice(&stage.get(path).body).expect("JSON");
-    assert_eq!(
-        (&course["class"], &course["state"]),
-        (&json!("rent-load"), &json!("failed"))
-    );
+    let request = cluster.request("rent-load", "INSERT /* work=5ms */");
+    let (outcome, client) = cluster.run_with_client(&request);
+    assert!(matches!(outcome, ClientOutcome::Failed(_)));
+    let (_, response) = client.answers.last().expect("a response");
+    let history = cluster.get(&history_path(&parse_json(response)));
+    let history = parse_json(&history);
+    assert_eq!(history["class"], json!("rent-load"));
+    assert_eq!(history["state"], json!("failed"));
     assert_eq!(
-        course["attempts"][0]["ending"],
+        history["attempts"][0]["ending"],
         json!("connection broken; it may have run")
     );
-    assert_eq!(course["attempts"].as_array().map(Vec::len), Some(1));
+    assert_eq!(history["attempts"].as_array().map(Vec::len), Some(1));
 }
 
 #[test]
-fn what_comes_in_is_bounded_over_all_connections() {
-    let change = |v: &mut serde_json::Value| {
+fn incoming_bytes_are_limited_over_all_connections() {
+    let change = |v: &mut Value| {
         v["limits"]["statement_bytes"] = json!(1 << 20);
         v["limits"]["incoming_bytes"] = json!(2 << 20);
     };
-    let stage = Stage::with(1, change, |_| {});
+    let cluster = TestCluster::with_config(1, change, |_| {});
     let head = "POST /v1/statement HTTP/1.1\r\nHost: h\r\nX-Trino-User: a\r\nContent-Length: 1000000\r\n\r\n";
     // Each sends most of a large statement, and holds the rest back.
-    let mut half: Vec<TcpStream> = (0..6)
+    let mut incomplete: Vec<TcpStream> = (0..6)
         .map(|_| {
-            let mut s = TcpStream::connect(stage.addr).expect("connected");
-            s.set_read_timeout(Some(Duration::from_secs(60)))
-                .expect("set");
-            let _ = s
+            let mut stream = connect(&cluster);
+            let _ = stream
                 .write_all(head.as_bytes())
-                .and_then(|()| s.write_all(&vec![b'x'; 900_000]));
-            s
-        })
-        .collect();
-    let answers: Vec<String> = half
-        .iter_mut()
-        .map(|s| {
-            let mut got = Vec::new();
-            let _ = s.read_to_end(&mut got);
-            String::from_utf8_lossy(&got)
-                .lines()
-                .next()
-                .unwrap_or_default()
-                .to_owned()
+                .and_then(|()| stream.write_all(&vec![b'x'; 900_000]));
+            stream
         })
         .collect();
-    let turned = answers.iter().filter(|a| a.contains("503")).count();
+    let status_lines: Vec<String> = incomplete.iter_mut().map(read_status_line).collect();
+    let rejected = status_lines.iter().filter(|line| line.contains("503"));
     assert_eq!(
-        turned, 4,
-        "two have room, until their time is over: {answers:?}"
+        rejected.count(),
+        4,
+        "there is room for two, until they time out: {status_lines:?}"
     );
-    assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
-    ));
+    cluster.assert_served(&cluster.request("lookup", "SELECT 1 /* work=5ms */"));
 }
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -1,42 +1,56 @@
-//! A whole path on loopback: discovery, engines, a router, scripted clients, and the auditor behind them.
-#![allow(dead_code)]
+//! A complete path on loopback: discovery, engines, a router and scripted clients, with the auditor over their records.
+#![allow(dead_code)] // No test file uses all of it.
+
+pub mod runaways;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, mpsc};
 use std::time::{Duration, Instant};
 
 use futures_lite::future;
 use hoptiller_audit::{Record, Recorder, Verdict, judge};
-use hoptiller_http::{Method, Request, Response};
+use hoptiller_http::client::Connection;
+use hoptiller_http::{Limits, Method, Request, Response};
 use hoptiller_mock_servers::Running;
-use hoptiller_mock_servers::client::{Ask, Came, Client, Manner};
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::fault::Faults;
 use hoptiller_mock_servers::ledger::Ledger;
 use hoptiller_statement_router::{Service, Settings};
 use serde_json::{Value, json};
 
+pub use hoptiller_mock_servers::client::{
+    Ask as ClientRequest, Came as ClientOutcome, Client, Manner as ClientOptions,
+};
+
 const EXAMPLE: &str = include_str!("../../../../examples/derby.jsonnet");
 
-pub struct Stage {
+/// How long a condition may take on a loaded machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+pub const RUNAWAY_WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Discovery, engines, and the router `r1`.
+pub struct TestCluster {
     /// How much longer clients wait than they say.
-    lenience: Duration,
+    client_lenience: Duration,
     pub recorder: Recorder,
     pub ledger: Ledger,
     pub discovery: DiscoveryConfig,
     pub engines: Vec<EngineConfig>,
-    running: Mutex<Vec<Option<Running>>>,
-    discovery_running: Running,
+    running_engines: Mutex<Vec<Option<Running>>>,
+    running_discovery: Running,
     router: Option<Running>,
     pub addr: SocketAddr,
     pub settings: Settings,
-    next: AtomicU64,
+    next_request: AtomicU64,
 }
 
-/// The example's settings, quicker, with changes.
-pub fn settings(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Settings {
+/// The example's settings with shorter intervals and a change.
+fn settings(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Settings {
     let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
         .expect("evaluates");
     value["router"]["listen"] = json!("127.0.0.1:0");
@@ -47,83 +61,82 @@
     value["limits"] = json!({ "long_poll": "200ms" });
     value["router"]["admin"] = json!("127.0.0.1:0");
     change(&mut value);
-    Settings::from_value("derby.jsonnet", &value).unwrap_or_else(|p| panic!("{p:?}"))
+    Settings::from_value("derby.jsonnet", &value).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-impl Stage {
-    pub fn new(engines: usize) -> Stage {
-        Stage::with(engines, |_| {}, |_| {})
+impl TestCluster {
+    pub fn new(engines: usize) -> TestCluster {
+        TestCluster::with_config(engines, |_| {}, |_| {})
     }
 
-    /// A stage with changed settings and engines. All engines are of the kind that takes reports.
-    pub fn with(
-        engines: usize,
-        change: impl FnOnce(&mut Value),
-        engine: impl Fn(&mut EngineConfig),
-    ) -> Stage {
+    /// A cluster with changed settings and engines. All engines are of the kind that accepts reports.
+    pub fn with_config(
+        engine_count: usize,
+        change_settings: impl FnOnce(&mut Value),
+        change_engine: impl Fn(&mut EngineConfig),
+    ) -> TestCluster {
         let recorder = Recorder::default();
         let ledger = Ledger::default();
-        let keep = Duration::from_millis(1500);
         let discovery = DiscoveryConfig {
             recorder: recorder.clone(),
-            keep,
+            keep: Duration::from_millis(1500),
             ..DiscoveryConfig::default()
         };
-        let discovery_running = discovery.start().expect("discovery");
-        let mut settings = settings(discovery_running.addr, change);
-        let mut configs = Vec::new();
-        let mut running = Vec::new();
-        for n in 0..engines {
-            let mut config = EngineConfig::new(&format!("e{n}"), "std-8a", "hall-a");
-            config.discovery = Some(discovery_running.addr);
-            (config.recorder, config.ledger) = (recorder.clone(), ledger.clone());
-            engine(&mut config);
-            let started = config.start().expect("an engine");
-            config.listen = started.addr;
-            running.push(Some(started));
-            configs.push(config);
+        let running_discovery = discovery.start().expect("discovery");
+        let mut settings = settings(running_discovery.addr, change_settings);
+        let (mut engines, mut running_engines) = (Vec::new(), Vec::new());
+        for index in 0..engine_count {
+            let mut engine = EngineConfig::new(&format!("e{index}"), "std-8a", "hall-a");
+            engine.discovery = Some(running_discovery.addr);
+            (engine.recorder, engine.ledger) = (recorder.clone(), ledger.clone());
+            change_engine(&mut engine);
+            let running = engine.start().expect("an engine");
+            engine.listen = running.addr;
+            running_engines.push(Some(running));
+            engines.push(engine);
         }
         let (router, addr) = start_router(&mut settings);
-        let stage = Stage {
-            lenience: Duration::ZERO,
+        let cluster = TestCluster {
+            client_lenience: Duration::ZERO,
             recorder,
             ledger,
             discovery,
-            engines: configs,
-            running: Mutex::new(running),
-            discovery_running,
+            engines,
+            running_engines: Mutex::new(running_engines),
+            running_discovery,
             router: Some(router),
             addr,
             settings,
-            next: AtomicU64::new(0),
+            next_request: AtomicU64::new(0),
         };
-        stage.wait_for("the engines to be listed", |info| {
-            info["engines"] == json!(engines)
+        cluster.wait_for_info("the engines to be listed", |info| {
+            info["engines"] == json!(engine_count)
         });
-        stage
+        cluster
     }
 
-    /// The same with clients that wait so much longer than they say.
-    #[allow(dead_code)] // Not every test file has a use for it.
-    pub fn lenient(mut self, lenience: Duration) -> Stage {
-        self.lenience = lenience;
+    /// The cluster with clients that wait so much longer than they say.
+    pub fn with_client_lenience(mut self, lenience: Duration) -> TestCluster {
+        self.client_lenience = lenience;
         self
     }
 
-    pub fn discovery_addr(&self) -> SocketAddr {
-        self.discovery_running.addr
+    pub fn set_faults(&self, faults: &Faults) {
+        self.engines
+            .iter()
+            .for_each(|engine| engine.fail(faults.clone()));
     }
 
-    pub fn crash_engine(&self, n: usize) {
-        let running = self.running.lock().expect("whole")[n].take();
+    pub fn crash_engine(&self, index: usize) {
+        let running = self.running_engines.lock().expect("not poisoned")[index].take();
         if let Some(running) = running {
             running.crash();
         }
     }
 
-    pub fn start_engine(&self, n: usize) {
-        let started = self.engines[n].start().expect("an engine");
-        self.running.lock().expect("whole")[n] = Some(started);
+    pub fn start_engine(&self, index: usize) {
+        let running = self.engines[index].start().expect("an engine");
+        self.running_engines.lock().expect("not poisoned")[index] = Some(running);
     }
 
     pub fn crash_router(&mut self) {
@@ -140,9 +153,9 @@
         Client::new("r1", self.addr, self.recorder.clone())
     }
 
-    pub fn ask(&self, class: &str, text: &str) -> Ask {
-        let request = self.next.fetch_add(1, Ordering::Relaxed);
-        Ask {
+    pub fn request(&self, class: &str, text: &str) -> ClientRequest {
+        let request = self.next_request.fetch_add(1, Ordering::Relaxed);
+        ClientRequest {
             request,
             trace: format!("t{request}.0"),
             class: class.into(),
@@ -150,200 +163,251 @@
             tags: String::new(),
             text: text.into(),
             patience: Duration::from_secs(6),
-            manner: Manner {
-                lenience: self.lenience,
-                ..Manner::default()
+            manner: ClientOptions {
+                lenience: self.client_lenience,
+                ..ClientOptions::default()
             },
         }
     }
 
-    /// Does one statement; what came, and the client that did it.
-    pub fn run(&self, ask: &Ask) -> (Came, Client) {
-        let mut client = self.client();
-        let came = future::block_on(client.run(ask));
-        (came, client)
+    /// Runs a statement.
+    pub fn run(&self, request: &ClientRequest) -> ClientOutcome {
+        self.run_with_client(request).0
     }
 
-    pub fn get(&self, path: &str) -> Response {
-        future::block_on(self.client().get(path)).expect("an answer")
+    /// Runs a statement; the client has its responses.
+    pub fn run_with_client(&self, request: &ClientRequest) -> (ClientOutcome, Client) {
+        let mut client = self.client();
+        let outcome = future::block_on(client.run(request));
+        (outcome, client)
     }
 
-    /// What the administration API says of runaways.
-    pub fn runaways(&self) -> Value {
-        let admin = self.settings.router.admin.expect("set for all stages");
-        let answer = send_to(admin, &Request::new(Method::Get, "/v1/admin/runaways"));
-        serde_json::from_slice(&answer.body).expect("JSON")
+    pub fn assert_served(&self, request: &ClientRequest) {
+        let outcome = self.run(request);
+        assert!(
+            matches!(outcome, ClientOutcome::Served(_)),
+            "{}: {outcome:?}",
+            request.text
+        );
     }
 
-    /// Waits, generously, until what it says is as wanted.
-    pub fn wait_for_runaways(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
-        let began = Instant::now();
-        loop {
-            let now = self.runaways();
-            if wanted(&now) {
-                return now;
-            }
-            assert!(
-                began.elapsed() < Duration::from_secs(40),
-                "waited in vain for {what}: {now:#}"
-            );
-            std::thread::sleep(Duration::from_millis(50));
-        }
-    }
-
-    /// Runs so many statements of a kind, several at once, all served.
-    pub fn teach(&self, class: &str, text: &str, runs: usize) {
+    /// Runs statements of a kind, several at once, until there are statistics of it.
+    pub fn run_repeatedly(&self, class: &str, text: &str, runs: usize) {
+        const CLIENTS: usize = 8;
         std::thread::scope(|s| {
-            for _ in 0..8 {
+            for _ in 0..CLIENTS {
                 s.spawn(|| {
-                    for _ in 0..runs.div_ceil(8) {
-                        let came = self.run(&self.ask(class, text)).0;
-                        assert!(matches!(came, Came::Served(_)), "{text}: {came:?}");
+                    for _ in 0..runs.div_ceil(CLIENTS) {
+                        self.assert_served(&self.request(class, text));
                     }
                 });
             }
         });
     }
 
+    pub fn get(&self, path: &str) -> Response {
+        future::block_on(self.client().get(path)).expect("a response")
+    }
+
+    /// One exchange with the router, on a connection of its own.
+    pub fn exchange(&self, request: &Request) -> Response {
+        exchange(self.addr, request)
+    }
+
     pub fn info(&self) -> Value {
-        serde_json::from_slice(&self.get("/v1/info").body).expect("JSON")
+        parse_json(&self.get("/v1/info"))
     }
 
-    /// Waits, generously, until the router's info is as wanted.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) {
-        let began = Instant::now();
-        while !wanted(&self.info()) {
-            assert!(
-                began.elapsed() < Duration::from_secs(20),
-                "waited in vain for {what}: {}",
-                self.info()
-            );
-            std::thread::sleep(Duration::from_millis(10));
-        }
+    /// Waits until the router's info is as wanted.
+    pub fn wait_for_info(&self, what: &str, is_wanted: impl Fn(&Value) -> bool) {
+        wait_until(what, WAIT_TIMEOUT, Duration::from_millis(10), || {
+            let info = self.info();
+            if is_wanted(&info) {
+                Ok(())
+            } else {
+                Err(info.to_string())
+            }
+        });
+    }
+
+    /// What the administration API shows of runaways.
+    pub fn runaways(&self) -> Value {
+        runaways_of(&self.settings)
+    }
+
+    /// Waits until the administration API shows what is wanted.
+    pub fn wait_for_runaways(&self, what: &str, is_wanted: impl Fn(&Value) -> bool) -> Value {
+        let interval = Duration::from_millis(50);
+        wait_until(what, RUNAWAY_WAIT_TIMEOUT, interval, || {
+            let shown = self.runaways();
+            if is_wanted(&shown) {
+                Ok(shown)
+            } else {
+                Err(format!("{shown:#}"))
+            }
+        })
     }
 
     pub fn records(&self) -> Vec<Record> {
-        let mut all = self.recorder.records().expect("records");
-        all.sort_by_key(Record::at);
-        all
+        let mut records = self.recorder.records().expect("records");
+        records.sort_by_key(Record::at);
+        records
     }
 
-    /// Attempts that reached engines for a submission.
-    pub fn sent(&self, ask: &Ask) -> usize {
+    /// The number of attempts at a statement that have reached engines.
+    pub fn sent_attempts(&self, request: &ClientRequest) -> usize {
         self.records()
             .iter()
-            .filter(|r| matches!(r, Record::Sent { trace, .. } if *trace == ask.trace))
+            .filter(
+                |record| matches!(record, Record::Sent { trace, .. } if *trace == request.trace),
+            )
             .count()
     }
 
-    /// How many of these are at the engine where one is, and not done there.
-    #[allow(dead_code)] // Not every test file has a use for it.
-    pub fn standing_with(&self, one: &Ask, all: &[Ask]) -> usize {
+    /// The engine that the first attempt at a statement has reached.
+    pub fn first_engine(&self, request: &ClientRequest) -> Option<String> {
+        self.records().into_iter().find_map(|record| match record {
+            Record::Sent { engine, trace, .. } if trace == request.trace => Some(engine),
+            _ => None,
+        })
+    }
+
+    /// How many of these are running at the engine where one of them runs.
+    pub fn running_beside(&self, one: &ClientRequest, all: &[ClientRequest]) -> usize {
         let records = self.records();
-        let at = |ask: &Ask| {
-            records.iter().rev().find_map(|r| match r {
-                Record::Sent { trace, engine, .. } if *trace == ask.trace => {
+        let engine_of = |request: &ClientRequest| {
+            let last = records.iter().rev().find_map(|record| match record {
+                Record::Sent { trace, engine, .. } if *trace == request.trace => {
                     Some(Some(engine.clone()))
                 }
-                Record::Done { trace, .. } if *trace == ask.trace => Some(None),
+                Record::Done { trace, .. } if *trace == request.trace => Some(None),
                 _ => None,
-            })
+            });
+            last.flatten()
         };
-        let here = at(one).flatten();
+        let engine = engine_of(one);
         all.iter()
-            .filter(|ask| here.is_some() && at(ask).flatten() == here)
+            .filter(|request| engine.is_some() && engine_of(request) == engine)
             .count()
     }
 
-    /// Waits, generously, until an attempt has reached an engine.
-    pub fn wait_until_sent(&self, ask: &Ask) {
-        let began = Instant::now();
-        while self.sent(ask) == 0 {
-            assert!(
-                began.elapsed() < Duration::from_secs(20),
-                "{} is not sent",
-                ask.trace
-            );
-            std::thread::sleep(Duration::from_millis(5));
-        }
+    /// Waits until an attempt at a statement has reached an engine.
+    pub fn wait_until_sent(&self, request: &ClientRequest) {
+        self.wait_until_any_sent(std::slice::from_ref(request));
     }
 
-    /// Waits, generously, until an attempt of any of them has reached an engine.
-    pub fn wait_until_sent_any(&self, asks: &[Ask]) {
-        let began = Instant::now();
-        while asks.iter().all(|ask| self.sent(ask) == 0) {
-            assert!(began.elapsed() < Duration::from_secs(20), "none is sent");
-            std::thread::sleep(Duration::from_millis(5));
-        }
+    /// Waits until an attempt at one of these statements has reached an engine.
+    pub fn wait_until_any_sent(&self, requests: &[ClientRequest]) {
+        let interval = Duration::from_millis(5);
+        wait_until("an attempt", WAIT_TIMEOUT, interval, || {
+            match requests
+                .iter()
+                .any(|request| self.sent_attempts(request) > 0)
+            {
+                true => Ok(()),
+                false => Err(format!("none sent of {}", requests.len())),
+            }
+        });
     }
 
-    pub fn posted(&self, ask: &Ask) -> usize {
-        self.ledger.postings().get(&ask.trace).copied().unwrap_or(0)
+    /// How often a statement has had its effect.
+    pub fn effects(&self, request: &ClientRequest) -> usize {
+        let effects = self.ledger.postings();
+        effects.get(&request.trace).copied().unwrap_or(0)
     }
 
     pub fn verdict(&self) -> Verdict {
-        judge(&self.records(), &self.settings.rules_of_audit())
+        let rules =
+            serde_json::from_value(self.settings.audit_rules()).expect("the auditor's form");
+        judge(&self.records(), &rules)
     }
 
-    /// The auditor finds nothing wrong.
+    /// Asserts that the auditor finds no violation.
     pub fn assert_rules_kept(&self) {
         let verdict = self.verdict();
         assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     }
 }
 
-pub trait RulesOfAudit {
-    fn rules_of_audit(&self) -> hoptiller_audit::Rules;
-}
-
-impl RulesOfAudit for Settings {
-    fn rules_of_audit(&self) -> hoptiller_audit::Rules {
-        serde_json::from_value(self.audit_rules()).expect("the auditor's form")
+/// Waits until a check succeeds; its last error is shown otherwise.
+pub fn wait_until<T>(
+    what: &str,
+    timeout: Duration,
+    interval: Duration,
+    check: impl Fn() -> Result<T, String>,
+) -> T {
+    let started_at = Instant::now();
+    loop {
+        match check() {
+            Ok(value) => return value,
+            Err(error) => assert!(
+                started_at.elapsed() < timeout,
+                "timed out waiting for {what}: {error}"
+            ),
+        }
+        std::thread::sleep(interval);
     }
 }
 
-/// A router on a thread of its own. Where administrators reach it is written into its settings: a port that is looked for
-/// first and taken later may be another test's by then.
+/// Starts a router on a thread of its own. The address of its administration API is written into the settings: a free port
+/// that is looked for first and bound later may be another test's by then.
 pub fn start_router(settings: &mut Settings) -> (Running, SocketAddr) {
     let own = settings.clone();
-    let (tell, told) = std::sync::mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     let running = Running::new("router", move |spawner| {
         let service = Service::new(own, b"secret", "lifelife".into(), spawner)
             .map_err(std::io::Error::other)?;
         let addr = service.start(Rc::new(|_| None))?;
-        let _ = tell.send(service.admin_addr());
+        let _ = sender.send(service.admin_addr());
         Ok(addr)
     })
     .expect("a router");
-    settings.router.admin = told.recv().expect("started");
+    settings.router.admin = receiver.recv().expect("started");
     let addr = running.addr;
     (running, addr)
 }
 
-/// Puts a body to an address, for the stand-ins' own switches.
+/// What the administration API of a router shows of runaways.
+pub fn runaways_of(settings: &Settings) -> Value {
+    let admin = settings.router.admin.expect("it is served");
+    parse_json(&exchange(
+        admin,
+        &Request::new(Method::Get, "/v1/admin/runaways"),
+    ))
+}
+
+/// Puts a body to an address, for the switches of the mock servers.
 pub fn put(addr: SocketAddr, path: &str, body: &str) -> Response {
     let mut request = Request::new(Method::Put, path);
     request.body = body.as_bytes().to_vec();
-    send_to(addr, &request)
+    exchange(addr, &request)
 }
 
-/// One exchange with an address.
-pub fn send_to(addr: SocketAddr, request: &Request) -> Response {
+/// One exchange with an address, on a connection of its own.
+pub fn exchange(addr: SocketAddr, request: &Request) -> Response {
     future::block_on(async {
-        let limits = hoptiller_http::Limits::default();
-        let mut c = hoptiller_http::client::Connection::open(addr, Duration::from_secs(2), limits)
+        let mut connection = Connection::open(addr, CONNECT_TIMEOUT, Limits::default())
             .await
             .expect("open");
-        c.exchange(request, Duration::from_secs(2))
+        connection
+            .exchange(request, RESPONSE_TIMEOUT)
             .await
-            .expect("an answer")
+            .expect("a response")
     })
 }
 
-/// The path of an answer's `nextUri`.
-pub fn next_path(answer: &Response) -> Option<String> {
-    let value: Value = serde_json::from_slice(&answer.body).ok()?;
-    let uri = value["nextUri"].as_str()?;
+pub fn parse_json(response: &Response) -> Value {
+    serde_json::from_slice(&response.body).expect("JSON")
+}
+
+/// The path of a response's `nextUri`.
+pub fn next_path(response: &Response) -> Option<String> {
+    let value: Value = serde_json::from_slice(&response.body).ok()?;
+    path_of(value["nextUri"].as_str()?)
+}
+
+/// The path of a URI.
+pub fn path_of(uri: &str) -> Option<String> {
     let rest = uri.strip_prefix("http://")?;
     Some(rest[rest.find('/')?..].to_owned())
 }
--- /dev/null
+++ b/crates/statement-router/tests/common/runaways.rs
@@ -0,0 +1,99 @@
+//! Clusters, statements and findings of the runaway tests.
+
+use std::time::Duration;
+
+use hoptiller_mock_servers::engine::EngineConfig;
+use serde_json::{Value, json};
+
+use super::{ClientRequest, TestCluster};
+
+/// A report whose runs take as long each time.
+pub const REPORT: &str = "SELECT * FROM arrears /* work=400ms threads=1 */";
+/// The timeout of clients that come back before the engines are done.
+pub const SHORT_TIMEOUT: Duration = Duration::from_millis(7400);
+
+/// On a loaded machine, what is answered in time is seen late.
+const LENIENCE: Duration = Duration::from_secs(5);
+
+/// Engines of 32 cores that report on their statements and kill them on request.
+pub fn reporting_engine(engine: &mut EngineConfig) {
+    (engine.notes, engine.ends) = (true, true);
+    (engine.spec.cores, engine.spec.disks) = (32.0, 64.0);
+}
+
+/// Settings for such engines.
+pub fn reporting_settings(value: &mut Value) {
+    value["kinds"] = json!({ "std-8a": 32, "std-8b": 32 });
+    let engines = value["engines"].as_object_mut().expect("an object");
+    engines.insert("ends".into(), json!(true));
+    engines.insert("pauses".into(), json!(true));
+}
+
+/// A cluster whose router reports and holds runaways.
+pub fn reporting_cluster(engines: usize) -> TestCluster {
+    TestCluster::with_config(engines, reporting_settings, reporting_engine)
+        .with_client_lenience(LENIENCE)
+}
+
+/// A cluster whose router kills runaways too.
+pub fn killing_cluster(engines: usize) -> TestCluster {
+    let killing_settings = |value: &mut Value| {
+        reporting_settings(value);
+        value["runaways"] = json!({ "acts": ["name", "hold", "end"], "end_after": "500ms" });
+    };
+    TestCluster::with_config(engines, killing_settings, reporting_engine)
+        .with_client_lenience(LENIENCE)
+}
+
+/// The text of a report that takes this much work.
+pub fn report(work: &str) -> String {
+    format!("SELECT * FROM arrears /* work={work} threads=1 */")
+}
+
+/// The request of a client that waits for long.
+pub fn patient(mut request: ClientRequest) -> ClientRequest {
+    request.patience = Duration::from_secs(20);
+    request
+}
+
+/// Open and past findings with this verdict.
+pub fn findings(shown: &Value, verdict: &str) -> Vec<Value> {
+    let all = [&shown["findings"], &shown["past"]]
+        .into_iter()
+        .flat_map(|list| list.as_array().cloned().unwrap_or_default());
+    all.filter(|finding| finding["verdict"] == json!(verdict))
+        .collect()
+}
+
+/// Cause and subject of each runaway.
+pub fn runaways(shown: &Value) -> Vec<(String, String)> {
+    let text = |finding: &Value, key: &str| finding[key].as_str().unwrap_or_default().to_owned();
+    findings(shown, "runaway")
+        .iter()
+        .map(|finding| (text(finding, "cause"), text(finding, "subject")))
+        .collect()
+}
+
+/// Whether there is an open or past runaway.
+pub fn has_runaway(shown: &Value) -> bool {
+    !findings(shown, "runaway").is_empty()
+}
+
+/// Whether there is an open or past notice.
+pub fn has_notice(shown: &Value) -> bool {
+    !findings(shown, "notice").is_empty()
+}
+
+/// The number of open and past findings with any verdict.
+pub fn count_findings(shown: &Value) -> usize {
+    ["findings", "past"]
+        .iter()
+        .map(|key| shown[key].as_array().map_or(0, Vec::len))
+        .sum()
+}
+
+/// The subject of findings about a statement.
+pub fn subject_of(request: &ClientRequest) -> String {
+    // The router numbers statements in the order of their arrival, which is that of these requests.
+    format!("statement r1/{:05}_lifelife", request.request)
+}
--- /dev/null
+++ b/crates/statement-router/tests/core/main.rs
@@ -0,0 +1,125 @@
+//! The core without sockets: generated sequences of client and engine steps, checked against what always holds.
+
+mod harness;
+mod step;
+
+use std::rc::Rc;
+
+use hoptiller_policy::{Micros, Progress};
+use hoptiller_router_core::{
+    Command, Core, EngineStatement, PollOutcome, ResponseContent, ResultPage, StatementId,
+    Submission,
+};
+use hoptiller_runaway::Announced;
+use proptest::prelude::*;
+use serde_json::value::RawValue;
+
+use harness::CoreHarness;
+use step::step;
+
+const MS: Micros = 1_000;
+
+fn proptest_config() -> ProptestConfig {
+    ProptestConfig {
+        cases: 500,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(3),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
+}
+
+proptest! {
+    #![proptest_config(proptest_config())]
+
+    #[test]
+    fn every_statement_gets_exactly_one_final_response(steps in proptest::collection::vec(step(), 1..120)) {
+        let mut harness = CoreHarness::new();
+        harness.run_batch()?;
+        for step in &steps {
+            harness.apply(step)?;
+        }
+        harness.finish()?;
+    }
+}
+
+/// A page whose only value is this text.
+fn page(text: &str, is_last: bool) -> ResultPage {
+    let rows = RawValue::from_string(format!("[[\"{text}\"]]")).expect("JSON");
+    ResultPage {
+        rows: Some(rows.into()),
+        is_last,
+        ..ResultPage::default()
+    }
+}
+
+fn submission(class: usize) -> Submission {
+    Submission {
+        class,
+        tenant: None,
+        ordering_key: None,
+        group: None,
+        estimated_work: None,
+        estimated_memory_mb: 0.0,
+        fingerprint: 1,
+        label: "select ?".into(),
+        announced: Announced::default(),
+        is_retry: false,
+        timeout: None,
+        work: Rc::new(EngineStatement::default()),
+    }
+}
+
+/// Submits a statement that is sent to an engine at once.
+fn submit(harness: &mut CoreHarness, class: usize) -> StatementId {
+    let id = harness
+        .core
+        .submit(harness.now, submission(class))
+        .expect("accepted");
+    harness.now += 20 * MS;
+    harness.core.run_batch(harness.now);
+    id
+}
+
+/// Whether the core commands to fetch the next page of a statement.
+fn is_fetch_commanded(core: &mut Core, statement: StatementId) -> bool {
+    let commands: Vec<Command> = std::iter::from_fn(|| core.next_command()).collect();
+    commands
+        .iter()
+        .any(|command| matches!(command, Command::Fetch { id, .. } if *id == statement))
+}
+
+#[test]
+fn a_page_is_fetched_only_while_the_buffer_has_room() {
+    let mut harness = CoreHarness::new(); // It buffers 60 bytes.
+    let (large, small) = (submit(&mut harness, 0), submit(&mut harness, 0));
+    let now = harness.now;
+    let core = &mut harness.core;
+    for id in [large, small] {
+        core.accept_page(now, id, 0, page("small", false));
+        assert!(matches!(core.poll(now, id, 1), PollOutcome::Response(_)));
+    }
+    while core.next_command().is_some() {}
+    core.accept_page(now, large, 0, page(&"x".repeat(100), false));
+    core.accept_page(now, small, 0, page("small", false));
+    assert!(matches!(core.poll(now, small, 2), PollOutcome::Response(_)));
+    assert!(!is_fetch_commanded(core, small), "the buffer is full");
+    assert!(matches!(core.poll(now, large, 2), PollOutcome::Response(_)));
+    assert!(is_fetch_commanded(core, small), "there is room again");
+}
+
+#[test]
+fn a_buffered_result_is_delivered_even_if_the_policy_gives_the_attempt_up() {
+    let mut harness =
+        CoreHarness::with_settings("{ engines+: { cancel: true, notes_every: '100ms' } }");
+    let id = submit(&mut harness, 2);
+    harness.now += 5_000 * MS;
+    let (core, now) = (&mut harness.core, harness.now);
+    core.accept_page(now, id, 0, page("here", true));
+    // Progress that was reported late says that it would never end in time.
+    core.report_progress(id, 0, Progress::Completed(0.001));
+    core.run_batch(now);
+    let PollOutcome::Response(response) = core.poll(now, id, 1) else {
+        panic!("no response");
+    };
+    assert!(matches!(response.content, ResponseContent::Rows(_)));
+}
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -1,451 +1,437 @@
-//! Engines that hang, die, lose answers, drain and turn away; the whole path over sockets.
+//! Engines that hang, crash, lose responses, drain and reject statements: the complete path over sockets.
 
 mod common;
 
+use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::{Stage, put};
-use hoptiller_mock_servers::client::Came;
+use common::{ClientOutcome, ClientRequest, TestCluster, WAIT_TIMEOUT, exchange, put, wait_until};
+use hoptiller_audit::Record;
+use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::discovery::DiscoveryFaults;
 use hoptiller_mock_servers::fault::Faults;
 use serde_json::json;
 
 const LOAD: &str = "INSERT INTO rent /* work=50ms */";
+/// Longer than the grace in which a draining engine may still get statements.
+const DRAIN_GRACE: Duration = Duration::from_millis(1300);
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
-fn all_fail(stage: &Stage, faults: &Faults) {
-    stage.engines.iter().for_each(|e| e.fail(faults.clone()));
-}
-
 #[test]
-fn every_class_is_served() {
-    let stage = Stage::new(2);
+fn statements_of_every_class_are_served() {
+    let cluster = TestCluster::new(2);
     for (class, text, rows) in [
         ("lookup", "SELECT 1 /* work=20ms rows=7 */", 7),
         ("report", "SELECT 2 /* work=50ms rows=90 pages=4 */", 90),
         ("rent-load", LOAD, 1),
     ] {
-        let ask = stage.ask(class, text);
+        let request = cluster.request(class, text);
         assert_eq!(
-            (stage.run(&ask).0, stage.sent(&ask)),
-            (Came::Served(rows), 1),
+            (cluster.run(&request), cluster.sent_attempts(&request)),
+            (ClientOutcome::Served(rows), 1),
             "{class}"
         );
     }
-    assert_eq!(stage.ledger.postings().len(), 1);
-    stage.assert_rules_kept();
+    assert_eq!(cluster.ledger.postings().len(), 1);
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn a_load_that_an_engine_takes_and_never_answers_fails_in_time_and_is_not_sent_again() {
-    let stage = Stage::new(3);
-    all_fail(
-        &stage,
-        &Faults {
-            hang: true,
-            ..Faults::default()
-        },
+fn a_load_at_an_engine_that_hangs_fails_in_time_and_is_not_retried() {
+    let cluster = TestCluster::new(3);
+    cluster.set_faults(&Faults {
+        hang: true,
+        ..Faults::default()
+    });
+    let mut request = cluster.request("rent-load", LOAD);
+    request.patience = Duration::from_millis(1500);
+    let (outcome, client) = cluster.run_with_client(&request);
+    assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
+    assert_eq!(
+        (cluster.sent_attempts(&request), cluster.effects(&request)),
+        (1, 1)
     );
-    let mut ask = stage.ask("rent-load", LOAD);
-    ask.patience = Duration::from_millis(1500);
-    let (came, client) = stage.run(&ask);
-    assert_eq!(came, Came::Failed(MAY_HAVE_RUN.into()));
-    assert_eq!((stage.sent(&ask), stage.posted(&ask)), (1, 1));
-    let (path, last) = client.answers.last().expect("a final answer");
+    let (path, last) = client.answers.last().expect("a final response");
     assert_eq!(
-        stage.get(path).body,
+        cluster.get(path).body,
         last.body,
-        "the final answer is the same when asked again"
+        "the final response is the same when it is polled again"
     );
-    stage.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn a_safe_statement_at_a_hung_engine_is_refused_as_harmless_in_time() {
-    let stage = Stage::new(1);
-    all_fail(
-        &stage,
-        &Faults {
-            hang: true,
-            ..Faults::default()
-        },
-    );
-    let mut ask = stage.ask("lookup", "SELECT 1");
-    ask.patience = Duration::from_millis(1500);
-    let Came::Refused(name, after) = stage.run(&ask).0 else {
-        panic!("refused")
+fn an_idempotent_statement_at_an_engine_that_hangs_is_rejected_in_time_as_retryable() {
+    let cluster = TestCluster::new(1);
+    cluster.set_faults(&Faults {
+        hang: true,
+        ..Faults::default()
+    });
+    let mut request = cluster.request("lookup", "SELECT 1");
+    request.patience = Duration::from_millis(1500);
+    let ClientOutcome::Refused(name, retry_after) = cluster.run(&request) else {
+        panic!("not rejected")
     };
-    assert_eq!((name.as_str(), after), ("HOPTILLER_REFUSED", Some(2)));
-    stage.assert_rules_kept();
+    assert_eq!((name.as_str(), retry_after), ("HOPTILLER_REFUSED", Some(2)));
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn rows_given_out_are_never_repeated_when_the_engine_dies() {
-    let stage = Stage::new(2);
-    let mut ask = stage.ask("report", "SELECT 1 /* work=20ms rows=100 pages=5 */");
-    ask.manner.pause = Duration::from_millis(300);
-    let came = std::thread::scope(|s| {
-        let run = s.spawn(|| stage.run(&ask).0);
-        // Once a page has been given out: both engines go, so whichever had it is gone.
-        while stage.info()["answeredStatements"] == json!(0) && !rows_seen(&stage) {
-            std::thread::sleep(Duration::from_millis(5));
-        }
-        stage.crash_engine(0);
-        stage.crash_engine(1);
+fn a_result_is_truncated_and_not_repeated_when_its_engine_crashes() {
+    let cluster = TestCluster::new(2);
+    let mut request = cluster.request("report", "SELECT 1 /* work=20ms rows=100 pages=5 */");
+    request.manner.pause = Duration::from_millis(300);
+    let outcome = std::thread::scope(|s| {
+        let run = s.spawn(|| cluster.run(&request));
+        // Whichever engine has delivered the first page.
+        wait_until("a page", WAIT_TIMEOUT, Duration::from_millis(5), || {
+            let is_settled = cluster.info()["answeredStatements"] != json!(0);
+            match is_settled || has_received_rows(&cluster) {
+                true => Ok(()),
+                false => Err("no rows".into()),
+            }
+        });
+        cluster.crash_engine(0);
+        cluster.crash_engine(1);
         run.join().expect("the client ends")
     });
-    assert_eq!(came, Came::Failed("HOPTILLER_RESULT_CUT".into()));
-    assert_eq!(stage.sent(&ask), 1);
-    stage.assert_rules_kept();
+    assert_eq!(
+        outcome,
+        ClientOutcome::Failed("HOPTILLER_RESULT_CUT".into())
+    );
+    assert_eq!(cluster.sent_attempts(&request), 1);
+    cluster.assert_rules_kept();
 }
 
-fn rows_seen(stage: &Stage) -> bool {
-    stage
+fn has_received_rows(cluster: &TestCluster) -> bool {
+    cluster
         .records()
         .iter()
-        .any(|r| matches!(r, hoptiller_audit::Record::RowsReceived { rows, .. } if *rows > 0))
+        .any(|record| matches!(record, Record::RowsReceived { rows, .. } if *rows > 0))
 }
 
 #[test]
-fn before_its_first_page_a_safe_statement_moves_on_and_a_load_does_not() {
-    let stage = Stage::new(2);
-    let slow = stage.ask("report", "SELECT 1 /* work=2s threads=2 */");
-    let load = stage.ask("rent-load", "INSERT /* work=2s threads=2 */");
+fn before_the_first_page_an_idempotent_statement_is_retried_and_a_load_is_not() {
+    let cluster = TestCluster::new(2);
+    let report = cluster.request("report", "SELECT 1 /* work=2s threads=2 */");
+    let load = cluster.request("rent-load", "INSERT /* work=2s threads=2 */");
     std::thread::scope(|s| {
-        let report = s.spawn(|| stage.run(&slow).0);
-        let posting = s.spawn(|| stage.run(&load).0);
-        while stage.sent(&slow) == 0 || stage.sent(&load) == 0 {
-            std::thread::sleep(Duration::from_millis(5));
-        }
-        let at = |trace: &str| {
-            let engine = stage.records().into_iter().find_map(|r| match r {
-                hoptiller_audit::Record::Sent {
-                    engine, trace: t, ..
-                } if t == trace => Some(engine),
-                _ => None,
-            });
-            stage
-                .engines
-                .iter()
-                .position(|e| Some(&e.node) == engine.as_ref())
-                .expect("an engine of ours")
+        let report_run = s.spawn(|| cluster.run(&report));
+        let load_run = s.spawn(|| cluster.run(&load));
+        cluster.wait_until_sent(&report);
+        cluster.wait_until_sent(&load);
+        let index_of = |request: &ClientRequest| {
+            let engine = cluster.first_engine(request);
+            let mut engines = cluster.engines.iter();
+            engines
+                .position(|config| Some(&config.node) == engine.as_ref())
+                .expect("an engine of the cluster")
         };
-        let (one, two) = (at(&slow.trace), at(&load.trace));
-        stage.crash_engine(one);
-        stage.crash_engine(two);
-        stage.start_engine(one);
-        if two != one {
-            stage.start_engine(two);
+        let indices = BTreeSet::from([index_of(&report), index_of(&load)]);
+        for index in &indices {
+            cluster.crash_engine(*index);
+        }
+        for index in &indices {
+            cluster.start_engine(*index);
         }
         assert_eq!(
-            posting.join().expect("ends"),
-            Came::Failed(MAY_HAVE_RUN.into())
+            load_run.join().expect("ends"),
+            ClientOutcome::Failed(MAY_HAVE_RUN.into())
         );
-        assert!(matches!(report.join().expect("ends"), Came::Served(_)));
+        let outcome = report_run.join().expect("ends");
+        assert!(matches!(outcome, ClientOutcome::Served(_)), "{outcome:?}");
     });
-    assert!(stage.sent(&slow) >= 2);
-    assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
-    stage.assert_rules_kept();
+    assert!(cluster.sent_attempts(&report) >= 2);
+    assert_eq!(
+        (cluster.sent_attempts(&load), cluster.effects(&load)),
+        (1, 0)
+    );
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn an_answer_lost_after_the_work_was_done_is_no_proof_that_it_was_not() {
-    let stage = Stage::new(3);
-    all_fail(
-        &stage,
-        &Faults {
-            lose: true,
-            only: Some("rent-load".into()),
-            ..Faults::default()
-        },
+fn a_lost_response_is_no_proof_that_the_statement_was_not_executed() {
+    let cluster = TestCluster::new(3);
+    cluster.set_faults(&Faults {
+        lose: true,
+        only: Some("rent-load".into()),
+        ..Faults::default()
+    });
+    let load = cluster.request("rent-load", LOAD);
+    assert_eq!(
+        cluster.run(&load),
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
-    let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
-    assert_eq!(stage.sent(&load), 1);
-    stage.assert_rules_kept();
-    let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
+    assert_eq!(cluster.sent_attempts(&load), 1);
+    cluster.assert_rules_kept();
+    let cluster = TestCluster::new(2);
+    cluster.engines[0].fail(Faults {
         lose: true,
         ..Faults::default()
     });
     let lookups: Vec<_> = (0..16)
-        .map(|_| stage.ask("lookup", "SELECT 1 /* work=5ms */"))
+        .map(|_| cluster.request("lookup", "SELECT 1 /* work=5ms */"))
         .collect();
+    for lookup in &lookups {
+        cluster.assert_served(lookup);
+    }
     assert!(
         lookups
             .iter()
-            .all(|ask| matches!(stage.run(ask).0, Came::Served(_)))
+            .any(|lookup| cluster.sent_attempts(lookup) > 1),
+        "no lookup was sent to the engine that loses responses"
     );
-    let moved = lookups.iter().filter(|ask| stage.sent(ask) > 1).count();
-    assert!(moved > 0, "some lookup met the engine that loses answers");
-    stage.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn a_kept_connection_closed_as_a_statement_is_written_may_have_run() {
-    let stage = Stage::new(1);
-    // The first statement leaves a connection open; the next one's is closed without a word.
-    assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
-    ));
-    stage.engines[0].fail(Faults {
+fn a_statement_written_to_a_closed_idle_connection_may_have_run() {
+    let cluster = TestCluster::new(1);
+    // The first statement leaves an idle connection; the engine closes it when the next one is written.
+    cluster.assert_served(&cluster.request("lookup", "SELECT 1 /* work=5ms */"));
+    cluster.engines[0].fail(Faults {
         swallow: true,
         times: Some(1),
         ..Faults::default()
     });
-    let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
+    let load = cluster.request("rent-load", LOAD);
+    assert_eq!(
+        cluster.run(&load),
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
+    );
     assert_eq!(
-        (stage.sent(&load), stage.posted(&load)),
+        (cluster.sent_attempts(&load), cluster.effects(&load)),
         (1, 0),
-        "nothing below the module sends again"
+        "nothing below the policy retries"
     );
-    stage.assert_rules_kept();
-    let stage = Stage::new(1);
-    stage.engines[0].fail(Faults {
+    cluster.assert_rules_kept();
+    let cluster = TestCluster::new(1);
+    cluster.engines[0].fail(Faults {
         swallow: true,
         times: Some(1),
         ..Faults::default()
     });
-    let lookup = stage.ask("lookup", "SELECT 1 /* work=5ms */");
-    assert!(matches!(stage.run(&lookup).0, Came::Served(_)));
-    assert_eq!(stage.sent(&lookup), 2, "the module sends a safe one again");
-    stage.assert_rules_kept();
+    let lookup = cluster.request("lookup", "SELECT 1 /* work=5ms */");
+    cluster.assert_served(&lookup);
+    assert_eq!(cluster.sent_attempts(&lookup), 2, "the policy retries it");
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn what_never_ran_moves_on_whatever_its_class() {
-    let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
+fn a_statement_that_never_ran_is_retried_whatever_its_class() {
+    let cluster = TestCluster::new(2);
+    cluster.engines[0].fail(Faults {
         full: true,
         ..Faults::default()
     });
-    let loads: Vec<_> = (0..6).map(|_| stage.ask("rent-load", LOAD)).collect();
+    let loads: Vec<_> = (0..6).map(|_| cluster.request("rent-load", LOAD)).collect();
     for load in &loads {
-        assert_eq!(stage.run(load).0, Came::Served(1));
-        assert_eq!(stage.posted(load), 1);
+        assert_eq!(cluster.run(load), ClientOutcome::Served(1));
+        assert_eq!(cluster.effects(load), 1);
     }
     assert!(
-        loads.iter().any(|load| stage.sent(load) == 2),
-        "some load met the full engine first"
+        loads.iter().any(|load| cluster.sent_attempts(load) == 2),
+        "no load was sent to the full engine"
     );
     // Discovery does not notice that an engine is gone.
-    stage.discovery.fail(DiscoveryFaults {
+    cluster.discovery.fail(DiscoveryFaults {
         stale: true,
         down: false,
     });
-    stage.crash_engine(0);
+    cluster.crash_engine(0);
     for _ in 0..4 {
-        assert_eq!(stage.run(&stage.ask("rent-load", LOAD)).0, Came::Served(1));
+        assert_eq!(
+            cluster.run(&cluster.request("rent-load", LOAD)),
+            ClientOutcome::Served(1)
+        );
     }
-    stage.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn when_all_engines_are_full_the_refusal_is_harmless_and_tells_when_to_come_back() {
-    let stage = Stage::new(2);
-    all_fail(
-        &stage,
-        &Faults {
-            full: true,
-            ..Faults::default()
-        },
-    );
-    let load = stage.ask("rent-load", LOAD);
-    let Came::Refused(name, after) = stage.run(&load).0 else {
-        panic!("refused")
+fn when_all_engines_are_full_statements_are_rejected_with_retry_after() {
+    let cluster = TestCluster::new(2);
+    cluster.set_faults(&Faults {
+        full: true,
+        ..Faults::default()
+    });
+    let load = cluster.request("rent-load", LOAD);
+    let ClientOutcome::Refused(name, retry_after) = cluster.run(&load) else {
+        panic!("not rejected")
     };
     assert_eq!(
-        (name.as_str(), after, stage.posted(&load)),
+        (name.as_str(), retry_after, cluster.effects(&load)),
         ("HOPTILLER_REFUSED", Some(2), 0)
     );
-    all_fail(&stage, &Faults::default());
-    let mut again = stage.ask("rent-load", LOAD);
+    cluster.set_faults(&Faults::default());
+    let mut again = cluster.request("rent-load", LOAD);
     again.trace = load.trace.replace(".0", ".1");
-    assert_eq!(stage.run(&again).0, Came::Served(1));
-    stage.assert_rules_kept();
+    assert_eq!(cluster.run(&again), ClientOutcome::Served(1));
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn a_page_cut_in_the_middle_is_asked_for_again_and_then_given_up() {
-    let stage = Stage::new(2);
-    all_fail(
-        &stage,
-        &Faults {
-            cut_page: Some(400),
-            ..Faults::default()
-        },
-    );
-    let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 */");
-    // Never whole: no attempt gives a first page, and the last one's end is the answer.
-    assert!(matches!(stage.run(&report).0, Came::Refused(..)));
-    all_fail(
-        &stage,
-        &Faults {
-            lose_page: Some(2),
-            ..Faults::default()
-        },
-    );
-    let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 pages=5 */");
+fn a_truncated_page_is_polled_for_again_and_then_fails_the_attempt() {
+    let cluster = TestCluster::new(2);
+    cluster.set_faults(&Faults {
+        cut_page: Some(400),
+        ..Faults::default()
+    });
+    let report = cluster.request("report", "SELECT 1 /* work=5ms rows=50 */");
+    // No attempt delivers a complete first page.
+    assert!(matches!(cluster.run(&report), ClientOutcome::Refused(..)));
+    cluster.set_faults(&Faults {
+        lose_page: Some(2),
+        ..Faults::default()
+    });
+    let report = cluster.request("report", "SELECT 1 /* work=5ms rows=50 pages=5 */");
     assert_eq!(
-        stage.run(&report).0,
-        Came::Failed("HOPTILLER_RESULT_CUT".into())
+        cluster.run(&report),
+        ClientOutcome::Failed("HOPTILLER_RESULT_CUT".into())
     );
-    assert_eq!(stage.sent(&report), 1);
-    stage.assert_rules_kept();
+    assert_eq!(cluster.sent_attempts(&report), 1);
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn answers_that_are_none_and_errors_of_engines_are_told_apart_from_wrong_statements() {
-    let stage = Stage::new(2);
-    all_fail(
-        &stage,
-        &Faults {
-            garbage: true,
-            ..Faults::default()
-        },
-    );
+fn malformed_responses_and_engine_errors_are_distinguished_from_invalid_statements() {
+    let cluster = TestCluster::new(2);
+    cluster.set_faults(&Faults {
+        garbage: true,
+        ..Faults::default()
+    });
     assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1")).0,
-        Came::Refused(..)
+        cluster.run(&cluster.request("lookup", "SELECT 1")),
+        ClientOutcome::Refused(..)
     ));
     assert_eq!(
-        stage.run(&stage.ask("rent-load", LOAD)).0,
-        Came::Failed(MAY_HAVE_RUN.into())
+        cluster.run(&cluster.request("rent-load", LOAD)),
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
-    all_fail(
-        &stage,
-        &Faults {
-            fail: true,
-            ..Faults::default()
-        },
+    cluster.set_faults(&Faults {
+        fail: true,
+        ..Faults::default()
+    });
+    assert_eq!(
+        cluster.run(&cluster.request("rent-load", LOAD)),
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
+    cluster.set_faults(&Faults::default());
+    let invalid = cluster.request("lookup", "SELEC /* work=5ms wrong */");
     assert_eq!(
-        stage.run(&stage.ask("rent-load", LOAD)).0,
-        Came::Failed(MAY_HAVE_RUN.into())
+        cluster.run(&invalid),
+        ClientOutcome::Failed("SYNTAX_ERROR".into())
     );
-    all_fail(&stage, &Faults::default());
-    let wrong = stage.ask("lookup", "SELEC /* work=5ms wrong */");
-    assert_eq!(stage.run(&wrong).0, Came::Failed("SYNTAX_ERROR".into()));
     assert_eq!(
-        stage.sent(&wrong),
+        cluster.sent_attempts(&invalid),
         1,
-        "a wrong statement is wrong everywhere"
+        "an invalid statement is invalid everywhere"
     );
 }
 
 #[test]
-fn a_draining_engine_gets_nothing_new_and_finishes_what_it_has() {
-    let stage = Stage::new(2);
-    let running = stage.ask("report", "SELECT 1 /* work=1s threads=2 rows=9 */");
+fn a_draining_engine_gets_no_new_statements_and_finishes_those_it_has() {
+    let cluster = TestCluster::new(2);
+    let running = cluster.request("report", "SELECT 1 /* work=1s threads=2 rows=9 */");
     std::thread::scope(|s| {
-        let run = s.spawn(|| stage.run(&running).0);
-        stage.wait_until_sent(&running);
-        let had = stage.records().into_iter().find_map(|r| match r {
-            hoptiller_audit::Record::Sent { engine, .. } => Some(engine),
-            _ => None,
-        });
-        let drained = stage
-            .engines
-            .iter()
-            .find(|e| Some(&e.node) == had.as_ref())
-            .expect("ours");
-        assert_eq!(
-            put(drained.listen, "/v1/info/state", "\"SHUTTING_DOWN\"")
-                .status
-                .0,
-            200
-        );
-        std::thread::sleep(Duration::from_millis(1300)); // The grace.
+        let run = s.spawn(|| cluster.run(&running));
+        cluster.wait_until_sent(&running);
+        let engine = cluster.first_engine(&running);
+        let mut engines = cluster.engines.iter();
+        let draining = engines
+            .find(|config| Some(&config.node) == engine.as_ref())
+            .expect("an engine of the cluster");
+        let response = put(draining.listen, "/v1/info/state", "\"SHUTTING_DOWN\"");
+        assert_eq!(response.status.0, 200);
+        std::thread::sleep(DRAIN_GRACE);
         for _ in 0..10 {
-            let ask = stage.ask("lookup", "SELECT 1 /* work=2ms */");
-            assert!(matches!(stage.run(&ask).0, Came::Served(_)));
-            let late = stage.records().into_iter().any(|r| {
-                matches!(r, hoptiller_audit::Record::Sent { engine, trace, .. } if trace == ask.trace && Some(&engine) == had.as_ref())
-            });
-            assert!(!late, "sent to the engine that drains");
+            let request = cluster.request("lookup", "SELECT 1 /* work=2ms */");
+            cluster.assert_served(&request);
+            assert!(!is_sent_to(&cluster, &request, &draining.node));
         }
-        assert_eq!(run.join().expect("ends"), Came::Served(9));
+        assert_eq!(run.join().expect("ends"), ClientOutcome::Served(9));
     });
-    stage.assert_rules_kept();
+    cluster.assert_rules_kept();
+}
+
+/// Whether an attempt at a statement has reached an engine.
+fn is_sent_to(cluster: &TestCluster, request: &ClientRequest, node: &str) -> bool {
+    let is_sent = |record: &Record| matches!(record, Record::Sent { engine, trace, .. } if *trace == request.trace && engine == node);
+    cluster.records().iter().any(is_sent)
 }
 
 #[test]
-fn an_engine_restarted_under_its_id_and_address_serves_again() {
-    let stage = Stage::new(1);
-    assert!(matches!(
-        stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
-    ));
-    stage.discovery.fail(DiscoveryFaults {
+fn an_engine_restarted_with_the_same_name_and_address_serves_again() {
+    let cluster = TestCluster::new(1);
+    cluster.assert_served(&cluster.request("lookup", "SELECT 1 /* work=5ms */"));
+    cluster.discovery.fail(DiscoveryFaults {
         stale: true,
         down: false,
     });
-    stage.crash_engine(0);
-    stage.start_engine(0);
-    // Its kept connections are dead, and the list knows nothing of it.
-    let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Served(1));
-    assert_eq!(stage.sent(&load), 1);
-    stage.assert_rules_kept();
+    cluster.crash_engine(0);
+    cluster.start_engine(0);
+    // The idle connections to it are closed, and the stale list has not noticed.
+    let load = cluster.request("rent-load", LOAD);
+    assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
+    assert_eq!(cluster.sent_attempts(&load), 1);
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn answers_that_cross_their_time_out_come_once() {
-    let stage = Stage::new(4);
-    // The engines are done at about the moment when the attempt's time is over.
-    let asks: Vec<_> = (0..40u64)
+fn responses_that_race_with_the_deadline_are_delivered_once() {
+    let cluster = TestCluster::new(4);
+    // The engines finish at about the moment of the deadline.
+    let requests: Vec<_> = (0..40u64)
         .map(|n| {
             let class = if n % 2 == 0 { "rent-load" } else { "lookup" };
-            let mut ask = stage.ask(
+            let mut request = cluster.request(
                 class,
                 &format!("x /* work={}ms threads=1 set={n} */", 800 + n * 5),
             );
-            ask.patience = Duration::from_millis(1050);
-            ask
+            request.patience = Duration::from_millis(1050);
+            request
         })
         .collect();
-    let came: Vec<Came> = std::thread::scope(|s| {
-        let runs: Vec<_> = asks
+    let outcomes: Vec<ClientOutcome> = std::thread::scope(|s| {
+        let runs: Vec<_> = requests
             .iter()
-            .map(|ask| s.spawn(|| stage.run(ask).0))
+            .map(|request| s.spawn(|| cluster.run(request)))
             .collect();
         runs.into_iter().map(|r| r.join().expect("ends")).collect()
     });
-    for (ask, came) in asks.iter().zip(&came) {
+    for (request, outcome) in requests.iter().zip(&outcomes) {
         assert!(
-            !matches!(came, Came::GaveUp | Came::Unknown),
-            "{} {came:?}",
-            ask.trace
+            !matches!(outcome, ClientOutcome::GaveUp | ClientOutcome::Unknown),
+            "{} {outcome:?}",
+            request.trace
         );
-        assert!(stage.posted(ask) <= 1);
+        assert!(cluster.effects(request) <= 1);
     }
-    // Some loads may still be at work inside engines: their ledger is only complete then.
+    // Engines may still execute some loads; the ledger is complete only then.
     std::thread::sleep(Duration::from_millis(1500));
-    stage.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[test]
-fn an_engine_that_has_another_statement_under_the_same_uri_is_not_believed() {
-    let stage = Stage::new(1);
-    let load = stage.ask("rent-load", "INSERT /* work=6s threads=2 */");
+fn the_response_of_another_statement_under_the_same_uri_is_rejected() {
+    let cluster = TestCluster::new(1);
+    let load = cluster.request("rent-load", "INSERT /* work=6s threads=2 */");
     std::thread::scope(|s| {
-        let posting = s.spawn(|| stage.run(&load).0);
-        stage.wait_until_sent(&load);
+        let load_run = s.spawn(|| cluster.run(&load));
+        cluster.wait_until_sent(&load);
         // The new process gives its first statement the URI that the old one gave the load.
-        stage.crash_engine(0);
-        stage.start_engine(0);
-        let other = hoptiller_http::Request::new(hoptiller_http::Method::Post, "/v1/statement");
-        let body = b"SELECT 1 /* work=5ms rows=9 */".to_vec();
-        common::send_to(
-            stage.engines[0].listen,
-            &hoptiller_http::Request { body, ..other },
-        );
+        cluster.crash_engine(0);
+        cluster.start_engine(0);
+        let mut other = Request::new(Method::Post, "/v1/statement");
+        other.body = b"SELECT 1 /* work=5ms rows=9 */".to_vec();
+        exchange(cluster.engines[0].listen, &other);
         assert_eq!(
-            posting.join().expect("ends"),
-            Came::Failed(MAY_HAVE_RUN.into())
+            load_run.join().expect("ends"),
+            ClientOutcome::Failed(MAY_HAVE_RUN.into())
         );
     });
-    assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
+    assert_eq!(
+        (cluster.sent_attempts(&load), cluster.effects(&load)),
+        (1, 0)
+    );
 }
--- /dev/null
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -0,0 +1,174 @@
+//! What the router does about runaways, over sockets: holds, kills and pauses, and the responses of their clients.
+
+mod common;
+
+use std::time::{Duration, Instant};
+
+use common::runaways::{
+    REPORT, killing_cluster, patient, report, reporting_cluster, reporting_engine,
+    reporting_settings, runaways,
+};
+use common::{ClientOutcome, ClientRequest, TestCluster, exchange};
+use hoptiller_http::{Method, Request};
+use hoptiller_mock_servers::fault::Faults;
+use serde_json::{Value, json};
+
+const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
+const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
+
+/// Asserts that a statement was killed and is retryable, with a Retry-After.
+fn assert_killed(outcome: &ClientOutcome) {
+    assert!(
+        matches!(outcome, ClientOutcome::Refused(name, Some(_)) if name == ENDED),
+        "{outcome:?}"
+    );
+}
+
+#[test]
+fn one_of_two_deadlocked_loads_is_killed_and_the_other_is_served() {
+    let cluster = killing_cluster(1);
+    let load = |n: u32, m: u32| {
+        let text = format!("INSERT INTO t{n} /* work=400ms threads=1 set={n} then=0.5:{m} */");
+        patient(cluster.request("rent-load", &text))
+    };
+    let (older, younger) = (load(1, 2), load(2, 1));
+    let [older_outcome, younger_outcome] = std::thread::scope(|s| {
+        let older_run = s.spawn(|| cluster.run(&older));
+        cluster.wait_until_sent(&older);
+        let younger_run = s.spawn(|| cluster.run(&younger));
+        let shown = cluster.wait_for_runaways("both loads", |all| runaways(all).len() == 2);
+        for (cause, _) in runaways(&shown) {
+            assert_eq!(cause, "deadlock", "{shown:#}");
+        }
+        [older_run, younger_run].map(|run| run.join().expect("ends"))
+    });
+    assert_eq!(older_outcome, ClientOutcome::Served(1));
+    assert_killed(&younger_outcome);
+    assert_eq!(cluster.effects(&older), 1);
+    assert_eq!(cluster.effects(&younger), 0);
+    assert_eq!(cluster.sent_attempts(&older), 1);
+    assert_eq!(cluster.sent_attempts(&younger), 1);
+    cluster.assert_rules_kept();
+}
+
+#[test]
+fn a_killed_load_is_retryable_only_with_proof_of_rollback() {
+    for no_proof in [false, true] {
+        let cluster = killing_cluster(2);
+        cluster.run_repeatedly("rent-load", "INSERT INTO due /* work=50ms */", 48);
+        cluster.set_faults(&Faults {
+            no_proof,
+            only: Some("rent-load".into()),
+            ..Faults::default()
+        });
+        let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
+        let outcome = cluster.run(&load);
+        if no_proof {
+            assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
+        } else {
+            assert_killed(&outcome);
+        }
+        assert_eq!(cluster.sent_attempts(&load), 1);
+        assert_eq!(cluster.effects(&load), 0);
+        cluster.assert_rules_kept();
+    }
+}
+
+#[test]
+fn a_killed_report_is_rejected_with_the_reason_and_not_retried() {
+    let cluster = killing_cluster(3);
+    cluster.run_repeatedly("report", REPORT, 48);
+    let long = patient(cluster.request("report", &report("90s")));
+    let (outcome, client) = cluster.run_with_client(&long);
+    assert_killed(&outcome);
+    let (_, response) = client.answers.last().expect("a response");
+    let body = String::from_utf8_lossy(&response.body);
+    assert!(
+        body.contains("a rule of this installation ends it"),
+        "{body}"
+    );
+    assert_eq!(cluster.sent_attempts(&long), 1);
+    cluster.assert_rules_kept();
+}
+
+#[test]
+fn a_paused_report_resumes_after_the_pause_and_is_served() {
+    let pausing = |value: &mut Value| {
+        reporting_settings(value);
+        value["runaways"] = json!({ "acts": ["name", "pause"], "pause_for": "5s" });
+    };
+    let cluster = TestCluster::with_config(2, pausing, reporting_engine);
+    cluster.run_repeatedly("report", REPORT, 48);
+    let long = patient(cluster.request("report", &report("9s")));
+    let started_at = Instant::now();
+    assert_eq!(cluster.run(&long), ClientOutcome::Served(300));
+    // Nine seconds of work and five of the pause. Only a lower bound, so that a slow machine changes nothing.
+    let elapsed = started_at.elapsed();
+    assert!(elapsed >= Duration::from_millis(13_500), "{elapsed:?}");
+    assert_eq!(cluster.sent_attempts(&long), 1);
+    assert_eq!(cluster.runaways()["holds"], json!([]));
+    cluster.assert_rules_kept();
+}
+
+#[test]
+fn a_statement_that_finishes_while_it_is_killed_delivers_its_rows() {
+    let cluster = killing_cluster(2);
+    cluster.run_repeatedly("rent-load", "INSERT INTO due /* work=50ms threads=1 */", 48);
+    cluster.set_faults(&Faults {
+        finish_first: true,
+        only: Some("rent-load".into()),
+        ..Faults::default()
+    });
+    // It is a runaway after 3 s, and done some 8 s after it began.
+    let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
+    assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
+    let shown = cluster.runaways();
+    let past = shown["past"].as_array().cloned().unwrap_or_default();
+    let is_heavy = |finding: &Value| finding["cause"] == json!("heavy");
+    assert!(past.iter().any(is_heavy), "{shown:#}");
+    assert_eq!(cluster.sent_attempts(&load), 1);
+    assert_eq!(cluster.effects(&load), 1);
+    cluster.assert_rules_kept();
+}
+
+#[test]
+fn a_held_kind_runs_one_at_a_time_until_an_administrator_releases_it() {
+    let cluster = reporting_cluster(3);
+    cluster.run_repeatedly("report", REPORT, 48);
+    let long = patient(cluster.request("report", &report("90s")));
+    let delete = |path: &str| {
+        let admin = cluster.settings.router.admin.expect("it is served");
+        exchange(admin, &Request::new(Method::Delete, path))
+            .status
+            .0
+    };
+    let ten: Vec<ClientRequest> = (0..10)
+        .map(|_| patient(cluster.request("report", &report("2s"))))
+        .collect();
+    std::thread::scope(|s| {
+        s.spawn(|| cluster.run(&long));
+        let shown = cluster.wait_for_runaways("the hold", |shown| shown["holds"] != json!([]));
+        let kind = shown["holds"][0]["kind"].as_str().expect("a kind");
+        let runs: Vec<_> = ten
+            .iter()
+            .map(|request| s.spawn(|| cluster.run(request)))
+            .collect();
+        cluster.wait_until_any_sent(&ten);
+        // Other kinds of the class are not held.
+        let other = cluster.request("report", "SELECT other FROM t /* work=50ms */");
+        cluster.assert_served(&patient(other));
+        let sent = ten
+            .iter()
+            .filter(|request| cluster.sent_attempts(request) > 0)
+            .count();
+        assert!(sent <= 2, "{sent} of ten were sent");
+        assert_eq!(delete("/v1/admin/holds/0000000000000001"), 404);
+        assert_eq!(delete("/v1/admin/holds/nonsense"), 404);
+        assert_eq!(delete(&format!("/v1/admin/holds/{kind}")), 204);
+        assert_eq!(cluster.runaways()["holds"], json!([]));
+        for run in runs {
+            assert_eq!(run.join().expect("ends"), ClientOutcome::Served(300));
+        }
+    });
+    cluster.assert_rules_kept();
+}
--- a/crates/statement-router/tests/settings.rs
+++ b/crates/statement-router/tests/settings.rs
@@ -1,201 +1,203 @@
-//! Bad files of settings: every one refused, with all its problems and their places.
+//! Settings files: invalid ones are rejected with all their errors and their places.
 
 use hoptiller_statement_router::Settings;
 
 const EXAMPLE: &str = include_str!("../../../examples/derby.jsonnet");
 
-/// The problems of the example with a change in Jsonnet.
-fn problems(change: &str) -> Vec<String> {
+/// Changes of the example that make it invalid, with a part of the error of each.
+const INVALID_CHANGES: &[(&str, &str)] = &[
+    ("{ kinds: null }", "kinds: missing"),
+    (
+        "{ clases: [] }",
+        "clases: unknown key; is \"classes\" meant?",
+    ),
+    ("{ router+: { listen: 8080 } }", "router.listen: a text"),
+    (
+        "{ router+: { index: 3 } }",
+        "router.index: must be under router.of, 1",
+    ),
+    (
+        "{ router+: { index: 1.5 } }",
+        "router.index: a whole number",
+    ),
+    ("{ rules+: { ramp: 14 } }", "rules.ramp: 14 is no duration"),
+    (
+        "{ rules+: { ramp: '14' } }",
+        "rules.ramp: \"14\" is no duration",
+    ),
+    (
+        "{ rules+: { ramp: '14 parsecs' } }",
+        "rules.ramp: \"14 parsecs\" is no duration",
+    ),
+    (
+        "{ rules+: { start_capacity: -1 } }",
+        "rules.start_capacity: a number of 0 or more",
+    ),
+    (
+        "{ rules+: { start_capacity: 1.5 } }",
+        "rules.start_capacity: is a part",
+    ),
+    (
+        "{ rules+: { overload: 0.5 } }",
+        "rules.overload: must be 1 or more",
+    ),
+    (
+        "{ engines+: { max_attempts: 0 } }",
+        "engines.max_attempts: must be 1 or more",
+    ),
+    (
+        "{ engines+: { probes: 'yes' } }",
+        "engines.probes: true or false",
+    ),
+    (
+        "{ engines+: { budget: { spare: 1 } } }",
+        "engines.budget.ratio: missing",
+    ),
+    (
+        "{ engines+: { notes_every: '1s' } }",
+        "engines.notes_every: notes only serve where engines.cancel",
+    ),
+    (
+        "{ default_class: 'lokup' }",
+        "default_class: \"lokup\" is no class",
+    ),
+    ("{ classes: [] }", "classes: a list of at least one class"),
+    ("{ classes: [1] }", "classes[0]: an object"),
+    (
+        "{ classes+: [super.classes[0]] }",
+        "classes[3].name: \"lookup\" is given twice",
+    ),
+    (
+        "{ classes+: [super.classes[0] { name: 'a b' }] }",
+        "classes[3].name: only letters",
+    ),
+    (
+        "{ classes+: [super.classes[0] { name: 'x', kinds: ['std-9'] }] }",
+        "classes[3].kinds[0]: \"std-9\" is none of",
+    ),
+    (
+        "{ classes+: [super.classes[0] { name: 'x', repeat: 'twice' }] }",
+        "classes[3].repeat: 'safe' or 'never'",
+    ),
+    (
+        "{ classes+: [super.classes[0] { name: 'x', patience: '1s' }] }",
+        "classes[3].patience: is shorter than the aim",
+    ),
+    (
+        "{ classes+: [super.classes[0] { name: 'x', holds: true }] }",
+        "classes[3].holds: a class that holds",
+    ),
+    (
+        "{ limits: { incoming_bytes: 5 } }",
+        "limits.incoming_bytes: is under limits.statement_bytes",
+    ),
+    (
+        "{ limits: { held_bytes: 5 } }",
+        "limits.held_bytes: is under limits.page_bytes",
+    ),
+    (
+        "{ limits: { abandon_after: '1s' } }",
+        "limits.abandon_after: must be twice",
+    ),
+    (
+        "{ runaways: { acts: ['name', 'kill'] } }",
+        "runaways.acts[1]: \"kill\" is none of 'name'",
+    ),
+    (
+        "{ runaways: { acts: 'name' } }",
+        "runaways.acts: a list of 'name'",
+    ),
+    (
+        "{ runaways: { classes: { reports: [] } } }",
+        "runaways.classes.reports: is no class",
+    ),
+    (
+        "{ runaways: { holds: true } }",
+        "runaways.holds: unknown key",
+    ),
+    (
+        "{ runaways: { acts: ['name', 'end'] } }",
+        "'end' only works where engines.ends",
+    ),
+    (
+        "{ runaways: { acts: ['name', 'pause'] } }",
+        "'pause' only works where engines.pauses",
+    ),
+    (
+        "{ runaways: { acts: ['name', 'lower'] } }",
+        "'lower' only works with 'hold'",
+    ),
+    ("{ runaways: { acts: ['hold'] } }", "must be named too"),
+    ("{ runaways: { kinds: 5 } }", "runaways.kinds: must be 100"),
+    (
+        "{ runaways: { save_every: '1ms' } }",
+        "save_every 1s or more",
+    ),
+    (
+        "{ router+: { admin: '127.0.0.1:8080' } }",
+        "router.admin: is router.listen",
+    ),
+    ("{ limits: { tick: '0s' } }", "limits.tick: must be over 0"),
+    (
+        "{ discovery+: { every: '1ms' } }",
+        "discovery.every: looks must be 10ms",
+    ),
+    ("{ x: error 'own words' }", "own words"),
+    ("{ x: nothing }", "nothing"),
+];
+
+/// The errors of the example with a change in Jsonnet.
+fn errors(change: &str) -> Vec<String> {
     match Settings::from_text("a.jsonnet", &format!("({EXAMPLE}) + {change}")) {
         Ok(_) => Vec::new(),
-        Err(problems) => problems.iter().map(ToString::to_string).collect(),
+        Err(errors) => errors.iter().map(ToString::to_string).collect(),
     }
 }
 
 #[test]
-fn the_example_is_good_and_its_decisions_are_what_it_says() {
-    let settings = Settings::from_text("a.jsonnet", EXAMPLE).expect("good");
-    let decisions = settings.policy_settings();
+fn the_example_is_valid_and_converted_for_the_policy() {
+    let settings = Settings::from_text("a.jsonnet", EXAMPLE).expect("valid");
+    let policy_settings = settings.policy_settings();
     assert_eq!(
-        decisions.classes[2].idempotency,
+        policy_settings.classes[2].idempotency,
         hoptiller_policy::Idempotency::NotIdempotent
     );
     assert_eq!(
         (
-            decisions.classes[1].kinds.clone(),
-            decisions.classes[0].kinds.clone()
+            policy_settings.classes[1].kinds.clone(),
+            policy_settings.classes[0].kinds.clone()
         ),
         (Some(vec![0]), None)
     );
     assert_eq!(
         (
-            decisions.classes[0].latency_objective,
-            decisions.rules.slow_start_window
+            policy_settings.classes[0].latency_objective,
+            policy_settings.rules.slow_start_window
         ),
         (1_500_000, 14_000_000)
     );
-    assert!(hoptiller_policy::Controller::new(decisions, 1).is_ok());
+    assert!(hoptiller_policy::Controller::new(policy_settings, 1).is_ok());
 }
 
 #[test]
-fn each_bad_setting_is_named_with_its_key_path() {
-    let cases = [
-        ("{ kinds: null }", "kinds: missing"),
-        (
-            "{ clases: [] }",
-            "clases: unknown key; is \"classes\" meant?",
-        ),
-        ("{ router+: { listen: 8080 } }", "router.listen: a text"),
-        (
-            "{ router+: { index: 3 } }",
-            "router.index: must be under router.of, 1",
-        ),
-        (
-            "{ router+: { index: 1.5 } }",
-            "router.index: a whole number",
-        ),
-        ("{ rules+: { ramp: 14 } }", "rules.ramp: 14 is no duration"),
-        (
-            "{ rules+: { ramp: '14' } }",
-            "rules.ramp: \"14\" is no duration",
-        ),
-        (
-            "{ rules+: { ramp: '14 parsecs' } }",
-            "rules.ramp: \"14 parsecs\" is no duration",
-        ),
-        (
-            "{ rules+: { start_capacity: -1 } }",
-            "rules.start_capacity: a number of 0 or more",
-        ),
-        (
-            "{ rules+: { start_capacity: 1.5 } }",
-            "rules.start_capacity: is a part",
-        ),
-        (
-            "{ rules+: { overload: 0.5 } }",
-            "rules.overload: must be 1 or more",
-        ),
-        (
-            "{ engines+: { max_attempts: 0 } }",
-            "engines.max_attempts: must be 1 or more",
-        ),
-        (
-            "{ engines+: { probes: 'yes' } }",
-            "engines.probes: true or false",
-        ),
-        (
-            "{ engines+: { budget: { spare: 1 } } }",
-            "engines.budget.ratio: missing",
-        ),
-        (
-            "{ engines+: { notes_every: '1s' } }",
-            "engines.notes_every: notes only serve where engines.cancel",
-        ),
-        (
-            "{ default_class: 'lokup' }",
-            "default_class: \"lokup\" is no class",
-        ),
-        ("{ classes: [] }", "classes: a list of at least one class"),
-        ("{ classes: [1] }", "classes[0]: an object"),
-        (
-            "{ classes+: [super.classes[0]] }",
-            "classes[3].name: \"lookup\" is given twice",
-        ),
-        (
-            "{ classes+: [super.classes[0] { name: 'a b' }] }",
-            "classes[3].name: only letters",
-        ),
-        (
-            "{ classes+: [super.classes[0] { name: 'x', kinds: ['std-9'] }] }",
-            "classes[3].kinds[0]: \"std-9\" is none of",
-        ),
-        (
-            "{ classes+: [super.classes[0] { name: 'x', repeat: 'twice' }] }",
-            "classes[3].repeat: 'safe' or 'never'",
-        ),
-        (
-            "{ classes+: [super.classes[0] { name: 'x', patience: '1s' }] }",
-            "classes[3].patience: is shorter than the aim",
-        ),
-        (
-            "{ classes+: [super.classes[0] { name: 'x', holds: true }] }",
-            "classes[3].holds: a class that holds",
-        ),
-        (
-            "{ limits: { incoming_bytes: 5 } }",
-            "limits.incoming_bytes: is under limits.statement_bytes",
-        ),
-        (
-            "{ limits: { held_bytes: 5 } }",
-            "limits.held_bytes: is under limits.page_bytes",
-        ),
-        (
-            "{ limits: { abandon_after: '1s' } }",
-            "limits.abandon_after: must be twice",
-        ),
-        (
-            "{ runaways: { acts: ['name', 'kill'] } }",
-            "runaways.acts[1]: \"kill\" is none of 'name'",
-        ),
-        (
-            "{ runaways: { acts: 'name' } }",
-            "runaways.acts: a list of 'name'",
-        ),
-        (
-            "{ runaways: { classes: { reports: [] } } }",
-            "runaways.classes.reports: is no class",
-        ),
-        (
-            "{ runaways: { holds: true } }",
-            "runaways.holds: unknown key",
-        ),
-        (
-            "{ runaways: { acts: ['name', 'end'] } }",
-            "'end' only works where engines.ends",
-        ),
-        (
-            "{ runaways: { acts: ['name', 'pause'] } }",
-            "'pause' only works where engines.pauses",
-        ),
-        (
-            "{ runaways: { acts: ['name', 'lower'] } }",
-            "'lower' only works with 'hold'",
-        ),
-        ("{ runaways: { acts: ['hold'] } }", "must be named too"),
-        ("{ runaways: { kinds: 5 } }", "runaways.kinds: must be 100"),
-        (
-            "{ runaways: { save_every: '1ms' } }",
-            "save_every 1s or more",
-        ),
-        (
-            "{ router+: { admin: '127.0.0.1:8080' } }",
-            "router.admin: is router.listen",
-        ),
-        ("{ limits: { tick: '0s' } }", "limits.tick: must be over 0"),
-        (
-            "{ discovery+: { every: '1ms' } }",
-            "discovery.every: looks must be 10ms",
-        ),
-        ("{ x: error 'own words' }", "own words"),
-        ("{ x: nothing }", "nothing"),
-    ];
-    for (change, wanted) in cases {
-        let found = problems(change);
+fn each_invalid_setting_is_reported_with_its_key_path() {
+    for (change, wanted) in INVALID_CHANGES {
+        let found = errors(change);
         assert!(
-            found.iter().any(|p| p.contains(wanted)),
+            found.iter().any(|error| error.contains(wanted)),
             "{change}: wanted {wanted:?}, found {found:#?}"
         );
     }
 }
 
 #[test]
-fn all_problems_come_at_once() {
+fn all_errors_are_reported_at_once() {
     let change = "{ router+: { lisen: 1, listen: 'x', name: '' }, rules+: { ramp: 1, fall: 2 }, kinds: null, odd: 1 }";
-    assert!(problems(change).len() >= 7, "{:#?}", problems(change));
+    assert!(errors(change).len() >= 7, "{:#?}", errors(change));
 }
 
 #[test]
-fn text_that_is_no_settings_is_refused_without_a_panic() {
+fn text_that_is_no_settings_file_is_rejected_without_a_panic() {
     for text in [
         "",
         "{",
