--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -15,7 +15,7 @@
 use hoptiller_fault_harness::{Layout, Stage, stage::Between};
 use hoptiller_mock_servers::Running;
 use hoptiller_statement_router::fleet_member::FleetMember;
-use hoptiller_statement_router::settings::AgreementSettings;
+use hoptiller_statement_router::settings::CoordinationSettings;
 use serde_json::json;
 
 const PERMIT: Duration = Duration::from_secs(10);
@@ -112,18 +112,18 @@
     let links: Vec<_> = (0..3)
         .filter_map(|k| stage.link(Between::Router(0, k)))
         .collect();
-    let settings = AgreementSettings {
-        keepers: links.iter().map(|l| l.addr()).collect(),
-        secret: dir.join("secret"),
-        permit: PERMIT,
+    let settings = CoordinationSettings {
+        replicas: links.iter().map(|l| l.addr()).collect(),
+        secret_file: dir.join("secret"),
+        lease_term: PERMIT,
         drift: DRIFT,
-        ask_every: if watch {
+        renewal_interval: if watch {
             PERMIT / 5
         } else {
             Duration::from_millis(250)
         },
     };
-    let secret = Secret::load(&settings.secret)?;
+    let secret = Secret::load(&settings.secret_file)?;
     let watchers = Running::new("routers", move |ex| {
         for n in 0..size {
             let (settings, secret) = (settings.clone(), secret.clone());
@@ -195,7 +195,7 @@
 }
 
 /// A router that hears of nothing between its questions, and so asks often.
-async fn ask_for_ever(settings: AgreementSettings, secret: Secret, name: String, n: usize) {
+async fn ask_for_ever(settings: CoordinationSettings, secret: Secret, name: String, n: usize) {
     let clock = Clock::new();
     let bounds = settings.lease_timing();
     let mut follower = ConfigWatcher::new(
@@ -206,7 +206,7 @@
         bounds,
         Vec::new(),
     );
-    let keepers = CoordinationClient::new(settings.keepers.clone(), secret);
+    let keepers = CoordinationClient::new(settings.replicas.clone(), secret);
     keepers.set_preferred(n);
     loop {
         let (id, act) = follower.start_renewal(clock.now());
@@ -236,7 +236,7 @@
             }
             _ => follower.abandon_renewal(id),
         }
-        Timer::after(settings.ask_every).await;
+        Timer::after(settings.renewal_interval).await;
     }
 }
 
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -144,10 +144,10 @@
             });
             let settings = Settings::from_value("measured", &value)
                 .map_err(|p| io::Error::other(format!("{p:?}")))?;
-            let Some(agreement) = settings.agreement.clone() else {
+            let Some(agreement) = settings.coordination.clone() else {
                 return Err(io::Error::other("no agreement"));
             };
-            let secret = Secret::load(&agreement.secret)?;
+            let secret = Secret::load(&agreement.secret_file)?;
             let member =
                 FleetMember::new(agreement, secret, &format!("r{n}"), "1", None, Clock::new());
             ex.spawn(member.clone().run(|| ()));
--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -75,12 +75,12 @@
                 .iter()
                 .find(|k| k.name == e.kind)
                 .map_or(8.0, |k| k.cores);
-            config.spec.cancels = plan.checked.engines.cancel;
+            config.spec.cancels = plan.checked.engines.supports_cancel;
             // What the rules say of cold engines is true of these.
-            config.spec.cold_for = r.ramp.as_micros() as u64;
+            config.spec.cold_for = r.slow_start_window.as_micros() as u64;
             config.spec.cold_from = r.start_capacity;
-            config.spec.fall_multiple = r.overload;
-            config.spec.fall_for = r.fall.as_micros() as u64;
+            config.spec.fall_multiple = r.overload_factor;
+            config.spec.fall_for = r.overload_window.as_micros() as u64;
             let running = config.start().map_err(outside(&name))?;
             config.listen = running.addr;
             config.cold = true;
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -21,18 +21,18 @@
 
 pub fn run(args: &Args) -> Result<ExitCode, Failure> {
     let settings = Settings::load(&args.file).map_err(Failure::Settings)?;
-    let secret = match &settings.router.state {
+    let secret = match &settings.router.state_dir {
         None => secret::fresh(),
         Some(dir) => secret::load_or_make(dir)
             .map_err(|e| Failure::Outside(format!("the state folder {}", dir.display()), e))?,
     };
     let life = secret::life();
-    let fleet_member = match &settings.agreement {
+    let fleet_member = match &settings.coordination {
         None => None,
         Some(a) => {
-            let fleet = Secret::load(&a.secret)
+            let fleet = Secret::load(&a.secret_file)
                 .map_err(|e| Failure::Outside("the fleet's secret can't be read".into(), e))?;
-            let (router, state) = (&settings.router.name, settings.router.state.as_deref());
+            let (router, state) = (&settings.router.name, settings.router.state_dir.as_deref());
             Some(FleetMember::new(
                 a.clone(),
                 fleet,
@@ -45,10 +45,10 @@
     };
     let descriptors = run::raise_descriptors();
     // One for each client, and some for engines and the rest.
-    if descriptors < settings.limits.connections as u64 + 500 {
+    if descriptors < settings.limits.max_connections as u64 + 500 {
         tracing::warn!(
             descriptors,
-            connections = settings.limits.connections,
+            connections = settings.limits.max_connections,
             "the system permits fewer descriptors than limits.connections may need: raise `ulimit -n`, or lower it"
         );
     }
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -130,13 +130,13 @@
 /// Draws a run. The same seed plants the same statements under all conditions.
 pub fn draw(settings: &Settings, condition: Condition, seed: u64, engines: usize) -> Plan {
     let mut settings = settings.clone();
-    settings.engines.reports = condition.reports;
-    settings.engines.probes &= condition.reports;
-    for acts in &mut settings.runaways.acts {
+    settings.engines.load_reports = condition.reports;
+    settings.engines.health_checks &= condition.reports;
+    for acts in &mut settings.runaways.enforcement {
         acts.hold &= condition.hold;
         acts.end |= condition.end;
     }
-    settings.runaways.end_after = std::time::Duration::from_secs(5);
+    settings.runaways.kill_after = std::time::Duration::from_secs(5);
     let mut rng = StdRng::seed_from_u64(seed);
     let engines = (0..engines)
         .map(|n| Engine {
@@ -182,7 +182,7 @@
         memory,
         grant: None,
         set: Some(group),
-        holds: settings.classes[class].holds,
+        holds: settings.classes[class].holds_tables,
         priority: 1,
         then: None,
     };
@@ -318,10 +318,11 @@
     let on_time = |at: usize| {
         let s = &plan.statements[at];
         let c = &plan.settings.classes[s.class];
-        let aim = c.aim.as_secs_f64() * 1e6 + c.stretch * s.job.work / c.threads;
+        let aim =
+            c.latency_objective.as_secs_f64() * 1e6 + c.objective_stretch * s.job.work / c.threads;
         match &run.came[at] {
             Some((Came::Served, when)) if (when - START - s.at) as f64 <= aim => 1.0,
-            Some((Came::Served, _)) => c.late_worth,
+            Some((Came::Served, _)) => c.late_weight_ratio,
             _ => 0.0,
         }
     };
@@ -345,7 +346,7 @@
         if is_runaway(&at) || s.at < LEARN || s.at + 30 * S > plan.lasts {
             continue;
         }
-        let (part, worth) = (on_time(at), plan.settings.classes[s.class].worth);
+        let (part, worth) = (on_time(at), plan.settings.classes[s.class].priority_weight);
         (got, all) = (got + part * worth, all + worth);
         let came = START + s.at;
         let is_behind = |h: &(Option<&String>, Micros, Micros)| {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -158,11 +158,11 @@
         let l = &plan.settings.limits;
         let micros = |d: std::time::Duration| d.as_micros() as Micros;
         let bounds = CoreLimits {
-            max_open_statements: l.statements,
-            max_retained_responses: l.answered,
-            retention: micros(l.keep),
+            max_open_statements: l.max_open_statements,
+            max_retained_responses: l.max_retained_responses,
+            retention: micros(l.retention),
             abandon_after: Micros::MAX / 4,
-            max_buffered_bytes: l.held_bytes,
+            max_buffered_bytes: l.max_buffered_bytes,
             response_margin: RESPONSE_MARGIN,
         };
         let routers = (0..n).map(|index| {
@@ -572,7 +572,7 @@
             self.routers[held.router].out.remove(&(held.id, held.hop));
             let statement = self.run.attempts[held.attempt].statement;
             let work = self.plan.statements[statement].job.work as Micros;
-            let work = self.plan.settings.engines.bills.then_some(work);
+            let work = self.plan.settings.engines.reports_work.then_some(work);
             let page = ResultPage {
                 is_last: true,
                 load_report: report,
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -132,7 +132,7 @@
             }
             let refresh_requested = self.refresh_requested.listen();
             let interval = async {
-                Timer::after(self.settings.discovery.every).await;
+                Timer::after(self.settings.discovery.list_interval).await;
             };
             let leases_changed = async {
                 match leases_changed {
--- a/crates/statement-router/src/discovery/engine_state.rs
+++ b/crates/statement-router/src/discovery/engine_state.rs
@@ -60,7 +60,7 @@
                 }
             }
             self.publish(listener);
-            Timer::after(self.settings.discovery.state_every).await;
+            Timer::after(self.settings.discovery.state_interval).await;
         }
     }
 
--- a/crates/statement-router/src/discovery/request.rs
+++ b/crates/statement-router/src/discovery/request.rs
@@ -21,7 +21,7 @@
         target: &str,
         operation: Option<&LeasedOperation>,
     ) -> Result<Response, ClientError> {
-        let timeout = self.settings.discovery.within;
+        let timeout = self.settings.discovery.timeout;
         let mut request = Request::new(Method::Get, target)
             .with(extra::ROUTER, &self.settings.router.name)
             .with("Connection", "close");
--- a/crates/statement-router/src/engines/attempt/poll.rs
+++ b/crates/statement-router/src/engines/attempt/poll.rs
@@ -15,29 +15,35 @@
 /// Pause after a poll that the engine could not answer.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
+/// Why a single poll has no result.
+enum PollFailure {
+    /// The poll can be repeated.
+    Transient(PollError),
+    /// The attempt has ended.
+    Fatal(AttemptError),
+}
+
 impl RunningAttempt<'_> {
     /// Polls for the next response.
     pub(super) async fn poll(&self) -> Result<Response, Stop> {
         let target = self.next_path.clone().ok_or(AttemptError::NoNextUri)?;
         let request = self.transport.request(Method::Get, target);
+        let timeouts = self.transport.poll_timeouts();
+        let pool = &self.transport.pool;
         let mut failed_polls = 0;
         loop {
-            let timeouts = self.transport.poll_timeouts();
-            let exchange = self
-                .transport
-                .pool
-                .exchange(self.endpoint, &request, timeouts);
+            let exchange = pool.exchange(self.endpoint, &request, timeouts);
             let result = match self.interruptible(exchange).await {
-                Ok(Ok(response)) => check_poll_status(response)?,
-                Ok(Err(error)) => Err(poll_error(error)?),
+                Ok(result) => result,
                 Err(Interruption::DeadlineExceeded) => {
                     return Err(AttemptError::DeadlineExceeded.into());
                 }
                 Err(Interruption::Controlled(control)) => return Err(control.into()),
             };
-            let error = match result {
+            let error = match check_poll(result) {
                 Ok(response) => return Ok(response),
-                Err(error) => error,
+                Err(PollFailure::Fatal(error)) => return Err(error.into()),
+                Err(PollFailure::Transient(error)) => error,
             };
             failed_polls += 1;
             if failed_polls == MAX_FAILED_POLLS {
@@ -48,29 +54,22 @@
     }
 }
 
-/// The response of a poll, or the error after which it can be repeated.
-///
-/// # Errors
-///
-/// The status ends the attempt.
-fn check_poll_status(response: Response) -> Result<Result<Response, PollError>, AttemptError> {
-    match response.status.0 {
-        200 => Ok(Ok(response)),
-        404 | 410 => Err(AttemptError::UnknownToEngine),
-        status @ (429 | 502..=504) => Ok(Err(PollError::Unavailable(status))),
-        status => Err(AttemptError::PollStatus(status)),
+fn check_poll(result: Result<Response, ClientError>) -> Result<Response, PollFailure> {
+    match result {
+        Ok(response) => check_poll_status(response),
+        Err(ClientError::Connect(error)) => {
+            Err(PollFailure::Fatal(AttemptError::EngineGone(error)))
+        }
+        Err(ClientError::Parse(error)) => Err(PollFailure::Fatal(AttemptError::InvalidHttp(error))),
+        Err(error) => Err(PollFailure::Transient(PollError::Exchange(error))),
     }
 }
 
-/// The error after which a poll can be repeated.
-///
-/// # Errors
-///
-/// The error ends the attempt.
-fn poll_error(error: ClientError) -> Result<PollError, AttemptError> {
-    match error {
-        ClientError::Connect(error) => Err(AttemptError::EngineGone(error)),
-        ClientError::Parse(error) => Err(AttemptError::InvalidHttp(error)),
-        error => Ok(PollError::Exchange(error)),
+fn check_poll_status(response: Response) -> Result<Response, PollFailure> {
+    match response.status.0 {
+        200 => Ok(response),
+        404 | 410 => Err(PollFailure::Fatal(AttemptError::UnknownToEngine)),
+        status @ (429 | 502..=504) => Err(PollFailure::Transient(PollError::Unavailable(status))),
+        status => Err(PollFailure::Fatal(AttemptError::PollStatus(status))),
     }
 }
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -20,7 +20,7 @@
 use hoptiller_router_core::group_of;
 use hoptiller_statement::extra::ConfigVersions;
 
-use crate::settings::AgreementSettings;
+use crate::settings::CoordinationSettings;
 use crate::task_leases::TaskLeases;
 use version_file::VersionFile;
 
@@ -34,10 +34,10 @@
     watcher: RefCell<ConfigWatcher>,
     clock: Clock,
     replicas: CoordinationClient,
-    settings: AgreementSettings,
+    settings: CoordinationSettings,
     version_file: Option<VersionFile>,
-    /// Whether this router can't apply the enforced versions; it then rejects every class.
-    is_unusable: Cell<bool>,
+    /// Whether this router can apply the enforced versions; if not, it rejects every class.
+    is_usable: Cell<bool>,
     task_leases: TaskLeases,
     last_warning: Cell<Option<Micros>>,
     was_in_doubt: Cell<bool>,
@@ -47,7 +47,7 @@
     /// The membership of this incarnation of a router, without a lease. The versions that an earlier incarnation has stored
     /// in the state directory are enforced from the start.
     pub fn new(
-        settings: AgreementSettings,
+        settings: CoordinationSettings,
         secret: Secret,
         router: &str,
         incarnation: &str,
@@ -60,7 +60,7 @@
             router: router.to_owned(),
             incarnation: incarnation.to_owned(),
         };
-        let replicas = CoordinationClient::new(settings.keepers.clone(), secret);
+        let replicas = CoordinationClient::new(settings.replicas.clone(), secret);
         replicas.set_preferred(group_of(router) as usize);
         let timing = settings.lease_timing();
         let task_leases = TaskLeases::new(&timing, clock);
@@ -71,7 +71,7 @@
             replicas,
             settings,
             version_file,
-            is_unusable: Cell::new(false),
+            is_usable: Cell::new(true),
             task_leases,
             last_warning: Cell::new(None),
             was_in_doubt: Cell::new(true),
@@ -80,7 +80,7 @@
 
     /// The versions under which statements of a class may be processed now; `None` where they must be rejected.
     pub fn authorize(&self, class: &str) -> Option<ConfigVersions> {
-        if self.is_unusable.get() {
+        if !self.is_usable.get() {
             return None;
         }
         let decision = self.watcher.borrow().decide(self.clock.now(), class);
@@ -124,7 +124,7 @@
 
     /// Sets whether this router can apply the enforced versions.
     pub fn set_usable(&self, is_usable: bool) {
-        self.is_unusable.set(!is_usable);
+        self.is_usable.set(is_usable);
     }
 
     /// The versions that are enforced now, and whether the config lease has expired.
@@ -183,7 +183,7 @@
 
     /// Accepts no further task leases, and releases those held. Returns whether all are released.
     pub async fn hand_over_tasks(&self) -> bool {
-        let timeout = self.settings.permit / 2;
+        let timeout = self.settings.lease_term / 2;
         !self.has_tasks() || self.task_leases.hand_over(timeout).await
     }
 
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -58,7 +58,7 @@
     async fn wait_for_renewal(&self) {
         let requested = self.task_leases.listen_renewal_requested();
         let interval = async {
-            Timer::after(self.settings.ask_every).await;
+            Timer::after(self.settings.renewal_interval).await;
         };
         future::or(requested, future::or(self.change_watched(), interval)).await;
     }
@@ -66,7 +66,7 @@
     /// Waits in a watch call until a replica reports a change. After a failed call it returns too.
     async fn change_watched(&self) {
         let request = self.watch_request();
-        let timeout = self.settings.ask_every + CALL_TIMEOUT;
+        let timeout = self.settings.renewal_interval + CALL_TIMEOUT;
         let response: Result<wire::VersionNumbers, CallError> = self
             .replicas
             .call(wire::WATCH, Some(&request), timeout)
@@ -90,7 +90,7 @@
         };
         wire::WatchRequest {
             known,
-            wait_ms: self.settings.ask_every.as_millis() as u64,
+            wait_ms: self.settings.renewal_interval.as_millis() as u64,
             watch_leases: self.has_tasks(),
         }
     }
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -15,7 +15,7 @@
 
 use crate::context::RouterContext;
 use crate::recovery::recovery_error;
-use crate::settings::RepeatSettings;
+use crate::settings;
 
 /// Bytes of a response without its rows, at most in most cases.
 const ENVELOPE_BYTES: usize = 768;
@@ -241,9 +241,9 @@
     class: usize,
     has_delivered_rows: bool,
 ) -> RecoveryState {
-    let idempotency = match context.settings().classes[class].repeat {
-        RepeatSettings::Safe => Idempotency::Idempotent,
-        RepeatSettings::Never => Idempotency::NotIdempotent,
+    let idempotency = match context.settings().classes[class].idempotency {
+        settings::Idempotency::Idempotent => Idempotency::Idempotent,
+        settings::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
     };
     let phase = if has_delivered_rows {
         Phase::RowsDelivered
@@ -273,7 +273,7 @@
     };
     let response = Response::json(200, results.to_json(context.token_key()));
     if error.name.is_retryable() {
-        let hold_off = context.settings().limits.hold_off;
+        let hold_off = context.settings().limits.max_retry_after;
         response.with("Retry-After", &retry_after_seconds(hold_off))
     } else {
         response
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -44,11 +44,11 @@
     let limits = &settings.limits;
     let config = Config {
         limits: Limits {
-            body: limits.statement_bytes,
+            body: limits.max_statement_bytes,
             ..Limits::default()
         },
-        connections: limits.connections,
-        incoming: limits.incoming_bytes,
+        connections: limits.max_connections,
+        incoming: limits.max_incoming_bytes,
         ..Config::default()
     };
     let spawner = context.spawner().clone();
@@ -114,7 +114,7 @@
 }
 
 fn submit(context: &RouterContext, request: &Request) -> Response {
-    let retry_after = query_results::retry_after_seconds(context.settings().limits.hold_off);
+    let retry_after = query_results::retry_after_seconds(context.settings().limits.max_retry_after);
     let submission = match submission::parse(&context.settings(), request) {
         Ok(submission) => submission,
         Err(error) => return Response::text(400, &error.to_string()),
@@ -168,7 +168,9 @@
 
 /// Waits for the response, for as long as a long poll may last.
 async fn wait_for_response(context: &RouterContext, id: StatementId, page: u64) -> PollOutcome {
-    let mut timeout = context.timer().sleep(context.settings().limits.long_poll);
+    let mut timeout = context
+        .timer()
+        .sleep(context.settings().limits.long_poll_timeout);
     loop {
         // Listens before it polls, so that no news is missed between the two.
         let news = context.listen(id);
--- a/crates/statement-router/src/service/shutdown.rs
+++ b/crates/statement-router/src/service/shutdown.rs
@@ -48,7 +48,7 @@
     async fn finish_statements(&self) -> ShutdownOutcome {
         let event_loop = self.context.event_loop();
         event_loop.core().begin_shutdown();
-        let deadline = Instant::now() + self.settings().limits.drain_within;
+        let deadline = Instant::now() + self.settings().limits.shutdown_timeout;
         loop {
             if event_loop.core().is_idle() {
                 Timer::after(WRITE_GRACE).await;
--- a/crates/statement-router/src/service/startup.rs
+++ b/crates/statement-router/src/service/startup.rs
@@ -63,7 +63,7 @@
         )?;
         let engines =
             EngineClient::new(engine_options(&settings, identity), class_names(&settings));
-        let state_dir = settings.router.state.as_deref();
+        let state_dir = settings.router.state_dir.as_deref();
         let statistics_store = state_dir.map(StatisticsStore::new);
         let settings = Rc::new(settings);
         let discovery = Discovery::new(settings.clone(), fleet_member.clone());
@@ -109,9 +109,9 @@
         let service = self.clone();
         spawner.spawn(async move { service.context.event_loop().run().await });
         self.start_fleet_member();
-        let listener_of_endpoints: Rc<dyn EndpointListener> = self.clone();
+        let endpoint_listener: Rc<dyn EndpointListener> = self.clone();
         let discovery = self.discovery.clone();
-        spawner.spawn(discovery.run(spawner.clone(), listener_of_endpoints));
+        spawner.spawn(discovery.run(spawner.clone(), endpoint_listener));
         let serving = statement_api::serve(self.context.clone(), listener, extra_routes);
         spawner.spawn(async move {
             let _ = serving.await;
@@ -137,7 +137,7 @@
             let service = self.clone();
             self.context.spawner().spawn(async move {
                 loop {
-                    Timer::after(service.settings().runaways.save_every).await;
+                    Timer::after(service.settings().runaways.save_interval).await;
                     service.save_statistics();
                 }
             });
@@ -171,11 +171,11 @@
     let micros = |duration: Duration| duration.as_micros() as Micros;
     let limits = &settings.limits;
     CoreLimits {
-        max_open_statements: limits.statements,
-        max_retained_responses: limits.answered,
-        retention: micros(limits.keep),
+        max_open_statements: limits.max_open_statements,
+        max_retained_responses: limits.max_retained_responses,
+        retention: micros(limits.retention),
         abandon_after: micros(limits.abandon_after),
-        max_buffered_bytes: limits.held_bytes,
+        max_buffered_bytes: limits.max_buffered_bytes,
         response_margin: RESPONSE_MARGIN,
     }
 }
@@ -183,8 +183,8 @@
 fn engine_options(settings: &Settings, identity: RouterIdentity) -> EngineOptions {
     EngineOptions {
         identity,
-        connect_timeout: settings.engines.connect_within,
-        poll_timeout: settings.engines.poll_within,
-        max_page_bytes: settings.limits.page_bytes,
+        connect_timeout: settings.engines.connect_timeout,
+        poll_timeout: settings.engines.poll_timeout,
+        max_page_bytes: settings.limits.max_page_bytes,
     }
 }
--- a/crates/statement-router/src/settings.rs
+++ b/crates/statement-router/src/settings.rs
@@ -19,8 +19,8 @@
 pub use error::SettingError;
 pub use jsonnet::{evaluate, evaluate_file};
 pub use sections::{
-    AgreementSettings, BudgetSettings, ClassSettings, DiscoverySettings, EngineSettings,
-    LimitSettings, MachineKind, RepeatSettings, RouterSettings, RuleSettings, RunawaySettings,
+    ClassSettings, CoordinationSettings, DiscoverySettings, EngineSettings, Idempotency,
+    LimitSettings, MachineKind, RetryBudgetSettings, RouterSettings, RuleSettings, RunawaySettings,
     Tenant,
 };
 
@@ -48,7 +48,8 @@
     /// What is done about runaway statements.
     pub runaways: RunawaySettings,
     /// How this router takes part in the coordination of a fleet; `None`: its own file alone applies.
-    pub agreement: Option<AgreementSettings>,
+    #[serde(rename = "agreement")]
+    pub coordination: Option<CoordinationSettings>,
     /// Resource limits and timeouts.
     pub limits: LimitSettings,
 }
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -6,7 +6,7 @@
 use hoptiller_runaway as runaway;
 use serde_json::{Map, Value, json};
 
-use super::{BudgetSettings, ClassSettings, MachineKind, RepeatSettings, Settings};
+use super::{ClassSettings, Idempotency, MachineKind, RetryBudgetSettings, Settings};
 
 fn micros(duration: Duration) -> Micros {
     duration.as_micros() as Micros
@@ -28,12 +28,12 @@
             cores: self.kinds.iter().map(|kind| kind.cores).collect(),
             tenant_quotas: self.tenants.iter().map(|tenant| tenant.share).collect(),
             over_quota_weight: 1.0,
-            load_reports: engines.reports,
-            progress_interval: micros(engines.notes_every),
+            load_reports: engines.load_reports,
+            progress_interval: micros(engines.progress_interval),
             max_grant_mb: 0.0,
             memory_overcommit: false,
-            reports_in_flight: engines.tells_in_flight,
-            reports_work: engines.bills,
+            reports_in_flight: engines.reports_in_flight,
+            reports_work: engines.reports_work,
             health_check_cost: 0.0,
             clients_mark_retries: true,
             discovery: policy::Discovery::Push,
@@ -48,10 +48,10 @@
             max_open_requests: 0,
             hedged_requests: false,
             retry_after: true,
-            max_retry_after: micros(self.limits.hold_off),
-            priorities: self.engines.priorities,
-            health_checks: self.engines.probes,
-            cancel: self.engines.cancel,
+            max_retry_after: micros(self.limits.max_retry_after),
+            priorities: self.engines.supports_priorities,
+            health_checks: self.engines.health_checks,
+            cancel: self.engines.supports_cancel,
         }
     }
 
@@ -59,16 +59,16 @@
         let rules = &self.rules;
         policy::Rules {
             start_capacity: rules.start_capacity,
-            slow_start_window: micros(rules.ramp),
-            overload_factor: rules.overload,
-            overload_window: micros(rules.fall),
-            key_pause: micros(rules.order_pause),
+            slow_start_window: micros(rules.slow_start_window),
+            overload_factor: rules.overload_factor,
+            overload_window: micros(rules.overload_window),
+            key_pause: micros(rules.key_pause),
             retry_budget: self
                 .engines
-                .budget
+                .retry_budget
                 .as_ref()
-                .map(BudgetSettings::policy_budget),
-            max_poll_interval: micros(self.discovery.every),
+                .map(RetryBudgetSettings::policy_budget),
+            max_poll_interval: micros(self.discovery.list_interval),
         }
     }
 
@@ -77,23 +77,23 @@
         let class =
             |(class, enforcement): (&ClassSettings, &runaway::EnforcementOptions)| runaway::Class {
                 name: class.name.clone(),
-                latency_objective: micros(class.aim),
-                client_timeout: micros(class.patience),
+                latency_objective: micros(class.latency_objective),
+                client_timeout: micros(class.client_timeout),
                 threads: class.threads,
-                idempotency: class.idempotency(),
-                holds_tables: class.holds,
+                idempotency: class.policy_idempotency(),
+                holds_tables: class.holds_tables,
                 enforcement: *enforcement,
             };
         runaway::Settings {
             classes: self
                 .classes
                 .iter()
-                .zip(&self.runaways.acts)
+                .zip(&self.runaways.enforcement)
                 .map(class)
                 .collect(),
-            max_fingerprints: self.runaways.kinds,
+            max_fingerprints: self.runaways.max_fingerprints,
             pause_for: micros(self.runaways.pause_for),
-            end_after: micros(self.runaways.end_after),
+            end_after: micros(self.runaways.kill_after),
         }
     }
 
@@ -104,23 +104,23 @@
             .iter()
             .map(|class| (class.name.clone(), class.audit_rules(&self.kinds)))
             .collect();
-        let budget = self.engines.budget;
+        let budget = self.engines.retry_budget;
         json!({
             "classes": classes,
             "drain_grace": micros(self.rules.drain_grace),
             "max_attempts": self.engines.max_attempts,
-            "order_pause": micros(self.rules.order_pause),
-            "budget": budget.map(|budget| (budget.spare, budget.ratio, micros(budget.within))),
+            "order_pause": micros(self.rules.key_pause),
+            "budget": budget.map(|budget| (budget.min_retries, budget.ratio, micros(budget.window))),
         })
     }
 }
 
-impl BudgetSettings {
+impl RetryBudgetSettings {
     fn policy_budget(&self) -> policy::RetryBudget {
         policy::RetryBudget {
-            min_retries: self.spare,
+            min_retries: self.min_retries,
             ratio: self.ratio,
-            window: micros(self.within),
+            window: micros(self.window),
         }
     }
 }
@@ -128,35 +128,35 @@
 impl ClassSettings {
     fn policy_class(&self) -> policy::Class {
         policy::Class {
-            latency_objective: micros(self.aim),
-            objective_stretch: self.stretch,
-            deadline: micros(self.patience),
-            idempotency: self.idempotency(),
-            ordered_by_key: self.in_order,
-            late_weight_ratio: self.late_worth,
-            priority_weight: self.worth,
+            latency_objective: micros(self.latency_objective),
+            objective_stretch: self.objective_stretch,
+            deadline: micros(self.client_timeout),
+            idempotency: self.policy_idempotency(),
+            ordered_by_key: self.ordered_by_key,
+            late_weight_ratio: self.late_weight_ratio,
+            priority_weight: self.priority_weight,
             zones: self.zones.clone(),
             kinds: self.kinds.clone(),
             threads: self.threads,
-            locks_group: self.holds,
+            locks_group: self.holds_tables,
         }
     }
 
-    fn idempotency(&self) -> policy::Idempotency {
-        match self.repeat {
-            RepeatSettings::Safe => policy::Idempotency::Idempotent,
-            RepeatSettings::Never => policy::Idempotency::NotIdempotent,
+    fn policy_idempotency(&self) -> policy::Idempotency {
+        match self.idempotency {
+            Idempotency::Idempotent => policy::Idempotency::Idempotent,
+            Idempotency::NotIdempotent => policy::Idempotency::NotIdempotent,
         }
     }
 
     fn audit_rules(&self, kinds: &[MachineKind]) -> Value {
         let allowed = self.kinds.iter().flatten().map(|index| &kinds[*index].name);
         json!({
-            "never_twice": self.repeat == RepeatSettings::Never,
-            "in_order": self.in_order,
+            "never_twice": self.idempotency == Idempotency::NotIdempotent,
+            "in_order": self.ordered_by_key,
             "kinds": allowed.collect::<Vec<_>>(),
-            "aim": micros(self.aim),
-            "stretch": self.stretch,
+            "aim": micros(self.latency_objective),
+            "stretch": self.objective_stretch,
             "threads": self.threads,
         })
     }
--- a/crates/statement-router/src/settings/fleet_document.rs
+++ b/crates/statement-router/src/settings/fleet_document.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use hoptiller_coordination::{ConfigDuration, Document, Idempotency, StatementClass};
+use hoptiller_coordination::{ConfigDuration, Document, StatementClass};
 
 use super::validate::validate;
 use super::{
-    BudgetSettings, ClassSettings, EngineSettings, MachineKind, RepeatSettings, RuleSettings,
+    ClassSettings, EngineSettings, Idempotency, MachineKind, RetryBudgetSettings, RuleSettings,
     SettingError, Settings, Tenant,
 };
 
@@ -84,16 +84,23 @@
         if let Some(index) = default.and_then(|name| self.class_index(name)) {
             self.default_class = index;
         }
-        let enforcement = self.runaways.acts.last().copied().unwrap_or_default();
-        self.runaways.acts.resize(self.classes.len(), enforcement);
+        let enforcement = self
+            .runaways
+            .enforcement
+            .last()
+            .copied()
+            .unwrap_or_default();
+        self.runaways
+            .enforcement
+            .resize(self.classes.len(), enforcement);
     }
 
     /// Removes what the engines don't support from what is done about runaway statements.
     fn limit_enforcement(&mut self) {
-        for enforcement in &mut self.runaways.acts {
-            enforcement.end &= self.engines.ends;
-            enforcement.pause &= self.engines.pauses;
-            enforcement.lower &= self.engines.priorities;
+        for enforcement in &mut self.runaways.enforcement {
+            enforcement.end &= self.engines.supports_kill;
+            enforcement.pause &= self.engines.supports_pause;
+            enforcement.lower &= self.engines.supports_priorities;
         }
     }
 }
@@ -101,21 +108,21 @@
 impl EngineSettings {
     /// A document can disable what the engines of this router support, but not enable what they don't.
     fn with_document(&self, document: &hoptiller_coordination::EngineSettings) -> EngineSettings {
-        let cancel = document.cancel && self.cancel;
+        let supports_cancel = document.cancel && self.supports_cancel;
         EngineSettings {
             max_attempts: document.max_attempts,
-            budget: document.budget.as_ref().map(|budget| BudgetSettings {
-                spare: budget.spare,
+            retry_budget: document.budget.as_ref().map(|budget| RetryBudgetSettings {
+                min_retries: budget.spare,
                 ratio: budget.ratio,
-                within: duration(budget.within),
+                window: duration(budget.within),
             }),
-            probes: document.probes && self.probes,
-            cancel,
-            priorities: document.priorities && self.priorities,
-            ends: document.ends && self.ends,
-            pauses: document.pauses && self.pauses,
-            notes_every: if cancel {
-                self.notes_every
+            health_checks: document.probes && self.health_checks,
+            supports_cancel,
+            supports_priorities: document.priorities && self.supports_priorities,
+            supports_kill: document.ends && self.supports_kill,
+            supports_pause: document.pauses && self.supports_pause,
+            progress_interval: if supports_cancel {
+                self.progress_interval
             } else {
                 Duration::ZERO
             },
@@ -128,10 +135,10 @@
     fn apply(&mut self, document: &hoptiller_coordination::RuleParameters) {
         *self = RuleSettings {
             start_capacity: document.start_capacity,
-            ramp: duration(document.ramp),
-            overload: document.overload,
-            fall: duration(document.fall),
-            order_pause: duration(document.order_pause),
+            slow_start_window: duration(document.ramp),
+            overload_factor: document.overload,
+            overload_window: duration(document.fall),
+            key_pause: duration(document.order_pause),
             drain_grace: duration(document.drain_grace),
         };
     }
@@ -172,18 +179,18 @@
     let zones = settings.zones.iter().map(|zone| allows_zone(zone));
     ClassSettings {
         name: name.to_owned(),
-        aim: duration(class.aim),
-        stretch: class.stretch,
-        patience: duration(class.patience),
-        repeat: match class.repeat {
-            Idempotency::Idempotent => RepeatSettings::Safe,
-            Idempotency::NonIdempotent => RepeatSettings::Never,
+        latency_objective: duration(class.aim),
+        objective_stretch: class.stretch,
+        client_timeout: duration(class.patience),
+        idempotency: match class.repeat {
+            hoptiller_coordination::Idempotency::Idempotent => Idempotency::Idempotent,
+            hoptiller_coordination::Idempotency::NonIdempotent => Idempotency::NotIdempotent,
         },
-        in_order: class.in_order,
-        worth: class.worth,
-        late_worth: class.late_worth,
+        ordered_by_key: class.in_order,
+        priority_weight: class.worth,
+        late_weight_ratio: class.late_worth,
         threads: class.threads,
-        holds: class.holds,
+        holds_tables: class.holds,
         kinds: restriction(kinds, class.kinds.is_some()),
         zones: restriction(zones, class.zones.is_some()),
     }
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -9,8 +9,8 @@
 
 use super::reader::{Object, Reader};
 use super::{
-    AgreementSettings, BudgetSettings, ClassSettings, DiscoverySettings, EngineSettings,
-    LimitSettings, MachineKind, RepeatSettings, RouterSettings, RuleSettings, RunawaySettings,
+    ClassSettings, CoordinationSettings, DiscoverySettings, EngineSettings, Idempotency,
+    LimitSettings, MachineKind, RetryBudgetSettings, RouterSettings, RuleSettings, RunawaySettings,
     SettingError, Settings, Tenant,
 };
 
@@ -57,7 +57,7 @@
             .child(&mut file, "discovery")
             .and_then(|o| self.discovery(o));
         let runaways = self.runaways(&mut file, classes.as_deref());
-        let agreement = self.agreement(&mut file);
+        let coordination = self.coordination(&mut file);
         let limits = self.optional_child(&mut file, "limits");
         let limits = self.limits(limits);
         self.finish(file);
@@ -74,7 +74,7 @@
             rules: rules?,
             discovery: discovery?,
             runaways: runaways?,
-            agreement: agreement?,
+            coordination: coordination?,
             limits: limits?,
         })
     }
@@ -128,7 +128,7 @@
             None => Some(None),
             Some(_) => self.address(&mut object, "admin").map(Some),
         };
-        let state = match self.optional(&mut object, "state") {
+        let state_dir = match self.optional(&mut object, "state") {
             None => None,
             Some(_) => Some(PathBuf::from(self.text(&mut object, "state")?)),
         };
@@ -140,7 +140,7 @@
             name: name?,
             listen: listen?,
             admin: admin?,
-            state,
+            state_dir,
             seed: seed?,
         })
     }
@@ -174,38 +174,38 @@
         zones: &[String],
     ) -> Option<ClassSettings> {
         let name = self.text(&mut object, "name");
-        let aim = self.duration(&mut object, "aim");
-        let stretch = self.number(&mut object, "stretch", Some(0.0));
-        let patience = self.duration(&mut object, "patience");
-        let repeat = self.repeat(&mut object);
-        let in_order = self.flag(&mut object, "in_order", false);
-        let worth = self.number(&mut object, "worth", Some(1.0));
-        let late_worth = self.number(&mut object, "late_worth", Some(0.0));
+        let latency_objective = self.duration(&mut object, "aim");
+        let objective_stretch = self.number(&mut object, "stretch", Some(0.0));
+        let client_timeout = self.duration(&mut object, "patience");
+        let idempotency = self.idempotency(&mut object);
+        let ordered_by_key = self.flag(&mut object, "in_order", false);
+        let priority_weight = self.number(&mut object, "worth", Some(1.0));
+        let late_weight_ratio = self.number(&mut object, "late_worth", Some(0.0));
         let threads = self.number(&mut object, "threads", Some(1.0));
-        let holds = self.flag(&mut object, "holds", false);
+        let holds_tables = self.flag(&mut object, "holds", false);
         let kinds = self.indices(&mut object, "kinds", kinds);
         let zones = self.indices(&mut object, "zones", zones);
         self.finish(object);
         Some(ClassSettings {
             name: name?,
-            aim: aim?,
-            stretch: stretch?,
-            patience: patience?,
-            repeat: repeat?,
-            in_order: in_order?,
-            worth: worth?,
-            late_worth: late_worth?,
+            latency_objective: latency_objective?,
+            objective_stretch: objective_stretch?,
+            client_timeout: client_timeout?,
+            idempotency: idempotency?,
+            ordered_by_key: ordered_by_key?,
+            priority_weight: priority_weight?,
+            late_weight_ratio: late_weight_ratio?,
             threads: threads?,
-            holds: holds?,
+            holds_tables: holds_tables?,
             kinds,
             zones,
         })
     }
 
-    fn repeat(&mut self, class: &mut Object<'_>) -> Option<RepeatSettings> {
+    fn idempotency(&mut self, class: &mut Object<'_>) -> Option<Idempotency> {
         match self.required(class, "repeat")?.as_str() {
-            Some("safe") => Some(RepeatSettings::Safe),
-            Some("never") => Some(RepeatSettings::Never),
+            Some("safe") => Some(Idempotency::Idempotent),
+            Some("never") => Some(Idempotency::NotIdempotent),
             _ => {
                 self.reject(class.path_of("repeat"), "'safe' or 'never' is wanted");
                 None
@@ -215,67 +215,67 @@
 
     fn engines(&mut self, mut object: Object<'_>) -> Option<EngineSettings> {
         let max_attempts = self.count(&mut object, "max_attempts", 3);
-        let budget = self.budget(&mut object);
-        let probes = self.flag(&mut object, "probes", true);
-        let reports = self.flag(&mut object, "reports", true);
-        let tells_in_flight = self.flag(&mut object, "tells_in_flight", false);
-        let bills = self.flag(&mut object, "bills", false);
-        let cancel = self.flag(&mut object, "cancel", false);
-        let priorities = self.flag(&mut object, "priorities", false);
-        let ends = self.flag(&mut object, "ends", false);
-        let pauses = self.flag(&mut object, "pauses", false);
-        let notes_every = self.duration_or(&mut object, "notes_every", Duration::ZERO);
-        let connect_within = self.duration_or(&mut object, "connect_within", millis(250));
-        let poll_within = self.duration_or(&mut object, "poll_within", seconds(5));
+        let retry_budget = self.budget(&mut object);
+        let health_checks = self.flag(&mut object, "probes", true);
+        let load_reports = self.flag(&mut object, "reports", true);
+        let reports_in_flight = self.flag(&mut object, "tells_in_flight", false);
+        let reports_work = self.flag(&mut object, "bills", false);
+        let supports_cancel = self.flag(&mut object, "cancel", false);
+        let supports_priorities = self.flag(&mut object, "priorities", false);
+        let supports_kill = self.flag(&mut object, "ends", false);
+        let supports_pause = self.flag(&mut object, "pauses", false);
+        let progress_interval = self.duration_or(&mut object, "notes_every", Duration::ZERO);
+        let connect_timeout = self.duration_or(&mut object, "connect_within", millis(250));
+        let poll_timeout = self.duration_or(&mut object, "poll_within", seconds(5));
         self.finish(object);
         Some(EngineSettings {
             max_attempts: u32::try_from(max_attempts?).ok()?,
-            budget: budget?,
-            probes: probes?,
-            reports: reports?,
-            tells_in_flight: tells_in_flight?,
-            bills: bills?,
-            cancel: cancel?,
-            priorities: priorities?,
-            ends: ends?,
-            pauses: pauses?,
-            notes_every: notes_every?,
-            connect_within: connect_within?,
-            poll_within: poll_within?,
+            retry_budget: retry_budget?,
+            health_checks: health_checks?,
+            load_reports: load_reports?,
+            reports_in_flight: reports_in_flight?,
+            reports_work: reports_work?,
+            supports_cancel: supports_cancel?,
+            supports_priorities: supports_priorities?,
+            supports_kill: supports_kill?,
+            supports_pause: supports_pause?,
+            progress_interval: progress_interval?,
+            connect_timeout: connect_timeout?,
+            poll_timeout: poll_timeout?,
         })
     }
 
     /// `Some(None)`: there is no budget.
-    fn budget(&mut self, engines: &mut Object<'_>) -> Option<Option<BudgetSettings>> {
+    fn budget(&mut self, engines: &mut Object<'_>) -> Option<Option<RetryBudgetSettings>> {
         let Some(value) = self.optional(engines, "budget") else {
             return Some(None);
         };
         let mut object = self.object(value, "engines.budget");
-        let spare = self.number(&mut object, "spare", None);
+        let min_retries = self.number(&mut object, "spare", None);
         let ratio = self.number(&mut object, "ratio", None);
-        let within = self.duration(&mut object, "within");
+        let window = self.duration(&mut object, "within");
         self.finish(object);
-        Some(Some(BudgetSettings {
-            spare: spare?,
+        Some(Some(RetryBudgetSettings {
+            min_retries: min_retries?,
             ratio: ratio?,
-            within: within?,
+            window: window?,
         }))
     }
 
     fn rules(&mut self, mut object: Object<'_>) -> Option<RuleSettings> {
         let start_capacity = self.number(&mut object, "start_capacity", None);
-        let ramp = self.duration(&mut object, "ramp");
-        let overload = self.number(&mut object, "overload", None);
-        let fall = self.duration(&mut object, "fall");
-        let order_pause = self.duration_or(&mut object, "order_pause", Duration::ZERO);
+        let slow_start_window = self.duration(&mut object, "ramp");
+        let overload_factor = self.number(&mut object, "overload", None);
+        let overload_window = self.duration(&mut object, "fall");
+        let key_pause = self.duration_or(&mut object, "order_pause", Duration::ZERO);
         let drain_grace = self.duration_or(&mut object, "drain_grace", seconds(1));
         self.finish(object);
         Some(RuleSettings {
             start_capacity: start_capacity?,
-            ramp: ramp?,
-            overload: overload?,
-            fall: fall?,
-            order_pause: order_pause?,
+            slow_start_window: slow_start_window?,
+            overload_factor: overload_factor?,
+            overload_window: overload_window?,
+            key_pause: key_pause?,
             drain_grace: drain_grace?,
         })
     }
@@ -283,16 +283,16 @@
     fn discovery(&mut self, mut object: Object<'_>) -> Option<DiscoverySettings> {
         let address = self.address(&mut object, "address");
         let environment = self.text(&mut object, "environment");
-        let every = self.duration_or(&mut object, "every", millis(500));
-        let state_every = self.duration_or(&mut object, "state_every", millis(500));
-        let within = self.duration_or(&mut object, "within", seconds(1));
+        let list_interval = self.duration_or(&mut object, "every", millis(500));
+        let state_interval = self.duration_or(&mut object, "state_every", millis(500));
+        let timeout = self.duration_or(&mut object, "within", seconds(1));
         self.finish(object);
         Some(DiscoverySettings {
             address: address?,
             environment: environment?,
-            every: every?,
-            state_every: state_every?,
-            within: within?,
+            list_interval: list_interval?,
+            state_interval: state_interval?,
+            timeout: timeout?,
         })
     }
 
@@ -302,18 +302,18 @@
         classes: Option<&[ClassSettings]>,
     ) -> Option<RunawaySettings> {
         let mut object = self.optional_child(file, "runaways");
-        let acts = self.enforcement_by_class(&mut object, classes);
-        let end_after = self.duration_or(&mut object, "end_after", seconds(10));
+        let enforcement = self.enforcement_by_class(&mut object, classes);
+        let kill_after = self.duration_or(&mut object, "end_after", seconds(10));
         let pause_for = self.duration_or(&mut object, "pause_for", seconds(10));
-        let kinds = self.count(&mut object, "kinds", 4096);
-        let save_every = self.duration_or(&mut object, "save_every", seconds(30));
+        let max_fingerprints = self.count(&mut object, "kinds", 4096);
+        let save_interval = self.duration_or(&mut object, "save_every", seconds(30));
         self.finish(object);
         Some(RunawaySettings {
-            acts: acts?,
-            end_after: end_after?,
+            enforcement: enforcement?,
+            kill_after: kill_after?,
             pause_for: pause_for?,
-            kinds: kinds? as usize,
-            save_every: save_every?,
+            max_fingerprints: max_fingerprints? as usize,
+            save_interval: save_interval?,
         })
     }
 
@@ -370,26 +370,26 @@
     }
 
     /// `Some(None)`: this router takes no part in coordination.
-    fn agreement(&mut self, file: &mut Object<'_>) -> Option<Option<AgreementSettings>> {
+    fn coordination(&mut self, file: &mut Object<'_>) -> Option<Option<CoordinationSettings>> {
         if self.optional(file, "agreement").is_none() {
             return Some(None);
         }
         let mut object = self.child(file, "agreement")?;
-        let keepers = self.replica_addresses(&mut object);
-        let secret = self.text(&mut object, "secret");
-        let permit = self.duration_or(&mut object, "permit", DEFAULT_LEASE_TERM);
+        let replicas = self.replica_addresses(&mut object);
+        let secret_file = self.text(&mut object, "secret");
+        let lease_term = self.duration_or(&mut object, "permit", DEFAULT_LEASE_TERM);
         let drift = self.count(&mut object, "drift", 1000);
-        let default_interval = permit.map_or(DEFAULT_RENEWAL_INTERVAL, |term| {
+        let default_interval = lease_term.map_or(DEFAULT_RENEWAL_INTERVAL, |term| {
             millis(term.as_millis() as u64 / RENEWALS_PER_TERM)
         });
-        let ask_every = self.duration_or(&mut object, "ask_every", default_interval);
+        let renewal_interval = self.duration_or(&mut object, "ask_every", default_interval);
         self.finish(object);
-        Some(Some(AgreementSettings {
-            keepers: keepers?,
-            secret: PathBuf::from(secret?),
-            permit: permit?,
+        Some(Some(CoordinationSettings {
+            replicas: replicas?,
+            secret_file: PathBuf::from(secret_file?),
+            lease_term: lease_term?,
             drift: drift?,
-            ask_every: ask_every?,
+            renewal_interval: renewal_interval?,
         }))
     }
 
@@ -412,33 +412,33 @@
     }
 
     fn limits(&mut self, mut object: Object<'_>) -> Option<LimitSettings> {
-        let statements = self.count(&mut object, "statements", 50_000);
-        let answered = self.count(&mut object, "answered", 50_000);
-        let keep = self.duration_or(&mut object, "keep", seconds(60));
-        let connections = self.count(&mut object, "connections", 32_768);
-        let statement_bytes = self.count(&mut object, "statement_bytes", 1 << 20);
-        let incoming_bytes = self.count(&mut object, "incoming_bytes", 256 << 20);
-        let page_bytes = self.count(&mut object, "page_bytes", 16 << 20);
-        let held_bytes = self.count(&mut object, "held_bytes", 512 << 20);
-        let long_poll = self.duration_or(&mut object, "long_poll", seconds(1));
+        let max_open_statements = self.count(&mut object, "statements", 50_000);
+        let max_retained_responses = self.count(&mut object, "answered", 50_000);
+        let retention = self.duration_or(&mut object, "keep", seconds(60));
+        let max_connections = self.count(&mut object, "connections", 32_768);
+        let max_statement_bytes = self.count(&mut object, "statement_bytes", 1 << 20);
+        let max_incoming_bytes = self.count(&mut object, "incoming_bytes", 256 << 20);
+        let max_page_bytes = self.count(&mut object, "page_bytes", 16 << 20);
+        let max_buffered_bytes = self.count(&mut object, "held_bytes", 512 << 20);
+        let long_poll_timeout = self.duration_or(&mut object, "long_poll", seconds(1));
         let abandon_after = self.duration_or(&mut object, "abandon_after", seconds(30));
-        let hold_off = self.duration_or(&mut object, "hold_off", seconds(2));
-        let drain_within = self.duration_or(&mut object, "drain_within", seconds(30));
+        let max_retry_after = self.duration_or(&mut object, "hold_off", seconds(2));
+        let shutdown_timeout = self.duration_or(&mut object, "drain_within", seconds(30));
         let tick = self.duration_or(&mut object, "tick", millis(1));
         self.finish(object);
         Some(LimitSettings {
-            statements: statements? as usize,
-            answered: answered? as usize,
-            keep: keep?,
-            connections: connections? as usize,
-            statement_bytes: statement_bytes?,
-            incoming_bytes: incoming_bytes?,
-            page_bytes: page_bytes?,
-            held_bytes: held_bytes?,
-            long_poll: long_poll?,
+            max_open_statements: max_open_statements? as usize,
+            max_retained_responses: max_retained_responses? as usize,
+            retention: retention?,
+            max_connections: max_connections? as usize,
+            max_statement_bytes: max_statement_bytes?,
+            max_incoming_bytes: max_incoming_bytes?,
+            max_page_bytes: max_page_bytes?,
+            max_buffered_bytes: max_buffered_bytes?,
+            long_poll_timeout: long_poll_timeout?,
             abandon_after: abandon_after?,
-            hold_off: hold_off?,
-            drain_within: drain_within?,
+            max_retry_after: max_retry_after?,
+            shutdown_timeout: shutdown_timeout?,
             tick: tick?,
         })
     }
--- a/crates/statement-router/src/settings/sections.rs
+++ b/crates/statement-router/src/settings/sections.rs
@@ -22,7 +22,8 @@
     /// Listen address of the administration API; `None`: it is not served.
     pub admin: Option<SocketAddr>,
     /// Directory of the token secret and of saved statistics; `None`: a new secret at each start, and nothing is saved.
-    pub state: Option<PathBuf>,
+    #[serde(rename = "state")]
+    pub state_dir: Option<PathBuf>,
     /// Seed of the policy's random draws.
     pub seed: u64,
 }
@@ -59,14 +60,15 @@
     }
 }
 
-/// The effect of running a statement of a class again.
+/// Whether the statements of a class may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum RepeatSettings {
-    /// None: the statement is idempotent.
-    Safe,
-    /// A second effect: the statement must never run twice.
-    Never,
+pub enum Idempotency {
+    /// A second run has no further effect.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// A second run has a second effect: a statement must never run twice.
+    #[serde(rename = "never")]
+    NotIdempotent,
 }
 
 /// A class of statements.
@@ -75,23 +77,31 @@
     /// Its name.
     pub name: String,
     /// Latency objective: a response within this time has the full priority weight.
-    pub aim: Duration,
+    #[serde(rename = "aim")]
+    pub latency_objective: Duration,
     /// The objective grows by this times the statement's work over its threads.
-    pub stretch: f64,
+    #[serde(rename = "stretch")]
+    pub objective_stretch: f64,
     /// How long a client waits for the response.
-    pub patience: Duration,
-    /// The effect of running a statement again.
-    pub repeat: RepeatSettings,
+    #[serde(rename = "patience")]
+    pub client_timeout: Duration,
+    /// Whether statements may run twice.
+    #[serde(rename = "repeat")]
+    pub idempotency: Idempotency,
     /// Whether statements with the same ordering key run one after the other.
-    pub in_order: bool,
+    #[serde(rename = "in_order")]
+    pub ordered_by_key: bool,
     /// Priority weight of one response.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Part of the priority weight of a response after the latency objective, 0 to 1.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight_ratio: f64,
     /// Threads that a statement runs on.
     pub threads: f64,
     /// Whether a statement locks its tables while it runs.
-    pub holds: bool,
+    #[serde(rename = "holds")]
+    pub holds_tables: bool,
     /// Indices of the machine kinds that statements may run on; `None`: all.
     pub kinds: Option<Vec<usize>>,
     /// Indices of the zones that statements may run in; `None`: all.
@@ -100,13 +110,15 @@
 
 /// The retry budget of one router.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct BudgetSettings {
+pub struct RetryBudgetSettings {
     /// Retries that are allowed without any traffic.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub min_retries: f64,
     /// Retries per admitted statement.
     pub ratio: f64,
     /// The window over which both are counted.
-    pub within: Duration,
+    #[serde(rename = "within")]
+    pub window: Duration,
 }
 
 /// What engines support and report.
@@ -115,29 +127,41 @@
     /// Maximum number of attempts at a statement.
     pub max_attempts: u32,
     /// The retry budget; `None`: retries are limited by `max_attempts` alone.
-    pub budget: Option<BudgetSettings>,
+    #[serde(rename = "budget")]
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Engines answer health checks.
-    pub probes: bool,
+    #[serde(rename = "probes")]
+    pub health_checks: bool,
     /// Load reports contain memory or CPU use.
-    pub reports: bool,
+    #[serde(rename = "reports")]
+    pub load_reports: bool,
     /// Load reports contain the number of statements in flight.
-    pub tells_in_flight: bool,
+    #[serde(rename = "tells_in_flight")]
+    pub reports_in_flight: bool,
     /// Responses contain the work of the statement.
-    pub bills: bool,
+    #[serde(rename = "bills")]
+    pub reports_work: bool,
     /// Cancelling a statement stops its work.
-    pub cancel: bool,
+    #[serde(rename = "cancel")]
+    pub supports_cancel: bool,
     /// Engines respect the priority of a statement.
-    pub priorities: bool,
+    #[serde(rename = "priorities")]
+    pub supports_priorities: bool,
     /// Engines kill a statement on request (`PUT /v1/query/ID/killed`).
-    pub ends: bool,
+    #[serde(rename = "ends")]
+    pub supports_kill: bool,
     /// Engines pause a statement on request (`PUT /v1/query/ID/paused`).
-    pub pauses: bool,
+    #[serde(rename = "pauses")]
+    pub supports_pause: bool,
     /// Interval of progress reports; zero: there are none.
-    pub notes_every: Duration,
+    #[serde(rename = "notes_every")]
+    pub progress_interval: Duration,
     /// Timeout of a connection to an engine.
-    pub connect_within: Duration,
+    #[serde(rename = "connect_within")]
+    pub connect_timeout: Duration,
     /// Timeout of a poll.
-    pub poll_within: Duration,
+    #[serde(rename = "poll_within")]
+    pub poll_timeout: Duration,
 }
 
 /// Parameters of the policy's rules.
@@ -146,13 +170,17 @@
     /// Part of its capacity at which the slow start of an engine begins, over 0 and up to 1.
     pub start_capacity: f64,
     /// Length of the slow start.
-    pub ramp: Duration,
+    #[serde(rename = "ramp")]
+    pub slow_start_window: Duration,
     /// An engine fails under this many times its present capacity...
-    pub overload: f64,
+    #[serde(rename = "overload")]
+    pub overload_factor: f64,
     /// ...when the load lasts for this long.
-    pub fall: Duration,
+    #[serde(rename = "fall")]
+    pub overload_window: Duration,
     /// Pause of an ordering key after an attempt that may still run.
-    pub order_pause: Duration,
+    #[serde(rename = "order_pause")]
+    pub key_pause: Duration,
     /// How long after the start of a drain new statements may still reach the engine.
     pub drain_grace: Duration,
 }
@@ -165,48 +193,59 @@
     /// The environment whose engines are used; entries of others are skipped.
     pub environment: String,
     /// Interval at which the list is read.
-    pub every: Duration,
+    #[serde(rename = "every")]
+    pub list_interval: Duration,
     /// Interval at which the state of an engine is read.
-    pub state_every: Duration,
+    #[serde(rename = "state_every")]
+    pub state_interval: Duration,
     /// Timeout of each request.
-    pub within: Duration,
+    #[serde(rename = "within")]
+    pub timeout: Duration,
 }
 
 /// What is done about runaway statements.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunawaySettings {
     /// What is enforced, by index of the class.
-    pub acts: Vec<EnforcementOptions>,
+    #[serde(rename = "acts")]
+    pub enforcement: Vec<EnforcementOptions>,
     /// Time between reporting a statement and killing it.
-    pub end_after: Duration,
+    #[serde(rename = "end_after")]
+    pub kill_after: Duration,
     /// How long a statement is paused.
     pub pause_for: Duration,
     /// Maximum number of fingerprints with statistics.
-    pub kinds: usize,
+    #[serde(rename = "kinds")]
+    pub max_fingerprints: usize,
     /// Interval at which statistics are saved, where `router.state` is set.
-    pub save_every: Duration,
+    #[serde(rename = "save_every")]
+    pub save_interval: Duration,
 }
 
 /// How a router takes part in the coordination of a fleet.
 #[derive(Clone, Debug, Serialize)]
-pub struct AgreementSettings {
+pub struct CoordinationSettings {
     /// Addresses of the replicas of the coordination server.
-    pub keepers: Vec<SocketAddr>,
+    #[serde(rename = "keepers")]
+    pub replicas: Vec<SocketAddr>,
     /// File with the secret that the fleet shares.
-    pub secret: PathBuf,
+    #[serde(rename = "secret")]
+    pub secret_file: PathBuf,
     /// Term of a config lease; the replicas must have the same.
-    pub permit: Duration,
+    #[serde(rename = "permit")]
+    pub lease_term: Duration,
     /// Limit of the difference of two clocks' rates, in millionths; the replicas must have the same.
     pub drift: u64,
     /// Interval of lease renewals. Changes are watched for between them.
-    pub ask_every: Duration,
+    #[serde(rename = "ask_every")]
+    pub renewal_interval: Duration,
 }
 
-impl AgreementSettings {
+impl CoordinationSettings {
     /// The timing of leases.
     pub fn lease_timing(&self) -> hoptiller_coordination::LeaseTiming {
         hoptiller_coordination::LeaseTiming {
-            term: self.permit.as_micros() as u64,
+            term: self.lease_term.as_micros() as u64,
             drift: self.drift,
         }
     }
@@ -216,29 +255,40 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct LimitSettings {
     /// Maximum number of statements without a final response; more are rejected.
-    pub statements: usize,
+    #[serde(rename = "statements")]
+    pub max_open_statements: usize,
     /// Maximum number of final responses that are retained for repeated polls.
-    pub answered: usize,
+    #[serde(rename = "answered")]
+    pub max_retained_responses: usize,
     /// How long final responses are retained.
-    pub keep: Duration,
+    #[serde(rename = "keep")]
+    pub retention: Duration,
     /// Maximum number of client connections.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Maximum bytes of all requests that are being received.
-    pub incoming_bytes: u64,
+    #[serde(rename = "incoming_bytes")]
+    pub max_incoming_bytes: u64,
     /// Maximum bytes of a statement.
-    pub statement_bytes: u64,
+    #[serde(rename = "statement_bytes")]
+    pub max_statement_bytes: u64,
     /// Maximum bytes of a page of rows.
-    pub page_bytes: u64,
+    #[serde(rename = "page_bytes")]
+    pub max_page_bytes: u64,
     /// Bytes of buffered pages above which no further pages are fetched.
-    pub held_bytes: u64,
+    #[serde(rename = "held_bytes")]
+    pub max_buffered_bytes: u64,
     /// How long a poll waits for a change.
-    pub long_poll: Duration,
+    #[serde(rename = "long_poll")]
+    pub long_poll_timeout: Duration,
     /// A statement whose client has not polled for this long is abandoned.
     pub abandon_after: Duration,
     /// Maximum Retry-After.
-    pub hold_off: Duration,
+    #[serde(rename = "hold_off")]
+    pub max_retry_after: Duration,
     /// Limit of the time that a graceful shutdown takes.
-    pub drain_within: Duration,
+    #[serde(rename = "drain_within")]
+    pub shutdown_timeout: Duration,
     /// Minimum interval of two batches of decisions.
     pub tick: Duration,
 }
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -4,7 +4,7 @@
 
 use hoptiller_runaway::EnforcementOptions;
 
-use super::{ClassSettings, RepeatSettings, SettingError, Settings};
+use super::{ClassSettings, Idempotency, SettingError, Settings};
 
 /// Under this, no time is left for a decision, a response and its way back.
 const MIN_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -33,7 +33,7 @@
     validator.check_enforcement();
     validator.check_runaways();
     validator.check_admin_address();
-    validator.check_agreement();
+    validator.check_coordination();
     validator.check_rules();
     validator.check_discovery();
     validator.check_sizes();
@@ -88,27 +88,27 @@
             "only letters, digits, '-', '_' and '.' can stand in a client tag",
         );
         self.reject_if(
-            class.aim.is_zero() || class.threads == 0.0,
+            class.latency_objective.is_zero() || class.threads == 0.0,
             &path("aim"),
             "aim and threads must be over 0",
         );
         self.reject_if(
-            class.patience < class.aim,
+            class.client_timeout < class.latency_objective,
             &path("patience"),
             "is shorter than the aim: every answer would come late or never",
         );
         self.reject_if(
-            class.patience < MIN_CLIENT_TIMEOUT,
+            class.client_timeout < MIN_CLIENT_TIMEOUT,
             &path("patience"),
             format!("is under {MIN_CLIENT_TIMEOUT:?}: no final answer could come in time"),
         );
         self.reject_if(
-            class.late_worth > 1.0,
+            class.late_weight_ratio > 1.0,
             &path("late_worth"),
             "is a part of the worth, 0 to 1",
         );
         self.reject_if(
-            class.holds && class.repeat == RepeatSettings::Safe,
+            class.holds_tables && class.idempotency == Idempotency::Idempotent,
             &path("holds"),
             "a class that holds tables while it loads them can't be safe to repeat",
         );
@@ -122,17 +122,19 @@
             "must be 1 or more",
         );
         self.reject_if(
-            engines.budget.is_some_and(|budget| budget.within.is_zero()),
+            engines
+                .retry_budget
+                .is_some_and(|budget| budget.window.is_zero()),
             "engines.budget.within",
             "must be over 0",
         );
         self.reject_if(
-            !engines.notes_every.is_zero() && !engines.cancel,
+            !engines.progress_interval.is_zero() && !engines.supports_cancel,
             "engines.notes_every",
             "notes only serve where engines.cancel is true",
         );
         self.reject_if(
-            engines.tells_in_flight && !engines.reports,
+            engines.reports_in_flight && !engines.load_reports,
             "engines.tells_in_flight",
             "needs engines.reports",
         );
@@ -140,7 +142,7 @@
 
     fn check_enforcement(&mut self) {
         let settings = self.settings;
-        for (class, enforcement) in settings.classes.iter().zip(&settings.runaways.acts) {
+        for (class, enforcement) in settings.classes.iter().zip(&settings.runaways.enforcement) {
             self.check_enforcement_of(class, enforcement);
         }
     }
@@ -149,17 +151,17 @@
         let engines = &self.settings.engines;
         let path = format!("runaways: class {:?}", class.name);
         self.reject_if(
-            enforcement.end && !engines.ends,
+            enforcement.end && !engines.supports_kill,
             &path,
             "'end' only works where engines.ends is true",
         );
         self.reject_if(
-            enforcement.pause && !engines.pauses,
+            enforcement.pause && !engines.supports_pause,
             &path,
             "'pause' only works where engines.pauses is true",
         );
         self.reject_if(
-            enforcement.lower && !(enforcement.hold && engines.priorities),
+            enforcement.lower && !(enforcement.hold && engines.supports_priorities),
             &path,
             "'lower' only works with 'hold' and where engines.priorities is true",
         );
@@ -174,12 +176,12 @@
     fn check_runaways(&mut self) {
         let runaways = &self.settings.runaways;
         self.reject_if(
-            !(MIN_FINGERPRINTS..=MAX_FINGERPRINTS).contains(&runaways.kinds),
+            !(MIN_FINGERPRINTS..=MAX_FINGERPRINTS).contains(&runaways.max_fingerprints),
             "runaways.kinds",
             format!("must be {MIN_FINGERPRINTS} to {MAX_FINGERPRINTS}"),
         );
         self.reject_if(
-            runaways.pause_for.is_zero() || runaways.save_every < MIN_SAVE_INTERVAL,
+            runaways.pause_for.is_zero() || runaways.save_interval < MIN_SAVE_INTERVAL,
             "runaways",
             "pause_for must be over 0, save_every 1s or more",
         );
@@ -196,18 +198,18 @@
         );
     }
 
-    fn check_agreement(&mut self) {
-        let Some(agreement) = &self.settings.agreement else {
+    fn check_coordination(&mut self) {
+        let Some(coordination) = &self.settings.coordination else {
             return;
         };
         self.reject_if(
-            agreement.permit < MIN_LEASE_TERM || agreement.drift > MAX_DRIFT_MILLIONTHS,
+            coordination.lease_term < MIN_LEASE_TERM || coordination.drift > MAX_DRIFT_MILLIONTHS,
             "agreement.permit",
             "must be 500ms or more, drift 100000 millionths or less",
         );
         self.reject_if(
-            agreement.ask_every.is_zero()
-                || agreement.ask_every > agreement.permit / MIN_RENEWALS_PER_TERM,
+            coordination.renewal_interval.is_zero()
+                || coordination.renewal_interval > coordination.lease_term / MIN_RENEWALS_PER_TERM,
             "agreement.ask_every",
             "must be over 0, and a quarter of the permit at most",
         );
@@ -221,7 +223,7 @@
             "is a part of the capacity, over 0 and up to 1",
         );
         self.reject_if(
-            rules.overload < 1.0 || rules.fall.is_zero(),
+            rules.overload_factor < 1.0 || rules.overload_window.is_zero(),
             "rules.overload",
             "must be 1 or more, for a rules.fall over 0",
         );
@@ -230,7 +232,7 @@
     fn check_discovery(&mut self) {
         let discovery = &self.settings.discovery;
         self.reject_if(
-            discovery.every.min(discovery.state_every) < MIN_DISCOVERY_INTERVAL,
+            discovery.list_interval.min(discovery.state_interval) < MIN_DISCOVERY_INTERVAL,
             "discovery.every",
             "looks must be 10ms or more apart",
         );
@@ -239,20 +241,20 @@
     fn check_sizes(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
-            limits.statements == 0
-                || limits.connections == 0
-                || limits.statement_bytes == 0
-                || limits.page_bytes == 0,
+            limits.max_open_statements == 0
+                || limits.max_connections == 0
+                || limits.max_statement_bytes == 0
+                || limits.max_page_bytes == 0,
             "limits",
             "statements, connections, statement_bytes and page_bytes must be over 0",
         );
         self.reject_if(
-            limits.incoming_bytes < limits.statement_bytes,
+            limits.max_incoming_bytes < limits.max_statement_bytes,
             "limits.incoming_bytes",
             "is under limits.statement_bytes: not one such statement could come in",
         );
         self.reject_if(
-            limits.held_bytes < limits.page_bytes,
+            limits.max_buffered_bytes < limits.max_page_bytes,
             "limits.held_bytes",
             "is under limits.page_bytes: not one page could be held",
         );
@@ -261,12 +263,12 @@
     fn check_times(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
-            limits.abandon_after < limits.long_poll * 2,
+            limits.abandon_after < limits.long_poll_timeout * 2,
             "limits.abandon_after",
             "must be twice limits.long_poll or more: a client that polls as it should would be dropped",
         );
         self.reject_if(
-            limits.long_poll > MAX_LONG_POLL,
+            limits.long_poll_timeout > MAX_LONG_POLL,
             "limits.long_poll",
             "is over a minute: clients and proxies between give up",
         );
