--- a/crates/statement-router/src/settings.rs
+++ b/crates/statement-router/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a router: their types, how a Jsonnet file becomes them, and every check before anything starts.
 //!
-//! Field names are the keys of the settings file, which is a documented interface. All errors of a file are reported at
-//! once, each with its place.
+//! The keys of the file are a documented interface; a serde rename ties each field to its key where the names differ. All
+//! errors of a file are reported at once, each with its place.
 
 mod conversion;
 mod error;
