--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -14,7 +14,7 @@
     ResponseContent, ResultPage, RouterIdentity, StatementId, Submission, group_of,
 };
 use hoptiller_runaway::{BlockedState, Finding, Holder, ProgressReport, Proof, RunawayDetector};
-use hoptiller_statement_router::service::ANSWER_MARGIN;
+use hoptiller_statement_router::service::RESPONSE_MARGIN;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -154,16 +154,16 @@
 
 impl<'p> World<'p> {
     fn new(plan: &'p Plan, seed: u64) -> World<'p> {
-        let n = plan.settings.router.of as usize;
+        let n = plan.settings.router.fleet_size as usize;
         let l = &plan.settings.limits;
         let micros = |d: std::time::Duration| d.as_micros() as Micros;
         let bounds = CoreLimits {
-            max_open_statements: l.statements,
-            max_retained_responses: l.answered,
-            retention: micros(l.keep),
+            max_open_statements: l.max_open_statements,
+            max_retained_responses: l.max_retained_responses,
+            retention: micros(l.retention),
             abandon_after: Micros::MAX / 4,
-            max_buffered_bytes: l.held_bytes,
-            response_margin: ANSWER_MARGIN,
+            max_buffered_bytes: l.max_buffered_bytes,
+            response_margin: RESPONSE_MARGIN,
         };
         let routers = (0..n).map(|index| {
             let mut settings = plan.settings.clone();
@@ -172,9 +172,9 @@
                 router: format!("r{index}"),
                 incarnation: "emulated".into(),
             };
-            let watch = RunawayDetector::new(settings.watch());
+            let watch = RunawayDetector::new(settings.runaway_settings());
             let core = Core::new(
-                settings.decisions(),
+                settings.policy_settings(),
                 seed ^ index as u64,
                 bounds,
                 Some(watch),
@@ -572,7 +572,7 @@
             self.routers[held.router].out.remove(&(held.id, held.hop));
             let statement = self.run.attempts[held.attempt].statement;
             let work = self.plan.statements[statement].job.work as Micros;
-            let work = self.plan.settings.engines.bills.then_some(work);
+            let work = self.plan.settings.engines.reports_work.then_some(work);
             let page = ResultPage {
                 is_last: true,
                 load_report: report,
