--- a/crates/benchmarks/src/fleet_tasks/routers.rs
+++ b/crates/benchmarks/src/fleet_tasks/routers.rs
@@ -13,8 +13,8 @@
 use hoptiller_mock_servers::Running;
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
 use hoptiller_statement_router::Settings;
-use hoptiller_statement_router::agreed::Agreed;
-use hoptiller_statement_router::discovery::{Discovery, Listener};
+use hoptiller_statement_router::discovery::{Discovery, EndpointListener};
+use hoptiller_statement_router::fleet_member::FleetMember;
 use serde_json::json;
 
 /// The routers' time at their start: long enough that the ages of engines reach back before it.
@@ -55,12 +55,12 @@
     has_drain: Cell<bool>,
 }
 
-impl Listener for ListObserver {
+impl EndpointListener for ListObserver {
     fn now(&self) -> Micros {
         (START_TIME + self.start.elapsed()).as_micros() as Micros
     }
 
-    fn list(&self, scope: ListScope, entries: Vec<EndpointEntry>) {
+    fn endpoints_changed(&self, scope: ListScope, entries: Vec<EndpointEntry>) {
         if scope == ListScope::Failed {
             return;
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn place(&self, _: EngineId, _: &str, _: SocketAddr) {}
+    fn address_changed(&self, _: EngineId, _: &str, _: SocketAddr) {}
 }
 
 /// What routers are started with.
@@ -124,14 +124,14 @@
     spawner: &Spawner,
 ) -> io::Result<()> {
     let settings = config.settings(name)?;
-    let agreement = settings
-        .agreement
+    let coordination = settings
+        .coordination
         .clone()
         .ok_or_else(|| io::Error::other("no agreement"))?;
-    let secret = Secret::load(&agreement.secret)?;
-    let member = Agreed::new(agreement, secret, name, "1", None, Clock::new());
+    let secret = Secret::load(&coordination.secret_file)?;
+    let member = FleetMember::new(coordination, secret, name, "1", None, Clock::new());
     spawner.spawn(member.clone().run(|| ()));
-    spawner.spawn(member.clone().keep_noting());
+    spawner.spawn(member.clone().publish_notes());
     let discovery = Discovery::new(Rc::new(settings), Some(member));
     let observer = ListObserver {
         start: Instant::now(),
--- a/crates/benchmarks/src/replicas/polling_router.rs
+++ b/crates/benchmarks/src/replicas/polling_router.rs
@@ -5,26 +5,26 @@
 use async_io::Timer;
 use hoptiller_coordination::{Command, ConfigWatcher, Holder};
 use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
-use hoptiller_statement_router::settings::AgreementSettings;
+use hoptiller_statement_router::settings::CoordinationSettings;
 
 /// Limit of the time that each replica may take for a renewal.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Renews a lease at the interval of the settings, which is short: nothing else tells the router of a version.
 pub(super) async fn renew_forever(
-    settings: AgreementSettings,
+    settings: CoordinationSettings,
     secret: Secret,
     router: String,
     index: usize,
 ) {
     let clock = Clock::new();
-    let timing = settings.bounds();
+    let timing = settings.lease_timing();
     let holder = Holder {
         router,
         incarnation: "1".into(),
     };
     let mut watcher = ConfigWatcher::new(holder, timing, Vec::new());
-    let client = CoordinationClient::new(settings.keepers.clone(), secret);
+    let client = CoordinationClient::new(settings.replicas.clone(), secret);
     client.set_preferred(index);
     loop {
         let (renewal, command) = watcher.start_renewal(clock.now());
@@ -54,6 +54,6 @@
             }
             _ => watcher.abandon_renewal(renewal),
         }
-        Timer::after(settings.ask_every).await;
+        Timer::after(settings.renewal_interval).await;
     }
 }
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -10,8 +10,8 @@
 use hoptiller_coordination_client::{Clock, Secret, wire};
 use hoptiller_fault_harness::{Stage, stage::Between};
 use hoptiller_mock_servers::Running;
-use hoptiller_statement_router::agreed::Agreed;
-use hoptiller_statement_router::settings::AgreementSettings;
+use hoptiller_statement_router::fleet_member::FleetMember;
+use hoptiller_statement_router::settings::CoordinationSettings;
 
 use super::polling_router::renew_forever;
 use super::{Args, LEASE_TERM, document};
@@ -150,21 +150,21 @@
     replicas: Vec<SocketAddr>,
     dir: &Path,
 ) -> io::Result<Running> {
-    let settings = AgreementSettings {
-        keepers: replicas,
-        secret: dir.join("secret"),
-        permit: LEASE_TERM,
+    let settings = CoordinationSettings {
+        replicas,
+        secret_file: dir.join("secret"),
+        lease_term: LEASE_TERM,
         drift: DRIFT,
-        ask_every: mode.renewal_interval(),
+        renewal_interval: mode.renewal_interval(),
     };
-    let secret = Secret::load(&settings.secret)?;
+    let secret = Secret::load(&settings.secret_file)?;
     Running::new("routers", move |spawner| {
         for index in 0..size {
             let (settings, secret) = (settings.clone(), secret.clone());
             let name = format!("r{index}");
             match mode {
                 RouterMode::Watching => {
-                    let member = Agreed::new(settings, secret, &name, "1", None, Clock::new());
+                    let member = FleetMember::new(settings, secret, &name, "1", None, Clock::new());
                     spawner.spawn(member.run(|| ()));
                 }
                 RouterMode::Polling => {
--- a/crates/benchmarks/src/runaways/detector.rs
+++ b/crates/benchmarks/src/runaways/detector.rs
@@ -90,7 +90,7 @@
 
 impl DetectorLoad {
     fn new(settings: &Settings) -> DetectorLoad {
-        let mut detector = RunawayDetector::new(settings.watch());
+        let mut detector = RunawayDetector::new(settings.runaway_settings());
         let status = |id: u64| EngineStatus {
             engine: EngineId(id as u32),
             is_up: true,
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use hoptiller_statement_router::settings::evaluate_file;
-use hoptiller_statement_router::{Problem, Settings};
+use hoptiller_statement_router::{SettingError, Settings};
 use serde_json::{Value, json};
 
 use super::print_json;
@@ -93,7 +93,7 @@
     let description = format!(
         "settings of router {} of {}, {} classes",
         router.name,
-        router.of,
+        router.fleet_size,
         settings.classes.len()
     );
     Ok(ValidFile {
@@ -103,10 +103,11 @@
 }
 
 fn describe_replica(file: &Path, value: Value) -> Result<String, CommandError> {
-    let config = hoptiller_coordination_server::Config::read(value).map_err(|error| Problem {
-        place: file.display().to_string(),
-        what: error.to_string(),
-    })?;
+    let config =
+        hoptiller_coordination_server::Config::read(value).map_err(|error| SettingError {
+            place: file.display().to_string(),
+            reason: error.to_string(),
+        })?;
     Ok(format!(
         "keeper {} of {} in fleet {}",
         config.replica,
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -92,7 +92,7 @@
         .start(metrics)
         .map_err(CommandError::io(format!("can't listen on {}", args.http)))?;
     let start = Instant::now();
-    while service.desk.listed.get() < engines && start.elapsed() < DISCOVERY_TIMEOUT {
+    while service.listed_engines() < engines && start.elapsed() < DISCOVERY_TIMEOUT {
         Timer::after(DISCOVERY_POLL_INTERVAL).await;
     }
     println!("ready http://{address}");
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -97,7 +97,10 @@
             Settings::from_text("runaways.jsonnet", &text)?
         }
     };
-    match CLASSES.iter().find(|name| settings.class(name).is_none()) {
+    match CLASSES
+        .iter()
+        .find(|name| settings.class_index(name).is_none())
+    {
         Some(class) => Err(MissingClassError { class }.into()),
         None => Ok(settings),
     }
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use hoptiller_coordination_client::Clock;
-use hoptiller_statement_router::agreed::Agreed;
+use hoptiller_statement_router::fleet_member::FleetMember;
 use hoptiller_statement_router::{Service, Settings};
 
 use super::service::shut_down;
@@ -30,7 +30,7 @@
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     let settings = Settings::load(&args.file)?;
-    let secret = match &settings.router.state {
+    let secret = match &settings.router.state_dir {
         None => secret::generate(),
         Some(dir) => secret::load_or_create(dir).map_err(CommandError::io(format!(
             "the state folder {}",
@@ -40,18 +40,18 @@
     let incarnation = random_id();
     let fleet = fleet_member(args, &settings, &incarnation)?;
     let descriptors = runtime::raise_descriptor_limit();
-    if descriptors < settings.limits.connections as u64 + OTHER_DESCRIPTORS {
+    if descriptors < settings.limits.max_connections as u64 + OTHER_DESCRIPTORS {
         tracing::warn!(
             descriptors,
-            connections = settings.limits.connections,
+            connections = settings.limits.max_connections,
             "file descriptors may not suffice for limits.connections: raise `ulimit -n`, or lower the limit"
         );
     }
     runtime::block_on(async |spawner| {
         let metrics = metrics_endpoint::start(&spawner);
-        let service = Service::agreeing(settings, &secret, incarnation, spawner, fleet)
+        let service = Service::with_fleet_member(settings, &secret, incarnation, spawner, fleet)
             .map_err(CommandError::invalid_file(&args.file))?;
-        let listen = service.desk.settings().router.listen;
+        let listen = service.settings().router.listen;
         let address = service
             .start(metrics)
             .map_err(CommandError::io(format!("can't listen on {listen}")))?;
@@ -67,16 +67,16 @@
     args: &Args,
     settings: &Settings,
     incarnation: &str,
-) -> Result<Option<Rc<Agreed>>, CommandError> {
-    let Some(agreement) = &settings.agreement else {
+) -> Result<Option<Rc<FleetMember>>, CommandError> {
+    let Some(coordination) = &settings.coordination else {
         return Ok(None);
     };
-    Ok(Some(Agreed::new(
-        agreement.clone(),
-        load_fleet_secret(&agreement.secret)?,
+    Ok(Some(FleetMember::new(
+        coordination.clone(),
+        load_fleet_secret(&coordination.secret_file)?,
         &settings.router.name,
         incarnation,
-        settings.router.state.as_deref(),
+        settings.router.state_dir.as_deref(),
         Clock::with_skew(args.clock_skew),
     )))
 }
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_statement_router::fronts::admin::{HOLDS, RUNAWAYS};
+use hoptiller_statement_router::front_end::admin_api::{HOLDS_PATH, RUNAWAYS_PATH};
 use serde::Deserialize;
 
 use crate::error::CommandError;
@@ -66,7 +66,7 @@
 }
 
 fn release(admin: SocketAddr, fingerprint: &str) -> Result<(), CommandError> {
-    let path = format!("{HOLDS}{fingerprint}");
+    let path = format!("{HOLDS_PATH}{fingerprint}");
     let response = send(admin, Method::Delete, &path)?;
     if response.status.0 != 204 {
         return Err(ReleaseError {
@@ -80,7 +80,7 @@
 }
 
 fn show(args: &Args) -> Result<(), CommandError> {
-    let response = send(args.admin, Method::Get, RUNAWAYS)?;
+    let response = send(args.admin, Method::Get, RUNAWAYS_PATH)?;
     let status = response.status.0;
     if status != 200 {
         let context = format!("the router at {} answered {status}", args.admin);
--- a/crates/cli/src/commands/runaways/report.rs
+++ b/crates/cli/src/commands/runaways/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-/// The response to [`RUNAWAYS`](hoptiller_statement_router::fronts::admin::RUNAWAYS). What a router does not report is
+/// The response to [`RUNAWAYS_PATH`](hoptiller_statement_router::front_end::admin_api::RUNAWAYS_PATH). What a router does not report is
 /// empty.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -10,7 +10,7 @@
     Difference, Document, ValidationError, Version, VersionMetadata, VersionNumber,
 };
 use hoptiller_coordination_client::wire;
-use hoptiller_statement_router::Problem;
+use hoptiller_statement_router::SettingError;
 use hoptiller_statement_router::settings::evaluate_file;
 
 use super::print_json;
@@ -127,9 +127,9 @@
 ///
 /// [`CommandError::Settings`] with all validation errors of the document.
 pub(crate) fn read_document(file: &Path) -> Result<Document, CommandError> {
-    let problem = |error: ValidationError| Problem {
+    let problem = |error: ValidationError| SettingError {
         place: format!("{}: {}", file.display(), error.path),
-        what: error.message,
+        reason: error.message,
     };
     let value = evaluate_file(file)?;
     let json = serde_json::to_vec(&value).unwrap_or_default();
@@ -138,7 +138,7 @@
     if errors.is_empty() {
         return Ok(document);
     }
-    let problems: Vec<Problem> = errors.into_iter().map(problem).collect();
+    let problems: Vec<SettingError> = errors.into_iter().map(problem).collect();
     Err(problems.into())
 }
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -5,7 +5,7 @@
 
 use hoptiller_coordination::Rejection;
 use hoptiller_coordination_client::CallError;
-use hoptiller_statement_router::Problem;
+use hoptiller_statement_router::SettingError;
 
 use crate::commands::audit::AuditError;
 use crate::commands::beliefs::EmptyTraceError;
@@ -26,7 +26,7 @@
 pub(crate) enum CommandError {
     /// Settings with problems.
     #[error("{}", list_problems(.0))]
-    Settings(Vec<Problem>),
+    Settings(Vec<SettingError>),
     /// A wrong command line.
     #[error("{0}")]
     Usage(String),
@@ -99,14 +99,14 @@
     }
 }
 
-impl From<Vec<Problem>> for CommandError {
-    fn from(problems: Vec<Problem>) -> CommandError {
+impl From<Vec<SettingError>> for CommandError {
+    fn from(problems: Vec<SettingError>) -> CommandError {
         CommandError::Settings(problems)
     }
 }
 
-impl From<Problem> for CommandError {
-    fn from(problem: Problem) -> CommandError {
+impl From<SettingError> for CommandError {
+    fn from(problem: SettingError) -> CommandError {
         CommandError::Settings(vec![problem])
     }
 }
@@ -120,7 +120,7 @@
     }
 }
 
-fn list_problems(problems: &[Problem]) -> String {
+fn list_problems(problems: &[SettingError]) -> String {
     let count = problems.len();
     let plural = if count == 1 { "" } else { "s" };
     let mut list = format!("the settings have {count} problem{plural}; nothing was started");
--- a/crates/cli/src/metrics_endpoint.rs
+++ b/crates/cli/src/metrics_endpoint.rs
@@ -5,7 +5,7 @@
 
 use async_io::Timer;
 use hoptiller_http::{Response, Spawner};
-use hoptiller_statement_router::fronts::http::Extra;
+use hoptiller_statement_router::front_end::statement_api::ExtraRoutes;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
 const METRICS_PATH: &str = "/metrics";
@@ -14,7 +14,7 @@
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Starts to record metrics, and returns what responds to requests for them.
-pub(crate) fn start(spawner: &Spawner) -> Extra {
+pub(crate) fn start(spawner: &Spawner) -> ExtraRoutes {
     let recorder = install_recorder(spawner);
     Rc::new(move |path| match (path, &recorder) {
         (METRICS_PATH, Some(recorder)) => Some(Response::text(200, recorder.render().trim_end())),
