--- a/crates/cli/src/commands/day/crowd.rs
+++ b/crates/cli/src/commands/day/crowd.rs
@@ -186,3 +186,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/cli/tests/scenario_files.rs
@@ -0,0 +1,230 @@
+//! The form of scenario files, as `hoptiller check` holds it: what each example is, every event, and keys that are unknown.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+/// A folder that goes with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("hoptiller-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn examples() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../examples")
+        .canonicalize()
+        .expect("the examples")
+}
+
+/// The exit code and all that is printed.
+fn check(file: &Path) -> (Option<i32>, String) {
+    let out = Command::new(env!("CARGO_BIN_EXE_hoptiller"))
+        .arg("check")
+        .arg(file)
+        .output()
+        .expect("it runs");
+    let printed = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
+    (out.status.code(), printed)
+}
+
+/// Checks a change of an example, in Jsonnet, which may name the example as `base`.
+fn check_changed(folder: &Folder, example: &str, change: &str) -> (Option<i32>, String) {
+    let file = folder.0.join("changed.jsonnet");
+    let text = format!(
+        "local base = import '{}/{example}';\nbase + {change}",
+        examples().display()
+    );
+    std::fs::write(&file, text).expect("written");
+    check(&file)
+}
+
+#[test]
+fn each_scenario_of_the_examples_is_described_as_before() {
+    let described = [
+        (
+            "bad-day.jsonnet",
+            "a day of 60 s, 3 routers, 8 engines, 100 clients",
+        ),
+        (
+            "short-day.jsonnet",
+            "a day of 16 s, 3 routers, 8 engines, 60 clients",
+        ),
+        (
+            "fleet-versions.jsonnet",
+            "a fleet's day of 30 s, 3 keepers, 6 routers, 5 documents",
+        ),
+        (
+            "fleet-leases.jsonnet",
+            "a fleet's day of 30 s, 3 keepers, 5 routers, 6 documents",
+        ),
+        (
+            "fleet-random.jsonnet",
+            "a fleet's day of 30 s, 3 keepers, 4 routers, 6 documents",
+        ),
+        (
+            "fleet-calm.jsonnet",
+            "a fleet's day of 36 s, 3 keepers, 6 routers, 6 documents",
+        ),
+    ];
+    for (file, description) in described {
+        let path = examples().join(file);
+        assert_eq!(
+            check(&path),
+            (
+                Some(0),
+                format!("{}: good; {description}\n", path.display())
+            )
+        );
+    }
+}
+
+#[test]
+fn every_event_of_a_day_is_accepted_under_its_key() {
+    let folder = Folder::new("day-events");
+    for event in [
+        "{ rush: 2.5 }",
+        "{ fault: { engine: 7, faults: {} } }",
+        "{ fault: { engine: 0, faults: { hang: true, only: 'lookup' } } }",
+        "{ drain: 7 }",
+        "{ crash: 7 }",
+        "{ start: 7 }",
+        "{ kill: 2 }",
+        "{ end: 2 }",
+        "{ route: 2 }",
+        "{ stale: true }",
+        "{ down: false }",
+    ] {
+        let change = format!("{{ acts: [{{ at: '1s', do: {event} }}] }}");
+        let (code, printed) = check_changed(&folder, "bad-day.jsonnet", &change);
+        assert_eq!(code, Some(0), "{event}: {printed}");
+    }
+}
+
+#[test]
+fn events_of_a_day_that_name_nothing_there_is_are_problems() {
+    let folder = Folder::new("day-problems");
+    let place = folder.0.join("changed.jsonnet").display().to_string();
+    for (event, description) in [
+        (
+            "{ fault: { engine: 8, faults: {} } }",
+            "engine 8 works as it should",
+        ),
+        (
+            "{ fault: { engine: 8, faults: { hang: true } } }",
+            "engine 8 fails",
+        ),
+        ("{ drain: 8 }", "engine 8 drains"),
+        ("{ crash: 8 }", "engine 8 crashes"),
+        ("{ start: 8 }", "engine 8 starts, cold"),
+        ("{ kill: 3 }", "router 3 is killed"),
+        ("{ end: 3 }", "router 3 is told to end"),
+        ("{ route: 3 }", "router 3 starts"),
+        ("{ rush: 0 }", "clients pause 0 times less"),
+    ] {
+        let change = format!("{{ acts: [{{ at: '1s', do: {event} }}] }}");
+        let expected = format!(
+            "hoptiller: the settings have 1 problem; nothing was started\n  {place}: acts: at 1s, {description}: there is \
+             none such\n"
+        );
+        assert_eq!(
+            check_changed(&folder, "bad-day.jsonnet", &change),
+            (Some(2), expected)
+        );
+    }
+}
+
+#[test]
+fn all_problems_of_a_day_are_reported_at_once() {
+    let folder = Folder::new("day-all-problems");
+    let place = folder.0.join("changed.jsonnet").display().to_string();
+    let change = "{ routers: 17, lasts: '2h', clients+: { count: 0, mix: [base.clients.mix[0] { class: 'none' }] }, \
+                  engines: [base.engines[0] { kind: 'none' }], acts: [] }";
+    let expected = format!(
+        "hoptiller: the settings have 5 problems; nothing was started\n  \
+         {place}: 1 to 16 routers and 1 to 64 engines are wanted\n  \
+         {place}: 1 to 5,000 clients with a mix of at least one class are wanted\n  \
+         {place}: a day lasts over 0 and up to an hour\n  \
+         {place}: clients.mix: \"none\" is no class of the settings\n  \
+         {place}: engines[0].kind: \"none\" is no kind of the settings\n"
+    );
+    assert_eq!(
+        check_changed(&folder, "bad-day.jsonnet", change),
+        (Some(2), expected)
+    );
+}
+
+#[test]
+fn problems_of_a_fleet_scenario_are_reported_at_once() {
+    let folder = Folder::new("fleet-problems");
+    let place = folder.0.join("changed.jsonnet").display().to_string();
+    let change = "{ keepers: 4, day+: { documents: { other: base.day.documents.first } } }";
+    let expected = format!(
+        "hoptiller: the settings have 2 problems; nothing was started\n  \
+         {place}: keepers: 3 or 5 keepers, 1 to 64 routers and some engines are wanted\n  \
+         {place}: day.documents: one of them is to be named `first`\n"
+    );
+    assert_eq!(
+        check_changed(&folder, "fleet-versions.jsonnet", change),
+        (Some(2), expected)
+    );
+}
+
+#[test]
+fn unknown_keys_of_scenarios_are_rejected() {
+    let folder = Folder::new("unknown-keys");
+    for (example, change) in [
+        ("bad-day.jsonnet", "{ lastss: '1s' }"),
+        ("bad-day.jsonnet", "{ clients+: { more: 1 } }"),
+        (
+            "bad-day.jsonnet",
+            "{ engines: [base.engines[0] { more: 1 }] }",
+        ),
+        (
+            "bad-day.jsonnet",
+            "{ acts: [{ at: '1s', do: { mend: 1 } }] }",
+        ),
+        (
+            "bad-day.jsonnet",
+            "{ acts: [{ at: '1s', do: { end: 1 }, more: 1 }] }",
+        ),
+        ("fleet-versions.jsonnet", "{ more: 1 }"),
+        ("fleet-versions.jsonnet", "{ day+: { more: 1 } }"),
+        (
+            "fleet-versions.jsonnet",
+            "{ day+: { clients+: { more: 1 } } }",
+        ),
+        (
+            "fleet-versions.jsonnet",
+            "{ engines: [base.engines[0] { more: 1 }] }",
+        ),
+        (
+            "fleet-versions.jsonnet",
+            "{ day+: { acts: [{ at: '1s', do: 'mend' }] } }",
+        ),
+        (
+            "fleet-versions.jsonnet",
+            "{ day+: { acts: [{ at: '1s', do: 'heal', more: 1 }] } }",
+        ),
+    ] {
+        let (code, printed) = check_changed(&folder, example, change);
+        assert_eq!(code, Some(2), "{change}: {printed}");
+        assert!(
+            printed.contains("unknown field `more`")
+                || printed.contains("unknown field `lastss`")
+                || printed.contains("unknown variant `mend`"),
+            "{change}: {printed}"
+        );
+    }
+}
--- a/crates/fault-harness/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -450,3 +450,6 @@
     );
     async_io::block_on(asked).unwrap_or_default()
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fault-harness/tests/scenario_events.rs
@@ -0,0 +1,50 @@
+//! The form of events in scenario files, and the text under which they stand in the course of a run.
+
+use hoptiller_fault_harness::day::Happens;
+use serde_json::{Value, json};
+
+/// Every event: its form in a file, and its text.
+fn events() -> Vec<(Value, &'static str)> {
+    vec![
+        (json!({ "put": "first" }), "Put(\"first\")"),
+        (json!({ "alone": 0 }), "Alone(0)"),
+        (json!({ "apart": 1 }), "Apart(1)"),
+        (json!({ "deaf": [0, 2] }), "Deaf(0, 2)"),
+        (json!({ "no_answers": 1 }), "NoAnswers(1)"),
+        (json!({ "slow": 250 }), "Slow(250)"),
+        (json!({ "slow_router": [1, 300] }), "SlowRouter(1, 300)"),
+        (json!("reset"), "Reset"),
+        (json!("heal"), "Heal"),
+        (json!({ "kill_keeper": 0 }), "KillKeeper(0)"),
+        (json!({ "start_keeper": 0 }), "StartKeeper(0)"),
+        (json!("kill_keepers"), "KillKeepers"),
+        (json!({ "kill_others": 2 }), "KillOthers(2)"),
+        (json!("start_keepers"), "StartKeepers"),
+        (json!({ "kill_router": 3 }), "KillRouter(3)"),
+        (json!({ "start_router": 3 }), "StartRouter(3)"),
+        (json!({ "stop_router": 2 }), "StopRouter(2)"),
+        (json!({ "go_on": 2 }), "GoOn(2)"),
+    ]
+}
+
+#[test]
+fn every_event_is_parsed_from_its_key_and_described_as_before() {
+    for (form, description) in events() {
+        let event: Happens = serde_json::from_value(form.clone()).expect("an event");
+        assert_eq!(format!("{event:?}"), description, "{form}");
+    }
+}
+
+#[test]
+fn unknown_events_are_rejected() {
+    for form in [
+        json!("mend"),
+        json!({ "isolate_router": 0 }),
+        json!({ "alone": "r1" }),
+    ] {
+        assert!(
+            serde_json::from_value::<Happens>(form.clone()).is_err(),
+            "{form}"
+        );
+    }
+}
