--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -12,7 +12,7 @@
 use hoptiller_coordination_server::replica::Replica;
 use hoptiller_coordination_server::replicated_log::ReplicatedLog;
 use hoptiller_coordination_server::storage::DiskStorage;
-use hoptiller_fault_harness::{Layout, Stage, stage::Between};
+use hoptiller_fault_harness::{LinkId, TestFleet, Topology};
 use hoptiller_mock_servers::Running;
 use hoptiller_statement_router::agreed::Agreed;
 use hoptiller_statement_router::settings::AgreementSettings;
@@ -90,27 +90,19 @@
 
 fn routers(args: &Args, size: usize, watch: bool) -> io::Result<()> {
     let dir = folder("keepers");
-    let layout = Layout {
-        keepers: 3,
-        routers: 1,
-        engines: Vec::new(),
-        settings: json!({}),
-        permit: PERMIT,
-        drift: DRIFT,
-        router_skews: Vec::new(),
-        keeper_skews: Vec::new(),
-        most_bytes: None,
-        agreement: true,
+    let topology = Topology {
+        lease_term: PERMIT,
+        drift_millionths: DRIFT,
+        ..Topology::new(3, 1)
     };
-    let mut stage = Stage::new(layout, &args.program, &dir)?;
-    stage.start()?;
+    let mut fleet = TestFleet::new(topology, &args.program, &dir).map_err(io::Error::other)?;
     let long = Duration::from_secs(60);
     let first = document(1.0, 3)?;
-    if !stage.until(long, |s| s.put("first", &first).is_ok()) {
-        return Err(io::Error::other("keepers took no version"));
-    }
+    fleet
+        .start_with_first_version(&first, long)
+        .map_err(io::Error::other)?;
     let links: Vec<_> = (0..3)
-        .filter_map(|k| stage.link(Between::Router(0, k)))
+        .filter_map(|k| fleet.link(LinkId::Router(0, k)))
         .collect();
     let settings = AgreementSettings {
         keepers: links.iter().map(|l| l.addr()).collect(),
@@ -137,24 +129,24 @@
         }
         Ok(([127, 0, 0, 1], 0).into())
     })?;
-    if !stage.until_heeded(size, 1, long) {
+    if !fleet.wait_until_enforced(size, 1, long) {
         return Err(io::Error::other("not all routers heeded the first version"));
     }
     let pids: Vec<u32> = (0..3)
-        .filter_map(|k| stage.keeper(k).map(|p| p.id()))
+        .filter_map(|k| fleet.replica(k).map(|p| p.id()))
         .collect();
     let used = || {
         pids.iter()
             .map(|p| core_seconds(*p))
             .sum::<io::Result<f64>>()
     };
-    let carried = |s: &Stage| -> u64 {
+    let carried = |s: &TestFleet| -> u64 {
         (0..3)
-            .filter_map(|k| s.link(Between::Router(0, k)))
-            .map(|l| l.carried())
+            .filter_map(|k| s.link(LinkId::Router(0, k)))
+            .map(|l| l.forwarded_bytes())
             .sum()
     };
-    let steps = |s: &Stage| {
+    let steps = |s: &TestFleet| {
         s.statuses()
             .iter()
             .map(|s| s.log.decided)
@@ -162,21 +154,24 @@
             .unwrap_or(0)
     };
     std::thread::sleep(Duration::from_secs(2));
-    let (cores, bytes, decided, began) = (used()?, carried(&stage), steps(&stage), Instant::now());
+    let (cores, bytes, decided, began) = (used()?, carried(&fleet), steps(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(args.seconds));
     let passed = began.elapsed().as_secs_f64();
     let core = (used()? - cores) / passed / 3.0 * 100.0;
-    let rate = (carried(&stage) - bytes) as f64 / passed / 1000.0;
-    let decided = (steps(&stage) - decided) as f64 / passed;
+    let rate = (carried(&fleet) - bytes) as f64 / passed / 1000.0;
+    let decided = (steps(&fleet) - decided) as f64 / passed;
     let mut times = Vec::new();
     for n in 0..args.changes {
         let next = document(1.0, 1 + n % 2)?;
         let began = Instant::now();
-        let Ok(wire::ProposalResponse::Accepted(number)) = stage.put(&format!("change {n}"), &next)
+        let Ok(wire::ProposalResponse::Accepted(number)) =
+            fleet.propose(&format!("change {n}"), &next)
         else {
             return Err(io::Error::other("a change was not taken"));
         };
-        if !stage.until_heeded(size, number, long) || !stage.until_in_force(number, long) {
+        if !fleet.wait_until_enforced(size, number, long)
+            || !fleet.wait_until_in_force(number, long)
+        {
             return Err(io::Error::other("a change did not come in force"));
         }
         times.push(began.elapsed().as_millis());
@@ -190,7 +185,7 @@
         most.map_or("-".into(), u128::to_string)
     );
     drop(watchers);
-    drop(stage);
+    drop(fleet);
     std::fs::remove_dir_all(&dir)
 }
 
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -10,7 +10,7 @@
 
 use hoptiller_coordination::Document;
 use hoptiller_coordination_client::{Clock, Secret};
-use hoptiller_fault_harness::{Layout, Stage};
+use hoptiller_fault_harness::{TestFleet, Topology};
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
@@ -100,24 +100,15 @@
 fn one(args: &Args, size: usize, tasks: bool) -> io::Result<()> {
     let dir = std::env::temp_dir().join(format!("hoptiller-measure-tasks-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    let layout = Layout {
-        keepers: 3,
-        routers: 0,
-        engines: Vec::new(),
-        settings: json!({}),
-        permit: PERMIT,
-        drift: 1000,
-        router_skews: Vec::new(),
-        keeper_skews: Vec::new(),
-        most_bytes: None,
-        agreement: true,
+    let topology = Topology {
+        lease_term: PERMIT,
+        ..Topology::new(3, 0)
     };
-    let mut stage = Stage::new(layout, &args.program, &dir)?;
-    stage.start()?;
+    let mut fleet = TestFleet::new(topology, &args.program, &dir).map_err(io::Error::other)?;
     let first = document(tasks)?;
-    if !stage.until(LONG, |s| s.put("first", &first).is_ok()) {
-        return Err(io::Error::other("keepers took no version"));
-    }
+    fleet
+        .start_with_first_version(&first, LONG)
+        .map_err(io::Error::other)?;
     let discovery = DiscoveryConfig::default();
     let reads = discovery.asked.clone();
     let discovery = discovery.start()?;
@@ -129,7 +120,7 @@
         engine.asked = asked.clone();
         engines.push(engine.start()?);
     }
-    let keepers = stage.keepers()?.endpoints().to_vec();
+    let keepers = fleet.client().endpoints().to_vec();
     let known: Arc<Mutex<(usize, Vec<Instant>)>> = Arc::default();
     let (own, secret, count) = (known.clone(), dir.join("secret"), args.engines);
     let at = discovery.addr;
@@ -163,7 +154,7 @@
         Ok(([127, 0, 0, 1], 0).into())
     })?;
     let all = |known: &Mutex<(usize, Vec<Instant>)>| known.lock().map_or(0, |k| k.0);
-    if !stage.until(LONG, |_| all(&known) == size) {
+    if !fleet.wait_until(LONG, |_| all(&known) == size) {
         return Err(io::Error::other("not all routers know all engines"));
     }
     // A router is given leases after a term in which it has asked; then they spread.
@@ -190,7 +181,7 @@
     })
     .map_err(io::Error::other)?;
     let knows = |known: &Mutex<(usize, Vec<Instant>)>| known.lock().map_or(0, |k| k.1.len());
-    if !stage.until(LONG, |_| knows(&known) == size) {
+    if !fleet.wait_until(LONG, |_| knows(&known) == size) {
         return Err(io::Error::other(
             "not all routers came to know of the drain",
         ));
@@ -208,6 +199,6 @@
         times.get(times.len() / 2).copied().unwrap_or(0),
         times.last().copied().unwrap_or(0)
     );
-    drop((routers, engines, discovery, stage));
+    drop((routers, engines, discovery, fleet));
     std::fs::remove_dir_all(&dir)
 }
--- /dev/null
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -0,0 +1,39 @@
+//! `hoptiller fleet`: who is on which version; and a whole fleet on loopback, with faults between its processes.
+
+mod run;
+mod status;
+
+use std::process::ExitCode;
+
+use crate::run::Failure;
+use run::RunArgs;
+use status::{ReplaceArgs, StatusArgs};
+
+pub use run::check;
+pub use status::waiting_for;
+
+#[derive(clap::Subcommand)]
+pub enum Args {
+    /// Shows keepers, versions, and the routers that hold permits
+    ClusterStatus(StatusArgs),
+    /// Shows which router does which part of a fleet-wide task, and until when at least
+    Leases(StatusArgs),
+    /// Puts a new keeper in the place of one that is lost with its disk, while the others go on
+    ReplaceKeeper(ReplaceArgs),
+    /// Plays a day with processes of this program on loopback, and faults between them; then judges it
+    Run(RunArgs),
+}
+
+/// Runs the command.
+///
+/// # Errors
+///
+/// When its arguments or a file are wrong, or something outside of this program fails.
+pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+    match args {
+        Args::ClusterStatus(args) => status::status(args),
+        Args::Leases(args) => status::leases(args),
+        Args::ReplaceKeeper(args) => status::replace_keeper(args),
+        Args::Run(args) => run::run(args),
+    }
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,6 +4,7 @@
 mod keepers;
 mod logging;
 mod run;
+mod scenarios;
 mod secret;
 
 use std::process::ExitCode;
--- /dev/null
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -0,0 +1,190 @@
+//! Replicas that are killed, lose their disks, and are replaced.
+
+use hoptiller_coordination_client::wire::ProposalResponse;
+use hoptiller_fault_harness::TestFleet;
+
+use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
+
+#[test]
+fn without_replicas_the_fleet_serves_on_and_versions_continue_afterwards() {
+    let mut fixture = FleetFixture::new("gone", 2, |_| {});
+    let number = fixture.propose("move", &document(&["a", "b"], 3));
+    assert!(
+        fixture.fleet.wait_until_in_force(number, TIMEOUT)
+            && fixture.wait_for_attempt_under("r1", number, number)
+    );
+    (0..3).for_each(|k| fixture.fleet.kill_replica(k));
+    assert!(fixture.wait_for_attempt_in_doubt("r1") && fixture.wait_for_attempt_in_doubt("r2"));
+    // A router that starts while no keeper answers knows what its earlier life wrote down, and one without that nothing.
+    fixture.fleet.kill_router(0);
+    fixture.fleet.start_router(0).expect("runs");
+    fixture.update_client_routers();
+    let before = fixture.attempts("r1").len();
+    fixture.wait_until(|fixture| fixture.attempts("r1").len() != before);
+    assert_eq!(
+        fixture
+            .attempts("r1")
+            .last()
+            .map(|v| (v.in_force, v.in_doubt)),
+        Some((number, true)),
+        "it serves lookups in doubt"
+    );
+    for k in 0..3 {
+        fixture.fleet.start_replica(k).expect("runs");
+    }
+    let next = fixture.propose("next", &document(&["a"], 2));
+    assert_eq!(next, number + 1, "no number is given twice");
+    assert!(fixture.fleet.wait_until_in_force(next, TIMEOUT));
+    assert!(
+        fixture.wait_for_attempt_under("r1", next, next)
+            && fixture.wait_for_attempt_under("r2", next, next)
+    );
+    fixture.finish();
+}
+
+#[test]
+fn a_replica_whose_disk_was_lost_or_put_back_is_rejected_and_two_continue() {
+    let mut fixture = FleetFixture::new("disk", 2, |_| {});
+    fixture.fleet.kill_replica(2);
+    fixture.fleet.save_disk(2).expect("copied");
+    fixture.fleet.start_replica(2).expect("runs");
+    let two = fixture.propose("two", &document(&["a", "b"], 3));
+    assert!(fixture.fleet.wait_until_in_force(two, TIMEOUT));
+    assert!(fixture.fleet.wait_until(TIMEOUT, |s| {
+        s.statuses()
+            .iter()
+            .filter(|s| s.versions.last >= two)
+            .count()
+            == 3
+    }));
+    fixture.fleet.kill_replica(2);
+    fixture.fleet.restore_disk(2).expect("put back");
+    fixture.fleet.start_replica(2).expect("starts");
+    let ended = fixture
+        .fleet
+        .replica(2)
+        .expect("there")
+        .wait_timeout(TIMEOUT);
+    assert_eq!(ended.and_then(|e| e.code()), Some(3));
+    assert!(
+        fixture
+            .fleet
+            .log("keeper-3")
+            .contains("put back from a copy"),
+        "{}",
+        fixture.fleet.log("keeper-3")
+    );
+    fixture.fleet.kill_replica(2);
+    fixture.fleet.lose_disk(2).expect("gone");
+    fixture.fleet.start_replica(2).expect("starts");
+    let ended = fixture
+        .fleet
+        .replica(2)
+        .expect("there")
+        .wait_timeout(TIMEOUT);
+    assert_eq!(ended.and_then(|e| e.code()), Some(3));
+    assert!(
+        fixture.fleet.log("keeper-3").contains("had disk"),
+        "{}",
+        fixture.fleet.log("keeper-3")
+    );
+    let three = fixture.propose("three", &document(&["a"], 2));
+    assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
+    // A second one gone: nothing is decided any more, and nothing is made up.
+    fixture.fleet.kill_replica(1);
+    fixture.fleet.lose_disk(1).expect("gone");
+    fixture.fleet.start_replica(1).expect("starts");
+    let ended = fixture
+        .fleet
+        .replica(1)
+        .expect("there")
+        .wait_timeout(TIMEOUT);
+    assert_eq!(ended.and_then(|e| e.code()), Some(3));
+    assert!(fixture.wait_for_attempt_in_doubt("r1"));
+    let alone = fixture.fleet.propose("four", &document(&["b"], 2));
+    assert!(
+        !matches!(alone, Ok(ProposalResponse::Accepted(_))),
+        "{alone:?}"
+    );
+    assert_eq!(
+        fixture
+            .fleet
+            .statuses()
+            .first()
+            .map(|s| s.versions.in_force),
+        Some(three)
+    );
+    fixture.finish();
+}
+
+#[test]
+fn a_lost_replica_is_replaced_while_routers_are_served() {
+    let mut fixture = FleetFixture::new("replace", 2, |_| {});
+    fixture.fleet.kill_replica(2);
+    fixture.fleet.save_disk(2).expect("copied");
+    fixture.fleet.lose_disk(2).expect("gone");
+    let new = fixture
+        .fleet
+        .replace_replica(2)
+        .expect("asked")
+        .expect("replaced");
+    // Until two know it, the one that does may not be lost: that is not yet one of three. Then any may.
+    let know = |s: &mut TestFleet| s.statuses().iter().filter(|s| s.membership == 2).count();
+    assert!(fixture.fleet.wait_until(TIMEOUT, |s| know(s) == 2));
+    fixture.fleet.kill_replica(0);
+    fixture.fleet.start_replica(new).expect("it is taken in");
+    let two = fixture.propose("two", &document(&["a", "b"], 3));
+    assert!(
+        fixture.fleet.wait_until_in_force(two, TIMEOUT),
+        "the new one and keeper 2 are two of three"
+    );
+    assert!(
+        fixture.wait_for_attempt_under("r1", two, two)
+            && fixture.wait_for_attempt_under("r2", two, two)
+    );
+    fixture.fleet.start_replica(0).expect("runs");
+    let lists = |s: &mut TestFleet| {
+        s.statuses()
+            .iter()
+            .filter(|s| s.membership == 2 && s.replicas == [1, 2, 4])
+            .count()
+    };
+    assert!(
+        fixture.fleet.wait_until(TIMEOUT, |s| lists(s) == 3),
+        "{:?}",
+        fixture.fleet.statuses()
+    );
+    // The new one outlives its process, and the old ones are not needed for a change.
+    fixture.fleet.kill_replica(new);
+    fixture
+        .fleet
+        .start_replica(new)
+        .expect("it goes on from its disk");
+    fixture.fleet.kill_replica(1);
+    let three = fixture.propose("three", &document(&["a"], 2));
+    assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
+    fixture.fleet.start_replica(1).expect("runs");
+    // The lost one comes back after all, with a disk of before: its place is taken.
+    fixture.fleet.restore_disk(2).expect("put back");
+    fixture.fleet.start_replica(2).expect("starts");
+    let ended = fixture
+        .fleet
+        .replica(2)
+        .expect("there")
+        .wait_timeout(TIMEOUT);
+    assert_eq!(ended.and_then(|e| e.code()), Some(3));
+    let said = fixture.fleet.log("keeper-3");
+    assert!(said.contains("taken this one's place"), "{said}");
+    // The new one loses its disk: what it promised is lost with it, and it may not join again.
+    fixture.fleet.kill_replica(new);
+    fixture.fleet.lose_disk(new).expect("gone");
+    assert!(fixture.fleet.start_replica(new).is_err());
+    let said = fixture.fleet.log("keeper-4");
+    assert!(said.contains("don't take it in"), "{said}");
+    let four = fixture.propose("four", &document(&["a", "b"], 2));
+    assert!(
+        fixture.fleet.wait_until_in_force(four, TIMEOUT)
+            && fixture.wait_for_attempt_under("r1", four, four)
+    );
+    fixture.finish();
+}
--- /dev/null
+++ b/crates/cli/tests/fleet/versions.rs
@@ -0,0 +1,156 @@
+//! Versions that are proposed, rolled out and rejected.
+
+use std::time::{Duration, Instant};
+
+use hoptiller_audit::{Record, SentVersions};
+use hoptiller_coordination::Rejection;
+use hoptiller_coordination_client::wire::ProposalResponse;
+use hoptiller_fault_harness::{LinkFaults, LinkId};
+
+use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
+
+/// The machine kinds that reports were sent to from a time on, under this version or later ones.
+fn report_kinds(records: &[Record], from: u64, version: u64) -> Vec<String> {
+    let kind_of = |r: &Record| match r {
+        Record::Sent {
+            at,
+            kind,
+            class,
+            versions: Some(SentVersions { enforced, .. }),
+            ..
+        } if *at >= from && class == "report" && *enforced >= version => Some(kind.clone()),
+        _ => None,
+    };
+    let mut kinds: Vec<String> = records.iter().filter_map(kind_of).collect();
+    kinds.sort();
+    kinds.dedup();
+    kinds
+}
+
+#[test]
+fn a_version_reaches_all_routers_and_reports_move_only_with_it() {
+    let mut fixture = FleetFixture::new("all", 3, |_| {});
+    assert!(fixture.wait_for_attempt_under("r1", 1, 1));
+    let began = Instant::now();
+    let loose = fixture.propose("loose", &document(&["a", "b"], 3));
+    assert!(fixture.fleet.wait_until_in_force(loose, TIMEOUT));
+    let took = began.elapsed();
+    let strict = fixture.propose("strict", &document(&["b"], 2));
+    assert!(fixture.fleet.wait_until_in_force(strict, TIMEOUT));
+    for router in ["r1", "r2", "r3"] {
+        assert!(
+            fixture.wait_for_attempt_under(router, strict, strict),
+            "{router} never acted on version {strict}"
+        );
+    }
+    println!("in force after {} ms", took.as_millis());
+    let records = fixture.finish().records;
+    assert_eq!(
+        report_kinds(&records, 0, strict),
+        ["b"],
+        "what heeds the last version keeps to it"
+    );
+}
+
+#[test]
+fn a_drain_proposed_after_a_pending_version_is_enforced_at_once() {
+    use hoptiller_coordination::{Endpoint, EndpointList, EngineState};
+    // So long that the change still waits when the drain is heeded, on any machine; it ends when the link is whole again.
+    let mut fixture = FleetFixture::new("drain", 3, |topology| {
+        topology.lease_term = Duration::from_secs(300)
+    });
+    assert!(
+        fixture.wait_for_attempt_under("r1", 1, 1)
+            && fixture.wait_for_attempt_under("r2", 1, 1)
+            && fixture.wait_for_attempt_under("r3", 1, 1)
+    );
+    fixture
+        .fleet
+        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    let waits = fixture.propose("move", &document(&["a", "b"], 2));
+    let mut drained = document(&["a", "b"], 2);
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("later")
+        .as_millis() as u64;
+    let member = |n: usize| match n {
+        0 => Endpoint {
+            started_at_ms: now,
+            state: EngineState::Draining,
+        },
+        _ => Endpoint {
+            started_at_ms: 0,
+            state: EngineState::Up,
+        },
+    };
+    drained.list = Some(EndpointList(
+        (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
+    ));
+    let drain = fixture.propose("drain", &drained);
+    assert!(fixture.fleet.wait_until_enforced(2, drain, TIMEOUT));
+    for router in ["r2", "r3"] {
+        assert!(
+            fixture.wait_for_attempt_under(router, 1, drain),
+            "{router} acts on"
+        );
+    }
+    fixture.fleet.restore_links();
+    assert!(
+        fixture.fleet.wait_until_in_force(drain, TIMEOUT)
+            && fixture.wait_for_attempt_under("r1", drain, drain)
+    );
+    let records = fixture.finish().records;
+    let sent = |r: &Record| match r {
+        Record::Sent {
+            engine,
+            versions:
+                Some(SentVersions {
+                    in_force,
+                    enforced: heeds,
+                    in_doubt: false,
+                }),
+            ..
+        } if *heeds >= drain => Some((engine.clone(), *in_force)),
+        _ => None,
+    };
+    let sent: Vec<(String, u64)> = records.iter().filter_map(sent).collect();
+    assert!(
+        sent.iter().any(|(_, in_force)| *in_force < waits),
+        "the change before it still waited"
+    );
+    assert!(
+        sent.iter().all(|(engine, _)| engine != "engine-0"),
+        "what heeds the drain sends nothing there"
+    );
+}
+
+#[test]
+fn a_proposal_repeated_at_another_replica_is_one_version_and_a_flood_is_rejected() {
+    let mut fixture = FleetFixture::new("flood", 2, |_| {});
+    // The answer is lost: nothing comes back from any keeper to this caller, who gives up and asks again.
+    let number = fixture.propose("once", &document(&["a", "b"], 3));
+    fixture.fleet.kill_replica(0);
+    assert_eq!(fixture.propose("once", &document(&["a", "b"], 3)), number);
+    fixture.fleet.start_replica(0).expect("runs");
+    assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
+    fixture
+        .fleet
+        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    let (mut taken, mut busy) = (0u64, 0);
+    for n in 0..200u32 {
+        match fixture
+            .fleet
+            .propose(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3))
+        {
+            Ok(ProposalResponse::Accepted(_)) => taken += 1,
+            Ok(ProposalResponse::Rejected(Rejection::TooManyPending { .. })) => busy += 1,
+            other => panic!("{other:?}"),
+        }
+    }
+    assert_eq!(taken + busy, 200);
+    assert!(busy > 0 && taken > 0, "{taken} taken, {busy} refused");
+    fixture.fleet.restore_links();
+    assert!(fixture.fleet.wait_until_in_force(number + taken, TIMEOUT));
+    assert!(fixture.wait_for_attempt_under("r1", number + taken, number + taken));
+    fixture.finish();
+}
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,7 +1,7 @@
-//! Fleets of processes that do tasks for each other under leases, with faults between them. What is judged is what discovery
-//! and engines recorded of who asked them under which number.
+//! Fleets whose routers do tasks for each other under leases, with faults between them. What is judged is what discovery and
+//! engines recorded of who asked them under which fencing token.
 
-mod night;
+mod fleet_fixture;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -9,45 +9,60 @@
 use hoptiller_audit::Record;
 use hoptiller_coordination::{Document, Task};
 use hoptiller_coordination_client::wire::{self, LeaseStatus};
-use hoptiller_fault_harness::Faults;
-use hoptiller_fault_harness::stage::Between;
-use night::{LONG, Night, document};
+use hoptiller_fault_harness::{LinkFaults, LinkId, Topology};
 
-fn with_tasks(probe: u32) -> Document {
+use fleet_fixture::{FleetFixture, Judged, TIMEOUT, document};
+
+/// All shards of the tasks below: one of discovery, three of health checks.
+const SHARDS: usize = 4;
+
+/// Task leases for reading discovery, and for so many shards of health checks.
+fn document_with_tasks(health_check_shards: u32) -> Document {
     let mut first = document(&["a", "b"], 3);
-    first.tasks = [(Task::Discovery, 1), (Task::HealthCheck, probe)].into();
+    first.tasks = [
+        (Task::Discovery, 1),
+        (Task::HealthCheck, health_check_shards),
+    ]
+    .into();
     first
 }
 
-/// Who asked under which lease: router, part, number, refused.
-type Act = (String, String, u64, bool);
+/// A request under a task lease.
+#[derive(Clone)]
+struct LeasedRequest {
+    router: String,
+    shard: String,
+    fencing_token: u64,
+    rejected: bool,
+}
 
-impl Night {
-    fn leasing(
+impl FleetFixture {
+    /// A fleet whose shards are all done, and spread over the routers.
+    fn with_task_leases(
         name: &str,
         routers: usize,
-        change: impl FnOnce(&mut hoptiller_fault_harness::Layout),
-    ) -> Night {
-        let mut night = Night::with(name, routers, &with_tasks(3), change);
+        change: impl FnOnce(&mut Topology),
+    ) -> FleetFixture {
+        let first = document_with_tasks(3);
+        let mut fixture = FleetFixture::with_first_version(name, routers, &first, change);
         assert!(
-            night.until_acts(|acts| parts_done(acts).len() == 4),
-            "each part is done by somebody"
+            fixture.wait_for_requests(|requests| shards_of(requests).len() == SHARDS),
+            "each shard is done by some router"
         );
-        // The first to ask often enough has all at first: until they are spread, they still move by themselves.
-        let end = Instant::now() + LONG;
-        while !night.is_spread(routers) {
-            assert!(Instant::now() < end, "leases do not spread");
-            std::thread::sleep(Duration::from_millis(20));
-        }
-        night
+        // The first router to renew often enough holds all at first: until they are spread, they still migrate.
+        assert!(
+            fixture.wait_until(|fixture| fixture.is_spread(routers)),
+            "leases do not spread"
+        );
+        fixture
     }
 
-    /// What keepers say of all parts.
+    /// What replicas report of all shards.
     fn leases(&self) -> Vec<LeaseStatus> {
-        let keepers = self.stage.keepers().expect("there");
-        let asked =
-            keepers.call::<Vec<LeaseStatus>>(wire::LEASES, None::<&()>, Duration::from_secs(2));
-        async_io::block_on(asked).unwrap_or_default()
+        let client = self.fleet.client();
+        let call =
+            client.call::<Vec<LeaseStatus>>(wire::LEASES, None::<&()>, Duration::from_secs(2));
+        async_io::block_on(call).unwrap_or_default()
     }
 
     fn is_spread(&self, routers: usize) -> bool {
@@ -56,97 +71,105 @@
             *counts.entry(holder.router).or_default() += 1;
         }
         counts.len() == routers
-            && counts.values().sum::<usize>() == 4
+            && counts.values().sum::<usize>() == SHARDS
             && counts.values().all(|n| *n <= 2)
     }
 
-    fn leased(&self) -> Vec<Act> {
-        let of = |r: Record| match r {
+    fn leased_requests(&self) -> Vec<LeasedRequest> {
+        let request_of = |record: Record| match record {
             Record::LeasedRequest {
                 router,
-                shard: part,
-                fencing_token: number,
+                shard,
+                fencing_token,
                 refused,
                 ..
-            } => Some((router, part, number, refused)),
+            } => Some(LeasedRequest {
+                router,
+                shard,
+                fencing_token,
+                rejected: refused,
+            }),
             _ => None,
         };
-        self.stage
-            .recorder
-            .records()
-            .expect("recorded")
-            .into_iter()
-            .filter_map(of)
-            .collect()
+        self.records().into_iter().filter_map(request_of).collect()
     }
 
-    /// Waits until what was done under leases is as wanted.
-    fn until_acts(&mut self, wanted: impl Fn(&[Act]) -> bool) -> bool {
-        let end = Instant::now() + LONG;
-        while Instant::now() < end {
-            if wanted(&self.leased()) {
-                return true;
-            }
-            std::thread::sleep(Duration::from_millis(20));
-        }
-        false
+    /// Waits until the requests under leases are as wanted.
+    fn wait_for_requests(&mut self, condition: impl Fn(&[LeasedRequest]) -> bool) -> bool {
+        self.wait_until(|fixture| condition(&fixture.leased_requests()))
     }
 
-    /// Waits until each part is done under a number of at least this.
-    fn until_all_after(&mut self, number: u64) -> bool {
-        self.until_acts(|acts| {
-            let new: Vec<Act> = acts
+    /// Waits until each shard is done under a token after this one.
+    fn wait_for_all_shards_after(&mut self, fencing_token: u64) -> bool {
+        self.wait_for_requests(|requests| {
+            let new: Vec<LeasedRequest> = requests
                 .iter()
-                .filter(|a| a.2 > number && !a.3)
+                .filter(|request| request.fencing_token > fencing_token && !request.rejected)
                 .cloned()
                 .collect();
-            parts_done(&new).len() == 4
+            shards_of(&new).len() == SHARDS
         })
     }
 
-    /// The holder of a part, by place, as keepers know.
-    fn holder(&self, part: &str) -> usize {
-        let end = Instant::now() + LONG;
-        loop {
-            let held = self
-                .leases()
-                .into_iter()
-                .find(|l| l.shard.to_string() == part)
-                .and_then(|l| l.holder);
-            if let Some((holder, _)) = held {
-                return holder.router[1..].parse::<usize>().expect("r and a number") - 1;
-            }
-            assert!(Instant::now() < end, "nobody holds {part}");
-            std::thread::sleep(Duration::from_millis(20));
-        }
+    /// The place of the router that holds a shard, as replicas report it.
+    fn holder(&mut self, shard: &str) -> usize {
+        let holder_of = |fixture: &FleetFixture| {
+            let mut leases = fixture.leases().into_iter();
+            let lease = leases.find(|lease| lease.shard.to_string() == shard);
+            lease.and_then(|lease| lease.holder)
+        };
+        let found = std::cell::RefCell::new(None);
+        self.wait_until(|fixture| {
+            *found.borrow_mut() = holder_of(fixture);
+            found.borrow().is_some()
+        });
+        let (holder, _) = found
+            .into_inner()
+            .unwrap_or_else(|| panic!("nobody holds {shard}"));
+        holder.router[1..].parse::<usize>().expect("r and a number") - 1
     }
 
-    fn newest(&self) -> u64 {
-        self.leased().iter().map(|a| a.2).max().unwrap_or(0)
+    fn newest_token(&self) -> u64 {
+        let requests = self.leased_requests().into_iter();
+        requests.map(|r| r.fencing_token).max().unwrap_or(0)
     }
 
-    /// Waits until another than the one of that place does a part.
-    fn until_other(&mut self, part: &str, holder: usize) -> bool {
-        let (newest, name) = (self.newest(), format!("r{}", holder + 1));
-        self.until_acts(|acts| {
-            acts.iter()
-                .any(|a| a.1 == part && a.2 > newest && a.0 != name && !a.3)
+    /// Waits until another router than the one of that place does a shard.
+    fn wait_for_takeover(&mut self, shard: &str, holder: usize) -> bool {
+        let (newest, name) = (self.newest_token(), router_name(holder));
+        self.wait_for_requests(|requests| {
+            requests.iter().any(|request| {
+                request.shard == shard
+                    && request.fencing_token > newest
+                    && request.router != name
+                    && !request.rejected
+            })
         })
     }
 }
 
-fn parts_done(acts: &[Act]) -> BTreeSet<&str> {
-    acts.iter().map(|a| a.1.as_str()).collect()
+fn router_name(router: usize) -> String {
+    format!("r{}", router + 1)
+}
+
+fn shards_of(requests: &[LeasedRequest]) -> BTreeSet<&str> {
+    requests
+        .iter()
+        .map(|request| request.shard.as_str())
+        .collect()
 }
 
 #[test]
-fn each_part_is_done_by_one_and_all_have_the_list() {
-    let mut night = Night::leasing("tasks", 3, |_| {});
+fn each_shard_has_one_holder_and_all_routers_have_the_endpoint_list() {
+    let mut fixture = FleetFixture::with_task_leases("tasks", 3, |_| {});
     // All three route by what one has read, and by what some have asked of engines.
     for router in ["r1", "r2", "r3"] {
-        assert!(night.until_act(router, 1, 1), "{router} knows engines");
+        assert!(
+            fixture.wait_for_attempt_under(router, 1, 1),
+            "{router} knows engines"
+        );
     }
-    let (_, verdict) = night.verdict();
+    let verdict = fixture.finish().verdict;
     let leases = verdict.leases.expect("acts under leases");
     assert_eq!(
         (leases.shards, leases.overlaps, leases.refused),
@@ -156,156 +179,160 @@
 }
 
 #[test]
-fn a_holder_stopped_past_its_time_does_nothing_more_under_it_when_it_goes_on() {
-    let mut night = Night::leasing("lease-stopped", 3, |_| {});
-    let holder = night.holder("list/0");
-    night.stage.stop_router(holder);
-    night.reach();
-    assert!(night.until_other("list/0", holder), "another takes it");
-    night.stage.go_on_router(holder);
-    night.reach();
-    let name = format!("r{}", holder + 1);
-    let newest = night.newest();
+fn a_holder_paused_beyond_its_lease_does_nothing_under_it_when_resumed() {
+    let mut fixture = FleetFixture::with_task_leases("lease-stopped", 3, |_| {});
+    let holder = fixture.holder("list/0");
+    fixture.fleet.pause_router(holder);
+    fixture.update_client_routers();
+    assert!(
+        fixture.wait_for_takeover("list/0", holder),
+        "another takes it"
+    );
+    fixture.fleet.resume_router(holder);
+    fixture.update_client_routers();
+    let name = router_name(holder);
+    let newest = fixture.newest_token();
     assert!(
-        night.until_acts(|acts| acts.iter().any(|a| a.0 == name && a.2 > newest)),
+        fixture.wait_for_requests(|requests| requests
+            .iter()
+            .any(|r| r.router == name && r.fencing_token > newest)),
         "it is given some again"
     );
-    let (_, verdict) = night.verdict();
+    let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
 }
 
 #[test]
-fn a_holder_cut_off_from_keepers_stops_before_another_begins_though_it_reaches_what_it_acts_on() {
-    let mut night = Night::leasing("lease-cut", 3, |_| {});
-    let holder = night.holder("probe/1");
-    night.stage.fail_all(
-        Faults::cut(),
-        |b| matches!(b, Between::Router(r, _) if *r == holder),
+fn a_holder_isolated_from_replicas_stops_before_another_begins_though_it_reaches_its_targets() {
+    let mut fixture = FleetFixture::with_task_leases("lease-cut", 3, |_| {});
+    let holder = fixture.holder("probe/1");
+    fixture.fleet.fail_links(
+        LinkFaults::blocked(),
+        |b| matches!(b, LinkId::Router(r, _) if *r == holder),
     );
-    assert!(night.until_other("probe/1", holder));
+    assert!(fixture.wait_for_takeover("probe/1", holder));
     // Answers to its questions are lost, the questions are not: it is no better off.
-    night.stage.heal();
-    let next = night.holder("probe/1");
-    let lost = hoptiller_fault_harness::Way {
-        cut: true,
-        ..hoptiller_fault_harness::Way::default()
-    };
-    let lost = Faults {
-        back: lost,
-        ..Faults::default()
-    };
-    night
-        .stage
-        .fail_all(lost, |b| matches!(b, Between::Router(r, _) if *r == next));
-    assert!(night.until_other("probe/1", next));
-    night.stage.heal();
-    let (_, verdict) = night.verdict();
+    fixture.fleet.restore_links();
+    let next = fixture.holder("probe/1");
+    let lost = LinkFaults::lost_responses();
+    fixture
+        .fleet
+        .fail_links(lost, |b| matches!(b, LinkId::Router(r, _) if *r == next));
+    assert!(fixture.wait_for_takeover("probe/1", next));
+    fixture.fleet.restore_links();
+    let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
 }
 
 #[test]
-fn a_holder_that_reaches_keepers_and_not_discovery_leaves_it_to_another() {
-    let mut night = Night::leasing("lease-reverse", 3, |_| {});
-    let holder = night.holder("list/0");
-    night.stage.fail(
-        Between::Discovery(holder),
-        Faults {
-            refuse: true,
-            ..Faults::default()
+fn a_holder_that_reaches_replicas_but_not_discovery_releases_its_lease() {
+    let mut fixture = FleetFixture::with_task_leases("lease-reverse", 3, |_| {});
+    let holder = fixture.holder("list/0");
+    fixture.fleet.fail_link(
+        LinkId::Discovery(holder),
+        LinkFaults {
+            rejects_connections: true,
+            ..LinkFaults::default()
         },
     );
-    assert!(night.until_other("list/0", holder), "another reads it");
-    let (_, verdict) = night.verdict();
+    assert!(
+        fixture.wait_for_takeover("list/0", holder),
+        "another reads it"
+    );
+    let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
 }
 
 #[test]
-fn a_leader_killed_and_all_keepers_away_for_long_leave_no_two_holders() {
-    let mut night = Night::leasing("lease-keepers", 3, |_| {});
-    let leader = night
-        .stage
+fn a_killed_leader_and_a_long_absence_of_all_replicas_leave_no_two_holders() {
+    let mut fixture = FleetFixture::with_task_leases("lease-keepers", 3, |_| {});
+    let leader = fixture
+        .fleet
         .statuses()
         .iter()
         .find_map(|s| s.leader)
         .expect("somebody leads") as usize
         - 1;
-    let holder = night.holder("list/0");
-    night.stage.kill_router(holder);
-    night.reach();
-    night.stage.kill_keeper(leader);
+    let holder = fixture.holder("list/0");
+    fixture.fleet.kill_router(holder);
+    fixture.update_client_routers();
+    fixture.fleet.kill_replica(leader);
     assert!(
-        night.until_other("list/0", holder),
+        fixture.wait_for_takeover("list/0", holder),
         "the one that leads now waits for its own count of the term"
     );
-    night.stage.start_keeper(leader).expect("runs");
-    night.stage.start_router(holder).expect("runs");
-    night.reach();
+    fixture.fleet.start_replica(leader).expect("runs");
+    fixture.fleet.start_router(holder).expect("runs");
+    fixture.update_client_routers();
     // All keepers away: nobody acts under a lease, each router looks for itself, and all serve on.
-    (0..3).for_each(|k| night.stage.kill_keeper(k));
+    (0..3).for_each(|k| fixture.fleet.kill_replica(k));
     let names = ["r1", "r2", "r3"];
-    let before = names.map(|r| night.acts(r).len());
-    let in_doubt = |night: &Night| {
-        let new =
-            |(r, from): (&&str, &usize)| night.acts(r)[*from..].iter().filter(|a| a.2).count() > 2;
+    let before = names.map(|r| fixture.attempts(r).len());
+    let in_doubt = |fixture: &FleetFixture| {
+        let new = |(r, from): (&&str, &usize)| {
+            fixture.attempts(r)[*from..]
+                .iter()
+                .filter(|v| v.in_doubt)
+                .count()
+                > 2
+        };
         names.iter().zip(&before).all(new)
     };
-    let end = Instant::now() + LONG;
-    while !in_doubt(&night) && Instant::now() < end {
-        std::thread::sleep(Duration::from_millis(20));
-    }
-    assert!(in_doubt(&night), "all serve on in doubt");
-    let acts = night.leased().len();
-    let served = night.acts("r1").len();
-    while night.acts("r1").len() < served + 20 && Instant::now() < end {
-        std::thread::sleep(Duration::from_millis(20));
-    }
+    let deadline = Instant::now() + TIMEOUT;
+    assert!(
+        fixture.wait_until_deadline(deadline, &in_doubt),
+        "all serve on in doubt"
+    );
+    let requests = fixture.leased_requests().len();
+    let served = fixture.attempts("r1").len();
     assert!(
-        night.acts("r1").len() >= served + 20,
+        fixture.wait_until_deadline(deadline, |fixture| fixture.attempts("r1").len()
+            >= served + 20),
         "lookups are served in doubt"
     );
     assert_eq!(
-        night.leased().len(),
-        acts,
+        fixture.leased_requests().len(),
+        requests,
         "and nothing is done under a lease"
     );
     for k in 0..3 {
-        night.stage.start_keeper(k).expect("runs");
+        fixture.fleet.start_replica(k).expect("runs");
     }
     // Nobody else may have been given one meanwhile: each goes on with what it had, once keepers say so.
     assert!(
-        night.until_acts(|all| parts_done(&all[acts..]).len() == 4),
+        fixture.wait_for_requests(|all| shards_of(&all[requests..]).len() == SHARDS),
         "it goes on"
     );
-    let (_, verdict) = night.verdict();
+    let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
 }
 
 #[test]
-fn a_router_told_to_end_hands_over_and_all_restarted_at_once_begin_anew() {
-    let mut night = Night::leasing("lease-drain", 3, |_| {});
-    let holder = night.holder("list/0");
-    night.stage.router(holder).expect("runs").tell_to_end();
-    night.reach();
-    assert!(night.until_other("list/0", holder));
+fn a_terminated_router_hands_over_and_routers_restarted_together_get_new_leases() {
+    let mut fixture = FleetFixture::with_task_leases("lease-drain", 3, |_| {});
+    let holder = fixture.holder("list/0");
+    fixture.fleet.router(holder).expect("runs").terminate();
+    fixture.update_client_routers();
+    assert!(fixture.wait_for_takeover("list/0", holder));
     assert!(
-        night
-            .stage
+        fixture
+            .fleet
             .router(holder)
             .expect("there")
-            .wait(LONG)
+            .wait_timeout(TIMEOUT)
             .is_some_and(|s| s.success())
     );
-    let (newest, name) = (night.newest(), format!("r{}", holder + 1));
-    (0..3).for_each(|r| night.stage.kill_router(r));
+    let (newest, name) = (fixture.newest_token(), router_name(holder));
+    (0..3).for_each(|r| fixture.fleet.kill_router(r));
     for r in 0..3 {
-        night.stage.start_router(r).expect("runs");
+        fixture.fleet.start_router(r).expect("runs");
     }
-    night.reach();
+    fixture.update_client_routers();
     assert!(
-        night.until_all_after(newest),
+        fixture.wait_for_all_shards_after(newest),
         "after the term of those before"
     );
-    let (records, verdict) = night.verdict();
+    let Judged { records, verdict } = fixture.finish();
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
     let told = records
         .iter()
@@ -314,31 +341,35 @@
 }
 
 #[test]
-fn with_a_clock_far_beyond_the_bound_what_compares_refuses_the_older_number() {
+fn with_a_clock_far_beyond_the_bound_older_fencing_tokens_are_rejected() {
     // A tenth as fast as time: this router believes in its lease for ten terms, long enough for any machine to give it to
     // another. One part, at one resource: it knows all numbers that there were.
     let mut first = document(&["a", "b"], 3);
     first.tasks = [(Task::Discovery, 1)].into();
-    let mut night = Night::with("lease-clock", 2, &first, |layout| {
-        layout.router_skews = vec![-900_000, -900_000];
-        layout.engines.iter_mut().for_each(|e| e.fences = true);
+    let mut fixture = FleetFixture::with_first_version("lease-clock", 2, &first, |topology| {
+        topology.router_skews = vec![-900_000, -900_000];
+        topology
+            .engines
+            .iter_mut()
+            .for_each(|e| e.enforces_fencing = true);
     });
     assert!(
-        night.until_acts(|acts| !acts.is_empty()),
+        fixture.wait_for_requests(|requests| !requests.is_empty()),
         "somebody reads the list"
     );
-    let holder = night.holder("list/0");
-    night.stage.fail_all(
-        Faults::cut(),
-        |b| matches!(b, Between::Router(r, _) if *r == holder),
+    let holder = fixture.holder("list/0");
+    fixture.fleet.fail_links(
+        LinkFaults::blocked(),
+        |b| matches!(b, LinkId::Router(r, _) if *r == holder),
     );
-    let name = format!("r{}", holder + 1);
+    let name = router_name(holder);
     assert!(
-        night.until_acts(|acts| acts.iter().any(|a| a.0 == name && a.3)),
+        fixture
+            .wait_for_requests(|requests| requests.iter().any(|r| r.router == name && r.rejected)),
         "it comes late, and is refused"
     );
-    night.stage.heal();
-    let (_, verdict) = night.verdict();
+    fixture.fleet.restore_links();
+    let verdict = fixture.finish().verdict;
     let leases = verdict.leases.expect("acts");
     assert!(leases.refused > 0 && leases.overlaps == 0, "{leases:?}");
 }
--- /dev/null
+++ b/crates/fault-harness/src/fleet/links.rs
@@ -0,0 +1,123 @@
+//! The links between the processes of a fleet, and their faults.
+
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+
+use super::{TestFleet, Topology};
+use crate::link::{Link, LinkFaults};
+
+/// A link of a fleet, by the places of its ends, counted from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum LinkId {
+    /// From one replica to another.
+    Replicas(usize, usize),
+    /// From a router to a replica.
+    Router(usize, usize),
+    /// From a router to discovery.
+    Discovery(usize),
+    /// From the replicas to one that replaced another: one link for all of them.
+    Replacement(usize),
+}
+
+impl LinkId {
+    /// Whether this link leads from the router to a replica.
+    pub fn is_from_router(&self, router: usize) -> bool {
+        matches!(self, LinkId::Router(from, _) if *from == router)
+    }
+
+    /// Whether this link leads from the replica to another one, or the other way.
+    pub fn is_between_replicas(&self, replica: usize) -> bool {
+        matches!(self, LinkId::Replicas(from, to) if *from == replica || *to == replica)
+    }
+}
+
+/// All links of a fleet.
+pub(super) struct Links {
+    by_id: BTreeMap<LinkId, Link>,
+}
+
+impl Links {
+    pub(super) fn new(topology: &Topology, discovery: SocketAddr) -> io::Result<Links> {
+        let mut links = Links {
+            by_id: BTreeMap::new(),
+        };
+        for replica in 0..topology.replicas {
+            for peer in (0..topology.replicas).filter(|peer| *peer != replica) {
+                links.add(LinkId::Replicas(peer, replica))?;
+            }
+            for router in 0..topology.routers {
+                links.add(LinkId::Router(router, replica))?;
+            }
+        }
+        for router in 0..topology.routers {
+            links.add(LinkId::Discovery(router))?.set_target(discovery);
+        }
+        Ok(links)
+    }
+
+    /// Adds a link in place of the one that had this id, and returns it.
+    pub(super) fn add(&mut self, id: LinkId) -> io::Result<&Link> {
+        let link = Link::new("link")?;
+        Ok(self.by_id.entry(id).insert_entry(link).into_mut())
+    }
+
+    pub(super) fn get(&self, id: LinkId) -> Option<&Link> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn addr(&self, id: LinkId) -> Option<SocketAddr> {
+        self.get(id).map(Link::addr)
+    }
+
+    pub(super) fn matching(
+        &self,
+        matches: impl Fn(&LinkId) -> bool,
+    ) -> impl Iterator<Item = &Link> {
+        self.by_id
+            .iter()
+            .filter(move |(id, _)| matches(id))
+            .map(|(_, link)| link)
+    }
+}
+
+impl TestFleet {
+    /// A link, where there is one.
+    pub fn link(&self, id: LinkId) -> Option<&Link> {
+        self.links.get(id)
+    }
+
+    /// The ids of all links.
+    pub fn link_ids(&self) -> Vec<LinkId> {
+        self.links.by_id.keys().copied().collect()
+    }
+
+    /// Sets the faults of a link, where there is one.
+    pub fn fail_link(&self, id: LinkId, faults: LinkFaults) {
+        self.fail_links(faults, |other| *other == id);
+    }
+
+    /// Sets the faults of all links that match.
+    pub fn fail_links(&self, faults: LinkFaults, matches: impl Fn(&LinkId) -> bool) {
+        self.links
+            .matching(matches)
+            .for_each(|link| link.set_faults(faults));
+    }
+
+    /// Sets the faults of the links from a router to all replicas.
+    pub fn fail_router_links(&self, router: usize, faults: LinkFaults) {
+        self.fail_links(faults, |id| id.is_from_router(router));
+    }
+
+    /// Closes the connections that are open on all links that match.
+    pub fn reset_links(&self, matches: impl Fn(&LinkId) -> bool) {
+        self.links
+            .matching(matches)
+            .for_each(Link::reset_connections);
+    }
+
+    /// Takes the faults of all links back.
+    pub fn restore_links(&self) {
+        self.fail_links(LinkFaults::default(), |_| true);
+    }
+}
--- /dev/null
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -0,0 +1,201 @@
+//! Faults and proposals that are drawn from a seed.
+
+use hoptiller_coordination::ConfigDuration;
+
+use super::{ScenarioEvent, ScheduledEvent, Timeline};
+use crate::rng::SeededRng;
+
+/// Latency that is added to one router before it is isolated, in ms.
+const ROUTER_LATENCY_MS: u64 = 300;
+/// Latency that is added to all routers, in ms: at least this, and less than this and [`LATENCY_SPREAD_MS`].
+const MIN_LATENCY_MS: u64 = 50;
+const LATENCY_SPREAD_MS: u64 = 250;
+
+/// The faults that are drawn, in the order of their numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RandomFault {
+    IsolateRouter,
+    LoseResponses,
+    SlowThenIsolateRouter,
+    PauseRouter,
+    PartitionReplica,
+    LoseMessages,
+    SlowThenReset,
+    KillReplicaAndRouter,
+    KillReplicas,
+    SplitAfterPartition,
+}
+
+impl RandomFault {
+    /// How many numbers [`from_number`](RandomFault::from_number) knows.
+    const NUMBERS: u64 = 11;
+
+    fn from_number(number: u64) -> RandomFault {
+        match number {
+            // The first is drawn twice as often as each of the others.
+            0 | 1 => RandomFault::IsolateRouter,
+            2 => RandomFault::LoseResponses,
+            3 => RandomFault::SlowThenIsolateRouter,
+            4 => RandomFault::PauseRouter,
+            5 => RandomFault::PartitionReplica,
+            6 => RandomFault::LoseMessages,
+            7 => RandomFault::SlowThenReset,
+            8 => RandomFault::KillReplicaAndRouter,
+            9 => RandomFault::KillReplicas,
+            _ => RandomFault::SplitAfterPartition,
+        }
+    }
+
+    /// Whether one router is cut off from the rest. These faults last for longer than the interval, as a lease may.
+    fn cuts_router_off(self) -> bool {
+        matches!(
+            self,
+            RandomFault::IsolateRouter
+                | RandomFault::LoseResponses
+                | RandomFault::SlowThenIsolateRouter
+                | RandomFault::PauseRouter
+        )
+    }
+}
+
+impl Timeline {
+    /// Draws faults, and proposals meanwhile, for a fleet with so many routers and replicas; none where the timeline has no
+    /// interval. They are not in the order of time.
+    pub fn random_events(&self, seed: u64, routers: usize, replicas: usize) -> Vec<ScheduledEvent> {
+        let Some(interval) = self.random_event_interval else {
+            return Vec::new();
+        };
+        let draws = RandomEvents {
+            rng: SeededRng::new(seed),
+            documents: self.documents.keys().cloned().collect(),
+            routers,
+            replicas,
+            interval: interval.0,
+            fault_at: interval.0,
+            events: Vec::new(),
+        };
+        draws.draw_until(self.duration.0)
+    }
+}
+
+/// The state of the draws. All times are in µs.
+struct RandomEvents {
+    rng: SeededRng,
+    documents: Vec<String>,
+    routers: usize,
+    replicas: usize,
+    interval: u64,
+    /// When the fault that is being drawn begins.
+    fault_at: u64,
+    events: Vec<ScheduledEvent>,
+}
+
+impl RandomEvents {
+    fn draw_until(mut self, end: u64) -> Vec<ScheduledEvent> {
+        while self.fault_at + 3 * self.interval < end {
+            let router = self.rng.index(self.routers);
+            let replica = self.rng.index(self.replicas);
+            let fault = RandomFault::from_number(self.rng.below(RandomFault::NUMBERS));
+            if fault == RandomFault::SplitAfterPartition {
+                self.split_after_partition(replica);
+            } else {
+                self.draw_fault(fault, router, replica);
+            }
+        }
+        self.events
+    }
+
+    /// Adds an event so long after the begin of the fault.
+    fn add(&mut self, delay: u64, event: ScenarioEvent) {
+        self.events.push(ScheduledEvent {
+            at: ConfigDuration(self.fault_at + delay),
+            event,
+        });
+    }
+
+    fn draw_proposal(&mut self) -> ScenarioEvent {
+        let document = self.rng.index(self.documents.len());
+        ScenarioEvent::Propose(self.documents[document].clone())
+    }
+
+    fn draw_fault(&mut self, fault: RandomFault, router: usize, replica: usize) {
+        let interval = self.interval;
+        let lasts_longer = fault.cuts_router_off();
+        let end = if lasts_longer {
+            interval * 2
+        } else {
+            interval * 4 / 5
+        };
+        self.add_fault(fault, router, replica, end);
+        let delay = interval * 2 / 5 + self.rng.below(interval / 5);
+        let proposal = self.draw_proposal();
+        self.add(delay, proposal);
+        if lasts_longer {
+            let proposal = self.draw_proposal();
+            self.add(interval * 3 / 2, proposal);
+        }
+        self.add(end, ScenarioEvent::RestoreLinks);
+        self.fault_at += if lasts_longer {
+            interval * 5 / 2
+        } else {
+            interval
+        };
+    }
+
+    fn add_fault(&mut self, fault: RandomFault, router: usize, replica: usize, end: u64) {
+        let interval = self.interval;
+        match fault {
+            RandomFault::IsolateRouter => self.add(0, ScenarioEvent::IsolateRouter(router)),
+            RandomFault::LoseResponses => self.add(0, ScenarioEvent::LoseResponses(router)),
+            // A router that counts its lease from a response rather than from its request counts too long.
+            RandomFault::SlowThenIsolateRouter => {
+                let slow = ScenarioEvent::AddRouterLatency(router, ROUTER_LATENCY_MS);
+                self.add(0, slow);
+                self.add(interval / 3, ScenarioEvent::IsolateRouter(router));
+            }
+            RandomFault::PauseRouter => {
+                self.add(0, ScenarioEvent::PauseRouter(router));
+                self.add(end, ScenarioEvent::ResumeRouter(router));
+            }
+            RandomFault::PartitionReplica => {
+                self.add(0, ScenarioEvent::PartitionReplica(replica));
+            }
+            RandomFault::LoseMessages => {
+                let next = (replica + 1) % self.replicas;
+                self.add(0, ScenarioEvent::LoseMessages(replica, next));
+            }
+            RandomFault::SlowThenReset => {
+                let latency = MIN_LATENCY_MS + self.rng.below(LATENCY_SPREAD_MS);
+                self.add(0, ScenarioEvent::AddLatency(latency));
+                self.add(interval / 2, ScenarioEvent::ResetConnections);
+            }
+            RandomFault::KillReplicaAndRouter => {
+                self.add(0, ScenarioEvent::KillReplica(replica));
+                self.add(end, ScenarioEvent::StartReplica(replica));
+                self.add(interval / 4, ScenarioEvent::KillRouter(router));
+                self.add(end, ScenarioEvent::StartRouter(router));
+            }
+            RandomFault::KillReplicas => {
+                self.add(0, ScenarioEvent::KillReplicas);
+                self.add(end, ScenarioEvent::StartReplicas);
+            }
+            RandomFault::SplitAfterPartition => self.split_after_partition(replica),
+        }
+    }
+
+    /// A version that two replicas accept has to outlive one of them, together with the replica that was partitioned.
+    fn split_after_partition(&mut self, replica: usize) {
+        let interval = self.interval;
+        self.add(0, ScenarioEvent::PartitionReplica(replica));
+        let proposal = self.draw_proposal();
+        self.add(interval / 2, proposal);
+        self.add(interval / 2, ScenarioEvent::KillOtherReplicas(replica));
+        self.add(interval * 3 / 4, ScenarioEvent::RestoreLinks);
+        let next = (replica + 1) % self.replicas;
+        self.add(interval * 3 / 4, ScenarioEvent::StartReplica(next));
+        let proposal = self.draw_proposal();
+        self.add(interval * 5 / 2, proposal);
+        self.add(interval * 11 / 4, ScenarioEvent::StartReplicas);
+        self.fault_at += interval * 3;
+    }
+}
--- /dev/null
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -0,0 +1,276 @@
+//! Runs a fleet scenario, and judges what came of it.
+
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+use hoptiller_audit::{Rules, VersionRules, judge};
+use hoptiller_coordination::Change;
+use hoptiller_coordination_client::wire::ProposalResponse;
+
+use super::rollouts::Rollouts;
+use super::{
+    FIRST_DOCUMENT, FleetReport, FleetScenario, Outcome, OutcomeEntry, ScenarioEvent,
+    ScheduledEvent, Timeline,
+};
+use crate::client_load::ClientLoad;
+use crate::error::ScenarioError;
+use crate::fleet::{FleetError, LinkId, TestFleet};
+use crate::link::LinkFaults;
+
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long the last version may take to come in force once all faults are taken back.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often versions that are not in force yet are asked for.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(20);
+
+/// How a scenario is run.
+#[derive(Clone, Debug)]
+pub struct RunOptions<'a> {
+    /// The program whose processes are started.
+    pub program: &'a Path,
+    /// The folder of records, logs and rules. It is created.
+    pub report_dir: &'a Path,
+    /// What is drawn is drawn from it.
+    pub seed: u64,
+    /// Whether routers take part in coordination.
+    pub coordinated: bool,
+    /// How long acts under contradicting versions may overlap.
+    pub max_overlap: Duration,
+    /// Environment variables of all processes.
+    pub env: Vec<(String, String)>,
+}
+
+impl FleetScenario {
+    /// Runs the scenario, writes the rules beside the records, and judges the records.
+    ///
+    /// # Errors
+    ///
+    /// When the fleet can't be set up, a process does not start, or a file can't be used.
+    pub fn run(&self, options: &RunOptions<'_>) -> Result<FleetReport, ScenarioError> {
+        let mut topology = self.topology();
+        topology.coordinated = options.coordinated;
+        let mut fleet =
+            TestFleet::new(topology, options.program, options.report_dir).map_err(|source| {
+                ScenarioError::Fleet {
+                    step: "the stage",
+                    source,
+                }
+            })?;
+        for (name, value) in &options.env {
+            fleet.set_env(name, value);
+        }
+        let outcome = ScenarioRun::start(&self.timeline, &mut fleet, options.seed)?.play()?;
+        let records = fleet
+            .recorder()
+            .records()
+            .map_err(ScenarioError::io("the records"))?;
+        // All processes end before the verdict.
+        drop(fleet);
+        let rules = self.rules(options.max_overlap, &outcome);
+        let text = serde_json::to_string_pretty(&rules).unwrap_or_default();
+        std::fs::write(options.report_dir.join("rules.json"), text)
+            .map_err(ScenarioError::io("rules.json"))?;
+        Ok(FleetReport {
+            verdict: judge(&records, &rules),
+            outcome,
+        })
+    }
+
+    fn rules(&self, max_overlap: Duration, outcome: &Outcome) -> Rules {
+        let mut rules = Rules {
+            classes: std::collections::BTreeMap::new(),
+            drain_grace: u64::MAX,
+            max_attempts: u32::MAX,
+            order_pause: 0,
+            retry_budget: None,
+            versions: Some(VersionRules {
+                max_overlap: max_overlap.as_micros() as u64,
+                compatible: outcome.compatible.clone(),
+                max_unheld: self.max_unheld.map(|span| span.0),
+            }),
+        };
+        self.timeline.add_rules(&mut rules);
+        rules
+    }
+}
+
+/// A scenario that is being run.
+struct ScenarioRun<'a> {
+    timeline: &'a Timeline,
+    fleet: &'a mut TestFleet,
+    load: ClientLoad,
+    events: Vec<ScheduledEvent>,
+    rollouts: Rollouts,
+    outcome: Outcome,
+    run_started: Instant,
+    load_started: Instant,
+}
+
+impl<'a> ScenarioRun<'a> {
+    /// Starts all processes, and the client load once the first version is enforced.
+    fn start(
+        timeline: &'a Timeline,
+        fleet: &'a mut TestFleet,
+        seed: u64,
+    ) -> Result<ScenarioRun<'a>, ScenarioError> {
+        let first = timeline
+            .documents
+            .get(FIRST_DOCUMENT)
+            .ok_or_else(|| ScenarioError::UnknownDocument(FIRST_DOCUMENT.to_owned()))?;
+        let run_started = Instant::now();
+        fleet
+            .start_with_first_version(first, START_TIMEOUT)
+            .and_then(|()| fleet.start_routers(START_TIMEOUT))
+            .map_err(run_error)?;
+        let load = ClientLoad::start(&timeline.clients, seed, fleet.recorder())
+            .map_err(ScenarioError::io("the day"))?;
+        load.set_routers(fleet.running_routers());
+        let (routers, replicas) = (fleet.topology().routers, fleet.topology().replicas);
+        let mut events = timeline.events.clone();
+        events.extend(timeline.random_events(seed, routers, replicas));
+        // Events of the same time keep their order.
+        events.sort_by_key(|event| event.at);
+        Ok(ScenarioRun {
+            timeline,
+            fleet,
+            load,
+            events,
+            rollouts: Rollouts::new(first),
+            outcome: Outcome::default(),
+            run_started,
+            load_started: Instant::now(),
+        })
+    }
+
+    fn play(mut self) -> Result<Outcome, ScenarioError> {
+        for scheduled in std::mem::take(&mut self.events) {
+            self.follow_until(Duration::from_micros(scheduled.at.0));
+            self.outcome.entries.push(OutcomeEntry {
+                elapsed_ms: self.load_started.elapsed().as_millis() as u64,
+                description: scheduled.event.to_string(),
+            });
+            self.apply(&scheduled.event)?;
+            self.load.set_routers(self.fleet.running_routers());
+        }
+        self.follow_until(Duration::from_micros(self.timeline.duration.0));
+        self.settle()
+    }
+
+    /// Follows versions until so long after the start of the client load.
+    fn follow_until(&mut self, end: Duration) {
+        loop {
+            let left = end.saturating_sub(self.load_started.elapsed());
+            if left.is_zero() {
+                return;
+            }
+            self.rollouts.update(self.fleet);
+            let left = end.saturating_sub(self.load_started.elapsed());
+            std::thread::sleep(FOLLOW_INTERVAL.min(left));
+        }
+    }
+
+    /// Takes all faults back, so that what was begun can end, and notes what has come of it.
+    fn settle(mut self) -> Result<Outcome, ScenarioError> {
+        self.fleet.restore_links();
+        self.fleet.start_stopped_replicas().map_err(run_error)?;
+        self.fleet.resume_routers();
+        self.load.finish();
+        let last = self.rollouts.last();
+        let in_force = self.fleet.wait_until_in_force(last, SETTLE_TIMEOUT);
+        self.rollouts.update(self.fleet);
+        let history = self.fleet.history();
+        let mut outcome = self.outcome;
+        outcome.numbers = self.fleet.version_numbers().unwrap_or_default();
+        if !in_force {
+            outcome.lost.push(last);
+        }
+        outcome.lost.extend(self.rollouts.missing_from(&history));
+        outcome.in_force_ms = self.rollouts.into_times();
+        outcome.compatible = history
+            .iter()
+            .filter(|version| version.kind == Change::Neutral)
+            .map(|version| version.number)
+            .collect();
+        outcome.exited_processes = self.fleet.exited_processes();
+        outcome.entries.push(OutcomeEntry {
+            elapsed_ms: self.run_started.elapsed().as_millis() as u64,
+            description: "the end".into(),
+        });
+        Ok(outcome)
+    }
+
+    fn apply(&mut self, event: &ScenarioEvent) -> Result<(), ScenarioError> {
+        match event {
+            ScenarioEvent::Propose(document) => self.propose(document),
+            event => apply_to_fleet(self.fleet, event).map_err(run_error),
+        }
+    }
+
+    fn propose(&mut self, name: &str) -> Result<(), ScenarioError> {
+        let document = self
+            .timeline
+            .documents
+            .get(name)
+            .ok_or_else(|| ScenarioError::UnknownDocument(name.to_owned()))?;
+        let outcome = &mut self.outcome;
+        let proposals = outcome.accepted + outcome.rejected + outcome.unknown;
+        let proposed_at = Instant::now();
+        match self.fleet.propose(&format!("{name}-{proposals}"), document) {
+            Ok(ProposalResponse::Accepted(number)) => {
+                outcome.accepted += 1;
+                self.rollouts.add(number, document, proposed_at);
+            }
+            Ok(ProposalResponse::Rejected(_)) => outcome.rejected += 1,
+            Err(_) => outcome.unknown += 1,
+        }
+        Ok(())
+    }
+}
+
+fn run_error(source: FleetError) -> ScenarioError {
+    ScenarioError::Fleet {
+        step: "the day",
+        source,
+    }
+}
+
+/// Applies an event other than a proposal, which needs the documents of the scenario.
+fn apply_to_fleet(fleet: &mut TestFleet, event: &ScenarioEvent) -> Result<(), FleetError> {
+    match event {
+        ScenarioEvent::Propose(_) => {}
+        ScenarioEvent::IsolateRouter(router) => {
+            fleet.fail_router_links(*router, LinkFaults::blocked());
+        }
+        ScenarioEvent::PartitionReplica(replica) => {
+            fleet.fail_links(LinkFaults::blocked(), |id| id.is_between_replicas(*replica));
+        }
+        ScenarioEvent::LoseMessages(from, to) => {
+            fleet.fail_link(LinkId::Replicas(*from, *to), LinkFaults::lost_requests());
+        }
+        ScenarioEvent::LoseResponses(router) => {
+            fleet.fail_router_links(*router, LinkFaults::lost_responses());
+        }
+        ScenarioEvent::AddLatency(ms) => {
+            let faults = LinkFaults::delayed(Duration::from_millis(*ms));
+            fleet.fail_links(faults, |id| matches!(id, LinkId::Router(..)));
+        }
+        ScenarioEvent::AddRouterLatency(router, ms) => {
+            let faults = LinkFaults::delayed(Duration::from_millis(*ms));
+            fleet.fail_router_links(*router, faults);
+        }
+        ScenarioEvent::ResetConnections => fleet.reset_links(|_| true),
+        ScenarioEvent::RestoreLinks => fleet.restore_links(),
+        ScenarioEvent::KillReplica(replica) => fleet.kill_replica(*replica),
+        ScenarioEvent::StartReplica(replica) => fleet.start_replica_if_stopped(*replica)?,
+        ScenarioEvent::KillReplicas => fleet.kill_replicas(|_| true),
+        ScenarioEvent::KillOtherReplicas(survivor) => {
+            fleet.kill_replicas(|replica| replica != *survivor);
+        }
+        ScenarioEvent::StartReplicas => fleet.start_stopped_replicas()?,
+        ScenarioEvent::KillRouter(router) => fleet.kill_router(*router),
+        ScenarioEvent::StartRouter(router) => fleet.start_router_if_stopped(*router)?,
+        ScenarioEvent::PauseRouter(router) => fleet.pause_router(*router),
+        ScenarioEvent::ResumeRouter(router) => fleet.resume_router(*router),
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -0,0 +1,221 @@
+//! What a scenario of routers runs on: discovery and engines in this process, routers as processes, and their files.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+use async_io::block_on;
+use hoptiller_audit::{Record, Recorder, unix_micros};
+use hoptiller_http::client::Connection;
+use hoptiller_http::{Limits, Method, Request};
+use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::discovery::{DiscoveryConfig, DiscoveryFaults};
+use hoptiller_mock_servers::engine::EngineConfig;
+use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::ledger::Ledger;
+
+use super::router_process::RouterProcess;
+use super::{RouterEngineSpec, RouterEvent, RouterScenario};
+use crate::client_load::RouterAddress;
+use crate::error::ScenarioError;
+use crate::mock_engine::MockEngine;
+
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long engines may work on after the routers have ended.
+const ENGINES_TIMEOUT: Duration = Duration::from_secs(40);
+const ENGINES_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The running processes and servers of a scenario. All of them end when this is dropped.
+pub(super) struct RouterCluster {
+    client_recorder: Recorder,
+    program: PathBuf,
+    discovery: DiscoveryConfig,
+    discovery_faults: DiscoveryFaults,
+    _running_discovery: Running,
+    engines: Vec<MockEngine>,
+    routers: Vec<RouterProcess>,
+}
+
+impl RouterCluster {
+    /// Starts everything, writes the rules, and waits until all routers list all engines.
+    pub(super) fn start(
+        scenario: &RouterScenario,
+        program: &Path,
+        dir: &Path,
+    ) -> Result<RouterCluster, ScenarioError> {
+        let rules = serde_json::to_string_pretty(&scenario.settings.audit_rules());
+        std::fs::write(dir.join("rules.json"), rules.unwrap_or_default())
+            .map_err(ScenarioError::io("rules.json"))?;
+        let discovery = DiscoveryConfig {
+            recorder: recorder(dir, "discovery")?,
+            environment: scenario.settings.discovery.environment.clone(),
+            ..DiscoveryConfig::default()
+        };
+        let running_discovery = discovery
+            .start()
+            .map_err(ScenarioError::io("the stand-in discovery"))?;
+        let engines = start_engines(scenario, dir, running_discovery.addr)?;
+        let routers = (0..scenario.routers)
+            .map(|index| RouterProcess::new(scenario, dir, index, running_discovery.addr))
+            .collect::<Result<Vec<RouterProcess>, ScenarioError>>()?;
+        let mut cluster = RouterCluster {
+            client_recorder: recorder(dir, "clients")?,
+            program: program.to_owned(),
+            discovery,
+            discovery_faults: DiscoveryFaults::default(),
+            _running_discovery: running_discovery,
+            engines,
+            routers,
+        };
+        for router in &mut cluster.routers {
+            router.start(&cluster.program)?;
+        }
+        for router in &cluster.routers {
+            router.wait_until_engines_listed(cluster.engines.len())?;
+        }
+        Ok(cluster)
+    }
+
+    /// What clients see is recorded here.
+    pub(super) fn client_recorder(&self) -> &Recorder {
+        &self.client_recorder
+    }
+
+    /// The routers, whether they run or not.
+    pub(super) fn router_addresses(&self) -> Vec<RouterAddress> {
+        let routers = self.routers.iter();
+        routers.map(|router| router.address().clone()).collect()
+    }
+
+    /// Applies an event; one of the client load changes nothing here.
+    pub(super) fn apply(&mut self, event: &RouterEvent) -> Result<(), ScenarioError> {
+        match event {
+            RouterEvent::SetLoadFactor(_) => {}
+            RouterEvent::SetEngineFaults { engine, faults } => {
+                self.set_engine_faults(*engine, faults);
+            }
+            RouterEvent::DrainEngine(engine) => drain(self.engines[*engine].config().listen),
+            RouterEvent::CrashEngine(engine) => self.engines[*engine].crash(),
+            RouterEvent::StartEngine(engine) => start_engine(&mut self.engines[*engine])?,
+            RouterEvent::KillRouter(router) => self.kill_router(*router),
+            RouterEvent::TerminateRouter(router) => self.routers[*router].terminate(),
+            RouterEvent::StartRouter(router) => self.routers[*router].start(&self.program)?,
+            RouterEvent::SetDiscoveryStale(stale) => {
+                self.discovery_faults.stale = *stale;
+                self.discovery.fail(self.discovery_faults);
+            }
+            RouterEvent::SetDiscoveryDown(down) => {
+                self.discovery_faults.down = *down;
+                self.discovery.fail(self.discovery_faults);
+            }
+        }
+        Ok(())
+    }
+
+    fn set_engine_faults(&self, engine: usize, faults: &Faults) {
+        self.engines[engine].config().fail(faults.clone());
+    }
+
+    fn kill_router(&mut self, router: usize) {
+        let router = &mut self.routers[router];
+        if router.has_process() {
+            // Recorded first: what it answers in its last moment counts either way.
+            self.client_recorder.write(Record::RouterKilled {
+                at: unix_micros(),
+                router: router.address().name.clone(),
+            });
+            router.kill();
+        }
+    }
+
+    /// Shuts the routers down as an operator would, waits until engines are idle, then ends everything.
+    ///
+    /// # Errors
+    ///
+    /// When a router can't be waited for.
+    pub(super) fn shut_down(mut self) -> Result<(), ScenarioError> {
+        self.routers.iter().for_each(RouterProcess::terminate);
+        self.routers.iter_mut().try_for_each(RouterProcess::wait)?;
+        // What engines still work on is the last that can have an effect.
+        let deadline = Instant::now() + ENGINES_TIMEOUT;
+        while Instant::now() < deadline && self.has_busy_engine() {
+            std::thread::sleep(ENGINES_POLL_INTERVAL);
+        }
+        Ok(())
+    }
+
+    fn has_busy_engine(&self) -> bool {
+        let running = self.engines.iter().filter_map(MockEngine::running_addr);
+        running.into_iter().any(is_busy)
+    }
+}
+
+fn recorder(dir: &Path, name: &str) -> Result<Recorder, ScenarioError> {
+    Recorder::to_file(&dir.join(format!("{name}.jsonl"))).map_err(ScenarioError::io(name))
+}
+
+fn start_engines(
+    scenario: &RouterScenario,
+    dir: &Path,
+    discovery: SocketAddr,
+) -> Result<Vec<MockEngine>, ScenarioError> {
+    let ledger = Ledger::open(&dir.join("ledger.txt")).map_err(ScenarioError::io("ledger.txt"))?;
+    let mut engines = Vec::new();
+    for (index, spec) in scenario.engines.iter().enumerate() {
+        let mut config = engine_config(scenario, &format!("engine-{index}"), spec);
+        config.discovery = Some(discovery);
+        config.recorder = recorder(dir, &config.node)?;
+        config.ledger = ledger.clone();
+        let mut engine = MockEngine::new(config);
+        start_engine(&mut engine)?;
+        engines.push(engine);
+    }
+    Ok(engines)
+}
+
+/// The configuration of an engine of which all that the settings say is true.
+fn engine_config(scenario: &RouterScenario, name: &str, spec: &RouterEngineSpec) -> EngineConfig {
+    const DEFAULT_CORES: f64 = 8.0;
+    let settings = &scenario.settings;
+    let mut config = EngineConfig::new(name, &spec.kind, &spec.zone);
+    config
+        .environment
+        .clone_from(&settings.discovery.environment);
+    config.cold = spec.cold;
+    config.spec.speed = spec.speed;
+    config.spec.cores = scenario.cores(&spec.kind).unwrap_or(DEFAULT_CORES);
+    config.spec.cancels = settings.engines.cancel;
+    config.spec.cold_for = settings.rules.ramp.as_micros() as u64;
+    config.spec.cold_from = settings.rules.start_capacity;
+    config.spec.fall_multiple = settings.rules.overload;
+    config.spec.fall_for = settings.rules.fall.as_micros() as u64;
+    config
+}
+
+fn start_engine(engine: &mut MockEngine) -> Result<(), ScenarioError> {
+    let name = engine.config().node.clone();
+    engine.start().map_err(ScenarioError::io(name))
+}
+
+/// Asks an engine to drain. One that does not answer is not asked again.
+fn drain(engine: SocketAddr) {
+    let mut request = Request::new(Method::Put, "/v1/info/state");
+    request.body = b"\"SHUTTING_DOWN\"".to_vec();
+    let _ = call(engine, &request);
+}
+
+fn is_busy(engine: SocketAddr) -> bool {
+    call(engine, &Request::new(Method::Get, "/v1/status"))
+        .and_then(|body| serde_json::from_slice::<serde_json::Value>(&body).ok())
+        .and_then(|status| status["processCpuLoad"].as_f64())
+        .is_some_and(|load| load > 0.0)
+}
+
+/// The body of the response to a request on a connection of its own; `None` where there is none within 2 s.
+pub(super) fn call(addr: SocketAddr, request: &Request) -> Option<Vec<u8>> {
+    block_on(async {
+        let opened = Connection::open(addr, CALL_TIMEOUT, Limits::default()).await;
+        let response = opened.ok()?.exchange(request, CALL_TIMEOUT).await;
+        response.ok().map(|response| response.body)
+    })
+}
--- a/crates/fault-harness/src/link/tests.rs
+++ b/crates/fault-harness/tests/link.rs
@@ -1,5 +1,10 @@
-use super::*;
+//! A link forwards bytes, and stalls, resets and rejects as its faults say.
+
 use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+use hoptiller_fault_harness::{DirectionFaults, Link, LinkFaults};
 
 /// Answers each connection with what it sends.
 fn echo() -> SocketAddr {
@@ -31,41 +36,41 @@
 }
 
 #[test]
-fn a_link_carries_stalls_goes_on_and_resets_as_told() {
+fn a_link_forwards_stalls_resumes_and_resets_as_its_faults_say() {
     let link = Link::new("link").expect("made");
-    link.lead_to(echo());
+    link.set_target(echo());
     let mut stream = connect(&link);
     let mut bytes = [0; 4];
     stream.write_all(b"one!").expect("sent");
     stream.read_exact(&mut bytes).expect("back");
     // One way only: the answer is lost, not the call.
-    link.fail(Faults {
-        back: Way {
-            cut: true,
-            ..Way::default()
+    link.set_faults(LinkFaults {
+        inbound: DirectionFaults {
+            blocked: true,
+            ..DirectionFaults::default()
         },
-        ..Faults::default()
+        ..LinkFaults::default()
     });
     stream.write_all(b"two!").expect("sent");
     stream
         .set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
     assert!(stream.read_exact(&mut bytes).is_err(), "nothing passes");
-    link.fail(Faults::default());
+    link.set_faults(LinkFaults::default());
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("set");
     stream.read_exact(&mut bytes).expect("late");
     assert_eq!(&bytes, b"two!");
-    link.reset();
+    link.reset_connections();
     assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0, "closed");
     // So many bytes, then silence.
-    link.fail(Faults {
-        there: Way {
-            most: Some(2),
-            ..Way::default()
+    link.set_faults(LinkFaults {
+        outbound: DirectionFaults {
+            max_bytes: Some(2),
+            ..DirectionFaults::default()
         },
-        ..Faults::default()
+        ..LinkFaults::default()
     });
     let mut stream = connect(&link);
     stream.write_all(b"four").expect("sent");
@@ -77,9 +82,9 @@
         .set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
     assert!(stream.read_exact(&mut bytes[..1]).is_err(), "and no more");
-    link.fail(Faults {
-        refuse: true,
-        ..Faults::default()
+    link.set_faults(LinkFaults {
+        rejects_connections: true,
+        ..LinkFaults::default()
     });
     let mut stream = connect(&link);
     let _ = stream.write_all(b"five");
--- a/crates/fault-harness/tests/scenario_events.rs
+++ b/crates/fault-harness/tests/scenario_events.rs
@@ -1,6 +1,6 @@
-//! The form of events in scenario files, and the text under which they stand in the course of a run.
+//! The form of events in scenario files, and the text under which reports list them.
 
-use hoptiller_fault_harness::day::Happens;
+use hoptiller_fault_harness::fleet_scenario::ScenarioEvent;
 use serde_json::{Value, json};
 
 /// Every event: its form in a file, and its text.
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn every_event_is_parsed_from_its_key_and_described_as_before() {
+fn every_event_has_its_key_in_files_and_its_text_in_reports() {
     for (form, description) in events() {
-        let event: Happens = serde_json::from_value(form.clone()).expect("an event");
-        assert_eq!(format!("{event:?}"), description, "{form}");
+        let event: ScenarioEvent = serde_json::from_value(form.clone()).expect("an event");
+        assert_eq!(event.to_string(), description, "{form}");
     }
 }
 
@@ -43,7 +43,7 @@
         json!({ "alone": "r1" }),
     ] {
         assert!(
-            serde_json::from_value::<Happens>(form.clone()).is_err(),
+            serde_json::from_value::<ScenarioEvent>(form.clone()).is_err(),
             "{form}"
         );
     }
