--- a/crates/cli/tests/scenario_files.rs
+++ b/crates/cli/tests/scenario_files.rs
@@ -1,32 +1,11 @@
 //! The form of scenario files, as `hoptiller check` holds it: what each example is, every event, and keys that are unknown.
 
-use std::path::{Path, PathBuf};
-use std::process::Command;
-
-/// A folder that goes with the test.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("hoptiller-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-}
+mod temp_folder;
 
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
+use std::path::Path;
+use std::process::Command;
 
-fn examples() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../examples")
-        .canonicalize()
-        .expect("the examples")
-}
+use temp_folder::{TempFolder, examples};
 
 /// The exit code and all that is printed.
 fn check(file: &Path) -> (Option<i32>, String) {
@@ -40,14 +19,12 @@
 }
 
 /// Checks a change of an example, in Jsonnet, which may name the example as `base`.
-fn check_changed(folder: &Folder, example: &str, change: &str) -> (Option<i32>, String) {
-    let file = folder.0.join("changed.jsonnet");
+fn check_changed(folder: &TempFolder, example: &str, change: &str) -> (Option<i32>, String) {
     let text = format!(
         "local base = import '{}/{example}';\nbase + {change}",
         examples().display()
     );
-    std::fs::write(&file, text).expect("written");
-    check(&file)
+    check(&folder.write("changed.jsonnet", &text))
 }
 
 #[test]
@@ -92,7 +69,7 @@
 
 #[test]
 fn every_event_of_a_day_is_accepted_under_its_key() {
-    let folder = Folder::new("day-events");
+    let folder = TempFolder::new("day-events");
     for event in [
         "{ rush: 2.5 }",
         "{ fault: { engine: 7, faults: {} } }",
@@ -114,8 +91,8 @@
 
 #[test]
 fn events_of_a_day_that_name_nothing_there_is_are_problems() {
-    let folder = Folder::new("day-problems");
-    let place = folder.0.join("changed.jsonnet").display().to_string();
+    let folder = TempFolder::new("day-problems");
+    let place = folder.path().join("changed.jsonnet").display().to_string();
     for (event, description) in [
         (
             "{ fault: { engine: 8, faults: {} } }",
@@ -147,8 +124,8 @@
 
 #[test]
 fn all_problems_of_a_day_are_reported_at_once() {
-    let folder = Folder::new("day-all-problems");
-    let place = folder.0.join("changed.jsonnet").display().to_string();
+    let folder = TempFolder::new("day-all-problems");
+    let place = folder.path().join("changed.jsonnet").display().to_string();
     let change = "{ routers: 17, lasts: '2h', clients+: { count: 0, mix: [base.clients.mix[0] { class: 'none' }] }, \
                   engines: [base.engines[0] { kind: 'none' }], acts: [] }";
     let expected = format!(
@@ -167,8 +144,8 @@
 
 #[test]
 fn problems_of_a_fleet_scenario_are_reported_at_once() {
-    let folder = Folder::new("fleet-problems");
-    let place = folder.0.join("changed.jsonnet").display().to_string();
+    let folder = TempFolder::new("fleet-problems");
+    let place = folder.path().join("changed.jsonnet").display().to_string();
     let change = "{ keepers: 4, day+: { documents: { other: base.day.documents.first } } }";
     let expected = format!(
         "hoptiller: the settings have 2 problems; nothing was started\n  \
@@ -183,7 +160,7 @@
 
 #[test]
 fn unknown_keys_of_scenarios_are_rejected() {
-    let folder = Folder::new("unknown-keys");
+    let folder = TempFolder::new("unknown-keys");
     for (example, change) in [
         ("bad-day.jsonnet", "{ lastss: '1s' }"),
         ("bad-day.jsonnet", "{ clients+: { more: 1 } }"),
--- a/crates/fault-harness/src/fleet/replicas.rs
+++ b/crates/fault-harness/src/fleet/replicas.rs
@@ -69,8 +69,8 @@
 
     /// The members after the last replacement.
     fn current_members(&self) -> Vec<usize> {
-        let last = self.slots.iter().filter_map(|s| s.replacement.as_ref());
-        match last.last() {
+        let mut replacements = self.slots.iter().filter_map(|s| s.replacement.as_ref());
+        match replacements.next_back() {
             Some(replacement) => replacement.members.clone(),
             None => (0..self.initial).collect(),
         }
