--- a/crates/fault-harness/src/fleet/coordination.rs
+++ b/crates/fault-harness/src/fleet/coordination.rs
@@ -7,7 +7,7 @@
 use hoptiller_coordination::{Document, Proposal, VersionMetadata};
 use hoptiller_coordination_client::{CallError, CoordinationClient, wire};
 
-use super::TestFleet;
+use super::test_fleet::TestFleet;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/fault-harness/src/fleet/links.rs
+++ b/crates/fault-harness/src/fleet/links.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use super::{TestFleet, Topology};
-use crate::link::{Link, LinkFaults};
+use super::topology::Topology;
+use crate::link::Link;
 
 /// A link of a fleet, by the places of its ends, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,6 +66,10 @@
         self.by_id.get(&id)
     }
 
+    pub(super) fn ids(&self) -> Vec<LinkId> {
+        self.by_id.keys().copied().collect()
+    }
+
     pub(super) fn addr(&self, id: LinkId) -> Option<SocketAddr> {
         self.get(id).map(Link::addr)
     }
@@ -80,44 +84,3 @@
             .map(|(_, link)| link)
     }
 }
-
-impl TestFleet {
-    /// A link, where there is one.
-    pub fn link(&self, id: LinkId) -> Option<&Link> {
-        self.links.get(id)
-    }
-
-    /// The ids of all links.
-    pub fn link_ids(&self) -> Vec<LinkId> {
-        self.links.by_id.keys().copied().collect()
-    }
-
-    /// Sets the faults of a link, where there is one.
-    pub fn fail_link(&self, id: LinkId, faults: LinkFaults) {
-        self.fail_links(faults, |other| *other == id);
-    }
-
-    /// Sets the faults of all links that match.
-    pub fn fail_links(&self, faults: LinkFaults, matches: impl Fn(&LinkId) -> bool) {
-        self.links
-            .matching(matches)
-            .for_each(|link| link.set_faults(faults));
-    }
-
-    /// Sets the faults of the links from a router to all replicas.
-    pub fn fail_router_links(&self, router: usize, faults: LinkFaults) {
-        self.fail_links(faults, |id| id.is_from_router(router));
-    }
-
-    /// Closes the connections that are open on all links that match.
-    pub fn reset_links(&self, matches: impl Fn(&LinkId) -> bool) {
-        self.links
-            .matching(matches)
-            .for_each(Link::reset_connections);
-    }
-
-    /// Takes the faults of all links back.
-    pub fn restore_links(&self) {
-        self.fail_links(LinkFaults::default(), |_| true);
-    }
-}
--- a/crates/fault-harness/src/fleet/replicas.rs
+++ b/crates/fault-harness/src/fleet/replicas.rs
@@ -1,22 +1,11 @@
-//! The replicas of a fleet: started, killed, replaced, with disks that are lost, copied and put back.
+//! The state of a fleet's replicas: their processes, addresses, and which replaced which.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::time::Duration;
 
-use hoptiller_coordination_client::{CallError, wire};
-use serde_json::json;
-
-use super::topology::skew_argument;
-use super::{FLEET_NAME, FleetError, LinkId, TestFleet};
 use crate::process::Process;
 
-const REPLACE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The file of a replica's storage, in its folder.
-const STORAGE_FILE: &str = "keeper.redb";
-
-/// The replicas of a fleet, by place: counted from 0, where replicas themselves count from 1.
+/// The replicas of a fleet, by place: counted from 0, where replicas themselves count from 1. All methods that take a place
+/// panic where there is no such replica.
 pub(super) struct Replicas {
     slots: Vec<ReplicaSlot>,
     initial: usize,
@@ -31,7 +20,6 @@
 }
 
 /// How a replica came into the place of another one.
-#[derive(Clone)]
 struct Replacement {
     /// The initial replica whose place it has, directly or through others.
     initial_place: usize,
@@ -53,243 +41,79 @@
             .filter_map(|slot| slot.process.as_mut())
     }
 
-    /// The addresses of the replicas that run, in their order.
-    pub(super) fn running_addrs(&self) -> Vec<SocketAddr> {
-        let running = self.slots.iter().filter(|slot| slot.process.is_some());
-        running.filter_map(|slot| slot.addr).collect()
-    }
-
-    /// The members of the store, as this replica is configured with.
-    fn members_known_to(&self, replica: usize) -> Vec<usize> {
-        match &self.slots[replica].replacement {
-            Some(replacement) => replacement.members.clone(),
-            None => (0..self.initial).collect(),
-        }
-    }
-
-    /// The members after the last replacement.
-    fn current_members(&self) -> Vec<usize> {
-        let mut replacements = self.slots.iter().filter_map(|s| s.replacement.as_ref());
-        match replacements.next_back() {
-            Some(replacement) => replacement.members.clone(),
-            None => (0..self.initial).collect(),
-        }
+    pub(super) fn count(&self) -> usize {
+        self.slots.len()
     }
 
-    /// The place under which routers know this replica.
-    fn initial_place(&self, replica: usize) -> usize {
-        self.slots[replica]
-            .replacement
-            .as_ref()
-            .map_or(replica, |replacement| replacement.initial_place)
+    pub(super) fn process(&mut self, replica: usize) -> Option<&mut Process> {
+        self.slots[replica].process.as_mut()
     }
-}
 
-fn replica_name(replica: usize) -> String {
-    format!("keeper-{}", replica + 1)
-}
-
-impl TestFleet {
-    /// How many replicas there are, with those that were replaced.
-    pub fn replica_count(&self) -> usize {
-        self.replicas.slots.len()
+    /// Where a replica listens, or listened last; `None` where it never ran.
+    pub(super) fn addr(&self, replica: usize) -> Option<SocketAddr> {
+        self.slots[replica].addr
     }
 
-    /// The process of a replica, while it runs.
-    ///
-    /// # Panics
-    ///
-    /// When there is no such replica; so do all methods that take one.
-    pub fn replica(&mut self, replica: usize) -> Option<&mut Process> {
-        self.replicas.slots[replica].process.as_mut()
+    /// Whether a replica came into the place of another one.
+    pub(super) fn is_replacement(&self, replica: usize) -> bool {
+        self.slots[replica].replacement.is_some()
     }
 
-    /// Starts a replica on the disk that it has, and leads its links to it.
-    ///
-    /// # Errors
-    ///
-    /// When its configuration can't be written, or it does not start.
-    pub fn start_replica(&mut self, replica: usize) -> Result<(), FleetError> {
-        let name = replica_name(replica);
-        let file = self
-            .files
-            .write_config(&name, &self.replica_config(replica))?;
-        let skew = skew_argument(&self.topology.replica_skews, replica);
-        let mut args = vec!["keep", "--config", &file, "--clock-skew", &skew];
-        let joins = self.replicas.slots[replica].replacement.is_some();
-        args.extend(joins.then_some("--join"));
-        let process = self.files.start_process(&name, &args)?;
-        let initial_place = self.replicas.initial_place(replica);
-        let leads_here = |id: &LinkId| match id {
-            LinkId::Replicas(_, to) | LinkId::Replacement(to) => *to == replica,
-            // Routers reach it where they reached the replica that it replaces.
-            LinkId::Router(_, to) => *to == initial_place,
-            LinkId::Discovery(_) => false,
-        };
-        for link in self.links.matching(leads_here) {
-            link.set_target(process.addr());
-        }
-        let slot = &mut self.replicas.slots[replica];
+    pub(super) fn set_process(&mut self, replica: usize, process: Process) {
+        let slot = &mut self.slots[replica];
         slot.addr = Some(process.addr());
         slot.process = Some(process);
-        Ok(())
     }
 
-    /// Starts all replicas that do not run.
-    ///
-    /// # Errors
-    ///
-    /// When one of them does not start.
-    pub fn start_stopped_replicas(&mut self) -> Result<(), FleetError> {
-        (0..self.replica_count()).try_for_each(|replica| self.start_replica_if_stopped(replica))
+    pub(super) fn kill(&mut self, replica: usize) {
+        self.slots[replica].process = None;
     }
 
-    /// Starts a replica where it does not run.
-    ///
-    /// # Errors
-    ///
-    /// When it does not start.
-    pub fn start_replica_if_stopped(&mut self, replica: usize) -> Result<(), FleetError> {
-        match self.replica(replica) {
-            Some(_) => Ok(()),
-            None => self.start_replica(replica),
-        }
-    }
-
-    fn replica_config(&self, replica: usize) -> serde_json::Value {
-        let members = self.replicas.members_known_to(replica);
-        let addrs: BTreeMap<String, String> = members
-            .into_iter()
-            .map(|member| {
-                let addr = self.peer_addr(replica, member);
-                ((member + 1).to_string(), addr.to_string())
-            })
-            .collect();
-        let mut config = json!({
-            "fleet": FLEET_NAME, "keeper": replica + 1, "keepers": addrs, "listen": "127.0.0.1:0",
-            "dir": self.replica_dir(replica), "secret": self.files.secret(),
-            "permit": self.topology.lease_term_text(), "drift": self.topology.drift_millionths,
-        });
-        if let Some(max) = self.topology.max_storage_bytes {
-            config["most_bytes"] = max.into();
-        }
-        config
-    }
-
-    /// The address under which a replica reaches another one.
-    fn peer_addr(&self, replica: usize, member: usize) -> SocketAddr {
-        // Its own address is never used: it listens wherever a port is free.
-        let own = SocketAddr::from(([127, 0, 0, 1], 1));
-        if member == replica {
-            return own;
-        }
-        self.links
-            .addr(LinkId::Replicas(replica, member))
-            .or_else(|| self.links.addr(LinkId::Replacement(member)))
-            .unwrap_or(own)
-    }
-
-    /// Asks the replicas to put a new one into the place of `lost`, which must not run. Returns the place of the new one,
-    /// which does not run yet; or the error of the call.
-    ///
-    /// # Errors
-    ///
-    /// When a link can't be made.
-    pub fn replace_replica(&mut self, lost: usize) -> Result<Result<usize, CallError>, FleetError> {
-        let new = self.replica_count();
-        let addr = match self.links.addr(LinkId::Replacement(new)) {
-            Some(addr) => addr,
-            None => self.add_link(LinkId::Replacement(new), None)?,
-        };
-        let request = json!({ "lost": lost + 1, "new": new + 1, "at": addr });
-        let client = self.client();
-        let call =
-            client.call::<wire::ReplaceResponse>(wire::REPLACE, Some(&request), REPLACE_TIMEOUT);
-        if let Err(error) = async_io::block_on(call) {
-            return Ok(Err(error));
-        }
-        let mut members = self.replicas.current_members();
-        members.retain(|member| *member != lost);
-        for member in &members {
-            let target = self.replicas.slots[*member].addr;
-            self.add_link(LinkId::Replicas(new, *member), target)?;
-        }
-        members.push(new);
+    /// Adds a replica in the place of `lost`, with all members of the store from then on. It does not run yet.
+    pub(super) fn add_replacement(&mut self, lost: usize, members: Vec<usize>) {
         let replacement = Replacement {
-            initial_place: self.replicas.initial_place(lost),
+            initial_place: self.initial_place(lost),
             members,
         };
-        self.replicas.slots.push(ReplicaSlot {
+        self.slots.push(ReplicaSlot {
             replacement: Some(replacement),
             ..ReplicaSlot::default()
         });
-        Ok(Ok(new))
-    }
-
-    fn add_link(
-        &mut self,
-        id: LinkId,
-        target: Option<SocketAddr>,
-    ) -> Result<SocketAddr, FleetError> {
-        let link = self.links.add(id).map_err(FleetError::server("link"))?;
-        if let Some(target) = target {
-            link.set_target(target);
-        }
-        Ok(link.addr())
     }
 
-    /// Kills a replica.
-    pub fn kill_replica(&mut self, replica: usize) {
-        self.replicas.slots[replica].process = None;
-    }
-
-    /// Kills all replicas that match.
-    pub fn kill_replicas(&mut self, matches: impl Fn(usize) -> bool) {
-        (0..self.replica_count())
-            .filter(|replica| matches(*replica))
-            .for_each(|replica| self.kill_replica(replica));
-    }
-
-    fn replica_dir(&self, replica: usize) -> PathBuf {
-        self.files.dir.join(replica_name(replica))
+    /// The addresses of the replicas that run, in their order.
+    pub(super) fn running_addrs(&self) -> Vec<SocketAddr> {
+        let running = self.slots.iter().filter(|slot| slot.process.is_some());
+        running.filter_map(|slot| slot.addr).collect()
     }
 
-    fn saved_storage(&self, replica: usize) -> PathBuf {
-        let name = format!("{}.saved", replica_name(replica));
-        self.files.dir.join(name)
+    /// The members of the store, as this replica is configured with.
+    pub(super) fn members_known_to(&self, replica: usize) -> Vec<usize> {
+        match &self.slots[replica].replacement {
+            Some(replacement) => replacement.members.clone(),
+            None => (0..self.initial).collect(),
+        }
     }
 
-    /// Removes the disk of a replica.
-    ///
-    /// # Errors
-    ///
-    /// When its folder can't be removed.
-    pub fn lose_disk(&self, replica: usize) -> Result<(), FleetError> {
-        let dir = self.replica_dir(replica);
-        std::fs::remove_dir_all(&dir).map_err(FleetError::file(&dir))
+    /// The members after the last replacement.
+    pub(super) fn current_members(&self) -> Vec<usize> {
+        let mut replacements = self.slots.iter().filter_map(|s| s.replacement.as_ref());
+        match replacements.next_back() {
+            Some(replacement) => replacement.members.clone(),
+            None => (0..self.initial).collect(),
+        }
     }
 
-    /// Copies the storage of a replica, for [`restore_disk`](TestFleet::restore_disk).
-    ///
-    /// # Errors
-    ///
-    /// When it can't be copied.
-    pub fn save_disk(&self, replica: usize) -> Result<(), FleetError> {
-        let storage = self.replica_dir(replica).join(STORAGE_FILE);
-        std::fs::copy(&storage, self.saved_storage(replica)).map_err(FleetError::file(&storage))?;
-        Ok(())
+    /// The place under which routers know this replica.
+    pub(super) fn initial_place(&self, replica: usize) -> usize {
+        self.slots[replica]
+            .replacement
+            .as_ref()
+            .map_or(replica, |replacement| replacement.initial_place)
     }
+}
 
-    /// Puts the copy of a replica's storage back.
-    ///
-    /// # Errors
-    ///
-    /// When there is none, or it can't be copied.
-    pub fn restore_disk(&self, replica: usize) -> Result<(), FleetError> {
-        let dir = self.replica_dir(replica);
-        std::fs::create_dir_all(&dir).map_err(FleetError::file(&dir))?;
-        let saved = self.saved_storage(replica);
-        std::fs::copy(&saved, dir.join(STORAGE_FILE)).map_err(FleetError::file(&saved))?;
-        Ok(())
-    }
+/// The name of a replica's process and folder.
+pub(super) fn replica_name(replica: usize) -> String {
+    format!("keeper-{}", replica + 1)
 }
--- a/crates/fault-harness/src/fleet/routers.rs
+++ b/crates/fault-harness/src/fleet/routers.rs
@@ -1,16 +1,11 @@
-//! The routers of a fleet: started, paused, resumed, killed.
+//! The state of a fleet's routers: their processes, and which of them are paused.
 
-use std::time::Duration;
+use hoptiller_audit::unix_micros;
 
-use hoptiller_audit::{Record, unix_micros};
-use serde_json::json;
-
-use super::topology::skew_argument;
-use super::{FleetError, LinkId, TestFleet};
 use crate::client_load::RouterAddress;
 use crate::process::Process;
 
-/// The routers of a fleet, by place, counted from 0.
+/// The routers of a fleet, by place, counted from 0. All methods that take a place panic where there is no such router.
 pub(super) struct Routers {
     slots: Vec<RouterSlot>,
 }
@@ -29,122 +24,52 @@
         }
     }
 
+    pub(super) fn count(&self) -> usize {
+        self.slots.len()
+    }
+
     pub(super) fn processes(&mut self) -> impl Iterator<Item = &mut Process> {
         self.slots
             .iter_mut()
             .filter_map(|slot| slot.process.as_mut())
     }
-}
-
-fn router_name(router: usize) -> String {
-    format!("r{}", router + 1)
-}
 
-impl TestFleet {
-    /// Starts a router on the state that it has.
-    ///
-    /// # Errors
-    ///
-    /// When its settings can't be written, or it does not start.
-    ///
-    /// # Panics
-    ///
-    /// When there is no such router; so do all methods that take one.
-    pub fn start_router(&mut self, router: usize) -> Result<(), FleetError> {
-        let name = router_name(router);
-        let file = self
-            .files
-            .write_config(&name, &self.router_settings(router))?;
-        let skew = skew_argument(&self.topology.router_skews, router);
-        let args = ["route", &file, "--clock-skew", &skew];
-        self.routers.slots[router].process = Some(self.files.start_process(&name, &args)?);
-        Ok(())
+    pub(super) fn process(&mut self, router: usize) -> Option<&mut Process> {
+        self.slots[router].process.as_mut()
     }
 
-    /// Starts a router where it does not run.
-    ///
-    /// # Errors
-    ///
-    /// When it does not start.
-    pub fn start_router_if_stopped(&mut self, router: usize) -> Result<(), FleetError> {
-        match self.router(router) {
-            Some(_) => Ok(()),
-            None => self.start_router(router),
-        }
+    pub(super) fn set_process(&mut self, router: usize, process: Process) {
+        self.slots[router].process = Some(process);
     }
 
-    fn router_settings(&self, router: usize) -> serde_json::Value {
-        let name = router_name(router);
-        let mut settings = self.topology.router_settings.clone();
-        settings["router"] = json!({
-            "name": name, "index": router, "of": self.topology.routers, "listen": "127.0.0.1:0",
-            "state": self.files.dir.join(format!("state-{name}")), "seed": router + 1,
-        });
-        let discovery = self
-            .links
-            .addr(LinkId::Discovery(router))
-            .unwrap_or(self.discovery.addr);
-        settings["discovery"]["address"] = discovery.to_string().into();
-        if self.topology.coordinated {
-            let replicas: Vec<String> = (0..self.topology.replicas)
-                .filter_map(|replica| self.links.addr(LinkId::Router(router, replica)))
-                .map(|addr| addr.to_string())
-                .collect();
-            settings["agreement"] = json!({
-                "keepers": replicas, "secret": self.files.secret(), "drift": self.topology.drift_millionths,
-                "permit": self.topology.lease_term_text(),
-            });
-        }
-        settings
+    /// Kills the process of a router, and returns whether there was one.
+    pub(super) fn kill(&mut self, router: usize) -> bool {
+        self.slots[router].process.take().is_some()
     }
 
-    /// Kills a router, and records it: clients are not owed what it held.
-    pub fn kill_router(&mut self, router: usize) {
-        self.resume_router(router);
-        if self.routers.slots[router].process.take().is_some() {
-            self.recorder.write(Record::RouterKilled {
-                at: unix_micros(),
-                router: router_name(router),
-            });
-        }
-    }
-
-    /// Pauses a router.
-    pub fn pause_router(&mut self, router: usize) {
-        let slot = &mut self.routers.slots[router];
+    /// Pauses a router; one that is paused stays so.
+    pub(super) fn pause(&mut self, router: usize) {
+        let slot = &mut self.slots[router];
         if let Some(process) = &slot.process {
             slot.paused_at.get_or_insert(unix_micros());
             process.pause();
         }
     }
 
-    /// Resumes a router, and records for how long it was paused.
-    pub fn resume_router(&mut self, router: usize) {
-        let slot = &mut self.routers.slots[router];
-        if let Some(at) = slot.paused_at.take() {
-            self.recorder.write(Record::RouterPaused {
-                at,
-                router: router_name(router),
-                until: unix_micros(),
-            });
-        }
-        slot.process.iter().for_each(Process::resume);
-    }
-
-    /// Resumes all routers that are paused.
-    pub fn resume_routers(&mut self) {
-        (0..self.routers.slots.len()).for_each(|router| self.resume_router(router));
+    /// Ends the pause of a router, which still has to be [resumed](Routers::resume). Returns since when it was paused, in Unix
+    /// time and µs; `None` where it was not.
+    pub(super) fn end_pause(&mut self, router: usize) -> Option<u64> {
+        self.slots[router].paused_at.take()
     }
 
-    /// The process of a router, while it runs.
-    pub fn router(&mut self, router: usize) -> Option<&mut Process> {
-        self.routers.slots[router].process.as_mut()
+    pub(super) fn resume(&self, router: usize) {
+        self.slots[router].process.iter().for_each(Process::resume);
     }
 
     /// The routers that run and are not paused.
-    pub fn running_routers(&self) -> Vec<RouterAddress> {
-        let slots = self.routers.slots.iter();
-        slots
+    pub(super) fn running(&self) -> Vec<RouterAddress> {
+        self.slots
+            .iter()
             .filter(|slot| slot.paused_at.is_none())
             .filter_map(|slot| slot.process.as_ref())
             .map(|process| RouterAddress {
@@ -153,15 +78,9 @@
             })
             .collect()
     }
+}
 
-    /// Waits until as many routers hold a config lease and enforce this version or a later one. Returns whether they do.
-    pub fn wait_until_enforced(&mut self, routers: usize, version: u64, timeout: Duration) -> bool {
-        self.wait_until(timeout, |fleet| {
-            let enforcing = fleet.statuses().into_iter().map(|status| {
-                let holders = status.holders.iter();
-                holders.filter(|h| h.enforced_version >= version).count()
-            });
-            enforcing.max().unwrap_or(0) >= routers
-        })
-    }
+/// The name of a router, in its settings and in records.
+pub(super) fn router_name(router: usize) -> String {
+    format!("r{}", router + 1)
 }
--- a/crates/fault-harness/src/fleet_scenario/random_events.rs
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -2,7 +2,8 @@
 
 use hoptiller_coordination::ConfigDuration;
 
-use super::{ScenarioEvent, ScheduledEvent, Timeline};
+use super::event::{ScenarioEvent, ScheduledEvent};
+use super::timeline::Timeline;
 use crate::rng::SeededRng;
 
 /// Latency that is added to one router before it is isolated, in ms.
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -7,11 +7,11 @@
 use hoptiller_coordination::Change;
 use hoptiller_coordination_client::wire::ProposalResponse;
 
+use super::event::{ScenarioEvent, ScheduledEvent};
+use super::report::{FleetReport, Outcome, OutcomeEntry};
 use super::rollouts::Rollouts;
-use super::{
-    FIRST_DOCUMENT, FleetReport, FleetScenario, Outcome, OutcomeEntry, ScenarioEvent,
-    ScheduledEvent, Timeline,
-};
+use super::scenario::FleetScenario;
+use super::timeline::{FIRST_DOCUMENT, Timeline};
 use crate::client_load::ClientLoad;
 use crate::error::ScenarioError;
 use crate::fleet::{FleetError, LinkId, TestFleet};
--- /dev/null
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -0,0 +1,136 @@
+//! The file of a fleet scenario: how it is loaded and checked.
+
+use std::path::Path;
+use std::time::Duration;
+
+use hoptiller_coordination::ConfigDuration;
+use hoptiller_statement_router::{Problem, Settings, settings::evaluate_file};
+use serde::Deserialize;
+use serde_json::{Value, json};
+
+use super::timeline::{FIRST_DOCUMENT, Timeline};
+use crate::error::ScenarioError;
+use crate::fleet::{EngineSpec, Topology};
+
+const MAX_ROUTERS: usize = 64;
+
+/// A scenario of a whole fleet, as its file gives it.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct FleetScenario {
+    /// How many replicas there are: 3 or 5.
+    #[serde(rename = "keepers")]
+    pub replicas: usize,
+    /// How many routers there are.
+    pub routers: usize,
+    /// How long leases last.
+    #[serde(rename = "permit")]
+    pub lease_term: ConfigDuration,
+    /// Limit of the difference of two clocks' rates, in millionths; the default of replicas where absent.
+    #[serde(rename = "drift", default)]
+    pub drift_millionths: Option<u64>,
+    /// By router: by how much its clock runs fast, in millionths.
+    #[serde(default)]
+    pub router_skews: Vec<i64>,
+    /// By replica: the same.
+    #[serde(rename = "keeper_skews", default)]
+    pub replica_skews: Vec<i64>,
+    /// The settings of a router, without its name and addresses.
+    #[serde(rename = "settings")]
+    pub router_settings: Value,
+    /// The engines.
+    pub engines: Vec<EngineSpec>,
+    /// How long a shard of a task may go without an act of a lease holder; not checked where absent.
+    #[serde(rename = "unheld", default)]
+    pub max_unheld: Option<ConfigDuration>,
+    /// What happens when.
+    #[serde(rename = "day")]
+    pub timeline: Timeline,
+}
+
+impl FleetScenario {
+    /// Loads a scenario from a Jsonnet file.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be evaluated, has another form, or has values that can't work. Settings of routers are not
+    /// checked: [`check`](FleetScenario::check) does.
+    pub fn load(path: &Path) -> Result<FleetScenario, ScenarioError> {
+        let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
+        let scenario: FleetScenario =
+            serde_json::from_value(value).map_err(|source| ScenarioError::Parse {
+                path: path.to_owned(),
+                source,
+            })?;
+        let problems = scenario.problems(&path.display().to_string());
+        if problems.is_empty() {
+            Ok(scenario)
+        } else {
+            Err(ScenarioError::Invalid(problems))
+        }
+    }
+
+    /// Loads a scenario, checks the settings of its routers too, and describes it in a line.
+    ///
+    /// # Errors
+    ///
+    /// As [`load`](FleetScenario::load), and when the settings have problems.
+    pub fn check(path: &Path) -> Result<String, ScenarioError> {
+        let scenario = FleetScenario::load(path)?;
+        let mut settings = scenario.router_settings.clone();
+        settings["router"] =
+            json!({ "name": "r1", "of": scenario.routers, "listen": "127.0.0.1:0" });
+        let name = format!("{}: settings", path.display());
+        Settings::from_value(&name, &settings).map_err(ScenarioError::Invalid)?;
+        Ok(scenario.description())
+    }
+
+    fn description(&self) -> String {
+        let seconds = Duration::from_micros(self.timeline.duration.0).as_secs();
+        let documents = self.timeline.documents.len();
+        format!(
+            "a fleet's day of {seconds} s, {} keepers, {} routers, {documents} documents",
+            self.replicas, self.routers
+        )
+    }
+
+    fn problems(&self, file: &str) -> Vec<Problem> {
+        let problem = |path: &str, what: String| Problem {
+            place: format!("{file}: {path}"),
+            what,
+        };
+        let mut problems = Vec::new();
+        let has_size = matches!(self.replicas, 3 | 5)
+            && (1..=MAX_ROUTERS).contains(&self.routers)
+            && !self.engines.is_empty();
+        if !has_size {
+            let wanted = "3 or 5 keepers, 1 to 64 routers and some engines are wanted";
+            problems.push(problem("keepers", wanted.into()));
+        }
+        if !self.timeline.documents.contains_key(FIRST_DOCUMENT) {
+            let wanted = "one of them is to be named `first`";
+            problems.push(problem("day.documents", wanted.into()));
+        }
+        for (name, document) in &self.timeline.documents {
+            for error in document.validation_errors() {
+                let path = format!("day.documents.{name}.{}", error.path);
+                problems.push(problem(&path, error.message));
+            }
+        }
+        problems
+    }
+
+    /// What the fleet of this scenario consists of.
+    pub fn topology(&self) -> Topology {
+        let defaults = Topology::new(self.replicas, self.routers);
+        Topology {
+            engines: self.engines.clone(),
+            router_settings: self.router_settings.clone(),
+            lease_term: Duration::from_micros(self.lease_term.0),
+            drift_millionths: self.drift_millionths.unwrap_or(defaults.drift_millionths),
+            router_skews: self.router_skews.clone(),
+            replica_skews: self.replica_skews.clone(),
+            ..defaults
+        }
+    }
+}
--- a/crates/fault-harness/src/router_scenario/clients.rs
+++ b/crates/fault-harness/src/router_scenario/clients.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use serde::Deserialize;
 
-use super::deserialize_duration;
+use super::duration::deserialize_duration;
 use crate::client_load::RouterAddress;
 use crate::client_threads::{ClientControl, ClientThreads};
 use crate::error::ScenarioError;
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -4,23 +4,22 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use async_io::block_on;
 use hoptiller_audit::{Record, Recorder, unix_micros};
-use hoptiller_http::client::Connection;
-use hoptiller_http::{Limits, Method, Request};
+use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::Running;
 use hoptiller_mock_servers::discovery::{DiscoveryConfig, DiscoveryFaults};
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_mock_servers::fault::Faults;
 use hoptiller_mock_servers::ledger::Ledger;
 
+use super::event::RouterEvent;
+use super::http_call::call;
 use super::router_process::RouterProcess;
-use super::{RouterEngineSpec, RouterEvent, RouterScenario};
+use super::scenario::{RouterEngineSpec, RouterScenario};
 use crate::client_load::RouterAddress;
 use crate::error::ScenarioError;
 use crate::mock_engine::MockEngine;
 
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long engines may work on after the routers have ended.
 const ENGINES_TIMEOUT: Duration = Duration::from_secs(40);
 const ENGINES_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -210,12 +209,3 @@
         .and_then(|status| status["processCpuLoad"].as_f64())
         .is_some_and(|load| load > 0.0)
 }
-
-/// The body of the response to a request on a connection of its own; `None` where there is none within 2 s.
-pub(super) fn call(addr: SocketAddr, request: &Request) -> Option<Vec<u8>> {
-    block_on(async {
-        let opened = Connection::open(addr, CALL_TIMEOUT, Limits::default()).await;
-        let response = opened.ok()?.exchange(request, CALL_TIMEOUT).await;
-        response.ok().map(|response| response.body)
-    })
-}
--- a/crates/fault-harness/src/router_scenario/event.rs
+++ b/crates/fault-harness/src/router_scenario/event.rs
@@ -6,7 +6,7 @@
 use hoptiller_mock_servers::fault::Faults;
 use serde::Deserialize;
 
-use super::deserialize_duration;
+use super::duration::deserialize_duration;
 
 /// Something that happens. Routers and engines are named by place, counted from 0.
 #[derive(Clone, Debug, Deserialize)]
--- a/crates/fault-harness/src/router_scenario/router_process.rs
+++ b/crates/fault-harness/src/router_scenario/router_process.rs
@@ -9,8 +9,8 @@
 use hoptiller_http::{Method, Request};
 use serde_json::{Value, json};
 
-use super::RouterScenario;
-use super::cluster::call;
+use super::http_call::call;
+use super::scenario::RouterScenario;
 use crate::client_load::RouterAddress;
 use crate::error::ScenarioError;
 use crate::process::{Process, ProcessConfig, ProcessError};
--- a/crates/fault-harness/src/router_scenario/run.rs
+++ b/crates/fault-harness/src/router_scenario/run.rs
@@ -6,7 +6,8 @@
 
 use super::clients::RetryingClientLoad;
 use super::cluster::RouterCluster;
-use super::{RouterEvent, RouterScenario};
+use super::event::RouterEvent;
+use super::scenario::RouterScenario;
 use crate::error::ScenarioError;
 
 /// How a scenario is run.
--- /dev/null
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -0,0 +1,172 @@
+//! The file of a scenario of routers: how it is loaded and checked.
+
+use std::path::Path;
+use std::time::Duration;
+
+use hoptiller_statement_router::settings::evaluate_file;
+use hoptiller_statement_router::{Problem, Settings};
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::clients::ClientConfig;
+use super::duration::deserialize_duration;
+use super::event::ScheduledRouterEvent;
+use crate::error::ScenarioError;
+
+const MAX_ROUTERS: u32 = 16;
+const MAX_ENGINES: usize = 64;
+const MAX_CLIENTS: u32 = 5_000;
+const MAX_DURATION: Duration = Duration::from_secs(3600);
+
+/// A scenario as its file gives it.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ScenarioFile {
+    #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
+    duration: Duration,
+    routers: u32,
+    settings: Value,
+    engines: Vec<RouterEngineSpec>,
+    clients: ClientConfig,
+    #[serde(rename = "acts")]
+    events: Vec<ScheduledRouterEvent>,
+}
+
+/// A scenario of routers, checked.
+#[derive(Clone, Debug)]
+pub struct RouterScenario {
+    pub(super) duration: Duration,
+    pub(super) routers: u32,
+    /// The settings of a router, without its name and addresses.
+    pub(super) router_settings: Value,
+    /// The same, as they are understood.
+    pub(super) settings: Settings,
+    pub(super) engines: Vec<RouterEngineSpec>,
+    pub(super) clients: ClientConfig,
+    /// In the order of time.
+    pub(super) events: Vec<ScheduledRouterEvent>,
+}
+
+/// An engine of a scenario.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct RouterEngineSpec {
+    /// Its machine kind.
+    pub kind: String,
+    /// Its zone.
+    pub zone: String,
+    /// The speed of a core, as a factor of the reference speed.
+    #[serde(default = "reference_speed")]
+    pub speed: f64,
+    /// Whether it still warms up when the scenario starts.
+    #[serde(default)]
+    pub cold: bool,
+}
+
+fn reference_speed() -> f64 {
+    1.0
+}
+
+impl RouterScenario {
+    /// Loads a scenario from a Jsonnet file, and checks it.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be evaluated, has another form, or has values that can't work: [`ScenarioError::Invalid`] lists
+    /// all problems.
+    pub fn load(path: &Path) -> Result<RouterScenario, ScenarioError> {
+        let place = path.display().to_string();
+        let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
+        let file: ScenarioFile = serde_json::from_value(value).map_err(|error| {
+            ScenarioError::Invalid(vec![Problem {
+                place: place.clone(),
+                what: error.to_string(),
+            }])
+        })?;
+        let settings = Settings::from_value(&format!("{place}: settings"), &file.settings)
+            .map_err(ScenarioError::Invalid)?;
+        let mut scenario = RouterScenario {
+            duration: file.duration,
+            routers: file.routers,
+            router_settings: file.settings,
+            settings,
+            engines: file.engines,
+            clients: file.clients,
+            events: file.events,
+        };
+        scenario.events.sort_by_key(|event| event.at);
+        let problems = scenario.problems();
+        if problems.is_empty() {
+            return Ok(scenario);
+        }
+        let problems = problems.into_iter().map(|what| Problem {
+            place: place.clone(),
+            what,
+        });
+        Err(ScenarioError::Invalid(problems.collect()))
+    }
+
+    /// Describes the scenario in a line.
+    pub fn description(&self) -> String {
+        format!(
+            "a day of {} s, {} routers, {} engines, {} clients",
+            self.duration.as_secs_f64(),
+            self.routers,
+            self.engines.len(),
+            self.clients.count
+        )
+    }
+
+    fn problems(&self) -> Vec<String> {
+        let mut problems = self.size_problems();
+        for mix in &self.clients.mix {
+            if self.settings.class(&mix.class).is_none() {
+                problems.push(format!(
+                    "clients.mix: {:?} is no class of the settings",
+                    mix.class
+                ));
+            }
+        }
+        for (index, engine) in self.engines.iter().enumerate() {
+            if self.cores(&engine.kind).is_none() {
+                problems.push(format!(
+                    "engines[{index}].kind: {:?} is no kind of the settings",
+                    engine.kind
+                ));
+            }
+        }
+        for scheduled in &self.events {
+            let event = &scheduled.event;
+            if !event.is_possible(self.routers as usize, self.engines.len()) {
+                problems.push(format!(
+                    "acts: at {:?}, {event}: there is none such",
+                    scheduled.at
+                ));
+            }
+        }
+        problems
+    }
+
+    fn size_problems(&self) -> Vec<String> {
+        let engines = self.engines.len();
+        let mut problems = Vec::new();
+        if !(1..=MAX_ROUTERS).contains(&self.routers) || !(1..=MAX_ENGINES).contains(&engines) {
+            problems.push("1 to 16 routers and 1 to 64 engines are wanted".into());
+        }
+        if !(1..=MAX_CLIENTS).contains(&self.clients.count) || self.clients.mix.is_empty() {
+            problems.push("1 to 5,000 clients with a mix of at least one class are wanted".into());
+        }
+        if self.duration > MAX_DURATION || self.duration.is_zero() {
+            problems.push("a day lasts over 0 and up to an hour".into());
+        }
+        problems
+    }
+
+    /// The cores of an engine of this machine kind, as the settings have them.
+    pub(super) fn cores(&self, kind: &str) -> Option<f64> {
+        let mut kinds = self.settings.kinds.iter();
+        kinds
+            .find(|(name, _)| name == kind)
+            .map(|(_, cores)| *cores)
+    }
+}
