--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -14,11 +14,11 @@
         .fleet
         .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
     let number = fixture.propose("move", &document(&["a", "b"], 3));
-    // It still acts, under a permit for the old rules: so the others may not act on the new ones alone.
+    // It still sends under its lease for the old version, so the others may not enforce the new one alone.
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
     assert!(
         fixture.fleet.wait_until_in_force(number, TIMEOUT),
-        "its permit runs out"
+        "its lease expires"
     );
     assert!(fixture.wait_for_attempt_under("r2", number, number));
     let before = fixture.attempts("r1").len();
@@ -30,17 +30,17 @@
                 .count()
                 > 3
         }),
-        "it refuses loads at the door"
+        "it rejects loads"
     );
-    // Lookups go on, and say that they are in doubt.
+    // Lookups continue, and are marked as in doubt.
     assert!(
         fixture.wait_for_attempt_in_doubt("r1"),
-        "{before} acts before"
+        "{before} attempts before"
     );
     fixture.fleet.restore_links();
     assert!(
         fixture.wait_for_attempt_under("r1", number, number),
-        "it comes back"
+        "it recovers"
     );
     let records = fixture.finish().records;
     let loads = records.iter().filter(
@@ -68,7 +68,7 @@
         LinkFaults::blocked(),
         |b| matches!(b, LinkId::Replicas(a, c) if *a == leader || *c == leader),
     );
-    // Half of the routers reach only that one.
+    // Half of the routers reach only that replica.
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
         |b| matches!(b, LinkId::Router(r, k) if *r < 2 && *k != leader),
@@ -84,7 +84,7 @@
                 _ => false,
             }
         }),
-        "the other two keepers take it"
+        "the other two replicas accept it"
     );
     assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
     assert!(
@@ -105,7 +105,7 @@
     let number = fixture.propose("move", &document(&["a", "b"], 3));
     assert!(
         fixture.fleet.wait_until_in_force(number, TIMEOUT),
-        "its permit runs out though it can't know"
+        "its lease expires though it can't know"
     );
     assert!(fixture.wait_for_attempt_under("r2", number, number));
     fixture.fleet.resume_router(0);
@@ -127,7 +127,7 @@
         assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
         fixture.fleet.restore_links();
     }
-    // Answers to a router are lost: it asks and asks, and what it asked counts against it, not for it.
+    // Responses to a router are lost: its renewals delay the version, and do not prolong its own lease.
     let lost = LinkFaults::lost_responses();
     fixture
         .fleet
@@ -136,7 +136,7 @@
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
     assert!(
         fixture.wait_for_attempt_in_doubt("r2"),
-        "its permit ends though keepers hear it"
+        "its lease expires though replicas receive its renewals"
     );
     fixture.fleet.restore_links();
     assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
@@ -146,7 +146,7 @@
 
 #[test]
 fn clocks_at_the_bound_of_drift_violate_no_rule() {
-    // Routers' clocks slow, keepers' fast, by half the drift each.
+    // Clocks of routers run slow, those of replicas fast, by half the drift each.
     let mut fixture = FleetFixture::new("clocks", 2, |topology| {
         topology.drift_millionths = 50_000;
         topology.router_skews = vec![-25_000, 25_000];
--- a/crates/cli/tests/fleet/program.rs
+++ b/crates/cli/tests/fleet/program.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_truncated_document_and_an_unknown_setting_change_nothing() {
     let fixture = FleetFixture::new("files", 1, |_| {});
-    let keepers: Vec<String> = fixture
+    let replicas: Vec<String> = fixture
         .fleet
         .client()
         .endpoints()
@@ -29,7 +29,7 @@
             ])
             .args([
                 "--keepers",
-                &keepers.join(","),
+                &replicas.join(","),
                 "--secret",
                 &fixture.dir.join("secret").display().to_string(),
             ])
@@ -40,23 +40,29 @@
             String::from_utf8_lossy(&out.stderr).into_owned(),
         )
     };
-    let (code, said) = put("half.json", &whole[..whole.len() / 2]);
-    assert_eq!(code, Some(2), "{said}");
-    let (code, said) = put(
+    let (code, message) = put("half.json", &whole[..whole.len() / 2]);
+    assert_eq!(code, Some(2), "{message}");
+    let (code, message) = put(
         "later.json",
         &whole.replace("\"max_attempts\"", "\"most_tries\":2,\"max_attempts\""),
     );
-    assert!(code == Some(2) && said.contains("most_tries"), "{said}");
-    let (code, said) = put("other.json", &whole.replace("\"form\":1", "\"form\":2"));
-    assert!(code == Some(2) && said.contains("form"), "{said}");
-    let (code, said) = put("nowhere.json", &whole.replace("[\"a\"]", "[\"b\"]"));
-    assert!(code == Some(2) && said.contains("this change"), "{said}");
+    assert!(
+        code == Some(2) && message.contains("most_tries"),
+        "{message}"
+    );
+    let (code, message) = put("other.json", &whole.replace("\"form\":1", "\"form\":2"));
+    assert!(code == Some(2) && message.contains("form"), "{message}");
+    let (code, message) = put("nowhere.json", &whole.replace("[\"a\"]", "[\"b\"]"));
+    assert!(
+        code == Some(2) && message.contains("this change"),
+        "{message}"
+    );
     assert_eq!(fixture.fleet.version_numbers().map(|n| n.last), Some(1));
-    let (code, said) = put(
+    let (code, message) = put(
         "good.json",
         &whole.replace("\"max_attempts\":3", "\"max_attempts\":2"),
     );
-    assert_eq!(code, Some(0), "{said}");
+    assert_eq!(code, Some(0), "{message}");
     assert_eq!(fixture.fleet.version_numbers().map(|n| n.last), Some(2));
 }
 
@@ -80,7 +86,8 @@
 
 #[test]
 fn a_terminated_fleet_run_leaves_no_process_behind() {
-    let report = std::env::temp_dir().join(format!("hoptiller-fleet-told-{}", std::process::id()));
+    let report =
+        std::env::temp_dir().join(format!("hoptiller-fleet-terminated-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&report);
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -98,9 +105,9 @@
         std::thread::sleep(POLL_INTERVAL);
         all = children_of(fleet.id());
     }
-    assert!(all.len() >= 4, "keepers and a router run: {all:?}");
-    let told = rustix::process::Pid::from_raw(fleet.id() as i32).expect("it runs");
-    rustix::process::kill_process(told, rustix::process::Signal::TERM).expect("told");
+    assert!(all.len() >= 4, "replicas and a router run: {all:?}");
+    let pid = rustix::process::Pid::from_raw(fleet.id() as i32).expect("it runs");
+    rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signalled");
     assert_eq!(fleet.wait().expect("ended").code(), Some(130));
     let gone = |pid: &u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
--- a/crates/cli/tests/fleet/replicas.rs
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -5,6 +5,19 @@
 
 use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
 
+/// Starts a replica, which is to end with the exit code of a failure outside of it.
+fn assert_rejected_on_start(fixture: &mut FleetFixture, replica: usize) {
+    fixture.fleet.start_replica(replica).expect("starts");
+    let process = fixture.fleet.replica(replica).expect("there");
+    let status = process.wait_timeout(TIMEOUT);
+    assert_eq!(status.and_then(|status| status.code()), Some(3));
+}
+
+fn assert_logged(fixture: &FleetFixture, process: &str, text: &str) {
+    let log = fixture.fleet.log(process);
+    assert!(log.contains(text), "{log}");
+}
+
 #[test]
 fn without_replicas_the_fleet_serves_on_and_versions_continue_afterwards() {
     let mut fixture = FleetFixture::new("gone", 2, |_| {});
@@ -15,7 +28,7 @@
     );
     (0..3).for_each(|k| fixture.fleet.kill_replica(k));
     assert!(fixture.wait_for_attempt_in_doubt("r1") && fixture.wait_for_attempt_in_doubt("r2"));
-    // A router that starts while no keeper answers knows what its earlier life wrote down, and one without that nothing.
+    // A router that starts while no replica answers knows the versions that its former incarnation stored.
     fixture.fleet.kill_router(0);
     fixture.fleet.start_router(0).expect("runs");
     fixture.update_client_routers();
@@ -33,7 +46,7 @@
         fixture.fleet.start_replica(k).expect("runs");
     }
     let next = fixture.propose("next", &document(&["a"], 2));
-    assert_eq!(next, number + 1, "no number is given twice");
+    assert_eq!(next, number + 1, "no number is used twice");
     assert!(fixture.fleet.wait_until_in_force(next, TIMEOUT));
     assert!(
         fixture.wait_for_attempt_under("r1", next, next)
@@ -59,47 +72,18 @@
     }));
     fixture.fleet.kill_replica(2);
     fixture.fleet.restore_disk(2).expect("put back");
-    fixture.fleet.start_replica(2).expect("starts");
-    let ended = fixture
-        .fleet
-        .replica(2)
-        .expect("there")
-        .wait_timeout(TIMEOUT);
-    assert_eq!(ended.and_then(|e| e.code()), Some(3));
-    assert!(
-        fixture
-            .fleet
-            .log("keeper-3")
-            .contains("put back from a copy"),
-        "{}",
-        fixture.fleet.log("keeper-3")
-    );
+    assert_rejected_on_start(&mut fixture, 2);
+    assert_logged(&fixture, "keeper-3", "put back from a copy");
     fixture.fleet.kill_replica(2);
     fixture.fleet.lose_disk(2).expect("gone");
-    fixture.fleet.start_replica(2).expect("starts");
-    let ended = fixture
-        .fleet
-        .replica(2)
-        .expect("there")
-        .wait_timeout(TIMEOUT);
-    assert_eq!(ended.and_then(|e| e.code()), Some(3));
-    assert!(
-        fixture.fleet.log("keeper-3").contains("had disk"),
-        "{}",
-        fixture.fleet.log("keeper-3")
-    );
+    assert_rejected_on_start(&mut fixture, 2);
+    assert_logged(&fixture, "keeper-3", "had disk");
     let three = fixture.propose("three", &document(&["a"], 2));
     assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
-    // A second one gone: nothing is decided any more, and nothing is made up.
+    // With a second replica gone nothing is decided any more, and nothing is invented.
     fixture.fleet.kill_replica(1);
     fixture.fleet.lose_disk(1).expect("gone");
-    fixture.fleet.start_replica(1).expect("starts");
-    let ended = fixture
-        .fleet
-        .replica(1)
-        .expect("there")
-        .wait_timeout(TIMEOUT);
-    assert_eq!(ended.and_then(|e| e.code()), Some(3));
+    assert_rejected_on_start(&mut fixture, 1);
     assert!(fixture.wait_for_attempt_in_doubt("r1"));
     let alone = fixture.fleet.propose("four", &document(&["b"], 2));
     assert!(
@@ -128,15 +112,15 @@
         .replace_replica(2)
         .expect("asked")
         .expect("replaced");
-    // Until two know it, the one that does may not be lost: that is not yet one of three. Then any may.
+    // Until two replicas know the new membership, the one that does may not fail. Then any may.
     let know = |s: &mut TestFleet| s.statuses().iter().filter(|s| s.membership == 2).count();
     assert!(fixture.fleet.wait_until(TIMEOUT, |s| know(s) == 2));
     fixture.fleet.kill_replica(0);
-    fixture.fleet.start_replica(new).expect("it is taken in");
+    fixture.fleet.start_replica(new).expect("it joins");
     let two = fixture.propose("two", &document(&["a", "b"], 3));
     assert!(
         fixture.fleet.wait_until_in_force(two, TIMEOUT),
-        "the new one and keeper 2 are two of three"
+        "the new one and replica 1 are two of three"
     );
     assert!(
         fixture.wait_for_attempt_under("r1", two, two)
@@ -154,33 +138,25 @@
         "{:?}",
         fixture.fleet.statuses()
     );
-    // The new one outlives its process, and the old ones are not needed for a change.
+    // The new one survives a restart, and the old ones are not needed for a version.
     fixture.fleet.kill_replica(new);
     fixture
         .fleet
         .start_replica(new)
-        .expect("it goes on from its disk");
+        .expect("it continues from its disk");
     fixture.fleet.kill_replica(1);
     let three = fixture.propose("three", &document(&["a"], 2));
     assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
     fixture.fleet.start_replica(1).expect("runs");
-    // The lost one comes back after all, with a disk of before: its place is taken.
+    // The lost one comes back after all, with a former disk: its place is taken.
     fixture.fleet.restore_disk(2).expect("put back");
-    fixture.fleet.start_replica(2).expect("starts");
-    let ended = fixture
-        .fleet
-        .replica(2)
-        .expect("there")
-        .wait_timeout(TIMEOUT);
-    assert_eq!(ended.and_then(|e| e.code()), Some(3));
-    let said = fixture.fleet.log("keeper-3");
-    assert!(said.contains("taken this one's place"), "{said}");
-    // The new one loses its disk: what it promised is lost with it, and it may not join again.
+    assert_rejected_on_start(&mut fixture, 2);
+    assert_logged(&fixture, "keeper-3", "taken this one's place");
+    // The new one loses its disk, and with it its promises: it may not join again.
     fixture.fleet.kill_replica(new);
     fixture.fleet.lose_disk(new).expect("gone");
     assert!(fixture.fleet.start_replica(new).is_err());
-    let said = fixture.fleet.log("keeper-4");
-    assert!(said.contains("don't take it in"), "{said}");
+    assert_logged(&fixture, "keeper-4", "don't take it in");
     let four = fixture.propose("four", &document(&["a", "b"], 2));
     assert!(
         fixture.fleet.wait_until_in_force(four, TIMEOUT)
--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_audit::{Record, SentVersions};
-use hoptiller_coordination::Rejection;
+use hoptiller_coordination::{Document, Endpoint, EndpointList, EngineState, Rejection};
 use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::{LinkFaults, LinkId};
 
@@ -40,7 +40,7 @@
     for router in ["r1", "r2", "r3"] {
         assert!(
             fixture.wait_for_attempt_under(router, strict, strict),
-            "{router} never acted on version {strict}"
+            "{router} sent nothing under version {strict}"
         );
     }
     println!("in force after {} ms", took.as_millis());
@@ -48,26 +48,12 @@
     assert_eq!(
         report_kinds(&records, 0, strict),
         ["b"],
-        "what heeds the last version keeps to it"
+        "what enforces the last version obeys it"
     );
 }
 
-#[test]
-fn a_drain_proposed_after_a_pending_version_is_enforced_at_once() {
-    use hoptiller_coordination::{Endpoint, EndpointList, EngineState};
-    // So long that the change still waits when the drain is heeded, on any machine; it ends when the link is whole again.
-    let mut fixture = FleetFixture::new("drain", 3, |topology| {
-        topology.lease_term = Duration::from_secs(300)
-    });
-    assert!(
-        fixture.wait_for_attempt_under("r1", 1, 1)
-            && fixture.wait_for_attempt_under("r2", 1, 1)
-            && fixture.wait_for_attempt_under("r3", 1, 1)
-    );
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
-    let waits = fixture.propose("move", &document(&["a", "b"], 2));
+/// A version whose endpoint list has the first of four engines draining.
+fn document_that_drains_engine_0() -> Document {
     let mut drained = document(&["a", "b"], 2);
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -86,12 +72,48 @@
     drained.list = Some(EndpointList(
         (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
     ));
-    let drain = fixture.propose("drain", &drained);
+    drained
+}
+
+/// The attempts that were not in doubt and enforced this version or a later one: engine and version in force.
+fn attempts_enforcing(records: &[Record], version: u64) -> Vec<(String, u64)> {
+    let attempt_of = |r: &Record| match r {
+        Record::Sent {
+            engine,
+            versions:
+                Some(SentVersions {
+                    in_force,
+                    enforced,
+                    in_doubt: false,
+                }),
+            ..
+        } if *enforced >= version => Some((engine.clone(), *in_force)),
+        _ => None,
+    };
+    records.iter().filter_map(attempt_of).collect()
+}
+
+#[test]
+fn a_drain_proposed_after_a_pending_version_is_enforced_at_once() {
+    // So long that the version is still pending when the drain is enforced, on any machine. It ends when the link is restored.
+    let mut fixture = FleetFixture::new("drain", 3, |topology| {
+        topology.lease_term = Duration::from_secs(300)
+    });
+    assert!(
+        fixture.wait_for_attempt_under("r1", 1, 1)
+            && fixture.wait_for_attempt_under("r2", 1, 1)
+            && fixture.wait_for_attempt_under("r3", 1, 1)
+    );
+    fixture
+        .fleet
+        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    let pending = fixture.propose("move", &document(&["a", "b"], 2));
+    let drain = fixture.propose("drain", &document_that_drains_engine_0());
     assert!(fixture.fleet.wait_until_enforced(2, drain, TIMEOUT));
     for router in ["r2", "r3"] {
         assert!(
             fixture.wait_for_attempt_under(router, 1, drain),
-            "{router} acts on"
+            "{router} continues"
         );
     }
     fixture.fleet.restore_links();
@@ -100,34 +122,21 @@
             && fixture.wait_for_attempt_under("r1", drain, drain)
     );
     let records = fixture.finish().records;
-    let sent = |r: &Record| match r {
-        Record::Sent {
-            engine,
-            versions:
-                Some(SentVersions {
-                    in_force,
-                    enforced: heeds,
-                    in_doubt: false,
-                }),
-            ..
-        } if *heeds >= drain => Some((engine.clone(), *in_force)),
-        _ => None,
-    };
-    let sent: Vec<(String, u64)> = records.iter().filter_map(sent).collect();
+    let sent = attempts_enforcing(&records, drain);
     assert!(
-        sent.iter().any(|(_, in_force)| *in_force < waits),
-        "the change before it still waited"
+        sent.iter().any(|(_, in_force)| *in_force < pending),
+        "the version before it was still pending"
     );
     assert!(
         sent.iter().all(|(engine, _)| engine != "engine-0"),
-        "what heeds the drain sends nothing there"
+        "what enforces the drain sends nothing there"
     );
 }
 
 #[test]
 fn a_proposal_repeated_at_another_replica_is_one_version_and_a_flood_is_rejected() {
     let mut fixture = FleetFixture::new("flood", 2, |_| {});
-    // The answer is lost: nothing comes back from any keeper to this caller, who gives up and asks again.
+    // As if the response had been lost: the caller proposes the same again.
     let number = fixture.propose("once", &document(&["a", "b"], 3));
     fixture.fleet.kill_replica(0);
     assert_eq!(fixture.propose("once", &document(&["a", "b"], 3)), number);
@@ -136,21 +145,28 @@
     fixture
         .fleet
         .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
-    let (mut taken, mut busy) = (0u64, 0);
+    let (mut accepted, mut rejected) = (0u64, 0);
     for n in 0..200u32 {
         match fixture
             .fleet
             .propose(&format!("flood {n}"), &document(&["a", "b"], 1 + n % 3))
         {
-            Ok(ProposalResponse::Accepted(_)) => taken += 1,
-            Ok(ProposalResponse::Rejected(Rejection::TooManyPending { .. })) => busy += 1,
+            Ok(ProposalResponse::Accepted(_)) => accepted += 1,
+            Ok(ProposalResponse::Rejected(Rejection::TooManyPending { .. })) => rejected += 1,
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(taken + busy, 200);
-    assert!(busy > 0 && taken > 0, "{taken} taken, {busy} refused");
+    assert_eq!(accepted + rejected, 200);
+    assert!(
+        rejected > 0 && accepted > 0,
+        "{accepted} accepted, {rejected} rejected"
+    );
     fixture.fleet.restore_links();
-    assert!(fixture.fleet.wait_until_in_force(number + taken, TIMEOUT));
-    assert!(fixture.wait_for_attempt_under("r1", number + taken, number + taken));
+    assert!(
+        fixture
+            .fleet
+            .wait_until_in_force(number + accepted, TIMEOUT)
+    );
+    assert!(fixture.wait_for_attempt_under("r1", number + accepted, number + accepted));
     fixture.finish();
 }
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -162,7 +162,7 @@
 #[test]
 fn each_shard_has_one_holder_and_all_routers_have_the_endpoint_list() {
     let mut fixture = FleetFixture::with_task_leases("tasks", 3, |_| {});
-    // All three route by what one has read, and by what some have asked of engines.
+    // All three route by the list that one has read, and by the health checks of some.
     for router in ["r1", "r2", "r3"] {
         assert!(
             fixture.wait_for_attempt_under(router, 1, 1),
@@ -186,7 +186,7 @@
     fixture.update_client_routers();
     assert!(
         fixture.wait_for_takeover("list/0", holder),
-        "another takes it"
+        "another takes it over"
     );
     fixture.fleet.resume_router(holder);
     fixture.update_client_routers();
@@ -196,7 +196,7 @@
         fixture.wait_for_requests(|requests| requests
             .iter()
             .any(|r| r.router == name && r.fencing_token > newest)),
-        "it is given some again"
+        "it is granted leases again"
     );
     let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
@@ -211,7 +211,7 @@
         |b| matches!(b, LinkId::Router(r, _) if *r == holder),
     );
     assert!(fixture.wait_for_takeover("probe/1", holder));
-    // Answers to its questions are lost, the questions are not: it is no better off.
+    // With only its responses lost it is no better off.
     fixture.fleet.restore_links();
     let next = fixture.holder("probe/1");
     let lost = LinkFaults::lost_responses();
@@ -259,12 +259,12 @@
     fixture.fleet.kill_replica(leader);
     assert!(
         fixture.wait_for_takeover("list/0", holder),
-        "the one that leads now waits for its own count of the term"
+        "the new leader waits for a term by its own clock"
     );
     fixture.fleet.start_replica(leader).expect("runs");
     fixture.fleet.start_router(holder).expect("runs");
     fixture.update_client_routers();
-    // All keepers away: nobody acts under a lease, each router looks for itself, and all serve on.
+    // Without replicas nobody acts under a lease, each router checks for itself, and all serve on.
     (0..3).for_each(|k| fixture.fleet.kill_replica(k));
     let names = ["r1", "r2", "r3"];
     let before = names.map(|r| fixture.attempts(r).len());
@@ -280,7 +280,7 @@
     };
     let deadline = Instant::now() + TIMEOUT;
     assert!(
-        fixture.wait_until_deadline(deadline, &in_doubt),
+        fixture.wait_until_deadline(deadline, in_doubt),
         "all serve on in doubt"
     );
     let requests = fixture.leased_requests().len();
@@ -298,10 +298,10 @@
     for k in 0..3 {
         fixture.fleet.start_replica(k).expect("runs");
     }
-    // Nobody else may have been given one meanwhile: each goes on with what it had, once keepers say so.
+    // Nobody else was granted one meanwhile: each holder continues once replicas confirm its lease.
     assert!(
         fixture.wait_for_requests(|all| shards_of(&all[requests..]).len() == SHARDS),
-        "it goes on"
+        "holders continue"
     );
     let verdict = fixture.finish().verdict;
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
@@ -330,20 +330,20 @@
     fixture.update_client_routers();
     assert!(
         fixture.wait_for_all_shards_after(newest),
-        "after the term of those before"
+        "after the term of the former leases"
     );
     let Judged { records, verdict } = fixture.finish();
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
-    let told = records
+    let was_holder = records
         .iter()
         .any(|r| matches!(r, Record::LeasedRequest { router, .. } if *router == name));
-    assert!(told, "{name} had done some of it");
+    assert!(was_holder, "{name} had done some of it");
 }
 
 #[test]
 fn with_a_clock_far_beyond_the_bound_older_fencing_tokens_are_rejected() {
-    // A tenth as fast as time: this router believes in its lease for ten terms, long enough for any machine to give it to
-    // another. One part, at one resource: it knows all numbers that there were.
+    // A clock a tenth as fast as time: the router trusts its lease for ten terms, long enough for any machine to grant it to
+    // another. There is one shard with one target, which sees every token.
     let mut first = document(&["a", "b"], 3);
     first.tasks = [(Task::Discovery, 1)].into();
     let mut fixture = FleetFixture::with_first_version("lease-clock", 2, &first, |topology| {
@@ -355,7 +355,7 @@
     });
     assert!(
         fixture.wait_for_requests(|requests| !requests.is_empty()),
-        "somebody reads the list"
+        "some router reads the list"
     );
     let holder = fixture.holder("list/0");
     fixture.fleet.fail_links(
@@ -366,7 +366,7 @@
     assert!(
         fixture
             .wait_for_requests(|requests| requests.iter().any(|r| r.router == name && r.rejected)),
-        "it comes late, and is refused"
+        "it is late, and rejected"
     );
     fixture.fleet.restore_links();
     let verdict = fixture.finish().verdict;
