--- a/crates/cli/src/commands/day.rs
+++ b/crates/cli/src/commands/day.rs
@@ -11,7 +11,7 @@
 use crate::scenarios;
 
 #[derive(clap::Args)]
-pub struct Args {
+pub(crate) struct Args {
     /// The script, in Jsonnet; see examples/bad-day.jsonnet
     file: PathBuf,
     /// Folder for settings, records and the verdict; must be new or empty
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// When the file has problems, the folder is not empty, or the scenario can't be run.
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
     crate::run::raise_descriptors();
     let scenario = RouterScenario::load(&args.file).map_err(scenarios::failure)?;
     prepare_folder(&args.report)?;
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// When the file has problems.
-pub fn check(file: &Path) -> Result<String, Failure> {
+pub(crate) fn check(file: &Path) -> Result<String, Failure> {
     let scenario = RouterScenario::load(file).map_err(scenarios::failure)?;
     Ok(scenario.description())
 }
--- /dev/null
+++ b/crates/cli/src/commands/fleet/leases/tests.rs
@@ -0,0 +1,39 @@
+use super::*;
+use hoptiller_coordination::Holder;
+
+#[test]
+fn a_shard_without_a_holder_is_shown_as_such() {
+    let part = |shard| hoptiller_coordination::Shard {
+        task: hoptiller_coordination::Task::HealthCheck,
+        index: shard,
+    };
+    let holder = Some((
+        Holder {
+            router: "r1".into(),
+            incarnation: "x1".into(),
+        },
+        9,
+    ));
+    let held = LeaseStatus {
+        shard: part(0),
+        holder,
+        left_ms: Some(1200),
+        note_bytes: 80,
+    };
+    let free = LeaseStatus {
+        shard: part(1),
+        holder: None,
+        left_ms: None,
+        note_bytes: 0,
+    };
+    let told = format_leases(&[held, free]);
+    assert!(
+        told.contains("probe/0      r1/x1 under number 9, for 1200 ms more"),
+        "{told}"
+    );
+    assert!(
+        told.contains("probe/1      nobody") && told.contains("r1/x1: 1 of 2"),
+        "{told}"
+    );
+    assert!(format_leases(&[]).contains("names no tasks"));
+}
--- a/crates/cli/src/commands/fleet/mod.rs
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -1,19 +1,22 @@
 //! `hoptiller fleet`: who is on which version; and a whole fleet on loopback, with faults between its processes.
 
+mod leases;
+mod replace;
 mod run;
 mod status;
 
 use std::process::ExitCode;
 
 use crate::run::Failure;
+use replace::ReplaceArgs;
 use run::RunArgs;
-use status::{ReplaceArgs, StatusArgs};
+use status::StatusArgs;
 
-pub use run::check;
-pub use status::waiting_for;
+pub(crate) use run::check;
+pub(crate) use status::waiting_for;
 
 #[derive(clap::Subcommand)]
-pub enum Args {
+pub(crate) enum Args {
     /// Shows keepers, versions, and the routers that hold permits
     ClusterStatus(StatusArgs),
     /// Shows which router does which part of a fleet-wide task, and until when at least
@@ -29,11 +32,11 @@
 /// # Errors
 ///
 /// When its arguments or a file are wrong, or something outside of this program fails.
-pub fn run(args: &Args) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
     match args {
-        Args::ClusterStatus(args) => status::status(args),
-        Args::Leases(args) => status::leases(args),
-        Args::ReplaceKeeper(args) => status::replace_keeper(args),
+        Args::ClusterStatus(args) => status::run(args),
+        Args::Leases(args) => leases::run(args),
+        Args::ReplaceKeeper(args) => replace::run(args),
         Args::Run(args) => run::run(args),
     }
 }
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -12,7 +12,7 @@
 use crate::scenarios;
 
 #[derive(clap::Args)]
-pub struct RunArgs {
+pub(crate) struct RunArgs {
     /// The day, in Jsonnet
     day: PathBuf,
     /// What is drawn is drawn from it
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// When the file has problems, the folder is there already, or the scenario can't be run.
-pub fn run(args: &RunArgs) -> Result<ExitCode, Failure> {
+pub(super) fn run(args: &RunArgs) -> Result<ExitCode, Failure> {
     let scenario = FleetScenario::load(&args.day).map_err(scenarios::failure)?;
     if args.report.exists() {
         return Err(Failure::Usage(format!(
@@ -76,7 +76,7 @@
 /// # Errors
 ///
 /// When the file or the settings in it have problems.
-pub fn check(file: &Path) -> Result<String, Failure> {
+pub(crate) fn check(file: &Path) -> Result<String, Failure> {
     FleetScenario::check(file).map_err(scenarios::failure)
 }
 
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -1,126 +1,77 @@
-//! What replicas report of a fleet, and how a replica is replaced.
+//! `hoptiller fleet cluster-status`: what replicas report of themselves, of versions and of config leases.
 
-use std::collections::BTreeMap;
 use std::process::ExitCode;
 
-use hoptiller_coordination_client::wire::{self, ClusterStatus, LeaseStatus};
+use hoptiller_coordination_client::CallError;
+use hoptiller_coordination_client::wire::{self, ClusterStatus};
+use serde_json::{Value, json};
 
 use crate::keepers::KeeperArgs;
 use crate::run::Failure;
 
 #[derive(clap::Args)]
-pub struct ReplaceArgs {
+pub(crate) struct StatusArgs {
     #[command(flatten)]
-    keepers: KeeperArgs,
-    /// The keeper that is lost
-    #[arg(long, value_name = "N")]
-    lost: u64,
-    /// The new keeper's number: one that no keeper of this fleet had before
-    #[arg(long, value_name = "N")]
-    new: u64,
-    /// Where the others reach the new keeper; best the address of the lost one, which routers know
-    #[arg(long, value_name = "ADDR")]
-    at: std::net::SocketAddr,
-}
-
-#[derive(clap::Args)]
-pub struct StatusArgs {
-    #[command(flatten)]
-    keepers: KeeperArgs,
+    pub(super) keepers: KeeperArgs,
     /// What each keeper answers, in JSON
     #[arg(long)]
-    json: bool,
+    pub(super) json: bool,
 }
 
-pub(super) fn replace_keeper(args: &ReplaceArgs) -> Result<ExitCode, Failure> {
-    let ask = serde_json::json!({ "lost": args.lost, "new": args.new, "at": args.at });
-    let done: wire::ReplaceResponse = args.keepers.open()?.post(wire::REPLACE, &ask)?;
-    println!(
-        "keeper {} has the place of keeper {}: list {} of the keepers holds",
-        args.new, args.lost, done.membership
-    );
-    println!("start it on an empty folder with `hoptiller keep --join --config FILE`");
-    Ok(ExitCode::SUCCESS)
-}
+type ReplicaStatus = (std::net::SocketAddr, Result<ClusterStatus, CallError>);
 
-pub(super) fn leases(args: &StatusArgs) -> Result<ExitCode, Failure> {
-    let all: Vec<LeaseStatus> = args.keepers.open()?.get(wire::LEASES)?;
+/// Prints the status of each replica; the exit code is 3 where none answers.
+pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, Failure> {
+    let replicas = args.keepers.open()?.each::<ClusterStatus>(wire::STATUS);
     if args.json {
-        println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
+        print_json(&replicas);
     } else {
-        print!("{}", show_leases(&all));
+        print_text(&replicas);
+    }
+    if replicas.iter().any(|(_, status)| status.is_ok()) {
+        Ok(ExitCode::SUCCESS)
+    } else {
+        Ok(ExitCode::from(3))
     }
-    Ok(ExitCode::SUCCESS)
 }
 
-/// A line a part, and how many each router has.
-fn show_leases(all: &[LeaseStatus]) -> String {
-    let mut out = String::new();
-    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for l in all {
-        let line = match &l.holder {
-            None => "nobody; each router does it for itself".to_owned(),
-            Some((holder, number)) => {
-                *counts.entry(holder.to_string()).or_default() += 1;
-                let left = l.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
-                format!(
-                    "{holder} under number {number}, for {left} ms more, note of {} bytes",
-                    l.note_bytes
-                )
-            }
-        };
-        out.push_str(&format!("{:<12} {line}\n", l.shard.to_string()));
-    }
-    for (holder, n) in counts {
-        out.push_str(&format!("{holder}: {n} of {}\n", all.len()));
-    }
-    if all.is_empty() {
-        out.push_str("the version in force names no tasks\n");
-    }
-    out
+fn print_json(replicas: &[ReplicaStatus]) {
+    let values: Vec<Value> = replicas
+        .iter()
+        .map(|(addr, status)| match status {
+            Ok(status) => json!({ "at": addr, "status": status }),
+            Err(error) => json!({ "at": addr, "problem": error.to_string() }),
+        })
+        .collect();
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&values).unwrap_or_default()
+    );
 }
 
-pub(super) fn status(args: &StatusArgs) -> Result<ExitCode, Failure> {
-    let all = args.keepers.open()?.each::<ClusterStatus>(wire::STATUS);
-    if args.json {
-        let shown: Vec<_> = all
-            .iter()
-            .map(|(at, s)| match s {
-                Ok(status) => serde_json::json!({ "at": at, "status": status }),
-                Err(e) => serde_json::json!({ "at": at, "problem": e.to_string() }),
-            })
-            .collect();
-        println!(
-            "{}",
-            serde_json::to_string_pretty(&shown).unwrap_or_default()
-        );
-    } else {
-        for (at, status) in &all {
-            match status {
-                Err(e) => println!("keeper at {at}: {e}"),
-                Ok(s) => print!("{}", show_keeper(&at.to_string(), s)),
-            }
-        }
-        // The one that knows most tells of the fleet.
-        let best = all
-            .iter()
-            .filter_map(|(_, s)| s.as_ref().ok())
-            .max_by_key(|s| s.log.decided);
-        if let Some(best) = best {
-            print!("{}", show_fleet(best));
+fn print_text(replicas: &[ReplicaStatus]) {
+    for (addr, status) in replicas {
+        match status {
+            Ok(status) => print!("{}", format_replica(&addr.to_string(), status)),
+            Err(error) => println!("keeper at {addr}: {error}"),
         }
     }
-    let any = all.iter().any(|(_, s)| s.is_ok());
-    Ok(if any {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::from(3)
-    })
+    // The replica that has decided most knows the newest versions.
+    let newest = replicas
+        .iter()
+        .filter_map(|(_, status)| status.as_ref().ok())
+        .max_by_key(|status| status.log.decided);
+    if let Some(newest) = newest {
+        print!("{}", format_versions(newest));
+    }
 }
 
-fn show_keeper(at: &str, s: &ClusterStatus) -> String {
-    let leader = s.leader.map_or("nobody".to_owned(), |l| l.to_string());
-    let heard: Vec<String> = s
+/// A line for a replica: its membership, leader, log, and when it heard from its peers.
+fn format_replica(addr: &str, status: &ClusterStatus) -> String {
+    let leader = status
+        .leader
+        .map_or("nobody".to_owned(), |leader| leader.to_string());
+    let peers: Vec<String> = status
         .peers
         .iter()
         .map(|peer| match peer.heard_ms_ago {
@@ -128,52 +79,59 @@
             None => format!("{} never", peer.replica),
         })
         .collect();
-    let all: Vec<String> = s.replicas.iter().map(u64::to_string).collect();
+    let members: Vec<String> = status.replicas.iter().map(u64::to_string).collect();
     format!(
-        "keeper {} at {at}: list {} ({}), leads {leader}, {} steps decided, {} kept, reached {}\n",
-        s.replica,
-        s.membership,
-        all.join(" "),
-        s.log.decided,
-        s.log.retained,
-        heard.join(", ")
+        "keeper {} at {addr}: list {} ({}), leads {leader}, {} steps decided, {} kept, reached {}\n",
+        status.replica,
+        status.membership,
+        members.join(" "),
+        status.log.decided,
+        status.log.retained,
+        peers.join(", ")
     )
 }
 
-fn show_fleet(s: &ClusterStatus) -> String {
-    let mut out = format!(
+/// The versions in force and pending, and the routers that hold config leases.
+fn format_versions(status: &ClusterStatus) -> String {
+    let mut text = format!(
         "in force {}, last {}\n",
-        s.versions.in_force, s.versions.last
+        status.versions.in_force, status.versions.last
     );
-    for h in &s.pending {
-        out.push_str(&format!(
+    for version in &status.pending {
+        text.push_str(&format!(
             "  on its way: {} ({}) by {}: {}\n",
-            h.number,
-            h.kind.description(),
-            h.author,
-            h.reason
+            version.number,
+            version.kind.description(),
+            version.author,
+            version.reason
         ));
     }
-    for h in &s.holders {
-        let held = if h.blocks_rollout {
+    for holder in &status.holders {
+        let blocking = if holder.blocks_rollout {
             "  HOLDS UP the next version"
         } else {
             ""
         };
-        out.push_str(&format!(
-            "  {:<30} heeds {:>5}, permit {:>6} ms{held}\n",
-            h.holder.to_string(),
-            h.enforced_version,
-            h.left_ms
+        text.push_str(&format!(
+            "  {:<30} heeds {:>5}, permit {:>6} ms{blocking}\n",
+            holder.holder.to_string(),
+            holder.enforced_version,
+            holder.left_ms
         ));
     }
-    out
+    text
 }
 
-/// Who holds up the next version, and until when at most.
-pub fn waiting_for(s: &ClusterStatus) -> String {
-    let held = s.holders.iter().filter(|h| h.blocks_rollout);
-    held.map(|h| format!("  waits for {}, {} ms at most\n", h.holder, h.left_ms))
+/// The routers whose config leases block the next version, and for how long at most.
+pub(crate) fn waiting_for(status: &ClusterStatus) -> String {
+    let blocking = status.holders.iter().filter(|holder| holder.blocks_rollout);
+    blocking
+        .map(|holder| {
+            format!(
+                "  waits for {}, {} ms at most\n",
+                holder.holder, holder.left_ms
+            )
+        })
         .collect()
 }
 
--- a/crates/cli/src/scenarios.rs
+++ b/crates/cli/src/scenarios.rs
@@ -8,7 +8,7 @@
 use crate::run::Failure;
 
 /// The failure of a command whose scenario can't be loaded or run.
-pub fn failure(error: ScenarioError) -> Failure {
+pub(crate) fn failure(error: ScenarioError) -> Failure {
     match error {
         ScenarioError::Invalid(problems) => Failure::Settings(problems),
         ScenarioError::Io { subject, source } => Failure::Outside(subject, source),
@@ -25,6 +25,6 @@
 }
 
 /// The file of this program, which scenarios start again for their processes; `subject` names it in the failure.
-pub fn own_program(subject: &str) -> Result<PathBuf, Failure> {
+pub(crate) fn own_program(subject: &str) -> Result<PathBuf, Failure> {
     std::env::current_exe().map_err(|error| Failure::Outside(subject.to_owned(), error))
 }
