--- a/crates/cli/tests/scenario_files.rs
+++ b/crates/cli/tests/scenario_files.rs
@@ -205,3 +205,27 @@
         );
     }
 }
+
+#[test]
+fn optional_keys_that_no_example_has_are_accepted() {
+    let folder = TempFolder::new("optional-keys");
+    for (example, change) in [
+        (
+            "bad-day.jsonnet",
+            "{ engines: [base.engines[0] { cold: true, speed: 2 }], acts: [] }",
+        ),
+        ("fleet-versions.jsonnet", "{ drift: 500 }"),
+        ("fleet-versions.jsonnet", "{ drift: null, unheld: null }"),
+        (
+            "fleet-versions.jsonnet",
+            "{ router_skews: [-10, 10], keeper_skews: [5] }",
+        ),
+        (
+            "fleet-versions.jsonnet",
+            "{ engines: [base.engines[0] { fences: true, speed: null }] }",
+        ),
+    ] {
+        let (code, printed) = check_changed(&folder, example, change);
+        assert_eq!(code, Some(0), "{change}: {printed}");
+    }
+}
