--- a/crates/fault-harness/src/error.rs
+++ b/crates/fault-harness/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use hoptiller_statement_router::Problem;
+use hoptiller_statement_router::SettingError;
 
 use crate::fleet::FleetError;
 
@@ -12,7 +12,7 @@
 pub enum ScenarioError {
     /// The file has problems; all of them are listed.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Invalid(Vec<Problem>),
+    Invalid(Vec<SettingError>),
     /// The file has another form than a scenario.
     #[error("{}: {source}", .path.display())]
     Parse {
--- a/crates/fault-harness/src/fleet_scenario/scenario.rs
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hoptiller_coordination::ConfigDuration;
-use hoptiller_statement_router::{Problem, Settings, settings::evaluate_file};
+use hoptiller_statement_router::{SettingError, Settings, settings::evaluate_file};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -94,10 +94,10 @@
         )
     }
 
-    fn problems(&self, file: &str) -> Vec<Problem> {
-        let problem = |path: &str, what: String| Problem {
+    fn problems(&self, file: &str) -> Vec<SettingError> {
+        let problem = |path: &str, reason: String| SettingError {
             place: format!("{file}: {path}"),
-            what,
+            reason,
         };
         let mut problems = Vec::new();
         let has_size = matches!(self.replicas, 3 | 5)
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -183,11 +183,11 @@
     config.cold = spec.cold;
     config.spec.speed = spec.speed;
     config.spec.cores = scenario.cores(&spec.kind).unwrap_or(DEFAULT_CORES);
-    config.spec.cancels = settings.engines.cancel;
-    config.spec.cold_for = settings.rules.ramp.as_micros() as u64;
+    config.spec.cancels = settings.engines.supports_cancel;
+    config.spec.cold_for = settings.rules.slow_start_window.as_micros() as u64;
     config.spec.cold_from = settings.rules.start_capacity;
-    config.spec.fall_multiple = settings.rules.overload;
-    config.spec.fall_for = settings.rules.fall.as_micros() as u64;
+    config.spec.fall_multiple = settings.rules.overload_factor;
+    config.spec.fall_for = settings.rules.overload_window.as_micros() as u64;
     config
 }
 
--- a/crates/fault-harness/src/router_scenario/scenario.rs
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hoptiller_statement_router::settings::evaluate_file;
-use hoptiller_statement_router::{Problem, Settings};
+use hoptiller_statement_router::{SettingError, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -78,9 +78,9 @@
         let place = path.display().to_string();
         let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
         let file: ScenarioFile = serde_json::from_value(value).map_err(|error| {
-            ScenarioError::Invalid(vec![Problem {
+            ScenarioError::Invalid(vec![SettingError {
                 place: place.clone(),
-                what: error.to_string(),
+                reason: error.to_string(),
             }])
         })?;
         let settings = Settings::from_value(&format!("{place}: settings"), &file.settings)
@@ -99,9 +99,9 @@
         if problems.is_empty() {
             return Ok(scenario);
         }
-        let problems = problems.into_iter().map(|what| Problem {
+        let problems = problems.into_iter().map(|reason| SettingError {
             place: place.clone(),
-            what,
+            reason,
         });
         Err(ScenarioError::Invalid(problems.collect()))
     }
@@ -120,7 +120,7 @@
     fn problems(&self) -> Vec<String> {
         let mut problems = self.size_problems();
         for mix in &self.clients.mix {
-            if self.settings.class(&mix.class).is_none() {
+            if self.settings.class_index(&mix.class).is_none() {
                 problems.push(format!(
                     "clients.mix: {:?} is no class of the settings",
                     mix.class
@@ -166,7 +166,7 @@
     pub(super) fn cores(&self, kind: &str) -> Option<f64> {
         let mut kinds = self.settings.kinds.iter();
         kinds
-            .find(|(name, _)| name == kind)
-            .map(|(_, cores)| *cores)
+            .find(|known| known.name == kind)
+            .map(|known| known.cores)
     }
 }
