--- a/crates/benchmarks/src/error.rs
+++ b/crates/benchmarks/src/error.rs
@@ -40,8 +40,8 @@
         open: u64,
         expected: usize,
     },
-    #[error("keepers took no version")]
-    NoFirstVersion,
+    #[error(transparent)]
+    Fleet(#[from] hoptiller_fault_harness::FleetError),
     #[error("not all routers heeded the first version")]
     FirstVersionNotEnforced,
     #[error("a change was not taken")]
--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -110,13 +110,13 @@
     let servers = CountedServers::start(args.engines)?;
     let observations = Arc::new(Observations::default());
     let config = RouterConfig {
-        replicas: fleet.keepers()?.endpoints().to_vec(),
+        replicas: fleet.client().endpoints().to_vec(),
         secret_file: dir.join("secret"),
         discovery: servers.discovery.addr,
         engines: args.engines,
     };
     let routers = start_routers(size, config, observations.clone())?;
-    if !fleet.until(TIMEOUT, |_| observations.complete_lists() == size) {
+    if !fleet.wait_until(TIMEOUT, |_| observations.complete_lists() == size) {
         return Err(BenchmarkError::EnginesNotKnown);
     }
     // A router is granted task leases after a term in which it has asked for them; then they are balanced.
@@ -124,7 +124,7 @@
     let (list_reads, engine_polls) = servers.request_rates(Duration::from_secs(args.seconds));
     let start = Instant::now();
     drain(servers.engines[0].addr)?;
-    if !fleet.until(TIMEOUT, |_| observations.drains().len() == size) {
+    if !fleet.wait_until(TIMEOUT, |_| observations.drains().len() == size) {
         return Err(BenchmarkError::DrainNotKnown);
     }
     let times: Vec<u128> = observations
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_coordination_client::{Clock, Secret, wire};
-use hoptiller_fault_harness::{Stage, stage::Between};
+use hoptiller_fault_harness::{LinkId, TestFleet};
 use hoptiller_mock_servers::Running;
 use hoptiller_statement_router::fleet_member::FleetMember;
 use hoptiller_statement_router::settings::CoordinationSettings;
@@ -68,18 +68,18 @@
 }
 
 impl Usage {
-    fn sample(fleet: &mut Stage) -> Result<Usage, BenchmarkError> {
+    fn sample(fleet: &mut TestFleet) -> Result<Usage, BenchmarkError> {
         let mut cpu_time = 0.0;
         for replica in 0..REPLICAS {
-            if let Some(process) = fleet.keeper(replica) {
+            if let Some(process) = fleet.replica(replica) {
                 cpu_time += cpu_seconds(process.id())?;
             }
         }
-        let links = (0..REPLICAS).filter_map(|replica| fleet.link(Between::Router(0, replica)));
+        let links = (0..REPLICAS).filter_map(|replica| fleet.link(LinkId::Router(0, replica)));
         let statuses = fleet.statuses();
         Ok(Usage {
             cpu_seconds: cpu_time,
-            link_bytes: links.map(|link| link.carried()).sum(),
+            link_bytes: links.map(|link| link.forwarded_bytes()).sum(),
             log_entries: statuses
                 .iter()
                 .map(|status| status.log.decided)
@@ -115,11 +115,11 @@
     let first = document(1.0, 3)?;
     let mut fleet = start_fleet(&args.fleet.program, &dir, 1, LEASE_TERM, &first, TIMEOUT)?;
     let replicas = (0..REPLICAS)
-        .filter_map(|replica| fleet.link(Between::Router(0, replica)))
+        .filter_map(|replica| fleet.link(LinkId::Router(0, replica)))
         .map(|link| link.addr())
         .collect();
     let routers = start_routers(size, mode, replicas, &dir)?;
-    if !fleet.until_heeded(size, 1, TIMEOUT) {
+    if !fleet.wait_until_enforced(size, 1, TIMEOUT) {
         return Err(BenchmarkError::FirstVersionNotEnforced);
     }
     thread::sleep(WARM_UP);
@@ -178,15 +178,17 @@
 }
 
 /// Proposes a version: the time until it is in force.
-fn roll_out(fleet: &mut Stage, size: usize, change: u32) -> Result<Duration, BenchmarkError> {
+fn roll_out(fleet: &mut TestFleet, size: usize, change: u32) -> Result<Duration, BenchmarkError> {
     let next = document(1.0, 1 + change % 2)?;
     let start = Instant::now();
     let Ok(wire::ProposalResponse::Accepted(number)) =
-        fleet.put(&format!("change {change}"), &next)
+        fleet.propose(&format!("change {change}"), &next)
     else {
         return Err(BenchmarkError::ProposalNotAccepted);
     };
-    if !fleet.until_heeded(size, number, TIMEOUT) || !fleet.until_in_force(number, TIMEOUT) {
+    if !fleet.wait_until_enforced(size, number, TIMEOUT)
+        || !fleet.wait_until_in_force(number, TIMEOUT)
+    {
         return Err(BenchmarkError::VersionNotInForce);
     }
     Ok(start.elapsed())
--- a/crates/benchmarks/src/test_fleet.rs
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hoptiller_coordination::{Document, ValidationError};
-use hoptiller_fault_harness::{Layout, Stage};
+use hoptiller_fault_harness::{TestFleet, Topology};
 use serde_json::{Value, json};
 
 use crate::error::BenchmarkError;
@@ -54,23 +54,13 @@
     lease_term: Duration,
     first: &Document,
     timeout: Duration,
-) -> Result<Stage, BenchmarkError> {
-    let layout = Layout {
-        keepers: REPLICAS,
-        routers,
-        engines: Vec::new(),
-        settings: json!({}),
-        permit: lease_term,
-        drift: DRIFT,
-        router_skews: Vec::new(),
-        keeper_skews: Vec::new(),
-        most_bytes: None,
-        agreement: true,
+) -> Result<TestFleet, BenchmarkError> {
+    let topology = Topology {
+        lease_term,
+        drift_millionths: DRIFT,
+        ..Topology::new(REPLICAS, routers)
     };
-    let mut fleet = Stage::new(layout, program, dir)?;
-    fleet.start()?;
-    if !fleet.until(timeout, |fleet| fleet.put("first", first).is_ok()) {
-        return Err(BenchmarkError::NoFirstVersion);
-    }
+    let mut fleet = TestFleet::new(topology, program, dir)?;
+    fleet.start_with_first_version(first, timeout)?;
     Ok(fleet)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,6 +7,7 @@
 mod random_id;
 mod replicas;
 mod runtime;
+mod scenarios;
 mod secret;
 
 use std::process::ExitCode;
