--- a/crates/cli/src/commands/day.rs
+++ b/crates/cli/src/commands/day.rs
@@ -12,12 +12,12 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The script, in Jsonnet; see examples/bad-day.jsonnet
+    /// The scenario, in Jsonnet; see examples/bad-day.jsonnet
     file: PathBuf,
     /// Folder for settings, records and the verdict; must be new or empty
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// Seed of the clients' draws
+    /// Seed of the clients' random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print the verdict in JSON
--- a/crates/cli/src/commands/fleet/mod.rs
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `hoptiller fleet`: who is on which version; and a whole fleet on loopback, with faults between its processes.
+//! `hoptiller fleet`: the state of a fleet; and a whole fleet on loopback, with faults between its processes.
 
 mod leases;
 mod replace;
@@ -17,13 +17,14 @@
 
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
-    /// Shows keepers, versions, and the routers that hold permits
-    ClusterStatus(StatusArgs),
-    /// Shows which router does which part of a fleet-wide task, and until when at least
+    /// Shows replicas (keepers), versions, and the routers that hold config leases (permits)
+    #[command(alias = "cluster-status")]
+    Status(StatusArgs),
+    /// Shows which router holds which shard of a fleet-wide task, and until when at least
     Leases(StatusArgs),
-    /// Puts a new keeper in the place of one that is lost with its disk, while the others go on
+    /// Replaces a replica that is lost with its disk, while the others run
     ReplaceKeeper(ReplaceArgs),
-    /// Plays a day with processes of this program on loopback, and faults between them; then judges it
+    /// Runs a scenario (day) of processes of this program on loopback, with faults between them; then judges it
     Run(RunArgs),
 }
 
@@ -34,7 +35,7 @@
 /// When its arguments or a file are wrong, or something outside of this program fails.
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     match args {
-        Args::ClusterStatus(args) => status::run(args),
+        Args::Status(args) => status::run(args),
         Args::Leases(args) => leases::run(args),
         Args::ReplaceKeeper(args) => replace::run(args),
         Args::Run(args) => run::run(args),
--- a/crates/cli/src/commands/fleet/replace.rs
+++ b/crates/cli/src/commands/fleet/replace.rs
@@ -11,13 +11,13 @@
 pub(crate) struct ReplaceArgs {
     #[command(flatten)]
     keepers: ReplicaArgs,
-    /// The keeper that is lost
+    /// The number of the lost replica
     #[arg(long, value_name = "N")]
     lost: u64,
-    /// The new keeper's number: one that no keeper of this fleet had before
+    /// The number of the new replica: one that no replica of this fleet had before
     #[arg(long, value_name = "N")]
     new: u64,
-    /// Where the others reach the new keeper; best the address of the lost one, which routers know
+    /// The address of the new replica; best that of the lost one, which routers know
     #[arg(long, value_name = "ADDR")]
     at: std::net::SocketAddr,
 }
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -13,25 +13,25 @@
 
 #[derive(clap::Args)]
 pub(crate) struct RunArgs {
-    /// The day, in Jsonnet
+    /// The scenario, in Jsonnet
     day: PathBuf,
-    /// What is drawn is drawn from it
+    /// The seed of the random events
     #[arg(long, default_value_t = 1, value_name = "N")]
     seed: u64,
-    /// The folder of records, logs and the verdict; it must not be there yet
+    /// The folder for records, logs and the verdict; it must not exist
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// The same day without versions: each router goes by its own file
+    /// The same scenario without configuration versions: each router uses its own file
     #[arg(long)]
     without: bool,
-    /// Acts under contradicting versions may overlap for so long, in ms. Engines record what comes when they get to
+    /// Attempts under contradicting versions may overlap for so long, in ms. Engines record an attempt when they get to
     /// run: on a loaded machine that is later than it was sent
     #[arg(long, default_value_t = 20, value_name = "MS")]
     overlap: u64,
     /// Print the verdict in JSON
     #[arg(long)]
     json: bool,
-    /// Have all processes of the fleet do this wrong, to see whether it is found: from-the-answer, never-ends, no-wait,
+    /// The fault to inject into all processes of the fleet, to see whether it is found: from-the-answer, never-ends, no-wait,
     /// forgets
     #[cfg(feature = "plant")]
     #[arg(long, value_name = "FAULT")]
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `hoptiller fleet cluster-status`: what replicas report of themselves, of versions and of config leases.
+//! `hoptiller fleet status`: what replicas report of themselves, of versions and of config leases.
 
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
 pub(crate) struct StatusArgs {
     #[command(flatten)]
     pub(super) keepers: ReplicaArgs,
-    /// What each keeper answers, in JSON
+    /// Print the response of each replica in JSON
     #[arg(long)]
     pub(super) json: bool,
 }
--- /dev/null
+++ b/crates/cli/tests/commands.rs
@@ -0,0 +1,57 @@
+//! The commands and arguments that pages document are accepted.
+
+use std::process::Command;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_hoptiller");
+
+/// Commands with an argument that pages document, if they document one.
+const DOCUMENTED: [(&str, &str); 25] = [
+    ("demo", "--engines"),
+    ("route", "<FILE>"),
+    ("node", "--config"),
+    ("check", "--json"),
+    ("standin engine", "--ledger"),
+    ("standin discovery", "--keep"),
+    ("day", "--report"),
+    ("keep", "--config"),
+    ("keep", "--join"),
+    ("settings put", "--why"),
+    ("settings put", "--dry-run"),
+    ("settings show", "--keepers"),
+    ("settings diff", "--secret"),
+    ("settings history", "--json"),
+    ("settings rollback", "--why"),
+    ("settings watch", "--until"),
+    ("fleet status", "--json"),
+    ("fleet leases", "--json"),
+    ("fleet replace-keeper", "--lost"),
+    ("fleet run", "--seed"),
+    ("runaways", "--release"),
+    ("runaways", "--past"),
+    ("experiment runaways", "--seeds"),
+    ("audit", "<DIR>"),
+    ("beliefs", "--most"),
+];
+
+#[test]
+fn documented_commands_are_accepted() {
+    for (command, argument) in DOCUMENTED {
+        let output = Command::new(PROGRAM)
+            .args(command.split(' '))
+            .arg("--help")
+            .output()
+            .expect("it runs");
+        assert!(output.status.success(), "hoptiller {command}");
+        let help = String::from_utf8_lossy(&output.stdout).into_owned();
+        assert!(help.contains(argument), "hoptiller {command}: {help}");
+    }
+}
+
+#[test]
+fn the_status_of_a_fleet_has_its_interim_name_too() {
+    let output = Command::new(PROGRAM)
+        .args(["fleet", "cluster-status", "--help"])
+        .output()
+        .expect("it runs");
+    assert!(output.status.success());
+}
