--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -135,7 +135,11 @@
 
 #[test]
 fn a_proposal_repeated_at_another_replica_is_one_version_and_a_flood_is_rejected() {
-    let mut fixture = FleetFixture::new("flood", 2, |_| {});
+    // An isolated router blocks versions for the rest of its lease: long enough for the limit of pending versions to be
+    // reached, also where a proposal takes long.
+    let mut fixture = FleetFixture::new("flood", 2, |topology| {
+        topology.lease_term = Duration::from_secs(10);
+    });
     // As if the response had been lost: the caller proposes the same again.
     let number = fixture.propose("once", &document(&["a", "b"], 3));
     fixture.fleet.kill_replica(0);
