--- a/crates/benchmarks/src/crowd.rs
+++ b/crates/benchmarks/src/crowd.rs
@@ -43,7 +43,7 @@
             json!({ "statements": size + 10, "connections": size + 100, "abandon_after": "1h" });
     };
     // It takes some statements and is done with none: all others wait in the router.
-    let site = Site::new(&args.place, 1, change, |e| e.spec.speed = 1e-6)?;
+    let site = Site::new(&args.place, 1, change, |e| e.work_model.speed = 1e-6)?;
     let addr = site.router.addr;
     let before = site.router.memory()?;
     let threads = 2;
--- a/crates/benchmarks/src/keepers.rs
+++ b/crates/benchmarks/src/keepers.rs
@@ -13,7 +13,7 @@
 use hoptiller_coordination_server::replicated_log::ReplicatedLog;
 use hoptiller_coordination_server::storage::DiskStorage;
 use hoptiller_fault_harness::{Layout, Stage, stage::Between};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_statement_router::agreed::Agreed;
 use hoptiller_statement_router::settings::AgreementSettings;
 use serde_json::json;
@@ -124,7 +124,7 @@
         },
     };
     let secret = Secret::load(&settings.secret)?;
-    let watchers = Running::new("routers", move |ex| {
+    let watchers = ServerThread::spawn("routers", move |ex| {
         for n in 0..size {
             let (settings, secret) = (settings.clone(), secret.clone());
             let name = format!("r{n}");
--- a/crates/benchmarks/src/polls.rs
+++ b/crates/benchmarks/src/polls.rs
@@ -41,7 +41,7 @@
             serde_json::json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
         patient(v);
     };
-    let site = Site::new(&args.place, 2, change, |e| e.spec.speed = 1e-6)?;
+    let site = Site::new(&args.place, 2, change, |e| e.work_model.speed = 1e-6)?;
     let router = site.router.addr;
     let submit = || {
         let first =
--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::block_on;
 use hoptiller_audit::Recorder;
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::client::{Ask, Client, Manner};
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientRequest};
 use hoptiller_policy::EngineId;
 use hoptiller_runaway::{
     Announced, AttemptId, AttemptStart, EngineStatus, ExecutionOutcome, FingerprintId,
@@ -135,19 +135,20 @@
 fn sockets(args: &Args) -> io::Result<()> {
     let admin: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let change = |v: &mut Value| v["router"]["admin"] = json!(admin.to_string());
-    let site = Site::new(&args.place, 4, change, |e| e.notes = true)?;
+    let site = Site::new(&args.place, 4, change, |e| e.reports_progress = true)?;
     let addr = site.router.addr;
-    let report = |work: &str, seconds| Ask {
-        request: 0,
+    let report = |work: &str, seconds| ClientRequest {
+        id: 0,
         trace: format!("m{work}"),
         class: "report".into(),
-        key: None,
+        ordering_key: None,
         tags: String::new(),
         text: format!("SELECT * FROM arrears /* work={work} threads=1 */"),
-        patience: Duration::from_secs(seconds),
-        manner: Manner::default(),
+        timeout: Duration::from_secs(seconds),
+        options: ClientOptions::default(),
     };
-    let once = |ask: &Ask| block_on(Client::new("r1", addr, Recorder::default()).run(ask));
+    let once =
+        |ask: &ClientRequest| block_on(Client::new("r1", addr, Recorder::default()).run(ask));
     std::thread::scope(|s| {
         (0..8).for_each(|_| {
             s.spawn(|| (0..8).for_each(|_| _ = once(&report("400ms", 20))));
--- a/crates/benchmarks/src/site.rs
+++ b/crates/benchmarks/src/site.rs
@@ -10,7 +10,7 @@
 use futures_lite::future::block_on;
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
@@ -82,9 +82,9 @@
 }
 
 pub struct Site {
-    _discovery: Running,
+    _discovery: ServerThread,
     pub engines: Vec<EngineConfig>,
-    _running: Vec<Running>,
+    _running: Vec<ServerThread>,
     pub router: Measured,
 }
 
--- a/crates/benchmarks/src/tasks.rs
+++ b/crates/benchmarks/src/tasks.rs
@@ -11,7 +11,7 @@
 use hoptiller_coordination::Document;
 use hoptiller_coordination_client::{Clock, Secret};
 use hoptiller_fault_harness::{Layout, Stage};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros};
@@ -119,21 +119,21 @@
         return Err(io::Error::other("keepers took no version"));
     }
     let discovery = DiscoveryConfig::default();
-    let reads = discovery.asked.clone();
+    let reads = discovery.list_requests.clone();
     let discovery = discovery.start()?;
     let asked: Arc<AtomicU64> = Arc::default();
     let mut engines = Vec::new();
     for n in 0..args.engines {
         let mut engine = EngineConfig::new(&format!("engine-{n}"), "a", "x");
         engine.discovery = Some(discovery.addr);
-        engine.asked = asked.clone();
+        engine.info_requests = asked.clone();
         engines.push(engine.start()?);
     }
     let keepers = stage.keepers()?.endpoints().to_vec();
     let known: Arc<Mutex<(usize, Vec<Instant>)>> = Arc::default();
     let (own, secret, count) = (known.clone(), dir.join("secret"), args.engines);
     let at = discovery.addr;
-    let routers = Running::new("routers", move |ex| {
+    let routers = ServerThread::spawn("routers", move |ex| {
         for n in 0..size {
             let value = json!({
                 "router": { "name": format!("r{n}"), "listen": "127.0.0.1:0" }, "kinds": { "a": 8 }, "zones": ["x"],
--- a/crates/cli/src/commands/day/crowd.rs
+++ b/crates/cli/src/commands/day/crowd.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hoptiller_audit::Recorder;
-use hoptiller_mock_servers::client::{Ask, Came, Client, Manner};
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientOutcome, ClientRequest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -125,19 +125,21 @@
             let name = ask.trace.clone();
             for n in 0..=AGAIN {
                 ask.trace = format!("{name}.{n}");
-                ask.request = self.shared.next.fetch_add(1, Ordering::Relaxed);
+                ask.id = self.shared.next.fetch_add(1, Ordering::Relaxed);
                 let (router, addr) = self.routers[self.home].clone();
                 let came = Client::new(&router, addr, self.recorder.clone())
                     .run(&ask)
                     .await;
                 let wait = match came {
                     // Nobody there: the next router, at once.
-                    Came::TurnedAway(0) => {
+                    ClientOutcome::Unreachable => {
                         self.home = (self.home + 1) % self.routers.len();
                         Duration::from_millis(100)
                     }
-                    Came::TurnedAway(_) => Duration::from_secs(1),
-                    Came::Refused(_, after) if retries => Duration::from_secs(after.unwrap_or(1)),
+                    ClientOutcome::NotAdmitted(_) => Duration::from_secs(1),
+                    ClientOutcome::Rejected { retry_after, .. } if retries => {
+                        Duration::from_secs(retry_after.unwrap_or(1))
+                    }
                     _ => break,
                 };
                 self.sleep(wait).await;
@@ -157,7 +159,7 @@
         }
     }
 
-    fn draw(&mut self) -> Ask {
+    fn draw(&mut self) -> ClientRequest {
         let total: f64 = self.plan.mix.iter().map(|m| m.part).sum();
         let mut at = self.rng.random_range(0.0..1.0) * total;
         let mut chosen = &self.plan.mix[0];
@@ -171,17 +173,17 @@
         let number: u64 = self.rng.random();
         let key = (chosen.keys > 0).then(|| format!("k{}", self.rng.random_range(0..chosen.keys)));
         let leaves = self.rng.random_bool(self.plan.leave.clamp(0.0, 1.0));
-        Ask {
-            request: 0,
+        ClientRequest {
+            id: 0,
             trace: format!("{}-{number:016x}", chosen.class),
             class: chosen.class.clone(),
-            key,
+            ordering_key: key,
             tags: String::new(),
             text: chosen.text.clone(),
-            patience: chosen.patience,
-            manner: Manner {
-                leaves_after: leaves.then_some(2),
-                ..Manner::default()
+            timeout: chosen.patience,
+            options: ClientOptions {
+                abandon_after: leaves.then_some(2),
+                ..ClientOptions::default()
             },
         }
     }
--- a/crates/cli/src/commands/day/plan.rs
+++ b/crates/cli/src/commands/day/plan.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use hoptiller_statement::parse_duration;
 use hoptiller_statement_router::settings::evaluate_file;
 use hoptiller_statement_router::{Problem, Settings};
@@ -100,7 +100,7 @@
     /// Clients pause so many times less.
     Rush(f64),
     /// An engine fails so from now on; `{}`: as it should be.
-    Fault { engine: usize, faults: Faults },
+    Fault { engine: usize, faults: EngineFaults },
     /// An engine is told to drain.
     Drain(usize),
     /// An engine's process ends at once.
@@ -123,7 +123,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Act::Rush(n) => write!(f, "clients pause {n} times less"),
-            Act::Fault { engine, faults } if *faults == Faults::default() => {
+            Act::Fault { engine, faults } if *faults == EngineFaults::default() => {
                 write!(f, "engine {engine} works as it should")
             }
             Act::Fault { engine, .. } => write!(f, "engine {engine} fails"),
--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -10,7 +10,7 @@
 use hoptiller_audit::Recorder;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::{DiscoveryConfig, DiscoveryFaults};
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_mock_servers::ledger::Ledger;
@@ -31,8 +31,8 @@
     pub recorder: Recorder,
     discovery: DiscoveryConfig,
     discovery_faults: DiscoveryFaults,
-    _discovery: Running,
-    engines: Vec<(EngineConfig, Option<Running>)>,
+    _discovery: ServerThread,
+    engines: Vec<(EngineConfig, Option<ServerThread>)>,
     routers: Vec<Router>,
 }
 
@@ -66,24 +66,24 @@
             config.discovery = Some(discovery_running.addr);
             config.recorder = recorder(&name)?;
             config.ledger = ledger.clone();
-            config.cold = e.cold;
+            config.starts_cold = e.cold;
             let r = &plan.checked.rules;
-            config.spec.speed = e.speed;
-            config.spec.cores = plan
+            config.work_model.speed = e.speed;
+            config.work_model.cores = plan
                 .checked
                 .kinds
                 .iter()
                 .find(|k| k.0 == e.kind)
                 .map_or(8.0, |k| k.1);
-            config.spec.cancels = plan.checked.engines.cancel;
+            config.work_model.cancel_stops_work = plan.checked.engines.cancel;
             // What the rules say of cold engines is true of these.
-            config.spec.cold_for = r.ramp.as_micros() as u64;
-            config.spec.cold_from = r.start_capacity;
-            config.spec.fall_multiple = r.overload;
-            config.spec.fall_for = r.fall.as_micros() as u64;
+            config.work_model.warm_up_micros = r.ramp.as_micros() as u64;
+            config.work_model.cold_speed_fraction = r.start_capacity;
+            config.work_model.overload_factor = r.overload;
+            config.work_model.overload_window_micros = r.fall.as_micros() as u64;
             let running = config.start().map_err(outside(&name))?;
             config.listen = running.addr;
-            config.cold = true;
+            config.starts_cold = true;
             engines.push((config, Some(running)));
         }
         let mut routers = Vec::new();
@@ -118,7 +118,7 @@
     pub fn act(&mut self, act: &Act) -> Result<(), Failure> {
         match act {
             Act::Rush(_) => {}
-            Act::Fault { engine, faults } => self.engines[*engine].0.fail(faults.clone()),
+            Act::Fault { engine, faults } => self.engines[*engine].0.inject_faults(faults.clone()),
             Act::Drain(n) => {
                 let addr = self.engines[*n].0.listen;
                 let mut request = Request::new(Method::Put, "/v1/info/state");
@@ -155,11 +155,11 @@
             }
             Act::Stale(on) => {
                 self.discovery_faults.stale = *on;
-                self.discovery.fail(self.discovery_faults);
+                self.discovery.inject_faults(self.discovery_faults);
             }
             Act::Down(on) => {
                 self.discovery_faults.down = *on;
-                self.discovery.fail(self.discovery_faults);
+                self.discovery.inject_faults(self.discovery_faults);
             }
         }
         Ok(())
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -41,7 +41,7 @@
         let zone = ["hall-a", "hall-b", "hall-c"][usize::from(n % 3)];
         let mut engine = EngineConfig::new(&format!("engine-{n}"), kind, zone);
         engine.discovery = Some(discovery.addr);
-        engine.notes = true;
+        engine.reports_progress = true;
         running.push(engine.start().map_err(outside("a stand-in engine"))?);
     }
     let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -75,7 +75,7 @@
     let started = match args {
         Args::Engine(a) => {
             let mut engine = EngineConfig::new(&a.node, &a.kind, &a.zone);
-            (engine.listen, engine.discovery, engine.cold) = (a.listen, a.discovery, a.cold);
+            (engine.listen, engine.discovery, engine.starts_cold) = (a.listen, a.discovery, a.cold);
             engine.recorder = recorder(&a.records)?;
             if let Some(path) = &a.ledger {
                 engine.ledger = Ledger::open(path)
@@ -88,7 +88,7 @@
             let recorder = recorder(&a.records)?;
             DiscoveryConfig {
                 listen: a.listen,
-                keep,
+                announcement_ttl: keep,
                 recorder,
                 ..DiscoveryConfig::default()
             }
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,6 +1,6 @@
 //! Owns what is drawn ahead of a run, so that two runs of a plan differ only by what the routers decide.
 
-use hoptiller_mock_servers::model::{Job, Spec};
+use hoptiller_mock_servers::work_model::{Job, WorkModelParameters};
 use hoptiller_policy::Micros;
 use hoptiller_runaway::Announced;
 use hoptiller_statement_router::Settings;
@@ -13,7 +13,7 @@
     /// Its zone, by number.
     pub zone: usize,
     /// How it works.
-    pub spec: Spec,
+    pub parameters: WorkModelParameters,
 }
 
 /// Why a statement is in the plan beside the usual ones.
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller_mock_servers::model::{Job, Spec};
+use hoptiller_mock_servers::work_model::{Job, WorkModelParameters};
 use hoptiller_policy::Micros;
 use hoptiller_runaway::{Announced, Subject, Verdict};
 use hoptiller_statement_router::Settings;
@@ -142,7 +142,7 @@
         .map(|n| Engine {
             kind: n % 2,
             zone: n % 3,
-            spec: Spec::default(),
+            parameters: WorkModelParameters::default(),
         })
         .collect();
     let mut statements = usual(&settings, &mut rng);
@@ -176,15 +176,11 @@
     let (io, memory) = [(0.3, 20.0), (0.45, 200.0), (0.55, 150.0)][class];
     let group = rng.random_range(0..GROUPS);
     let job = Job {
-        work,
-        threads: settings.classes[class].threads,
-        io,
-        memory,
-        grant: None,
-        set: Some(group),
-        holds: settings.classes[class].holds,
-        priority: 1,
-        then: None,
+        io_fraction: io,
+        memory_mb: memory,
+        data_set: Some(group),
+        locks_data_sets: settings.classes[class].holds,
+        ..Job::new(work, settings.classes[class].threads)
     };
     Statement {
         at,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use hoptiller_mock_servers::model::{self, Admission, Model};
+use hoptiller_mock_servers::work_model::{self, Admission, WorkModel};
 use hoptiller_policy::{
     AttemptStatus, EndpointEntry, EngineId, ListScope, LoadReport, Micros, Progress, Readiness,
 };
@@ -110,7 +110,7 @@
 }
 
 struct EngineState {
-    model: Model,
+    model: WorkModel,
     held: BTreeMap<u64, Held>,
     next: u64,
     wake: Option<Micros>,
@@ -193,7 +193,7 @@
             }
         });
         let engines = plan.engines.iter().map(|e| EngineState {
-            model: Model::new(e.spec.clone(), START, false),
+            model: WorkModel::new(e.parameters.clone(), START, false),
             held: BTreeMap::new(),
             next: 0,
             wake: None,
@@ -419,7 +419,7 @@
             } => {
                 if let Some((engine, job)) = self.routers[router].out.get(&(id, hop)).copied() {
                     self.advance(engine);
-                    self.engines[engine].model.pause(self.now, job, paused);
+                    self.engines[engine].model.set_paused(self.now, job, paused);
                     self.wake(engine);
                 }
             }
@@ -497,12 +497,12 @@
         self.advance(engine);
         let mut job = self.plan.statements[at].job.clone();
         job.priority = priority.unwrap_or(1);
-        job.grant = (grant > 0.0).then_some(grant);
+        job.memory_grant_mb = (grant > 0.0).then_some(grant);
         let e = &mut self.engines[engine];
         let number = e.next;
         e.next += 1;
         match e.model.admit(self.now, number, job) {
-            Admission::Taken => {
+            Admission::Admitted => {
                 let attempt = self.run.attempts.len();
                 self.run.attempts.push(Attempt {
                     statement: at,
@@ -524,11 +524,11 @@
                 self.routers[router].out.insert((id, hop), (engine, number));
                 self.after(POLL, What::Poll(engine, number));
             }
-            Admission::Full => {
+            Admission::Rejected => {
                 let report = self.report(engine);
                 self.end(router, id, hop, AttemptStatus::Rejected, "full", report);
             }
-            Admission::Fell => {
+            Admission::Crashed => {
                 self.run.fallen += 1;
                 let lost: Vec<Held> = std::mem::take(&mut self.engines[engine].held)
                     .into_values()
@@ -589,7 +589,7 @@
 
     fn wake(&mut self, engine: usize) {
         let e = &mut self.engines[engine];
-        if let Some(at) = e.model.next().map(|at| at.max(self.now))
+        if let Some(at) = e.model.next_event_at().map(|at| at.max(self.now))
             && e.wake.is_none_or(|w| at < w)
         {
             e.wake = Some(at);
@@ -606,10 +606,10 @@
             return;
         };
         self.after(POLL, What::Poll(engine, job));
-        let Some(course) = self.engines[engine].model.course(job) else {
+        let Some(course) = self.engines[engine].model.progress(job) else {
             return;
         };
-        if course.stands.is_some() {
+        if course.blocked.is_some() {
             self.run.attempts[held.attempt].stood.push(self.now);
         }
         if !self.plan.notes {
@@ -618,15 +618,15 @@
         let e = &self.engines[engine];
         let reads = self.plan.statements[self.run.attempts[held.attempt].statement].reads;
         let noise = 1.0 + self.plan.rough * self.rng.random_range(-1.0..1.0);
-        let done = (course.done * noise).clamp(0.0, 0.99);
-        let stands = course.stands.map(|why| match why {
-            model::Stands::Memory => BlockedState::Memory,
-            model::Stands::Paused => BlockedState::Behind(None),
-            model::Stands::Behind(other) => {
+        let done = (course.completed * noise).clamp(0.0, 0.99);
+        let stands = course.blocked.map(|why| match why {
+            work_model::BlockedState::WaitingForMemory => BlockedState::Memory,
+            work_model::BlockedState::Paused => BlockedState::Behind(None),
+            work_model::BlockedState::BlockedBy(other) => {
                 BlockedState::Behind(e.held.get(&other).map(|h| Holder {
                     name: self.routers[h.router].names.statement_name(h.id),
                     class: Some(self.plan.statements[self.run.attempts[h.attempt].statement].class),
-                    age: e.model.course(other).map(|c| c.ran),
+                    age: e.model.progress(other).map(|c| c.run_micros),
                 }))
             }
         });
@@ -636,10 +636,10 @@
             Progress::Completed(done)
         };
         let news = ProgressReport {
-            work: (course.worked > 1000.0).then_some(course.worked as Micros),
+            work: (course.work_done > 1000.0).then_some(course.work_done as Micros),
             done: stands.is_none().then_some(done),
-            rows: Some((reads as f64 * course.done) as u64),
-            memory_mb: (course.memory > 0.0).then_some(course.memory),
+            rows: Some((reads as f64 * course.completed) as u64),
+            memory_mb: (course.memory_mb > 0.0).then_some(course.memory_mb),
             spills: course.spills,
             blocked_state: stands,
         };
--- a/crates/fault-harness/src/crowd.rs
+++ b/crates/fault-harness/src/crowd.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use hoptiller_audit::Recorder;
 use hoptiller_coordination::ConfigDuration;
-use hoptiller_mock_servers::client::{Ask, Client, Manner};
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientRequest};
 use serde::Deserialize;
 
 /// Statements of one class.
@@ -157,15 +157,15 @@
         });
         let Some(mix) = mix else { return };
         let request = next.fetch_add(1, Ordering::Relaxed);
-        let ask = Ask {
-            request,
+        let ask = ClientRequest {
+            id: request,
             trace: format!("{}-{number}-{request}", mix.class),
             class: mix.class.clone(),
-            key: None,
+            ordering_key: None,
             tags: String::new(),
             text: mix.text.clone(),
-            patience: Duration::from_micros(mix.patience.0),
-            manner: Manner::default(),
+            timeout: Duration::from_micros(mix.patience.0),
+            options: ClientOptions::default(),
         };
         Client::new(&router, addr, recorder.clone()).run(&ask).await;
     }
--- a/crates/fault-harness/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -7,7 +7,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 
 /// How one way of a link fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 /// A link.
 pub struct Link {
     shared: Arc<Mutex<Shared>>,
-    running: Running,
+    running: ServerThread,
 }
 
 /// How often a way that is cut looks whether it is whole again.
@@ -70,7 +70,7 @@
     pub fn new(name: &str) -> io::Result<Link> {
         let shared: Arc<Mutex<Shared>> = Arc::default();
         let own = shared.clone();
-        let running = Running::new(name, move |spawner| {
+        let running = ServerThread::spawn(name, move |spawner| {
             let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
             let addr = listener.get_ref().local_addr()?;
             let ex = spawner.clone();
--- a/crates/fault-harness/src/stage.rs
+++ b/crates/fault-harness/src/stage.rs
@@ -14,7 +14,7 @@
 use hoptiller_coordination_client::client::EndpointError;
 use hoptiller_coordination_client::{CallError, CoordinationClient, Secret, wire};
 use hoptiller_http::client::ClientError;
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
@@ -90,8 +90,8 @@
     routers: Vec<Option<Process>>,
     /// Since when each router stands still.
     stopped: Vec<Option<u64>>,
-    engines: Vec<(EngineConfig, Option<Running>)>,
-    discovery: Running,
+    engines: Vec<(EngineConfig, Option<ServerThread>)>,
+    discovery: ServerThread,
     /// What passes on the sockets of engines, discovery and clients.
     pub recorder: Recorder,
 }
@@ -109,7 +109,7 @@
         let fences = layout.engines.iter().any(|e| e.fences);
         let discovery = DiscoveryConfig {
             recorder: recorder.clone(),
-            fences,
+            enforces_fencing: fences,
             ..DiscoveryConfig::default()
         }
         .start()?;
@@ -131,8 +131,8 @@
             let mut config = EngineConfig::new(&format!("engine-{at}"), &plan.kind, &plan.zone);
             config.discovery = Some(discovery.addr);
             config.recorder = recorder.clone();
-            config.spec.speed *= plan.speed;
-            config.fences = plan.fences;
+            config.work_model.speed *= plan.speed;
+            config.enforces_fencing = plan.fences;
             (config, None)
         });
         Ok(Stage {
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -1,348 +1,370 @@
-//! Owns scripted clients: each submits a statement, polls for the rest, and records what it saw. They behave as
-//! published clients do, and worse where told.
+//! Scripted clients of a router: each submits a statement, polls for its result, and records what it received. They
+//! behave as published clients do, and worse where their options say so.
+
+mod request;
 
 use std::net::{SocketAddr, TcpStream};
+use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
 use hoptiller_audit::{Outcome, Record, Recorder, unix_micros};
 use hoptiller_http::client::{ClientError, Connection};
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_statement::{QueryResults, STATEMENT_PATH, client::names};
+use hoptiller_statement::{ErrorName, QueryError, QueryResults, STATEMENT_PATH, client::names};
 
-/// A statement to be done.
-#[derive(Clone, Debug)]
-pub struct Ask {
-    /// The client's own number of this submission.
-    pub request: u64,
-    /// What is to be done; its submissions end in `.N`.
-    pub trace: String,
-    /// Class tag.
-    pub class: String,
-    /// Ordering key.
-    pub key: Option<String>,
-    /// Further tags: `tables=7,size=12`.
-    pub tags: String,
-    /// Text.
-    pub text: String,
-    /// Outcome long the client waits.
-    pub patience: Duration,
-    /// Outcome it behaves.
-    pub manner: Manner,
-}
+pub use request::{ClientOptions, ClientOutcome, ClientRequest};
 
-/// Outcome a client behaves.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Manner {
-    /// Stops asking after so many answers.
-    pub leaves_after: Option<u32>,
-    /// Ends the statement after so many answers.
-    pub ends_after: Option<u32>,
-    /// Pause before each poll.
-    pub pause: Duration,
-    /// Fetches every answer twice, at once, on two connections.
-    pub doubles: bool,
-    /// Waits so much longer than it says: where the machine may be loaded, what is answered in time is seen late.
-    pub lenience: Duration,
-}
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a client waits for the response to one poll before it polls again.
+const POLL_TIMEOUT: Duration = Duration::from_secs(8);
+/// Delay before a poll is repeated after a connection that broke.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long after its timeout a client that has received rows goes on to read.
+const MAX_READ_TIME: Duration = Duration::from_secs(60);
+/// The name of the error recorded for a response that is no `QueryResults`.
+const NO_RESULTS: &str = "NO_RESULTS";
+/// Limits of the responses that a client accepts, in bytes.
+const MAX_BODY_BYTES: u64 = 64 << 20;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// What came of a statement.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// All rows, so many.
-    Served(u64),
-    /// Refused, with the error's name and when to come back.
-    Refused(String, Option<u64>),
-    /// Failed, with the error's name.
-    Failed(String),
-    /// Not taken, with the status.
-    TurnedAway(u16),
-    /// The client left.
-    Left,
-    /// The client gave up waiting.
-    GaveUp,
-    /// The connection broke as the statement was submitted.
-    Unknown,
-}
+type ClientConnection = Connection<Async<TcpStream>>;
 
-/// One client, with its connection.
-pub struct Client {
-    /// The router's name, for the records.
-    pub router: String,
-    /// Where it is.
-    pub addr: SocketAddr,
-    /// What it saw.
-    pub recorder: Recorder,
-    connection: Option<Connection<Async<TcpStream>>>,
-    /// The answers to a statement, with the URI that each was fetched from; kept for tests.
-    pub answers: Vec<(String, Response)>,
+/// A response of the statement API, with where it came from.
+#[derive(Clone, Debug)]
+pub struct ReceivedResponse {
+    /// The path that was requested.
+    pub path: String,
+    /// The response.
+    pub response: Response,
 }
 
-/// Limits of what a client reads.
-fn limits() -> Limits {
-    Limits {
-        body: 64 << 20,
-        head: 64 << 10,
-        ..Limits::default()
-    }
+/// A client of a router, with one connection that it keeps.
+pub struct Client {
+    router: String,
+    addr: SocketAddr,
+    recorder: Recorder,
+    connection: Option<ClientConnection>,
+    responses: Vec<ReceivedResponse>,
 }
 
-/// Outcome long a client waits for the answer to one poll before it asks again.
-const POLL: Duration = Duration::from_secs(8);
-/// Pause before asking again after a connection that broke.
-const PAUSE: Duration = Duration::from_millis(100);
-
 impl Client {
-    /// A client of a router.
+    /// A client of the router of that name, which listens at `addr`.
     pub fn new(router: &str, addr: SocketAddr, recorder: Recorder) -> Client {
         Client {
             router: router.into(),
             addr,
             recorder,
             connection: None,
-            answers: Vec::new(),
+            responses: Vec::new(),
+        }
+    }
+
+    /// The responses to the last statement, in the order in which they came.
+    pub fn responses(&self) -> &[ReceivedResponse] {
+        &self.responses
+    }
+
+    /// Submits a statement and reads its result, until it ends or the client gives up.
+    pub async fn run(&mut self, request: &ClientRequest) -> ClientOutcome {
+        let started = Instant::now();
+        self.responses.clear();
+        match self.submit(request).await {
+            ControlFlow::Continue(first) => self.read_results(request, first, started).await,
+            ControlFlow::Break(outcome) => outcome,
         }
     }
 
+    /// Requests a path once.
+    ///
+    /// # Errors
+    ///
+    /// If the router can't be reached, or does not answer as HTTP says or in time.
+    pub async fn get(&mut self, path: &str) -> Result<Response, ClientError> {
+        let request = Request::new(Method::Get, path);
+        self.exchange(&request, POLL_TIMEOUT).await
+    }
+
     async fn exchange(
         &mut self,
         request: &Request,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Response, ClientError> {
         let kept = self
             .connection
             .take()
-            .filter(|c| c.is_reusable() && !c.is_stale());
+            .filter(|connection| connection.is_reusable() && !connection.is_stale());
         let mut connection = match kept {
             Some(kept) => kept,
-            None => Connection::open(self.addr, Duration::from_secs(2), limits()).await?,
+            None => connect(self.addr).await?,
         };
-        let answer = connection.exchange(request, within).await?;
+        let response = connection.exchange(request, timeout).await?;
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Does a statement to its end.
-    pub async fn run(&mut self, ask: &Ask) -> Came {
-        let began = Instant::now();
-        let request = ask.request;
-        self.answers.clear();
-        self.recorder.write(Record::Submitted {
-            at: unix_micros(),
-            request,
-            trace: ask.trace.clone(),
-            router: self.router.clone(),
-            class: ask.class.clone(),
-            key: ask.key.clone(),
-            deadline: unix_micros() + (ask.patience + ask.manner.lenience).as_micros() as u64,
-        });
-        let mut tags = format!("class={}", ask.class);
-        if let Some(key) = &ask.key {
-            tags.push_str(&format!(",key={key}"));
-        }
-        if !ask.tags.is_empty() {
-            tags.push_str(&format!(",{}", ask.tags));
-        }
-        let mut post = Request::new(Method::Post, STATEMENT_PATH)
-            .with(names::USER, "scripted")
-            .with(names::CLIENT_TAGS, &tags)
-            .with(names::TRACE_TOKEN, &ask.trace)
-            .with(
-                names::SESSION,
-                &format!(
-                    "{}={}ms",
-                    names::MAX_RUN_TIME_PROPERTY,
-                    ask.patience.as_millis()
-                ),
-            );
-        post.body = ask.text.clone().into_bytes();
-        let answer = match self.exchange(&post, ask.patience).await {
-            Ok(answer) => answer,
-            Err(ClientError::Connect(_)) => {
-                self.recorder.write(Record::Rejected {
-                    at: unix_micros(),
-                    request,
-                    status: 0,
+    async fn submit(&mut self, request: &ClientRequest) -> ControlFlow<ClientOutcome, Response> {
+        self.record_submitted(request);
+        let (at, id) = (unix_micros, request.id);
+        let response = self.exchange(&submission(request), request.timeout).await;
+        match response {
+            Ok(response) if response.status.0 == 200 => {
+                self.recorder.write(Record::Admitted {
+                    at: at(),
+                    request: id,
                 });
-                return Came::TurnedAway(0);
+                ControlFlow::Continue(response)
+            }
+            Ok(response) => {
+                let status = response.status.0;
+                self.record_not_admitted(id, status);
+                ControlFlow::Break(ClientOutcome::NotAdmitted(status))
+            }
+            Err(ClientError::Connect(_)) => {
+                self.record_not_admitted(id, 0);
+                ControlFlow::Break(ClientOutcome::Unreachable)
             }
             Err(_) => {
                 self.recorder.write(Record::AdmissionUnknown {
-                    at: unix_micros(),
-                    request,
+                    at: at(),
+                    request: id,
                 });
-                return Came::Unknown;
+                ControlFlow::Break(ClientOutcome::AdmissionUnknown)
             }
-        };
-        if answer.status.0 != 200 {
-            let status = answer.status.0;
-            self.recorder.write(Record::Rejected {
-                at: unix_micros(),
-                request,
-                status,
-            });
-            return Came::TurnedAway(status);
         }
-        self.recorder.write(Record::Admitted {
-            at: unix_micros(),
-            request,
-        });
-        self.follow(ask, answer, began).await
     }
 
-    async fn follow(&mut self, ask: &Ask, first: Response, began: Instant) -> Came {
-        let request = ask.request;
-        let (mut rows, mut answers) = (0, 0);
-        let (mut answer, mut from) = (first, STATEMENT_PATH.to_owned());
+    async fn read_results(
+        &mut self,
+        request: &ClientRequest,
+        first: Response,
+        started: Instant,
+    ) -> ClientOutcome {
+        let (mut path, mut response) = (STATEMENT_PATH.to_owned(), first);
+        let mut rows = 0;
         loop {
-            answers += 1;
-            self.answers.push((from.clone(), answer.clone()));
-            let Ok(results) = serde_json::from_slice::<QueryResults>(&answer.body) else {
-                return self.ended(request, Outcome::Failed, Some("NO_RESULTS".into()));
+            self.responses.push(ReceivedResponse {
+                path: path.clone(),
+                response: response.clone(),
+            });
+            let Ok(results) = serde_json::from_slice::<QueryResults>(&response.body) else {
+                return self.fail(request, NO_RESULTS.to_owned());
             };
-            if let Some(data) = &results.data {
-                let n = serde_json::from_str::<Vec<serde_json::Value>>(data.get())
-                    .map_or(0, |r| r.len() as u64);
-                rows += n;
-                self.recorder.write(Record::RowsReceived {
-                    at: unix_micros(),
-                    request,
-                    rows: n,
-                });
-            }
-            let Some(next) = results.next_uri else {
-                let Some(error) = results.error else {
-                    self.ended(request, Outcome::Served, None);
-                    return Came::Served(rows);
-                };
-                let after = answer
-                    .headers
-                    .get("retry-after")
-                    .and_then(|v| v.parse().ok());
-                let refused = hoptiller_statement::ErrorName::ALL
-                    .iter()
-                    .any(|n| n.is_retryable() && n.name() == error.error_name);
-                let how = if refused {
-                    Outcome::Refused
-                } else {
-                    Outcome::Failed
-                };
-                self.ended(request, how, Some(error.error_name.clone()));
-                return match how {
-                    Outcome::Refused => Came::Refused(error.error_name, after),
-                    _ => Came::Failed(error.error_name),
-                };
+            rows += self.receive_rows(request, &results);
+            let Some(next_uri) = results.next_uri else {
+                return self.finish(request, rows, &response, results.error);
             };
-            if ask.manner.leaves_after.is_some_and(|n| answers >= n) {
-                self.recorder.write(Record::Cancelled {
-                    at: unix_micros(),
-                    request,
-                });
-                return Came::Left;
-            }
-            let path = next
-                .strip_prefix("http://")
-                .and_then(|r| r.find('/').map(|at| r[at..].to_owned()));
-            let path = path.unwrap_or(next);
-            if ask.manner.ends_after.is_some_and(|n| answers >= n) {
-                let _ = self
-                    .exchange(&Request::new(Method::Delete, path), POLL)
-                    .await;
-                self.recorder.write(Record::Cancelled {
-                    at: unix_micros(),
-                    request,
-                });
-                return Came::Left;
+            path = path_of_uri(next_uri);
+            if self.leaves_early(request, &path).await {
+                return ClientOutcome::Abandoned;
             }
-            if !ask.manner.pause.is_zero() {
-                Timer::after(ask.manner.pause).await;
+            if !request.options.poll_delay.is_zero() {
+                Timer::after(request.options.poll_delay).await;
             }
-            from.clone_from(&path);
-            match self.poll(ask, &path, began, rows > 0).await {
-                Ok(got) => answer = got,
-                Err(came) => return came,
+            match self.poll(request, &path, started, rows > 0).await {
+                ControlFlow::Continue(next) => response = next,
+                ControlFlow::Break(outcome) => return outcome,
             }
         }
     }
 
-    /// Asks until there is an answer, through connections that break, as long as the client waits.
+    /// Counts and records the rows of a response, if it has any.
+    fn receive_rows(&self, request: &ClientRequest, results: &QueryResults) -> u64 {
+        let Some(data) = &results.data else { return 0 };
+        let rows = serde_json::from_str::<Vec<serde_json::Value>>(data.get())
+            .map_or(0, |rows| rows.len() as u64);
+        self.recorder.write(Record::RowsReceived {
+            at: unix_micros(),
+            request: request.id,
+            rows,
+        });
+        rows
+    }
+
+    /// Stops polling, or cancels the statement, if it is time for that by the options.
+    async fn leaves_early(&mut self, request: &ClientRequest, next_path: &str) -> bool {
+        let is_after = |limit: Option<usize>| limit.is_some_and(|n| self.responses.len() >= n);
+        let abandons = is_after(request.options.abandon_after);
+        let cancels = !abandons && is_after(request.options.cancel_after);
+        if cancels {
+            let delete = Request::new(Method::Delete, next_path);
+            let _ = self.exchange(&delete, POLL_TIMEOUT).await;
+        }
+        if abandons || cancels {
+            self.recorder.write(Record::Cancelled {
+                at: unix_micros(),
+                request: request.id,
+            });
+        }
+        abandons || cancels
+    }
+
+    /// Polls until there is a response, over as many connections as that takes, or until the client gives up.
     async fn poll(
         &mut self,
-        ask: &Ask,
+        request: &ClientRequest,
         path: &str,
-        began: Instant,
-        reading: bool,
-    ) -> Result<Response, Came> {
+        started: Instant,
+        has_rows: bool,
+    ) -> ControlFlow<ClientOutcome, Response> {
         let poll = Request::new(Method::Get, path);
+        let (timeout, grace) = (request.timeout, request.options.grace);
         loop {
-            // One who reads rows already goes on; the wait was for their beginning.
-            if !reading && began.elapsed() > ask.patience + ask.manner.lenience {
-                self.recorder.write(Record::TimedOut {
-                    at: unix_micros(),
-                    request: ask.request,
-                });
-                return Err(Came::GaveUp);
-            }
-            if began.elapsed() > ask.patience + Duration::from_secs(60) {
+            let elapsed = started.elapsed();
+            // The timeout is for the beginning of the result: a client that has rows reads on.
+            if (!has_rows && elapsed > timeout + grace) || elapsed > timeout + MAX_READ_TIME {
                 self.recorder.write(Record::TimedOut {
                     at: unix_micros(),
-                    request: ask.request,
+                    request: request.id,
                 });
-                return Err(Came::GaveUp);
+                return ControlFlow::Break(ClientOutcome::TimedOut);
             }
-            let got = if ask.manner.doubles {
-                self.twice(ask, &poll).await
+            let received = if request.options.duplicates_polls {
+                self.exchange_twice(request, &poll).await
             } else {
-                self.exchange(&poll, POLL).await
+                self.exchange(&poll, POLL_TIMEOUT).await
             };
-            match got {
-                Ok(answer) if answer.status.0 == 200 => return Ok(answer),
-                Ok(answer) if matches!(answer.status.0, 404 | 410) => {
-                    self.recorder.write(Record::Answered {
-                        at: unix_micros(),
-                        request: ask.request,
-                        outcome: Outcome::Failed,
-                        error: Some(format!("HTTP {}", answer.status.0)),
-                    });
-                    return Err(Came::Failed(format!("HTTP {}", answer.status.0)));
+            match received {
+                Ok(response) if response.status.0 == 200 => {
+                    return ControlFlow::Continue(response);
+                }
+                Ok(response) if matches!(response.status.0, 404 | 410) => {
+                    let error = format!("HTTP {}", response.status.0);
+                    return ControlFlow::Break(self.fail(request, error));
                 }
                 _ => {
-                    Timer::after(PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// The same poll on two connections at once: both must give the same.
-    async fn twice(&mut self, ask: &Ask, poll: &Request) -> Result<Response, ClientError> {
+    /// Sends a poll on two connections at once. Responses that differ are recorded.
+    async fn exchange_twice(
+        &mut self,
+        request: &ClientRequest,
+        poll: &Request,
+    ) -> Result<Response, ClientError> {
         let addr = self.addr;
-        let other = async move {
-            let mut connection = Connection::open(addr, Duration::from_secs(2), limits()).await?;
-            connection.exchange(poll, POLL).await
+        let duplicate = async move {
+            let mut connection = connect(addr).await?;
+            connection.exchange(poll, POLL_TIMEOUT).await
         };
-        let (one, two) = futures_lite::future::zip(self.exchange(poll, POLL), other).await;
-        let (one, two) = (one?, two?);
-        if one.status == two.status && one.body != two.body {
+        let original = self.exchange(poll, POLL_TIMEOUT);
+        let (original, duplicate) = futures_lite::future::zip(original, duplicate).await;
+        let (original, duplicate) = (original?, duplicate?);
+        if original.status == duplicate.status && original.body != duplicate.body {
             self.recorder.write(Record::FinalAnswerChanged {
                 at: unix_micros(),
-                request: ask.request,
+                request: request.id,
             });
         }
-        Ok(one)
+        Ok(original)
     }
 
-    fn ended(&self, request: u64, how: Outcome, error: Option<String>) -> Came {
-        self.recorder.write(Record::Answered {
+    /// Records the end of a statement, and classifies it.
+    fn finish(
+        &self,
+        request: &ClientRequest,
+        rows: u64,
+        last: &Response,
+        error: Option<QueryError>,
+    ) -> ClientOutcome {
+        let Some(error) = error else {
+            self.record_answered(request, Outcome::Served, None);
+            return ClientOutcome::Served(rows);
+        };
+        let error = error.error_name;
+        if !is_retryable(&error) {
+            return self.fail(request, error);
+        }
+        self.record_answered(request, Outcome::Refused, Some(error.clone()));
+        let retry_after = last.headers.get("retry-after");
+        ClientOutcome::Rejected {
+            error,
+            retry_after: retry_after.and_then(|seconds| seconds.parse().ok()),
+        }
+    }
+
+    /// Records that a statement failed.
+    fn fail(&self, request: &ClientRequest, error: String) -> ClientOutcome {
+        self.record_answered(request, Outcome::Failed, Some(error.clone()));
+        ClientOutcome::Failed(error)
+    }
+
+    fn record_submitted(&self, request: &ClientRequest) {
+        let timeout = request.timeout + request.options.grace;
+        self.recorder.write(Record::Submitted {
+            at: unix_micros(),
+            request: request.id,
+            trace: request.trace.clone(),
+            router: self.router.clone(),
+            class: request.class.clone(),
+            key: request.ordering_key.clone(),
+            deadline: unix_micros() + timeout.as_micros() as u64,
+        });
+    }
+
+    /// Records a submission that was answered with another status than 200; 0 stands for no connection.
+    fn record_not_admitted(&self, request: u64, status: u16) {
+        self.recorder.write(Record::Rejected {
             at: unix_micros(),
             request,
-            outcome: how,
-            error: error.clone(),
+            status,
         });
-        Came::Failed(error.unwrap_or_default())
     }
 
-    /// Fetches a path as it is, for tests.
-    pub async fn get(&mut self, path: &str) -> Result<Response, ClientError> {
-        self.exchange(&Request::new(Method::Get, path), POLL).await
+    fn record_answered(&self, request: &ClientRequest, outcome: Outcome, error: Option<String>) {
+        self.recorder.write(Record::Answered {
+            at: unix_micros(),
+            request: request.id,
+            outcome,
+            error,
+        });
     }
 }
+
+async fn connect(addr: SocketAddr) -> Result<ClientConnection, ClientError> {
+    let limits = Limits {
+        body: MAX_BODY_BYTES,
+        head: MAX_HEAD_BYTES,
+        ..Limits::default()
+    };
+    Connection::open(addr, CONNECT_TIMEOUT, limits).await
+}
+
+/// The request that submits a statement.
+fn submission(request: &ClientRequest) -> Request {
+    let mut tags = format!("class={}", request.class);
+    if let Some(key) = &request.ordering_key {
+        tags.push_str(&format!(",key={key}"));
+    }
+    if !request.tags.is_empty() {
+        tags.push_str(&format!(",{}", request.tags));
+    }
+    let timeout_ms = request.timeout.as_millis();
+    let session = format!("{}={timeout_ms}ms", names::MAX_RUN_TIME_PROPERTY);
+    let mut submission = Request::new(Method::Post, STATEMENT_PATH)
+        .with(names::USER, "scripted")
+        .with(names::CLIENT_TAGS, &tags)
+        .with(names::TRACE_TOKEN, &request.trace)
+        .with(names::SESSION, &session);
+    submission.body = request.text.clone().into_bytes();
+    submission
+}
+
+/// The path of an absolute URI; anything else is taken for a path.
+fn path_of_uri(uri: String) -> String {
+    let path = uri
+        .strip_prefix("http://")
+        .and_then(|rest| rest.find('/').map(|start| rest[start..].to_owned()));
+    path.unwrap_or(uri)
+}
+
+/// Whether an error of that name says that the statement may be submitted again.
+fn is_retryable(error: &str) -> bool {
+    ErrorName::ALL
+        .iter()
+        .any(|name| name.is_retryable() && name.name() == error)
+}
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Owns a stand-in discovery service: engines announce themselves, routers ask for the list. It can be made
-//! stale, or dumb.
+//! A mock discovery service: engines announce themselves to it, and routers read its list. On request its list goes
+//! stale, or it closes all connections.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,34 +18,37 @@
 };
 use hoptiller_statement::extra;
 
-use crate::Running;
-use crate::lease::Numbers;
+use crate::fencing::FencingTokens;
+use crate::server_thread::ServerThread;
 
-/// How it fails.
+/// The name of the service in the records of leases.
+const RESOURCE: &str = "discovery";
+
+/// The faults of a mock discovery service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryFaults {
-    /// Its list stays as it is.
+    /// Whether its list stays as it is.
     pub stale: bool,
-    /// It closes every connection.
+    /// Whether it closes every connection.
     pub down: bool,
 }
 
-/// What a stand-in discovery service is.
+/// The configuration of a mock discovery service.
 #[derive(Clone)]
 pub struct DiscoveryConfig {
-    /// Where it listens.
+    /// Where it listens; port 0 takes a free one.
     pub listen: SocketAddr,
-    /// The installation.
+    /// The environment that its list names.
     pub environment: String,
-    /// How long an announcement counts.
-    pub keep: Duration,
-    /// What it tells whom.
+    /// How long an announcement is valid.
+    pub announcement_ttl: Duration,
+    /// Records what routers learn from the list.
     pub recorder: Recorder,
-    /// It refuses what is asked under a lease that is over by what it has seen.
-    pub fences: bool,
-    /// Counts how often it was asked for its list.
-    pub asked: Arc<AtomicU64>,
-    /// How it fails; may change while it runs.
+    /// Whether it rejects what is requested under a lease that it has seen to be over.
+    pub enforces_fencing: bool,
+    /// Counts the requests for its list.
+    pub list_requests: Arc<AtomicU64>,
+    /// Its faults; [`DiscoveryConfig::inject_faults`] sets them while it runs.
     pub faults: Arc<Mutex<DiscoveryFaults>>,
 }
 
@@ -54,145 +57,172 @@
         DiscoveryConfig {
             listen: ([127, 0, 0, 1], 0).into(),
             environment: "lettings".into(),
-            keep: Duration::from_secs(2),
+            announcement_ttl: Duration::from_secs(2),
             recorder: Recorder::default(),
-            fences: false,
-            asked: Arc::default(),
+            enforces_fencing: false,
+            list_requests: Arc::default(),
             faults: Arc::default(),
         }
     }
 }
 
-#[derive(Default)]
-struct Inner {
-    announced: BTreeMap<String, (Announcement, Instant)>,
-    frozen: Option<Services>,
-    /// What each router was told last.
-    told: BTreeMap<String, BTreeSet<String>>,
-    leases: Numbers,
-}
-
 impl DiscoveryConfig {
-    /// Starts it on a thread of its own.
-    pub fn start(&self) -> io::Result<Running> {
+    /// Starts the service on a thread of its own.
+    ///
+    /// # Errors
+    ///
+    /// If it can't listen, or the thread can't be started.
+    pub fn start(&self) -> io::Result<ServerThread> {
         let config = self.clone();
-        Running::new("discovery", move |spawner| start(config, spawner))
+        ServerThread::spawn("discovery", move |spawner| start(config, &spawner))
     }
 
-    /// Sets its faults.
-    pub fn fail(&self, faults: DiscoveryFaults) {
-        if let Ok(mut f) = self.faults.lock() {
-            *f = faults;
+    /// Sets the faults of the service, whether it runs or not.
+    pub fn inject_faults(&self, faults: DiscoveryFaults) {
+        if let Ok(mut current) = self.faults.lock() {
+            *current = faults;
         }
     }
 }
 
-fn start(config: DiscoveryConfig, spawner: Spawner) -> io::Result<SocketAddr> {
+fn start(config: DiscoveryConfig, spawner: &Spawner) -> io::Result<SocketAddr> {
     let listener = hoptiller_http::server::bind(config.listen)?;
     let addr = listener.get_ref().local_addr()?;
-    let inner = Rc::new(RefCell::new(Inner::default()));
+    let discovery = RefCell::new(Discovery::new(config));
     let handler: Handler = Rc::new(move |request| {
-        let reply = config.reply(&mut inner.borrow_mut(), &request);
+        let reply = discovery.borrow_mut().respond(&request);
         Box::pin(async move { reply })
     });
-    let own = spawner.clone();
+    let server_spawner = spawner.clone();
     spawner.spawn(async move {
-        let _ = hoptiller_http::server::serve(listener, Config::default(), handler, own).await;
+        let config = Config::default();
+        let _ = hoptiller_http::server::serve(listener, config, handler, server_spawner).await;
     });
     Ok(addr)
 }
 
-impl DiscoveryConfig {
-    fn reply(&self, inner: &mut Inner, request: &Request) -> Reply {
-        let faults = self.faults.lock().map(|f| *f).unwrap_or_default();
+struct ReceivedAnnouncement {
+    announcement: Announcement,
+    received_at: Instant,
+}
+
+struct Discovery {
+    config: DiscoveryConfig,
+    /// By node id.
+    announced: BTreeMap<String, ReceivedAnnouncement>,
+    /// The list while it is stale.
+    frozen_list: Option<Services>,
+    /// The node ids in the list that each router read last.
+    known_to: BTreeMap<String, BTreeSet<String>>,
+    fencing_tokens: FencingTokens,
+}
+
+impl Discovery {
+    fn new(config: DiscoveryConfig) -> Self {
+        Self {
+            config,
+            announced: BTreeMap::new(),
+            frozen_list: None,
+            known_to: BTreeMap::new(),
+            fencing_tokens: FencingTokens::default(),
+        }
+    }
+
+    fn respond(&mut self, request: &Request) -> Reply {
+        let faults = self.config.faults.lock().map(|f| *f).unwrap_or_default();
         if faults.down {
             return Reply::Close;
         }
         let path = request.path();
         if let Some(node) = path.strip_prefix(ANNOUNCEMENT_PATH) {
-            return self.announce(inner, node, request).into();
+            return self.receive_announcement(node, request).into();
         }
         if path.starts_with(SERVICE_PATH) && request.method == Method::Get {
-            self.asked.fetch_add(1, Ordering::Relaxed);
-            if let Some(over) = inner
-                .leases
-                .look(request, "discovery", self.fences, &self.recorder)
-            {
-                return over.into();
-            }
-            let list = self.list(inner, faults.stale);
-            if let Some(router) = request.headers.get(extra::ROUTER) {
-                self.record(inner, router, &list);
-            }
-            return Response::json(200, serde_json::to_vec(&list).unwrap_or_default()).into();
+            return self.respond_with_list(request, faults.stale).into();
         }
         Response::text(404, "nothing here").into()
     }
 
-    fn announce(&self, inner: &mut Inner, node: &str, request: &Request) -> Response {
+    fn receive_announcement(&mut self, node: &str, request: &Request) -> Response {
         match request.method {
-            Method::Put => match serde_json::from_slice::<Announcement>(&request.body) {
-                Ok(a) if a.node_id == node => {
-                    inner.announced.insert(node.to_owned(), (a, Instant::now()));
-                    Response::new(202)
-                }
-                Ok(_) => Response::text(400, "the node id is not the path's"),
-                Err(e) => Response::text(400, &format!("announcement: {e}")),
-            },
+            Method::Put => self.put_announcement(node, &request.body),
             Method::Delete => {
-                inner.announced.remove(node);
+                self.announced.remove(node);
                 Response::new(204)
             }
             _ => Response::text(405, "PUT or DELETE"),
         }
     }
 
-    fn list(&self, inner: &mut Inner, stale: bool) -> Services {
-        if !stale {
-            inner.frozen = None;
+    fn put_announcement(&mut self, node: &str, body: &[u8]) -> Response {
+        let announcement = match serde_json::from_slice::<Announcement>(body) {
+            Ok(announcement) => announcement,
+            Err(e) => return Response::text(400, &format!("announcement: {e}")),
+        };
+        if announcement.node_id != node {
+            return Response::text(400, "the node id is not the path's");
+        }
+        let received = ReceivedAnnouncement {
+            announcement,
+            received_at: Instant::now(),
+        };
+        self.announced.insert(node.to_owned(), received);
+        Response::new(202)
+    }
+
+    fn respond_with_list(&mut self, request: &Request, is_stale: bool) -> Response {
+        self.config.list_requests.fetch_add(1, Ordering::Relaxed);
+        let observed = self.fencing_tokens.observe(
+            request,
+            RESOURCE,
+            self.config.enforces_fencing,
+            &self.config.recorder,
+        );
+        if let Err(stale) = observed {
+            return stale.into();
+        }
+        let list = self.current_list(is_stale);
+        if let Some(router) = request.headers.get(extra::ROUTER) {
+            self.record_read(router, &list);
+        }
+        Response::json(200, serde_json::to_vec(&list).unwrap_or_default())
+    }
+
+    /// The list of the engines whose announcements are valid; while it is stale, as it was when that began.
+    fn current_list(&mut self, is_stale: bool) -> Services {
+        if !is_stale {
+            self.frozen_list = None;
         }
-        if let Some(frozen) = &inner.frozen {
+        if let Some(frozen) = &self.frozen_list {
             return frozen.clone();
         }
-        inner
-            .announced
-            .retain(|_, (_, at)| at.elapsed() <= self.keep);
-        let services = inner.announced.values().flat_map(|(a, _)| {
-            a.services.iter().map(|s| Service {
-                id: s.id.clone(),
-                node_id: a.node_id.clone(),
-                kind: s.kind.clone(),
-                pool: a.pool.clone(),
-                location: a.location.clone(),
-                properties: s.properties.clone(),
-            })
-        });
+        let ttl = self.config.announcement_ttl;
+        self.announced
+            .retain(|_, received| received.received_at.elapsed() <= ttl);
         let list = Services {
-            environment: self.environment.clone(),
-            services: services.collect(),
+            environment: self.config.environment.clone(),
+            services: self.announced.values().flat_map(services).collect(),
         };
-        if stale {
-            inner.frozen = Some(list.clone());
+        if is_stale {
+            self.frozen_list = Some(list.clone());
         }
         list
     }
 
-    /// Records what a router learns by this list.
-    fn record(&self, inner: &mut Inner, router: &str, list: &Services) {
-        let names: BTreeSet<String> = list.services.iter().map(|s| s.node_id.clone()).collect();
-        let before = inner
-            .told
-            .insert(router.to_owned(), names.clone())
-            .unwrap_or_default();
-        for engine in before.difference(&names).cloned() {
-            self.recorder.write(Record::DrainNotified {
+    /// Records which engines a router no longer finds in the list, and which it finds for the first time.
+    fn record_read(&mut self, router: &str, list: &Services) {
+        let nodes: BTreeSet<String> = list.services.iter().map(|s| s.node_id.clone()).collect();
+        let before = self.known_to.insert(router.to_owned(), nodes.clone());
+        let before = before.unwrap_or_default();
+        for engine in before.difference(&nodes).cloned() {
+            self.config.recorder.write(Record::DrainNotified {
                 at: unix_micros(),
                 engine,
                 router: router.to_owned(),
             });
         }
-        for engine in names.difference(&before).cloned() {
-            self.recorder.write(Record::UpNotified {
+        for engine in nodes.difference(&before).cloned() {
+            self.config.recorder.write(Record::UpNotified {
                 at: unix_micros(),
                 engine,
                 router: router.to_owned(),
@@ -200,3 +230,16 @@
         }
     }
 }
+
+/// The services of an announcement, as the list has them.
+fn services(received: &ReceivedAnnouncement) -> impl Iterator<Item = Service> + '_ {
+    let announcement = &received.announcement;
+    announcement.services.iter().map(|service| Service {
+        id: service.id.clone(),
+        node_id: announcement.node_id.clone(),
+        kind: service.kind.clone(),
+        pool: announcement.pool.clone(),
+        location: announcement.location.clone(),
+        properties: service.properties.clone(),
+    })
+}
--- /dev/null
+++ b/crates/mock-servers/src/engine/control.rs
@@ -0,0 +1,92 @@
+//! Killing and pausing statements, and what became of their effects. Killing is the published protocol's; pausing is not.
+
+use hoptiller_http::server::Reply;
+use hoptiller_http::{Method, Request, Response};
+use hoptiller_statement::extra;
+
+use super::results::QueryAddress;
+use super::state::{Engine, EngineState};
+use super::statement::{Phase, Statement};
+
+const KILLED: &str = "killed";
+const PAUSED: &str = "paused";
+
+/// Answers a request to `QUERY`, `QUERY/killed` or `QUERY/paused`.
+pub(super) async fn respond(engine: &Engine, request: &Request, rest: &str) -> Reply {
+    let (query, operation) = rest.split_once('/').unwrap_or((rest, ""));
+    if operation == KILLED {
+        wait_for_end(engine, QueryAddress::parse_number(query)).await;
+    }
+    let mut state = engine.advanced_state();
+    let Some(number) = QueryAddress::parse_id(query, state.process()) else {
+        return gone().into();
+    };
+    let Some(statement) = state.statement(number) else {
+        return gone().into();
+    };
+    let response = match (&request.method, operation) {
+        (Method::Get, "") => query_info(query, statement),
+        (Method::Put, KILLED | PAUSED) if !state.config.supports_kill => {
+            Response::text(403, "this engine ends and pauses nothing")
+        }
+        (Method::Put, KILLED | PAUSED) if !statement.is_running() => {
+            Response::text(409, "it is over")
+        }
+        (Method::Put, KILLED) => {
+            kill(&mut state, number, request);
+            engine.notify_work_changed();
+            Response::new(202)
+        }
+        (Method::Put, PAUSED) => {
+            let now = state.now();
+            state.model.set_paused(now, number, request.body == b"true");
+            engine.notify_work_changed();
+            Response::new(202)
+        }
+        _ => Response::text(405, "not here"),
+    };
+    response.into()
+}
+
+fn gone() -> Response {
+    Response::text(410, "no such statement")
+}
+
+fn kill(state: &mut EngineState, number: u64, request: &Request) {
+    let reason = String::from_utf8_lossy(&request.body).into_owned();
+    state.kill_statement(number, reason);
+}
+
+/// The state of a statement and, once it has ended, what became of its effects.
+fn query_info(query: &str, statement: &Statement) -> Response {
+    let (name, effects) = match statement.phase() {
+        Phase::Running => ("RUNNING", None),
+        Phase::Finished => ("FINISHED", Some("committed")),
+        Phase::Killed(_) => ("FAILED", Some("rolled-back")),
+    };
+    let body = serde_json::json!({ "queryId": query, "state": name });
+    let response = Response::json(200, body.to_string());
+    match effects {
+        Some(effects) if !statement.faults.withhold_effects => {
+            response.with(extra::EFFECTS, effects)
+        }
+        _ => response,
+    }
+}
+
+/// Waits until a statement has finished, if a fault delays its kill until then.
+async fn wait_for_end(engine: &Engine, number: Option<u64>) {
+    loop {
+        let ended = {
+            let state = engine.state();
+            let statement = number.and_then(|number| state.statement(number));
+            statement
+                .filter(|s| s.faults.kill_after_finish && !s.is_finished())
+                .map(Statement::listen_for_end)
+        };
+        match ended {
+            Some(ended) => ended.await,
+            None => return,
+        }
+    }
+}
--- /dev/null
+++ b/crates/mock-servers/src/work_model/execution.rs
@@ -0,0 +1,168 @@
+//! One statement that an engine has admitted: its remaining work, its memory and what it has locked.
+
+use super::job::{Job, MAX_PRIORITY};
+
+/// Amounts of work below this, in µs, count as none; they are left by rounding.
+const WORK_TOLERANCE: f64 = 1e-6;
+
+/// How far a statement has come.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ExecutionProgress {
+    /// Fraction of the work that is done.
+    pub completed: f64,
+    /// Work done in µs, with the additional work of a statement that spills.
+    pub work_done: f64,
+    /// Time in µs for which the statement ran; the time in which it was blocked does not count.
+    pub run_micros: u64,
+    /// Granted memory in MB.
+    pub memory_mb: f64,
+    /// Whether the statement does additional work because it has less memory than it needs.
+    pub spills: bool,
+    /// What blocks the statement now, if anything does.
+    pub blocked: Option<BlockedState>,
+}
+
+/// Why a statement makes no progress.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BlockedState {
+    /// It waits for its memory grant.
+    WaitingForMemory,
+    /// The statement of this number has locked a data set that it needs.
+    BlockedBy(u64),
+    /// It was paused.
+    Paused,
+}
+
+/// An admitted statement.
+#[derive(Debug)]
+pub(super) struct SimulatedExecution {
+    job: Job,
+    admitted_at: u64,
+    remaining_work: f64,
+    total_work: f64,
+    granted_mb: Option<f64>,
+    paused: bool,
+    run_micros: u64,
+}
+
+impl SimulatedExecution {
+    /// A statement that waits for its memory. `work` is that of the job and what it does twice.
+    pub(super) fn new(job: Job, admitted_at: u64, work: f64) -> Self {
+        Self {
+            job,
+            admitted_at,
+            remaining_work: work,
+            total_work: work,
+            granted_mb: None,
+            paused: false,
+            run_micros: 0,
+        }
+    }
+
+    pub(super) fn job(&self) -> &Job {
+        &self.job
+    }
+
+    pub(super) fn admitted_at(&self) -> u64 {
+        self.admitted_at
+    }
+
+    pub(super) fn granted_mb(&self) -> Option<f64> {
+        self.granted_mb
+    }
+
+    pub(super) fn is_paused(&self) -> bool {
+        self.paused
+    }
+
+    pub(super) fn set_paused(&mut self, paused: bool) {
+        self.paused = paused;
+    }
+
+    pub(super) fn is_finished(&self) -> bool {
+        self.remaining_work <= WORK_TOLERANCE
+    }
+
+    /// The place in the queue for memory: by priority, then by arrival.
+    pub(super) fn memory_queue_position(&self) -> (u8, u64) {
+        let priority = self.job.priority.min(MAX_PRIORITY);
+        (MAX_PRIORITY - priority, self.admitted_at)
+    }
+
+    /// Memory in MB that the statement asks for, on an engine that has `available_mb` in all.
+    pub(super) fn requested_mb(&self, available_mb: f64) -> f64 {
+        let requested = self.job.memory_grant_mb.unwrap_or(self.job.memory_mb);
+        requested.min(available_mb)
+    }
+
+    /// Grants memory. Less than the statement needs adds work, in proportion to what is missing.
+    pub(super) fn grant_memory(&mut self, granted_mb: f64, spill_factor: f64) {
+        self.granted_mb = Some(granted_mb);
+        if granted_mb < self.job.memory_mb {
+            let missing = 1.0 - granted_mb / self.job.memory_mb;
+            self.remaining_work *= 1.0 + spill_factor * missing;
+            self.total_work = self.remaining_work;
+        }
+    }
+
+    /// Whether the statement has the data set locked.
+    pub(super) fn has_locked(&self, data_set: u64) -> bool {
+        self.job.locks_data_sets
+            && (self.job.data_set == Some(data_set) || self.has_reached_second(data_set))
+    }
+
+    fn has_reached_second(&self, data_set: u64) -> bool {
+        let is_second = self
+            .job
+            .second_data_set
+            .is_some_and(|second| second.data_set == data_set);
+        is_second
+            && self.granted_mb.is_some()
+            && self
+                .remaining_at_second_data_set()
+                .is_some_and(|threshold| self.remaining_work < threshold)
+    }
+
+    /// The second data set, from when it is needed on.
+    pub(super) fn needed_second_data_set(&self) -> Option<u64> {
+        let threshold = self.remaining_at_second_data_set()?;
+        let needed = self.remaining_work <= threshold + WORK_TOLERANCE;
+        let second = self.job.second_data_set.filter(|_| needed)?;
+        Some(second.data_set)
+    }
+
+    /// Remaining work at which the second data set is needed.
+    fn remaining_at_second_data_set(&self) -> Option<f64> {
+        let second = self.job.second_data_set?;
+        Some(self.job.work * (1.0 - second.needed_from))
+    }
+
+    /// Work until the statement needs its second data set, or ends.
+    pub(super) fn work_to_next_event(&self) -> f64 {
+        self.remaining_at_second_data_set()
+            .filter(|threshold| self.remaining_work > *threshold + WORK_TOLERANCE)
+            .map_or(self.remaining_work, |threshold| {
+                self.remaining_work - threshold
+            })
+    }
+
+    /// Does the work of `micros` at a rate in work per µs.
+    pub(super) fn run(&mut self, rate: f64, micros: u64) {
+        self.remaining_work -= rate * micros as f64;
+        self.run_micros += micros;
+    }
+
+    pub(super) fn progress(&self, blocked: Option<BlockedState>) -> ExecutionProgress {
+        let total = self.total_work.max(1.0);
+        ExecutionProgress {
+            completed: (1.0 - self.remaining_work / total).clamp(0.0, 1.0),
+            work_done: (total - self.remaining_work).max(0.0),
+            run_micros: self.run_micros,
+            memory_mb: self.granted_mb.unwrap_or(0.0),
+            spills: self
+                .granted_mb
+                .is_some_and(|granted| granted < self.job.memory_mb),
+            blocked,
+        }
+    }
+}
--- /dev/null
+++ b/crates/mock-servers/src/work_model/tests.rs
@@ -0,0 +1,202 @@
+use super::*;
+
+const S: u64 = 1_000_000;
+
+fn job(work: f64) -> Job {
+    Job {
+        memory_mb: 10.0,
+        ..Job::new(work, 1.0)
+    }
+}
+
+fn warm(parameters: WorkModelParameters) -> WorkModel {
+    WorkModel::new(parameters, 100 * S, false)
+}
+
+/// When each of the jobs ends, in ms after they were all admitted at once.
+fn end_times_ms(model: &mut WorkModel, jobs: Vec<Job>) -> Vec<u64> {
+    let n = jobs.len();
+    let start = 100 * S;
+    for (id, job) in jobs.into_iter().enumerate() {
+        assert_eq!(model.admit(start, id as u64, job), Admission::Admitted);
+    }
+    let mut at = vec![0; n];
+    while let Some(next) = model.next_event_at() {
+        for id in model.advance(next) {
+            at[id as usize] = (next - start) / 1000;
+        }
+    }
+    at
+}
+
+#[test]
+fn cores_are_shared_and_throughput_falls_past_the_thrashing_threshold() {
+    let parameters = WorkModelParameters {
+        cores: 2.0,
+        thrashing_threads_per_core: 2.0,
+        ..WorkModelParameters::default()
+    };
+    assert_eq!(
+        end_times_ms(&mut warm(parameters.clone()), vec![job(1e6)]),
+        [1000]
+    );
+    assert_eq!(
+        end_times_ms(&mut warm(parameters.clone()), vec![job(1e6); 4]),
+        [2000; 4]
+    );
+    // Four threads a core, twice the point: half of the work is lost.
+    assert_eq!(
+        end_times_ms(&mut warm(parameters), vec![job(1e6); 8]),
+        [8000; 8]
+    );
+}
+
+#[test]
+fn a_load_locks_its_data_set_until_it_ends() {
+    let load = Job {
+        locks_data_sets: true,
+        data_set: Some(7),
+        ..job(1e6)
+    };
+    let lookup = Job {
+        data_set: Some(7),
+        ..job(1e5)
+    };
+    let got = end_times_ms(
+        &mut warm(WorkModelParameters::default()),
+        vec![
+            load,
+            lookup.clone(),
+            Job {
+                data_set: Some(8),
+                ..lookup
+            },
+        ],
+    );
+    assert_eq!(got, [1000, 1100, 100]);
+}
+
+#[test]
+fn statements_wait_for_memory_and_spill_where_they_get_less() {
+    let parameters = WorkModelParameters {
+        memory_mb: 100.0,
+        ..WorkModelParameters::default()
+    };
+    let big = Job {
+        memory_mb: 80.0,
+        ..job(1e6)
+    };
+    assert_eq!(
+        end_times_ms(
+            &mut warm(parameters.clone()),
+            vec![big.clone(), big.clone()]
+        ),
+        [1000, 2000]
+    );
+    let short = Job {
+        memory_grant_mb: Some(40.0),
+        ..big
+    };
+    assert_eq!(
+        end_times_ms(&mut warm(parameters), vec![short.clone(), short]),
+        [2000, 2000]
+    );
+}
+
+#[test]
+fn a_cold_engine_is_slow_and_crashes_under_overload() {
+    let parameters = WorkModelParameters {
+        cores: 1.0,
+        cold_speed_fraction: 0.5,
+        ..WorkModelParameters::default()
+    };
+    let mut cold = WorkModel::new(parameters.clone(), 100 * S, true);
+    let slow = end_times_ms(&mut cold, vec![job(1e6)])[0];
+    assert!((1500..2000).contains(&slow), "{slow}");
+    // Half a core for 2 s, three times: 3 s of work and no more.
+    let mut cold = WorkModel::new(parameters.clone(), 100 * S, true);
+    assert_eq!(cold.admit(100 * S, 0, job(2.9e6)), Admission::Admitted);
+    assert_eq!(cold.admit(100 * S, 1, job(0.2e6)), Admission::Crashed);
+    assert!(cold.has_crashed() && cold.next_event_at().is_none());
+    let mut warm = warm(parameters);
+    assert_eq!(warm.admit(100 * S, 0, job(9e6)), Admission::Admitted);
+}
+
+#[test]
+fn loads_that_need_each_others_data_sets_deadlock_and_each_is_blocked_by_the_other() {
+    let mut model = warm(WorkModelParameters::default());
+    let load = |first, second| Job {
+        locks_data_sets: true,
+        data_set: Some(first),
+        second_data_set: Some(SecondDataSet {
+            needed_from: 0.5,
+            data_set: second,
+        }),
+        ..job(1e6)
+    };
+    model.admit(100 * S, 0, load(1, 2));
+    model.admit(100 * S, 1, load(2, 1));
+    assert!(model.advance(200 * S).is_empty());
+    let blocked = |model: &WorkModel, id| model.progress(id).and_then(|p| p.blocked);
+    assert_eq!(
+        (blocked(&model, 0), blocked(&model, 1)),
+        (
+            Some(BlockedState::BlockedBy(1)),
+            Some(BlockedState::BlockedBy(0))
+        )
+    );
+    assert_eq!(
+        model.progress(0).map(|c| (c.completed * 100.0).round()),
+        Some(50.0)
+    );
+    assert!(model.kill(200 * S, 1) && !model.kill(200 * S, 1));
+    assert_eq!(model.advance(201 * S), [0]);
+}
+
+#[test]
+fn a_paused_statement_keeps_its_locks_and_resumes_where_it_was() {
+    let mut model = warm(WorkModelParameters::default());
+    let load = Job {
+        locks_data_sets: true,
+        data_set: Some(1),
+        ..job(1e6)
+    };
+    model.admit(100 * S, 0, load.clone());
+    model.admit(
+        100 * S,
+        1,
+        Job {
+            locks_data_sets: false,
+            ..load
+        },
+    );
+    assert!(model.set_paused(100 * S + S / 2, 0, true) && !model.set_paused(100 * S, 9, true));
+    assert!(model.advance(200 * S).is_empty());
+    assert_eq!(
+        model.progress(0).and_then(|c| c.blocked),
+        Some(BlockedState::Paused)
+    );
+    assert_eq!(
+        model.progress(1).and_then(|c| c.blocked),
+        Some(BlockedState::BlockedBy(0))
+    );
+    model.set_paused(200 * S, 0, false);
+    assert_eq!(model.progress(0).map(|c| c.run_micros), Some(S / 2));
+    assert_eq!(
+        (model.advance(201 * S), model.advance(202 * S)),
+        (vec![0], vec![1])
+    );
+}
+
+#[test]
+fn cancelling_a_statement_stops_its_work_only_where_the_parameters_say_so() {
+    for cancel_stops_work in [true, false] {
+        let mut model = warm(WorkModelParameters {
+            cancel_stops_work,
+            ..WorkModelParameters::default()
+        });
+        model.admit(100 * S, 0, job(1e6));
+        assert_eq!(model.cancel(100 * S + 10, 0), cancel_stops_work);
+        assert_eq!(model.load().in_flight, usize::from(!cancel_stops_work));
+    }
+}
--- a/crates/mock-servers/tests/wire_format.rs
+++ b/crates/mock-servers/tests/wire_format.rs
@@ -99,9 +99,9 @@
 
 fn engine() -> EngineConfig {
     let mut config = EngineConfig::new("e1", "std-8a", "hall-a");
-    config.ends = true;
-    config.notes = true;
-    config.fences = true;
+    config.supports_kill = true;
+    config.reports_progress = true;
+    config.enforces_fencing = true;
     config
 }
 
@@ -219,8 +219,10 @@
 
 #[test]
 fn discovery_lists_announced_engines() {
-    let mut config = DiscoveryConfig::default();
-    config.fences = true;
+    let config = DiscoveryConfig {
+        enforces_fencing: true,
+        ..DiscoveryConfig::default()
+    };
     let running = config.start().expect("discovery starts");
     let mut transcript = Transcript::new(running.addr);
     let announcement = r#"{"environment":"lettings","nodeId":"e1","pool":"general","location":"/a/e1","services":[{"id":"1","type":"trino","properties":{"http":"http://127.0.0.1:1"}}]}"#;
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -11,8 +11,8 @@
 use hoptiller_audit::Record;
 use hoptiller_http::client::Connection;
 use hoptiller_http::{Limits, Method, Request, Response};
-use hoptiller_mock_servers::client::{Came, Manner};
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::client::{ClientOptions, ClientOutcome};
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::json;
 
 /// One request on a connection of its own.
@@ -40,23 +40,23 @@
 fn the_same_token_gives_the_same_answer_on_two_connections_at_once_and_an_old_one_is_gone() {
     let stage = Stage::new(2);
     let mut ask = stage.ask("report", "SELECT 1 /* work=300ms rows=40 pages=4 */");
-    ask.manner = Manner {
-        doubles: true,
-        ..Manner::default()
+    ask.options = ClientOptions {
+        duplicates_polls: true,
+        ..ClientOptions::default()
     };
     let (came, client) = stage.run(&ask);
-    assert_eq!(came, Came::Served(40));
+    assert_eq!(came, ClientOutcome::Served(40));
     // The last answer can be had again, all before it are gone, and none follows.
     let paths: Vec<&String> = client
-        .answers
+        .responses()
         .iter()
         .skip(1)
-        .map(|(path, _)| path)
+        .map(|received| &received.path)
         .collect();
     let (last, older) = paths.split_last().expect("polled");
     assert_eq!(
         stage.get(last).body,
-        client.answers.last().expect("answered").1.body
+        client.responses().last().expect("answered").response.body
     );
     assert!(older.iter().all(|path| stage.get(path).status.0 == 410));
     stage.assert_rules_kept();
@@ -158,11 +158,11 @@
             v["engines"]["cancel"] = json!(cancel);
             v["limits"]["abandon_after"] = json!("600ms");
         };
-        let stage = Stage::with(1, change, |e| e.spec.cancels = cancel);
+        let stage = Stage::with(1, change, |e| e.work_model.cancel_stops_work = cancel);
         let mut ask = stage.ask("report", "SELECT 1 /* work=4s threads=2 */");
-        ask.manner.leaves_after = Some(2);
+        ask.options.abandon_after = Some(2);
         let (came, client) = stage.run(&ask);
-        assert_eq!(came, Came::Left);
+        assert_eq!(came, ClientOutcome::Abandoned);
         stage.wait_for("the statement to be let go", |info| {
             info["openStatements"] == json!(0)
         });
@@ -186,7 +186,7 @@
             );
         }
         // One who comes back is told what became of it.
-        let next = next_path(&client.answers.last().expect("answers").1).expect("more");
+        let next = next_path(&client.responses().last().expect("answers").response).expect("more");
         let answer = stage.get(&next);
         assert!(String::from_utf8_lossy(&answer.body).contains("ABANDONED_QUERY"));
         stage.assert_rules_kept();
@@ -196,10 +196,10 @@
 #[test]
 fn a_client_that_ends_its_statement_is_heard() {
     let change = |v: &mut serde_json::Value| v["engines"]["cancel"] = json!(true);
-    let stage = Stage::with(1, change, |e| e.spec.cancels = true);
+    let stage = Stage::with(1, change, |e| e.work_model.cancel_stops_work = true);
     let mut ask = stage.ask("report", "SELECT 1 /* work=4s threads=2 */");
-    ask.manner.ends_after = Some(2);
-    assert_eq!(stage.run(&ask).0, Came::Left);
+    ask.options.cancel_after = Some(2);
+    assert_eq!(stage.run(&ask).0, ClientOutcome::Abandoned);
     stage.wait_for("its work to be withdrawn", |info| {
         info["attemptsUnderWay"] == json!(0)
     });
@@ -216,7 +216,7 @@
         "report",
         "SELECT 1 /* work=5ms rows=2000 pages=20 width=1000 */",
     );
-    ask.manner.pause = Duration::from_millis(25);
+    ask.options.poll_delay = Duration::from_millis(25);
     let most = std::thread::scope(|s| {
         let run = s.spawn(|| stage.run(&ask).0);
         let mut most = 0;
@@ -224,7 +224,7 @@
             most = most.max(stage.info()["heldBytes"].as_u64().expect("a number"));
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(run.join().expect("ends"), Came::Served(2000));
+        assert_eq!(run.join().expect("ends"), ClientOutcome::Served(2000));
         most
     });
     assert!(
@@ -248,7 +248,7 @@
                 "lookup",
                 &format!("SELECT {n} /* work=5ms rows=1000 pages=10 width=1000 */"),
             );
-            ask.manner.pause = Duration::from_millis(15);
+            ask.options.poll_delay = Duration::from_millis(15);
             ask
         })
         .collect();
@@ -264,7 +264,7 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         for run in runs {
-            assert_eq!(run.join().expect("ends"), Came::Served(1000));
+            assert_eq!(run.join().expect("ends"), ClientOutcome::Served(1000));
         }
     });
 }
@@ -367,7 +367,7 @@
     );
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
+        ClientOutcome::Served(_)
     ));
 }
 
@@ -391,7 +391,7 @@
         .collect();
     for n in 0..5 {
         let ask = stage.ask("lookup", &format!("SELECT {n} /* work=5ms */"));
-        assert!(matches!(stage.run(&ask).0, Came::Served(_)));
+        assert!(matches!(stage.run(&ask).0, ClientOutcome::Served(_)));
     }
     // A byte now and then does not prolong it: the limit is for the whole request.
     for s in &mut half {
@@ -405,26 +405,27 @@
     assert!(closed);
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
+        ClientOutcome::Served(_)
     ));
 }
 
 #[test]
 fn a_statement_tells_its_whole_course() {
     let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
-        swallow: true,
-        ..Faults::default()
+    stage.engines[0].inject_faults(EngineFaults {
+        drop_submission: true,
+        ..EngineFaults::default()
     });
-    stage.engines[1].fail(Faults {
-        swallow: true,
-        ..Faults::default()
+    stage.engines[1].inject_faults(EngineFaults {
+        drop_submission: true,
+        ..EngineFaults::default()
     });
     let ask = stage.ask("rent-load", "INSERT /* work=5ms */");
     let (came, client) = stage.run(&ask);
-    assert!(matches!(came, Came::Failed(_)));
+    assert!(matches!(came, ClientOutcome::Failed(_)));
     let last: serde_json::Value =
-        serde_json::from_slice(&client.answers.last().expect("answers").1.body).expect("JSON");
+        serde_json::from_slice(&client.responses().last().expect("answers").response.body)
+            .expect("JSON");
     let uri = last["infoUri"].as_str().expect("a course").to_owned();
     let path = &uri[uri.find("/v1").expect("a path")..];
     let course: serde_json::Value = serde_json::from_slice(&stage.get(path).body).expect("JSON");
@@ -478,6 +479,6 @@
     );
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
+        ClientOutcome::Served(_)
     ));
 }
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -10,8 +10,8 @@
 use futures_lite::future;
 use hoptiller_audit::{Record, Recorder, Verdict, judge};
 use hoptiller_http::{Method, Request, Response};
-use hoptiller_mock_servers::Running;
-use hoptiller_mock_servers::client::{Ask, Came, Client, Manner};
+use hoptiller_mock_servers::ServerThread;
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientOutcome, ClientRequest};
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_mock_servers::ledger::Ledger;
@@ -27,9 +27,9 @@
     pub ledger: Ledger,
     pub discovery: DiscoveryConfig,
     pub engines: Vec<EngineConfig>,
-    running: Mutex<Vec<Option<Running>>>,
-    discovery_running: Running,
-    router: Option<Running>,
+    running: Mutex<Vec<Option<ServerThread>>>,
+    discovery_running: ServerThread,
+    router: Option<ServerThread>,
     pub addr: SocketAddr,
     pub settings: Settings,
     next: AtomicU64,
@@ -66,7 +66,7 @@
         let keep = Duration::from_millis(1500);
         let discovery = DiscoveryConfig {
             recorder: recorder.clone(),
-            keep,
+            announcement_ttl: keep,
             ..DiscoveryConfig::default()
         };
         let discovery_running = discovery.start().expect("discovery");
@@ -140,25 +140,25 @@
         Client::new("r1", self.addr, self.recorder.clone())
     }
 
-    pub fn ask(&self, class: &str, text: &str) -> Ask {
+    pub fn ask(&self, class: &str, text: &str) -> ClientRequest {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
-        Ask {
-            request,
+        ClientRequest {
+            id: request,
             trace: format!("t{request}.0"),
             class: class.into(),
-            key: None,
+            ordering_key: None,
             tags: String::new(),
             text: text.into(),
-            patience: Duration::from_secs(6),
-            manner: Manner {
-                lenience: self.lenience,
-                ..Manner::default()
+            timeout: Duration::from_secs(6),
+            options: ClientOptions {
+                grace: self.lenience,
+                ..ClientOptions::default()
             },
         }
     }
 
     /// Does one statement; what came, and the client that did it.
-    pub fn run(&self, ask: &Ask) -> (Came, Client) {
+    pub fn run(&self, ask: &ClientRequest) -> (ClientOutcome, Client) {
         let mut client = self.client();
         let came = future::block_on(client.run(ask));
         (came, client)
@@ -198,7 +198,7 @@
                 s.spawn(|| {
                     for _ in 0..runs.div_ceil(8) {
                         let came = self.run(&self.ask(class, text)).0;
-                        assert!(matches!(came, Came::Served(_)), "{text}: {came:?}");
+                        assert!(matches!(came, ClientOutcome::Served(_)), "{text}: {came:?}");
                     }
                 });
             }
@@ -229,7 +229,7 @@
     }
 
     /// Attempts that reached engines for a submission.
-    pub fn sent(&self, ask: &Ask) -> usize {
+    pub fn sent(&self, ask: &ClientRequest) -> usize {
         self.records()
             .iter()
             .filter(|r| matches!(r, Record::Sent { trace, .. } if *trace == ask.trace))
@@ -238,9 +238,9 @@
 
     /// How many of these are at the engine where one is, and not done there.
     #[allow(dead_code)] // Not every test file has a use for it.
-    pub fn standing_with(&self, one: &Ask, all: &[Ask]) -> usize {
+    pub fn standing_with(&self, one: &ClientRequest, all: &[ClientRequest]) -> usize {
         let records = self.records();
-        let at = |ask: &Ask| {
+        let at = |ask: &ClientRequest| {
             records.iter().rev().find_map(|r| match r {
                 Record::Sent { trace, engine, .. } if *trace == ask.trace => {
                     Some(Some(engine.clone()))
@@ -256,7 +256,7 @@
     }
 
     /// Waits, generously, until an attempt has reached an engine.
-    pub fn wait_until_sent(&self, ask: &Ask) {
+    pub fn wait_until_sent(&self, ask: &ClientRequest) {
         let began = Instant::now();
         while self.sent(ask) == 0 {
             assert!(
@@ -269,7 +269,7 @@
     }
 
     /// Waits, generously, until an attempt of any of them has reached an engine.
-    pub fn wait_until_sent_any(&self, asks: &[Ask]) {
+    pub fn wait_until_sent_any(&self, asks: &[ClientRequest]) {
         let began = Instant::now();
         while asks.iter().all(|ask| self.sent(ask) == 0) {
             assert!(began.elapsed() < Duration::from_secs(20), "none is sent");
@@ -277,7 +277,7 @@
         }
     }
 
-    pub fn posted(&self, ask: &Ask) -> usize {
+    pub fn posted(&self, ask: &ClientRequest) -> usize {
         self.ledger.postings().get(&ask.trace).copied().unwrap_or(0)
     }
 
@@ -304,10 +304,10 @@
 
 /// A router on a thread of its own. Where administrators reach it is written into its settings: a port that is looked for
 /// first and taken later may be another test's by then.
-pub fn start_router(settings: &mut Settings) -> (Running, SocketAddr) {
+pub fn start_router(settings: &mut Settings) -> (ServerThread, SocketAddr) {
     let own = settings.clone();
     let (tell, told) = std::sync::mpsc::channel();
-    let running = Running::new("router", move |spawner| {
+    let running = ServerThread::spawn("router", move |spawner| {
         let service = Service::new(own, b"secret", "lifelife".into(), spawner)
             .map_err(std::io::Error::other)?;
         let addr = service.start(Rc::new(|_| None))?;
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -5,16 +5,19 @@
 use std::time::Duration;
 
 use common::{Stage, put};
-use hoptiller_mock_servers::client::Came;
+use hoptiller_mock_servers::client::ClientOutcome;
 use hoptiller_mock_servers::discovery::DiscoveryFaults;
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::json;
 
 const LOAD: &str = "INSERT INTO rent /* work=50ms */";
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
-fn all_fail(stage: &Stage, faults: &Faults) {
-    stage.engines.iter().for_each(|e| e.fail(faults.clone()));
+fn all_fail(stage: &Stage, faults: &EngineFaults) {
+    stage
+        .engines
+        .iter()
+        .for_each(|e| e.inject_faults(faults.clone()));
 }
 
 #[test]
@@ -28,7 +31,7 @@
         let ask = stage.ask(class, text);
         assert_eq!(
             (stage.run(&ask).0, stage.sent(&ask)),
-            (Came::Served(rows), 1),
+            (ClientOutcome::Served(rows), 1),
             "{class}"
         );
     }
@@ -41,20 +44,20 @@
     let stage = Stage::new(3);
     all_fail(
         &stage,
-        &Faults {
+        &EngineFaults {
             hang: true,
-            ..Faults::default()
+            ..EngineFaults::default()
         },
     );
     let mut ask = stage.ask("rent-load", LOAD);
-    ask.patience = Duration::from_millis(1500);
+    ask.timeout = Duration::from_millis(1500);
     let (came, client) = stage.run(&ask);
-    assert_eq!(came, Came::Failed(MAY_HAVE_RUN.into()));
+    assert_eq!(came, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
     assert_eq!((stage.sent(&ask), stage.posted(&ask)), (1, 1));
-    let (path, last) = client.answers.last().expect("a final answer");
+    let last = client.responses().last().expect("a final answer");
     assert_eq!(
-        stage.get(path).body,
-        last.body,
+        stage.get(&last.path).body,
+        last.response.body,
         "the final answer is the same when asked again"
     );
     stage.assert_rules_kept();
@@ -65,14 +68,18 @@
     let stage = Stage::new(1);
     all_fail(
         &stage,
-        &Faults {
+        &EngineFaults {
             hang: true,
-            ..Faults::default()
+            ..EngineFaults::default()
         },
     );
     let mut ask = stage.ask("lookup", "SELECT 1");
-    ask.patience = Duration::from_millis(1500);
-    let Came::Refused(name, after) = stage.run(&ask).0 else {
+    ask.timeout = Duration::from_millis(1500);
+    let ClientOutcome::Rejected {
+        error: name,
+        retry_after: after,
+    } = stage.run(&ask).0
+    else {
         panic!("refused")
     };
     assert_eq!((name.as_str(), after), ("HOPTILLER_REFUSED", Some(2)));
@@ -83,7 +90,7 @@
 fn rows_given_out_are_never_repeated_when_the_engine_dies() {
     let stage = Stage::new(2);
     let mut ask = stage.ask("report", "SELECT 1 /* work=20ms rows=100 pages=5 */");
-    ask.manner.pause = Duration::from_millis(300);
+    ask.options.poll_delay = Duration::from_millis(300);
     let came = std::thread::scope(|s| {
         let run = s.spawn(|| stage.run(&ask).0);
         // Once a page has been given out: both engines go, so whichever had it is gone.
@@ -94,7 +101,7 @@
         stage.crash_engine(1);
         run.join().expect("the client ends")
     });
-    assert_eq!(came, Came::Failed("HOPTILLER_RESULT_CUT".into()));
+    assert_eq!(came, ClientOutcome::Failed("HOPTILLER_RESULT_CUT".into()));
     assert_eq!(stage.sent(&ask), 1);
     stage.assert_rules_kept();
 }
@@ -139,9 +146,12 @@
         }
         assert_eq!(
             posting.join().expect("ends"),
-            Came::Failed(MAY_HAVE_RUN.into())
+            ClientOutcome::Failed(MAY_HAVE_RUN.into())
         );
-        assert!(matches!(report.join().expect("ends"), Came::Served(_)));
+        assert!(matches!(
+            report.join().expect("ends"),
+            ClientOutcome::Served(_)
+        ));
     });
     assert!(stage.sent(&slow) >= 2);
     assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
@@ -153,20 +163,23 @@
     let stage = Stage::new(3);
     all_fail(
         &stage,
-        &Faults {
-            lose: true,
-            only: Some("rent-load".into()),
-            ..Faults::default()
+        &EngineFaults {
+            lose_response: true,
+            only_class: Some("rent-load".into()),
+            ..EngineFaults::default()
         },
     );
     let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
+    assert_eq!(
+        stage.run(&load).0,
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
+    );
     assert_eq!(stage.sent(&load), 1);
     stage.assert_rules_kept();
     let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
-        lose: true,
-        ..Faults::default()
+    stage.engines[0].inject_faults(EngineFaults {
+        lose_response: true,
+        ..EngineFaults::default()
     });
     let lookups: Vec<_> = (0..16)
         .map(|_| stage.ask("lookup", "SELECT 1 /* work=5ms */"))
@@ -174,7 +187,7 @@
     assert!(
         lookups
             .iter()
-            .all(|ask| matches!(stage.run(ask).0, Came::Served(_)))
+            .all(|ask| matches!(stage.run(ask).0, ClientOutcome::Served(_)))
     );
     let moved = lookups.iter().filter(|ask| stage.sent(ask) > 1).count();
     assert!(moved > 0, "some lookup met the engine that loses answers");
@@ -187,15 +200,18 @@
     // The first statement leaves a connection open; the next one's is closed without a word.
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
+        ClientOutcome::Served(_)
     ));
-    stage.engines[0].fail(Faults {
-        swallow: true,
-        times: Some(1),
-        ..Faults::default()
+    stage.engines[0].inject_faults(EngineFaults {
+        drop_submission: true,
+        remaining: Some(1),
+        ..EngineFaults::default()
     });
     let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Failed(MAY_HAVE_RUN.into()));
+    assert_eq!(
+        stage.run(&load).0,
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
+    );
     assert_eq!(
         (stage.sent(&load), stage.posted(&load)),
         (1, 0),
@@ -203,13 +219,13 @@
     );
     stage.assert_rules_kept();
     let stage = Stage::new(1);
-    stage.engines[0].fail(Faults {
-        swallow: true,
-        times: Some(1),
-        ..Faults::default()
+    stage.engines[0].inject_faults(EngineFaults {
+        drop_submission: true,
+        remaining: Some(1),
+        ..EngineFaults::default()
     });
     let lookup = stage.ask("lookup", "SELECT 1 /* work=5ms */");
-    assert!(matches!(stage.run(&lookup).0, Came::Served(_)));
+    assert!(matches!(stage.run(&lookup).0, ClientOutcome::Served(_)));
     assert_eq!(stage.sent(&lookup), 2, "the module sends a safe one again");
     stage.assert_rules_kept();
 }
@@ -217,13 +233,13 @@
 #[test]
 fn what_never_ran_moves_on_whatever_its_class() {
     let stage = Stage::new(2);
-    stage.engines[0].fail(Faults {
-        full: true,
-        ..Faults::default()
+    stage.engines[0].inject_faults(EngineFaults {
+        reject: true,
+        ..EngineFaults::default()
     });
     let loads: Vec<_> = (0..6).map(|_| stage.ask("rent-load", LOAD)).collect();
     for load in &loads {
-        assert_eq!(stage.run(load).0, Came::Served(1));
+        assert_eq!(stage.run(load).0, ClientOutcome::Served(1));
         assert_eq!(stage.posted(load), 1);
     }
     assert!(
@@ -231,13 +247,16 @@
         "some load met the full engine first"
     );
     // Discovery does not notice that an engine is gone.
-    stage.discovery.fail(DiscoveryFaults {
+    stage.discovery.inject_faults(DiscoveryFaults {
         stale: true,
         down: false,
     });
     stage.crash_engine(0);
     for _ in 0..4 {
-        assert_eq!(stage.run(&stage.ask("rent-load", LOAD)).0, Came::Served(1));
+        assert_eq!(
+            stage.run(&stage.ask("rent-load", LOAD)).0,
+            ClientOutcome::Served(1)
+        );
     }
     stage.assert_rules_kept();
 }
@@ -247,23 +266,27 @@
     let stage = Stage::new(2);
     all_fail(
         &stage,
-        &Faults {
-            full: true,
-            ..Faults::default()
+        &EngineFaults {
+            reject: true,
+            ..EngineFaults::default()
         },
     );
     let load = stage.ask("rent-load", LOAD);
-    let Came::Refused(name, after) = stage.run(&load).0 else {
+    let ClientOutcome::Rejected {
+        error: name,
+        retry_after: after,
+    } = stage.run(&load).0
+    else {
         panic!("refused")
     };
     assert_eq!(
         (name.as_str(), after, stage.posted(&load)),
         ("HOPTILLER_REFUSED", Some(2), 0)
     );
-    all_fail(&stage, &Faults::default());
+    all_fail(&stage, &EngineFaults::default());
     let mut again = stage.ask("rent-load", LOAD);
     again.trace = load.trace.replace(".0", ".1");
-    assert_eq!(stage.run(&again).0, Came::Served(1));
+    assert_eq!(stage.run(&again).0, ClientOutcome::Served(1));
     stage.assert_rules_kept();
 }
 
@@ -272,25 +295,28 @@
     let stage = Stage::new(2);
     all_fail(
         &stage,
-        &Faults {
-            cut_page: Some(400),
-            ..Faults::default()
+        &EngineFaults {
+            truncate_pages_at: Some(400),
+            ..EngineFaults::default()
         },
     );
     let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 */");
     // Never whole: no attempt gives a first page, and the last one's end is the answer.
-    assert!(matches!(stage.run(&report).0, Came::Refused(..)));
+    assert!(matches!(
+        stage.run(&report).0,
+        ClientOutcome::Rejected { .. }
+    ));
     all_fail(
         &stage,
-        &Faults {
-            lose_page: Some(2),
-            ..Faults::default()
+        &EngineFaults {
+            lose_pages_from: Some(2),
+            ..EngineFaults::default()
         },
     );
     let report = stage.ask("report", "SELECT 1 /* work=5ms rows=50 pages=5 */");
     assert_eq!(
         stage.run(&report).0,
-        Came::Failed("HOPTILLER_RESULT_CUT".into())
+        ClientOutcome::Failed("HOPTILLER_RESULT_CUT".into())
     );
     assert_eq!(stage.sent(&report), 1);
     stage.assert_rules_kept();
@@ -301,33 +327,36 @@
     let stage = Stage::new(2);
     all_fail(
         &stage,
-        &Faults {
-            garbage: true,
-            ..Faults::default()
+        &EngineFaults {
+            malformed_response: true,
+            ..EngineFaults::default()
         },
     );
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1")).0,
-        Came::Refused(..)
+        ClientOutcome::Rejected { .. }
     ));
     assert_eq!(
         stage.run(&stage.ask("rent-load", LOAD)).0,
-        Came::Failed(MAY_HAVE_RUN.into())
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
     all_fail(
         &stage,
-        &Faults {
-            fail: true,
-            ..Faults::default()
+        &EngineFaults {
+            fail_after_run: true,
+            ..EngineFaults::default()
         },
     );
     assert_eq!(
         stage.run(&stage.ask("rent-load", LOAD)).0,
-        Came::Failed(MAY_HAVE_RUN.into())
+        ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
-    all_fail(&stage, &Faults::default());
+    all_fail(&stage, &EngineFaults::default());
     let wrong = stage.ask("lookup", "SELEC /* work=5ms wrong */");
-    assert_eq!(stage.run(&wrong).0, Came::Failed("SYNTAX_ERROR".into()));
+    assert_eq!(
+        stage.run(&wrong).0,
+        ClientOutcome::Failed("SYNTAX_ERROR".into())
+    );
     assert_eq!(
         stage.sent(&wrong),
         1,
@@ -360,13 +389,13 @@
         std::thread::sleep(Duration::from_millis(1300)); // The grace.
         for _ in 0..10 {
             let ask = stage.ask("lookup", "SELECT 1 /* work=2ms */");
-            assert!(matches!(stage.run(&ask).0, Came::Served(_)));
+            assert!(matches!(stage.run(&ask).0, ClientOutcome::Served(_)));
             let late = stage.records().into_iter().any(|r| {
                 matches!(r, hoptiller_audit::Record::Sent { engine, trace, .. } if trace == ask.trace && Some(&engine) == had.as_ref())
             });
             assert!(!late, "sent to the engine that drains");
         }
-        assert_eq!(run.join().expect("ends"), Came::Served(9));
+        assert_eq!(run.join().expect("ends"), ClientOutcome::Served(9));
     });
     stage.assert_rules_kept();
 }
@@ -376,9 +405,9 @@
     let stage = Stage::new(1);
     assert!(matches!(
         stage.run(&stage.ask("lookup", "SELECT 1 /* work=5ms */")).0,
-        Came::Served(_)
+        ClientOutcome::Served(_)
     ));
-    stage.discovery.fail(DiscoveryFaults {
+    stage.discovery.inject_faults(DiscoveryFaults {
         stale: true,
         down: false,
     });
@@ -386,7 +415,7 @@
     stage.start_engine(0);
     // Its kept connections are dead, and the list knows nothing of it.
     let load = stage.ask("rent-load", LOAD);
-    assert_eq!(stage.run(&load).0, Came::Served(1));
+    assert_eq!(stage.run(&load).0, ClientOutcome::Served(1));
     assert_eq!(stage.sent(&load), 1);
     stage.assert_rules_kept();
 }
@@ -402,11 +431,11 @@
                 class,
                 &format!("x /* work={}ms threads=1 set={n} */", 800 + n * 5),
             );
-            ask.patience = Duration::from_millis(1050);
+            ask.timeout = Duration::from_millis(1050);
             ask
         })
         .collect();
-    let came: Vec<Came> = std::thread::scope(|s| {
+    let came: Vec<ClientOutcome> = std::thread::scope(|s| {
         let runs: Vec<_> = asks
             .iter()
             .map(|ask| s.spawn(|| stage.run(ask).0))
@@ -415,7 +444,10 @@
     });
     for (ask, came) in asks.iter().zip(&came) {
         assert!(
-            !matches!(came, Came::GaveUp | Came::Unknown),
+            !matches!(
+                came,
+                ClientOutcome::TimedOut | ClientOutcome::AdmissionUnknown
+            ),
             "{} {came:?}",
             ask.trace
         );
@@ -444,7 +476,7 @@
         );
         assert_eq!(
             posting.join().expect("ends"),
-            Came::Failed(MAY_HAVE_RUN.into())
+            ClientOutcome::Failed(MAY_HAVE_RUN.into())
         );
     });
     assert_eq!((stage.sent(&load), stage.posted(&load)), (1, 0));
--- a/crates/statement-router/tests/runaways.rs
+++ b/crates/statement-router/tests/runaways.rs
@@ -7,9 +7,9 @@
 
 use common::{Stage, send_to, start_router};
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::client::{Ask, Came, Client};
+use hoptiller_mock_servers::client::{Client, ClientOutcome, ClientRequest};
 use hoptiller_mock_servers::engine::EngineConfig;
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::{Value, json};
 
 const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
@@ -17,8 +17,8 @@
 
 /// Engines of 32 cores that tell of their statements and let them be ended.
 fn telling(e: &mut EngineConfig) {
-    (e.notes, e.ends) = (true, true);
-    (e.spec.cores, e.spec.disks) = (32.0, 64.0);
+    (e.reports_progress, e.supports_kill) = (true, true);
+    (e.work_model.cores, e.work_model.io_slots) = (32.0, 64.0);
 }
 
 fn settings(value: &mut Value) {
@@ -49,8 +49,8 @@
     format!("SELECT * FROM arrears /* work={work} threads=1 */")
 }
 
-fn patient(mut ask: Ask) -> Ask {
-    ask.patience = Duration::from_secs(20);
+fn patient(mut ask: ClientRequest) -> ClientRequest {
+    ask.timeout = Duration::from_secs(20);
     ask
 }
 
@@ -79,9 +79,9 @@
 }
 
 /// The name of a submission's statement, as the engine got it.
-fn name_of(ask: &Ask) -> String {
+fn name_of(ask: &ClientRequest) -> String {
     // Statements of a router are numbered in the order of their coming, which is that of these asks.
-    format!("statement r1/{:05}_lifelife", ask.request)
+    format!("statement r1/{:05}_lifelife", ask.id)
 }
 
 #[test]
@@ -94,7 +94,7 @@
     std::thread::scope(|s| {
         let all = [&plain, &announced].map(|ask| s.spawn(|| stage.run(ask).0));
         all.into_iter()
-            .for_each(|a| assert_eq!(a.join().expect("ends"), Came::Served(300)));
+            .for_each(|a| assert_eq!(a.join().expect("ends"), ClientOutcome::Served(300)));
     });
     assert_eq!(ever(&stage.runaways()), 0, "{:#}", stage.runaways());
     let long = patient(stage.ask("report", &report("90s")));
@@ -111,7 +111,7 @@
         assert_eq!(all["holds"][0]["atOnce"], json!(1));
         // The default names and holds only: its client has its answer when its patience is over, and not before.
         assert!(
-            matches!(run.join().expect("ends"), Came::Refused(name, _) if name == "HOPTILLER_REFUSED")
+            matches!(run.join().expect("ends"), ClientOutcome::Rejected { error: name, .. } if name == "HOPTILLER_REFUSED")
         );
     });
     stage.assert_rules_kept();
@@ -137,11 +137,11 @@
             &format!("SELECT rent FROM due /* work=20ms set=7 {n} */"),
         ));
         ask.tags = "tables=due".into();
-        ask.patience = Duration::from_millis(7400);
+        ask.timeout = Duration::from_millis(7400);
         ask
     };
     // Enough of them that forty meet the load's engine.
-    let first: Vec<Ask> = (0..90).map(lookup).collect();
+    let first: Vec<ClientRequest> = (0..90).map(lookup).collect();
     std::thread::scope(|s| {
         let posting = s.spawn(|| stage.run(&load).0);
         stage.wait_until_sent(&load);
@@ -161,10 +161,10 @@
             Some(1)
         );
         // From now on, what reads those tables is sent elsewhere, and is served.
-        let second: Vec<Ask> = (100..130).map(lookup).collect();
+        let second: Vec<ClientRequest> = (100..130).map(lookup).collect();
         for ask in &second {
             assert!(
-                matches!(stage.run(ask).0, Came::Served(_)),
+                matches!(stage.run(ask).0, ClientOutcome::Served(_)),
                 "kept away from the load's engine"
             );
         }
@@ -173,7 +173,7 @@
             .for_each(|b| _ = b.join().expect("ends"));
         assert_eq!(
             posting.join().expect("ends"),
-            Came::Failed(MAY_HAVE_RUN.into())
+            ClientOutcome::Failed(MAY_HAVE_RUN.into())
         );
     });
     assert!(verdicts(&stage.runaways(), "runaway").len() <= 1);
@@ -187,9 +187,9 @@
     let short = "SELECT name FROM tenants /* work=60ms */";
     stage.teach("report", REPORT, 48);
     stage.teach("lookup", short, 48);
-    stage.engines[1].fail(Faults {
-        slow: Some(15.0),
-        ..Faults::default()
+    stage.engines[1].inject_faults(EngineFaults {
+        slowdown: Some(15.0),
+        ..EngineFaults::default()
     });
     let found = AtomicBool::new(false);
     std::thread::scope(|s| {
@@ -214,10 +214,10 @@
     let stage = stage(2);
     stage.teach("lookup", "SELECT a FROM t /* work=60ms */", 48);
     let honest = patient(stage.ask("lookup", "SELECT new, honest FROM t /* work=900ms */"));
-    assert!(matches!(stage.run(&honest).0, Came::Served(_)));
+    assert!(matches!(stage.run(&honest).0, ClientOutcome::Served(_)));
     assert_eq!(ever(&stage.runaways()), 0);
     let mut long = stage.ask("lookup", "SELECT new, heavy FROM t /* work=300s */");
-    long.patience = Duration::from_millis(7400);
+    long.timeout = Duration::from_millis(7400);
     std::thread::scope(|s| {
         s.spawn(|| stage.run(&long).0);
         let all = stage.wait_for_runaways("it", |all| !runaways(all).is_empty());
@@ -248,9 +248,9 @@
         );
         [first, second].map(|t| t.join().expect("ends"))
     });
-    assert_eq!(came[0], Came::Served(1), "the older one goes on");
+    assert_eq!(came[0], ClientOutcome::Served(1), "the older one goes on");
     assert!(
-        matches!(&came[1], Came::Refused(name, _) if name == ENDED),
+        matches!(&came[1], ClientOutcome::Rejected { error: name, .. } if name == ENDED),
         "{came:?}"
     );
     assert_eq!((stage.posted(&one), stage.posted(&two)), (1, 0));
@@ -261,11 +261,11 @@
 #[test]
 fn a_load_that_was_ended_is_harmless_only_with_proof_of_rollback() {
     for (faults, want) in [
-        (Faults::default(), ENDED),
+        (EngineFaults::default(), ENDED),
         (
-            Faults {
-                no_proof: true,
-                ..Faults::default()
+            EngineFaults {
+                withhold_effects: true,
+                ..EngineFaults::default()
             },
             MAY_HAVE_RUN,
         ),
@@ -273,15 +273,21 @@
         let stage = stage_that_ends(2);
         stage.teach("rent-load", "INSERT INTO due /* work=50ms */", 48);
         stage.engines.iter().for_each(|e| {
-            e.fail(Faults {
-                only: Some("rent-load".into()),
+            e.inject_faults(EngineFaults {
+                only_class: Some("rent-load".into()),
                 ..faults.clone()
             })
         });
         let load = patient(stage.ask("rent-load", "INSERT INTO due /* work=90s */"));
         match (stage.run(&load).0, want) {
-            (Came::Refused(name, Some(_)), ENDED) => assert_eq!(name, ENDED),
-            (Came::Failed(name), MAY_HAVE_RUN) => assert_eq!(name, MAY_HAVE_RUN),
+            (
+                ClientOutcome::Rejected {
+                    error: name,
+                    retry_after: Some(_),
+                },
+                ENDED,
+            ) => assert_eq!(name, ENDED),
+            (ClientOutcome::Failed(name), MAY_HAVE_RUN) => assert_eq!(name, MAY_HAVE_RUN),
             (other, _) => panic!("{other:?} instead of {want}"),
         }
         assert_eq!(
@@ -300,11 +306,12 @@
     let long = patient(stage.ask("report", &report("90s")));
     let (came, client) = stage.run(&long);
     assert!(
-        matches!(&came, Came::Refused(name, Some(_)) if name == ENDED),
+        matches!(&came, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED),
         "{came:?}"
     );
     let last =
-        String::from_utf8_lossy(&client.answers.last().expect("an answer").1.body).into_owned();
+        String::from_utf8_lossy(&client.responses().last().expect("an answer").response.body)
+            .into_owned();
     assert!(
         last.contains("a rule of this installation ends it"),
         "{last}"
@@ -323,7 +330,7 @@
     stage.teach("report", REPORT, 48);
     let long = patient(stage.ask("report", &report("9s")));
     let began = std::time::Instant::now();
-    assert_eq!(stage.run(&long).0, Came::Served(300));
+    assert_eq!(stage.run(&long).0, ClientOutcome::Served(300));
     // Its work takes nine seconds of moving; only a lower bound, so that a slow machine changes nothing.
     assert!(
         began.elapsed() >= Duration::from_millis(13_500),
@@ -344,15 +351,18 @@
 fn one_that_finishes_as_it_is_being_ended_gives_its_rows() {
     let stage = stage_that_ends(2);
     stage.teach("rent-load", "INSERT INTO due /* work=50ms threads=1 */", 48);
-    let late = Faults {
-        finish_first: true,
-        only: Some("rent-load".into()),
-        ..Faults::default()
+    let late = EngineFaults {
+        kill_after_finish: true,
+        only_class: Some("rent-load".into()),
+        ..EngineFaults::default()
     };
-    stage.engines.iter().for_each(|e| e.fail(late.clone()));
+    stage
+        .engines
+        .iter()
+        .for_each(|e| e.inject_faults(late.clone()));
     // Beyond its bound of 3 s from the first, and done some 8 s after it began.
     let load = patient(stage.ask("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
-    assert_eq!(stage.run(&load).0, Came::Served(1));
+    assert_eq!(stage.run(&load).0, ClientOutcome::Served(1));
     let all = stage.runaways();
     assert!(
         all["past"]
@@ -388,7 +398,7 @@
     std::thread::scope(|s| {
         s.spawn(move || {
             let mut ask = load;
-            ask.manner.leaves_after = Some(2);
+            ask.options.abandon_after = Some(2);
             futures_lite::future::block_on(Client::new("r1", from, recorder).run(&ask))
         });
         stage.wait_until_sent(&trace);
@@ -402,7 +412,7 @@
             s.spawn(|| {
                 while !over.load(Ordering::Relaxed) {
                     let mut ask = stage.ask("lookup", "SELECT rent FROM due /* work=20ms set=7 */");
-                    ask.patience = Duration::from_millis(7400);
+                    ask.timeout = Duration::from_millis(7400);
                     let mut client = Client::new("r2", addr, stage.recorder.clone());
                     futures_lite::future::block_on(client.run(&ask));
                 }
@@ -486,7 +496,7 @@
         "{all:#}"
     );
     let mut long = stage.ask("lookup", "SELECT a FROM t /* work=300s */");
-    long.patience = Duration::from_millis(7400);
+    long.timeout = Duration::from_millis(7400);
     std::thread::scope(|s| {
         s.spawn(|| stage.run(&long).0);
         let all = stage.wait_for_runaways("it", |all| !runaways(all).is_empty());
@@ -508,7 +518,7 @@
         let admin = stage.settings.router.admin.expect("set");
         send_to(admin, &Request::new(Method::Delete, path)).status.0
     };
-    let ten: Vec<Ask> = (0..10)
+    let ten: Vec<ClientRequest> = (0..10)
         .map(|_| patient(stage.ask("report", &report("2s"))))
         .collect();
     std::thread::scope(|s| {
@@ -521,7 +531,7 @@
         let runs: Vec<_> = ten.iter().map(|ask| s.spawn(|| stage.run(ask).0)).collect();
         stage.wait_until_sent_any(&ten);
         let other = patient(stage.ask("report", "SELECT other FROM t /* work=50ms */"));
-        assert!(matches!(stage.run(&other).0, Came::Served(_)));
+        assert!(matches!(stage.run(&other).0, ClientOutcome::Served(_)));
         let sent = ten.iter().filter(|ask| stage.sent(ask) > 0).count();
         assert!(sent <= 2, "{sent} of ten were sent");
         assert_eq!(delete("/v1/admin/holds/0000000000000001"), 404);
@@ -533,7 +543,7 @@
                 .is_some_and(Vec::is_empty)
         );
         runs.into_iter()
-            .for_each(|r| assert_eq!(r.join().expect("ends"), Came::Served(300)));
+            .for_each(|r| assert_eq!(r.join().expect("ends"), ClientOutcome::Served(300)));
     });
     stage.assert_rules_kept();
 }
