--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -76,7 +76,7 @@
         lines.flush().map_err(outside)?;
         let curves: Vec<(String, Vec<f64>, usize)> = told
             .iter()
-            .map(|t| (t.condition.word(), t.found.clone(), t.planted))
+            .map(|t| (t.condition.description(), t.found.clone(), t.planted))
             .collect();
         let svg = chart::found_by_time(&curves, &LIMITS);
         fs::write(dir.join("runaways.svg"), svg).map_err(outside)?;
@@ -152,14 +152,14 @@
         let sum = |of: &dyn Fn(&Figures) -> usize| runs.iter().map(|f| of(f)).sum::<usize>();
         let mut found: Vec<f64> = runs
             .iter()
-            .flat_map(|f| f.found.iter().filter_map(|x| x.1))
+            .flat_map(|f| f.detections.iter().filter_map(|d| d.found_after))
             .collect();
         found.sort_by(f64::total_cmp);
         let mut by_cause: BTreeMap<&'static str, (usize, Vec<f64>)> = BTreeMap::new();
-        for (what, after) in runs.iter().flat_map(|f| &f.found) {
-            let of = by_cause.entry(what).or_default();
+        for detection in runs.iter().flat_map(|f| &f.detections) {
+            let of = by_cause.entry(detection.case.name()).or_default();
             of.0 += 1;
-            of.1.extend(after);
+            of.1.extend(detection.found_after);
         }
         by_cause
             .values_mut()
@@ -167,23 +167,23 @@
         let limit = |(at, l): (usize, &u64)| {
             (
                 *l,
-                sum(&|f| f.limits[at].1),
-                sum(&|f| f.limits[at].2),
-                sum(&|f| f.limits[at].3),
+                sum(&|f| f.limits[at].runaways),
+                sum(&|f| f.limits[at].large),
+                sum(&|f| f.limits[at].others),
             )
         };
         Told {
             condition,
-            planted: sum(&|f| f.found.len()),
+            planted: sum(&|f| f.detections.len()),
             found,
             by_cause,
             large: (sum(&|f| f.large), sum(&|f| f.large_flagged)),
             others: (sum(&|f| f.others), sum(&|f| f.others_flagged)),
             notices: sum(&|f| f.notices),
             limits: LIMITS.iter().enumerate().map(limit).collect(),
-            worth: runs.iter().map(|f| f.worth).sum::<f64>() / runs.len().max(1) as f64,
-            behind: (sum(&|f| f.behind), sum(&|f| f.behind_on_time)),
-            fallen: sum(&|f| f.fallen),
+            worth: runs.iter().map(|f| f.value_in_time).sum::<f64>() / runs.len().max(1) as f64,
+            behind: (sum(&|f| f.behind_load), sum(&|f| f.behind_load_in_time)),
+            fallen: sum(&|f| f.engine_crashes),
         }
     }
 
@@ -255,7 +255,7 @@
         let behind = t.behind.1 as f64 / (t.behind.0 as f64).max(1.0);
         println!(
             "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
-            t.condition.word(),
+            t.condition.description(),
             format!("{} of {}", t.found.len(), t.planted),
             seconds(at(&t.found, 0.5)),
             seconds(at(&t.found, 0.95)),
@@ -275,7 +275,7 @@
         "worth: answered on time, of all. behind a load: lookups whose tables a planted load held, on time.\n"
     );
     for t in told {
-        println!("{}, by what was planted", t.condition.word());
+        println!("{}, by what was planted", t.condition.description());
         for (cause, (n, found)) in &t.by_cause {
             println!(
                 "  {cause:<16} {} of {n}, p50 {}, p95 {}, latest {}",
@@ -287,7 +287,10 @@
         }
     }
     if let Some(t) = told.first() {
-        println!("\nfixed limits in the same runs ({})", t.condition.word());
+        println!(
+            "\nfixed limits in the same runs ({})",
+            t.condition.description()
+        );
         for (limit, found, large, others) in &t.limits {
             println!(
                 "  {limit:>3} s: finds {found} of {} runaways, flags {large} of {} large reports and {others} others",
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,13 +1,14 @@
-//! The service in simulated time: the same router cores, decisions and engine models that the sockets use, with
-//! the way between them, the clock and the clients replaced. Same plan and seed: same run.
+//! The service in simulated time: the router cores, decisions and work models of the programs, with the network, the clock
+//! and the clients replaced. The same plan and seed give the same run.
 //!
-//! - [`plan`]: what is drawn ahead: engines, statements and when they come.
-//! - [`world`]: the events, and what became of each statement.
-//! - [`study`]: the study of runaways.
+//! - [`plan`]: what is drawn before a run: engines, statements and when they are submitted;
+//! - [`simulation`]: the run of a plan, event by event;
+//! - [`run`]: what a run records;
+//! - [`study`]: the study of runaway detection.
+
+#![warn(missing_docs)]
 
 pub mod plan;
+pub mod run;
+pub mod simulation;
 pub mod study;
-pub mod world;
-
-pub use plan::{Engine, Plan, Planted, Statement};
-pub use world::{Attempt, Came, Run, play};
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,95 +1,95 @@
-//! Owns what is drawn ahead of a run, so that two runs of a plan differ only by what the routers decide.
+//! What is drawn before a run, so that two runs of a plan differ only by what the routers decide.
 
 use hoptiller_mock_servers::work_model::{Job, WorkModelParameters};
 use hoptiller_policy::Micros;
 use hoptiller_runaway::Announced;
 use hoptiller_statement_router::Settings;
 
-/// An engine.
+/// An engine of a plan.
 #[derive(Clone, Debug)]
-pub struct Engine {
-    /// Its machine kind, by number.
+pub struct PlannedEngine {
+    /// Its machine kind, by its index in the settings.
     pub kind: usize,
-    /// Its zone, by number.
+    /// Its zone, by its index in the settings.
     pub zone: usize,
-    /// How it works.
+    /// Its size, speed and limits.
     pub parameters: WorkModelParameters,
 }
 
-/// Why a statement is in the plan beside the usual ones.
+/// Why a statement stands in a plan beside the usual ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Planted {
-    /// A runaway: far more work than its kind.
+pub enum PlantedCase {
+    /// A runaway: far more work than others of its fingerprint.
     Heavy,
-    /// A runaway: far more work for the rows it reads.
+    /// A runaway: far more work for the rows that it reads.
     BadPlan,
-    /// A runaway: a load that holds what others wait for.
+    /// A runaway: a load that locks what others wait for.
     BlockingLoad,
-    /// Large, and honest: ten times its kind's median.
+    /// Not a runaway: ten times the median work of its fingerprint.
     Large,
-    /// Large, honest and announced.
+    /// Not a runaway: large, and announced by its client.
     Announced,
 }
 
-impl Planted {
-    /// Whether it should be found.
+impl PlantedCase {
+    /// Whether the statement should be found.
     pub fn is_runaway(self) -> bool {
         matches!(
             self,
-            Planted::Heavy | Planted::BadPlan | Planted::BlockingLoad
+            PlantedCase::Heavy | PlantedCase::BadPlan | PlantedCase::BlockingLoad
         )
     }
 
-    /// A word for tables.
-    pub fn word(self) -> &'static str {
+    /// The name in tables and stored figures.
+    pub fn name(self) -> &'static str {
         match self {
-            Planted::Heavy => "heavy",
-            Planted::BadPlan => "bad plan",
-            Planted::BlockingLoad => "blocking load",
-            Planted::Large => "large",
-            Planted::Announced => "large, announced",
+            PlantedCase::Heavy => "heavy",
+            PlantedCase::BadPlan => "bad plan",
+            PlantedCase::BlockingLoad => "blocking load",
+            PlantedCase::Large => "large",
+            PlantedCase::Announced => "large, announced",
         }
     }
 }
 
-/// A statement that will come.
+/// A statement of a plan.
 #[derive(Clone, Debug)]
-pub struct Statement {
-    /// When.
-    pub at: Micros,
-    /// To which router.
+pub struct PlannedStatement {
+    /// When it is submitted, in µs after the start of the run.
+    pub submitted_at: Micros,
+    /// The router to which it is submitted.
     pub router: usize,
-    /// Its class, by number.
+    /// Its class, by its index in the settings.
     pub class: usize,
-    /// Its kind.
+    /// Its fingerprint.
     pub fingerprint: u64,
-    /// What it is to engines.
+    /// Its demand on an engine.
     pub job: Job,
-    /// Rows that it reads.
-    pub reads: u64,
+    /// Number of rows that it reads.
+    pub rows_read: u64,
     /// The group of tables that it names.
     pub tables: Option<String>,
-    /// What it announces.
+    /// What its client announces of it.
     pub announced: Announced,
-    /// Why it is planted, if it is.
-    pub planted: Option<Planted>,
+    /// Why it is planted; `None` for the usual ones.
+    pub planted: Option<PlantedCase>,
 }
 
-/// A run, drawn ahead.
+/// A run, drawn before it begins.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The settings of the routers; their number is `router.of`.
+    /// The settings of the routers; they also say how many there are.
     pub settings: Settings,
     /// The engines.
-    pub engines: Vec<Engine>,
-    /// What comes, by time.
-    pub statements: Vec<Statement>,
-    /// When it ends.
-    pub lasts: Micros,
-    /// Engines tell progress, work and who stands behind whom.
-    pub notes: bool,
-    /// Engines tell their load.
-    pub reports: bool,
-    /// Noise of the share done that engines tell: up to this part more or less.
-    pub rough: f64,
+    pub engines: Vec<PlannedEngine>,
+    /// The statements, in the order of their submission.
+    pub statements: Vec<PlannedStatement>,
+    /// Length of the run in µs.
+    pub duration: Micros,
+    /// Whether engines report progress, work done and what blocks a statement.
+    pub reports_progress: bool,
+    /// Whether engines report their load.
+    pub reports_load: bool,
+    /// Noise of the reported progress: up to this fraction more or less.
+    pub progress_noise: f64,
 }
--- a/crates/emulator/src/study/tests.rs
+++ b/crates/emulator/src/study/tests.rs
@@ -1,6 +1,7 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
+use super::workload::SECOND;
 use super::*;
 
 /// A study that several tests look at.
@@ -12,31 +13,34 @@
 }
 
 #[test]
-fn a_run_finds_what_is_planted_and_nothing_else() {
-    let one = &*STUDY;
-    assert_eq!(one.found.len(), 6, "{one:?}");
+fn every_planted_runaway_is_found_and_nothing_else_is_flagged() {
+    let figures = &*STUDY;
+    assert_eq!(figures.detections.len(), 6, "{figures:?}");
     assert!(
-        one.found.iter().all(|f| f.1.is_some_and(|s| s < 30.0)),
+        figures
+            .detections
+            .iter()
+            .all(|detection| detection.found_after.is_some_and(|s| s < 30.0)),
         "{:?}",
-        one.found
+        figures.detections
     );
     assert_eq!(
-        (one.large, one.large_flagged, one.others_flagged),
+        (figures.large, figures.large_flagged, figures.others_flagged),
         (4, 0, 0),
-        "{one:?}"
+        "{figures:?}"
     );
-    assert!(one.others > 20_000 && one.worth > 0.8);
+    assert!(figures.others > 20_000 && figures.value_in_time > 0.8);
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let mut plan = draw(&settings(), Condition::ALL[0], 2, 8);
-    plan.lasts = 20 * S;
-    let one = format!("{:?}", play(&plan, 2).attempts);
-    assert!(one.len() > 10_000 && one == format!("{:?}", play(&plan, 2).attempts));
+fn the_same_seed_gives_the_same_attempts_and_another_seed_gives_others() {
+    let mut plan = draw_plan(&settings(), Condition::ALL[0], 2, 8);
+    plan.duration = 20 * SECOND;
+    let first = format!("{:?}", simulate(&plan, 2).attempts);
+    assert!(first.len() > 10_000 && first == format!("{:?}", simulate(&plan, 2).attempts));
     assert_ne!(
-        one,
-        format!("{:?}", play(&plan, 3).attempts),
+        first,
+        format!("{:?}", simulate(&plan, 3).attempts),
         "the routers' draws follow the seed"
     );
 }
@@ -52,20 +56,20 @@
 #[test]
 fn the_attempts_of_short_seeded_runs_are_pinned_under_all_conditions() {
     let digests = Condition::ALL.map(|condition| {
-        let mut plan = draw(&settings(), condition, 7, 5);
-        plan.lasts = 30 * S;
-        let run = play(&plan, 7);
+        let mut plan = draw_plan(&settings(), condition, 7, 5);
+        plan.duration = 30 * SECOND;
+        let run = simulate(&plan, 7);
         digest(run.attempts.iter().map(|a| {
-            let (over, stood) = (a.over, &a.stood);
+            let (ended, stalls) = (a.ended_at, &a.observed_stalls);
             format!(
-                "{} {} {} {over:?} {stood:?};",
-                a.statement, a.engine, a.began
+                "{} {} {} {ended:?} {stalls:?};",
+                a.statement, a.engine, a.started_at
             )
         }))
     });
     let usual = 0x9d98_cbff_b984_84ed;
     let (no_progress, no_load) = (0x3c8e_a74b_ed92_bb92, 0x3ca0_87cd_417e_21ac);
-    // Nothing is held or ended before the statistics are known.
+    // Nothing is held or killed before the statistics are known.
     assert_eq!(
         digests,
         [usual, usual, usual, no_progress, no_load],
@@ -83,11 +87,11 @@
 }
 
 #[test]
-fn the_figures_of_a_seeded_study_that_ends_runaways_are_pinned() {
+fn the_figures_of_a_seeded_study_that_kills_runaways_are_pinned() {
     let condition = Condition::ALL[2];
-    let mut plan = draw(&settings(), condition, 11, 8);
-    plan.lasts = 330 * S;
-    let figures = figures(&plan, &play(&plan, 11), condition, 11);
+    let mut plan = draw_plan(&settings(), condition, 11, 8);
+    plan.duration = 330 * SECOND;
+    let figures = Figures::new(&plan, &simulate(&plan, 11), condition, 11);
     let stored = serde_json::to_string(&figures).expect("figures are plain data");
     assert_eq!(
         stored,
