--- a/crates/cli/src/commands/day/stage.rs
+++ b/crates/cli/src/commands/day/stage.rs
@@ -73,14 +73,14 @@
                 .checked
                 .kinds
                 .iter()
-                .find(|k| k.0 == e.kind)
-                .map_or(8.0, |k| k.1);
-            config.work_model.cancel_stops_work = plan.checked.engines.cancel;
+                .find(|k| k.name == e.kind)
+                .map_or(8.0, |k| k.cores);
+            config.work_model.cancel_stops_work = plan.checked.engines.supports_cancel;
             // What the rules say of cold engines is true of these.
-            config.work_model.warm_up_micros = r.ramp.as_micros() as u64;
+            config.work_model.warm_up_micros = r.slow_start_window.as_micros() as u64;
             config.work_model.cold_speed_fraction = r.start_capacity;
-            config.work_model.overload_factor = r.overload;
-            config.work_model.overload_window_micros = r.fall.as_micros() as u64;
+            config.work_model.overload_factor = r.overload_factor;
+            config.work_model.overload_window_micros = r.overload_window.as_micros() as u64;
             let running = config.start().map_err(outside(&name))?;
             config.listen = running.addr;
             config.starts_cold = true;
--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -183,7 +183,7 @@
         let page = ResultPage {
             is_last: true,
             load_report: self.load_report(engine),
-            work: self.plan.settings.engines.bills.then_some(work),
+            work: self.plan.settings.engines.reports_work.then_some(work),
             ..ResultPage::default()
         };
         let AttemptId { statement, number } = ended.attempt;
--- a/crates/emulator/src/simulation/routers.rs
+++ b/crates/emulator/src/simulation/routers.rs
@@ -7,7 +7,7 @@
     Attempt, AttemptOutcome, Command, Core, CoreLimits, RouterIdentity, StatementId,
 };
 use hoptiller_runaway::{Finding, Proof, RunawayDetector};
-use hoptiller_statement_router::service::ANSWER_MARGIN;
+use hoptiller_statement_router::service::RESPONSE_MARGIN;
 
 use super::events::{AttemptId, SimulatedEvent};
 use super::{ONE_WAY_LATENCY, Simulation};
@@ -64,7 +64,7 @@
 /// The routers of a plan.
 pub(super) fn routers(plan: &Plan, seed: u64) -> Vec<SimulatedRouter> {
     let limits = core_limits(plan);
-    (0..plan.settings.router.of)
+    (0..plan.settings.router.fleet_size)
         .map(|index| {
             let mut settings = plan.settings.clone();
             settings.router.index = index;
@@ -72,9 +72,9 @@
                 router: format!("r{index}"),
                 incarnation: "emulated".into(),
             };
-            let detector = RunawayDetector::new(settings.watch());
+            let detector = RunawayDetector::new(settings.runaway_settings());
             let core = Core::new(
-                settings.decisions(),
+                settings.policy_settings(),
                 seed ^ u64::from(index),
                 limits,
                 Some(detector),
@@ -89,12 +89,12 @@
 fn core_limits(plan: &Plan) -> CoreLimits {
     let limits = &plan.settings.limits;
     CoreLimits {
-        max_open_statements: limits.statements,
-        max_retained_responses: limits.answered,
-        retention: limits.keep.as_micros() as Micros,
+        max_open_statements: limits.max_open_statements,
+        max_retained_responses: limits.max_retained_responses,
+        retention: limits.retention.as_micros() as Micros,
         abandon_after: ABANDON_AFTER,
-        max_buffered_bytes: limits.held_bytes,
-        response_margin: ANSWER_MARGIN,
+        max_buffered_bytes: limits.max_buffered_bytes,
+        response_margin: RESPONSE_MARGIN,
     }
 }
 
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -295,15 +295,15 @@
     fn value_fraction(&self, index: usize) -> f64 {
         let statement = &self.plan.statements[index];
         let class = &self.plan.settings.classes[statement.class];
-        let objective =
-            class.aim.as_secs_f64() * 1e6 + class.stretch * statement.job.work / class.threads;
+        let objective = class.latency_objective.as_secs_f64() * 1e6
+            + class.objective_stretch * statement.job.work / class.threads;
         match &self.record.ends[index] {
             Some(end) if end.outcome == StatementOutcome::Served => {
                 let response_time = (end.at - CLOCK_START - statement.submitted_at) as f64;
                 if response_time <= objective {
                     1.0
                 } else {
-                    class.late_worth
+                    class.late_weight_ratio
                 }
             }
             _ => 0.0,
@@ -318,7 +318,7 @@
                 continue;
             }
             let fraction = self.value_fraction(index);
-            let value = self.plan.settings.classes[statement.class].worth;
+            let value = self.plan.settings.classes[statement.class].priority_weight;
             sums.value_in_time += fraction * value;
             sums.total_value += value;
             if statement.class == LOOKUP && is_behind_load(statement, &locked_tables) {
--- a/crates/emulator/src/study/workload.rs
+++ b/crates/emulator/src/study/workload.rs
@@ -148,13 +148,13 @@
 
 fn conditioned_settings(settings: &Settings, condition: Condition) -> Settings {
     let mut settings = settings.clone();
-    settings.engines.reports = condition.reports_load;
-    settings.engines.probes &= condition.reports_load;
-    for acts in &mut settings.runaways.acts {
+    settings.engines.load_reports = condition.reports_load;
+    settings.engines.health_checks &= condition.reports_load;
+    for acts in &mut settings.runaways.enforcement {
         acts.hold &= condition.holds_runaways;
         acts.end |= condition.kills_runaways;
     }
-    settings.runaways.end_after = KILL_AFTER;
+    settings.runaways.kill_after = KILL_AFTER;
     settings
 }
 
@@ -239,7 +239,9 @@
         let traffic = &TRAFFIC[class];
         let class_settings = &self.settings.classes[class];
         let table_group = self.rng.random_range(0..TABLE_GROUPS);
-        let router = self.rng.random_range(0..self.settings.router.of as usize);
+        let router = self
+            .rng
+            .random_range(0..self.settings.router.fleet_size as usize);
         PlannedStatement {
             submitted_at,
             router,
@@ -249,7 +251,7 @@
                 io_fraction: traffic.io_fraction,
                 memory_mb: traffic.memory_mb,
                 data_set: Some(table_group),
-                locks_data_sets: class_settings.holds,
+                locks_data_sets: class_settings.holds_tables,
                 ..Job::new(work, class_settings.threads)
             },
             rows_read: (work / WORK_PER_ROW) as u64,
