--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -74,7 +74,7 @@
         simulation
     }
 
-    /// Tells all routers the endpoint list, which stays the same for the whole run.
+    /// Sends all routers the endpoint list, which stays the same for the whole run.
     fn list_engines(&mut self) {
         let endpoints: Vec<EndpointEntry> =
             (0u32..).zip(&self.plan.engines).map(endpoint).collect();
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -29,7 +29,7 @@
         self.process_router(router);
     }
 
-    /// Takes all responses that are there for a statement.
+    /// Polls a statement until no further response is ready.
     pub(super) fn poll_responses(&mut self, router: usize, id: StatementId) {
         loop {
             let now = self.now;
--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Runs a job to its end without telling its router.
+    /// Lets a job run to its end without a report to its router.
     pub(super) fn abandon(&mut self, job: u64) {
         if let Some(admitted) = self.admitted.get_mut(&job) {
             admitted.is_abandoned = true;
--- a/crates/emulator/src/simulation/events.rs
+++ b/crates/emulator/src/simulation/events.rs
@@ -18,7 +18,7 @@
 pub(super) enum SimulatedEvent {
     /// A client submits a statement.
     Submission { statement: usize },
-    /// A router takes its decisions on what it has received.
+    /// A router decides on what it has received.
     DecisionBatch { router: usize },
     /// An attempt reaches its engine.
     AttemptArrival {
@@ -63,7 +63,7 @@
         }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
         self.events.pop().map(|Reverse(scheduled)| scheduled)
     }
--- a/crates/emulator/src/simulation/routers.rs
+++ b/crates/emulator/src/simulation/routers.rs
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Tells a router how an attempt ended.
+    /// Reports the end of an attempt to its router.
     pub(super) fn finish_attempt(
         &mut self,
         router: usize,
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -267,7 +267,7 @@
         Some(((flagged - started) as f64 / 1e6 - blocked_seconds).max(0.0))
     }
 
-    /// How often a statement was seen to be blocked until then; each time stands for a second.
+    /// Number of polls until then at which a statement was blocked; each counts for one second, the poll interval.
     fn observed_stalls(&self, statement: usize, until: Micros) -> usize {
         let attempts = self.record.attempts.iter();
         attempts
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -31,7 +31,7 @@
 
 type ClientConnection = Connection<Async<TcpStream>>;
 
-/// A response of the statement API, with where it came from.
+/// A response of the statement API, with the path that was requested.
 #[derive(Clone, Debug)]
 pub struct ReceivedResponse {
     /// The path that was requested.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The responses to the last statement, in the order in which they came.
+    /// The responses to the last statement, in the order in which they were received.
     pub fn responses(&self) -> &[ReceivedResponse] {
         &self.responses
     }
--- a/crates/mock-servers/src/engine/state.rs
+++ b/crates/mock-servers/src/engine/state.rs
@@ -90,7 +90,7 @@
     pub(super) model: WorkModel,
     pub(super) is_draining: bool,
     started: Instant,
-    /// Tells this process from the one before; the URIs of its statements do not.
+    /// Distinguishes this process from the one before in query ids; the URIs of its statements do not.
     process: u64,
     statements: BTreeMap<u64, Statement>,
     next_number: u64,
--- a/crates/mock-servers/src/work_model.rs
+++ b/crates/mock-servers/src/work_model.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What blocks a statement: it has no memory yet, another that came before it has its data set locked, or any other
+    /// What blocks a statement: it has no memory yet, another that was admitted before it has its data set locked, or any other
     /// has the data set that it needs next.
     fn blocked_state(&self, id: u64, execution: &SimulatedExecution) -> Option<BlockedState> {
         if execution.is_paused() {
--- a/crates/mock-servers/src/work_model/tests.rs
+++ b/crates/mock-servers/src/work_model/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-const S: u64 = 1_000_000;
+/// A second in µs.
+const SECOND: u64 = 1_000_000;
 
 fn job(work: f64) -> Job {
     Job {
@@ -10,13 +11,13 @@
 }
 
 fn warm(parameters: WorkModelParameters) -> WorkModel {
-    WorkModel::new(parameters, 100 * S, false)
+    WorkModel::new(parameters, 100 * SECOND, false)
 }
 
 /// When each of the jobs ends, in ms after they were all admitted at once.
 fn end_times_ms(model: &mut WorkModel, jobs: Vec<Job>) -> Vec<u64> {
     let n = jobs.len();
-    let start = 100 * S;
+    let start = 100 * SECOND;
     for (id, job) in jobs.into_iter().enumerate() {
         assert_eq!(model.admit(start, id as u64, job), Admission::Admitted);
     }
@@ -110,16 +111,16 @@
         cold_speed_fraction: 0.5,
         ..WorkModelParameters::default()
     };
-    let mut cold = WorkModel::new(parameters.clone(), 100 * S, true);
+    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND, true);
     let slow = end_times_ms(&mut cold, vec![job(1e6)])[0];
     assert!((1500..2000).contains(&slow), "{slow}");
     // Half a core for 2 s, three times: 3 s of work and no more.
-    let mut cold = WorkModel::new(parameters.clone(), 100 * S, true);
-    assert_eq!(cold.admit(100 * S, 0, job(2.9e6)), Admission::Admitted);
-    assert_eq!(cold.admit(100 * S, 1, job(0.2e6)), Admission::Crashed);
+    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND, true);
+    assert_eq!(cold.admit(100 * SECOND, 0, job(2.9e6)), Admission::Admitted);
+    assert_eq!(cold.admit(100 * SECOND, 1, job(0.2e6)), Admission::Crashed);
     assert!(cold.has_crashed() && cold.next_event_at().is_none());
     let mut warm = warm(parameters);
-    assert_eq!(warm.admit(100 * S, 0, job(9e6)), Admission::Admitted);
+    assert_eq!(warm.admit(100 * SECOND, 0, job(9e6)), Admission::Admitted);
 }
 
 #[test]
@@ -134,9 +135,9 @@
         }),
         ..job(1e6)
     };
-    model.admit(100 * S, 0, load(1, 2));
-    model.admit(100 * S, 1, load(2, 1));
-    assert!(model.advance(200 * S).is_empty());
+    model.admit(100 * SECOND, 0, load(1, 2));
+    model.admit(100 * SECOND, 1, load(2, 1));
+    assert!(model.advance(200 * SECOND).is_empty());
     let blocked = |model: &WorkModel, id| model.progress(id).and_then(|p| p.blocked);
     assert_eq!(
         (blocked(&model, 0), blocked(&model, 1)),
@@ -149,8 +150,8 @@
         model.progress(0).map(|c| (c.completed * 100.0).round()),
         Some(50.0)
     );
-    assert!(model.kill(200 * S, 1) && !model.kill(200 * S, 1));
-    assert_eq!(model.advance(201 * S), [0]);
+    assert!(model.kill(200 * SECOND, 1) && !model.kill(200 * SECOND, 1));
+    assert_eq!(model.advance(201 * SECOND), [0]);
 }
 
 #[test]
@@ -161,17 +162,20 @@
         data_set: Some(1),
         ..job(1e6)
     };
-    model.admit(100 * S, 0, load.clone());
+    model.admit(100 * SECOND, 0, load.clone());
     model.admit(
-        100 * S,
+        100 * SECOND,
         1,
         Job {
             locks_data_sets: false,
             ..load
         },
     );
-    assert!(model.set_paused(100 * S + S / 2, 0, true) && !model.set_paused(100 * S, 9, true));
-    assert!(model.advance(200 * S).is_empty());
+    assert!(
+        model.set_paused(100 * SECOND + SECOND / 2, 0, true)
+            && !model.set_paused(100 * SECOND, 9, true)
+    );
+    assert!(model.advance(200 * SECOND).is_empty());
     assert_eq!(
         model.progress(0).and_then(|c| c.blocked),
         Some(BlockedState::Paused)
@@ -180,10 +184,10 @@
         model.progress(1).and_then(|c| c.blocked),
         Some(BlockedState::BlockedBy(0))
     );
-    model.set_paused(200 * S, 0, false);
-    assert_eq!(model.progress(0).map(|c| c.run_micros), Some(S / 2));
+    model.set_paused(200 * SECOND, 0, false);
+    assert_eq!(model.progress(0).map(|c| c.run_micros), Some(SECOND / 2));
     assert_eq!(
-        (model.advance(201 * S), model.advance(202 * S)),
+        (model.advance(201 * SECOND), model.advance(202 * SECOND)),
         (vec![0], vec![1])
     );
 }
@@ -195,8 +199,8 @@
             cancel_stops_work,
             ..WorkModelParameters::default()
         });
-        model.admit(100 * S, 0, job(1e6));
-        assert_eq!(model.cancel(100 * S + 10, 0), cancel_stops_work);
+        model.admit(100 * SECOND, 0, job(1e6));
+        assert_eq!(model.cancel(100 * SECOND + 10, 0), cancel_stops_work);
         assert_eq!(model.load().in_flight, usize::from(!cancel_stops_work));
     }
 }
