--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -12,7 +12,7 @@
 
 use hoptiller_coordination::{Document, ValidationError};
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::json;
@@ -44,8 +44,8 @@
 
 /// Discovery and engines, with the number of requests that they have received.
 struct CountedServers {
-    engines: Vec<Running>,
-    discovery: Running,
+    engines: Vec<ServerThread>,
+    discovery: ServerThread,
     list_reads: Arc<AtomicU64>,
     engine_polls: Arc<AtomicU64>,
 }
@@ -53,14 +53,14 @@
 impl CountedServers {
     fn start(engines: usize) -> Result<CountedServers, BenchmarkError> {
         let config = DiscoveryConfig::default();
-        let list_reads = config.asked.clone();
+        let list_reads = config.list_requests.clone();
         let discovery = config.start()?;
         let engine_polls: Arc<AtomicU64> = Arc::default();
         let mut running = Vec::new();
         for n in 0..engines {
             let mut engine = EngineConfig::new(&format!("engine-{n}"), "a", "x");
             engine.discovery = Some(discovery.addr);
-            engine.asked = engine_polls.clone();
+            engine.info_requests = engine_polls.clone();
             running.push(engine.start()?);
         }
         Ok(CountedServers {
--- a/crates/benchmarks/src/fleet_tasks/routers.rs
+++ b/crates/benchmarks/src/fleet_tasks/routers.rs
@@ -10,7 +10,7 @@
 
 use hoptiller_coordination_client::{Clock, Secret};
 use hoptiller_http::Spawner;
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_policy::{EndpointEntry, EngineId, ListScope, Micros, Readiness};
 use hoptiller_statement_router::Settings;
 use hoptiller_statement_router::discovery::{Discovery, EndpointListener};
@@ -107,8 +107,8 @@
     size: usize,
     config: RouterConfig,
     observations: Arc<Observations>,
-) -> io::Result<Running> {
-    Running::new("routers", move |spawner| {
+) -> io::Result<ServerThread> {
+    ServerThread::spawn("routers", move |spawner| {
         for index in 0..size {
             start_router(&format!("r{index}"), &config, &observations, &spawner)?;
         }
--- a/crates/benchmarks/src/polls.rs
+++ b/crates/benchmarks/src/polls.rs
@@ -47,7 +47,7 @@
 
 pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     let site = TestSite::start(&args.site, 2, respond_at_once, |engine| {
-        engine.spec.speed = ENGINE_SPEED;
+        engine.work_model.speed = ENGINE_SPEED;
     })?;
     let router = site.router().address();
     let repeated_path = submit(router)?;
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -9,7 +9,7 @@
 
 use hoptiller_coordination_client::{Clock, Secret, wire};
 use hoptiller_fault_harness::{LinkId, TestFleet};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_statement_router::fleet_member::FleetMember;
 use hoptiller_statement_router::settings::CoordinationSettings;
 
@@ -149,7 +149,7 @@
     mode: RouterMode,
     replicas: Vec<SocketAddr>,
     dir: &Path,
-) -> io::Result<Running> {
+) -> io::Result<ServerThread> {
     let settings = CoordinationSettings {
         replicas,
         secret_file: dir.join("secret"),
@@ -158,7 +158,7 @@
         renewal_interval: mode.renewal_interval(),
     };
     let secret = Secret::load(&settings.secret_file)?;
-    Running::new("routers", move |spawner| {
+    ServerThread::spawn("routers", move |spawner| {
         for index in 0..size {
             let (settings, secret) = (settings.clone(), secret.clone());
             let name = format!("r{index}");
--- a/crates/benchmarks/src/runaways/end_to_end.rs
+++ b/crates/benchmarks/src/runaways/end_to_end.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::block_on;
 use hoptiller_audit::Recorder;
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::client::{Ask, Client, Manner};
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientRequest};
 use serde_json::{Value, json};
 
 use crate::error::BenchmarkError;
@@ -51,15 +51,15 @@
 impl Report {
     /// Submits the report, and waits for its final response.
     fn run(self, router: SocketAddr) {
-        let request = Ask {
-            request: 0,
+        let request = ClientRequest {
+            id: 0,
             trace: format!("m{}", self.work),
             class: "report".into(),
-            key: None,
+            ordering_key: None,
             tags: String::new(),
             text: format!("SELECT * FROM arrears /* work={} threads=1 */", self.work),
-            patience: self.timeout,
-            manner: Manner::default(),
+            timeout: self.timeout,
+            options: ClientOptions::default(),
         };
         let mut client = Client::new("r1", router, Recorder::default());
         let _ = block_on(client.run(&request));
@@ -85,7 +85,9 @@
     let admin = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let change_settings =
         |settings: &mut Value| settings["router"]["admin"] = json!(admin.to_string());
-    let site = TestSite::start(site, ENGINES, change_settings, |engine| engine.notes = true)?;
+    let site = TestSite::start(site, ENGINES, change_settings, |engine| {
+        engine.reports_progress = true;
+    })?;
     let router = site.router().address();
     thread::scope(|scope| {
         for _ in 0..WARM_UP_CLIENTS {
--- a/crates/benchmarks/src/test_site.rs
+++ b/crates/benchmarks/src/test_site.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
@@ -44,8 +44,8 @@
 pub(crate) struct TestSite {
     router: ServerProcess,
     engine_addresses: Vec<SocketAddr>,
-    _engines: Vec<Running>,
-    _discovery: Running,
+    _engines: Vec<ServerThread>,
+    _discovery: ServerThread,
 }
 
 impl TestSite {
@@ -65,7 +65,7 @@
                 change_engine(&mut config);
                 config.start()
             })
-            .collect::<io::Result<Vec<Running>>>()?;
+            .collect::<io::Result<Vec<ServerThread>>>()?;
         let site = TestSite {
             router: start_router(args, discovery.addr, change_settings)?,
             engine_addresses: running.iter().map(|engine| engine.addr).collect(),
--- a/crates/benchmarks/src/waiting_clients.rs
+++ b/crates/benchmarks/src/waiting_clients.rs
@@ -106,7 +106,7 @@
             json!({ "statements": size + 10, "connections": size + 100, "abandon_after": "1h" });
     };
     let site = TestSite::start(&args.site, 1, change_settings, |engine| {
-        engine.spec.speed = ENGINE_SPEED;
+        engine.work_model.speed = ENGINE_SPEED;
     })?;
     let bytes_before = site.router().resident_bytes()?;
     let address = site.router().address();
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -6,7 +6,7 @@
 
 use async_io::Timer;
 use hoptiller_http::Spawner;
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_statement_router::{Service, Settings};
@@ -53,7 +53,7 @@
     })
 }
 
-fn start_engines(count: u16, discovery: SocketAddr) -> Result<Vec<Running>, CommandError> {
+fn start_engines(count: u16, discovery: SocketAddr) -> Result<Vec<ServerThread>, CommandError> {
     let mut running = Vec::new();
     for n in 0..count {
         // Four in seven are of the kind that may run reports.
@@ -61,7 +61,7 @@
         let zone = ZONES[usize::from(n) % ZONES.len()];
         let mut engine = EngineConfig::new(&format!("engine-{n}"), kind, zone);
         engine.discovery = Some(discovery);
-        engine.notes = true;
+        engine.reports_progress = true;
         let engine = engine
             .start()
             .map_err(CommandError::io("a stand-in engine"))?;
--- a/crates/cli/src/commands/experiment/summary.rs
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -81,28 +81,31 @@
         };
         let fixed_limit = |(index, seconds): (usize, &u64)| FixedLimit {
             seconds: *seconds,
-            found: sum(&|run| run.limits[index].1),
-            large_flagged: sum(&|run| run.limits[index].2),
-            others_flagged: sum(&|run| run.limits[index].3),
+            found: sum(&|run| run.limits[index].runaways),
+            large_flagged: sum(&|run| run.limits[index].large),
+            others_flagged: sum(&|run| run.limits[index].others),
         };
-        let value: f64 = runs.iter().map(|run| run.worth).sum();
+        let value: f64 = runs.iter().map(|run| run.value_in_time).sum();
         ConditionSummary {
             condition,
-            runaways: Detections::new(runs.iter().flat_map(|run| run.found.iter().map(|f| &f.1))),
+            runaways: Detections::new(
+                runs.iter()
+                    .flat_map(|run| run.detections.iter().map(|d| &d.found_after)),
+            ),
             by_cause: detections_by_cause(&runs),
             large_flagged: part(&|run| run.large_flagged, &|run| run.large),
             others_flagged: part(&|run| run.others_flagged, &|run| run.others),
             notices: sum(&|run| run.notices),
             fixed_limits: LIMITS.iter().enumerate().map(fixed_limit).collect(),
             value: value / runs.len().max(1) as f64,
-            blocked_on_time: part(&|run| run.behind_on_time, &|run| run.behind),
-            failed_engines: sum(&|run| run.fallen),
+            blocked_on_time: part(&|run| run.behind_load_in_time, &|run| run.behind_load),
+            failed_engines: sum(&|run| run.engine_crashes),
         }
     }
 
     /// The condition in words.
     pub(super) fn name(&self) -> String {
-        self.condition.word()
+        self.condition.description()
     }
 
     pub(super) fn curve(&self) -> Curve {
@@ -156,8 +159,9 @@
 
 fn detections_by_cause(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
     let mut times: BTreeMap<&'static str, Vec<&Option<f64>>> = BTreeMap::new();
-    for (cause, time) in runs.iter().flat_map(|run| &run.found) {
-        times.entry(cause).or_default().push(time);
+    for detection in runs.iter().flat_map(|run| &run.detections) {
+        let times = times.entry(detection.case.name()).or_default();
+        times.push(&detection.found_after);
     }
     times
         .into_iter()
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hoptiller_audit::Recorder;
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 use hoptiller_mock_servers::ledger::Ledger;
@@ -78,11 +78,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn start_engine(args: &EngineArgs) -> Result<Running, CommandError> {
+fn start_engine(args: &EngineArgs) -> Result<ServerThread, CommandError> {
     let mut engine = EngineConfig::new(&args.node, &args.kind, &args.zone);
     engine.listen = args.listen;
     engine.discovery = args.discovery;
-    engine.cold = args.cold;
+    engine.starts_cold = args.cold;
     engine.recorder = recorder(args.records.as_deref())?;
     if let Some(path) = &args.ledger {
         engine.ledger = Ledger::open(path).map_err(file_error(path))?;
@@ -90,10 +90,10 @@
     engine.start().map_err(start_error())
 }
 
-fn start_discovery(args: &DiscoveryArgs) -> Result<Running, CommandError> {
+fn start_discovery(args: &DiscoveryArgs) -> Result<ServerThread, CommandError> {
     let discovery = DiscoveryConfig {
         listen: args.listen,
-        keep: Duration::from_secs(args.announcement_ttl),
+        announcement_ttl: Duration::from_secs(args.announcement_ttl),
         recorder: recorder(args.records.as_deref())?,
         ..DiscoveryConfig::default()
     };
--- a/crates/fault-harness/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -8,7 +8,7 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 
 const BUFFER_BYTES: usize = 16 << 10;
 
@@ -133,7 +133,7 @@
 /// A link. Its connections close when it is dropped.
 pub struct Link {
     shared: Arc<Shared>,
-    proxy: Running,
+    proxy: ServerThread,
 }
 
 impl Link {
@@ -145,7 +145,7 @@
     pub fn new(name: &str) -> io::Result<Link> {
         let shared: Arc<Shared> = Arc::default();
         let proxy_shared = shared.clone();
-        let proxy = Running::new(name, move |spawner| {
+        let proxy = ServerThread::spawn(name, move |spawner| {
             let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
             let address = listener.get_ref().local_addr()?;
             let connections = spawner.clone();
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -6,10 +6,10 @@
 
 use hoptiller_audit::{Record, Recorder, unix_micros};
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::{DiscoveryConfig, DiscoveryFaults};
 use hoptiller_mock_servers::engine::EngineConfig;
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use hoptiller_mock_servers::ledger::Ledger;
 
 use super::event::RouterEvent;
@@ -30,7 +30,7 @@
     program: PathBuf,
     discovery: DiscoveryConfig,
     discovery_faults: DiscoveryFaults,
-    _running_discovery: Running,
+    _running_discovery: ServerThread,
     engines: Vec<MockEngine>,
     routers: Vec<RouterProcess>,
 }
@@ -101,18 +101,18 @@
             RouterEvent::StartRouter(router) => self.routers[*router].start(&self.program)?,
             RouterEvent::SetDiscoveryStale(stale) => {
                 self.discovery_faults.stale = *stale;
-                self.discovery.fail(self.discovery_faults);
+                self.discovery.inject_faults(self.discovery_faults);
             }
             RouterEvent::SetDiscoveryDown(down) => {
                 self.discovery_faults.down = *down;
-                self.discovery.fail(self.discovery_faults);
+                self.discovery.inject_faults(self.discovery_faults);
             }
         }
         Ok(())
     }
 
-    fn set_engine_faults(&self, engine: usize, faults: &Faults) {
-        self.engines[engine].config().fail(faults.clone());
+    fn set_engine_faults(&self, engine: usize, faults: &EngineFaults) {
+        self.engines[engine].config().inject_faults(faults.clone());
     }
 
     fn kill_router(&mut self, router: usize) {
@@ -180,14 +180,14 @@
     config
         .environment
         .clone_from(&settings.discovery.environment);
-    config.cold = spec.cold;
-    config.spec.speed = spec.speed;
-    config.spec.cores = scenario.cores(&spec.kind).unwrap_or(DEFAULT_CORES);
-    config.spec.cancels = settings.engines.supports_cancel;
-    config.spec.cold_for = settings.rules.slow_start_window.as_micros() as u64;
-    config.spec.cold_from = settings.rules.start_capacity;
-    config.spec.fall_multiple = settings.rules.overload_factor;
-    config.spec.fall_for = settings.rules.overload_window.as_micros() as u64;
+    config.starts_cold = spec.cold;
+    config.work_model.speed = spec.speed;
+    config.work_model.cores = scenario.cores(&spec.kind).unwrap_or(DEFAULT_CORES);
+    config.work_model.cancel_stops_work = settings.engines.supports_cancel;
+    config.work_model.warm_up_micros = settings.rules.slow_start_window.as_micros() as u64;
+    config.work_model.cold_speed_fraction = settings.rules.start_capacity;
+    config.work_model.overload_factor = settings.rules.overload_factor;
+    config.work_model.overload_window_micros = settings.rules.overload_window.as_micros() as u64;
     config
 }
 
--- a/crates/fault-harness/tests/draws.rs
+++ b/crates/fault-harness/tests/draws.rs
@@ -85,9 +85,9 @@
                 "{} {} {:?} {:?} {:?}\n",
                 pause.as_nanos(),
                 statement.trace,
-                statement.key,
-                statement.manner.leaves_after,
-                statement.patience
+                statement.ordering_key,
+                statement.options.abandon_after,
+                statement.timeout
             ));
         }
     }
--- a/crates/statement-router/tests/common/runaways.rs
+++ b/crates/statement-router/tests/common/runaways.rs
@@ -17,8 +17,8 @@
 
 /// Engines of 32 cores that report on their statements and kill them on request.
 pub fn reporting_engine(engine: &mut EngineConfig) {
-    (engine.notes, engine.ends) = (true, true);
-    (engine.spec.cores, engine.spec.disks) = (32.0, 64.0);
+    (engine.reports_progress, engine.supports_kill) = (true, true);
+    (engine.work_model.cores, engine.work_model.io_slots) = (32.0, 64.0);
 }
 
 /// Settings for such engines.
@@ -52,7 +52,7 @@
 
 /// The request of a client that waits for long.
 pub fn patient(mut request: ClientRequest) -> ClientRequest {
-    request.patience = Duration::from_secs(20);
+    request.timeout = Duration::from_secs(20);
     request
 }
 
@@ -95,5 +95,5 @@
 /// The subject of findings about a statement.
 pub fn subject_of(request: &ClientRequest) -> String {
     // The router numbers statements in the order of their arrival, which is that of these requests.
-    format!("statement r1/{:05}_lifelife", request.request)
+    format!("statement r1/{:05}_lifelife", request.id)
 }
--- a/crates/statement-router/tests/runaway_enforcement.rs
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -10,7 +10,7 @@
 };
 use common::{ClientOutcome, ClientRequest, TestCluster, exchange};
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::{Value, json};
 
 const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
@@ -19,7 +19,7 @@
 /// Asserts that a statement was killed and is retryable, with a Retry-After.
 fn assert_killed(outcome: &ClientOutcome) {
     assert!(
-        matches!(outcome, ClientOutcome::Refused(name, Some(_)) if name == ENDED),
+        matches!(outcome, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED),
         "{outcome:?}"
     );
 }
@@ -56,10 +56,10 @@
     for no_proof in [false, true] {
         let cluster = killing_cluster(2);
         cluster.run_repeatedly("rent-load", "INSERT INTO due /* work=50ms */", 48);
-        cluster.set_faults(&Faults {
-            no_proof,
-            only: Some("rent-load".into()),
-            ..Faults::default()
+        cluster.set_faults(&EngineFaults {
+            withhold_effects: no_proof,
+            only_class: Some("rent-load".into()),
+            ..EngineFaults::default()
         });
         let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
         let outcome = cluster.run(&load);
@@ -81,7 +81,7 @@
     let long = patient(cluster.request("report", &report("90s")));
     let (outcome, client) = cluster.run_with_client(&long);
     assert_killed(&outcome);
-    let (_, response) = client.answers.last().expect("a response");
+    let response = &client.responses().last().expect("a response").response;
     let body = String::from_utf8_lossy(&response.body);
     assert!(
         body.contains("a rule of this installation ends it"),
@@ -114,10 +114,10 @@
 fn a_statement_that_finishes_while_it_is_killed_delivers_its_rows() {
     let cluster = killing_cluster(2);
     cluster.run_repeatedly("rent-load", "INSERT INTO due /* work=50ms threads=1 */", 48);
-    cluster.set_faults(&Faults {
-        finish_first: true,
-        only: Some("rent-load".into()),
-        ..Faults::default()
+    cluster.set_faults(&EngineFaults {
+        kill_after_finish: true,
+        only_class: Some("rent-load".into()),
+        ..EngineFaults::default()
     });
     // It is a runaway after 3 s, and done some 8 s after it began.
     let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
