--- /dev/null
+++ b/crates/runaway/tests/decision_digest.rs
@@ -0,0 +1,554 @@
+//! Pins a digest of all that the detector shows for seeded generated events: decisions, findings, holds, exclusions and
+//! snapshots. A refactoring must leave each digest as it is.
+//!
+//! The digest is taken over explicit numbers, texts and JSON keys and not over `Debug` output, so that renamed types do
+//! not change it. `UPDATE_FIXTURES=1` rewrites the file; only a deliberate change of a decision justifies that.
+
+mod common;
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::Path;
+use std::rc::Rc;
+
+use common::{S, class};
+use hoptiller_policy::{EngineId, Hold, HoldTarget, Idempotency, Micros};
+use hoptiller_runaway::*;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+const SEEDS: u64 = 12;
+const STEPS: u64 = 1_600;
+const STEP: Micros = S / 4;
+const ENGINES: u64 = 6;
+const FINGERPRINTS: u64 = 7;
+const GROUPS: u64 = 3;
+/// Attempts in flight at most.
+const MAX_RUNNING: usize = 60;
+
+struct Draw(Pcg64Mcg);
+
+impl Draw {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0.next_u64() % bound
+    }
+
+    fn one_in(&mut self, bound: u64) -> bool {
+        self.below(bound) == 0
+    }
+
+    fn choose<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len() as u64) as usize]
+    }
+}
+
+fn generated_settings(draw: &mut Draw) -> Settings {
+    let names = ["lookup", "report", "load", "other", "batch"];
+    let classes = (0..3 + draw.below(3) as usize)
+        .map(|number| {
+            let effect = if number == 2 || draw.one_in(4) {
+                Idempotency::NotIdempotent
+            } else {
+                Idempotency::Idempotent
+            };
+            let options = EnforcementOptions {
+                name: true,
+                hold: !draw.one_in(4),
+                lower: draw.one_in(3),
+                pause: draw.one_in(2),
+                end: draw.one_in(2),
+            };
+            let objective = draw.choose(&[S, 3 * S / 2, 2 * S, 3 * S]);
+            let threads = draw.choose(&[1.0, 2.0]);
+            class(names[number], objective, threads, effect, options)
+        })
+        .collect();
+    Settings {
+        classes,
+        max_fingerprints: draw.choose(&[12, 40, 1000]),
+        pause_for: draw.choose(&[2 * S, 10 * S]),
+        end_after: draw.choose(&[S, 5 * S]),
+    }
+}
+
+/// An attempt that runs at a simulated engine.
+struct Running {
+    start: AttemptStart,
+    work: f64,
+    done: f64,
+    blocked_by: Option<AttemptId>,
+    reports: bool,
+    memory_mb: Option<f64>,
+    spills: bool,
+}
+
+struct Generator {
+    draw: Draw,
+    settings: Settings,
+    /// Whether engines report progress in this seed.
+    reports_progress: bool,
+    now: Micros,
+    next_statement: u64,
+    running: BTreeMap<AttemptId, Running>,
+    /// Attempts that the router no longer waits for and that still run.
+    abandoned: Vec<String>,
+    slow_engine: u64,
+    changed_fingerprint: u64,
+    /// The engine where others than large statements wait for memory.
+    engine_without_memory: u64,
+}
+
+impl Generator {
+    fn step(&mut self, detector: &mut RunawayDetector, number: u64) {
+        let phase = number * 8 / STEPS;
+        self.slow_engine = if phase == 3 { 1 } else { ENGINES };
+        self.changed_fingerprint = if phase == 5 { 1 } else { FINGERPRINTS };
+        self.engine_without_memory = if phase == 6 { 2 } else { ENGINES };
+        self.start_attempts(detector);
+        self.progress(detector);
+        self.report(detector);
+        self.end_attempts(detector);
+        self.add_rare(detector, number);
+        detector.run_detection(self.now);
+    }
+
+    fn start_attempts(&mut self, detector: &mut RunawayDetector) {
+        for _ in 0..self.draw.below(5) {
+            if self.running.len() >= MAX_RUNNING {
+                return;
+            }
+            self.start_attempt(detector);
+        }
+    }
+
+    fn start_attempt(&mut self, detector: &mut RunawayDetector) {
+        let draw = &mut self.draw;
+        let number = if draw.one_in(12) {
+            1_000 + draw.below(30)
+        } else {
+            draw.below(FINGERPRINTS)
+        };
+        let class = (number % self.settings.classes.len() as u64) as usize;
+        let fingerprint = detector.fingerprint_id(class, number);
+        let label: Rc<str> = format!("select {number}").into();
+        let held_as = detector.observe_arrival(self.now, fingerprint, class, &label);
+        self.next_statement += 1;
+        let attempt = AttemptId {
+            statement: self.next_statement,
+            number: draw.below(2) as u32,
+        };
+        let size = draw.choose(&[0, 0, 0, 12, 300]);
+        let usual = 200_000.0 * (1 + number % 5) as f64 * (1.0 + size as f64 / 30.0);
+        let mut work = usual * draw.choose(&[0.7, 0.9, 1.0, 1.1, 1.4]);
+        let estimate = draw
+            .one_in(3)
+            .then(|| (work * draw.choose(&[0.8, 1.0, 1.2])) as Micros);
+        if draw.one_in(70) || number >= 1_000 && draw.one_in(4) {
+            work *= draw.choose(&[20.0, 60.0, 200.0]);
+        }
+        if number == self.changed_fingerprint {
+            work *= 30.0;
+        }
+        let is_load = self.settings.classes[class].holds_tables;
+        let engine = if self.engine_without_memory < ENGINES && draw.one_in(2) {
+            self.engine_without_memory
+        } else {
+            draw.below(ENGINES)
+        };
+        let start = AttemptStart {
+            attempt,
+            engine: EngineId(engine as u32),
+            class,
+            name: format!("r1/{:05}_life", self.next_statement),
+            fingerprint,
+            held_as,
+            label,
+            announced: Announced { size, estimate },
+            group: (is_load || draw.one_in(2)).then(|| draw.below(GROUPS)),
+        };
+        detector.start_attempt(self.now, start.clone());
+        let running = Running {
+            start,
+            work,
+            done: 0.0,
+            blocked_by: None,
+            reports: self.reports_progress && !draw.one_in(15),
+            memory_mb: draw.one_in(2).then(|| draw.choose(&[10.0, 20.0, 30.0])),
+            spills: draw.one_in(40),
+        };
+        self.running.insert(attempt, running);
+    }
+
+    /// Advances the work of all attempts that no other blocks; loads block the readers of their table group.
+    fn progress(&mut self, detector: &mut RunawayDetector) {
+        let loads: Vec<(AttemptId, EngineId, Option<u64>)> = self
+            .running
+            .values()
+            .filter(|running| self.settings.classes[running.start.class].holds_tables)
+            .map(|running| {
+                (
+                    running.start.attempt,
+                    running.start.engine,
+                    running.start.group,
+                )
+            })
+            .collect();
+        for running in self.running.values_mut() {
+            let start = &running.start;
+            running.blocked_by = loads
+                .iter()
+                .find(|(id, engine, group)| {
+                    *id < start.attempt && (*engine, *group) == (start.engine, start.group)
+                })
+                .map(|(id, _, _)| *id);
+            if running.blocked_by.is_none() {
+                let is_slow = u64::from(start.engine.0) == self.slow_engine;
+                let rate =
+                    self.settings.classes[start.class].threads / if is_slow { 6.0 } else { 1.0 };
+                running.done += rate * STEP as f64;
+            }
+            if running.done < running.work && self.draw.one_in(900) {
+                detector.start_streaming(self.now, start.attempt);
+            }
+        }
+    }
+
+    fn report(&mut self, detector: &mut RunawayDetector) {
+        let names: Vec<String> = self
+            .running
+            .values()
+            .map(|running| running.start.name.clone())
+            .collect();
+        let ids: Vec<AttemptId> = self.running.keys().copied().collect();
+        for id in ids {
+            let Some(running) = self.running.get(&id) else {
+                continue;
+            };
+            if !running.reports || !self.draw.one_in(4) {
+                continue;
+            }
+            let blocker = running
+                .blocked_by
+                .and_then(|id| self.running.get(&id))
+                .map(|blocker| blocker.start.name.clone());
+            let mut report =
+                generated_report(&mut self.draw, running, blocker, &names, &self.abandoned);
+            let waits_for_memory = u64::from(running.start.engine.0) == self.engine_without_memory
+                && running.work < 1e7;
+            if waits_for_memory && !self.draw.one_in(5) {
+                report.blocked_state = Some(BlockedState::Memory);
+            }
+            detector.report_progress(self.now, id, report);
+        }
+        if self.draw.one_in(50) {
+            let unknown = AttemptId {
+                statement: 1 << 40,
+                number: 0,
+            };
+            detector.report_progress(self.now, unknown, ProgressReport::default());
+        }
+    }
+
+    fn end_attempts(&mut self, detector: &mut RunawayDetector) {
+        let draw = &mut self.draw;
+        let mut over = Vec::new();
+        for (id, running) in &self.running {
+            if running.done >= running.work {
+                over.push((*id, ExecutionOutcome::Succeeded));
+            } else if draw.one_in(400) {
+                let outcome = draw.choose(&[
+                    ExecutionOutcome::Failed,
+                    ExecutionOutcome::NeverRan,
+                    ExecutionOutcome::Abandoned,
+                    ExecutionOutcome::Abandoned,
+                ]);
+                over.push((*id, outcome));
+            }
+        }
+        for (id, outcome) in over {
+            let Some(running) = self.running.remove(&id) else {
+                continue;
+            };
+            if outcome == ExecutionOutcome::Abandoned {
+                self.abandoned.push(running.start.name);
+            }
+            let work = (running.reports && !self.draw.one_in(5)).then_some(running.work as Micros);
+            detector.end_attempt(self.now, id, outcome, work);
+        }
+        if self.abandoned.len() > 3 {
+            self.abandoned.remove(0);
+        }
+    }
+
+    fn add_rare(&mut self, detector: &mut RunawayDetector, number: u64) {
+        let draw = &mut self.draw;
+        if number == 0 || draw.one_in(100) {
+            let classes = self.settings.classes.len();
+            let engines = (0..ENGINES as u32)
+                .filter(|_| number == 0 || !draw.one_in(8))
+                .collect::<Vec<_>>();
+            let engines = engines.into_iter().map(|engine| EngineStatus {
+                engine: EngineId(engine),
+                is_up: !draw.one_in(8),
+                classes: (0..classes).map(|_| !draw.one_in(6)).collect(),
+            });
+            let engines = engines.collect();
+            detector.update_engines(engines);
+        }
+        if draw.one_in(300) {
+            detector.reset_engine(self.now, EngineId(draw.below(ENGINES) as u32));
+        }
+        if draw.one_in(200) {
+            let held: Vec<FingerprintId> = detector.holds().map(|(id, _)| *id).collect();
+            held.first().map(|id| detector.release_hold(*id));
+        }
+        if number == STEPS / 2 {
+            let mut settings = self.settings.clone();
+            settings.classes.push(settings.classes[0].clone());
+            settings.classes[0].client_timeout *= 2;
+            detector.update_settings(settings.clone());
+            self.settings = settings;
+        }
+    }
+}
+
+/// What an engine reports of an attempt: mostly the truth, now and then figures that can't be.
+fn generated_report(
+    draw: &mut Draw,
+    running: &Running,
+    blocker: Option<String>,
+    names: &[String],
+    abandoned: &[String],
+) -> ProgressReport {
+    let share = (running.done / running.work).min(1.0);
+    let holder = |name: String, draw: &mut Draw| Holder {
+        name,
+        class: draw.one_in(2).then(|| draw.below(7) as usize),
+        age: draw.one_in(2).then(|| draw.below(60) * S),
+    };
+    let blocked_state = match (blocker, draw.below(40)) {
+        (Some(name), 0..36) => Some(BlockedState::Behind(Some(holder(name, draw)))),
+        (Some(_), _) => Some(BlockedState::Behind(None)),
+        (None, 0) => Some(BlockedState::Memory),
+        (None, 1) => {
+            let name = format!("r2/{:05}_life", draw.below(4));
+            Some(BlockedState::Behind(Some(holder(name, draw))))
+        }
+        (None, 2) => {
+            let name = names[draw.below(names.len() as u64) as usize].clone();
+            Some(BlockedState::Behind(Some(holder(name, draw))))
+        }
+        (None, 3 | 4) => abandoned
+            .last()
+            .map(|name| BlockedState::Behind(Some(holder(name.clone(), draw)))),
+        _ if running.start.fingerprint.0 % 3 == 0 && draw.one_in(3) => Some(BlockedState::Memory),
+        _ => None,
+    };
+    let done = match draw.below(60) {
+        0 => Some(f64::NAN),
+        1 => Some(7.0),
+        2..30 => Some(share),
+        _ => None,
+    };
+    ProgressReport {
+        work: (!draw.one_in(4)).then_some(running.done as Micros),
+        done,
+        rows: draw
+            .one_in(2)
+            .then_some((running.done / if running.work > 1e7 { 900.0 } else { 50.0 }) as u64),
+        memory_mb: running
+            .memory_mb
+            .map(|memory| memory * if running.work > 1e7 { 40.0 } else { 1.0 }),
+        spills: running.spills,
+        blocked_state,
+    }
+}
+
+/// The digest of one seed, and how often each label of a decision or finding came.
+struct Recorder {
+    hasher: blake3::Hasher,
+    counts: BTreeMap<String, u64>,
+}
+
+impl Recorder {
+    fn add_number(&mut self, number: u64) {
+        self.hasher.update(&number.to_le_bytes());
+    }
+
+    fn add_text(&mut self, text: &str) {
+        self.add_number(text.len() as u64);
+        self.hasher.update(text.as_bytes());
+    }
+
+    fn add_optional(&mut self, number: Option<u64>) {
+        self.add_number(u64::from(number.is_some()));
+        self.add_number(number.unwrap_or(0));
+    }
+
+    fn add_json(&mut self, value: &impl serde::Serialize) -> String {
+        let text = serde_json::to_string(value).expect("plain data");
+        self.add_text(&text);
+        text
+    }
+
+    fn count(&mut self, label: impl Into<String>) {
+        *self.counts.entry(label.into()).or_default() += 1;
+    }
+
+    fn add_finding(&mut self, finding: &Finding) {
+        self.add_number(finding.id);
+        match &finding.subject {
+            Subject::Statement(name) => self.add_text(name),
+            Subject::Fingerprint(fingerprint) => self.add_number(fingerprint.0),
+            Subject::Engine(engine) => self.add_number(u64::from(engine.0)),
+        }
+        let verdict = self.add_json(&finding.verdict);
+        let cause = self.add_json(&finding.cause);
+        self.count(format!("{verdict} {cause}"));
+        self.add_optional(finding.class.map(|class| class as u64));
+        self.add_optional(finding.fingerprint.map(|fingerprint| fingerprint.0));
+        self.add_text(&finding.label);
+        self.add_optional(finding.engine.map(|engine| u64::from(engine.0)));
+        for time in [finding.started, finding.since, finding.at] {
+            self.add_number(time);
+        }
+        let evidence = &finding.evidence;
+        let measure = self.add_json(&evidence.measure);
+        self.count(measure);
+        for figure in [evidence.figure, evidence.usual, evidence.bound] {
+            self.add_number(figure.to_bits());
+        }
+        self.add_json(&evidence.basis);
+        self.add_text(&evidence.to_string());
+        for name in &finding.blocks {
+            self.add_text(name);
+        }
+        self.add_number(finding.blocked as u64);
+        self.add_text(finding.note);
+        self.count(finding.note);
+    }
+
+    fn add_hold(&mut self, hold: &Hold) {
+        let target = match hold.target {
+            HoldTarget::Kind(number) => [0, number],
+            HoldTarget::Group(number) => [1, number],
+        };
+        self.count(if target[0] == 0 { "hold" } else { "exclusion" });
+        target
+            .into_iter()
+            .for_each(|number| self.add_number(number));
+        self.add_number(u64::from(hold.max_in_flight));
+        self.add_number(u64::from(hold.low_priority));
+        for engine in &hold.excluded_engines {
+            self.add_number(u64::from(engine.0));
+        }
+    }
+
+    fn add_decision(&mut self, decision: &Decision) {
+        let (label, attempt) = match decision {
+            Decision::Found(finding) => return self.add_finding(finding),
+            Decision::Hold(hold) => return self.add_hold(hold),
+            Decision::Pause(attempt) => ("pause", attempt),
+            Decision::Resume(attempt) => ("resume", attempt),
+            Decision::End(attempt) => ("end", attempt),
+        };
+        self.count(label);
+        self.add_text(label);
+        self.add_number(attempt.statement);
+        self.add_number(u64::from(attempt.number));
+    }
+
+    /// All that the detector shows beside its decisions.
+    fn add_state(&mut self, detector: &RunawayDetector, classes: &[Class]) {
+        let counts = detector.tracked_counts();
+        for count in [
+            counts.fingerprints,
+            counts.attempts,
+            counts.remote_statements,
+        ] {
+            self.add_number(count as u64);
+        }
+        self.add_number(detector.next_detection_at());
+        for finding in detector.open_findings().chain(detector.past_findings()) {
+            self.add_number(finding.id);
+            self.add_number(finding.at);
+            self.add_number(finding.since);
+            self.add_number(finding.evidence.figure.to_bits());
+            self.add_number(finding.blocked as u64);
+        }
+        for (fingerprint, hold) in detector.holds() {
+            if *fingerprint == FingerprintId::unknown(&classes[hold.class].name) {
+                self.count("unknown fingerprints held together");
+            }
+            self.add_json(&(fingerprint, hold));
+            self.add_number(u64::from(hold.runaways));
+        }
+        for (group, engines) in detector.excluded_engines() {
+            self.add_number(*group);
+            for engine in engines {
+                self.add_number(u64::from(engine.0));
+            }
+        }
+    }
+}
+
+fn play(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
+    let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+    let settings = generated_settings(&mut draw);
+    let mut detector = RunawayDetector::new(settings.clone());
+    let mut generator = Generator {
+        draw,
+        settings,
+        reports_progress: seed % 4 != 3,
+        now: 100 * S,
+        next_statement: 0,
+        running: BTreeMap::new(),
+        abandoned: Vec::new(),
+        slow_engine: ENGINES,
+        changed_fingerprint: FINGERPRINTS,
+        engine_without_memory: ENGINES,
+    };
+    let mut recorder = Recorder {
+        hasher: blake3::Hasher::new(),
+        counts: std::mem::take(counts),
+    };
+    for number in 0..STEPS {
+        generator.step(&mut detector, number);
+        for decision in detector.take_decisions() {
+            recorder.add_decision(&decision);
+        }
+        recorder.add_number(number);
+        if number % 20 == 0 {
+            recorder.add_state(&detector, &generator.settings.classes);
+        }
+        if number % 200 == 199 {
+            let saved = detector.save();
+            recorder.hasher.update(&saved);
+            let mut restored = RunawayDetector::new(generator.settings.clone());
+            let counts = restored.restore(generator.now, &saved).expect("just saved");
+            recorder.add_number(counts.fingerprints as u64);
+            recorder.hasher.update(&restored.save());
+        }
+        generator.now += if number % 300 == 299 { 20 * S } else { STEP };
+    }
+    *counts = recorder.counts;
+    recorder.hasher.finalize().to_hex()[..32].to_owned()
+}
+
+#[test]
+fn generated_events_give_the_pinned_decisions() {
+    let mut text = String::new();
+    let mut counts = BTreeMap::new();
+    for seed in 0..SEEDS {
+        let _ = writeln!(text, "{seed} {}", play(seed, &mut counts));
+    }
+    for (label, count) in &counts {
+        let _ = writeln!(text, "{count} {label}");
+    }
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/decision-digests.txt");
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(&path, &text).expect("the fixture can be written");
+    }
+    let pinned = std::fs::read_to_string(&path).expect("the fixture exists");
+    assert_eq!(pinned, text, "the detector's decisions have changed");
+}
