--- a/crates/runaway/tests/decision_digest.rs
+++ b/crates/runaway/tests/decision_digest.rs
@@ -341,7 +341,7 @@
         (None, 3 | 4) => abandoned
             .last()
             .map(|name| BlockedState::Behind(Some(holder(name.clone(), draw)))),
-        _ if running.start.fingerprint.0 % 3 == 0 && draw.one_in(3) => Some(BlockedState::Memory),
+        _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => Some(BlockedState::Memory),
         _ => None,
     };
     let done = match draw.below(60) {
@@ -518,7 +518,7 @@
             recorder.add_decision(&decision);
         }
         recorder.add_number(number);
-        if number % 20 == 0 {
+        if number.is_multiple_of(20) {
             recorder.add_state(&detector, &generator.settings.classes);
         }
         if number % 200 == 199 {
