--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -1,7 +1,7 @@
 //! What is reported of attempts, and the settling of statements.
 
 use hoptiller_policy::{Event, Micros, Progress, RequestId};
-use hoptiller_runaway::{EndingVerdict, ExecutionOutcome, Proof, answer_after_end};
+use hoptiller_runaway::{ExecutionOutcome, Proof, RetrySafety, retry_safety_after_end};
 
 use super::Core;
 use crate::command::{AttemptOutcome, Command};
@@ -133,22 +133,22 @@
         self.events.extend(event);
         let first_sent_at = statement.first_sent_at().unwrap_or(now);
         let idempotency = self.endpoints.idempotency(statement.class);
-        let verdict = answer_after_end(idempotency, proof, first_sent_at, now);
-        let response = self.response_after_kill(verdict, reason);
+        let safety = retry_safety_after_end(idempotency, proof, first_sent_at, now);
+        let response = self.response_after_kill(safety, reason);
         self.settle(now, id, response);
         self.statements.remove_if_finished(id);
     }
 
-    fn response_after_kill(&self, verdict: EndingVerdict, reason: String) -> FinalResponse {
-        match verdict {
-            EndingVerdict::Harmless => FinalResponse::TerminatedByRule {
+    fn response_after_kill(&self, safety: RetrySafety, reason: String) -> FinalResponse {
+        match safety {
+            RetrySafety::Safe => FinalResponse::TerminatedByRule {
                 retry_after: self.endpoints.retry_after(),
                 reason,
             },
-            EndingVerdict::MayHaveRun => FinalResponse::MayHaveRun(format!(
+            RetrySafety::MayHaveRun => FinalResponse::MayHaveRun(format!(
                 "it was ended at its engine, which does not say what stands of it ({reason})"
             )),
-            EndingVerdict::HasRun => FinalResponse::MayHaveRun(format!(
+            RetrySafety::HasRun => FinalResponse::MayHaveRun(format!(
                 "it was ended at its engine, and its effects stand ({reason})"
             )),
         }
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -3,10 +3,9 @@
 //! Holds go to the controller as events, so that the controller alone decides on every send.
 
 use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, Event, ListScope, Micros};
-use hoptiller_runaway::snapshot::Restored;
 use hoptiller_runaway::{
     AttemptId, AttemptStart, Decision, ExecutionOutcome, FingerprintId, ProgressReport,
-    RunawayDetector, SnapshotError,
+    RestoredCounts, RunawayDetector, SnapshotError,
 };
 
 use super::Core;
@@ -25,7 +24,7 @@
         &mut self,
         now: Micros,
         snapshot: &[u8],
-    ) -> Option<Result<Restored, SnapshotError>> {
+    ) -> Option<Result<RestoredCounts, SnapshotError>> {
         self.runaway_detector
             .as_mut()
             .map(|detector| detector.restore(now, snapshot))
--- /dev/null
+++ b/crates/runaway/src/blocker.rs
@@ -0,0 +1,129 @@
+//! Judgement of statements that this router no longer waits for or never sent: abandoned attempts and statements of
+//! other routers. All that is known of them is their age and the attempts that they block.
+
+use hoptiller_policy::{EngineId, Micros};
+
+use crate::attempts::Attempts;
+use crate::expectation::Expected;
+use crate::interface::{
+    AttemptId, Cause, Class, Evidence, Finding, FingerprintId, MAX_BLOCKED_NAMES, Measure, Subject,
+    Verdict,
+};
+use crate::measures::{CONFIRMATION_TIME, CROWD_BOUND_FACTOR, MIN_CROWD, evidence};
+use crate::remote_statements::RemoteStatements;
+use crate::statistics::Statistics;
+
+/// What is known of a statement that blocks attempts.
+#[derive(Debug)]
+pub(crate) struct Blocker {
+    /// Its id, if it is an attempt of this router.
+    id: Option<AttemptId>,
+    engine: EngineId,
+    class: Option<usize>,
+    fingerprint: Option<FingerprintId>,
+    label: String,
+    /// When it started; for an attempt of this router, later by the time for which it was blocked.
+    started_at: Micros,
+    over_bound_since: Option<Micros>,
+    /// The expected run time of an attempt of this router.
+    expected: Option<Expected>,
+}
+
+impl Blocker {
+    /// The attempt of this router with that name, or else the remote statement.
+    pub(crate) fn find(
+        name: &str,
+        attempts: &Attempts,
+        remote_statements: &RemoteStatements,
+    ) -> Option<Blocker> {
+        let Some(attempt) = attempts.get_by_name(name) else {
+            return remote_statements.get(name).map(|remote| Blocker {
+                id: None,
+                engine: remote.engine,
+                class: remote.class,
+                fingerprint: None,
+                label: String::new(),
+                started_at: remote.started_at,
+                over_bound_since: remote.over_bound_since,
+                expected: None,
+            });
+        };
+        let start = attempt.start();
+        Some(Blocker {
+            id: Some(start.attempt),
+            engine: start.engine,
+            class: Some(start.class),
+            fingerprint: Some(start.fingerprint),
+            label: start.label.to_string(),
+            started_at: attempt.started_at() + attempt.blocked_time(),
+            over_bound_since: attempt.over_bound_since(),
+            expected: attempt.expectation().map(|expected| expected.run_time),
+        })
+    }
+
+    /// Its id, if it is an attempt of this router.
+    pub(crate) fn id(&self) -> Option<AttemptId> {
+        self.id
+    }
+
+    /// Evidence that it has run for too long, given how many attempts it blocks.
+    pub(crate) fn excess(
+        &self,
+        now: Micros,
+        blocked: usize,
+        statistics: &Statistics,
+        classes: &[Class],
+    ) -> Option<Evidence> {
+        let mut expected = self.expected_run_time(statistics, classes)?;
+        if blocked >= MIN_CROWD {
+            expected.bound *= CROWD_BOUND_FACTOR;
+        }
+        let run_time = now.saturating_sub(self.started_at) as f64;
+        (run_time > expected.bound).then(|| evidence(Measure::Run, run_time, &expected))
+    }
+
+    /// The finding on it, under the name that engines know it by.
+    pub(crate) fn finding(
+        self,
+        now: Micros,
+        name: &str,
+        evidence: Evidence,
+        blocked: &[String],
+    ) -> Finding {
+        let since = self.over_bound_since.unwrap_or(now);
+        let verdict = if now - since >= CONFIRMATION_TIME {
+            Verdict::Runaway
+        } else {
+            Verdict::Suspect
+        };
+        let subject = Subject::Statement(name.to_owned());
+        Finding {
+            class: self.class,
+            fingerprint: self.fingerprint,
+            label: self.label,
+            engine: Some(self.engine),
+            started: self.started_at,
+            since,
+            blocked: blocked.len(),
+            blocks: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
+            note: match self.id {
+                Some(_) => "this router waits for it no longer; its engine goes on",
+                None => "not a statement of this router's present life",
+            },
+            ..Finding::new(subject, verdict, Cause::Blocks, now, evidence)
+        }
+    }
+
+    /// The expected run time: its own, that of its class, or that of the class that takes longest.
+    fn expected_run_time(&self, statistics: &Statistics, classes: &[Class]) -> Option<Expected> {
+        let by_class = |class: usize| statistics.remote_expectation(class, &classes[class]);
+        let longest = || {
+            (0..classes.len())
+                .map(by_class)
+                .max_by(|a, b| a.bound.total_cmp(&b.bound))
+        };
+        self.expected
+            .or_else(|| self.class.map(by_class))
+            .or_else(longest)
+    }
+}
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -1,49 +1,45 @@
-//! State of the runaway detector and look-ups in it. Events change it in `lifecycle`; `detection` derives findings.
+//! The detector: it orders the steps and passes each rule what it reads. What a rule decides, with its state and its
+//! constants, stands in the module that is named after it.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+mod attempts;
+mod blockers;
+mod detection;
+mod enforcement;
+mod findings;
+
+use std::rc::Rc;
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::attempt::{RemoteStatement, RunningAttempt};
-use crate::engine_speed::{EngineSpeeds, Sample, Slowness};
+use crate::attempts::Attempts;
+use crate::engine_speed::EngineSpeeds;
 use crate::findings::Findings;
 use crate::fingerprint_change::FingerprintChanges;
 use crate::holds::{FingerprintHold, Holds};
-use crate::interface::{AttemptId, Decision, EngineStatus, Finding, FingerprintId, Settings};
-use crate::statistics::{Expectation, Statistics};
-
-/// Engines that have sent no progress report for this long are taken not to send any.
-pub(crate) const REPORTS_TTL: Micros = 60_000_000;
-/// An expectation is looked up again after this time.
-const EXPECTATION_TTL: Micros = 4_000_000;
-/// Multiple of the usual run time from which a running attempt says anything of its engine.
-const MIN_SLOW_SAMPLE: f64 = 2.0;
+use crate::interface::{Decision, EngineStatus, Finding, FingerprintId, Settings};
+use crate::remote_statements::RemoteStatements;
+use crate::snapshot::{self, RestoredCounts, SnapshotError};
+use crate::statistics::Statistics;
+use crate::unknown_runaways::UnknownRunaways;
+use crate::wait_inference::WaitInference;
 
 /// Finds runaway statements and decides what is done about them. See the [crate].
 #[derive(Debug)]
 pub struct RunawayDetector {
-    pub(crate) settings: Settings,
-    pub(crate) statistics: Statistics,
-    pub(crate) attempts: BTreeMap<AttemptId, RunningAttempt>,
-    pub(crate) attempt_ids: HashMap<String, AttemptId>,
-    /// Abandoned attempts that their engine may still run, oldest first.
-    pub(crate) unconfirmed: VecDeque<AttemptId>,
-    pub(crate) remote_statements: BTreeMap<String, RemoteStatement>,
-    pub(crate) engine_speeds: EngineSpeeds,
-    pub(crate) fingerprint_changes: FingerprintChanges,
-    pub(crate) findings: Findings,
-    pub(crate) holds: Holds,
-    pub(crate) engines: Vec<EngineStatus>,
-    /// By class: when runaways of unknown fingerprints were found.
-    pub(crate) unknown_runaways: Vec<VecDeque<Micros>>,
-    pub(crate) next_detection_at: Micros,
-    /// When any engine last reported progress of an attempt.
-    pub(crate) last_report_at: Option<Micros>,
-    /// By engine and table group: the latest start among the attempts that ran there as usual.
-    pub(crate) last_completions: BTreeMap<(EngineId, u64), Micros>,
-    /// By engine: running attempts that take longer than usual, as of the last detection run.
-    pub(crate) slow_samples: BTreeMap<EngineId, Vec<(AttemptId, Sample)>>,
-    pub(crate) decisions: Vec<Decision>,
+    settings: Settings,
+    engines: Vec<EngineStatus>,
+    statistics: Statistics,
+    attempts: Attempts,
+    remote_statements: RemoteStatements,
+    wait_inference: WaitInference,
+    engine_speeds: EngineSpeeds,
+    fingerprint_changes: FingerprintChanges,
+    findings: Findings,
+    holds: Holds,
+    unknown_runaways: UnknownRunaways,
+    next_detection_at: Micros,
+    /// Decisions that were not taken yet.
+    decisions: Vec<Decision>,
 }
 
 /// How much a detector tracks.
@@ -60,22 +56,19 @@
 impl RunawayDetector {
     /// A detector without statistics.
     pub fn new(settings: Settings) -> RunawayDetector {
+        let classes = settings.classes.len();
         RunawayDetector {
-            statistics: Statistics::new(settings.classes.len(), settings.max_fingerprints),
-            unknown_runaways: vec![VecDeque::new(); settings.classes.len()],
-            attempts: BTreeMap::new(),
-            attempt_ids: HashMap::new(),
-            unconfirmed: VecDeque::new(),
-            remote_statements: BTreeMap::new(),
+            engines: Vec::new(),
+            statistics: Statistics::new(classes, settings.max_fingerprints),
+            attempts: Attempts::default(),
+            remote_statements: RemoteStatements::default(),
+            wait_inference: WaitInference::default(),
             engine_speeds: EngineSpeeds::default(),
             fingerprint_changes: FingerprintChanges::default(),
             findings: Findings::default(),
             holds: Holds::default(),
-            engines: Vec::new(),
+            unknown_runaways: UnknownRunaways::new(classes),
             next_detection_at: 0,
-            last_report_at: None,
-            last_completions: BTreeMap::new(),
-            slow_samples: BTreeMap::new(),
             decisions: Vec::new(),
             settings,
         }
@@ -84,11 +77,27 @@
     /// Replaces the settings. Classes keep their numbers and new ones follow them; settings with fewer classes are
     /// ignored.
     pub fn update_settings(&mut self, settings: Settings) {
-        if settings.classes.len() >= self.settings.classes.len() {
-            self.statistics.resize_classes(settings.classes.len());
-            self.unknown_runaways
-                .resize(settings.classes.len(), VecDeque::new());
-            self.settings = settings;
+        let classes = settings.classes.len();
+        if classes < self.settings.classes.len() {
+            return;
+        }
+        self.statistics.resize_classes(classes);
+        self.unknown_runaways.resize_classes(classes);
+        self.settings = settings;
+    }
+
+    /// Replaces the engine list.
+    pub fn update_engines(&mut self, engines: Vec<EngineStatus>) {
+        self.engine_speeds
+            .retain(|id| engines.iter().any(|status| status.engine == id));
+        self.engines = engines;
+        self.publish_holds();
+    }
+
+    /// An engine restarted: abandoned attempts that it ran are gone.
+    pub fn reset_engine(&mut self, now: Micros, engine: EngineId) {
+        for id in self.attempts.unconfirmed_at(engine) {
+            self.remove_attempt(now, id, "its engine was started anew");
         }
     }
 
@@ -101,22 +110,34 @@
         FingerprintId::new(&self.settings.classes[class].name, fingerprint)
     }
 
-    /// Whether an attempt on this table group that started at this engine after `since` ran as usual.
-    pub(crate) fn completed_normally_since(
-        &self,
-        engine: EngineId,
-        group: u64,
-        since: Micros,
-    ) -> bool {
-        self.last_completions
-            .get(&(engine, group))
-            .is_some_and(|started| *started > since)
+    /// Records that a statement arrived. Returns the fingerprint under which it can be held: its own, or the one
+    /// that stands for all unknown fingerprints of its class while those are held together.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such class.
+    pub fn observe_arrival(
+        &mut self,
+        now: Micros,
+        fingerprint: FingerprintId,
+        class: usize,
+        label: &Rc<str>,
+    ) -> FingerprintId {
+        self.statistics
+            .record_arrival(fingerprint, class, label, now);
+        let unknown = FingerprintId::unknown(&self.settings.classes[class].name);
+        if self.holds.contains(unknown) && !self.statistics.is_known(fingerprint) {
+            unknown
+        } else {
+            fingerprint
+        }
     }
 
-    /// Whether any engine reported progress lately.
-    pub(crate) fn has_recent_reports(&self, now: Micros) -> bool {
-        self.last_report_at
-            .is_some_and(|at| now.saturating_sub(at) < REPORTS_TTL)
+    /// Lifts the hold of a fingerprint on behalf of an operator. False if it is not held.
+    pub fn release_hold(&mut self, fingerprint: FingerprintId) -> bool {
+        let was_held = self.holds.release(fingerprint);
+        self.publish_holds();
+        was_held
     }
 
     /// When the next detection run is due.
@@ -129,13 +150,6 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Decides on holds that changed.
-    pub(crate) fn publish_holds(&mut self) {
-        let changes = self.holds.take_changes();
-        self.decisions
-            .extend(changes.into_iter().map(Decision::Hold));
-    }
-
     /// Findings that still hold.
     pub fn open_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.open()
@@ -148,12 +162,12 @@
 
     /// Fingerprints whose concurrency is limited.
     pub fn holds(&self) -> impl Iterator<Item = (&FingerprintId, &FingerprintHold)> {
-        self.holds.fingerprints.iter()
+        self.holds.fingerprints()
     }
 
     /// Table groups with the engines that they are excluded from.
     pub fn excluded_engines(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
-        self.holds.groups.iter()
+        self.holds.groups()
     }
 
     /// How much is tracked.
@@ -165,95 +179,38 @@
         }
     }
 
-    /// Drops the cached expectations of a fingerprint's attempts.
-    pub(crate) fn invalidate_expectations(&mut self, fingerprint: FingerprintId) {
-        self.attempts
-            .values_mut()
-            .filter(|attempt| attempt.start.fingerprint == fingerprint)
-            .for_each(|attempt| attempt.expectation = None);
+    /// Encodes what survives a restart.
+    pub fn save(&self) -> Vec<u8> {
+        snapshot::encode(&self.settings.classes, &self.statistics, &self.holds)
     }
 
-    /// What is expected of an attempt, looked up again if the cached expectation is too old.
-    pub(crate) fn refresh_expectation(
-        &mut self,
-        now: Micros,
-        id: AttemptId,
-    ) -> Option<Expectation> {
-        let attempt = self.attempts.get_mut(&id)?;
-        if let Some((at, expected)) = attempt.expectation
-            && now.saturating_sub(at) < EXPECTATION_TTL
-        {
-            return Some(expected);
+    /// Restores what was saved, all or nothing: on an error, nothing has changed.
+    ///
+    /// # Errors
+    ///
+    /// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
+    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<RestoredCounts, SnapshotError> {
+        let snapshot = snapshot::decode(now, bytes, &self.settings.classes)?;
+        for (class, statistics) in snapshot.classes {
+            self.statistics.restore_class(class, statistics);
         }
-        let s = &attempt.start;
-        let expected = self.statistics.expectation(
-            s.fingerprint,
-            s.class,
-            &self.settings.classes[s.class],
-            s.announced,
-        );
-        attempt.expectation = Some((now, expected));
-        Some(expected)
-    }
-
-    /// The cached expectation of an attempt.
-    pub(crate) fn expectation(&self, id: AttemptId) -> Option<&Expectation> {
-        self.attempts.get(&id)?.expectation.as_ref().map(|(_, e)| e)
-    }
-
-    /// How slow an engine is, by the attempts that ended or run there except one.
-    pub(crate) fn engine_slowness(
-        &self,
-        now: Micros,
-        engine: EngineId,
-        without: Option<AttemptId>,
-    ) -> Slowness {
-        let running: Vec<Sample> = match self.slow_samples.get(&engine) {
-            Some(all) => all
-                .iter()
-                .filter(|s| Some(s.0) != without)
-                .map(|s| s.1)
-                .collect(),
-            None => Vec::new(),
-        };
-        self.engine_speeds.slowness(now, engine, &running)
+        for (id, statistics) in snapshot.fingerprints {
+            self.statistics.restore_fingerprint(id, statistics);
+        }
+        self.holds.restore(snapshot.holds);
+        self.publish_holds();
+        Ok(snapshot.counts)
     }
 
-    /// Collects running attempts that are slower than usual, once per detection run.
-    pub(crate) fn collect_slow_samples(&mut self, now: Micros) {
-        let mut samples: BTreeMap<EngineId, Vec<(AttemptId, Sample)>> = BTreeMap::new();
-        let all = self
-            .attempts
-            .iter()
-            .filter(|(_, attempt)| attempt.is_executing() && !attempt.is_blocked)
-            .filter(|(_, attempt)| !self.findings.is_runaway(&attempt.subject()))
-            .filter_map(|(id, attempt)| {
-                let e = self.expectation(*id).filter(|e| e.known)?;
-                // Run time so far is a lower bound. A larger statement, as its reported work shows, takes longer at
-                // any engine and says nothing of this one.
-                let size_ratio = attempt
-                    .progress
-                    .work
-                    .map_or(1.0, |work| work as f64 / e.work.usual.max(1.0))
-                    .max(1.0);
-                let times = attempt.active_time(now) / (e.run.usual.max(1.0) * size_ratio);
-                (times >= MIN_SLOW_SAMPLE).then_some((
-                    attempt.start.engine,
-                    *id,
-                    Sample {
-                        fingerprint: attempt.start.fingerprint,
-                        times,
-                    },
-                ))
-            });
-        for (engine, id, sample) in all {
-            samples.entry(engine).or_default().push((id, sample));
-        }
-        self.slow_samples = samples;
+    /// Decides on holds that changed.
+    fn publish_holds(&mut self) {
+        let changes = self.holds.take_changes(&self.engines);
+        self.decisions
+            .extend(changes.into_iter().map(Decision::Hold));
     }
 
-    /// The id of the attempt that engines know by this name.
-    pub(crate) fn attempt_by_name(&self, name: &str) -> Option<AttemptId> {
-        self.attempt_ids.get(name).copied()
+    /// Number of engines that accept work.
+    fn engines_up(&self) -> usize {
+        self.engines.iter().filter(|status| status.is_up).count()
     }
 }
--- /dev/null
+++ b/crates/runaway/src/detector/enforcement.rs
@@ -0,0 +1,89 @@
+//! What is done about a runaway, as the options of its class allow: end it, pause it, hold its fingerprint.
+
+use hoptiller_policy::Micros;
+
+use super::RunawayDetector;
+use crate::interface::{AttemptId, Cause, Decision, FingerprintId};
+
+impl RunawayDetector {
+    /// Enforces the options of its class on a runaway. `blocked` are the statements that it blocks: in a deadlock, the
+    /// others of the cycle.
+    pub(super) fn enforce(&mut self, now: Micros, id: AttemptId, cause: Cause, blocked: &[String]) {
+        // Of a deadlock, the youngest is ended: it has done the least work, and the others can continue.
+        let has_younger = cause == Cause::Deadlock
+            && blocked
+                .iter()
+                .filter_map(|name| self.attempts.id_by_name(name))
+                .any(|other| other > id);
+        let Some(attempt) = self.attempts.get_mut(id) else {
+            return;
+        };
+        let class = &self.settings.classes[attempt.start().class];
+        let options = class.enforcement;
+        if attempt.is_executing() {
+            if options.end && !has_younger {
+                let end_at = now + self.settings.end_after;
+                attempt.enforcement.schedule_end(end_at);
+            }
+            // A paused statement would keep what others wait for even longer.
+            let blocks_others = class.holds_tables
+                || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
+            let resume_at = now + self.settings.pause_for;
+            if options.pause && !blocks_others && attempt.enforcement.pause_until(resume_at) {
+                self.decisions.push(Decision::Pause(id));
+            }
+        }
+        if options.hold {
+            self.hold_fingerprint(now, id, options.lower);
+        }
+    }
+
+    /// Ends and resumes attempts that are due.
+    pub(super) fn enforce_due(&mut self, now: Micros) {
+        for attempt in self.attempts.values_mut() {
+            let id = attempt.start().attempt;
+            let is_executing = attempt.is_executing();
+            let due = attempt.enforcement.take_due(now, is_executing);
+            if due.resume {
+                self.decisions.push(Decision::Resume(id));
+            }
+            if due.end {
+                self.decisions.push(Decision::End(id));
+            }
+        }
+    }
+
+    /// Holds the fingerprint of a runaway.
+    fn hold_fingerprint(&mut self, now: Micros, id: AttemptId, low_priority: bool) {
+        let Some(attempt) = self.attempts.get(id) else {
+            return;
+        };
+        let start = attempt.start();
+        let (class, label) = (start.class, start.label.clone());
+        let held_as = self.fingerprint_to_hold(now, start.fingerprint, class);
+        self.holds
+            .add_runaway(now, held_as, class, &label, low_priority);
+        if let Some(attempt) = self.attempts.get_mut(id) {
+            attempt.count_in_hold(held_as);
+        }
+    }
+
+    /// The fingerprint to hold: its own, or that of all unknown fingerprints of the class.
+    fn fingerprint_to_hold(
+        &mut self,
+        now: Micros,
+        fingerprint: FingerprintId,
+        class: usize,
+    ) -> FingerprintId {
+        if self.statistics.is_known(fingerprint) {
+            return fingerprint;
+        }
+        let are_many = self.unknown_runaways.record(now, class);
+        // While the class itself is new, all of its fingerprints are unknown.
+        if are_many && self.statistics.known_in_class(class) > 0 {
+            FingerprintId::unknown(&self.settings.classes[class].name)
+        } else {
+            fingerprint
+        }
+    }
+}
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -1,34 +1,39 @@
-//! What a client is told of a statement that was ended at its engine. It must never invite a second run of a
-//! statement that may have had its effect.
+//! Whether the client of a statement that was ended at its engine may retry it. A response must never invite a second
+//! run of a statement that may have had its effect.
 
 use hoptiller_policy::{DeduplicationScope, Idempotency, Micros};
 
-/// What the engine says of the effects of a statement that it has ended.
+/// What an engine reports on the effects of a statement that it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// They are undone.
+    /// They are rolled back.
     RolledBack,
-    /// They are durable.
+    /// They are committed.
     Committed,
-    /// It does not say.
+    /// It does not report it.
     Unknown,
 }
 
-/// What its client is told.
+/// Whether a retry is safe, as the response to the client shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Rejected: a retry is safe.
-    Harmless,
-    /// Failed: it may have run.
+pub enum RetrySafety {
+    /// A retry is safe: the statement is answered as rejected.
+    Safe,
+    /// It may have run: it is answered as failed.
     MayHaveRun,
-    /// Failed: it has run, and its effects are durable.
+    /// It has run, and its effects are durable: it is answered as failed.
     HasRun,
 }
 
-/// What a client is told. `since` is when the first attempt that may have run was sent.
-pub fn answer_after_end(effect: Idempotency, proof: Proof, since: Micros, now: Micros) -> Verdict {
-    match (effect, proof) {
-        (Idempotency::Idempotent, _) | (_, Proof::RolledBack) => Verdict::Harmless,
+/// Whether a retry is safe. `since` is when the first attempt that may have run was sent.
+pub fn retry_safety_after_end(
+    idempotency: Idempotency,
+    proof: Proof,
+    since: Micros,
+    now: Micros,
+) -> RetrySafety {
+    match (idempotency, proof) {
+        (Idempotency::Idempotent, _) | (_, Proof::RolledBack) => RetrySafety::Safe,
         // Repeats are discarded at any engine, but only within the window.
         (
             Idempotency::WithKey {
@@ -36,9 +41,9 @@
                 window,
             },
             _,
-        ) if now < since.saturating_add(window) => Verdict::Harmless,
-        (_, Proof::Committed) => Verdict::HasRun,
-        (_, Proof::Unknown) => Verdict::MayHaveRun,
+        ) if now < since.saturating_add(window) => RetrySafety::Safe,
+        (_, Proof::Committed) => RetrySafety::HasRun,
+        (_, Proof::Unknown) => RetrySafety::MayHaveRun,
     }
 }
 
--- a/crates/runaway/src/ending/tests.rs
+++ b/crates/runaway/src/ending/tests.rs
@@ -7,51 +7,51 @@
         scope: group,
         window,
     };
-    for (effect, proof, want) in [
-        (Idempotency::Idempotent, Unknown, Verdict::Harmless),
-        (Idempotency::NotIdempotent, RolledBack, Verdict::Harmless),
-        (Idempotency::NotIdempotent, Unknown, Verdict::MayHaveRun),
-        (Idempotency::NotIdempotent, Committed, Verdict::HasRun),
+    for (idempotency, proof, want) in [
+        (Idempotency::Idempotent, Unknown, RetrySafety::Safe),
+        (Idempotency::NotIdempotent, RolledBack, RetrySafety::Safe),
+        (Idempotency::NotIdempotent, Unknown, RetrySafety::MayHaveRun),
+        (Idempotency::NotIdempotent, Committed, RetrySafety::HasRun),
         (
             keyed(DeduplicationScope::All, 101),
             Unknown,
-            Verdict::Harmless,
+            RetrySafety::Safe,
         ),
         (
             keyed(DeduplicationScope::All, 101),
             Committed,
-            Verdict::Harmless,
+            RetrySafety::Safe,
         ),
         (
             keyed(DeduplicationScope::All, 100),
             Unknown,
-            Verdict::MayHaveRun,
+            RetrySafety::MayHaveRun,
         ),
         (
             keyed(DeduplicationScope::All, 100),
             Committed,
-            Verdict::HasRun,
+            RetrySafety::HasRun,
         ),
         (
             keyed(DeduplicationScope::Zone, 1000),
             Unknown,
-            Verdict::MayHaveRun,
+            RetrySafety::MayHaveRun,
         ),
         (
             keyed(DeduplicationScope::Cell, 1000),
             Committed,
-            Verdict::HasRun,
+            RetrySafety::HasRun,
         ),
         (
             keyed(DeduplicationScope::Zone, 10),
             RolledBack,
-            Verdict::Harmless,
+            RetrySafety::Safe,
         ),
     ] {
         assert_eq!(
-            answer_after_end(effect, proof, 100, 200),
+            retry_safety_after_end(idempotency, proof, 100, 200),
             want,
-            "{effect:?} {proof:?}"
+            "{idempotency:?} {proof:?}"
         );
     }
 }
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -5,7 +5,10 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::interface::FingerprintId;
+use crate::attempt::RunningAttempt;
+use crate::attempts::Attempts;
+use crate::findings::Findings;
+use crate::interface::{AttemptId, FingerprintId};
 
 /// Completions kept for an engine.
 const MAX_COMPLETIONS: usize = 16;
@@ -15,6 +18,8 @@
 const MIN_SAMPLES: usize = 3;
 /// The largest slowness that is reported.
 const MAX_SLOWNESS: f64 = 20.0;
+/// Multiple of the usual run time from which a running attempt says anything of its engine.
+const MIN_SLOW_SAMPLE: f64 = 2.0;
 /// Slowness from which an engine is reported.
 pub(crate) const SLOW: f64 = 3.0;
 /// Ratio to the median slowness of the others from which an engine is reported.
@@ -38,42 +43,81 @@
     pub(crate) samples: usize,
 }
 
-/// Recent completions by engine.
+/// Samples of each engine: recent completions, and running attempts that take longer than usual.
 #[derive(Debug, Default)]
 pub(crate) struct EngineSpeeds {
-    ends: BTreeMap<EngineId, VecDeque<(Micros, Sample)>>,
+    completions: BTreeMap<EngineId, VecDeque<(Micros, Sample)>>,
+    /// As of the last detection run.
+    running: BTreeMap<EngineId, Vec<(AttemptId, Sample)>>,
 }
 
 impl EngineSpeeds {
     /// Records that an attempt ended.
     pub(crate) fn record_completion(&mut self, now: Micros, engine: EngineId, sample: Sample) {
-        let ends = self.ends.entry(engine).or_default();
-        ends.push_back((now, sample));
-        while ends.len() > MAX_COMPLETIONS {
-            ends.pop_front();
+        let completions = self.completions.entry(engine).or_default();
+        completions.push_back((now, sample));
+        while completions.len() > MAX_COMPLETIONS {
+            completions.pop_front();
         }
     }
 
-    /// Keeps only the engines that `keep` accepts.
-    pub(crate) fn retain(&mut self, keep: impl Fn(EngineId) -> bool) {
-        self.ends.retain(|id, _| keep(*id));
+    /// Replaces the samples of running attempts, once per detection run.
+    pub(crate) fn observe_running(
+        &mut self,
+        now: Micros,
+        attempts: &Attempts,
+        findings: &Findings,
+    ) {
+        self.running.clear();
+        let eligible = attempts.values().filter(|attempt| {
+            attempt.is_executing()
+                && !attempt.is_blocked()
+                && !findings.is_runaway(&attempt.subject())
+        });
+        for attempt in eligible {
+            if let Some(sample) = running_sample(now, attempt) {
+                let start = attempt.start();
+                let samples = self.running.entry(start.engine).or_default();
+                samples.push((start.attempt, sample));
+            }
+        }
+    }
+
+    /// Keeps only the completions of engines that `is_listed` accepts.
+    pub(crate) fn retain(&mut self, is_listed: impl Fn(EngineId) -> bool) {
+        self.completions.retain(|id, _| is_listed(*id));
+    }
+
+    /// How slow an engine is, by all attempts that ended or run there.
+    pub(crate) fn slowness(&self, now: Micros, engine: EngineId) -> Slowness {
+        let running = self.running.get(&engine).into_iter().flatten();
+        let samples: Vec<Sample> = running.map(|(_, sample)| *sample).collect();
+        self.slowness_with(now, engine, &samples)
     }
 
-    /// How slow an engine is, given the attempts that run there.
-    pub(crate) fn slowness(&self, now: Micros, engine: EngineId, running: &[Sample]) -> Slowness {
+    /// How slow the engine of an attempt is, by the other attempts that ended or run there.
+    pub(crate) fn slowness_for(&self, now: Micros, attempt: &RunningAttempt) -> Slowness {
+        let start = attempt.start();
+        let running = self.running.get(&start.engine).into_iter().flatten();
+        let samples: Vec<Sample> = running
+            .filter(|(id, _)| *id != start.attempt)
+            .map(|(_, sample)| *sample)
+            .collect();
+        self.slowness_with(now, start.engine, &samples)
+    }
+
+    fn slowness_with(&self, now: Micros, engine: EngineId, running: &[Sample]) -> Slowness {
         let since = now.saturating_sub(COMPLETION_TTL);
         let ended = self
-            .ends
+            .completions
             .get(&engine)
             .into_iter()
             .flatten()
             .filter(|(at, _)| *at >= since);
         let mut by_fingerprint: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
-        for s in ended.map(|(_, s)| s).chain(running) {
-            by_fingerprint
-                .entry(s.fingerprint)
-                .or_default()
-                .push(s.times);
+        for sample in ended.map(|(_, sample)| sample).chain(running) {
+            let times = by_fingerprint.entry(sample.fingerprint).or_default();
+            times.push(sample.times);
         }
         let samples = by_fingerprint.values().map(Vec::len).sum();
         if samples < MIN_SAMPLES {
@@ -94,6 +138,24 @@
     }
 }
 
+/// The sample of a running attempt; `None` unless it takes longer than usual.
+fn running_sample(now: Micros, attempt: &RunningAttempt) -> Option<Sample> {
+    let expectation = attempt.expectation().filter(|e| e.is_known)?;
+    // Run time so far is a lower bound. A larger statement, as its reported work shows, takes longer at any engine and
+    // says nothing of this one.
+    let size_ratio = attempt
+        .progress()
+        .work
+        .map_or(1.0, |work| work as f64 / expectation.work.usual.max(1.0))
+        .max(1.0);
+    let usual = expectation.run_time.usual.max(1.0) * size_ratio;
+    let times = attempt.active_time(now) / usual;
+    (times >= MIN_SLOW_SAMPLE).then_some(Sample {
+        fingerprint: attempt.start().fingerprint,
+        times,
+    })
+}
+
 /// The lower median: it takes more than half of the values to excuse an attempt.
 fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -108,8 +170,8 @@
 pub(crate) fn stands_out(own: Slowness, others: &[Slowness], is_reported: bool) -> bool {
     let mut known: Vec<f64> = others
         .iter()
-        .filter(|o| o.samples >= MIN_SAMPLES)
-        .map(|o| o.factor)
+        .filter(|other| other.samples >= MIN_SAMPLES)
+        .map(|other| other.factor)
         .collect();
     let usual = median(&mut known);
     if is_reported {
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn slowness_needs_several_samples() {
     let speeds = EngineSpeeds::default();
-    let factor = |times: &[f64]| speeds.slowness(0, EngineId(1), &samples(times)).factor;
+    let factor = |times: &[f64]| speeds.slowness_with(0, EngineId(1), &samples(times)).factor;
     assert_eq!(factor(&[50.0, 50.0]), 1.0);
     assert_eq!(factor(&[1.0, 1.2, 50.0, 0.9]), 1.0);
     assert_eq!(factor(&[4.0, 5.0, 50.0, 6.0]), 5.0);
@@ -28,7 +28,10 @@
         fingerprint: FingerprintId(2),
         times: 1.1,
     });
-    assert_eq!(speeds.slowness(0, EngineId(1), &mixed), slowness(1.1, 10));
+    assert_eq!(
+        speeds.slowness_with(0, EngineId(1), &mixed),
+        slowness(1.1, 10)
+    );
 }
 
 #[test]
@@ -38,15 +41,15 @@
         speeds.record_completion(0, EngineId(1), samples(&[8.0])[0]);
     }
     assert_eq!(
-        speeds.slowness(COMPLETION_TTL, EngineId(1), &[]),
+        speeds.slowness_with(COMPLETION_TTL, EngineId(1), &[]),
         slowness(8.0, MAX_COMPLETIONS)
     );
     assert_eq!(
-        speeds.slowness(COMPLETION_TTL + 1, EngineId(1), &[]),
+        speeds.slowness_with(COMPLETION_TTL + 1, EngineId(1), &[]),
         slowness(1.0, 0)
     );
     speeds.retain(|_| false);
-    assert_eq!(speeds.slowness(0, EngineId(1), &[]).samples, 0);
+    assert_eq!(speeds.slowness_with(0, EngineId(1), &[]).samples, 0);
 }
 
 #[test]
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -5,7 +5,7 @@
 
 use hoptiller_policy::Micros;
 
-use crate::interface::{Decision, Finding, Subject, Verdict};
+use crate::interface::{Cause, Decision, Finding, FingerprintId, Subject, Verdict};
 
 /// Cleared findings that are kept.
 const MAX_PAST: usize = 256;
@@ -32,6 +32,12 @@
             .is_some_and(|f| f.verdict == Verdict::Runaway)
     }
 
+    /// Whether a fingerprint is found to have changed.
+    pub(crate) fn is_changed(&self, fingerprint: FingerprintId) -> bool {
+        self.get(&Subject::Fingerprint(fingerprint))
+            .is_some_and(|f| f.cause == Cause::FingerprintChanged)
+    }
+
     /// The open findings.
     pub(crate) fn open(&self) -> impl Iterator<Item = &Finding> {
         self.open.values()
@@ -45,21 +51,26 @@
     /// Records a finding and reports it if it is new, more certain or of another cause. True if it was reported.
     pub(crate) fn report(&mut self, mut finding: Finding, out: &mut Vec<Decision>) -> bool {
         let old = self.open.get(&finding.subject);
-        finding.id = old.map_or_else(|| self.last_id + 1, |o| o.id);
+        finding.id = old.map_or_else(|| self.last_id + 1, |old| old.id);
         self.last_id = self.last_id.max(finding.id);
         // A finding does not become less certain until it is cleared.
-        let known = old.is_some_and(|o| {
-            o.verdict > finding.verdict || (o.verdict, o.cause) == (finding.verdict, finding.cause)
-        });
-        if let Some(o) = old.filter(|_| known) {
-            (finding.verdict, finding.cause, finding.at, finding.since) =
-                (o.verdict, o.cause, o.at, o.since);
+        let is_reported = |old: &&Finding| {
+            old.verdict > finding.verdict
+                || (old.verdict, old.cause) == (finding.verdict, finding.cause)
+        };
+        let reported = old.filter(is_reported);
+        let is_new = reported.is_none();
+        if let Some(old) = reported {
+            finding.verdict = old.verdict;
+            finding.cause = old.cause;
+            finding.at = old.at;
+            finding.since = old.since;
         } else {
             out.push(Decision::Found(Box::new(finding.clone())));
         }
         self.open.insert(finding.subject.clone(), finding);
         self.evict_excess(out);
-        !known
+        is_new
     }
 
     /// Clears the finding on a subject, if there is one.
@@ -70,15 +81,17 @@
         note: &'static str,
         out: &mut Vec<Decision>,
     ) {
-        let Some(mut f) = self.open.remove(subject) else {
+        let Some(mut finding) = self.open.remove(subject) else {
             return;
         };
-        (f.verdict, f.at, f.note) = (Verdict::Cleared, now, note);
-        self.past.push_back(f.clone());
+        finding.verdict = Verdict::Cleared;
+        finding.at = now;
+        finding.note = note;
+        self.past.push_back(finding.clone());
         if self.past.len() > MAX_PAST {
             self.past.pop_front();
         }
-        out.push(Decision::Found(Box::new(f)));
+        out.push(Decision::Found(Box::new(finding)));
     }
 
     fn evict_excess(&mut self, out: &mut Vec<Decision>) {
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::{Basis, Cause, Evidence, Measure};
+use crate::interface::{Basis, Evidence, Measure};
 
 fn finding(name: &str, verdict: Verdict, at: Micros) -> Finding {
     let evidence = Evidence {
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -8,7 +8,10 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
+use crate::attempts::Attempts;
+use crate::engine_speed::EngineSpeeds;
 use crate::interface::{AttemptId, FingerprintId};
+use crate::measures::is_long_run;
 
 /// Long runs from which a fingerprint may have changed.
 const MIN_LONG_RUNS: usize = 4;
@@ -20,9 +23,10 @@
 const MIN_USUAL_RUNS: usize = 8;
 /// Fingerprints that are counted at once; the least recently updated one is evicted.
 const MAX_FINGERPRINTS: usize = 256;
-
-/// Long runs of a fingerprint that are counted.
+/// Long runs of a fingerprint that are counted at most.
 const MAX_LONG_RUNS: usize = 1024;
+/// Runs beyond its bound after which the new figures of a changed fingerprint are adopted.
+pub(crate) const MIN_RUNS_TO_ADOPT: u64 = 8;
 
 /// What the runs of a fingerprint say of a statement that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,14 +39,36 @@
     Changed,
 }
 
+/// Runs of a fingerprint since its first long one.
 #[derive(Debug)]
 struct ChangeCounter {
+    /// When the first long run started.
     since: Micros,
+    /// Long runs, with the engines where they run or ran.
     long: BTreeMap<AttemptId, EngineId>,
+    /// Number of usual runs that started since then.
     usual: usize,
     updated_at: Micros,
 }
 
+impl ChangeCounter {
+    fn new(now: Micros, since: Micros) -> ChangeCounter {
+        ChangeCounter {
+            since,
+            long: BTreeMap::new(),
+            usual: 0,
+            updated_at: now,
+        }
+    }
+
+    /// Whether the long runs are outliers among usual ones.
+    fn is_refuted(&self) -> bool {
+        let long = self.long.len();
+        long == 0
+            || self.usual >= MIN_USUAL_RUNS && (long as f64) < MIN_LONG_PART * self.usual as f64
+    }
+}
+
 /// Fingerprints with long runs.
 #[derive(Debug, Default)]
 pub(crate) struct FingerprintChanges {
@@ -59,24 +85,42 @@
         started: Micros,
         engine: EngineId,
     ) {
-        if self.counters.len() >= MAX_FINGERPRINTS && !self.counters.contains_key(&fingerprint) {
-            let oldest = self
-                .counters
-                .iter()
-                .min_by_key(|(_, c)| c.updated_at)
-                .map(|(id, _)| *id);
-            oldest.and_then(|id| self.counters.remove(&id));
+        self.evict_for(fingerprint);
+        let counter = self
+            .counters
+            .entry(fingerprint)
+            .or_insert_with(|| ChangeCounter::new(now, started));
+        counter.updated_at = now;
+        if counter.long.len() < MAX_LONG_RUNS {
+            counter.long.insert(attempt, engine);
         }
-        let first = || ChangeCounter {
-            since: started,
-            long: BTreeMap::new(),
-            usual: 0,
-            updated_at: now,
-        };
-        let c = self.counters.entry(fingerprint).or_insert_with(first);
-        c.updated_at = now;
-        if c.long.len() < MAX_LONG_RUNS {
-            c.long.insert(attempt, engine);
+    }
+
+    /// Counts the running attempts of known fingerprints that already run long.
+    pub(crate) fn count_running(
+        &mut self,
+        now: Micros,
+        attempts: &Attempts,
+        engine_speeds: &EngineSpeeds,
+    ) {
+        for attempt in attempts.values() {
+            let Some(expectation) = attempt.expectation() else {
+                continue;
+            };
+            if !attempt.is_executing() || !expectation.is_known || attempt.is_blocked() {
+                continue;
+            }
+            let slowness = engine_speeds.slowness_for(now, attempt).factor;
+            if is_long_run(attempt, expectation, now, slowness) {
+                let (start, started_at) = (attempt.start(), attempt.started_at());
+                self.record_long_run(
+                    now,
+                    start.fingerprint,
+                    start.attempt,
+                    started_at,
+                    start.engine,
+                );
+            }
         }
     }
 
@@ -87,14 +131,12 @@
         attempt: AttemptId,
         started: Micros,
     ) {
-        let Some(c) = self.counters.get_mut(&fingerprint) else {
+        let Some(counter) = self.counters.get_mut(&fingerprint) else {
             return;
         };
-        c.long.remove(&attempt);
-        c.usual += usize::from(started >= c.since);
-        if c.long.is_empty()
-            || (c.usual >= MIN_USUAL_RUNS && (c.long.len() as f64) < MIN_LONG_PART * c.usual as f64)
-        {
+        counter.long.remove(&attempt);
+        counter.usual += usize::from(started >= counter.since);
+        if counter.is_refuted() {
             self.counters.remove(&fingerprint);
         }
     }
@@ -107,15 +149,17 @@
         over_for: Micros,
         engines: usize,
     ) -> ChangeStatus {
-        let Some(c) = self.counters.get(&fingerprint) else {
+        let Some(counter) = self.counters.get(&fingerprint) else {
             return ChangeStatus::Isolated;
         };
-        let (long, all) = (c.long.len(), c.long.len() + c.usual);
-        let engines_with_long_runs = c.long.values().collect::<BTreeSet<_>>().len();
-        let most = long as f64 >= MIN_LONG_PART * all as f64;
-        if long >= MIN_LONG_RUNS && most && (engines_with_long_runs > 1 || engines < 2) {
+        let long = counter.long.len();
+        let all = long + counter.usual;
+        let engines_with_long_runs = counter.long.values().collect::<BTreeSet<_>>().len();
+        let are_most_long = long as f64 >= MIN_LONG_PART * all as f64;
+        let is_everywhere = engines_with_long_runs > 1 || engines < 2;
+        if long >= MIN_LONG_RUNS && are_most_long && is_everywhere {
             ChangeStatus::Changed
-        } else if long > 1 && most && over_for < MAX_UNDECIDED {
+        } else if long > 1 && are_most_long && over_for < MAX_UNDECIDED {
             ChangeStatus::Undecided
         } else {
             ChangeStatus::Isolated
@@ -131,6 +175,17 @@
     pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
         self.counters.contains_key(&fingerprint)
     }
+
+    /// Makes room for a fingerprint that is not counted yet.
+    fn evict_for(&mut self, fingerprint: FingerprintId) {
+        if self.counters.len() < MAX_FINGERPRINTS || self.contains(fingerprint) {
+            return;
+        }
+        let oldest = self.counters.iter().min_by_key(|(_, c)| c.updated_at);
+        if let Some(id) = oldest.map(|(id, _)| *id) {
+            self.counters.remove(&id);
+        }
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/runaway/src/group_exclusion.rs
@@ -0,0 +1,56 @@
+//! Which table groups are excluded from which engines: those that a runaway load holds, so that their readers run
+//! elsewhere meanwhile.
+
+use std::collections::BTreeMap;
+
+use hoptiller_policy::{EngineId, Micros};
+
+use crate::attempts::Attempts;
+use crate::findings::Findings;
+use crate::interface::Class;
+use crate::remote_statements::RemoteStatements;
+
+/// Engines by the table group that is excluded from them.
+pub(crate) type ExcludedEngines = BTreeMap<u64, Vec<EngineId>>;
+
+/// The exclusions for all runaway loads of this router and of others.
+pub(crate) fn excluded_engines(
+    now: Micros,
+    attempts: &Attempts,
+    remote_statements: &RemoteStatements,
+    findings: &Findings,
+    classes: &[Class],
+) -> ExcludedEngines {
+    let mut excluded = ExcludedEngines::new();
+    for attempt in attempts.values() {
+        let start = attempt.start();
+        let class = &classes[start.class];
+        if let Some(group) = start.group
+            && class.holds_tables
+            && class.enforcement.hold
+            && findings.is_runaway(&attempt.subject())
+        {
+            exclude(&mut excluded, group, start.engine);
+        }
+    }
+    for (remote, groups) in remote_statements.excluded(now) {
+        // Without a reported class, it is enough that any class allows it.
+        let is_allowed = match remote.class {
+            Some(class) => classes[class].enforcement.hold,
+            None => classes.iter().any(|class| class.enforcement.hold),
+        };
+        if is_allowed {
+            for group in groups {
+                exclude(&mut excluded, *group, remote.engine);
+            }
+        }
+    }
+    excluded
+}
+
+fn exclude(excluded: &mut ExcludedEngines, group: u64, engine: EngineId) {
+    let engines = excluded.entry(group).or_default();
+    if !engines.contains(&engine) {
+        engines.push(engine);
+    }
+}
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -5,11 +5,13 @@
 //! needed. At `RELEASE_LIMIT` the hold is lifted. The hold of a fingerprint without runs recovers by time, one step per
 //! `IDLE_STEP`. A table group that a runaway blocks at an engine is excluded from that engine meanwhile.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use hoptiller_policy::{EngineId, Hold, HoldTarget, Micros};
 use serde::{Deserialize, Serialize};
 
+use crate::group_exclusion::ExcludedEngines;
 use crate::interface::{EngineStatus, FingerprintId};
 
 /// Clean runs for the first step.
@@ -52,18 +54,57 @@
     pub runaways: u32,
 }
 
+impl FingerprintHold {
+    /// Doubles the limit.
+    fn relax(&mut self) {
+        self.max_in_flight = (self.max_in_flight * 2).min(RELEASE_LIMIT);
+        self.clean_runs = 0;
+    }
+
+    /// Resets the limit for a further runaway.
+    fn tighten(&mut self, now: Micros) {
+        self.clean_runs_needed = (self.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
+        self.max_in_flight = 1;
+        self.clean_runs = 0;
+        self.last_end = now;
+        self.runaways += 1;
+    }
+
+    fn is_lifted(&self) -> bool {
+        self.max_in_flight >= RELEASE_LIMIT && self.runaways == 0
+    }
+}
+
 /// The holds of fingerprints and the exclusions of table groups.
 #[derive(Debug, Default)]
 pub(crate) struct Holds {
-    pub(crate) fingerprints: BTreeMap<FingerprintId, FingerprintHold>,
-    /// Table groups with the engines that they are excluded from.
-    pub(crate) groups: BTreeMap<u64, Vec<EngineId>>,
-    engines: Vec<EngineStatus>,
+    fingerprints: BTreeMap<FingerprintId, FingerprintHold>,
+    groups: ExcludedEngines,
     /// The last published hold of each target.
     published: BTreeMap<HoldTarget, Hold>,
 }
 
 impl Holds {
+    /// The held fingerprints.
+    pub(crate) fn fingerprints(&self) -> impl Iterator<Item = (&FingerprintId, &FingerprintHold)> {
+        self.fingerprints.iter()
+    }
+
+    /// Table groups with the engines that they are excluded from.
+    pub(crate) fn groups(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
+        self.groups.iter()
+    }
+
+    /// Whether a fingerprint is held.
+    pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
+        self.fingerprints.contains_key(&fingerprint)
+    }
+
+    /// Restores the holds of an earlier incarnation.
+    pub(crate) fn restore(&mut self, holds: Vec<(FingerprintId, FingerprintHold)>) {
+        self.fingerprints.extend(holds);
+    }
+
     /// Holds a fingerprint for a runaway that was found.
     pub(crate) fn add_runaway(
         &mut self,
@@ -73,61 +114,48 @@
         label: &str,
         low_priority: bool,
     ) {
-        if self.fingerprints.len() >= MAX_HOLDS && !self.fingerprints.contains_key(&fingerprint) {
-            let nearest = self
-                .fingerprints
-                .iter()
-                .max_by_key(|(_, h)| (h.max_in_flight, std::cmp::Reverse(h.last_end)));
-            if let Some(id) = nearest.map(|(id, _)| *id) {
-                self.fingerprints.remove(&id);
-            }
-        }
-        match self.fingerprints.get_mut(&fingerprint) {
-            Some(h) => {
-                h.clean_runs_needed = (h.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
-                (h.max_in_flight, h.clean_runs, h.last_end, h.runaways) =
-                    (1, 0, now, h.runaways + 1);
-            }
-            None => {
-                let hold = FingerprintHold {
-                    class,
-                    label: label.to_owned(),
-                    max_in_flight: 1,
-                    clean_runs: 0,
-                    clean_runs_needed: MIN_CLEAN_RUNS,
-                    since: now,
-                    last_end: now,
-                    low_priority,
-                    runaways: 1,
-                };
-                self.fingerprints.insert(fingerprint, hold);
-            }
+        if let Some(hold) = self.fingerprints.get_mut(&fingerprint) {
+            hold.tighten(now);
+            return;
         }
+        self.evict_excess();
+        let hold = FingerprintHold {
+            class,
+            label: label.to_owned(),
+            max_in_flight: 1,
+            clean_runs: 0,
+            clean_runs_needed: MIN_CLEAN_RUNS,
+            since: now,
+            last_end: now,
+            low_priority,
+            runaways: 1,
+        };
+        self.fingerprints.insert(fingerprint, hold);
     }
 
     /// Records that a runaway of a held fingerprint ended or was cleared.
     pub(crate) fn remove_runaway(&mut self, now: Micros, fingerprint: FingerprintId) {
-        if let Some(h) = self.fingerprints.get_mut(&fingerprint) {
-            h.runaways = h.runaways.saturating_sub(1);
-            h.last_end = now;
+        if let Some(hold) = self.fingerprints.get_mut(&fingerprint) {
+            hold.runaways = hold.runaways.saturating_sub(1);
+            hold.last_end = now;
         }
     }
 
-    /// Records that a statement of a fingerprint ended; `clean` if within half of its bound.
-    pub(crate) fn record_run(&mut self, now: Micros, fingerprint: FingerprintId, clean: bool) {
-        let Some(h) = self.fingerprints.get_mut(&fingerprint) else {
+    /// Records that a statement of a fingerprint ended; `is_clean` if within half of its bound.
+    pub(crate) fn record_run(&mut self, now: Micros, fingerprint: FingerprintId, is_clean: bool) {
+        let Some(hold) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
-        h.last_end = now;
-        if !clean {
-            h.clean_runs = 0;
+        hold.last_end = now;
+        if !is_clean {
+            hold.clean_runs = 0;
             return;
         }
-        h.clean_runs += 1;
-        if h.clean_runs >= h.clean_runs_needed {
-            (h.max_in_flight, h.clean_runs) = ((h.max_in_flight * 2).min(RELEASE_LIMIT), 0);
+        hold.clean_runs += 1;
+        if hold.clean_runs >= hold.clean_runs_needed {
+            hold.relax();
         }
-        if h.max_in_flight >= RELEASE_LIMIT && h.runaways == 0 {
+        if hold.is_lifted() {
             self.fingerprints.remove(&fingerprint);
         }
     }
@@ -138,98 +166,109 @@
     }
 
     /// Replaces the exclusions of table groups.
-    pub(crate) fn exclude_groups(&mut self, groups: BTreeMap<u64, Vec<EngineId>>) {
+    pub(crate) fn exclude_groups(&mut self, groups: ExcludedEngines) {
         self.groups = groups;
     }
 
-    /// Replaces the engine list.
-    pub(crate) fn update_engines(&mut self, engines: &[EngineStatus]) {
-        self.engines = engines.to_vec();
-    }
-
     /// Doubles the limits of fingerprints that have been idle.
     pub(crate) fn relax_idle(&mut self, now: Micros) {
-        for h in self.fingerprints.values_mut().filter(|h| h.runaways == 0) {
-            if now.saturating_sub(h.last_end) >= IDLE_STEP {
-                (h.max_in_flight, h.clean_runs, h.last_end) =
-                    ((h.max_in_flight * 2).min(RELEASE_LIMIT), 0, now);
+        let without_runaways = self.fingerprints.values_mut().filter(|h| h.runaways == 0);
+        for hold in without_runaways {
+            if now.saturating_sub(hold.last_end) >= IDLE_STEP {
+                hold.relax();
+                hold.last_end = now;
             }
         }
-        self.fingerprints
-            .retain(|_, h| h.max_in_flight < RELEASE_LIMIT || h.runaways > 0);
+        self.fingerprints.retain(|_, hold| !hold.is_lifted());
     }
 
     /// The holds that are new or changed since the last call; lifted ones come as holds without a limit.
-    pub(crate) fn take_changes(&mut self) -> Vec<Hold> {
-        let mut wanted: BTreeMap<HoldTarget, Hold> = BTreeMap::new();
-        for (fingerprint, h) in &self.fingerprints {
-            let of = HoldTarget::Kind(fingerprint.0);
-            let excluded = self.excluded_engines(*fingerprint, h);
-            wanted.insert(
-                of,
-                Hold {
-                    target: of,
-                    max_in_flight: h.max_in_flight + h.runaways,
-                    excluded_engines: excluded,
-                    low_priority: h.low_priority,
-                },
-            );
-        }
-        for (group, engines) in &self.groups {
-            let of = HoldTarget::Group(*group);
-            // Excluded from every engine, the group would never run.
-            let up: Vec<EngineId> = self
-                .engines
-                .iter()
-                .filter(|e| e.is_up)
-                .map(|e| e.engine)
-                .collect();
-            if up.iter().any(|e| !engines.contains(e)) {
-                wanted.insert(
-                    of,
-                    Hold {
-                        target: of,
-                        max_in_flight: u32::MAX,
-                        excluded_engines: engines.clone(),
-                        low_priority: false,
-                    },
-                );
-            }
-        }
-        let lifted = self.published.keys().filter(|of| !wanted.contains_key(of));
+    pub(crate) fn take_changes(&mut self, engines: &[EngineStatus]) -> Vec<Hold> {
+        let wanted = self.wanted(engines);
+        let is_lifted = |target: &&HoldTarget| !wanted.contains_key(target);
+        let lifted = self.published.keys().filter(is_lifted);
         let mut changes: Vec<Hold> = lifted
-            .map(|of| Hold {
-                target: *of,
+            .map(|target| Hold {
+                target: *target,
                 max_in_flight: u32::MAX,
                 excluded_engines: Vec::new(),
                 low_priority: false,
             })
             .collect();
-        changes.extend(
-            wanted
-                .values()
-                .filter(|h| self.published.get(&h.target) != Some(h))
-                .cloned(),
-        );
+        let is_changed = |hold: &&Hold| self.published.get(&hold.target) != Some(hold);
+        changes.extend(wanted.values().filter(is_changed).cloned());
         self.published = wanted;
         changes
     }
 
-    /// The engines where a held fingerprint may not run: all but as many as its limit, chosen by a hash that is the same
-    /// at all routers, so that they agree on a few engines without communication (rendezvous hashing).
-    fn excluded_engines(&self, fingerprint: FingerprintId, h: &FingerprintHold) -> Vec<EngineId> {
-        let fits = |e: &&EngineStatus| e.is_up && e.classes.get(h.class).copied().unwrap_or(true);
-        let mut open: Vec<EngineId> = self.engines.iter().filter(fits).map(|e| e.engine).collect();
-        let own = |id: &EngineId| {
-            let mut hash = blake3::Hasher::new();
-            hash.update(&fingerprint.0.to_le_bytes())
-                .update(&id.0.to_le_bytes());
-            *hash.finalize().as_bytes()
+    /// The holds that are to be in effect at these engines.
+    fn wanted(&self, engines: &[EngineStatus]) -> BTreeMap<HoldTarget, Hold> {
+        let fingerprints = self.fingerprints.iter().map(|(fingerprint, hold)| Hold {
+            target: HoldTarget::Kind(fingerprint.0),
+            max_in_flight: hold.max_in_flight + hold.runaways,
+            excluded_engines: excluded_engines(*fingerprint, hold, engines),
+            low_priority: hold.low_priority,
+        });
+        // Excluded from every engine, a group would never run.
+        let may_run = |excluded: &[EngineId]| {
+            engines
+                .iter()
+                .any(|status| status.is_up && !excluded.contains(&status.engine))
         };
-        open.sort_by_key(own);
-        open.split_off(open.len().min(h.max_in_flight as usize))
+        let groups = self
+            .groups
+            .iter()
+            .filter(|(_, excluded)| may_run(excluded))
+            .map(|(group, excluded)| Hold {
+                target: HoldTarget::Group(*group),
+                max_in_flight: u32::MAX,
+                excluded_engines: excluded.clone(),
+                low_priority: false,
+            });
+        fingerprints
+            .chain(groups)
+            .map(|hold| (hold.target, hold))
+            .collect()
+    }
+
+    /// Makes room for one more fingerprint.
+    fn evict_excess(&mut self) {
+        if self.fingerprints.len() < MAX_HOLDS {
+            return;
+        }
+        let nearest_release = self
+            .fingerprints
+            .iter()
+            .max_by_key(|(_, hold)| (hold.max_in_flight, Reverse(hold.last_end)));
+        if let Some(id) = nearest_release.map(|(id, _)| *id) {
+            self.fingerprints.remove(&id);
+        }
     }
 }
 
+/// The engines where a held fingerprint may not run: all but as many as its limit, chosen by a hash that is the same at
+/// all routers, so that they agree on a few engines without communication (rendezvous hashing).
+fn excluded_engines(
+    fingerprint: FingerprintId,
+    hold: &FingerprintHold,
+    engines: &[EngineStatus],
+) -> Vec<EngineId> {
+    let is_eligible = |status: &&EngineStatus| {
+        status.is_up && status.classes.get(hold.class).copied().unwrap_or(true)
+    };
+    let mut eligible: Vec<EngineId> = engines
+        .iter()
+        .filter(is_eligible)
+        .map(|status| status.engine)
+        .collect();
+    eligible.sort_by_key(|engine| {
+        let mut hash = blake3::Hasher::new();
+        hash.update(&fingerprint.0.to_le_bytes())
+            .update(&engine.0.to_le_bytes());
+        *hash.finalize().as_bytes()
+    });
+    eligible.split_off(eligible.len().min(hold.max_in_flight as usize))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/runaway/src/holds/tests.rs
+++ b/crates/runaway/src/holds/tests.rs
@@ -2,15 +2,14 @@
 
 const K: FingerprintId = FingerprintId(7);
 
-fn holds(engines: u32) -> Holds {
-    let mut h = Holds::default();
+/// Engines that are up, the even ones open to both classes.
+fn engines(count: u32) -> Vec<EngineStatus> {
     let listed = |n| EngineStatus {
         engine: EngineId(n),
         is_up: true,
         classes: vec![true, n % 2 == 0],
     };
-    h.update_engines(&(0..engines).map(listed).collect::<Vec<_>>());
-    h
+    (0..count).map(listed).collect()
 }
 
 fn bound(news: &[Hold]) -> Vec<(u32, usize)> {
@@ -21,30 +20,30 @@
 
 #[test]
 fn a_hold_recovers_in_steps_and_is_lifted() {
-    let mut h = holds(5);
+    let mut h = Holds::default();
     h.add_runaway(1, K, 0, "x", true);
-    let news = h.take_changes();
+    let news = h.take_changes(&engines(5));
     assert_eq!(
         bound(&news),
         [(2, 4)],
         "one beside the one that ran away, on one engine of five"
     );
     assert!(
-        news[0].low_priority && h.take_changes().is_empty(),
+        news[0].low_priority && h.take_changes(&engines(5)).is_empty(),
         "only news is told"
     );
     h.remove_runaway(2, K);
-    assert_eq!(bound(&h.take_changes()), [(1, 4)]);
+    assert_eq!(bound(&h.take_changes(&engines(5))), [(1, 4)]);
     for (runs, want) in [(3, (2, 3)), (3, (4, 1)), (3, (u32::MAX, 0))] {
         (0..runs).for_each(|_| h.record_run(3, K, true));
-        assert_eq!(bound(&h.take_changes()), [want]);
+        assert_eq!(bound(&h.take_changes(&engines(5))), [want]);
     }
     assert!(h.fingerprints.is_empty());
 }
 
 #[test]
 fn a_further_runaway_resets_the_hold_and_doubles_the_clean_runs_needed() {
-    let mut h = holds(5);
+    let mut h = Holds::default();
     h.add_runaway(1, K, 0, "x", false);
     h.remove_runaway(2, K);
     (0..3).for_each(|_| h.record_run(3, K, true));
@@ -69,24 +68,20 @@
 
 #[test]
 fn all_routers_choose_the_same_eligible_engine() {
-    let (mut one, mut two) = (holds(6), holds(6));
+    let (mut one, mut two) = (Holds::default(), Holds::default());
     for h in [&mut one, &mut two] {
         h.add_runaway(1, K, 1, "x", false);
     }
-    let (a, b) = (one.take_changes(), two.take_changes());
+    let (a, b) = (one.take_changes(&engines(6)), two.take_changes(&engines(6)));
     assert_eq!(a, b);
     let open: Vec<u32> = (0..6)
         .filter(|n| n % 2 == 0 && !a[0].excluded_engines.contains(&EngineId(*n)))
         .collect();
     assert_eq!(open.len(), 1);
     // Its engine goes: another takes its place.
-    let listed = |n| EngineStatus {
-        engine: EngineId(n),
-        is_up: n != open[0],
-        classes: vec![true, n % 2 == 0],
-    };
-    one.update_engines(&(0..6).map(listed).collect::<Vec<_>>());
-    let news = one.take_changes();
+    let mut remaining = engines(6);
+    remaining[open[0] as usize].is_up = false;
+    let news = one.take_changes(&remaining);
     assert!(
         (0..6).any(|n| n % 2 == 0
             && n != open[0]
@@ -96,7 +91,7 @@
 
 #[test]
 fn holds_are_lifted_by_time_and_by_operators_and_a_group_keeps_one_engine() {
-    let mut h = holds(2);
+    let mut h = Holds::default();
     h.add_runaway(0, K, 0, "x", false);
     h.relax_idle(10 * IDLE_STEP);
     assert_eq!(
@@ -109,10 +104,10 @@
     h.add_runaway(0, K, 0, "x", false);
     assert!(h.release(K) && !h.release(K));
     h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0)])]));
-    assert_eq!(bound(&h.take_changes()), [(u32::MAX, 1)]);
+    assert_eq!(bound(&h.take_changes(&engines(2))), [(u32::MAX, 1)]);
     h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0), EngineId(1)])]));
     assert_eq!(
-        bound(&h.take_changes()),
+        bound(&h.take_changes(&engines(2))),
         [(u32::MAX, 0)],
         "kept away from all, it would never run"
     );
@@ -120,7 +115,7 @@
 
 #[test]
 fn holds_are_bounded() {
-    let mut h = holds(2);
+    let mut h = Holds::default();
     (0..1000).for_each(|n| h.add_runaway(n, FingerprintId(n), 0, "x", false));
     assert_eq!(h.fingerprints.len(), MAX_HOLDS);
     assert!(h.fingerprints.contains_key(&FingerprintId(999)));
--- /dev/null
+++ b/crates/runaway/src/interface/mod.rs
@@ -0,0 +1,15 @@
+//! The detector's settings, events, findings and decisions: plain data.
+
+mod decisions;
+mod events;
+mod findings;
+mod ids;
+mod settings;
+
+pub use decisions::Decision;
+pub use events::{
+    Announced, AttemptStart, BlockedState, EngineStatus, ExecutionOutcome, Holder, ProgressReport,
+};
+pub use findings::{Basis, Cause, Evidence, Finding, MAX_BLOCKED_NAMES, Measure, Subject, Verdict};
+pub use ids::{AttemptId, FingerprintId};
+pub use settings::{Class, EnforcementOptions, Settings};
--- /dev/null
+++ b/crates/runaway/src/judgement.rs
@@ -0,0 +1,204 @@
+//! Judgement of one running attempt: whether it is at fault, and for which cause.
+//!
+//! In this order: an attempt that is blocked is not at fault, except in a deadlock; one that blocks many others is
+//! judged more strictly; reported work is the attempt's own; where only time is known, it is divided by the slowness
+//! of the engine.
+
+use hoptiller_policy::Micros;
+
+use crate::attempt::RunningAttempt;
+use crate::attempts::Attempts;
+use crate::engine_speed::EngineSpeeds;
+use crate::expectation::Expectation;
+use crate::interface::{Basis, BlockedState, Cause, Class, Evidence, Measure};
+use crate::measures::{
+    CROWD_BOUND_FACTOR, Excess, MIN_CROWD, evidence, has_bad_plan, largest_excess,
+};
+use crate::statistics::Statistics;
+use crate::wait_graph::WaitGraph;
+use crate::wait_inference::WaitInference;
+
+/// A client that has received rows for this long reads slowly.
+const SLOW_READER_AFTER: Micros = 30_000_000;
+
+/// What a judgement is based on beside the attempt.
+pub(crate) struct Observations<'a> {
+    pub(crate) now: Micros,
+    pub(crate) classes: &'a [Class],
+    pub(crate) statistics: &'a Statistics,
+    pub(crate) attempts: &'a Attempts,
+    pub(crate) engine_speeds: &'a EngineSpeeds,
+    pub(crate) wait_inference: &'a WaitInference,
+    pub(crate) waits: &'a WaitGraph,
+}
+
+/// What is found of an attempt.
+#[derive(Debug)]
+pub(crate) enum Judgement {
+    /// It is not judged, or nothing is expected of it yet.
+    NotJudged,
+    /// It is within its bound, or something else is the reason that it is not.
+    WithinBound,
+    /// Its engine is done with it, and its client reads the rows slowly.
+    SlowReader(SlowReader),
+    /// It is over its bound.
+    OverBound(OverBound),
+}
+
+/// A client that reads slowly.
+#[derive(Debug)]
+pub(crate) struct SlowReader {
+    /// Since when it has received rows.
+    pub(crate) since: Micros,
+    pub(crate) evidence: Evidence,
+}
+
+/// An attempt over its bound.
+#[derive(Debug)]
+pub(crate) struct OverBound {
+    pub(crate) cause: Cause,
+    pub(crate) excess: Excess,
+    /// Names of the statements that it blocks; in a deadlock, the others of the cycle.
+    pub(crate) blocked: Vec<String>,
+}
+
+impl Observations<'_> {
+    /// Compares an attempt with what is expected of it.
+    pub(crate) fn judge(&self, attempt: &RunningAttempt) -> Judgement {
+        if let Some(since) = attempt.streaming_since() {
+            return judge_reader(self.now, since);
+        }
+        if attempt.abandoned_at().is_some() {
+            return Judgement::NotJudged; // It is judged by the attempts that it blocks.
+        }
+        let name = &attempt.start().name;
+        if let Some(cycle) = self.waits.cycle(name) {
+            return Judgement::OverBound(deadlock(attempt, &cycle));
+        }
+        let Some(expectation) = attempt.expectation() else {
+            return Judgement::NotJudged;
+        };
+        if let Some(evidence) = self.excessive_memory(attempt, expectation) {
+            return Judgement::OverBound(OverBound {
+                cause: Cause::Memory,
+                excess: Excess {
+                    evidence,
+                    is_certain: false,
+                },
+                blocked: Vec::new(),
+            });
+        }
+        let blocked = self.waits.waiter_names(name);
+        let blocks_many = blocked.len() >= MIN_CROWD;
+        let Some(excess) = self.inexcusable_excess(attempt, expectation, blocks_many) else {
+            return Judgement::WithinBound;
+        };
+        let cause = if blocks_many {
+            Cause::Blocks
+        } else if has_bad_plan(attempt, expectation) {
+            Cause::BadPlan
+        } else {
+            Cause::Heavy
+        };
+        Judgement::OverBound(OverBound {
+            cause,
+            excess,
+            blocked,
+        })
+    }
+
+    /// The largest excess of an attempt, unless something other than the attempt may be the reason for it.
+    fn inexcusable_excess(
+        &self,
+        attempt: &RunningAttempt,
+        expectation: &Expectation,
+        blocks_many: bool,
+    ) -> Option<Excess> {
+        let slowness = self.engine_speeds.slowness_for(self.now, attempt).factor;
+        let bound_factor = if blocks_many { CROWD_BOUND_FACTOR } else { 1.0 };
+        let excess = largest_excess(attempt, expectation, self.now, slowness, bound_factor)?;
+        // An attempt that is blocked is not at fault, whatever it took before.
+        if attempt.is_blocked() {
+            return None;
+        }
+        if !matches!(excess.evidence.measure, Measure::Run | Measure::RunToCome) {
+            return Some(excess);
+        }
+        let run_time = excess.evidence.figure;
+        if self.wait_inference.may_be_blocked_unseen(
+            self.now,
+            attempt,
+            run_time,
+            self.attempts,
+            self.statistics,
+            self.classes,
+        ) {
+            return None;
+        }
+        // Where engines report on other attempts, one without reports is unreachable rather than heavy: that is for
+        // routing to handle.
+        let is_silent = attempt.progress_reports() == 0
+            && self
+                .attempts
+                .values()
+                .any(|other| other.progress_reports() > 0);
+        (blocks_many || !is_silent).then_some(excess)
+    }
+
+    /// Evidence that an attempt uses far more memory than usual while others at its engine wait for memory.
+    fn excessive_memory(
+        &self,
+        attempt: &RunningAttempt,
+        expectation: &Expectation,
+    ) -> Option<Evidence> {
+        let (memory_mb, expected) = (attempt.progress().memory_mb?, expectation.memory_mb?);
+        if memory_mb <= expected.bound || attempt.blocked_state(self.now).is_some() {
+            return None;
+        }
+        let waits_for_memory = |other: &&RunningAttempt| {
+            other.start().engine == attempt.start().engine
+                && other.blocked_state(self.now) == Some(&BlockedState::Memory)
+        };
+        let waiters = self.attempts.values().filter(waits_for_memory).count();
+        (waiters >= MIN_CROWD).then(|| evidence(Measure::Memory, memory_mb, &expected))
+    }
+}
+
+fn judge_reader(now: Micros, since: Micros) -> Judgement {
+    if now - since < SLOW_READER_AFTER {
+        return Judgement::NotJudged;
+    }
+    Judgement::SlowReader(SlowReader {
+        since,
+        evidence: Evidence {
+            measure: Measure::Time,
+            figure: (now - since) as f64,
+            usual: 0.0,
+            bound: SLOW_READER_AFTER as f64,
+            basis: Basis::Settings,
+        },
+    })
+}
+
+/// `cycle` are the names of those that wait for each other, the attempt first.
+fn deadlock(attempt: &RunningAttempt, cycle: &[&str]) -> OverBound {
+    let evidence = Evidence {
+        measure: Measure::Time,
+        figure: attempt.blocked_time() as f64,
+        usual: 0.0,
+        bound: 0.0,
+        basis: Basis::Settings,
+    };
+    OverBound {
+        cause: Cause::Deadlock,
+        excess: Excess {
+            evidence,
+            is_certain: false,
+        },
+        blocked: cycle
+            .iter()
+            .skip(1)
+            .map(|name| (*name).to_owned())
+            .collect(),
+    }
+}
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -3,11 +3,12 @@
 use hoptiller_policy::Micros;
 
 use crate::attempt::RunningAttempt;
+use crate::distributions::work_by_rows;
+use crate::expectation::{Expectation, Expected};
 use crate::interface::{Evidence, Measure};
-use crate::statistics::{Expectation, Expected};
 
 /// Attempts that have run for less, in µs, are not judged.
-pub(crate) const MIN_ACTIVE_TIME: f64 = 1_000_000.0;
+const MIN_ACTIVE_TIME: f64 = 1_000_000.0;
 /// Error of a reported share done: it is added to the share.
 const PROGRESS_ERROR: f64 = 0.02;
 /// Tolerance of a figure that is projected from the share done.
@@ -19,10 +20,10 @@
 /// Progress reports from which a reported share done counts.
 const MIN_PROGRESS_REPORTS: u32 = 3;
 /// An attempt that lacks memory and spills repeats work through no fault of its own.
-pub(crate) const SPILL_TOLERANCE: f64 = 3.0;
+const SPILL_TOLERANCE: f64 = 3.0;
 /// Multiple of the usual figure from which an attempt counts as long for a change of its fingerprint.
 pub(crate) const LONG_RUN_FACTOR: f64 = 4.0;
-/// Multiple of the usual work per row that shows a bad plan.
+/// Multiple of the usual work by rows that shows a bad plan.
 const BAD_PLAN_FACTOR: f64 = 4.0;
 
 /// A figure must be over its bound for this long; work already done needs no confirmation.
@@ -33,41 +34,51 @@
 pub(crate) const CROWD_BOUND_FACTOR: f64 = 0.25;
 
 /// A figure of an attempt that is over its bound.
+#[derive(Clone, Debug)]
 pub(crate) struct Excess {
     pub(crate) evidence: Evidence,
     /// It is work already done, which needs no confirmation over time.
-    pub(crate) certain: bool,
+    pub(crate) is_certain: bool,
 }
 
 /// A figure of an attempt and what is expected of it.
-pub(crate) struct Measurement<'e> {
-    pub(crate) measure: Measure,
-    pub(crate) value: f64,
-    pub(crate) expected: &'e Expected,
+struct Measurement<'e> {
+    measure: Measure,
+    value: f64,
+    expected: &'e Expected,
     /// Factor by which the value may exceed the bound.
-    pub(crate) tolerance: f64,
+    tolerance: f64,
 }
 
 /// Evidence of a value against what is expected.
-pub(crate) fn evidence(measure: Measure, figure: f64, e: &Expected) -> Evidence {
+pub(crate) fn evidence(measure: Measure, figure: f64, expected: &Expected) -> Evidence {
     Evidence {
         measure,
         figure,
-        usual: e.usual,
-        bound: e.bound,
-        basis: e.basis,
+        usual: expected.usual,
+        bound: expected.bound,
+        basis: expected.basis,
+    }
+}
+
+/// Factor by which an attempt may exceed its bounds.
+pub(crate) fn spill_tolerance(attempt: &RunningAttempt) -> f64 {
+    if attempt.progress().spills {
+        SPILL_TOLERANCE
+    } else {
+        1.0
     }
 }
 
 /// All figures of an attempt that can be compared. `slowness` is the factor of its engine.
-pub(crate) fn measurements<'e>(
+fn measurements<'e>(
     attempt: &RunningAttempt,
     expectation: &'e Expectation,
     now: Micros,
     slowness: f64,
 ) -> Vec<Measurement<'e>> {
     let active = attempt.active_time(now);
-    let (measure, projected, value, expected) = match attempt.progress.work {
+    let (measure, projected, value, expected) = match attempt.progress().work {
         Some(work) => (
             Measure::Work,
             Measure::WorkToCome,
@@ -78,7 +89,7 @@
             Measure::Run,
             Measure::RunToCome,
             active / slowness,
-            &expectation.run,
+            &expectation.run_time,
         ),
     };
     let mut all = vec![Measurement {
@@ -87,14 +98,14 @@
         expected,
         tolerance: 1.0,
     }];
-    let done = attempt.progress.done.filter(|done| {
+    let done = attempt.progress().done.filter(|done| {
         let min_run = if *done > 0.0 {
             MIN_RUN_FOR_PROGRESS
         } else {
             MIN_RUN_WITHOUT_PROGRESS
         };
-        attempt.progress_reports >= MIN_PROGRESS_REPORTS
-            && active >= min_run * expectation.run.usual
+        attempt.progress_reports() >= MIN_PROGRESS_REPORTS
+            && active >= min_run * expectation.run_time.usual
     });
     if let Some(done) = done {
         all.push(Measurement {
@@ -107,6 +118,20 @@
     all
 }
 
+/// Whether an attempt takes several times what is usual for its fingerprint. `slowness` is the factor of its engine.
+pub(crate) fn is_long_run(
+    attempt: &RunningAttempt,
+    expectation: &Expectation,
+    now: Micros,
+    slowness: f64,
+) -> bool {
+    let is_long = |m: Measurement<'_>| m.value > LONG_RUN_FACTOR * m.tolerance * m.expected.usual;
+    attempt.active_time(now) >= MIN_ACTIVE_TIME
+        && measurements(attempt, expectation, now, slowness)
+            .into_iter()
+            .any(is_long)
+}
+
 /// The figure that is furthest over its bound, if any is. `bound_factor` scales all bounds.
 pub(crate) fn largest_excess(
     attempt: &RunningAttempt,
@@ -118,35 +143,32 @@
     if attempt.active_time(now) < MIN_ACTIVE_TIME {
         return None;
     }
-    let spills = if attempt.progress.spills {
-        SPILL_TOLERANCE
-    } else {
-        1.0
-    };
+    let spill_tolerance = spill_tolerance(attempt);
     let ratio_over_bound = |m: Measurement<'_>| {
-        let bound = m.expected.bound * m.tolerance * spills * bound_factor;
-        let bounded = Expected {
+        let bound = m.expected.bound * m.tolerance * spill_tolerance * bound_factor;
+        let expected = Expected {
             bound,
             ..*m.expected
         };
-        (m.value > bound).then(|| (m.value / bound, evidence(m.measure, m.value, &bounded)))
+        (m.value > bound).then(|| (m.value / bound, evidence(m.measure, m.value, &expected)))
     };
-    let worst = measurements(attempt, expectation, now, slowness)
+    let largest = measurements(attempt, expectation, now, slowness)
         .into_iter()
         .filter_map(ratio_over_bound)
         .max_by(|a, b| a.0.total_cmp(&b.0));
-    worst.map(|(_, evidence)| Excess {
-        certain: evidence.measure == Measure::Work && bound_factor == 1.0,
+    largest.map(|(_, evidence)| Excess {
+        is_certain: evidence.measure == Measure::Work && bound_factor == 1.0,
         evidence,
     })
 }
 
-/// Whether an attempt does far more work per row than is usual for its fingerprint.
-pub(crate) fn has_bad_plan(attempt: &RunningAttempt, e: &Expectation) -> bool {
+/// Whether an attempt does far more work for its rows than is usual for its fingerprint.
+pub(crate) fn has_bad_plan(attempt: &RunningAttempt, expectation: &Expectation) -> bool {
+    let progress = attempt.progress();
     let (Some(work), Some(rows), Some(usual)) =
-        (attempt.progress.work, attempt.progress.rows, e.per_rows)
+        (progress.work, progress.rows, expectation.work_by_rows)
     else {
         return false;
     };
-    work as f64 * 1000.0 / (rows as f64).max(1.0) > BAD_PLAN_FACTOR * usual
+    work_by_rows(work as f64, rows as f64) > BAD_PLAN_FACTOR * usual
 }
--- /dev/null
+++ b/crates/runaway/src/remote_statements.rs
@@ -0,0 +1,172 @@
+//! Statements of other routers, or of an earlier incarnation of this one, that engines name as blockers of attempts of
+//! this router.
+//!
+//! Where such a statement is found to be a runaway, the table groups that it blocks are excluded from its engine for a
+//! time that doubles whenever the statement outlasts it.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use hoptiller_policy::{EngineId, Micros};
+
+use crate::interface::{Class, Holder};
+
+/// Statements that are tracked at most.
+const MAX_REMOTE_STATEMENTS: usize = 256;
+/// A statement that was not reported for this long is gone.
+const REMOTE_TTL: Micros = 5_000_000;
+/// The first exclusion of table groups from the engine where a runaway blocks them.
+const MIN_EXCLUSION: Micros = 20_000_000;
+/// The longest such exclusion.
+const MAX_EXCLUSION: Micros = 160_000_000;
+
+/// A statement that this router did not send.
+#[derive(Debug)]
+pub(crate) struct RemoteStatement {
+    pub(crate) engine: EngineId,
+    pub(crate) class: Option<usize>,
+    pub(crate) started_at: Micros,
+    pub(crate) over_bound_since: Option<Micros>,
+    reported_at: Micros,
+    exclusion: Exclusion,
+}
+
+/// The exclusion of table groups from the engine of a runaway.
+#[derive(Debug)]
+struct Exclusion {
+    /// Table groups of the attempts that it blocked.
+    groups: BTreeSet<u64>,
+    /// Until when they are excluded; 0 if it was never found to be a runaway.
+    until: Micros,
+    duration: Micros,
+}
+
+/// The tracked statements, by name.
+#[derive(Debug, Default)]
+pub(crate) struct RemoteStatements {
+    by_name: BTreeMap<String, RemoteStatement>,
+}
+
+impl RemoteStatements {
+    /// Records that an engine names a statement as the blocker of an attempt.
+    pub(crate) fn record(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        holder: &Holder,
+        classes: &[Class],
+    ) {
+        if self.len() >= MAX_REMOTE_STATEMENTS && !self.by_name.contains_key(&holder.name) {
+            return; // Tracked ones expire soon.
+        }
+        // Without a reported age, it is as old as the first report of it.
+        let started_at = holder.age.map(|age| now.saturating_sub(age));
+        let class = holder.class.filter(|class| *class < classes.len());
+        let remote = self
+            .by_name
+            .entry(holder.name.clone())
+            .or_insert_with(|| RemoteStatement::new(now, engine, class, started_at.unwrap_or(now)));
+        remote.reported_at = now;
+        remote.engine = engine;
+        if let Some(started_at) = started_at {
+            remote.started_at = remote.started_at.max(started_at);
+        }
+        remote.class = remote.class.or(class);
+    }
+
+    /// Number of tracked statements.
+    pub(crate) fn len(&self) -> usize {
+        self.by_name.len()
+    }
+
+    /// The names, in order.
+    pub(crate) fn names(&self) -> impl Iterator<Item = &String> {
+        self.by_name.keys()
+    }
+
+    /// A statement by its name.
+    pub(crate) fn get(&self, name: &str) -> Option<&RemoteStatement> {
+        self.by_name.get(name)
+    }
+
+    /// Whether a statement was not reported lately. One whose tables are excluded blocks nobody, so that it is kept for
+    /// as long as the exclusion lasts.
+    pub(crate) fn is_expired(&self, now: Micros, name: &str) -> bool {
+        self.get(name).is_some_and(|remote| {
+            let last = remote.reported_at.max(remote.exclusion.until);
+            now.saturating_sub(last) > REMOTE_TTL
+        })
+    }
+
+    /// Stops tracking a statement.
+    pub(crate) fn remove(&mut self, name: &str) {
+        self.by_name.remove(name);
+    }
+
+    /// Records since when a statement is over its bound.
+    pub(crate) fn mark_over_bound(&mut self, name: &str, since: Micros) {
+        if let Some(remote) = self.by_name.get_mut(name) {
+            remote.over_bound_since = Some(since);
+        }
+    }
+
+    /// Starts the exclusion of the tables of a statement that was found to be a runaway.
+    pub(crate) fn start_exclusion(&mut self, now: Micros, name: &str) {
+        if let Some(RemoteStatement { exclusion, .. }) = self.by_name.get_mut(name) {
+            exclusion.until = now + exclusion.duration;
+        }
+    }
+
+    /// Extends the exclusion for a runaway that still blocks attempts on `groups`. If the exclusion had ended, the next
+    /// one is twice as long.
+    pub(crate) fn extend_exclusion(
+        &mut self,
+        now: Micros,
+        name: &str,
+        groups: impl Iterator<Item = u64>,
+    ) {
+        let Some(RemoteStatement { exclusion, .. }) = self.by_name.get_mut(name) else {
+            return;
+        };
+        if exclusion.until == 0 {
+            return;
+        }
+        if now >= exclusion.until {
+            exclusion.duration = (exclusion.duration * 2).min(MAX_EXCLUSION);
+        }
+        exclusion.until = exclusion.until.max(now + exclusion.duration);
+        exclusion.groups.extend(groups);
+    }
+
+    /// The statements whose tables are excluded now, with those table groups.
+    pub(crate) fn excluded(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (&RemoteStatement, &BTreeSet<u64>)> {
+        self.by_name
+            .values()
+            .filter(move |remote| now < remote.exclusion.until)
+            .map(|remote| (remote, &remote.exclusion.groups))
+    }
+}
+
+impl RemoteStatement {
+    fn new(
+        now: Micros,
+        engine: EngineId,
+        class: Option<usize>,
+        started_at: Micros,
+    ) -> RemoteStatement {
+        RemoteStatement {
+            engine,
+            class,
+            started_at,
+            over_bound_since: None,
+            reported_at: now,
+            exclusion: Exclusion {
+                groups: BTreeSet::new(),
+                until: 0,
+                duration: MIN_EXCLUSION,
+            },
+        }
+    }
+}
--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -30,17 +30,17 @@
 
     fn add_many(&mut self, figure: u64, n: u16) {
         // One digit: buckets of a sixteenth. Growth by itself keeps a sketch of short runs small.
-        let of = self.histogram.get_or_insert_with(|| {
+        let histogram = self.histogram.get_or_insert_with(|| {
             let mut empty =
                 Histogram::new(1).unwrap_or_else(|_| unreachable!("one digit is permitted"));
             empty.auto(true);
             Box::new(empty)
         });
-        let _ = of.record_n(figure.clamp(MIN_FIGURE, MAX_FIGURE), n);
+        let _ = histogram.record_n(figure.clamp(MIN_FIGURE, MAX_FIGURE), n);
     }
 
-    /// Halves the weight of all that was added. Halves of odd counts are carried on, so that few far apart
-    /// figures don't all vanish.
+    /// Halves the weight of each figure. The halves that odd weights leave are carried to the next figure, so that
+    /// single figures that are far apart don't all vanish.
     fn halve(&mut self) {
         let pairs = self.pairs();
         *self = Sketch::default();
@@ -56,23 +56,26 @@
 
     /// Total weight of the figures.
     pub(crate) fn count(&self) -> u64 {
-        self.histogram.as_ref().map_or(0, |of| of.len())
+        self.histogram
+            .as_ref()
+            .map_or(0, |histogram| histogram.len())
     }
 
     /// A quantile; `None` without figures.
-    pub(crate) fn quantile(&self, q: f64) -> Option<f64> {
+    pub(crate) fn quantile(&self, quantile: f64) -> Option<f64> {
         self.histogram
             .as_ref()
-            .filter(|of| !of.is_empty())
-            .map(|of| of.value_at_quantile(q) as f64)
+            .filter(|histogram| !histogram.is_empty())
+            .map(|histogram| histogram.value_at_quantile(quantile) as f64)
     }
 
     /// Figures with their weights.
     pub(crate) fn pairs(&self) -> Vec<(u64, u16)> {
-        let Some(of) = &self.histogram else {
+        let Some(histogram) = &self.histogram else {
             return Vec::new();
         };
-        of.iter_recorded()
+        histogram
+            .iter_recorded()
             .map(|v| (v.value_iterated_to(), v.count_at_value()))
             .collect()
     }
@@ -80,17 +83,17 @@
     /// From [`Sketch::pairs`]; `None` if the weights or figures are out of bounds.
     pub(crate) fn from_pairs(pairs: &[(u64, u16)]) -> Option<Sketch> {
         let total: u64 = pairs.iter().map(|p| u64::from(p.1)).sum();
-        let fine = total <= MAX_COUNT
+        let is_valid = total <= MAX_COUNT
             && pairs
                 .iter()
                 .all(|p| (MIN_FIGURE..=2 * MAX_FIGURE).contains(&p.0));
         let mut sketch = Sketch::default();
-        if fine {
+        if is_valid {
             pairs
                 .iter()
                 .for_each(|(figure, n)| sketch.add_many(*figure, *n));
         }
-        fine.then_some(sketch)
+        is_valid.then_some(sketch)
     }
 }
 
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -7,23 +7,24 @@
 use hoptiller_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-use crate::detector::RunawayDetector;
-use crate::holds::FingerprintHold;
+use crate::distributions::Distributions;
+use crate::fingerprint_statistics::{ClassStatistics, FingerprintStatistics};
+use crate::holds::{FingerprintHold, Holds};
 use crate::interface::{Class, FingerprintId};
 use crate::sketch::Sketch;
-use crate::statistics::{ClassStatistics, Distributions, FingerprintStatistics};
+use crate::statistics::Statistics;
 
 /// The first line; the number is the version of the format.
-const FIRST: &str = "hoptiller runaways 1";
+const HEADER: &str = "hoptiller runaways 1";
 
-/// The length of the line with the checksum: 64 hexadecimal digits and a line feed.
-const CHECKSUM_LINE: usize = 65;
+/// Bytes of the line with the checksum: 64 hexadecimal digits and a line feed.
+const CHECKSUM_LINE_LEN: usize = 65;
 
 /// Why a snapshot can't be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// It is no snapshot, or one of another version.
-    #[error("it does not begin with {FIRST:?}")]
+    #[error("it does not begin with {HEADER:?}")]
     UnknownFormat,
     /// Its checksum does not match: it was cut or changed.
     #[error("its checksum is wrong: it was cut or changed")]
@@ -36,22 +37,111 @@
     InvalidDistribution,
 }
 
-/// Pairs of a sketch.
-type Pairs = Vec<(u64, u16)>;
+/// How much was restored.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RestoredCounts {
+    /// Fingerprints.
+    pub fingerprints: usize,
+    /// Holds.
+    pub holds: usize,
+    /// Fingerprints and holds of classes that are not in the settings any more.
+    pub dropped: usize,
+}
+
+/// A decoded snapshot, with the numbers that classes have in the present settings.
+pub(crate) struct Snapshot {
+    /// Statistics by class number.
+    pub(crate) classes: Vec<(usize, ClassStatistics)>,
+    /// The least recently used first.
+    pub(crate) fingerprints: Vec<(FingerprintId, FingerprintStatistics)>,
+    pub(crate) holds: Vec<(FingerprintId, FingerprintHold)>,
+    pub(crate) counts: RestoredCounts,
+}
+
+/// Encodes what survives a restart.
+pub(crate) fn encode(classes: &[Class], statistics: &Statistics, holds: &Holds) -> Vec<u8> {
+    let saved = Saved {
+        classes: classes
+            .iter()
+            .zip(statistics.classes())
+            .map(|(class, statistics)| SavedClass::new(class, statistics))
+            .collect(),
+        fingerprints: statistics
+            .fingerprints_by_last_use()
+            .into_iter()
+            .map(|(id, statistics)| SavedFingerprint::new(id, statistics))
+            .collect(),
+        holds: holds
+            .fingerprints()
+            .map(|(id, hold)| (*id, hold.clone()))
+            .collect(),
+    };
+    let body = serde_json::to_vec(&saved).unwrap_or_default();
+    let mut bytes = format!("{HEADER}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
+    bytes.extend(body);
+    bytes
+}
+
+/// Decodes a snapshot. Classes are matched by name: the settings may have others now, or in another order.
+///
+/// # Errors
+///
+/// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
+pub(crate) fn decode(
+    now: Micros,
+    bytes: &[u8],
+    classes: &[Class],
+) -> Result<Snapshot, SnapshotError> {
+    let saved = decode_saved(bytes)?;
+    let number_of = |name: &str| classes.iter().position(|class| class.name == name);
+    let numbers: Vec<Option<usize>> = saved
+        .classes
+        .iter()
+        .map(|class| number_of(&class.name))
+        .collect();
+    let mut restored_classes = Vec::new();
+    for (class, number) in saved.classes.iter().zip(&numbers) {
+        if let Some(number) = number {
+            restored_classes.push((*number, class.restore()?));
+        }
+    }
+    let total = saved.fingerprints.len() + saved.holds.len();
+    let fingerprints = restore_fingerprints(saved.fingerprints, &numbers)?;
+    let holds = restore_holds(now, saved.holds, &numbers);
+    let counts = RestoredCounts {
+        fingerprints: fingerprints.len(),
+        holds: holds.len(),
+        dropped: total - fingerprints.len() - holds.len(),
+    };
+    Ok(Snapshot {
+        classes: restored_classes,
+        fingerprints,
+        holds,
+        counts,
+    })
+}
+
+/// The figures of a distribution with their weights.
+type SavedSketch = Vec<(u64, u16)>;
+/// Run time, work, work by rows, memory.
+type SavedDistributions = [SavedSketch; 4];
 
 #[derive(Serialize, Deserialize)]
 struct Saved {
     classes: Vec<SavedClass>,
     /// The least recently used first.
-    kinds: Vec<SavedFingerprint>,
+    #[serde(rename = "kinds")]
+    fingerprints: Vec<SavedFingerprint>,
     holds: Vec<(FingerprintId, FingerprintHold)>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct SavedClass {
     name: String,
-    figures: [Pairs; 4],
-    honesty: Pairs,
+    #[serde(rename = "figures")]
+    distributions: SavedDistributions,
+    #[serde(rename = "honesty")]
+    estimate_accuracy: SavedSketch,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -59,123 +149,100 @@
     id: FingerprintId,
     class: usize,
     label: String,
-    sizes: BTreeMap<u8, [Pairs; 4]>,
-    honesty: Pairs,
-    beyond: [Pairs; 4],
+    #[serde(rename = "sizes")]
+    by_size: BTreeMap<u8, SavedDistributions>,
+    #[serde(rename = "honesty")]
+    estimate_accuracy: SavedSketch,
+    #[serde(rename = "beyond")]
+    beyond_bound: SavedDistributions,
 }
 
-fn pairs(f: &Distributions) -> [Pairs; 4] {
-    [
-        f.run.pairs(),
-        f.work.pairs(),
-        f.per_rows.pairs(),
-        f.memory.pairs(),
-    ]
-}
+impl SavedClass {
+    fn new(class: &Class, statistics: &ClassStatistics) -> SavedClass {
+        SavedClass {
+            name: class.name.clone(),
+            distributions: save_distributions(&statistics.distributions),
+            estimate_accuracy: statistics.estimate_accuracy.pairs(),
+        }
+    }
 
-fn sketch(pairs: &Pairs) -> Result<Sketch, SnapshotError> {
-    Sketch::from_pairs(pairs).ok_or(SnapshotError::InvalidDistribution)
+    fn restore(&self) -> Result<ClassStatistics, SnapshotError> {
+        Ok(ClassStatistics {
+            distributions: restore_distributions(&self.distributions)?,
+            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
+        })
+    }
 }
 
-fn distributions(p: &[Pairs; 4]) -> Result<Distributions, SnapshotError> {
-    Ok(Distributions {
-        run: sketch(&p[0])?,
-        work: sketch(&p[1])?,
-        per_rows: sketch(&p[2])?,
-        memory: sketch(&p[3])?,
-    })
-}
+impl SavedFingerprint {
+    fn new(id: FingerprintId, statistics: &FingerprintStatistics) -> SavedFingerprint {
+        SavedFingerprint {
+            id,
+            class: statistics.class,
+            label: statistics.label.to_string(),
+            by_size: statistics
+                .by_size
+                .iter()
+                .map(|(size, distributions)| (*size, save_distributions(distributions)))
+                .collect(),
+            estimate_accuracy: statistics.estimate_accuracy.pairs(),
+            beyond_bound: save_distributions(&statistics.beyond_bound),
+        }
+    }
 
-fn saved_fingerprint((id, s): (&FingerprintId, &FingerprintStatistics)) -> SavedFingerprint {
-    SavedFingerprint {
-        id: *id,
-        class: s.class,
-        label: s.label.to_string(),
-        sizes: s.sizes.iter().map(|(size, f)| (*size, pairs(f))).collect(),
-        honesty: s.estimate_accuracy.pairs(),
-        beyond: pairs(&s.beyond_bound),
+    /// `class` is its number in the present settings, `last_use` its place in the order of use.
+    fn restore(
+        self,
+        class: usize,
+        last_use: Micros,
+    ) -> Result<FingerprintStatistics, SnapshotError> {
+        let by_size: Result<BTreeMap<u8, Distributions>, SnapshotError> = self
+            .by_size
+            .iter()
+            .map(|(size, saved)| Ok((*size, restore_distributions(saved)?)))
+            .collect();
+        Ok(FingerprintStatistics {
+            class,
+            label: self.label.into(),
+            by_size: by_size?,
+            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
+            beyond_bound: restore_distributions(&self.beyond_bound)?,
+            last_use,
+        })
     }
 }
 
-/// How much was restored.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
-    /// Fingerprints.
-    pub fingerprints: usize,
-    /// Holds.
-    pub holds: usize,
-    /// Fingerprints and holds of classes that are not in the settings any more.
-    pub dropped: usize,
+fn save_distributions(distributions: &Distributions) -> SavedDistributions {
+    [
+        distributions.run_time.pairs(),
+        distributions.work.pairs(),
+        distributions.work_by_rows.pairs(),
+        distributions.memory_mb.pairs(),
+    ]
 }
 
-impl RunawayDetector {
-    /// Encodes what survives a restart.
-    pub fn save(&self) -> Vec<u8> {
-        let class = |(class, statistics): (&Class, &ClassStatistics)| SavedClass {
-            name: class.name.clone(),
-            figures: pairs(&statistics.distributions),
-            honesty: statistics.estimate_accuracy.pairs(),
-        };
-        let mut fingerprints: Vec<(&FingerprintId, &FingerprintStatistics)> =
-            self.statistics.fingerprints.iter().collect();
-        fingerprints.sort_by_key(|(id, statistics)| (statistics.last_use, **id));
-        let classes = self.settings.classes.iter().zip(&self.statistics.classes);
-        let holds = self.holds.fingerprints.iter();
-        let saved = Saved {
-            classes: classes.map(class).collect(),
-            kinds: fingerprints.into_iter().map(saved_fingerprint).collect(),
-            holds: holds.map(|(id, hold)| (*id, hold.clone())).collect(),
-        };
-        let body = serde_json::to_vec(&saved).unwrap_or_default();
-        let mut all = format!("{FIRST}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
-        all.extend(body);
-        all
-    }
+fn restore_distributions(saved: &SavedDistributions) -> Result<Distributions, SnapshotError> {
+    let [run_time, work, work_by_rows, memory_mb] = saved;
+    Ok(Distributions {
+        run_time: restore_sketch(run_time)?,
+        work: restore_sketch(work)?,
+        work_by_rows: restore_sketch(work_by_rows)?,
+        memory_mb: restore_sketch(memory_mb)?,
+    })
+}
 
-    /// Restores what was saved, all or nothing: on an error, nothing has changed.
-    ///
-    /// # Errors
-    ///
-    /// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
-    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<Restored, SnapshotError> {
-        let saved = decode(bytes)?;
-        // Classes are matched by name: the settings may have others now, or in another order.
-        let by_name = |name: &str| self.settings.classes.iter().position(|c| c.name == name);
-        let numbers: Vec<Option<usize>> = saved.classes.iter().map(|c| by_name(&c.name)).collect();
-        let mut classes = Vec::new();
-        for (c, number) in saved.classes.iter().zip(&numbers) {
-            if let Some(number) = number {
-                classes.push((*number, restored_class(c)?));
-            }
-        }
-        let total = saved.kinds.len() + saved.holds.len();
-        let fingerprints = restored_fingerprints(saved.kinds, &numbers)?;
-        let holds = restored_holds(now, saved.holds, &numbers);
-        let restored = Restored {
-            fingerprints: fingerprints.len(),
-            holds: holds.len(),
-            dropped: total - fingerprints.len() - holds.len(),
-        };
-        for (number, class) in classes {
-            self.statistics.classes[number] = class;
-        }
-        for (id, statistics) in fingerprints {
-            self.statistics.restore(id, statistics);
-        }
-        self.holds.fingerprints.extend(holds);
-        self.publish_holds();
-        Ok(restored)
-    }
+fn restore_sketch(saved: &SavedSketch) -> Result<Sketch, SnapshotError> {
+    Sketch::from_pairs(saved).ok_or(SnapshotError::InvalidDistribution)
 }
 
 /// Checks the header and the checksum, and decodes the rest.
-fn decode(bytes: &[u8]) -> Result<Saved, SnapshotError> {
+fn decode_saved(bytes: &[u8]) -> Result<Saved, SnapshotError> {
     let rest = bytes
-        .strip_prefix(FIRST.as_bytes())
+        .strip_prefix(HEADER.as_bytes())
         .and_then(|rest| rest.strip_prefix(b"\n"))
         .ok_or(SnapshotError::UnknownFormat)?;
     let (checksum, body) = rest
-        .split_at_checked(CHECKSUM_LINE)
+        .split_at_checked(CHECKSUM_LINE_LEN)
         .ok_or(SnapshotError::Damaged)?;
     let expected = format!("{}\n", blake3::hash(body).to_hex());
     if checksum != expected.as_bytes() {
@@ -184,44 +251,25 @@
     serde_json::from_slice(body).map_err(SnapshotError::InvalidJson)
 }
 
-fn restored_class(saved: &SavedClass) -> Result<ClassStatistics, SnapshotError> {
-    Ok(ClassStatistics {
-        distributions: distributions(&saved.figures)?,
-        estimate_accuracy: sketch(&saved.honesty)?,
-    })
-}
-
-/// The statistics of fingerprints whose class still exists.
-fn restored_fingerprints(
+/// The statistics of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+fn restore_fingerprints(
     saved: Vec<SavedFingerprint>,
     numbers: &[Option<usize>],
 ) -> Result<Vec<(FingerprintId, FingerprintStatistics)>, SnapshotError> {
     let mut restored = Vec::new();
-    for (age, saved) in saved.into_iter().enumerate() {
+    for (position, saved) in saved.into_iter().enumerate() {
         let Some(class) = numbers.get(saved.class).copied().flatten() else {
             continue;
         };
-        let sizes: Result<BTreeMap<u8, Distributions>, SnapshotError> = saved
-            .sizes
-            .iter()
-            .map(|(size, pairs)| Ok((*size, distributions(pairs)?)))
-            .collect();
-        let statistics = FingerprintStatistics {
-            class,
-            label: saved.label.into(),
-            sizes: sizes?,
-            estimate_accuracy: sketch(&saved.honesty)?,
-            beyond_bound: distributions(&saved.beyond)?,
-            // The clock of an earlier process means nothing now; the order does.
-            last_use: age as Micros,
-        };
-        restored.push((saved.id, statistics));
+        // The clock of an earlier process means nothing now; the order does.
+        let last_use = position as Micros;
+        restored.push((saved.id, saved.restore(class, last_use)?));
     }
     Ok(restored)
 }
 
-/// The holds of fingerprints whose class still exists.
-fn restored_holds(
+/// The holds of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+fn restore_holds(
     now: Micros,
     saved: Vec<(FingerprintId, FingerprintHold)>,
     numbers: &[Option<usize>],
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::EnforcementOptions;
+use crate::interface::{Basis, EnforcementOptions};
 use hoptiller_policy::Idempotency;
 
 const S: f64 = 1e6;
@@ -18,7 +18,7 @@
 
 fn run(seconds: f64) -> Run {
     Run {
-        ran: seconds * S,
+        run_time: seconds * S,
         work: Some(2.0 * seconds * S),
         ..Run::default()
     }
@@ -28,7 +28,7 @@
     let mut b = Statistics::new(1, 400);
     b.record_arrival(fingerprint, 0, &"select ?".into(), 1);
     for n in 0..runs {
-        b.learn(
+        b.record_run(
             fingerprint,
             0,
             Announced::default(),
@@ -40,7 +40,7 @@
 
 fn bar_of(b: &Statistics, fingerprint: u64, says: Announced) -> Expected {
     b.expectation(FingerprintId(fingerprint), 0, &spec(), says)
-        .run
+        .run_time
 }
 
 #[test]
@@ -74,8 +74,8 @@
     let mut honest = book(FingerprintId(1), 60);
     let mut liar = book(FingerprintId(1), 60);
     for n in 0..20u64 {
-        honest.learn(FingerprintId(1), 0, says(0, Some(1_000_000)), &run(1.0));
-        liar.learn(
+        honest.record_run(FingerprintId(1), 0, says(0, Some(1_000_000)), &run(1.0));
+        liar.record_run(
             FingerprintId(1),
             0,
             says(0, Some(10_000 << (n % 14))),
@@ -95,7 +95,7 @@
     }
     assert_eq!(bar_of(&b, 1, Announced::default()), before);
     for _ in 0..400 {
-        b.learn(FingerprintId(1), 0, Announced::default(), &run(4.0));
+        b.record_run(FingerprintId(1), 0, Announced::default(), &run(4.0));
     }
     assert!(bar_of(&b, 1, Announced::default()).usual > 3.5 * before.usual);
     b.adopt_beyond_bound(FingerprintId(1));
@@ -118,7 +118,7 @@
     for n in 0..1000u64 {
         b.record_arrival(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
         (0..MIN_RUNS_KNOWN).for_each(|_| {
-            b.learn(
+            b.record_run(
                 FingerprintId(n + 1_000_000),
                 0,
                 Announced::default(),
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -1,60 +1,73 @@
 //! Which attempt waits for which statement: as engines report it, or inferred from table groups where none does.
 
-use hoptiller_policy::Micros;
+use std::collections::BTreeMap;
+
+use hoptiller_policy::{EngineId, Micros};
 
 use crate::attempt::RunningAttempt;
-use crate::detector::RunawayDetector;
-use crate::interface::BlockedState;
+use crate::attempts::Attempts;
+use crate::interface::{BlockedState, Class};
+use crate::statistics::Statistics;
 use crate::wait_graph::WaitGraph;
 
 /// Multiple of the usual run time from which an attempt may be inferred to wait for a load.
 const MAY_WAIT_FACTOR: f64 = 4.0;
+/// Engines that have sent no progress report for this long are taken not to send any.
+const REPORTS_TTL: Micros = 60_000_000;
+/// Pairs of engine and table group of which the last completion is kept.
+const MAX_COMPLETIONS: usize = 8192;
 
-impl RunawayDetector {
-    /// Builds the graph of who waits for whom now.
-    pub(crate) fn build_wait_graph(&self, now: Micros) -> WaitGraph {
-        let mut waits = WaitGraph::default();
-        for attempt in self
-            .attempts
-            .values()
-            .filter(|attempt| attempt.abandoned_at.is_none())
-        {
-            if let Some(BlockedState::Behind(Some(holder))) = attempt.blocked_state(now) {
-                waits.add_wait(&attempt.start.name, &holder.name);
-            }
-        }
-        self.infer_waits(now, &mut waits);
-        waits
+/// What waits are inferred from beside the running attempts.
+#[derive(Debug, Default)]
+pub(crate) struct WaitInference {
+    /// When any engine last reported progress of an attempt.
+    last_report_at: Option<Micros>,
+    /// By engine and table group: the latest start among the attempts that ran there as usual.
+    last_completions: BTreeMap<(EngineId, u64), Micros>,
+}
+
+impl WaitInference {
+    /// Records that an engine reported progress.
+    pub(crate) fn record_report(&mut self, now: Micros) {
+        self.last_report_at = Some(now);
     }
 
-    /// Infers waits where engines report none: an attempt that takes far longer than usual is taken to wait for a
-    /// load on its table group that started earlier at the same engine.
-    fn infer_waits(&self, now: Micros, waits: &mut WaitGraph) {
-        if self.has_recent_reports(now) {
-            return;
+    /// Records that an attempt on a table group ran as usual at an engine.
+    pub(crate) fn record_completion(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        group: u64,
+        started_at: Micros,
+    ) {
+        let last = self.last_completions.entry((engine, group)).or_default();
+        *last = (*last).max(started_at);
+        if self.last_completions.len() > MAX_COMPLETIONS {
+            self.last_completions
+                .retain(|_, started_at| now.saturating_sub(*started_at) < REPORTS_TTL);
         }
-        let loads = |attempt: &&RunningAttempt| {
-            self.settings.classes[attempt.start.class].holds_tables && attempt.start.group.is_some()
-        };
-        for load in self.attempts.values().filter(loads) {
-            for attempt in self
-                .attempts
-                .values()
-                .filter(|attempt| attempt.abandoned_at.is_none())
-            {
-                let same = attempt.start.engine == load.start.engine
-                    && attempt.start.group == load.start.group;
-                let usual = self
-                    .expectation(attempt.start.attempt)
-                    .map_or(f64::INFINITY, |e| e.run.usual);
-                if same
-                    && attempt.started_at > load.started_at
-                    && attempt.active_time(now) > MAY_WAIT_FACTOR * usual
-                {
-                    waits.add_wait(&attempt.start.name, &load.start.name);
-                }
+        if self.last_completions.len() > MAX_COMPLETIONS {
+            self.last_completions.clear();
+        }
+    }
+
+    /// Who waits for whom now.
+    pub(crate) fn wait_graph(
+        &self,
+        now: Micros,
+        attempts: &Attempts,
+        classes: &[Class],
+    ) -> WaitGraph {
+        let mut waits = WaitGraph::default();
+        for attempt in awaited(attempts) {
+            if let Some(BlockedState::Behind(Some(holder))) = attempt.blocked_state(now) {
+                waits.add_wait(&attempt.start().name, &holder.name);
             }
         }
+        if !self.has_recent_reports(now) {
+            infer_waits(now, attempts, classes, &mut waits);
+        }
+        waits
     }
 
     /// Where engines report no waits: whether an attempt may wait for a load of another router. It may not if another
@@ -65,37 +78,87 @@
         now: Micros,
         attempt: &RunningAttempt,
         run_time: f64,
+        attempts: &Attempts,
+        statistics: &Statistics,
+        classes: &[Class],
     ) -> bool {
-        let (engine, Some(group)) = (attempt.start.engine, attempt.start.group) else {
+        let start = attempt.start();
+        let Some(group) = start.group else {
             return false;
         };
-        let loads =
-            || (0..self.settings.classes.len()).filter(|c| self.settings.classes[*c].holds_tables);
+        let mut loads = classes
+            .iter()
+            .enumerate()
+            .filter(|(_, class)| class.holds_tables)
+            .peekable();
         if self.has_recent_reports(now)
-            || self.settings.classes[attempt.start.class].holds_tables
-            || loads().next().is_none()
+            || classes[start.class].holds_tables
+            || loads.peek().is_none()
         {
             return false;
         }
-        if self.completed_normally_since(engine, group, attempt.started_at) {
+        if self.is_completed_since(start.engine, group, attempt.started_at()) {
             return false;
         }
-        let long = |other: &&RunningAttempt| {
-            let usual = self
-                .expectation(other.start.attempt)
-                .map_or(f64::INFINITY, |e| e.run.usual);
-            (other.start.engine, other.start.group) == (engine, Some(group))
-                && other.start.attempt != attempt.start.attempt
-                && other.abandoned_at.is_none()
-                && other.active_time(now) > MAY_WAIT_FACTOR * usual
-        };
-        let longest_load = loads()
-            .map(|c| {
-                self.statistics
-                    .class_expectation(c, &self.settings.classes[c])
-                    .bound
-            })
+        let longest_load = loads
+            .map(|(class, settings)| statistics.remote_expectation(class, settings).bound)
             .fold(0.0, f64::max);
-        self.attempts.values().any(|other| long(&other)) || run_time <= longest_load
+        let runs_long_too = |other: &RunningAttempt| {
+            is_same_tables(other, attempt)
+                && other.start().attempt != start.attempt
+                && takes_unusually_long(now, other)
+        };
+        awaited(attempts).any(runs_long_too) || run_time <= longest_load
+    }
+
+    /// Whether any engine reported progress lately.
+    fn has_recent_reports(&self, now: Micros) -> bool {
+        self.last_report_at
+            .is_some_and(|at| now.saturating_sub(at) < REPORTS_TTL)
     }
+
+    /// Whether an attempt on this table group that started at this engine after `since` ran as usual.
+    fn is_completed_since(&self, engine: EngineId, group: u64, since: Micros) -> bool {
+        self.last_completions
+            .get(&(engine, group))
+            .is_some_and(|started_at| *started_at > since)
+    }
+}
+
+/// An attempt that takes far longer than usual is taken to wait for a load on its table group that started earlier at
+/// the same engine.
+fn infer_waits(now: Micros, attempts: &Attempts, classes: &[Class], waits: &mut WaitGraph) {
+    let is_load = |attempt: &&RunningAttempt| {
+        let start = attempt.start();
+        classes[start.class].holds_tables && start.group.is_some()
+    };
+    for load in attempts.values().filter(is_load) {
+        for attempt in awaited(attempts) {
+            if is_same_tables(attempt, load)
+                && attempt.started_at() > load.started_at()
+                && takes_unusually_long(now, attempt)
+            {
+                waits.add_wait(&attempt.start().name, &load.start().name);
+            }
+        }
+    }
+}
+
+/// The attempts that this router waits for.
+fn awaited(attempts: &Attempts) -> impl Iterator<Item = &RunningAttempt> {
+    attempts
+        .values()
+        .filter(|attempt| attempt.abandoned_at().is_none())
+}
+
+fn is_same_tables(one: &RunningAttempt, other: &RunningAttempt) -> bool {
+    let (one, other) = (one.start(), other.start());
+    (one.engine, one.group) == (other.engine, other.group)
+}
+
+fn takes_unusually_long(now: Micros, attempt: &RunningAttempt) -> bool {
+    let usual = attempt
+        .expectation()
+        .map_or(f64::INFINITY, |expected| expected.run_time.usual);
+    attempt.active_time(now) > MAY_WAIT_FACTOR * usual
 }
--- a/crates/runaway/tests/decision_digest.rs
+++ b/crates/runaway/tests/decision_digest.rs
@@ -341,7 +341,9 @@
         (None, 3 | 4) => abandoned
             .last()
             .map(|name| BlockedState::Behind(Some(holder(name.clone(), draw)))),
-        _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => Some(BlockedState::Memory),
+        _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => {
+            Some(BlockedState::Memory)
+        }
         _ => None,
     };
     let done = match draw.below(60) {
