--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -167,7 +167,7 @@
 
 /// Whether an engine is slower than the others. One that `is_reported` stays so until it is clearly faster
 /// (hysteresis).
-pub(crate) fn stands_out(own: Slowness, others: &[Slowness], is_reported: bool) -> bool {
+pub(crate) fn is_slower_than_others(own: Slowness, others: &[Slowness], is_reported: bool) -> bool {
     let mut known: Vec<f64> = others
         .iter()
         .filter(|other| other.samples >= MIN_SAMPLES)
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn an_engine_stands_out_only_against_the_others() {
-    let new = |own, others: &[_]| stands_out(own, others, false);
+fn an_engine_is_slow_only_compared_with_the_others() {
+    let new = |own, others: &[_]| is_slower_than_others(own, others, false);
     assert!(
         new(slowness(4.0, 8), &[slowness(1.0, 8), slowness(1.2, 8)]) && new(slowness(4.0, 8), &[])
     );
@@ -67,7 +67,7 @@
             && !new(slowness(9.0, MIN_SAMPLES), &[slowness(1.0, 8)])
     );
     assert!(
-        stands_out(slowness(2.5, 8), &[slowness(1.0, 8)], true)
-            && !stands_out(slowness(1.2, 8), &[slowness(1.0, 8)], true)
+        is_slower_than_others(slowness(2.5, 8), &[slowness(1.0, 8)], true)
+            && !is_slower_than_others(slowness(1.2, 8), &[slowness(1.0, 8)], true)
     );
 }
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -36,7 +36,7 @@
     assert!(all.report(finding("a", Verdict::Runaway, 3), &mut out));
     assert!(!all.report(finding("a", Verdict::Suspect, 4), &mut out));
     let a = Subject::Statement("a".into());
-    let f = all.get(&a).expect("stands");
+    let f = all.get(&a).expect("an open finding");
     assert_eq!((f.id, f.verdict, f.at), (1, Verdict::Runaway, 3));
     all.clear(5, &a, "over", &mut out);
     all.clear(5, &a, "over", &mut out);
@@ -64,9 +64,9 @@
 
 #[test]
 fn evidence_is_displayed_as_a_sentence() {
-    let told = finding("a", Verdict::Runaway, 0).evidence.to_string();
+    let text = finding("a", Verdict::Runaway, 0).evidence.to_string();
     assert_eq!(
-        told,
+        text,
         "work so far 9.0 s, usual 0.1 s, bound 1.0 s by 40 runs of its kind"
     );
 }
--- a/crates/runaway/src/fingerprint_change/tests.rs
+++ b/crates/runaway/src/fingerprint_change/tests.rs
@@ -42,7 +42,7 @@
     (0..3).for_each(|n| c.record_usual_run(K, id(200 + n), 20));
     assert_eq!(c.classify(K, 0, 4), ChangeStatus::Isolated);
     (0..9).for_each(|n| c.record_usual_run(K, id(300 + n), 20));
-    assert!(!c.contains(K), "strays among usual ones");
+    assert!(!c.contains(K), "outliers among usual ones");
 }
 
 #[test]
--- a/crates/runaway/src/holds/tests.rs
+++ b/crates/runaway/src/holds/tests.rs
@@ -12,8 +12,9 @@
     (0..count).map(listed).collect()
 }
 
-fn bound(news: &[Hold]) -> Vec<(u32, usize)> {
-    news.iter()
+fn limits(changes: &[Hold]) -> Vec<(u32, usize)> {
+    changes
+        .iter()
         .map(|h| (h.max_in_flight, h.excluded_engines.len()))
         .collect()
 }
@@ -22,21 +23,21 @@
 fn a_hold_recovers_in_steps_and_is_lifted() {
     let mut h = Holds::default();
     h.add_runaway(1, K, 0, "x", true);
-    let news = h.take_changes(&engines(5));
+    let changes = h.take_changes(&engines(5));
     assert_eq!(
-        bound(&news),
+        limits(&changes),
         [(2, 4)],
-        "one beside the one that ran away, on one engine of five"
+        "one beside the runaway, on one engine of five"
     );
     assert!(
-        news[0].low_priority && h.take_changes(&engines(5)).is_empty(),
-        "only news is told"
+        changes[0].low_priority && h.take_changes(&engines(5)).is_empty(),
+        "only changes are published"
     );
     h.remove_runaway(2, K);
-    assert_eq!(bound(&h.take_changes(&engines(5))), [(1, 4)]);
+    assert_eq!(limits(&h.take_changes(&engines(5))), [(1, 4)]);
     for (runs, want) in [(3, (2, 3)), (3, (4, 1)), (3, (u32::MAX, 0))] {
         (0..runs).for_each(|_| h.record_run(3, K, true));
-        assert_eq!(bound(&h.take_changes(&engines(5))), [want]);
+        assert_eq!(limits(&h.take_changes(&engines(5))), [want]);
     }
     assert!(h.fingerprints.is_empty());
 }
@@ -78,15 +79,13 @@
         .filter(|n| n % 2 == 0 && !a[0].excluded_engines.contains(&EngineId(*n)))
         .collect();
     assert_eq!(open.len(), 1);
-    // Its engine goes: another takes its place.
+    // Its engine goes down: another one is chosen.
     let mut remaining = engines(6);
     remaining[open[0] as usize].is_up = false;
-    let news = one.take_changes(&remaining);
-    assert!(
-        (0..6).any(|n| n % 2 == 0
-            && n != open[0]
-            && !news[0].excluded_engines.contains(&EngineId(n)))
-    );
+    let changes = one.take_changes(&remaining);
+    assert!((0..6).any(|n| n % 2 == 0
+        && n != open[0]
+        && !changes[0].excluded_engines.contains(&EngineId(n))));
 }
 
 #[test]
@@ -104,12 +103,12 @@
     h.add_runaway(0, K, 0, "x", false);
     assert!(h.release(K) && !h.release(K));
     h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0)])]));
-    assert_eq!(bound(&h.take_changes(&engines(2))), [(u32::MAX, 1)]);
+    assert_eq!(limits(&h.take_changes(&engines(2))), [(u32::MAX, 1)]);
     h.exclude_groups(BTreeMap::from([(9, vec![EngineId(0), EngineId(1)])]));
     assert_eq!(
-        bound(&h.take_changes(&engines(2))),
+        limits(&h.take_changes(&engines(2))),
         [(u32::MAX, 0)],
-        "kept away from all, it would never run"
+        "excluded from all engines, it would never run"
     );
 }
 
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::engine_speed::{EngineSpeeds, SLOW, Slowness, stands_out};
+use crate::engine_speed::{EngineSpeeds, SLOW, Slowness, is_slower_than_others};
 use crate::findings::Findings;
 use crate::interface::{
     Basis, Cause, Decision, EngineStatus, Evidence, Finding, Measure, Subject, Verdict,
@@ -28,7 +28,7 @@
             .collect();
         let subject = Subject::Engine(*engine);
         let is_reported = findings.get(&subject).is_some();
-        let is_slow = stands_out(*slowness, &others, is_reported);
+        let is_slow = is_slower_than_others(*slowness, &others, is_reported);
         if is_slow && !has_runaway(*engine, findings) {
             findings.report(slow_engine_finding(now, *engine, *slowness), out);
         } else {
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -8,101 +8,111 @@
 
 #[test]
 fn a_load_that_blocks_many_lookups_is_a_runaway_and_they_are_not() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let mut load = w.job(LOAD, LOAD as u64, 2, 600e6);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
-    let load = w.run(load);
-    w.advance(2);
+    let load = simulation.run(load);
+    simulation.advance(2);
     let lookups: Vec<u64> = (0..40)
-        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
     let held: Vec<u64> = lookups.clone();
-    w.running.retain(|j| !held.contains(&j.id));
+    simulation.running.retain(|j| !held.contains(&j.id));
     for _ in 0..12 {
         lookups
             .iter()
-            .for_each(|id| w.report_blocked_by(*id, &name(load)));
-        w.advance(1);
+            .for_each(|id| simulation.report_blocked_by(*id, &name(load)));
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
-    let f = w.detector.open_findings().next().expect("stands").clone();
+    assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
+    let f = simulation
+        .detector
+        .open_findings()
+        .next()
+        .expect("an open finding")
+        .clone();
     assert_eq!(
         (
             f.blocked,
             f.blocks.len(),
-            w.detector.open_findings().count()
+            simulation.detector.open_findings().count()
         ),
         (40, 40, 1)
     );
-    // Those who read the same tables are kept away from that engine; when it is over, no longer.
-    let away = Hold {
+    // Readers of its tables are excluded from that engine until it ends.
+    let exclusion = Hold {
         target: HoldTarget::Group(77),
         max_in_flight: u32::MAX,
         excluded_engines: vec![EngineId(2)],
         low_priority: false,
     };
-    assert!(w.holds().contains(&&away), "{:?}", w.holds());
-    w.finish(load);
-    w.advance(1);
+    assert!(
+        simulation.holds().contains(&&exclusion),
+        "{:?}",
+        simulation.holds()
+    );
+    simulation.finish(load);
+    simulation.advance(1);
     assert_eq!(
-        w.holds()
+        simulation
+            .holds()
             .iter()
             .filter(|h| h.target == HoldTarget::Group(77))
             .count(),
         2
     );
-    assert_eq!(w.detector.excluded_engines().count(), 0);
+    assert_eq!(simulation.detector.excluded_engines().count(), 0);
 }
 
 #[test]
 fn waits_are_inferred_from_table_groups_without_reports() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    w.reports_progress = false;
-    let mut load = w.job(LOAD, LOAD as u64, 2, 600e6);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    simulation.reports_progress = false;
+    let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
-    let load = w.run(load);
-    w.advance(1);
+    let load = simulation.run(load);
+    simulation.advance(1);
     for n in 0..20 {
-        let mut lookup = w.job(LOOKUP, LOOKUP as u64, 2, 250e6);
+        let mut lookup = simulation.job(LOOKUP, LOOKUP as u64, 2, 250e6);
         lookup.group = Some(if n < 12 { 77 } else { 78 });
         if n < 12 {
-            w.run(lookup);
+            simulation.run(lookup);
         }
     }
-    w.advance(11);
+    simulation.advance(11);
     assert_eq!(
-        w.runaways(),
+        simulation.runaways(),
         [(name(load), Cause::Blocks)],
-        "the lookups stand behind it, as far as can be seen"
+        "the lookups wait for it, as far as is known"
     );
 }
 
 #[test]
 fn both_members_of_a_deadlock_are_runaways_and_their_waiters_are_not() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     let (a, b) = (
-        w.start(LOAD, LOAD as u64, 1, 4e6),
-        w.start(LOAD, LOAD as u64, 1, 4e6),
+        simulation.start(LOAD, LOAD as u64, 1, 4e6),
+        simulation.start(LOAD, LOAD as u64, 1, 4e6),
     );
-    let c = w.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
-    w.running.clear();
+    let c = simulation.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
+    simulation.running.clear();
     for _ in 0..6 {
-        w.report_blocked_by(a, &name(b));
-        w.report_blocked_by(b, &name(a));
-        w.report_blocked_by(c, &name(a));
-        w.advance(1);
+        simulation.report_blocked_by(a, &name(b));
+        simulation.report_blocked_by(b, &name(a));
+        simulation.report_blocked_by(c, &name(a));
+        simulation.advance(1);
     }
-    let mut found = w.runaways();
+    let mut found = simulation.runaways();
     found.sort();
     assert_eq!(
         found,
         [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]
     );
-    // The circle is broken: neither is at fault any more.
-    w.finish(b);
+    // The cycle is broken: neither is at fault any more.
+    simulation.finish(b);
     for id in [a, c] {
-        w.detector.report_progress(
-            w.now,
+        simulation.detector.report_progress(
+            simulation.now,
             Simulation::attempt(id),
             ProgressReport {
                 work: Some(1),
@@ -110,35 +120,36 @@
             },
         );
     }
-    w.advance(2);
+    simulation.advance(2);
     assert!(
-        w.detector
+        simulation
+            .detector
             .open_findings()
             .all(|f| f.verdict != Verdict::Runaway),
         "{:?}",
-        w.detector.open_findings().collect::<Vec<_>>()
+        simulation.detector.open_findings().collect::<Vec<_>>()
     );
 }
 
 #[test]
 fn an_abandoned_attempt_is_found_by_its_waiters() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let mut load = w.job(LOAD, LOAD as u64, 2, 900e6);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut load = simulation.job(LOAD, LOAD as u64, 2, 900e6);
     load.group = Some(5);
-    let load = w.run(load);
-    w.drop_job(load);
-    w.advance(1);
-    w.detector.end_attempt(
-        w.now,
+    let load = simulation.run(load);
+    simulation.drop_job(load);
+    simulation.advance(1);
+    simulation.detector.end_attempt(
+        simulation.now,
         Simulation::attempt(load),
         ExecutionOutcome::Abandoned,
         None,
     );
-    let blocked = |w: &mut Simulation, holder: &str, age| {
+    let blocked = |simulation: &mut Simulation, holder: &str, age| {
         let waiting: Vec<u64> = (0..10)
-            .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+            .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
             .collect();
-        w.running.clear();
+        simulation.running.clear();
         for second in 0..12 {
             for id in &waiting {
                 let age = Some(age + second * S);
@@ -147,109 +158,121 @@
                     class: Some(LOAD),
                     age,
                 };
-                w.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
             }
-            w.advance(1);
+            simulation.advance(1);
         }
         waiting
     };
-    blocked(&mut w, &name(load), S);
-    assert_eq!(w.runaways(), [(name(load), Cause::Blocks)]);
+    blocked(&mut simulation, &name(load), S);
+    assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
     assert!(
-        w.detector
+        simulation
+            .detector
             .excluded_engines()
             .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     );
-    // Its engine's process is another one: it is gone with the old one.
-    w.detector.reset_engine(w.now, EngineId(2));
-    w.advance(1);
+    // Its engine restarted: the attempt is gone.
+    simulation
+        .detector
+        .reset_engine(simulation.now, EngineId(2));
+    simulation.advance(1);
     assert!(
-        w.detector
+        simulation
+            .detector
             .open_findings()
             .all(|f| f.subject != Subject::Statement(name(load)))
     );
-    // One of a router that died, of which nothing was ever known here.
-    w.decisions.clear();
-    let waiting = blocked(&mut w, "r2/00009_gone", 40 * S);
-    assert_eq!(w.runaways(), [("r2/00009_gone".to_owned(), Cause::Blocks)]);
+    // A statement of a router that died, which this one never sent.
+    simulation.decisions.clear();
+    let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * S);
+    assert_eq!(
+        simulation.runaways(),
+        [("r2/00009_gone".to_owned(), Cause::Blocks)]
+    );
     for id in waiting {
-        w.detector.end_attempt(
-            w.now,
+        simulation.detector.end_attempt(
+            simulation.now,
             Simulation::attempt(id),
             ExecutionOutcome::Failed,
             None,
         );
     }
-    w.advance(60);
+    simulation.advance(60);
     assert!(
-        w.detector
+        simulation
+            .detector
             .open_findings()
             .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
     );
     assert_eq!(
-        w.detector.tracked_counts().remote_statements,
+        simulation.detector.tracked_counts().remote_statements,
         0,
-        "and it is forgotten"
+        "it is not tracked any more"
     );
 }
 
 #[test]
 fn a_blocked_attempt_is_not_at_fault_whatever_it_used_before() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let id = w.start(REPORT, REPORT as u64, 0, 4e6);
-    w.running.clear();
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
+    simulation.running.clear();
     for _ in 0..20 {
-        let stands = Some(BlockedState::Behind(None));
-        w.detector.report_progress(
-            w.now,
+        let blocked_state = Some(BlockedState::Behind(None));
+        simulation.detector.report_progress(
+            simulation.now,
             Simulation::attempt(id),
             ProgressReport {
                 work: Some(400 * S),
-                blocked_state: stands,
+                blocked_state,
                 ..ProgressReport::default()
             },
         );
-        w.advance(1);
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), []);
-    w.detector.report_progress(
-        w.now,
+    assert_eq!(simulation.runaways(), []);
+    simulation.detector.report_progress(
+        simulation.now,
         Simulation::attempt(id),
         ProgressReport {
             work: Some(400 * S),
             ..ProgressReport::default()
         },
     );
-    w.advance(3);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)], "it moves again");
+    simulation.advance(3);
+    assert_eq!(
+        simulation.runaways(),
+        [(name(id), Cause::Heavy)],
+        "it is not blocked any more"
+    );
 }
 
 #[test]
 fn without_reports_a_long_reader_may_wait_for_a_remote_load_unless_another_reader_completed() {
-    let lookup = |w: &mut Simulation, work: f64| {
-        let mut job = w.job(LOOKUP, LOOKUP as u64, 1, work);
+    let lookup = |simulation: &mut Simulation, work: f64| {
+        let mut job = simulation.job(LOOKUP, LOOKUP as u64, 1, work);
         job.group = Some(5);
-        w.run(job)
+        simulation.run(job)
     };
-    let blind = || {
-        let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-        w.reports_progress = false;
-        w
+    let without_reports = || {
+        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+        simulation.reports_progress = false;
+        simulation
     };
-    // Alone: no longer than a load may be. Two of the same tables: they stand behind something.
-    let mut alone = blind();
+    // Alone, it may wait for as long as a load may run. Two on the same tables wait for something.
+    let mut alone = without_reports();
     let id = lookup(&mut alone, 900e6);
     alone.advance(15);
     assert_eq!(alone.runaways(), []);
     alone.advance(20);
     assert_eq!(alone.runaways(), [(name(id), Cause::Heavy)]);
-    let mut two = blind();
+    let mut two = without_reports();
     lookup(&mut two, 900e6);
     lookup(&mut two, 900e6);
     two.advance(60);
     assert_eq!(two.runaways(), []);
-    // Something of those tables that began later has passed: it is heavy by itself.
-    let mut passed = blind();
+    // Another reader of those tables that started later has completed: the first is heavy by itself.
+    let mut passed = without_reports();
     let id = lookup(&mut passed, 900e6);
     passed.advance(1);
     lookup(&mut passed, 250_000.0);
@@ -259,29 +282,32 @@
 
 #[test]
 fn a_holder_without_a_reported_age_is_as_old_as_its_first_report() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..10)
-        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
-    w.running.clear();
+    simulation.running.clear();
     for _ in 0..15 {
         waiting
             .iter()
-            .for_each(|id| w.report_blocked_by(*id, "r2/00009_x"));
-        w.advance(1);
+            .for_each(|id| simulation.report_blocked_by(*id, "r2/00009_x"));
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), [("r2/00009_x".to_owned(), Cause::Blocks)]);
+    assert_eq!(
+        simulation.runaways(),
+        [("r2/00009_x".to_owned(), Cause::Blocks)]
+    );
 }
 
 #[test]
 fn blocked_time_does_not_count_against_a_load() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..3)
-        .map(|_| w.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
+        .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
-    w.running.clear();
+    simulation.running.clear();
     for second in 0..30u64 {
-        // The first runs away; the second came with it, and runs only from then on.
+        // The first is a runaway; the second starts to run only after it.
         let (name, age) = if second < 27 {
             ("r2/00001_x", second * S)
         } else {
@@ -293,24 +319,27 @@
                 class: Some(LOAD),
                 age: Some(age),
             };
-            w.report_blocked(*id, BlockedState::Behind(Some(holder)));
+            simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
         }
-        w.advance(1);
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), [("r2/00001_x".to_owned(), Cause::Blocks)]);
+    assert_eq!(
+        simulation.runaways(),
+        [("r2/00001_x".to_owned(), Cause::Blocks)]
+    );
 }
 
 #[test]
 fn table_groups_are_excluded_from_the_engine_of_a_remote_runaway_until_it_is_gone() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let stand = |w: &mut Simulation, n: u64, seconds: u64| {
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let wait_for_remote = |simulation: &mut Simulation, n: u64, seconds: u64| {
         let mut ids = Vec::new();
         for _ in 0..n {
-            let mut job = w.job(LOOKUP, LOOKUP as u64, 2, 250_000.0);
+            let mut job = simulation.job(LOOKUP, LOOKUP as u64, 2, 250_000.0);
             job.group = Some(5);
-            ids.push(w.run(job));
+            ids.push(simulation.run(job));
         }
-        w.running.clear();
+        simulation.running.clear();
         for second in 0..seconds {
             for id in &ids {
                 let age = Some((60 + second) * S);
@@ -319,42 +348,43 @@
                     class: Some(LOAD),
                     age,
                 };
-                w.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
             }
-            w.advance(1);
+            simulation.advance(1);
         }
         ids.iter().for_each(|id| {
-            w.detector.end_attempt(
-                w.now,
+            simulation.detector.end_attempt(
+                simulation.now,
                 Simulation::attempt(*id),
                 ExecutionOutcome::Failed,
                 None,
             )
         });
     };
-    let away = |w: &Simulation| {
-        w.detector
+    let is_excluded = |simulation: &Simulation| {
+        simulation
+            .detector
             .excluded_engines()
             .any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]))
     };
-    stand(&mut w, 10, 6);
-    assert!(away(&w));
-    w.advance(15);
+    wait_for_remote(&mut simulation, 10, 6);
+    assert!(is_excluded(&simulation));
+    simulation.advance(15);
     assert!(
-        away(&w),
-        "nothing stands behind it just now: it is kept in mind"
+        is_excluded(&simulation),
+        "it blocks nothing at the moment: it is still tracked"
     );
-    w.advance(6);
-    assert!(!away(&w), "tried again");
-    // One alone that meets it again is enough.
-    stand(&mut w, 1, 2);
-    assert!(away(&w));
-    w.advance(35);
-    assert!(away(&w), "for longer this time");
-    w.advance(20);
+    simulation.advance(6);
+    assert!(!is_excluded(&simulation), "the exclusion has ended");
+    // One attempt that it blocks again is enough.
+    wait_for_remote(&mut simulation, 1, 2);
+    assert!(is_excluded(&simulation));
+    simulation.advance(35);
+    assert!(is_excluded(&simulation), "the second exclusion is longer");
+    simulation.advance(20);
     assert!(
-        !away(&w) && w.detector.tracked_counts().remote_statements == 0,
-        "gone, and forgotten"
+        !is_excluded(&simulation) && simulation.detector.tracked_counts().remote_statements == 0,
+        "it is not tracked any more"
     );
-    assert_eq!(w.runaways().len(), 1, "one verdict");
+    assert_eq!(simulation.runaways().len(), 1, "one finding");
 }
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -14,20 +14,20 @@
 
 pub fn class(
     name: &str,
-    aim: Micros,
+    latency_objective: Micros,
     threads: f64,
-    effect: Idempotency,
-    acts: EnforcementOptions,
+    idempotency: Idempotency,
+    options: EnforcementOptions,
 ) -> Class {
-    let holds = effect == Idempotency::NotIdempotent;
+    let holds_tables = idempotency == Idempotency::NotIdempotent;
     Class {
         name: name.into(),
-        latency_objective: aim,
+        latency_objective,
         client_timeout: 25 * S,
         threads,
-        idempotency: effect,
-        holds_tables: holds,
-        enforcement: acts,
+        idempotency,
+        holds_tables,
+        enforcement: options,
     }
 }
 
@@ -39,12 +39,12 @@
     end: false,
 };
 
-pub fn settings(acts: EnforcementOptions) -> Settings {
+pub fn settings(options: EnforcementOptions) -> Settings {
     Settings {
         classes: vec![
-            class("lookup", 3 * S / 2, 1.0, Idempotency::Idempotent, acts),
-            class("report", 2 * S, 2.0, Idempotency::Idempotent, acts),
-            class("rent-load", 3 * S, 2.0, Idempotency::NotIdempotent, acts),
+            class("lookup", 3 * S / 2, 1.0, Idempotency::Idempotent, options),
+            class("report", 2 * S, 2.0, Idempotency::Idempotent, options),
+            class("rent-load", 3 * S, 2.0, Idempotency::NotIdempotent, options),
         ],
         max_fingerprints: 1000,
         pause_for: 10 * S,
@@ -86,11 +86,11 @@
 }
 
 impl Simulation {
-    pub fn new(acts: EnforcementOptions, engines: u32) -> Simulation {
-        Simulation::of(settings(acts), engines)
+    pub fn new(options: EnforcementOptions, engines: u32) -> Simulation {
+        Simulation::with_settings(settings(options), engines)
     }
 
-    pub fn of(settings: Settings, engines: u32) -> Simulation {
+    pub fn with_settings(settings: Settings, engines: u32) -> Simulation {
         let threads = settings.classes.iter().map(|c| c.threads).collect();
         let mut detector = RunawayDetector::new(settings);
         let listed = |n| EngineStatus {
@@ -111,10 +111,10 @@
     }
 
     /// A simulation in which each of three fingerprints has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
-    pub fn with_history(acts: EnforcementOptions, engines: u32) -> Simulation {
-        let mut w = Simulation::new(acts, engines);
-        w.run_history(100);
-        w
+    pub fn with_history(options: EnforcementOptions, engines: u32) -> Simulation {
+        let mut simulation = Simulation::new(options, engines);
+        simulation.run_history(100);
+        simulation
     }
 
     pub fn run_history(&mut self, runs: u64) {
@@ -239,9 +239,9 @@
     }
 
     /// An engine reports that an attempt is blocked.
-    pub fn report_blocked(&mut self, id: u64, why: BlockedState) {
+    pub fn report_blocked(&mut self, id: u64, state: BlockedState) {
         let report = ProgressReport {
-            blocked_state: Some(why),
+            blocked_state: Some(state),
             ..ProgressReport::default()
         };
         self.detector
@@ -272,14 +272,14 @@
 
     /// Names of statements found to be runaways.
     pub fn runaways(&self) -> Vec<(String, Cause)> {
-        let of = |f: &&Finding| f.verdict == Verdict::Runaway;
+        let is_runaway = |f: &&Finding| f.verdict == Verdict::Runaway;
         let name = |f: &Finding| match &f.subject {
             Subject::Statement(name) => name.clone(),
             other => format!("{other:?}"),
         };
         self.found()
             .into_iter()
-            .filter(of)
+            .filter(is_runaway)
             .map(|f| (name(f), f.cause))
             .collect()
     }
--- a/crates/runaway/tests/decision_digest.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -1,25 +1,17 @@
-//! Pins a digest of all that the detector shows for seeded generated events: decisions, findings, holds, exclusions and
-//! snapshots. A refactoring must leave each digest as it is.
-//!
-//! The digest is taken over explicit numbers, texts and JSON keys and not over `Debug` output, so that renamed types do
-//! not change it. `UPDATE_FIXTURES=1` rewrites the file; only a deliberate change of a decision justifies that.
-
-mod common;
+//! Seeded events: arrivals, reports, waits, ends, engine lists and settings, in phases of a slow engine, a changed
+//! fingerprint and an engine that lacks memory.
 
 use std::collections::BTreeMap;
-use std::fmt::Write as _;
-use std::path::Path;
 use std::rc::Rc;
 
-use common::{S, class};
-use hoptiller_policy::{EngineId, Hold, HoldTarget, Idempotency, Micros};
+use hoptiller_policy::{EngineId, Idempotency, Micros};
 use hoptiller_runaway::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const SEEDS: u64 = 12;
-const STEPS: u64 = 1_600;
-const STEP: Micros = S / 4;
+use crate::common::{S, class};
+use crate::{STEP, STEPS};
+
 const ENGINES: u64 = 6;
 const FINGERPRINTS: u64 = 7;
 const GROUPS: u64 = 3;
@@ -82,7 +74,7 @@
     spills: bool,
 }
 
-struct Generator {
+pub struct Generator {
     draw: Draw,
     settings: Settings,
     /// Whether engines report progress in this seed.
@@ -99,7 +91,37 @@
 }
 
 impl Generator {
-    fn step(&mut self, detector: &mut RunawayDetector, number: u64) {
+    pub fn new(seed: u64) -> Generator {
+        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+        let settings = generated_settings(&mut draw);
+        Generator {
+            draw,
+            settings,
+            reports_progress: seed % 4 != 3,
+            now: 100 * S,
+            next_statement: 0,
+            running: BTreeMap::new(),
+            abandoned: Vec::new(),
+            slow_engine: ENGINES,
+            changed_fingerprint: FINGERPRINTS,
+            engine_without_memory: ENGINES,
+        }
+    }
+
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    pub fn now(&self) -> Micros {
+        self.now
+    }
+
+    pub fn advance(&mut self, duration: Micros) {
+        self.now += duration;
+    }
+
+    /// One step: events of statements and engines, then a detection run.
+    pub fn step(&mut self, detector: &mut RunawayDetector, number: u64) {
         let phase = number * 8 / STEPS;
         self.slow_engine = if phase == 3 { 1 } else { ENGINES };
         self.changed_fingerprint = if phase == 5 { 1 } else { FINGERPRINTS };
@@ -365,192 +387,3 @@
         blocked_state,
     }
 }
-
-/// The digest of one seed, and how often each label of a decision or finding came.
-struct Recorder {
-    hasher: blake3::Hasher,
-    counts: BTreeMap<String, u64>,
-}
-
-impl Recorder {
-    fn add_number(&mut self, number: u64) {
-        self.hasher.update(&number.to_le_bytes());
-    }
-
-    fn add_text(&mut self, text: &str) {
-        self.add_number(text.len() as u64);
-        self.hasher.update(text.as_bytes());
-    }
-
-    fn add_optional(&mut self, number: Option<u64>) {
-        self.add_number(u64::from(number.is_some()));
-        self.add_number(number.unwrap_or(0));
-    }
-
-    fn add_json(&mut self, value: &impl serde::Serialize) -> String {
-        let text = serde_json::to_string(value).expect("plain data");
-        self.add_text(&text);
-        text
-    }
-
-    fn count(&mut self, label: impl Into<String>) {
-        *self.counts.entry(label.into()).or_default() += 1;
-    }
-
-    fn add_finding(&mut self, finding: &Finding) {
-        self.add_number(finding.id);
-        match &finding.subject {
-            Subject::Statement(name) => self.add_text(name),
-            Subject::Fingerprint(fingerprint) => self.add_number(fingerprint.0),
-            Subject::Engine(engine) => self.add_number(u64::from(engine.0)),
-        }
-        let verdict = self.add_json(&finding.verdict);
-        let cause = self.add_json(&finding.cause);
-        self.count(format!("{verdict} {cause}"));
-        self.add_optional(finding.class.map(|class| class as u64));
-        self.add_optional(finding.fingerprint.map(|fingerprint| fingerprint.0));
-        self.add_text(&finding.label);
-        self.add_optional(finding.engine.map(|engine| u64::from(engine.0)));
-        for time in [finding.started, finding.since, finding.at] {
-            self.add_number(time);
-        }
-        let evidence = &finding.evidence;
-        let measure = self.add_json(&evidence.measure);
-        self.count(measure);
-        for figure in [evidence.figure, evidence.usual, evidence.bound] {
-            self.add_number(figure.to_bits());
-        }
-        self.add_json(&evidence.basis);
-        self.add_text(&evidence.to_string());
-        for name in &finding.blocks {
-            self.add_text(name);
-        }
-        self.add_number(finding.blocked as u64);
-        self.add_text(finding.note);
-        self.count(finding.note);
-    }
-
-    fn add_hold(&mut self, hold: &Hold) {
-        let target = match hold.target {
-            HoldTarget::Kind(number) => [0, number],
-            HoldTarget::Group(number) => [1, number],
-        };
-        self.count(if target[0] == 0 { "hold" } else { "exclusion" });
-        target
-            .into_iter()
-            .for_each(|number| self.add_number(number));
-        self.add_number(u64::from(hold.max_in_flight));
-        self.add_number(u64::from(hold.low_priority));
-        for engine in &hold.excluded_engines {
-            self.add_number(u64::from(engine.0));
-        }
-    }
-
-    fn add_decision(&mut self, decision: &Decision) {
-        let (label, attempt) = match decision {
-            Decision::Found(finding) => return self.add_finding(finding),
-            Decision::Hold(hold) => return self.add_hold(hold),
-            Decision::Pause(attempt) => ("pause", attempt),
-            Decision::Resume(attempt) => ("resume", attempt),
-            Decision::End(attempt) => ("end", attempt),
-        };
-        self.count(label);
-        self.add_text(label);
-        self.add_number(attempt.statement);
-        self.add_number(u64::from(attempt.number));
-    }
-
-    /// All that the detector shows beside its decisions.
-    fn add_state(&mut self, detector: &RunawayDetector, classes: &[Class]) {
-        let counts = detector.tracked_counts();
-        for count in [
-            counts.fingerprints,
-            counts.attempts,
-            counts.remote_statements,
-        ] {
-            self.add_number(count as u64);
-        }
-        self.add_number(detector.next_detection_at());
-        for finding in detector.open_findings().chain(detector.past_findings()) {
-            self.add_number(finding.id);
-            self.add_number(finding.at);
-            self.add_number(finding.since);
-            self.add_number(finding.evidence.figure.to_bits());
-            self.add_number(finding.blocked as u64);
-        }
-        for (fingerprint, hold) in detector.holds() {
-            if *fingerprint == FingerprintId::unknown(&classes[hold.class].name) {
-                self.count("unknown fingerprints held together");
-            }
-            self.add_json(&(fingerprint, hold));
-            self.add_number(u64::from(hold.runaways));
-        }
-        for (group, engines) in detector.excluded_engines() {
-            self.add_number(*group);
-            for engine in engines {
-                self.add_number(u64::from(engine.0));
-            }
-        }
-    }
-}
-
-fn play(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
-    let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
-    let settings = generated_settings(&mut draw);
-    let mut detector = RunawayDetector::new(settings.clone());
-    let mut generator = Generator {
-        draw,
-        settings,
-        reports_progress: seed % 4 != 3,
-        now: 100 * S,
-        next_statement: 0,
-        running: BTreeMap::new(),
-        abandoned: Vec::new(),
-        slow_engine: ENGINES,
-        changed_fingerprint: FINGERPRINTS,
-        engine_without_memory: ENGINES,
-    };
-    let mut recorder = Recorder {
-        hasher: blake3::Hasher::new(),
-        counts: std::mem::take(counts),
-    };
-    for number in 0..STEPS {
-        generator.step(&mut detector, number);
-        for decision in detector.take_decisions() {
-            recorder.add_decision(&decision);
-        }
-        recorder.add_number(number);
-        if number.is_multiple_of(20) {
-            recorder.add_state(&detector, &generator.settings.classes);
-        }
-        if number % 200 == 199 {
-            let saved = detector.save();
-            recorder.hasher.update(&saved);
-            let mut restored = RunawayDetector::new(generator.settings.clone());
-            let counts = restored.restore(generator.now, &saved).expect("just saved");
-            recorder.add_number(counts.fingerprints as u64);
-            recorder.hasher.update(&restored.save());
-        }
-        generator.now += if number % 300 == 299 { 20 * S } else { STEP };
-    }
-    *counts = recorder.counts;
-    recorder.hasher.finalize().to_hex()[..32].to_owned()
-}
-
-#[test]
-fn generated_events_give_the_pinned_decisions() {
-    let mut text = String::new();
-    let mut counts = BTreeMap::new();
-    for seed in 0..SEEDS {
-        let _ = writeln!(text, "{seed} {}", play(seed, &mut counts));
-    }
-    for (label, count) in &counts {
-        let _ = writeln!(text, "{count} {label}");
-    }
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/decision-digests.txt");
-    if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(&path, &text).expect("the fixture can be written");
-    }
-    let pinned = std::fs::read_to_string(&path).expect("the fixture exists");
-    assert_eq!(pinned, text, "the detector's decisions have changed");
-}
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -8,11 +8,11 @@
 
 #[test]
 fn a_runaway_is_found_before_its_bound_by_its_progress() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let id = w.start(REPORT, REPORT as u64, 0, 400e6);
-    w.advance(10);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
-    let f = w
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let id = simulation.start(REPORT, REPORT as u64, 0, 400e6);
+    simulation.advance(10);
+    assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
+    let f = simulation
         .found()
         .into_iter()
         .find(|f| f.verdict == Verdict::Runaway)
@@ -25,10 +25,13 @@
         "{f:?}"
     );
     assert!(
-        w.found().iter().any(|f| f.verdict == Verdict::Suspect),
+        simulation
+            .found()
+            .iter()
+            .any(|f| f.verdict == Verdict::Suspect),
         "suspected before it is found"
     );
-    let hold = w.holds();
+    let hold = simulation.holds();
     assert!(
         hold.len() == 1
             && hold[0].target == HoldTarget::Kind(REPORT as u64)
@@ -40,13 +43,13 @@
 
 #[test]
 fn without_progress_reports_a_runaway_is_found_by_its_run_time() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    w.reports_progress = false;
-    let id = w.start(REPORT, REPORT as u64, 0, 400e6);
-    w.advance(20);
-    assert_eq!(w.runaways(), []);
-    w.advance(10);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    simulation.reports_progress = false;
+    let id = simulation.start(REPORT, REPORT as u64, 0, 400e6);
+    simulation.advance(20);
+    assert_eq!(simulation.runaways(), []);
+    simulation.advance(10);
+    assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
 }
 
 #[test]
@@ -59,16 +62,16 @@
                 estimate: None,
             },
         ] {
-            let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-            w.reports_progress = notes;
-            let mut job = w.job(REPORT, REPORT as u64, 0, 40e6);
+            let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+            simulation.reports_progress = notes;
+            let mut job = simulation.job(REPORT, REPORT as u64, 0, 40e6);
             job.announced = announced;
-            w.run(job);
-            w.advance(25);
+            simulation.run(job);
+            simulation.advance(25);
             assert!(
-                w.running.is_empty() && w.found().is_empty(),
+                simulation.running.is_empty() && simulation.found().is_empty(),
                 "{:?}",
-                w.found()
+                simulation.found()
             );
         }
     }
@@ -76,54 +79,62 @@
 
 #[test]
 fn an_announced_size_raises_the_bound() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let mut job = w.job(REPORT, REPORT as u64, 0, 160e6);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut job = simulation.job(REPORT, REPORT as u64, 0, 160e6);
     job.announced.size = 48;
-    w.run(job);
-    w.advance(85);
-    assert!(w.running.is_empty() && w.runaways().is_empty());
+    simulation.run(job);
+    simulation.advance(85);
+    assert!(simulation.running.is_empty() && simulation.runaways().is_empty());
 }
 
 #[test]
 fn a_slow_engine_is_reported_and_its_statements_are_not() {
     for notes in [true, false] {
-        let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-        w.reports_progress = notes;
+        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+        simulation.reports_progress = notes;
         for second in 0..40 {
             for engine in 0..4 {
-                let mut lookup = w.job(LOOKUP, LOOKUP as u64, engine, 250_000.0);
-                let mut report = w.job(REPORT, REPORT as u64, engine, 4e6);
+                let mut lookup = simulation.job(LOOKUP, LOOKUP as u64, engine, 250_000.0);
+                let mut report = simulation.job(REPORT, REPORT as u64, engine, 4e6);
                 if engine == 3 {
                     (lookup.slow, report.slow) = (15.0, 15.0);
                 }
-                w.run(lookup);
+                simulation.run(lookup);
                 if second % 2 == 0 {
-                    w.run(report);
+                    simulation.run(report);
                 }
             }
-            w.advance(1);
+            simulation.advance(1);
         }
         assert_eq!(
-            (w.runaways(), w.notices()),
+            (simulation.runaways(), simulation.notices()),
             (vec![], vec![Cause::SlowEngine]),
             "notes: {notes}"
         );
-        let subject = w.detector.open_findings().next().map(|f| f.subject.clone());
+        let subject = simulation
+            .detector
+            .open_findings()
+            .next()
+            .map(|f| f.subject.clone());
         assert_eq!(subject, Some(Subject::Engine(EngineId(3))));
     }
 }
 
 #[test]
 fn an_unknown_fingerprint_is_bounded_by_its_class() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     // Ten times its class's median: new, large, and honest.
-    w.start(REPORT, 900, 0, 40e6);
-    w.advance(25);
-    assert!(w.running.is_empty() && w.runaways().is_empty());
-    let id = w.start(LOOKUP, 901, 1, 300e6);
-    w.advance(25);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
-    let f = w.detector.open_findings().next().expect("stands");
+    simulation.start(REPORT, 900, 0, 40e6);
+    simulation.advance(25);
+    assert!(simulation.running.is_empty() && simulation.runaways().is_empty());
+    let id = simulation.start(LOOKUP, 901, 1, 300e6);
+    simulation.advance(25);
+    assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
+    let f = simulation
+        .detector
+        .open_findings()
+        .next()
+        .expect("an open finding");
     assert!(
         matches!(f.evidence.basis, Basis::Class(_)),
         "{:?}",
@@ -133,127 +144,145 @@
 
 #[test]
 fn without_history_the_settings_set_the_bound() {
-    let mut w = Simulation::new(NAME_AND_HOLD, 4);
-    w.start(LOOKUP, 1, 0, 10e6);
-    w.advance(12);
+    let mut simulation = Simulation::new(NAME_AND_HOLD, 4);
+    simulation.start(LOOKUP, 1, 0, 10e6);
+    simulation.advance(12);
     assert!(
-        w.found().is_empty(),
+        simulation.found().is_empty(),
         "ten seconds of a class whose clients wait 25"
     );
-    let id = w.start(LOOKUP, 1, 0, 900e6);
-    w.advance(29);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
+    let id = simulation.start(LOOKUP, 1, 0, 900e6);
+    simulation.advance(29);
+    assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
     assert_eq!(
-        w.detector.open_findings().next().map(|f| f.evidence.basis),
+        simulation
+            .detector
+            .open_findings()
+            .next()
+            .map(|f| f.evidence.basis),
         Some(Basis::Settings)
     );
 }
 
 #[test]
 fn a_changed_fingerprint_gets_one_notice_and_its_new_figures_are_adopted() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     for n in 0..100u32 {
-        w.start(REPORT, REPORT as u64, n % 4, 100e6);
-        w.start(LOOKUP, LOOKUP as u64, n % 4, 250_000.0);
-        w.advance(1);
+        simulation.start(REPORT, REPORT as u64, n % 4, 100e6);
+        simulation.start(LOOKUP, LOOKUP as u64, n % 4, 250_000.0);
+        simulation.advance(1);
     }
-    assert_eq!(w.notices(), [Cause::FingerprintChanged], "one notice");
-    assert!(w.runaways().len() <= 1, "{:?}", w.runaways());
+    assert_eq!(
+        simulation.notices(),
+        [Cause::FingerprintChanged],
+        "one notice"
+    );
     assert!(
-        w.detector.holds().next().is_none(),
+        simulation.runaways().len() <= 1,
+        "{:?}",
+        simulation.runaways()
+    );
+    assert!(
+        simulation.detector.holds().next().is_none(),
         "a changed kind is not held"
     );
-    w.advance(60);
+    simulation.advance(60);
     assert_eq!(
-        w.detector.open_findings().count(),
+        simulation.detector.open_findings().count(),
         0,
         "the new figures are usual now"
     );
-    w.decisions.clear();
+    simulation.decisions.clear();
     for n in 0..20u32 {
-        w.start(REPORT, REPORT as u64, n % 4, 100e6);
-        w.advance(1);
+        simulation.start(REPORT, REPORT as u64, n % 4, 100e6);
+        simulation.advance(1);
     }
-    w.advance(60);
-    assert!(w.found().is_empty(), "{:?}", w.found());
+    simulation.advance(60);
+    assert!(simulation.found().is_empty(), "{:?}", simulation.found());
 }
 
 #[test]
 fn a_changed_fingerprint_does_not_make_an_engine_slow() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     // Chance has given engine 0 hardly any of the usual ones.
     for n in 0..36u32 {
-        w.start(
+        simulation.start(
             REPORT,
             REPORT as u64,
             if n == 0 { 0 } else { 1 + n % 3 },
             4e6,
         );
     }
-    w.advance(3);
-    assert!(w.running.is_empty(), "usual ones have ended");
+    simulation.advance(3);
+    assert!(simulation.running.is_empty(), "usual ones have ended");
     for n in 0..40u32 {
-        w.start(REPORT, REPORT as u64, n % 4, 100e6);
+        simulation.start(REPORT, REPORT as u64, n % 4, 100e6);
     }
-    w.advance(20);
-    assert_eq!(w.notices(), [Cause::FingerprintChanged]);
+    simulation.advance(20);
+    assert_eq!(simulation.notices(), [Cause::FingerprintChanged]);
 }
 
 #[test]
 fn one_long_run_among_usual_ones_is_no_fingerprint_change() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let id = w.start(REPORT, REPORT as u64, 0, 900e6);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
     for n in 0..30u32 {
-        w.start(REPORT, REPORT as u64, n % 4, 4e6);
-        w.advance(1);
+        simulation.start(REPORT, REPORT as u64, n % 4, 4e6);
+        simulation.advance(1);
     }
     assert_eq!(
-        (w.runaways(), w.notices()),
+        (simulation.runaways(), simulation.notices()),
         (vec![(name(id), Cause::Heavy)], vec![])
     );
     // It taught nothing: the next one is found as fast.
-    w.detector.end_attempt(
-        w.now,
+    simulation.detector.end_attempt(
+        simulation.now,
         Simulation::attempt(id),
         ExecutionOutcome::Succeeded,
         Some(900 * S),
     );
-    w.drop_job(id);
-    w.collect_decisions();
-    let next = w.start(REPORT, REPORT as u64, 0, 900e6);
-    w.advance(10);
-    assert!(w.runaways().contains(&(name(next), Cause::Heavy)));
+    simulation.drop_job(id);
+    simulation.collect_decisions();
+    let next = simulation.start(REPORT, REPORT as u64, 0, 900e6);
+    simulation.advance(10);
+    assert!(simulation.runaways().contains(&(name(next), Cause::Heavy)));
 }
 
 #[test]
 fn waiters_for_memory_are_excused_and_its_largest_user_is_a_runaway() {
-    let mut w = Simulation::new(NAME_AND_HOLD, 2);
+    let mut simulation = Simulation::new(NAME_AND_HOLD, 2);
     let memory = |mb: f64| ProgressReport {
         work: Some(1000),
         memory_mb: Some(mb),
         ..ProgressReport::default()
     };
     for _ in 0..40 {
-        let id = w.start(REPORT, 1, 0, 4e6);
-        w.detector
-            .report_progress(w.now, Simulation::attempt(id), memory(200.0));
-        w.now += 2 * S;
-        w.finish(id);
+        let id = simulation.start(REPORT, 1, 0, 4e6);
+        simulation
+            .detector
+            .report_progress(simulation.now, Simulation::attempt(id), memory(200.0));
+        simulation.now += 2 * S;
+        simulation.finish(id);
     }
-    let hog = w.start(REPORT, 1, 0, 20e6);
-    let waiting: Vec<u64> = (0..10).map(|_| w.start(REPORT, 1, 0, 4e6)).collect();
-    w.running.clear();
+    let hog = simulation.start(REPORT, 1, 0, 20e6);
+    let waiting: Vec<u64> = (0..10)
+        .map(|_| simulation.start(REPORT, 1, 0, 4e6))
+        .collect();
+    simulation.running.clear();
     for _ in 0..100 {
-        w.detector
-            .report_progress(w.now, Simulation::attempt(hog), memory(3800.0));
+        simulation.detector.report_progress(
+            simulation.now,
+            Simulation::attempt(hog),
+            memory(3800.0),
+        );
         waiting
             .iter()
-            .for_each(|id| w.report_blocked(*id, BlockedState::Memory));
-        w.advance(1);
+            .for_each(|id| simulation.report_blocked(*id, BlockedState::Memory));
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), [(name(hog), Cause::Memory)]);
+    assert_eq!(simulation.runaways(), [(name(hog), Cause::Memory)]);
     assert_eq!(
-        w.detector.open_findings().count(),
+        simulation.detector.open_findings().count(),
         1,
         "a hundred seconds of standing are nobody's fault"
     );
@@ -261,14 +290,14 @@
 
 #[test]
 fn spilling_raises_the_bound_up_to_a_limit() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let spilling = |w: &mut Simulation, times: f64| {
-        let id = w.start(REPORT, REPORT as u64, 0, 4e6);
-        w.running.clear();
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let spilling = |simulation: &mut Simulation, times: f64| {
+        let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
+        simulation.running.clear();
         for second in 1..=20 {
             let work = (4e6 * times * f64::from(second.min(10)) / 10.0) as u64;
-            w.detector.report_progress(
-                w.now,
+            simulation.detector.report_progress(
+                simulation.now,
                 Simulation::attempt(id),
                 ProgressReport {
                     work: Some(work),
@@ -276,103 +305,113 @@
                     ..ProgressReport::default()
                 },
             );
-            w.advance(1);
+            simulation.advance(1);
         }
         id
     };
-    spilling(&mut w, 30.0);
-    assert_eq!(w.runaways(), []);
-    let id = spilling(&mut w, 45.0);
-    assert_eq!(w.runaways(), [(name(id), Cause::Heavy)]);
+    spilling(&mut simulation, 30.0);
+    assert_eq!(simulation.runaways(), []);
+    let id = spilling(&mut simulation, 45.0);
+    assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
 }
 
 #[test]
 fn a_bad_plan_is_recognised_by_its_work_per_row() {
     for (rows, cause) in [(100_000u64, Cause::BadPlan), (9_000_000, Cause::Heavy)] {
-        let mut w = Simulation::new(NAME_AND_HOLD, 4);
+        let mut simulation = Simulation::new(NAME_AND_HOLD, 4);
         for n in 0..40u32 {
-            let mut job = w.job(REPORT, 1, n % 4, 4e6);
+            let mut job = simulation.job(REPORT, 1, n % 4, 4e6);
             job.rows = Some(100_000);
-            w.run(job);
-            w.advance(3);
+            simulation.run(job);
+            simulation.advance(3);
         }
-        let mut job = w.job(REPORT, 1, 0, 400e6);
+        let mut job = simulation.job(REPORT, 1, 0, 400e6);
         job.rows = Some(rows);
-        w.run(job);
-        w.advance(12);
-        assert_eq!(w.runaways().first().map(|r| r.1), Some(cause));
+        simulation.run(job);
+        simulation.advance(12);
+        assert_eq!(simulation.runaways().first().map(|r| r.1), Some(cause));
     }
 }
 
 #[test]
 fn a_slow_reader_is_a_notice_and_no_runaway() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let id = w.start(REPORT, REPORT as u64, 0, 4e6);
-    w.drop_job(id);
-    w.advance(2);
-    w.detector.start_streaming(w.now, Simulation::attempt(id));
-    w.advance(120);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
+    simulation.drop_job(id);
+    simulation.advance(2);
+    simulation
+        .detector
+        .start_streaming(simulation.now, Simulation::attempt(id));
+    simulation.advance(120);
     assert_eq!(
-        (w.runaways(), w.notices()),
+        (simulation.runaways(), simulation.notices()),
         (vec![], vec![Cause::SlowReader])
     );
-    w.detector.end_attempt(
-        w.now,
+    simulation.detector.end_attempt(
+        simulation.now,
         Simulation::attempt(id),
         ExecutionOutcome::Succeeded,
         Some(4 * S),
     );
-    assert_eq!(w.detector.open_findings().count(), 0);
+    assert_eq!(simulation.detector.open_findings().count(), 0);
 }
 
 #[test]
 fn an_attempt_without_reports_among_reported_ones_is_not_heavy() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
-    let id = w.start(REPORT, REPORT as u64, 0, 4e6);
-    w.drop_job(id);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
+    simulation.drop_job(id);
     for _ in 0..60 {
-        w.start(LOOKUP, LOOKUP as u64, 1, 1_600_000.0);
-        w.advance(1);
+        simulation.start(LOOKUP, LOOKUP as u64, 1, 1_600_000.0);
+        simulation.advance(1);
     }
-    assert_eq!(w.runaways(), []);
+    assert_eq!(simulation.runaways(), []);
 }
 
 #[test]
 fn generated_fingerprints_use_bounded_memory_and_are_held_together() {
-    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     for fingerprint in 0..20_000 {
-        let id = w.start(
+        let id = simulation.start(
             LOOKUP,
             1_000_000 + fingerprint,
             (fingerprint % 4) as u32,
             250_000.0,
         );
-        w.finish(id);
+        simulation.finish(id);
     }
     assert!(
-        w.detector.tracked_counts().fingerprints <= 1000
-            && w.detector.tracked_counts().attempts == 0
+        simulation.detector.tracked_counts().fingerprints <= 1000
+            && simulation.detector.tracked_counts().attempts == 0
     );
     // Runaways whose text is another one each time.
     for fingerprint in 0..4 {
-        w.start(LOOKUP, 2_000_000 + fingerprint, 0, 900e6);
-        w.advance(20);
+        simulation.start(LOOKUP, 2_000_000 + fingerprint, 0, 900e6);
+        simulation.advance(20);
     }
     let together = HoldTarget::Kind(FingerprintId::unknown("lookup").0);
     assert!(
-        w.holds().iter().any(|h| h.target == together),
+        simulation.holds().iter().any(|h| h.target == together),
         "{:?}",
-        w.holds()
+        simulation.holds()
     );
     let label = "x".into();
     assert_eq!(
-        w.detector
-            .observe_arrival(w.now, FingerprintId(3_000_000), LOOKUP, &label),
+        simulation.detector.observe_arrival(
+            simulation.now,
+            FingerprintId(3_000_000),
+            LOOKUP,
+            &label
+        ),
         FingerprintId::unknown("lookup")
     );
     assert_eq!(
-        w.detector
-            .observe_arrival(w.now, FingerprintId(LOOKUP as u64), LOOKUP, &label),
+        simulation.detector.observe_arrival(
+            simulation.now,
+            FingerprintId(LOOKUP as u64),
+            LOOKUP,
+            &label
+        ),
         FingerprintId(LOOKUP as u64)
     );
 }
@@ -380,17 +419,20 @@
 #[test]
 fn the_same_events_lead_to_the_same_decisions() {
     let play = || {
-        let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
         for n in 0..40u32 {
-            w.start(
+            simulation.start(
                 REPORT,
                 REPORT as u64,
                 n % 4,
                 if n % 7 == 0 { 300e6 } else { 4e6 },
             );
-            w.advance(1);
+            simulation.advance(1);
         }
-        (format!("{:?}", w.decisions), w.detector.save())
+        (
+            format!("{:?}", simulation.decisions),
+            simulation.detector.save(),
+        )
     };
     let (one, two) = (play(), play());
     assert!(one.0.contains("Runaway") && one == two);
