--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -86,8 +86,8 @@
     ) {
         self.class_deadlines = class_deadlines(&settings);
         self.endpoints.update_settings(&settings);
-        if let Some(watch) = &mut self.runaway_detector {
-            watch.update_settings(runaway_settings);
+        if let Some(detector) = &mut self.runaway_detector {
+            detector.update_settings(runaway_settings);
         }
         self.events.push(Event::SettingsChanged(Box::new(settings)));
     }
--- a/crates/router-core/src/core/actions.rs
+++ b/crates/router-core/src/core/actions.rs
@@ -6,7 +6,7 @@
 use crate::command::Command;
 use crate::identity::StatementId;
 use crate::response::FinalResponse;
-use crate::statement::{SendOptions, StatementState};
+use crate::statement::SendOptions;
 
 impl Core {
     /// Applies one action of the controller.
@@ -18,10 +18,10 @@
                 memory_grant_mb,
             } => {
                 if let Some(statement) = self.statements.get_mut(request.0) {
-                    statement.send_options = SendOptions {
+                    statement.set_send_options(SendOptions {
                         priority: Some(priority),
                         memory_grant_mb,
-                    };
+                    });
                 }
             }
             Action::Send {
@@ -63,7 +63,7 @@
             return;
         };
         let deadline = statement
-            .valid_until
+            .valid_until()
             .saturating_sub(self.limits.response_margin)
             .max(now);
         let attempt = statement.start_attempt(now, engine, deadline, send_by);
@@ -82,7 +82,7 @@
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        if matches!(statement.state, StatementState::Pending) {
+        if statement.is_pending() {
             let response = make_response(statement.rejection_reason(now));
             self.settle(now, id, response);
         }
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -60,11 +60,12 @@
 
     /// Registers an arrival with the runaway detector, if there is one.
     fn runaway_profile(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
-        let watch = self.runaway_detector.as_mut()?;
-        let kind = watch.fingerprint_id(submission.class, submission.fingerprint);
-        let held_as = watch.observe_arrival(now, kind, submission.class, &submission.label);
+        let detector = self.runaway_detector.as_mut()?;
+        let class = submission.class;
+        let fingerprint = detector.fingerprint_id(class, submission.fingerprint);
+        let held_as = detector.observe_arrival(now, fingerprint, class, &submission.label);
         Some(RunawayProfile {
-            kind,
+            fingerprint,
             held_as,
             label: submission.label.clone(),
             announced: submission.announced,
@@ -82,7 +83,7 @@
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        match statement.state {
+        match *statement.state() {
             StatementState::Settled(_) => return,
             StatementState::Pending => self.events.push(Event::ClientDisconnected(RequestId(id))),
             // The engine has done the work: only the rest of the result is discarded.
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -13,7 +13,8 @@
     /// Reports the progress of a running attempt.
     pub fn report_progress(&mut self, id: StatementId, attempt: u32, progress: Progress) {
         let statement = self.statements.get(id);
-        let Some(engine) = statement.and_then(|statement| statement.engine_of(attempt)) else {
+        let engine = statement.and_then(|statement| statement.attempts().engine_of(attempt));
+        let Some(engine) = engine else {
             return;
         };
         self.events.push(Event::Progress {
@@ -32,23 +33,7 @@
             self.commands.push_back(Command::Release { id, attempt });
             return;
         };
-        let (state, is_accepted) = match statement.take_state() {
-            // An attempt whose end was reported is not accepted: its rows could mix with those of a later attempt.
-            StatementState::Pending if statement.is_in_flight(attempt) => {
-                statement.record_page(attempt, now);
-                (StatementState::FirstPageReady { attempt, page }, true)
-            }
-            StatementState::Streaming {
-                attempt: streaming, ..
-            } if streaming == attempt => {
-                let next = Some(page);
-                (StatementState::Streaming { attempt, next }, true)
-            }
-            // Another attempt delivers its result, or the statement is settled.
-            state => (state, false),
-        };
-        statement.state = state;
-        if is_accepted {
+        if statement.accept_page(now, attempt, page) {
             self.buffered_bytes += size_bytes;
             self.commands.push_back(Command::NotifyWaiters(id));
         } else {
@@ -83,18 +68,12 @@
             return;
         };
         let event = statement.record_outcome(attempt, now, &outcome, false);
-        match statement.state {
+        if statement.is_streaming_from(attempt) {
             // Rows were delivered, and another attempt could repeat them: there is none.
-            StatementState::Streaming {
-                attempt: streaming, ..
-            } if streaming == attempt => {
-                self.settle(now, id, FinalResponse::Truncated(outcome.reason));
-            }
-            StatementState::FirstPageReady { attempt: ready, .. } if ready == attempt => {
-                self.buffered_bytes -= statement.take_state().buffered_bytes();
-                self.events.extend(event);
-            }
-            _ => self.events.extend(event),
+            self.settle(now, id, FinalResponse::Truncated(outcome.reason));
+        } else {
+            self.buffered_bytes -= statement.discard_first_page(attempt);
+            self.events.extend(event);
         }
         self.statements.remove_if_finished(id);
     }
@@ -112,11 +91,9 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        match statement.state {
+        match statement.state() {
             // Rows were delivered; the rest of the result is lost.
-            StatementState::Streaming {
-                attempt: streaming, ..
-            } if streaming == attempt => {
+            StatementState::Streaming { .. } if statement.is_streaming_from(attempt) => {
                 self.settle(now, id, FinalResponse::Truncated(reason));
                 return;
             }
@@ -124,15 +101,16 @@
                 self.finish_attempt(now, id, attempt, AttemptOutcome::cancelled(reason));
                 return;
             }
-            // Its end was reported before.
-            _ if !statement.is_in_flight(attempt) => return,
-            _ => {}
+            StatementState::Pending | StatementState::FirstPageReady { .. } => {}
+        }
+        if !statement.attempts().is_in_flight(attempt) {
+            return; // Its end was reported before.
         }
         let outcome = AttemptOutcome::cancelled(reason.clone());
         let event = statement.record_outcome(attempt, now, &outcome, true);
         self.events.extend(event);
-        let first_sent_at = statement.first_sent_at().unwrap_or(now);
-        let idempotency = self.endpoints.idempotency(statement.class);
+        let first_sent_at = statement.attempts().first_sent_at().unwrap_or(now);
+        let idempotency = self.endpoints.idempotency(statement.class());
         let safety = retry_safety_after_end(idempotency, proof, first_sent_at, now);
         let response = self.response_after_kill(safety, reason);
         self.settle(now, id, response);
@@ -173,18 +151,12 @@
         }
         let settled = Command::Settled {
             id,
-            class: statement.class,
+            class: statement.class(),
             response: response.clone(),
-            elapsed: now - statement.received_at,
-            attempts: statement.attempt_count(),
+            elapsed: statement.elapsed(now),
+            attempts: statement.attempts().count(),
         };
-        if matches!(response, FinalResponse::Canceled | FinalResponse::Abandoned) {
-            statement.is_delivered = true;
-        }
-        let previous = std::mem::replace(&mut statement.state, StatementState::Settled(response));
-        statement.settled_at = Some(now);
-        statement.work = None;
-        self.buffered_bytes -= previous.buffered_bytes();
+        self.buffered_bytes -= statement.settle(now, response);
         self.statements.mark_settled();
         self.commands.push_back(settled);
         self.commands.push_back(Command::NotifyWaiters(id));
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -6,7 +6,7 @@
 use crate::command::Command;
 use crate::identity::StatementId;
 use crate::response::{FinalResponse, PollOutcome, ResponseContent, ResultPage};
-use crate::statement::{ResponsePosition, StatementState};
+use crate::statement::{Delivery, ResponsePosition};
 
 impl Core {
     /// Polls for the response of that number.
@@ -18,9 +18,9 @@
                 PollOutcome::Unknown
             };
         };
-        statement.last_polled_at = now;
+        statement.record_poll(now);
         match statement.position_of(page) {
-            ResponsePosition::Latest => PollOutcome::Response(statement.latest.clone()),
+            ResponsePosition::Latest => PollOutcome::Response(statement.latest()),
             ResponsePosition::Superseded => PollOutcome::Gone,
             ResponsePosition::NeverOffered => PollOutcome::Unknown,
             ResponsePosition::Next if statement.has_news() => self.deliver(now, id),
@@ -44,16 +44,14 @@
     /// A client starts to wait for news of a statement.
     pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
-            statement.last_polled_at = now;
-            statement.waiters += 1;
+            statement.add_waiter(now);
         }
     }
 
     /// A client no longer waits for news of a statement.
     pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
-            statement.last_polled_at = now;
-            statement.waiters = statement.waiters.saturating_sub(1);
+            statement.remove_waiter(now);
         }
     }
 
@@ -62,26 +60,20 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return PollOutcome::Gone;
         };
-        match statement.take_state() {
-            StatementState::FirstPageReady { attempt, page } => {
-                self.deliver_page(now, id, attempt, page, true)
-            }
-            StatementState::Streaming {
+        match statement.take_delivery() {
+            None => PollOutcome::Pending,
+            Some(Delivery::Page {
                 attempt,
-                next: Some(page),
-            } => self.deliver_page(now, id, attempt, page, false),
-            StatementState::Settled(response) => {
-                statement.state = StatementState::Settled(response.clone());
-                statement.is_delivered = true;
+                page,
+                is_first,
+            }) => self.deliver_page(now, id, attempt, page, is_first),
+            Some(Delivery::Final(response)) => {
+                statement.mark_delivered();
                 let response = statement.respond(now, ResponseContent::Final(response));
                 self.statements.mark_delivered(id);
                 self.retain_if_delivered(now, id);
                 PollOutcome::Response(response)
             }
-            state => {
-                statement.state = state;
-                PollOutcome::Pending
-            }
         }
     }
 
@@ -99,10 +91,6 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return PollOutcome::Gone;
         };
-        statement.state = StatementState::Streaming {
-            attempt,
-            next: None,
-        };
         let response = statement.respond(now, ResponseContent::Rows(page));
         if is_first {
             self.report_success(now, id, attempt);
@@ -119,7 +107,7 @@
     /// Settles a statement whose last page was delivered.
     fn settle_completed(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
-            statement.is_delivered = true;
+            statement.mark_delivered();
         }
         self.settle(now, id, FinalResponse::Completed);
     }
--- a/crates/router-core/src/core/expiry.rs
+++ b/crates/router-core/src/core/expiry.rs
@@ -5,6 +5,7 @@
 use super::Core;
 use crate::identity::StatementId;
 use crate::response::FinalResponse;
+use crate::statement::Statement;
 
 impl Core {
     /// Handles all timers of statements that are due.
@@ -19,8 +20,8 @@
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        if let Some(settled_at) = statement.settled_at {
-            let last_use = statement.last_polled_at.max(settled_at);
+        if let Some(settled_at) = statement.settled_at() {
+            let last_use = statement.last_polled_at().max(settled_at);
             let expires_at = last_use.saturating_add(self.limits.retention);
             if expires_at > now {
                 self.statements.set_timer(expires_at, id);
@@ -30,8 +31,8 @@
             return;
         }
         let abandon_after = self.limits.abandon_after;
-        let abandoned_at = statement.last_polled_at.saturating_add(abandon_after);
-        if statement.waiters > 0 {
+        let abandoned_at = statement.last_polled_at().saturating_add(abandon_after);
+        if statement.has_waiters() {
             self.statements.set_timer(now + abandon_after, id);
         } else if abandoned_at > now {
             self.statements.set_timer(abandoned_at, id);
@@ -43,7 +44,7 @@
     /// Retains a statement whose final response was delivered, within the limits of time and number.
     pub(super) fn retain_if_delivered(&mut self, now: Micros, id: StatementId) {
         let statement = self.statements.get(id);
-        if statement.is_some_and(|statement| statement.is_delivered && statement.is_settled()) {
+        if statement.is_some_and(Statement::is_finally_delivered) {
             self.statements.mark_delivered(id);
             self.statements.set_timer(now + self.limits.retention, id);
             self.statements
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -1,4 +1,4 @@
-//! The bridge to the runaway detector: what it is told, and what becomes of its decisions.
+//! The bridge to the runaway detector: what is reported to it, and what becomes of its decisions.
 //!
 //! Holds go to the controller as events, so that the controller alone decides on every send.
 
@@ -31,11 +31,11 @@
     }
 
     /// An operator releases a fingerprint that is held. Returns whether it was held.
-    pub fn release_fingerprint(&mut self, kind: FingerprintId) -> bool {
+    pub fn release_fingerprint(&mut self, fingerprint: FingerprintId) -> bool {
         let was_held = self
             .runaway_detector
             .as_mut()
-            .is_some_and(|detector| detector.release_hold(kind));
+            .is_some_and(|detector| detector.release_hold(fingerprint));
         self.apply_runaway_decisions();
         was_held
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells the detector of an attempt that is sent.
+    /// Reports to the detector that an attempt is sent.
     pub(super) fn start_runaway_detection(
         &mut self,
         now: Micros,
@@ -66,15 +66,15 @@
         else {
             return;
         };
-        let Some(profile) = &statement.runaway_profile else {
+        let Some(profile) = statement.runaway_profile() else {
             return;
         };
         let start = AttemptStart {
             attempt: attempt_id(id, attempt),
             engine,
-            class: statement.class,
+            class: statement.class(),
             name: self.identity.statement_name(id),
-            fingerprint: profile.kind,
+            fingerprint: profile.fingerprint,
             held_as: profile.held_as,
             label: profile.label.clone(),
             announced: profile.announced,
@@ -83,7 +83,7 @@
         detector.start_attempt(now, start);
     }
 
-    /// Tells the detector that a page was received: the engine has a result, or with the last page all of it.
+    /// Reports to the detector that a page was received: the engine has a result, or with the last page all of it.
     pub(super) fn report_page_to_runaway_detector(
         &mut self,
         now: Micros,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Tells the detector that an attempt has ended.
+    /// Reports to the detector that an attempt has ended.
     pub(super) fn end_runaway_detection(
         &mut self,
         now: Micros,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Tells the detector what the status of an ended attempt says of the engine's side.
+    /// Reports to the detector what the status of an ended attempt shows of its execution at the engine.
     pub(super) fn end_runaway_detection_by_status(
         &mut self,
         now: Micros,
@@ -139,7 +139,7 @@
         self.end_runaway_detection(now, id, attempt, outcome, None);
     }
 
-    /// Tells the detector of an update of the engine list, except one that failed.
+    /// Reports to the detector an update of the engine list, except one that failed.
     pub(super) fn update_runaway_endpoints(
         &mut self,
         now: Micros,
@@ -159,7 +159,7 @@
         self.apply_runaway_decisions();
     }
 
-    /// Has the detector look for runaways, if it is time.
+    /// Runs the detector, if it is due.
     pub(super) fn detect_runaways(&mut self, now: Micros) {
         if let Some(detector) = &mut self.runaway_detector {
             detector.run_detection(now);
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -34,7 +34,7 @@
     idempotency: Vec<Idempotency>,
     /// Whether an engine stops the work of an attempt that is cancelled.
     cancel_stops_work: bool,
-    /// What clients are told to wait after a rule terminated their statement.
+    /// Retry-After of a statement that a rule terminated.
     retry_after: Option<Micros>,
 }
 
@@ -111,7 +111,7 @@
         self.cancel_stops_work
     }
 
-    /// What clients are told to wait after a rule terminated their statement.
+    /// Retry-After of a statement that a rule terminated.
     pub(crate) fn retry_after(&self) -> Option<Micros> {
         self.retry_after
     }
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -23,7 +23,7 @@
 /// Pause after a batch, as a multiple of the batch's duration: batches take a tenth of the thread at most.
 const PAUSE_PER_BATCH: u32 = 9;
 
-/// Carries out what a core orders.
+/// Carries out the commands that a core yields.
 pub trait CommandExecutor {
     /// Carries out one command.
     fn execute(&self, command: Command);
--- a/crates/router-core/src/lib.rs
+++ b/crates/router-core/src/lib.rs
@@ -10,11 +10,12 @@
 //! - [`event_loop`] runs a core: its clock, its batches of decisions, and the clients that wait for news;
 //! - `core` holds the decisions, split by concern: admission, attempts, delivery, expiry, controller actions and the
 //!   bridge to the runaway detector;
-//! - `statement` and `statement_table` hold the state of statements, `endpoints` the engine list;
+//! - `statement`, `attempt_log` and `statement_table` hold the state of statements, `endpoints` the engine list;
 //! - `submission`, `command`, `response`, `history` and `limits` hold the data that goes in and comes out.
 
 #![warn(missing_docs)]
 
+mod attempt_log;
 mod command;
 mod core;
 mod endpoints;
@@ -31,7 +32,7 @@
 pub use command::{Attempt, AttemptOutcome, Command};
 pub use core::Core;
 pub use hash::group_of;
-pub use history::{AttemptHistory, StatementHistory, status_description};
+pub use history::{AttemptHistory, StatementHistory, StatementPhase, status_description};
 pub use identity::{RouterIdentity, StatementId};
 pub use limits::{CoreLimits, CoreUsage};
 pub use response::{
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -1,18 +1,17 @@
-//! One statement: its state, its attempts, its numbered responses.
+//! One statement: its state, its numbered responses, and when its client was last there.
 
 use std::rc::Rc;
 
 use hoptiller_policy::{AttemptStatus, EngineId, Event, LoadReport, Micros, Outcome, RequestId};
 use hoptiller_runaway::{Announced, FingerprintId};
 
+use crate::attempt_log::{AttemptLog, MICROS_PER_MILLI};
 use crate::command::{Attempt, AttemptOutcome};
-use crate::history::{AttemptHistory, StatementHistory};
+use crate::history::{StatementHistory, StatementPhase};
 use crate::identity::StatementId;
 use crate::response::{FinalResponse, ResponseContent, ResultPage, StatementResponse};
 use crate::submission::{EngineStatement, Submission};
 
-const MICROS_PER_MILLI: Micros = 1000;
-
 /// How far a statement has come.
 #[derive(Debug)]
 pub(crate) enum StatementState {
@@ -31,7 +30,7 @@
 
 impl StatementState {
     /// Size of the buffered page in bytes.
-    pub(crate) fn buffered_bytes(&self) -> u64 {
+    fn buffered_bytes(&self) -> u64 {
         match self {
             StatementState::FirstPageReady { page, .. }
             | StatementState::Streaming {
@@ -55,22 +54,24 @@
     NeverOffered,
 }
 
-/// An attempt that was sent.
+/// What the next response holds.
 #[derive(Debug)]
-pub(crate) struct AttemptRecord {
-    engine: EngineId,
-    sent_at: Micros,
-    first_page_at: Option<Micros>,
-    /// Set once its outcome is reported to the controller.
-    ended: Option<(Micros, AttemptStatus)>,
-    reason: String,
+pub(crate) enum Delivery {
+    /// A page of an attempt's result.
+    Page {
+        attempt: u32,
+        page: ResultPage,
+        is_first: bool,
+    },
+    /// The final response.
+    Final(FinalResponse),
 }
 
-/// What the runaway detector is told of a statement's attempts.
+/// What the runaway detector needs to know of a statement's attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct RunawayProfile {
-    /// Its fingerprint and class.
-    pub(crate) kind: FingerprintId,
+    /// Its fingerprint within its class.
+    pub(crate) fingerprint: FingerprintId,
     /// What a hold on it applies to.
     pub(crate) held_as: FingerprintId,
     /// Its text without literal values.
@@ -94,27 +95,23 @@
 #[derive(Debug)]
 pub(crate) struct Statement {
     id: StatementId,
-    pub(crate) runaway_profile: Option<RunawayProfile>,
-    pub(crate) class: usize,
-    pub(crate) received_at: Micros,
-    pub(crate) valid_until: Micros,
+    class: usize,
+    runaway_profile: Option<RunawayProfile>,
+    received_at: Micros,
+    valid_until: Micros,
     /// What to send; dropped once the final response is settled.
-    pub(crate) work: Option<Rc<EngineStatement>>,
-    pub(crate) send_options: SendOptions,
-    attempts: Vec<AttemptRecord>,
-    pub(crate) state: StatementState,
+    work: Option<Rc<EngineStatement>>,
+    send_options: SendOptions,
+    attempts: AttemptLog,
+    state: StatementState,
     /// The last response delivered.
-    pub(crate) latest: Rc<StatementResponse>,
-    pub(crate) last_polled_at: Micros,
+    latest: Rc<StatementResponse>,
+    last_polled_at: Micros,
     /// Number of polls that wait for news.
-    pub(crate) waiters: u32,
-    pub(crate) settled_at: Option<Micros>,
+    waiters: u32,
+    settled_at: Option<Micros>,
     /// The final response was delivered, or nobody is there to receive it.
-    pub(crate) is_delivered: bool,
-    /// The statement table has counted it as delivered.
-    pub(crate) is_counted_as_delivered: bool,
-    /// To be removed once its attempts have ended.
-    pub(crate) is_retired: bool,
+    is_delivered: bool,
 }
 
 impl Statement {
@@ -137,24 +134,57 @@
         };
         Statement {
             id,
-            runaway_profile,
             class: submission.class,
+            runaway_profile,
             received_at: now,
             valid_until,
             work: Some(submission.work.clone()),
             send_options: SendOptions::default(),
-            attempts: Vec::new(),
+            attempts: AttemptLog::default(),
             state: StatementState::Pending,
             latest: Rc::new(first),
             last_polled_at: now,
             waiters: 0,
             settled_at: None,
             is_delivered: false,
-            is_counted_as_delivered: false,
-            is_retired: false,
         }
     }
 
+    /// Index of its class.
+    pub(crate) fn class(&self) -> usize {
+        self.class
+    }
+
+    /// What the runaway detector needs to know of its attempts, if there is a detector.
+    pub(crate) fn runaway_profile(&self) -> Option<&RunawayProfile> {
+        self.runaway_profile.as_ref()
+    }
+
+    /// When its client gives up.
+    pub(crate) fn valid_until(&self) -> Micros {
+        self.valid_until
+    }
+
+    /// How far it has come.
+    pub(crate) fn state(&self) -> &StatementState {
+        &self.state
+    }
+
+    /// Its attempts.
+    pub(crate) fn attempts(&self) -> &AttemptLog {
+        &self.attempts
+    }
+
+    /// Whether it is with the controller: queued, or its attempts run.
+    pub(crate) fn is_pending(&self) -> bool {
+        matches!(self.state, StatementState::Pending)
+    }
+
+    /// Whether rows of this attempt were delivered, so that only it can continue.
+    pub(crate) fn is_streaming_from(&self, attempt: u32) -> bool {
+        matches!(self.state, StatementState::Streaming { attempt: streaming, .. } if streaming == attempt)
+    }
+
     /// Whether the final response is settled.
     pub(crate) fn is_settled(&self) -> bool {
         matches!(self.state, StatementState::Settled(_))
@@ -170,38 +200,131 @@
         )
     }
 
-    /// Takes the state for a transition; `Pending` stands in for it.
-    pub(crate) fn take_state(&mut self) -> StatementState {
-        std::mem::replace(&mut self.state, StatementState::Pending)
+    /// When the final response was settled.
+    pub(crate) fn settled_at(&self) -> Option<Micros> {
+        self.settled_at
+    }
+
+    /// Whether the final response is settled, and was delivered or has nobody to receive it.
+    pub(crate) fn is_finally_delivered(&self) -> bool {
+        self.is_settled() && self.is_delivered
+    }
+
+    /// When its client last polled.
+    pub(crate) fn last_polled_at(&self) -> Micros {
+        self.last_polled_at
+    }
+
+    /// Whether a poll waits for news.
+    pub(crate) fn has_waiters(&self) -> bool {
+        self.waiters > 0
+    }
+
+    /// Records that its client polled.
+    pub(crate) fn record_poll(&mut self, now: Micros) {
+        self.last_polled_at = now;
+    }
+
+    /// A poll starts to wait for news.
+    pub(crate) fn add_waiter(&mut self, now: Micros) {
+        self.record_poll(now);
+        self.waiters += 1;
     }
 
-    /// Number of attempts made.
-    pub(crate) fn attempt_count(&self) -> u32 {
-        self.attempts.len() as u32
+    /// A poll no longer waits for news.
+    pub(crate) fn remove_waiter(&mut self, now: Micros) {
+        self.record_poll(now);
+        self.waiters = self.waiters.saturating_sub(1);
     }
 
-    /// Whether an attempt's outcome has not been reported.
-    pub(crate) fn is_in_flight(&self, attempt: u32) -> bool {
-        self.attempts
-            .get(attempt as usize)
-            .is_some_and(|record| record.ended.is_none())
+    /// Sets the options of the next attempt.
+    pub(crate) fn set_send_options(&mut self, options: SendOptions) {
+        self.send_options = options;
     }
 
-    /// Whether the outcomes of all attempts have been reported.
-    pub(crate) fn all_attempts_ended(&self) -> bool {
-        self.attempts.iter().all(|record| record.ended.is_some())
+    /// Accepts a page of an attempt's result. False if it is not wanted: another attempt delivers its result, the
+    /// attempt's end was reported before, or the statement is settled.
+    pub(crate) fn accept_page(&mut self, now: Micros, attempt: u32, page: ResultPage) -> bool {
+        match &mut self.state {
+            // Rows of an attempt whose end was reported could mix with those of a later attempt.
+            StatementState::Pending if self.attempts.is_in_flight(attempt) => {
+                self.attempts.record_page(attempt, now);
+                self.state = StatementState::FirstPageReady { attempt, page };
+                true
+            }
+            StatementState::Streaming {
+                attempt: streaming,
+                next,
+            } if *streaming == attempt => {
+                *next = Some(page);
+                true
+            }
+            _ => false,
+        }
     }
 
-    /// When its first attempt was sent.
-    pub(crate) fn first_sent_at(&self) -> Option<Micros> {
-        self.attempts.first().map(|record| record.sent_at)
+    /// Discards the first page of an attempt if it is not delivered yet. Returns its size in bytes.
+    pub(crate) fn discard_first_page(&mut self, attempt: u32) -> u64 {
+        match &self.state {
+            StatementState::FirstPageReady { attempt: ready, .. } if *ready == attempt => {
+                let discarded = self.state.buffered_bytes();
+                self.state = StatementState::Pending;
+                discarded
+            }
+            _ => 0,
+        }
     }
 
-    /// The engine that an attempt was sent to.
-    pub(crate) fn engine_of(&self, attempt: u32) -> Option<EngineId> {
-        self.attempts
-            .get(attempt as usize)
-            .map(|record| record.engine)
+    /// Takes what is new to deliver. A first page commits the statement to its attempt.
+    pub(crate) fn take_delivery(&mut self) -> Option<Delivery> {
+        let (attempt, page, is_first) =
+            match std::mem::replace(&mut self.state, StatementState::Pending) {
+                StatementState::FirstPageReady { attempt, page } => (attempt, page, true),
+                StatementState::Streaming {
+                    attempt,
+                    next: Some(page),
+                } => (attempt, page, false),
+                StatementState::Settled(response) => {
+                    self.state = StatementState::Settled(response.clone());
+                    return Some(Delivery::Final(response));
+                }
+                state => {
+                    self.state = state;
+                    return None;
+                }
+            };
+        self.state = StatementState::Streaming {
+            attempt,
+            next: None,
+        };
+        Some(Delivery::Page {
+            attempt,
+            page,
+            is_first,
+        })
+    }
+
+    /// Settles the final response. Returns the size in bytes of the page that it discards.
+    pub(crate) fn settle(&mut self, now: Micros, response: FinalResponse) -> u64 {
+        self.is_delivered |= matches!(response, FinalResponse::Canceled | FinalResponse::Abandoned);
+        self.settled_at = Some(now);
+        self.work = None;
+        std::mem::replace(&mut self.state, StatementState::Settled(response)).buffered_bytes()
+    }
+
+    /// Records that the final response, or the page that comes before it, was delivered.
+    pub(crate) fn mark_delivered(&mut self) {
+        self.is_delivered = true;
+    }
+
+    /// The last response delivered.
+    pub(crate) fn latest(&self) -> Rc<StatementResponse> {
+        self.latest.clone()
+    }
+
+    /// Time since it was received.
+    pub(crate) fn elapsed(&self, now: Micros) -> Micros {
+        now - self.received_at
     }
 
     /// The position of a response number.
@@ -226,8 +349,8 @@
             streaming: self.latest.streaming || matches!(content, ResponseContent::Rows(_)),
             content,
             running: !self.attempts.is_empty(),
-            elapsed: now - self.received_at,
-            queued: self.first_sent_at().unwrap_or(now) - self.received_at,
+            elapsed: self.elapsed(now),
+            queued: self.attempts.first_sent_at().unwrap_or(now) - self.received_at,
         };
         self.latest = Rc::new(response);
         self.latest.clone()
@@ -241,14 +364,7 @@
         deadline: Micros,
         send_by: Option<Micros>,
     ) -> Attempt {
-        let number = self.attempt_count();
-        self.attempts.push(AttemptRecord {
-            engine,
-            sent_at: now,
-            first_page_at: None,
-            ended: None,
-            reason: String::new(),
-        });
+        let number = self.attempts.push(now, engine);
         let options = std::mem::take(&mut self.send_options);
         Attempt {
             id: self.id,
@@ -263,31 +379,20 @@
         }
     }
 
-    /// Records when an attempt's first page was received.
-    pub(crate) fn record_page(&mut self, attempt: u32, now: Micros) {
-        if let Some(record) = self.attempts.get_mut(attempt as usize) {
-            record.first_page_at.get_or_insert(now);
-        }
-    }
-
     /// Marks an attempt as succeeded and returns the event for the controller; `None` if its outcome was reported
     /// before. The run time ends with the first page: how fast a client reads the rest says nothing of the engine.
     pub(crate) fn record_success(&mut self, attempt: u32, now: Micros) -> Option<Event> {
-        let (load_report, work) = self.reported_load_and_work();
-        let record = self
-            .attempts
-            .get_mut(attempt as usize)
-            .filter(|record| record.ended.is_none())?;
-        record.ended = Some((now, AttemptStatus::Succeeded));
+        let (report, work) = self.reported_load_and_work();
+        let ended = self.attempts.end(attempt, now, AttemptStatus::Succeeded)?;
         Some(Event::Outcome(Outcome {
             request: RequestId(self.id),
             attempt,
-            engine: record.engine,
+            engine: ended.engine,
             status: AttemptStatus::Succeeded,
-            elapsed: record.first_page_at.unwrap_or(now) - record.sent_at,
+            elapsed: ended.first_page_at.unwrap_or(now) - ended.sent_at,
             terminal: true,
             work,
-            report: load_report,
+            report,
         }))
     }
 
@@ -310,18 +415,14 @@
         outcome: &AttemptOutcome,
         terminal: bool,
     ) -> Option<Event> {
-        let record = self.attempts.get_mut(attempt as usize)?;
-        record.reason = outcome.reason.clone();
-        if record.ended.is_some() {
-            return None;
-        }
-        record.ended = Some((now, outcome.status));
+        self.attempts.record_reason(attempt, &outcome.reason);
+        let ended = self.attempts.end(attempt, now, outcome.status)?;
         Some(Event::Outcome(Outcome {
             request: RequestId(self.id),
             attempt,
-            engine: record.engine,
+            engine: ended.engine,
             status: outcome.status,
-            elapsed: now - record.sent_at,
+            elapsed: now - ended.sent_at,
             terminal,
             work: None,
             report: outcome.load_report,
@@ -330,15 +431,15 @@
 
     /// Why the controller gave it up, for people, as far as its attempts show.
     pub(crate) fn rejection_reason(&self, now: Micros) -> String {
-        let waited_ms = (now - self.received_at) / MICROS_PER_MILLI;
-        let Some(last) = self.attempts.last() else {
+        let waited_ms = self.millis_since_received(now);
+        let Some(last_reason) = self.attempts.last_reason() else {
             return format!("no engine had a place for it within {waited_ms} ms");
         };
-        let attempts = match self.attempts.len() {
+        let attempts = match self.attempts.count() {
             1 => "one attempt".to_owned(),
             count => format!("{count} attempts"),
         };
-        let reason = match last.reason.as_str() {
+        let reason = match last_reason {
             "" => "it has not ended",
             reason => reason,
         };
@@ -348,49 +449,37 @@
     /// Its history up to now.
     pub(crate) fn history(&self, now: Micros) -> StatementHistory {
         let end = self.settled_at.unwrap_or(now);
+        let first_sent_at = self.attempts.first_sent_at().unwrap_or(end);
         let reason = match &self.state {
             StatementState::Settled(response) => response.reason().to_owned(),
             _ => String::new(),
         };
         StatementHistory {
             class: self.class,
-            state: self.state_description(),
+            state: self.phase(),
             reason,
             elapsed_ms: self.millis_since_received(end),
             timeout_ms: self.millis_since_received(self.valid_until),
-            queued_ms: self.millis_since_received(self.first_sent_at().unwrap_or(end)),
+            queued_ms: self.millis_since_received(first_sent_at),
             responses: self.latest.page,
-            attempts: self.attempt_history(),
+            attempts: self.attempts.history(self.received_at),
         }
     }
 
-    fn attempt_history(&self) -> Vec<AttemptHistory> {
-        let history = |(number, record): (usize, &AttemptRecord)| AttemptHistory {
-            number: number as u32,
-            engine: record.engine,
-            sent_ms: self.millis_since_received(record.sent_at),
-            first_page_ms: record
-                .first_page_at
-                .map(|at| self.millis_since_received(at)),
-            ended_ms: record.ended.map(|(at, _)| self.millis_since_received(at)),
-            status: record.ended.map(|(_, status)| status),
-            reason: record.reason.clone(),
-        };
-        self.attempts.iter().enumerate().map(history).collect()
-    }
-
     fn millis_since_received(&self, at: Micros) -> u64 {
         (at - self.received_at) / MICROS_PER_MILLI
     }
 
-    fn state_description(&self) -> &'static str {
+    fn phase(&self) -> StatementPhase {
         match &self.state {
-            StatementState::Pending if self.attempts.is_empty() => "waits for a place",
-            StatementState::Pending if self.all_attempts_ended() => "waits to be sent again",
-            StatementState::Pending => "runs",
-            StatementState::FirstPageReady { .. } => "has a result that nobody has fetched",
-            StatementState::Streaming { .. } => "gives out rows",
-            StatementState::Settled(response) => response.label(),
+            StatementState::Pending if self.attempts.is_empty() => StatementPhase::Queued,
+            StatementState::Pending if self.attempts.are_all_ended() => {
+                StatementPhase::AwaitingRetry
+            }
+            StatementState::Pending => StatementPhase::Running,
+            StatementState::FirstPageReady { .. } => StatementPhase::ResultReady,
+            StatementState::Streaming { .. } => StatementPhase::Streaming,
+            StatementState::Settled(response) => StatementPhase::Settled(response.label()),
         }
     }
 }
--- a/crates/router-core/src/statement_table.rs
+++ b/crates/router-core/src/statement_table.rs
@@ -8,10 +8,19 @@
 use crate::identity::StatementId;
 use crate::statement::Statement;
 
+/// A statement and what the table knows of it.
+struct Entry {
+    statement: Statement,
+    /// It was counted as delivered.
+    is_delivered: bool,
+    /// It is to be removed once its attempts have ended.
+    is_retired: bool,
+}
+
 /// All statements of a router, by number.
 #[derive(Default)]
 pub(crate) struct StatementTable {
-    statements: HashMap<StatementId, Statement>,
+    entries: HashMap<StatementId, Entry>,
     next_id: StatementId,
     open: usize,
     undelivered: usize,
@@ -30,17 +39,24 @@
     ) -> StatementId {
         let id = self.next_id;
         self.next_id += 1;
-        self.statements.insert(id, make_statement(id));
+        let entry = Entry {
+            statement: make_statement(id),
+            is_delivered: false,
+            is_retired: false,
+        };
+        self.entries.insert(id, entry);
         self.open += 1;
         id
     }
 
+    /// A statement by its number.
     pub(crate) fn get(&self, id: StatementId) -> Option<&Statement> {
-        self.statements.get(&id)
+        self.entries.get(&id).map(|entry| &entry.statement)
     }
 
+    /// A statement by its number.
     pub(crate) fn get_mut(&mut self, id: StatementId) -> Option<&mut Statement> {
-        self.statements.get_mut(&id)
+        self.entries.get_mut(&id).map(|entry| &mut entry.statement)
     }
 
     /// The number that the next statement will have.
@@ -55,9 +71,9 @@
 
     /// The statements whose final response is not settled, in no particular order.
     pub(crate) fn unsettled(&self) -> impl Iterator<Item = StatementId> {
-        self.statements
+        self.entries
             .iter()
-            .filter(|(_, statement)| !statement.is_settled())
+            .filter(|(_, entry)| !entry.statement.is_settled())
             .map(|(id, _)| *id)
     }
 
@@ -80,11 +96,11 @@
 
     /// Counts a statement whose final response was delivered, or that nobody will poll; repeated calls do nothing.
     pub(crate) fn mark_delivered(&mut self, id: StatementId) {
-        if let Some(statement) = self.statements.get_mut(&id)
-            && !statement.is_counted_as_delivered
-            && !statement.is_retired
+        if let Some(entry) = self.entries.get_mut(&id)
+            && !entry.is_delivered
+            && !entry.is_retired
         {
-            statement.is_counted_as_delivered = true;
+            entry.is_delivered = true;
             self.undelivered -= 1;
             self.retained += 1;
             self.delivered.push_back(id);
@@ -108,10 +124,10 @@
 
     /// Removes a statement, as soon as its last attempt has ended.
     pub(crate) fn retire(&mut self, id: StatementId) {
-        if let Some(statement) = self.statements.get_mut(&id)
-            && !std::mem::replace(&mut statement.is_retired, true)
+        if let Some(entry) = self.entries.get_mut(&id)
+            && !std::mem::replace(&mut entry.is_retired, true)
         {
-            if statement.is_counted_as_delivered {
+            if entry.is_delivered {
                 self.retained -= 1;
             } else {
                 self.undelivered -= 1;
@@ -122,12 +138,10 @@
 
     /// Removes a retired statement whose attempts have all ended.
     pub(crate) fn remove_if_finished(&mut self, id: StatementId) {
-        if self
-            .statements
-            .get(&id)
-            .is_some_and(|statement| statement.is_retired && statement.all_attempts_ended())
-        {
-            self.statements.remove(&id);
+        let is_finished =
+            |entry: &Entry| entry.is_retired && entry.statement.attempts().are_all_ended();
+        if self.entries.get(&id).is_some_and(is_finished) {
+            self.entries.remove(&id);
         }
     }
 
@@ -143,7 +157,7 @@
         while self
             .delivered
             .front()
-            .is_some_and(|id| !self.statements.contains_key(id))
+            .is_some_and(|id| !self.entries.contains_key(id))
         {
             self.delivered.pop_front();
         }
