--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -9,6 +9,8 @@
 
 pub mod config;
 pub mod entry;
+mod expiry_check;
+mod in_flight;
 pub mod join;
 pub mod membership;
 mod node;
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -1,29 +1,20 @@
 //! A replica without its sockets and clocks: requests, messages and time go in, responses and messages come out. The
 //! same code runs behind sockets and in simulated time.
 
-use std::collections::{BTreeMap, BTreeSet};
-
-use hoptiller_coordination::fault_injection::{self, Fault};
 use hoptiller_coordination::{
     Command, CommandResponse, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
 };
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Entry;
+use crate::expiry_check::{ExpiryCheck, ExpiryView};
+use crate::in_flight::InFlightEntries;
 use crate::membership::{Membership, ReplaceError, Replacement};
 use crate::replicated_log::{LogError, LogSize, Message, ReplicatedLog};
 use crate::state_machine::{EntryId, StateMachine};
 
 /// Limit of the commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 512;
-/// An entry that is not decided by then is proposed again: its message was lost, or its leader.
-const REPROPOSE_AFTER: Micros = 700_000;
-/// Interval between two checks for expired leases.
-const EXPIRY_CHECK_INTERVAL: Micros = 50_000;
-/// Interval between two entries that do nothing but drop expired leases.
-const DROP_EXPIRED_INTERVAL: Micros = 1_000_000;
-/// How long a follower waits for the leader to put a version into force before it does so itself.
-const FOLLOWER_DELAY: Micros = 1_000_000;
 
 /// The id of a request that waits for its response.
 pub type RequestId = u64;
@@ -60,14 +51,6 @@
     pub state_machine: StateMachine,
 }
 
-/// A proposed entry that is not known to be decided.
-struct InFlightEntry {
-    entry: Entry,
-    /// The request of each command; `None` once nobody waits for its response.
-    requests: Vec<Option<RequestId>>,
-    proposed_at: Micros,
-}
-
 /// A replica.
 pub struct Replica {
     id: u64,
@@ -79,16 +62,11 @@
     expiry: ExpiryTracker,
     /// Commands for the next entry.
     batch: Vec<(RequestId, Command)>,
-    in_flight: BTreeMap<EntryId, InFlightEntry>,
+    in_flight: InFlightEntries,
     completed: Vec<CompletedRequest>,
     next_request: RequestId,
     next_sequence: u64,
-    expiry_checked_at: Micros,
-    settled_at: Micros,
-    /// The entry in flight that puts versions into force or drops leases, and when it was proposed.
-    settling: Option<(EntryId, Micros)>,
-    /// Since when nothing blocks the next version.
-    unblocked_since: Option<Micros>,
+    expiry_check: ExpiryCheck,
     /// The log could not continue under another membership.
     failure: Option<LogError>,
 }
@@ -110,14 +88,11 @@
             state_machine: StateMachine::default(),
             expiry: ExpiryTracker::default(),
             batch: Vec::new(),
-            in_flight: BTreeMap::new(),
+            in_flight: InFlightEntries::default(),
             completed: Vec::new(),
             next_request: 0,
             next_sequence: 0,
-            expiry_checked_at: 0,
-            settled_at: 0,
-            settling: None,
-            unblocked_since: None,
+            expiry_check: ExpiryCheck::default(),
             failure: None,
         };
         replica.apply_decided(now);
@@ -159,16 +134,10 @@
         }
     }
 
-    /// Notes that nobody waits for a response any more.
+    /// Cancels a request: nobody waits for its response any more. Its command may still take effect.
     pub fn cancel(&mut self, request: RequestId) {
         self.batch.retain(|(batched, _)| *batched != request);
-        let waiting = self
-            .in_flight
-            .values_mut()
-            .flat_map(|in_flight| &mut in_flight.requests);
-        for slot in waiting.filter(|slot| **slot == Some(request)) {
-            *slot = None;
-        }
+        self.in_flight.cancel(request);
     }
 
     /// Handles messages of another replica. They must have been sent under the membership in effect here.
@@ -179,7 +148,7 @@
         self.apply_decided(now);
     }
 
-    /// Notes that messages of or to a replica were lost.
+    /// Records that messages of or to a replica were lost.
     pub fn reconnected(&mut self, replica: u64) {
         self.log.reconnected(replica);
     }
@@ -205,23 +174,13 @@
         }
         self.log.tick();
         self.flush(now);
-        self.repropose(now);
+        for entry in self.in_flight.take_overdue(now) {
+            self.log.propose(entry);
+        }
         self.check_expiry(now);
         self.apply_decided(now);
     }
 
-    /// Proposes entries again that are in flight for long, and drops those that nobody waits for.
-    fn repropose(&mut self, now: Micros) {
-        let overdue = |in_flight: &InFlightEntry| now >= in_flight.proposed_at + REPROPOSE_AFTER;
-        self.in_flight.retain(|_, in_flight| {
-            !overdue(in_flight) || in_flight.requests.iter().any(Option::is_some)
-        });
-        for in_flight in self.in_flight.values_mut().filter(|entry| overdue(entry)) {
-            in_flight.proposed_at = now;
-            self.log.propose(in_flight.entry.clone());
-        }
-    }
-
     fn propose_commands(
         &mut self,
         now: Micros,
@@ -240,12 +199,7 @@
         entry: Entry,
         requests: Vec<Option<RequestId>>,
     ) {
-        let in_flight = InFlightEntry {
-            entry: entry.clone(),
-            requests,
-            proposed_at: now,
-        };
-        self.in_flight.insert(id, in_flight);
+        self.in_flight.insert(now, id, entry.clone(), requests);
         self.log.propose(entry);
     }
 
@@ -269,68 +223,27 @@
         if let Err(error) = self.log.reconfigure(membership, index, &self.state_machine) {
             self.failure = Some(error);
         }
-        for in_flight in self.in_flight.values_mut() {
-            in_flight.proposed_at = now;
-            self.log.propose(in_flight.entry.clone());
+        for entry in self.in_flight.take_all(now) {
+            self.log.propose(entry);
         }
     }
 
-    /// Proposes to put versions into force that nothing blocks any more, and to drop expired leases. Any replica may
-    /// propose the former, as each judges by its own clock from when it learned of a lease; the leader does so first,
-    /// which saves entries.
+    /// Proposes to put versions into force that nothing blocks any more, and to drop expired leases.
     fn check_expiry(&mut self, now: Micros) {
-        let settling = self
-            .settling
-            .is_some_and(|(_, since)| now < since + REPROPOSE_AFTER);
-        if now < self.expiry_checked_at + EXPIRY_CHECK_INTERVAL || settling {
-            return;
-        }
-        self.expiry_checked_at = now;
-        let last_version = self.config_state().latest();
-        let lapsed = self.expiry.expired_config_leases(now, &self.bounds);
-        let expired: BTreeSet<&Holder> = lapsed.iter().map(|(holder, _)| holder).collect();
-        self.unblocked_since = self
-            .is_unblocked(&expired)
-            .then(|| self.unblocked_since.unwrap_or(now));
-        let leads = self.leads();
-        let drops_expired =
-            leads && !lapsed.is_empty() && now >= self.settled_at + DROP_EXPIRED_INTERVAL;
-        let settles = self
-            .unblocked_since
-            .is_some_and(|since| leads || now >= since + FOLLOWER_DELAY);
-        let lapsed_leases = self.expiry.expired_task_leases(now, &self.bounds);
-        if leads && !lapsed_leases.is_empty() {
-            self.propose_settling(now, Command::ExpireTaskLeases(lapsed_leases));
-        }
-        if settles || drops_expired {
-            self.settled_at = now;
-            self.propose_settling(
-                now,
-                Command::CompleteRollout {
-                    upto: last_version,
-                    lapsed,
-                },
-            );
+        let view = ExpiryView {
+            config: self.state_machine.config_state(),
+            expiry: &self.expiry,
+            bounds: &self.bounds,
+            is_leader: self.is_leader(),
+        };
+        for command in self.expiry_check.due_commands(now, &view) {
+            let id = self.propose_commands(now, Vec::new(), vec![command]);
+            self.expiry_check.proposed(now, id);
         }
     }
 
-    fn propose_settling(&mut self, now: Micros, command: Command) {
-        let id = self.propose_commands(now, Vec::new(), vec![command]);
-        self.settling = Some((id, now));
-    }
-
-    /// Whether a version is pending and waits for no holder but expired ones.
-    fn is_unblocked(&self, expired: &BTreeSet<&Holder>) -> bool {
-        let config = self.config_state();
-        let blocked = config
-            .blocking_holders()
-            .any(|(holder, _)| !expired.contains(holder));
-        config.pending().len() > 0
-            && (!blocked || fault_injection::is_injected(Fault::SkipRolloutWait))
-    }
-
     /// Whether this replica leads and can decide entries.
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.log
             .leader()
             .is_some_and(|leader| leader.replica == self.id && leader.can_decide)
@@ -366,10 +279,8 @@
     }
 
     fn apply_commands(&mut self, id: EntryId, commands: Vec<Command>) {
-        let requests = self.take_in_flight(id);
-        if self.settling.is_some_and(|(settling, _)| settling == id) {
-            self.settling = None;
-        }
+        let requests = self.in_flight.remove(id);
+        self.expiry_check.decided(id);
         let results = self.state_machine.apply(id, commands).unwrap_or_default();
         for (request, result) in requests.into_iter().zip(results) {
             self.complete(request, Response::Command(result));
@@ -383,21 +294,13 @@
             .as_ref()
             .map(|next| next.number)
             .map_err(|error| *error);
-        for request in self.take_in_flight(id) {
+        for request in self.in_flight.remove(id) {
             self.complete(request, Response::Replaced(number));
         }
         next.ok()
             .filter(|next| next.number > self.membership().number)
     }
 
-    /// Ends the flight of an entry, and returns the requests of its commands.
-    fn take_in_flight(&mut self, id: EntryId) -> Vec<Option<RequestId>> {
-        self.in_flight
-            .remove(&id)
-            .map(|in_flight| in_flight.requests)
-            .unwrap_or_default()
-    }
-
     fn complete(&mut self, request: Option<RequestId>, response: Response) {
         if let Some(request) = request {
             self.completed.push(CompletedRequest { request, response });
--- a/crates/coordination-server/src/replicated_log.rs
+++ b/crates/coordination-server/src/replicated_log.rs
@@ -147,7 +147,7 @@
         let _ = self.consensus.append(entry);
     }
 
-    /// Notes that messages of or to a replica were lost.
+    /// Records that messages of or to a replica were lost.
     pub fn reconnected(&mut self, replica: u64) {
         self.consensus.reconnected(replica);
     }
--- a/crates/fleet-tasks/src/engine_observations.rs
+++ b/crates/fleet-tasks/src/engine_observations.rs
@@ -1,5 +1,5 @@
-//! What the engines of one shard have reported of themselves: when each has started, and whether it is draining. The router
-//! that checks their health records it as the note of its lease.
+//! What the engines of one shard have reported of themselves: when each has started, and whether it is draining. The
+//! router that checks their health records it as the note of its lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,9 +24,12 @@
     }
 }
 
-/// Observations by the engine's name.
+/// The observations of a shard, by the engine's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineObservations(pub BTreeMap<String, EngineObservation>);
+#[serde(transparent)]
+pub struct EngineObservations {
+    by_engine: BTreeMap<String, EngineObservation>,
+}
 
 impl EngineObservations {
     /// Reads a note. One that can't be read counts as empty, as its author checks all engines again.
@@ -40,16 +43,22 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Records an observation. Returns whether it is news; another start of a known process is not.
+    /// What an engine has reported of itself, if it was observed.
+    pub fn get(&self, engine: &str) -> Option<EngineObservation> {
+        self.by_engine.get(engine).copied()
+    }
+
+    /// Records an observation. Returns whether it changes what is known; another reading of the start of a known process
+    /// does not.
     pub fn record(&mut self, engine: &str, observation: EngineObservation) -> bool {
-        match self.0.get_mut(engine) {
+        match self.by_engine.get_mut(engine) {
             Some(known) if known.is_same_process(&observation) => {
                 let has_changed = known.draining != observation.draining;
                 known.draining = observation.draining;
                 has_changed
             }
             _ => {
-                self.0.insert(engine.to_owned(), observation);
+                self.by_engine.insert(engine.to_owned(), observation);
                 true
             }
         }
@@ -57,9 +66,9 @@
 
     /// Removes all engines but these. Returns whether any was removed.
     pub fn retain(&mut self, engines: &BTreeSet<String>) -> bool {
-        let before = self.0.len();
-        self.0.retain(|name, _| engines.contains(name));
-        self.0.len() != before
+        let before = self.by_engine.len();
+        self.by_engine.retain(|name, _| engines.contains(name));
+        self.by_engine.len() != before
     }
 }
 
--- a/crates/fleet-tasks/src/engine_observations/tests.rs
+++ b/crates/fleet-tasks/src/engine_observations/tests.rs
@@ -31,5 +31,5 @@
     );
     let only_b = ["b".to_owned()].into();
     assert!(observations.retain(&only_b) && !observations.retain(&only_b));
-    assert_eq!(observations.0.keys().collect::<Vec<_>>(), ["b"]);
+    assert_eq!(observations.by_engine.keys().collect::<Vec<_>>(), ["b"]);
 }
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,5 +1,5 @@
-//! Tasks that one router performs for the whole fleet: which router performs a shard of a task now, and what it has recorded
-//! for the others. Decisions only: no I/O, no clock. The leases are [`hoptiller_coordination`]'s.
+//! Tasks that one router performs for the whole fleet: which router performs a shard of a task now, and what it has
+//! recorded for the others. Decisions only: no I/O, no clock. The leases are [`hoptiller_coordination`]'s.
 
 #![warn(missing_docs)]
 
@@ -12,8 +12,8 @@
 /// Which router performs a shard of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskAssignment {
-    /// Each router for itself, without a lease: there is no such task, nobody holds the lease, nothing is recorded yet, or
-    /// this router is in doubt.
+    /// Each router for itself, without a lease: there is no such task, nobody holds the lease, nothing is recorded yet,
+    /// or this router is in doubt.
     EachRouter,
     /// This router, for all.
     Local,
--- a/crates/fleet-tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -22,7 +22,7 @@
         7,
     ));
     let mut accept =
-        |serial: u64, local: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
+        |revision: u64, local: bool, holder: &Option<(Holder, u64)>, note: Option<&str>| {
             let (shard, note) = (DISCOVERY_SHARD, note.map(str::to_owned));
             let entries = vec![LeaseTableEntry {
                 shard,
@@ -30,7 +30,7 @@
                 note,
             }];
             let update = LeaseTableUpdate {
-                revision: serial,
+                revision,
                 shards: vec![DISCOVERY_SHARD],
                 entries,
             };
@@ -42,8 +42,8 @@
                 })
                 .into_iter()
                 .collect();
-            leases.start_renewal(serial, 0);
-            leases.accept_grant(serial, 1, serial, Some(&grants), Some(&update));
+            leases.start_renewal(revision, 0);
+            leases.accept_grant(revision, 1, revision, Some(&grants), Some(&update));
             leases.clone()
         };
     assert_eq!(
@@ -53,7 +53,7 @@
     assert_eq!(
         task_assignment(&accept(2, false, &holder, None), 2, DISCOVERY_SHARD, false),
         TaskAssignment::EachRouter,
-        "nothing is noted yet"
+        "nothing is recorded yet"
     );
     let remote = accept(3, false, &holder, Some("x"));
     assert_eq!(
@@ -73,7 +73,7 @@
     assert_eq!(
         task_assignment(&local, 9_900, DISCOVERY_SHARD, false),
         TaskAssignment::Remote("x".into()),
-        "its time is over"
+        "its lease has expired"
     );
 }
 
@@ -81,7 +81,7 @@
 fn engines_spread_evenly_over_the_shards_and_keep_theirs() {
     let mut counts = [0; 8];
     for n in 0..800 {
-        let shard = health_check_shard(&format!("engine-{n}"), 8).expect("there are parts");
+        let shard = health_check_shard(&format!("engine-{n}"), 8).expect("there are shards");
         assert_eq!(Some(shard), health_check_shard(&format!("engine-{n}"), 8));
         counts[shard.index as usize] += 1;
     }
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -261,7 +261,7 @@
 
     /// Another router has asked the engine, for all.
     fn take_seen(&self, name: &str, note: &str, now: hoptiller_policy::Micros) {
-        let Some(seen) = EngineObservations::from_note(note).0.get(name).copied() else {
+        let Some(seen) = EngineObservations::from_note(note).get(name) else {
             return;
         };
         let mut members = self.members.borrow_mut();
