--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -80,7 +80,7 @@
 
 fn store(storage: &DiskStorage, state: ReplicatedState) -> Result<(), JoinError> {
     storage.reconfigure(state.membership, state.index, state.state_machine);
-    match storage.handles().failure.borrow_mut().take() {
+    match storage.handle().take_failure() {
         Some(error) => Err(error.into()),
         None => Ok(()),
     }
--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -26,4 +26,5 @@
 pub mod storage;
 
 pub use config::{Config, ConfigError};
+pub use peer_protocol::PeerError;
 pub use server::{Server, StartError, StopReason};
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -19,7 +19,7 @@
 use crate::replica::{CompletedRequest, Replica, RequestId, Response};
 use crate::replicated_log::{LogError, Message, ReplicatedLog};
 use crate::responses;
-use crate::storage::{DiskStorage, StorageError, StorageHandles};
+use crate::storage::{DiskStorage, StorageError, StorageHandle};
 
 /// How long a request waits for a quorum.
 const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -32,9 +32,17 @@
     /// Its storage failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// Its peers reject it: it was replaced, or its disk is not the one that it had.
-    #[error("{0}")]
-    Rejected(String),
+    /// Another replica has replaced it.
+    #[error("{}", PeerError::Replaced)]
+    Replaced,
+    /// A peer rejects it: it was replaced, or its disk is not the one that it had.
+    #[error("keeper {peer} says: {error}")]
+    RejectedByPeer {
+        /// The peer.
+        peer: u64,
+        /// Why.
+        error: PeerError,
+    },
     /// Its log could not continue under another membership.
     #[error("the log can't go on: {0}")]
     Log(#[source] LogError),
@@ -58,7 +66,7 @@
     pub(crate) clock: Clock,
     pub(crate) incarnation: u64,
     pub(crate) disk_id: String,
-    pub(crate) storage: StorageHandles,
+    pub(crate) storage: StorageHandle,
     pub(crate) replica: RefCell<Replica>,
     /// What peers are compared with, for the membership in effect.
     pub(crate) local: RefCell<LocalView>,
@@ -82,7 +90,7 @@
         storage: DiskStorage,
     ) -> Result<Node, LogError> {
         let id = config.replica;
-        let (handles, incarnation) = (storage.handles(), storage.incarnation());
+        let (handle, incarnation) = (storage.handle(), storage.incarnation());
         let disk_id = storage.identity().disk_id;
         let initial = Membership::initial(config.replicas.clone());
         let log = ReplicatedLog::open(id, initial, storage)?;
@@ -96,7 +104,7 @@
             clock,
             incarnation,
             disk_id,
-            storage: handles,
+            storage: handle,
             batches: RefCell::default(),
             links: RefCell::default(),
             pending: RefCell::default(),
@@ -136,7 +144,7 @@
         let mut replica = self.replica.borrow_mut();
         let result = change(&mut replica, self.clock.now());
         let (completed, messages) = (replica.take_completed(), replica.take_messages());
-        if let Some(error) = self.storage.failure.borrow_mut().take() {
+        if let Some(error) = self.storage.take_failure() {
             self.stop(StopReason::Storage(error));
             return None;
         }
@@ -147,7 +155,7 @@
         self.respond(completed);
         self.update_membership(replica.membership());
         if replica.is_replaced() {
-            self.stop(StopReason::Rejected(PeerError::Replaced.to_string()));
+            self.stop(StopReason::Replaced);
             return None;
         }
         self.send(messages);
@@ -170,7 +178,7 @@
             return;
         }
         *self.local.borrow_mut() = local_view(&self.config, membership);
-        tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "keepers");
+        tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "membership changed");
         // Messages under the previous membership are void.
         for link in self.links.borrow().values() {
             link.clear();
@@ -191,7 +199,7 @@
             tracing::info!(
                 in_force = versions.in_force,
                 last = versions.last,
-                "versions"
+                "versions changed"
             );
             self.versions_changed.notify(usize::MAX);
         }
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -77,8 +77,8 @@
 /// Why a peer rejects a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum PeerError {
-    /// The two replicas are configured differently.
+pub enum PeerError {
+    /// The two replicas are configured differently, as this text for people says.
     #[error("{0}")]
     #[serde(rename = "unlike")]
     ConfigMismatch(String),
@@ -87,7 +87,10 @@
         "this keeper had disk {known} before; what it promised then is lost with it. Start a keeper with a new number \
          in its place"
     )]
-    OtherDisk { known: String },
+    OtherDisk {
+        /// The id of the disk that it had.
+        known: String,
+    },
     /// The sender's disk has fewer transactions than it had before.
     #[error(
         "this keeper's disk has {write_sequence} steps, and had {known}: it was put back from a copy. Start a keeper \
@@ -95,8 +98,10 @@
     )]
     #[serde(rename = "went_back")]
     DiskRolledBack {
+        /// The number of transactions that it has.
         #[serde(rename = "step")]
         write_sequence: u64,
+        /// The number of transactions that it had.
         known: u64,
     },
     /// Another replica has replaced the sender.
@@ -205,7 +210,7 @@
 }
 
 impl BatchReceiver {
-    /// Checks a batch, and notes what it says of its sender's disk.
+    /// Checks a batch, and records what it reports of its sender's disk.
     pub(crate) fn receive(
         &mut self,
         local: &LocalView,
--- a/crates/coordination-server/src/replication.rs
+++ b/crates/coordination-server/src/replication.rs
@@ -58,8 +58,7 @@
         let pause = match sender.send(messages).await {
             Ok(()) => None,
             Err(SendError::Rejected(error)) if error.is_final() => {
-                let reason = format!("keeper {peer} says: {error}");
-                return sender.node.stop(StopReason::Rejected(reason));
+                return sender.node.stop(StopReason::RejectedByPeer { peer, error });
             }
             Err(SendError::Rejected(error)) => Some(sender.on_rejected(error).await),
             Err(error) => Some(sender.on_failed(&error)),
@@ -112,7 +111,7 @@
             incarnation: self.node.incarnation,
             sequence,
             disk_id: self.node.disk_id.clone(),
-            write_sequence: *self.node.storage.write_sequence.borrow(),
+            write_sequence: self.node.storage.write_sequence(),
             messages,
         }
     }
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -236,7 +236,7 @@
     }
     let received = node.batches.borrow_mut().receive(
         &node.local.borrow(),
-        &mut node.storage.peers.borrow_mut(),
+        &mut node.storage.peers_mut(),
         &batch,
     );
     match received {
@@ -276,7 +276,7 @@
         });
     }
     // A replica that was admitted before, and has lost its disk since, may have promised what it no longer knows.
-    let mut disks = node.storage.peers.borrow_mut();
+    let mut disks = node.storage.peers_mut();
     let known = disks.entry(join.replica).or_insert_with(|| PeerDisk {
         disk_id: join.disk_id.clone(),
         write_sequence: 0,
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -9,7 +9,7 @@
 //! A missing file is created; any other file that is not sound, or not this replica's, is an error that is reported for
 //! what it is. After a failed write nothing more may leave the replica, as it could forget what it says.
 
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell, RefMut};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -49,18 +49,53 @@
     state: PersistentState,
     incarnation: u64,
     max_bytes: u64,
-    handles: StorageHandles,
+    handle: StorageHandle,
 }
 
-/// What others share of a storage.
+/// What the owner of a replica needs of the storage that its log writes to.
 #[derive(Clone)]
-pub struct StorageHandles {
+pub struct StorageHandle {
+    write_sequence: Rc<Cell<u64>>,
+    peers: Rc<RefCell<BTreeMap<u64, PeerDisk>>>,
+    failure: Rc<RefCell<Option<StorageError>>>,
+}
+
+impl StorageHandle {
+    fn new(write_sequence: u64, peers: BTreeMap<u64, PeerDisk>) -> StorageHandle {
+        StorageHandle {
+            write_sequence: Rc::new(Cell::new(write_sequence)),
+            peers: Rc::new(RefCell::new(peers)),
+            failure: Rc::default(),
+        }
+    }
+
     /// The number of durable transactions.
-    pub write_sequence: Rc<RefCell<u64>>,
-    /// What is known of the peers' disks; stored with the next durable transaction.
-    pub peers: Rc<RefCell<BTreeMap<u64, PeerDisk>>>,
-    /// The first failure of a write.
-    pub failure: Rc<RefCell<Option<StorageError>>>,
+    pub fn write_sequence(&self) -> u64 {
+        self.write_sequence.get()
+    }
+
+    /// What is known of the peers' disks, by replica; stored with the next durable transaction.
+    ///
+    /// # Panics
+    ///
+    /// If it is borrowed already.
+    pub fn peers_mut(&self) -> RefMut<'_, BTreeMap<u64, PeerDisk>> {
+        self.peers.borrow_mut()
+    }
+
+    /// Whether a write has failed, and the failure was not taken yet.
+    pub fn has_failed(&self) -> bool {
+        self.failure.borrow().is_some()
+    }
+
+    /// Takes the first failure of a write.
+    pub fn take_failure(&self) -> Option<StorageError> {
+        self.failure.borrow_mut().take()
+    }
+
+    fn fail(&self, error: StorageError) {
+        self.failure.borrow_mut().get_or_insert(error);
+    }
 }
 
 impl DiskStorage {
@@ -108,11 +143,7 @@
             state: contents.state,
             incarnation,
             max_bytes,
-            handles: StorageHandles {
-                write_sequence: Rc::new(RefCell::new(contents.write_sequence)),
-                peers: Rc::new(RefCell::new(contents.peers)),
-                failure: Rc::default(),
-            },
+            handle: StorageHandle::new(contents.write_sequence, contents.peers),
         }))))
     }
 
@@ -126,9 +157,9 @@
         self.0.borrow().incarnation
     }
 
-    /// What others share of it.
-    pub fn handles(&self) -> StorageHandles {
-        self.0.borrow().handles.clone()
+    /// A handle for the owner of the replica.
+    pub fn handle(&self) -> StorageHandle {
+        self.0.borrow().handle.clone()
     }
 
     /// Compacts the entries before an index, if they are all decided; `snapshot` is the state after the last of them.
@@ -174,13 +205,13 @@
     /// Makes changes in one transaction. In memory they are made even if the write fails: after a failure nothing
     /// leaves the replica.
     fn commit(&mut self, changes: Vec<Change>) {
-        if self.handles.failure.borrow().is_some() || changes.is_empty() {
+        if self.handle.has_failed() || changes.is_empty() {
             return;
         }
         let changes = self.state.normalize(changes);
         if let Err(error) = self.write(&changes) {
-            tracing::error!(error = %error, "a step could not be written");
-            self.handles.failure.borrow_mut().get_or_insert(error);
+            tracing::error!(error = %error, "storage write failed");
+            self.handle.fail(error);
         }
         for change in changes {
             self.state.apply(change);
@@ -208,20 +239,20 @@
                 .set_durability(Durability::None)
                 .map_err(|error| write_error(error.into()))?;
         }
-        let sequence = *self.handles.write_sequence.borrow() + 1;
+        let sequence = self.handle.write_sequence() + 1;
         let mut tables = TableWriter::open(&self.path, &transaction)?;
         for change in changes {
             tables.write_change(change)?;
         }
         if durable {
-            tables.write_sequence(sequence, &self.handles.peers.borrow())?;
+            tables.write_sequence(sequence, &self.handle.peers.borrow())?;
         }
         drop(tables);
         transaction
             .commit()
             .map_err(|error| write_error(error.into()))?;
         if durable {
-            *self.handles.write_sequence.borrow_mut() = sequence;
+            self.handle.write_sequence.set(sequence);
         }
         Ok(())
     }
--- a/crates/coordination-server/src/storage/consensus.rs
+++ b/crates/coordination-server/src/storage/consensus.rs
@@ -8,7 +8,7 @@
 use crate::entry::{Entry, NoSnapshot};
 
 impl DiskStorage {
-    /// Never fails: the library has no way to go on after an error. A failure is kept in the storage's handles.
+    /// Never fails: the library has no way to go on after an error. A failure is kept in the storage's handle.
     fn commit(&self, changes: Vec<Change>) -> StorageResult<()> {
         self.0.borrow_mut().commit(changes);
         Ok(())
--- a/crates/coordination-server/tests/storage.rs
+++ b/crates/coordination-server/tests/storage.rs
@@ -48,11 +48,8 @@
     storage.compact(3, &state);
     assert_eq!(storage.retained(), 4, "undecided entries are not compacted");
     storage.compact(2, &state);
-    assert!(storage.handles().failure.borrow().is_none());
-    let (incarnation, write_sequence) = (
-        storage.incarnation(),
-        *storage.handles().write_sequence.borrow(),
-    );
+    assert!(!storage.handle().has_failed());
+    let (incarnation, write_sequence) = (storage.incarnation(), storage.handle().write_sequence());
     drop(storage);
     let storage = open(&dir, "f", 1).expect("opened");
     assert_eq!(
@@ -99,10 +96,7 @@
         vec![entry(2), entry(6)]
     );
     assert_eq!(
-        (
-            storage.incarnation(),
-            *storage.handles().write_sequence.borrow()
-        ),
+        (storage.incarnation(), storage.handle().write_sequence()),
         (incarnation + 1, write_sequence)
     );
     drop(storage);
@@ -166,29 +160,26 @@
 fn nothing_is_written_after_a_failed_write() {
     let dir = dir("full");
     let mut storage = DiskStorage::open(&dir, "f", 1, "fresh", 16 << 20).expect("made");
-    let shared = storage.handles();
+    let handle = storage.handle();
     let mut steps = 0;
-    while shared.failure.borrow().is_none() {
+    while !handle.has_failed() {
         storage
             .append_entries((0..500).map(entry).collect())
             .expect("taken");
         steps += 1;
         assert!(steps < 1000, "it never fills");
     }
-    assert!(matches!(
-        *shared.failure.borrow(),
-        Some(StorageError::Full(_))
-    ));
-    let written = *shared.write_sequence.borrow();
+    let written = handle.write_sequence();
     storage.append_entry(entry(1)).expect("taken");
     assert_eq!(
-        *shared.write_sequence.borrow(),
+        handle.write_sequence(),
         written,
         "nothing is written behind the failure"
     );
+    assert!(matches!(handle.take_failure(), Some(StorageError::Full(_))));
     drop(storage);
     let again = DiskStorage::open(&dir, "f", 1, "fresh", 1 << 30).expect("whole");
-    assert_eq!(*again.handles().write_sequence.borrow(), written);
+    assert_eq!(again.handle().write_sequence(), written);
     drop(again);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
