--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -170,7 +170,7 @@
     let name = format!("{}: settings", file.display());
     hoptiller_statement_router::Settings::from_value(&name, &settings)
         .map_err(Failure::Settings)?;
-    let (seconds, documents) = (w.day.lasts.0 / 1_000_000, w.day.documents.len());
+    let (seconds, documents) = (w.day.lasts.as_micros() / 1_000_000, w.day.documents.len());
     Ok(format!(
         "a fleet's day of {seconds} s, {} keepers, {} routers, {documents} documents",
         w.keepers, w.routers
@@ -206,7 +206,7 @@
             })
             .collect(),
         settings: file.settings,
-        permit: Duration::from_micros(file.permit.0),
+        permit: Duration::from_micros(file.permit.as_micros()),
         drift: file.drift.unwrap_or(1000),
         router_skews: file.router_skews,
         keeper_skews: file.keeper_skews,
@@ -238,7 +238,7 @@
         versions: Some(VersionRules {
             max_overlap: args.overlap * 1000,
             compatible: outcome.neutral.clone(),
-            max_unheld: file.unheld.map(|span| span.0),
+            max_unheld: file.unheld.map(ConfigDuration::as_micros),
         }),
     };
     let rules = file.day.rules(rules);
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -159,7 +159,7 @@
     /// The bounds of leases.
     pub fn bounds(&self) -> LeaseTiming {
         LeaseTiming {
-            term: self.lease_term.0,
+            term: self.lease_term.as_micros(),
             drift: self.drift,
         }
     }
--- a/crates/coordination/src/duration.rs
+++ b/crates/coordination/src/duration.rs
@@ -2,27 +2,40 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
+const NANOS_PER_MICRO: u64 = 1000;
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A duration in whole microseconds. Written as `1500ms`; all units of settings files can be read.
+/// A duration, in whole microseconds. Written as `1500ms`; all units of settings files can be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConfigDuration(pub u64);
+pub struct ConfigDuration {
+    micros: u64,
+}
 
 impl ConfigDuration {
     /// No time at all.
-    pub(crate) const ZERO: ConfigDuration = ConfigDuration(0);
+    pub(crate) const ZERO: ConfigDuration = ConfigDuration::from_micros(0);
 
     /// A duration of so many milliseconds.
     pub const fn from_millis(millis: u64) -> ConfigDuration {
-        ConfigDuration(millis * MICROS_PER_MILLI)
+        ConfigDuration::from_micros(millis * MICROS_PER_MILLI)
+    }
+
+    /// A duration of so many microseconds.
+    pub const fn from_micros(micros: u64) -> ConfigDuration {
+        ConfigDuration { micros }
+    }
+
+    /// The duration in microseconds.
+    pub const fn as_micros(self) -> u64 {
+        self.micros
     }
 }
 
 impl std::fmt::Display for ConfigDuration {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self.0 % MICROS_PER_MILLI {
-            0 => write!(f, "{}ms", self.0 / MICROS_PER_MILLI),
-            _ => write!(f, "{}us", self.0),
+        match self.micros % MICROS_PER_MILLI {
+            0 => write!(f, "{}ms", self.micros / MICROS_PER_MILLI),
+            _ => write!(f, "{}us", self.micros),
         }
     }
 }
@@ -42,6 +55,7 @@
             ))
         })?;
         // Fractions of a microsecond are rounded, so that what is written is read as the same.
-        Ok(ConfigDuration((duration.as_nanos() as u64 + 500) / 1000))
+        let micros = (duration.as_nanos() as u64 + NANOS_PER_MICRO / 2) / NANOS_PER_MICRO;
+        Ok(ConfigDuration::from_micros(micros))
     }
 }
--- a/crates/fault-harness/src/crowd.rs
+++ b/crates/fault-harness/src/crowd.rs
@@ -139,7 +139,7 @@
     let parts: u64 = plan.mix.iter().map(|m| m.part).sum();
     while !stop.load(Ordering::Relaxed) {
         Timer::after(Duration::from_micros(
-            plan.pause.0 / 2 + dice.below(plan.pause.0),
+            plan.pause.as_micros() / 2 + dice.below(plan.pause.as_micros()),
         ))
         .await;
         let known = routers.lock().map(|r| r.clone()).unwrap_or_default();
@@ -164,7 +164,7 @@
             key: None,
             tags: String::new(),
             text: mix.text.clone(),
-            patience: Duration::from_micros(mix.patience.0),
+            patience: Duration::from_micros(mix.patience.as_micros()),
             manner: Manner::default(),
         };
         Client::new(&router, addr, recorder.clone()).run(&ask).await;
--- a/crates/fault-harness/src/day.rs
+++ b/crates/fault-harness/src/day.rs
@@ -124,7 +124,7 @@
                         non_idempotent,
                         ordered: false,
                         machine_kinds: kinds.clone(),
-                        latency_objective: class.aim.0,
+                        latency_objective: class.aim.as_micros(),
                         stretch: class.stretch,
                         threads: class.threads,
                     });
@@ -182,7 +182,7 @@
         acts.sort_by_key(|a| a.at);
         let mut followed: Vec<(u64, Instant)> = Vec::new();
         for act in acts {
-            let at = Duration::from_micros(act.at.0);
+            let at = Duration::from_micros(act.at.as_micros());
             while day.elapsed() < at {
                 follow(stage, &mut followed, &mut out);
                 std::thread::sleep(Duration::from_millis(20).min(at.saturating_sub(day.elapsed())));
@@ -192,7 +192,7 @@
             self.happen(stage, &act.what, &mut out, &mut texts, &mut followed)?;
             crowd.reach(stage.running_routers());
         }
-        while day.elapsed() < Duration::from_micros(self.lasts.0) {
+        while day.elapsed() < Duration::from_micros(self.lasts.as_micros()) {
             follow(stage, &mut followed, &mut out);
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -235,14 +235,14 @@
     /// Faults of the seed, and changes that are put meanwhile. Those that cut a router off last for longer than the pause
     /// between faults, as a permit may.
     fn drawn(&self, dice: &mut Dice, routers: usize, keepers: usize) -> Vec<Timed> {
-        let Some(every) = self.random_every.map(|e| e.0) else {
+        let Some(every) = self.random_every.map(ConfigDuration::as_micros) else {
             return Vec::new();
         };
         let names: Vec<&String> = self.documents.keys().collect();
         let draw = |dice: &mut Dice| names[dice.below(names.len() as u64) as usize].clone();
         let mut all = Vec::new();
         let mut at = every;
-        while at + 3 * every < self.lasts.0 {
+        while at + 3 * every < self.lasts.as_micros() {
             let (r, k) = (
                 dice.below(routers as u64) as usize,
                 dice.below(keepers as u64) as usize,
@@ -253,7 +253,7 @@
             let end = if long { every * 2 } else { every * 4 / 5 };
             let mut add = |after: u64, what: Happens| {
                 all.push(Timed {
-                    at: ConfigDuration(at + after),
+                    at: ConfigDuration::from_micros(at + after),
                     what,
                 })
             };
--- a/crates/statement-router/src/settings/under.rs
+++ b/crates/statement-router/src/settings/under.rs
@@ -10,7 +10,7 @@
 use super::{BudgetSettings, ClassSettings, Problem, RepeatSettings, Settings, check};
 
 fn time(span: ConfigDuration) -> Duration {
-    Duration::from_micros(span.0)
+    Duration::from_micros(span.as_micros())
 }
 
 /// The number of a name; a new name comes behind.
