--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -196,8 +196,8 @@
             state: EngineState::Up,
         },
     };
-    drained.list = Some(EndpointList(
-        (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
+    drained.list = Some(EndpointList::from_iter(
+        (0..4).map(|n| (format!("engine-{n}"), member(n))),
     ));
     let drain = night.put("drain", &drained);
     assert!(night.stage.until_heeded(2, drain, LONG));
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -1,6 +1,6 @@
-//! The replicated state of the configuration: the version in force, the versions that are being rolled out, and the routers
-//! that hold a lease. Commands come from the replicated log in one order and have the same result on every replica: no
-//! clock, no chance.
+//! The replicated state of the configuration: the version in force, the versions that are being rolled out, and the
+//! routers that hold a lease. Commands come from the replicated log in one order and have the same result on every
+//! replica: no clock, no randomness.
 //!
 //! A version takes effect in three steps. It is *proposed*: routers that receive it enforce the merge of all versions from
 //! the one in force to the latest, and report so with their next renewal. Its rollout is *complete* once every holder of
@@ -100,9 +100,10 @@
         let same_name = |known: &&VersionMetadata| known.change_name == proposal.change_name;
         if let Some(known) = self.history().find(same_name) {
             let number = known.number;
-            return match known.digest == digest {
-                true => Ok(number),
-                false => Err(Rejection::NameReused { number }),
+            return if known.digest == digest {
+                Ok(number)
+            } else {
+                Err(Rejection::NameReused { number })
             };
         }
         self.check(&proposal)?;
@@ -182,9 +183,10 @@
         held.enforced = held.enforced.max(enforced);
         held.serial = serial;
         let is_current = enforced == latest && in_force == self.in_force();
-        let versions = match is_current {
-            true => Vec::new(),
-            false => self.active.iter().cloned().collect(),
+        let versions = if is_current {
+            Vec::new()
+        } else {
+            self.active.iter().cloned().collect()
         };
         CommandResponse::LeaseGranted(ConfigLeaseGrant {
             in_force: self.in_force(),
@@ -213,12 +215,11 @@
                 self.remove_holder(holder);
             }
         }
-        let enforced_by_all = match fault_injection::is_injected(Fault::SkipRolloutWait) {
-            true => VersionNumber::MAX,
-            false => {
-                let enforced = self.holders.values().map(|held| held.enforced);
-                enforced.min().unwrap_or(VersionNumber::MAX)
-            }
+        let enforced = self.holders.values().map(|held| held.enforced);
+        let enforced_by_all = if fault_injection::is_injected(Fault::SkipRolloutWait) {
+            VersionNumber::MAX
+        } else {
+            enforced.min().unwrap_or(VersionNumber::MAX)
         };
         self.bring_in_force(upto, |next| next <= enforced_by_all);
         CommandResponse::InForce(self.in_force())
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -1,5 +1,5 @@
 //! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests from
-//! the replicas next. Its decision on a class is to be asked again at the last moment before an act.
+//! the replicas next. Its decision on a class is to be taken again right before each attempt is sent.
 
 use std::collections::BTreeMap;
 
@@ -79,9 +79,10 @@
 impl ConfigWatcher {
     /// A watcher without a lease. `known`: the versions that an earlier incarnation of this router has stored.
     pub fn new(holder: Holder, timing: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
-        let incarnation = match fault_injection::is_injected(Fault::IgnoreIncarnation) {
-            true => String::new(),
-            false => holder.incarnation,
+        let incarnation = if fault_injection::is_injected(Fault::IgnoreIncarnation) {
+            String::new()
+        } else {
+            holder.incarnation
         };
         let mut watcher = ConfigWatcher {
             holder: Holder {
@@ -124,7 +125,7 @@
         (id, command)
     }
 
-    /// Counts a renewal from another moment. That of its response is too late, which an injected fault does.
+    /// Counts a renewal from another time. That of its response would be too late: only an injected fault does so.
     pub fn set_sent_at(&mut self, id: u64, now: Micros) {
         if let Some(renewal) = self.open.get_mut(&id) {
             renewal.sent_at = now;
@@ -169,9 +170,10 @@
         let (Some(first), Some(last)) = (grant.versions.first(), grant.versions.last()) else {
             let is_unchanged =
                 grant.in_force == renewal.in_force && grant.enforce == renewal.enforced;
-            return match is_unchanged {
-                true => Ok(()),
-                false => Err(GrantError::Inconsistent),
+            return if is_unchanged {
+                Ok(())
+            } else {
+                Err(GrantError::Inconsistent)
             };
         };
         let has_bounds =
--- a/crates/coordination/src/document_validation.rs
+++ b/crates/coordination/src/document_validation.rs
@@ -19,11 +19,13 @@
 
 /// Collects errors in the order in which they are found.
 #[derive(Default)]
-struct Errors(Vec<ValidationError>);
+struct Errors {
+    found: Vec<ValidationError>,
+}
 
 impl Errors {
     fn push(&mut self, path: impl Into<String>, message: impl Into<String>) {
-        self.0.push(ValidationError {
+        self.found.push(ValidationError {
             path: path.into(),
             message: message.into(),
         });
@@ -55,13 +57,17 @@
         }
         check_engines(&self.engines, &mut errors);
         check_rules(&self.rules, &mut errors);
-        if self.list.as_ref().is_some_and(|l| l.0.len() > MAX_ENGINES) {
+        if self
+            .list
+            .as_ref()
+            .is_some_and(|list| list.len() > MAX_ENGINES)
+        {
             errors.push("list", "names more than 10000 engines");
         }
         for path in self.empty_placements() {
             errors.push(path, "leaves no place at all (rule 6)");
         }
-        errors.0
+        errors.found
     }
 }
 
--- a/crates/coordination/src/endpoint_list.rs
+++ b/crates/coordination/src/endpoint_list.rs
@@ -66,9 +66,10 @@
         }
         // A process in a later state permits less; any other change can permit what was forbidden.
         let is_later = self.started_at_ms == new.started_at_ms && new.state > self.state;
-        let change = match is_later {
-            true => Change::Tighter,
-            false => Change::Mixed,
+        let change = if is_later {
+            Change::Tighter
+        } else {
+            Change::Mixed
         };
         into.push(Difference::new(path, change));
     }
@@ -76,23 +77,66 @@
 
 /// Engines by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointList(pub BTreeMap<String, Endpoint>);
+#[serde(transparent)]
+pub struct EndpointList {
+    endpoints: BTreeMap<String, Endpoint>,
+}
+
+impl FromIterator<(String, Endpoint)> for EndpointList {
+    fn from_iter<I: IntoIterator<Item = (String, Endpoint)>>(endpoints: I) -> EndpointList {
+        EndpointList {
+            endpoints: endpoints.into_iter().collect(),
+        }
+    }
+}
 
 impl Merge for EndpointList {
     /// The engines on both lists, each in its later state.
     fn merge(&self, other: &EndpointList) -> EndpointList {
-        EndpointList(MergePerKey::merge(&self.0, &other.0))
+        EndpointList {
+            endpoints: MergePerKey::merge(&self.endpoints, &other.endpoints),
+        }
     }
 
     fn differences(&self, new: &EndpointList, path: &str, into: &mut Vec<Difference>) {
-        MergePerKey::differences(&self.0, &new.0, path, into);
+        MergePerKey::differences(&self.endpoints, &new.endpoints, path, into);
     }
 }
 
 impl EndpointList {
+    /// Number of engines.
+    pub fn len(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    /// Whether there are no engines.
+    pub fn is_empty(&self) -> bool {
+        self.endpoints.is_empty()
+    }
+
+    /// An engine by its name.
+    pub fn get(&self, name: &str) -> Option<Endpoint> {
+        self.endpoints.get(name).copied()
+    }
+
+    /// The engines, by name.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &Endpoint)> {
+        self.endpoints.iter()
+    }
+
+    /// Adds an engine, or replaces it.
+    pub(crate) fn insert(&mut self, name: String, endpoint: Endpoint) {
+        self.endpoints.insert(name, endpoint);
+    }
+
+    /// Removes an engine.
+    pub(crate) fn remove(&mut self, name: &str) {
+        self.endpoints.remove(name);
+    }
+
     /// Whether work may be sent to an engine whose process started at `started_at_ms`.
     pub fn accepts_work(&self, name: &str, started_at_ms: u64) -> bool {
-        let Some(endpoint) = self.0.get(name) else {
+        let Some(endpoint) = self.endpoints.get(name) else {
             return false;
         };
         if started_at_ms > endpoint.started_at_ms + SAME_PROCESS_TOLERANCE_MS {
--- a/crates/coordination/src/endpoint_sources.rs
+++ b/crates/coordination/src/endpoint_sources.rs
@@ -1,5 +1,5 @@
 //! Lists of engines from several sources that may disagree: a list that is rolled back, an engine that only one source
-//! reports.
+//! reports. Routers read one source today, so that only tests use this module.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     /// Replaces a source's list. Engines that no source reports any more are gone.
     pub fn update(&mut self, source: &str, list: EndpointList) -> SourceUpdate {
         let mut outcome = SourceUpdate::default();
-        for (name, endpoint) in &list.0 {
+        for (name, endpoint) in list.iter() {
             if self.is_regression(name, *endpoint) {
                 outcome.regressed.push(name.clone());
             }
@@ -43,7 +43,7 @@
     }
 
     fn is_regression(&self, name: &str, endpoint: Endpoint) -> bool {
-        let known = self.merged.0.get(name);
+        let known = self.merged.get(name);
         known.is_some_and(|known| known.newer(endpoint) != endpoint)
     }
 
@@ -51,22 +51,25 @@
         self.sources
             .iter()
             .filter(|(other, _)| *other != source)
-            .any(|(_, list)| list.0.get(name) != Some(&endpoint))
+            .any(|(_, list)| list.get(name) != Some(endpoint))
     }
 
     fn merge_sources(&self) -> EndpointList {
         let mut merged = EndpointList::default();
-        for (name, endpoint) in self.sources.values().flat_map(|list| &list.0) {
-            let known = self.merged.0.get(name).copied();
+        for (name, endpoint) in self.sources.values().flat_map(EndpointList::iter) {
+            let known = self.merged.get(name);
             let known = known.filter(|known| known.started_at_ms >= endpoint.started_at_ms);
-            let so_far = merged.0.get(name).copied().or(known).unwrap_or(*endpoint);
-            merged.0.insert(name.clone(), so_far.newer(*endpoint));
+            let so_far = merged.get(name).or(known).unwrap_or(*endpoint);
+            merged.insert(name.clone(), so_far.newer(*endpoint));
         }
-        for (name, known) in &self.merged.0 {
-            merged.0.entry(name.clone()).or_insert(Endpoint {
-                state: EngineState::Gone,
-                ..*known
-            });
+        for (name, known) in self.merged.iter() {
+            if merged.get(name).is_none() {
+                let gone = Endpoint {
+                    state: EngineState::Gone,
+                    ..*known
+                };
+                merged.insert(name.clone(), gone);
+            }
         }
         evict_oldest_gone(&mut merged);
         merged
@@ -85,7 +88,7 @@
     /// Engines that only one of several sources reports.
     pub fn single_source_endpoints(&self) -> Vec<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        for name in self.sources.values().flat_map(|list| list.0.keys()) {
+        for (name, _) in self.sources.values().flat_map(EndpointList::iter) {
             *counts.entry(name).or_default() += 1;
         }
         counts
@@ -98,12 +101,14 @@
 
 /// Bounds the list. Engines that are gone are remembered, so that an old list does not bring them back, but not all.
 fn evict_oldest_gone(list: &mut EndpointList) {
-    while list.0.len() > MAX_ENGINES {
-        let gone = list.0.iter().filter(|(_, e)| e.state == EngineState::Gone);
+    while list.len() > MAX_ENGINES {
+        let gone = list
+            .iter()
+            .filter(|(_, endpoint)| endpoint.state == EngineState::Gone);
         let oldest = gone.min_by_key(|(_, endpoint)| endpoint.started_at_ms);
         let Some(name) = oldest.map(|(name, _)| name.clone()) else {
             return;
         };
-        list.0.remove(&name);
+        list.remove(&name);
     }
 }
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -82,18 +82,19 @@
 
     pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts: bool) {
         self.serial = serial;
-        self.consecutive_renewals = match acknowledged && accepts {
-            true => self
-                .consecutive_renewals
-                .saturating_add(1)
-                .min(MIN_CONSECUTIVE_RENEWALS),
-            false => 0,
+        self.consecutive_renewals = if acknowledged && accepts {
+            let renewals = self.consecutive_renewals.saturating_add(1);
+            renewals.min(MIN_CONSECUTIVE_RENEWALS)
+        } else {
+            0
         };
     }
 }
 
 /// The number of leases of each router that is eligible, without those that it is to release.
-pub(crate) struct HolderLoad(BTreeMap<Holder, u32>);
+pub(crate) struct HolderLoad {
+    leases: BTreeMap<Holder, u32>,
+}
 
 impl HolderLoad {
     pub(crate) fn new(
@@ -107,15 +108,15 @@
                 *count += 1;
             }
         }
-        HolderLoad(load)
+        HolderLoad { leases: load }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.0.is_empty()
+        self.leases.is_empty()
     }
 
     pub(crate) fn total(&self) -> u64 {
-        self.0.values().map(|count| u64::from(*count)).sum()
+        self.leases.values().map(|count| u64::from(*count)).sum()
     }
 
     /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last counts
@@ -125,27 +126,27 @@
             let again = released_by == Some(*holder);
             (**count + u32::from(again), again, weight(shard, holder))
         };
-        let (holder, count) = self.0.iter_mut().min_by_key(cost)?;
+        let (holder, count) = self.leases.iter_mut().min_by_key(cost)?;
         *count += 1;
         Some(holder.clone())
     }
 
     fn add_to_least_loaded(&mut self) {
-        if let Some((_, count)) = self.0.iter_mut().min_by_key(|(_, count)| **count) {
+        if let Some((_, count)) = self.leases.iter_mut().min_by_key(|(_, count)| **count) {
             *count += 1;
         }
     }
 
     /// The routers with the most and the fewest leases, where a move between them evens out the load.
     fn next_move(&self) -> Option<(Holder, Holder)> {
-        let (to, fewest) = self.0.iter().min_by_key(|(_, count)| **count)?;
-        let (from, most) = self.0.iter().max_by_key(|(_, count)| **count)?;
+        let (to, fewest) = self.leases.iter().min_by_key(|(_, count)| **count)?;
+        let (from, most) = self.leases.iter().max_by_key(|(_, count)| **count)?;
         (*most >= fewest + 2).then(|| (from.clone(), to.clone()))
     }
 
     fn count_move(&mut self, from: Holder, to: Holder) {
-        self.0.entry(from).and_modify(|count| *count -= 1);
-        self.0.entry(to).and_modify(|count| *count += 1);
+        self.leases.entry(from).and_modify(|count| *count -= 1);
+        self.leases.entry(to).and_modify(|count| *count += 1);
     }
 }
 
--- a/crates/coordination/src/lease_expiry.rs
+++ b/crates/coordination/src/lease_expiry.rs
@@ -57,9 +57,10 @@
 impl ExpiryTracker {
     /// The tracker of a replica that starts with this state: it knows of no time before.
     pub fn start(now: Micros, state: &ConfigState) -> ExpiryTracker {
-        let observed_at = match fault_injection::is_injected(Fault::SkipStartupTerm) {
-            true => 0,
-            false => now,
+        let observed_at = if fault_injection::is_injected(Fault::SkipStartupTerm) {
+            0
+        } else {
+            now
         };
         let mut tracker = ExpiryTracker::default();
         tracker.observe(observed_at, state);
--- a/crates/coordination/src/lease_messages.rs
+++ b/crates/coordination/src/lease_messages.rs
@@ -22,7 +22,7 @@
     pub table_revision: u64,
 }
 
-/// A lease of a shard, as its holder is told of it.
+/// A lease of a shard, as it is reported to its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskLeaseGrant {
@@ -37,7 +37,7 @@
     pub release_requested: bool,
 }
 
-/// A shard's state, as all routers are told of it.
+/// A shard's state, as it is reported to all routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseTableEntry {
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -200,9 +200,10 @@
             };
             self.last_fencing_token += 1;
             self.revision += 1;
-            let fencing_token = match fault_injection::is_injected(Fault::ReuseFencingTokens) {
-                true => 1 + load.total() % 2,
-                false => self.last_fencing_token,
+            let fencing_token = if fault_injection::is_injected(Fault::ReuseFencingTokens) {
+                1 + load.total() % 2
+            } else {
+                self.last_fencing_token
             };
             if let Some(candidate) = self.candidates.get(&holder) {
                 slot.lease = Some(Lease::new(holder, fencing_token, candidate.serial));
@@ -250,20 +251,8 @@
             .filter_map(|(shard, slot)| Some((*shard, slot.lease.as_ref()?.serial)))
     }
 
-    /// The last fencing token that was assigned.
+    /// The last fencing token that was assigned: how many leases there have been. For diagnosis and tests.
     pub fn last_fencing_token(&self) -> u64 {
         self.last_fencing_token
     }
-
-    /// The number of leases that a router holds.
-    pub fn count_held_by(&self, holder: &Holder) -> usize {
-        self.slots
-            .values()
-            .filter(|slot| {
-                slot.lease
-                    .as_ref()
-                    .is_some_and(|lease| lease.holder == *holder)
-            })
-            .count()
-    }
 }
--- a/crates/coordination/src/merge_rules.rs
+++ b/crates/coordination/src/merge_rules.rs
@@ -2,6 +2,7 @@
 //! without a rule does not compile.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::marker::PhantomData;
 
 use crate::merge::{Change, Difference, Merge, MergeRule};
 
@@ -23,10 +24,12 @@
 pub(crate) struct OptionalIntersection;
 /// The value if both are equal, else none.
 pub(crate) struct EqualOrNone;
+/// For names on both sides, the number by a rule of its own.
+pub(crate) struct NumberPerKey<R>(PhantomData<R>);
 /// For names on both sides, the smaller number.
-pub(crate) struct MinimumPerKey;
+pub(crate) type MinimumPerKey = NumberPerKey<Minimum>;
 /// For names on both sides, the smaller number, which restricts nothing.
-pub(crate) struct AdvisoryPerKey;
+pub(crate) type AdvisoryPerKey = NumberPerKey<Advisory>;
 /// For names on both sides, the merge of their values.
 pub(crate) struct MergePerKey;
 /// The merge of two bounds, where none is no bound.
@@ -99,9 +102,9 @@
 
 type NumbersByName = BTreeMap<String, f64>;
 
-impl MergeRule<NumbersByName> for MinimumPerKey {
+impl<R: MergeRule<f64>> MergeRule<NumbersByName> for NumberPerKey<R> {
     fn merge(a: &NumbersByName, b: &NumbersByName) -> NumbersByName {
-        merge_per_key(a, b, minimum)
+        merge_per_key(a, b, R::merge)
     }
 
     fn differences(
@@ -110,34 +113,7 @@
         path: &str,
         into: &mut Vec<Difference>,
     ) {
-        differences_per_key(
-            old,
-            new,
-            path,
-            into,
-            <Minimum as MergeRule<f64>>::differences,
-        );
-    }
-}
-
-impl MergeRule<NumbersByName> for AdvisoryPerKey {
-    fn merge(a: &NumbersByName, b: &NumbersByName) -> NumbersByName {
-        merge_per_key(a, b, minimum)
-    }
-
-    fn differences(
-        old: &NumbersByName,
-        new: &NumbersByName,
-        path: &str,
-        into: &mut Vec<Difference>,
-    ) {
-        differences_per_key(
-            old,
-            new,
-            path,
-            into,
-            <Advisory as MergeRule<f64>>::differences,
-        );
+        differences_per_key(old, new, path, into, R::differences);
     }
 }
 
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -52,7 +52,8 @@
     shards: BTreeMap<Shard, ShardStatus>,
 }
 
-/// The right to perform one operation under a lease. [`TaskLeaseClient::end_operation`] ends it.
+/// The right to perform one operation under a lease: plain data, as the client has no I/O. The router that performs the
+/// operation ends it by [`TaskLeaseClient::end_operation`], however the operation ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGuard {
     /// The shard.
@@ -127,13 +128,15 @@
     }
 
     fn expiry(&self, sent_at: Micros, received_at: Micros) -> Micros {
-        let start = match fault_injection::is_injected(Fault::TermFromResponse) {
-            true => received_at,
-            false => sent_at,
+        let start = if fault_injection::is_injected(Fault::TermFromResponse) {
+            received_at
+        } else {
+            sent_at
         };
-        let margin = match fault_injection::is_injected(Fault::SkipMargin) {
-            true => 0,
-            false => self.margin,
+        let margin = if fault_injection::is_injected(Fault::SkipMargin) {
+            0
+        } else {
+            self.margin
         };
         start.saturating_add(self.term).saturating_sub(margin)
     }
@@ -230,7 +233,8 @@
         }
     }
 
-    /// Begins an operation that takes at most `duration`, to be called right before it. `None` where no lease lasts as long.
+    /// Begins an operation that takes at most `duration`, to be called right before it. `None` where no lease lasts as
+    /// long.
     pub fn begin_operation(
         &mut self,
         now: Micros,
--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -52,7 +52,7 @@
 }
 
 fn endpoint_list() -> impl Strategy<Value = EndpointList> {
-    proptest::collection::btree_map("[ef]", endpoint(), 0..3).prop_map(EndpointList)
+    proptest::collection::btree_map("[ef]", endpoint(), 0..3).prop_map(EndpointList::from_iter)
 }
 
 prop_compose! {
@@ -116,8 +116,8 @@
     let list = match (&strict.list, &lax.list) {
         (None, Some(_)) => false,
         // Of one process, work is taken only where both say so; of a newer one the newer word holds.
-        (Some(s), Some(l)) => s.0.iter().all(|(name, s)| {
-            l.0.get(name).is_some_and(|l| {
+        (Some(s), Some(l)) => s.iter().all(|(name, s)| {
+            l.get(name).is_some_and(|l| {
                 s.started_at_ms > l.started_at_ms
                     || (s.started_at_ms == l.started_at_ms && s.state >= l.state)
             })
@@ -270,19 +270,15 @@
 #[test]
 fn a_regressed_or_conflicting_list_keeps_the_known_state() {
     let list = |all: &[(&str, u64, EngineState)]| {
-        EndpointList(
-            all.iter()
-                .map(|(n, started, standing)| {
-                    (
-                        (*n).to_owned(),
-                        Endpoint {
-                            started_at_ms: *started,
-                            state: *standing,
-                        },
-                    )
-                })
-                .collect(),
-        )
+        all.iter()
+            .map(|(name, started_at_ms, state)| {
+                let endpoint = Endpoint {
+                    started_at_ms: *started_at_ms,
+                    state: *state,
+                };
+                ((*name).to_owned(), endpoint)
+            })
+            .collect::<EndpointList>()
     };
     let mut seen = EndpointSources::default();
     assert!(
--- a/crates/coordination/tests/rollout/proposals.rs
+++ b/crates/coordination/tests/rollout/proposals.rs
@@ -34,9 +34,10 @@
         started_at_ms: 5,
         state,
     };
-    changed.list = Some(EndpointList(
-        [("e".to_owned(), endpoint(EngineState::Up))].into(),
-    ));
+    changed.list = Some(EndpointList::from_iter([(
+        "e".to_owned(),
+        endpoint(EngineState::Up),
+    )]));
     let mut config = ConfigState::default();
     propose(&mut config, "first", None, &changed).expect("accepted");
     let (mut a, mut disconnected) = (watcher("a"), watcher("b"));
@@ -45,9 +46,10 @@
     }
     changed.engines.max_attempts = 5;
     propose(&mut config, "more attempts", None, &changed).expect("accepted");
-    changed.list = Some(EndpointList(
-        [("e".to_owned(), endpoint(EngineState::Draining))].into(),
-    ));
+    changed.list = Some(EndpointList::from_iter([(
+        "e".to_owned(),
+        endpoint(EngineState::Draining),
+    )]));
     propose(&mut config, "drain", None, &changed).expect("accepted");
     poll(&mut a, &mut config, SECOND).expect("granted");
     assert_eq!(complete_rollout(&mut config, Vec::new()), 1);
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -40,10 +40,7 @@
     cluster.rounds(3);
     assert_eq!(cluster.routers[&leaving].0.outstanding_leases(), 0);
     assert_eq!(
-        (
-            cluster.held().len(),
-            cluster.config.lease_table().count_held_by(&leaving)
-        ),
+        (cluster.held().len(), cluster.count_held_by(&leaving)),
         (100, 0)
     );
     assert!(
@@ -81,7 +78,7 @@
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     cluster.join("r1", "1");
     let dead = holder("r0", "1");
-    assert_eq!(cluster.config.lease_table().count_held_by(&dead), 1000);
+    assert_eq!(cluster.count_held_by(&dead), 1000);
     // It dies before the other has renewed often enough to be assigned any.
     cluster.rounds(1);
     cluster.routers.remove(&dead);
@@ -89,7 +86,7 @@
         cluster.now,
         cluster.config.lease_table().last_fencing_token(),
     );
-    while cluster.config.lease_table().count_held_by(&dead) > 0 {
+    while cluster.count_held_by(&dead) > 0 {
         cluster.round();
         assert!(
             cluster.now < died_at + 2 * TIMING.term,
@@ -101,13 +98,7 @@
         "not before the term has passed"
     );
     cluster.rounds(2);
-    assert_eq!(
-        cluster
-            .config
-            .lease_table()
-            .count_held_by(&holder("r1", "1")),
-        1000
-    );
+    assert_eq!(cluster.count_held_by(&holder("r1", "1")), 1000);
     assert_eq!(
         cluster.config.lease_table().last_fencing_token(),
         last_token + 1000,
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -156,7 +156,12 @@
 
     /// By router: how many leases it holds, as the replica knows.
     pub fn counts(&self) -> Vec<usize> {
-        let count = |holder: &Holder| self.held().values().filter(|h| *h == holder).count();
+        let count = |holder: &Holder| self.count_held_by(holder);
         self.routers.keys().map(count).collect()
     }
+
+    /// How many leases a router holds, as the replica knows.
+    pub fn count_held_by(&self, router: &Holder) -> usize {
+        self.held().values().filter(|held| *held == router).count()
+    }
 }
--- a/crates/coordination/tests/task_leases/holding.rs
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -61,7 +61,7 @@
     cluster.receive(&router, id, &grant);
     cluster.config.apply(Command::ExpireTaskLeases(expired));
     assert_eq!(
-        cluster.config.lease_table().count_held_by(&router),
+        cluster.count_held_by(&router),
         1,
         "it was renewed meanwhile"
     );
@@ -120,7 +120,7 @@
     let (id, grant) = cluster.renew(&router);
     cluster.receive(&router, id, &grant);
     assert_eq!(
-        cluster.config.lease_table().count_held_by(&router),
+        cluster.count_held_by(&router),
         1,
         "not released while an operation runs under it"
     );
@@ -128,7 +128,7 @@
     assert!(leases.end_operation(&guard), "now it can be released");
     let (id, grant) = cluster.renew(&router);
     cluster.receive(&router, id, &grant);
-    assert_eq!(cluster.config.lease_table().count_held_by(&router), 0);
+    assert_eq!(cluster.count_held_by(&router), 0);
 }
 
 #[test]
