--- a/crates/platform-router/src/cancel.rs
+++ b/crates/platform-router/src/cancel.rs
@@ -20,7 +20,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes that the client no longer waits: an attempt that has not started is cancelled; one whose first byte was
+    /// Records that the client no longer waits: an attempt that has not started is cancelled; one whose first byte was
     /// written goes on, as the policy has not cancelled it, but fetches nothing further.
     pub fn abandon(&self) {
         self.abandoned.set(true);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Notes that the first byte was written.
+    /// Records that the first byte was written.
     pub fn mark_started(&self) {
         self.started.set(true);
     }
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -12,6 +12,7 @@
 use crate::cancel::CancelToken;
 use crate::endpoint::EndpointState;
 use crate::router::Router;
+use crate::statement_fields::{idempotency_key, request_id};
 use crate::trace::TRACE_TARGET;
 
 impl CommandExecutor for Router {
@@ -60,7 +61,7 @@
         // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt),
+            id = request_id(&attempt.work),
             hop = attempt.number,
             engine = attempt.engine.0,
             round = self.event_loop.batch_stats().batches,
@@ -95,9 +96,9 @@
     ) {
         let request = AttemptRequest {
             command: StatementCommand {
-                id: request_id(&attempt),
+                id: request_id(&attempt.work),
                 class: &self.catalog.classes[attempt.class].name,
-                idempotency_key: attempt.work.fields.get(1).map(|field| field.1.as_str()),
+                idempotency_key: idempotency_key(&attempt.work),
                 priority: attempt.priority,
                 statement: &attempt.work.text,
             },
@@ -120,7 +121,7 @@
     fn report_served(&self, attempt: &Attempt, response: CompleteResponse) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(attempt),
+            id = request_id(&attempt.work),
             hop = attempt.number,
             engine = attempt.engine.0,
             work = response.work,
@@ -139,7 +140,7 @@
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(attempt),
+            id = request_id(&attempt.work),
             hop = attempt.number,
             engine = attempt.engine.0,
             why = %error,
@@ -173,15 +174,6 @@
     }
 }
 
-/// The id that the client gave its request: the first of the statement's fields.
-fn request_id(attempt: &Attempt) -> &str {
-    attempt
-        .work
-        .fields
-        .first()
-        .map_or("", |field| field.1.as_str())
-}
-
 fn failed_outcome(error: &AttemptError) -> AttemptOutcome {
     AttemptOutcome {
         status: error.status(),
--- a/crates/platform-router/src/connection_pool.rs
+++ b/crates/platform-router/src/connection_pool.rs
@@ -97,7 +97,7 @@
     pub fn update_endpoint(&self, endpoint: &Endpoint) {
         let mut engines = self.engines.borrow_mut();
         let id = EngineId(endpoint.id);
-        let state = EndpointState::of(endpoint);
+        let state = EndpointState::new(endpoint);
         let entry = engines.entry(id).or_insert_with(|| EngineEntry {
             endpoint: state,
             in_flight: 0,
--- a/crates/platform-router/src/endpoint.rs
+++ b/crates/platform-router/src/endpoint.rs
@@ -14,7 +14,7 @@
 }
 
 impl EndpointState {
-    pub(crate) fn of(endpoint: &Endpoint) -> EndpointState {
+    pub(crate) fn new(endpoint: &Endpoint) -> EndpointState {
         EndpointState {
             addr: endpoint.addr,
             started_ms: endpoint.started_ms,
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -16,13 +16,12 @@
 };
 use hoptiller_platform_protocol::{Catalog, StatementRequest};
 use hoptiller_router_core::event_loop::EventLoop;
-use hoptiller_router_core::{
-    EngineStatement, FinalResponse, PollOutcome, ResponseContent, StatementId, Submission,
-};
+use hoptiller_router_core::{FinalResponse, PollOutcome, ResponseContent, StatementId, Submission};
 use hoptiller_runaway::Announced;
 
 use crate::budget::Budget;
 use crate::retry_limiter::RetryLimiter;
+use crate::statement_fields::engine_statement;
 
 /// A client that has not sent a complete request so long after it connected gets an error, or is disconnected.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
@@ -37,20 +36,22 @@
 
 /// The ids of requests in flight.
 #[derive(Default)]
-pub(crate) struct InFlightIds(RefCell<HashSet<String>>);
+pub(crate) struct InFlightIds {
+    ids: RefCell<HashSet<String>>,
+}
 
 impl InFlightIds {
     pub(crate) fn len(&self) -> usize {
-        self.0.borrow().len()
+        self.ids.borrow().len()
     }
 
     /// Adds an id; `false` if it is in flight already.
     fn insert(&self, id: String) -> bool {
-        self.0.borrow_mut().insert(id)
+        self.ids.borrow_mut().insert(id)
     }
 
     fn remove(&self, id: &str) {
-        self.0.borrow_mut().remove(id);
+        self.ids.borrow_mut().remove(id);
     }
 }
 
@@ -65,7 +66,7 @@
     pub(crate) spawner: Spawner,
 }
 
-/// Serves clients until it is told to stop, and then those that have connected by then.
+/// Serves clients until `stop` is ready, and then those that have connected by then.
 pub(crate) async fn serve(
     front_end: Rc<FrontEnd>,
     listener: Async<TcpListener>,
@@ -221,16 +222,11 @@
         announced: Announced::default(),
         is_retry: request.is_retry,
         timeout: Some(request.timeout),
-        work: Rc::new(EngineStatement {
-            text: request.statement,
-            fields: std::iter::once(("Trace-Id".into(), request.id))
-                .chain(
-                    request
-                        .idempotency_key
-                        .map(|key| ("Replay-Key".into(), key)),
-                )
-                .collect(),
-        }),
+        work: Rc::new(engine_statement(
+            request.statement,
+            request.id,
+            request.idempotency_key,
+        )),
     }
 }
 
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,9 +1,9 @@
 //! The router on the platform's protocol: a front end, a connection pool and a watch client for
 //! [`hoptiller_router_core`].
 //!
-//! - [`Router`]: the running router; `startup`, `reload` and `shutdown` are the phases of its life.
+//! - [`Router`]: the running router; `startup`, `reload` and `shutdown` are the phases of its lifecycle.
 //! - `command_executor`: carries out the commands of the core.
-//! - `front_end`: clients, over [`hoptiller_http::server`].
+//! - `front_end`, `statement_fields`: clients, over [`hoptiller_http::server`]; what goes with a statement through the core.
 //! - [`connection_pool`], `connection`: connections to engines; one request at a time on each.
 //! - [`attempt`], [`cancel`]: one attempt, its outcome, and its cancellation.
 //! - `watch_client`: the connection to the coordinator, and the updates of the endpoint list.
@@ -29,6 +29,7 @@
 mod router;
 mod shutdown;
 mod startup;
+mod statement_fields;
 pub mod trace;
 mod watch_client;
 
--- /dev/null
+++ b/crates/platform-router/src/statement_fields.rs
@@ -0,0 +1,36 @@
+//! The fields that go with a statement through the core: the id that the client gave its request, and its idempotency key.
+
+use hoptiller_router_core::EngineStatement;
+
+const REQUEST_ID: &str = "Trace-Id";
+const IDEMPOTENCY_KEY: &str = "Replay-Key";
+
+/// The statement of a request, as the core passes it on.
+pub(crate) fn engine_statement(
+    text: String,
+    request_id: String,
+    idempotency_key: Option<String>,
+) -> EngineStatement {
+    let key = idempotency_key.map(|key| (IDEMPOTENCY_KEY.to_owned(), key));
+    EngineStatement {
+        text,
+        fields: std::iter::once((REQUEST_ID.to_owned(), request_id))
+            .chain(key)
+            .collect(),
+    }
+}
+
+/// The id that the client gave its request; empty if there is none.
+pub(crate) fn request_id(statement: &EngineStatement) -> &str {
+    field(statement, REQUEST_ID).unwrap_or_default()
+}
+
+/// The idempotency key, if the statement has one.
+pub(crate) fn idempotency_key(statement: &EngineStatement) -> Option<&str> {
+    field(statement, IDEMPOTENCY_KEY)
+}
+
+fn field<'a>(statement: &'a EngineStatement, name: &str) -> Option<&'a str> {
+    let found = statement.fields.iter().find(|(known, _)| known == name);
+    found.map(|(_, value)| value.as_str())
+}
--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -64,13 +64,17 @@
     /// Lines of attempts that can't be parsed, or that end an attempt that was not sent.
     pub unparsed_lines: usize,
     in_flight: BTreeMap<u32, HashSet<AttemptId>>,
-    /// By engine: when it last rejected an attempt or was not reached, in microseconds of the day.
+    /// By engine: when it last rejected an attempt or was not reached, in µs of the day.
     last_rejections: BTreeMap<u32, u64>,
     round: Option<Round>,
 }
 
-/// An attempt: the request's id and the attempt number.
-type AttemptId = (String, u32);
+/// An attempt of a request.
+#[derive(Debug, PartialEq, Eq, Hash)]
+struct AttemptId {
+    request: String,
+    number: u32,
+}
 
 /// The attempts sent in one round of the core. Already at the first of them the policy counts all as in flight.
 #[derive(Debug)]
@@ -182,7 +186,10 @@
 }
 
 fn attempt_id(fields: &str) -> Option<AttemptId> {
-    Some((text(fields, "id")?, number(fields, "hop")? as u32))
+    Some(AttemptId {
+        request: text(fields, "id")?,
+        number: number(fields, "hop")? as u32,
+    })
 }
 
 /// Splits the log line of an attempt's event into the part before its target, and the event with its fields.
@@ -195,7 +202,7 @@
         })
 }
 
-/// The time of day of a line in microseconds, from its RFC 3339 timestamp.
+/// The time of day of a line in µs, from its RFC 3339 timestamp.
 fn time_of_day(head: &str) -> Option<u64> {
     let stamp = head
         .split_whitespace()
