--- a/crates/coordination-client/src/clock.rs
+++ b/crates/coordination-client/src/clock.rs
@@ -4,8 +4,10 @@
 use hoptiller_coordination::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Parts per million.
+/// A skew is given in parts of this.
 const MILLION: i64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1000;
 /// Limit of a simulated skew in either direction, in millionths.
 const MAX_SKEW_MILLIONTHS: i64 = 900_000;
 
@@ -48,8 +50,8 @@
 fn boot_time() -> Micros {
     // CLOCK_MONOTONIC, which `Instant` reads, stands still while a machine sleeps; CLOCK_BOOTTIME does not.
     let time = clock_gettime(ClockId::Boottime);
-    u64::try_from(time.tv_sec).unwrap_or(0) * 1_000_000
-        + u64::try_from(time.tv_nsec).unwrap_or(0) / 1000
+    u64::try_from(time.tv_sec).unwrap_or(0) * MICROS_PER_SECOND
+        + u64::try_from(time.tv_nsec).unwrap_or(0) / NANOS_PER_MICRO
 }
 
 #[cfg(test)]
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -10,12 +10,20 @@
 /// The header that carries the authentication code.
 pub const CODE_HEADER: &str = "X-Hoptiller-Code";
 
+/// The context from which the key is derived. Programs of all versions must agree on it.
+const KEY_CONTEXT: &str = "hoptiller 2026 fleet calls";
+/// What a request's code covers begins with this.
+const REQUEST_DOMAIN: &[u8] = b"call";
+/// What a response's code covers begins with this.
+const RESPONSE_DOMAIN: &[u8] = b"answer";
 /// Minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
 /// The secret that replicas, routers and administrators share.
 #[derive(Clone)]
-pub struct Secret([u8; 32]);
+pub struct Secret {
+    key: [u8; 32],
+}
 
 impl std::fmt::Debug for Secret {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -31,7 +39,9 @@
 impl Secret {
     /// Derives the key from bytes that only the fleet knows.
     pub fn new(bytes: &[u8]) -> Secret {
-        Secret(blake3::derive_key("hoptiller 2026 fleet calls", bytes))
+        Secret {
+            key: blake3::derive_key(KEY_CONTEXT, bytes),
+        }
     }
 
     /// Loads a secret from a file with 32 hexadecimal digits or more.
@@ -46,17 +56,17 @@
             .ok()
             .filter(|bytes| bytes.len() >= MIN_SECRET_BYTES);
         bytes.map(|bytes| Secret::new(&bytes)).ok_or_else(|| {
-            let why = format!(
+            let reason = format!(
                 "{}: {} hexadecimal digits or more are wanted",
                 path.display(),
                 MIN_SECRET_BYTES * 2
             );
-            io::Error::new(io::ErrorKind::InvalidData, why)
+            io::Error::new(io::ErrorKind::InvalidData, reason)
         })
     }
 
     fn authentication_code(&self, parts: &[&[u8]]) -> blake3::Hash {
-        let mut hasher = blake3::Hasher::new_keyed(&self.0);
+        let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for part in parts {
             // The length goes first, so that no two lists of parts hash the same bytes.
             hasher.update(&(part.len() as u64).to_be_bytes());
@@ -67,7 +77,7 @@
 
     fn request_code(&self, request: &Request) -> blake3::Hash {
         self.authentication_code(&[
-            b"call",
+            REQUEST_DOMAIN,
             request.method.as_str().as_bytes(),
             request.target.as_bytes(),
             &request.body,
@@ -92,7 +102,7 @@
     fn response_code(&self, request: &Request, response: &Response) -> blake3::Hash {
         let call = request.headers.get(CODE_HEADER).unwrap_or_default();
         self.authentication_code(&[
-            b"answer",
+            RESPONSE_DOMAIN,
             call.as_bytes(),
             &response.status.0.to_be_bytes(),
             &response.body,
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -2,9 +2,10 @@
 //! another version fails instead of half understanding a message. JSON names that differ from the fields' are pinned by
 //! `serde(rename)`: `tests/wire_form.rs` compares all of them with stored bytes.
 
-use hoptiller_coordination::Micros;
-use hoptiller_coordination::{ConfigLeaseGrant, Holder, Rejection, VersionMetadata, VersionNumber};
-use hoptiller_coordination::{LeaseOffer, NoteError, Shard};
+use hoptiller_coordination::{
+    ConfigLeaseGrant, Holder, LeaseOffer, Micros, NoteError, Rejection, Shard, VersionMetadata,
+    VersionNumber,
+};
 use serde::{Deserialize, Serialize};
 
 /// A router renews its lease of the configuration: POST, [`LeaseRenewalRequest`] to [`LeaseRenewalResponse`].
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -1,7 +1,6 @@
 //! The bodies of HTTP responses, made from the replicated state and from the results of commands.
 
-use hoptiller_coordination::LeaseTableEntry;
-use hoptiller_coordination::{CommandResponse, ConfigState, Micros};
+use hoptiller_coordination::{CommandResponse, ConfigState, LeaseTableEntry, Micros};
 use hoptiller_coordination_client::wire::{
     ClusterStatus, ErrorBody, HolderStatus, LeaseRenewalResponse, LeaseStatus, LogStatus,
     PeerStatus, ProposalResponse, ReplaceResponse, VersionNumbers,
@@ -38,22 +37,22 @@
 /// The response to a request that went through the log.
 pub(crate) fn completed(response: Response) -> HttpResponse {
     match response {
-        Response::Command(answer) => command_result(answer),
+        Response::Command(result) => command_result(result),
         Response::Replaced(Ok(membership)) => ok(&ReplaceResponse { membership }),
         Response::Replaced(Err(reason)) => error(409, &reason.to_string()),
     }
 }
 
-fn command_result(answer: CommandResponse) -> HttpResponse {
-    match answer {
+fn command_result(result: CommandResponse) -> HttpResponse {
+    match result {
         CommandResponse::LeaseGranted(granted) => ok(&LeaseRenewalResponse::Granted(granted)),
         CommandResponse::UnknownVersion => ok(&LeaseRenewalResponse::UnknownVersion),
         CommandResponse::NoVersion => ok(&LeaseRenewalResponse::NoVersion),
         CommandResponse::TooManyHolders => ok(&LeaseRenewalResponse::TooManyHolders),
         CommandResponse::Proposed(Ok(number)) => ok(&ProposalResponse::Accepted(number)),
-        CommandResponse::Proposed(Err(refused)) => ok(&ProposalResponse::Rejected(refused)),
+        CommandResponse::Proposed(Err(rejection)) => ok(&ProposalResponse::Rejected(rejection)),
         CommandResponse::LeaseReleased | CommandResponse::InForce(_) => ok(&()),
-        CommandResponse::NoteRecorded(noted) => ok(&noted),
+        CommandResponse::NoteRecorded(result) => ok(&result),
     }
 }
 
@@ -68,13 +67,13 @@
 
 /// The leases of shards.
 pub(crate) fn leases(replica: &Replica, now: Micros) -> Vec<LeaseStatus> {
-    let status = |posted: LeaseTableEntry| LeaseStatus {
+    let status = |entry: LeaseTableEntry| LeaseStatus {
         left_ms: replica
-            .shard_lease_left(now, &posted.shard)
+            .shard_lease_left(now, &entry.shard)
             .map(|left| left / MICROS_PER_MS),
-        shard: posted.shard,
-        holder: posted.holder,
-        note_bytes: posted.note.map_or(0, |note| note.len() as u64),
+        shard: entry.shard,
+        holder: entry.holder,
+        note_bytes: entry.note.map_or(0, |note| note.len() as u64),
     };
     let table = replica.config_state().lease_table().updates_since(0);
     table.entries.into_iter().map(status).collect()
