--- a/crates/coordination-server/src/peer_protocol/tests.rs
+++ b/crates/coordination-server/src/peer_protocol/tests.rs
@@ -58,7 +58,7 @@
     let mut receive = |b: MessageBatch| {
         receiver
             .receive(&local_view(), &mut disks, &b)
-            .expect_err("not taken")
+            .expect_err("rejected")
     };
     for list in [1, 3] {
         let lists = receive(MessageBatch {
@@ -102,10 +102,10 @@
     let (mut receiver, mut disks) = (BatchReceiver::default(), BTreeMap::new());
     receiver
         .receive(&local_view(), &mut disks, &batch(3, 0, 50))
-        .expect("taken");
+        .expect("accepted");
     let old = receiver
         .receive(&local_view(), &mut disks, &batch(4, 0, 49))
-        .expect_err("refused");
+        .expect_err("rejected");
     assert_eq!(
         old,
         PeerError::DiskRolledBack {
@@ -118,7 +118,7 @@
     assert!(
         receiver
             .receive(&local_view(), &mut disks, &batch(2, 0, 20))
-            .expect_err("refused")
+            .expect_err("rejected")
             .is_final()
     );
     // The receiver has restarted, and knows the sequence from its own disk.
@@ -136,7 +136,7 @@
     };
     let other = receiver
         .receive(&local_view(), &mut disks, &other)
-        .expect_err("refused");
+        .expect_err("rejected");
     assert_eq!(other, PeerError::OtherDisk { known: "d".into() });
     let unlike = MessageBatch {
         term: 11,
@@ -145,7 +145,7 @@
     assert!(
         !receiver
             .receive(&local_view(), &mut disks, &unlike)
-            .expect_err("refused")
+            .expect_err("rejected")
             .is_final()
     );
 }
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -44,7 +44,7 @@
 settings! {
     /// A class of statements.
     pub struct StatementClass {
-        /// The latency objective: an answer within it has the full weight.
+        /// The latency objective: a response within it has the full weight.
         [Advisory] aim: ConfigDuration,
         /// The latency objective grows by this factor times the work over the threads.
         #[serde(default)]
@@ -57,13 +57,13 @@
         #[serde(default)]
         [LogicalOr] in_order: bool,
         /// The priority weight of a statement.
-        #[serde(default = "one")]
+        #[serde(default = "default_factor")]
         [Advisory] worth: f64,
-        /// The fraction of the weight of an answer after the objective.
+        /// The fraction of the weight of a response after the objective.
         #[serde(default)]
         [Advisory] late_worth: f64,
         /// The number of threads on which a statement runs.
-        #[serde(default = "one")]
+        #[serde(default = "default_factor")]
         [Maximum] threads: f64,
         /// Whether a statement locks its tables while it runs.
         #[serde(default)]
@@ -124,13 +124,13 @@
     /// What engines support.
     pub struct EngineSettings {
         /// Maximum number of attempts at a statement.
-        #[serde(default = "three")]
+        #[serde(default = "default_max_attempts")]
         [Minimum] max_attempts: u32,
         /// The limit of retries of all statements; `None`: unlimited.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [MergeOptional] budget: Option<RetryBudget>,
         /// Whether health checks may be sent to them.
-        #[serde(default = "yes")]
+        #[serde(default = "enabled")]
         [LogicalAnd] probes: bool,
         /// Whether cancelling a statement stops its work.
         #[serde(default)]
@@ -162,7 +162,7 @@
         #[serde(default)]
         [Maximum] order_pause: ConfigDuration,
         /// The grace period after a drain was reported, in which statements may still be sent.
-        #[serde(default = "one_second")]
+        #[serde(default = "default_drain_grace")]
         [Minimum] drain_grace: ConfigDuration,
     }
 }
@@ -211,19 +211,19 @@
     }
 }
 
-fn one() -> f64 {
+fn default_factor() -> f64 {
     1.0
 }
 
-fn three() -> u32 {
+fn default_max_attempts() -> u32 {
     3
 }
 
-fn yes() -> bool {
+fn enabled() -> bool {
     true
 }
 
-fn one_second() -> ConfigDuration {
+fn default_drain_grace() -> ConfigDuration {
     ConfigDuration::from_millis(1000)
 }
 
--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -115,7 +115,7 @@
     };
     let list = match (&strict.list, &lax.list) {
         (None, Some(_)) => false,
-        // Of one process, work is taken only where both say so; of a newer one the newer word holds.
+        // Of one process, work is accepted only where both lists allow it; of a newer one, the newer state counts.
         (Some(s), Some(l)) => s.iter().all(|(name, s)| {
             l.get(name).is_some_and(|l| {
                 s.started_at_ms > l.started_at_ms
@@ -152,8 +152,8 @@
         prop_assert_eq!(&a.merge(&b), &b.merge(&a));
         prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
         prop_assert_eq!(&a.merge(&a), &a);
-        let meet = a.merge(&b);
-        prop_assert!(within(&meet, &a) && within(&meet, &b), "{meet:?}");
+        let merged = a.merge(&b);
+        prop_assert!(within(&merged, &a) && within(&merged, &b), "{merged:?}");
     }
 
     #[test]
@@ -177,13 +177,13 @@
     #[test]
     fn endpoint_lists_merge_to_the_same_in_any_order(a in endpoint_list(), b in endpoint_list(), c in endpoint_list()) {
         let sum = |order: [&EndpointList; 3]| {
-            let mut seen = EndpointSources::default();
+            let mut sources = EndpointSources::default();
             for (at, list) in order.into_iter().enumerate() {
-                // The same source tells under the same name, whatever the order.
+                // The same source reports under the same name, whatever the order.
                 let source = [&a, &b, &c].iter().position(|l| std::ptr::eq(*l, list)).unwrap_or(at);
-                seen.update(&source.to_string(), list.clone());
+                sources.update(&source.to_string(), list.clone());
             }
-            seen.merged().clone()
+            sources.merged().clone()
         };
         prop_assert_eq!(sum([&a, &b, &c]), sum([&c, &a, &b]));
     }
@@ -203,15 +203,15 @@
     (a.engines.max_attempts, b.engines.max_attempts) = (2, 3);
     b.classes.remove("load");
     b.default_class = Some("report".into());
-    let meet = a.merge(&b);
+    let merged = a.merge(&b);
     assert_eq!(
-        meet.classes["report"].kinds,
+        merged.classes["report"].kinds,
         Some(BTreeSet::from(["b".to_owned()]))
     );
-    assert_eq!(meet.classes["lookup"].repeat, Idempotency::NonIdempotent);
-    assert!(meet.classes["lookup"].in_order && !meet.classes.contains_key("load"));
+    assert_eq!(merged.classes["lookup"].repeat, Idempotency::NonIdempotent);
+    assert!(merged.classes["lookup"].in_order && !merged.classes.contains_key("load"));
     assert_eq!(
-        (meet.engines.max_attempts, meet.default_class.as_ref()),
+        (merged.engines.max_attempts, merged.default_class.as_ref()),
         (2, None)
     );
     let changed: BTreeMap<String, Change> = a
@@ -226,11 +226,7 @@
     assert_eq!(a.change_to(&b), Change::Mixed);
     b = a.clone();
     b.classes.get_mut("report").expect("there").worth = 9.0;
-    assert_eq!(
-        a.change_to(&b),
-        Change::Neutral,
-        "what an answer is worth binds nobody"
-    );
+    assert_eq!(a.change_to(&b), Change::Neutral, "weights restrict nothing");
 }
 
 #[test]
@@ -238,7 +234,7 @@
     let mut value: serde_json::Value = serde_json::from_slice(&document().to_json()).expect("json");
     value["engines"]["teleports"] = true.into();
     let flaw =
-        Document::from_json(&serde_json::to_vec(&value).expect("json")).expect_err("refused");
+        Document::from_json(&serde_json::to_vec(&value).expect("json")).expect_err("rejected");
     assert!(flaw.message.contains("teleports"), "{flaw}");
     let mut later = document();
     later.form = 2;
@@ -280,40 +276,44 @@
             })
             .collect::<EndpointList>()
     };
-    let mut seen = EndpointSources::default();
+    let mut sources = EndpointSources::default();
     assert!(
-        seen.update(
-            "r1",
-            list(&[
-                ("e", 50_000, EngineState::Draining),
-                ("f", 1, EngineState::Up)
-            ])
-        )
-        .changed
+        sources
+            .update(
+                "r1",
+                list(&[
+                    ("e", 50_000, EngineState::Draining),
+                    ("f", 1, EngineState::Up)
+                ])
+            )
+            .changed
     );
-    let told = seen.update("r2", list(&[("e", 50_000, EngineState::Up)]));
+    let outcome = sources.update("r2", list(&[("e", 50_000, EngineState::Up)]));
     assert_eq!(
-        (told.regressed, told.conflicting),
+        (outcome.regressed, outcome.conflicting),
         (vec!["e".to_owned()], vec!["e".to_owned()])
     );
     assert!(
-        !seen.merged().accepts_work("e", 50_000),
-        "a drain that one has seen stands"
+        !sources.merged().accepts_work("e", 50_000),
+        "a drain that one source reported stays"
     );
-    assert_eq!(seen.single_source_endpoints(), ["f"]);
+    assert_eq!(sources.single_source_endpoints(), ["f"]);
     // A newer process under the name takes work, also where one list is late.
-    seen.update("r2", list(&[("e", 90_000, EngineState::Up)]));
-    assert!(seen.merged().accepts_work("e", 90_000) && !seen.merged().accepts_work("e", 50_000));
+    sources.update("r2", list(&[("e", 90_000, EngineState::Up)]));
+    assert!(
+        sources.merged().accepts_work("e", 90_000) && !sources.merged().accepts_work("e", 50_000)
+    );
     // What nobody names any more is gone, and an old list does not bring it back.
-    seen.update("r1", list(&[("e", 90_000, EngineState::Up)]));
-    assert!(!seen.merged().accepts_work("f", 1));
+    sources.update("r1", list(&[("e", 90_000, EngineState::Up)]));
+    assert!(!sources.merged().accepts_work("f", 1));
     assert_eq!(
-        seen.update(
-            "r2",
-            list(&[("f", 1, EngineState::Up), ("e", 90_000, EngineState::Up)])
-        )
-        .regressed,
+        sources
+            .update(
+                "r2",
+                list(&[("f", 1, EngineState::Up), ("e", 90_000, EngineState::Up)])
+            )
+            .regressed,
         ["f"]
     );
-    assert!(!seen.merged().accepts_work("f", 1));
+    assert!(!sources.merged().accepts_work("f", 1));
 }
--- a/crates/runaway/tests/snapshot.rs
+++ b/crates/runaway/tests/snapshot.rs
@@ -8,10 +8,10 @@
 
 #[test]
 fn statistics_and_holds_survive_a_restart() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    simulation.start(REPORT, REPORT as u64, 0, 900e6);
-    simulation.advance(15);
-    let saved = simulation.detector.save();
+    let mut w = Simulation::with_history(NAME_AND_HOLD, 4);
+    w.start(REPORT, REPORT as u64, 0, 900e6);
+    w.advance(15);
+    let saved = w.detector.save();
     let mut next = Simulation::new(NAME_AND_HOLD, 4);
     let done = next.detector.restore(next.now, &saved).expect("our own");
     assert_eq!((done.fingerprints, done.holds, done.dropped), (3, 1, 0));
@@ -24,14 +24,14 @@
     assert_eq!(
         next.runaways(),
         [(name(id), Cause::Heavy)],
-        "by the statistics of the earlier incarnation"
+        "by what the former life had learnt"
     );
 }
 
 #[test]
 fn classes_are_restored_by_name_and_removed_ones_are_dropped() {
-    let simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    let saved = simulation.detector.save();
+    let w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let saved = w.detector.save();
     let mut other = settings(NAME_AND_HOLD);
     other.classes.swap(0, 1);
     other.classes.pop();
@@ -42,8 +42,8 @@
 
 #[test]
 fn a_truncated_changed_or_unknown_snapshot_is_rejected_as_a_whole() {
-    let simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    let saved = simulation.detector.save();
+    let w = Simulation::with_history(NAME_AND_HOLD, 4);
+    let saved = w.detector.save();
     let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
     let empty = fresh.save();
     let mut check = |bytes: &[u8]| {
