--- a/crates/platform-router/tests/connection_pool/support.rs
+++ b/crates/platform-router/tests/common/pool.rs
@@ -1,4 +1,4 @@
-//! Pools and attempts for tests of the connection pool.
+//! A connection pool, and attempts on it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use hoptiller_platform_router::retry_limiter::RetryLimiter;
 use hoptiller_policy::EngineId;
 
-use crate::common::*;
+use super::{ManualEngine, wait_until};
 
 pub const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
@@ -35,10 +35,12 @@
     ConnectionPool::new(config, Rc::new(retries))
 }
 
+/// A pool that permits retries without bound.
 pub fn pool() -> ConnectionPool {
     pool_with(8, 1 << 20, RetryLimiter::new(None))
 }
 
+/// The list entry of engine 7.
 pub fn listed_endpoint(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
     Endpoint {
         id: 7,
@@ -51,6 +53,7 @@
     }
 }
 
+/// An attempt that each test changes as it needs.
 pub struct TestAttempt {
     pub token: CancelToken,
     pub deadline: Instant,
--- a/crates/platform-router/tests/connection_pool/connections.rs
+++ b/crates/platform-router/tests/connection_reuse.rs
@@ -1,51 +1,17 @@
-//! What a connection carries: bytes that no request asked for, pages, waiting attempts.
+//! The connection pool: which connections are used again, and bytes on one that no request asked for.
+
+mod common;
 
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
+use common::pool::*;
+use common::*;
 use futures_lite::future;
 use hoptiller_platform_protocol::{Endpoint, Phase};
 use hoptiller_platform_router::attempt::AttemptError;
 use hoptiller_platform_router::retry_limiter::RetryLimiter;
 
-use crate::common::*;
-use crate::support::*;
-
-#[test]
-fn engine_is_given_the_time_left_when_the_command_is_written() {
-    run_test(async |_| {
-        let (manual_engine, pool) = (ManualEngine::with_full_backlog().await, pool());
-        pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
-        let attempt = TestAttempt {
-            deadline: Instant::now() + Duration::from_secs(10),
-            ..TestAttempt::new()
-        };
-        let engine = async {
-            wait_until(|| pool.open_connections() == 1).await;
-            manual_engine.accept_backlog().await;
-            let mut line = manual_engine.accept().await;
-            let left = attempt.deadline.saturating_duration_since(Instant::now());
-            let request: serde_json::Value =
-                serde_json::from_str(&line.next_command().await.expect("a request")).expect("JSON");
-            line.send(&served_line(IDS[0])).await;
-            (request["f"]["w"].as_u64().expect("w"), left)
-        };
-        let (result, (wait_ms, left)) = future::zip(attempt.run(&pool, IDS[0]), engine).await;
-        result.expect("served");
-        // It was written after the connection came up, and before it was accepted here or soon after.
-        let at_first = Duration::from_secs(10);
-        assert!(
-            left < at_first
-                && Duration::from_millis(wait_ms) < at_first - Duration::from_millis(500),
-            "{wait_ms}"
-        );
-        assert!(
-            wait_ms + 500 > left.as_millis() as u64,
-            "{wait_ms} {left:?}"
-        );
-    });
-}
-
 #[test]
 fn connection_never_carries_the_same_request_id_twice() {
     run_test(async |_| {
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of the [`Controller`](crate::Controller): classes, limits, rules of service.
 
 use super::ids::Micros;
+use crate::units::Threads;
 
 /// Which engines recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,6 +58,13 @@
     pub locks_group: bool,
 }
 
+impl Class {
+    /// Threads that a query runs on.
+    pub(crate) fn threads(&self) -> Threads {
+        Threads(self.threads)
+    }
+}
+
 /// How discovery reports changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
@@ -130,9 +138,9 @@
     pub classes: Vec<Class>,
     /// Cores of each machine kind; events name kinds by position.
     pub cores: Vec<f64>,
-    /// Quota of each tenant, as a part of the service; events name tenants by position. Not used yet.
+    /// Quota of each tenant, as a part of the service; events name tenants by position. No decision reads it yet.
     pub tenant_quotas: Vec<f64>,
-    /// Weight of a request beyond its tenant's quota, against one within it. Not used yet.
+    /// Weight of a request beyond its tenant's quota, against one within it. No decision reads it yet.
     pub over_quota_weight: f64,
     /// Engines report queries in flight, memory or busy cores, in answers or to health checks.
     pub load_reports: bool,
@@ -148,7 +156,7 @@
     pub reports_work: bool,
     /// Cost of a health check with each request, in points of the goal; 0: nothing.
     pub health_check_cost: f64,
-    /// Clients mark their retries.
+    /// Clients mark their retries. No decision reads it: a marked retry is believed in any case.
     pub clients_mark_retries: bool,
     /// How changes of the endpoint list come.
     pub discovery: Discovery,
@@ -162,16 +170,35 @@
     /// Whether the mechanism has a meaning with these settings: an unusable figure is an error, not a guess.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let usable = |value: f64| value.is_finite() && value >= 0.0;
-        let incomplete = |c: &Class| c.latency_objective == 0 || c.deadline == 0 || c.threads == 0.0;
-        let figures = |c: &Class| [c.objective_stretch, c.late_weight_ratio, c.priority_weight, c.threads];
-        let rules = [self.rules.start_capacity, self.rules.overload_factor, self.health_check_cost];
+        let incomplete =
+            |c: &Class| c.latency_objective == 0 || c.deadline == 0 || c.threads == 0.0;
+        let figures = |c: &Class| {
+            [
+                c.objective_stretch,
+                c.late_weight_ratio,
+                c.priority_weight,
+                c.threads,
+            ]
+        };
+        let rules = [
+            self.rules.start_capacity,
+            self.rules.overload_factor,
+            self.health_check_cost,
+        ];
         if self.classes.is_empty() || self.gateways == 0 {
             return Err(SettingsError("no classes or no gateways"));
         }
         if self.classes.iter().any(incomplete) {
-            return Err(SettingsError("a class without latency objective, deadline or threads"));
+            return Err(SettingsError(
+                "a class without latency objective, deadline or threads",
+            ));
         }
-        let mut all = self.classes.iter().flat_map(figures).chain(self.cores.iter().copied()).chain(rules);
+        let mut all = self
+            .classes
+            .iter()
+            .flat_map(figures)
+            .chain(self.cores.iter().copied())
+            .chain(rules);
         if !all.all(usable) {
             return Err(SettingsError("a negative or infinite figure"));
         }
