--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -9,6 +9,7 @@
     Subject, Verdict,
 };
 use crate::statistics::Statistics;
+use crate::units::{Memory, RunTime, Work};
 
 /// A report that an attempt is blocked counts for this long.
 const BLOCKED_REPORT_TTL: Micros = 3_000_000;
@@ -117,10 +118,10 @@
         self.abandoned_at.is_none() && self.streaming_since.is_none()
     }
 
-    /// Run time in µs, without the time for which it was blocked.
-    pub(crate) fn active_time(&self, now: Micros) -> f64 {
+    /// Run time without the time for which it was blocked.
+    pub(crate) fn active_time(&self, now: Micros) -> RunTime {
         let until = self.streaming_since.or(self.abandoned_at).unwrap_or(now);
-        (until - self.started_at).saturating_sub(self.blocked_time) as f64
+        RunTime((until - self.started_at).saturating_sub(self.blocked_time) as f64)
     }
 
     /// Why it is blocked, if a recent report says so.
@@ -131,6 +132,16 @@
             .map(|(_, state)| state)
     }
 
+    /// Work done so far, if reported.
+    pub(crate) fn work(&self) -> Option<Work> {
+        self.progress.work.map(|work| Work(work as f64))
+    }
+
+    /// Peak memory, if reported.
+    pub(crate) fn memory(&self) -> Option<Memory> {
+        self.progress.memory_mb.map(Memory)
+    }
+
     /// Records what its engine reports. A figure that is not reported again keeps its value; one that can't be is
     /// ignored.
     pub(crate) fn record_report(&mut self, now: Micros, report: ProgressReport) {
--- a/crates/runaway/src/blocker.rs
+++ b/crates/runaway/src/blocker.rs
@@ -12,6 +12,7 @@
 use crate::measures::{CONFIRMATION_TIME, CROWD_BOUND_FACTOR, MIN_CROWD, evidence};
 use crate::remote_statements::RemoteStatements;
 use crate::statistics::Statistics;
+use crate::units::RunTime;
 
 /// What is known of a statement that blocks attempts.
 #[derive(Debug)]
@@ -26,7 +27,7 @@
     started_at: Micros,
     over_bound_since: Option<Micros>,
     /// The expected run time of an attempt of this router.
-    expected: Option<Expected>,
+    expected: Option<Expected<RunTime>>,
 }
 
 impl Blocker {
@@ -76,10 +77,10 @@
     ) -> Option<Evidence> {
         let mut expected = self.expected_run_time(statistics, classes)?;
         if blocked >= MIN_CROWD {
-            expected.bound *= CROWD_BOUND_FACTOR;
+            expected = expected.with_bound_factor(CROWD_BOUND_FACTOR);
         }
-        let run_time = now.saturating_sub(self.started_at) as f64;
-        (run_time > expected.bound).then(|| evidence(Measure::Run, run_time, &expected))
+        let run_time = RunTime(now.saturating_sub(self.started_at) as f64);
+        (run_time > expected.bound).then(|| evidence(Measure::Run, run_time, expected))
     }
 
     /// The finding on it, under the name that engines know it by.
@@ -115,12 +116,16 @@
     }
 
     /// The expected run time: its own, that of its class, or that of the class that takes longest.
-    fn expected_run_time(&self, statistics: &Statistics, classes: &[Class]) -> Option<Expected> {
+    fn expected_run_time(
+        &self,
+        statistics: &Statistics,
+        classes: &[Class],
+    ) -> Option<Expected<RunTime>> {
         let by_class = |class: usize| statistics.remote_expectation(class, &classes[class]);
         let longest = || {
             (0..classes.len())
                 .map(by_class)
-                .max_by(|a, b| a.bound.total_cmp(&b.bound))
+                .max_by(|a, b| a.bound.0.total_cmp(&b.bound.0))
         };
         self.expected
             .or_else(|| self.class.map(by_class))
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -6,6 +6,7 @@
 use crate::distributions::Run;
 use crate::expectation::Expectation;
 use crate::measures::{LONG_RUN_FACTOR, spill_tolerance};
+use crate::units::RunTime;
 
 /// A run within this part of its bound counts as clean for the hold of its fingerprint.
 const CLEAN_RUN_PART: f64 = 0.5;
@@ -37,12 +38,11 @@
         slowness: f64,
         was_runaway: bool,
     ) -> Completion {
-        let active = attempt.active_time(now).max(1.0);
-        let run_time = active / slowness;
-        let progress = attempt.progress();
-        let (figure, expected) = match progress.work {
-            Some(work) => (work as f64, &expectation.work),
-            None => (run_time, &expectation.run_time),
+        let active = RunTime(attempt.active_time(now).0.max(1.0));
+        let run_time = active.at_usual_speed(slowness);
+        let (figure, expected) = match attempt.work() {
+            Some(work) => (work.0, expectation.work.figures()),
+            None => (run_time.0, expectation.run_time.figures()),
         };
         let is_beyond_bound = was_runaway || figure > expected.bound * spill_tolerance(attempt);
         // A wait that was only inferred is part of the run time.
@@ -51,16 +51,16 @@
         Completion {
             run: Run {
                 run_time,
-                work: progress.work.map(|work| work as f64),
-                rows: progress.rows.map(|rows| rows as f64),
-                memory_mb: progress.memory_mb,
+                work: attempt.work(),
+                rows: attempt.progress().rows.map(|rows| rows as f64),
+                memory: attempt.memory(),
             },
             is_beyond_bound,
             is_clean: figure <= expected.bound * CLEAN_RUN_PART,
             is_usual: figure < expected.usual * LONG_RUN_FACTOR,
-            is_usual_by_time: progress.work.is_some() && active < usual_run_time,
+            is_usual_by_time: attempt.work().is_some() && active < usual_run_time,
             engine_sample: (expectation.is_known && !is_beyond_bound && is_time_its_own)
-                .then(|| active / usual_run_time.max(1.0)),
+                .then(|| active.0 / usual_run_time.0.max(1.0)),
         }
     }
 }
--- a/crates/runaway/src/distributions.rs
+++ b/crates/runaway/src/distributions.rs
@@ -1,6 +1,7 @@
 //! Distributions of the figures of runs: run time, work, work by rows, memory.
 
 use crate::sketch::Sketch;
+use crate::units::{Memory, RunTime, Work};
 
 /// Work by rows is kept for this many rows: less than a microsecond for one row would be lost.
 pub(crate) const ROWS_UNIT: f64 = 1000.0;
@@ -8,14 +9,13 @@
 /// Figures of one run that ended with its result.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Run {
-    /// Run time without blocked time, divided by the slowness of the engine, in µs.
-    pub(crate) run_time: f64,
-    /// Work over all threads, in µs.
-    pub(crate) work: Option<f64>,
+    /// Run time at an engine of usual speed.
+    pub(crate) run_time: RunTime,
+    pub(crate) work: Option<Work>,
     /// Rows read.
     pub(crate) rows: Option<f64>,
-    /// Peak memory, in MB.
-    pub(crate) memory_mb: Option<f64>,
+    /// Peak memory.
+    pub(crate) memory: Option<Memory>,
 }
 
 /// Distributions of one size of a fingerprint, or of a class.
@@ -34,12 +34,12 @@
 impl Distributions {
     /// Adds a run; a figure that was not reported is left out.
     pub(crate) fn add(&mut self, run: &Run) {
-        self.run_time.add(run.run_time);
-        self.work.add(run.work.unwrap_or(0.0));
+        self.run_time.add(run.run_time.0);
+        self.work.add(run.work.unwrap_or_default().0);
         if let (Some(work), Some(rows)) = (run.work, run.rows) {
             self.work_by_rows.add(work_by_rows(work, rows));
         }
-        self.memory_mb.add(run.memory_mb.unwrap_or(0.0));
+        self.memory_mb.add(run.memory.unwrap_or_default().0);
     }
 
     /// Runs that were added, the older ones with less weight.
@@ -49,6 +49,6 @@
 }
 
 /// Work for [`ROWS_UNIT`] rows, in µs.
-pub(crate) fn work_by_rows(work: f64, rows: f64) -> f64 {
-    work * ROWS_UNIT / rows.max(1.0)
+pub(crate) fn work_by_rows(work: Work, rows: f64) -> f64 {
+    work.0 * ROWS_UNIT / rows.max(1.0)
 }
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -144,12 +144,11 @@
     // Run time so far is a lower bound. A larger statement, as its reported work shows, takes longer at any engine and
     // says nothing of this one.
     let size_ratio = attempt
-        .progress()
-        .work
-        .map_or(1.0, |work| work as f64 / expectation.work.usual.max(1.0))
+        .work()
+        .map_or(1.0, |work| work.0 / expectation.work.usual.0.max(1.0))
         .max(1.0);
-    let usual = expectation.run_time.usual.max(1.0) * size_ratio;
-    let times = attempt.active_time(now) / usual;
+    let usual = expectation.run_time.usual.0.max(1.0) * size_ratio;
+    let times = attempt.active_time(now).0 / usual;
     (times >= MIN_SLOW_SAMPLE).then_some(Sample {
         fingerprint: attempt.start().fingerprint,
         times,
--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/judgement.rs
@@ -15,6 +15,7 @@
     CROWD_BOUND_FACTOR, Excess, MIN_CROWD, evidence, has_bad_plan, largest_excess,
 };
 use crate::statistics::Statistics;
+use crate::units::RunTime;
 use crate::wait_graph::WaitGraph;
 use crate::wait_inference::WaitInference;
 
@@ -124,7 +125,7 @@
         if !matches!(excess.evidence.measure, Measure::Run | Measure::RunToCome) {
             return Some(excess);
         }
-        let run_time = excess.evidence.figure;
+        let run_time = RunTime(excess.evidence.figure);
         if self.wait_inference.may_be_blocked_unseen(
             self.now,
             attempt,
@@ -151,8 +152,8 @@
         attempt: &RunningAttempt,
         expectation: &Expectation,
     ) -> Option<Evidence> {
-        let (memory_mb, expected) = (attempt.progress().memory_mb?, expectation.memory_mb?);
-        if memory_mb <= expected.bound || attempt.blocked_state(self.now).is_some() {
+        let (memory, expected) = (attempt.memory()?, expectation.memory?);
+        if memory <= expected.bound || attempt.blocked_state(self.now).is_some() {
             return None;
         }
         let waits_for_memory = |other: &&RunningAttempt| {
@@ -160,7 +161,7 @@
                 && other.blocked_state(self.now) == Some(&BlockedState::Memory)
         };
         let waiters = self.attempts.values().filter(waits_for_memory).count();
-        (waiters >= MIN_CROWD).then(|| evidence(Measure::Memory, memory_mb, &expected))
+        (waiters >= MIN_CROWD).then(|| evidence(Measure::Memory, memory, expected))
     }
 }
 
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! The detector only orders the steps. Each rule is a module that owns its state and uses only earlier ones of:
 //!
-//! - `interface`: settings, events, findings and decisions.
+//! - `interface`, `units`: settings, events, findings and decisions; quantities.
 //! - `sketch`, `distributions`, `expectation`, `fingerprint_statistics`, `statistics`: what is usual for a fingerprint,
 //!   a class and an announced size.
 //! - `enforcement`, `attempt`, `attempts`, `remote_statements`: what runs, here and at other routers.
@@ -46,6 +46,7 @@
 mod slow_engine;
 mod snapshot;
 mod statistics;
+mod units;
 mod unknown_runaways;
 mod wait_graph;
 mod wait_inference;
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -6,9 +6,10 @@
 use crate::distributions::work_by_rows;
 use crate::expectation::{Expectation, Expected};
 use crate::interface::{Evidence, Measure};
+use crate::units::{Quantity, RunTime};
 
-/// Attempts that have run for less, in µs, are not judged.
-const MIN_ACTIVE_TIME: f64 = 1_000_000.0;
+/// Attempts that have run for less are not judged.
+const MIN_ACTIVE_TIME: RunTime = RunTime(1_000_000.0);
 /// Error of a reported share done: it is added to the share.
 const PROGRESS_ERROR: f64 = 0.02;
 /// Tolerance of a figure that is projected from the share done.
@@ -42,21 +43,46 @@
 }
 
 /// A figure of an attempt and what is expected of it.
-struct Measurement<'e> {
+struct Measurement {
     measure: Measure,
     value: f64,
-    expected: &'e Expected,
+    expected: Expected<f64>,
     /// Factor by which the value may exceed the bound.
     tolerance: f64,
 }
 
-/// Evidence of a value against what is expected.
-pub(crate) fn evidence(measure: Measure, figure: f64, expected: &Expected) -> Evidence {
+impl Measurement {
+    fn new<Q: Quantity>(measure: Measure, value: Q, expected: Expected<Q>) -> Measurement {
+        Measurement {
+            measure,
+            value: value.figure(),
+            expected: expected.figures(),
+            tolerance: 1.0,
+        }
+    }
+
+    /// The total that is projected from the share done, from 0 to 1.
+    fn projected(&self, done: f64) -> Measurement {
+        let measure = match self.measure {
+            Measure::Work => Measure::WorkToCome,
+            _ => Measure::RunToCome,
+        };
+        Measurement {
+            measure,
+            value: self.value / (done + PROGRESS_ERROR),
+            expected: self.expected,
+            tolerance: PROJECTION_TOLERANCE,
+        }
+    }
+}
+
+/// Evidence of a value against what is expected of it.
+pub(crate) fn evidence<Q: Quantity>(measure: Measure, value: Q, expected: Expected<Q>) -> Evidence {
     Evidence {
         measure,
-        figure,
-        usual: expected.usual,
-        bound: expected.bound,
+        figure: value.figure(),
+        usual: expected.usual.figure(),
+        bound: expected.bound.figure(),
         basis: expected.basis,
     }
 }
@@ -71,33 +97,20 @@
 }
 
 /// All figures of an attempt that can be compared. `slowness` is the factor of its engine.
-fn measurements<'e>(
+fn measurements(
     attempt: &RunningAttempt,
-    expectation: &'e Expectation,
+    expectation: &Expectation,
     now: Micros,
     slowness: f64,
-) -> Vec<Measurement<'e>> {
+) -> Vec<Measurement> {
     let active = attempt.active_time(now);
-    let (measure, projected, value, expected) = match attempt.progress().work {
-        Some(work) => (
-            Measure::Work,
-            Measure::WorkToCome,
-            work as f64,
-            &expectation.work,
-        ),
-        None => (
-            Measure::Run,
-            Measure::RunToCome,
-            active / slowness,
-            &expectation.run_time,
-        ),
+    let so_far = match attempt.work() {
+        Some(work) => Measurement::new(Measure::Work, work, expectation.work),
+        None => {
+            let run_time = active.at_usual_speed(slowness);
+            Measurement::new(Measure::Run, run_time, expectation.run_time)
+        }
     };
-    let mut all = vec![Measurement {
-        measure,
-        value,
-        expected,
-        tolerance: 1.0,
-    }];
     let done = attempt.progress().done.filter(|done| {
         let min_run = if *done > 0.0 {
             MIN_RUN_FOR_PROGRESS
@@ -105,17 +118,10 @@
             MIN_RUN_WITHOUT_PROGRESS
         };
         attempt.progress_reports() >= MIN_PROGRESS_REPORTS
-            && active >= min_run * expectation.run_time.usual
+            && active.0 >= min_run * expectation.run_time.usual.0
     });
-    if let Some(done) = done {
-        all.push(Measurement {
-            measure: projected,
-            value: value / (done + PROGRESS_ERROR),
-            expected,
-            tolerance: PROJECTION_TOLERANCE,
-        });
-    }
-    all
+    let projected = done.map(|done| so_far.projected(done));
+    std::iter::once(so_far).chain(projected).collect()
 }
 
 /// Whether an attempt takes several times what is usual for its fingerprint. `slowness` is the factor of its engine.
@@ -125,7 +131,7 @@
     now: Micros,
     slowness: f64,
 ) -> bool {
-    let is_long = |m: Measurement<'_>| m.value > LONG_RUN_FACTOR * m.tolerance * m.expected.usual;
+    let is_long = |m: Measurement| m.value > LONG_RUN_FACTOR * m.tolerance * m.expected.usual;
     attempt.active_time(now) >= MIN_ACTIVE_TIME
         && measurements(attempt, expectation, now, slowness)
             .into_iter()
@@ -144,13 +150,13 @@
         return None;
     }
     let spill_tolerance = spill_tolerance(attempt);
-    let ratio_over_bound = |m: Measurement<'_>| {
+    let ratio_over_bound = |m: Measurement| {
         let bound = m.expected.bound * m.tolerance * spill_tolerance * bound_factor;
         let expected = Expected {
             bound,
-            ..*m.expected
+            ..m.expected
         };
-        (m.value > bound).then(|| (m.value / bound, evidence(m.measure, m.value, &expected)))
+        (m.value > bound).then(|| (m.value / bound, evidence(m.measure, m.value, expected)))
     };
     let largest = measurements(attempt, expectation, now, slowness)
         .into_iter()
@@ -164,11 +170,12 @@
 
 /// Whether an attempt does far more work for its rows than is usual for its fingerprint.
 pub(crate) fn has_bad_plan(attempt: &RunningAttempt, expectation: &Expectation) -> bool {
-    let progress = attempt.progress();
-    let (Some(work), Some(rows), Some(usual)) =
-        (progress.work, progress.rows, expectation.work_by_rows)
-    else {
+    let (Some(work), Some(rows), Some(usual)) = (
+        attempt.work(),
+        attempt.progress().rows,
+        expectation.work_by_rows,
+    ) else {
         return false;
     };
-    work_by_rows(work as f64, rows as f64) > BAD_PLAN_FACTOR * usual
+    work_by_rows(work, rows as f64) > BAD_PLAN_FACTOR * usual
 }
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -13,11 +13,12 @@
 
 use crate::distributions::{Distributions, Run};
 use crate::expectation::{
-    Expectation, Expected, MIN_RUNS_KNOWN, estimate_accuracy, estimate_factor, expected_figure,
-    expected_memory, expected_of_remote, usual_work_by_rows,
+    Expectation, Expected, MIN_RUNS_KNOWN, estimate_accuracy, estimate_factor, expected_memory,
+    expected_of_remote, expected_quantity, usual_work_by_rows,
 };
 use crate::fingerprint_statistics::{ClassStatistics, FingerprintStatistics};
 use crate::interface::{Announced, Class, FingerprintId};
+use crate::units::{RunTime, Work};
 
 /// Unknown fingerprints may use one place in this many.
 const UNKNOWN_QUOTA_DIVISOR: usize = 4;
@@ -134,18 +135,18 @@
         let statistics = self.fingerprints.get(&fingerprint);
         let (own, scale) = statistics.map_or((None, 1.0), |s| s.nearest_size(announced.size));
         let objective = class_settings.latency_objective as f64;
-        let run_time = expected_figure(
+        let run_time = expected_quantity(
             own.map(|distributions| &distributions.run_time),
             scale,
             &by_class.distributions.run_time,
-            objective,
+            RunTime(objective),
             class_settings,
         );
-        let work = expected_figure(
+        let work = expected_quantity(
             own.map(|distributions| &distributions.work),
             scale,
             &by_class.distributions.work,
-            objective * class_settings.threads,
+            Work(objective * class_settings.threads),
             class_settings,
         );
         let accuracy = statistics
@@ -153,12 +154,12 @@
             .filter(|accuracy| accuracy.count() >= MIN_RUNS_KNOWN)
             .unwrap_or(&by_class.estimate_accuracy);
         let factor = announced.estimate.map_or(1.0, |estimate| {
-            estimate_factor(estimate as f64, accuracy, work.usual)
+            estimate_factor(Work(estimate as f64), accuracy, work.usual)
         });
         Expectation {
             run_time: run_time.scaled(factor),
             work: work.scaled(factor),
-            memory_mb: own
+            memory: own
                 .and_then(|own| expected_memory(own, scale))
                 .map(|memory| memory.scaled(factor)),
             work_by_rows: own.and_then(usual_work_by_rows),
@@ -166,8 +167,12 @@
         }
     }
 
-    /// The expected run time, in µs, of a statement of another router.
-    pub(crate) fn remote_expectation(&self, class: usize, class_settings: &Class) -> Expected {
+    /// The expected run time of a statement of another router.
+    pub(crate) fn remote_expectation(
+        &self,
+        class: usize,
+        class_settings: &Class,
+    ) -> Expected<RunTime> {
         expected_of_remote(&self.classes[class].distributions.run_time, class_settings)
     }
 
@@ -183,7 +188,7 @@
             .estimate
             .zip(run.work)
             .map_or(0.0, |(estimate, work)| {
-                estimate_accuracy(work, estimate as f64)
+                estimate_accuracy(work, Work(estimate as f64))
             });
         let by_class = &mut self.classes[class];
         by_class.distributions.add(run);
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -18,8 +18,8 @@
 
 fn run(seconds: f64) -> Run {
     Run {
-        run_time: seconds * S,
-        work: Some(2.0 * seconds * S),
+        run_time: RunTime(seconds * S),
+        work: Some(Work(2.0 * seconds * S)),
         ..Run::default()
     }
 }
@@ -38,10 +38,15 @@
     statistics
 }
 
-fn expected_run_time(statistics: &Statistics, fingerprint: u64, announced: Announced) -> Expected {
+fn expected_run_time(
+    statistics: &Statistics,
+    fingerprint: u64,
+    announced: Announced,
+) -> Expected<f64> {
     statistics
         .expectation(FingerprintId(fingerprint), 0, &class_settings(), announced)
         .run_time
+        .figures()
 }
 
 #[test]
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -8,6 +8,7 @@
 use crate::attempts::Attempts;
 use crate::interface::{BlockedState, Class};
 use crate::statistics::Statistics;
+use crate::units::RunTime;
 use crate::wait_graph::WaitGraph;
 
 /// Multiple of the usual run time from which an attempt may be inferred to wait for a load.
@@ -72,12 +73,12 @@
 
     /// Where engines report no waits: whether an attempt may wait for a load of another router. It may not if another
     /// attempt on its table group that started later ran there as usual; otherwise it may if another one runs long
-    /// there too, or if it has run no longer than a load may. `run_time` is in µs.
+    /// there too, or if it has run no longer than a load may.
     pub(crate) fn may_be_blocked_unseen(
         &self,
         now: Micros,
         attempt: &RunningAttempt,
-        run_time: f64,
+        run_time: RunTime,
         attempts: &Attempts,
         statistics: &Statistics,
         classes: &[Class],
@@ -101,14 +102,14 @@
             return false;
         }
         let longest_load = loads
-            .map(|(class, settings)| statistics.remote_expectation(class, settings).bound)
+            .map(|(class, settings)| statistics.remote_expectation(class, settings).bound.0)
             .fold(0.0, f64::max);
         let runs_long_too = |other: &RunningAttempt| {
             is_same_tables(other, attempt)
                 && other.start().attempt != start.attempt
                 && takes_unusually_long(now, other)
         };
-        awaited(attempts).any(runs_long_too) || run_time <= longest_load
+        awaited(attempts).any(runs_long_too) || run_time.0 <= longest_load
     }
 
     /// Whether any engine reported progress lately.
@@ -159,6 +160,6 @@
 fn takes_unusually_long(now: Micros, attempt: &RunningAttempt) -> bool {
     let usual = attempt
         .expectation()
-        .map_or(f64::INFINITY, |expected| expected.run_time.usual);
-    attempt.active_time(now) > MAY_WAIT_FACTOR * usual
+        .map_or(f64::INFINITY, |expected| expected.run_time.usual.0);
+    attempt.active_time(now).0 > MAY_WAIT_FACTOR * usual
 }
