--- a/crates/router-core/src/command.rs
+++ b/crates/router-core/src/command.rs
@@ -57,7 +57,7 @@
     HealthCheck(EngineId),
     /// Refresh the engine list from discovery now.
     RefreshDiscovery,
-    /// Notify those who wait for news of this statement.
+    /// Notify those who wait for updates of this statement.
     NotifyWaiters(StatementId),
     /// The final response to a statement is settled.
     Settled {
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -9,7 +9,9 @@
 use crate::history::StatementHistory;
 use crate::identity::StatementId;
 use crate::response::FinalResponse;
-use crate::statement::{RunawayProfile, Statement, StatementState};
+use crate::runaway_profile::RunawayProfile;
+use crate::statement::Statement;
+use crate::statement_state::StatementState;
 use crate::submission::{Submission, SubmitError};
 
 impl Core {
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -7,7 +7,7 @@
 use crate::command::{AttemptOutcome, Command};
 use crate::identity::StatementId;
 use crate::response::{EngineError, FinalResponse, ResultPage};
-use crate::statement::StatementState;
+use crate::statement_state::StatementState;
 
 impl Core {
     /// Reports the progress of a running attempt.
@@ -68,7 +68,7 @@
             return;
         };
         let event = statement.record_outcome(attempt, now, &outcome, false);
-        if statement.is_streaming_from(attempt) {
+        if statement.state().is_streaming_from(attempt) {
             // Rows were delivered, and another attempt could repeat them: there is none.
             self.settle(now, id, FinalResponse::Truncated(outcome.reason));
         } else {
@@ -93,7 +93,7 @@
         };
         match statement.state() {
             // Rows were delivered; the rest of the result is lost.
-            StatementState::Streaming { .. } if statement.is_streaming_from(attempt) => {
+            StatementState::Streaming { .. } if statement.state().is_streaming_from(attempt) => {
                 self.settle(now, id, FinalResponse::Truncated(reason));
                 return;
             }
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -6,7 +6,8 @@
 use crate::command::Command;
 use crate::identity::StatementId;
 use crate::response::{FinalResponse, PollOutcome, ResponseContent, ResultPage};
-use crate::statement::{Delivery, ResponsePosition};
+use crate::statement::ResponsePosition;
+use crate::statement_state::Delivery;
 
 impl Core {
     /// Polls for the response of that number.
@@ -23,7 +24,7 @@
             ResponsePosition::Latest => PollOutcome::Response(statement.latest()),
             ResponsePosition::Superseded => PollOutcome::Gone,
             ResponsePosition::NeverOffered => PollOutcome::Unknown,
-            ResponsePosition::Next if statement.has_news() => self.deliver(now, id),
+            ResponsePosition::Next if statement.state().has_undelivered() => self.deliver(now, id),
             ResponsePosition::Next => PollOutcome::Pending,
         }
     }
@@ -41,14 +42,14 @@
         }
     }
 
-    /// A client starts to wait for news of a statement.
+    /// A client starts to wait for updates of a statement.
     pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.add_waiter(now);
         }
     }
 
-    /// A client no longer waits for news of a statement.
+    /// A client no longer waits for updates of a statement.
     pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.remove_waiter(now);
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! Runs a core: its clock, its batches of decisions, and notifications to those who wait for news of a statement.
+//! Runs a core: its clock, its batches of decisions, and notifications to those who wait for updates of a statement.
 //!
 //! The commands that the core yields go to a [`CommandExecutor`]. Client protocols, and other parts that ask the core,
 //! depend on this module and not on the router that connects them.
@@ -47,8 +47,8 @@
     started_at: Instant,
     /// Notified when the core has events for a batch.
     events_available: Event,
-    /// By statement: notified when there is news of it.
-    statement_news: RefCell<HashMap<StatementId, Rc<Event>>>,
+    /// By statement: notified when there are updates of it.
+    statement_updates: RefCell<HashMap<StatementId, Rc<Event>>>,
     stats: Cell<BatchStats>,
 }
 
@@ -61,7 +61,7 @@
             tick,
             started_at: Instant::now(),
             events_available: Event::new(),
-            statement_news: RefCell::default(),
+            statement_updates: RefCell::default(),
             stats: Cell::default(),
         }
     }
@@ -104,9 +104,9 @@
         value
     }
 
-    /// Listens for news of a statement. To be called before the core is polled, so that no news is missed.
+    /// Listens for updates of a statement. To be called before the core is polled, so that no update is missed.
     pub fn listen(&self, id: StatementId) -> EventListener {
-        self.statement_news
+        self.statement_updates
             .borrow_mut()
             .entry(id)
             .or_default()
@@ -115,19 +115,19 @@
 
     /// Removes the statement's event if nobody listens for it any more.
     pub fn release_listener(&self, id: StatementId) {
-        let mut statement_news = self.statement_news.borrow_mut();
-        if statement_news
+        let mut statement_updates = self.statement_updates.borrow_mut();
+        if statement_updates
             .get(&id)
-            .is_some_and(|news| news.total_listeners() == 0)
+            .is_some_and(|updates| updates.total_listeners() == 0)
         {
-            statement_news.remove(&id);
+            statement_updates.remove(&id);
         }
     }
 
-    /// Notifies all who listen for news of a statement.
+    /// Notifies all who listen for updates of a statement.
     pub fn notify_waiters(&self, id: StatementId) {
-        if let Some(news) = self.statement_news.borrow().get(&id) {
-            news.notify(usize::MAX);
+        if let Some(updates) = self.statement_updates.borrow().get(&id) {
+            updates.notify(usize::MAX);
         }
     }
 
--- a/crates/router-core/src/lib.rs
+++ b/crates/router-core/src/lib.rs
@@ -7,10 +7,11 @@
 //! [`Core::submit`] accepts a statement; from then on the core owes it exactly one final response. The responses of a
 //! statement are numbered. A response can be polled again, and is then the same, until its successor is polled.
 //!
-//! - [`event_loop`] runs a core: its clock, its batches of decisions, and the clients that wait for news;
+//! - [`event_loop`] runs a core: its clock, its batches of decisions, and the clients that wait for updates;
 //! - `core` holds the decisions, split by concern: admission, attempts, delivery, expiry, controller actions and the
 //!   bridge to the runaway detector;
-//! - `statement`, `attempt_log` and `statement_table` hold the state of statements, `endpoints` the engine list;
+//! - `statement`, `statement_state`, `attempt_log` and `statement_table` hold the state of statements, `endpoints` the
+//!   engine list;
 //! - `submission`, `command`, `response`, `history` and `limits` hold the data that goes in and comes out.
 
 #![warn(missing_docs)]
@@ -25,7 +26,9 @@
 mod identity;
 mod limits;
 mod response;
+mod runaway_profile;
 mod statement;
+mod statement_state;
 mod statement_table;
 mod submission;
 
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -3,44 +3,16 @@
 use std::rc::Rc;
 
 use hoptiller_policy::{AttemptStatus, EngineId, Event, LoadReport, Micros, Outcome, RequestId};
-use hoptiller_runaway::{Announced, FingerprintId};
 
 use crate::attempt_log::{AttemptLog, MICROS_PER_MILLI};
 use crate::command::{Attempt, AttemptOutcome};
 use crate::history::{StatementHistory, StatementPhase};
 use crate::identity::StatementId;
 use crate::response::{FinalResponse, ResponseContent, ResultPage, StatementResponse};
+use crate::runaway_profile::RunawayProfile;
+use crate::statement_state::{Delivery, StatementState};
 use crate::submission::{EngineStatement, Submission};
 
-/// How far a statement has come.
-#[derive(Debug)]
-pub(crate) enum StatementState {
-    /// With the controller: it is queued, or its attempts run.
-    Pending,
-    /// A first page was received and not delivered: another attempt could still replace it.
-    FirstPageReady { attempt: u32, page: ResultPage },
-    /// Rows were delivered: only this attempt can continue.
-    Streaming {
-        attempt: u32,
-        next: Option<ResultPage>,
-    },
-    /// The final response is settled.
-    Settled(FinalResponse),
-}
-
-impl StatementState {
-    /// Size of the buffered page in bytes.
-    fn buffered_bytes(&self) -> u64 {
-        match self {
-            StatementState::FirstPageReady { page, .. }
-            | StatementState::Streaming {
-                next: Some(page), ..
-            } => page.size_bytes(),
-            _ => 0,
-        }
-    }
-}
-
 /// The position of a response number among a statement's responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponsePosition {
@@ -54,34 +26,6 @@
     NeverOffered,
 }
 
-/// What the next response holds.
-#[derive(Debug)]
-pub(crate) enum Delivery {
-    /// A page of an attempt's result.
-    Page {
-        attempt: u32,
-        page: ResultPage,
-        is_first: bool,
-    },
-    /// The final response.
-    Final(FinalResponse),
-}
-
-/// What the runaway detector needs to know of a statement's attempts.
-#[derive(Clone, Debug)]
-pub(crate) struct RunawayProfile {
-    /// Its fingerprint within its class.
-    pub(crate) fingerprint: FingerprintId,
-    /// What a hold on it applies to.
-    pub(crate) held_as: FingerprintId,
-    /// Its text without literal values.
-    pub(crate) label: Rc<str>,
-    /// What the client announced of its size.
-    pub(crate) announced: Announced,
-    /// Number of the group of tables that it reads or writes.
-    pub(crate) group: Option<u64>,
-}
-
 /// Options that the controller sets for the next attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SendOptions {
@@ -107,7 +51,7 @@
     /// The last response delivered.
     latest: Rc<StatementResponse>,
     last_polled_at: Micros,
-    /// Number of polls that wait for news.
+    /// Number of polls that wait for updates.
     waiters: u32,
     settled_at: Option<Micros>,
     /// The final response was delivered, or nobody is there to receive it.
@@ -180,26 +124,11 @@
         matches!(self.state, StatementState::Pending)
     }
 
-    /// Whether rows of this attempt were delivered, so that only it can continue.
-    pub(crate) fn is_streaming_from(&self, attempt: u32) -> bool {
-        matches!(self.state, StatementState::Streaming { attempt: streaming, .. } if streaming == attempt)
-    }
-
     /// Whether the final response is settled.
     pub(crate) fn is_settled(&self) -> bool {
         matches!(self.state, StatementState::Settled(_))
     }
 
-    /// Whether there is something new to deliver.
-    pub(crate) fn has_news(&self) -> bool {
-        matches!(
-            self.state,
-            StatementState::FirstPageReady { .. }
-                | StatementState::Streaming { next: Some(_), .. }
-                | StatementState::Settled(_)
-        )
-    }
-
     /// When the final response was settled.
     pub(crate) fn settled_at(&self) -> Option<Micros> {
         self.settled_at
@@ -215,7 +144,7 @@
         self.last_polled_at
     }
 
-    /// Whether a poll waits for news.
+    /// Whether a poll waits for updates.
     pub(crate) fn has_waiters(&self) -> bool {
         self.waiters > 0
     }
@@ -225,13 +154,13 @@
         self.last_polled_at = now;
     }
 
-    /// A poll starts to wait for news.
+    /// A poll starts to wait for updates.
     pub(crate) fn add_waiter(&mut self, now: Micros) {
         self.record_poll(now);
         self.waiters += 1;
     }
 
-    /// A poll no longer waits for news.
+    /// A poll no longer waits for updates.
     pub(crate) fn remove_waiter(&mut self, now: Micros) {
         self.record_poll(now);
         self.waiters = self.waiters.saturating_sub(1);
@@ -265,43 +194,12 @@
 
     /// Discards the first page of an attempt if it is not delivered yet. Returns its size in bytes.
     pub(crate) fn discard_first_page(&mut self, attempt: u32) -> u64 {
-        match &self.state {
-            StatementState::FirstPageReady { attempt: ready, .. } if *ready == attempt => {
-                let discarded = self.state.buffered_bytes();
-                self.state = StatementState::Pending;
-                discarded
-            }
-            _ => 0,
-        }
+        self.state.discard_first_page(attempt)
     }
 
     /// Takes what is new to deliver. A first page commits the statement to its attempt.
     pub(crate) fn take_delivery(&mut self) -> Option<Delivery> {
-        let (attempt, page, is_first) =
-            match std::mem::replace(&mut self.state, StatementState::Pending) {
-                StatementState::FirstPageReady { attempt, page } => (attempt, page, true),
-                StatementState::Streaming {
-                    attempt,
-                    next: Some(page),
-                } => (attempt, page, false),
-                StatementState::Settled(response) => {
-                    self.state = StatementState::Settled(response.clone());
-                    return Some(Delivery::Final(response));
-                }
-                state => {
-                    self.state = state;
-                    return None;
-                }
-            };
-        self.state = StatementState::Streaming {
-            attempt,
-            next: None,
-        };
-        Some(Delivery::Page {
-            attempt,
-            page,
-            is_first,
-        })
+        self.state.take_delivery()
     }
 
     /// Settles the final response. Returns the size in bytes of the page that it discards.
