--- a/crates/runaway/src/blocker.rs
+++ b/crates/runaway/src/blocker.rs
@@ -9,7 +9,7 @@
     AttemptId, Cause, Class, Evidence, Finding, FingerprintId, MAX_BLOCKED_NAMES, Measure, Subject,
     Verdict,
 };
-use crate::measures::{CONFIRMATION_TIME, CROWD_BOUND_FACTOR, MIN_CROWD, evidence};
+use crate::measures::{CONFIRMATION_TIME, MANY_WAITERS, MANY_WAITERS_BOUND_FACTOR, evidence};
 use crate::remote_statements::RemoteStatements;
 use crate::statistics::Statistics;
 use crate::units::RunTime;
@@ -76,8 +76,8 @@
         classes: &[Class],
     ) -> Option<Evidence> {
         let mut expected = self.expected_run_time(statistics, classes)?;
-        if blocked >= MIN_CROWD {
-            expected = expected.with_bound_factor(CROWD_BOUND_FACTOR);
+        if blocked >= MANY_WAITERS {
+            expected = expected.with_bound_factor(MANY_WAITERS_BOUND_FACTOR);
         }
         let run_time = RunTime(now.saturating_sub(self.started_at) as f64);
         (run_time > expected.bound).then(|| evidence(Measure::Run, run_time, expected))
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempts.rs
@@ -110,10 +110,10 @@
         let slowness = self.engine_speeds.slowness_for(now, attempt).factor;
         let was_runaway = self.findings.is_runaway(&attempt.subject());
         let completion = Completion::new(now, attempt, expectation, slowness, was_runaway);
-        if let Some(times) = completion.engine_sample {
+        if let Some(slowdown) = completion.engine_sample {
             let sample = Sample {
                 fingerprint: start.fingerprint,
-                times,
+                slowdown,
             };
             self.engine_speeds
                 .record_completion(now, start.engine, sample);
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -57,3 +57,6 @@
         DueEnforcement { resume, end }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -21,7 +21,7 @@
 /// Multiple of the usual run time from which a running attempt says anything of its engine.
 const MIN_SLOW_SAMPLE: f64 = 2.0;
 /// Slowness from which an engine is reported.
-pub(crate) const SLOW: f64 = 3.0;
+pub(crate) const MIN_REPORTED_SLOWNESS: f64 = 3.0;
 /// Ratio to the median slowness of the others from which an engine is reported.
 const MIN_RATIO_TO_OTHERS: f64 = 2.0;
 
@@ -31,13 +31,13 @@
     /// Its fingerprint.
     pub(crate) fingerprint: FingerprintId,
     /// Ratio of its run time to the usual one.
-    pub(crate) times: f64,
+    pub(crate) slowdown: f64,
 }
 
 /// How slow an engine is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Slowness {
-    /// Ratio of run times to usual ones, at least 1.
+    /// Ratio of run slowdown to usual ones, at least 1.
     pub(crate) factor: f64,
     /// Attempts that it rests on.
     pub(crate) samples: usize,
@@ -116,8 +116,8 @@
             .filter(|(at, _)| *at >= since);
         let mut by_fingerprint: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
         for sample in ended.map(|(_, sample)| sample).chain(running) {
-            let times = by_fingerprint.entry(sample.fingerprint).or_default();
-            times.push(sample.times);
+            let slowdowns = by_fingerprint.entry(sample.fingerprint).or_default();
+            slowdowns.push(sample.slowdown);
         }
         let samples = by_fingerprint.values().map(Vec::len).sum();
         if samples < MIN_SAMPLES {
@@ -129,7 +129,7 @@
         // By fingerprint: one that has changed is slow everywhere and says nothing of an engine.
         let mut medians: Vec<f64> = by_fingerprint
             .values_mut()
-            .map(|times| median(times))
+            .map(|slowdowns| median(slowdowns))
             .collect();
         Slowness {
             factor: median(&mut medians).clamp(1.0, MAX_SLOWNESS),
@@ -148,10 +148,10 @@
         .map_or(1.0, |work| work.0 / expectation.work.usual.0.max(1.0))
         .max(1.0);
     let usual = expectation.run_time.usual.0.max(1.0) * size_ratio;
-    let times = attempt.active_time(now).0 / usual;
-    (times >= MIN_SLOW_SAMPLE).then_some(Sample {
+    let slowdown = attempt.active_time(now).0 / usual;
+    (slowdown >= MIN_SLOW_SAMPLE).then_some(Sample {
         fingerprint: attempt.start().fingerprint,
-        times,
+        slowdown,
     })
 }
 
@@ -174,9 +174,12 @@
         .collect();
     let usual = median(&mut known);
     if is_reported {
-        return own.factor >= SLOW / 2.0 && own.factor >= MIN_RATIO_TO_OTHERS / 2.0 * usual;
+        return own.factor >= MIN_REPORTED_SLOWNESS / 2.0
+            && own.factor >= MIN_RATIO_TO_OTHERS / 2.0 * usual;
     }
-    own.samples > MIN_SAMPLES && own.factor >= SLOW && own.factor >= MIN_RATIO_TO_OTHERS * usual
+    own.samples > MIN_SAMPLES
+        && own.factor >= MIN_REPORTED_SLOWNESS
+        && own.factor >= MIN_RATIO_TO_OTHERS * usual
 }
 
 #[cfg(test)]
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -5,7 +5,7 @@
         .iter()
         .map(|t| Sample {
             fingerprint: FingerprintId(1),
-            times: *t,
+            slowdown: *t,
         })
         .collect()
 }
@@ -26,7 +26,7 @@
     let mut mixed = samples(&[50.0; 9]);
     mixed.push(Sample {
         fingerprint: FingerprintId(2),
-        times: 1.1,
+        slowdown: 1.1,
     });
     assert_eq!(
         speeds.slowness_with(0, EngineId(1), &mixed),
--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/judgement.rs
@@ -12,7 +12,7 @@
 use crate::expectation::Expectation;
 use crate::interface::{Basis, BlockedState, Cause, Class, Evidence, Measure};
 use crate::measures::{
-    CROWD_BOUND_FACTOR, Excess, MIN_CROWD, evidence, has_bad_plan, largest_excess,
+    Excess, MANY_WAITERS, MANY_WAITERS_BOUND_FACTOR, evidence, has_bad_plan, largest_excess,
 };
 use crate::statistics::Statistics;
 use crate::units::RunTime;
@@ -90,7 +90,7 @@
             });
         }
         let blocked = self.waits.waiter_names(name);
-        let blocks_many = blocked.len() >= MIN_CROWD;
+        let blocks_many = blocked.len() >= MANY_WAITERS;
         let Some(excess) = self.inexcusable_excess(attempt, expectation, blocks_many) else {
             return Judgement::WithinBound;
         };
@@ -116,7 +116,11 @@
         blocks_many: bool,
     ) -> Option<Excess> {
         let slowness = self.engine_speeds.slowness_for(self.now, attempt).factor;
-        let bound_factor = if blocks_many { CROWD_BOUND_FACTOR } else { 1.0 };
+        let bound_factor = if blocks_many {
+            MANY_WAITERS_BOUND_FACTOR
+        } else {
+            1.0
+        };
         let excess = largest_excess(attempt, expectation, self.now, slowness, bound_factor)?;
         // An attempt that is blocked is not at fault, whatever it took before.
         if attempt.is_blocked() {
@@ -161,7 +165,7 @@
                 && other.blocked_state(self.now) == Some(&BlockedState::Memory)
         };
         let waiters = self.attempts.values().filter(waits_for_memory).count();
-        (waiters >= MIN_CROWD).then(|| evidence(Measure::Memory, memory, expected))
+        (waiters >= MANY_WAITERS).then(|| evidence(Measure::Memory, memory, expected))
     }
 }
 
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -30,9 +30,9 @@
 /// A figure must be over its bound for this long; work already done needs no confirmation.
 pub(crate) const CONFIRMATION_TIME: Micros = 3_000_000;
 /// Number of blocked attempts from which their blocker is judged by a part of its bound.
-pub(crate) const MIN_CROWD: usize = 8;
+pub(crate) const MANY_WAITERS: usize = 8;
 /// That part.
-pub(crate) const CROWD_BOUND_FACTOR: f64 = 0.25;
+pub(crate) const MANY_WAITERS_BOUND_FACTOR: f64 = 0.25;
 
 /// A figure of an attempt that is over its bound.
 #[derive(Clone, Debug)]
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::engine_speed::{EngineSpeeds, SLOW, Slowness, is_slower_than_others};
+use crate::engine_speed::{EngineSpeeds, MIN_REPORTED_SLOWNESS, Slowness, is_slower_than_others};
 use crate::findings::Findings;
 use crate::interface::{
     Basis, Cause, Decision, EngineStatus, Evidence, Finding, Measure, Subject, Verdict,
@@ -69,7 +69,7 @@
         measure: Measure::Times,
         figure: slowness.factor,
         usual: 1.0,
-        bound: SLOW,
+        bound: MIN_REPORTED_SLOWNESS,
         basis: Basis::Class(slowness.samples as u64),
     };
     let subject = Subject::Engine(engine);
--- a/crates/runaway/src/unknown_runaways.rs
+++ b/crates/runaway/src/unknown_runaways.rs
@@ -39,3 +39,6 @@
         found_at.len() >= MIN_RUNAWAYS
     }
 }
+
+#[cfg(test)]
+mod tests;
