--- a/crates/coordination-server/src/in_flight.rs
+++ b/crates/coordination-server/src/in_flight.rs
@@ -5,7 +5,7 @@
 use hoptiller_coordination::Micros;
 
 use crate::entry::Entry;
-use crate::replica::RequestId;
+use crate::request::RequestId;
 use crate::state_machine::EntryId;
 
 /// An entry that is not decided by then is proposed again: its message was lost, or its leader.
--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod replica;
 pub mod replicated_log;
 mod replication;
+pub mod request;
 mod request_handlers;
 mod responses;
 pub mod server;
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -16,8 +16,9 @@
 use crate::membership::Membership;
 use crate::peer_link::PeerLink;
 use crate::peer_protocol::{BatchReceiver, LocalView, PeerError};
-use crate::replica::{CompletedRequest, Replica, RequestId, Response};
+use crate::replica::Replica;
 use crate::replicated_log::{LogError, Message, ReplicatedLog};
+use crate::request::{CompletedRequest, RequestId, Response};
 use crate::responses;
 use crate::storage::{DiskStorage, StorageError, StorageHandle};
 
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -2,41 +2,21 @@
 //! same code runs behind sockets and in simulated time.
 
 use hoptiller_coordination::{
-    Command, CommandResponse, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
+    Command, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
 };
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Entry;
 use crate::expiry_check::{ExpiryCheck, ExpiryView};
 use crate::in_flight::InFlightEntries;
-use crate::membership::{Membership, ReplaceError, Replacement};
+use crate::membership::{Membership, Replacement};
 use crate::replicated_log::{LogError, LogSize, Message, ReplicatedLog};
+use crate::request::{CompletedRequest, RequestId, Response};
 use crate::state_machine::{EntryId, StateMachine};
 
 /// Limit of the commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 512;
 
-/// The id of a request that waits for its response.
-pub type RequestId = u64;
-
-/// A request with its response.
-#[derive(Clone, Debug, PartialEq)]
-pub struct CompletedRequest {
-    /// The request.
-    pub request: RequestId,
-    /// Its response.
-    pub response: Response,
-}
-
-/// The response to a request that went through the log.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Response {
-    /// The result of a command.
-    Command(CommandResponse),
-    /// The number of the membership after a replacement.
-    Replaced(Result<u32, ReplaceError>),
-}
-
 /// What a replica needs to begin under a membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -90,7 +70,7 @@
             batch: Vec::new(),
             in_flight: InFlightEntries::default(),
             completed: Vec::new(),
-            next_request: 0,
+            next_request: RequestId::default(),
             next_sequence: 0,
             expiry_check: ExpiryCheck::default(),
             failure: None,
@@ -204,8 +184,9 @@
     }
 
     fn new_request(&mut self) -> RequestId {
-        self.next_request += 1;
-        self.next_request - 1
+        let request = self.next_request;
+        self.next_request = request.next();
+        request
     }
 
     fn new_entry_id(&mut self) -> EntryId {
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -8,7 +8,8 @@
 use hoptiller_http::Response as HttpResponse;
 use serde::Serialize;
 
-use crate::replica::{Replica, Response};
+use crate::replica::Replica;
+use crate::request::Response;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: Micros = 1000;
--- a/crates/coordination-server/tests/simulated/cluster.rs
+++ b/crates/coordination-server/tests/simulated/cluster.rs
@@ -7,8 +7,9 @@
     Command, CommandResponse, Document, Holder, LeaseTiming, Micros, Proposal,
 };
 use hoptiller_coordination_server::membership::{Membership, ReplaceError, Replacement};
-use hoptiller_coordination_server::replica::{Replica, ReplicatedState, RequestId, Response};
+use hoptiller_coordination_server::replica::{Replica, ReplicatedState};
 use hoptiller_coordination_server::replicated_log::{Message, ReplicatedLog};
+use hoptiller_coordination_server::request::{RequestId, Response};
 use hoptiller_coordination_server::storage::DiskStorage;
 
 pub const MS: Micros = 1000;
--- a/crates/coordination-server/tests/simulated/random_faults.rs
+++ b/crates/coordination-server/tests/simulated/random_faults.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hoptiller_coordination::CommandResponse;
-use hoptiller_coordination_server::replica::RequestId;
+use hoptiller_coordination_server::request::RequestId;
 
 use super::cluster::{Cluster, propose};
 
