--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -79,6 +79,8 @@
     settings: Settings,
     /// Whether engines report progress in this seed.
     reports_progress: bool,
+    /// Whether these reports contain work.
+    reports_work: bool,
     now: Micros,
     next_statement: u64,
     running: BTreeMap<AttemptId, Running>,
@@ -98,6 +100,7 @@
             draw,
             settings,
             reports_progress: seed % 4 != 3,
+            reports_work: seed % 4 != 2,
             now: 100 * S,
             next_statement: 0,
             running: BTreeMap::new(),
@@ -260,6 +263,9 @@
             if waits_for_memory && !self.draw.one_in(5) {
                 report.blocked_state = Some(BlockedState::Memory);
             }
+            if !self.reports_work {
+                report.work = None;
+            }
             detector.report_progress(self.now, id, report);
         }
         if self.draw.one_in(50) {
@@ -294,7 +300,8 @@
             if outcome == ExecutionOutcome::Abandoned {
                 self.abandoned.push(running.start.name);
             }
-            let work = (running.reports && !self.draw.one_in(5)).then_some(running.work as Micros);
+            let work = (running.reports && !self.draw.one_in(5) && self.reports_work)
+                .then_some(running.work as Micros);
             detector.end_attempt(self.now, id, outcome, work);
         }
         if self.abandoned.len() > 3 {
--- a/crates/runaway/tests/decision_digest/main.rs
+++ b/crates/runaway/tests/decision_digest/main.rs
@@ -23,6 +23,15 @@
 const STEPS: u64 = 1_600;
 const STEP: Micros = S / 4;
 
+/// The time from one step to the next: longer pauses now and then, and one after which abandoned attempts are given up.
+fn pause_after(number: u64) -> Micros {
+    match number {
+        1_199 => 1_000 * S,
+        number if number % 300 == 299 => 20 * S,
+        _ => STEP,
+    }
+}
+
 /// Plays one seed. Returns its digest, and adds to `counts` how often each label of a decision or finding came.
 fn play(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
     let mut generator = Generator::new(seed);
@@ -47,7 +56,7 @@
             recorder.add_number(counts.fingerprints as u64);
             recorder.add_bytes(&restored.save());
         }
-        generator.advance(if number % 300 == 299 { 20 * S } else { STEP });
+        generator.advance(pause_after(number));
     }
     let digest = recorder.digest();
     *counts = recorder.into_counts();
