--- a/crates/fault-harness/src/client_load.rs
+++ b/crates/fault-harness/src/client_load.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use hoptiller_audit::Recorder;
 use hoptiller_coordination::ConfigDuration;
-use hoptiller_mock_servers::client::{Ask, Client, Manner};
+use hoptiller_mock_servers::client::{Client, ClientOptions, ClientRequest};
 use serde::Deserialize;
 
 use crate::client_threads::{ClientControl, ClientThreads};
@@ -178,16 +178,16 @@
         Some(known[self.draws.router(known.len())].clone())
     }
 
-    fn statement(&self, mix: &WorkloadMix, request: u64) -> Ask {
-        Ask {
-            request,
+    fn statement(&self, mix: &WorkloadMix, request: u64) -> ClientRequest {
+        ClientRequest {
+            id: request,
             trace: format!("{}-{}-{request}", mix.class, self.number),
             class: mix.class.clone(),
-            key: None,
+            ordering_key: None,
             tags: String::new(),
             text: mix.text.clone(),
-            patience: Duration::from_micros(mix.timeout.as_micros()),
-            manner: Manner::default(),
+            timeout: Duration::from_micros(mix.timeout.as_micros()),
+            options: ClientOptions::default(),
         }
     }
 }
--- a/crates/fault-harness/src/fleet/test_fleet.rs
+++ b/crates/fault-harness/src/fleet/test_fleet.rs
@@ -7,7 +7,7 @@
 use hoptiller_coordination::Document;
 use hoptiller_coordination_client::Secret;
 use hoptiller_coordination_client::wire::ProposalResponse;
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 
@@ -34,7 +34,7 @@
     pub(super) replicas: Replicas,
     pub(super) routers: Routers,
     engines: Vec<MockEngine>,
-    pub(super) discovery: Running,
+    pub(super) discovery: ServerThread,
     pub(super) secret: Secret,
     pub(super) recorder: Recorder,
 }
@@ -53,7 +53,7 @@
         let recorder = Recorder::to_file(&records).map_err(FleetError::file(&records))?;
         let discovery = DiscoveryConfig {
             recorder: recorder.clone(),
-            fences: topology.engines.iter().any(|e| e.enforces_fencing),
+            enforces_fencing: topology.engines.iter().any(|e| e.enforces_fencing),
             ..DiscoveryConfig::default()
         }
         .start()
@@ -63,8 +63,8 @@
             let mut config = EngineConfig::new(&format!("engine-{index}"), &spec.kind, &spec.zone);
             config.discovery = Some(discovery.addr);
             config.recorder = recorder.clone();
-            config.spec.speed *= spec.speed.unwrap_or(1.0);
-            config.fences = spec.enforces_fencing;
+            config.work_model.speed *= spec.speed.unwrap_or(1.0);
+            config.enforces_fencing = spec.enforces_fencing;
             MockEngine::new(config)
         });
         Ok(TestFleet {
--- a/crates/fault-harness/src/mock_engine.rs
+++ b/crates/fault-harness/src/mock_engine.rs
@@ -3,13 +3,13 @@
 use std::io;
 use std::net::SocketAddr;
 
-use hoptiller_mock_servers::Running;
+use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::engine::EngineConfig;
 
 /// A mock engine. It crashes when this is dropped.
 pub(crate) struct MockEngine {
     config: EngineConfig,
-    running: Option<Running>,
+    running: Option<ServerThread>,
 }
 
 impl MockEngine {
@@ -30,7 +30,7 @@
         if self.running.is_none() {
             let running = self.config.start()?;
             self.config.listen = running.addr;
-            self.config.cold = true;
+            self.config.starts_cold = true;
             self.running = Some(running);
         }
         Ok(())
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -9,7 +9,7 @@
 use common::{ClientOptions, ClientOutcome, TestCluster, next_path, parse_json, path_of};
 use hoptiller_audit::Record;
 use hoptiller_http::{Method, Request};
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use serde_json::{Value, json};
 
@@ -35,23 +35,23 @@
 fn concurrent_polls_of_a_token_get_the_same_response_and_an_older_token_is_gone() {
     let cluster = TestCluster::new(2);
     let mut request = cluster.request("report", "SELECT 1 /* work=300ms rows=40 pages=4 */");
-    request.manner = ClientOptions {
-        doubles: true,
+    request.options = ClientOptions {
+        duplicates_polls: true,
         ..ClientOptions::default()
     };
     let (outcome, client) = cluster.run_with_client(&request);
     assert_eq!(outcome, ClientOutcome::Served(40));
     // The last response can be polled again; all before it are gone.
     let paths: Vec<&String> = client
-        .answers
+        .responses()
         .iter()
         .skip(1)
-        .map(|(path, _)| path)
+        .map(|received| &received.path)
         .collect();
     let (last, older) = paths.split_last().expect("polled");
     assert_eq!(
         cluster.get(last).body,
-        client.answers.last().expect("answered").1.body
+        client.responses().last().expect("answered").response.body
     );
     assert!(older.iter().all(|path| cluster.get(path).status.0 == 410));
     cluster.assert_rules_kept();
@@ -149,11 +149,12 @@
             v["engines"]["cancel"] = json!(cancel);
             v["limits"]["abandon_after"] = json!("600ms");
         };
-        let cluster = TestCluster::with_config(1, change, |e| e.spec.cancels = cancel);
+        let cluster =
+            TestCluster::with_config(1, change, |e| e.work_model.cancel_stops_work = cancel);
         let mut request = cluster.request("report", "SELECT 1 /* work=4s threads=2 */");
-        request.manner.leaves_after = Some(2);
+        request.options.abandon_after = Some(2);
         let (outcome, client) = cluster.run_with_client(&request);
-        assert_eq!(outcome, ClientOutcome::Left);
+        assert_eq!(outcome, ClientOutcome::Abandoned);
         cluster.wait_for_info("the statement to be released", |info| {
             info["openStatements"] == json!(0)
         });
@@ -175,7 +176,8 @@
             );
         }
         // A client that comes back gets the final response.
-        let next = next_path(&client.answers.last().expect("a response").1).expect("a nextUri");
+        let next =
+            next_path(&client.responses().last().expect("a response").response).expect("a nextUri");
         let response = cluster.get(&next);
         assert!(String::from_utf8_lossy(&response.body).contains("ABANDONED_QUERY"));
         cluster.assert_rules_kept();
@@ -185,10 +187,10 @@
 #[test]
 fn a_client_can_cancel_its_statement() {
     let change = |v: &mut Value| v["engines"]["cancel"] = json!(true);
-    let cluster = TestCluster::with_config(1, change, |e| e.spec.cancels = true);
+    let cluster = TestCluster::with_config(1, change, |e| e.work_model.cancel_stops_work = true);
     let mut request = cluster.request("report", "SELECT 1 /* work=4s threads=2 */");
-    request.manner.ends_after = Some(2);
-    assert_eq!(cluster.run(&request), ClientOutcome::Left);
+    request.options.cancel_after = Some(2);
+    assert_eq!(cluster.run(&request), ClientOutcome::Abandoned);
     cluster.wait_for_info("its work to be cancelled", |info| {
         info["attemptsUnderWay"] == json!(0)
     });
@@ -205,7 +207,7 @@
         "report",
         "SELECT 1 /* work=5ms rows=2000 pages=20 width=1000 */",
     );
-    request.manner.pause = Duration::from_millis(25);
+    request.options.poll_delay = Duration::from_millis(25);
     let max_held = std::thread::scope(|s| {
         let run = s.spawn(|| cluster.run(&request));
         let mut max_held = 0;
@@ -237,7 +239,7 @@
                 "lookup",
                 &format!("SELECT {n} /* work=5ms rows=1000 pages=10 width=1000 */"),
             );
-            request.manner.pause = Duration::from_millis(15);
+            request.options.poll_delay = Duration::from_millis(15);
             request
         })
         .collect();
@@ -398,14 +400,14 @@
 #[test]
 fn the_history_of_a_statement_is_shown() {
     let cluster = TestCluster::new(2);
-    cluster.set_faults(&Faults {
-        swallow: true,
-        ..Faults::default()
+    cluster.set_faults(&EngineFaults {
+        drop_submission: true,
+        ..EngineFaults::default()
     });
     let request = cluster.request("rent-load", "INSERT /* work=5ms */");
     let (outcome, client) = cluster.run_with_client(&request);
     assert!(matches!(outcome, ClientOutcome::Failed(_)));
-    let (_, response) = client.answers.last().expect("a response");
+    let response = &client.responses().last().expect("a response").response;
     let history = cluster.get(&history_path(&parse_json(response)));
     let history = parse_json(&history);
     assert_eq!(history["class"], json!("rent-load"));
--- a/crates/statement-router/tests/runaway_detection.rs
+++ b/crates/statement-router/tests/runaway_detection.rs
@@ -15,7 +15,7 @@
     runaways_of, start_router, wait_until,
 };
 use futures_lite::future;
-use hoptiller_mock_servers::fault::Faults;
+use hoptiller_mock_servers::engine_faults::EngineFaults;
 use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
 
@@ -67,7 +67,7 @@
         // By default it is reported and held only: its client gets a response when its timeout has passed.
         let outcome = run.join().expect("ends");
         assert!(
-            matches!(&outcome, ClientOutcome::Refused(name, _) if name == "HOPTILLER_REFUSED"),
+            matches!(&outcome, ClientOutcome::Rejected { error: name, .. } if name == "HOPTILLER_REFUSED"),
             "{outcome:?}"
         );
     });
@@ -91,7 +91,7 @@
     let lookup = |n: usize| {
         let text = format!("SELECT rent FROM due /* work=20ms set=7 {n} */");
         let mut request = with_tables(cluster.request("lookup", &text));
-        request.patience = SHORT_TIMEOUT;
+        request.timeout = SHORT_TIMEOUT;
         request
     };
     // So many that forty are sent to the load's engine.
@@ -139,9 +139,9 @@
     let short = "SELECT name FROM tenants /* work=60ms */";
     cluster.run_repeatedly("report", REPORT, 48);
     cluster.run_repeatedly("lookup", short, 48);
-    cluster.engines[1].fail(Faults {
-        slow: Some(15.0),
-        ..Faults::default()
+    cluster.engines[1].inject_faults(EngineFaults {
+        slowdown: Some(15.0),
+        ..EngineFaults::default()
     });
     let is_found = AtomicBool::new(false);
     std::thread::scope(|s| {
@@ -169,7 +169,7 @@
     cluster.assert_served(&honest);
     assert_eq!(count_findings(&cluster.runaways()), 0);
     let mut long = cluster.request("lookup", "SELECT new, heavy FROM t /* work=300s */");
-    long.patience = SHORT_TIMEOUT;
+    long.timeout = SHORT_TIMEOUT;
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the runaway", has_runaway);
@@ -187,7 +187,7 @@
     other.router.admin = Some(([127, 0, 0, 1], 0).into());
     let (_running, addr) = start_router(&mut other);
     let mut load = patient(cluster.request("rent-load", "INSERT INTO due /* work=300s set=7 */"));
-    load.manner.leaves_after = Some(2);
+    load.options.abandon_after = Some(2);
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&load));
         cluster.wait_until_sent(&load);
@@ -202,7 +202,7 @@
                 while !is_over.load(Ordering::Relaxed) {
                     let text = "SELECT rent FROM due /* work=20ms set=7 */";
                     let mut request = cluster.request("lookup", text);
-                    request.patience = SHORT_TIMEOUT;
+                    request.timeout = SHORT_TIMEOUT;
                     let mut client = Client::new("r2", addr, cluster.recorder.clone());
                     future::block_on(client.run(&request));
                 }
@@ -265,7 +265,7 @@
     assert!(shown["kindsKnown"].as_u64() <= Some(100), "{shown:#}");
     assert_eq!(shown["attemptsWatched"], json!(0), "{shown:#}");
     let mut long = cluster.request("lookup", "SELECT a FROM t /* work=300s */");
-    long.patience = SHORT_TIMEOUT;
+    long.timeout = SHORT_TIMEOUT;
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the runaway", has_runaway);
