--- a/crates/fault-harness/src/client_load.rs
+++ b/crates/fault-harness/src/client_load.rs
@@ -120,7 +120,7 @@
 
     /// Draws the pause before a statement: from a half to one and a half of the mean.
     pub fn pause(&mut self) -> Duration {
-        let mean = self.config.pause.0;
+        let mean = self.config.pause.as_micros();
         Duration::from_micros(mean / 2 + self.rng.below(mean))
     }
 
@@ -186,7 +186,7 @@
             ordering_key: None,
             tags: String::new(),
             text: mix.text.clone(),
-            timeout: Duration::from_micros(mix.timeout.0),
+            timeout: Duration::from_micros(mix.timeout.as_micros()),
             options: ClientOptions::default(),
         }
     }
--- a/crates/fault-harness/src/fleet_scenario/random_events.rs
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -71,11 +71,11 @@
             documents: self.documents.keys().cloned().collect(),
             routers,
             replicas,
-            interval: interval.0,
-            fault_at: interval.0,
+            interval: interval.as_micros(),
+            fault_at: interval.as_micros(),
             events: Vec::new(),
         };
-        draws.draw_until(self.duration.0)
+        draws.draw_until(self.duration.as_micros())
     }
 }
 
@@ -109,7 +109,7 @@
     /// Adds an event so long after the begin of the fault.
     fn add(&mut self, delay: u64, event: ScenarioEvent) {
         self.events.push(ScheduledEvent {
-            at: ConfigDuration(self.fault_at + delay),
+            at: ConfigDuration::from_micros(self.fault_at + delay),
             event,
         });
     }
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -86,7 +86,7 @@
             versions: Some(VersionRules {
                 max_overlap: max_overlap.as_micros() as u64,
                 compatible: outcome.compatible.clone(),
-                max_unheld: self.max_unheld.map(|span| span.0),
+                max_unheld: self.max_unheld.map(|span| span.as_micros()),
             }),
         };
         self.timeline.add_rules(&mut rules);
@@ -144,7 +144,7 @@
 
     fn play(mut self) -> Result<Outcome, ScenarioError> {
         for scheduled in std::mem::take(&mut self.events) {
-            self.follow_until(Duration::from_micros(scheduled.at.0));
+            self.follow_until(Duration::from_micros(scheduled.at.as_micros()));
             self.outcome.entries.push(OutcomeEntry {
                 elapsed_ms: self.load_started.elapsed().as_millis() as u64,
                 description: scheduled.event.to_string(),
@@ -152,7 +152,7 @@
             self.apply(&scheduled.event)?;
             self.load.set_routers(self.fleet.running_routers());
         }
-        self.follow_until(Duration::from_micros(self.timeline.duration.0));
+        self.follow_until(Duration::from_micros(self.timeline.duration.as_micros()));
         self.settle()
     }
 
--- a/crates/fault-harness/src/fleet_scenario/scenario.rs
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -86,7 +86,7 @@
     }
 
     fn description(&self) -> String {
-        let seconds = Duration::from_micros(self.timeline.duration.0).as_secs();
+        let seconds = Duration::from_micros(self.timeline.duration.as_micros()).as_secs();
         let documents = self.timeline.documents.len();
         format!(
             "a fleet's day of {seconds} s, {} keepers, {} routers, {documents} documents",
@@ -126,7 +126,7 @@
         Topology {
             engines: self.engines.clone(),
             router_settings: self.router_settings.clone(),
-            lease_term: Duration::from_micros(self.lease_term.0),
+            lease_term: Duration::from_micros(self.lease_term.as_micros()),
             drift_millionths: self.drift_millionths.unwrap_or(defaults.drift_millionths),
             router_skews: self.router_skews.clone(),
             replica_skews: self.replica_skews.clone(),
--- a/crates/fault-harness/src/fleet_scenario/timeline.rs
+++ b/crates/fault-harness/src/fleet_scenario/timeline.rs
@@ -57,7 +57,7 @@
             non_idempotent,
             ordered: false,
             machine_kinds: kinds.clone(),
-            latency_objective: class.aim.0,
+            latency_objective: class.aim.as_micros(),
             stretch: class.stretch,
             threads: class.threads,
         });
--- a/crates/statement-router/src/discovery/engine_state.rs
+++ b/crates/statement-router/src/discovery/engine_state.rs
@@ -72,7 +72,7 @@
     /// Applies what another router has observed.
     fn apply_note(&self, name: &str, note: &str, now: Micros) {
         let observations = EngineObservations::from_note(note);
-        let Some(observation) = observations.0.get(name) else {
+        let Some(observation) = observations.get(name) else {
             return;
         };
         let uptime = unix_millis().saturating_sub(observation.started_at_ms);
--- a/crates/statement-router/src/settings/fleet_document.rs
+++ b/crates/statement-router/src/settings/fleet_document.rs
@@ -145,7 +145,7 @@
 }
 
 fn duration(value: ConfigDuration) -> Duration {
-    Duration::from_micros(value.0)
+    Duration::from_micros(value.as_micros())
 }
 
 /// The index of an item; a new item is appended.
