--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -69,8 +69,8 @@
             state: EngineState::Up,
         },
     };
-    drained.list = Some(EndpointList(
-        (0..4).map(|n| (format!("engine-{n}"), member(n))).collect(),
+    drained.list = Some(EndpointList::from_iter(
+        (0..4).map(|n| (format!("engine-{n}"), member(n))),
     ));
     drained
 }
--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -9,6 +9,8 @@
 
 pub mod config;
 pub mod entry;
+mod expiry_check;
+mod in_flight;
 pub mod join;
 pub mod membership;
 mod node;
@@ -17,6 +19,7 @@
 pub mod replica;
 pub mod replicated_log;
 mod replication;
+pub mod request;
 mod request_handlers;
 mod responses;
 pub mod server;
@@ -24,4 +27,5 @@
 pub mod storage;
 
 pub use config::{Config, ConfigError};
+pub use peer_protocol::PeerError;
 pub use server::{Server, StartError, StopReason};
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -5,7 +5,7 @@
         .iter()
         .map(|t| Sample {
             fingerprint: FingerprintId(1),
-            times: *t,
+            slowdown: *t,
         })
         .collect()
 }
@@ -17,7 +17,7 @@
 #[test]
 fn slowness_needs_several_samples() {
     let speeds = EngineSpeeds::default();
-    let factor = |times: &[f64]| speeds.slowness(0, EngineId(1), &samples(times)).factor;
+    let factor = |times: &[f64]| speeds.slowness_with(0, EngineId(1), &samples(times)).factor;
     assert_eq!(factor(&[50.0, 50.0]), 1.0);
     assert_eq!(factor(&[1.0, 1.2, 50.0, 0.9]), 1.0);
     assert_eq!(factor(&[4.0, 5.0, 50.0, 6.0]), 5.0);
@@ -26,9 +26,12 @@
     let mut mixed = samples(&[50.0; 9]);
     mixed.push(Sample {
         fingerprint: FingerprintId(2),
-        times: 1.1,
+        slowdown: 1.1,
     });
-    assert_eq!(speeds.slowness(0, EngineId(1), &mixed), slowness(1.1, 10));
+    assert_eq!(
+        speeds.slowness_with(0, EngineId(1), &mixed),
+        slowness(1.1, 10)
+    );
 }
 
 #[test]
@@ -38,20 +41,20 @@
         speeds.record_completion(0, EngineId(1), samples(&[8.0])[0]);
     }
     assert_eq!(
-        speeds.slowness(COMPLETION_TTL, EngineId(1), &[]),
+        speeds.slowness_with(COMPLETION_TTL, EngineId(1), &[]),
         slowness(8.0, MAX_COMPLETIONS)
     );
     assert_eq!(
-        speeds.slowness(COMPLETION_TTL + 1, EngineId(1), &[]),
+        speeds.slowness_with(COMPLETION_TTL + 1, EngineId(1), &[]),
         slowness(1.0, 0)
     );
     speeds.retain(|_| false);
-    assert_eq!(speeds.slowness(0, EngineId(1), &[]).samples, 0);
+    assert_eq!(speeds.slowness_with(0, EngineId(1), &[]).samples, 0);
 }
 
 #[test]
-fn an_engine_stands_out_only_against_the_others() {
-    let new = |own, others: &[_]| stands_out(own, others, false);
+fn an_engine_is_slow_only_compared_with_the_others() {
+    let new = |own, others: &[_]| is_slower_than_others(own, others, false);
     assert!(
         new(slowness(4.0, 8), &[slowness(1.0, 8), slowness(1.2, 8)]) && new(slowness(4.0, 8), &[])
     );
@@ -64,7 +67,7 @@
             && !new(slowness(9.0, MIN_SAMPLES), &[slowness(1.0, 8)])
     );
     assert!(
-        stands_out(slowness(2.5, 8), &[slowness(1.0, 8)], true)
-            && !stands_out(slowness(1.2, 8), &[slowness(1.0, 8)], true)
+        is_slower_than_others(slowness(2.5, 8), &[slowness(1.0, 8)], true)
+            && !is_slower_than_others(slowness(1.2, 8), &[slowness(1.0, 8)], true)
     );
 }
