--- a/crates/cli/src/commands/fleet/leases.rs
+++ b/crates/cli/src/commands/fleet/leases.rs
@@ -6,10 +6,10 @@
 use hoptiller_coordination_client::wire::{self, LeaseStatus};
 
 use super::status::StatusArgs;
-use crate::run::Failure;
+use crate::error::CommandError;
 
 /// Prints the leases of all shards.
-pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, Failure> {
+pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, CommandError> {
     let leases: Vec<LeaseStatus> = args.keepers.open()?.get(wire::LEASES)?;
     if args.json {
         println!(
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -8,30 +8,30 @@
 use hoptiller_fault_harness::FleetScenario;
 use hoptiller_fault_harness::fleet_scenario::{FleetReport, Outcome, RunOptions, percentile};
 
-use crate::run::Failure;
+use crate::error::CommandError;
 use crate::scenarios;
 
 #[derive(clap::Args)]
 pub(crate) struct RunArgs {
-    /// The day, in Jsonnet
+    /// The scenario, in Jsonnet
     day: PathBuf,
-    /// What is drawn is drawn from it
+    /// The seed of the random events
     #[arg(long, default_value_t = 1, value_name = "N")]
     seed: u64,
-    /// The folder of records, logs and the verdict; it must not be there yet
+    /// The folder for records, logs and the verdict; it must not exist
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// The same day without versions: each router goes by its own file
+    /// The same scenario without configuration versions: each router uses its own file
     #[arg(long)]
     without: bool,
-    /// Acts under contradicting versions may overlap for so long, in ms. Engines record what comes when they get to
+    /// Attempts under contradicting versions may overlap for so long, in ms. Engines record an attempt when they get to
     /// run: on a loaded machine that is later than it was sent
     #[arg(long, default_value_t = 20, value_name = "MS")]
     overlap: u64,
     /// Print the verdict in JSON
     #[arg(long)]
     json: bool,
-    /// Have all processes of the fleet do this wrong, to see whether it is found: from-the-answer, never-ends, no-wait,
+    /// The fault to inject into all processes of the fleet, to see whether it is found: from-the-answer, never-ends, no-wait,
     /// forgets
     #[cfg(feature = "plant")]
     #[arg(long, value_name = "FAULT")]
@@ -43,15 +43,15 @@
 /// # Errors
 ///
 /// When the file has problems, the folder is there already, or the scenario can't be run.
-pub(super) fn run(args: &RunArgs) -> Result<ExitCode, Failure> {
+pub(super) fn run(args: &RunArgs) -> Result<ExitCode, CommandError> {
     let scenario = FleetScenario::load(&args.day).map_err(scenarios::failure)?;
     if args.report.exists() {
-        return Err(Failure::Usage(format!(
+        return Err(CommandError::Usage(format!(
             "{} is there already",
             args.report.display()
         )));
     }
-    crate::run::raise_descriptors();
+    crate::runtime::raise_descriptor_limit();
     end_with_signals();
     let program = scenarios::own_program("this program")?;
     let options = RunOptions {
@@ -76,33 +76,33 @@
 /// # Errors
 ///
 /// When the file or the settings in it have problems.
-pub(crate) fn check(file: &Path) -> Result<String, Failure> {
+pub(crate) fn check(file: &Path) -> Result<String, CommandError> {
     FleetScenario::check(file).map_err(scenarios::failure)
 }
 
 /// The environment variable that has all processes of the fleet do something wrong.
 #[cfg(feature = "plant")]
-fn planted_fault(args: &RunArgs) -> Result<Vec<(String, String)>, Failure> {
+fn planted_fault(args: &RunArgs) -> Result<Vec<(String, String)>, CommandError> {
     let Some(name) = &args.plant else {
         return Ok(Vec::new());
     };
     match hoptiller_coordination::fault_injection::Fault::from_name(name) {
         Some(_) => Ok(vec![(crate::PLANT.to_owned(), name.clone())]),
-        None => Err(Failure::Usage(format!(
+        None => Err(CommandError::Usage(format!(
             "--plant: {name:?} is no fault that is known"
         ))),
     }
 }
 
 #[cfg(not(feature = "plant"))]
-fn planted_fault(_: &RunArgs) -> Result<Vec<(String, String)>, Failure> {
+fn planted_fault(_: &RunArgs) -> Result<Vec<(String, String)>, CommandError> {
     Ok(Vec::new())
 }
 
 /// The fleet's processes end with this one, also where it is told to end.
 fn end_with_signals() {
     std::thread::spawn(|| {
-        if async_io::block_on(crate::run::told_to_end()).is_ok() {
+        if async_io::block_on(crate::runtime::wait_for_termination()).is_ok() {
             hoptiller_fault_harness::process::kill_all();
             std::process::exit(130);
         }
@@ -120,7 +120,7 @@
 
 fn print_text(report: &FleetReport) {
     let verdict = &report.verdict;
-    crate::commands::audit::print(verdict, false);
+    crate::commands::audit::print_verdict(verdict, false);
     let overlap = verdict.overlap.unwrap_or_default();
     println!(
         "acts under contradicting versions: {}, the longest overlap {} ms",
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `hoptiller fleet cluster-status`: what replicas report of themselves, of versions and of config leases.
+//! `hoptiller fleet status`: what replicas report of themselves, of versions and of config leases.
 
 use std::process::ExitCode;
 
@@ -6,14 +6,14 @@
 use hoptiller_coordination_client::wire::{self, ClusterStatus};
 use serde_json::{Value, json};
 
-use crate::keepers::KeeperArgs;
-use crate::run::Failure;
+use crate::error::CommandError;
+use crate::replicas::ReplicaArgs;
 
 #[derive(clap::Args)]
 pub(crate) struct StatusArgs {
     #[command(flatten)]
-    pub(super) keepers: KeeperArgs,
-    /// What each keeper answers, in JSON
+    pub(super) keepers: ReplicaArgs,
+    /// Print the response of each replica in JSON
     #[arg(long)]
     pub(super) json: bool,
 }
@@ -21,8 +21,11 @@
 type ReplicaStatus = (std::net::SocketAddr, Result<ClusterStatus, CallError>);
 
 /// Prints the status of each replica; the exit code is 3 where none answers.
-pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, Failure> {
-    let replicas = args.keepers.open()?.each::<ClusterStatus>(wire::STATUS);
+pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, CommandError> {
+    let replicas = args
+        .keepers
+        .open()?
+        .get_from_each::<ClusterStatus>(wire::STATUS);
     if args.json {
         print_json(&replicas);
     } else {
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -327,8 +327,8 @@
 
 async fn connect(addr: SocketAddr) -> Result<ClientConnection, ClientError> {
     let limits = Limits {
-        body: MAX_BODY_BYTES,
-        head: MAX_HEAD_BYTES,
+        max_body_bytes: MAX_BODY_BYTES,
+        max_head_bytes: MAX_HEAD_BYTES,
         ..Limits::default()
     };
     Connection::open(addr, CONNECT_TIMEOUT, limits).await
@@ -346,10 +346,10 @@
     let timeout_ms = request.timeout.as_millis();
     let session = format!("{}={timeout_ms}ms", names::MAX_RUN_TIME_PROPERTY);
     let mut submission = Request::new(Method::Post, STATEMENT_PATH)
-        .with(names::USER, "scripted")
-        .with(names::CLIENT_TAGS, &tags)
-        .with(names::TRACE_TOKEN, &request.trace)
-        .with(names::SESSION, &session);
+        .with_header(names::USER, "scripted")
+        .with_header(names::CLIENT_TAGS, &tags)
+        .with_header(names::TRACE_TOKEN, &request.trace)
+        .with_header(names::SESSION, &session);
     submission.body = request.text.clone().into_bytes();
     submission
 }
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -96,7 +96,7 @@
     let server_spawner = spawner.clone();
     spawner.spawn(async move {
         let config = Config::default();
-        let _ = hoptiller_http::server::serve(listener, config, handler, server_spawner).await;
+        hoptiller_http::server::serve(listener, config, handler, server_spawner).await;
     });
     Ok(addr)
 }
--- a/crates/mock-servers/src/engine.rs
+++ b/crates/mock-servers/src/engine.rs
@@ -64,14 +64,14 @@
     });
     let config = Config {
         limits: Limits {
-            body: MAX_BODY_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
             ..Limits::default()
         },
         ..Config::default()
     };
     let server_spawner = spawner.clone();
     spawner.spawn(async move {
-        let _ = hoptiller_http::server::serve(listener, config, handler, server_spawner).await;
+        hoptiller_http::server::serve(listener, config, handler, server_spawner).await;
     });
     Ok(addr)
 }
--- a/crates/mock-servers/src/engine/announcer.rs
+++ b/crates/mock-servers/src/engine/announcer.rs
@@ -61,6 +61,6 @@
     let mut request = Request::new(Method::Put, path);
     request.body = serde_json::to_vec(announcement).unwrap_or_default();
     request
-        .with("Content-Type", "application/json")
-        .with("Connection", "close")
+        .with_header("Content-Type", "application/json")
+        .with_header("Connection", "close")
 }
--- a/crates/mock-servers/src/engine/control.rs
+++ b/crates/mock-servers/src/engine/control.rs
@@ -68,7 +68,7 @@
     let response = Response::json(200, body.to_string());
     match effects {
         Some(effects) if !statement.faults.withhold_effects => {
-            response.with(extra::EFFECTS, effects)
+            response.with_header(extra::EFFECTS, effects)
         }
         _ => response,
     }
--- a/crates/mock-servers/src/engine/node_info.rs
+++ b/crates/mock-servers/src/engine/node_info.rs
@@ -79,7 +79,7 @@
         heap_available: memory_bytes,
     };
     let body = serde_json::to_vec(&status).unwrap_or_default();
-    Response::json(200, body).with(extra::LOAD, &state.load_header())
+    Response::json(200, body).with_header(extra::LOAD, &state.load_header())
 }
 
 fn put_faults(state: &EngineState, request: &Request) -> Response {
--- a/crates/mock-servers/src/engine/polling.rs
+++ b/crates/mock-servers/src/engine/polling.rs
@@ -47,7 +47,7 @@
             return gone().into();
         };
         if statement.faults.ignore_polls {
-            return Reply::Never;
+            return Reply::Hang;
         }
         statement.is_running().then(|| statement.listen_for_end())
     };
@@ -129,7 +129,7 @@
     let mut response = QueryResponse::new(stats)
         .with_next_page(page)
         .into_response(address)
-        .with(extra::LOAD, &state.load_header());
+        .with_header(extra::LOAD, &state.load_header());
     if let Some(progress) = progress {
         add_progress_headers(state, statement, &progress, &mut response);
     }
@@ -199,10 +199,13 @@
     let response = response
         .with_rows(rows)
         .into_response(address)
-        .with(extra::LOAD, &state.load_header())
-        .with(extra::COST, &cost);
+        .with_header(extra::LOAD, &state.load_header())
+        .with_header(extra::COST, &cost);
     match faults.truncate_pages_at {
-        Some(bytes) => Reply::Cut(response, bytes),
+        Some(bytes) => Reply::Truncate {
+            response,
+            max_bytes: bytes,
+        },
         None => response.into(),
     }
 }
--- a/crates/mock-servers/src/engine/submission.rs
+++ b/crates/mock-servers/src/engine/submission.rs
@@ -133,7 +133,7 @@
 }
 
 fn reject(state: &EngineState, reason: &str) -> Response {
-    Response::text(503, reason).with(extra::LOAD, &state.load_header())
+    Response::text(503, reason).with_header(extra::LOAD, &state.load_header())
 }
 
 fn record_sent(state: &EngineState, attempt: &SubmittedAttempt) {
@@ -160,7 +160,7 @@
 /// The response to the submission of a statement that runs now.
 fn admitted_reply(state: &EngineState, address: &QueryAddress, faults: &EngineFaults) -> Reply {
     if faults.hang {
-        return Reply::Never;
+        return Reply::Hang;
     }
     if faults.lose_response {
         return Reply::Close;
@@ -168,11 +168,14 @@
     if faults.malformed_response {
         let mut response = Response::text(200, "x");
         response.body = MALFORMED_BODY.to_vec();
-        return Reply::Cut(response, usize::MAX);
+        return Reply::Truncate {
+            response,
+            max_bytes: usize::MAX,
+        };
     }
     QueryResponse::new(Stats::from_state(State::Queued))
         .with_next_page(0)
         .into_response(address)
-        .with(extra::LOAD, &state.load_header())
+        .with_header(extra::LOAD, &state.load_header())
         .into()
 }
--- a/crates/mock-servers/src/server_thread.rs
+++ b/crates/mock-servers/src/server_thread.rs
@@ -35,7 +35,7 @@
             .name(name.to_owned())
             .spawn(move || {
                 let executor = Rc::new(LocalExecutor::new());
-                let result = start(Spawner::of(&executor));
+                let result = start(Spawner::new(&executor));
                 let is_started = result.is_ok();
                 let _ = started_sender.send(result);
                 if is_started {
--- a/crates/statement-router/src/context.rs
+++ b/crates/statement-router/src/context.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use event_listener::EventListener;
-use hoptiller_http::{Spawner, Ticks};
+use hoptiller_http::{CoarseTimer, Spawner};
 use hoptiller_policy::{EngineId, Micros};
 use hoptiller_router_core::event_loop::EventLoop;
 use hoptiller_router_core::{Core, StatementId};
@@ -22,7 +22,7 @@
     incarnation: String,
     event_loop: EventLoop,
     engines: Rc<EngineClient>,
-    timer: Ticks,
+    timer: CoarseTimer,
     spawner: Spawner,
     is_shutting_down: Cell<bool>,
     listed_engines: Cell<usize>,
@@ -47,7 +47,7 @@
             incarnation,
             event_loop,
             engines: Rc::new(engines),
-            timer: Ticks::new(&spawner),
+            timer: CoarseTimer::new(&spawner),
             spawner,
             is_shutting_down: Cell::new(false),
             listed_engines: Cell::new(0),
@@ -89,7 +89,7 @@
     }
 
     /// A coarse timer, for the many waits of polls.
-    pub fn timer(&self) -> &Ticks {
+    pub fn timer(&self) -> &CoarseTimer {
         &self.timer
     }
 
--- a/crates/statement-router/src/discovery/request.rs
+++ b/crates/statement-router/src/discovery/request.rs
@@ -23,14 +23,14 @@
     ) -> Result<Response, ClientError> {
         let timeout = self.settings.discovery.timeout;
         let mut request = Request::new(Method::Get, target)
-            .with(extra::ROUTER, &self.settings.router.name)
-            .with("Connection", "close");
+            .with_header(extra::ROUTER, &self.settings.router.name)
+            .with_header("Connection", "close");
         if let Some(operation) = operation {
             let lease = format!("{}#{}", operation.shard(), operation.fencing_token());
-            request = request.with(extra::LEASE, &lease);
+            request = request.with_header(extra::LEASE, &lease);
         }
         let limits = Limits {
-            body: MAX_RESPONSE_BYTES,
+            max_body_bytes: MAX_RESPONSE_BYTES,
             ..Limits::default()
         };
         let mut connection = Connection::open(addr, timeout, limits).await?;
--- a/crates/statement-router/src/engines/connection_pool.rs
+++ b/crates/statement-router/src/engines/connection_pool.rs
@@ -100,7 +100,9 @@
             }
             Ok(Some(versions)) => {
                 let versions = format_versions(&versions);
-                let request = request.clone().with(extra::CONFIG_VERSIONS, &versions);
+                let request = request
+                    .clone()
+                    .with_header(extra::CONFIG_VERSIONS, &versions);
                 self.exchange_over(connection, endpoint, &request, timeouts)
                     .await
             }
--- a/crates/statement-router/src/engines/transport.rs
+++ b/crates/statement-router/src/engines/transport.rs
@@ -45,8 +45,8 @@
 impl EngineTransport {
     pub(super) fn new(options: EngineOptions, class_names: Vec<String>) -> EngineTransport {
         let limits = Limits {
-            body: options.max_page_bytes,
-            head: MAX_RESPONSE_HEAD_BYTES,
+            max_body_bytes: options.max_page_bytes,
+            max_head_bytes: MAX_RESPONSE_HEAD_BYTES,
             ..Limits::default()
         };
         EngineTransport {
@@ -95,7 +95,7 @@
 
     /// A request that names this router.
     pub(super) fn request(&self, method: Method, target: impl Into<String>) -> Request {
-        Request::new(method, target).with(extra::ROUTER, &self.options.identity.router)
+        Request::new(method, target).with_header(extra::ROUTER, &self.options.identity.router)
     }
 
     pub(super) fn poll_timeouts(&self) -> Timeouts {
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -1,6 +1,5 @@
 //! The administration API: JSON over HTTP, on a listener of its own, as it shows the statements of all tenants.
 
-use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 
@@ -26,19 +25,15 @@
 /// Prefix of the path of a hold, before the fingerprint. `DELETE` releases it.
 pub const HOLDS_PATH: &str = "/v1/admin/holds/";
 
-/// Serves administrators. Returns only when the listener fails.
-///
-/// # Errors
-///
-/// The listener has failed.
-pub async fn serve(context: Rc<RouterContext>, listener: Async<TcpListener>) -> io::Result<()> {
+/// Serves administrators.
+pub async fn serve(context: Rc<RouterContext>, listener: Async<TcpListener>) {
     let config = Config {
         limits: Limits {
-            body: MAX_BODY_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
             ..Limits::default()
         },
-        connections: MAX_CONNECTIONS,
-        incoming: MAX_INCOMING_BYTES,
+        max_connections: MAX_CONNECTIONS,
+        max_incoming_bytes: MAX_INCOMING_BYTES,
         ..Config::default()
     };
     let spawner = context.spawner().clone();
@@ -46,7 +41,7 @@
         let context = context.clone();
         Box::pin(async move { Reply::Send(respond(&context, &request)) })
     });
-    hoptiller_http::server::serve(listener, config, handler, spawner).await
+    hoptiller_http::server::serve(listener, config, handler, spawner).await;
 }
 
 fn respond(context: &RouterContext, request: &Request) -> Response {
@@ -58,7 +53,7 @@
         (RUNAWAYS_PATH, Method::Get) => {
             Response::json(200, format!("{:#}", runaways_json(context)))
         }
-        (RUNAWAYS_PATH, _) => problem(405, "GET shows what runs away").with("Allow", "GET"),
+        (RUNAWAYS_PATH, _) => problem(405, "GET shows what runs away").with_header("Allow", "GET"),
         _ => problem(
             404,
             "nothing here; GET /v1/admin/runaways shows what runs away",
@@ -74,7 +69,7 @@
         );
     };
     if *method != Method::Delete {
-        return problem(405, "DELETE frees a held kind").with("Allow", "DELETE");
+        return problem(405, "DELETE frees a held kind").with_header("Allow", "DELETE");
     }
     if !context.with_core(|core, _| core.release_fingerprint(fingerprint)) {
         return problem(404, "that kind is not held");
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -274,7 +274,7 @@
     let response = Response::json(200, results.to_json(context.token_key()));
     if error.name.is_retryable() {
         let hold_off = context.settings().limits.max_retry_after;
-        response.with("Retry-After", &retry_after_seconds(hold_off))
+        response.with_header("Retry-After", &retry_after_seconds(hold_off))
     } else {
         response
     }
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -1,6 +1,5 @@
 //! The statement API over HTTP: routes requests, and waits for the responses of polls.
 
-use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::SystemTime;
@@ -30,25 +29,21 @@
 /// Responses to further paths, such as metrics.
 pub type ExtraRoutes = Rc<dyn Fn(&str) -> Option<Response>>;
 
-/// Serves clients. Returns only when the listener fails.
-///
-/// # Errors
-///
-/// The listener has failed.
+/// Serves clients.
 pub async fn serve(
     context: Rc<RouterContext>,
     listener: Async<TcpListener>,
     extra_routes: ExtraRoutes,
-) -> io::Result<()> {
+) {
     let settings = context.settings();
     let limits = &settings.limits;
     let config = Config {
         limits: Limits {
-            body: limits.max_statement_bytes,
+            max_body_bytes: limits.max_statement_bytes,
             ..Limits::default()
         },
-        connections: limits.max_connections,
-        incoming: limits.max_incoming_bytes,
+        max_connections: limits.max_connections,
+        max_incoming_bytes: limits.max_incoming_bytes,
         ..Config::default()
     };
     let spawner = context.spawner().clone();
@@ -56,7 +51,7 @@
         let (context, extra_routes) = (context.clone(), extra_routes.clone());
         Box::pin(async move { Reply::Send(respond(&context, request, &extra_routes).await) })
     });
-    hoptiller_http::server::serve(listener, config, handler, spawner).await
+    hoptiller_http::server::serve(listener, config, handler, spawner).await;
 }
 
 async fn respond(
@@ -97,7 +92,7 @@
 }
 
 fn method_not_allowed(allowed: &str) -> Response {
-    Response::text(405, "method not allowed here").with("Allow", allowed)
+    Response::text(405, "method not allowed here").with_header("Allow", allowed)
 }
 
 /// Where the client reaches this router: by its `Host` header where that is valid.
@@ -139,7 +134,8 @@
 }
 
 fn reject(rejected: &SubmissionRejected, retry_after: &str) -> Response {
-    Response::text(rejected.http_status(), &rejected.to_string()).with("Retry-After", retry_after)
+    Response::text(rejected.http_status(), &rejected.to_string())
+        .with_header("Retry-After", retry_after)
 }
 
 async fn poll(context: &RouterContext, token: &PageToken, base_uri: &str) -> Response {
--- a/crates/statement-router/src/service/startup.rs
+++ b/crates/statement-router/src/service/startup.rs
@@ -113,9 +113,7 @@
         let discovery = self.discovery.clone();
         spawner.spawn(discovery.run(spawner.clone(), endpoint_listener));
         let serving = statement_api::serve(self.context.clone(), listener, extra_routes);
-        spawner.spawn(async move {
-            let _ = serving.await;
-        });
+        spawner.spawn(serving);
         Ok(addr)
     }
 
@@ -125,9 +123,7 @@
         })?;
         self.admin_addr.set(Some(listener.get_ref().local_addr()?));
         let serving = admin_api::serve(self.context.clone(), listener);
-        self.context.spawner().spawn(async move {
-            let _ = serving.await;
-        });
+        self.context.spawner().spawn(serving);
         Ok(())
     }
 
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -17,7 +17,8 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn post(fields: &[(&str, &str)], body: &str) -> Request {
-    let mut request = Request::new(Method::Post, "/v1/statement").with("X-Trino-User", "ann");
+    let mut request =
+        Request::new(Method::Post, "/v1/statement").with_header("X-Trino-User", "ann");
     for (name, value) in fields {
         request.headers.push(name, value);
     }
