--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -22,7 +22,7 @@
     /// Traces (HOPTILLER_LOG=hoptiller_platform_router=debug), one file per router, or folders of them (*.log)
     #[arg(required = true)]
     traces: Vec<PathBuf>,
-    /// Number of engines to show, those with the most rejections first
+    /// Maximum number of engines to show, those with the most rejected and unreached attempts first
     #[arg(long = "most", value_name = "N", default_value_t = 12)]
     max_engines: usize,
 }
@@ -30,7 +30,7 @@
 /// The traces contain no attempt.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "no attempt in them; no verdict (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)"
+    "the traces contain no attempt, so nothing was compared (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)"
 )]
 pub(crate) struct EmptyTraceError;
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Prints a row for each engine, the one with the most failed attempts first, and one for all.
+    /// Prints a row for each engine, those with the most rejected and unreached attempts first, and one for all.
     fn print(&self, max_engines: usize) {
         let mut rows: Vec<(u32, &EngineObservations)> =
             self.engines.iter().map(|(id, row)| (*id, row)).collect();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -60,7 +60,7 @@
     /// Studies in simulated time, with the routers' own code.
     #[command(subcommand)]
     Experiment(commands::experiment::Args),
-    /// Judges the seven rules from a folder of records.
+    /// Judges the rules of service (docs/architecture.md) from a folder of records.
     Audit(commands::audit::Args),
     /// Compares the attempts in routers' traces with what their policy believed to be in flight.
     Beliefs(commands::beliefs::Args),
--- a/crates/cli/src/scenarios.rs
+++ b/crates/cli/src/scenarios.rs
@@ -12,7 +12,7 @@
         ScenarioError::Invalid(problems) => CommandError::Settings(problems),
         ScenarioError::Io { subject, source } => CommandError::io(subject)(source),
         ScenarioError::Fleet { step, source } => CommandError::io(step)(source),
-        ScenarioError::UnknownDocument(_) => CommandError::io("the day")(error),
+        ScenarioError::UnknownDocument(_) => CommandError::io("fleet run")(error),
         ScenarioError::Parse { .. }
         | ScenarioError::RouterNotStarted { .. }
         | ScenarioError::EnginesNotListed { .. } => CommandError::Usage(error.to_string()),
--- a/crates/fault-harness/src/fleet_scenario/report.rs
+++ b/crates/fault-harness/src/fleet_scenario/report.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct OutcomeEntry {
-    /// When it happened, in ms: events from the start of the client load on, the end from the start of the run on.
+    /// Time in ms: of an event since the start of the client load; of the last entry, "the end", since the start of the run.
     pub elapsed_ms: u64,
     /// What happened.
     pub description: String,
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -30,7 +30,7 @@
     pub program: &'a Path,
     /// The folder of records, logs and rules. It is created.
     pub report_dir: &'a Path,
-    /// What is drawn is drawn from it.
+    /// Seed of the random events and of the client load.
     pub seed: u64,
     /// Whether routers take part in coordination.
     pub coordinated: bool,
@@ -52,7 +52,7 @@
         let mut fleet =
             TestFleet::new(topology, options.program, options.report_dir).map_err(|source| {
                 ScenarioError::Fleet {
-                    step: "the stage",
+                    step: "fleet setup",
                     source,
                 }
             })?;
@@ -123,7 +123,7 @@
             .and_then(|()| fleet.start_routers(START_TIMEOUT))
             .map_err(run_error)?;
         let load = ClientLoad::start(&timeline.clients, seed, fleet.recorder())
-            .map_err(ScenarioError::io("the day"))?;
+            .map_err(ScenarioError::io("fleet run"))?;
         load.set_routers(fleet.running_routers());
         let (routers, replicas) = (fleet.topology().routers, fleet.topology().replicas);
         let mut events = timeline.events.clone();
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes all faults back, so that what was begun can end, and notes what has come of it.
+    /// Ends all faults, waits for the last version to come in force, and collects the outcome.
     fn settle(mut self) -> Result<Outcome, ScenarioError> {
         self.fleet.restore_links();
         self.fleet.start_stopped_replicas().map_err(run_error)?;
@@ -229,7 +229,7 @@
 
 fn run_error(source: FleetError) -> ScenarioError {
     ScenarioError::Fleet {
-        step: "the day",
+        step: "fleet run",
         source,
     }
 }
--- a/crates/fault-harness/src/fleet_scenario/timeline.rs
+++ b/crates/fault-harness/src/fleet_scenario/timeline.rs
@@ -26,7 +26,7 @@
     /// The events that are written down, in any order.
     #[serde(rename = "acts", default)]
     pub events: Vec<ScheduledEvent>,
-    /// The pause between two faults that are drawn beside; none are where it is absent.
+    /// Interval between random faults; without it there are none.
     #[serde(rename = "random_every", default)]
     pub random_event_interval: Option<ConfigDuration>,
 }
--- a/crates/mock-servers/src/engine/state.rs
+++ b/crates/mock-servers/src/engine/state.rs
@@ -20,7 +20,7 @@
 use crate::fencing::{FencingTokens, StaleToken};
 use crate::work_model::WorkModel;
 
-/// Maximum number of statements; beyond it the oldest finished one is evicted.
+/// Number of statements from which the oldest finished one is evicted for each new one; running ones are never evicted.
 const MAX_STATEMENTS: usize = 20_000;
 /// Where the clock of an engine starts, in µs: late enough for a warm engine to have a past.
 const CLOCK_START: u64 = 3_600_000_000;
@@ -90,7 +90,7 @@
     pub(super) model: WorkModel,
     pub(super) is_draining: bool,
     started: Instant,
-    /// Distinguishes this process from the one before in query ids; the URIs of its statements do not.
+    /// Part of each query id, so that ids of an earlier process differ. The URIs of statements do not contain it.
     process: u64,
     statements: BTreeMap<u64, Statement>,
     next_number: u64,
@@ -213,8 +213,8 @@
         });
     }
 
-    /// Remembers the version in force of something that is sent, under the version that its sender enforces. Returns
-    /// whether the enforced version is over by what was seen before.
+    /// Whether the sender enforces a version older than the newest version in force seen here. If not, records its version in
+    /// force.
     pub(super) fn observe_version(&mut self, in_force: u64, enforced: u64) -> bool {
         if enforced < self.newest_version {
             return true;
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -22,19 +22,20 @@
     Abandon,
 }
 
-/// Decides on a request that is to wait. `open_requests_run_out` is the result of [`open_requests_run_out`].
+/// Decides on a request that is to wait. `near_connection_limit` is the result of
+/// [`is_near_connection_limit`].
 pub(crate) fn admit(
     request: &Request,
     class: &Class,
     statistics: &ClassStatistics,
-    open_requests_run_out: bool,
+    near_connection_limit: bool,
     now: Micros,
 ) -> Admission {
     let start_by = latest_start(request.started_at, class, statistics);
     let late = start_by < now;
     let out_of_time = now + DEADLINE_MARGIN >= request.valid_until;
     let is_shed =
-        late && (class.late_weight_ratio < MIN_LATE_WEIGHT_RATIO || open_requests_run_out);
+        late && (class.late_weight_ratio < MIN_LATE_WEIGHT_RATIO || near_connection_limit);
     if out_of_time || is_shed {
         Admission::Abandon
     } else {
@@ -48,20 +49,22 @@
     let threads = class.threads();
     let mean_work = statistics.mean_work();
     let slowdown = (statistics.mean_run() * threads / mean_work).max(1.0);
-    let allowance = mean_work * (class.objective_stretch - slowdown) / threads;
+    // Beyond the slowdown that is usual now.
+    let stretch_allowance = mean_work * (class.objective_stretch - slowdown) / threads;
     // A mean run is kept in reserve: half the queries run longer.
-    let slack = RunTime(objective) + allowance - statistics.mean_run();
+    let slack = RunTime(objective) + stretch_allowance - statistics.mean_run();
     started_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
 }
 
-/// Whether the requests that clients can have open run out. Each takes a connection of its clients: with none left, new
-/// requests are not sent.
-pub(crate) fn open_requests_run_out(waiting: usize, limits: &Limits) -> bool {
+/// Whether waiting requests occupy more than [`MAX_OPEN_RATIO`] of the connections that clients may hold: with none left,
+/// new requests are not sent.
+pub(crate) fn is_near_connection_limit(waiting: usize, limits: &Limits) -> bool {
     let max = limits.max_open_requests;
     max > 0 && waiting as f64 > MAX_OPEN_RATIO * max as f64
 }
 
-/// Which of the late requests at the head of their queues is shed first: the one that has been open longest.
+/// Which of the late requests at the head of their queues is shed first: the one whose client first sent it
+/// earliest.
 pub(crate) fn first_to_shed(
     late_heads: impl Iterator<Item = RequestId>,
     requests: &RequestTable,
--- a/crates/policy/src/attempt_progress.rs
+++ b/crates/policy/src/attempt_progress.rs
@@ -1,10 +1,13 @@
 //! Progress of attempts: which are too slow or lost, and whether to cancel them or to abandon their requests.
 //!
 //! Each attempt draws its query plan anew, and a bad plan holds threads and memory for many runs. An attempt with a slow
-//! pace is therefore cancelled once for its request to be tried again. A request whose second attempt is slow as well is
-//! taken for slow by itself: it goes on, unless it can't end within the client's deadline, or its slot would serve several
-//! others under overload.
+//! pace is therefore cancelled once, where its request can be retried in time. A slow attempt after that is taken for slow by
+//! itself: it runs on, unless all engines together are overloaded and its slot would serve several others. An attempt that
+//! would not end before the client's deadline and can't be retried is abandoned, also the first one and also one that is not
+//! idempotent.
 
+#[cfg(doc)]
+use crate::interface::Progress;
 use crate::interface::{Micros, Settings};
 use crate::units::RunTime;
 
@@ -19,14 +22,15 @@
 pub(crate) struct AttemptProgress {
     /// Its last event, or its sending.
     last_event_at: Micros,
-    /// From when its pace is measured: the last event of nothing done, or its sending.
+    /// From when its pace is measured: the last event of a share of exactly 0, or its sending. [`Progress::Blocked`] does
+    /// not move it.
     pace_since: Micros,
     spilled: bool,
 }
 
 /// What becomes of an attempt after a progress event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PaceDecision {
+pub(crate) enum ProgressDecision {
     /// It runs on.
     Continue,
     /// It is cancelled, and its request tried again.
@@ -77,22 +81,23 @@
         share_done: f64,
         limits: &PaceLimits,
         now: Micros,
-    ) -> PaceDecision {
+    ) -> ProgressDecision {
         let ran = RunTime((now - self.pace_since) as f64);
         let left = RunTime(ran.0 / share_done.max(MIN_COMPLETED)) - ran;
         let time_left = RunTime(limits.time_left as f64);
         let is_slow = left > limits.mean_run * SLOW_RUNS;
         let retry_in_time = limits.may_retry && limits.mean_run < time_left;
         if is_slow && retry_in_time && !limits.has_cancelled {
-            PaceDecision::CancelAndRetry
+            ProgressDecision::CancelAndRetry
         } else if share_done == 0.0 {
-            // It waits for memory or a load: not slow by itself.
+            // Nothing is done yet: it waits for memory or behind a load statement. It was retried once if it could be; beyond
+            // that its waiting does not count as a slow pace.
             self.pace_since = now;
-            PaceDecision::Continue
+            ProgressDecision::Continue
         } else if left > time_left || (is_slow && limits.has_cancelled && limits.is_overloaded) {
-            PaceDecision::Abandon
+            ProgressDecision::Abandon
         } else {
-            PaceDecision::Continue
+            ProgressDecision::Continue
         }
     }
 
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -36,9 +36,9 @@
     )
 }
 
-/// Whether the fair shares of an engine's capacity, of all gateways together, can exceed it: then concurrency limits
-/// per engine can't bound the load.
-pub(crate) fn fair_shares_exceed_capacity(settings: &Settings) -> bool {
+/// Whether one query of the widest class from each gateway exceeds the capacity of the largest machine kind: then
+/// concurrency limits per engine can't bound the load.
+pub(crate) fn one_query_each_exceeds_capacity(settings: &Settings) -> bool {
     let cores = settings.cores.iter().copied().fold(1.0, f64::max);
     let one_query_each = widest_class(&settings.classes).0 * f64::from(settings.gateways);
     THREADS_PER_CORE * cores < one_query_each
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,7 +1,8 @@
 //! Concurrency limit of an engine: how many threads this gateway may use there at once.
 //!
-//! It grows by steps while requests wait and objectives are met, and falls by a factor when the engine slows down. Where
-//! load reports tell what other gateways use, it is what they leave.
+//! It grows by steps while requests wait and objectives are met, and falls by a factor when the engine slows down. It stays
+//! between one and three fair shares; only a rejection lowers it further, until the end of the control period. Where load
+//! reports tell what other gateways use, it is what they leave.
 
 use crate::capacity::MIN_QUERIES;
 use crate::interface::{Class, Micros};
@@ -51,7 +52,7 @@
     /// Threads that this gateway may use at an engine of this capacity.
     ///
     /// Equal parts leave a busy gateway short and, with many gateways, add up to too much. Where engines report what they
-    /// run, this gateway has what others leave, but at least one query: its answer brings the next report. The last
+    /// run, this gateway has what others leave, but at least half its fair share, which holds one query: its answer brings the next report. The last
     /// report stays valid until the next one, since a full engine without a report would look idle.
     pub(crate) fn threads(&self, capacity: Threads) -> Threads {
         let Some(other_threads) = self.other_threads else {
@@ -74,8 +75,9 @@
         self.other_threads = Some((previous + reported) * REPORT_WEIGHT);
     }
 
-    /// The engine has rejected an attempt as full: no more than what runs there, until the end of the period. One query
-    /// may go there again once nothing else is in flight.
+    /// Lowers the limit to what is in flight, until the end of the control period, after the engine has rejected an attempt
+    /// as full; at least one query of the widest class. Without effect where load reports tell what other gateways use:
+    /// [`threads`](Self::threads) does not read the limit then.
     pub(crate) fn reduce_to(&mut self, own_threads: Threads, widest_class: Threads) {
         self.limit = own_threads.max(widest_class);
     }
@@ -104,8 +106,8 @@
 impl ObjectiveBalance {
     /// Counts a served request. The objective allows for the work that the query needed.
     pub(crate) fn record_success(&mut self, class: &Class, took: Micros, work: Work) {
-        let allowance = RunTime(class.objective_stretch * work.0 / class.threads);
-        let objective = class.latency_objective as f64 + allowance.0;
+        let stretch_allowance = RunTime(class.objective_stretch * work.0 / class.threads);
+        let objective = class.latency_objective as f64 + stretch_allowance.0;
         let is_on_time = took as f64 <= objective;
         self.balance += f64::from(is_on_time) - MIN_ON_TIME_RATIO;
     }
--- a/crates/policy/src/congestion_window.rs
+++ b/crates/policy/src/congestion_window.rs
@@ -4,19 +4,21 @@
 //! engines never recover. There the window bounds the load: additive increase by a query for each answer that shows
 //! capacity, multiplicative decrease under load.
 
-use crate::capacity::{engine_capacity, fair_shares_exceed_capacity, widest_class};
+use crate::capacity::{engine_capacity, one_query_each_exceeds_capacity, widest_class};
 use crate::class_statistics::Classes;
 use crate::concurrency_limit::MAX_FAIR_SHARES;
 use crate::interface::{EndpointEntry, Micros, Settings};
 use crate::load::{LoadLevel, has_load_feedback};
 use crate::units::Threads;
 
-/// Part of the window that is given back at twice the full load.
+/// Part of the used window that is given back per unit of load level above 1.
 const BACKOFF_RATIO: f64 = 0.2;
 /// Least window where only run times tell of load, in queries of the widest class; otherwise it is one.
 const MIN_QUERIES_WITHOUT_FEEDBACK: f64 = 0.125;
 /// Part of the window that late requests may fill.
 const LATE_RATIO: f64 = 0.5;
+/// The window grows only while less than this many further queries of the class would fit.
+const GROWTH_HEADROOM_QUERIES: f64 = 2.0;
 
 /// The window, and what counts against it.
 pub(crate) struct CongestionWindow {
@@ -29,7 +31,7 @@
 }
 
 impl CongestionWindow {
-    /// A window that is unlimited until it is opened.
+    /// A window that is unlimited until its initial size is set.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut window = CongestionWindow {
             enforced: false,
@@ -43,7 +45,7 @@
 
     /// Follows changed settings; further classes are appended.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
-        self.enforced = fair_shares_exceed_capacity(settings);
+        self.enforced = one_query_each_exceeds_capacity(settings);
         self.in_flight.resize(settings.classes.len(), Threads::ZERO);
         self.paused_until.resize(settings.classes.len(), 0);
     }
@@ -53,9 +55,9 @@
         self.enforced
     }
 
-    /// Opens the window at the first endpoint list. If it stayed unlimited until the first answers, all gateways together
-    /// would overload a full fleet.
-    pub(crate) fn open<'a>(
+    /// Sets the initial size at the first endpoint list that is not empty; later calls change nothing. If the window stayed
+    /// unlimited until the first answers, all gateways together would overload a full fleet.
+    pub(crate) fn set_initial_size<'a>(
         &mut self,
         settings: &Settings,
         entries: impl Iterator<Item = &'a EndpointEntry>,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Whether a query of a class fits: one query always does, but after the pause of its class, and late requests fill
-    /// only a part of the window.
+    /// Whether a query of a class fits. While nothing of equal or higher value is in flight, a query that is not late always
+    /// does. Late ones fill only [`LATE_RATIO`] of the window. Nothing fits during the pause of its class.
     pub(crate) fn fits(&self, classes: Classes, class: usize, late: bool, now: Micros) -> bool {
         let ahead = self.threads_of_equal_or_higher_value(classes, class);
         let limit = self.size * if late { LATE_RATIO } else { 1.0 };
@@ -108,7 +110,9 @@
         let threads = classes.config(class).threads();
         if load_level.is_overloaded() {
             self.decrease(threads, load_level, settings);
-        } else if self.threads_of_equal_or_higher_value(classes, class) + threads * 2.0 > self.size
+        } else if self.threads_of_equal_or_higher_value(classes, class)
+            + threads * GROWTH_HEADROOM_QUERIES
+            > self.size
         {
             self.size += threads;
         }
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -65,7 +65,8 @@
     /// A controller that knows no engine yet. The same seed and events give the same actions.
     ///
     /// # Errors
-    /// Settings without classes or gateways, or with a figure that is negative, infinite or not a number.
+    /// Settings without classes or gateways, a class without latency objective, deadline or threads, or a negative or
+    /// infinite number in a class, the cores, the slow-start rules or the cost of health checks.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let classes = settings.classes.len();
@@ -170,7 +171,8 @@
         }
         apply_update(&mut self.engines, scope, entries, &self.settings, self.now);
         let entries = self.engines.values().map(|engine| &engine.entry);
-        self.congestion_window.open(&self.settings, entries);
+        self.congestion_window
+            .set_initial_size(&self.settings, entries);
     }
 
     fn on_health_check(&mut self, id: EngineId, report: Option<LoadReport>) {
@@ -197,7 +199,8 @@
         self.holds.replace(hold, in_flight);
     }
 
-    /// New settings on the fly: what is queued and in flight stays, and the next decision follows them. Settings that are
+    /// Applies new settings: what is queued and in flight stays, and the next decision follows them. The cost of health
+    /// checks and the kind of discovery keep their values from the start. Settings that are
     /// unusable or lack a known class are ignored, as classes keep their numbers.
     fn on_settings(&mut self, settings: &Settings) {
         let known = self.statistics.len();
--- a/crates/policy/src/controller/attempts.rs
+++ b/crates/policy/src/controller/attempts.rs
@@ -2,13 +2,15 @@
 
 use super::Controller;
 use crate::attempt::InFlightAttempt;
-use crate::attempt_progress::{PaceDecision, PaceLimits};
+use crate::attempt_progress::{PaceLimits, ProgressDecision};
 use crate::capacity::engine_capacity;
 use crate::class_statistics::Classes;
+use crate::engine::Engines;
 use crate::interface::{
     Action, AttemptStatus, EngineId, Idempotency, LoadReport, Micros, Outcome, Progress, RequestId,
 };
 use crate::load::{observed_load, reported_load, tells_load_level};
+use crate::memory_grant::SpillReport;
 use crate::outlier_detection;
 use crate::units::{Load, RunTime, Work};
 
@@ -166,8 +168,8 @@
         }
     }
 
-    /// Follows a progress event: an attempt that spills at its start or has a slow pace is cancelled, once each, for its
-    /// request to be tried again.
+    /// Records a progress event. May cancel the attempt for a retry, once for a spill and once for its pace, or abandon the
+    /// request.
     pub(super) fn on_progress(
         &mut self,
         id: RequestId,
@@ -177,42 +179,33 @@
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
-        let Some(engine) = self.engines.get_mut(&engine) else {
-            return;
-        };
-        let Some(position) = engine.position_of(id, number) else {
+        let Some(attempt) = record_progress_event(&mut self.engines, engine, id, number, now)
+        else {
             return;
         };
-        engine.health.record_response(now);
-        let attempt = &mut engine.in_flight_mut()[position];
-        attempt.progress.record_event(now);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         let class = request.class;
         let limits = &self.settings.limits;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
-        let is_settled = !limits.cancel || attempt.is_cancelled() || request.done;
+        let may_cancel = limits.cancel && !attempt.is_cancelled() && !request.done;
         let may_retry =
-            is_idempotent && !is_settled && request.attempts.count() < limits.max_attempts;
-        match progress {
+            may_cancel && is_idempotent && request.attempts.count() < limits.max_attempts;
+        let decision = match progress {
             Progress::Spilling(missing_mb) => {
-                let running_for = now - attempt.sent_at;
-                let margin = &mut self.grant_margins[class];
-                let max_grant_mb = self.settings.max_grant_mb;
-                let progress = &mut attempt.progress;
-                if request.memory.record_spill(
+                let report = SpillReport {
                     missing_mb,
-                    progress,
-                    running_for,
-                    margin,
-                    max_grant_mb,
+                    running_for: now - attempt.sent_at,
                     may_retry,
-                ) {
-                    attempt.cancel(out);
-                }
+                };
+                let margin = &mut self.grant_margins[class];
+                let max_grant_mb = self.settings.max_grant_mb;
+                request
+                    .memory
+                    .record_spill(&report, &mut attempt.progress, margin, max_grant_mb)
             }
-            Progress::Completed(share_done @ 0.0..=1.0) if !is_settled => {
+            Progress::Completed(share_done @ 0.0..=1.0) if may_cancel => {
                 let pace_limits = PaceLimits {
                     mean_run: self.statistics[class].mean_run(),
                     time_left: request.valid_until.saturating_sub(now),
@@ -220,16 +213,32 @@
                     has_cancelled: request.cancelled_for_pace,
                     is_overloaded: self.load_level.is_overloaded(),
                 };
-                match attempt.progress.check_pace(share_done, &pace_limits, now) {
-                    PaceDecision::Continue => {}
-                    PaceDecision::CancelAndRetry => {
-                        request.cancelled_for_pace = true;
-                        attempt.cancel(out);
-                    }
-                    PaceDecision::Abandon => self.abandon(id, out),
-                }
+                let decision = attempt.progress.check_pace(share_done, &pace_limits, now);
+                request.cancelled_for_pace |= decision == ProgressDecision::CancelAndRetry;
+                decision
             }
-            Progress::Completed(_) | Progress::Blocked => {}
+            Progress::Completed(_) | Progress::Blocked => ProgressDecision::Continue,
+        };
+        match decision {
+            ProgressDecision::Continue => {}
+            ProgressDecision::CancelAndRetry => attempt.cancel(out),
+            ProgressDecision::Abandon => self.abandon(id, out),
         }
     }
 }
+
+/// Records that an attempt has sent a progress event, and returns it; `None` where it is not in flight.
+fn record_progress_event(
+    engines: &mut Engines,
+    engine: EngineId,
+    request: RequestId,
+    number: u32,
+    now: Micros,
+) -> Option<&mut InFlightAttempt> {
+    let engine = engines.get_mut(&engine)?;
+    let position = engine.position_of(request, number)?;
+    engine.health.record_response(now);
+    let attempt = &mut engine.in_flight_mut()[position];
+    attempt.progress.record_event(now);
+    Some(attempt)
+}
--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -51,7 +51,8 @@
         }
         let is_held = self.holds.covers(request.hold_targets);
         if is_held {
-            // Left in its queue, a held request without a slot would keep its whole class waiting behind it.
+            // Whatever made all engines ineligible: left at the head of its queue it could keep its class waiting.
+            // Housekeeping queues it again when its hold has a slot.
             self.dequeue(id);
             self.holds.block(id);
         }
--- a/crates/policy/src/controller/housekeeping.rs
+++ b/crates/policy/src/controller/housekeeping.rs
@@ -1,4 +1,5 @@
-//! Housekeeping on a timer: windows, keys, deadlines, late requests, lost attempts, silent engines.
+//! Housekeeping on a timer: windows, keys, deadlines, late and blocked requests, lost attempts, silent engines, the
+//! subscription to the endpoint list.
 
 use super::Controller;
 use crate::admission::first_to_shed;
@@ -60,9 +61,9 @@
         }
     }
 
-    /// Sheds late requests while the requests that clients can have open run out.
+    /// Sheds late requests while clients are close to their connection limit.
     fn shed_late(&mut self, out: &mut Vec<Action>) {
-        while self.open_requests_run_out() {
+        while self.is_near_connection_limit() {
             let Some(id) = first_to_shed(self.queues.late_heads(), &self.requests) else {
                 break;
             };
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Cancels attempts without progress events; where these come, their requests can be tried again.
+    /// Cancels attempts whose progress events are overdue, so that their requests can be retried. Does nothing where engines
+    /// send none, or attempts can't be cancelled.
     fn cancel_lost_attempts(&mut self, out: &mut Vec<Action>) {
         if let Some(lost_after) = lost_after(&self.settings) {
             let now = self.now;
--- a/crates/policy/src/controller/requests.rs
+++ b/crates/policy/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! The life of a request: arrival, waiting, and its one final answer.
 
 use super::Controller;
-use crate::admission::{Admission, admit, open_requests_run_out};
+use crate::admission::{Admission, admit, is_near_connection_limit};
 use crate::class_queue::QueueEntry;
 use crate::completion::abandonment;
 use crate::engine::cancel_attempts;
@@ -68,7 +68,7 @@
             request,
             config,
             statistics,
-            self.open_requests_run_out(),
+            self.is_near_connection_limit(),
             self.now,
         );
         match admission {
@@ -96,8 +96,8 @@
             || attempts.may_retry(idempotency, limits, budget, &self.retry_usage, self.now)
     }
 
-    pub(super) fn open_requests_run_out(&self) -> bool {
-        open_requests_run_out(self.requests.waiting_count(), &self.settings.limits)
+    pub(super) fn is_near_connection_limit(&self) -> bool {
+        is_near_connection_limit(self.requests.waiting_count(), &self.settings.limits)
     }
 
     /// Takes a request out of its class queue, or out of those blocked by a hold.
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -18,9 +18,9 @@
 const OVERLOAD_MARGIN: Load = Load(0.25);
 /// One engine in so many is a home of a table group ...
 const ENGINES_PER_HOME: u64 = 4;
-/// ... and being there makes up for so much load.
-const HOME_LOAD_BONUS: Load = Load(0.25);
-/// Loads are compared in steps of one by so many, so that noise does not herd gateways.
+/// ... and an engine at which a request is misplaced counts as showing so much more load.
+const MISPLACED_LOAD_PENALTY: Load = Load(0.25);
+/// Loads are compared in steps of 1 / `LOAD_STEPS`, so that noise does not send all gateways to the same engine.
 const LOAD_STEPS: f64 = 8.0;
 
 /// What endpoint selection reads.
@@ -134,8 +134,8 @@
     }
 
     /// Load of an engine for ties, in steps: with many gateways most counts of own queries are 0. Each table group has home
-    /// engines, the same at all gateways: its queries gather there, so that it stays in their caches, and loads, which lock
-    /// it, keep away.
+    /// engines, the same at all gateways: its queries gather there, so that it stays in their caches, and load statements,
+    /// which lock it, keep away.
     fn tie_break_load(&self, request: &Request, id: EngineId, engine: &Engine) -> u64 {
         if self.is_warming_up(engine) {
             return 0;
@@ -145,14 +145,14 @@
             .group
             .is_some_and(|group| self.is_misplaced(request, group, id));
         let penalty = if is_misplaced {
-            HOME_LOAD_BONUS
+            MISPLACED_LOAD_PENALTY
         } else {
             Load::ZERO
         };
         ((self.decayed_load(engine) + penalty) * LOAD_STEPS).0 as u64
     }
 
-    /// Whether a query is away from the home engines of its table group, or a load is at one of them. Homes exist only
+    /// Whether a query is away from the home engines of its table group, or a load statement is at one of them. Homes exist only
     /// where some class locks its group.
     fn is_misplaced(&self, request: &Request, group: u64, id: EngineId) -> bool {
         let is_home = pair_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
@@ -160,7 +160,8 @@
         self.settings.classes.iter().any(|class| class.locks_group) && is_home == locks_group
     }
 
-    /// The load over which an engine gets nothing: full, where a health check can tell that it has capacity again;
+    /// The admission threshold: where the congestion window is enforced, an engine that shows more than this and
+    /// [`OVERLOAD_MARGIN`] gets nothing. Full load, where a health check can tell that it has capacity again;
     /// otherwise no less than the mean of all engines, or none would be eligible.
     fn admission_threshold(&self) -> Load {
         let recovery_is_seen =
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! An endpoint: its entry in the list, its attempts in flight, and the state that each rule keeps of it.
+//! An engine: its entry in the endpoint list, its attempts in flight, and the state that each rule keeps of it.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::slow_start::RecentSends;
 use crate::units::{Threads, Work};
 
-/// All endpoints known, and those that still owe an outcome.
+/// All listed engines, and removed ones that still owe an outcome.
 pub(crate) type Engines = BTreeMap<EngineId, Engine>;
 
-/// An endpoint.
+/// An engine as this gateway knows it.
 pub(crate) struct Engine {
     pub(crate) entry: EndpointEntry,
     pub(crate) limit: ConcurrencyLimit,
@@ -24,7 +24,7 @@
 }
 
 impl Engine {
-    /// A freshly listed endpoint of which nothing is known but its entry.
+    /// A freshly listed engine of which nothing is known but its entry.
     pub(crate) fn new(entry: &EndpointEntry, fair_share: Threads, now: Micros) -> Self {
         Engine {
             entry: entry.clone(),
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Something has come from the engine, or nothing is owed.
+    /// A rejection or a progress event has come from the engine, or it has no attempt in flight.
     pub(crate) fn record_response(&mut self, now: Micros) {
         self.last_response_at = now;
     }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -8,7 +8,7 @@
 
 /// Interval between two checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
-/// Cost of a check with each request, in points of the goal, up to which a check comes with each send; dearer ones are
+/// Up to this cost (unit: [`Settings::health_check_cost`]) every send brings a check; above it checks are proportionally
 /// rarer.
 const WORTHWHILE_COST: f64 = 0.01;
 
--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -4,7 +4,7 @@
 
 use crate::interface::{EngineId, Hold, HoldTarget, RequestId};
 
-/// Requests per hold that go back to their queues at each housekeeping.
+/// At most this many requests per hold go back to their queues at each housekeeping: it bounds the work of one batch.
 const MAX_UNBLOCKED: u32 = 64;
 
 /// What of a request a hold may name.
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -175,7 +175,7 @@
     Completed(f64),
     /// It lacks so much memory, in MB, and spills to disk.
     Spilling(f64),
-    /// It stands still, for memory or behind a load.
+    /// It stands still, for memory or behind a load statement.
     Blocked,
 }
 
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -54,7 +54,7 @@
     pub kinds: Option<Vec<usize>>,
     /// Threads that a query runs on.
     pub threads: f64,
-    /// A load: locks its table group on its engine while it runs.
+    /// A load statement: locks its table group on its engine while it runs.
     pub locks_group: bool,
 }
 
@@ -154,7 +154,8 @@
     pub reports_in_flight: bool,
     /// Answers tell the work that a query needed.
     pub reports_work: bool,
-    /// Cost of a health check with each request, in points of the goal; 0: nothing.
+    /// Cost of sending a health check with every request, as a part of the service's goal (the priority weight served within
+    /// the objective, of 1); 0: free.
     pub health_check_cost: f64,
     /// Clients mark their retries. No decision reads it: a marked retry is believed in any case.
     pub clients_mark_retries: bool,
@@ -167,7 +168,8 @@
 }
 
 impl Settings {
-    /// Whether the mechanism has a meaning with these settings: an unusable figure is an error, not a guess.
+    /// Checks the classes, gateways, cores, slow-start rules and the cost of health checks. Limits and the retry budget are
+    /// not checked.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let usable = |value: f64| value.is_finite() && value >= 0.0;
         let incomplete =
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -1,6 +1,6 @@
 //! Memory grants: how much memory a query is granted, and when one that spills is cancelled to be granted more.
 
-use crate::attempt_progress::AttemptProgress;
+use crate::attempt_progress::{AttemptProgress, ProgressDecision};
 use crate::interface::{Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
 use crate::reported_value::{MAX_REPORTED_VALUE, is_plausible};
@@ -32,6 +32,15 @@
     }
 }
 
+/// A report that an attempt lacks memory and spills.
+pub(crate) struct SpillReport {
+    pub(crate) missing_mb: f64,
+    /// Since the attempt was sent.
+    pub(crate) running_for: Micros,
+    /// Its request may be sent again.
+    pub(crate) may_retry: bool,
+}
+
 /// The memory that a request is granted.
 #[derive(Default)]
 pub(crate) struct MemoryGrant {
@@ -61,29 +70,27 @@
         self.granted_mb
     }
 
-    /// Follows a report that an attempt lacks memory and spills. Returns whether the attempt is to be cancelled, once for
-    /// a request: it has only begun, `may_retry` it, and the next grant can be larger.
+    /// Follows a report that an attempt lacks memory and spills. The attempt is cancelled, once for a request, where it has only
+    /// begun and the next grant can be larger.
     pub(crate) fn record_spill(
         &mut self,
-        missing_mb: f64,
+        report: &SpillReport,
         attempt: &mut AttemptProgress,
-        running_for: Micros,
         margin: &mut GrantMargin,
         max_grant_mb: f64,
-        may_retry: bool,
-    ) -> bool {
+    ) -> ProgressDecision {
         let is_first = attempt.record_spill();
         if is_first && !self.has_cancelled {
             margin.record_spill();
         }
         let can_grow = self.granted_mb > 0.0 && self.granted_mb < max_grant_mb;
-        let is_early = running_for < EARLY_SPILL;
-        let cancel =
-            may_retry && can_grow && is_plausible(missing_mb) && !self.has_cancelled && is_early;
-        if cancel {
-            self.has_cancelled = true;
-            self.granted_mb = (self.granted_mb + missing_mb).min(max_grant_mb);
+        let is_early = report.running_for < EARLY_SPILL;
+        let is_worth_a_retry = can_grow && is_early && is_plausible(report.missing_mb);
+        if !report.may_retry || self.has_cancelled || !is_worth_a_retry {
+            return ProgressDecision::Continue;
         }
-        cancel
+        self.has_cancelled = true;
+        self.granted_mb = (self.granted_mb + report.missing_mb).min(max_grant_mb);
+        ProgressDecision::CancelAndRetry
     }
 }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -10,19 +10,21 @@
 
 /// An engine is silent when an attempt has been in flight for this multiple of its class's mean run time ...
 const SILENT_RUNS: f64 = 4.0;
-/// ... and nothing at all has come back for this long.
+/// ... and no success, rejection or progress event has come from it for this long (error responses and health checks do
+/// not count).
 const SILENT_TIME: Micros = 1_000_000;
-/// At most this part of the listed engines is ejected: a fault of more is shared by all, and ejection would not help.
+/// At most this part of the engines that are up is ejected, but always one: a fault of more is shared by all, and ejection
+/// would not help.
 const MAX_EJECTED_RATIO: f64 = 0.5;
 /// A timer that is later than this tells that the own event loop stalled.
 const OWN_STALL: Micros = 10 * HOUSEKEEPING_INTERVAL;
 
-/// Engines whose failure rate counts an error response to one request.
+/// The engines charged with an error response to one request.
 #[derive(Default)]
 pub(crate) struct RequestFailures {
     blamed: Vec<EngineId>,
     /// More than one engine has answered with an error: the fault is the request's.
-    fails_everywhere: bool,
+    fails_at_several: bool,
 }
 
 impl RequestFailures {
@@ -30,8 +32,8 @@
     /// own, as another engine has answered it with an error too: such a request would have all engines ejected, one by
     /// one.
     fn record_error(&mut self, engine: EngineId) -> Option<Vec<EngineId>> {
-        self.fails_everywhere |= self.blamed.iter().any(|other| *other != engine);
-        if self.fails_everywhere {
+        self.fails_at_several |= self.blamed.iter().any(|other| *other != engine);
+        if self.fails_at_several {
             return Some(std::mem::take(&mut self.blamed));
         }
         self.blamed.push(engine);
@@ -59,7 +61,7 @@
     };
     match outcome.status {
         AttemptStatus::Succeeded => engine.health.record_success(now),
-        AttemptStatus::Rejected => reject_as_full(engine, settings, now),
+        AttemptStatus::Rejected => record_rejection(engine, settings, now),
         AttemptStatus::ErrorResponse
         | AttemptStatus::ConnectionReset
         | AttemptStatus::ConnectFailed => {
@@ -79,8 +81,9 @@
     }
 }
 
-/// A full engine ends attempts at once: with the fewest own queries it would attract all others.
-fn reject_as_full(engine: &mut Engine, settings: &Settings, now: Micros) {
+/// The engine has rejected an attempt as full. Its limit is lowered: rejections leave it with few own queries, so that
+/// selection would prefer it.
+fn record_rejection(engine: &mut Engine, settings: &Settings, now: Micros) {
     engine.health.record_response(now);
     let own_threads = engine.own_threads(&settings.classes);
     engine
@@ -101,7 +104,7 @@
     }
 }
 
-/// Ejects engines that owe an answer for long and have sent nothing at all.
+/// Ejects engines with an overdue attempt that have sent no success, rejection or progress event for [`SILENT_TIME`].
 pub(crate) fn eject_silent_engines(
     engines: &mut Engines,
     statistics: &[ClassStatistics],
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: the attempts of a request, the retry budget of the router, and whether a request may be sent again.
+//! Retries: the attempts of a request, the retry budget of the gateway, and whether a request may be sent again.
 
 use std::collections::VecDeque;
 
@@ -99,8 +99,8 @@
         self.retries.push_back(now);
     }
 
-    /// Whether the budget permits one more retry. Both counts span the same window; admissions count only strictly inside
-    /// it, as a tick at its edge could break the rule.
+    /// Whether the budget permits one more retry. At the start of the window the count is conservative: a retry at exactly
+    /// that time counts, an admission does not.
     fn is_within(&self, budget: RetryBudget, now: Micros) -> bool {
         let since = now.saturating_sub(budget.window);
         let admissions = self
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -104,7 +104,7 @@
     let mean_work = classes.statistics(class).mean_work();
     let objective = config.latency_objective as f64;
     let undisturbed = mean_work / config.threads();
-    let allowance = undisturbed * (config.objective_stretch - 1.0);
-    let wait = (objective + allowance.0).max(objective * MIN_WAIT_RATIO);
+    let stretch_allowance = undisturbed * (config.objective_stretch - 1.0);
+    let wait = (objective + stretch_allowance.0).max(objective * MIN_WAIT_RATIO);
     wait * mean_work.max(Work(1.0)).0 / config.priority_weight.max(f64::MIN_POSITIVE)
 }
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -22,7 +22,7 @@
     pub(crate) is_clean: bool,
     /// It took no more than a few times what is usual.
     pub(crate) is_usual: bool,
-    /// Its reported work is not usual, but its run time is.
+    /// Its work was reported, and it ran for less than the usual run time.
     pub(crate) is_usual_by_time: bool,
     /// Ratio of its run time to the usual one, if that says anything of its engine.
     pub(crate) engine_sample: Option<f64>,
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -20,7 +20,7 @@
 const MAX_CLEAN_RUNS: u32 = 48;
 /// Limit at which a hold is lifted.
 const RELEASE_LIMIT: u32 = 8;
-/// Time without a run after which a limit doubles.
+/// Time without an ended run or a change of the limit after which the limit doubles.
 const IDLE_STEP: Micros = 300_000_000;
 /// Holds that are kept; the one that is nearest to its release is evicted.
 const MAX_HOLDS: usize = 256;
@@ -35,7 +35,7 @@
     /// How many may run at once, runaways not counted.
     #[serde(rename = "at_once")]
     pub max_in_flight: u32,
-    /// Clean runs since the last step.
+    /// Consecutive clean runs since the last step.
     #[serde(rename = "clean")]
     pub clean_runs: u32,
     /// Clean runs that the next step takes.
@@ -43,7 +43,7 @@
     pub clean_runs_needed: u32,
     /// When the hold began.
     pub since: Micros,
-    /// When a statement of the fingerprint last ended.
+    /// When a statement of the fingerprint last ended, or the limit last changed.
     #[serde(rename = "last")]
     pub last_end: Micros,
     /// Whether it also runs at low priority inside engines.
--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/judgement.rs
@@ -40,7 +40,7 @@
     NotJudged,
     /// It is within its bound, or something else is the reason that it is not.
     WithinBound,
-    /// Its engine is done with it, and its client reads the rows slowly.
+    /// Its client has been receiving pages for longer than a client should need.
     SlowReader(SlowReader),
     /// It is over its bound.
     OverBound(OverBound),
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -13,8 +13,10 @@
 
 /// Multiple of the usual run time from which an attempt may be inferred to wait for a load.
 const MAY_WAIT_FACTOR: f64 = 4.0;
-/// Engines that have sent no progress report for this long are taken not to send any.
+/// If no engine has sent a progress report for this long, engines are taken not to report progress.
 const REPORTS_TTL: Micros = 60_000_000;
+/// Time after which a completion is dropped where too many are kept.
+const COMPLETION_TTL: Micros = 60_000_000;
 /// Pairs of engine and table group of which the last completion is kept.
 const MAX_COMPLETIONS: usize = 8192;
 
@@ -45,9 +47,10 @@
         *last = (*last).max(started_at);
         if self.last_completions.len() > MAX_COMPLETIONS {
             self.last_completions
-                .retain(|_, started_at| now.saturating_sub(*started_at) < REPORTS_TTL);
+                .retain(|_, started_at| now.saturating_sub(*started_at) < COMPLETION_TTL);
         }
         if self.last_completions.len() > MAX_COMPLETIONS {
+            // Still too many recent ones: waits are inferred more often until completions come again.
             self.last_completions.clear();
         }
     }
--- a/crates/statement-router/src/engines/observer.rs
+++ b/crates/statement-router/src/engines/observer.rs
@@ -18,7 +18,7 @@
     /// The engine has rejected the statement itself as wrong.
     fn statement_failed(&self, id: AttemptId, error: EngineError);
 
-    /// An attempt has ended without its result.
+    /// An attempt has ended without its result: failed, cancelled or not sent.
     fn attempt_ended(&self, id: AttemptId, outcome: AttemptOutcome);
 
     /// An attempt was killed at its engine, with the engine's proof of what became of its effects.
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -19,7 +19,9 @@
 /// Why a config lease is not renewed.
 #[derive(Debug, thiserror::Error)]
 enum RenewalError {
-    #[error("keepers don't know a version that this router knows: one went back")]
+    #[error(
+        "the replicas don't know a configuration version that this router has enforced: a replica was restored from old data"
+    )]
     UnknownVersion,
     #[error("keepers have too many routers already")]
     TooManyHolders,
