--- a/crates/platform-router/src/startup.rs
+++ b/crates/platform-router/src/startup.rs
@@ -167,7 +167,7 @@
 fn catalog(settings: &Settings, classes: &[Class]) -> Catalog {
     Catalog {
         classes: settings
-            .lanes
+            .classes
             .iter()
             .zip(classes)
             .map(|(lane, class)| class_options(&lane.name, class))
@@ -195,7 +195,7 @@
         connect_timeout,
         probe_timeout: connect_timeout,
         idle_timeout: duration_from_millis(
-            limits.conn_idle * IDLE_TIMEOUT_FACTOR,
+            limits.idle_timeout * IDLE_TIMEOUT_FACTOR,
             MIN_IDLE_TIMEOUT_MS,
         ),
         max_connections: budget.engine_connections,
--- a/crates/policy-settings/src/convert.rs
+++ b/crates/policy-settings/src/convert.rs
@@ -14,7 +14,7 @@
     /// The settings of the policy's controller.
     pub fn to_policy(&self) -> policy::Settings {
         let reported = &self.telemetry.names;
-        let lanes = self.lanes.iter().enumerate();
+        let lanes = self.classes.iter().enumerate();
         policy::Settings {
             gateways: self.balancers,
             index: self.index,
--- a/crates/policy-settings/src/schema.rs
+++ b/crates/policy-settings/src/schema.rs
@@ -14,7 +14,8 @@
     /// Shortest time between two batches.
     pub tick: f64,
     /// The classes of requests.
-    pub lanes: Vec<Lane>,
+    #[serde(rename = "lanes")]
+    pub classes: Vec<Lane>,
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
     /// Names of the zones.
@@ -45,7 +46,7 @@
             balancers: 1,
             index: 0,
             tick: 1.0,
-            lanes: Vec::new(),
+            classes: Vec::new(),
             kinds: Vec::new(),
             zones: Vec::new(),
             tenants: Vec::new(),
@@ -144,7 +145,8 @@
     /// Health checks are permitted.
     pub may_probe: bool,
     /// Time after which engines close an idle connection.
-    pub conn_idle: f64,
+    #[serde(rename = "connIdle")]
+    pub idle_timeout: f64,
     /// Time that a connection may take to come up.
     pub connect_timeout: f64,
     /// Requests that may be open at once; 0: any number.
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -29,7 +29,7 @@
         let s = &hello.settings;
         Ok(Instance {
             controller: policy::Controller::new(s.to_policy(), hello.salt)?,
-            classes: s.lanes.iter().map(|l| l.name.clone()).collect(),
+            classes: s.classes.iter().map(|l| l.name.clone()).collect(),
             tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
             zones: s.zones.clone(),
             kinds: s.kinds.clone(),
