--- a/crates/policy-settings/src/convert.rs
+++ b/crates/policy-settings/src/convert.rs
@@ -1,132 +1,141 @@
-//! What the settings object means to the policy.
+//! Conversion of the settings object to the policy's settings.
 
 use hoptiller_policy as policy;
 
-use crate::schema::{Extra, Group, Lane, Limits, Rules, Semantics, Settings};
+use crate::schema::{
+    ClassSettings, DeduplicationScope, EngineSettings, Idempotency, Limits, Rules, Settings,
+};
 use crate::{micros_from_millis as micros, position};
 
 /// Name of the reported value that counts the queries of an engine.
 const QUERIES_IN_FLIGHT: &str = "busy_reqs";
-/// Names of the reported values that tell of load.
+/// Names of the reported values that reflect the load.
 const LOAD_VALUES: [&str; 3] = [QUERIES_IN_FLIGHT, "x0", "cpu_share"];
 
 impl Settings {
-    /// The settings of the policy's controller.
+    /// Returns the settings for the policy's controller.
     pub fn to_policy(&self) -> policy::Settings {
-        let reported = &self.telemetry.names;
-        let lanes = self.classes.iter().enumerate();
+        let reported = &self.load_reporting.names;
+        let classes = self.classes.iter().enumerate();
         policy::Settings {
-            gateways: self.balancers,
+            gateways: self.gateways,
             index: self.index,
             tick: micros(self.tick),
-            classes: lanes.map(|(at, lane)| self.class(at, lane)).collect(),
-            cores: self.extra.cpu_of_kind.clone(),
-            tenant_quotas: self.tenants.iter().map(|t| t.fraction).collect(),
-            over_quota_weight: self.over_share_worth,
-            load_reports: reported.iter().any(|n| LOAD_VALUES.contains(&n.as_str())),
-            progress_interval: micros(self.extra.progress_pace),
-            max_grant_mb: max_grant_mb(&self.extra),
-            memory_overcommit: self.extra.memory_short.as_deref() == Some("overcommit"),
-            reports_in_flight: reported.iter().any(|n| n == QUERIES_IN_FLIGHT),
-            reports_work: self.extra.bills,
-            health_check_cost: self.prices.probe,
-            clients_mark_retries: self.clients.marks_retry,
+            classes: classes
+                .map(|(number, class)| self.class(number, class))
+                .collect(),
+            cores: self.engines.cores.clone(),
+            tenant_quotas: self.tenants.iter().map(|tenant| tenant.quota).collect(),
+            over_quota_weight: self.over_quota_weight,
+            load_reports: reported
+                .iter()
+                .any(|name| LOAD_VALUES.contains(&name.as_str())),
+            progress_interval: micros(self.engines.progress_interval),
+            max_grant_mb: max_grant_mb(&self.engines),
+            memory_overcommit: self.engines.memory_shortage.as_deref() == Some("overcommit"),
+            reports_in_flight: reported.iter().any(|name| name == QUERIES_IN_FLIGHT),
+            reports_work: self.engines.reports_work,
+            health_check_cost: self.costs.health_check,
+            clients_mark_retries: self.clients.mark_retries,
             discovery: match self.discovery.as_deref() {
                 Some("subscribe") => policy::Discovery::Subscribe,
                 _ => policy::Discovery::Push,
             },
-            limits: limits(&self.limits, &self.extra),
+            limits: limits(&self.limits, &self.engines),
             rules: rules(&self.rules),
         }
     }
 
-    fn class(&self, at: usize, lane: &Lane) -> policy::Class {
+    fn class(&self, number: usize, class: &ClassSettings) -> policy::Class {
+        let threads = self.engines.threads.get(number);
+        let locks_group = self.engines.locks_group.get(number);
         policy::Class {
-            latency_objective: micros(lane.aim),
-            objective_stretch: lane.aim_stretch,
-            deadline: micros(lane.deadline),
-            idempotency: idempotency(lane),
-            ordered_by_key: lane.in_turn,
-            late_weight_ratio: lane.late_worth,
-            priority_weight: lane.importance,
-            zones: lane
-                .zones_open
+            latency_objective: micros(class.latency_objective),
+            objective_stretch: class.objective_stretch,
+            deadline: micros(class.deadline),
+            idempotency: idempotency(class),
+            ordered_by_key: class.ordered_by_key,
+            late_weight_ratio: class.late_weight_ratio,
+            priority_weight: class.priority_weight,
+            zones: class
+                .zones
                 .as_ref()
-                .map(|only| positions(&self.zones, only)),
-            kinds: lane
-                .kinds_allowed
+                .map(|allowed| positions(&self.zones, allowed)),
+            kinds: class
+                .kinds
                 .as_ref()
-                .map(|only| positions(&self.kinds, only)),
-            threads: self.extra.parallelism.get(at).copied().unwrap_or(1.0),
-            locks_group: self.extra.loads.get(at).copied().unwrap_or(false),
+                .map(|allowed| positions(&self.kinds, allowed)),
+            threads: threads.copied().unwrap_or(1.0),
+            locks_group: locks_group.copied().unwrap_or(false),
         }
     }
 }
 
-fn positions(names: &[String], only: &[String]) -> Vec<usize> {
-    only.iter()
+fn positions(names: &[String], selected: &[String]) -> Vec<usize> {
+    selected
+        .iter()
         .filter_map(|name| position(names, name))
         .collect()
 }
 
-fn idempotency(lane: &Lane) -> policy::Idempotency {
-    match lane.semantics {
-        Semantics::Pure => policy::Idempotency::Idempotent,
-        Semantics::SideEffect => policy::Idempotency::NotIdempotent,
-        Semantics::Token => policy::Idempotency::WithKey {
-            // Without a group only the narrowest scope is sure to drop repeats.
-            scope: match lane.group {
-                Some(Group::All) => policy::DeduplicationScope::All,
-                Some(Group::Zone) => policy::DeduplicationScope::Zone,
-                Some(Group::Cell) | None => policy::DeduplicationScope::Cell,
+fn idempotency(class: &ClassSettings) -> policy::Idempotency {
+    match class.idempotency {
+        Idempotency::Idempotent => policy::Idempotency::Idempotent,
+        Idempotency::NotIdempotent => policy::Idempotency::NotIdempotent,
+        Idempotency::WithKey => policy::Idempotency::WithKey {
+            // Without a configured scope, only the narrowest one is certain to drop duplicates.
+            scope: match class.deduplication_scope {
+                Some(DeduplicationScope::All) => policy::DeduplicationScope::All,
+                Some(DeduplicationScope::Zone) => policy::DeduplicationScope::Zone,
+                Some(DeduplicationScope::Cell) | None => policy::DeduplicationScope::Cell,
             },
-            window: micros(lane.window),
+            window: micros(class.deduplication_window),
         },
     }
 }
 
-/// The most memory that a query may be granted on the smallest kind.
-fn max_grant_mb(extra: &Extra) -> f64 {
-    let smallest = extra
-        .kind_memory_mb
+/// Returns the maximum memory grant of a query on the smallest machine kind; 0 if engines ignore grants.
+fn max_grant_mb(engines: &EngineSettings) -> f64 {
+    let smallest = engines
+        .memory_mb
         .iter()
         .copied()
         .reduce(f64::min)
         .unwrap_or(0.0);
     smallest
-        * if extra.takes_grants {
-            extra.max_grant_share
+        * if engines.memory_grants {
+            engines.max_grant_ratio
         } else {
             0.0
         }
 }
 
-fn limits(limits: &Limits, extra: &Extra) -> policy::Limits {
+fn limits(limits: &Limits, engines: &EngineSettings) -> policy::Limits {
     policy::Limits {
         max_attempts: limits.max_attempts.unwrap_or(1),
-        max_open_requests: limits.max_open,
-        hedged_requests: limits.second_copies,
+        max_open_requests: limits.max_open_requests,
+        hedged_requests: limits.hedged_requests,
         retry_after: limits.retry_after,
         max_retry_after: micros(limits.max_retry_after),
-        priorities: extra.ranks_heeded,
-        health_checks: limits.may_probe,
+        priorities: engines.priorities,
+        health_checks: limits.health_checks,
         cancel: limits.cancel,
     }
 }
 
 fn rules(rules: &Rules) -> policy::Rules {
-    let limited = rules.spare_attempts.is_some() || rules.extra_ratio.is_some();
+    let has_retry_budget = rules.min_retries.is_some() || rules.retry_ratio.is_some();
     policy::Rules {
         start_capacity: rules.start_capacity,
-        slow_start_window: micros(rules.ramp_time),
+        slow_start_window: micros(rules.slow_start_window),
         overload_factor: rules.overload_factor,
-        overload_window: micros(rules.fall),
-        key_pause: micros(rules.order_pause),
-        retry_budget: limited.then(|| policy::RetryBudget {
-            min_retries: rules.spare_attempts.unwrap_or(0.0),
-            ratio: rules.extra_ratio.unwrap_or(0.0),
-            window: micros(rules.look_back),
+        overload_window: micros(rules.overload_window),
+        key_pause: micros(rules.key_pause),
+        retry_budget: has_retry_budget.then(|| policy::RetryBudget {
+            min_retries: rules.min_retries.unwrap_or(0.0),
+            ratio: rules.retry_ratio.unwrap_or(0.0),
+            window: micros(rules.retry_window),
         }),
-        max_poll_interval: micros(rules.ask_within),
+        max_poll_interval: micros(rules.max_poll_interval),
     }
 }
--- a/crates/policy-settings/src/lib.rs
+++ b/crates/policy-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both hosts of the policy read alike: the settings object, load reports, times. No I/O, no decisions.
+//! Conversions shared by the hosts of the policy: the settings object, load reports and times. No I/O and no decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,10 +10,11 @@
 use hoptiller_policy::{LoadReport, Micros};
 
 pub use schema::{
-    Clients, Extra, Group, Lane, Limits, Prices, Rules, Semantics, Settings, Telemetry, Tenant,
+    ClassSettings, ClientSettings, Costs, DeduplicationScope, EngineSettings, Idempotency, Limits,
+    LoadReporting, Rules, Settings, Tenant,
 };
 
-/// The load report that these values make; `None` if there are none. Names are those of the settings.
+/// Returns the load report that consists of these named values, or `None` if there are no values.
 pub fn load_report(values: &BTreeMap<String, serde_json::Value>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in values {
@@ -22,8 +23,8 @@
     (!values.is_empty()).then_some(report)
 }
 
-/// Sets one value of a load report, by its name on the platform's sockets or on the simulator's wire. Other names are
-/// ignored.
+/// Sets one value of a load report by its name in the platform's protocol or in the simulator's protocol. Other names
+/// are ignored.
 pub fn set_load_value(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "inflight" | "busy_reqs" => report.in_flight = value,
@@ -33,17 +34,17 @@
     }
 }
 
-/// The position of a name.
+/// Returns the position of a name in a list.
 pub fn position(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|n| n == name)
+    names.iter().position(|other| other == name)
 }
 
-/// Milliseconds of the wire as microseconds; what is negative or not a number counts as 0.
+/// Converts milliseconds to microseconds. Negative values and NaN become 0.
 pub fn micros_from_millis(millis: f64) -> Micros {
     (millis * 1000.0).round().max(0.0) as Micros
 }
 
-/// Microseconds as milliseconds of the wire.
+/// Converts microseconds to milliseconds.
 pub fn millis_from_micros(micros: Micros) -> f64 {
     micros as f64 / 1000.0
 }
--- a/crates/policy-settings/src/schema.rs
+++ b/crates/policy-settings/src/schema.rs
@@ -1,117 +1,129 @@
-//! The settings object of an instance, with the names that it has on the wire. Times are milliseconds. Unknown fields are
-//! ignored.
+//! The settings object of a router, as deserialized. Times are in milliseconds. Unknown fields are ignored.
 
 use serde::Deserialize;
 
-/// The settings object.
+/// Settings of a router.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Settings {
-    /// Gateways that share the engines, this one included.
-    pub balancers: u32,
-    /// This one's number among them, from 0.
+    /// Number of gateways that share the engines, including this one.
+    #[serde(rename = "balancers")]
+    pub gateways: u32,
+    /// Number of this gateway among them, from 0.
     pub index: u32,
-    /// Shortest time between two batches.
+    /// Minimum time between two batches.
     pub tick: f64,
     /// The classes of requests.
     #[serde(rename = "lanes")]
-    pub classes: Vec<Lane>,
+    pub classes: Vec<ClassSettings>,
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, against one within it.
-    pub over_share_worth: f64,
-    /// `subscribe`, or changes of the endpoint list are pushed.
+    /// Weight of a request beyond its tenant's quota, relative to one within it.
+    #[serde(rename = "overShareWorth")]
+    pub over_quota_weight: f64,
+    /// Way in which changes of the endpoint list are reported: `subscribe`, or without a subscription.
     pub discovery: Option<String>,
-    /// What the host permits.
+    /// Limits and features of the host.
     pub limits: Limits,
-    /// Figures of the rules of service.
+    /// Parameters of the service rules.
     pub rules: Rules,
-    /// Queries, memory and progress.
-    pub extra: Extra,
-    /// What clients do.
-    pub clients: Clients,
-    /// What engines report.
-    pub telemetry: Telemetry,
-    /// Costs, in points of the goal.
-    pub prices: Prices,
+    /// Properties of the queries and the engines.
+    #[serde(rename = "extra")]
+    pub engines: EngineSettings,
+    /// Behaviour of the clients.
+    pub clients: ClientSettings,
+    /// Load values that engines report.
+    #[serde(rename = "telemetry")]
+    pub load_reporting: LoadReporting,
+    /// Costs, as parts of the service's goal.
+    #[serde(rename = "prices")]
+    pub costs: Costs,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            balancers: 1,
+            gateways: 1,
             index: 0,
             tick: 1.0,
             classes: Vec::new(),
             kinds: Vec::new(),
             zones: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             discovery: None,
             limits: Limits::default(),
             rules: Rules::default(),
-            extra: Extra::default(),
-            clients: Clients::default(),
-            telemetry: Telemetry::default(),
-            prices: Prices::default(),
+            engines: EngineSettings::default(),
+            clients: ClientSettings::default(),
+            load_reporting: LoadReporting::default(),
+            costs: Costs::default(),
         }
     }
 }
 
-/// One class of requests.
+/// Settings of one class of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Lane {
+pub struct ClassSettings {
     /// Its name.
     pub name: String,
     /// Latency objective.
-    pub aim: f64,
-    /// The objective grows by this times the true work over its threads.
-    #[serde(default)]
-    pub aim_stretch: f64,
-    /// Time after which a client gives up, over all its tries.
+    #[serde(rename = "aim")]
+    pub latency_objective: f64,
+    /// Factor by which the query's actual work per thread extends the objective.
+    #[serde(rename = "aimStretch", default)]
+    pub objective_stretch: f64,
+    /// Time after which a client gives up, including its retries.
     pub deadline: f64,
-    /// Whether its requests may be repeated.
-    pub semantics: Semantics,
-    /// Which engines recognise a repeated idempotency key.
-    pub group: Option<Group>,
-    /// How long they remember it.
-    #[serde(default)]
-    pub window: f64,
-    /// Requests with the same ordering key run one at a time, in order.
-    #[serde(default)]
-    pub in_turn: bool,
-    /// Part of the priority weight that an answer after the objective still has.
-    #[serde(default)]
-    pub late_worth: f64,
-    /// Priority weight.
-    pub importance: f64,
-    /// Machine kinds it may go to; `None`: any.
-    pub kinds_allowed: Option<Vec<String>>,
-    /// Zones it may go to; `None`: any.
-    pub zones_open: Option<Vec<String>>,
+    /// Conditions under which its requests may be retried.
+    #[serde(rename = "semantics")]
+    pub idempotency: Idempotency,
+    /// The engines that recognise a repeated idempotency key.
+    #[serde(rename = "group")]
+    pub deduplication_scope: Option<DeduplicationScope>,
+    /// Time for which engines keep the record of an idempotency key.
+    #[serde(rename = "window", default)]
+    pub deduplication_window: f64,
+    /// Whether requests with the same ordering key run one at a time, in order.
+    #[serde(rename = "inTurn", default)]
+    pub ordered_by_key: bool,
+    /// Part of the priority weight that a response after the objective still counts with.
+    #[serde(rename = "lateWorth", default)]
+    pub late_weight_ratio: f64,
+    /// Priority weight of one request.
+    #[serde(rename = "importance")]
+    pub priority_weight: f64,
+    /// Machine kinds to which its requests may be sent; `None`: any.
+    #[serde(rename = "kindsAllowed")]
+    pub kinds: Option<Vec<String>>,
+    /// Zones to which its requests may be sent; `None`: any.
+    #[serde(rename = "zonesOpen")]
+    pub zones: Option<Vec<String>>,
 }
 
-/// Whether a request may be repeated.
+/// Conditions under which a request may be retried.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum Semantics {
+pub enum Idempotency {
     /// Idempotent.
-    Pure,
+    #[serde(rename = "pure")]
+    Idempotent,
     /// Has an idempotency key.
-    Token,
+    #[serde(rename = "token")]
+    WithKey,
     /// Not idempotent.
-    SideEffect,
+    #[serde(rename = "side_effect")]
+    NotIdempotent,
 }
 
-/// Which engines recognise a repeated idempotency key.
+/// The engines that recognise a repeated idempotency key.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "camelCase")]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All engines.
     All,
     /// The engines of one zone.
@@ -126,105 +138,127 @@
     /// Its name.
     pub name: String,
     /// Its quota, as a part of the service.
-    #[serde(default)]
-    pub fraction: f64,
+    #[serde(rename = "fraction", default)]
+    pub quota: f64,
 }
 
-/// What the host permits.
+/// Limits and features of the host.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Attempts per request at most; `None`: one.
+    /// Maximum number of attempts per request; `None`: one.
     pub max_attempts: Option<u32>,
-    /// Hedged requests: two attempts of a request may be in flight at once.
-    pub second_copies: bool,
-    /// Clients are told when to retry.
+    /// Whether requests may be hedged, with two attempts in flight at once.
+    #[serde(rename = "secondCopies")]
+    pub hedged_requests: bool,
+    /// Whether rejections tell clients when to retry.
     pub retry_after: bool,
-    /// The longest such time that clients respect.
+    /// Longest Retry-After time that clients respect.
     pub max_retry_after: f64,
-    /// Health checks are permitted.
-    pub may_probe: bool,
+    /// Whether health checks are permitted.
+    #[serde(rename = "mayProbe")]
+    pub health_checks: bool,
     /// Time after which engines close an idle connection.
     #[serde(rename = "connIdle")]
     pub idle_timeout: f64,
-    /// Time that a connection may take to come up.
+    /// Time limit for opening a connection.
     pub connect_timeout: f64,
-    /// Requests that may be open at once; 0: any number.
-    pub max_open: usize,
-    /// Attempts may be cancelled.
+    /// Maximum number of open requests; 0: no limit.
+    #[serde(rename = "maxOpen")]
+    pub max_open_requests: usize,
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
 }
 
-/// Figures of the rules of service.
+/// Parameters of the service rules.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Rules {
-    /// An engine starts at this part of its capacity or above.
+    /// Lower bound of an engine's capacity at its start, as a part of its full capacity.
     pub start_capacity: f64,
-    /// Slow start: an engine is warm after this time.
-    pub ramp_time: f64,
-    /// An engine fails when sent more than this multiple of its present capacity...
+    /// Slow start: time after which an engine has its full capacity.
+    #[serde(rename = "rampTime")]
+    pub slow_start_window: f64,
+    /// Multiple of its present capacity above which an engine fails when it is sent more during the overload window.
     pub overload_factor: f64,
-    /// ...for this long.
-    pub fall: f64,
-    /// Pause of an ordering key after an attempt that may still run.
-    pub order_pause: f64,
-    /// Retries permitted however light the traffic is.
-    pub spare_attempts: Option<f64>,
+    /// Overload window.
+    #[serde(rename = "fall")]
+    pub overload_window: f64,
+    /// Pause of an ordering key after an attempt that may still be running.
+    #[serde(rename = "orderPause")]
+    pub key_pause: f64,
+    /// Retries permitted in the window regardless of traffic.
+    #[serde(rename = "spareAttempts")]
+    pub min_retries: Option<f64>,
     /// Retries permitted per admitted request.
-    pub extra_ratio: Option<f64>,
-    /// The window over which both are counted.
-    pub look_back: f64,
-    /// How often a router without a subscription must poll discovery.
-    pub ask_within: f64,
+    #[serde(rename = "extraRatio")]
+    pub retry_ratio: Option<f64>,
+    /// Window over which retries and admitted requests are counted.
+    #[serde(rename = "lookBack")]
+    pub retry_window: f64,
+    /// Maximum interval at which a router without a subscription must poll discovery.
+    #[serde(rename = "askWithin")]
+    pub max_poll_interval: f64,
 }
 
-/// Queries, memory and progress.
+/// Properties of the queries and the engines.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Extra {
-    /// Threads of a query, by class.
-    pub parallelism: Vec<f64>,
+pub struct EngineSettings {
+    /// Number of threads that a query runs on, by class.
+    #[serde(rename = "parallelism")]
+    pub threads: Vec<f64>,
     /// Whether a query locks its table group, by class.
-    pub loads: Vec<bool>,
-    /// Cores, by machine kind.
-    pub cpu_of_kind: Vec<f64>,
+    #[serde(rename = "loads")]
+    pub locks_group: Vec<bool>,
+    /// Number of cores, by machine kind.
+    #[serde(rename = "cpuOfKind")]
+    pub cores: Vec<f64>,
     /// Memory in MB, by machine kind.
-    pub kind_memory_mb: Vec<f64>,
+    #[serde(rename = "kindMemoryMb")]
+    pub memory_mb: Vec<f64>,
     /// Part of an engine's memory that one query may be granted.
-    pub max_grant_share: f64,
-    /// What engines do when memory is short: `overcommit`, or queries queue for it.
-    pub memory_short: Option<String>,
-    /// Engines respect memory grants.
-    pub takes_grants: bool,
-    /// Time between progress events of an attempt; 0: none come.
-    pub progress_pace: f64,
-    /// Engines respect priorities.
-    pub ranks_heeded: bool,
-    /// Answers tell the work that a query needed.
-    pub bills: bool,
+    #[serde(rename = "maxGrantShare")]
+    pub max_grant_ratio: f64,
+    /// Behaviour of engines when memory is short: `overcommit`, or queries wait for memory.
+    #[serde(rename = "memoryShort")]
+    pub memory_shortage: Option<String>,
+    /// Whether engines respect memory grants.
+    #[serde(rename = "takesGrants")]
+    pub memory_grants: bool,
+    /// Interval of the progress events of an attempt; 0: no progress events.
+    #[serde(rename = "progressPace")]
+    pub progress_interval: f64,
+    /// Whether engines respect priorities.
+    #[serde(rename = "ranksHeeded")]
+    pub priorities: bool,
+    /// Whether responses contain the work of the query.
+    #[serde(rename = "bills")]
+    pub reports_work: bool,
 }
 
-/// What clients do.
+/// Behaviour of the clients.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub struct Clients {
-    /// They mark their retries.
-    pub marks_retry: bool,
+#[serde(default)]
+pub struct ClientSettings {
+    /// Whether clients mark their retries.
+    #[serde(rename = "marksRetry")]
+    pub mark_retries: bool,
 }
 
-/// What engines report.
+/// Load values that engines report.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub struct Telemetry {
+#[serde(default)]
+pub struct LoadReporting {
     /// Names of the reported values.
     pub names: Vec<String>,
 }
 
-/// Costs, in points of the goal.
+/// Costs, as parts of the service's goal.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub struct Prices {
-    /// A health check with each request.
-    pub probe: f64,
+#[serde(default)]
+pub struct Costs {
+    /// Cost of sending a health check with every request.
+    #[serde(rename = "probe")]
+    pub health_check: f64,
 }
