--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a line can't be answered.
+//! Errors that end the program.
 
-/// Why a line can't be answered: the program ends with it.
+/// An error for a line that can't be answered. It ends the program.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
     /// The line can't be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// The line is no batch, or the reply is no JSON.
+    /// The line is not a valid batch, or the reply can't be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A sync names a list that no roster event has declared.
+    /// A sync event refers to an endpoint list that no roster event has declared.
     #[error("sync: `table` {0} was never declared")]
-    UnknownTable(u64),
-    /// A work item names a class that the settings don't have.
+    UnknownEndpointList(u64),
+    /// A work item has a class that the settings don't contain.
     #[error("workItem: unknown `profile` {0:?}")]
-    UnknownProfile(String),
+    UnknownClass(String),
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! Plays batches: wire events become events of each instance's controller, and its actions become the reply.
+//! Processing of batches: passes the events to the controller of each instance and collects the actions for the reply.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -10,144 +10,156 @@
 use crate::instance::{Instance, list_scope};
 use crate::wire;
 
-/// All instances of this process; they share nothing but the declared lists.
+/// All instances of this process. They share nothing except the declared endpoint lists.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u64, Instance>,
-    rosters: BTreeMap<u64, Vec<wire::Entry>>,
+    endpoint_lists: BTreeMap<u64, Vec<wire::EndpointEntry>>,
 }
 
-/// What a batch brings: events for each instance, and actions for the reply.
+/// The events of a batch for each instance, and the actions for the reply.
 #[derive(Default)]
-struct Work {
+struct BatchWork {
     events: BTreeMap<u64, Vec<policy::Event>>,
     actions: Vec<wire::Action>,
 }
 
-impl Work {
-    /// Adds events of an instance; it is run even if there are none.
+impl BatchWork {
+    /// Adds events of an instance. The instance is run even if there are none.
     fn add(&mut self, instance: u64, events: impl IntoIterator<Item = policy::Event>) {
         self.events.entry(instance).or_default().extend(events);
     }
 }
 
 impl Host {
-    /// The reply to one line.
+    /// Returns the reply to a line.
     ///
     /// # Errors
-    /// The line is no batch, or names a class or a list that was never declared.
+    /// Returns an error if the line is not a valid batch, or if it refers to a class or an endpoint list that was never
+    /// declared.
     pub(crate) fn reply(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: wire::Batch = serde_json::from_str(line)?;
-        let mut work = Work::default();
-        for event in batch.happened {
+        let mut work = BatchWork::default();
+        for event in batch.events {
             self.accept(event, &mut work)?;
         }
-        self.run(micros_from_millis(batch.at_time), &mut work);
+        self.run(micros_from_millis(batch.now), &mut work);
         let reply = wire::Reply {
-            batch: batch.batch,
+            batch: batch.number,
             actions: work.actions,
         };
         Ok(serde_json::to_string(&reply)?)
     }
 
-    /// Accepts one event. Events of instances or requests that are not known are ignored.
-    fn accept(&mut self, event: wire::Event, work: &mut Work) -> Result<(), BatchError> {
+    /// Accepts an event. Events of unknown instances or requests are ignored.
+    fn accept(&mut self, event: wire::Event, work: &mut BatchWork) -> Result<(), BatchError> {
         match event {
-            wire::Event::Roster(r) => {
-                self.rosters.insert(r.table, r.elements);
+            wire::Event::ListDeclared(list) => {
+                self.endpoint_lists.insert(list.number, list.entries);
             }
-            wire::Event::Hello(h) => self.start(&h, work),
-            wire::Event::Detach(d) => {
-                self.instances.remove(&d.i);
-                work.events.remove(&d.i);
+            wire::Event::InstanceStarted(start) => self.start(&start, work),
+            wire::Event::InstanceStopped(stop) => {
+                self.instances.remove(&stop.instance);
+                work.events.remove(&stop.instance);
             }
-            wire::Event::Sync(s) => self.update_list(&s, work)?,
-            wire::Event::WorkItem(w) => {
-                if let Some(instance) = self.instances.get_mut(&w.i) {
-                    let arrival = instance.arrival(&w)?;
-                    work.add(w.i, [policy::Event::Arrival(arrival)]);
+            wire::Event::ListUpdated(update) => self.update_list(&update, work)?,
+            wire::Event::Arrival(arrival) => {
+                if let Some(instance) = self.instances.get_mut(&arrival.instance) {
+                    let event = policy::Event::Arrival(instance.arrival(&arrival)?);
+                    work.add(arrival.instance, [event]);
                 }
             }
-            wire::Event::Outcome(o) => {
-                if let Some(instance) = self.instances.get(&o.i) {
-                    work.add(o.i, instance.outcome(&o).map(policy::Event::Outcome));
+            wire::Event::Outcome(outcome) => {
+                if let Some(instance) = self.instances.get(&outcome.instance) {
+                    let event = instance.outcome(&outcome).map(policy::Event::Outcome);
+                    work.add(outcome.instance, event);
                 }
             }
-            wire::Event::Health(h) => {
-                if self.instances.contains_key(&h.i) {
-                    let report = load_report(&h.report).filter(|_| h.ending == wire::Ending::Good);
-                    let engine = policy::EngineId(h.engine);
-                    work.add(h.i, [policy::Event::HealthChecked(engine, report)]);
+            wire::Event::HealthChecked(check) => {
+                if self.instances.contains_key(&check.instance) {
+                    let has_succeeded = check.status == wire::Status::Succeeded;
+                    let report = load_report(&check.report).filter(|_| has_succeeded);
+                    let engine = policy::EngineId(check.engine);
+                    work.add(
+                        check.instance,
+                        [policy::Event::HealthChecked(engine, report)],
+                    );
                 }
             }
-            wire::Event::Notice(n) => {
-                if let Some(instance) = self.instances.get(&n.i) {
-                    work.add(n.i, instance.progress(&n));
+            wire::Event::Progress(progress) => {
+                if let Some(instance) = self.instances.get(&progress.instance) {
+                    work.add(progress.instance, instance.progress(&progress));
                 }
             }
-            wire::Event::Dropped(d) => {
-                if let Some(instance) = self.instances.get(&d.i) {
-                    let request = instance.request(&d.handle);
-                    work.add(d.i, request.map(policy::Event::ClientDisconnected));
+            wire::Event::ClientDisconnected(client) => {
+                if let Some(instance) = self.instances.get(&client.instance) {
+                    let request = instance.request(&client.handle);
+                    work.add(
+                        client.instance,
+                        request.map(policy::Event::ClientDisconnected),
+                    );
                 }
             }
-            wire::Event::Wakeup(o) | wire::Event::Started(o) | wire::Event::Memo(o) => {
-                work.add(o.i, [policy::Event::Wakeup]);
+            wire::Event::Wakeup(event)
+            | wire::Event::AttemptStarted(event)
+            | wire::Event::Memo(event) => {
+                work.add(event.instance, [policy::Event::Wakeup]);
             }
         }
         Ok(())
     }
 
-    fn start(&mut self, hello: &wire::Hello, work: &mut Work) {
-        work.events.insert(hello.i, Vec::new());
-        match Instance::new(hello) {
+    fn start(&mut self, start: &wire::InstanceStart, work: &mut BatchWork) {
+        work.events.insert(start.instance, Vec::new());
+        match Instance::new(start) {
             Ok(instance) => {
-                self.instances.insert(hello.i, instance);
-            }
-            Err(error) => {
-                let body_text = error.to_string();
-                work.actions.push(wire::Action::InternalError {
-                    i: hello.i,
-                    body_text,
-                });
+                self.instances.insert(start.instance, instance);
             }
+            Err(error) => work.actions.push(wire::Action::InternalError {
+                instance: start.instance,
+                message: error.to_string(),
+            }),
         }
     }
 
-    fn update_list(&self, sync: &wire::Sync, work: &mut Work) -> Result<(), BatchError> {
-        let Some(instance) = self.instances.get(&sync.i) else {
+    fn update_list(
+        &self,
+        update: &wire::ListUpdate,
+        work: &mut BatchWork,
+    ) -> Result<(), BatchError> {
+        let Some(instance) = self.instances.get(&update.instance) else {
             return Ok(());
         };
-        let entries = match self.rosters.get(&sync.table) {
-            _ if sync.scope == wire::Scope::Refused => Vec::new(),
-            Some(list) => list.iter().map(|e| instance.entry(e)).collect(),
-            None => return Err(BatchError::UnknownTable(sync.table)),
+        let entries = match self.endpoint_lists.get(&update.list) {
+            _ if update.scope == wire::ListScope::Failed => Vec::new(),
+            Some(list) => list.iter().map(|entry| instance.entry(entry)).collect(),
+            None => return Err(BatchError::UnknownEndpointList(update.list)),
         };
-        work.add(
-            sync.i,
-            [policy::Event::EndpointList(list_scope(sync.scope), entries)],
-        );
+        let event = policy::Event::EndpointList(list_scope(update.scope), entries);
+        work.add(update.instance, [event]);
         Ok(())
     }
 
-    /// Runs the instances with events, in the order of their numbers. A panic ends no other instance.
-    fn run(&mut self, now: policy::Micros, work: &mut Work) {
-        for (i, events) in std::mem::take(&mut work.events) {
-            let Some(instance) = self.instances.get_mut(&i) else {
+    /// Runs the instances that have events, ordered by their numbers. A panic in one instance does not affect the
+    /// others.
+    fn run(&mut self, now: policy::Micros, work: &mut BatchWork) {
+        for (number, events) in std::mem::take(&mut work.events) {
+            let Some(instance) = self.instances.get_mut(&number) else {
                 continue;
             };
             let mut actions = Vec::new();
             let handle =
                 AssertUnwindSafe(|| instance.controller.handle(now, &events, &mut actions));
             match catch_unwind(handle) {
-                Ok(()) => work
-                    .actions
-                    .extend(actions.into_iter().map(|a| instance.action(i, a))),
-                Err(_) => {
-                    let body_text = "the decision module panicked".to_string();
-                    work.actions
-                        .push(wire::Action::InternalError { i, body_text });
-                }
+                Ok(()) => work.actions.extend(
+                    actions
+                        .into_iter()
+                        .map(|action| instance.action(number, action)),
+                ),
+                Err(_) => work.actions.push(wire::Action::InternalError {
+                    instance: number,
+                    message: "the decision module panicked".to_string(),
+                }),
             }
         }
     }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its controller, and the translation between the names of its wire and the policy's numbers.
+//! An instance: its controller, and the translation between names on the wire and the policy's numbers.
 
 use std::collections::BTreeMap;
 
@@ -8,50 +8,53 @@
 use crate::error::BatchError;
 use crate::wire;
 
-/// `stats` of an outcome holds the work in milliseconds times this; the remainder is not read.
-const STATS_WORK_FACTOR: u64 = 4096;
+/// Factor by which the `stats` of an outcome contains the work in milliseconds. The remainder is not used.
+const STATS_PER_WORK_MS: u64 = 4096;
+const MICROS_PER_MS: u64 = 1000;
 
-/// One controller with the names that its wire uses.
+/// A controller and the names used on its wire.
 pub(crate) struct Instance {
     pub(crate) controller: policy::Controller,
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
     kinds: Vec<String>,
-    /// Handles of the requests, by request id.
+    /// Handles of the requests, indexed by request id.
     handles: Vec<String>,
     requests: BTreeMap<String, policy::RequestId>,
     keys: BTreeMap<String, policy::KeyId>,
 }
 
 impl Instance {
-    pub(crate) fn new(hello: &wire::Hello) -> Result<Self, policy::SettingsError> {
-        let s = &hello.settings;
+    pub(crate) fn new(start: &wire::InstanceStart) -> Result<Self, policy::SettingsError> {
+        let settings = &start.settings;
+        let classes = settings.classes.iter().map(|class| class.name.clone());
+        let tenants = settings.tenants.iter().map(|tenant| tenant.name.clone());
         Ok(Instance {
-            controller: policy::Controller::new(s.to_policy(), hello.salt)?,
-            classes: s.classes.iter().map(|l| l.name.clone()).collect(),
-            tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
-            zones: s.zones.clone(),
-            kinds: s.kinds.clone(),
+            controller: policy::Controller::new(settings.to_policy(), start.seed)?,
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
             handles: Vec::new(),
             requests: BTreeMap::new(),
             keys: BTreeMap::new(),
         })
     }
 
-    /// The request of a handle.
+    /// Returns the request of a handle.
     pub(crate) fn request(&self, handle: &str) -> Option<policy::RequestId> {
         self.requests.get(handle).copied()
     }
 
-    pub(crate) fn entry(&self, e: &wire::Entry) -> policy::EndpointEntry {
+    pub(crate) fn entry(&self, entry: &wire::EndpointEntry) -> policy::EndpointEntry {
         policy::EndpointEntry {
-            engine: policy::EngineId(e.engine),
-            zone: position(&self.zones, &e.zone),
-            kind: position(&self.kinds, &e.machine),
-            cell: e.pod,
-            ready_at: micros_from_millis(e.ready_at),
-            readiness: match e.readiness {
+            engine: policy::EngineId(entry.engine),
+            zone: position(&self.zones, &entry.zone),
+            kind: position(&self.kinds, &entry.kind),
+            cell: entry.cell,
+            ready_at: micros_from_millis(entry.ready_at),
+            readiness: match entry.readiness {
                 wire::Readiness::Up => policy::Readiness::Up,
                 wire::Readiness::Draining => policy::Readiness::Draining,
                 wire::Readiness::Removed => policy::Readiness::Removed,
@@ -59,78 +62,82 @@
         }
     }
 
-    pub(crate) fn arrival(&mut self, w: &wire::WorkItem) -> Result<policy::Arrival, BatchError> {
-        let class = position(&self.classes, &w.profile)
-            .ok_or_else(|| BatchError::UnknownProfile(w.profile.clone()))?;
+    pub(crate) fn arrival(
+        &mut self,
+        arrival: &wire::Arrival,
+    ) -> Result<policy::Arrival, BatchError> {
+        let class = position(&self.classes, &arrival.class)
+            .ok_or_else(|| BatchError::UnknownClass(arrival.class.clone()))?;
         let request = policy::RequestId(self.handles.len() as u64);
-        self.handles.push(w.handle.clone());
-        self.requests.insert(w.handle.clone(), request);
-        let fresh = policy::KeyId(self.keys.len() as u64);
-        let key = w
-            .table
+        self.handles.push(arrival.handle.clone());
+        self.requests.insert(arrival.handle.clone(), request);
+        let new_key = policy::KeyId(self.keys.len() as u64);
+        let key = arrival
+            .ordering_key
             .as_ref()
-            .map(|k| *self.keys.entry(k.clone()).or_insert(fresh));
+            .map(|key| *self.keys.entry(key.clone()).or_insert(new_key));
+        let tenant = arrival.tenant.as_str();
         Ok(policy::Arrival {
             request,
             class,
-            tenant: w.team.as_str().and_then(|t| position(&self.tenants, t)),
+            tenant: tenant.and_then(|tenant| position(&self.tenants, tenant)),
             key,
-            valid_until: micros_from_millis(w.valid_until),
-            estimated_work: w.guess.map(micros_from_millis),
-            estimated_memory_mb: w.want_mb,
-            group: w.source_set,
-            is_retry: w.retry,
+            valid_until: micros_from_millis(arrival.valid_until),
+            estimated_work: arrival.estimated_work.map(micros_from_millis),
+            estimated_memory_mb: arrival.estimated_memory_mb,
+            group: arrival.group,
+            is_retry: arrival.is_retry,
             kind: None,
         })
     }
 
-    /// The progress event of a notice; `None` where its sort or request is not known: notices are hints.
-    pub(crate) fn progress(&self, n: &wire::Notice) -> Option<policy::Event> {
-        let progress = match n.sort {
-            1 => policy::Progress::Completed(n.level),
-            2 => policy::Progress::Spilling(n.level),
+    /// Returns the progress event for a message, or `None` if its kind or request is unknown. Progress is only a hint,
+    /// so unknown messages are not an error.
+    pub(crate) fn progress(&self, message: &wire::Progress) -> Option<policy::Event> {
+        let progress = match message.kind {
+            1 => policy::Progress::Completed(message.value),
+            2 => policy::Progress::Spilling(message.value),
             3 => policy::Progress::Blocked,
             _ => return None,
         };
-        let request = *self.requests.get(&n.handle)?;
         Some(policy::Event::Progress {
-            request,
-            attempt: n.hop,
-            engine: policy::EngineId(n.engine),
+            request: self.request(&message.handle)?,
+            attempt: message.attempt,
+            engine: policy::EngineId(message.engine),
             progress,
         })
     }
 
-    pub(crate) fn outcome(&self, o: &wire::Outcome) -> Option<policy::Outcome> {
-        let work_ms = o.stats / STATS_WORK_FACTOR;
+    pub(crate) fn outcome(&self, outcome: &wire::Outcome) -> Option<policy::Outcome> {
+        let work_ms = outcome.stats / STATS_PER_WORK_MS;
         Some(policy::Outcome {
-            request: *self.requests.get(&o.handle)?,
-            attempt: o.hop,
-            engine: policy::EngineId(o.engine),
-            status: match o.ending {
-                wire::Ending::Good => policy::AttemptStatus::Succeeded,
-                wire::Ending::Bad => policy::AttemptStatus::ErrorResponse,
-                wire::Ending::Full => policy::AttemptStatus::Rejected,
-                wire::Ending::Late => policy::AttemptStatus::TimedOut,
-                wire::Ending::Noconn => policy::AttemptStatus::ConnectFailed,
-                wire::Ending::Rst => policy::AttemptStatus::ConnectionReset,
-                wire::Ending::Cxl => policy::AttemptStatus::Cancelled,
-                wire::Ending::Nop => policy::AttemptStatus::NotSent,
+            request: self.request(&outcome.handle)?,
+            attempt: outcome.attempt,
+            engine: policy::EngineId(outcome.engine),
+            status: match outcome.status {
+                wire::Status::Succeeded => policy::AttemptStatus::Succeeded,
+                wire::Status::ErrorResponse => policy::AttemptStatus::ErrorResponse,
+                wire::Status::Rejected => policy::AttemptStatus::Rejected,
+                wire::Status::TimedOut => policy::AttemptStatus::TimedOut,
+                wire::Status::ConnectFailed => policy::AttemptStatus::ConnectFailed,
+                wire::Status::ConnectionReset => policy::AttemptStatus::ConnectionReset,
+                wire::Status::Cancelled => policy::AttemptStatus::Cancelled,
+                wire::Status::NotSent => policy::AttemptStatus::NotSent,
             },
-            elapsed: micros_from_millis(o.elapsed),
-            terminal: o.terminal,
-            work: (o.stats > 0).then_some(work_ms.saturating_mul(1000)),
-            report: load_report(&o.report),
+            elapsed: micros_from_millis(outcome.elapsed),
+            terminal: outcome.terminal,
+            work: (outcome.stats > 0).then_some(work_ms.saturating_mul(MICROS_PER_MS)),
+            report: load_report(&outcome.report),
         })
     }
 
-    pub(crate) fn action(&self, i: u64, action: policy::Action) -> wire::Action {
-        let handle_of = |r: policy::RequestId| self.handles[r.0 as usize].clone();
+    pub(crate) fn action(&self, instance: u64, action: policy::Action) -> wire::Action {
+        let handle_of = |request: policy::RequestId| self.handles[request.0 as usize].clone();
         match action {
             policy::Action::Send {
                 request, engine, ..
-            } => wire::Action::HandOff {
-                i,
+            } => wire::Action::Send {
+                instance,
                 handle: handle_of(request),
                 engine: engine.0,
             },
@@ -138,48 +145,51 @@
                 request,
                 priority,
                 memory_grant_mb,
-            } => wire::Action::Allot {
-                i,
+            } => wire::Action::SetOptions {
+                instance,
                 handle: handle_of(request),
-                workspace_mb: memory_grant_mb,
-                prio: priority,
+                memory_grant_mb,
+                priority,
             },
-            policy::Action::Cancel { request, attempt } => wire::Action::Withdraw {
-                i,
+            policy::Action::Cancel { request, attempt } => wire::Action::Cancel {
+                instance,
                 handle: handle_of(request),
-                hop: attempt,
+                attempt,
             },
             policy::Action::Reject {
                 request,
                 retry_after,
-            } => wire::Action::Busy {
-                i,
+            } => wire::Action::Reject {
+                instance,
                 handle: handle_of(request),
-                hold_off: retry_after.map(millis_from_micros),
+                retry_after: retry_after.map(millis_from_micros),
             },
-            policy::Action::Fail(request) => wire::Action::EndFailed {
-                i,
+            policy::Action::Fail(request) => wire::Action::Fail {
+                instance,
                 handle: handle_of(request),
             },
-            policy::Action::HealthCheck(engine) => wire::Action::AskLoad {
-                i,
+            policy::Action::HealthCheck(engine) => wire::Action::HealthCheck {
+                instance,
                 engine: engine.0,
             },
-            policy::Action::Timer(after) => wire::Action::NotifyMe {
-                i,
+            policy::Action::Timer(after) => wire::Action::Timer {
+                instance,
                 reference: 0,
                 after: millis_from_micros(after),
             },
-            policy::Action::Subscribe => wire::Action::StreamChanges { i, on: true },
+            policy::Action::Subscribe => wire::Action::Subscribe {
+                instance,
+                enabled: true,
+            },
         }
     }
 }
 
-pub(crate) fn list_scope(s: wire::Scope) -> policy::ListScope {
-    match s {
-        wire::Scope::Changes => policy::ListScope::Changes,
-        wire::Scope::All => policy::ListScope::All,
-        wire::Scope::Remembered => policy::ListScope::Cached,
-        wire::Scope::Refused => policy::ListScope::Failed,
+pub(crate) fn list_scope(scope: wire::ListScope) -> policy::ListScope {
+    match scope {
+        wire::ListScope::Changes => policy::ListScope::Changes,
+        wire::ListScope::All => policy::ListScope::All,
+        wire::ListScope::Cached => policy::ListScope::Cached,
+        wire::ListScope::Failed => policy::ListScope::Failed,
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts controllers on the bench's JSON wire: one batch a line in, one reply a line out.
+//! Runs controllers behind the simulator's JSON protocol: reads one batch per line and writes one reply per line.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,20 +14,20 @@
 use host::Host;
 
 /// Exit code after a line that can't be answered.
-const BAD_LINE: u8 = 2;
-/// Exit code once nobody reads the replies.
+const INVALID_LINE: u8 = 2;
+/// Exit code after standard output has been closed.
 const OUTPUT_CLOSED: u8 = 3;
 
 fn main() -> ExitCode {
     let mut host = Host::default();
     let mut stdout = io::stdout().lock();
-    for (number, line) in io::stdin().lock().lines().enumerate() {
-        let reply = match answer(&mut host, line) {
+    for (index, line) in io::stdin().lock().lines().enumerate() {
+        let reply = match reply_to(&mut host, line) {
             Ok(Some(reply)) => reply,
             Ok(None) => continue,
             Err(error) => {
-                eprintln!("hoptiller-simhost: line {}: {error}", number + 1);
-                return ExitCode::from(BAD_LINE);
+                eprintln!("hoptiller-simhost: line {}: {error}", index + 1);
+                return ExitCode::from(INVALID_LINE);
             }
         };
         if writeln!(stdout, "{reply}")
@@ -40,8 +40,8 @@
     ExitCode::SUCCESS
 }
 
-/// The reply to a line; `None` to an empty one.
-fn answer(host: &mut Host, line: io::Result<String>) -> Result<Option<String>, BatchError> {
+/// Returns the reply to a line, or `None` for an empty line.
+fn reply_to(host: &mut Host, line: io::Result<String>) -> Result<Option<String>, BatchError> {
     let line = line?;
     if line.trim().is_empty() {
         return Ok(None);
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,76 +1,91 @@
-//! The wire's messages, as serde reads and writes them. Unknown fields are ignored.
+//! Messages of the simulator's protocol, as serialized by serde. Times are in milliseconds. Unknown fields are ignored.
 
 use std::collections::BTreeMap;
 
 use hoptiller_policy_settings::Settings;
 use serde::{Deserialize, Serialize};
 
-/// A line of input: what happened up to a time.
+/// A line of input: the events up to a point in time.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub(crate) struct Batch {
-    pub(crate) at_time: f64,
-    pub(crate) batch: u64,
-    pub(crate) happened: Vec<Event>,
+    #[serde(rename = "atTime")]
+    pub(crate) now: f64,
+    #[serde(rename = "batch")]
+    pub(crate) number: u64,
+    #[serde(rename = "happened")]
+    pub(crate) events: Vec<Event>,
 }
 
-/// Something that happened.
+/// An event of the simulator.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) enum Event {
-    Hello(Box<Hello>),
-    Detach(Only),
-    Roster(Roster),
-    Sync(Sync),
-    WorkItem(WorkItem),
-    Started(Only),
-    Notice(Notice),
+    #[serde(rename = "hello")]
+    InstanceStarted(Box<InstanceStart>),
+    #[serde(rename = "detach")]
+    InstanceStopped(InstanceEvent),
+    #[serde(rename = "roster")]
+    ListDeclared(EndpointList),
+    #[serde(rename = "sync")]
+    ListUpdated(ListUpdate),
+    #[serde(rename = "workItem")]
+    Arrival(Arrival),
+    #[serde(rename = "started")]
+    AttemptStarted(InstanceEvent),
+    #[serde(rename = "notice")]
+    Progress(Progress),
     Outcome(Outcome),
-    Dropped(Dropped),
-    Wakeup(Only),
-    Health(Health),
-    Memo(Only),
+    #[serde(rename = "dropped")]
+    ClientDisconnected(ClientDisconnect),
+    Wakeup(InstanceEvent),
+    #[serde(rename = "health")]
+    HealthChecked(HealthCheck),
+    Memo(InstanceEvent),
 }
 
-/// An event that says nothing but its instance.
+/// An event of which only the instance is used.
 #[derive(Deserialize)]
-pub(crate) struct Only {
-    pub(crate) i: u64,
+pub(crate) struct InstanceEvent {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
 }
 
-/// An instance starts.
+/// The start of an instance.
 #[derive(Deserialize)]
-pub(crate) struct Hello {
-    pub(crate) i: u64,
-    #[serde(default)]
-    pub(crate) salt: u64,
+pub(crate) struct InstanceStart {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
+    #[serde(rename = "salt", default)]
+    pub(crate) seed: u64,
     pub(crate) settings: Settings,
 }
 
-/// Declares an endpoint list under a number.
+/// The declaration of an endpoint list under a number.
 #[derive(Deserialize)]
-pub(crate) struct Roster {
-    pub(crate) table: u64,
-    pub(crate) elements: Vec<Entry>,
+pub(crate) struct EndpointList {
+    #[serde(rename = "table")]
+    pub(crate) number: u64,
+    #[serde(rename = "elements")]
+    pub(crate) entries: Vec<EndpointEntry>,
 }
 
-/// One entry of an endpoint list.
+/// An entry of an endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Entry {
+pub(crate) struct EndpointEntry {
     pub(crate) engine: u32,
     #[serde(default)]
     pub(crate) zone: String,
-    #[serde(default)]
-    pub(crate) machine: String,
-    #[serde(default)]
-    pub(crate) pod: u64,
+    #[serde(rename = "machine", default)]
+    pub(crate) kind: String,
+    #[serde(rename = "pod", default)]
+    pub(crate) cell: u64,
     #[serde(default)]
     pub(crate) ready_at: f64,
     pub(crate) readiness: Readiness,
 }
 
-/// State of a listed engine.
+/// Readiness of a listed engine.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "camelCase")]
 pub(crate) enum Readiness {
@@ -79,67 +94,78 @@
     Removed,
 }
 
-/// An instance gets a declared endpoint list.
+/// An update of an instance's endpoint list to a declared one.
 #[derive(Deserialize)]
-pub(crate) struct Sync {
-    pub(crate) i: u64,
-    pub(crate) scope: Scope,
-    #[serde(default)]
-    pub(crate) table: u64,
+pub(crate) struct ListUpdate {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
+    pub(crate) scope: ListScope,
+    #[serde(rename = "table", default)]
+    pub(crate) list: u64,
 }
 
-/// How the list relates to the one known so far.
+/// Relation of an endpoint list to the list known so far.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "camelCase")]
-pub(crate) enum Scope {
+pub(crate) enum ListScope {
     Changes,
     All,
-    Remembered,
-    Refused,
+    #[serde(rename = "remembered")]
+    Cached,
+    #[serde(rename = "refused")]
+    Failed,
 }
 
-/// A request has arrived.
+/// The arrival of a request.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct WorkItem {
-    pub(crate) i: u64,
+pub(crate) struct Arrival {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
     pub(crate) handle: String,
-    pub(crate) profile: String,
-    #[serde(default)]
-    pub(crate) team: serde_json::Value,
-    pub(crate) table: Option<String>,
+    #[serde(rename = "profile")]
+    pub(crate) class: String,
+    #[serde(rename = "team", default)]
+    pub(crate) tenant: serde_json::Value,
+    #[serde(rename = "table")]
+    pub(crate) ordering_key: Option<String>,
     pub(crate) valid_until: f64,
-    pub(crate) guess: Option<f64>,
-    #[serde(default)]
-    pub(crate) want_mb: f64,
-    pub(crate) source_set: Option<u64>,
-    #[serde(default)]
-    pub(crate) retry: bool,
+    #[serde(rename = "guess")]
+    pub(crate) estimated_work: Option<f64>,
+    #[serde(rename = "wantMb", default)]
+    pub(crate) estimated_memory_mb: f64,
+    #[serde(rename = "sourceSet")]
+    pub(crate) group: Option<u64>,
+    #[serde(rename = "retry", default)]
+    pub(crate) is_retry: bool,
 }
 
 /// Progress of an attempt in flight.
 #[derive(Deserialize)]
-pub(crate) struct Notice {
-    pub(crate) i: u64,
+pub(crate) struct Progress {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
     pub(crate) handle: String,
-    #[serde(default)]
-    pub(crate) hop: u32,
+    #[serde(rename = "hop", default)]
+    pub(crate) attempt: u32,
     pub(crate) engine: u32,
-    #[serde(default)]
-    pub(crate) sort: u32,
-    #[serde(default)]
-    pub(crate) level: f64,
+    #[serde(rename = "sort", default)]
+    pub(crate) kind: u32,
+    #[serde(rename = "level", default)]
+    pub(crate) value: f64,
 }
 
-/// An attempt has ended.
+/// The outcome of an attempt.
 #[derive(Deserialize)]
 pub(crate) struct Outcome {
-    pub(crate) i: u64,
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
     pub(crate) handle: String,
-    #[serde(default)]
-    pub(crate) hop: u32,
+    #[serde(rename = "hop", default)]
+    pub(crate) attempt: u32,
     pub(crate) engine: u32,
-    pub(crate) ending: Ending,
+    #[serde(rename = "ending")]
+    pub(crate) status: Status,
     #[serde(default)]
     pub(crate) elapsed: f64,
     #[serde(default)]
@@ -150,38 +176,48 @@
     pub(crate) report: BTreeMap<String, serde_json::Value>,
 }
 
-/// How an attempt or a health check ended.
+/// Final status of an attempt or a health check.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
-#[serde(rename_all = "UPPERCASE")]
-pub(crate) enum Ending {
-    Good,
-    Bad,
-    Full,
-    Late,
-    Noconn,
-    Rst,
-    Cxl,
-    Nop,
-}
-
-/// A health check has ended.
+pub(crate) enum Status {
+    #[serde(rename = "GOOD")]
+    Succeeded,
+    #[serde(rename = "BAD")]
+    ErrorResponse,
+    #[serde(rename = "FULL")]
+    Rejected,
+    #[serde(rename = "LATE")]
+    TimedOut,
+    #[serde(rename = "NOCONN")]
+    ConnectFailed,
+    #[serde(rename = "RST")]
+    ConnectionReset,
+    #[serde(rename = "CXL")]
+    Cancelled,
+    #[serde(rename = "NOP")]
+    NotSent,
+}
+
+/// The result of a health check.
 #[derive(Deserialize)]
-pub(crate) struct Health {
-    pub(crate) i: u64,
+pub(crate) struct HealthCheck {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
     pub(crate) engine: u32,
-    pub(crate) ending: Ending,
+    #[serde(rename = "ending")]
+    pub(crate) status: Status,
     #[serde(default)]
     pub(crate) report: BTreeMap<String, serde_json::Value>,
 }
 
-/// The client of a request has disconnected.
+/// The disconnection of a request's client.
 #[derive(Deserialize)]
-pub(crate) struct Dropped {
-    pub(crate) i: u64,
+pub(crate) struct ClientDisconnect {
+    #[serde(rename = "i")]
+    pub(crate) instance: u64,
     pub(crate) handle: String,
 }
 
-/// A line of output: what to do.
+/// A line of output: the actions in reply to a batch.
 #[derive(Serialize)]
 pub(crate) struct Reply {
     pub(crate) batch: u64,
@@ -189,52 +225,74 @@
     pub(crate) actions: Vec<Action>,
 }
 
-/// Something that the simulator is to do.
+/// An action for the simulator.
 #[derive(Serialize)]
-#[serde(rename_all = "camelCase", rename_all_fields = "camelCase")]
+#[serde(rename_all = "camelCase")]
 pub(crate) enum Action {
-    HandOff {
-        i: u64,
+    #[serde(rename = "handOff")]
+    Send {
+        #[serde(rename = "i")]
+        instance: u64,
         handle: String,
         engine: u32,
     },
-    Allot {
-        i: u64,
+    #[serde(rename = "allot")]
+    SetOptions {
+        #[serde(rename = "i")]
+        instance: u64,
         handle: String,
-        workspace_mb: f64,
-        prio: u8,
+        #[serde(rename = "workspaceMb")]
+        memory_grant_mb: f64,
+        #[serde(rename = "prio")]
+        priority: u8,
     },
-    Busy {
-        i: u64,
+    #[serde(rename = "busy")]
+    Reject {
+        #[serde(rename = "i")]
+        instance: u64,
         handle: String,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        hold_off: Option<f64>,
+        #[serde(rename = "holdOff", skip_serializing_if = "Option::is_none")]
+        retry_after: Option<f64>,
     },
-    EndFailed {
-        i: u64,
+    #[serde(rename = "endFailed")]
+    Fail {
+        #[serde(rename = "i")]
+        instance: u64,
         handle: String,
     },
-    Withdraw {
-        i: u64,
+    #[serde(rename = "withdraw")]
+    Cancel {
+        #[serde(rename = "i")]
+        instance: u64,
         handle: String,
-        hop: u32,
+        #[serde(rename = "hop")]
+        attempt: u32,
     },
-    AskLoad {
-        i: u64,
+    #[serde(rename = "askLoad")]
+    HealthCheck {
+        #[serde(rename = "i")]
+        instance: u64,
         engine: u32,
     },
-    NotifyMe {
-        i: u64,
+    #[serde(rename = "notifyMe")]
+    Timer {
+        #[serde(rename = "i")]
+        instance: u64,
         #[serde(rename = "ref")]
         reference: u64,
         after: f64,
     },
-    StreamChanges {
-        i: u64,
-        on: bool,
+    #[serde(rename = "streamChanges")]
+    Subscribe {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "on")]
+        enabled: bool,
     },
     InternalError {
-        i: u64,
-        body_text: String,
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "bodyText")]
+        message: String,
     },
 }
