--- a/crates/simhost/tests/recorded.rs
+++ b/crates/simhost/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! A recorded exchange on the simulator's wire: the same input gives the same replies, byte by byte.
+//! Replays a recorded exchange of the simulator's protocol and compares the replies byte by byte.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -15,13 +15,13 @@
     let output = Command::new(env!("CARGO_BIN_EXE_hoptiller-simhost"))
         .stdin(Stdio::from(input))
         .output()
-        .expect("the adapter starts");
+        .expect("hoptiller-simhost starts");
     assert!(output.status.success());
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(fixture("output.jsonl"), &output.stdout)
             .expect("the fixture can be written");
     }
-    let pinned = std::fs::read_to_string(fixture("output.jsonl")).expect("the fixture exists");
+    let recorded = std::fs::read_to_string(fixture("output.jsonl")).expect("the fixture exists");
     for action in [
         "handOff",
         "allot",
@@ -33,9 +33,9 @@
         "streamChanges",
     ] {
         assert!(
-            pinned.contains(&format!("{{\"{action}\"")),
-            "{action} does not occur"
+            recorded.contains(&format!("{{\"{action}\"")),
+            "no {action} in the recorded replies"
         );
     }
-    assert_eq!(pinned, String::from_utf8_lossy(&output.stdout));
+    assert_eq!(recorded, String::from_utf8_lossy(&output.stdout));
 }
