--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -48,11 +48,11 @@
     let objective = class.latency_objective as f64;
     let threads = class.threads();
     let mean_work = statistics.mean_work();
-    let slowdown = (statistics.mean_run() * threads / mean_work).max(1.0);
+    let slowdown = (statistics.mean_run_time() * threads / mean_work).max(1.0);
     // Beyond the slowdown that is usual now.
     let stretch_allowance = mean_work * (class.objective_stretch - slowdown) / threads;
     // A mean run is kept in reserve: half the queries run longer.
-    let slack = RunTime(objective) + stretch_allowance - statistics.mean_run();
+    let slack = RunTime(objective) + stretch_allowance - statistics.mean_run_time();
     started_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
 }
 
--- a/crates/policy/src/attempt_progress.rs
+++ b/crates/policy/src/attempt_progress.rs
@@ -12,11 +12,11 @@
 use crate::units::RunTime;
 
 /// An attempt is slow whose pace leaves it so many mean runs to go.
-const SLOW_RUNS: f64 = 3.0;
+const SLOW_MEAN_RUN_TIMES: f64 = 3.0;
 /// The least share done that is believed.
-const MIN_COMPLETED: f64 = 0.002;
+const MIN_COMPLETED_SHARE: f64 = 0.002;
 /// Without a progress event for so many intervals an attempt is lost.
-const LOST_INTERVALS: f64 = 1.6;
+const LOST_AFTER_INTERVALS: f64 = 1.6;
 
 /// What progress events have told of an attempt.
 pub(crate) struct AttemptProgress {
@@ -42,7 +42,7 @@
 /// What the pace of an attempt is judged by.
 pub(crate) struct PaceLimits {
     /// Mean run time of its class.
-    pub(crate) mean_run: RunTime,
+    pub(crate) mean_run_time: RunTime,
     /// Until its client gives up.
     pub(crate) time_left: Micros,
     /// Its request may be sent again.
@@ -78,18 +78,18 @@
     /// Judges the pace of an attempt of which a share from 0 to 1 is done.
     pub(crate) fn check_pace(
         &mut self,
-        share_done: f64,
+        completed_share: f64,
         limits: &PaceLimits,
         now: Micros,
     ) -> ProgressDecision {
         let ran = RunTime((now - self.pace_since) as f64);
-        let left = RunTime(ran.0 / share_done.max(MIN_COMPLETED)) - ran;
+        let left = RunTime(ran.0 / completed_share.max(MIN_COMPLETED_SHARE)) - ran;
         let time_left = RunTime(limits.time_left as f64);
-        let is_slow = left > limits.mean_run * SLOW_RUNS;
-        let retry_in_time = limits.may_retry && limits.mean_run < time_left;
+        let is_slow = left > limits.mean_run_time * SLOW_MEAN_RUN_TIMES;
+        let retry_in_time = limits.may_retry && limits.mean_run_time < time_left;
         if is_slow && retry_in_time && !limits.has_cancelled {
             ProgressDecision::CancelAndRetry
-        } else if share_done == 0.0 {
+        } else if completed_share == 0.0 {
             // Nothing is done yet: it waits for memory or behind a load statement. It was retried once if it could be; beyond
             // that its waiting does not count as a slow pace.
             self.pace_since = now;
@@ -110,6 +110,6 @@
 /// Time without a progress event after which an attempt is lost; `None` where no events come, or where attempts can't be
 /// cancelled. A lost answer, or an engine that died unnoticed, would keep the client waiting until it leaves.
 pub(crate) fn lost_after(settings: &Settings) -> Option<Micros> {
-    let lost_after = (settings.progress_interval as f64 * LOST_INTERVALS) as Micros;
+    let lost_after = (settings.progress_interval as f64 * LOST_AFTER_INTERVALS) as Micros;
     (lost_after > 0 && settings.limits.cancel).then_some(lost_after)
 }
--- a/crates/policy/src/class_statistics.rs
+++ b/crates/policy/src/class_statistics.rs
@@ -4,18 +4,18 @@
 use crate::units::{RunTime, Threads, Work};
 
 /// Run time that is assumed until answers come, as a part of the class's deadline.
-const INITIAL_RUN_RATIO: f64 = 0.1;
+const INITIAL_RUN_TIME_RATIO: f64 = 0.1;
 /// Weight of a new sample in the means, once there are enough.
 const MIN_SAMPLE_WEIGHT: f64 = 0.03;
 /// While a sample weighs more than this, the means are too young for their minimum to be the run time without load.
-const UNDISTURBED_SAMPLE_WEIGHT: f64 = 0.125;
+const WARM_UP_SAMPLE_WEIGHT: f64 = 0.125;
 
 /// What the answers of a class have shown.
 pub(crate) struct ClassStatistics {
     mean_work: Work,
-    mean_run: RunTime,
+    mean_run_time: RunTime,
     /// Least value that the mean run time has had.
-    undisturbed_run: RunTime,
+    unloaded_run_time: RunTime,
     /// Number of answers, as a float since it only weighs.
     samples: f64,
 }
@@ -23,11 +23,11 @@
 impl ClassStatistics {
     /// Statistics of a class without answers, guessed from its deadline.
     pub(crate) fn new(class: &Class) -> Self {
-        let run = RunTime((class.deadline as f64 * INITIAL_RUN_RATIO).max(1.0));
+        let run = RunTime((class.deadline as f64 * INITIAL_RUN_TIME_RATIO).max(1.0));
         ClassStatistics {
             mean_work: run * class.threads(),
-            mean_run: run,
-            undisturbed_run: run,
+            mean_run_time: run,
+            unloaded_run_time: run,
             samples: 0.0,
         }
     }
@@ -36,13 +36,13 @@
         self.mean_work
     }
 
-    pub(crate) fn mean_run(&self) -> RunTime {
-        self.mean_run
+    pub(crate) fn mean_run_time(&self) -> RunTime {
+        self.mean_run_time
     }
 
     /// Run time without load.
-    pub(crate) fn undisturbed_run(&self) -> RunTime {
-        self.undisturbed_run
+    pub(crate) fn unloaded_run_time(&self) -> RunTime {
+        self.unloaded_run_time
     }
 
     pub(crate) fn has_samples(&self) -> bool {
@@ -64,11 +64,11 @@
         self.samples += 1.0;
         let weight = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
         self.mean_work += (work - self.mean_work) * weight;
-        self.mean_run += (run - self.mean_run) * weight;
-        self.undisturbed_run = if weight > UNDISTURBED_SAMPLE_WEIGHT {
-            self.mean_run
+        self.mean_run_time += (run - self.mean_run_time) * weight;
+        self.unloaded_run_time = if weight > WARM_UP_SAMPLE_WEIGHT {
+            self.mean_run_time
         } else {
-            self.undisturbed_run.min(self.mean_run)
+            self.unloaded_run_time.min(self.mean_run_time)
         };
     }
 }
@@ -106,7 +106,7 @@
     }
 
     /// Whether no class has more priority weight for its work.
-    pub(crate) fn has_highest_value(&self, class: usize) -> bool {
+    pub(crate) fn has_highest_weight_per_work(&self, class: usize) -> bool {
         let own = self.weight_per_work(class);
         (0..self.count()).all(|other| self.weight_per_work(other) <= own)
     }
@@ -123,7 +123,7 @@
     pub(crate) fn mean_threads_in_flight(&self) -> Threads {
         let (mut threads, mut queries) = (1.0, 1.0);
         for (statistics, config) in self.statistics.iter().zip(self.configs) {
-            let time_in_flight = statistics.samples * statistics.mean_run.0;
+            let time_in_flight = statistics.samples * statistics.mean_run_time.0;
             threads += time_in_flight * config.threads;
             queries += time_in_flight;
         }
--- a/crates/policy/src/completion.rs
+++ b/crates/policy/src/completion.rs
@@ -5,7 +5,7 @@
 use crate::request::Request;
 
 /// The answer that abandons a request: rejected where trying again is harmless, failed where that can't be told.
-pub(crate) fn abandonment(
+pub(crate) fn abandonment_response(
     id: RequestId,
     request: &Request,
     class: &Class,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -4,7 +4,7 @@
 //! between one and three fair shares; only a rejection lowers it further, until the end of the control period. Where load
 //! reports tell what other gateways use, it is what they leave.
 
-use crate::capacity::MIN_QUERIES;
+use crate::capacity::MIN_FAIR_SHARE_QUERIES;
 use crate::interface::{Class, Micros};
 use crate::load::FULL_SLOWDOWN;
 use crate::units::{RunTime, Threads, Work};
@@ -58,7 +58,7 @@
         let Some(other_threads) = self.other_threads else {
             return self.limit;
         };
-        let min = Threads(self.fair_share.0 / MIN_QUERIES);
+        let min = Threads(self.fair_share.0 / MIN_FAIR_SHARE_QUERIES);
         (capacity - other_threads).clamp(min, self.fair_share * MAX_FAIR_SHARES)
     }
 
@@ -78,12 +78,12 @@
     /// Lowers the limit to what is in flight, until the end of the control period, after the engine has rejected an attempt
     /// as full; at least one query of the widest class. Without effect where load reports tell what other gateways use:
     /// [`threads`](Self::threads) does not read the limit then.
-    pub(crate) fn reduce_to(&mut self, own_threads: Threads, widest_class: Threads) {
-        self.limit = own_threads.max(widest_class);
+    pub(crate) fn reduce_to(&mut self, own_threads: Threads, max_class_threads: Threads) {
+        self.limit = own_threads.max(max_class_threads);
     }
 
     /// Ends a control period.
-    pub(crate) fn update(&mut self, may_grow: bool) {
+    pub(crate) fn end_period(&mut self, may_grow: bool) {
         if self.run_time > self.work * FULL_SLOWDOWN {
             self.limit = self.limit * BACKOFF_FACTOR;
         } else if self.work > Work::ZERO && may_grow {
@@ -113,7 +113,7 @@
     }
 
     /// Ends a control period. Returns whether enough answers were within their objective.
-    pub(crate) fn take_is_met(&mut self) -> bool {
+    pub(crate) fn end_period(&mut self) -> bool {
         std::mem::take(&mut self.balance) >= 0.0
     }
 }
--- a/crates/policy/src/congestion_window.rs
+++ b/crates/policy/src/congestion_window.rs
@@ -4,7 +4,7 @@
 //! engines never recover. There the window bounds the load: additive increase by a query for each answer that shows
 //! capacity, multiplicative decrease under load.
 
-use crate::capacity::{engine_capacity, one_query_each_exceeds_capacity, widest_class};
+use crate::capacity::{engine_capacity, max_class_threads, one_query_each_exceeds_capacity};
 use crate::class_statistics::Classes;
 use crate::concurrency_limit::MAX_FAIR_SHARES;
 use crate::interface::{EndpointEntry, Micros, Settings};
@@ -67,8 +67,8 @@
             let capacity: Threads = entries
                 .map(|entry| engine_capacity(settings, entry.kind))
                 .sum();
-            let equal_part = Threads(capacity.0 / f64::from(settings.gateways));
-            self.size = equal_part.max(widest_class(&settings.classes)) * MAX_FAIR_SHARES;
+            let equal_share = Threads(capacity.0 / f64::from(settings.gateways));
+            self.size = equal_share.max(max_class_threads(&settings.classes)) * MAX_FAIR_SHARES;
         }
     }
 
@@ -91,7 +91,7 @@
     /// Whether a query of a class fits. While nothing of equal or higher value is in flight, a query that is not late always
     /// does. Late ones fill only [`LATE_RATIO`] of the window. Nothing fits during the pause of its class.
     pub(crate) fn fits(&self, classes: Classes, class: usize, late: bool, now: Micros) -> bool {
-        let ahead = self.threads_of_equal_or_higher_value(classes, class);
+        let ahead = self.competing_threads(classes, class);
         let limit = self.size * if late { LATE_RATIO } else { 1.0 };
         let fits =
             (ahead == Threads::ZERO && !late) || ahead + classes.config(class).threads() <= limit;
@@ -110,8 +110,7 @@
         let threads = classes.config(class).threads();
         if load_level.is_overloaded() {
             self.decrease(threads, load_level, settings);
-        } else if self.threads_of_equal_or_higher_value(classes, class)
-            + threads * GROWTH_HEADROOM_QUERIES
+        } else if self.competing_threads(classes, class) + threads * GROWTH_HEADROOM_QUERIES
             > self.size
         {
             self.size += threads;
@@ -127,7 +126,7 @@
         } else {
             MIN_QUERIES_WITHOUT_FEEDBACK
         };
-        let min = widest_class(&settings.classes) * min_queries;
+        let min = max_class_threads(&settings.classes) * min_queries;
         let used = self.size.min(in_flight + threads);
         self.size = (used * (1.0 - BACKOFF_RATIO * (load_level.get().0 - 1.0))).max(min);
     }
@@ -136,13 +135,13 @@
     /// each until the mean is kept.
     fn pause_class(&mut self, classes: Classes, class: usize, now: Micros) {
         let queries_over_window = classes.config(class).threads() / self.size - 1.0;
-        let pause = classes.statistics(class).mean_run() * queries_over_window.max(0.0);
+        let pause = classes.statistics(class).mean_run_time() * queries_over_window.max(0.0);
         self.paused_until[class] = self.paused_until[class].max(now + pause.0 as Micros);
     }
 
     /// Own threads in flight of classes with at least as much priority weight for their work: lower ones don't keep a
     /// class out.
-    fn threads_of_equal_or_higher_value(&self, classes: Classes, class: usize) -> Threads {
+    fn competing_threads(&self, classes: Classes, class: usize) -> Threads {
         let value = classes.weight_per_work(class);
         let counted = (0..classes.count()).filter(|other| classes.weight_per_work(*other) >= value);
         counted.map(|other| self.in_flight[other]).sum()
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -28,10 +28,10 @@
     SettingsError,
 };
 use crate::intervals::{CONTROL_PERIOD, HOUSEKEEPING_INTERVAL};
-use crate::load::{LoadLevel, cap_shown_load};
+use crate::load::{LoadLevel, cap_observed_load};
 use crate::memory_grant::GrantMargin;
 use crate::ordering_key::OrderingKeys;
-use crate::outlier_detection::excuse_own_stall;
+use crate::outlier_detection::exclude_event_loop_stall;
 use crate::request::RequestTable;
 use crate::retry::RetryUsage;
 use crate::scheduler::Scheduler;
@@ -98,7 +98,7 @@
     /// Handles one batch: the events in their order, then one dispatch pass. Actions are appended to `out`.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        excuse_own_stall(&mut self.engines, self.next_housekeeping, self.now);
+        exclude_event_loop_stall(&mut self.engines, self.next_housekeeping, self.now);
         for event in events {
             self.apply(event, out);
         }
@@ -108,7 +108,7 @@
         }
         if self.now >= self.next_housekeeping {
             self.next_housekeeping = self.now + HOUSEKEEPING_INTERVAL;
-            self.housekeep(out);
+            self.run_housekeeping(out);
             out.push(Action::Timer(HOUSEKEEPING_INTERVAL));
         }
         self.dispatch(out);
@@ -156,10 +156,10 @@
         let classes = Classes::new(&self.settings.classes, &self.statistics);
         self.scheduler
             .update_odds(&mean_waits, classes, self.settings.tick);
-        let is_objective_met = self.objective_balance.take_is_met();
+        let is_objective_met = self.objective_balance.end_period();
         let may_grow = is_objective_met && self.queues.is_any_queued();
         for engine in self.engines.values_mut() {
-            engine.limit.update(may_grow);
+            engine.limit.end_period(may_grow);
         }
     }
 
@@ -176,7 +176,9 @@
     }
 
     fn on_health_check(&mut self, id: EngineId, report: Option<LoadReport>) {
-        let load = self.reported_load(id, report.as_ref()).map(cap_shown_load);
+        let load = self
+            .reported_load(id, report.as_ref())
+            .map(cap_observed_load);
         let (Some(load), Some(engine)) = (load, self.engines.get_mut(&id)) else {
             return;
         };
--- a/crates/policy/src/controller/attempts.rs
+++ b/crates/policy/src/controller/attempts.rs
@@ -9,7 +9,7 @@
 use crate::interface::{
     Action, AttemptStatus, EngineId, Idempotency, LoadReport, Micros, Outcome, Progress, RequestId,
 };
-use crate::load::{observed_load, reported_load, tells_load_level};
+use crate::load::{observed_load, reflects_load_level, reported_load};
 use crate::memory_grant::SpillReport;
 use crate::outlier_detection;
 use crate::units::{Load, RunTime, Work};
@@ -63,7 +63,7 @@
                 );
             }
             self.finish(outcome.request, None, out);
-        } else if !request.attempts.is_any_in_flight() && request.queued.is_none() {
+        } else if !request.attempts.is_any_in_flight() && request.queue_entry.is_none() {
             self.enqueue(outcome.request, out);
         }
     }
@@ -74,7 +74,7 @@
         let statistics = &mut self.statistics[attempt.class];
         let run_time = RunTime(outcome.elapsed as f64) * threads;
         // Without reported work the mean run rises with the load; measured against it, nothing looks slow.
-        let undisturbed = statistics.undisturbed_run() * threads;
+        let undisturbed = statistics.unloaded_run_time() * threads;
         let work = outcome
             .work
             .map_or(run_time, |work| Work(work as f64))
@@ -109,7 +109,7 @@
             return;
         };
         self.record_engine_load(class, outcome.engine, load, reported);
-        if tells_load_level(outcome.status, &self.settings) {
+        if reflects_load_level(outcome.status, &self.settings) {
             self.load_level.observe(load);
             let classes = Classes::new(&self.settings.classes, &self.statistics);
             self.congestion_window.update(
@@ -205,15 +205,17 @@
                     .memory
                     .record_spill(&report, &mut attempt.progress, margin, max_grant_mb)
             }
-            Progress::Completed(share_done @ 0.0..=1.0) if may_cancel => {
+            Progress::Completed(completed_share @ 0.0..=1.0) if may_cancel => {
                 let pace_limits = PaceLimits {
-                    mean_run: self.statistics[class].mean_run(),
+                    mean_run_time: self.statistics[class].mean_run_time(),
                     time_left: request.valid_until.saturating_sub(now),
                     may_retry,
                     has_cancelled: request.cancelled_for_pace,
                     is_overloaded: self.load_level.is_overloaded(),
                 };
-                let decision = attempt.progress.check_pace(share_done, &pace_limits, now);
+                let decision = attempt
+                    .progress
+                    .check_pace(completed_share, &pace_limits, now);
                 request.cancelled_for_pace |= decision == ProgressDecision::CancelAndRetry;
                 decision
             }
--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -5,7 +5,7 @@
 use super::Controller;
 use crate::attempt::InFlightAttempt;
 use crate::endpoint_selection::EndpointSelection;
-use crate::idempotency::{safe_until, would_end_unknown};
+use crate::idempotency::{risks_unknown_result, safe_until};
 use crate::interface::{Action, EngineId, Micros, RequestId};
 use crate::priority::{DEFAULT_PRIORITY, priority};
 use crate::request::Request;
@@ -37,7 +37,7 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        if !self.may_send(request) || self.would_end_unknown(request) {
+        if !self.may_send(request) || self.risks_unknown_result(request) {
             self.abandon(id, out);
             return true;
         }
@@ -59,10 +59,10 @@
         is_held
     }
 
-    fn would_end_unknown(&self, request: &Request) -> bool {
+    fn risks_unknown_result(&self, request: &Request) -> bool {
         let idempotency = self.settings.classes[request.class].idempotency;
         let time_left = request.valid_until.saturating_sub(self.now);
-        would_end_unknown(idempotency, &self.statistics[request.class], time_left)
+        risks_unknown_result(idempotency, &self.statistics[request.class], time_left)
     }
 
     fn endpoint_selection(&self) -> EndpointSelection<'_> {
@@ -128,7 +128,10 @@
     }
 
     fn priority(&self, request: &Request) -> u8 {
-        let runs_behind = request.is_late() || self.holds.is_low_priority(request.hold_targets);
-        priority(runs_behind, self.classes().has_highest_value(request.class))
+        let is_low_priority = request.is_late() || self.holds.is_low_priority(request.hold_targets);
+        priority(
+            is_low_priority,
+            self.classes().has_highest_weight_per_work(request.class),
+        )
     }
 }
--- a/crates/policy/src/controller/housekeeping.rs
+++ b/crates/policy/src/controller/housekeeping.rs
@@ -10,7 +10,7 @@
 use crate::outlier_detection::eject_silent_engines;
 
 impl Controller {
-    pub(super) fn housekeep(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn run_housekeeping(&mut self, out: &mut Vec<Action>) {
         self.prune_windows();
         self.resume_keys(out);
         self.abandon_expired(out);
--- a/crates/policy/src/controller/requests.rs
+++ b/crates/policy/src/controller/requests.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::admission::{Admission, admit, is_near_connection_limit};
 use crate::class_queue::QueueEntry;
-use crate::completion::abandonment;
+use crate::completion::abandonment_response;
 use crate::engine::cancel_attempts;
 use crate::hold::HoldTargets;
 use crate::interface::{Action, Arrival, RequestId};
@@ -59,7 +59,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if request.done || request.queued.is_some() || request.attempts.is_any_in_flight() {
+        if request.done || request.queue_entry.is_some() || request.attempts.is_any_in_flight() {
             return;
         }
         let class = request.class;
@@ -80,7 +80,7 @@
                 };
                 self.queues.insert(class, entry);
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.queued = Some(entry);
+                    request.queue_entry = Some(entry);
                 }
             }
             Admission::Queue { .. } | Admission::Abandon => self.abandon(id, out),
@@ -104,7 +104,7 @@
     pub(super) fn dequeue(&mut self, id: RequestId) {
         self.holds.unblock(id);
         if let Some(request) = self.requests.get_mut(id)
-            && let Some(entry) = request.queued.take()
+            && let Some(entry) = request.queue_entry.take()
         {
             self.queues.remove(request.class, &entry);
         }
@@ -114,7 +114,7 @@
     pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(id) {
             let class = &self.settings.classes[request.class];
-            let answer = abandonment(id, request, class, &self.settings.limits);
+            let answer = abandonment_response(id, request, class, &self.settings.limits);
             self.finish(id, Some(answer), out);
         }
     }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -5,11 +5,11 @@
 use crate::congestion_window::CongestionWindow;
 use crate::engine::{Engine, Engines};
 use crate::hold::Holds;
-use crate::idempotency::recognizes_repeat;
+use crate::idempotency::deduplicates_retry;
 use crate::interface::{EngineId, Idempotency, Micros, Settings};
-use crate::rendezvous::pair_hash;
+use crate::rendezvous::rendezvous_hash;
 use crate::request::Request;
-use crate::slow_start::{fits_slow_start, is_warming_up};
+use crate::slow_start::{is_warming_up, is_within_slow_start_budget};
 use crate::units::Load;
 
 /// The load at which an engine is full.
@@ -56,7 +56,7 @@
                 request.attempts.has_tried(**id),
                 own_queries,
                 load,
-                pair_hash(salt, **id),
+                rendezvous_hash(salt, **id),
             )
         });
         best.map(|(id, _)| *id)
@@ -75,7 +75,7 @@
             && self.is_within_congestion_window(request, engine)
             && !request.attempts.is_in_flight_at(id)
             && self.is_within_slow_start(request, id, engine)
-            && self.holds.have_slot(request.hold_targets, id)
+            && self.holds.has_slot(request.hold_targets, id)
     }
 
     /// Zones and machine kinds of the class. A request with an idempotency key that may have run goes only to engines that
@@ -89,7 +89,7 @@
         };
         is_within(&class.zones, engine.entry.zone)
             && is_within(&class.kinds, engine.entry.kind)
-            && recognizes_repeat(
+            && deduplicates_retry(
                 class.idempotency,
                 request.attempts.possible_run(),
                 &engine.entry,
@@ -118,7 +118,7 @@
         }
         let work = self.classes.statistics(request.class).mean_work();
         let heaviest = self.classes.heaviest_mean_work();
-        fits_slow_start(
+        is_within_slow_start_budget(
             id,
             &engine.entry,
             &engine.recent_sends,
@@ -155,7 +155,7 @@
     /// Whether a query is away from the home engines of its table group, or a load statement is at one of them. Homes exist only
     /// where some class locks its group.
     fn is_misplaced(&self, request: &Request, group: u64, id: EngineId) -> bool {
-        let is_home = pair_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
+        let is_home = rendezvous_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
         let locks_group = self.classes.config(request.class).locks_group;
         self.settings.classes.iter().any(|class| class.locks_group) && is_home == locks_group
     }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -96,9 +96,9 @@
 
     /// Position of an attempt among those in flight.
     pub(crate) fn position_of(&self, request: RequestId, number: u32) -> Option<usize> {
-        let is_it =
+        let is_match =
             |attempt: &InFlightAttempt| attempt.request == request && attempt.number == number;
-        self.in_flight.iter().position(is_it)
+        self.in_flight.iter().position(is_match)
     }
 }
 
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -37,7 +37,7 @@
     }
 
     /// Counts `time` as if the engine had not been listened to.
-    pub(crate) fn excuse_silence(&mut self, time: Micros, now: Micros) {
+    pub(crate) fn exclude_from_silence(&mut self, time: Micros, now: Micros) {
         self.last_response_at = now.min(self.last_response_at + time);
     }
 
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -4,13 +4,13 @@
 use crate::engine::Engines;
 use crate::interface::{EngineId, Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
-use crate::rendezvous::pair_hash;
+use crate::rendezvous::rendezvous_hash;
 
 /// Interval between two checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
 /// Up to this cost (unit: [`Settings::health_check_cost`]) every send brings a check; above it checks are proportionally
 /// rarer.
-const WORTHWHILE_COST: f64 = 0.01;
+const FULL_RATE_COST: f64 = 0.01;
 
 /// When the next health check is due.
 pub(crate) struct HealthChecks {
@@ -19,19 +19,19 @@
     /// Fraction of a check that sends have brought so far.
     credit: f64,
     /// A send has brought a check.
-    brought_by_send: bool,
+    triggered_by_send: bool,
     /// Not before that while requests wait.
     next_at: Micros,
 }
 
 impl HealthChecks {
     pub(crate) fn new(settings: &Settings) -> Self {
-        let cost = settings.health_check_cost.max(WORTHWHILE_COST);
-        let ratio = (WORTHWHILE_COST / cost).min(1.0);
+        let cost = settings.health_check_cost.max(FULL_RATE_COST);
+        let ratio = (FULL_RATE_COST / cost).min(1.0);
         HealthChecks {
             ratio,
             credit: 0.0,
-            brought_by_send: false,
+            triggered_by_send: false,
             next_at: 0,
         }
     }
@@ -41,7 +41,7 @@
         self.credit += self.ratio;
         if self.credit >= 1.0 {
             self.credit -= 1.0;
-            self.brought_by_send = true;
+            self.triggered_by_send = true;
         }
     }
 
@@ -53,13 +53,13 @@
         now: Micros,
     ) -> bool {
         let is_possible = settings.limits.health_checks && settings.load_reports;
-        let is_due = self.brought_by_send || (is_any_queued && now >= self.next_at);
+        let is_due = self.triggered_by_send || (is_any_queued && now >= self.next_at);
         if !is_possible || !is_due {
             return false;
         }
         let interval = (CHECK_INTERVAL as f64 / self.ratio) as Micros;
         self.next_at = now.saturating_add(interval);
-        self.brought_by_send = false;
+        self.triggered_by_send = false;
         true
     }
 }
@@ -67,5 +67,6 @@
 /// The engine to check: a random one of those that are up.
 pub(crate) fn choose_engine(engines: &Engines, salt: u64) -> Option<EngineId> {
     let up = engines.iter().filter(|(_, engine)| engine.is_up());
-    up.map(|(id, _)| *id).min_by_key(|id| pair_hash(salt, *id))
+    up.map(|(id, _)| *id)
+        .min_by_key(|id| rendezvous_hash(salt, *id))
 }
--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -5,7 +5,7 @@
 use crate::interface::{EngineId, Hold, HoldTarget, RequestId};
 
 /// At most this many requests per hold go back to their queues at each housekeeping: it bounds the work of one batch.
-const MAX_UNBLOCKED: u32 = 64;
+const MAX_UNBLOCKED_PER_HOLD: u32 = 64;
 
 /// What of a request a hold may name.
 #[derive(Clone, Copy, Debug, Default)]
@@ -70,7 +70,7 @@
     }
 
     /// Whether all holds on a request have a slot for it at an engine.
-    pub(crate) fn have_slot(&self, targets: HoldTargets, engine: EngineId) -> bool {
+    pub(crate) fn has_slot(&self, targets: HoldTargets, engine: EngineId) -> bool {
         self.covering(targets).all(|state| {
             state.in_flight < state.hold.max_in_flight
                 && !state.hold.excluded_engines.contains(&engine)
@@ -114,7 +114,7 @@
                 .hold
                 .max_in_flight
                 .saturating_sub(state.in_flight)
-                .min(MAX_UNBLOCKED)
+                .min(MAX_UNBLOCKED_PER_HOLD)
         };
         let mut slots: BTreeMap<HoldTarget, u32> = self
             .holds
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -22,7 +22,7 @@
 }
 
 /// Whether an engine recognizes a repeat of a request with an idempotency key. Elsewhere it would run twice.
-pub(crate) fn recognizes_repeat(
+pub(crate) fn deduplicates_retry(
     idempotency: Idempotency,
     possible_run: Option<PossibleRun>,
     entry: &EndpointEntry,
@@ -57,12 +57,12 @@
 
 /// Whether a request would probably be cut off while it runs. One that must not run twice, sent with less than a usual run
 /// to go, would end as one that may have run, and somebody has to look it up. Rejected before, it can be tried again.
-pub(crate) fn would_end_unknown(
+pub(crate) fn risks_unknown_result(
     idempotency: Idempotency,
     statistics: &ClassStatistics,
     time_left: Micros,
 ) -> bool {
     idempotency == Idempotency::NotIdempotent
         && statistics.has_samples()
-        && RunTime(time_left as f64) < statistics.mean_run()
+        && RunTime(time_left as f64) < statistics.mean_run_time()
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -13,14 +13,14 @@
 /// Load of all engines before the first answer.
 const INITIAL_LOAD_LEVEL: Load = Load(0.5);
 /// The most that one answer shows; also what a failure shows.
-const MAX_SHOWN_LOAD: Load = Load(1.6);
+const MAX_OBSERVED_LOAD: Load = Load(1.6);
 /// Weight of a new answer in the load level.
 const LOAD_LEVEL_WEIGHT: f64 = 0.2;
 /// From this part of busy cores on, a report of busy cores does not tell how much more is waiting.
-const MAX_TELLING_CPU: f64 = 0.9;
+const MAX_INFORMATIVE_CPU: f64 = 0.9;
 /// Time constant with which the load that an engine showed decays. If it decays too fast, a query from each of many
 /// gateways keeps an engine short of memory crawling.
-const DECAY_TIME: Micros = 10_000_000;
+const DECAY_TIME_CONSTANT: Micros = 10_000_000;
 
 /// Whether engines tell of their load by reports, or of the work that queries needed; otherwise only run times tell.
 pub(crate) fn has_load_feedback(settings: &Settings) -> bool {
@@ -57,26 +57,26 @@
 #[derive(Default)]
 pub(crate) struct EngineLoad {
     shown: Load,
-    shown_at: Micros,
+    observed_at: Micros,
 }
 
 impl EngineLoad {
     /// Records a load that the engine has shown.
     pub(crate) fn record(&mut self, load: Load, now: Micros) {
         self.shown = load;
-        self.shown_at = now;
+        self.observed_at = now;
     }
 
     /// The load that it showed, decaying towards what is `usual` for all engines.
     pub(crate) fn decayed(&self, usual: Load, now: Micros) -> Load {
-        let age = now.saturating_sub(self.shown_at) as f64 / DECAY_TIME as f64;
+        let age = now.saturating_sub(self.observed_at) as f64 / DECAY_TIME_CONSTANT as f64;
         usual + (self.shown - usual) * (-age).exp()
     }
 }
 
 /// What counts of a load that one answer shows.
-pub(crate) fn cap_shown_load(load: Load) -> Load {
-    load.min(MAX_SHOWN_LOAD)
+pub(crate) fn cap_observed_load(load: Load) -> Load {
+    load.min(MAX_OBSERVED_LOAD)
 }
 
 /// Load by a report: threads or memory, else busy cores while they are not all busy. `mean_threads` is the usual number
@@ -91,7 +91,7 @@
     let memory = Load(usable(report.memory).unwrap_or(0.0));
     let threads = usable(report.in_flight).map(|queries| mean_threads * queries);
     let by_threads = threads.map(|threads| Load(threads / capacity).max(memory));
-    let cpu = usable(report.cpu).filter(|cpu| *cpu < MAX_TELLING_CPU);
+    let cpu = usable(report.cpu).filter(|cpu| *cpu < MAX_INFORMATIVE_CPU);
     by_threads.or(cpu.map(|cpu| Load(cpu / THREADS_PER_CORE)))
 }
 
@@ -103,7 +103,8 @@
     statistics: &ClassStatistics,
     settings: &Settings,
 ) -> Option<Load> {
-    let ended_early = settings.progress_interval > 0 && outcome.elapsed < class.deadline / 2;
+    let had_short_time_limit =
+        settings.progress_interval > 0 && outcome.elapsed < class.deadline / 2;
     match outcome.status {
         AttemptStatus::Succeeded => reported
             .or_else(|| {
@@ -114,12 +115,12 @@
                 };
                 Some(Load(slowdown(outcome, class, statistics) / full_slowdown))
             })
-            .map(cap_shown_load),
+            .map(cap_observed_load),
         // The client came with little time left: the time-out is not the engine's.
-        AttemptStatus::TimedOut if ended_early => None,
+        AttemptStatus::TimedOut if had_short_time_limit => None,
         AttemptStatus::NotSent => None,
         // An engine that fails looks idle: its report must not attract more requests.
-        _ => Some(MAX_SHOWN_LOAD),
+        _ => Some(MAX_OBSERVED_LOAD),
     }
 }
 
@@ -128,13 +129,13 @@
     let run = RunTime(outcome.elapsed as f64);
     match outcome.work {
         Some(work) => run * class.threads() / Work(work as f64).max(Work(1.0)),
-        None => run / statistics.undisturbed_run(),
+        None => run / statistics.unloaded_run_time(),
     }
 }
 
 /// Whether an outcome tells of the load of all engines. When all crawl nothing is answered. Where progress events tell
 /// lost answers apart, a time-out is load; elsewhere, and for other failures, it tells of that engine alone.
-pub(crate) fn tells_load_level(status: AttemptStatus, settings: &Settings) -> bool {
+pub(crate) fn reflects_load_level(status: AttemptStatus, settings: &Settings) -> bool {
     match status {
         AttemptStatus::Succeeded | AttemptStatus::Rejected => true,
         AttemptStatus::TimedOut => settings.progress_interval > 0,
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -10,7 +10,7 @@
 /// ... and an answer without one takes this off.
 const MARGIN_DECREASE: f64 = 0.02;
 /// A query that spills so soon after its start has done little: starting it again costs little.
-const EARLY_SPILL: Micros = 5 * HOUSEKEEPING_INTERVAL;
+const EARLY_SPILL_TIME: Micros = 5 * HOUSEKEEPING_INTERVAL;
 
 /// Memory that queries of a class are granted beyond their estimate, as a part of it: estimates are off, and a query short
 /// of memory does its work several times over.
@@ -84,7 +84,7 @@
             margin.record_spill();
         }
         let can_grow = self.granted_mb > 0.0 && self.granted_mb < max_grant_mb;
-        let is_early = report.running_for < EARLY_SPILL;
+        let is_early = report.running_for < EARLY_SPILL_TIME;
         let is_worth_a_retry = can_grow && is_early && is_plausible(report.missing_mb);
         if !report.may_retry || self.has_cancelled || !is_worth_a_retry {
             return ProgressDecision::Continue;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: engines whose failures or silence take them out of selection for a time.
 
-use crate::capacity::widest_class;
+use crate::capacity::max_class_threads;
 use crate::class_statistics::ClassStatistics;
 use crate::engine::{Engine, Engines};
 use crate::engine_health::EngineHealth;
@@ -9,22 +9,22 @@
 use crate::units::RunTime;
 
 /// An engine is silent when an attempt has been in flight for this multiple of its class's mean run time ...
-const SILENT_RUNS: f64 = 4.0;
+const SILENCE_MEAN_RUN_TIMES: f64 = 4.0;
 /// ... and no success, rejection or progress event has come from it for this long (error responses and health checks do
 /// not count).
-const SILENT_TIME: Micros = 1_000_000;
+const MIN_SILENCE: Micros = 1_000_000;
 /// At most this part of the engines that are up is ejected, but always one: a fault of more is shared by all, and ejection
 /// would not help.
 const MAX_EJECTED_RATIO: f64 = 0.5;
 /// A timer that is later than this tells that the own event loop stalled.
-const OWN_STALL: Micros = 10 * HOUSEKEEPING_INTERVAL;
+const MIN_EVENT_LOOP_STALL: Micros = 10 * HOUSEKEEPING_INTERVAL;
 
 /// The engines charged with an error response to one request.
 #[derive(Default)]
 pub(crate) struct RequestFailures {
-    blamed: Vec<EngineId>,
+    charged_engines: Vec<EngineId>,
     /// More than one engine has answered with an error: the fault is the request's.
-    fails_at_several: bool,
+    failed_on_several_engines: bool,
 }
 
 impl RequestFailures {
@@ -32,11 +32,11 @@
     /// own, as another engine has answered it with an error too: such a request would have all engines ejected, one by
     /// one.
     fn record_error(&mut self, engine: EngineId) -> Option<Vec<EngineId>> {
-        self.fails_at_several |= self.blamed.iter().any(|other| *other != engine);
-        if self.fails_at_several {
-            return Some(std::mem::take(&mut self.blamed));
+        self.failed_on_several_engines |= self.charged_engines.iter().any(|other| *other != engine);
+        if self.failed_on_several_engines {
+            return Some(std::mem::take(&mut self.charged_engines));
         }
-        self.blamed.push(engine);
+        self.charged_engines.push(engine);
         None
     }
 }
@@ -88,7 +88,7 @@
     let own_threads = engine.own_threads(&settings.classes);
     engine
         .limit
-        .reduce_to(own_threads, widest_class(&settings.classes));
+        .reduce_to(own_threads, max_class_threads(&settings.classes));
 }
 
 /// Ejects an engine, unless too many are ejected already.
@@ -104,19 +104,19 @@
     }
 }
 
-/// Ejects engines with an overdue attempt that have sent no success, rejection or progress event for [`SILENT_TIME`].
+/// Ejects engines with an overdue attempt that have sent no success, rejection or progress event for [`MIN_SILENCE`].
 pub(crate) fn eject_silent_engines(
     engines: &mut Engines,
     statistics: &[ClassStatistics],
     now: Micros,
 ) {
     let is_overdue = |sent_at: Micros, class: usize| {
-        RunTime((now - sent_at) as f64) > statistics[class].mean_run() * SILENT_RUNS
+        RunTime((now - sent_at) as f64) > statistics[class].mean_run_time() * SILENCE_MEAN_RUN_TIMES
     };
     let is_silent = |engine: &Engine| {
         let health: &EngineHealth = &engine.health;
         !health.is_ejected()
-            && now - health.last_response_at() > SILENT_TIME
+            && now - health.last_response_at() > MIN_SILENCE
             && engine
                 .in_flight()
                 .iter()
@@ -134,11 +134,11 @@
 
 /// A gateway whose event loop stalled finds every engine silent when it goes on: the time by which its own timer,
 /// `due_at`, is late counts against no engine. 0 means that no timer is set yet.
-pub(crate) fn excuse_own_stall(engines: &mut Engines, due_at: Micros, now: Micros) {
+pub(crate) fn exclude_event_loop_stall(engines: &mut Engines, due_at: Micros, now: Micros) {
     let late = now.saturating_sub(due_at);
-    if due_at > 0 && late > OWN_STALL {
+    if due_at > 0 && late > MIN_EVENT_LOOP_STALL {
         for engine in engines.values_mut() {
-            engine.health.excuse_silence(late, now);
+            engine.health.exclude_from_silence(late, now);
         }
     }
 }
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -8,6 +8,6 @@
 /// A pseudo-random number for a number and an engine. Engines that are ordered by it for one number stand in an
 /// unrelated order for another.
 #[inline]
-pub(crate) fn pair_hash(number: u64, engine: EngineId) -> u64 {
+pub(crate) fn rendezvous_hash(number: u64, engine: EngineId) -> u64 {
     Pcg64Mcg::seed_from_u64(number << 32 ^ u64::from(engine.0)).next_u64()
 }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -21,7 +21,7 @@
     pub(crate) arrived_at: Micros,
     pub(crate) hold_targets: HoldTargets,
     /// Its position in the class queue while it waits there.
-    pub(crate) queued: Option<QueueEntry>,
+    pub(crate) queue_entry: Option<QueueEntry>,
     pub(crate) attempts: AttemptHistory,
     pub(crate) memory: MemoryGrant,
     pub(crate) failures: RequestFailures,
@@ -33,7 +33,7 @@
 
 impl Request {
     pub(crate) fn is_late(&self) -> bool {
-        self.queued.is_some_and(|entry| entry.late)
+        self.queue_entry.is_some_and(|entry| entry.late)
     }
 }
 
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -20,7 +20,7 @@
 /// Part of the latency objective that the reference wait never falls under.
 const MIN_WAIT_RATIO: f64 = 0.25;
 /// Mean waits of so many ticks or less are noise: nobody waits.
-const MIN_TELLING_TICKS: f64 = 2.0;
+const MIN_SIGNIFICANT_TICKS: f64 = 2.0;
 
 /// Odds of the classes. Pair `j` stands for the neighbours `j` and `j + 1`.
 pub(crate) struct Scheduler {
@@ -60,7 +60,7 @@
             let (Some(first), Some(second)) = (mean_waits[j], mean_waits[j + 1]) else {
                 continue;
             };
-            if first.max(second) <= MIN_TELLING_TICKS * min_wait {
+            if first.max(second) <= MIN_SIGNIFICANT_TICKS * min_wait {
                 continue;
             }
             let target = reference_wait(classes, j) / reference_wait(classes, j + 1);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -7,7 +7,7 @@
 
 use crate::capacity::cores;
 use crate::interface::{EndpointEntry, EngineId, Micros, Rules, Settings};
-use crate::rendezvous::pair_hash;
+use crate::rendezvous::rendezvous_hash;
 use crate::units::Work;
 
 /// Used part of what a warming engine is sure to bear; the rest covers chance and slow cores.
@@ -60,7 +60,7 @@
 /// Where this gateway's equal part is less than the heaviest class's mean work, that class would have to wait for warm
 /// engines. Gateways then take turns by their index, one overload window each and in another order at each engine, and
 /// each uses the parts of those that don't have the turn.
-pub(crate) fn fits_slow_start(
+pub(crate) fn is_within_slow_start_budget(
     id: EngineId,
     entry: &EndpointEntry,
     recent_sends: &RecentSends,
@@ -75,13 +75,13 @@
     }
     let gateways = f64::from(settings.gateways);
     let start_cores = rules.start_capacity * cores(settings, entry.kind);
-    let bearable = rules.overload_factor * start_cores * rules.overload_window as f64;
-    let equal_part = Work(SAFETY_RATIO * bearable / gateways);
-    let turns = (heaviest / equal_part).ceil().clamp(1.0, gateways);
+    let tolerated_work = rules.overload_factor * start_cores * rules.overload_window as f64;
+    let equal_share = Work(SAFETY_RATIO * tolerated_work / gateways);
+    let turns = (heaviest / equal_share).ceil().clamp(1.0, gateways);
     let window_number = (now.saturating_sub(entry.ready_at) / rules.overload_window.max(1))
         .wrapping_add(settings.index.into())
-        .wrapping_add(pair_hash(0, id));
+        .wrapping_add(rendezvous_hash(0, id));
     let has_turn = window_number.is_multiple_of(turns as u64);
     let sent = recent_sends.work_since(now.saturating_sub(rules.overload_window));
-    has_turn && sent + work <= equal_part * turns
+    has_turn && sent + work <= equal_share * turns
 }
