--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,50 +1,50 @@
-//! Actions that the host carries out for the [`Controller`](crate::Controller).
+//! Actions that the host executes for the [`Controller`](crate::Controller).
 
 use super::ids::{EngineId, Micros, RequestId};
 
-/// Something that the host is to do, in order.
+/// An action for the host. The host executes actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a request to an engine.
+    /// Sends a request to an engine.
     Send {
         /// The request.
         request: RequestId,
         /// The engine.
         engine: EngineId,
-        /// Its first byte must be written before that, or not at all: a connection may take long, and after
-        /// the window of its idempotency key a repeat is no longer recognised. `None`: any time before its
-        /// deadline.
+        /// Time before which the first byte must be written; after it the attempt must not be sent. Connecting may
+        /// take long, and engines no longer recognise a duplicate after the window of the idempotency key. `None`: any
+        /// time before the request's deadline.
         send_by: Option<Micros>,
     },
-    /// Set priority and memory grant of a request, before its send.
+    /// Sets the priority and memory grant of a request before it is sent.
     SetOptions {
         /// The request.
         request: RequestId,
-        /// 0 to 3.
+        /// Priority inside the engine, from 0 (lowest) to 3.
         priority: u8,
-        /// Memory to grant, in MB; 0 leaves it to the engine.
+        /// Memory to grant, in MB; 0: the engine decides.
         memory_grant_mb: f64,
     },
-    /// Cancel an attempt; its [`Event::Outcome`](crate::Event::Outcome) still comes.
+    /// Cancels an attempt; its [`Event::Outcome`](crate::Event::Outcome) still follows.
     Cancel {
         /// The request.
         request: RequestId,
         /// Attempt number, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected (load shed); trying again is harmless.
+    /// Final response: rejected, for example by load shedding. The client can safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should retry.
+        /// Time after which the client should retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed; it may have run.
+    /// Final response: failed. The request may have run.
     Fail(RequestId),
-    /// Check the health of an engine for [`Event::HealthChecked`](crate::Event::HealthChecked).
+    /// Checks the health of an engine; [`Event::HealthChecked`](crate::Event::HealthChecked) reports the result.
     HealthCheck(EngineId),
-    /// Bring [`Event::Wakeup`](crate::Event::Wakeup) after this time.
+    /// Delivers [`Event::Wakeup`](crate::Event::Wakeup) after this time.
     Timer(Micros),
-    /// Ask discovery to report changes from now on.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
 }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,17 +1,17 @@
-//! Events that the host feeds to the [`Controller`](crate::Controller).
+//! Events that the host passes to the [`Controller`](crate::Controller).
 
 use super::ids::{EngineId, KeyId, Micros, RequestId};
 use super::settings::Settings;
 
-/// State of a listed engine.
+/// Readiness of a listed engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// Accepts work.
+    /// Accepts requests.
     #[default]
     Up,
-    /// Graceful shutdown: completes what it has and accepts nothing more.
+    /// Shutting down gracefully: completes running requests and accepts no new ones.
     Draining,
-    /// Gone.
+    /// No longer available.
     Removed,
 }
 
@@ -20,59 +20,59 @@
 pub struct EndpointEntry {
     /// The engine.
     pub engine: EngineId,
-    /// Its zone, where known.
+    /// Its zone, if known.
     pub zone: Option<usize>,
-    /// Its machine kind, where known.
+    /// Its machine kind, if known.
     pub kind: Option<usize>,
     /// Its cell.
     pub cell: u64,
-    /// Time of its latest start; 0: long ago.
+    /// Time of its latest start; 0: it has been running for long.
     pub ready_at: Micros,
-    /// Its state.
+    /// Its readiness.
     pub readiness: Readiness,
 }
 
-/// How an endpoint list event relates to the list known so far.
+/// Relation of an endpoint list event to the list known so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only changed entries.
+    /// Changed entries only.
     Changes,
     /// The complete list.
     All,
-    /// The complete list as cached before a restart; may be stale.
+    /// The complete list as cached before a restart, possibly stale.
     Cached,
-    /// A call to discovery failed; no entries.
+    /// A call to discovery failed; the event has no entries.
     Failed,
 }
 
-/// How an attempt ended.
+/// Final status of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// The engine served it.
+    /// The engine returned the result.
     Succeeded,
-    /// The engine answered with an error; it may have run.
+    /// The engine returned an error; the request may have run.
     ErrorResponse,
-    /// The engine rejected it unread; it never ran.
+    /// The engine rejected the request without reading it; it did not run.
     Rejected,
-    /// No answer in time; it may have run or may still run.
+    /// No response in time; the request may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection could not be opened; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent.
     NotSent,
 }
 
 impl AttemptStatus {
-    /// The engine has certainly not run it.
+    /// Returns whether the request certainly did not run.
     pub(crate) fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
-    /// The engine may still be running it.
+    /// Returns whether the engine may still be running the request.
     pub(crate) fn may_still_run(self) -> bool {
         matches!(
             self,
@@ -81,43 +81,43 @@
     }
 }
 
-/// An engine's report of its load; late and noisy.
+/// An engine's report of its load. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Queries that it runs, from all gateways.
+    /// Queries that the engine is running, from all gateways.
     pub in_flight: Option<f64>,
-    /// Part of its memory that is granted.
+    /// Granted part of the engine's memory.
     pub memory: Option<f64>,
-    /// Part of its cores that is busy.
+    /// Busy part of the engine's cores.
     pub cpu: Option<f64>,
 }
 
-/// A request that has arrived.
+/// A newly arrived request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Its id.
     pub request: RequestId,
     /// Its class.
     pub class: usize,
-    /// Its tenant, where there are any. No decision reads it yet.
+    /// Its tenant, if tenants are configured. No decision uses it yet.
     pub tenant: Option<usize>,
     /// Its ordering key.
     pub key: Option<KeyId>,
-    /// When the client gives up.
+    /// Deadline, at which the client gives up.
     pub valid_until: Micros,
-    /// Estimated work of all threads. No decision reads it yet.
+    /// Estimated work, summed over all threads. No decision uses it yet.
     pub estimated_work: Option<Micros>,
-    /// Estimated memory that it needs, in MB; 0: none given.
+    /// Estimated memory requirement, in MB; 0: no estimate.
     pub estimated_memory_mb: f64,
-    /// The table group that it reads or writes, where known.
+    /// The table group that it reads or writes, if known.
     pub group: Option<u64>,
-    /// The client marks it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// Its statement kind, which a hold may name.
+    /// Its statement kind, which a hold can target.
     pub kind: Option<u64>,
 }
 
-/// The requests that a hold covers.
+/// The set of requests that a hold covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HoldTarget {
     /// Requests of a statement kind.
@@ -126,22 +126,22 @@
     Group(u64),
 }
 
-/// A limit on what is sent of some requests. It replaces the one before on the same target; one that limits
-/// nothing lifts it.
+/// A limit on the requests of a target. It replaces the previous hold on the same target; a hold without any limit only
+/// lifts the previous one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// The requests that it covers.
+    /// The requests covered.
     pub target: HoldTarget,
-    /// Attempts that may be in flight at once.
+    /// Maximum number of attempts in flight at once.
     pub max_in_flight: u32,
-    /// Engines that get none of them.
+    /// Engines to which none of these requests are sent.
     pub excluded_engines: Vec<EngineId>,
-    /// They run behind all others inside engines.
+    /// Whether these requests run with the lowest priority inside engines.
     pub low_priority: bool,
 }
 
 impl Hold {
-    /// Whether it limits anything; otherwise it only lifts the one before.
+    /// Returns whether the hold limits anything; otherwise it only lifts the previous one.
     pub(crate) fn is_effective(&self) -> bool {
         self.max_in_flight < u32::MAX || !self.excluded_engines.is_empty() || self.low_priority
     }
@@ -154,32 +154,32 @@
     pub request: RequestId,
     /// Attempt number, from 0.
     pub attempt: u32,
-    /// Where it had been sent.
+    /// The engine to which the attempt was sent.
     pub engine: EngineId,
-    /// How it ended.
+    /// The final status.
     pub status: AttemptStatus,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub elapsed: Micros,
-    /// The request is over, by this or before.
+    /// Whether the request has ended, with this attempt or earlier.
     pub terminal: bool,
-    /// Work that the query needed, where reported.
+    /// Work of the query, if reported.
     pub work: Option<Micros>,
-    /// The engine's load, where reported.
+    /// The engine's load, if reported.
     pub report: Option<LoadReport>,
 }
 
-/// What a progress event says of an attempt in flight.
+/// Progress of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Share completed, rough.
+    /// Approximate completed share, from 0 to 1.
     Completed(f64),
-    /// It lacks so much memory, in MB, and spills to disk.
+    /// The query spills to disk because it lacks this much memory, in MB.
     Spilling(f64),
-    /// It stands still, for memory or behind a load statement.
+    /// The query is blocked, waiting for memory or for a load statement.
     Blocked,
 }
 
-/// Something that has happened.
+/// An event for the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
@@ -194,22 +194,22 @@
         request: RequestId,
         /// Attempt number, from 0.
         attempt: u32,
-        /// Where it runs.
+        /// The engine that runs the attempt.
         engine: EngineId,
-        /// How far it is.
+        /// The progress.
         progress: Progress,
     },
-    /// A health check has ended; the report only where it succeeded.
+    /// A health check has ended, with a load report if it succeeded.
     HealthChecked(EngineId, Option<LoadReport>),
-    /// The client has disconnected; no answer is owed.
+    /// The client has disconnected; the request needs no response.
     ClientDisconnected(RequestId),
-    /// The router shuts down before the request could have an answer: it is abandoned, and the client is told
-    /// whether trying again is harmless.
+    /// The router shuts down before the request completes: the request is abandoned, and the response tells the client
+    /// whether a retry is safe.
     Abandoned(RequestId),
-    /// A hold on some requests begins, changes or ends.
+    /// A hold begins, changes or ends.
     Hold(Hold),
-    /// Other settings from now on. Classes, kinds and zones keep their numbers; further ones are appended.
+    /// The settings have changed. Classes, kinds and zones keep their numbers; new ones are appended.
     SettingsChanged(Box<Settings>),
-    /// A timer is due.
+    /// A timer has expired.
     Wakeup,
 }
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -1,16 +1,16 @@
-//! Time and identifiers that settings, events and actions share.
+//! Time and identifiers used by settings, events and actions.
 
-/// Time in whole microseconds, on the host's clock; it only advances.
+/// Time in whole microseconds on the host's clock, which is monotonic.
 pub type Micros = u64;
 
-/// A request, named by the host; never reused.
+/// Identifier of a request, assigned by the host and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An engine. It keeps its id when its process restarts.
+/// Identifier of an engine; it stays the same when the engine's process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u32);
 
-/// An ordering key, interned by the host.
+/// Identifier of an ordering key, interned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! What goes into and comes out of the [`Controller`](crate::Controller). Plain data: nothing is decided
-//! here.
+//! Input and output of the [`Controller`](crate::Controller): settings, events and actions. Plain data without
+//! decisions.
 
 mod actions;
 mod events;
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of the [`Controller`](crate::Controller): classes, limits, rules of service.
+//! Settings of the [`Controller`](crate::Controller): classes, limits and service rules.
 
 use super::ids::Micros;
 use crate::units::Threads;
 
-/// Which engines recognise a repeated idempotency key.
+/// The engines that recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
@@ -14,175 +14,177 @@
     Cell,
 }
 
-/// Whether a request may be repeated.
+/// Conditions under which a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent: safe to repeat anywhere and at any time.
+    /// Idempotent: safe to retry on any engine at any time.
     Idempotent,
-    /// Has an idempotency key: repeats are dropped inside `scope`, for `window` after the first attempt that
-    /// may have run.
+    /// Has an idempotency key: engines within `scope` drop duplicates for `window` after the first attempt that may
+    /// have run.
     WithKey {
-        /// The engines that share the memory of this key.
+        /// The engines that share the record of this key.
         scope: DeduplicationScope,
-        /// How long they remember it.
+        /// Time for which the engines keep the record.
         window: Micros,
     },
-    /// Must never run twice.
+    /// Not idempotent: must not run twice.
     NotIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency objective: an answer within this time has the full priority weight.
+    /// Latency objective: a response within this time counts with the full priority weight.
     pub latency_objective: Micros,
-    /// The objective grows by this times the true work over its threads.
+    /// Factor by which the query's actual work per thread extends the objective.
     pub objective_stretch: f64,
-    /// Time after which a client gives up, over all its tries.
+    /// Time after which a client gives up, including its retries.
     pub deadline: Micros,
-    /// Whether its requests may be repeated.
+    /// Conditions under which its requests may be retried.
     pub idempotency: Idempotency,
-    /// Requests with the same ordering key run one at a time, in order.
+    /// Whether requests with the same ordering key run one at a time, in order.
     pub ordered_by_key: bool,
-    /// Part of the priority weight that an answer after the objective still has.
+    /// Part of the priority weight that a response after the objective still counts with.
     pub late_weight_ratio: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Zones it may go to; `None`: any.
+    /// Zones to which its requests may be sent; `None`: any.
     pub zones: Option<Vec<usize>>,
-    /// Machine kinds it may go to; `None`: any.
+    /// Machine kinds to which its requests may be sent; `None`: any.
     pub kinds: Option<Vec<usize>>,
-    /// Threads that a query runs on.
+    /// Number of threads that a query runs on.
     pub threads: f64,
-    /// A load statement: locks its table group on its engine while it runs.
+    /// Whether it is a load statement, which locks its table group on its engine while it runs.
     pub locks_group: bool,
 }
 
 impl Class {
-    /// Threads that a query runs on.
+    /// Returns the number of threads that a query runs on.
     pub(crate) fn threads(&self) -> Threads {
         Threads(self.threads)
     }
 }
 
-/// How discovery reports changes of the endpoint list.
+/// Way in which discovery reports changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Unprompted.
+    /// Without a subscription.
     Push,
     /// Only after [`Action::Subscribe`](crate::Action::Subscribe).
     Subscribe,
 }
 
-/// What the host permits.
+/// Limits and features of the host.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts per request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Requests that may be open at once, as clients have no connections for more; 0: any number.
+    /// Maximum number of open requests, given by the connections that clients have; 0: no limit.
     pub max_open_requests: usize,
-    /// Hedged requests: two attempts of a request may be in flight at once.
+    /// Whether requests may be hedged, with two attempts in flight at once.
     pub hedged_requests: bool,
-    /// Clients are told when to retry (Retry-After).
+    /// Whether rejections tell clients when to retry (Retry-After).
     pub retry_after: bool,
-    /// The longest such time that clients respect.
+    /// Longest Retry-After time that clients respect.
     pub max_retry_after: Micros,
-    /// Engines respect priorities.
+    /// Whether engines respect priorities.
     pub priorities: bool,
-    /// Engines may be asked for a load report by a health check.
+    /// Whether health checks may request a load report from engines.
     pub health_checks: bool,
-    /// Attempts may be cancelled; engines then stop their work.
+    /// Whether attempts can be cancelled; engines then stop the query.
     pub cancel: bool,
 }
 
 /// Retry budget of one router.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries permitted however light the traffic is.
+    /// Retries permitted in the window regardless of traffic.
     pub min_retries: f64,
     /// Retries permitted per admitted request.
     pub ratio: f64,
-    /// The window over which both are counted.
+    /// Window over which retries and admitted requests are counted.
     pub window: Micros,
 }
 
-/// Figures of the rules of service.
+/// Parameters of the service rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// An engine starts at this part of its capacity or above.
+    /// Lower bound of an engine's capacity at its start, as a part of its full capacity.
     pub start_capacity: f64,
-    /// Slow start: it is warm after this time.
+    /// Slow start: time after which an engine has its full capacity.
     pub slow_start_window: Micros,
-    /// An engine fails when sent more than this multiple of its present capacity...
+    /// Multiple of its present capacity above which an engine fails when it is sent more during the overload window.
     pub overload_factor: f64,
-    /// ...for this long.
+    /// Overload window.
     pub overload_window: Micros,
-    /// Pause of an ordering key after an attempt that may still run.
+    /// Pause of an ordering key after an attempt that may still be running.
     pub key_pause: Micros,
     /// Retry budget; `None`: no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// With [`Discovery::Subscribe`]: how often a router without a subscription must poll.
+    /// With [`Discovery::Subscribe`]: maximum interval at which a router without a subscription must poll.
     pub max_poll_interval: Micros,
 }
 
 /// Settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Gateways that share the engines, this one included.
+    /// Number of gateways that share the engines, including this one.
     pub gateways: u32,
-    /// This one's number among them, from 0.
+    /// Number of this gateway among them, from 0.
     pub index: u32,
-    /// Shortest time between two batches.
+    /// Minimum time between two batches.
     pub tick: Micros,
-    /// The classes; events name them by position.
+    /// The classes; events refer to them by position.
     pub classes: Vec<Class>,
-    /// Cores of each machine kind; events name kinds by position.
+    /// Number of cores of each machine kind; events refer to kinds by position.
     pub cores: Vec<f64>,
-    /// Quota of each tenant, as a part of the service; events name tenants by position. No decision reads it yet.
+    /// Quota of each tenant, as a part of the service; events refer to tenants by position. No decision uses it yet.
     pub tenant_quotas: Vec<f64>,
-    /// Weight of a request beyond its tenant's quota, against one within it. No decision reads it yet.
+    /// Weight of a request beyond its tenant's quota, relative to one within it. No decision uses it yet.
     pub over_quota_weight: f64,
-    /// Engines report queries in flight, memory or busy cores, in answers or to health checks.
+    /// Whether engines report queries in flight, memory or busy cores, in responses or to health checks.
     pub load_reports: bool,
-    /// Time between progress events of an attempt; 0: none come.
+    /// Interval of the progress events of an attempt; 0: no progress events.
     pub progress_interval: Micros,
-    /// Most memory that one query may be granted on the smallest kind, in MB; 0: grants are ignored.
+    /// Maximum memory grant of a query on the smallest machine kind, in MB; 0: engines ignore grants.
     pub max_grant_mb: f64,
-    /// Memory is overcommitted: a grant takes no more than the query needs, and nothing queues for it.
+    /// Whether engines overcommit memory: a query uses no more of its grant than it needs, and no query waits for
+    /// memory.
     pub memory_overcommit: bool,
-    /// Load reports tell how many queries an engine runs.
+    /// Whether load reports contain the number of queries that an engine is running.
     pub reports_in_flight: bool,
-    /// Answers tell the work that a query needed.
+    /// Whether responses contain the work of the query.
     pub reports_work: bool,
-    /// Cost of sending a health check with every request, as a part of the service's goal (the priority weight served within
-    /// the objective, of 1); 0: free.
+    /// Cost of sending a health check with every request, as a part of the service's goal (the share of priority weight
+    /// that is served within the objective); 0: free.
     pub health_check_cost: f64,
-    /// Clients mark their retries. No decision reads it: a marked retry is believed in any case.
+    /// Whether clients mark their retries. No decision uses it: a marked retry is always trusted.
     pub clients_mark_retries: bool,
-    /// How changes of the endpoint list come.
+    /// Way in which changes of the endpoint list are reported.
     pub discovery: Discovery,
-    /// What is permitted.
+    /// Limits and features of the host.
     pub limits: Limits,
-    /// Figures of the rules of service.
+    /// Parameters of the service rules.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// Checks the classes, gateways, cores, slow-start rules and the cost of health checks. Limits and the retry budget are
-    /// not checked.
+    /// Checks the classes, gateways, cores, slow-start rules and the cost of health checks. The limits and the retry
+    /// budget are not checked.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
-        let usable = |value: f64| value.is_finite() && value >= 0.0;
-        let incomplete =
-            |c: &Class| c.latency_objective == 0 || c.deadline == 0 || c.threads == 0.0;
-        let figures = |c: &Class| {
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        let is_incomplete = |class: &Class| {
+            class.latency_objective == 0 || class.deadline == 0 || class.threads == 0.0
+        };
+        let class_numbers = |class: &Class| {
             [
-                c.objective_stretch,
-                c.late_weight_ratio,
-                c.priority_weight,
-                c.threads,
+                class.objective_stretch,
+                class.late_weight_ratio,
+                class.priority_weight,
+                class.threads,
             ]
         };
-        let rules = [
+        let other_numbers = [
             self.rules.start_capacity,
             self.rules.overload_factor,
             self.health_check_cost,
@@ -190,25 +192,25 @@
         if self.classes.is_empty() || self.gateways == 0 {
             return Err(SettingsError("no classes or no gateways"));
         }
-        if self.classes.iter().any(incomplete) {
+        if self.classes.iter().any(is_incomplete) {
             return Err(SettingsError(
                 "a class without latency objective, deadline or threads",
             ));
         }
-        let mut all = self
+        let mut numbers = self
             .classes
             .iter()
-            .flat_map(figures)
+            .flat_map(class_numbers)
             .chain(self.cores.iter().copied())
-            .chain(rules);
-        if !all.all(usable) {
-            return Err(SettingsError("a negative or infinite figure"));
+            .chain(other_numbers);
+        if !numbers.all(is_valid) {
+            return Err(SettingsError("a number that is negative or not finite"));
         }
         Ok(())
     }
 }
 
-/// Settings that the controller can't work with.
+/// An error for settings that the controller can't use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
