--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests enter their class queue, in which order, and which late ones are shed.
+//! Admission: decides which requests enter their class queue, their order there, and which late ones are shed.
 
 use crate::class_statistics::ClassStatistics;
 use crate::interface::{Class, Limits, Micros, RequestId};
@@ -6,23 +6,23 @@
 use crate::request::{Request, RequestTable};
 use crate::units::RunTime;
 
-/// Late requests whose answers keep less of their priority weight are shed, not queued.
+/// Part of the priority weight that a late response must still count with; otherwise late requests are shed.
 const MIN_LATE_WEIGHT_RATIO: f64 = 0.2;
-/// Part of the requests that may be open over which late ones are shed.
+/// Part of the maximum number of open requests above which late requests are shed.
 const MAX_OPEN_RATIO: f64 = 0.7;
-/// Part of the latency objective that a request may wait, however slow its class is, before it is late.
+/// Part of the latency objective that a request may wait before it is late, regardless of its class's run times.
 const MIN_SLACK_RATIO: f64 = 0.4;
 
-/// What becomes of a request that would wait for a slot.
+/// Decision on a request that would wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It enters its class queue: behind all that can meet their objective if `late`, then by `start_by`.
+    /// The request enters its class queue, ordered by `start_by`, and behind all requests that are not late if `late`.
     Queue { late: bool, start_by: Micros },
-    /// Waiting is of no use: out of time, or late and shed.
+    /// The request is abandoned because it is out of time, or late and shed.
     Abandon,
 }
 
-/// Decides on a request that is to wait. `near_connection_limit` is the result of
+/// Decides whether a request enters its class queue. `near_connection_limit` is the result of
 /// [`is_near_connection_limit`].
 pub(crate) fn admit(
     request: &Request,
@@ -43,27 +43,27 @@
     }
 }
 
-/// The latest start that meets the objective when the query runs as those of its class run now.
+/// Returns the latest start that meets the objective, assuming the class's current mean run time.
 fn latest_start(started_at: Micros, class: &Class, statistics: &ClassStatistics) -> Micros {
     let objective = class.latency_objective as f64;
     let threads = class.threads();
     let mean_work = statistics.mean_work();
     let slowdown = (statistics.mean_run_time() * threads / mean_work).max(1.0);
-    // Beyond the slowdown that is usual now.
+    // The allowance beyond the current mean slowdown.
     let stretch_allowance = mean_work * (class.objective_stretch - slowdown) / threads;
-    // A mean run is kept in reserve: half the queries run longer.
+    // One mean run time is subtracted as a reserve, since many queries run longer than the mean.
     let slack = RunTime(objective) + stretch_allowance - statistics.mean_run_time();
     started_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
 }
 
-/// Whether waiting requests occupy more than [`MAX_OPEN_RATIO`] of the connections that clients may hold: with none left,
-/// new requests are not sent.
+/// Returns whether waiting requests occupy more than [`MAX_OPEN_RATIO`] of the connections that clients may hold.
+/// Without a free connection, clients can't send new requests.
 pub(crate) fn is_near_connection_limit(waiting: usize, limits: &Limits) -> bool {
     let max = limits.max_open_requests;
     max > 0 && waiting as f64 > MAX_OPEN_RATIO * max as f64
 }
 
-/// Which of the late requests at the head of their queues is shed first: the one whose client first sent it
+/// Returns the late request to shed first: among those at the head of their queues, the one that its client sent
 /// earliest.
 pub(crate) fn first_to_shed(
     late_heads: impl Iterator<Item = RequestId>,
--- a/crates/policy/src/attempt.rs
+++ b/crates/policy/src/attempt.rs
@@ -1,9 +1,9 @@
-//! An attempt in flight: one sending of a request to an engine, until its outcome.
+//! An attempt in flight: a request that was sent to an engine and has no outcome yet.
 
 use crate::attempt_progress::AttemptProgress;
 use crate::interface::{Action, Micros, RequestId};
 
-/// An attempt without an outcome. It holds its slot until the outcome comes, cancelled or not.
+/// An attempt without an outcome. It occupies its slot until the outcome, even if it is cancelled.
 pub(crate) struct InFlightAttempt {
     pub(crate) request: RequestId,
     /// Attempt number, from 0.
@@ -30,7 +30,7 @@
         self.cancelled
     }
 
-    /// Asks the host to cancel it, once.
+    /// Requests cancellation from the host, unless it was requested before.
     pub(crate) fn cancel(&mut self, out: &mut Vec<Action>) {
         if !self.cancelled {
             self.cancelled = true;
--- a/crates/policy/src/class_queue.rs
+++ b/crates/policy/src/class_queue.rs
@@ -1,15 +1,16 @@
-//! Class queues: the requests of a class that wait for a slot, and the waits that the scheduler compares.
+//! Class queues: the requests of each class that wait for a slot, and their waits, which the scheduler compares.
 
 use std::collections::BTreeSet;
 
 use crate::interface::{Micros, RequestId};
 
-/// A position in a class queue. Order: requests that can still meet their objective first, then by the latest start that
-/// meets it. The order of the fields is the order of the queue.
+/// An entry of a class queue. The fields define the order: requests that can still meet their objective come first,
+/// then requests are ordered by the latest start that meets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
-    /// The request can no longer meet its latency objective.
+    /// Whether the request can no longer meet its latency objective.
     pub(crate) late: bool,
+    /// Latest start that meets the latency objective.
     pub(crate) start_by: Micros,
     pub(crate) request: RequestId,
 }
@@ -38,22 +39,22 @@
     waits: WaitSum,
 }
 
-/// The queues of all classes, by class number.
+/// The queues of all classes, indexed by class number.
 pub(crate) struct ClassQueues {
     queues: Vec<ClassQueue>,
 }
 
 impl ClassQueues {
-    pub(crate) fn new(classes: usize) -> Self {
+    pub(crate) fn new(class_count: usize) -> Self {
         let queues = std::iter::repeat_with(ClassQueue::default)
-            .take(classes)
+            .take(class_count)
             .collect();
         ClassQueues { queues }
     }
 
-    /// Appends empty queues for further classes.
-    pub(crate) fn extend_to(&mut self, classes: usize) {
-        self.queues.resize_with(classes, ClassQueue::default);
+    /// Appends empty queues for new classes.
+    pub(crate) fn extend_to(&mut self, class_count: usize) {
+        self.queues.resize_with(class_count, ClassQueue::default);
     }
 
     pub(crate) fn insert(&mut self, class: usize, entry: QueueEntry) {
@@ -68,7 +69,7 @@
         self.queues.iter().any(|queue| !queue.entries.is_empty())
     }
 
-    /// The first request of a class that can meet its objective, or the first late one.
+    /// Returns the first request of a class that is late, or that is not late, according to `late`.
     pub(crate) fn first(&self, class: usize, late: bool) -> Option<RequestId> {
         let from = QueueEntry {
             late,
@@ -80,12 +81,12 @@
             .map(|entry| entry.request)
     }
 
-    /// The first late request of each class queue.
+    /// Returns the first late request of each class queue.
     pub(crate) fn late_heads(&self) -> impl Iterator<Item = RequestId> {
         (0..self.queues.len()).filter_map(|class| self.first(class, true))
     }
 
-    /// Requests that are queued as able to meet their objective and no longer are.
+    /// Returns requests that have become late since they were queued.
     pub(crate) fn overdue(&self, now: Micros) -> Vec<RequestId> {
         let is_overdue = |entry: &&QueueEntry| !entry.late && entry.start_by < now;
         let overdue = self
@@ -95,13 +96,13 @@
         overdue.map(|entry| entry.request).collect()
     }
 
-    /// Adds the wait of a request that leaves the queue for good: sent for the first time, or ended unsent.
+    /// Adds the wait of a request when it is sent for the first time, or when it ends unsent.
     pub(crate) fn record_wait(&mut self, class: usize, wait: Micros) {
         self.queues[class].waits.add(wait);
     }
 
-    /// Mean wait of each class in this period, in microseconds; the next period starts from none. Requests that still
-    /// wait count too: otherwise a class whose clients give up would look fast.
+    /// Returns the mean wait of each class in this control period, in microseconds, and starts a new period. Requests
+    /// that are still waiting count too, since a class whose clients give up would look fast otherwise.
     pub(crate) fn take_mean_waits(
         &mut self,
         wait_so_far: impl Fn(RequestId) -> Micros,
--- a/crates/policy/src/class_statistics.rs
+++ b/crates/policy/src/class_statistics.rs
@@ -1,33 +1,34 @@
-//! Statistics of each class, learned from its answers: mean work, mean run time, run time without load.
+//! Statistics of each class, learned from its successes: mean work, mean run time and unloaded run time.
 
 use crate::interface::{Class, Micros};
 use crate::units::{RunTime, Threads, Work};
 
-/// Run time that is assumed until answers come, as a part of the class's deadline.
+/// Run time assumed before the first success, as a part of the class's deadline.
 const INITIAL_RUN_TIME_RATIO: f64 = 0.1;
-/// Weight of a new sample in the means, once there are enough.
+/// Weight of a new sample in the means once there are enough samples.
 const MIN_SAMPLE_WEIGHT: f64 = 0.03;
-/// While a sample weighs more than this, the means are too young for their minimum to be the run time without load.
+/// Weight of a new sample above which the means rest on too few samples for their minimum to count as the unloaded run
+/// time.
 const WARM_UP_SAMPLE_WEIGHT: f64 = 0.125;
 
-/// What the answers of a class have shown.
+/// Statistics of a class.
 pub(crate) struct ClassStatistics {
     mean_work: Work,
     mean_run_time: RunTime,
-    /// Least value that the mean run time has had.
+    /// Minimum of the mean run time so far.
     unloaded_run_time: RunTime,
-    /// Number of answers, as a float since it only weighs.
+    /// Number of samples, as a float because it is only used as a weight.
     samples: f64,
 }
 
 impl ClassStatistics {
-    /// Statistics of a class without answers, guessed from its deadline.
+    /// Creates initial statistics, estimated from the class's deadline.
     pub(crate) fn new(class: &Class) -> Self {
-        let run = RunTime((class.deadline as f64 * INITIAL_RUN_TIME_RATIO).max(1.0));
+        let run_time = RunTime((class.deadline as f64 * INITIAL_RUN_TIME_RATIO).max(1.0));
         ClassStatistics {
-            mean_work: run * class.threads(),
-            mean_run_time: run,
-            unloaded_run_time: run,
+            mean_work: run_time * class.threads(),
+            mean_run_time: run_time,
+            unloaded_run_time: run_time,
             samples: 0.0,
         }
     }
@@ -40,7 +41,7 @@
         self.mean_run_time
     }
 
-    /// Run time without load.
+    /// Returns the run time on an unloaded engine.
     pub(crate) fn unloaded_run_time(&self) -> RunTime {
         self.unloaded_run_time
     }
@@ -49,22 +50,22 @@
         self.samples > 0.0
     }
 
-    /// Adds a served query. Where no work is reported, its run time on all threads stands in: too high rather than too
-    /// low.
+    /// Adds a success. Without reported work, the run time times the threads is used instead, which overestimates the
+    /// work rather than underestimating it.
     pub(crate) fn record_success(
         &mut self,
         elapsed: Micros,
         threads: Threads,
         reported_work: Option<Micros>,
     ) {
-        let run = RunTime(elapsed as f64);
+        let run_time = RunTime(elapsed as f64);
         let work = reported_work
-            .map_or(run * threads, |work| Work(work as f64))
+            .map_or(run_time * threads, |work| Work(work as f64))
             .max(Work(1.0));
         self.samples += 1.0;
         let weight = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
         self.mean_work += (work - self.mean_work) * weight;
-        self.mean_run_time += (run - self.mean_run_time) * weight;
+        self.mean_run_time += (run_time - self.mean_run_time) * weight;
         self.unloaded_run_time = if weight > WARM_UP_SAMPLE_WEIGHT {
             self.mean_run_time
         } else {
@@ -73,7 +74,7 @@
     }
 }
 
-/// The classes as rules see them: configuration beside statistics, by class number.
+/// Configuration and statistics of all classes, by class number.
 #[derive(Clone, Copy)]
 pub(crate) struct Classes<'a> {
     configs: &'a [Class],
@@ -100,18 +101,18 @@
         &self.statistics[class]
     }
 
-    /// Priority weight of a usual query per microsecond of its work.
+    /// Returns the priority weight per microsecond of work of an average query.
     pub(crate) fn weight_per_work(&self, class: usize) -> f64 {
         self.configs[class].priority_weight / self.statistics[class].mean_work.max(Work(1.0)).0
     }
 
-    /// Whether no class has more priority weight for its work.
+    /// Returns whether no other class has a higher priority weight per work.
     pub(crate) fn has_highest_weight_per_work(&self, class: usize) -> bool {
         let own = self.weight_per_work(class);
         (0..self.count()).all(|other| self.weight_per_work(other) <= own)
     }
 
-    /// Mean work of the class whose usual query needs most.
+    /// Returns the mean work of the class with the largest mean work.
     pub(crate) fn heaviest_mean_work(&self) -> Work {
         self.statistics
             .iter()
@@ -119,7 +120,8 @@
             .fold(Work::ZERO, Work::max)
     }
 
-    /// Mean threads of a query in flight, each class weighing by the time that its queries have run.
+    /// Returns the mean number of threads of a query in flight. Classes are weighted by the total run time of their
+    /// queries.
     pub(crate) fn mean_threads_in_flight(&self) -> Threads {
         let (mut threads, mut queries) = (1.0, 1.0);
         for (statistics, config) in self.statistics.iter().zip(self.configs) {
--- a/crates/policy/src/congestion_window.rs
+++ b/crates/policy/src/congestion_window.rs
@@ -1,8 +1,8 @@
-//! Congestion window: a limit on this gateway's threads on all engines together.
+//! Congestion window: a limit on the threads that this gateway uses on all engines together.
 //!
-//! With many gateways the least concurrency limits add up to many times an engine's cores, so that nothing binds and full
-//! engines never recover. There the window bounds the load: additive increase by a query for each answer that shows
-//! capacity, multiplicative decrease under load.
+//! With many gateways, the minimum concurrency limits add up to many times an engine's cores, so they don't bound the
+//! load and overloaded engines never recover. The window bounds it instead: it grows by one query for each response
+//! that shows free capacity (additive increase), and shrinks in proportion under overload (multiplicative decrease).
 
 use crate::capacity::{engine_capacity, max_class_threads, one_query_each_exceeds_capacity};
 use crate::class_statistics::Classes;
@@ -11,27 +11,28 @@
 use crate::load::{LoadLevel, has_load_feedback};
 use crate::units::Threads;
 
-/// Part of the used window that is given back per unit of load level above 1.
+/// Part of the used window by which the window shrinks per unit of load level above 1.
 const BACKOFF_RATIO: f64 = 0.2;
-/// Least window where only run times tell of load, in queries of the widest class; otherwise it is one.
+/// Minimum window if only run times reflect the load, in queries of the class with the most threads; otherwise it is
+/// one query.
 const MIN_QUERIES_WITHOUT_FEEDBACK: f64 = 0.125;
 /// Part of the window that late requests may fill.
 const LATE_RATIO: f64 = 0.5;
-/// The window grows only while less than this many further queries of the class would fit.
+/// The window grows only if fewer than this many further queries of the class fit into it.
 const GROWTH_HEADROOM_QUERIES: f64 = 2.0;
 
-/// The window, and what counts against it.
+/// The congestion window and its usage.
 pub(crate) struct CongestionWindow {
     enforced: bool,
     size: Threads,
-    /// Own threads in flight, by class.
+    /// This gateway's threads in flight, by class.
     in_flight: Vec<Threads>,
-    /// Pause of each class, where the window is narrower than one query.
+    /// End of the pause of each class whose queries are wider than the window.
     paused_until: Vec<Micros>,
 }
 
 impl CongestionWindow {
-    /// A window that is unlimited until its initial size is set.
+    /// Creates a window that is unlimited until its initial size is set.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut window = CongestionWindow {
             enforced: false,
@@ -43,20 +44,20 @@
         window
     }
 
-    /// Follows changed settings; further classes are appended.
+    /// Applies changed settings. New classes are appended.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
         self.enforced = one_query_each_exceeds_capacity(settings);
         self.in_flight.resize(settings.classes.len(), Threads::ZERO);
         self.paused_until.resize(settings.classes.len(), 0);
     }
 
-    /// Whether the window binds. It is updated in any case.
+    /// Returns whether the window is enforced. It is updated in any case.
     pub(crate) fn is_enforced(&self) -> bool {
         self.enforced
     }
 
-    /// Sets the initial size at the first endpoint list that is not empty; later calls change nothing. If the window stayed
-    /// unlimited until the first answers, all gateways together would overload a full fleet.
+    /// Sets the initial size for the first endpoint list that is not empty. Later calls have no effect. If the window
+    /// were unlimited until the first responses, all gateways together would overload a busy fleet.
     pub(crate) fn set_initial_size<'a>(
         &mut self,
         settings: &Settings,
@@ -80,7 +81,7 @@
         self.in_flight[class] -= threads;
     }
 
-    /// Counts the threads in flight anew, from the class and threads of each attempt.
+    /// Recomputes the threads in flight from the class and threads of each attempt.
     pub(crate) fn recount_in_flight(&mut self, attempts: impl Iterator<Item = (usize, Threads)>) {
         self.in_flight.fill(Threads::ZERO);
         for (class, threads) in attempts {
@@ -88,17 +89,18 @@
         }
     }
 
-    /// Whether a query of a class fits. While nothing of equal or higher value is in flight, a query that is not late always
-    /// does. Late ones fill only [`LATE_RATIO`] of the window. Nothing fits during the pause of its class.
+    /// Returns whether a query of a class fits into the window. A query that is not late always fits while no query of
+    /// a class with equal or higher weight per work is in flight. Late queries use at most [`LATE_RATIO`] of the
+    /// window. No query fits during the pause of its class.
     pub(crate) fn fits(&self, classes: Classes, class: usize, late: bool, now: Micros) -> bool {
-        let ahead = self.competing_threads(classes, class);
+        let competing = self.competing_threads(classes, class);
         let limit = self.size * if late { LATE_RATIO } else { 1.0 };
-        let fits =
-            (ahead == Threads::ZERO && !late) || ahead + classes.config(class).threads() <= limit;
+        let fits = (competing == Threads::ZERO && !late)
+            || competing + classes.config(class).threads() <= limit;
         fits && now >= self.paused_until[class]
     }
 
-    /// Follows an answer of a class that tells of the load of all engines.
+    /// Updates the window after an outcome of a class that reflects the load of all engines.
     pub(crate) fn update(
         &mut self,
         classes: Classes,
@@ -118,7 +120,7 @@
         self.pause_class(classes, class, now);
     }
 
-    /// Gives back a part of what is in use, by how far the load is over capacity.
+    /// Shrinks the window by a part of the used window, in proportion to the load above capacity.
     fn decrease(&mut self, threads: Threads, load_level: &LoadLevel, settings: &Settings) {
         let in_flight: Threads = self.in_flight.iter().copied().sum();
         let min_queries = if has_load_feedback(settings) {
@@ -131,19 +133,20 @@
         self.size = (used * (1.0 - BACKOFF_RATIO * (load_level.get().0 - 1.0))).max(min);
     }
 
-    /// Where the window is less than one query, a query from each of many gateways is too much: the class pauses after
-    /// each until the mean is kept.
+    /// Pauses a class whose queries are wider than the window, because one query from each of many gateways is too much
+    /// then. The pause keeps the mean usage within the window.
     fn pause_class(&mut self, classes: Classes, class: usize, now: Micros) {
         let queries_over_window = classes.config(class).threads() / self.size - 1.0;
         let pause = classes.statistics(class).mean_run_time() * queries_over_window.max(0.0);
         self.paused_until[class] = self.paused_until[class].max(now + pause.0 as Micros);
     }
 
-    /// Own threads in flight of classes with at least as much priority weight for their work: lower ones don't keep a
-    /// class out.
+    /// Returns this gateway's threads in flight of classes with equal or higher weight per work. Queries of other
+    /// classes don't count against a class.
     fn competing_threads(&self, classes: Classes, class: usize) -> Threads {
-        let value = classes.weight_per_work(class);
-        let counted = (0..classes.count()).filter(|other| classes.weight_per_work(*other) >= value);
-        counted.map(|other| self.in_flight[other]).sum()
+        let weight = classes.weight_per_work(class);
+        let competing =
+            (0..classes.count()).filter(|other| classes.weight_per_work(*other) >= weight);
+        competing.map(|other| self.in_flight[other]).sum()
     }
 }
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -1,11 +1,11 @@
-//! The controller's loop: events are applied, periodic control runs, then one dispatch pass.
+//! The controller: applies the events of a batch, runs periodic control, and then makes one dispatch pass.
 //!
-//! Ordinary path: a request waits in its class queue; each free slot of an engine goes to a class by a weighted random
-//! draw (lottery), whose odds a PI loop tunes; the request goes to the engine with the fewest own queries. All else guards
-//! against failures and enforces the rules of service.
+//! In the common case, a request waits in its class queue. A weighted random draw (lottery scheduling) gives each free
+//! slot of an engine to a class, a PI loop tunes the odds of the draw, and the request is sent to the engine with the
+//! fewest queries of this gateway. All other code guards against failures and enforces the service rules.
 //!
-//! The controller only orders the steps and passes each rule what it reads. What a rule decides, with its state and its
-//! constants, stands in the module that is named after it.
+//! The controller only orders the steps and passes its input to each rule. Each rule has a module of its own, with its
+//! state and constants.
 
 mod attempts;
 mod dispatch;
@@ -36,20 +36,20 @@
 use crate::retry::RetryUsage;
 use crate::scheduler::Scheduler;
 
-/// The decision module of one gateway: no I/O and no clock of its own.
+/// Makes the decisions of one gateway, without I/O and without a clock of its own.
 pub struct Controller {
     settings: Settings,
     rng: Pcg64Mcg,
     now: Micros,
     next_control_period: Micros,
-    /// 0 until the first batch.
+    /// Time of the next housekeeping; 0 until the first batch.
     next_housekeeping: Micros,
     requests: RequestTable,
     queues: ClassQueues,
     ordering_keys: OrderingKeys,
     holds: Holds,
     engines: Engines,
-    /// By class number, as `grant_margins`.
+    /// Indexed by class number, like `grant_margins`.
     statistics: Vec<ClassStatistics>,
     grant_margins: Vec<GrantMargin>,
     scheduler: Scheduler,
@@ -62,29 +62,30 @@
 }
 
 impl Controller {
-    /// A controller that knows no engine yet. The same seed and events give the same actions.
+    /// Creates a controller without engines. The same seed and events always result in the same actions.
     ///
     /// # Errors
-    /// Settings without classes or gateways, a class without latency objective, deadline or threads, or a negative or
-    /// infinite number in a class, the cores, the slow-start rules or the cost of health checks.
+    /// Returns an error if the settings have no classes or gateways, if a class has no latency objective, deadline or
+    /// threads, or if a number in a class, the cores, the slow-start rules or the cost of health checks is negative or
+    /// not finite.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let classes = settings.classes.len();
+        let class_count = settings.classes.len();
         Ok(Controller {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
             next_control_period: 0,
             next_housekeeping: 0,
             requests: RequestTable::default(),
-            queues: ClassQueues::new(classes),
+            queues: ClassQueues::new(class_count),
             ordering_keys: OrderingKeys::default(),
             holds: Holds::default(),
             engines: Engines::new(),
             statistics: settings.classes.iter().map(ClassStatistics::new).collect(),
             grant_margins: std::iter::repeat_with(GrantMargin::new)
-                .take(classes)
+                .take(class_count)
                 .collect(),
-            scheduler: Scheduler::new(classes),
+            scheduler: Scheduler::new(class_count),
             objective_balance: ObjectiveBalance::default(),
             congestion_window: CongestionWindow::new(&settings),
             load_level: LoadLevel::new(),
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Handles one batch: the events in their order, then one dispatch pass. Actions are appended to `out`.
+    /// Handles one batch: applies the events in order, then makes one dispatch pass. Appends the actions to `out`.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         exclude_event_loop_stall(&mut self.engines, self.next_housekeeping, self.now);
@@ -115,7 +116,7 @@
         self.request_health_check(out);
     }
 
-    /// Attempts in flight at an engine, for hosts that check them against their sockets.
+    /// Returns the number of attempts in flight at an engine, for hosts that compare it with their open connections.
     pub fn in_flight_at(&self, engine: EngineId) -> usize {
         self.engines
             .get(&engine)
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Updates the odds of the classes, and the concurrency limits: they grow only while requests wait and objectives are
-    /// met.
+    /// Updates the odds of the classes and the concurrency limits. Limits grow only while requests wait and objectives
+    /// are met.
     fn end_control_period(&mut self) {
         let (now, requests) = (self.now, &self.requests);
         let mean_waits = self.queues.take_mean_waits(|id| {
@@ -201,24 +202,25 @@
         self.holds.replace(hold, in_flight);
     }
 
-    /// Applies new settings: what is queued and in flight stays, and the next decision follows them. The cost of health
-    /// checks and the kind of discovery keep their values from the start. Settings that are
-    /// unusable or lack a known class are ignored, as classes keep their numbers.
+    /// Applies new settings from the next decision on. Requests that are queued or in flight stay. The cost of health
+    /// checks and the way of discovery keep their initial values. Invalid settings are ignored, and so are settings
+    /// with fewer classes, because classes keep their numbers.
     fn on_settings(&mut self, settings: &Settings) {
-        let known = self.statistics.len();
-        if settings.validate().is_err() || settings.classes.len() < known {
+        let old_count = self.statistics.len();
+        if settings.validate().is_err() || settings.classes.len() < old_count {
             return;
         }
         self.settings = settings.clone();
-        let classes = self.settings.classes.len();
+        let class_count = self.settings.classes.len();
         self.statistics.extend(
-            self.settings.classes[known..]
+            self.settings.classes[old_count..]
                 .iter()
                 .map(ClassStatistics::new),
         );
-        self.grant_margins.resize_with(classes, GrantMargin::new);
-        self.queues.extend_to(classes);
-        self.scheduler.extend_to(classes);
+        self.grant_margins
+            .resize_with(class_count, GrantMargin::new);
+        self.queues.extend_to(class_count);
+        self.scheduler.extend_to(class_count);
         self.congestion_window.apply_settings(&self.settings);
         let attempts = self.engines.values().flat_map(|engine| engine.in_flight());
         let threads = |class: usize| self.settings.classes[class].threads();
--- a/crates/policy/src/controller/attempts.rs
+++ b/crates/policy/src/controller/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: what their outcomes and their progress change.
+//! Processing of the outcomes and the progress of attempts.
 
 use super::Controller;
 use crate::attempt::InFlightAttempt;
@@ -46,7 +46,7 @@
         self.continue_request(outcome, out);
     }
 
-    /// Ends the request of an attempt that has ended, or queues it again.
+    /// Ends the request after the outcome of an attempt, or queues it again.
     fn continue_request(&mut self, outcome: &Outcome, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(outcome.request) else {
             return;
@@ -55,10 +55,10 @@
             if outcome.status == AttemptStatus::Succeeded && !request.done {
                 let mean_work = self.statistics[request.class].mean_work();
                 let work = outcome.work.map_or(mean_work, |work| Work(work as f64));
-                let took = self.now - request.started_at;
+                let response_time = self.now - request.started_at;
                 self.objective_balance.record_success(
                     &self.settings.classes[request.class],
-                    took,
+                    response_time,
                     work,
                 );
             }
@@ -68,39 +68,40 @@
         }
     }
 
-    /// Updates the statistics of a class and the slowdown of an engine from a served query.
+    /// Updates the statistics of the class and the slowdown of the engine after a success.
     fn update_class_statistics(&mut self, attempt: &InFlightAttempt, outcome: &Outcome) {
         let threads = self.settings.classes[attempt.class].threads();
         let statistics = &mut self.statistics[attempt.class];
-        let run_time = RunTime(outcome.elapsed as f64) * threads;
-        // Without reported work the mean run rises with the load; measured against it, nothing looks slow.
-        let undisturbed = statistics.unloaded_run_time() * threads;
+        let thread_time = RunTime(outcome.elapsed as f64) * threads;
+        // Without reported work, the slowdown is measured against the unloaded run time: the mean run time grows with
+        // the load and would hide it.
+        let unloaded_run = statistics.unloaded_run_time() * threads;
         let work = outcome
             .work
-            .map_or(run_time, |work| Work(work as f64))
+            .map_or(thread_time, |work| Work(work as f64))
             .max(Work(1.0));
         statistics.record_success(outcome.elapsed, threads, outcome.work);
         self.grant_margins[attempt.class].record_success(attempt.progress.has_spilled());
         if let Some(engine) = self.engines.get_mut(&outcome.engine) {
             engine.limit.record_run(
-                run_time,
+                thread_time,
                 if self.settings.reports_work {
                     work
                 } else {
-                    undisturbed
+                    unloaded_run
                 },
             );
         }
     }
 
-    /// Load of an engine by its report.
+    /// Returns the load of an engine according to its report.
     pub(super) fn reported_load(&self, id: EngineId, report: Option<&LoadReport>) -> Option<Load> {
         let engine = self.engines.get(&id)?;
         let capacity = engine_capacity(&self.settings, engine.entry.kind);
         reported_load(report?, capacity, self.classes().mean_threads_in_flight())
     }
 
-    /// Updates the load of the engine and, where the outcome tells of the load of all, the congestion window.
+    /// Updates the load of the engine and, if the outcome reflects the load of all engines, the congestion window.
     fn update_load(&mut self, class: usize, outcome: &Outcome) {
         let reported = self.reported_load(outcome.engine, outcome.report.as_ref());
         let (config, statistics) = (&self.settings.classes[class], &self.statistics[class]);
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Records the load that an engine has shown and, where it reports the queries that it runs, the threads of other
-    /// gateways: the report still counts the attempt that has just ended.
+    /// Records the observed load of an engine and, if the engine reports its queries in flight, the threads of other
+    /// gateways. The report still includes the attempt that has just ended.
     fn record_engine_load(
         &mut self,
         class: usize,
@@ -143,7 +144,7 @@
         engine.load.record(load, self.now);
     }
 
-    /// Takes an ended attempt out of its request and its holds, and records where it may have run.
+    /// Removes an ended attempt from its request and holds, and records where it may have run.
     fn close_attempt(&mut self, outcome: &Outcome, sent_at: Micros) {
         let Some(request) = self.requests.get_mut(outcome.request) else {
             return;
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Pauses the ordering key of an attempt that may still run.
+    /// Pauses the ordering key of a request with an attempt that may still be running.
     fn pause_key(&mut self, id: RequestId) {
         let key = self.requests.get(id).and_then(|request| request.key);
         if let Some(key) = key {
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Records a progress event. May cancel the attempt for a retry, once for a spill and once for its pace, or abandon the
-    /// request.
+    /// Processes a progress event. It may lead to cancelling the attempt for a retry, once for a spill and once for its
+    /// pace, or to abandoning the request.
     pub(super) fn on_progress(
         &mut self,
         id: RequestId,
@@ -229,7 +230,7 @@
     }
 }
 
-/// Records that an attempt has sent a progress event, and returns it; `None` where it is not in flight.
+/// Records a progress event and returns its attempt, or `None` if the attempt is not in flight.
 fn record_progress_event(
     engines: &mut Engines,
     engine: EngineId,
--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: each free slot goes to the head of a drawn class, and the request to an eligible engine.
+//! Dispatch: draws a class for each free slot and sends the head of its queue to an eligible engine.
 
 use rand_core::RngCore;
 
@@ -11,28 +11,28 @@
 use crate::request::Request;
 
 impl Controller {
-    /// Gives every free slot to a class by draw. Late requests come after all others.
+    /// Draws a class for every free slot. Late requests are sent after all others.
     pub(super) fn dispatch(&mut self, out: &mut Vec<Action>) {
         for late in [false, true] {
-            let mut open: Vec<usize> = (0..self.statistics.len()).collect();
+            let mut candidates: Vec<usize> = (0..self.statistics.len()).collect();
             loop {
-                open.retain(|class| self.queues.first(*class, late).is_some());
-                if open.is_empty() {
+                candidates.retain(|class| self.queues.first(*class, late).is_some());
+                if candidates.is_empty() {
                     break;
                 }
-                let class = self.scheduler.draw(&open, &mut self.rng);
+                let class = self.scheduler.draw(&candidates, &mut self.rng);
                 let Some(id) = self.queues.first(class, late) else {
                     break;
                 };
                 if !self.try_dispatch(id, out) {
-                    // No engine is eligible: the class yields to the others.
-                    open.retain(|other| *other != class);
+                    // No engine is eligible: the other classes get the slots.
+                    candidates.retain(|other| *other != class);
                 }
             }
         }
     }
 
-    /// Sends, answers or blocks the head of a queue; false where it stays, as no engine is eligible.
+    /// Sends, abandons or blocks the head of a queue. Returns `false` if it stays because no engine is eligible.
     fn try_dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -51,8 +51,8 @@
         }
         let is_held = self.holds.covers(request.hold_targets);
         if is_held {
-            // Whatever made all engines ineligible: left at the head of its queue it could keep its class waiting.
-            // Housekeeping queues it again when its hold has a slot.
+            // At the head of its queue, the request could keep its class waiting, even if the hold is not what made all
+            // engines ineligible. Housekeeping queues it again when the hold has a slot.
             self.dequeue(id);
             self.holds.block(id);
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends a request; nothing else sends.
+    /// Sends a request. This is the only function that sends requests.
     fn send(&mut self, id: RequestId, engine_id: EngineId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/policy/src/controller/housekeeping.rs
+++ b/crates/policy/src/controller/housekeeping.rs
@@ -1,5 +1,5 @@
-//! Housekeeping on a timer: windows, keys, deadlines, late and blocked requests, lost attempts, silent engines, the
-//! subscription to the endpoint list.
+//! Periodic housekeeping: windows, ordering keys, deadlines, late and blocked requests, lost attempts, silent engines,
+//! and the subscription to the endpoint list.
 
 use super::Controller;
 use crate::admission::first_to_shed;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Removes what is older than the windows of the retry budget and of overload.
+    /// Removes entries that are older than the retry budget window or the overload window.
     fn prune_windows(&mut self) {
         let rules = &self.settings.rules;
         self.retry_usage.prune(rules.retry_budget, self.now);
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Queues the first request of each ordering key whose pause is over.
+    /// Queues the first request of each ordering key that is not paused.
     fn resume_keys(&mut self, out: &mut Vec<Action>) {
         for id in self.ordering_keys.take_runnable(self.now) {
             self.enqueue(id, out);
         }
     }
 
-    /// Answers requests whose clients are about to give up; those in flight end with their attempts.
+    /// Abandons requests whose clients are about to give up. Requests in flight end with their attempts.
     fn abandon_expired(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.requests.take_expired(self.now + DEADLINE_MARGIN) {
             if self
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Queues requests that have become late behind the others, or sheds them.
+    /// Sheds requests that have become late, or queues them behind the others.
     fn requeue_overdue(&mut self, out: &mut Vec<Action>) {
         for id in self.queues.overdue(self.now) {
             self.dequeue(id);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sheds late requests while clients are close to their connection limit.
+    /// Sheds late requests while the clients are near their connection limit.
     fn shed_late(&mut self, out: &mut Vec<Action>) {
         while self.is_near_connection_limit() {
             let Some(id) = first_to_shed(self.queues.late_heads(), &self.requests) else {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Queues requests again whose holds have slots.
+    /// Queues blocked requests whose holds have free slots.
     fn requeue_unblocked(&mut self, out: &mut Vec<Action>) {
         let requests = &self.requests;
         let targets_of = |id| requests.get(id).map(|request| request.hold_targets);
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Cancels attempts whose progress events are overdue, so that their requests can be retried. Does nothing where engines
-    /// send none, or attempts can't be cancelled.
+    /// Cancels attempts whose progress events are overdue so that their requests can be retried. Does nothing if
+    /// engines send no progress events or attempts can't be cancelled.
     fn cancel_lost_attempts(&mut self, out: &mut Vec<Action>) {
         if let Some(lost_after) = lost_after(&self.settings) {
             let now = self.now;
--- a/crates/policy/src/controller/requests.rs
+++ b/crates/policy/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: arrival, waiting, and its one final answer.
+//! Life cycle of a request: arrival, queueing, and its single final response.
 
 use super::Controller;
 use crate::admission::{Admission, admit, is_near_connection_limit};
@@ -11,7 +11,7 @@
 use crate::request::Request;
 
 impl Controller {
-    /// Accepts a new request; one whose class or number can't be is ignored.
+    /// Accepts a new request. Requests with an unknown class or a known id are ignored.
     pub(super) fn on_arrival(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
         let id = arrival.request;
         if arrival.class >= self.statistics.len() || self.requests.contains(id) {
@@ -28,8 +28,8 @@
 
     fn new_request(&self, arrival: &Arrival) -> Request {
         let class = &self.settings.classes[arrival.class];
-        // The deadline spans all tries of the client: a retry began earlier.
-        let first_try = arrival
+        // The deadline covers the client's first request and its retries.
+        let first_request_at = arrival
             .valid_until
             .saturating_sub(class.deadline)
             .min(self.now);
@@ -39,7 +39,7 @@
             key: arrival.key.filter(|_| class.ordered_by_key),
             valid_until: arrival.valid_until,
             started_at: if arrival.is_retry {
-                first_try
+                first_request_at
             } else {
                 self.now
             },
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Puts a request into its class queue, or answers it where waiting is of no use. A request that is answered, queued
-    /// or in flight stays as it is.
+    /// Puts a request into its class queue, or abandons it if waiting is useless. Does nothing if the request is done,
+    /// queued or in flight.
     pub(super) fn enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether a request may be sent for the first time, or again.
+    /// Returns whether a request may be sent, for the first time or again.
     pub(super) fn may_send(&self, request: &Request) -> bool {
         let idempotency = self.settings.classes[request.class].idempotency;
         let (limits, budget) = (&self.settings.limits, self.settings.rules.retry_budget);
@@ -100,7 +100,7 @@
         is_near_connection_limit(self.requests.waiting_count(), &self.settings.limits)
     }
 
-    /// Takes a request out of its class queue, or out of those blocked by a hold.
+    /// Removes a request from its class queue, or from the requests blocked by holds.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         self.holds.unblock(id);
         if let Some(request) = self.requests.get_mut(id)
@@ -110,31 +110,37 @@
         }
     }
 
-    /// Ends a request at once, with an answer that tells whether trying again is harmless.
+    /// Ends a request immediately, with a response that tells whether a retry is safe.
     pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(id) {
             let class = &self.settings.classes[request.class];
-            let answer = abandonment_response(id, request, class, &self.settings.limits);
-            self.finish(id, Some(answer), out);
+            let response = abandonment_response(id, request, class, &self.settings.limits);
+            self.finish(id, Some(response), out);
         }
     }
 
-    /// Ends a request, as nothing else does: answers if still owed, and lets the next one of its key run.
-    pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Vec<Action>) {
+    /// Ends a request: sends the final response if it is still due, and lets the next request of its ordering key run.
+    /// All requests end here.
+    pub(super) fn finish(
+        &mut self,
+        id: RequestId,
+        response: Option<Action>,
+        out: &mut Vec<Action>,
+    ) {
         self.dequeue(id);
-        let was_owed = self.requests.mark_done(id);
+        let was_open = self.requests.mark_done(id);
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if was_owed {
-            out.extend(answer);
+        if was_open {
+            out.extend(response);
             if request.attempts.count() == 0 {
                 self.queues
                     .record_wait(request.class, self.now - request.arrived_at);
             }
         }
         if request.attempts.is_any_in_flight() {
-            // Its attempts still hold slots, and its ordering key, until the engines have stopped them.
+            // The attempts occupy their slots and the ordering key until the engines have stopped them.
             if self.settings.limits.cancel {
                 cancel_attempts(&mut self.engines, out, |attempt| attempt.request == id);
             }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The endpoint list: which engines are known, and when the router subscribes to changes.
+//! The endpoint list: updates of the known engines, and the subscription to changes.
 
 use crate::capacity::fair_share;
 use crate::engine::{Engine, Engines};
 use crate::interface::{Discovery, EndpointEntry, ListScope, Micros, Readiness, Settings};
 
-/// Backoff after a failed call to discovery.
+/// Backoff before subscribing again after a failed call to discovery.
 const SUBSCRIBE_BACKOFF: Micros = 500_000;
 
 /// Applies an update of the endpoint list.
@@ -16,7 +16,7 @@
     now: Micros,
 ) {
     if scope != ListScope::Changes {
-        // An engine missing from a complete list is gone: sending on would break the rule on draining.
+        // An engine that is missing from a complete list is removed: sending to it would break the rule on draining.
         for engine in engines.values_mut() {
             engine.entry.readiness = Readiness::Removed;
         }
@@ -50,9 +50,9 @@
     }
 }
 
-/// Subscription to changes, where discovery reports them only then.
+/// Subscription to changes of the endpoint list, if discovery requires one.
 pub(crate) struct Subscription {
-    /// When to subscribe; `None`: subscribed, or changes come unprompted.
+    /// Time at which to subscribe; `None`: subscribed, or no subscription is required.
     next_at: Option<Micros>,
 }
 
@@ -63,13 +63,13 @@
         }
     }
 
-    /// A call to discovery has failed: subscribe again after a backoff, within half of the time in which a router without
-    /// a subscription must poll.
+    /// Schedules another subscription after a failed call to discovery. The backoff is at most half of the interval at
+    /// which a router without a subscription must poll.
     pub(crate) fn record_failure(&mut self, max_poll_interval: Micros, now: Micros) {
         self.next_at = Some(now + SUBSCRIBE_BACKOFF.min(max_poll_interval / 2));
     }
 
-    /// Whether to subscribe now, once.
+    /// Returns whether to subscribe now. Returns `true` only once per scheduled subscription.
     pub(crate) fn take_due(&mut self, now: Micros) -> bool {
         self.next_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: which engines a request may be sent to, and which of them it is sent to.
+//! Endpoint selection: determines the engines to which a request may be sent, and selects one of them.
 
 use crate::capacity::engine_capacity;
 use crate::class_statistics::Classes;
@@ -12,34 +12,35 @@
 use crate::slow_start::{is_warming_up, is_within_slow_start_budget};
 use crate::units::Load;
 
-/// The load at which an engine is full.
+/// Load at which an engine is full.
 const FULL_LOAD: Load = Load(1.0);
-/// An engine that shows so much more load than the admission threshold gets nothing.
+/// Margin above the admission threshold beyond which an engine gets no requests.
 const OVERLOAD_MARGIN: Load = Load(0.25);
-/// One engine in so many is a home of a table group ...
+/// Number of engines per home engine of a table group.
 const ENGINES_PER_HOME: u64 = 4;
-/// ... and an engine at which a request is misplaced counts as showing so much more load.
+/// Load that is added to an engine in the comparison if the request is misplaced there.
 const MISPLACED_LOAD_PENALTY: Load = Load(0.25);
-/// Loads are compared in steps of 1 / `LOAD_STEPS`, so that noise does not send all gateways to the same engine.
+/// Loads are compared in steps of 1 / `LOAD_STEPS` so that noise does not make all gateways select the same engine.
 const LOAD_STEPS: f64 = 8.0;
 
-/// What endpoint selection reads.
+/// Input of endpoint selection.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointSelection<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) classes: Classes<'a>,
     pub(crate) engines: &'a Engines,
     pub(crate) congestion_window: &'a CongestionWindow,
-    /// Load of all engines together.
+    /// Load of all engines together, as a moving average.
     pub(crate) load_level: Load,
     pub(crate) holds: &'a Holds,
     pub(crate) now: Micros,
 }
 
 impl EndpointSelection<'_> {
-    /// The eligible engine with the fewest own queries, untried ones first; ties by load, then at random by `salt`.
+    /// Returns the eligible engine with the fewest queries of this gateway, preferring engines that the request has not
+    /// tried. Ties are broken by load and then at random by `salt`.
     ///
-    /// An engine that is warming up counts as one without own queries: what it may be sent is open for a short time only.
+    /// An engine that is warming up is treated as one without queries, because its slow-start budget expires soon.
     pub(crate) fn select(&self, request: &Request, salt: u64) -> Option<EngineId> {
         let eligible = self
             .engines
@@ -62,8 +63,8 @@
         best.map(|(id, _)| *id)
     }
 
-    /// Whether a request may be sent to an engine; every send has passed here. In turn: endpoint list, placement, outlier
-    /// ejection, concurrency limit, congestion window, one attempt at an engine, slow start, holds.
+    /// Returns whether a request may be sent to an engine. Every send passes this check of readiness, placement,
+    /// outlier ejection, concurrency limit, congestion window, other attempts at the engine, slow start and holds.
     fn is_eligible(&self, request: &Request, id: EngineId, engine: &Engine) -> bool {
         let class = self.classes.config(request.class);
         engine.is_up()
@@ -78,8 +79,8 @@
             && self.holds.has_slot(request.hold_targets, id)
     }
 
-    /// Zones and machine kinds of the class. A request with an idempotency key that may have run goes only to engines that
-    /// recognize its repeat.
+    /// Returns whether the engine is in a zone and of a machine kind that the class may use. A request with an
+    /// idempotency key that may have run is sent only to engines that recognise the duplicate.
     fn is_placement_allowed(&self, request: &Request, engine: &Engine) -> bool {
         let class = self.classes.config(request.class);
         let is_within = |allowed: &Option<Vec<usize>>, value: Option<usize>| {
@@ -102,7 +103,8 @@
         engine.own_threads(&self.settings.classes) + threads <= engine.limit.threads(capacity)
     }
 
-    /// Where the congestion window binds, an engine that shows overload gets nothing either.
+    /// Returns whether the request fits into the congestion window. While the window is enforced, overloaded engines
+    /// get no requests either.
     fn is_within_congestion_window(&self, request: &Request, engine: &Engine) -> bool {
         if !self.congestion_window.is_enforced() {
             return true;
@@ -133,9 +135,9 @@
         is_warming_up(&engine.entry, &self.settings.rules, self.now)
     }
 
-    /// Load of an engine for ties, in steps: with many gateways most counts of own queries are 0. Each table group has home
-    /// engines, the same at all gateways: its queries gather there, so that it stays in their caches, and load statements,
-    /// which lock it, keep away.
+    /// Returns the load of an engine for breaking ties, in steps. Ties are common with many gateways, because most
+    /// counts of own queries are 0. Each table group has home engines, which are the same for all gateways. Its queries
+    /// prefer them, so that the group stays in their caches, and load statements, which lock the group, avoid them.
     fn tie_break_load(&self, request: &Request, id: EngineId, engine: &Engine) -> u64 {
         if self.is_warming_up(engine) {
             return 0;
@@ -152,30 +154,31 @@
         ((self.decayed_load(engine) + penalty) * LOAD_STEPS).0 as u64
     }
 
-    /// Whether a query is away from the home engines of its table group, or a load statement is at one of them. Homes exist only
-    /// where some class locks its group.
+    /// Returns whether the engine is not a home engine of the table group, or, for a load statement, whether it is one.
+    /// Home engines exist only if a class locks its table group.
     fn is_misplaced(&self, request: &Request, group: u64, id: EngineId) -> bool {
         let is_home = rendezvous_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
         let locks_group = self.classes.config(request.class).locks_group;
         self.settings.classes.iter().any(|class| class.locks_group) && is_home == locks_group
     }
 
-    /// The admission threshold: where the congestion window is enforced, an engine that shows more than this and
-    /// [`OVERLOAD_MARGIN`] gets nothing. Full load, where a health check can tell that it has capacity again;
-    /// otherwise no less than the mean of all engines, or none would be eligible.
+    /// Returns the admission threshold. While the congestion window is enforced, engines whose load exceeds it by more
+    /// than [`OVERLOAD_MARGIN`] get no requests. The threshold is full load if a health check can show that an engine
+    /// has capacity again. Otherwise it is at least the mean load of all engines, since a lower one could leave no
+    /// engine eligible.
     fn admission_threshold(&self) -> Load {
-        let recovery_is_seen =
+        let is_recovery_observable =
             self.settings.limits.health_checks && self.settings.reports_in_flight;
-        if recovery_is_seen {
+        if is_recovery_observable {
             FULL_LOAD
         } else {
             self.load_level.max(FULL_LOAD)
         }
     }
 
-    /// The load that an engine showed, decaying towards that of all.
+    /// Returns the latest observed load of an engine, decayed towards the load of all engines.
     fn decayed_load(&self, engine: &Engine) -> Load {
-        let usual = self.load_level.min(self.admission_threshold());
-        engine.load.decayed(usual, self.now)
+        let baseline = self.load_level.min(self.admission_threshold());
+        engine.load.decayed(baseline, self.now)
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine: its entry in the endpoint list, its attempts in flight, and the state that each rule keeps of it.
+//! State of an engine: its endpoint list entry, its attempts in flight, and the state kept by each rule.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::slow_start::RecentSends;
 use crate::units::{Threads, Work};
 
-/// All listed engines, and removed ones that still owe an outcome.
+/// All listed engines, and removed ones with attempts in flight.
 pub(crate) type Engines = BTreeMap<EngineId, Engine>;
 
-/// An engine as this gateway knows it.
+/// State of an engine on this gateway.
 pub(crate) struct Engine {
     pub(crate) entry: EndpointEntry,
     pub(crate) limit: ConcurrencyLimit,
@@ -24,7 +24,7 @@
 }
 
 impl Engine {
-    /// A freshly listed engine of which nothing is known but its entry.
+    /// Creates the state of a newly listed engine.
     pub(crate) fn new(entry: &EndpointEntry, fair_share: Threads, now: Micros) -> Self {
         Engine {
             entry: entry.clone(),
@@ -36,8 +36,8 @@
         }
     }
 
-    /// A new process has started there: it warms up again, and what the former one has shown says nothing of it.
-    /// Attempts and sends are kept, as their outcomes are still owed.
+    /// Resets the state after the engine's process has restarted: the new process warms up again, and observations of
+    /// the previous one don't apply to it. Attempts and recent sends are kept because their outcomes are still pending.
     pub(crate) fn reset_for_new_process(
         &mut self,
         entry: &EndpointEntry,
@@ -55,7 +55,7 @@
         self.entry.readiness == Readiness::Up
     }
 
-    /// Attempts in flight there.
+    /// Returns the attempts in flight at the engine.
     pub(crate) fn in_flight(&self) -> &[InFlightAttempt] {
         &self.in_flight
     }
@@ -64,7 +64,7 @@
         &mut self.in_flight
     }
 
-    /// Threads of this gateway's attempts in flight there.
+    /// Returns the number of threads used by this gateway's attempts in flight.
     pub(crate) fn own_threads(&self, classes: &[Class]) -> Threads {
         self.in_flight
             .iter()
@@ -72,11 +72,11 @@
             .sum()
     }
 
-    /// Adds an attempt that is sent now; `work` is the mean work of its class.
+    /// Adds an attempt that is sent now. `work` is the mean work of its class.
     pub(crate) fn add_attempt(&mut self, attempt: InFlightAttempt, work: Work) {
         let now = attempt.sent_at;
         if self.in_flight.is_empty() {
-            // An idle engine owes no answer.
+            // The silence of an idle engine does not count against it.
             self.health.record_response(now);
         }
         self.health.extend_ejection(now);
@@ -84,7 +84,7 @@
         self.in_flight.push(attempt);
     }
 
-    /// Removes an attempt whose outcome has come; `None` where there is no such attempt.
+    /// Removes an attempt after its outcome. Returns `None` if it is not in flight.
     pub(crate) fn remove_attempt(
         &mut self,
         request: RequestId,
@@ -94,7 +94,7 @@
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// Position of an attempt among those in flight.
+    /// Returns the position of an attempt among those in flight.
     pub(crate) fn position_of(&self, request: RequestId, number: u32) -> Option<usize> {
         let is_match =
             |attempt: &InFlightAttempt| attempt.request == request && attempt.number == number;
@@ -102,16 +102,16 @@
     }
 }
 
-/// Cancels all attempts in flight for which `applies` holds.
+/// Cancels all attempts in flight that satisfy `predicate`.
 pub(crate) fn cancel_attempts(
     engines: &mut Engines,
     out: &mut Vec<Action>,
-    applies: impl Fn(&InFlightAttempt) -> bool,
+    predicate: impl Fn(&InFlightAttempt) -> bool,
 ) {
     let attempts = engines
         .values_mut()
         .flat_map(|engine| &mut engine.in_flight);
     attempts
-        .filter(|attempt| applies(attempt))
+        .filter(|attempt| predicate(attempt))
         .for_each(|attempt| attempt.cancel(out));
 }
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -1,20 +1,20 @@
-//! Health of one engine: its failure rate, when something last came from it, and whether it is ejected.
+//! Health of an engine: its failure rate, the time of its latest response, and its ejection.
 
 use crate::interface::Micros;
 
-/// Weight of an answer in the failure rate.
+/// Weight of one outcome in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.2;
 /// Failure rate from which an engine is ejected.
 const EJECTION_RATE: f64 = 0.35;
-/// Time of an ejection, and from one trial to the next.
+/// Duration of an ejection, and interval between trial requests after it.
 const EJECTION_TIME: Micros = 4_000_000;
 
-/// What an engine's answers show of its health.
+/// Health of an engine as observed from its responses.
 pub(crate) struct EngineHealth {
-    /// Exponentially weighted moving average; 1: all fail.
+    /// Exponentially weighted moving average; 1: all attempts fail.
     failure_rate: f64,
     last_response_at: Micros,
-    /// Ejected as an outlier until then; after that one trial at a time.
+    /// End of the ejection as an outlier. After it, the engine gets one trial request at a time.
     ejected_until: Option<Micros>,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A rejection or a progress event has come from the engine, or it has no attempt in flight.
+    /// Records that the engine sent a rejection or a progress event, or that it has no attempt in flight.
     pub(crate) fn record_response(&mut self, now: Micros) {
         self.last_response_at = now;
     }
@@ -36,25 +36,25 @@
         self.last_response_at
     }
 
-    /// Counts `time` as if the engine had not been listened to.
-    pub(crate) fn exclude_from_silence(&mut self, time: Micros, now: Micros) {
-        self.last_response_at = now.min(self.last_response_at + time);
+    /// Excludes `duration` from the engine's silence.
+    pub(crate) fn exclude_from_silence(&mut self, duration: Micros, now: Micros) {
+        self.last_response_at = now.min(self.last_response_at + duration);
     }
 
-    /// Counts a success; an ejected engine returns once its failure rate is low enough.
+    /// Counts a success. The ejection ends once the failure rate is low enough.
     pub(crate) fn record_success(&mut self, now: Micros) {
         self.last_response_at = now;
         self.failure_rate *= 1.0 - FAILURE_WEIGHT;
         self.end_ejection_if_healthy();
     }
 
-    /// Counts a failure. Returns whether the engine is to be ejected.
+    /// Counts a failure. Returns whether the engine should be ejected.
     pub(crate) fn record_failure(&mut self) -> bool {
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
         self.failure_rate >= EJECTION_RATE
     }
 
-    /// Takes back a failure that was not the engine's.
+    /// Revokes a failure that the engine did not cause.
     pub(crate) fn revoke_failure(&mut self) {
         self.failure_rate =
             ((self.failure_rate - FAILURE_WEIGHT) / (1.0 - FAILURE_WEIGHT)).max(0.0);
@@ -71,7 +71,7 @@
         self.ejected_until = Some(now + EJECTION_TIME);
     }
 
-    /// A send to an ejected engine is a trial; the next one comes after a further ejection time.
+    /// Delays the next trial request by the ejection time when a trial request is sent to an ejected engine.
     pub(crate) fn extend_ejection(&mut self, now: Micros) {
         self.ejected_until = self.ejected_until.map(|_| now + EJECTION_TIME);
     }
@@ -80,8 +80,8 @@
         self.ejected_until.is_some()
     }
 
-    /// Whether requests may be sent there. An ejected engine gets a trial after its time, by a request that may be
-    /// repeated anywhere.
+    /// Returns whether the engine may be sent a request. After the ejection time, an ejected engine gets a trial
+    /// request, which must be idempotent.
     pub(crate) fn admits(&self, is_idempotent: bool, now: Micros) -> bool {
         self.ejected_until
             .is_none_or(|until| until <= now && is_idempotent)
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -1,26 +1,26 @@
-//! Health checks: an engine is asked for a load report with sends, and now and then while requests wait. Only so does a
-//! gateway that takes all engines for full find out that they are not.
+//! Health checks: load reports are requested when requests are sent, and periodically while requests wait. Without the
+//! periodic checks, a gateway that considers all engines full would not learn that they have capacity again.
 
 use crate::engine::Engines;
 use crate::interface::{EngineId, Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
 use crate::rendezvous::rendezvous_hash;
 
-/// Interval between two checks while requests wait.
+/// Interval between checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
-/// Up to this cost (unit: [`Settings::health_check_cost`]) every send brings a check; above it checks are proportionally
-/// rarer.
+/// Cost (unit: [`Settings::health_check_cost`]) up to which every send triggers a check. Above it, checks are
+/// proportionally rarer.
 const FULL_RATE_COST: f64 = 0.01;
 
-/// When the next health check is due.
+/// Schedule of the health checks.
 pub(crate) struct HealthChecks {
-    /// Part of the sends that bring a check.
+    /// Number of checks per send, at most 1.
     ratio: f64,
-    /// Fraction of a check that sends have brought so far.
+    /// Accumulated fraction of the next check that sends trigger.
     credit: f64,
-    /// A send has brought a check.
+    /// Whether a send has triggered a check that is still due.
     triggered_by_send: bool,
-    /// Not before that while requests wait.
+    /// Earliest time of the next check while requests wait.
     next_at: Micros,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether a check is due now; then the next one is scheduled.
+    /// Returns whether a check is due now, and if so schedules the next one.
     pub(crate) fn take_due(
         &mut self,
         settings: &Settings,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The engine to check: a random one of those that are up.
+/// Selects a random engine that is up for a health check.
 pub(crate) fn choose_engine(engines: &Engines, salt: u64) -> Option<EngineId> {
     let up = engines.iter().filter(|(_, engine)| engine.is_up());
     up.map(|(id, _)| *id)
--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -1,13 +1,14 @@
-//! Holds: limits on the requests of a statement kind or a table group, and the requests that they block.
+//! Holds: limits on the requests of a statement kind or a table group, and the requests blocked by them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{EngineId, Hold, HoldTarget, RequestId};
 
-/// At most this many requests per hold go back to their queues at each housekeeping: it bounds the work of one batch.
+/// Maximum number of requests per hold that housekeeping returns to their queues at once. It bounds the work of one
+/// batch.
 const MAX_UNBLOCKED_PER_HOLD: u32 = 64;
 
-/// What of a request a hold may name.
+/// Properties of a request that a hold can target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HoldTargets {
     pub(crate) kind: Option<u64>,
@@ -29,14 +30,14 @@
     }
 }
 
-/// A hold with the number of attempts in flight that it covers.
+/// A hold and the number of attempts in flight that it covers.
 struct HoldState {
     hold: Hold,
     in_flight: u32,
 }
 
-/// The holds in effect, and the requests that wait for one of their slots. Those stand apart from their class queues, so
-/// that nobody waits behind them.
+/// The holds in effect, and the requests that they block. Blocked requests are kept apart from the class queues so that
+/// no other request waits behind them.
 #[derive(Default)]
 pub(crate) struct Holds {
     holds: BTreeMap<HoldTarget, HoldState>,
@@ -56,7 +57,7 @@
         self.holds.retain(|_, state| state.hold.is_effective());
     }
 
-    /// The holds that cover a request.
+    /// Returns the holds that cover a request.
     fn covering(&self, targets: HoldTargets) -> impl Iterator<Item = &HoldState> {
         targets.iter().filter_map(|target| self.holds.get(&target))
     }
@@ -69,7 +70,7 @@
         self.covering(targets).any(|state| state.hold.low_priority)
     }
 
-    /// Whether all holds on a request have a slot for it at an engine.
+    /// Returns whether all holds that cover a request permit another attempt at an engine.
     pub(crate) fn has_slot(&self, targets: HoldTargets, engine: EngineId) -> bool {
         self.covering(targets).all(|state| {
             state.in_flight < state.hold.max_in_flight
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts a sent attempt.
     pub(crate) fn record_send(&mut self, targets: HoldTargets) {
         for target in targets.iter() {
             if let Some(state) = self.holds.get_mut(&target) {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Counts an attempt whose outcome has come.
+    /// Counts the outcome of an attempt.
     pub(crate) fn record_outcome(&mut self, targets: HoldTargets) {
         for target in targets.iter() {
             if let Some(state) = self.holds.get_mut(&target) {
@@ -103,8 +104,8 @@
         self.blocked.remove(&request);
     }
 
-    /// Takes out blocked requests to be queued again: as many as their holds have slots, and no more than can be tried at
-    /// once.
+    /// Removes and returns the blocked requests that can be queued again: for each hold, as many as it has free slots,
+    /// but at most [`MAX_UNBLOCKED_PER_HOLD`].
     pub(crate) fn take_unblocked(
         &mut self,
         targets_of: impl Fn(RequestId) -> Option<HoldTargets>,
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,10 +1,10 @@
-//! Idempotency: when a request that may have run may be sent again, and where.
+//! Idempotency: when and where a request that may have run may be sent again.
 
 use crate::class_statistics::ClassStatistics;
 use crate::interface::{DeduplicationScope, EndpointEntry, Idempotency, Micros};
 use crate::units::RunTime;
 
-/// Where and when the first attempt that may have run was sent.
+/// Place and time of the first attempt that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     pub(crate) zone: Option<usize>,
@@ -12,7 +12,7 @@
     pub(crate) sent_at: Micros,
 }
 
-/// Until when sending a request again can have no effect twice.
+/// Returns the time until which sending a request again can't repeat its effects.
 pub(crate) fn safe_until(idempotency: Idempotency, possible_run: Option<PossibleRun>) -> Micros {
     match (idempotency, possible_run) {
         (Idempotency::Idempotent, _) | (_, None) => Micros::MAX,
@@ -21,7 +21,8 @@
     }
 }
 
-/// Whether an engine recognizes a repeat of a request with an idempotency key. Elsewhere it would run twice.
+/// Returns whether an engine would recognise a retry of a request as a duplicate, if its class uses idempotency keys.
+/// On another engine, the request could run twice.
 pub(crate) fn deduplicates_retry(
     idempotency: Idempotency,
     possible_run: Option<PossibleRun>,
@@ -43,8 +44,9 @@
     }
 }
 
-/// Whether the client of an abandoned request can try again without an effect twice. `never_ran`: no attempt may have run.
-pub(crate) fn is_client_retry_harmless(idempotency: Idempotency, never_ran: bool) -> bool {
+/// Returns whether the client can retry an abandoned request without repeating its effects. `never_ran` tells that
+/// certainly no attempt has run.
+pub(crate) fn is_client_retry_safe(idempotency: Idempotency, never_ran: bool) -> bool {
     match idempotency {
         Idempotency::Idempotent
         | Idempotency::WithKey {
@@ -55,8 +57,9 @@
     }
 }
 
-/// Whether a request would probably be cut off while it runs. One that must not run twice, sent with less than a usual run
-/// to go, would end as one that may have run, and somebody has to look it up. Rejected before, it can be tried again.
+/// Returns whether a request that is not idempotent would probably reach its deadline while it runs. It would then be
+/// unknown whether the request has run, and someone would have to find out. If it is rejected unsent, the client can
+/// retry.
 pub(crate) fn risks_unknown_result(
     idempotency: Idempotency,
     statistics: &ClassStatistics,
--- a/crates/policy/src/intervals.rs
+++ b/crates/policy/src/intervals.rs
@@ -1,10 +1,11 @@
-//! Intervals of the controller's periodic work, on which margins of the rules depend.
+//! Intervals of the controller's periodic tasks, and time margins that depend on them.
 
 use crate::interface::Micros;
 
-/// Interval of housekeeping: deadlines, late requests, silent engines.
+/// Interval of housekeeping, for example of checks for deadlines, late requests and silent engines.
 pub(crate) const HOUSEKEEPING_INTERVAL: Micros = 20_000;
-/// Period of the PI loop and the concurrency limits: some answers of each class in one, a few in a burst.
+/// Period of the PI loop and of updates of the concurrency limits. Each class usually has some responses in one period,
+/// and a burst lasts for a few.
 pub(crate) const CONTROL_PERIOD: Micros = 2_000_000;
-/// Queued requests are answered this long before their clients give up.
+/// Queued requests are abandoned this long before their clients give up.
 pub(crate) const DEADLINE_MARGIN: Micros = 3 * HOUSEKEEPING_INTERVAL;
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: what answers, reports and health checks show of an engine, and of all engines together.
+//! Load of an engine and of all engines together, as observed from outcomes, load reports and health checks.
 
 use crate::capacity::THREADS_PER_CORE;
 use crate::class_statistics::ClassStatistics;
@@ -6,28 +6,29 @@
 use crate::reported_value::is_plausible;
 use crate::units::{Load, RunTime, Threads, Work};
 
-/// Slowdown (run time by work, or by the run time without load) at which an engine is full.
+/// Slowdown at which an engine is full. Slowdown is the run time times threads, divided by the work, or the run time
+/// divided by the unloaded run time.
 pub(crate) const FULL_SLOWDOWN: f64 = 2.5;
-/// The same where only run times tell of load: they tell late.
+/// Slowdown at which an engine is full if only run times reflect the load, since they reflect it late.
 const FULL_SLOWDOWN_WITHOUT_FEEDBACK: f64 = 1.2;
-/// Load of all engines before the first answer.
+/// Load level before the first response.
 const INITIAL_LOAD_LEVEL: Load = Load(0.5);
-/// The most that one answer shows; also what a failure shows.
+/// Maximum load observed from one outcome, and the load observed from a failure.
 const MAX_OBSERVED_LOAD: Load = Load(1.6);
-/// Weight of a new answer in the load level.
+/// Weight of one observation in the load level.
 const LOAD_LEVEL_WEIGHT: f64 = 0.2;
-/// From this part of busy cores on, a report of busy cores does not tell how much more is waiting.
+/// Part of busy cores from which a CPU report is ignored, because it does not tell how much more work is waiting.
 const MAX_INFORMATIVE_CPU: f64 = 0.9;
-/// Time constant with which the load that an engine showed decays. If it decays too fast, a query from each of many
-/// gateways keeps an engine short of memory crawling.
+/// Time constant of the decay of an engine's observed load. With too fast a decay, single queries from many gateways
+/// keep an engine that is short of memory from recovering.
 const DECAY_TIME_CONSTANT: Micros = 10_000_000;
 
-/// Whether engines tell of their load by reports, or of the work that queries needed; otherwise only run times tell.
+/// Returns whether engines report their load or the work of queries. Otherwise only run times reflect the load.
 pub(crate) fn has_load_feedback(settings: &Settings) -> bool {
     settings.reports_work || settings.load_reports
 }
 
-/// Moving average of the load that answers showed, over all engines.
+/// Moving average of the observed load over all engines.
 pub(crate) struct LoadLevel {
     level: Load,
 }
@@ -47,47 +48,48 @@
         self.level += (load - self.level) * LOAD_LEVEL_WEIGHT;
     }
 
-    /// Whether all engines together are over their capacity.
+    /// Returns whether the load of all engines together exceeds their capacity.
     pub(crate) fn is_overloaded(&self) -> bool {
         self.level > Load(1.0)
     }
 }
 
-/// The load that an engine showed last.
+/// Latest observed load of an engine.
 #[derive(Default)]
 pub(crate) struct EngineLoad {
-    shown: Load,
+    observed: Load,
     observed_at: Micros,
 }
 
 impl EngineLoad {
-    /// Records a load that the engine has shown.
+    /// Records an observed load.
     pub(crate) fn record(&mut self, load: Load, now: Micros) {
-        self.shown = load;
+        self.observed = load;
         self.observed_at = now;
     }
 
-    /// The load that it showed, decaying towards what is `usual` for all engines.
-    pub(crate) fn decayed(&self, usual: Load, now: Micros) -> Load {
+    /// Returns the latest observed load, decayed towards `baseline`.
+    pub(crate) fn decayed(&self, baseline: Load, now: Micros) -> Load {
         let age = now.saturating_sub(self.observed_at) as f64 / DECAY_TIME_CONSTANT as f64;
-        usual + (self.shown - usual) * (-age).exp()
+        baseline + (self.observed - baseline) * (-age).exp()
     }
 }
 
-/// What counts of a load that one answer shows.
+/// Limits a load observed from one response to [`MAX_OBSERVED_LOAD`].
 pub(crate) fn cap_observed_load(load: Load) -> Load {
     load.min(MAX_OBSERVED_LOAD)
 }
 
-/// Load by a report: threads or memory, else busy cores while they are not all busy. `mean_threads` is the usual number
-/// of threads of a query in flight.
+/// Returns the load according to a report: the larger of threads and memory or, if the queries in flight are not
+/// reported, the busy cores unless nearly all are busy. `mean_threads` is the mean number of threads of a query in
+/// flight.
 pub(crate) fn reported_load(
     report: &LoadReport,
     capacity: Threads,
     mean_threads: Threads,
 ) -> Option<Load> {
     let usable = |value: Option<f64>| value.filter(|value| is_plausible(*value));
-    // An engine short of memory crawls while its cores are idle: full memory counts as full cores.
+    // An engine that is short of memory is slow while its cores are idle: full memory counts like full cores.
     let memory = Load(usable(report.memory).unwrap_or(0.0));
     let threads = usable(report.in_flight).map(|queries| mean_threads * queries);
     let by_threads = threads.map(|threads| Load(threads / capacity).max(memory));
@@ -95,7 +97,8 @@
     by_threads.or(cpu.map(|cpu| Load(cpu / THREADS_PER_CORE)))
 }
 
-/// The load that an outcome shows; `None` where it tells nothing of the engine. `reported` is the load by its report.
+/// Returns the load observed from an outcome, or `None` if the outcome says nothing about the engine. `reported` is the
+/// load according to the outcome's report.
 pub(crate) fn observed_load(
     outcome: &Outcome,
     reported: Option<Load>,
@@ -116,25 +119,27 @@
                 Some(Load(slowdown(outcome, class, statistics) / full_slowdown))
             })
             .map(cap_observed_load),
-        // The client came with little time left: the time-out is not the engine's.
+        // The client had little time left: the engine did not cause the time-out.
         AttemptStatus::TimedOut if had_short_time_limit => None,
         AttemptStatus::NotSent => None,
-        // An engine that fails looks idle: its report must not attract more requests.
+        // A failing engine looks idle: its report must not attract more requests.
         _ => Some(MAX_OBSERVED_LOAD),
     }
 }
 
-/// Run time of a served query by its work on all threads, or by the run time without load where no work is reported.
+/// Returns the slowdown of a successful query: its run time times threads divided by its work or, without reported
+/// work, its run time divided by the unloaded run time.
 fn slowdown(outcome: &Outcome, class: &Class, statistics: &ClassStatistics) -> f64 {
-    let run = RunTime(outcome.elapsed as f64);
+    let run_time = RunTime(outcome.elapsed as f64);
     match outcome.work {
-        Some(work) => run * class.threads() / Work(work as f64).max(Work(1.0)),
-        None => run / statistics.unloaded_run_time(),
+        Some(work) => run_time * class.threads() / Work(work as f64).max(Work(1.0)),
+        None => run_time / statistics.unloaded_run_time(),
     }
 }
 
-/// Whether an outcome tells of the load of all engines. When all crawl nothing is answered. Where progress events tell
-/// lost answers apart, a time-out is load; elsewhere, and for other failures, it tells of that engine alone.
+/// Returns whether an outcome reflects the load of all engines. When all engines are overloaded, requests time out.
+/// With progress events, which distinguish lost responses, a time-out therefore counts as load. Without them, a
+/// time-out only concerns its engine, and so do other failures.
 pub(crate) fn reflects_load_level(status: AttemptStatus, settings: &Settings) -> bool {
     match status {
         AttemptStatus::Succeeded | AttemptStatus::Rejected => true,
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -1,19 +1,20 @@
-//! Memory grants: how much memory a query is granted, and when one that spills is cancelled to be granted more.
+//! Memory grants: the memory granted to a query, and the cancellation of spilling queries to retry them with more
+//! memory.
 
 use crate::attempt_progress::{AttemptProgress, ProgressDecision};
 use crate::interface::{Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
 use crate::reported_value::{MAX_REPORTED_VALUE, is_plausible};
 
-/// A spill adds so much of the estimate to later grants of the class ...
+/// Part of the estimate that a spill adds to later grants of the class.
 const MARGIN_INCREASE: f64 = 0.2;
-/// ... and an answer without one takes this off.
+/// Part of the estimate that a success without a spill subtracts from later grants of the class.
 const MARGIN_DECREASE: f64 = 0.02;
-/// A query that spills so soon after its start has done little: starting it again costs little.
+/// Run time before which a spilling query has done little work, so that restarting it is cheap.
 const EARLY_SPILL_TIME: Micros = 5 * HOUSEKEEPING_INTERVAL;
 
-/// Memory that queries of a class are granted beyond their estimate, as a part of it: estimates are off, and a query short
-/// of memory does its work several times over.
+/// Memory that queries of a class are granted beyond their estimate, as a part of the estimate. Estimates are inexact,
+/// and a query without enough memory does its work several times over.
 pub(crate) struct GrantMargin(f64);
 
 impl GrantMargin {
@@ -21,7 +22,7 @@
         GrantMargin(MARGIN_INCREASE)
     }
 
-    /// Counts a served query, and whether it has spilled.
+    /// Counts a success. `spilled` tells whether the query spilled.
     pub(crate) fn record_success(&mut self, spilled: bool) {
         let decrease = if spilled { 0.0 } else { MARGIN_DECREASE };
         self.0 = (self.0 - decrease).max(0.0);
@@ -32,33 +33,33 @@
     }
 }
 
-/// A report that an attempt lacks memory and spills.
+/// A report that an attempt spills for lack of memory.
 pub(crate) struct SpillReport {
     pub(crate) missing_mb: f64,
-    /// Since the attempt was sent.
+    /// Time since the attempt was sent.
     pub(crate) running_for: Micros,
-    /// Its request may be sent again.
+    /// Whether the request may be sent again.
     pub(crate) may_retry: bool,
 }
 
-/// The memory that a request is granted.
+/// Memory grant of a request.
 #[derive(Default)]
 pub(crate) struct MemoryGrant {
-    /// 0 leaves it to the engine.
+    /// 0: the engine decides.
     granted_mb: f64,
-    /// An attempt was cancelled for want of memory.
+    /// Whether an attempt was cancelled for lack of memory.
     has_cancelled: bool,
 }
 
 impl MemoryGrant {
-    /// The first grant. Where memory is overcommitted, a grant beyond the need takes nothing: as much as is permitted.
+    /// Computes the first grant: the estimate with its margin. If memory is overcommitted, the grant is the permitted
+    /// maximum, since the unused part of a grant takes no memory.
     pub(crate) fn new(estimated_mb: f64, margin: &GrantMargin, settings: &Settings) -> Self {
         let estimate = estimated_mb.clamp(0.0, MAX_REPORTED_VALUE);
-        let usual = estimate * (1.0 + margin.0);
         let wanted = if settings.memory_overcommit {
             MAX_REPORTED_VALUE
         } else {
-            usual
+            estimate * (1.0 + margin.0)
         };
         MemoryGrant {
             granted_mb: wanted.min(settings.max_grant_mb),
@@ -70,8 +71,8 @@
         self.granted_mb
     }
 
-    /// Follows a report that an attempt lacks memory and spills. The attempt is cancelled, once for a request, where it has only
-    /// begun and the next grant can be larger.
+    /// Processes a report that an attempt spills. The attempt is cancelled, once per request, if it spills early and
+    /// the next grant can be larger.
     pub(crate) fn record_spill(
         &mut self,
         report: &SpillReport,
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: engines whose failures or silence take them out of selection for a time.
+//! Outlier detection: temporarily excludes failing and silent engines from endpoint selection.
 
 use crate::capacity::max_class_threads;
 use crate::class_statistics::ClassStatistics;
@@ -8,29 +8,31 @@
 use crate::intervals::HOUSEKEEPING_INTERVAL;
 use crate::units::RunTime;
 
-/// An engine is silent when an attempt has been in flight for this multiple of its class's mean run time ...
+/// Time in flight, in mean run times of the class, after which an attempt is overdue. An engine is silent if it has an
+/// overdue attempt and has sent nothing for [`MIN_SILENCE`].
 const SILENCE_MEAN_RUN_TIMES: f64 = 4.0;
-/// ... and no success, rejection or progress event has come from it for this long (error responses and health checks do
-/// not count).
+/// Time without a success, rejection or progress event after which an engine with an overdue attempt is silent. Error
+/// responses and health checks don't count.
 const MIN_SILENCE: Micros = 1_000_000;
-/// At most this part of the engines that are up is ejected, but always one: a fault of more is shared by all, and ejection
-/// would not help.
+/// Maximum part of the engines that are up that is ejected at once, but at least one engine. A fault of more engines
+/// has a common cause, against which ejection does not help.
 const MAX_EJECTED_RATIO: f64 = 0.5;
-/// A timer that is later than this tells that the own event loop stalled.
+/// Delay of this gateway's timer above which its event loop counts as stalled.
 const MIN_EVENT_LOOP_STALL: Micros = 10 * HOUSEKEEPING_INTERVAL;
 
-/// The engines charged with an error response to one request.
+/// Error responses to one request.
 #[derive(Default)]
 pub(crate) struct RequestFailures {
+    /// Engines whose failure rate includes an error response to this request.
     charged_engines: Vec<EngineId>,
-    /// More than one engine has answered with an error: the fault is the request's.
+    /// Whether more than one engine returned an error, so that the request itself is at fault.
     failed_on_several_engines: bool,
 }
 
 impl RequestFailures {
-    /// Records an error response. Returns the engines whose failures are to be revoked where the fault is the request's
-    /// own, as another engine has answered it with an error too: such a request would have all engines ejected, one by
-    /// one.
+    /// Records an error response. Returns the engines whose failures must be revoked if another engine returned an
+    /// error too, since the request itself is at fault then. Otherwise such a request would get all engines ejected,
+    /// one after the other.
     fn record_error(&mut self, engine: EngineId) -> Option<Vec<EngineId>> {
         self.failed_on_several_engines |= self.charged_engines.iter().any(|other| *other != engine);
         if self.failed_on_several_engines {
@@ -41,8 +43,8 @@
     }
 }
 
-/// Updates an engine's health after an outcome. `failures` are those of its request, where that is still open. A time-out
-/// alone is no fault of the engine.
+/// Updates an engine's health after an outcome. `failures` are those of the request, if it is still open. Time-outs
+/// don't count as failures of the engine.
 pub(crate) fn record_outcome(
     engines: &mut Engines,
     failures: Option<&mut RequestFailures>,
@@ -81,8 +83,8 @@
     }
 }
 
-/// The engine has rejected an attempt as full. Its limit is lowered: rejections leave it with few own queries, so that
-/// selection would prefer it.
+/// Lowers the concurrency limit of an engine that has rejected an attempt. Otherwise endpoint selection would prefer
+/// the engine, because rejections leave it with few queries of this gateway.
 fn record_rejection(engine: &mut Engine, settings: &Settings, now: Micros) {
     engine.health.record_response(now);
     let own_threads = engine.own_threads(&settings.classes);
@@ -91,20 +93,21 @@
         .reduce_to(own_threads, max_class_threads(&settings.classes));
 }
 
-/// Ejects an engine, unless too many are ejected already.
+/// Ejects an engine unless too many engines are ejected already.
 fn eject(engines: &mut Engines, id: EngineId, now: Micros) {
-    let listed = engines.values().filter(|engine| engine.is_up()).count() as f64;
+    let up = engines.values().filter(|engine| engine.is_up()).count() as f64;
     let is_other_ejected =
         |(other, engine): &(&EngineId, &Engine)| **other != id && engine.health.is_ejected();
     let ejected = engines.iter().filter(is_other_ejected).count() as f64;
     if let Some(engine) = engines.get_mut(&id)
-        && ejected + 1.0 <= (MAX_EJECTED_RATIO * listed).max(1.0)
+        && ejected + 1.0 <= (MAX_EJECTED_RATIO * up).max(1.0)
     {
         engine.health.eject(now);
     }
 }
 
-/// Ejects engines with an overdue attempt that have sent no success, rejection or progress event for [`MIN_SILENCE`].
+/// Ejects engines that have an overdue attempt and have sent no success, rejection or progress event for
+/// [`MIN_SILENCE`].
 pub(crate) fn eject_silent_engines(
     engines: &mut Engines,
     statistics: &[ClassStatistics],
@@ -132,13 +135,13 @@
     }
 }
 
-/// A gateway whose event loop stalled finds every engine silent when it goes on: the time by which its own timer,
-/// `due_at`, is late counts against no engine. 0 means that no timer is set yet.
+/// Excludes a stall of this gateway's event loop from the silence of all engines, which would all look silent after it.
+/// The stall is the delay of the timer that was due at `due_at`; 0 means that no timer was set yet.
 pub(crate) fn exclude_event_loop_stall(engines: &mut Engines, due_at: Micros, now: Micros) {
-    let late = now.saturating_sub(due_at);
-    if due_at > 0 && late > MIN_EVENT_LOOP_STALL {
+    let delay = now.saturating_sub(due_at);
+    if due_at > 0 && delay > MIN_EVENT_LOOP_STALL {
         for engine in engines.values_mut() {
-            engine.health.exclude_from_silence(late, now);
+            engine.health.exclude_from_silence(delay, now);
         }
     }
 }
--- a/crates/policy/src/priority.rs
+++ b/crates/policy/src/priority.rs
@@ -1,13 +1,13 @@
 //! Priority of a query inside its engine.
 
-/// Late requests, and those that a hold sets back, run behind all others.
+/// Priority of late requests and of requests under a low-priority hold.
 const LOW_PRIORITY: u8 = 0;
-/// The priority that an engine gives a query without being told one.
+/// Priority that an engine uses for a query sent without a priority.
 pub(crate) const DEFAULT_PRIORITY: u8 = 1;
-/// The class with the most priority weight for its work runs ahead inside engines too.
+/// Priority of the class with the highest priority weight per work.
 const HIGH_PRIORITY: u8 = 3;
 
-/// The priority of a query, from 0 to 3.
+/// Returns the priority of a query, from 0 to 3.
 pub(crate) fn priority(is_low_priority: bool, has_highest_weight_per_work: bool) -> u8 {
     match (is_low_priority, has_highest_weight_per_work) {
         (true, _) => LOW_PRIORITY,
--- a/crates/policy/src/reported_value.rs
+++ b/crates/policy/src/reported_value.rs
@@ -1,10 +1,10 @@
-//! Plausibility of values that engines and clients report.
+//! Plausibility of values reported by engines and clients.
 
-/// Reported values from here on are ignored: one absurd value would spoil the averages for good. Also stands for an
-/// unlimited memory grant, in MB.
+/// Reported values of at least this are ignored, since a single implausible value would distort the averages
+/// permanently. Also represents an unlimited memory grant, in MB.
 pub(crate) const MAX_REPORTED_VALUE: f64 = 1e6;
 
-/// Whether a reported value is usable: not negative, not absurdly large, and a number.
+/// Returns whether a reported value is usable: a number, not negative, and below [`MAX_REPORTED_VALUE`].
 pub(crate) fn is_plausible(value: f64) -> bool {
     (0.0..MAX_REPORTED_VALUE).contains(&value)
 }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Open requests: what they brought along, and the state that each rule keeps of them.
+//! Open requests: their properties, and the state kept by each rule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,25 +9,25 @@
 use crate::outlier_detection::RequestFailures;
 use crate::retry::AttemptHistory;
 
-/// An open request, or one that has its answer while an attempt is still in flight.
+/// An open request, or a completed one that still has an attempt in flight.
 #[derive(Default)]
 pub(crate) struct Request {
     pub(crate) class: usize,
     pub(crate) key: Option<KeyId>,
-    /// When the client gives up.
+    /// Deadline, at which the client gives up.
     pub(crate) valid_until: Micros,
-    /// When the client began its first try, as far as can be told.
+    /// Estimated time at which the client first sent the request.
     pub(crate) started_at: Micros,
     pub(crate) arrived_at: Micros,
     pub(crate) hold_targets: HoldTargets,
-    /// Its position in the class queue while it waits there.
+    /// Entry in the class queue while the request is queued.
     pub(crate) queue_entry: Option<QueueEntry>,
     pub(crate) attempts: AttemptHistory,
     pub(crate) memory: MemoryGrant,
     pub(crate) failures: RequestFailures,
-    /// An attempt was cancelled for its slow pace.
+    /// Whether an attempt was cancelled for its slow pace.
     pub(crate) cancelled_for_pace: bool,
-    /// The final answer is given, or none is owed any more.
+    /// Whether the final response was given, or none is needed any more.
     pub(crate) done: bool,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// All open requests, and those that wait for an answer by the time their client gives up.
+/// All open requests, and the deadlines of those without a final response.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -62,12 +62,12 @@
         self.requests.get_mut(&id)
     }
 
-    /// Number of requests whose answer is owed and whose deadline has not come.
+    /// Returns the number of requests that have no final response and have not expired.
     pub(crate) fn waiting_count(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// Takes the next request whose client gives up at `until` or before; each is returned once.
+    /// Returns the next request whose deadline is at `until` or before. Returns each request only once.
     pub(crate) fn take_expired(&mut self, until: Micros) -> Option<RequestId> {
         let (deadline, _) = self.deadlines.first()?;
         if *deadline > until {
@@ -76,7 +76,7 @@
         self.deadlines.pop_first().map(|(_, id)| id)
     }
 
-    /// Marks a request as answered. Returns whether its answer was still owed.
+    /// Marks a request as done. Returns whether it was not done before.
     pub(crate) fn mark_done(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.done) else {
             return false;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: the attempts of a request, the retry budget of the gateway, and whether a request may be sent again.
+//! Retries: the attempts of a request, the gateway's retry budget, and the conditions for another attempt.
 
 use std::collections::VecDeque;
 
@@ -8,16 +8,16 @@
 /// The attempts of one request.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
-    /// Attempts so far; the number of the next one.
+    /// Number of attempts so far, which is the number of the next attempt.
     count: u32,
-    /// Attempts without an outcome: number and engine.
+    /// Number and engine of each attempt without an outcome.
     in_flight: Vec<(u32, EngineId)>,
     tried: Vec<EngineId>,
     possible_run: Option<PossibleRun>,
 }
 
 impl AttemptHistory {
-    /// Attempts so far; the number of the next one.
+    /// Returns the number of attempts so far, which is the number of the next attempt.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
@@ -31,7 +31,7 @@
         number
     }
 
-    /// Removes an attempt whose outcome has come.
+    /// Removes an attempt after its outcome.
     pub(crate) fn remove(&mut self, number: u32) {
         self.in_flight.retain(|(other, _)| *other != number);
     }
@@ -48,7 +48,8 @@
         self.tried.contains(&engine)
     }
 
-    /// Records that an attempt may have run; the first one counts. `entry` is its engine's, where that is still known.
+    /// Records that an attempt may have run. Only the first such attempt is kept. `entry` is the entry of its engine,
+    /// if the engine is still known.
     pub(crate) fn record_possible_run(&mut self, entry: Option<&EndpointEntry>, sent_at: Micros) {
         let (zone, cell) = entry.map_or((None, 0), |entry| (entry.zone, entry.cell));
         self.possible_run.get_or_insert(PossibleRun {
@@ -62,12 +63,13 @@
         self.possible_run
     }
 
-    /// Whether certainly no attempt has run or still runs.
+    /// Returns whether certainly no attempt has run or is running.
     pub(crate) fn never_ran(&self) -> bool {
         self.possible_run.is_none() && self.in_flight.is_empty()
     }
 
-    /// Whether a request that was sent before may be sent again: idempotency, retry budget, attempts.
+    /// Returns whether a request that was sent before may be sent again, according to its idempotency, the retry budget
+    /// and the limits on attempts.
     pub(crate) fn may_retry(
         &self,
         idempotency: Idempotency,
@@ -83,7 +85,7 @@
     }
 }
 
-/// Times of admissions and retries in the window of the retry budget, oldest first.
+/// Times of the admissions and retries within the retry budget window, oldest first.
 #[derive(Default)]
 pub(crate) struct RetryUsage {
     admissions: VecDeque<Micros>,
@@ -99,8 +101,8 @@
         self.retries.push_back(now);
     }
 
-    /// Whether the budget permits one more retry. At the start of the window the count is conservative: a retry at exactly
-    /// that time counts, an admission does not.
+    /// Returns whether the budget permits another retry. The count is conservative: at exactly the start of the window,
+    /// a retry counts but an admission does not.
     fn is_within(&self, budget: RetryBudget, now: Micros) -> bool {
         let since = now.saturating_sub(budget.window);
         let admissions = self
@@ -118,7 +120,7 @@
         retries + 1.0 <= budget.min_retries + budget.ratio * admissions
     }
 
-    /// Removes what is older than the window of the budget.
+    /// Removes times that are older than the retry budget window.
     pub(crate) fn prune(&mut self, budget: Option<RetryBudget>, now: Micros) {
         let window = budget.map_or(0, |budget| budget.window);
         for times in [&mut self.admissions, &mut self.retries] {
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,5 +1,5 @@
-//! Which class gets the next free slot: a weighted random draw (lottery). A PI loop tunes its odds so that the ratios of
-//! the mean waits follow the reference values of the classes.
+//! Lottery scheduling: a weighted random draw selects the class that gets the next free slot. A PI loop tunes the odds
+//! so that the ratios of the mean waits follow the reference waits of the classes.
 //!
 //! Source: Pan et al., "Feedback Control-based Database Connection Management for Proportional Delay
 //! Differentiation-enabled Web Application Servers": Eq. 11 (control law), Eq. 12 (odds).
@@ -13,42 +13,43 @@
 /// Gains of the control law, Δx = `GAIN_CURRENT`·e(k) − `GAIN_PREVIOUS`·e(k−1).
 const GAIN_CURRENT: f64 = 0.42;
 const GAIN_PREVIOUS: f64 = 0.1;
-/// Bound on the control error: one odd ratio cannot throw the odds (anti-windup).
+/// Bound on the control error, so that a single extreme ratio does not change the odds abruptly (anti-windup).
 const MAX_ERROR: f64 = 2.0;
-/// Bound on the odds ratio of neighbours, and its inverse: a class keeps about one draw in 65 (anti-windup).
+/// Lower bound on the odds ratio of neighbouring classes; the upper bound is its inverse (anti-windup). Of two classes,
+/// each gets at least one draw in 65.
 const MIN_ODDS_RATIO: f64 = 1.0 / 64.0;
-/// Part of the latency objective that the reference wait never falls under.
+/// Minimum reference wait, as a part of the latency objective.
 const MIN_WAIT_RATIO: f64 = 0.25;
-/// Mean waits of so many ticks or less are noise: nobody waits.
+/// Mean wait, in ticks, up to which waits are noise and don't change the odds.
 const MIN_SIGNIFICANT_TICKS: f64 = 2.0;
 
-/// Odds of the classes. Pair `j` stands for the neighbours `j` and `j + 1`.
+/// Odds of the classes. Pair `j` consists of the neighbouring classes `j` and `j + 1`.
 pub(crate) struct Scheduler {
-    /// P(j+1) / P(j) of each pair.
+    /// Odds ratio P(j+1) / P(j) of each pair.
     odds_ratios: Vec<f64>,
-    /// Control error of the previous period of each pair.
+    /// Control error of each pair in the previous period.
     previous_errors: Vec<f64>,
 }
 
 impl Scheduler {
-    /// Equal odds for a number of classes, one at least.
-    pub(crate) fn new(classes: usize) -> Self {
-        let pairs = classes - 1;
+    /// Creates a scheduler with equal odds for `class_count` classes, which must be at least one.
+    pub(crate) fn new(class_count: usize) -> Self {
+        let pairs = class_count - 1;
         Scheduler {
             odds_ratios: vec![1.0; pairs],
             previous_errors: vec![0.0; pairs],
         }
     }
 
-    /// Appends further classes, with the odds of the last one.
-    pub(crate) fn extend_to(&mut self, classes: usize) {
-        let pairs = classes - 1;
+    /// Appends new classes with the odds of the last class.
+    pub(crate) fn extend_to(&mut self, class_count: usize) {
+        let pairs = class_count - 1;
         self.odds_ratios.resize(pairs, 1.0);
         self.previous_errors.resize(pairs, 0.0);
     }
 
-    /// PI update of the odds ratios from the period's mean waits in microseconds, one loop for each pair of neighbours.
-    /// `tick` is the shortest time between two batches: no wait is told more exactly.
+    /// Updates the odds ratios from the period's mean waits in microseconds, with one PI loop per pair of neighbouring
+    /// classes. `tick` is the minimum time between two batches, which limits the resolution of waits.
     pub(crate) fn update_odds(
         &mut self,
         mean_waits: &[Option<f64>],
@@ -74,37 +75,37 @@
         }
     }
 
-    /// Draws one of the open classes, of which there is one at least, by their odds.
-    pub(crate) fn draw(&self, open: &[usize], rng: &mut impl RngCore) -> usize {
+    /// Draws one of the candidate classes by their odds. There must be at least one candidate.
+    pub(crate) fn draw(&self, candidates: &[usize], rng: &mut impl RngCore) -> usize {
         let mut odds = vec![1.0; self.odds_ratios.len() + 1];
         for (j, ratio) in self.odds_ratios.iter().enumerate() {
             odds[j + 1] = odds[j] * ratio;
         }
-        let total: f64 = open.iter().map(|class| odds[*class]).sum();
+        let total: f64 = candidates.iter().map(|class| odds[*class]).sum();
         let mut remaining = uniform(rng) * total;
-        for class in open {
+        for class in candidates {
             remaining -= odds[*class];
             if remaining <= 0.0 {
                 return *class;
             }
         }
-        open[open.len() - 1]
+        candidates[candidates.len() - 1]
     }
 }
 
-/// A uniform number from 0 up to 1, of 53 random bits.
+/// Returns a uniformly distributed number in [0, 1) from 53 random bits.
 fn uniform(rng: &mut impl RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Reference wait δ of a class: the wait that its objective leaves to a usual undisturbed query, by the work for a unit of
-/// priority weight. The class with the most weight for a slot waits least.
+/// Returns the reference wait δ of a class: the wait that the objective permits an average query on an unloaded engine,
+/// times the work per unit of priority weight. Classes with more weight per work wait less.
 fn reference_wait(classes: Classes, class: usize) -> f64 {
     let config = classes.config(class);
     let mean_work = classes.statistics(class).mean_work();
     let objective = config.latency_objective as f64;
-    let undisturbed = mean_work / config.threads();
-    let stretch_allowance = undisturbed * (config.objective_stretch - 1.0);
+    let unloaded_run_time = mean_work / config.threads();
+    let stretch_allowance = unloaded_run_time * (config.objective_stretch - 1.0);
     let wait = (objective + stretch_allowance.0).max(objective * MIN_WAIT_RATIO);
     wait * mean_work.max(Work(1.0)).0 / config.priority_weight.max(f64::MIN_POSITIVE)
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: an engine that warms up gets no more from all gateways together than it is sure to bear.
+//! Slow start: a limit on the work that all gateways together send to an engine that is warming up.
 //!
 //! An engine fails when it is sent more than a multiple of its present capacity within an overload window. No gateway
-//! sees what the others send, so each keeps to its equal part, from the start of the engine until it is surely warm.
+//! sees what the others send, so each keeps to an equal share until the engine is certain to be warm.
 
 use std::collections::VecDeque;
 
@@ -10,56 +10,57 @@
 use crate::rendezvous::rendezvous_hash;
 use crate::units::Work;
 
-/// Used part of what a warming engine is sure to bear; the rest covers chance and slow cores.
+/// Used part of the work that an engine tolerates while it warms up. The rest is a margin for random bursts and slow
+/// cores.
 const SAFETY_RATIO: f64 = 0.5;
 
-/// A send within the overload window.
+/// An attempt sent within the overload window.
 struct RecentSend {
-    at: Micros,
-    /// Mean work of its class when it was sent.
+    sent_at: Micros,
+    /// Mean work of its class at the time.
     work: Work,
 }
 
-/// Sends to an engine within the overload window, oldest first.
+/// Attempts sent to an engine within the overload window, oldest first.
 #[derive(Default)]
 pub(crate) struct RecentSends {
     sends: VecDeque<RecentSend>,
 }
 
 impl RecentSends {
-    pub(crate) fn record(&mut self, at: Micros, work: Work) {
-        self.sends.push_back(RecentSend { at, work });
+    pub(crate) fn record(&mut self, sent_at: Micros, work: Work) {
+        self.sends.push_back(RecentSend { sent_at, work });
     }
 
-    /// Work sent at `since` or later.
+    /// Returns the work sent at `since` or later.
     fn work_since(&self, since: Micros) -> Work {
         self.sends
             .iter()
-            .filter(|send| send.at >= since)
+            .filter(|send| send.sent_at >= since)
             .map(|send| send.work)
             .sum()
     }
 
-    /// Removes what is older than the overload window.
+    /// Removes sends that are older than the overload window.
     pub(crate) fn prune(&mut self, now: Micros, overload_window: Micros) {
-        let is_old = |send: &RecentSend| send.at.saturating_add(overload_window) < now;
+        let is_old = |send: &RecentSend| send.sent_at.saturating_add(overload_window) < now;
         while self.sends.front().is_some_and(is_old) {
             self.sends.pop_front();
         }
     }
 }
 
-/// Whether an engine has started so recently that it may not bear its usual load yet.
+/// Returns whether an engine started so recently that it may not have its full capacity yet.
 pub(crate) fn is_warming_up(entry: &EndpointEntry, rules: &Rules, now: Micros) -> bool {
     entry.ready_at > 0 && now < entry.ready_at.saturating_add(rules.slow_start_window)
 }
 
-/// Whether a query of `work` may be sent to an engine now as far as slow start is concerned. `heaviest` is the mean work
-/// of the heaviest class.
+/// Returns whether slow start permits sending a query of `work` to an engine now. `heaviest` is the mean work of the
+/// heaviest class.
 ///
-/// Where this gateway's equal part is less than the heaviest class's mean work, that class would have to wait for warm
-/// engines. Gateways then take turns by their index, one overload window each and in another order at each engine, and
-/// each uses the parts of those that don't have the turn.
+/// If this gateway's equal share is less than `heaviest`, the heaviest class would have to wait for warm engines.
+/// Gateways then take turns by their index, in a different order at each engine. A turn lasts one overload window, and
+/// the gateway that has it uses the shares of those that don't.
 pub(crate) fn is_within_slow_start_budget(
     id: EngineId,
     entry: &EndpointEntry,
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -1,19 +1,19 @@
-//! Quantities that are easily mixed up, as types: threads, run time, work, load.
+//! Types for quantities that are easily confused: threads, run time, work and load.
 //!
-//! All wrap an `f64`: they are means, shares and products of means. Instants and durations that come from the host
-//! stay whole [`Micros`](crate::Micros).
+//! All wrap an `f64`, since they hold means, shares and products of means. Times and durations from the host remain
+//! whole [`Micros`](crate::Micros).
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Div, Mul, Sub, SubAssign};
 
-/// Defines a quantity with the arithmetic that keeps its unit; a quotient of two has none.
+/// Defines a quantity with the arithmetic that preserves its unit; the quotient of two quantities is a plain number.
 macro_rules! quantity {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
         pub(crate) struct $name(pub(crate) f64);
 
-        #[allow(dead_code, reason = "not every quantity needs each operation")]
+        #[allow(dead_code, reason = "not every quantity uses every operation")]
         impl $name {
             pub(crate) const ZERO: Self = Self(0.0);
 
@@ -83,23 +83,24 @@
 }
 
 quantity! {
-    /// Engine threads that queries use at once.
+    /// Number of engine threads that queries use at once.
     Threads
 }
 
 quantity! {
-    /// Time from sending an attempt to its answer, in microseconds.
+    /// Time from sending an attempt to its response, in microseconds.
     RunTime
 }
 
 quantity! {
-    /// Work of all threads of a query, in microseconds of one thread. A query that runs undisturbed on `n` threads has
-    /// `n` times its run time.
+    /// Work of a query summed over its threads, in microseconds of one thread. For a query on `n` threads of an
+    /// unloaded engine, it is `n` times the run time.
     Work
 }
 
 quantity! {
-    /// How full an engine is: 1 at [`THREADS_PER_CORE`](crate::capacity::THREADS_PER_CORE) threads a core.
+    /// Load of an engine as a part of its capacity; 1 at [`THREADS_PER_CORE`](crate::capacity::THREADS_PER_CORE)
+    /// threads per core.
     Load
 }
 
