--- a/crates/policy/tests/action_digest/generator.rs
+++ b/crates/policy/tests/action_digest/generator.rs
@@ -1,4 +1,4 @@
-//! Seeded events of all kinds, for settings with every switch.
+//! Generated events of all kinds, for settings with every option.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 pub const ENGINES: u64 = 7;
 
-/// Draws of the generator, apart from those of the controller.
+/// Random draws of the generator, independent of the controller's.
 pub struct Draw(pub Pcg64Mcg);
 
 impl Draw {
@@ -68,7 +68,7 @@
     let classes = (0..1 + draw.below(5))
         .map(|_| generated_class(draw))
         .collect();
-    let mut generated = settings(classes);
+    let mut generated = default_settings(classes);
     generated.gateways = draw.choose(&[1, 1, 2, 5, 40]);
     generated.index = draw.below(u64::from(generated.gateways)) as u32;
     generated.cores = draw
@@ -129,10 +129,10 @@
 }
 
 fn generated_report(draw: &mut Draw) -> Option<LoadReport> {
-    let odd = draw.choose(&[-1.0, f64::NAN, 1e9]);
-    let value = |draw: &mut Draw, top: u64| {
-        let usual = draw.below(top * 100) as f64 / 100.0;
-        let value = if draw.one_in(60) { odd } else { usual };
+    let invalid = draw.choose(&[-1.0, f64::NAN, 1e9]);
+    let value = |draw: &mut Draw, bound: u64| {
+        let valid = draw.below(bound * 100) as f64 / 100.0;
+        let value = if draw.one_in(60) { invalid } else { valid };
         draw.maybe(value)
     };
     let (in_flight, memory, cpu) = (value(draw, 20), value(draw, 1), value(draw, 1));
@@ -143,12 +143,12 @@
     })
 }
 
-/// The engine from which nothing is heard at that time, where faults are generated.
+/// Returns the engine that is silent at a time if faults are generated.
 fn silent_engine(now: Micros) -> u32 {
     u32::try_from(now / (3 * S) % ENGINES).expect("below the number of engines")
 }
 
-/// An attempt whose outcome the generator still owes.
+/// An attempt without an outcome.
 struct InFlight {
     request: u64,
     number: u32,
@@ -159,7 +159,7 @@
 
 pub struct Generator {
     draw: Draw,
-    /// Engines fall silent by turns, reports are absurd, and the process pauses for short times.
+    /// Whether engines take turns being silent and the process also pauses for short times.
     faults: bool,
     classes: usize,
     deadlines: Vec<Micros>,
@@ -169,7 +169,7 @@
 }
 
 impl Generator {
-    /// A generator for the classes of `settings`, of which nothing is open yet.
+    /// Creates a generator for the classes of `settings`.
     pub fn new(draw: Draw, settings: &Settings, faults: bool) -> Self {
         Generator {
             draw,
@@ -186,10 +186,11 @@
         }
     }
 
-    /// Other rules for the second half: one more class, other limits; the first classes keep their numbers.
-    pub fn changed_settings(&mut self, first: &Settings) -> Settings {
+    /// Returns the settings for the second half, with one more class and new limits and rules. The initial classes keep
+    /// their numbers.
+    pub fn changed_settings(&mut self, initial: &Settings) -> Settings {
         let mut changed = generated_settings(&mut self.draw);
-        changed.classes = first.classes.clone();
+        changed.classes = initial.classes.clone();
         changed.classes.push(generated_class(&mut self.draw));
         self.classes = changed.classes.len();
         self.deadlines = changed.classes.iter().map(|class| class.deadline).collect();
@@ -198,15 +199,15 @@
 
     pub fn events(&mut self, now: Micros) -> Vec<Event> {
         let mut events = Vec::new();
-        self.add_lists(now, &mut events);
+        self.add_list_updates(now, &mut events);
         self.add_arrivals(now, &mut events);
         self.add_outcomes(now, &mut events);
         self.add_progress(now, &mut events);
-        self.add_rare(&mut events);
+        self.add_rare_events(&mut events);
         events
     }
 
-    fn add_lists(&mut self, now: Micros, events: &mut Vec<Event>) {
+    fn add_list_updates(&mut self, now: Micros, events: &mut Vec<Event>) {
         let draw = &mut self.draw;
         if now <= S || draw.one_in(120) {
             let scope = draw.choose(&[
@@ -317,7 +318,7 @@
         }
     }
 
-    fn add_rare(&mut self, events: &mut Vec<Event>) {
+    fn add_rare_events(&mut self, events: &mut Vec<Event>) {
         let draw = &mut self.draw;
         let request = RequestId(draw.below(self.next_request.max(1)));
         if draw.one_in(40) {
@@ -347,7 +348,7 @@
         }
     }
 
-    /// Follows the attempts that the actions begin and withdraw.
+    /// Records the attempts that the actions send and cancel.
     pub fn observe(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match action {
--- a/crates/policy/tests/action_digest/main.rs
+++ b/crates/policy/tests/action_digest/main.rs
@@ -1,8 +1,8 @@
-//! Pins a digest of every action that the controller emits for seeded generated events: all kinds of events, settings
-//! with every switch. A refactoring must leave each digest as it is.
+//! Digests of all actions of the controller for generated events of all kinds, under settings with every option. A
+//! refactoring must not change any digest.
 //!
-//! The digest is taken over explicit numbers and not over `Debug` output, so that renamed types do not change it.
-//! `UPDATE_FIXTURES=1` rewrites the file; only a deliberate change of a decision justifies that.
+//! The digest covers explicit numbers instead of `Debug` output so that renaming types does not change it.
+//! `UPDATE_FIXTURES=1` rewrites the fixtures, which only an intended change of a decision justifies.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,7 +21,7 @@
 const STEP: Micros = 7 * MS;
 const STEPS: u64 = 2_500;
 
-/// An action as numbers: its kind, then its fields.
+/// Appends an action as numbers: its kind, then its fields.
 fn encode(action: &Action, numbers: &mut Vec<u64>) {
     let optional = |value: Option<Micros>| value.map_or([0, 0], |value| [1, value]);
     match action {
@@ -36,14 +36,14 @@
         Action::SetOptions {
             request,
             priority,
-            memory_grant_mb: grant,
+            memory_grant_mb,
         } => {
-            numbers.extend([2, request.0, u64::from(*priority), grant.to_bits()]);
+            let grant = memory_grant_mb.to_bits();
+            numbers.extend([2, request.0, u64::from(*priority), grant]);
+        }
+        Action::Cancel { request, attempt } => {
+            numbers.extend([3, request.0, u64::from(*attempt)]);
         }
-        Action::Cancel {
-            request,
-            attempt: number,
-        } => numbers.extend([3, request.0, u64::from(*number)]),
         Action::Reject {
             request,
             retry_after,
@@ -58,25 +58,25 @@
     }
 }
 
-/// The digest of one seed's actions, and how often each kind of action came.
-fn play(seed: u64, faults: bool) -> (String, [u64; 9]) {
+/// Returns the digest of one seed's actions, and the number of actions of each kind.
+fn run(seed: u64, faults: bool) -> (String, [u64; 9]) {
     let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed ^ 0x5eed));
-    let mut first = generated_settings(&mut draw);
+    let mut initial = generated_settings(&mut draw);
     if faults {
-        first
+        initial
             .classes
             .iter_mut()
             .for_each(|class| class.late_weight_ratio = 0.22);
     }
-    let mut controller = Controller::new(first.clone(), seed).expect("usable settings");
-    let mut generator = Generator::new(draw, &first, faults);
+    let mut controller = Controller::new(initial.clone(), seed).expect("usable settings");
+    let mut generator = Generator::new(draw, &initial, faults);
     let (mut hasher, mut counts) = (blake3::Hasher::new(), [0; 9]);
     let mut now = S;
     for step_number in 0..STEPS {
         let mut events = generator.events(now);
         if step_number == STEPS / 2 {
             events.push(Event::SettingsChanged(Box::new(
-                generator.changed_settings(&first),
+                generator.changed_settings(&initial),
             )));
         }
         let actions = step(&mut controller, now, &events);
@@ -87,10 +87,10 @@
             encode(action, &mut numbers);
             counts[numbers[start] as usize] += 1;
         }
-        let held: usize = (0..ENGINES as u32)
+        let in_flight: usize = (0..ENGINES as u32)
             .map(|engine| controller.in_flight_at(EngineId(engine)))
             .sum();
-        numbers.extend([u64::MAX, step_number, held as u64]);
+        numbers.extend([u64::MAX, step_number, in_flight as u64]);
         numbers.iter().for_each(|number| {
             hasher.update(&number.to_le_bytes());
         });
@@ -99,7 +99,8 @@
     (hasher.finalize().to_hex()[..32].to_owned(), counts)
 }
 
-/// The time from one batch to the next: a pause of the whole process now and then, with `faults` also short ones.
+/// Returns the time until the next batch. The process occasionally pauses for long and, with `faults`, also for short
+/// times.
 fn pause_after(step_number: u64, faults: bool) -> Micros {
     if step_number % 700 == 699 {
         900 * MS
@@ -110,12 +111,12 @@
     }
 }
 
-/// Plays all seeds and compares their digests with the fixture; returns how often each kind of action came.
-fn assert_pinned(fixture: &str, seeds: std::ops::Range<u64>, faults: bool) -> [u64; 9] {
+/// Compares the digests of all seeds with the fixture. Returns the number of actions of each kind.
+fn assert_recorded(fixture: &str, seeds: std::ops::Range<u64>, faults: bool) -> [u64; 9] {
     let mut text = String::new();
     let mut totals = [0; 9];
     for seed in seeds {
-        let (digest, counts) = play(seed, faults);
+        let (digest, counts) = run(seed, faults);
         let _ = writeln!(text, "{seed} {digest}");
         totals
             .iter_mut()
@@ -128,14 +129,14 @@
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(&path, &text).expect("the fixture can be written");
     }
-    let pinned = std::fs::read_to_string(&path).expect("the fixture exists");
-    assert_eq!(pinned, text, "the controller's actions have changed");
+    let recorded = std::fs::read_to_string(&path).expect("the fixture exists");
+    assert_eq!(recorded, text, "the controller's actions have changed");
     totals
 }
 
 #[test]
-fn generated_events_give_the_pinned_actions() {
-    let totals = assert_pinned("action-digests.txt", 0..SEEDS, false);
+fn generated_events_give_the_recorded_actions() {
+    let totals = assert_recorded("action-digests.txt", 0..SEEDS, false);
     assert!(
         totals[1..].iter().all(|total| *total > 20),
         "each kind of action occurs: {totals:?}"
@@ -143,8 +144,8 @@
 }
 
 #[test]
-fn silent_engines_and_short_pauses_give_the_pinned_actions() {
-    let totals = assert_pinned("action-digests-faults.txt", 100..116, true);
+fn silent_engines_and_short_pauses_give_the_recorded_actions() {
+    let totals = assert_recorded("action-digests-faults.txt", 100..116, true);
     assert!(
         totals[1..].iter().all(|total| *total > 5),
         "each kind of action occurs: {totals:?}"
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared helpers of the module's tests: settings and short forms of events.
+//! Helpers shared by the integration tests: default settings and constructors of events.
 #![allow(dead_code)]
 
 use hoptiller_policy::*;
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+pub fn default_settings(classes: Vec<Class>) -> Settings {
     Settings {
         gateways: 1,
         index: 0,
@@ -73,8 +73,11 @@
     }
 }
 
-pub fn list(scope: ListScope, engines: &[u32]) -> Event {
-    Event::EndpointList(scope, engines.iter().map(|e| entry(*e, 0)).collect())
+pub fn endpoint_list(scope: ListScope, engines: &[u32]) -> Event {
+    Event::EndpointList(
+        scope,
+        engines.iter().map(|engine| entry(*engine, 0)).collect(),
+    )
 }
 
 pub fn arrival(id: u64, class: usize, valid_until: Micros) -> Event {
@@ -92,7 +95,7 @@
     })
 }
 
-/// An arrival with other fields than those of [`arrival`].
+/// Returns the arrival with changed fields.
 pub fn arrival_with(event: Event, change: impl FnOnce(&mut Arrival)) -> Event {
     let Event::Arrival(mut arrival) = event else {
         unreachable!("an arrival")
@@ -101,7 +104,7 @@
     Event::Arrival(arrival)
 }
 
-pub fn keyed(id: u64, class: usize, valid_until: Micros, key: u64) -> Event {
+pub fn keyed_arrival(id: u64, class: usize, valid_until: Micros, key: u64) -> Event {
     arrival_with(arrival(id, class, valid_until), |a| {
         a.key = Some(KeyId(key))
     })
@@ -120,12 +123,12 @@
     })
 }
 
-/// A controller with seed 1.
-pub fn controller(settings: Settings) -> Controller {
+/// Creates a controller with seed 1.
+pub fn new_controller(settings: Settings) -> Controller {
     Controller::new(settings, 1).expect("usable settings")
 }
 
-/// An outcome with other fields than those of [`outcome`].
+/// Returns the outcome with changed fields.
 pub fn outcome_with(event: Event, change: impl FnOnce(&mut Outcome)) -> Event {
     let Event::Outcome(mut outcome) = event else {
         unreachable!("an outcome")
@@ -134,17 +137,18 @@
     Event::Outcome(outcome)
 }
 
-/// One batch; its actions.
-pub fn step(c: &mut Controller, now: Micros, events: &[Event]) -> Vec<Action> {
-    let mut out = Vec::new();
-    c.handle(now, events, &mut out);
-    out
+/// Handles one batch and returns its actions.
+pub fn step(controller: &mut Controller, now: Micros, events: &[Event]) -> Vec<Action> {
+    let mut actions = Vec::new();
+    controller.handle(now, events, &mut actions);
+    actions
 }
 
+/// Returns the request and engine of each send.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Send {
                 request, engine, ..
             } => Some((request.0, engine.0)),
@@ -153,11 +157,11 @@
         .collect()
 }
 
-/// Rejected (true) and failed (false) requests.
-pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
+/// Returns the requests with a final response: `true` if rejected, `false` if failed.
+pub fn responses(actions: &[Action]) -> Vec<(u64, bool)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Reject { request, .. } => Some((request.0, true)),
             Action::Fail(request) => Some((request.0, false)),
             _ => None,
@@ -165,19 +169,19 @@
         .collect()
 }
 
-/// Settings under which attempts report progress every second and may be cancelled.
-pub fn with_progress(classes: Vec<Class>) -> Settings {
-    let mut cfg = Settings {
+/// Returns settings under which attempts report progress every second and can be cancelled.
+pub fn progress_settings(classes: Vec<Class>) -> Settings {
+    let mut settings = Settings {
         progress_interval: S,
-        ..settings(classes)
+        ..default_settings(classes)
     };
-    cfg.limits.cancel = true;
-    cfg
+    settings.limits.cancel = true;
+    settings
 }
 
-/// A progress event of an attempt.
-pub fn progress(id: u64, attempt: u32, engine: u32, done: f64) -> Event {
-    let progress = Progress::Completed(done);
+/// Returns a progress event of an attempt.
+pub fn progress(id: u64, attempt: u32, engine: u32, completed_share: f64) -> Event {
+    let progress = Progress::Completed(completed_share);
     Event::Progress {
         request: RequestId(id),
         attempt,
@@ -186,31 +190,30 @@
     }
 }
 
-/// An idempotent class whose clients wait for long.
-pub fn long() -> Class {
+/// Returns an idempotent class with a long deadline.
+pub fn long_class() -> Class {
     Class {
         deadline: 25 * S,
         ..class(Idempotency::Idempotent)
     }
 }
 
-/// Cancelled attempts: request and attempt number.
-pub fn cancels(actions: &[Action]) -> Vec<(u64, u32)> {
-    let pick = |a: &Action| match a {
+/// Returns the request and attempt number of each cancellation.
+pub fn cancellations(actions: &[Action]) -> Vec<(u64, u32)> {
+    let cancellation = |action: &Action| match action {
         Action::Cancel { request, attempt } => Some((request.0, *attempt)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(cancellation).collect()
 }
 
-/// Memory grants, in MB.
-pub fn grants(actions: &[Action]) -> Vec<f64> {
-    let pick = |a: &Action| match a {
+/// Returns the memory grants, in MB.
+pub fn memory_grants(actions: &[Action]) -> Vec<f64> {
+    let grant = |action: &Action| match action {
         Action::SetOptions {
-            memory_grant_mb: grant,
-            ..
-        } => Some(*grant),
+            memory_grant_mb, ..
+        } => Some(*memory_grant_mb),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(grant).collect()
 }
--- a/crates/policy/tests/generated.rs
+++ b/crates/policy/tests/generated.rs
@@ -1,5 +1,5 @@
-//! Generated legal event sequences against an independent checker of the rules. Fixed seeds; outcomes are
-//! arbitrary, there is no model of engines.
+//! Checks the controller's actions on generated event sequences with an independent implementation of the service
+//! rules. Seeds are fixed. Outcomes are arbitrary, since there is no model of engines.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const KINDS_OF_STATEMENTS: u64 = 4;
+const STATEMENT_KINDS: u64 = 4;
 const ENGINES: u64 = 6;
 const CELLS: u32 = 3;
 const TICK: Micros = 5 * MS;
@@ -17,8 +17,8 @@
 const LAST_ARRIVAL: Micros = 14 * S;
 const END: Micros = 20 * S;
 const KEY_PAUSE: Micros = 500 * MS;
-/// How long after its deadline a request must have been answered.
-const ANSWER_TOLERANCE: Micros = 15 * MS;
+/// Time after its deadline within which a request must have a final response.
+const RESPONSE_TOLERANCE: Micros = 15 * MS;
 const RETRY_BUDGET: RetryBudget = RetryBudget {
     min_retries: 2.0,
     ratio: 0.2,
@@ -41,7 +41,8 @@
 ];
 const PROGRESS_VALUES: [f64; 8] = [0.0, 0.001, 0.3, 0.9, -1.0, 7.0, f64::NAN, f64::INFINITY];
 
-/// Settings with a class of each idempotency; with runaway features, attempts report progress and may be cancelled.
+/// Returns settings with one class per variant of [`Idempotency`]. With runaway features, attempts report progress and
+/// can be cancelled.
 fn generated_settings(runaway_features: bool) -> Settings {
     let mut classes = vec![
         class(Idempotency::Idempotent),
@@ -53,7 +54,7 @@
     ];
     classes[IDEMPOTENT].kinds = Some(vec![0]);
     classes[NOT_IDEMPOTENT].ordered_by_key = true;
-    let mut settings = settings(classes);
+    let mut settings = default_settings(classes);
     settings.rules.retry_budget = Some(RETRY_BUDGET);
     if runaway_features {
         settings.limits.cancel = true;
@@ -67,20 +68,20 @@
     u64::from(engine % CELLS)
 }
 
-/// A request as the checker knows it from events and actions.
+/// State of a request, as known from events and actions.
 struct Request {
     class: usize,
     key: Option<u64>,
     valid_until: Micros,
     attempts: u32,
-    /// The attempt in flight, by its number and engine.
+    /// Number and engine of the attempt in flight.
     in_flight: Option<(u32, u32)>,
-    /// The cell in which an attempt may have run first.
-    may_have_run: Option<u64>,
+    /// Cell of the first attempt that may have run.
+    possible_run_cell: Option<u64>,
     is_finished: bool,
 }
 
-/// Draws legal events for what the checker knows to be in flight.
+/// Generates valid events for the attempts that are in flight according to the checker.
 struct EventGenerator {
     random: Pcg64Mcg,
     runaway_features: bool,
@@ -88,8 +89,8 @@
 }
 
 impl EventGenerator {
-    fn below(&mut self, n: u64) -> u64 {
-        self.random.next_u64() % n
+    fn below(&mut self, bound: u64) -> u64 {
+        self.random.next_u64() % bound
     }
 
     fn events(&mut self, now: Micros, checker: &RuleChecker) -> Vec<Event> {
@@ -106,7 +107,7 @@
         let in_flight: Vec<_> = checker
             .requests
             .iter()
-            .filter_map(|(id, r)| Some((*id, r, r.in_flight?)))
+            .filter_map(|(id, request)| Some((*id, request, request.in_flight?)))
             .collect();
         let mut running = Vec::new();
         for (id, request, (attempt, engine)) in in_flight {
@@ -140,10 +141,10 @@
         let key = (class == NOT_IDEMPOTENT).then(|| self.below(3));
         let valid_until = now + S + self.below(4 * S);
         let event = match key {
-            Some(key) => keyed(id, class, valid_until, key),
+            Some(key) => keyed_arrival(id, class, valid_until, key),
             None => arrival(id, class, valid_until),
         };
-        let kind = self.runaway_features.then_some(id % KINDS_OF_STATEMENTS);
+        let kind = self.runaway_features.then_some(id % STATEMENT_KINDS);
         arrival_with(event, |arrival| arrival.kind = kind)
     }
 
@@ -153,7 +154,7 @@
             .map(EngineId)
             .collect();
         let max_in_flight = [0, 1, 2, u32::MAX][self.below(4) as usize];
-        let target = HoldTarget::Kind(self.below(KINDS_OF_STATEMENTS));
+        let target = HoldTarget::Kind(self.below(STATEMENT_KINDS));
         Event::Hold(Hold {
             target,
             max_in_flight,
@@ -162,7 +163,7 @@
         })
     }
 
-    /// How an attempt in flight ends now, if it does.
+    /// Returns the final status of an attempt in flight if it ends now.
     fn status(
         &mut self,
         now: Micros,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// A progress report of an attempt in flight, sometimes under a wrong attempt number or with a nonsensical value.
+    /// Returns a progress event of an attempt in flight, sometimes with a wrong attempt number or an invalid value.
     fn progress(&mut self, (id, attempt, engine): (u64, u32, u32)) -> Option<Event> {
         if self.below(20) != 0 {
             return None;
@@ -202,19 +203,19 @@
     }
 }
 
-/// Checks actions against the rules, from events and earlier actions alone.
+/// Checks actions against the service rules, based only on events and earlier actions.
 struct RuleChecker {
     runaway_features: bool,
     now: Micros,
     fleet: BTreeMap<u32, EndpointEntry>,
     requests: BTreeMap<u64, Request>,
-    /// By kind of statement: the latest hold.
+    /// Latest hold on each statement kind.
     holds: BTreeMap<u64, Hold>,
-    /// By key: when its pause ends.
+    /// End of the pause of each ordering key.
     key_paused_until: BTreeMap<u64, Micros>,
     arrivals: Vec<Micros>,
     retries: Vec<Micros>,
-    /// Requests whose attempt in flight the controller has cancelled.
+    /// Requests whose attempt in flight was cancelled by the controller.
     cancelled: BTreeSet<u64>,
     cancellations: u32,
 }
@@ -261,7 +262,7 @@
             valid_until: arrival.valid_until,
             attempts: 0,
             in_flight: None,
-            may_have_run: None,
+            possible_run_cell: None,
             is_finished: false,
         };
         self.requests.insert(arrival.request.0, request);
@@ -279,7 +280,7 @@
             AttemptStatus::Rejected | AttemptStatus::ConnectFailed
         ) {
             request
-                .may_have_run
+                .possible_run_cell
                 .get_or_insert(cell_of(outcome.engine.0));
         }
         let is_uncertain = matches!(
@@ -301,24 +302,24 @@
                 request, engine, ..
             } => self.check_send(request.0, *engine),
             Action::Reject { request, .. } => {
-                let request = self.answered(request.0);
+                let request = self.finish(request.0);
                 assert!(
                     request.class == IDEMPOTENT
-                        || (request.may_have_run.is_none() && request.in_flight.is_none()),
-                    "rule 2: rejection"
+                        || (request.possible_run_cell.is_none() && request.in_flight.is_none()),
+                    "rule 2: rejection of a request that may have run"
                 );
             }
             Action::Fail(request) => {
-                self.answered(request.0);
+                self.finish(request.0);
             }
             _ => {}
         }
     }
 
-    /// Marks a request as answered, which it must not have been before.
-    fn answered(&mut self, id: u64) -> &Request {
+    /// Marks a request as finished by a final response, and checks that it was not finished before.
+    fn finish(&mut self, id: u64) -> &Request {
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.is_finished, "rule 1: one answer");
+        assert!(!request.is_finished, "rule 1: more than one response");
         request.is_finished = true;
         request
     }
@@ -327,14 +328,15 @@
         let in_flight = self.requests[&id].in_flight;
         assert!(
             self.runaway_features && in_flight.is_some_and(|(number, _)| number == attempt),
-            "only what is in flight"
+            "cancellation of an attempt that is not in flight"
         );
-        assert!(self.cancelled.insert(id), "once");
+        assert!(self.cancelled.insert(id), "cancelled twice");
         self.cancellations += 1;
     }
 
     fn check_send(&mut self, id: u64, engine: EngineId) {
-        assert_eq!(self.fleet[&engine.0].readiness, Readiness::Up, "rule 3");
+        let readiness = self.fleet[&engine.0].readiness;
+        assert_eq!(readiness, Readiness::Up, "rule 3: engine not up");
         if self.runaway_features {
             self.check_hold(id, engine);
         }
@@ -349,21 +351,22 @@
     }
 
     fn check_hold(&self, id: u64, engine: EngineId) {
-        let kind = id % KINDS_OF_STATEMENTS;
+        let kind = id % STATEMENT_KINDS;
         let Some(hold) = self.holds.get(&kind) else {
             return;
         };
-        assert!(!hold.excluded_engines.contains(&engine), "a hold: engines");
+        let is_excluded = hold.excluded_engines.contains(&engine);
+        assert!(!is_excluded, "hold: excluded engine");
         let of_kind = self
             .requests
             .iter()
-            .filter(|(other, _)| *other % KINDS_OF_STATEMENTS == kind);
+            .filter(|(other, _)| *other % STATEMENT_KINDS == kind);
         let in_flight = of_kind
             .filter(|(_, request)| request.in_flight.is_some())
             .count();
         assert!(
             (in_flight as u32) < hold.max_in_flight,
-            "a hold: attempts in flight"
+            "hold: too many attempts in flight"
         );
     }
 
@@ -375,12 +378,12 @@
         };
         assert!(
             !self.requests.range(..id).any(|(_, other)| is_ahead(other)),
-            "rule 5: order"
+            "rule 5: request overtook another one of its key"
         );
         let paused_until = self.key_paused_until.get(&key).copied().unwrap_or(0);
         assert!(
             request.attempts > 0 || paused_until <= self.now,
-            "rule 5: pause"
+            "rule 5: send during the pause of the key"
         );
     }
 
@@ -388,15 +391,15 @@
         let (request, endpoint) = (&self.requests[&id], &self.fleet[&engine.0]);
         assert!(
             !request.is_finished && request.in_flight.is_none() && request.attempts < 3,
-            "rules 1 and 2"
+            "rules 1 and 2: send of a finished request, in flight or after its last attempt"
         );
         assert!(
             request.class != IDEMPOTENT || endpoint.kind == Some(0),
-            "rule 6"
+            "rule 6: send to an excluded machine kind"
         );
-        match (request.class, request.may_have_run) {
-            (NOT_IDEMPOTENT, Some(_)) => panic!("rule 2: a retry that is not idempotent"),
-            (WITH_KEY, Some(cell)) => assert_eq!(endpoint.cell, cell, "rule 2: cell"),
+        match (request.class, request.possible_run_cell) {
+            (NOT_IDEMPOTENT, Some(_)) => panic!("rule 2: retry without idempotency"),
+            (WITH_KEY, Some(cell)) => assert_eq!(endpoint.cell, cell, "rule 2: another cell"),
             _ => {}
         }
     }
@@ -410,27 +413,29 @@
                 .count() as f64
         };
         let allowed = RETRY_BUDGET.min_retries + RETRY_BUDGET.ratio * in_window(&self.arrivals);
-        assert!(in_window(&self.retries) <= allowed, "rule 7");
+        let retries = in_window(&self.retries);
+        assert!(retries <= allowed, "rule 7: retry budget exceeded");
     }
 
     fn check_deadlines(&self) {
         let is_in_time = |request: &Request| {
-            request.is_finished || self.now <= request.valid_until + ANSWER_TOLERANCE
+            request.is_finished || self.now <= request.valid_until + RESPONSE_TOLERANCE
         };
-        assert!(self.requests.values().all(is_in_time), "rule 1: in time");
+        let all_in_time = self.requests.values().all(is_in_time);
+        assert!(all_in_time, "rule 1: no response in time");
     }
 
-    /// Checks that the sequence was one that could have shown violations.
+    /// Checks that the sequence could have exposed violations.
     fn check_coverage(&self) {
         assert!(
             self.requests.len() > 800 && self.requests.values().all(|request| request.is_finished)
         );
-        assert!(!self.retries.is_empty(), "the sequence must hold retries");
+        assert!(!self.retries.is_empty(), "no retries in the sequence");
         let cancellations = self.cancellations;
         assert_eq!(
             cancellations > 10,
             self.runaway_features,
-            "the sequence must hold cancellations: {cancellations}"
+            "cancellations in the sequence: {cancellations}"
         );
     }
 }
@@ -468,26 +473,22 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let play = || {
-        let mut c = Controller::new(
-            settings(vec![
-                class(Idempotency::Idempotent),
-                class(Idempotency::Idempotent),
-            ]),
-            5,
-        )
-        .expect("usable");
-        let mut all = step(&mut c, S, &[list(ListScope::All, &[1, 2, 3])]);
+    let run = || {
+        let classes = vec![class(Idempotency::Idempotent); 2];
+        let mut controller =
+            Controller::new(default_settings(classes), 5).expect("usable settings");
+        let list = endpoint_list(ListScope::All, &[1, 2, 3]);
+        let mut all = step(&mut controller, S, &[list]);
         for id in 0..200 {
             all.extend(step(
-                &mut c,
+                &mut controller,
                 S + id * 5 * MS,
                 &[arrival(id, (id % 2) as usize, 9 * S)],
             ));
         }
         all
     };
-    let all = play();
+    let all = run();
     assert!(!sends(&all).is_empty());
-    assert_eq!(all, play());
+    assert_eq!(all, run());
 }
--- a/crates/policy/tests/many_gateways.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -1,19 +1,19 @@
-//! Behaviour of many gateways that share engines, each of which sees only a part.
+//! Behaviour of gateways that share engines with many others, each of which sees only a part of the load.
 
 mod common;
 use common::*;
 use hoptiller_policy::*;
 
-/// Settings in which the equal part of an engine's capacity is less than one query.
-fn many(gateways: u32, index: u32) -> Settings {
+/// Returns settings for one of many gateways. With 100 of them, the equal share of an engine is less than one query.
+fn gateway_settings(gateways: u32, index: u32) -> Settings {
     Settings {
         gateways,
         index,
-        ..settings(vec![class(Idempotency::Idempotent)])
+        ..default_settings(vec![class(Idempotency::Idempotent)])
     }
 }
 
-fn reported(outcome: Event, elapsed: Micros, in_flight: f64) -> Event {
+fn with_report(outcome: Event, elapsed: Micros, in_flight: f64) -> Event {
     let report = Some(LoadReport {
         in_flight: Some(in_flight),
         ..LoadReport::default()
@@ -21,164 +21,154 @@
     outcome_with(outcome, |o| (o.elapsed, o.report) = (elapsed, report))
 }
 
-/// Serves bursts of ten for a while; every engine reports `in_flight`.
-fn serve(c: &mut Controller, first: u64, in_flight: f64) {
+/// Returns the success of each send after 50 ms, with a report of `in_flight` queries.
+fn successes(sent: &[(u64, u32)], in_flight: f64) -> Vec<Event> {
+    let success = |(id, engine): &(u64, u32)| {
+        let success = outcome(*id, 0, *engine, AttemptStatus::Succeeded);
+        with_report(success, 50 * MS, in_flight)
+    };
+    sent.iter().map(success).collect()
+}
+
+/// Serves 40 bursts of ten requests. Every engine reports `in_flight` queries.
+fn serve_bursts(controller: &mut Controller, in_flight: f64) {
     let mut sent = Vec::new();
-    for id in first..first + 40 {
-        let now = S + id * 100 * MS;
-        let burst: Vec<Event> = (0..10)
-            .map(|n| arrival(1000 + id * 10 + n, 0, now + S))
+    for burst in 0..40 {
+        let now = S + burst * 100 * MS;
+        let arrivals: Vec<Event> = (0..10)
+            .map(|n| arrival(1000 + burst * 10 + n, 0, now + S))
             .collect();
-        sent.extend(sends(&step(c, now, &burst)));
-        let back = |(id, e): (u64, u32)| {
-            reported(
-                outcome(id, 0, e, AttemptStatus::Succeeded),
-                50 * MS,
-                in_flight,
-            )
-        };
-        let back: Vec<Event> = sent.drain(..).map(back).collect();
-        sent = sends(&step(c, now + 50 * MS, &back));
+        sent.extend(sends(&step(controller, now, &arrivals)));
+        let outcomes = successes(&sent, in_flight);
+        sent = sends(&step(controller, now + 50 * MS, &outcomes));
     }
-    let back = |(id, e): &(u64, u32)| {
-        reported(
-            outcome(*id, 0, *e, AttemptStatus::Succeeded),
-            50 * MS,
-            in_flight,
-        )
-    };
     while !sent.is_empty() {
-        sent = sends(&step(
-            c,
-            S + (first + 40) * 100 * MS,
-            &sent.iter().map(back).collect::<Vec<_>>(),
-        ));
+        sent = sends(&step(controller, 5 * S, &successes(&sent, in_flight)));
     }
 }
 
 #[test]
 fn the_congestion_window_shrinks_under_load_and_grows_with_free_capacity() {
-    let fleet = list(ListScope::All, &(1..30).collect::<Vec<_>>());
-    // Before any answer: thrice an even part of 29 engines of 8 threads.
-    let mut c = controller(many(100, 0));
+    let engines = endpoint_list(ListScope::All, &(1..30).collect::<Vec<_>>());
+    // Before any response, the window is three equal shares of 29 engines with 8 threads each.
+    let mut controller = new_controller(gateway_settings(100, 0));
     let events: Vec<Event> = (0..100).map(|id| arrival(id, 0, 20 * S)).collect();
-    step(&mut c, S, std::slice::from_ref(&fleet));
+    step(&mut controller, S, std::slice::from_ref(&engines));
     assert_eq!(
-        sends(&step(&mut c, S, &events)).len(),
+        sends(&step(&mut controller, S, &events)).len(),
         6,
-        "thrice 2.32, whole queries"
+        "three equal shares of 2.32 queries"
     );
-    let burst = |in_flight| {
-        let mut c = controller(many(100, 0));
-        step(&mut c, S, std::slice::from_ref(&fleet));
-        serve(&mut c, 0, in_flight);
+    let sends_after = |in_flight| {
+        let mut controller = new_controller(gateway_settings(100, 0));
+        step(&mut controller, S, std::slice::from_ref(&engines));
+        serve_bursts(&mut controller, in_flight);
         let events: Vec<Event> = (500..600).map(|id| arrival(id, 0, 20 * S)).collect();
-        sends(&step(&mut c, 6 * S, &events)).len()
+        sends(&step(&mut controller, 6 * S, &events)).len()
     };
-    // 8 threads are two for each of 4 cores.
-    assert!(burst(2.0) > 10, "room at all: {}", burst(2.0));
-    assert!(burst(16.0) <= 2, "twice full at all: {}", burst(16.0));
+    // An engine with 4 cores is full at 8 threads.
+    let with_free_capacity = sends_after(2.0);
+    assert!(with_free_capacity > 10, "{with_free_capacity} sends");
+    let under_overload = sends_after(16.0);
+    assert!(under_overload <= 2, "{under_overload} sends");
 }
 
 #[test]
-fn a_full_engine_gets_nothing_until_its_load_decays_or_a_health_check_reports_capacity() {
-    let mut cfg = many(100, 0);
-    cfg.limits.health_checks = true;
-    let mut c = controller(cfg);
-    step(&mut c, S, &[list(ListScope::All, &[1])]);
-    let sent = sends(&step(&mut c, S, &[arrival(1, 0, 9 * S)]));
-    step(
-        &mut c,
-        S + 50 * MS,
-        &[reported(
-            outcome(1, 0, sent[0].1, AttemptStatus::Succeeded),
-            50 * MS,
-            40.0,
-        )],
-    );
-    let out = step(&mut c, S + 300 * MS, &[arrival(2, 0, 9 * S)]);
-    assert_eq!(sends(&out), []);
+fn a_full_engine_gets_no_requests_until_its_load_decays_or_a_health_check_reports_capacity() {
+    let mut settings = gateway_settings(100, 0);
+    settings.limits.health_checks = true;
+    let mut controller = new_controller(settings);
+    step(&mut controller, S, &[endpoint_list(ListScope::All, &[1])]);
+    let sent = sends(&step(&mut controller, S, &[arrival(1, 0, 9 * S)]));
+    step(&mut controller, S + 50 * MS, &successes(&sent, 40.0));
+    let actions = step(&mut controller, S + 300 * MS, &[arrival(2, 0, 9 * S)]);
+    assert_eq!(sends(&actions), []);
     assert!(
-        out.contains(&Action::HealthCheck(EngineId(1))),
-        "a waiting request asks: {out:?}"
+        actions.contains(&Action::HealthCheck(EngineId(1))),
+        "no health check while a request waits: {actions:?}"
     );
     let empty = LoadReport {
         in_flight: Some(0.0),
         ..LoadReport::default()
     };
-    let out = step(
-        &mut c,
+    let actions = step(
+        &mut controller,
         S + 320 * MS,
         &[Event::HealthChecked(EngineId(1), Some(empty))],
     );
-    assert_eq!(sends(&out), [(2, 1)]);
+    assert_eq!(sends(&actions), [(2, 1)]);
 }
 
 #[test]
 fn the_least_loaded_engine_wins_ties() {
     for seed in 0..8 {
-        let mut c = Controller::new(many(100, 0), seed).expect("usable settings");
-        step(&mut c, S, &[list(ListScope::All, &[1, 2, 3, 4])]);
-        for e in 1..=4 {
-            let in_flight = Some(if e == 3 { 1.0 } else { 7.0 });
+        let mut controller =
+            Controller::new(gateway_settings(100, 0), seed).expect("usable settings");
+        step(
+            &mut controller,
+            S,
+            &[endpoint_list(ListScope::All, &[1, 2, 3, 4])],
+        );
+        for engine in 1..=4 {
+            let in_flight = Some(if engine == 3 { 1.0 } else { 7.0 });
             let report = LoadReport {
                 in_flight,
                 ..LoadReport::default()
             };
             step(
-                &mut c,
+                &mut controller,
                 S + 10 * MS,
-                &[Event::HealthChecked(EngineId(e), Some(report))],
+                &[Event::HealthChecked(EngineId(engine), Some(report))],
             );
         }
         assert_eq!(
-            sends(&step(&mut c, S + 20 * MS, &[arrival(1, 0, 6 * S)])),
+            sends(&step(&mut controller, S + 20 * MS, &[arrival(1, 0, 6 * S)])),
             [(1, 3)]
         );
     }
 }
 
 #[test]
-fn queries_of_a_table_group_share_home_engines_and_loads_avoid_them() {
-    let mut load = class(Idempotency::Idempotent);
-    load.locks_group = true;
-    let cfg = Settings {
+fn queries_of_a_table_group_share_home_engines_and_load_statements_avoid_them() {
+    let mut load_statement = class(Idempotency::Idempotent);
+    load_statement.locks_group = true;
+    let settings = Settings {
         gateways: 100,
-        ..settings(vec![class(Idempotency::Idempotent), load])
+        ..default_settings(vec![class(Idempotency::Idempotent), load_statement])
     };
     let engines: Vec<u32> = (1..=16).collect();
     let engines_used = |class: usize| {
-        let taken = (0..20).map(|seed| {
-            let mut c = Controller::new(cfg.clone(), seed).expect("usable settings");
-            step(&mut c, S, &[list(ListScope::All, &engines)]);
-            let Event::Arrival(a) = arrival(1, class, 6 * S) else {
-                unreachable!()
-            };
-            sends(&step(
-                &mut c,
+        let selected = (0..20).map(|seed| {
+            let mut controller = Controller::new(settings.clone(), seed).expect("usable settings");
+            step(
+                &mut controller,
                 S,
-                &[Event::Arrival(Arrival {
-                    group: Some(9),
-                    ..a
-                })],
-            ))[0]
-                .1
+                &[endpoint_list(ListScope::All, &engines)],
+            );
+            let event = arrival_with(arrival(1, class, 6 * S), |arrival| arrival.group = Some(9));
+            sends(&step(&mut controller, S, &[event]))[0].1
         });
-        taken.collect::<std::collections::BTreeSet<u32>>()
+        selected.collect::<std::collections::BTreeSet<u32>>()
     };
-    let (queries, loads) = (engines_used(0), engines_used(1));
+    let (by_queries, by_loads) = (engines_used(0), engines_used(1));
+    assert!(
+        by_queries.len() <= 8,
+        "too many home engines: {by_queries:?}"
+    );
     assert!(
-        queries.len() <= 8,
-        "homes are a part of the engines: {queries:?}"
+        by_queries.is_disjoint(&by_loads),
+        "{by_queries:?} {by_loads:?}"
     );
-    assert!(queries.is_disjoint(&loads), "{queries:?} {loads:?}");
 }
 
 #[test]
 fn all_gateways_together_keep_and_use_the_slow_start_budget() {
     let gateways = 60;
     let mut fleet: Vec<Controller> = (0..gateways)
-        .map(|i| Controller::new(many(gateways, i), u64::from(i)).expect("usable settings"))
+        .map(|index| {
+            let settings = gateway_settings(gateways, index);
+            Controller::new(settings, u64::from(index)).expect("usable settings")
+        })
         .collect();
     let mut cold = entry(1, 0);
     cold.ready_at = 20 * S;
@@ -187,24 +177,26 @@
         vec![vec![Event::EndpointList(ListScope::All, vec![cold])]; fleet.len()];
     for tick in 0..300u64 {
         let now = 20 * S + tick * 20 * MS;
-        for (c, events) in fleet.iter_mut().zip(&mut open) {
+        for (controller, events) in fleet.iter_mut().zip(&mut open) {
             events.push(arrival(tick, 0, now + 4 * S));
-            let sent = sends(&step(c, now, events));
+            let sent = sends(&step(controller, now, events));
             *events = sent
                 .iter()
-                .map(|(id, e)| outcome(*id, 0, *e, AttemptStatus::Rejected))
+                .map(|(id, engine)| outcome(*id, 0, *engine, AttemptStatus::Rejected))
                 .collect();
             times.extend(sent.iter().map(|_| now));
         }
     }
-    // A query counts as 0.5 s of work before any is taught; the engine bears 3 × 0.3 × 4 cores × 1 s.
-    let window =
-        |t: &Micros| times.iter().filter(|u| **u >= *t && **u < *t + S).count() as f64 * 0.5;
-    let most = times.iter().map(window).fold(0.0, f64::max);
-    assert!(most <= 3.6, "{most} s of work in some second");
+    // Without responses a query counts as 0.5 s of work. The engine tolerates 3 × 0.3 × 4 cores × 1 s.
+    let work_from = |start: &Micros| {
+        let is_in_window = |time: &&Micros| (*start..*start + S).contains(*time);
+        times.iter().filter(is_in_window).count() as f64 * 0.5
+    };
+    let max_work = times.iter().map(work_from).fold(0.0, f64::max);
+    assert!(max_work <= 3.6, "{max_work} s of work within a second");
     assert!(
         times.len() >= 6,
-        "it is not left idle: {} sends in 6 s",
+        "the engine is left idle: {} sends in 6 s",
         times.len()
     );
 }
@@ -214,13 +206,13 @@
     let gateways = 60;
     let mut heavy = class(Idempotency::Idempotent);
     heavy.deadline = 12 * S;
-    let cfg = |index| Settings {
+    let settings = |index| Settings {
         gateways,
         index,
-        ..settings(vec![class(Idempotency::Idempotent), heavy.clone()])
+        ..default_settings(vec![class(Idempotency::Idempotent), heavy.clone()])
     };
     let mut fleet: Vec<Controller> = (0..gateways)
-        .map(|i| Controller::new(cfg(i), u64::from(i)).expect("usable settings"))
+        .map(|index| Controller::new(settings(index), u64::from(index)).expect("usable settings"))
         .collect();
     let cold = |engine| EndpointEntry {
         ready_at: 20 * S,
@@ -228,210 +220,226 @@
     };
     let mut open: Vec<Vec<Event>> =
         vec![vec![Event::EndpointList(ListScope::All, vec![cold(1), cold(2)])]; fleet.len()];
-    // Engine, gateway, time, work: a tenth of a class's deadline, before the first answer.
+    // Engine, gateway, time and work of each send. Without responses the work is a tenth of the class's deadline.
     let mut sent: Vec<(u32, usize, Micros, f64)> = Vec::new();
     for tick in 0..400u64 {
         let now = 20 * S + tick * 20 * MS;
-        for (at, (c, events)) in fleet.iter_mut().zip(&mut open).enumerate() {
+        for (gateway, (controller, events)) in fleet.iter_mut().zip(&mut open).enumerate() {
             let class = (tick % 2) as usize;
             events.push(arrival(tick, class, now + 4 * S));
-            let out = sends(&step(c, now, events));
-            sent.extend(
-                out.iter()
-                    .map(|(id, e)| (*e, at, now, if id % 2 == 0 { 0.5 } else { 1.2 })),
-            );
-            *events = out
+            let new = sends(&step(controller, now, events));
+            sent.extend(new.iter().map(|(id, engine)| {
+                let work = if id % 2 == 0 { 0.5 } else { 1.2 };
+                (*engine, gateway, now, work)
+            }));
+            *events = new
                 .iter()
-                .map(|(id, e)| outcome(*id, 0, *e, AttemptStatus::Rejected))
+                .map(|(id, engine)| outcome(*id, 0, *engine, AttemptStatus::Rejected))
                 .collect();
         }
     }
     for engine in [1, 2] {
-        let there: Vec<_> = sent.iter().filter(|s| s.0 == engine).collect();
+        let to_engine: Vec<_> = sent.iter().filter(|send| send.0 == engine).collect();
         assert!(
-            there.iter().any(|s| s.3 > 1.0),
-            "engine {engine} gets none of the heavy class"
+            to_engine.iter().any(|send| send.3 > 1.0),
+            "no request of the heavy class at engine {engine}"
         );
-        let window = |t: Micros| {
-            there
+        let work_from = |start: Micros| {
+            to_engine
                 .iter()
-                .filter(|s| (t..t + S).contains(&s.2))
-                .map(|s| s.3)
+                .filter(|send| (start..start + S).contains(&send.2))
+                .map(|send| send.3)
                 .sum::<f64>()
         };
-        // It bears 3 × 0.3 × 4 cores × 1 s.
-        let most = there.iter().map(|s| window(s.2)).fold(0.0, f64::max);
+        // The engine tolerates 3 × 0.3 × 4 cores × 1 s.
+        let work = to_engine.iter().map(|send| work_from(send.2));
+        let max_work = work.fold(0.0, f64::max);
         assert!(
-            most <= 3.6,
-            "{most} s of work in some second at engine {engine}"
+            max_work <= 3.6,
+            "{max_work} s of work within a second at engine {engine}"
         );
     }
-    let first = |engine| sent.iter().find(|s| s.0 == engine).map(|s| s.1);
+    let first_gateway = |engine| sent.iter().find(|s| s.0 == engine).map(|s| s.1);
     assert_ne!(
-        first(1),
-        first(2),
-        "engines that start together are opened by different gateways"
+        first_gateway(1),
+        first_gateway(2),
+        "the same gateway has the first turn at both engines"
     );
 }
 
 #[test]
 fn a_gateway_uses_its_slow_start_share_before_warm_engines() {
-    let mut c = controller(settings(vec![class(Idempotency::Idempotent)]));
+    let mut controller = new_controller(default_settings(vec![class(Idempotency::Idempotent)]));
     let cold = EndpointEntry {
         ready_at: 20 * S,
         ..entry(2, 0)
     };
     step(
-        &mut c,
+        &mut controller,
         20 * S,
         &[Event::EndpointList(ListScope::All, vec![entry(1, 0), cold])],
     );
     let events: Vec<Event> = (0..5).map(|id| arrival(id, 0, 25 * S)).collect();
-    let taken: Vec<u32> = sends(&step(&mut c, 20 * S, &events))
+    let selected: Vec<u32> = sends(&step(&mut controller, 20 * S, &events))
         .iter()
         .map(|s| s.1)
         .collect();
-    // Queries of 0.5 s, of which it is surely able to bear half of 3.6 s in a second.
-    assert_eq!(taken, [2, 2, 2, 1, 1]);
+    // A query counts as 0.5 s of work, and the budget is half of the tolerated 3.6 s.
+    assert_eq!(selected, [2, 2, 2, 1, 1]);
 }
 
 #[test]
 fn health_checks_get_rarer_as_their_cost_grows() {
-    let probes = |price: f64| {
-        let mut cfg = many(3, 0);
-        (cfg.limits.health_checks, cfg.health_check_cost) = (true, price);
-        let mut c = controller(cfg);
-        step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
-        let mut seen = (0, 0);
+    let checks_and_sends = |cost: f64| {
+        let mut settings = gateway_settings(3, 0);
+        (settings.limits.health_checks, settings.health_check_cost) = (true, cost);
+        let mut controller = new_controller(settings);
+        step(
+            &mut controller,
+            S,
+            &[endpoint_list(ListScope::All, &[1, 2])],
+        );
+        let mut counts = (0, 0);
         for id in 0..160u64 {
             let now = S + id * 100 * MS;
-            let out = step(&mut c, now, &[arrival(id, 0, now + S)]);
-            seen.0 += out
+            let actions = step(&mut controller, now, &[arrival(id, 0, now + S)]);
+            counts.0 += actions
                 .iter()
-                .filter(|a| matches!(a, Action::HealthCheck(_)))
+                .filter(|action| matches!(action, Action::HealthCheck(_)))
                 .count();
-            let sent = sends(&out);
-            seen.1 += sent.len();
-            let back = |(id, e): &(u64, u32)| {
-                reported(outcome(*id, 0, *e, AttemptStatus::Succeeded), 50 * MS, 1.0)
-            };
-            step(
-                &mut c,
-                now + 50 * MS,
-                &sent.iter().map(back).collect::<Vec<_>>(),
-            );
+            let sent = sends(&actions);
+            counts.1 += sent.len();
+            step(&mut controller, now + 50 * MS, &successes(&sent, 1.0));
         }
-        seen
+        counts
     };
-    assert_eq!((probes(0.0), probes(0.01)), ((160, 160), (160, 160)));
-    assert_eq!((probes(0.08), probes(0.16)), ((20, 160), (10, 160)));
-    for mad in [f64::NAN, f64::INFINITY, -1.0] {
-        let cfg = Settings {
-            health_check_cost: mad,
-            ..many(3, 0)
+    assert_eq!(checks_and_sends(0.0), (160, 160));
+    assert_eq!(checks_and_sends(0.01), (160, 160));
+    assert_eq!(checks_and_sends(0.08), (20, 160));
+    assert_eq!(checks_and_sends(0.16), (10, 160));
+    for invalid in [f64::NAN, f64::INFINITY, -1.0] {
+        let settings = Settings {
+            health_check_cost: invalid,
+            ..gateway_settings(3, 0)
         };
-        assert!(Controller::new(cfg, 1).is_err(), "{mad}");
+        assert!(Controller::new(settings, 1).is_err(), "{invalid}");
     }
-    assert!(probes(1e300).0 <= 1, "and no sum overflows");
+    assert!(checks_and_sends(1e300).0 <= 1, "an extreme cost overflows");
 }
 
 #[test]
 fn a_stalled_gateway_ejects_no_engine() {
-    let mut c = controller(many(4, 0));
-    let mut out = step(
-        &mut c,
+    let mut controller = new_controller(gateway_settings(4, 0));
+    let mut actions = step(
+        &mut controller,
         S,
         &[
-            list(ListScope::All, &[1, 2]),
+            endpoint_list(ListScope::All, &[1, 2]),
             arrival(1, 0, 60 * S),
             arrival(2, 0, 60 * S),
         ],
     );
     for tick in 1..20u64 {
-        out.extend(step(&mut c, S + tick * 20 * MS, &[]));
+        actions.extend(step(&mut controller, S + tick * 20 * MS, &[]));
     }
-    assert_eq!(sends(&out).len(), 2, "a query at each");
-    // It stands still for three seconds, far past four runs, and finds its timer and a new request.
-    let out = step(
-        &mut c,
+    assert_eq!(sends(&actions).len(), 2, "one query at each engine");
+    // The gateway stalls for 3 s, far longer than four mean run times, and then handles its timer and new requests.
+    let actions = step(
+        &mut controller,
         4 * S + 400 * MS,
         &[Event::Wakeup, arrival(3, 0, 60 * S), arrival(4, 0, 60 * S)],
     );
-    let mut taken: Vec<u32> = sends(&out).iter().map(|s| s.1).collect();
-    taken.sort_unstable();
-    assert_eq!(taken, [1, 2], "both engines stay open");
+    let mut selected: Vec<u32> = sends(&actions).iter().map(|s| s.1).collect();
+    selected.sort_unstable();
+    assert_eq!(selected, [1, 2], "both engines stay eligible");
 }
 
 #[test]
 fn a_failing_engine_counts_as_full_whatever_it_reports() {
-    let mut c = controller(many(100, 0));
-    step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
-    let sent = sends(&step(&mut c, S, &[arrival(1, 0, 9 * S)]));
-    let bad = sent[0].1;
-    let out = step(
-        &mut c,
+    let mut controller = new_controller(gateway_settings(100, 0));
+    step(
+        &mut controller,
+        S,
+        &[endpoint_list(ListScope::All, &[1, 2])],
+    );
+    let sent = sends(&step(&mut controller, S, &[arrival(1, 0, 9 * S)]));
+    let failing = sent[0].1;
+    let actions = step(
+        &mut controller,
         S + 10 * MS,
-        &[reported(
-            outcome(1, 0, bad, AttemptStatus::ErrorResponse),
+        &[with_report(
+            outcome(1, 0, failing, AttemptStatus::ErrorResponse),
             5 * MS,
             0.0,
         )],
     );
-    assert_eq!(sends(&out), [(1, 3 - bad)], "the next try goes elsewhere");
+    assert_eq!(
+        sends(&actions),
+        [(1, 3 - failing)],
+        "retried on the other engine"
+    );
     let events: Vec<Event> = (2..5).map(|id| arrival(id, 0, 9 * S)).collect();
     assert!(
-        sends(&step(&mut c, S + 20 * MS, &events))
+        sends(&step(&mut controller, S + 20 * MS, &events))
             .iter()
-            .all(|s| s.1 != bad)
+            .all(|s| s.1 != failing)
     );
 }
 
 #[test]
 fn an_unsent_attempt_does_not_change_the_engines_load() {
-    let after = |ending| {
-        let mut c = controller(many(100, 0));
+    let sends_after = |status| {
+        let mut controller = new_controller(gateway_settings(100, 0));
         let sent = sends(&step(
-            &mut c,
+            &mut controller,
             S,
-            &[list(ListScope::All, &[1]), arrival(1, 0, 9 * S)],
+            &[endpoint_list(ListScope::All, &[1]), arrival(1, 0, 9 * S)],
         ));
         step(
-            &mut c,
+            &mut controller,
             S + 50 * MS,
             &[
                 Event::ClientDisconnected(RequestId(1)),
-                outcome(1, 0, sent[0].1, ending),
+                outcome(1, 0, sent[0].1, status),
             ],
         );
-        sends(&step(&mut c, S + 100 * MS, &[arrival(2, 0, 9 * S)]))
+        sends(&step(
+            &mut controller,
+            S + 100 * MS,
+            &[arrival(2, 0, 9 * S)],
+        ))
     };
     assert_eq!(
-        after(AttemptStatus::ConnectionReset),
+        sends_after(AttemptStatus::ConnectionReset),
         [],
-        "one that fails looks full"
+        "a failing engine counts as full"
     );
     assert_eq!(
-        after(AttemptStatus::NotSent),
+        sends_after(AttemptStatus::NotSent),
         [(2, 1)],
-        "its client left before anything was sent"
+        "the client disconnected before the attempt was sent"
     );
 }
 
 #[test]
-fn invalid_load_reports_and_clock_jumps_do_no_harm() {
-    let mut cfg = many(3, 77);
-    cfg.cores = vec![];
-    cfg.limits.health_checks = true;
-    let mut c = controller(cfg);
-    step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
-    for v in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -3.0, f64::MAX] {
+fn invalid_load_reports_and_clock_jumps_are_tolerated() {
+    let mut settings = gateway_settings(3, 77);
+    settings.cores = vec![];
+    settings.limits.health_checks = true;
+    let mut controller = new_controller(settings);
+    step(
+        &mut controller,
+        S,
+        &[endpoint_list(ListScope::All, &[1, 2])],
+    );
+    for value in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -3.0, f64::MAX] {
         let report = LoadReport {
-            in_flight: Some(v),
-            memory: Some(v),
-            cpu: Some(v),
+            in_flight: Some(value),
+            memory: Some(value),
+            cpu: Some(value),
         };
         step(
-            &mut c,
+            &mut controller,
             S,
             &[
                 Event::HealthChecked(EngineId(1), Some(report)),
@@ -439,39 +447,32 @@
             ],
         );
     }
-    step(&mut c, S, &[Event::HealthChecked(EngineId(1), None)]);
+    step(
+        &mut controller,
+        S,
+        &[Event::HealthChecked(EngineId(1), None)],
+    );
     let sent = sends(&step(
-        &mut c,
+        &mut controller,
         S,
         &[arrival(7, 0, 6 * S), arrival(8, 0, 6 * S)],
     ));
-    let back = |(id, e): &(u64, u32)| {
-        reported(
-            outcome(*id, 0, *e, AttemptStatus::Succeeded),
-            50 * MS,
-            f64::MAX,
-        )
-    };
-    step(
-        &mut c,
-        S + 50 * MS,
-        &sent.iter().map(back).collect::<Vec<_>>(),
-    );
+    step(&mut controller, S + 50 * MS, &successes(&sent, f64::MAX));
     let events: Vec<Event> = (20..40).map(|id| arrival(id, 0, 9 * S)).collect();
-    let sent = sends(&step(&mut c, S + 60 * MS, &events));
+    let sent = sends(&step(&mut controller, S + 60 * MS, &events));
     assert!(
         (3..=4).contains(&sent.len()),
-        "the window is what it was, thrice an even part: {sent:?}"
+        "the window is still three equal shares: {sent:?}"
     );
-    let back: Vec<Event> = sent
+    let timed_out: Vec<Event> = sent
         .iter()
-        .map(|(id, e)| outcome(*id, 0, *e, AttemptStatus::TimedOut))
+        .map(|(id, engine)| outcome(*id, 0, *engine, AttemptStatus::TimedOut))
         .collect();
-    step(&mut c, 9 * S, &back);
-    let out = step(&mut c, 600 * S, &[arrival(1, 0, 605 * S)]);
+    step(&mut controller, 9 * S, &timed_out);
+    let actions = step(&mut controller, 600 * S, &[arrival(1, 0, 605 * S)]);
     assert_eq!(
-        sends(&out).len(),
+        sends(&actions).len(),
         1,
-        "ten minutes later all is forgotten: {out:?}"
+        "the engine is eligible again after ten minutes: {actions:?}"
     );
 }
--- a/crates/policy/tests/memory_grants.rs
+++ b/crates/policy/tests/memory_grants.rs
@@ -1,4 +1,4 @@
-//! Memory grants: how much queries are granted, and what spills change.
+//! Memory grants: their size, and the effects of spills.
 
 mod common;
 use common::*;
@@ -6,116 +6,142 @@
 
 #[test]
 fn full_memory_grants_only_under_memory_overcommit() {
-    let grant = |overcommits| {
-        let cfg = Settings {
+    let is_full_grant = |memory_overcommit| {
+        let settings = Settings {
             max_grant_mb: 4096.0,
-            memory_overcommit: overcommits,
-            ..settings(vec![long()])
+            memory_overcommit,
+            ..default_settings(vec![long_class()])
         };
-        let mut c = controller(cfg);
-        let out = step(
-            &mut c,
+        let mut controller = new_controller(settings);
+        let actions = step(
+            &mut controller,
             S,
-            &[list(ListScope::All, &[1]), arrival(1, 0, 26 * S)],
+            &[endpoint_list(ListScope::All, &[1]), arrival(1, 0, 26 * S)],
         );
-        out.iter().any(
-            |a| matches!(a, Action::SetOptions { memory_grant_mb: grant, .. } if *grant == 4096.0),
+        actions.iter().any(
+            |action| matches!(action, Action::SetOptions { memory_grant_mb, .. } if *memory_grant_mb == 4096.0),
         )
     };
-    assert!(grant(true) && !grant(false));
+    assert!(is_full_grant(true) && !is_full_grant(false));
 }
 
 #[test]
 fn an_early_spill_is_cancelled_once_and_retried_with_the_missing_memory() {
-    let start = |cfg: Settings| {
-        let mut c = controller(cfg);
-        step(&mut c, S, &[list(ListScope::All, &[1, 2])]);
+    let start = |settings: Settings| {
+        let mut controller = new_controller(settings);
+        step(
+            &mut controller,
+            S,
+            &[endpoint_list(ListScope::All, &[1, 2])],
+        );
         let Event::Arrival(a) = arrival(1, 0, 26 * S) else {
             unreachable!("an arrival")
         };
-        let out = step(
-            &mut c,
+        let actions = step(
+            &mut controller,
             S,
             &[Event::Arrival(Arrival {
                 estimated_memory_mb: 100.0,
                 ..a
             })],
         );
-        (c, sends(&out)[0].1, grants(&out))
+        (controller, sends(&actions)[0].1, memory_grants(&actions))
     };
-    let spills = |attempt, engine, mb| {
+    let spills = |attempt, engine, missing_mb| {
         let (request, engine) = (RequestId(1), EngineId(engine));
         Event::Progress {
             request,
             attempt,
             engine,
-            progress: Progress::Spilling(mb),
+            progress: Progress::Spilling(missing_mb),
         }
     };
-    let cfg = || Settings {
+    let settings = || Settings {
         max_grant_mb: 4096.0,
-        ..with_progress(vec![long()])
+        ..progress_settings(vec![long_class()])
     };
-    let (mut c, e, granted) = start(cfg());
-    assert_eq!(granted, [120.0], "a fifth over the estimate");
-    for odd in [f64::NAN, -5.0, f64::INFINITY] {
-        assert_eq!(cancels(&step(&mut c, S + 5 * MS, &[spills(0, e, odd)])), []);
+    let (mut controller, engine, granted) = start(settings());
+    assert_eq!(granted, [120.0], "a fifth more than the estimate");
+    for invalid in [f64::NAN, -5.0, f64::INFINITY] {
+        assert_eq!(
+            cancellations(&step(
+                &mut controller,
+                S + 5 * MS,
+                &[spills(0, engine, invalid)]
+            )),
+            []
+        );
     }
     assert_eq!(
-        cancels(&step(&mut c, S + 6 * MS, &[spills(0, e, 300.0)])),
+        cancellations(&step(
+            &mut controller,
+            S + 6 * MS,
+            &[spills(0, engine, 300.0)]
+        )),
         [(1, 0)]
     );
-    let out = step(
-        &mut c,
+    let actions = step(
+        &mut controller,
         S + 10 * MS,
-        &[outcome(1, 0, e, AttemptStatus::Cancelled)],
+        &[outcome(1, 0, engine, AttemptStatus::Cancelled)],
     );
-    assert_eq!((sends(&out), grants(&out)), (vec![(1, 3 - e)], vec![420.0]));
     assert_eq!(
-        cancels(&step(&mut c, S + 15 * MS, &[spills(1, 3 - e, 50.0)])),
+        (sends(&actions), memory_grants(&actions)),
+        (vec![(1, 3 - engine)], vec![420.0])
+    );
+    assert_eq!(
+        cancellations(&step(
+            &mut controller,
+            S + 15 * MS,
+            &[spills(1, 3 - engine, 50.0)]
+        )),
         [],
-        "once"
+        "only one cancellation"
     );
-    let (mut c, e, _) = start(cfg());
+    let (mut controller, engine, _) = start(settings());
     assert_eq!(
-        cancels(&step(&mut c, 2 * S, &[spills(0, e, 300.0)])),
+        cancellations(&step(&mut controller, 2 * S, &[spills(0, engine, 300.0)])),
         [],
-        "not what has done much"
+        "no cancellation of a query that has run for long"
     );
-    let keyed = Class {
+    let class_with_key = Class {
         idempotency: Idempotency::WithKey {
             scope: DeduplicationScope::All,
             window: 20 * S,
         },
-        ..long()
+        ..long_class()
     };
-    let (mut c, e, _) = start(Settings {
-        classes: vec![keyed],
-        ..cfg()
+    let (mut controller, engine, _) = start(Settings {
+        classes: vec![class_with_key],
+        ..settings()
     });
     assert_eq!(
-        cancels(&step(&mut c, S + 5 * MS, &[spills(0, e, 300.0)])),
+        cancellations(&step(
+            &mut controller,
+            S + 5 * MS,
+            &[spills(0, engine, 300.0)]
+        )),
         [],
-        "not what may not run twice"
+        "no cancellation without idempotency"
     );
 }
 
 #[test]
 fn spills_raise_the_memory_grants_of_their_class() {
-    let cfg = Settings {
+    let settings = Settings {
         max_grant_mb: 4096.0,
-        ..with_progress(vec![class(Idempotency::NotIdempotent)])
+        ..progress_settings(vec![class(Idempotency::NotIdempotent)])
     };
-    let mut c = controller(cfg);
-    step(&mut c, S, &[list(ListScope::All, &[1])]);
+    let mut controller = new_controller(settings);
+    step(&mut controller, S, &[endpoint_list(ListScope::All, &[1])]);
     let mut granted = Vec::new();
     for id in 0..5 {
         let now = 2 * S + id * 200 * MS;
         let Event::Arrival(a) = arrival(id, 0, now + 5 * S) else {
             unreachable!("an arrival")
         };
-        granted.extend(grants(&step(
-            &mut c,
+        granted.extend(memory_grants(&step(
+            &mut controller,
             now,
             &[Event::Arrival(Arrival {
                 estimated_memory_mb: 100.0,
@@ -124,7 +150,7 @@
         )));
         let (request, engine, progress) = (RequestId(id), EngineId(1), Progress::Spilling(90.0));
         step(
-            &mut c,
+            &mut controller,
             now + 5 * MS,
             &[Event::Progress {
                 request,
@@ -134,10 +160,13 @@
             }],
         );
         step(
-            &mut c,
+            &mut controller,
             now + 100 * MS,
             &[outcome(id, 0, 1, AttemptStatus::Succeeded)],
         );
     }
-    assert!(granted.windows(2).all(|w| w[1] > w[0]), "{granted:?}");
+    assert!(
+        granted.windows(2).all(|pair| pair[1] > pair[0]),
+        "{granted:?}"
+    );
 }
