--- a/crates/policy-settings/src/schema.rs
+++ b/crates/policy-settings/src/schema.rs
@@ -1,8 +1,8 @@
-//! The settings object of a router, as deserialized. Times are in milliseconds. Unknown fields are ignored.
+//! The settings object of a gateway, as deserialized. Times are in milliseconds. Unknown fields are ignored.
 
 use serde::Deserialize;
 
-/// Settings of a router.
+/// Settings of a gateway.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Settings {
@@ -196,7 +196,7 @@
     /// Window over which retries and admitted requests are counted.
     #[serde(rename = "lookBack")]
     pub retry_window: f64,
-    /// Maximum interval at which a router without a subscription must poll discovery.
+    /// Maximum interval at which a gateway without a subscription must poll discovery.
     #[serde(rename = "askWithin")]
     pub max_poll_interval: f64,
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -64,7 +64,7 @@
     }
 
     /// Schedules another subscription after a failed call to discovery. The backoff is at most half of the interval at
-    /// which a router without a subscription must poll.
+    /// which a gateway without a subscription must poll.
     pub(crate) fn record_failure(&mut self, max_poll_interval: Micros, now: Micros) {
         self.next_at = Some(now + SUBSCRIBE_BACKOFF.min(max_poll_interval / 2));
     }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -203,7 +203,7 @@
     HealthChecked(EngineId, Option<LoadReport>),
     /// The client has disconnected; the request needs no response.
     ClientDisconnected(RequestId),
-    /// The router shuts down before the request completes: the request is abandoned, and the response tells the client
+    /// The gateway shuts down before the request completes: the request is abandoned, and the response tells the client
     /// whether a retry is safe.
     Abandoned(RequestId),
     /// A hold begins, changes or ends.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -95,7 +95,7 @@
     pub cancel: bool,
 }
 
-/// Retry budget of one router.
+/// Retry budget of one gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Retries permitted in the window regardless of traffic.
@@ -121,7 +121,7 @@
     pub key_pause: Micros,
     /// Retry budget; `None`: no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// With [`Discovery::Subscribe`]: maximum interval at which a router without a subscription must poll.
+    /// With [`Discovery::Subscribe`]: maximum interval at which a gateway without a subscription must poll.
     pub max_poll_interval: Micros,
 }
 
