--- a/crates/policy-settings/src/schema.rs
+++ b/crates/policy-settings/src/schema.rs
@@ -179,9 +179,9 @@
     /// Slow start: time after which an engine has its full capacity.
     #[serde(rename = "rampTime")]
     pub slow_start_window: f64,
-    /// Multiple of its present capacity above which an engine fails when it is sent more during the overload window.
+    /// An engine fails if it is sent more than this multiple of its present capacity during the overload window.
     pub overload_factor: f64,
-    /// Overload window.
+    /// Length of the overload window.
     #[serde(rename = "fall")]
     pub overload_window: f64,
     /// Pause of an ordering key after an attempt that may still be running.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -113,9 +113,9 @@
     pub start_capacity: f64,
     /// Slow start: time after which an engine has its full capacity.
     pub slow_start_window: Micros,
-    /// Multiple of its present capacity above which an engine fails when it is sent more during the overload window.
+    /// An engine fails if it is sent more than this multiple of its present capacity during the overload window.
     pub overload_factor: f64,
-    /// Overload window.
+    /// Length of the overload window.
     pub overload_window: Micros,
     /// Pause of an ordering key after an attempt that may still be running.
     pub key_pause: Micros,
