--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -31,7 +31,7 @@
     near_connection_limit: bool,
     now: Micros,
 ) -> Admission {
-    let start_by = latest_start(request.started_at, class, statistics);
+    let start_by = latest_start(request.first_sent_at, class, statistics);
     let late = start_by < now;
     let out_of_time = now + DEADLINE_MARGIN >= request.valid_until;
     let is_shed =
@@ -44,7 +44,7 @@
 }
 
 /// Returns the latest start that meets the objective, assuming the class's current mean run time.
-fn latest_start(started_at: Micros, class: &Class, statistics: &ClassStatistics) -> Micros {
+fn latest_start(first_sent_at: Micros, class: &Class, statistics: &ClassStatistics) -> Micros {
     let objective = class.latency_objective as f64;
     let threads = class.threads();
     let mean_work = statistics.mean_work();
@@ -53,14 +53,14 @@
     let stretch_allowance = mean_work * (class.objective_stretch - slowdown) / threads;
     // One mean run time is subtracted as a reserve, since many queries run longer than the mean.
     let slack = RunTime(objective) + stretch_allowance - statistics.mean_run_time();
-    started_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
+    first_sent_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
 }
 
 /// Returns whether waiting requests occupy more than [`MAX_OPEN_RATIO`] of the connections that clients may hold.
 /// Without a free connection, clients can't send new requests.
-pub(crate) fn is_near_connection_limit(waiting: usize, limits: &Limits) -> bool {
+pub(crate) fn is_near_connection_limit(pending: usize, limits: &Limits) -> bool {
     let max = limits.max_open_requests;
-    max > 0 && waiting as f64 > MAX_OPEN_RATIO * max as f64
+    max > 0 && pending as f64 > MAX_OPEN_RATIO * max as f64
 }
 
 /// Returns the late request to shed first: among those at the head of their queues, the one that its client sent
@@ -69,6 +69,6 @@
     late_heads: impl Iterator<Item = RequestId>,
     requests: &RequestTable,
 ) -> Option<RequestId> {
-    let started = late_heads.filter_map(|id| Some((requests.get(id)?.started_at, id)));
+    let started = late_heads.filter_map(|id| Some((requests.get(id)?.first_sent_at, id)));
     started.min().map(|(_, id)| id)
 }
--- a/crates/policy/src/attempt_progress.rs
+++ b/crates/policy/src/attempt_progress.rs
@@ -47,7 +47,7 @@
     /// Time until the client gives up.
     pub(crate) time_left: Micros,
     /// Whether the request may be sent again.
-    pub(crate) may_retry: bool,
+    pub(crate) may_cancel_for_retry: bool,
     /// Whether an earlier attempt of the request was cancelled for its pace.
     pub(crate) has_cancelled: bool,
     /// Whether the load of all engines together exceeds their capacity.
@@ -87,7 +87,7 @@
         let remaining = RunTime(elapsed.0 / completed_share.max(MIN_COMPLETED_SHARE)) - elapsed;
         let time_left = RunTime(limits.time_left as f64);
         let is_slow = remaining > limits.mean_run_time * SLOW_MEAN_RUN_TIMES;
-        let can_retry_in_time = limits.may_retry && limits.mean_run_time < time_left;
+        let can_retry_in_time = limits.may_cancel_for_retry && limits.mean_run_time < time_left;
         if is_slow && can_retry_in_time && !limits.has_cancelled {
             ProgressDecision::CancelAndRetry
         } else if completed_share == 0.0 {
--- a/crates/policy/src/class_statistics.rs
+++ b/crates/policy/src/class_statistics.rs
@@ -9,7 +9,7 @@
 const MIN_SAMPLE_WEIGHT: f64 = 0.03;
 /// Weight of a new sample above which the means rest on too few samples for their minimum to count as the unloaded run
 /// time.
-const WARM_UP_SAMPLE_WEIGHT: f64 = 0.125;
+const FEW_SAMPLES_WEIGHT: f64 = 0.125;
 
 /// Statistics of a class.
 pub(crate) struct ClassStatistics {
@@ -66,7 +66,7 @@
         let weight = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
         self.mean_work += (work - self.mean_work) * weight;
         self.mean_run_time += (run_time - self.mean_run_time) * weight;
-        self.unloaded_run_time = if weight > WARM_UP_SAMPLE_WEIGHT {
+        self.unloaded_run_time = if weight > FEW_SAMPLES_WEIGHT {
             self.mean_run_time
         } else {
             self.unloaded_run_time.min(self.mean_run_time)
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -193,7 +193,7 @@
         let is_covered = |id| {
             self.requests
                 .get(id)
-                .is_some_and(|request| request.hold_targets.contains(hold.target))
+                .is_some_and(|request| request.properties.contains(hold.target))
         };
         let attempts = self.engines.values().flat_map(|engine| engine.in_flight());
         let in_flight = attempts
--- a/crates/policy/src/controller/attempts.rs
+++ b/crates/policy/src/controller/attempts.rs
@@ -55,7 +55,7 @@
             if outcome.status == AttemptStatus::Succeeded && !request.done {
                 let mean_work = self.statistics[request.class].mean_work();
                 let work = outcome.work.map_or(mean_work, |work| Work(work as f64));
-                let response_time = self.now - request.started_at;
+                let response_time = self.now - request.first_sent_at;
                 self.objective_balance.record_success(
                     &self.settings.classes[request.class],
                     response_time,
@@ -150,7 +150,7 @@
             return;
         };
         request.attempts.remove(outcome.attempt);
-        self.holds.record_outcome(request.hold_targets);
+        self.holds.record_outcome(request.properties);
         if !outcome.status.never_ran() {
             let entry = self
                 .engines
@@ -191,14 +191,14 @@
         let limits = &self.settings.limits;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
         let may_cancel = limits.cancel && !attempt.is_cancelled() && !request.done;
-        let may_retry =
+        let may_cancel_for_retry =
             may_cancel && is_idempotent && request.attempts.count() < limits.max_attempts;
         let decision = match progress {
             Progress::Spilling(missing_mb) => {
                 let report = SpillReport {
                     missing_mb,
                     running_for: now - attempt.sent_at,
-                    may_retry,
+                    may_cancel_for_retry,
                 };
                 let margin = &mut self.grant_margins[class];
                 let max_grant_mb = self.settings.max_grant_mb;
@@ -210,7 +210,7 @@
                 let pace_limits = PaceLimits {
                     mean_run_time: self.statistics[class].mean_run_time(),
                     time_left: request.valid_until.saturating_sub(now),
-                    may_retry,
+                    may_cancel_for_retry,
                     has_cancelled: request.cancelled_for_pace,
                     is_overloaded: self.load_level.is_overloaded(),
                 };
@@ -240,7 +240,7 @@
 ) -> Option<&mut InFlightAttempt> {
     let engine = engines.get_mut(&engine)?;
     let position = engine.position_of(request, number)?;
-    engine.health.record_response(now);
+    engine.health.record_activity(now);
     let attempt = &mut engine.in_flight_mut()[position];
     attempt.progress.record_event(now);
     Some(attempt)
--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -49,12 +49,12 @@
             self.send(id, engine, out);
             return true;
         }
-        let is_held = self.holds.covers(request.hold_targets);
+        let is_held = self.holds.covers(request.properties);
         if is_held {
             // At the head of its queue, the request could keep its class waiting, even if the hold is not what made all
             // engines ineligible. Housekeeping queues it again when the hold has a slot.
             self.dequeue(id);
-            self.holds.block(id);
+            self.holds.add_held(id);
         }
         is_held
     }
@@ -107,7 +107,7 @@
         );
         self.congestion_window
             .add_in_flight(class, self.settings.classes[class].threads());
-        self.holds.record_send(request.hold_targets);
+        self.holds.record_send(request.properties);
         let memory_grant_mb = request.memory.megabytes();
         if (self.settings.limits.priorities && priority != DEFAULT_PRIORITY)
             || memory_grant_mb > 0.0
@@ -128,7 +128,7 @@
     }
 
     fn priority(&self, request: &Request) -> u8 {
-        let is_low_priority = request.is_late() || self.holds.is_low_priority(request.hold_targets);
+        let is_low_priority = request.is_late() || self.holds.is_low_priority(request.properties);
         priority(
             is_low_priority,
             self.classes().has_highest_weight_per_work(request.class),
--- a/crates/policy/src/controller/housekeeping.rs
+++ b/crates/policy/src/controller/housekeeping.rs
@@ -16,7 +16,7 @@
         self.abandon_expired(out);
         self.requeue_overdue(out);
         self.shed_late(out);
-        self.requeue_unblocked(out);
+        self.requeue_released(out);
         self.cancel_lost_attempts(out);
         eject_silent_engines(&mut self.engines, &self.statistics, self.now);
         if self.subscription.take_due(self.now) {
@@ -35,7 +35,7 @@
 
     /// Queues the first request of each ordering key that is not paused.
     fn resume_keys(&mut self, out: &mut Vec<Action>) {
-        for id in self.ordering_keys.take_runnable(self.now) {
+        for id in self.ordering_keys.runnable_requests(self.now) {
             self.enqueue(id, out);
         }
     }
@@ -72,10 +72,10 @@
     }
 
     /// Queues blocked requests whose holds have free slots.
-    fn requeue_unblocked(&mut self, out: &mut Vec<Action>) {
+    fn requeue_released(&mut self, out: &mut Vec<Action>) {
         let requests = &self.requests;
-        let targets_of = |id| requests.get(id).map(|request| request.hold_targets);
-        for id in self.holds.take_unblocked(targets_of) {
+        let properties_of = |id| requests.get(id).map(|request| request.properties);
+        for id in self.holds.take_releasable(properties_of) {
             self.enqueue(id, out);
         }
     }
--- a/crates/policy/src/controller/requests.rs
+++ b/crates/policy/src/controller/requests.rs
@@ -5,7 +5,7 @@
 use crate::class_queue::QueueEntry;
 use crate::completion::abandonment_response;
 use crate::engine::cancel_attempts;
-use crate::hold::HoldTargets;
+use crate::hold::StatementProperties;
 use crate::interface::{Action, Arrival, RequestId};
 use crate::memory_grant::MemoryGrant;
 use crate::request::Request;
@@ -17,7 +17,7 @@
         if arrival.class >= self.statistics.len() || self.requests.contains(id) {
             return;
         }
-        self.retry_usage.record_admission(self.now);
+        self.retry_usage.record_arrival(self.now);
         let request = self.new_request(arrival);
         let key = request.key;
         self.requests.insert(id, request);
@@ -29,7 +29,7 @@
     fn new_request(&self, arrival: &Arrival) -> Request {
         let class = &self.settings.classes[arrival.class];
         // The deadline covers the client's first request and its retries.
-        let first_request_at = arrival
+        let first_sent_at = arrival
             .valid_until
             .saturating_sub(class.deadline)
             .min(self.now);
@@ -38,13 +38,13 @@
             class: arrival.class,
             key: arrival.key.filter(|_| class.ordered_by_key),
             valid_until: arrival.valid_until,
-            started_at: if arrival.is_retry {
-                first_request_at
+            first_sent_at: if arrival.is_retry {
+                first_sent_at
             } else {
                 self.now
             },
             arrived_at: self.now,
-            hold_targets: HoldTargets {
+            properties: StatementProperties {
                 kind: arrival.kind,
                 group: arrival.group,
             },
@@ -97,12 +97,12 @@
     }
 
     pub(super) fn is_near_connection_limit(&self) -> bool {
-        is_near_connection_limit(self.requests.waiting_count(), &self.settings.limits)
+        is_near_connection_limit(self.requests.pending_count(), &self.settings.limits)
     }
 
     /// Removes a request from its class queue, or from the requests blocked by holds.
     pub(super) fn dequeue(&mut self, id: RequestId) {
-        self.holds.unblock(id);
+        self.holds.remove_held(id);
         if let Some(request) = self.requests.get_mut(id)
             && let Some(entry) = request.queue_entry.take()
         {
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -5,9 +5,9 @@
 use crate::congestion_window::CongestionWindow;
 use crate::engine::{Engine, Engines};
 use crate::hold::Holds;
-use crate::idempotency::deduplicates_retry;
+use crate::idempotency::is_within_deduplication_scope;
 use crate::interface::{EngineId, Idempotency, Micros, Settings};
-use crate::rendezvous::rendezvous_hash;
+use crate::rendezvous::salted_hash;
 use crate::request::Request;
 use crate::slow_start::{is_warming_up, is_within_slow_start_budget};
 use crate::units::Load;
@@ -57,7 +57,7 @@
                 request.attempts.has_tried(**id),
                 own_queries,
                 load,
-                rendezvous_hash(salt, **id),
+                salted_hash(salt, **id),
             )
         });
         best.map(|(id, _)| *id)
@@ -71,12 +71,12 @@
             && self.is_placement_allowed(request, engine)
             && engine
                 .health
-                .admits(class.idempotency == Idempotency::Idempotent, self.now)
+                .may_receive(class.idempotency == Idempotency::Idempotent, self.now)
             && self.is_within_concurrency_limit(request, engine)
             && self.is_within_congestion_window(request, engine)
             && !request.attempts.is_in_flight_at(id)
             && self.is_within_slow_start(request, id, engine)
-            && self.holds.has_slot(request.hold_targets, id)
+            && self.holds.has_slot(request.properties, id)
     }
 
     /// Returns whether the engine is in a zone and of a machine kind that the class may use. A request with an
@@ -90,7 +90,7 @@
         };
         is_within(&class.zones, engine.entry.zone)
             && is_within(&class.kinds, engine.entry.kind)
-            && deduplicates_retry(
+            && is_within_deduplication_scope(
                 class.idempotency,
                 request.attempts.possible_run(),
                 &engine.entry,
@@ -111,7 +111,7 @@
         }
         self.congestion_window
             .fits(self.classes, request.class, request.is_late(), self.now)
-            && self.decayed_load(engine) <= self.admission_threshold() + OVERLOAD_MARGIN
+            && self.decayed_load(engine) <= self.overload_threshold() + OVERLOAD_MARGIN
     }
 
     fn is_within_slow_start(&self, request: &Request, id: EngineId, engine: &Engine) -> bool {
@@ -143,7 +143,7 @@
             return 0;
         }
         let is_misplaced = request
-            .hold_targets
+            .properties
             .group
             .is_some_and(|group| self.is_misplaced(request, group, id));
         let penalty = if is_misplaced {
@@ -157,7 +157,7 @@
     /// Returns whether the engine is not a home engine of the table group, or, for a load statement, whether it is one.
     /// Home engines exist only if a class locks its table group.
     fn is_misplaced(&self, request: &Request, group: u64, id: EngineId) -> bool {
-        let is_home = rendezvous_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
+        let is_home = salted_hash(group, id).is_multiple_of(ENGINES_PER_HOME);
         let locks_group = self.classes.config(request.class).locks_group;
         self.settings.classes.iter().any(|class| class.locks_group) && is_home == locks_group
     }
@@ -166,7 +166,7 @@
     /// than [`OVERLOAD_MARGIN`] get no requests. The threshold is full load if a health check can show that an engine
     /// has capacity again. Otherwise it is at least the mean load of all engines, since a lower one could leave no
     /// engine eligible.
-    fn admission_threshold(&self) -> Load {
+    fn overload_threshold(&self) -> Load {
         let is_recovery_observable =
             self.settings.limits.health_checks && self.settings.reports_in_flight;
         if is_recovery_observable {
@@ -178,7 +178,7 @@
 
     /// Returns the latest observed load of an engine, decayed towards the load of all engines.
     fn decayed_load(&self, engine: &Engine) -> Load {
-        let baseline = self.load_level.min(self.admission_threshold());
+        let baseline = self.load_level.min(self.overload_threshold());
         engine.load.decayed(baseline, self.now)
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -77,7 +77,7 @@
         let now = attempt.sent_at;
         if self.in_flight.is_empty() {
             // The silence of an idle engine does not count against it.
-            self.health.record_response(now);
+            self.health.record_activity(now);
         }
         self.health.extend_ejection(now);
         self.recent_sends.record(now, work);
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -13,7 +13,7 @@
 pub(crate) struct EngineHealth {
     /// Exponentially weighted moving average; 1: all attempts fail.
     failure_rate: f64,
-    last_response_at: Micros,
+    last_active_at: Micros,
     /// End of the ejection as an outlier. After it, the engine gets one trial request at a time.
     ejected_until: Option<Micros>,
 }
@@ -22,28 +22,28 @@
     pub(crate) fn new(now: Micros) -> Self {
         EngineHealth {
             failure_rate: 0.0,
-            last_response_at: now,
+            last_active_at: now,
             ejected_until: None,
         }
     }
 
     /// Records that the engine sent a rejection or a progress event, or that it has no attempt in flight.
-    pub(crate) fn record_response(&mut self, now: Micros) {
-        self.last_response_at = now;
+    pub(crate) fn record_activity(&mut self, now: Micros) {
+        self.last_active_at = now;
     }
 
-    pub(crate) fn last_response_at(&self) -> Micros {
-        self.last_response_at
+    pub(crate) fn last_active_at(&self) -> Micros {
+        self.last_active_at
     }
 
     /// Excludes `duration` from the engine's silence.
     pub(crate) fn exclude_from_silence(&mut self, duration: Micros, now: Micros) {
-        self.last_response_at = now.min(self.last_response_at + duration);
+        self.last_active_at = now.min(self.last_active_at + duration);
     }
 
     /// Counts a success. The ejection ends once the failure rate is low enough.
     pub(crate) fn record_success(&mut self, now: Micros) {
-        self.last_response_at = now;
+        self.last_active_at = now;
         self.failure_rate *= 1.0 - FAILURE_WEIGHT;
         self.end_ejection_if_healthy();
     }
@@ -82,7 +82,7 @@
 
     /// Returns whether the engine may be sent a request. After the ejection time, an ejected engine gets a trial
     /// request, which must be idempotent.
-    pub(crate) fn admits(&self, is_idempotent: bool, now: Micros) -> bool {
+    pub(crate) fn may_receive(&self, is_idempotent: bool, now: Micros) -> bool {
         self.ejected_until
             .is_none_or(|until| until <= now && is_idempotent)
     }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engines;
 use crate::interface::{EngineId, Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
-use crate::rendezvous::rendezvous_hash;
+use crate::rendezvous::salted_hash;
 
 /// Interval between checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
@@ -68,5 +68,5 @@
 pub(crate) fn choose_engine(engines: &Engines, salt: u64) -> Option<EngineId> {
     let up = engines.iter().filter(|(_, engine)| engine.is_up());
     up.map(|(id, _)| *id)
-        .min_by_key(|id| rendezvous_hash(salt, *id))
+        .min_by_key(|id| salted_hash(salt, *id))
 }
--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -6,16 +6,16 @@
 
 /// Maximum number of requests per hold that housekeeping returns to their queues at once. It bounds the work of one
 /// batch.
-const MAX_UNBLOCKED_PER_HOLD: u32 = 64;
+const MAX_RELEASED_PER_HOLD: u32 = 64;
 
 /// Properties of a request that a hold can target.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HoldTargets {
+pub(crate) struct StatementProperties {
     pub(crate) kind: Option<u64>,
     pub(crate) group: Option<u64>,
 }
 
-impl HoldTargets {
+impl StatementProperties {
     fn iter(self) -> impl Iterator<Item = HoldTarget> {
         [
             self.kind.map(HoldTarget::Kind),
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(crate) struct Holds {
     holds: BTreeMap<HoldTarget, HoldState>,
-    blocked: BTreeSet<RequestId>,
+    held: BTreeSet<RequestId>,
 }
 
 impl Holds {
@@ -58,29 +58,32 @@
     }
 
     /// Returns the holds that cover a request.
-    fn covering(&self, targets: HoldTargets) -> impl Iterator<Item = &HoldState> {
-        targets.iter().filter_map(|target| self.holds.get(&target))
+    fn covering(&self, properties: StatementProperties) -> impl Iterator<Item = &HoldState> {
+        properties
+            .iter()
+            .filter_map(|target| self.holds.get(&target))
     }
 
-    pub(crate) fn covers(&self, targets: HoldTargets) -> bool {
-        self.covering(targets).next().is_some()
+    pub(crate) fn covers(&self, properties: StatementProperties) -> bool {
+        self.covering(properties).next().is_some()
     }
 
-    pub(crate) fn is_low_priority(&self, targets: HoldTargets) -> bool {
-        self.covering(targets).any(|state| state.hold.low_priority)
+    pub(crate) fn is_low_priority(&self, properties: StatementProperties) -> bool {
+        self.covering(properties)
+            .any(|state| state.hold.low_priority)
     }
 
     /// Returns whether all holds that cover a request permit another attempt at an engine.
-    pub(crate) fn has_slot(&self, targets: HoldTargets, engine: EngineId) -> bool {
-        self.covering(targets).all(|state| {
+    pub(crate) fn has_slot(&self, properties: StatementProperties, engine: EngineId) -> bool {
+        self.covering(properties).all(|state| {
             state.in_flight < state.hold.max_in_flight
                 && !state.hold.excluded_engines.contains(&engine)
         })
     }
 
     /// Counts a sent attempt.
-    pub(crate) fn record_send(&mut self, targets: HoldTargets) {
-        for target in targets.iter() {
+    pub(crate) fn record_send(&mut self, properties: StatementProperties) {
+        for target in properties.iter() {
             if let Some(state) = self.holds.get_mut(&target) {
                 state.in_flight += 1;
             }
@@ -88,58 +91,58 @@
     }
 
     /// Counts the outcome of an attempt.
-    pub(crate) fn record_outcome(&mut self, targets: HoldTargets) {
-        for target in targets.iter() {
+    pub(crate) fn record_outcome(&mut self, properties: StatementProperties) {
+        for target in properties.iter() {
             if let Some(state) = self.holds.get_mut(&target) {
                 state.in_flight = state.in_flight.saturating_sub(1);
             }
         }
     }
 
-    pub(crate) fn block(&mut self, request: RequestId) {
-        self.blocked.insert(request);
+    pub(crate) fn add_held(&mut self, request: RequestId) {
+        self.held.insert(request);
     }
 
-    pub(crate) fn unblock(&mut self, request: RequestId) {
-        self.blocked.remove(&request);
+    pub(crate) fn remove_held(&mut self, request: RequestId) {
+        self.held.remove(&request);
     }
 
     /// Removes and returns the blocked requests that can be queued again: for each hold, as many as it has free slots,
-    /// but at most [`MAX_UNBLOCKED_PER_HOLD`].
-    pub(crate) fn take_unblocked(
+    /// but at most [`MAX_RELEASED_PER_HOLD`].
+    pub(crate) fn take_releasable(
         &mut self,
-        targets_of: impl Fn(RequestId) -> Option<HoldTargets>,
+        properties_of: impl Fn(RequestId) -> Option<StatementProperties>,
     ) -> Vec<RequestId> {
         let free_slots = |state: &HoldState| {
             state
                 .hold
                 .max_in_flight
                 .saturating_sub(state.in_flight)
-                .min(MAX_UNBLOCKED_PER_HOLD)
+                .min(MAX_RELEASED_PER_HOLD)
         };
         let mut slots: BTreeMap<HoldTarget, u32> = self
             .holds
             .iter()
             .map(|(target, state)| (*target, free_slots(state)))
             .collect();
-        let mut unblocked = Vec::new();
-        for id in &self.blocked {
-            let Some(targets) = targets_of(*id) else {
+        let mut released = Vec::new();
+        for id in &self.held {
+            let Some(properties) = properties_of(*id) else {
                 continue;
             };
             let has_slot = |target: HoldTarget| slots.get(&target).is_none_or(|free| *free > 0);
-            if targets.iter().all(has_slot) {
-                for target in targets.iter() {
+            if properties.iter().all(has_slot) {
+                for target in properties.iter() {
                     if let Some(free) = slots.get_mut(&target) {
                         *free -= 1;
                     }
                 }
-                unblocked.push(*id);
+                released.push(*id);
             }
         }
-        for id in &unblocked {
-            self.blocked.remove(id);
+        for id in &released {
+            self.held.remove(id);
         }
-        unblocked
+        released
     }
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -23,7 +23,7 @@
 
 /// Returns whether an engine would recognise a retry of a request as a duplicate, if its class uses idempotency keys.
 /// On another engine, the request could run twice.
-pub(crate) fn deduplicates_retry(
+pub(crate) fn is_within_deduplication_scope(
     idempotency: Idempotency,
     possible_run: Option<PossibleRun>,
     entry: &EndpointEntry,
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -39,7 +39,7 @@
     /// Time since the attempt was sent.
     pub(crate) running_for: Micros,
     /// Whether the request may be sent again.
-    pub(crate) may_retry: bool,
+    pub(crate) may_cancel_for_retry: bool,
 }
 
 /// Memory grant of a request.
@@ -87,7 +87,7 @@
         let can_grow = self.granted_mb > 0.0 && self.granted_mb < max_grant_mb;
         let is_early = report.running_for < EARLY_SPILL_TIME;
         let is_worth_a_retry = can_grow && is_early && is_plausible(report.missing_mb);
-        if !report.may_retry || self.has_cancelled || !is_worth_a_retry {
+        if !report.may_cancel_for_retry || self.has_cancelled || !is_worth_a_retry {
             return ProgressDecision::Continue;
         }
         self.has_cancelled = true;
--- a/crates/policy/src/ordering_key.rs
+++ b/crates/policy/src/ordering_key.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Removes a completed request. After the key's pause, [`Self::take_runnable`] returns the key's next request.
+    /// Removes a completed request. After the key's pause, [`Self::runnable_requests`] returns the key's next request.
     pub(crate) fn remove(&mut self, key: KeyId, request: RequestId) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.requests.retain(|other| *other != request);
@@ -41,7 +41,7 @@
 
     /// Returns the first request of each key that is not paused. Discards keys that have no requests and are not
     /// paused.
-    pub(crate) fn take_runnable(&mut self, now: Micros) -> Vec<RequestId> {
+    pub(crate) fn runnable_requests(&mut self, now: Micros) -> Vec<RequestId> {
         self.queues
             .retain(|_, queue| !queue.requests.is_empty() || queue.paused_until > now);
         let runnable = self
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -86,7 +86,7 @@
 /// Lowers the concurrency limit of an engine that has rejected an attempt. Otherwise endpoint selection would prefer
 /// the engine, because rejections leave it with few queries of this gateway.
 fn record_rejection(engine: &mut Engine, settings: &Settings, now: Micros) {
-    engine.health.record_response(now);
+    engine.health.record_activity(now);
     let own_threads = engine.own_threads(&settings.classes);
     engine
         .limit
@@ -119,7 +119,7 @@
     let is_silent = |engine: &Engine| {
         let health: &EngineHealth = &engine.health;
         !health.is_ejected()
-            && now - health.last_response_at() > MIN_SILENCE
+            && now - health.last_active_at() > MIN_SILENCE
             && engine
                 .in_flight()
                 .iter()
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::class_queue::QueueEntry;
-use crate::hold::HoldTargets;
+use crate::hold::StatementProperties;
 use crate::interface::{KeyId, Micros, RequestId};
 use crate::memory_grant::MemoryGrant;
 use crate::outlier_detection::RequestFailures;
@@ -17,9 +17,9 @@
     /// Deadline, at which the client gives up.
     pub(crate) valid_until: Micros,
     /// Estimated time at which the client first sent the request.
-    pub(crate) started_at: Micros,
+    pub(crate) first_sent_at: Micros,
     pub(crate) arrived_at: Micros,
-    pub(crate) hold_targets: HoldTargets,
+    pub(crate) properties: StatementProperties,
     /// Entry in the class queue while the request is queued.
     pub(crate) queue_entry: Option<QueueEntry>,
     pub(crate) attempts: AttemptHistory,
@@ -63,7 +63,7 @@
     }
 
     /// Returns the number of requests that have no final response and have not expired.
-    pub(crate) fn waiting_count(&self) -> usize {
+    pub(crate) fn pending_count(&self) -> usize {
         self.deadlines.len()
     }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -85,16 +85,16 @@
     }
 }
 
-/// Times of the admissions and retries within the retry budget window, oldest first.
+/// Times of the arrivals and retries within the retry budget window, oldest first.
 #[derive(Default)]
 pub(crate) struct RetryUsage {
-    admissions: VecDeque<Micros>,
+    arrivals: VecDeque<Micros>,
     retries: VecDeque<Micros>,
 }
 
 impl RetryUsage {
-    pub(crate) fn record_admission(&mut self, now: Micros) {
-        self.admissions.push_back(now);
+    pub(crate) fn record_arrival(&mut self, now: Micros) {
+        self.arrivals.push_back(now);
     }
 
     pub(crate) fn record_retry(&mut self, now: Micros) {
@@ -105,8 +105,8 @@
     /// a retry counts but an admission does not.
     fn is_within(&self, budget: RetryBudget, now: Micros) -> bool {
         let since = now.saturating_sub(budget.window);
-        let admissions = self
-            .admissions
+        let arrivals = self
+            .arrivals
             .iter()
             .rev()
             .take_while(|at| **at > since)
@@ -117,13 +117,13 @@
             .rev()
             .take_while(|at| **at >= since)
             .count() as f64;
-        retries + 1.0 <= budget.min_retries + budget.ratio * admissions
+        retries + 1.0 <= budget.min_retries + budget.ratio * arrivals
     }
 
     /// Removes times that are older than the retry budget window.
     pub(crate) fn prune(&mut self, budget: Option<RetryBudget>, now: Micros) {
         let window = budget.map_or(0, |budget| budget.window);
-        for times in [&mut self.admissions, &mut self.retries] {
+        for times in [&mut self.arrivals, &mut self.retries] {
             while times
                 .front()
                 .is_some_and(|at| at.saturating_add(window) < now)
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -104,8 +104,8 @@
     let config = classes.config(class);
     let mean_work = classes.statistics(class).mean_work();
     let objective = config.latency_objective as f64;
-    let unloaded_run_time = mean_work / config.threads();
-    let stretch_allowance = unloaded_run_time * (config.objective_stretch - 1.0);
+    let work_per_thread = mean_work / config.threads();
+    let stretch_allowance = work_per_thread * (config.objective_stretch - 1.0);
     let wait = (objective + stretch_allowance.0).max(objective * MIN_WAIT_RATIO);
     wait * mean_work.max(Work(1.0)).0 / config.priority_weight.max(f64::MIN_POSITIVE)
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -7,7 +7,7 @@
 
 use crate::capacity::cores;
 use crate::interface::{EndpointEntry, EngineId, Micros, Rules, Settings};
-use crate::rendezvous::rendezvous_hash;
+use crate::rendezvous::salted_hash;
 use crate::units::Work;
 
 /// Used part of the work that an engine tolerates while it warms up. The rest is a margin for random bursts and slow
@@ -79,10 +79,10 @@
     let tolerated_work = rules.overload_factor * start_cores * rules.overload_window as f64;
     let equal_share = Work(SAFETY_RATIO * tolerated_work / gateways);
     let turns = (heaviest / equal_share).ceil().clamp(1.0, gateways);
-    let window_number = (now.saturating_sub(entry.ready_at) / rules.overload_window.max(1))
+    let turn_number = (now.saturating_sub(entry.ready_at) / rules.overload_window.max(1))
         .wrapping_add(settings.index.into())
-        .wrapping_add(rendezvous_hash(0, id));
-    let has_turn = window_number.is_multiple_of(turns as u64);
+        .wrapping_add(salted_hash(0, id));
+    let has_turn = turn_number.is_multiple_of(turns as u64);
     let sent = recent_sends.work_since(now.saturating_sub(rules.overload_window));
     has_turn && sent + work <= equal_share * turns
 }
