--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -6,11 +6,11 @@
 use crate::request::{Request, RequestTable};
 use crate::units::RunTime;
 
-/// Part of the priority weight that a late response must still count with; otherwise late requests are shed.
+/// Fraction of the priority weight that a late response must still count with; otherwise late requests are shed.
 const MIN_LATE_WEIGHT_RATIO: f64 = 0.2;
-/// Part of the maximum number of open requests above which late requests are shed.
+/// Fraction of the maximum number of open requests above which late requests are shed.
 const MAX_OPEN_RATIO: f64 = 0.7;
-/// Part of the latency objective that a request may wait before it is late, regardless of its class's run times.
+/// Fraction of the latency objective that a request may wait before it is late, regardless of its class's run times.
 const MIN_SLACK_RATIO: f64 = 0.4;
 
 /// Decision on a request that would wait for a slot.
@@ -43,21 +43,23 @@
     }
 }
 
-/// Returns the latest start that meets the objective, assuming the class's current mean run time.
+/// Returns the time after which a request counts as late: the latest start that meets the objective at the class's mean
+/// run time, less one mean run time in reserve, but at least [`MIN_SLACK_RATIO`] of the objective after the client
+/// first sent the request.
 fn latest_start(first_sent_at: Micros, class: &Class, statistics: &ClassStatistics) -> Micros {
     let objective = class.latency_objective as f64;
     let threads = class.threads();
     let mean_work = statistics.mean_work();
     let slowdown = (statistics.mean_run_time() * threads / mean_work).max(1.0);
-    // The allowance beyond the current mean slowdown.
+    // The stretch of the objective less the expected run time under the current slowdown.
     let stretch_allowance = mean_work * (class.objective_stretch - slowdown) / threads;
-    // One mean run time is subtracted as a reserve, since many queries run longer than the mean.
+    // One mean run time is subtracted as a reserve, since about half of the queries run longer.
     let slack = RunTime(objective) + stretch_allowance - statistics.mean_run_time();
     first_sent_at.saturating_add(slack.0.max(objective * MIN_SLACK_RATIO) as Micros)
 }
 
-/// Returns whether waiting requests occupy more than [`MAX_OPEN_RATIO`] of the connections that clients may hold.
-/// Without a free connection, clients can't send new requests.
+/// Returns whether requests without a final response occupy more than [`MAX_OPEN_RATIO`] of the connections that
+/// clients may hold. Without a free connection, clients can't send new requests.
 pub(crate) fn is_near_connection_limit(pending: usize, limits: &Limits) -> bool {
     let max = limits.max_open_requests;
     max > 0 && pending as f64 > MAX_OPEN_RATIO * max as f64
--- a/crates/policy/src/attempt_progress.rs
+++ b/crates/policy/src/attempt_progress.rs
@@ -3,9 +3,10 @@
 //!
 //! Each attempt gets a new query plan, and a bad plan occupies threads and memory for the time of many runs. A slow
 //! attempt is therefore cancelled once per request if the request can be retried in time. If a later attempt is slow
-//! too, the query itself is considered slow: the attempt continues unless all engines together are overloaded, in which
-//! case its slot could serve several other queries. A request whose attempt would not end before the client's deadline
-//! and can't be retried is abandoned, even on its first attempt and even if it is not idempotent.
+//! too, the query itself is considered slow: the attempt continues unless all engines together are overloaded. Under
+//! overload the request is abandoned, since its slot can serve several other queries. Unless the attempt is cancelled
+//! for a retry, its request is also abandoned if it would not end before the client's deadline, even on its first
+//! attempt and even if it is not idempotent.
 
 #[cfg(doc)]
 use crate::interface::Progress;
@@ -46,7 +47,8 @@
     pub(crate) mean_run_time: RunTime,
     /// Time until the client gives up.
     pub(crate) time_left: Micros,
-    /// Whether the request may be sent again.
+    /// Whether the attempt may be cancelled to retry the request: only idempotent requests with attempts left. The
+    /// retry budget is checked after the outcome.
     pub(crate) may_cancel_for_retry: bool,
     /// Whether an earlier attempt of the request was cancelled for its pace.
     pub(crate) has_cancelled: bool,
@@ -109,9 +111,9 @@
     }
 }
 
-/// Returns the time without a progress event after which an attempt counts as lost, or `None` if engines send no
-/// progress events or attempts can't be cancelled. Otherwise the client would wait until its deadline after a lost
-/// response or an undetected crash of the engine.
+/// Returns the time without a progress event after which an attempt counts as lost; `None` if engines send no progress
+/// events or attempts can't be cancelled. Cancelling lost attempts saves the client from waiting until its deadline
+/// after a lost response or an undetected crash of the engine.
 pub(crate) fn lost_after(settings: &Settings) -> Option<Micros> {
     let lost_after = (settings.progress_interval as f64 * LOST_AFTER_INTERVALS) as Micros;
     (lost_after > 0 && settings.limits.cancel).then_some(lost_after)
--- a/crates/policy/src/class_queue.rs
+++ b/crates/policy/src/class_queue.rs
@@ -4,13 +4,13 @@
 
 use crate::interface::{Micros, RequestId};
 
-/// An entry of a class queue. The fields define the order: requests that can still meet their objective come first,
-/// then requests are ordered by the latest start that meets it.
+/// An entry of a class queue. The fields define the order: requests that are not late come first, and then requests are
+/// ordered by the time after which they count as late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
-    /// Whether the request can no longer meet its latency objective.
+    /// Whether the request counted as late when it was queued.
     pub(crate) late: bool,
-    /// Latest start that meets the latency objective.
+    /// Time after which the request counts as late.
     pub(crate) start_by: Micros,
     pub(crate) request: RequestId,
 }
@@ -69,7 +69,7 @@
         self.queues.iter().any(|queue| !queue.entries.is_empty())
     }
 
-    /// Returns the first request of a class that is late, or that is not late, according to `late`.
+    /// Returns the first late request of a class if `late`, and its first request that is not late otherwise.
     pub(crate) fn first(&self, class: usize, late: bool) -> Option<RequestId> {
         let from = QueueEntry {
             late,
--- a/crates/policy/src/class_statistics.rs
+++ b/crates/policy/src/class_statistics.rs
@@ -3,19 +3,19 @@
 use crate::interface::{Class, Micros};
 use crate::units::{RunTime, Threads, Work};
 
-/// Run time assumed before the first success, as a part of the class's deadline.
+/// Run time assumed before the first success, as a fraction of the class's deadline.
 const INITIAL_RUN_TIME_RATIO: f64 = 0.1;
 /// Weight of a new sample in the means once there are enough samples.
 const MIN_SAMPLE_WEIGHT: f64 = 0.03;
-/// Weight of a new sample above which the means rest on too few samples for their minimum to count as the unloaded run
-/// time.
+/// While a new sample weighs more than this (fewer than eight samples), the unloaded run time follows the mean instead
+/// of its minimum.
 const FEW_SAMPLES_WEIGHT: f64 = 0.125;
 
 /// Statistics of a class.
 pub(crate) struct ClassStatistics {
     mean_work: Work,
     mean_run_time: RunTime,
-    /// Minimum of the mean run time so far.
+    /// Minimum of the mean run time since there were enough samples.
     unloaded_run_time: RunTime,
     /// Number of samples, as a float because it is only used as a weight.
     samples: f64,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -9,15 +9,16 @@
 use crate::load::FULL_SLOWDOWN;
 use crate::units::{RunTime, Threads, Work};
 
-/// Part of the fair share by which a limit grows in a control period, at least by one thread.
+/// Fraction of the fair share by which a limit grows in a control period, at least by one thread.
 const GROWTH_RATIO: f64 = 0.3;
 /// Maximum limit, in fair shares.
 pub(crate) const MAX_FAIR_SHARES: f64 = 3.0;
 /// Factor by which the limit of a slowed-down engine shrinks.
 const BACKOFF_FACTOR: f64 = 0.8;
-/// Weight of a new report in the average of the threads used by other gateways.
+/// Weight of both the new report and the previous value in the average of the threads used by other gateways. Must be
+/// 0.5.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Part of the responses that must meet their objective for limits to grow.
+/// Fraction of the responses that must meet their objective for limits to grow.
 const MIN_ON_TIME_RATIO: f64 = 0.8;
 
 /// The concurrency limit of one engine.
@@ -51,10 +52,11 @@
 
     /// Returns the number of threads that this gateway may use at an engine of this capacity.
     ///
-    /// Equal shares are too small for a busy gateway and, with many gateways, add up to more than the capacity. If
-    /// engines report their queries in flight, this gateway may use the capacity that others leave, but at least half
-    /// its fair share. That is enough for one query, whose response brings the next report. A report stays valid until
-    /// the next one, since a full engine without a report would look idle.
+    /// Fair shares are too small for a busy gateway. With many gateways they add up to more than the capacity, because
+    /// each has space for at least [`MIN_FAIR_SHARE_QUERIES`]. If engines report their queries in flight, this gateway
+    /// may use the capacity that others leave, but at least half its fair share. That is enough for one query, whose
+    /// response brings the next report. A report stays valid until the next one, since a full engine without a report
+    /// would look idle.
     pub(crate) fn threads(&self, capacity: Threads) -> Threads {
         let Some(other_threads) = self.other_threads else {
             return self.limit;
@@ -77,8 +79,8 @@
     }
 
     /// Lowers the limit to the threads in flight, but at least to one query of any class, after the engine has rejected
-    /// an attempt. It applies until the end of the control period. It has no effect if load reports tell how many
-    /// threads other gateways use, since [`threads`](Self::threads) does not use the limit then.
+    /// an attempt as full. It applies until the end of the control period. It has no effect if load reports tell how
+    /// many threads other gateways use, since [`threads`](Self::threads) does not use the limit then.
     pub(crate) fn reduce_to(&mut self, own_threads: Threads, max_class_threads: Threads) {
         self.limit = own_threads.max(max_class_threads);
     }
--- a/crates/policy/src/congestion_window.rs
+++ b/crates/policy/src/congestion_window.rs
@@ -11,12 +11,12 @@
 use crate::load::{LoadLevel, has_load_feedback};
 use crate::units::Threads;
 
-/// Part of the used window by which the window shrinks per unit of load level above 1.
+/// Fraction of the used window by which the window shrinks per unit of load level above 1.
 const BACKOFF_RATIO: f64 = 0.2;
 /// Minimum window if only run times reflect the load, in queries of the class with the most threads; otherwise it is
-/// one query.
+/// one query. Below one query, a class pauses between its queries.
 const MIN_QUERIES_WITHOUT_FEEDBACK: f64 = 0.125;
-/// Part of the window that late requests may fill.
+/// Fraction of the window that late requests may fill.
 const LATE_RATIO: f64 = 0.5;
 /// The window grows only if fewer than this many further queries of the class fit into it.
 const GROWTH_HEADROOM_QUERIES: f64 = 2.0;
@@ -27,7 +27,7 @@
     size: Threads,
     /// This gateway's threads in flight, by class.
     in_flight: Vec<Threads>,
-    /// End of the pause of each class whose queries are wider than the window.
+    /// End of the pause of each class whose queries use more threads than the window.
     paused_until: Vec<Micros>,
 }
 
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Returns whether a query of a class fits into the window. A query that is not late always fits while no query of
-    /// a class with equal or higher weight per work is in flight. Late queries use at most [`LATE_RATIO`] of the
-    /// window. No query fits during the pause of its class.
+    /// Returns whether a query of a class fits into the window. During the pause of its class, no query fits.
+    /// Otherwise, a query that is not late fits while no query of a class with equal or higher weight per work is in
+    /// flight, and late queries use at most [`LATE_RATIO`] of the window.
     pub(crate) fn fits(&self, classes: Classes, class: usize, late: bool, now: Micros) -> bool {
         let competing = self.competing_threads(classes, class);
         let limit = self.size * if late { LATE_RATIO } else { 1.0 };
@@ -100,7 +100,7 @@
         fits && now >= self.paused_until[class]
     }
 
-    /// Updates the window after an outcome of a class that reflects the load of all engines.
+    /// Updates the window after an outcome that reflects the load of all engines. `class` is the class of its request.
     pub(crate) fn update(
         &mut self,
         classes: Classes,
@@ -133,8 +133,8 @@
         self.size = (used * (1.0 - BACKOFF_RATIO * (load_level.get().0 - 1.0))).max(min);
     }
 
-    /// Pauses a class whose queries are wider than the window, because one query from each of many gateways is too much
-    /// then. The pause keeps the mean usage within the window.
+    /// Pauses a class whose queries use more threads than the window, because one query from each of many gateways is
+    /// too much then. The pause keeps the mean usage within the window.
     fn pause_class(&mut self, classes: Classes, class: usize, now: Micros) {
         let queries_over_window = classes.config(class).threads() / self.size - 1.0;
         let pause = classes.statistics(class).mean_run_time() * queries_over_window.max(0.0);
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -4,8 +4,8 @@
 //! slot of an engine to a class, a PI loop tunes the odds of the draw, and the request is sent to the engine with the
 //! fewest queries of this gateway. All other code guards against failures and enforces the service rules.
 //!
-//! The controller only orders the steps and passes its input to each rule. Each rule has a module of its own, with its
-//! state and constants.
+//! The controller only orders the steps and passes its input to each mechanism. Each mechanism has a module of its own,
+//! with its state and constants.
 
 mod attempts;
 mod dispatch;
--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends, abandons or blocks the head of a queue. Returns `false` if it stays because no engine is eligible.
+    /// Sends, abandons or holds back the head of a queue. Returns `false` if it stays because no engine is eligible.
     fn try_dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
--- a/crates/policy/src/controller/housekeeping.rs
+++ b/crates/policy/src/controller/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic housekeeping: windows, ordering keys, deadlines, late and blocked requests, lost attempts, silent engines,
+//! Periodic housekeeping: windows, ordering keys, deadlines, late and held requests, lost attempts, silent engines,
 //! and the subscription to the endpoint list.
 
 use super::Controller;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Queues blocked requests whose holds have free slots.
+    /// Queues held requests whose holds have free slots.
     fn requeue_released(&mut self, out: &mut Vec<Action>) {
         let requests = &self.requests;
         let properties_of = |id| requests.get(id).map(|request| request.properties);
--- a/crates/policy/src/controller/requests.rs
+++ b/crates/policy/src/controller/requests.rs
@@ -28,7 +28,8 @@
 
     fn new_request(&self, arrival: &Arrival) -> Request {
         let class = &self.settings.classes[arrival.class];
-        // The deadline covers the client's first request and its retries.
+        // The deadline covers the client's first request and its retries, so the first request was sent this long
+        // before the deadline.
         let first_sent_at = arrival
             .valid_until
             .saturating_sub(class.deadline)
@@ -100,7 +101,7 @@
         is_near_connection_limit(self.requests.pending_count(), &self.settings.limits)
     }
 
-    /// Removes a request from its class queue, or from the requests blocked by holds.
+    /// Removes a request from its class queue, or from the requests held back by holds.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         self.holds.remove_held(id);
         if let Some(request) = self.requests.get_mut(id)
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -16,7 +16,8 @@
     now: Micros,
 ) {
     if scope != ListScope::Changes {
-        // An engine that is missing from a complete list is removed: sending to it would break the rule on draining.
+        // An engine that is missing from a complete list is removed: sending to it would break the service rule on
+        // draining and removed engines.
         for engine in engines.values_mut() {
             engine.entry.readiness = Readiness::Removed;
         }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -14,9 +14,9 @@
 
 /// Load at which an engine is full.
 const FULL_LOAD: Load = Load(1.0);
-/// Margin above the admission threshold beyond which an engine gets no requests.
+/// Margin above the overload threshold beyond which an engine gets no requests.
 const OVERLOAD_MARGIN: Load = Load(0.25);
-/// Number of engines per home engine of a table group.
+/// On average, one of this many engines is a home engine of a table group.
 const ENGINES_PER_HOME: u64 = 4;
 /// Load that is added to an engine in the comparison if the request is misplaced there.
 const MISPLACED_LOAD_PENALTY: Load = Load(0.25);
@@ -162,7 +162,7 @@
         self.settings.classes.iter().any(|class| class.locks_group) && is_home == locks_group
     }
 
-    /// Returns the admission threshold. While the congestion window is enforced, engines whose load exceeds it by more
+    /// Returns the overload threshold. While the congestion window is enforced, engines whose load exceeds it by more
     /// than [`OVERLOAD_MARGIN`] get no requests. The threshold is full load if a health check can show that an engine
     /// has capacity again. Otherwise it is at least the mean load of all engines, since a lower one could leave no
     /// engine eligible.
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Returns the latest observed load of an engine, decayed towards the load of all engines.
+    /// Returns the latest observed load of an engine, decayed towards the load of all engines but at most towards the
+    /// overload threshold, so that an overloaded engine becomes eligible again.
     fn decayed_load(&self, engine: &Engine) -> Load {
         let baseline = self.load_level.min(self.overload_threshold());
         engine.load.decayed(baseline, self.now)
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! State of an engine: its endpoint list entry, its attempts in flight, and the state kept by each rule.
+//! State of an engine: its endpoint list entry, its attempts in flight, and the state kept by each mechanism.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,8 @@
     }
 
     /// Resets the state after the engine's process has restarted: the new process warms up again, and observations of
-    /// the previous one don't apply to it. Attempts and recent sends are kept because their outcomes are still pending.
+    /// the previous one don't apply to it. Attempts are kept because their outcomes are pending, and recent sends
+    /// because they count against the slow-start budget.
     pub(crate) fn reset_for_new_process(
         &mut self,
         entry: &EndpointEntry,
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -1,4 +1,4 @@
-//! Health of an engine: its failure rate, the time of its latest response, and its ejection.
+//! Health of an engine: its failure rate, the time of its latest activity, and its ejection.
 
 use crate::interface::Micros;
 
@@ -13,6 +13,7 @@
 pub(crate) struct EngineHealth {
     /// Exponentially weighted moving average; 1: all attempts fail.
     failure_rate: f64,
+    /// Time of the latest success, rejection or progress event, or when an attempt was sent to the idle engine.
     last_active_at: Micros,
     /// End of the ejection as an outlier. After it, the engine gets one trial request at a time.
     ejected_until: Option<Micros>,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Records that the engine sent a rejection or a progress event, or that it has no attempt in flight.
+    /// Records a rejection, a progress event, or that the engine was idle until now.
     pub(crate) fn record_activity(&mut self, now: Micros) {
         self.last_active_at = now;
     }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -8,7 +8,7 @@
 
 /// Interval between checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
-/// Cost (unit: [`Settings::health_check_cost`]) up to which every send triggers a check. Above it, checks are
+/// Cost (unit: [`Settings::health_check_cost`]) up to which a check for every send is worthwhile. Above it, checks are
 /// proportionally rarer.
 const FULL_RATE_COST: f64 = 0.01;
 
--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -1,14 +1,13 @@
-//! Holds: limits on the requests of a statement kind or a table group, and the requests blocked by them.
+//! Holds: limits on the requests of a statement kind or a table group, and the requests held back by them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{EngineId, Hold, HoldTarget, RequestId};
 
-/// Maximum number of requests per hold that housekeeping returns to their queues at once. It bounds the work of one
-/// batch.
+/// Maximum number of requests that housekeeping releases at once per hold in effect. It bounds the work of one batch.
 const MAX_RELEASED_PER_HOLD: u32 = 64;
 
-/// Properties of a request that a hold can target.
+/// Properties of a request's statement, which holds can target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatementProperties {
     pub(crate) kind: Option<u64>,
@@ -36,8 +35,8 @@
     in_flight: u32,
 }
 
-/// The holds in effect, and the requests that they block. Blocked requests are kept apart from the class queues so that
-/// no other request waits behind them.
+/// The holds in effect, and the requests that they hold back. Held requests are kept apart from the class queues so
+/// that no other request waits behind them.
 #[derive(Default)]
 pub(crate) struct Holds {
     holds: BTreeMap<HoldTarget, HoldState>,
@@ -107,8 +106,8 @@
         self.held.remove(&request);
     }
 
-    /// Removes and returns the blocked requests that can be queued again: for each hold, as many as it has free slots,
-    /// but at most [`MAX_RELEASED_PER_HOLD`].
+    /// Removes and returns the held requests that can be queued again: for each hold in effect, as many as it has free
+    /// slots but at most [`MAX_RELEASED_PER_HOLD`], and all requests that no hold covers any more.
     pub(crate) fn take_releasable(
         &mut self,
         properties_of: impl Fn(RequestId) -> Option<StatementProperties>,
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Returns whether an engine would recognise a retry of a request as a duplicate, if its class uses idempotency keys.
-/// On another engine, the request could run twice.
+/// Returns whether a request may be sent to an engine as far as idempotency keys are concerned. A request with a key
+/// that may have run may only be sent to engines that recognise the key; elsewhere it could run twice.
 pub(crate) fn is_within_deduplication_scope(
     idempotency: Idempotency,
     possible_run: Option<PossibleRun>,
@@ -45,7 +45,7 @@
 }
 
 /// Returns whether the client can retry an abandoned request without repeating its effects. `never_ran` tells that
-/// certainly no attempt has run.
+/// certainly no attempt has run. The window of an idempotency key is not considered.
 pub(crate) fn is_client_retry_safe(idempotency: Idempotency, never_ran: bool) -> bool {
     match idempotency {
         Idempotency::Idempotent
@@ -57,9 +57,9 @@
     }
 }
 
-/// Returns whether a request that is not idempotent would probably reach its deadline while it runs. It would then be
-/// unknown whether the request has run, and someone would have to find out. If it is rejected unsent, the client can
-/// retry.
+/// Returns whether a request that is not idempotent would probably reach its deadline while it runs, because less than
+/// one mean run time is left. It would then be unknown whether the request has run, and someone would have to find out.
+/// If it is rejected unsent, the client can retry. Nothing is rejected before the class's first success.
 pub(crate) fn risks_unknown_result(
     idempotency: Idempotency,
     statistics: &ClassStatistics,
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -24,7 +24,7 @@
     pub zone: Option<usize>,
     /// Its machine kind, if known.
     pub kind: Option<usize>,
-    /// Its cell.
+    /// The cell of engines that it belongs to, a possible scope of idempotency keys.
     pub cell: u64,
     /// Time of its latest start; 0: it has been running for long.
     pub ready_at: Micros,
@@ -52,7 +52,7 @@
     Succeeded,
     /// The engine returned an error; the request may have run.
     ErrorResponse,
-    /// The engine rejected the request without reading it; it did not run.
+    /// The engine rejected the request as full, without reading it; it did not run.
     Rejected,
     /// No response in time; the request may have run or may still be running.
     TimedOut,
@@ -86,9 +86,9 @@
 pub struct LoadReport {
     /// Queries that the engine is running, from all gateways.
     pub in_flight: Option<f64>,
-    /// Granted part of the engine's memory.
+    /// Granted fraction of the engine's memory.
     pub memory: Option<f64>,
-    /// Busy part of the engine's cores.
+    /// Busy fraction of the engine's cores.
     pub cpu: Option<f64>,
 }
 
@@ -132,7 +132,7 @@
 pub struct Hold {
     /// The requests covered.
     pub target: HoldTarget,
-    /// Maximum number of attempts in flight at once.
+    /// Maximum number of this gateway's attempts in flight at once; `u32::MAX`: no limit.
     pub max_in_flight: u32,
     /// Engines to which none of these requests are sent.
     pub excluded_engines: Vec<EngineId>,
@@ -175,7 +175,7 @@
     Completed(f64),
     /// The query spills to disk because it lacks this much memory, in MB.
     Spilling(f64),
-    /// The query is blocked, waiting for memory or for a load statement.
+    /// The query is blocked inside the engine, waiting for memory or for a load statement.
     Blocked,
 }
 
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -1,6 +1,6 @@
 //! Time and identifiers used by settings, events and actions.
 
-/// Time in whole microseconds on the host's clock, which is monotonic.
+/// Point in time on the host's monotonic clock, or a duration, in whole microseconds.
 pub type Micros = u64;
 
 /// Identifier of a request, assigned by the host and never reused.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -36,15 +36,15 @@
 pub struct Class {
     /// Latency objective: a response within this time counts with the full priority weight.
     pub latency_objective: Micros,
-    /// Factor by which the query's actual work per thread extends the objective.
+    /// The objective grows by this factor times the query's actual work per thread.
     pub objective_stretch: f64,
-    /// Time after which a client gives up, including its retries.
+    /// Time limit, after which a client gives up. It includes the client's retries.
     pub deadline: Micros,
     /// Conditions under which its requests may be retried.
     pub idempotency: Idempotency,
     /// Whether requests with the same ordering key run one at a time, in order.
     pub ordered_by_key: bool,
-    /// Part of the priority weight that a response after the objective still counts with.
+    /// Fraction of the priority weight that a response after the objective still counts with.
     pub late_weight_ratio: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
@@ -74,7 +74,7 @@
     Subscribe,
 }
 
-/// Limits and features of the host.
+/// Limits and capabilities of the clients, the host and the engines.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum number of attempts per request.
@@ -100,16 +100,16 @@
 pub struct RetryBudget {
     /// Retries permitted in the window regardless of traffic.
     pub min_retries: f64,
-    /// Retries permitted per admitted request.
+    /// Retries permitted per arrived request.
     pub ratio: f64,
-    /// Window over which retries and admitted requests are counted.
+    /// Window over which retries and arrived requests are counted.
     pub window: Micros,
 }
 
-/// Parameters of the service rules.
+/// Parameters of the service rules, which the crate documentation lists.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Lower bound of an engine's capacity at its start, as a part of its full capacity.
+    /// Lower bound of an engine's capacity at its start, as a fraction of its full capacity.
     pub start_capacity: f64,
     /// Slow start: time after which an engine has its full capacity.
     pub slow_start_window: Micros,
@@ -138,7 +138,8 @@
     pub classes: Vec<Class>,
     /// Number of cores of each machine kind; events refer to kinds by position.
     pub cores: Vec<f64>,
-    /// Quota of each tenant, as a part of the service; events refer to tenants by position. No decision uses it yet.
+    /// Quota of each tenant, as a fraction of the service; events refer to tenants by position. No decision uses it
+    /// yet.
     pub tenant_quotas: Vec<f64>,
     /// Weight of a request beyond its tenant's quota, relative to one within it. No decision uses it yet.
     pub over_quota_weight: f64,
@@ -155,14 +156,14 @@
     pub reports_in_flight: bool,
     /// Whether responses contain the work of the query.
     pub reports_work: bool,
-    /// Cost of sending a health check with every request, as a part of the service's goal (the share of priority weight
-    /// that is served within the objective); 0: free.
+    /// Cost of sending a health check with every request, as a fraction of the service's goal (the share of priority
+    /// weight that is served within the objective); 0: free.
     pub health_check_cost: f64,
     /// Whether clients mark their retries. No decision uses it: a marked retry is always trusted.
     pub clients_mark_retries: bool,
     /// Way in which changes of the endpoint list are reported.
     pub discovery: Discovery,
-    /// Limits and features of the host.
+    /// Limits and capabilities of the clients, the host and the engines.
     pub limits: Limits,
     /// Parameters of the service rules.
     pub rules: Rules,
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -13,11 +13,11 @@
 const FULL_SLOWDOWN_WITHOUT_FEEDBACK: f64 = 1.2;
 /// Load level before the first response.
 const INITIAL_LOAD_LEVEL: Load = Load(0.5);
-/// Maximum load observed from one outcome, and the load observed from a failure.
+/// Maximum load observed from one outcome or health check, and the load observed from a failure.
 const MAX_OBSERVED_LOAD: Load = Load(1.6);
 /// Weight of one observation in the load level.
 const LOAD_LEVEL_WEIGHT: f64 = 0.2;
-/// Part of busy cores from which a CPU report is ignored, because it does not tell how much more work is waiting.
+/// Fraction of busy cores from which a CPU report is ignored, because it does not tell how much more work is waiting.
 const MAX_INFORMATIVE_CPU: f64 = 0.9;
 /// Time constant of the decay of an engine's observed load. With too fast a decay, single queries from many gateways
 /// keep an engine that is short of memory from recovering.
@@ -89,10 +89,11 @@
     mean_threads: Threads,
 ) -> Option<Load> {
     let usable = |value: Option<f64>| value.filter(|value| is_plausible(*value));
-    // An engine that is short of memory is slow while its cores are idle: full memory counts like full cores.
+    // An engine that is short of memory is slow while its cores are idle, so full memory counts as a full engine.
     let memory = Load(usable(report.memory).unwrap_or(0.0));
     let threads = usable(report.in_flight).map(|queries| mean_threads * queries);
     let by_threads = threads.map(|threads| Load(threads / capacity).max(memory));
+    // Busy cores mean at least one thread per core.
     let cpu = usable(report.cpu).filter(|cpu| *cpu < MAX_INFORMATIVE_CPU);
     by_threads.or(cpu.map(|cpu| Load(cpu / THREADS_PER_CORE)))
 }
@@ -123,7 +124,12 @@
         AttemptStatus::TimedOut if had_short_time_limit => None,
         AttemptStatus::NotSent => None,
         // A failing engine looks idle: its report must not attract more requests.
-        _ => Some(MAX_OBSERVED_LOAD),
+        AttemptStatus::ErrorResponse
+        | AttemptStatus::Rejected
+        | AttemptStatus::TimedOut
+        | AttemptStatus::ConnectFailed
+        | AttemptStatus::ConnectionReset
+        | AttemptStatus::Cancelled => Some(MAX_OBSERVED_LOAD),
     }
 }
 
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -6,15 +6,15 @@
 use crate::intervals::HOUSEKEEPING_INTERVAL;
 use crate::reported_value::{MAX_REPORTED_VALUE, is_plausible};
 
-/// Part of the estimate that a spill adds to later grants of the class.
+/// Fraction of the estimate that a spill adds to later grants of the class. Also the initial margin.
 const MARGIN_INCREASE: f64 = 0.2;
-/// Part of the estimate that a success without a spill subtracts from later grants of the class.
+/// Fraction of the estimate that a success without a spill subtracts from later grants of the class.
 const MARGIN_DECREASE: f64 = 0.02;
 /// Run time before which a spilling query has done little work, so that restarting it is cheap.
 const EARLY_SPILL_TIME: Micros = 5 * HOUSEKEEPING_INTERVAL;
 
-/// Memory that queries of a class are granted beyond their estimate, as a part of the estimate. Estimates are inexact,
-/// and a query without enough memory does its work several times over.
+/// Memory that queries of a class are granted beyond their estimate, as a fraction of the estimate. Estimates are
+/// inexact, and a query without enough memory does its work several times over.
 pub(crate) struct GrantMargin(f64);
 
 impl GrantMargin {
@@ -38,7 +38,8 @@
     pub(crate) missing_mb: f64,
     /// Time since the attempt was sent.
     pub(crate) running_for: Micros,
-    /// Whether the request may be sent again.
+    /// Whether the attempt may be cancelled to retry the request: only idempotent requests with attempts left. The
+    /// retry budget is checked after the outcome.
     pub(crate) may_cancel_for_retry: bool,
 }
 
--- a/crates/policy/src/ordering_key.rs
+++ b/crates/policy/src/ordering_key.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Returns the first request of each key that is not paused. Discards keys that have no requests and are not
-    /// paused.
+    /// Returns the first request of each key that is not paused; it may already be queued or in flight. Discards keys
+    /// that have no requests and are not paused.
     pub(crate) fn runnable_requests(&mut self, now: Micros) -> Vec<RequestId> {
         self.queues
             .retain(|_, queue| !queue.requests.is_empty() || queue.paused_until > now);
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -14,8 +14,8 @@
 /// Time without a success, rejection or progress event after which an engine with an overdue attempt is silent. Error
 /// responses and health checks don't count.
 const MIN_SILENCE: Micros = 1_000_000;
-/// Maximum part of the engines that are up that is ejected at once, but at least one engine. A fault of more engines
-/// has a common cause, against which ejection does not help.
+/// At most this fraction of the engines that are up is ejected at once, but always at least one. A fault of more
+/// engines has a common cause, against which ejection does not help.
 const MAX_EJECTED_RATIO: f64 = 0.5;
 /// Delay of this gateway's timer above which its event loop counts as stalled.
 const MIN_EVENT_LOOP_STALL: Micros = 10 * HOUSEKEEPING_INTERVAL;
@@ -31,8 +31,8 @@
 
 impl RequestFailures {
     /// Records an error response. Returns the engines whose failures must be revoked if another engine returned an
-    /// error too, since the request itself is at fault then. Otherwise such a request would get all engines ejected,
-    /// one after the other.
+    /// error too, since the request itself is at fault then. Without this, such a request would get all engines
+    /// ejected, one after the other.
     fn record_error(&mut self, engine: EngineId) -> Option<Vec<EngineId>> {
         self.failed_on_several_engines |= self.charged_engines.iter().any(|other| *other != engine);
         if self.failed_on_several_engines {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Lowers the concurrency limit of an engine that has rejected an attempt. Otherwise endpoint selection would prefer
-/// the engine, because rejections leave it with few queries of this gateway.
+/// Lowers the concurrency limit of an engine that has rejected an attempt as full. Otherwise endpoint selection would
+/// prefer the engine, because rejections leave it with few queries of this gateway.
 fn record_rejection(engine: &mut Engine, settings: &Settings, now: Micros) {
     engine.health.record_activity(now);
     let own_threads = engine.own_threads(&settings.classes);
--- a/crates/policy/src/priority.rs
+++ b/crates/policy/src/priority.rs
@@ -4,7 +4,7 @@
 const LOW_PRIORITY: u8 = 0;
 /// Priority that an engine uses for a query sent without a priority.
 pub(crate) const DEFAULT_PRIORITY: u8 = 1;
-/// Priority of the class with the highest priority weight per work.
+/// Priority of the class with the highest priority weight per work, which is preferred inside engines too.
 const HIGH_PRIORITY: u8 = 3;
 
 /// Returns the priority of a query, from 0 to 3.
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Open requests: their properties, and the state kept by each rule.
+//! Open requests: their properties, and the state kept by each mechanism.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -62,7 +62,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Returns the number of requests that have no final response and have not expired.
+    /// Returns the number of requests, queued or in flight, that have no final response and have not expired.
     pub(crate) fn pending_count(&self) -> usize {
         self.deadlines.len()
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether the budget permits another retry. The count is conservative: at exactly the start of the window,
-    /// a retry counts but an admission does not.
+    /// a retry counts but an arrival does not.
     fn is_within(&self, budget: RetryBudget, now: Micros) -> bool {
         let since = now.saturating_sub(budget.window);
         let arrivals = self
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,5 +1,5 @@
 //! Lottery scheduling: a weighted random draw selects the class that gets the next free slot. A PI loop tunes the odds
-//! so that the ratios of the mean waits follow the reference waits of the classes.
+//! so that the ratios of the mean waits follow the ratios of the classes' reference waits.
 //!
 //! Source: Pan et al., "Feedback Control-based Database Connection Management for Proportional Delay
 //! Differentiation-enabled Web Application Servers": Eq. 11 (control law), Eq. 12 (odds).
@@ -10,15 +10,16 @@
 use crate::interface::Micros;
 use crate::units::Work;
 
-/// Gains of the control law, Δx = `GAIN_CURRENT`·e(k) − `GAIN_PREVIOUS`·e(k−1).
+/// Gains of the control law, Δx = `GAIN_CURRENT`·e(k) − `GAIN_PREVIOUS`·e(k−1), where x is an odds ratio and e(k) the
+/// control error of period k.
 const GAIN_CURRENT: f64 = 0.42;
 const GAIN_PREVIOUS: f64 = 0.1;
 /// Bound on the control error, so that a single extreme ratio does not change the odds abruptly (anti-windup).
 const MAX_ERROR: f64 = 2.0;
 /// Lower bound on the odds ratio of neighbouring classes; the upper bound is its inverse (anti-windup). Of two classes,
-/// each gets at least one draw in 65.
+/// each gets at least one draw in 65. Also bounds the target ratio of the mean waits.
 const MIN_ODDS_RATIO: f64 = 1.0 / 64.0;
-/// Minimum reference wait, as a part of the latency objective.
+/// Minimum of the wait that the objective permits, as a fraction of the objective.
 const MIN_WAIT_RATIO: f64 = 0.25;
 /// Mean wait, in ticks, up to which waits are noise and don't change the odds.
 const MIN_SIGNIFICANT_TICKS: f64 = 2.0;
@@ -99,7 +100,8 @@
 }
 
 /// Returns the reference wait δ of a class: the wait that the objective permits an average query on an unloaded engine,
-/// times the work per unit of priority weight. Classes with more weight per work wait less.
+/// times the work per unit of priority weight. Only the ratios of reference waits are
+/// used. Classes with more weight per work wait less.
 fn reference_wait(classes: Classes, class: usize) -> f64 {
     let config = classes.config(class);
     let mean_work = classes.statistics(class).mean_work();
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,8 +10,8 @@
 use crate::rendezvous::salted_hash;
 use crate::units::Work;
 
-/// Used part of the work that an engine tolerates while it warms up. The rest is a margin for random bursts and slow
-/// cores.
+/// Used fraction of the work that an engine tolerates while it warms up. The rest is a margin for random bursts and
+/// slow cores.
 const SAFETY_RATIO: f64 = 0.5;
 
 /// An attempt sent within the overload window.
@@ -79,6 +79,7 @@
     let tolerated_work = rules.overload_factor * start_cores * rules.overload_window as f64;
     let equal_share = Work(SAFETY_RATIO * tolerated_work / gateways);
     let turns = (heaviest / equal_share).ceil().clamp(1.0, gateways);
+    // Number of the overload window since the start, shifted by the gateway and the engine.
     let turn_number = (now.saturating_sub(entry.ready_at) / rules.overload_window.max(1))
         .wrapping_add(settings.index.into())
         .wrapping_add(salted_hash(0, id));
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -99,7 +99,7 @@
 }
 
 quantity! {
-    /// Load of an engine as a part of its capacity; 1 at [`THREADS_PER_CORE`](crate::capacity::THREADS_PER_CORE)
+    /// Load of an engine as a fraction of its capacity; 1 at [`THREADS_PER_CORE`](crate::capacity::THREADS_PER_CORE)
     /// threads per core.
     Load
 }
