--- a/crates/policy-settings/src/convert.rs
+++ b/crates/policy-settings/src/convert.rs
@@ -3,13 +3,13 @@
 use hoptiller_policy as policy;
 
 use crate::schema::{
-    ClassSettings, DeduplicationScope, EngineSettings, Idempotency, Limits, Rules, Settings,
+    ClassSettings, DeduplicationScope, ExecutionSettings, Idempotency, Limits, Rules, Settings,
 };
 use crate::{micros_from_millis as micros, position};
 
 /// Name of the reported value that counts the queries of an engine.
 const QUERIES_IN_FLIGHT: &str = "busy_reqs";
-/// Names of the reported values that reflect the load.
+/// Names of the reported values that reflect the load, as the settings contain them; see [`crate::set_load_value`].
 const LOAD_VALUES: [&str; 3] = [QUERIES_IN_FLIGHT, "x0", "cpu_share"];
 
 impl Settings {
@@ -24,31 +24,31 @@
             classes: classes
                 .map(|(number, class)| self.class(number, class))
                 .collect(),
-            cores: self.engines.cores.clone(),
+            cores: self.execution.cores_by_kind.clone(),
             tenant_quotas: self.tenants.iter().map(|tenant| tenant.quota).collect(),
             over_quota_weight: self.over_quota_weight,
             load_reports: reported
                 .iter()
                 .any(|name| LOAD_VALUES.contains(&name.as_str())),
-            progress_interval: micros(self.engines.progress_interval),
-            max_grant_mb: max_grant_mb(&self.engines),
-            memory_overcommit: self.engines.memory_shortage.as_deref() == Some("overcommit"),
+            progress_interval: micros(self.execution.progress_interval),
+            max_grant_mb: max_grant_mb(&self.execution),
+            memory_overcommit: self.execution.memory_shortage.as_deref() == Some("overcommit"),
             reports_in_flight: reported.iter().any(|name| name == QUERIES_IN_FLIGHT),
-            reports_work: self.engines.reports_work,
+            reports_work: self.execution.reports_work,
             health_check_cost: self.costs.health_check,
             clients_mark_retries: self.clients.mark_retries,
             discovery: match self.discovery.as_deref() {
                 Some("subscribe") => policy::Discovery::Subscribe,
                 _ => policy::Discovery::Push,
             },
-            limits: limits(&self.limits, &self.engines),
+            limits: limits(&self.limits, &self.execution),
             rules: rules(&self.rules),
         }
     }
 
     fn class(&self, number: usize, class: &ClassSettings) -> policy::Class {
-        let threads = self.engines.threads.get(number);
-        let locks_group = self.engines.locks_group.get(number);
+        let threads = self.execution.threads_by_class.get(number);
+        let locks_group = self.execution.locks_group_by_class.get(number);
         policy::Class {
             latency_objective: micros(class.latency_objective),
             objective_stretch: class.objective_stretch,
@@ -95,29 +95,29 @@
 }
 
 /// Returns the maximum memory grant of a query on the smallest machine kind; 0 if engines ignore grants.
-fn max_grant_mb(engines: &EngineSettings) -> f64 {
-    let smallest = engines
-        .memory_mb
+fn max_grant_mb(execution: &ExecutionSettings) -> f64 {
+    let smallest = execution
+        .memory_mb_by_kind
         .iter()
         .copied()
         .reduce(f64::min)
         .unwrap_or(0.0);
     smallest
-        * if engines.memory_grants {
-            engines.max_grant_ratio
+        * if execution.respect_memory_grants {
+            execution.max_grant_ratio
         } else {
             0.0
         }
 }
 
-fn limits(limits: &Limits, engines: &EngineSettings) -> policy::Limits {
+fn limits(limits: &Limits, execution: &ExecutionSettings) -> policy::Limits {
     policy::Limits {
         max_attempts: limits.max_attempts.unwrap_or(1),
         max_open_requests: limits.max_open_requests,
         hedged_requests: limits.hedged_requests,
         retry_after: limits.retry_after,
         max_retry_after: micros(limits.max_retry_after),
-        priorities: engines.priorities,
+        priorities: execution.respect_priorities,
         health_checks: limits.health_checks,
         cancel: limits.cancel,
     }
--- a/crates/policy-settings/src/lib.rs
+++ b/crates/policy-settings/src/lib.rs
@@ -10,11 +10,12 @@
 use hoptiller_policy::{LoadReport, Micros};
 
 pub use schema::{
-    ClassSettings, ClientSettings, Costs, DeduplicationScope, EngineSettings, Idempotency, Limits,
-    LoadReporting, Rules, Settings, Tenant,
+    ClassSettings, ClientSettings, Costs, DeduplicationScope, ExecutionSettings, Idempotency,
+    Limits, LoadReporting, Rules, Settings, Tenant,
 };
 
-/// Returns the load report that consists of these named values, or `None` if there are no values.
+/// Returns the load report that consists of these named values, or `None` if there are no values. The names are those
+/// of [`LoadReporting::names`].
 pub fn load_report(values: &BTreeMap<String, serde_json::Value>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in values {
@@ -23,8 +24,8 @@
     (!values.is_empty()).then_some(report)
 }
 
-/// Sets one value of a load report by its name in the platform's protocol or in the simulator's protocol. Other names
-/// are ignored.
+/// Sets one value of a load report by its name in the platform's protocol (`inflight`, `util`) or in the settings and
+/// the simulator's protocol (`busy_reqs`, `x0`, `cpu_share`). Other names are ignored.
 pub fn set_load_value(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "inflight" | "busy_reqs" => report.in_flight = value,
--- a/crates/policy-settings/src/schema.rs
+++ b/crates/policy-settings/src/schema.rs
@@ -25,21 +25,22 @@
     /// Weight of a request beyond its tenant's quota, relative to one within it.
     #[serde(rename = "overShareWorth")]
     pub over_quota_weight: f64,
-    /// Way in which changes of the endpoint list are reported: `subscribe`, or without a subscription.
+    /// Way in which changes of the endpoint list are reported. `subscribe`: only after a subscription; otherwise
+    /// without one.
     pub discovery: Option<String>,
-    /// Limits and features of the host.
+    /// Limits and capabilities of the clients and the host.
     pub limits: Limits,
     /// Parameters of the service rules.
     pub rules: Rules,
-    /// Properties of the queries and the engines.
+    /// Execution of queries by the engines.
     #[serde(rename = "extra")]
-    pub engines: EngineSettings,
+    pub execution: ExecutionSettings,
     /// Behaviour of the clients.
     pub clients: ClientSettings,
     /// Load values that engines report.
     #[serde(rename = "telemetry")]
     pub load_reporting: LoadReporting,
-    /// Costs, as parts of the service's goal.
+    /// Costs, as fractions of the service's goal.
     #[serde(rename = "prices")]
     pub costs: Costs,
 }
@@ -58,7 +59,7 @@
             discovery: None,
             limits: Limits::default(),
             rules: Rules::default(),
-            engines: EngineSettings::default(),
+            execution: ExecutionSettings::default(),
             clients: ClientSettings::default(),
             load_reporting: LoadReporting::default(),
             costs: Costs::default(),
@@ -75,10 +76,10 @@
     /// Latency objective.
     #[serde(rename = "aim")]
     pub latency_objective: f64,
-    /// Factor by which the query's actual work per thread extends the objective.
+    /// The objective grows by this factor times the query's actual work per thread.
     #[serde(rename = "aimStretch", default)]
     pub objective_stretch: f64,
-    /// Time after which a client gives up, including its retries.
+    /// Time limit, after which a client gives up. It includes the client's retries.
     pub deadline: f64,
     /// Conditions under which its requests may be retried.
     #[serde(rename = "semantics")]
@@ -92,7 +93,7 @@
     /// Whether requests with the same ordering key run one at a time, in order.
     #[serde(rename = "inTurn", default)]
     pub ordered_by_key: bool,
-    /// Part of the priority weight that a response after the objective still counts with.
+    /// Fraction of the priority weight that a response after the objective still counts with.
     #[serde(rename = "lateWorth", default)]
     pub late_weight_ratio: f64,
     /// Priority weight of one request.
@@ -137,12 +138,12 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its quota, as a part of the service.
+    /// Its quota, as a fraction of the service.
     #[serde(rename = "fraction", default)]
     pub quota: f64,
 }
 
-/// Limits and features of the host.
+/// Limits and capabilities of the clients and the host.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
@@ -174,7 +175,7 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Rules {
-    /// Lower bound of an engine's capacity at its start, as a part of its full capacity.
+    /// Lower bound of an engine's capacity at its start, as a fraction of its full capacity.
     pub start_capacity: f64,
     /// Slow start: time after which an engine has its full capacity.
     #[serde(rename = "rampTime")]
@@ -190,10 +191,10 @@
     /// Retries permitted in the window regardless of traffic.
     #[serde(rename = "spareAttempts")]
     pub min_retries: Option<f64>,
-    /// Retries permitted per admitted request.
+    /// Retries permitted per arrived request.
     #[serde(rename = "extraRatio")]
     pub retry_ratio: Option<f64>,
-    /// Window over which retries and admitted requests are counted.
+    /// Window over which retries and arrived requests are counted.
     #[serde(rename = "lookBack")]
     pub retry_window: f64,
     /// Maximum interval at which a gateway without a subscription must poll discovery.
@@ -201,37 +202,37 @@
     pub max_poll_interval: f64,
 }
 
-/// Properties of the queries and the engines.
+/// Execution of queries by the engines.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-pub struct EngineSettings {
+pub struct ExecutionSettings {
     /// Number of threads that a query runs on, by class.
     #[serde(rename = "parallelism")]
-    pub threads: Vec<f64>,
+    pub threads_by_class: Vec<f64>,
     /// Whether a query locks its table group, by class.
     #[serde(rename = "loads")]
-    pub locks_group: Vec<bool>,
+    pub locks_group_by_class: Vec<bool>,
     /// Number of cores, by machine kind.
     #[serde(rename = "cpuOfKind")]
-    pub cores: Vec<f64>,
+    pub cores_by_kind: Vec<f64>,
     /// Memory in MB, by machine kind.
     #[serde(rename = "kindMemoryMb")]
-    pub memory_mb: Vec<f64>,
-    /// Part of an engine's memory that one query may be granted.
+    pub memory_mb_by_kind: Vec<f64>,
+    /// Fraction of an engine's memory that one query may be granted.
     #[serde(rename = "maxGrantShare")]
     pub max_grant_ratio: f64,
-    /// Behaviour of engines when memory is short: `overcommit`, or queries wait for memory.
+    /// Behaviour of engines when memory is short. `overcommit`: they overcommit it; otherwise queries wait for memory.
     #[serde(rename = "memoryShort")]
     pub memory_shortage: Option<String>,
     /// Whether engines respect memory grants.
     #[serde(rename = "takesGrants")]
-    pub memory_grants: bool,
+    pub respect_memory_grants: bool,
     /// Interval of the progress events of an attempt; 0: no progress events.
     #[serde(rename = "progressPace")]
     pub progress_interval: f64,
     /// Whether engines respect priorities.
     #[serde(rename = "ranksHeeded")]
-    pub priorities: bool,
+    pub respect_priorities: bool,
     /// Whether responses contain the work of the query.
     #[serde(rename = "bills")]
     pub reports_work: bool,
@@ -254,7 +255,7 @@
     pub names: Vec<String>,
 }
 
-/// Costs, as parts of the service's goal.
+/// Costs, as fractions of the service's goal.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Costs {
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -10,9 +10,14 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A sync event refers to an endpoint list that no roster event has declared.
-    #[error("sync: `table` {0} was never declared")]
+    #[error("sync: `table` {0} was never declared, expected the number of an earlier `roster`")]
     UnknownEndpointList(u64),
     /// A work item has a class that the settings don't contain.
-    #[error("workItem: unknown `profile` {0:?}")]
-    UnknownClass(String),
+    #[error("workItem: unknown `profile` {name:?}, expected one of {known:?}")]
+    UnknownClass {
+        /// The unknown class.
+        name: String,
+        /// The classes of the settings.
+        known: Vec<String>,
+    },
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -100,6 +100,7 @@
                     );
                 }
             }
+            // The controller only handles a batch after these events.
             wire::Event::Wakeup(event)
             | wire::Event::AttemptStarted(event)
             | wire::Event::Memo(event) => {
@@ -141,7 +142,7 @@
     }
 
     /// Runs the instances that have events, ordered by their numbers. A panic in one instance does not affect the
-    /// others.
+    /// others; the instance goes on with the state that the panic left.
     fn run(&mut self, now: policy::Micros, work: &mut BatchWork) {
         for (number, events) in std::mem::take(&mut work.events) {
             let Some(instance) = self.instances.get_mut(&number) else {
@@ -158,7 +159,7 @@
                 ),
                 Err(_) => work.actions.push(wire::Action::InternalError {
                     instance: number,
-                    message: "the decision module panicked".to_string(),
+                    message: format!("the controller of instance {number} panicked"),
                 }),
             }
         }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -8,9 +8,14 @@
 use crate::error::BatchError;
 use crate::wire;
 
-/// Factor by which the `stats` of an outcome contains the work in milliseconds. The remainder is not used.
+/// The `stats` of an outcome is the work in milliseconds times this, plus a remainder that is not used. 0: no work is
+/// reported.
 const STATS_PER_WORK_MS: u64 = 4096;
 const MICROS_PER_MS: u64 = 1000;
+/// Kinds of progress messages.
+const COMPLETED: u32 = 1;
+const SPILLING: u32 = 2;
+const BLOCKED: u32 = 3;
 
 /// A controller and the names used on its wire.
 pub(crate) struct Instance {
@@ -66,8 +71,11 @@
         &mut self,
         arrival: &wire::Arrival,
     ) -> Result<policy::Arrival, BatchError> {
-        let class = position(&self.classes, &arrival.class)
-            .ok_or_else(|| BatchError::UnknownClass(arrival.class.clone()))?;
+        let class =
+            position(&self.classes, &arrival.class).ok_or_else(|| BatchError::UnknownClass {
+                name: arrival.class.clone(),
+                known: self.classes.clone(),
+            })?;
         let request = policy::RequestId(self.handles.len() as u64);
         self.handles.push(arrival.handle.clone());
         self.requests.insert(arrival.handle.clone(), request);
@@ -94,10 +102,10 @@
     /// Returns the progress event for a message, or `None` if its kind or request is unknown. Progress is only a hint,
     /// so unknown messages are not an error.
     pub(crate) fn progress(&self, message: &wire::Progress) -> Option<policy::Event> {
-        let progress = match message.kind {
-            1 => policy::Progress::Completed(message.value),
-            2 => policy::Progress::Spilling(message.value),
-            3 => policy::Progress::Blocked,
+        let progress = match message.event_kind {
+            COMPLETED => policy::Progress::Completed(message.value),
+            SPILLING => policy::Progress::Spilling(message.value),
+            BLOCKED => policy::Progress::Blocked,
             _ => return None,
         };
         Some(policy::Event::Progress {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -15,8 +15,8 @@
 
 /// Exit code after a line that can't be answered.
 const INVALID_LINE: u8 = 2;
-/// Exit code after standard output has been closed.
-const OUTPUT_CLOSED: u8 = 3;
+/// Exit code after a reply could not be written.
+const OUTPUT_FAILED: u8 = 3;
 
 fn main() -> ExitCode {
     let mut host = Host::default();
@@ -34,7 +34,7 @@
             .and_then(|()| stdout.flush())
             .is_err()
         {
-            return ExitCode::from(OUTPUT_CLOSED);
+            return ExitCode::from(OUTPUT_FAILED);
         }
     }
     ExitCode::SUCCESS
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -43,7 +43,7 @@
     Memo(InstanceEvent),
 }
 
-/// An event of which only the instance is used.
+/// An event of which only the instance is used; any other content is ignored.
 #[derive(Deserialize)]
 pub(crate) struct InstanceEvent {
     #[serde(rename = "i")]
@@ -150,7 +150,8 @@
     pub(crate) attempt: u32,
     pub(crate) engine: u32,
     #[serde(rename = "sort", default)]
-    pub(crate) kind: u32,
+    pub(crate) event_kind: u32,
+    /// Completed share, or missing memory in MB, depending on the kind.
     #[serde(rename = "level", default)]
     pub(crate) value: f64,
 }
@@ -170,6 +171,7 @@
     pub(crate) elapsed: f64,
     #[serde(default)]
     pub(crate) terminal: bool,
+    /// Work in an encoded form.
     #[serde(default)]
     pub(crate) stats: u64,
     #[serde(default)]
