--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -63,6 +63,26 @@
     pub(crate) fn threads(&self) -> Threads {
         Threads(self.threads)
     }
+
+    fn validate(&self) -> Result<(), String> {
+        for (is_missing, fault) in [
+            (self.latency_objective == 0, "no latency objective"),
+            (self.deadline == 0, "no deadline"),
+            (self.threads == 0.0, "no threads"),
+        ] {
+            if is_missing {
+                return Err(fault.to_owned());
+            }
+        }
+        [
+            ("objective stretch", self.objective_stretch),
+            ("late weight ratio", self.late_weight_ratio),
+            ("priority weight", self.priority_weight),
+            ("number of threads", self.threads),
+        ]
+        .into_iter()
+        .try_for_each(|(name, value)| validate_number(name, value))
+    }
 }
 
 /// Way in which discovery reports changes of the endpoint list.
@@ -173,47 +193,41 @@
     /// Checks the classes, gateways, cores, slow-start rules and the cost of health checks. The limits and the retry
     /// budget are not checked.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
-        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
-        let is_incomplete = |class: &Class| {
-            class.latency_objective == 0 || class.deadline == 0 || class.threads == 0.0
-        };
-        let class_numbers = |class: &Class| {
-            [
-                class.objective_stretch,
-                class.late_weight_ratio,
-                class.priority_weight,
-                class.threads,
-            ]
-        };
-        let other_numbers = [
-            self.rules.start_capacity,
-            self.rules.overload_factor,
-            self.health_check_cost,
-        ];
         if self.classes.is_empty() || self.gateways == 0 {
-            return Err(SettingsError("no classes or no gateways"));
-        }
-        if self.classes.iter().any(is_incomplete) {
-            return Err(SettingsError(
-                "a class without latency objective, deadline or threads",
-            ));
+            return Err(SettingsError("no classes or no gateways".to_owned()));
         }
-        let mut numbers = self
-            .classes
-            .iter()
-            .flat_map(class_numbers)
-            .chain(self.cores.iter().copied())
-            .chain(other_numbers);
-        if !numbers.all(is_valid) {
-            return Err(SettingsError("a number that is negative or not finite"));
+        for (number, class) in self.classes.iter().enumerate() {
+            class
+                .validate()
+                .map_err(|fault| SettingsError(format!("class {number}: {fault}")))?;
         }
+        let cores = self.cores.iter().map(|cores| ("number of cores", *cores));
+        let others = [
+            ("start capacity", self.rules.start_capacity),
+            ("overload factor", self.rules.overload_factor),
+            ("cost of health checks", self.health_check_cost),
+        ];
+        cores
+            .chain(others)
+            .try_for_each(|(name, value)| validate_number(name, value))
+            .map_err(SettingsError)
+    }
+}
+
+/// Checks a number that must be finite and not negative.
+fn validate_number(name: &str, value: f64) -> Result<(), String> {
+    if value.is_finite() && value >= 0.0 {
         Ok(())
+    } else {
+        Err(format!(
+            "{name} {value}, expected a finite number of at least 0"
+        ))
     }
 }
 
 /// An error for settings that the controller can't use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub &'static str);
+pub struct SettingsError(pub String);
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -161,10 +161,30 @@
 
 #[test]
 fn invalid_settings_are_an_error() {
-    assert!(Controller::new(default_settings(vec![]), 1).is_err());
-    let mut invalid = class(Idempotency::Idempotent);
-    invalid.threads = f64::NAN;
-    assert!(Controller::new(default_settings(vec![invalid]), 1).is_err());
+    let error = |settings| match Controller::new(settings, 1) {
+        Ok(_) => None,
+        Err(error) => Some(error.to_string()),
+    };
+    assert_eq!(
+        error(default_settings(vec![])).as_deref(),
+        Some("unusable settings: no classes or no gateways")
+    );
+    let valid = class(Idempotency::Idempotent);
+    for (threads, fault) in [
+        (
+            f64::NAN,
+            "number of threads NaN, expected a finite number of at least 0",
+        ),
+        (0.0, "no threads"),
+    ] {
+        let invalid = Class {
+            threads,
+            ..valid.clone()
+        };
+        let settings = default_settings(vec![valid.clone(), invalid]);
+        let expected = format!("unusable settings: class 1: {fault}");
+        assert_eq!(error(settings), Some(expected));
+    }
 }
 
 #[test]
