--- a/crates/policy/src/hold.rs
+++ b/crates/policy/src/hold.rs
@@ -4,7 +4,8 @@
 
 use crate::interface::{EngineId, Hold, HoldTarget, RequestId};
 
-/// Maximum number of requests that housekeeping releases at once per hold in effect. It bounds the work of one batch.
+/// Maximum number of requests that housekeeping releases at once per hold in effect. It bounds the requests that a hold
+/// in effect adds to one batch.
 const MAX_RELEASED_PER_HOLD: u32 = 64;
 
 /// Properties of a request's statement, which holds can target.
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -103,7 +103,7 @@
     pub tenant: Option<usize>,
     /// Its ordering key.
     pub key: Option<KeyId>,
-    /// Deadline, at which the client gives up.
+    /// Point in time at which the client gives up.
     pub valid_until: Micros,
     /// Estimated work, summed over all threads. No decision uses it yet.
     pub estimated_work: Option<Micros>,
@@ -208,7 +208,7 @@
     Abandoned(RequestId),
     /// A hold begins, changes or ends.
     Hold(Hold),
-    /// The settings have changed. Classes, kinds and zones keep their numbers; new ones are appended.
+    /// The settings have changed. Classes, machine kinds and zones keep their numbers; new ones are appended.
     SettingsChanged(Box<Settings>),
     /// A timer has expired.
     Wakeup,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -38,7 +38,7 @@
     pub latency_objective: Micros,
     /// The objective grows by this factor times the query's actual work per thread.
     pub objective_stretch: f64,
-    /// Time limit, after which a client gives up. It includes the client's retries.
+    /// Time limit (a duration) after which a client gives up. It includes the client's retries.
     pub deadline: Micros,
     /// Conditions under which its requests may be retried.
     pub idempotency: Idempotency,
@@ -156,7 +156,7 @@
     pub tick: Micros,
     /// The classes; events refer to them by position.
     pub classes: Vec<Class>,
-    /// Number of cores of each machine kind; events refer to kinds by position.
+    /// Number of cores of each machine kind; endpoint entries refer to machine kinds by position.
     pub cores: Vec<f64>,
     /// Quota of each tenant, as a fraction of the service; events refer to tenants by position. No decision uses it
     /// yet.
