--- a/crates/policy/src/controller/dispatch.rs
+++ b/crates/policy/src/controller/dispatch.rs
@@ -1,43 +1,43 @@
-//! Dispatch: each free slot goes to the head of a drawn class, and the request to an eligible engine.
+//! Dispatch: draws a class for each free slot and sends the head of its queue to an eligible engine.
 
 use rand_core::RngCore;
 
 use super::Controller;
 use crate::attempt::InFlightAttempt;
 use crate::endpoint_selection::EndpointSelection;
-use crate::idempotency::{safe_until, would_end_unknown};
+use crate::idempotency::{risks_unknown_result, safe_until};
 use crate::interface::{Action, EngineId, Micros, RequestId};
 use crate::priority::{DEFAULT_PRIORITY, priority};
 use crate::request::Request;
 
 impl Controller {
-    /// Gives every free slot to a class by draw. Late requests come after all others.
+    /// Draws a class for every free slot. Late requests are sent after all others.
     pub(super) fn dispatch(&mut self, out: &mut Vec<Action>) {
         for late in [false, true] {
-            let mut open: Vec<usize> = (0..self.statistics.len()).collect();
+            let mut candidates: Vec<usize> = (0..self.statistics.len()).collect();
             loop {
-                open.retain(|class| self.queues.first(*class, late).is_some());
-                if open.is_empty() {
+                candidates.retain(|class| self.queues.first(*class, late).is_some());
+                if candidates.is_empty() {
                     break;
                 }
-                let class = self.scheduler.draw(&open, &mut self.rng);
+                let class = self.scheduler.draw(&candidates, &mut self.rng);
                 let Some(id) = self.queues.first(class, late) else {
                     break;
                 };
                 if !self.try_dispatch(id, out) {
-                    // No engine is eligible: the class yields to the others.
-                    open.retain(|other| *other != class);
+                    // No engine is eligible: the other classes get the slots.
+                    candidates.retain(|other| *other != class);
                 }
             }
         }
     }
 
-    /// Sends, answers or blocks the head of a queue; false where it stays, as no engine is eligible.
+    /// Sends, abandons or holds back the head of a queue. Returns `false` if it stays because no engine is eligible.
     fn try_dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        if !self.may_send(request) || self.would_end_unknown(request) {
+        if !self.may_send(request) || self.risks_unknown_result(request) {
             self.abandon(id, out);
             return true;
         }
@@ -49,20 +49,20 @@
             self.send(id, engine, out);
             return true;
         }
-        let is_held = self.holds.covers(request.hold_targets);
+        let is_held = self.holds.covers(request.properties);
         if is_held {
-            // Whatever made all engines ineligible: left at the head of its queue it could keep its class waiting.
-            // Housekeeping queues it again when its hold has a slot.
+            // At the head of its queue, the request could keep its class waiting, even if the hold is not what made all
+            // engines ineligible. Housekeeping queues it again when the hold has a slot.
             self.dequeue(id);
-            self.holds.block(id);
+            self.holds.add_held(id);
         }
         is_held
     }
 
-    fn would_end_unknown(&self, request: &Request) -> bool {
+    fn risks_unknown_result(&self, request: &Request) -> bool {
         let idempotency = self.settings.classes[request.class].idempotency;
         let time_left = request.valid_until.saturating_sub(self.now);
-        would_end_unknown(idempotency, &self.statistics[request.class], time_left)
+        risks_unknown_result(idempotency, &self.statistics[request.class], time_left)
     }
 
     fn endpoint_selection(&self) -> EndpointSelection<'_> {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends a request; nothing else sends.
+    /// Sends a request. This is the only function that sends requests.
     fn send(&mut self, id: RequestId, engine_id: EngineId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -107,7 +107,7 @@
         );
         self.congestion_window
             .add_in_flight(class, self.settings.classes[class].threads());
-        self.holds.record_send(request.hold_targets);
+        self.holds.record_send(request.properties);
         let memory_grant_mb = request.memory.megabytes();
         if (self.settings.limits.priorities && priority != DEFAULT_PRIORITY)
             || memory_grant_mb > 0.0
@@ -128,7 +128,10 @@
     }
 
     fn priority(&self, request: &Request) -> u8 {
-        let runs_behind = request.is_late() || self.holds.is_low_priority(request.hold_targets);
-        priority(runs_behind, self.classes().has_highest_value(request.class))
+        let is_low_priority = request.is_late() || self.holds.is_low_priority(request.properties);
+        priority(
+            is_low_priority,
+            self.classes().has_highest_weight_per_work(request.class),
+        )
     }
 }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -1,37 +1,37 @@
-//! Health checks: an engine is asked for a load report with sends, and now and then while requests wait. Only so does a
-//! gateway that takes all engines for full find out that they are not.
+//! Health checks: load reports are requested when requests are sent, and periodically while requests wait. Without the
+//! periodic checks, a gateway that considers all engines full would not learn that they have capacity again.
 
 use crate::engine::Engines;
 use crate::interface::{EngineId, Micros, Settings};
 use crate::intervals::HOUSEKEEPING_INTERVAL;
-use crate::rendezvous::pair_hash;
+use crate::rendezvous::salted_hash;
 
-/// Interval between two checks while requests wait.
+/// Interval between checks while requests wait.
 const CHECK_INTERVAL: Micros = 10 * HOUSEKEEPING_INTERVAL;
-/// Up to this cost (unit: [`Settings::health_check_cost`]) every send brings a check; above it checks are proportionally
-/// rarer.
-const WORTHWHILE_COST: f64 = 0.01;
+/// Cost (unit: [`Settings::health_check_cost`]) up to which a check for every send is worthwhile. Above it, checks are
+/// proportionally rarer.
+const FULL_RATE_COST: f64 = 0.01;
 
-/// When the next health check is due.
+/// Schedule of the health checks.
 pub(crate) struct HealthChecks {
-    /// Part of the sends that bring a check.
+    /// Number of checks per send, at most 1.
     ratio: f64,
-    /// Fraction of a check that sends have brought so far.
+    /// Accumulated fraction of the next check that sends trigger.
     credit: f64,
-    /// A send has brought a check.
-    brought_by_send: bool,
-    /// Not before that while requests wait.
+    /// Whether a send has triggered a check that is still due.
+    triggered_by_send: bool,
+    /// Earliest time of the next check while requests wait.
     next_at: Micros,
 }
 
 impl HealthChecks {
     pub(crate) fn new(settings: &Settings) -> Self {
-        let cost = settings.health_check_cost.max(WORTHWHILE_COST);
-        let ratio = (WORTHWHILE_COST / cost).min(1.0);
+        let cost = settings.health_check_cost.max(FULL_RATE_COST);
+        let ratio = (FULL_RATE_COST / cost).min(1.0);
         HealthChecks {
             ratio,
             credit: 0.0,
-            brought_by_send: false,
+            triggered_by_send: false,
             next_at: 0,
         }
     }
@@ -41,11 +41,11 @@
         self.credit += self.ratio;
         if self.credit >= 1.0 {
             self.credit -= 1.0;
-            self.brought_by_send = true;
+            self.triggered_by_send = true;
         }
     }
 
-    /// Whether a check is due now; then the next one is scheduled.
+    /// Returns whether a check is due now, and if so schedules the next one.
     pub(crate) fn take_due(
         &mut self,
         settings: &Settings,
@@ -53,19 +53,20 @@
         now: Micros,
     ) -> bool {
         let is_possible = settings.limits.health_checks && settings.load_reports;
-        let is_due = self.brought_by_send || (is_any_queued && now >= self.next_at);
+        let is_due = self.triggered_by_send || (is_any_queued && now >= self.next_at);
         if !is_possible || !is_due {
             return false;
         }
         let interval = (CHECK_INTERVAL as f64 / self.ratio) as Micros;
         self.next_at = now.saturating_add(interval);
-        self.brought_by_send = false;
+        self.triggered_by_send = false;
         true
     }
 }
 
-/// The engine to check: a random one of those that are up.
+/// Selects a random engine that is up for a health check.
 pub(crate) fn choose_engine(engines: &Engines, salt: u64) -> Option<EngineId> {
     let up = engines.iter().filter(|(_, engine)| engine.is_up());
-    up.map(|(id, _)| *id).min_by_key(|id| pair_hash(salt, *id))
+    up.map(|(id, _)| *id)
+        .min_by_key(|id| salted_hash(salt, *id))
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,10 +1,10 @@
-//! Idempotency: when a request that may have run may be sent again, and where.
+//! Idempotency: when and where a request that may have run may be sent again.
 
 use crate::class_statistics::ClassStatistics;
 use crate::interface::{DeduplicationScope, EndpointEntry, Idempotency, Micros};
 use crate::units::RunTime;
 
-/// Where and when the first attempt that may have run was sent.
+/// Place and time of the first attempt that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     pub(crate) zone: Option<usize>,
@@ -12,7 +12,7 @@
     pub(crate) sent_at: Micros,
 }
 
-/// Until when sending a request again can have no effect twice.
+/// Returns the time until which sending a request again can't repeat its effects.
 pub(crate) fn safe_until(idempotency: Idempotency, possible_run: Option<PossibleRun>) -> Micros {
     match (idempotency, possible_run) {
         (Idempotency::Idempotent, _) | (_, None) => Micros::MAX,
@@ -21,8 +21,9 @@
     }
 }
 
-/// Whether an engine recognizes a repeat of a request with an idempotency key. Elsewhere it would run twice.
-pub(crate) fn recognizes_repeat(
+/// Returns whether a request may be sent to an engine as far as idempotency keys are concerned. A request with a key
+/// that may have run may only be sent to engines that recognise the key; elsewhere it could run twice.
+pub(crate) fn is_within_deduplication_scope(
     idempotency: Idempotency,
     possible_run: Option<PossibleRun>,
     entry: &EndpointEntry,
@@ -43,8 +44,9 @@
     }
 }
 
-/// Whether the client of an abandoned request can try again without an effect twice. `never_ran`: no attempt may have run.
-pub(crate) fn is_client_retry_harmless(idempotency: Idempotency, never_ran: bool) -> bool {
+/// Returns whether the client can retry an abandoned request without repeating its effects. `never_ran` tells that
+/// certainly no attempt has run. The window of an idempotency key is not considered.
+pub(crate) fn is_client_retry_safe(idempotency: Idempotency, never_ran: bool) -> bool {
     match idempotency {
         Idempotency::Idempotent
         | Idempotency::WithKey {
@@ -55,14 +57,15 @@
     }
 }
 
-/// Whether a request would probably be cut off while it runs. One that must not run twice, sent with less than a usual run
-/// to go, would end as one that may have run, and somebody has to look it up. Rejected before, it can be tried again.
-pub(crate) fn would_end_unknown(
+/// Returns whether a request that is not idempotent would probably reach its deadline while it runs, because less than
+/// one mean run time is left. It would then be unknown whether the request has run, and someone would have to find out.
+/// If it is rejected unsent, the client can retry. Nothing is rejected before the class's first success.
+pub(crate) fn risks_unknown_result(
     idempotency: Idempotency,
     statistics: &ClassStatistics,
     time_left: Micros,
 ) -> bool {
     idempotency == Idempotency::NotIdempotent
         && statistics.has_samples()
-        && RunTime(time_left as f64) < statistics.mean_run()
+        && RunTime(time_left as f64) < statistics.mean_run_time()
 }
