--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a replica: its id, the addresses of all replicas, its disk.
+//! The configuration of a replica: its id, the addresses of all replicas and its storage.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,32 +15,33 @@
 const MAX_DRIFT_MILLIONTHS: u64 = 100_000;
 const MIN_FILE_LIMIT_BYTES: u64 = 16 << 20;
 
-/// The configuration of a replica, as its file gives it.
+/// The configuration of a replica, as read from its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The name of the fleet: a disk of another fleet is rejected.
+    /// The name of the fleet. A replica rejects a disk of another fleet.
     pub fleet: String,
-    /// The id of this replica, among those of `replicas`.
+    /// The id of this replica, a key of `replicas`.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// The addresses of all replicas by id, three or five, for each other and for routers.
+    /// The addresses of the three or five replicas by id, for peers and routers.
     #[serde(rename = "keepers")]
     pub replicas: BTreeMap<u64, SocketAddr>,
-    /// The address to listen on; by default this replica's among `replicas`.
+    /// The address to listen on; by default this replica's address in `replicas`.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
-    /// The folder of the storage.
+    /// The directory of the storage.
     pub dir: PathBuf,
-    /// The file with the fleet's secret.
+    /// The file that contains the fleet's secret.
     pub secret: PathBuf,
-    /// How long a router's lease lasts: the same for all replicas and routers.
+    /// The duration of a lease; all replicas and routers of the fleet must agree on it.
     #[serde(rename = "permit", default = "default_lease_term")]
     pub lease_term: ConfigDuration,
-    /// Limit of the difference of two clocks' rates, in millionths: the same for all.
+    /// The maximum difference between the rates of two clocks, in millionths; all replicas and routers of the fleet
+    /// must agree on it.
     #[serde(default = "default_drift")]
     pub drift: u64,
-    /// Limit of the size of the storage's file, in bytes.
+    /// The maximum size of the storage file, in bytes.
     #[serde(rename = "most_bytes", default = "default_max_bytes")]
     pub max_bytes: u64,
 }
@@ -57,33 +58,33 @@
     1 << 30
 }
 
-/// Why a configuration is rejected.
+/// An error that makes a configuration invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It has another form than a configuration.
+    /// The value does not have the structure of a configuration.
     #[error(transparent)]
     Parse(#[from] serde_json::Error),
-    /// Some settings have values that can't work.
+    /// Some settings have invalid values.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<InvalidSetting>),
 }
 
-/// A setting with a value that can't work.
+/// A setting with an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{name}: {requirement}")]
 pub struct InvalidSetting {
-    /// The key in the file.
+    /// The setting's key in the file.
     pub name: &'static str,
-    /// What the value must be.
+    /// The requirement that the value violates.
     pub requirement: &'static str,
 }
 
 impl Config {
-    /// Reads and checks an evaluated file.
+    /// Parses and validates the value of an evaluated configuration file.
     ///
     /// # Errors
     ///
-    /// When it has another form, or settings can't work.
+    /// Returns an error if the value has another structure or some settings are invalid.
     pub fn read(value: serde_json::Value) -> Result<Config, ConfigError> {
         let config: Config = serde_json::from_value(value)?;
         let invalid = config.invalid_settings();
@@ -156,7 +157,7 @@
         addresses.len() == self.replicas.len()
     }
 
-    /// The bounds of leases.
+    /// Returns the duration of leases and the accuracy of clocks.
     pub fn bounds(&self) -> LeaseTiming {
         LeaseTiming {
             term: self.lease_term.as_micros(),
@@ -164,14 +165,14 @@
         }
     }
 
-    /// The address to listen on.
+    /// Returns the address to listen on.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
             .or_else(|| self.replicas.get(&self.replica).copied())
             .unwrap_or(([127, 0, 0, 1], 0).into())
     }
 
-    /// The ids and addresses of the other replicas.
+    /// Returns the ids and addresses of the other replicas.
     pub fn peers(&self) -> impl Iterator<Item = (u64, SocketAddr)> + '_ {
         self.replicas
             .iter()
--- a/crates/coordination-server/src/entry.rs
+++ b/crates/coordination-server/src/entry.rs
@@ -13,13 +13,13 @@
     /// Commands for the state machine.
     #[serde(rename = "a")]
     Commands(EntryId, Vec<Command>),
-    /// Replaces one replica by another. Entries behind it, under the same membership, are void.
+    /// Replacement of one replica by another. Later entries under the same membership are void.
     #[serde(rename = "r")]
     Replace(EntryId, Replacement),
-    /// The first of a run of compacted entries: the index behind the run, and the state after its last entry.
+    /// First of a run of compacted entries: the index after the run, and the state after its last entry.
     #[serde(rename = "s")]
     Snapshot(usize, Box<StateMachine>),
-    /// A further entry of a compacted run.
+    /// Any other entry of a compacted run.
     #[serde(rename = "f")]
     Compacted,
 }
@@ -28,7 +28,7 @@
     type Snapshot = NoSnapshot;
 }
 
-/// The snapshot type of the consensus library, which has no values: its snapshots are not used, see
+/// The snapshot type for the consensus library. It has no values because the library's snapshots are not used, see
 /// [`storage`](crate::storage).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NoSnapshot {}
--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -1,7 +1,7 @@
-//! When a replica proposes to put versions into force that nothing blocks any more, and to drop expired leases.
+//! The periodic check that proposes to put unblocked versions into force and to remove expired leases.
 //!
-//! Any replica may propose the former, as each judges by its own clock from when it learned of a lease; the leader does so
-//! first, which saves entries.
+//! Any replica may propose to put versions into force, because each measures leases by its own clock, from the time at
+//! which it learned of them. The leader proposes first, which saves duplicate entries.
 
 use std::collections::BTreeSet;
 
@@ -11,19 +11,19 @@
 use crate::in_flight::REPROPOSE_AFTER;
 use crate::state_machine::EntryId;
 
-/// Interval between two checks for expired leases.
+/// Minimum interval between two checks.
 const CHECK_INTERVAL: Micros = 50_000;
-/// Interval between two entries that do nothing but drop expired leases.
+/// Minimum interval between two entries that only remove expired leases.
 const DROP_EXPIRED_INTERVAL: Micros = 1_000_000;
-/// How long a follower waits for the leader to put a version into force before it does so itself.
+/// Time that a follower leaves the leader to put a version into force before it proposes to do so itself.
 const FOLLOWER_DELAY: Micros = 1_000_000;
 
-/// What one check is based on.
+/// The inputs of one check.
 pub(crate) struct ExpiryView<'a> {
     pub(crate) config: &'a ConfigState,
     pub(crate) expiry: &'a ExpiryTracker,
     pub(crate) bounds: &'a LeaseTiming,
-    /// Whether this replica leads and can decide entries.
+    /// Whether this replica is the leader and can decide entries.
     pub(crate) is_leader: bool,
 }
 
@@ -31,17 +31,17 @@
 #[derive(Default)]
 pub(crate) struct ExpiryCheck {
     checked_at: Micros,
-    /// When the last entry that completes a rollout was proposed.
+    /// The time at which a [`Command::CompleteRollout`] was last proposed.
     completed_at: Micros,
-    /// The last proposed entry, and when it was proposed; `None` once it is decided.
+    /// The last proposed entry and its time; `None` once the entry is decided.
     in_flight: Option<(EntryId, Micros)>,
-    /// Since when nothing blocks the next version.
+    /// The time since which nothing blocks the next version.
     unblocked_since: Option<Micros>,
 }
 
 impl ExpiryCheck {
-    /// Checks, if a check is due, and returns the commands to propose, each in an entry of its own.
-    /// [`ExpiryCheck::proposed`] follows for each.
+    /// Runs a check if one is due and returns the commands to propose, each in an entry of its own. The caller must
+    /// call [`ExpiryCheck::proposed`] for each entry.
     pub(crate) fn due_commands(&mut self, now: Micros, view: &ExpiryView<'_>) -> Vec<Command> {
         let is_in_flight = self
             .in_flight
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a version is pending and waits for no holder but expired ones.
+/// Returns whether a version is pending and all holders that block it have expired.
 fn is_unblocked(config: &ConfigState, expired: &BTreeSet<&Holder>) -> bool {
     let is_blocked = config
         .blocking_holders()
--- a/crates/coordination-server/src/in_flight.rs
+++ b/crates/coordination-server/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Proposed entries that are not known to be decided, with the requests that wait for them.
+//! Proposed entries that are not known to be decided, with the requests that wait for their results.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::request::RequestId;
 use crate::state_machine::EntryId;
 
-/// An entry that is not decided by then is proposed again: its message was lost, or its leader.
+/// Time after which an entry that is not decided is proposed again, because its message or the leader may be lost.
 pub(crate) const REPROPOSE_AFTER: Micros = 700_000;
 
 struct InFlightEntry {
     entry: Entry,
-    /// The request of each command; `None` once nobody waits for its response.
+    /// The request of each command; `None` if no caller waits for the response.
     requests: Vec<Option<RequestId>>,
     proposed_at: Micros,
 }
@@ -28,14 +28,14 @@
     }
 }
 
-/// The entries in flight of one replica.
+/// The entries that one replica has in flight.
 #[derive(Default)]
 pub(crate) struct InFlightEntries {
     by_id: BTreeMap<EntryId, InFlightEntry>,
 }
 
 impl InFlightEntries {
-    /// Adds an entry that is proposed now, with the request of each of its commands.
+    /// Adds an entry that is proposed at `now`, with the request of each of its commands.
     pub(crate) fn insert(
         &mut self,
         now: Micros,
@@ -51,7 +51,7 @@
         self.by_id.insert(id, in_flight);
     }
 
-    /// Removes a decided entry. Returns the requests of its commands; none if another replica proposed it.
+    /// Removes a decided entry and returns the requests of its commands, or no requests if another replica proposed it.
     pub(crate) fn remove(&mut self, id: EntryId) -> Vec<Option<RequestId>> {
         self.by_id
             .remove(&id)
@@ -59,7 +59,7 @@
             .unwrap_or_default()
     }
 
-    /// Nobody waits for the response to a request any more.
+    /// Records that no caller waits for the response to a request any more.
     pub(crate) fn cancel(&mut self, request: RequestId) {
         let requests = self
             .by_id
@@ -70,14 +70,15 @@
         }
     }
 
-    /// The entries that are overdue, to be proposed again now. Those that nobody waits for are dropped.
+    /// Returns the overdue entries for which a request waits, to be proposed again at `now`, and removes other overdue
+    /// entries.
     pub(crate) fn take_overdue(&mut self, now: Micros) -> Vec<Entry> {
         self.by_id
             .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.is_awaited());
         self.restart(now, |in_flight| in_flight.is_overdue(now))
     }
 
-    /// All entries, to be proposed again now.
+    /// Returns all entries, to be proposed again at `now`.
     pub(crate) fn take_all(&mut self, now: Micros) -> Vec<Entry> {
         self.restart(now, |_| true)
     }
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -1,5 +1,6 @@
-//! How a new replica joins the cluster: it begins with the state that another replica sends, once a replacement has made
-//! it a member. It has promised nothing under that membership, so that state is all that it has to know.
+//! The procedure by which a new replica joins the cluster. Once a replacement has made it a member, the replica starts
+//! from the replicated state of another replica. It has made no promises under that membership, so the replicated state
+//! is all that it needs.
 
 use std::time::Duration;
 
@@ -11,28 +12,28 @@
 use crate::replica::ReplicatedState;
 use crate::storage::{DiskStorage, StorageError};
 
-/// Limit of the time for each replica's answer; states may be large.
+/// Time limit for the response of one replica. The replicated state may be large.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before all are called again.
+/// Pause between two rounds of calls to all replicas.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Why a replica can't join.
+/// An error that prevents a replica from joining.
 #[derive(Debug, thiserror::Error)]
 pub enum JoinError {
-    /// The state can't be stored.
+    /// The replicated state can't be stored.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The other replicas reject it.
+    /// Another replica rejects the request.
     #[error("the other keepers don't take it in: {0}")]
     Rejected(String),
 }
 
-/// Waits until another replica sends the replicated state, and stores it. A storage that holds something already is left
-/// as it is: that replica has joined before.
+/// Requests the replicated state from the other replicas until one of them sends it, and stores it. Leaves a storage
+/// that is not empty unchanged, because its replica has joined before.
 ///
 /// # Errors
 ///
-/// When the others reject the replica, or the state can't be stored.
+/// Returns an error if another replica rejects the request or the state can't be stored.
 pub async fn join(
     config: &Config,
     secret: &Secret,
--- a/crates/coordination-server/src/lib.rs
+++ b/crates/coordination-server/src/lib.rs
@@ -1,9 +1,9 @@
-//! The coordination server: three or five replicas that hold the versions of the configuration and the leases in a
-//! replicated, durable log, and serve as long as a quorum of them reach each other.
+//! The coordination server: three or five replicas that store configuration versions and leases in a durable replicated
+//! log. The service is available while a quorum of replicas can communicate.
 //!
-//! [`replica`] is a replica without I/O or clock; below it [`replicated_log`] hides the consensus library, and
-//! [`storage`] keeps what must outlive the process. [`server`] connects it to sockets. The state machine's commands are
-//! [`hoptiller_coordination`]'s.
+//! [`replica`] implements a replica without sockets or a clock. It builds on [`replicated_log`], which encapsulates the
+//! consensus library, and on [`storage`], which persists the replica's state. [`server`] connects a replica to sockets.
+//! [`hoptiller_coordination`] defines the commands of the state machine.
 
 #![warn(missing_docs)]
 
--- a/crates/coordination-server/src/membership.rs
+++ b/crates/coordination-server/src/membership.rs
@@ -1,7 +1,8 @@
-//! The membership of the cluster: a numbered set of replicas, changed by replacing one replica at a time.
+//! The membership of the cluster: a numbered set of replicas in which one replica at a time can be replaced.
 //!
-//! A membership takes effect at the log entry that makes it. Entries that the previous membership decided behind that
-//! entry are void and are proposed again under the new one. So a replica that is lost with its disk never has to return.
+//! A membership takes effect at the log entry that creates it. Entries that the previous membership decided after that
+//! entry are void and are proposed again under the new membership. A replica that is lost with its disk never has to
+//! return.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,19 +10,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The ids that a replica may have.
+/// The valid ids of replicas.
 pub const REPLICA_IDS: RangeInclusive<u64> = 1..=99;
 
-/// The replicas of the cluster, from one replacement to the next.
+/// The set of replicas between two replacements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
-    /// The number of the membership; the initial one has number 1.
+    /// The number of the membership; the initial membership has number 1.
     pub number: u32,
-    /// The address of each replica, unless the configuration of the one that connects gives another.
+    /// The address of each replica. The configuration of a connecting replica takes precedence.
     #[serde(rename = "at")]
     pub addresses: BTreeMap<u64, SocketAddr>,
-    /// Replicas that were removed. Their ids are not used again.
+    /// The ids of removed replicas, which are not reused.
     #[serde(rename = "gone")]
     pub removed: BTreeSet<u64>,
 }
@@ -30,22 +31,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replacement {
-    /// The replica to remove.
+    /// The id of the replica to remove.
     pub lost: u64,
-    /// The id of the new replica, which no replica had before.
+    /// The id of the new replica, which no replica has had before.
     pub new: u64,
     /// The address of the new replica.
     #[serde(rename = "at")]
     pub address: SocketAddr,
 }
 
-/// Why a replica can't be replaced.
+/// An error that prevents a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplaceError {
-    /// No replica has the id of the one to remove.
+    /// The replica to remove is not a member.
     #[error("there is no keeper {0}")]
     UnknownReplica(u64),
-    /// A replica has, or had, the id of the new one.
+    /// The id of the new replica is or was in use.
     #[error("a keeper has or had the number {0}; give the new one another")]
     IdInUse(u64),
     /// The id of the new replica is not in [`REPLICA_IDS`].
@@ -54,7 +55,7 @@
 }
 
 impl Membership {
-    /// The membership that a cluster begins with.
+    /// Returns the membership with which a cluster starts.
     pub fn initial(addresses: BTreeMap<u64, SocketAddr>) -> Membership {
         Membership {
             number: 1,
@@ -63,22 +64,22 @@
         }
     }
 
-    /// Whether a replica is a member.
+    /// Returns whether a replica is a member.
     pub fn contains(&self, replica: u64) -> bool {
         self.addresses.contains_key(&replica)
     }
 
-    /// The ids of the members, in ascending order.
+    /// Returns the ids of the members in ascending order.
     pub fn replica_ids(&self) -> Vec<u64> {
         self.addresses.keys().copied().collect()
     }
 
-    /// The membership after a replacement; this one if that replacement was made before. The result depends on ids
-    /// alone, as replicas may know each other at different addresses.
+    /// Returns the membership after a replacement, or this membership if the replacement has been made before. Whether
+    /// the replacement is valid depends on ids alone, because replicas may know each other by different addresses.
     ///
     /// # Errors
     ///
-    /// When the replica to remove is unknown, or the new id can't be used.
+    /// Returns an error if the replica to remove is unknown or the new id can't be used.
     pub fn with_replacement(&self, replacement: &Replacement) -> Result<Membership, ReplaceError> {
         let Replacement { lost, new, address } = *replacement;
         if self.removed.contains(&lost) && self.contains(new) {
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -1,4 +1,4 @@
-//! A replica with its clock, storage and links: the state that request handlers and links share.
+//! The state that the request handlers and links of one replica share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,34 +22,34 @@
 use crate::responses;
 use crate::storage::{DiskStorage, StorageError, StorageHandle};
 
-/// How long a request waits for a quorum.
+/// Maximum time that a request waits for a quorum.
 const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Limit of the requests that wait at once.
+/// Maximum number of requests that wait for a response at once.
 const MAX_PENDING_REQUESTS: usize = 8192;
 
-/// Why a replica has stopped by itself.
+/// The reason why a replica has stopped on its own initiative.
 #[derive(Debug, thiserror::Error)]
 pub enum StopReason {
-    /// Its storage failed.
+    /// The storage failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// Another replica has replaced it.
+    /// Another replica has replaced this one.
     #[error("{}", PeerError::Replaced)]
     Replaced,
-    /// A peer rejects it: it was replaced, or its disk is not the one that it had.
+    /// A peer rejects this replica because it was replaced or does not have the disk that it had before.
     #[error("keeper {peer} says: {error}")]
     RejectedByPeer {
-        /// The peer.
+        /// The id of the peer.
         peer: u64,
-        /// Why.
+        /// The peer's reason.
         error: PeerError,
     },
-    /// Its log could not continue under another membership.
+    /// The log can't continue under the new membership.
     #[error("the log can't go on: {0}")]
     Log(#[source] LogError),
 }
 
-/// Why a request has no response.
+/// An error that leaves a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SubmitError {
     #[error("too many calls wait already")]
@@ -69,7 +69,7 @@
     pub(crate) disk_id: String,
     pub(crate) storage: StorageHandle,
     pub(crate) replica: RefCell<Replica>,
-    /// What peers are compared with, for the membership in effect.
+    /// The values that batches of peers are checked against, for the membership in effect.
     pub(crate) local: RefCell<LocalView>,
     pub(crate) batches: RefCell<BatchReceiver>,
     /// The links to the other members.
@@ -83,7 +83,7 @@
 }
 
 impl Node {
-    /// Opens the log in a storage.
+    /// Opens the log in the storage.
     pub(crate) fn open(
         config: Config,
         secret: Secret,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Stops the replica; the first reason counts.
+    /// Stops the replica. Only the first reason is kept.
     pub(crate) fn stop(&self, reason: StopReason) {
         self.stop_reason.borrow_mut().get_or_insert(reason);
         self.stopped.notify(usize::MAX);
@@ -125,7 +125,7 @@
         self.stop_reason.borrow().is_some()
     }
 
-    /// Waits until the replica has stopped by itself.
+    /// Waits until the replica has stopped on its own initiative, and returns the reason.
     pub(crate) async fn stopped(&self) -> StopReason {
         loop {
             let stopped = self.stopped.listen();
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Changes the replica, and carries out what results: responses, messages, a new membership. Nothing leaves the
-    /// replica after a failure of its storage; then the result is `None`.
+    /// Applies a change to the replica and performs its effects: responses, messages to peers, a new membership. After
+    /// a storage failure the replica sends nothing, and this method returns `None`.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
         if self.is_stopped() {
             return None;
@@ -168,7 +168,7 @@
         let mut pending = self.pending.borrow_mut();
         for CompletedRequest { request, response } in completed {
             if let Some(sender) = pending.remove(&request) {
-                // Fails where the request has just timed out.
+                // Fails if the request has just timed out.
                 let _ = sender.try_send(response);
             }
         }
@@ -180,7 +180,7 @@
         }
         *self.local.borrow_mut() = local_view(&self.config, membership);
         tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "membership changed");
-        // Messages under the previous membership are void.
+        // Messages queued under the previous membership are void.
         for link in self.links.borrow().values() {
             link.clear();
         }
@@ -206,12 +206,12 @@
         }
     }
 
-    /// The current version numbers.
+    /// Returns the current version numbers.
     pub(crate) fn versions(&self) -> wire::VersionNumbers {
         self.versions.get()
     }
 
-    /// Waits until the version numbers fulfil a condition.
+    /// Waits until the version numbers satisfy a condition.
     pub(crate) async fn wait_for_versions(&self, condition: impl Fn(wire::VersionNumbers) -> bool) {
         loop {
             let changed = self.versions_changed.listen();
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Submits a request that goes through the log, and waits for its response.
+    /// Submits a request that goes through the log and waits for its response.
     pub(crate) async fn submit(
         &self,
         submit: impl FnOnce(&mut Replica, Micros) -> RequestId,
@@ -248,7 +248,7 @@
     }
 }
 
-/// What peers are compared with under a membership.
+/// Returns the values that batches of peers are checked against under a membership.
 fn local_view(config: &Config, membership: &Membership) -> LocalView {
     LocalView {
         fleet: config.fleet.clone(),
@@ -260,7 +260,7 @@
     }
 }
 
-/// Cancels a request when dropped before its response, however the task that waits ends.
+/// Guard that cancels its request if it is dropped before the response arrives, however the waiting task ends.
 struct PendingRequest<'a> {
     node: &'a Node,
     request: RequestId,
--- a/crates/coordination-server/src/peer_link.rs
+++ b/crates/coordination-server/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The link to one peer: a queue of log messages, what is known of the link's health, and the connection.
+//! The link to one peer: a queue of log messages, the state of the link, and the connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,22 +18,22 @@
 use crate::peer_protocol::PeerError;
 use crate::replicated_log::Message;
 
-/// Limit of the time for opening a connection, and for each exchange.
+/// Time limit for opening a connection, and for each exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Limit of the messages queued; with more all are dropped, which the log tolerates.
+/// Maximum number of queued messages. If it is exceeded, all queued messages are dropped, which the log tolerates.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 
 /// The link to one peer.
 pub(crate) struct PeerLink {
     address: SocketAddr,
     queue: RefCell<VecDeque<Message>>,
-    /// Notified when a message is queued, or the link is closed.
+    /// Notified when a message is queued or the link is closed.
     changed: Event,
-    /// Queued messages were dropped.
+    /// Whether queued messages were dropped.
     overflowed: Cell<bool>,
-    /// When the peer last accepted a batch, by the clock of leases.
+    /// The time at which the peer last accepted a batch, by the clock that measures leases.
     heard_at: Cell<Option<Micros>>,
-    /// The last batch got no response.
+    /// Whether the last batch got no response.
     broken: Cell<bool>,
     closed: Cell<bool>,
 }
@@ -51,7 +51,7 @@
         })
     }
 
-    /// A connection to the peer, not yet open.
+    /// Returns a connection to the peer that is not open yet.
     pub(crate) fn connection(&self) -> PeerConnection {
         PeerConnection {
             address: self.address,
@@ -70,12 +70,12 @@
         self.changed.notify(1);
     }
 
-    /// Drops the messages queued.
+    /// Drops all queued messages.
     pub(crate) fn clear(&self) {
         self.queue.borrow_mut().clear();
     }
 
-    /// Takes the messages queued, once there are some or the link is closed.
+    /// Waits until messages are queued or the link is closed, and takes the queued messages.
     pub(crate) async fn take_messages(&self) -> Vec<Message> {
         let changed = self.changed.listen();
         if self.queue.borrow().is_empty() && !self.is_closed() {
@@ -84,7 +84,7 @@
         self.queue.borrow_mut().drain(..).collect()
     }
 
-    /// Closes the link: nothing more is sent.
+    /// Closes the link, which stops its sender.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.changed.notify(usize::MAX);
@@ -103,7 +103,7 @@
         self.heard_at.set(Some(now));
     }
 
-    /// When the peer last accepted a batch.
+    /// Returns the time at which the peer last accepted a batch.
     pub(crate) fn heard_at(&self) -> Option<Micros> {
         self.heard_at.get()
     }
@@ -112,60 +112,60 @@
         self.broken.set(broken);
     }
 
-    /// Whether the last batch got no response.
+    /// Returns whether the last batch got no response.
     pub(crate) fn is_broken(&self) -> bool {
         self.broken.get()
     }
 }
 
-/// Why a message was not accepted, as far as is known.
+/// An error that leaves a message unaccepted or its outcome unknown.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SendError {
-    /// The message has no JSON form.
+    /// The message can't be encoded as JSON.
     #[error(transparent)]
     Encode(serde_json::Error),
-    /// There is no response: whether the message arrived is unknown.
+    /// There is no response, so it is unknown whether the message arrived.
     #[error(transparent)]
     NoResponse(#[from] ClientError),
-    /// The response is not authenticated.
+    /// The response is not signed with the fleet's secret.
     #[error("status {status}: not the fleet's")]
     Unauthenticated {
         /// The HTTP status.
         status: u16,
-        /// What is wrong.
+        /// The cause.
         source: AuthenticationError,
     },
-    /// The response is not the JSON expected.
+    /// The response body can't be decoded.
     #[error(transparent)]
     Decode(serde_json::Error),
-    /// The peer answered with another error.
+    /// The peer responded with an unexpected status.
     #[error("status {0}")]
     Status(u16),
-    /// The peer rejects the message.
+    /// The peer has rejected the message.
     #[error(transparent)]
     Rejected(PeerError),
 }
 
 impl SendError {
-    /// Whether the peer has not answered at all.
+    /// Returns whether the peer has not responded at all.
     pub(crate) fn is_without_response(&self) -> bool {
         matches!(self, SendError::Encode(_) | SendError::NoResponse(_))
     }
 }
 
-/// A connection to a peer, opened again whenever it is needed.
+/// A connection to a peer that is opened on demand.
 pub(crate) struct PeerConnection {
     address: SocketAddr,
     open: Option<Connection<Async<TcpStream>>>,
 }
 
 impl PeerConnection {
-    /// Closes the connection.
+    /// Closes the connection. The next message opens a new one.
     pub(crate) fn close(&mut self) {
         self.open = None;
     }
 
-    /// Sends a message, and waits until the peer has accepted it.
+    /// Sends a message and waits until the peer has accepted it.
     pub(crate) async fn send(
         &mut self,
         secret: &Secret,
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -1,6 +1,6 @@
-//! The messages between replicas besides the log's own: batches of log messages with their origin, their order and how
-//! much their sender's disk holds; and the transfer of the replicated state. A replica whose disk was created anew, or
-//! restored from a copy, may have promised what it no longer knows: its peers reject it, and it stops.
+//! The protocol between replicas: batches of log messages, and transfer of the replicated state. A batch identifies its
+//! sender, its position in the sender's sequence and the state of the sender's disk. A replica whose disk was recreated
+//! or restored from a copy may have made promises that it no longer knows: its peers reject it, and it stops.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,14 +11,14 @@
 use crate::replicated_log::Message;
 use crate::storage::PeerDisk;
 
-/// Log messages to one replica.
+/// A batch of log messages to one replica.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct MessageBatch {
     pub(crate) fleet: String,
     pub(crate) from: u64,
     pub(crate) to: u64,
-    /// The replicas, as the sender knows them.
+    /// The members as known to the sender.
     #[serde(rename = "members")]
     pub(crate) replicas: Vec<u64>,
     /// The number of the sender's membership.
@@ -30,11 +30,11 @@
     pub(crate) membership: u32,
     /// The sender's lease term, in µs.
     pub(crate) term: u64,
-    /// The sender's limit of clock drift, in millionths.
+    /// The sender's maximum difference between the rates of two clocks, in millionths.
     pub(crate) drift: u64,
     #[serde(rename = "life")]
     pub(crate) incarnation: u64,
-    /// The number of this batch in the sender's incarnation.
+    /// The sequence number of this batch in the sender's incarnation.
     #[serde(rename = "number")]
     pub(crate) sequence: u64,
     #[serde(rename = "disk")]
@@ -45,7 +45,7 @@
     pub(crate) messages: Vec<Message>,
 }
 
-/// Programs that know no numbered memberships know the initial one.
+/// Returns the membership of programs that predate numbered memberships: they know only the initial one.
 fn initial_membership() -> u32 {
     1
 }
@@ -54,7 +54,7 @@
     *membership == initial_membership()
 }
 
-/// A new replica requests the replicated state.
+/// A new replica's request for the replicated state.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct JoinRequest {
@@ -65,7 +65,7 @@
     pub(crate) disk_id: String,
 }
 
-/// The replicated state for a replica with an outdated membership.
+/// A request to install the replicated state on a replica with an outdated membership.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct InstallRequest {
@@ -74,40 +74,40 @@
     pub(crate) state: ReplicatedState,
 }
 
-/// Why a peer rejects a message.
+/// A peer's reason to reject a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerError {
-    /// The two replicas are configured differently, as this text for people says.
+    /// The two replicas are configured differently, as the text describes for operators.
     #[error("{0}")]
     #[serde(rename = "unlike")]
     ConfigMismatch(String),
-    /// The sender has another disk than it had before.
+    /// The sender does not have the disk that it had before.
     #[error(
         "this keeper had disk {known} before; what it promised then is lost with it. Start a keeper with a new number \
          in its place"
     )]
     OtherDisk {
-        /// The id of the disk that it had.
+        /// The id of the disk that the sender had before.
         known: String,
     },
-    /// The sender's disk has fewer transactions than it had before.
+    /// The sender's disk has fewer durable transactions than it had before.
     #[error(
         "this keeper's disk has {write_sequence} steps, and had {known}: it was put back from a copy. Start a keeper \
          with a new number in its place"
     )]
     #[serde(rename = "went_back")]
     DiskRolledBack {
-        /// The number of transactions that it has.
+        /// The number of durable transactions on the disk.
         #[serde(rename = "step")]
         write_sequence: u64,
-        /// The number of transactions that it had.
+        /// The number of durable transactions that the disk had before.
         known: u64,
     },
     /// Another replica has replaced the sender.
     #[error("another keeper has taken this one's place; it is no longer needed")]
     Replaced,
-    /// The two replicas know different memberships. The one with the later membership sends it to the other.
+    /// The two replicas have different memberships. The replica with the later one sends it to the other.
     #[error(
         "the keepers are known there by list {receiver}, here by list {sender}. A new keeper is started with --join"
     )]
@@ -123,7 +123,7 @@
 }
 
 impl PeerError {
-    /// Whether the sender must stop.
+    /// Returns whether the sender must stop.
     pub(crate) fn is_final(&self) -> bool {
         match self {
             PeerError::OtherDisk { .. }
@@ -134,32 +134,32 @@
     }
 }
 
-/// How a batch follows the ones received before.
+/// The position of a batch relative to those received before.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// It is a duplicate, or was overtaken: its messages must be ignored.
+    /// A duplicate, or a batch that a later one has overtaken: its messages must be ignored.
     Stale,
-    /// It is the next one.
+    /// The next batch in sequence.
     InOrder,
-    /// Some before it are missing.
+    /// A batch before which others are missing, or the first one received from the sender's incarnation.
     AfterGap,
 }
 
-/// What a replica compares its peers with.
+/// The local values that batches of peers are checked against.
 pub(crate) struct LocalView {
     pub(crate) fleet: String,
     pub(crate) replica: u64,
-    /// The replicas of the membership in effect.
+    /// The members under the membership in effect.
     pub(crate) replicas: Vec<u64>,
     /// The number of that membership.
     pub(crate) membership: u32,
-    /// Replicas that were removed.
+    /// The ids of removed replicas.
     pub(crate) removed: BTreeSet<u64>,
     pub(crate) bounds: LeaseTiming,
 }
 
 impl LocalView {
-    /// Whether a batch is for this replica, from a peer that is configured alike.
+    /// Checks that a batch is addressed to this replica and comes from a peer with the same configuration.
     fn check_origin(&self, batch: &MessageBatch) -> Result<(), PeerError> {
         let mismatch = |reason: String| Err(PeerError::ConfigMismatch(reason));
         if batch.fleet != self.fleet {
@@ -196,21 +196,21 @@
     }
 }
 
-/// The last batch received of a peer.
+/// The last batch received from a peer.
 #[derive(Clone, Copy)]
 struct Received {
     incarnation: u64,
     sequence: u64,
 }
 
-/// Checks the batches of all peers as they are received.
+/// Checks the order and origin of batches from all peers.
 #[derive(Default)]
 pub(crate) struct BatchReceiver {
     last: BTreeMap<u64, Received>,
 }
 
 impl BatchReceiver {
-    /// Checks a batch, and records what it reports of its sender's disk.
+    /// Checks a batch and records the state of the sender's disk that it reports.
     pub(crate) fn receive(
         &mut self,
         local: &LocalView,
@@ -234,8 +234,8 @@
         if let Some(last) = last
             && (batch.incarnation, batch.sequence) <= (last.incarnation, last.sequence)
         {
-            // An incarnation that has ended may still have batches under way, but not its first one: that begins an
-            // incarnation on a disk that was restored from a copy.
+            // Batches of an ended incarnation may still arrive, but not its first one: a first batch means that a new
+            // process has started on a disk restored from a copy.
             if batch.incarnation < last.incarnation && batch.sequence == 0 {
                 return Err(rolled_back);
             }
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica without its sockets and clocks: requests, messages and time go in, responses and messages come out. The
-//! same code runs behind sockets and in simulated time.
+//! A replica without sockets or a clock: its inputs are requests, messages and the current time, its outputs are
+//! responses and messages. The same code runs in the server and in simulated time.
 
 use hoptiller_coordination::{
     Command, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
@@ -14,45 +14,45 @@
 use crate::request::{CompletedRequest, RequestId, Response};
 use crate::state_machine::{EntryId, StateMachine};
 
-/// Limit of the commands in one entry.
+/// Maximum number of commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 512;
 
-/// What a replica needs to begin under a membership.
+/// The state from which a replica starts under a membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicatedState {
     /// The membership.
     #[serde(rename = "members")]
     pub membership: Membership,
-    /// The number of entries that led to the state.
+    /// The number of log entries applied to the state.
     pub index: usize,
-    /// The state after these entries.
+    /// The state machine after these entries.
     #[serde(rename = "machine")]
     pub state_machine: StateMachine,
 }
 
-/// A replica.
+/// A replica of the coordination service.
 pub struct Replica {
     id: u64,
     incarnation: u64,
     bounds: LeaseTiming,
     log: ReplicatedLog,
     state_machine: StateMachine,
-    /// When leases expire by this replica's clock.
+    /// The expiry of leases by this replica's clock.
     expiry: ExpiryTracker,
-    /// Commands for the next entry.
+    /// Submitted commands that are not proposed yet.
     batch: Vec<(RequestId, Command)>,
     in_flight: InFlightEntries,
     completed: Vec<CompletedRequest>,
     next_request: RequestId,
     next_sequence: u64,
     expiry_check: ExpiryCheck,
-    /// The log could not continue under another membership.
+    /// Set if the log can't continue under a new membership.
     failure: Option<LogError>,
 }
 
 impl Replica {
-    /// A replica that continues with its log; `incarnation` tells this process from the ones before.
+    /// Creates a replica that continues from its log. `incarnation` distinguishes this process from earlier ones.
     pub fn new(
         id: u64,
         incarnation: u64,
@@ -80,14 +80,14 @@
         replica
     }
 
-    /// Submits a command. Its response follows once a quorum has it.
+    /// Submits a command. Its response becomes available once a quorum has accepted the command.
     pub fn submit(&mut self, command: Command) -> RequestId {
         let request = self.new_request();
         self.batch.push((request, command));
         request
     }
 
-    /// Submits the replacement of a replica.
+    /// Submits a replacement of one replica by another.
     pub fn replace(&mut self, now: Micros, replacement: Replacement) -> RequestId {
         let request = self.new_request();
         let id = self.new_entry_id();
@@ -96,7 +96,7 @@
         request
     }
 
-    /// What a replica that lags behind needs.
+    /// Returns the state that a new or outdated replica needs.
     pub fn replicated_state(&self) -> ReplicatedState {
         ReplicatedState {
             membership: self.membership().clone(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Installs a later membership with the state that belongs to it. One that is not later changes nothing.
+    /// Installs a later membership and its state. Ignores a membership that is not later than the current one.
     pub fn install(&mut self, now: Micros, state: ReplicatedState) {
         if state.membership.number > self.membership().number {
             self.state_machine = state.state_machine;
@@ -114,13 +114,13 @@
         }
     }
 
-    /// Cancels a request: nobody waits for its response any more. Its command may still take effect.
+    /// Cancels a request for which no caller waits any more. Its command may still take effect.
     pub fn cancel(&mut self, request: RequestId) {
         self.batch.retain(|(batched, _)| *batched != request);
         self.in_flight.cancel(request);
     }
 
-    /// Handles messages of another replica. They must have been sent under the membership in effect here.
+    /// Handles messages from another replica, which must have been sent under the membership in effect here.
     pub fn handle_messages(&mut self, now: Micros, messages: Vec<Message>) {
         for message in messages {
             self.log.handle_message(message);
@@ -128,12 +128,13 @@
         self.apply_decided(now);
     }
 
-    /// Records that messages of or to a replica were lost.
+    /// Notifies the log that messages from or to a replica may have been lost.
     pub fn reconnected(&mut self, replica: u64) {
         self.log.reconnected(replica);
     }
 
-    /// Proposes the commands submitted: to be called after each burst of them. [`Replica::tick`] does so too.
+    /// Proposes the submitted commands. [`Replica::tick`] calls this too; call it after a burst of commands to propose
+    /// them without waiting for the next tick.
     pub fn flush(&mut self, now: Micros) {
         while !self.batch.is_empty() {
             let size = self.batch.len().min(MAX_COMMANDS_PER_ENTRY);
@@ -147,7 +148,7 @@
         self.apply_decided(now);
     }
 
-    /// Advances time by one tick.
+    /// Advances timeouts by one tick, and proposes submitted commands, overdue entries and commands for expired leases.
     pub fn tick(&mut self, now: Micros) {
         if self.is_replaced() {
             return;
@@ -198,8 +199,7 @@
         }
     }
 
-    /// Continues under another membership. Entries in flight under the one before are void there, and are proposed
-    /// again.
+    /// Continues under a new membership. Proposes again the entries in flight, which are void under the new membership.
     fn reconfigure(&mut self, now: Micros, membership: Membership, index: usize) {
         if let Err(error) = self.log.reconfigure(membership, index, &self.state_machine) {
             self.failure = Some(error);
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Proposes to put versions into force that nothing blocks any more, and to drop expired leases.
+    /// Proposes the commands that put unblocked versions into force and remove expired leases.
     fn check_expiry(&mut self, now: Micros) {
         let view = ExpiryView {
             config: self.state_machine.config_state(),
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Whether this replica leads and can decide entries.
+    /// Returns whether this replica is the leader and can decide entries.
     fn is_leader(&self) -> bool {
         self.log
             .leader()
@@ -240,14 +240,14 @@
         }
         for decided in decided {
             match decided.entry {
-                // Commands of this replica among the compacted entries have no response: they are proposed again.
+                // Commands of this replica among the compacted entries get no response here. They are proposed again.
                 Entry::Snapshot(_, state_machine) => self.state_machine = *state_machine,
                 Entry::Compacted => {}
                 Entry::Commands(id, commands) => self.apply_commands(id, commands),
                 Entry::Replace(id, replacement) => {
                     if let Some(next) = self.apply_replacement(id, &replacement) {
                         self.reconfigure(now, next, decided.next_index);
-                        // The entries behind it were decided under the membership that has just ended.
+                        // Later entries were decided under the previous membership, and are void.
                         break;
                     }
                 }
@@ -288,12 +288,12 @@
         }
     }
 
-    /// Takes the requests that have a response.
+    /// Takes the completed requests.
     pub fn take_completed(&mut self) -> Vec<CompletedRequest> {
         std::mem::take(&mut self.completed)
     }
 
-    /// Takes the messages to be sent.
+    /// Takes the messages to send.
     pub fn take_messages(&mut self) -> Vec<Message> {
         if self.is_replaced() {
             Vec::new()
@@ -302,43 +302,43 @@
         }
     }
 
-    /// The configuration state, as this replica knows it.
+    /// Returns the configuration state as known to this replica.
     pub fn config_state(&self) -> &ConfigState {
         self.state_machine.config_state()
     }
 
-    /// Time until a holder's lease of the configuration expires by this replica's clock.
+    /// Returns the time until a holder's configuration lease expires by this replica's clock; `None` if it is not held.
     pub fn config_lease_left(&self, now: Micros, holder: &Holder) -> Option<Micros> {
         self.expiry
             .config_lease_remaining(now, holder, &self.bounds)
     }
 
-    /// Time until the lease of a shard expires by this replica's clock.
+    /// Returns the time until the lease of a shard expires by this replica's clock; `None` if it is not held.
     pub fn shard_lease_left(&self, now: Micros, shard: &Shard) -> Option<Micros> {
         self.expiry.task_lease_remaining(now, shard, &self.bounds)
     }
 
-    /// The replica that leads, as far as this one knows.
+    /// Returns the id of the leader, if this replica knows one.
     pub fn leader(&self) -> Option<u64> {
         self.log.leader().map(|leader| leader.replica)
     }
 
-    /// The membership in effect.
+    /// Returns the membership in effect.
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// Whether another replica has replaced this one.
+    /// Returns whether another replica has replaced this one.
     pub fn is_replaced(&self) -> bool {
         !self.membership().contains(self.id)
     }
 
-    /// Takes the error after which this replica must stop.
+    /// Takes the error because of which this replica must stop.
     pub fn take_failure(&mut self) -> Option<LogError> {
         self.failure.take()
     }
 
-    /// The size of the log.
+    /// Returns the size of the log.
     pub fn log_size(&self) -> LogSize {
         self.log.size()
     }
--- a/crates/coordination-server/src/replicated_log.rs
+++ b/crates/coordination-server/src/replicated_log.rs
@@ -1,5 +1,6 @@
-//! The replicated log. Decided entries come out in one order at every replica; a replica that was away for long gets a
-//! snapshot instead of the entries that it missed. No other module knows which consensus library is used.
+//! The replicated log. All replicas take the decided entries in the same order. A replica that lags far behind takes a
+//! snapshot instead of the entries that it missed. Only this module, [`entry`](crate::entry) and
+//! [`storage`](crate::storage) depend on the consensus library.
 
 use omnipaxos::errors::ConfigError;
 use omnipaxos::messages::Message as ConsensusMessage;
@@ -12,29 +13,29 @@
 use crate::state_machine::StateMachine;
 use crate::storage::DiskStorage;
 
-/// Ticks without a heartbeat of the leader until an election.
+/// Ticks without a heartbeat from the leader until an election.
 const ELECTION_TIMEOUT_TICKS: u64 = 10;
-/// Ticks until a message that had no effect is sent again.
+/// Ticks until an unanswered message is sent again.
 const RESEND_TIMEOUT_TICKS: u64 = 25;
-/// With more entries than these, decided ones are compacted.
+/// Number of entries above which decided entries are compacted.
 const COMPACTION_THRESHOLD: usize = 512;
 
-/// The log can't be opened under a membership.
+/// An error of the consensus library when it rejects a membership.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct LogError(#[from] ConfigError);
 
-/// A message to another replica. Its contents are the consensus library's.
+/// A message of the consensus library to another replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Message(ConsensusMessage<Entry>);
 
 impl Message {
-    /// The replica that sends it.
+    /// Returns the id of the sender.
     pub fn sender(&self) -> u64 {
         self.0.get_sender()
     }
 
-    /// The replica that receives it.
+    /// Returns the id of the receiver.
     pub fn receiver(&self) -> u64 {
         self.0.get_receiver()
     }
@@ -43,7 +44,7 @@
 /// A decided entry.
 #[derive(Debug)]
 pub struct DecidedEntry {
-    /// The index behind the entry.
+    /// The index after the entry.
     pub next_index: usize,
     /// The entry.
     pub entry: Entry,
@@ -58,31 +59,31 @@
     pub retained: usize,
 }
 
-/// The leader, as a replica knows it.
+/// The leader as known to one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leader {
-    /// The replica that leads.
+    /// The id of the leader.
     pub replica: u64,
-    /// Whether it can decide entries: its prepare phase is complete.
+    /// Whether the leader can decide entries because its prepare phase is complete.
     pub can_decide: bool,
 }
 
-/// One replica's end of the log.
+/// One replica's instance of the replicated log.
 pub struct ReplicatedLog {
     consensus: OmniPaxos<Entry, DiskStorage>,
     storage: DiskStorage,
     replica: u64,
     membership: Membership,
-    /// The index behind the last entry that was taken.
+    /// The index after the last entry taken.
     next_index: usize,
 }
 
 impl ReplicatedLog {
-    /// Opens the log in a storage; `initial` is the membership that the cluster begins with.
+    /// Opens the log in a storage. `initial` is the membership with which the cluster starts.
     ///
     /// # Errors
     ///
-    /// When the consensus library rejects the membership.
+    /// Returns an error if the consensus library rejects the membership.
     pub fn open(
         replica: u64,
         initial: Membership,
@@ -99,12 +100,13 @@
         })
     }
 
-    /// Puts another membership into effect from an index on; `snapshot` is the state after all entries before. The
-    /// storage of a replica that is no longer a member is left as it is: it has no part in what follows.
+    /// Puts a new membership into effect at an index. `snapshot` is the state after all earlier entries. The storage of
+    /// a replica that is no longer a member stays unchanged, because that replica does not take part in the new
+    /// membership.
     ///
     /// # Errors
     ///
-    /// When the consensus library rejects the membership.
+    /// Returns an error if the consensus library rejects the membership.
     pub fn reconfigure(
         &mut self,
         membership: Membership,
@@ -121,45 +123,45 @@
         Ok(())
     }
 
-    /// The membership in effect.
+    /// Returns the membership in effect.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The index behind the last entry that was taken.
+    /// Returns the index after the last entry taken.
     pub fn next_index(&self) -> usize {
         self.next_index
     }
 
-    /// Advances the timeouts by one tick.
+    /// Advances the consensus library's timeouts by one tick.
     pub fn tick(&mut self) {
         self.consensus.tick();
     }
 
-    /// Handles a message. One from or to a replica that is no member is dropped.
+    /// Handles a message. Ignores a message from or to a replica that is not a member.
     pub fn handle_message(&mut self, message: Message) {
         self.consensus.handle_incoming(message.0);
     }
 
-    /// Proposes an entry. It may get lost: whoever needs it proposes it again.
+    /// Proposes an entry. The proposal may get lost, in which case the caller must propose the entry again.
     pub fn propose(&mut self, entry: Entry) {
-        // Fails only while the library's own reconfiguration is under way, which is not used.
+        // Fails only during the library's own reconfiguration, which is not used.
         let _ = self.consensus.append(entry);
     }
 
-    /// Records that messages of or to a replica were lost.
+    /// Notifies the consensus library that messages from or to a replica may have been lost.
     pub fn reconnected(&mut self, replica: u64) {
         self.consensus.reconnected(replica);
     }
 
-    /// Takes the messages to be sent.
+    /// Takes the messages to send.
     pub fn take_messages(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         self.consensus.take_outgoing_messages(&mut messages);
         messages.into_iter().map(Message).collect()
     }
 
-    /// Takes the entries decided since the last call, in order. Compacted entries behind a snapshot are left out.
+    /// Takes the entries decided since the last call, in order, without the compacted entries that follow a snapshot.
     pub fn take_decided(&mut self) -> Vec<DecidedEntry> {
         let decided = self.consensus.get_decided_idx();
         if decided <= self.next_index {
@@ -178,14 +180,14 @@
             .collect()
     }
 
-    /// Compacts the log if it is long; `state` is the state after all entries taken.
+    /// Compacts the log if it is longer than [`COMPACTION_THRESHOLD`]. `state` is the state after all entries taken.
     pub fn compact_if_long(&mut self, state: &StateMachine) {
         if self.storage.retained() > COMPACTION_THRESHOLD {
             self.storage.compact(self.next_index, state);
         }
     }
 
-    /// The leader, as this replica knows.
+    /// Returns the leader, if this replica knows one.
     pub fn leader(&self) -> Option<Leader> {
         let (replica, can_decide) = self.consensus.get_current_leader()?;
         Some(Leader {
@@ -194,7 +196,7 @@
         })
     }
 
-    /// The size of the log.
+    /// Returns the size of the log.
     pub fn size(&self) -> LogSize {
         LogSize {
             decided: self.consensus.get_decided_idx(),
--- a/crates/coordination-server/src/replication.rs
+++ b/crates/coordination-server/src/replication.rs
@@ -1,5 +1,5 @@
-//! Sends log messages to the other members: one task per peer, one batch at a time; and the replicated state to a peer
-//! with an outdated membership.
+//! Sends log messages to the other members, with one task per peer and one batch at a time, and sends the replicated
+//! state to a peer with an outdated membership.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::peer_protocol::{InstallRequest, MessageBatch, PeerError};
 use crate::replicated_log::Message;
 
-/// Pause after a batch that was not accepted.
+/// Pause after a batch that the peer has not accepted.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a batch that the peer can't accept, as the two are configured differently.
+/// Pause after a batch that the peer can't accept because the two replicas are configured differently.
 const MISMATCH_PAUSE: Duration = Duration::from_secs(1);
 
-/// Opens a link to each other member, and closes those to others.
+/// Opens a link to each other member and closes links to replicas that are no longer members.
 pub(crate) fn update_links(node: &Rc<Node>, spawner: &Spawner) {
     let replica = node.replica.borrow();
     let membership = replica.membership();
@@ -32,7 +32,7 @@
     });
     for (peer, address) in &membership.addresses {
         if *peer != node.config.replica && !links.contains_key(peer) {
-            // The configuration of this replica knows best how it reaches another.
+            // This replica's own configuration takes precedence: peers may reach each other at different addresses.
             let link = PeerLink::new(*node.config.replicas.get(peer).unwrap_or(address));
             links.insert(*peer, link.clone());
             spawner.spawn(replicate(node.clone(), *peer, link));
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends to one peer until the link is closed or the replica has stopped.
+/// Sends batches to one peer until the link is closed or the replica has stopped.
 async fn replicate(node: Rc<Node>, peer: u64, link: Rc<PeerLink>) {
     let mut sender = PeerSender {
         connection: link.connection(),
@@ -69,15 +69,15 @@
     }
 }
 
-/// The sender's side of a link.
+/// The sending side of a link.
 struct PeerSender {
     node: Rc<Node>,
     peer: u64,
     link: Rc<PeerLink>,
     connection: PeerConnection,
-    /// The number of the next batch.
+    /// The sequence number of the next batch.
     next_sequence: u64,
-    /// The last batch was not accepted: messages are lost.
+    /// Whether the last batch was not accepted, so that messages are lost.
     interrupted: bool,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the pause before the next batch.
+    /// Handles a rejected batch and returns the pause before the next one.
     async fn on_rejected(&mut self, error: PeerError) -> Duration {
         if let PeerError::MembershipMismatch { sender, receiver } = error {
             self.link.set_broken(false);
@@ -130,13 +130,14 @@
         MISMATCH_PAUSE
     }
 
-    /// Returns the pause before the next batch.
+    /// Handles a failure to send a batch and returns the pause before the next one.
     fn on_failed(&mut self, error: &SendError) -> Duration {
         if !self.interrupted {
             tracing::warn!(keeper = self.peer, error = %error, "link to peer is broken");
         }
         self.interrupted = true;
-        // A peer that answers that it does not reach this replica is reached.
+        // A response means that this direction of the link works, even if the peer reports that it can't reach this
+        // replica.
         self.link.set_broken(error.is_without_response());
         self.connection.close();
         RETRY_PAUSE
--- a/crates/coordination-server/src/request.rs
+++ b/crates/coordination-server/src/request.rs
@@ -4,12 +4,12 @@
 
 use crate::membership::ReplaceError;
 
-/// The id of a request that waits for its response.
+/// The id of a request that goes through the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(u64);
 
 impl RequestId {
-    /// The id that follows.
+    /// Returns the next id.
     pub(crate) fn next(self) -> RequestId {
         RequestId(self.0 + 1)
     }
@@ -18,7 +18,7 @@
 /// A request with its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedRequest {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
     /// Its response.
     pub response: Response,
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -1,4 +1,4 @@
-//! The handlers of the HTTP interface: for routers, administrators and other replicas.
+//! Handlers of the HTTP requests of routers, administrators and other replicas.
 
 use std::time::Duration;
 
@@ -12,17 +12,15 @@
 use crate::membership::Replacement;
 use crate::node::{Node, SubmitError};
 use crate::peer_protocol::{Delivery, InstallRequest, JoinRequest, MessageBatch, PeerError};
-use crate::responses;
+use crate::responses::{self, MICROS_PER_MS};
 use crate::storage::PeerDisk;
 
-/// Limit of the time that a watch waits.
+/// Maximum time that a watch request waits for a change.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(30);
-/// Limit of the length of a router's name and incarnation, in bytes.
+/// Maximum length of a router's name and of its incarnation, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Microseconds in a millisecond.
-const MICROS_PER_MS: u64 = 1000;
 
-/// Why a request is answered with an error.
+/// An error that is returned as an HTTP error response.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
@@ -76,7 +74,7 @@
     }
 }
 
-/// Handles an authenticated request; the response is authenticated too.
+/// Authenticates and handles a request, and signs the response.
 pub(crate) async fn handle(node: &Node, request: &Request) -> Response {
     if node.secret.verify_request(request).is_err() {
         return RequestError::Unauthenticated.to_response();
@@ -222,10 +220,11 @@
     responses::ok(&status)
 }
 
-/// A peer sends log messages.
+/// Receives a batch of log messages from a peer.
 fn receive_batch(node: &Node, batch: MessageBatch) -> Response {
-    // Where links carry messages one way only, two replicas could take the lead from each other for ever, as one hears
-    // what the other can't answer. Such a link counts as broken both ways.
+    // If a link carried messages in one direction only, two replicas could take the leadership from each other forever:
+    // one receives messages that it can't answer. Therefore a link that is broken in one direction counts as broken in
+    // both.
     let is_broken = node
         .links
         .borrow()
@@ -259,7 +258,7 @@
     responses::ok(&())
 }
 
-/// A new replica requests the replicated state.
+/// Sends the replicated state to a new replica that joins.
 fn admit(node: &Node, join: &JoinRequest) -> Result<Response, RequestError> {
     let replica = node.replica.borrow();
     let membership = replica.membership();
@@ -275,7 +274,7 @@
             membership: membership.number,
         });
     }
-    // A replica that was admitted before, and has lost its disk since, may have promised what it no longer knows.
+    // A replica that was admitted before and has lost its disk since may have made promises that it no longer knows.
     let mut disks = node.storage.peers_mut();
     let known = disks.entry(join.replica).or_insert_with(|| PeerDisk {
         disk_id: join.disk_id.clone(),
@@ -289,7 +288,7 @@
     Ok(responses::ok(&replica.replicated_state()))
 }
 
-/// A peer sends the replicated state, as this replica's membership is outdated.
+/// Installs the replicated state that a peer sends because this replica's membership is outdated.
 fn install(node: &Node, request: InstallRequest) -> Response {
     let replica = node.config.replica;
     let mismatch = |reason: String| responses::json(409, &PeerError::ConfigMismatch(reason));
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -1,4 +1,4 @@
-//! The bodies of HTTP responses, made from the replicated state and from the results of commands.
+//! Constructors of HTTP responses from the replicated state and the results of commands.
 
 use hoptiller_coordination::{CommandResponse, ConfigState, LeaseTableEntry, Micros};
 use hoptiller_coordination_client::wire::{
@@ -11,15 +11,14 @@
 use crate::replica::Replica;
 use crate::request::Response;
 
-/// Microseconds in a millisecond.
-const MICROS_PER_MS: Micros = 1000;
+pub(crate) const MICROS_PER_MS: Micros = 1000;
 
-/// A response with status 200.
+/// Returns a response with status 200.
 pub(crate) fn ok(body: &impl Serialize) -> HttpResponse {
     json(200, body)
 }
 
-/// A response with a status and a body.
+/// Returns a response with a JSON body.
 pub(crate) fn json(status: u16, body: &impl Serialize) -> HttpResponse {
     match serde_json::to_vec(body) {
         Ok(bytes) => HttpResponse::json(status, bytes),
@@ -27,7 +26,7 @@
     }
 }
 
-/// A response with an error's status and message.
+/// Returns an error response.
 pub(crate) fn error(status: u16, message: &str) -> HttpResponse {
     let body = ErrorBody {
         message: message.to_owned(),
@@ -35,7 +34,7 @@
     HttpResponse::json(status, serde_json::to_vec(&body).unwrap_or_default())
 }
 
-/// The response to a request that went through the log.
+/// Returns the HTTP response to a request that went through the log.
 pub(crate) fn completed(response: Response) -> HttpResponse {
     match response {
         Response::Command(result) => command_result(result),
@@ -57,7 +56,7 @@
     }
 }
 
-/// The current version numbers.
+/// Returns the current version numbers.
 pub(crate) fn version_numbers(config: &ConfigState) -> VersionNumbers {
     VersionNumbers {
         in_force: config.in_force(),
@@ -66,7 +65,7 @@
     }
 }
 
-/// The leases of shards.
+/// Returns the leases of shards, with the remaining time by this replica's clock.
 pub(crate) fn leases(replica: &Replica, now: Micros) -> Vec<LeaseStatus> {
     let status = |entry: LeaseTableEntry| LeaseStatus {
         left_ms: replica
@@ -80,7 +79,7 @@
     table.entries.into_iter().map(status).collect()
 }
 
-/// The state of the cluster as one replica sees it.
+/// Returns the state of the cluster as seen by one replica.
 pub(crate) fn status(
     id: u64,
     replica: &Replica,
--- a/crates/coordination-server/src/server.rs
+++ b/crates/coordination-server/src/server.rs
@@ -1,4 +1,4 @@
-//! The server of a replica: its socket, its clock's ticks and its links.
+//! The server of a replica: its listening socket, its periodic tick and its links to peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,29 +18,28 @@
 use crate::storage::{DiskStorage, StorageError};
 use crate::{replication, request_handlers};
 
-/// Interval between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Limit of the connections open at once.
+/// Maximum number of connections open at once.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// Why a replica can't start.
+/// An error that prevents a replica from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its storage can't be opened.
+    /// The storage can't be opened.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// Its log can't be opened.
+    /// The log can't be opened.
     #[error("the log can't be opened: {0}")]
     Log(#[from] LogError),
-    /// It can't listen.
+    /// The server can't listen on its address.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What failed.
+        /// The cause.
         source: io::Error,
     },
-    /// It can't join the cluster.
+    /// The replica can't join the cluster.
     #[error(transparent)]
     Join(#[from] JoinError),
 }
@@ -51,11 +50,11 @@
 }
 
 impl Server {
-    /// Opens the storage of a configuration, or creates it with the id `new_disk_id`.
+    /// Opens the configured storage, or creates it with the id `new_disk_id`.
     ///
     /// # Errors
     ///
-    /// When the storage can't be used.
+    /// Returns an error if the storage can't be used.
     pub fn open_storage(config: &Config, new_disk_id: &str) -> Result<DiskStorage, StartError> {
         let storage = DiskStorage::open(
             &config.dir,
@@ -67,11 +66,11 @@
         Ok(storage)
     }
 
-    /// Opens the log in a storage.
+    /// Opens the log in the storage.
     ///
     /// # Errors
     ///
-    /// When the log can't be opened.
+    /// Returns an error if the log can't be opened.
     pub fn open(
         config: Config,
         secret: Secret,
@@ -84,11 +83,11 @@
         })
     }
 
-    /// Listens, and starts all tasks. Returns the address.
+    /// Starts to listen, spawns all tasks and returns the bound address.
     ///
     /// # Errors
     ///
-    /// When it can't listen.
+    /// Returns an error if the server can't listen on its address.
     pub fn start(&self, spawner: &Spawner) -> Result<SocketAddr, StartError> {
         let address = self.node.config.listen_address();
         let bound = server::bind(address).and_then(|listener| {
@@ -119,12 +118,13 @@
         Ok(local_address)
     }
 
-    /// Waits until the replica has stopped by itself.
+    /// Waits until the replica has stopped on its own initiative, and returns the reason.
     pub async fn stopped(&self) -> StopReason {
         self.node.stopped().await
     }
 }
 
+/// Updates the links and advances the replica at each tick.
 async fn tick(node: Rc<Node>, spawner: Spawner) {
     loop {
         replication::update_links(&node, &spawner);
--- a/crates/coordination-server/src/state_machine.rs
+++ b/crates/coordination-server/src/state_machine.rs
@@ -1,12 +1,12 @@
-//! The replicated state machine: the configuration state, and the ids of the log entries applied to it. An entry that a
-//! replica proposed twice, because it did not learn the outcome, is applied once.
+//! The replicated state machine: the configuration state and the ids of the log entries applied to it. An entry that a
+//! replica proposed twice, because it did not learn the outcome, is applied only once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hoptiller_coordination::{Command, CommandResponse, ConfigState};
 use serde::{Deserialize, Serialize};
 
-/// How many entries of one replica are remembered one by one; older ones count as applied.
+/// Number of applied entries that are remembered individually for each replica. Older entries count as applied.
 const DEDUPLICATION_WINDOW: usize = 1024;
 
 /// The id of a log entry.
@@ -15,22 +15,22 @@
     /// The replica that proposed the entry.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// The incarnation of that replica.
+    /// The incarnation of that replica in which it proposed the entry.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The sequence number of the entry in that incarnation.
+    /// The sequence number of the entry within that incarnation.
     #[serde(rename = "number")]
     pub sequence: u64,
 }
 
-/// The entries applied of one replica's last incarnation.
+/// The applied entries of one replica's last incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct AppliedEntries {
     #[serde(rename = "life")]
     incarnation: u64,
     #[serde(rename = "numbers")]
     sequences: BTreeSet<u64>,
-    /// All sequence numbers below count as applied.
+    /// All sequence numbers below this one count as applied.
     floor: u64,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl StateMachine {
-    /// Applies the commands of an entry and returns their results; `None` if the entry was applied before.
+    /// Applies the commands of an entry and returns their results, or `None` if the entry was applied before.
     pub fn apply(&mut self, id: EntryId, commands: Vec<Command>) -> Option<Vec<CommandResponse>> {
         let applied = self.applied.entry(id.replica).or_default();
         if id.incarnation < applied.incarnation {
@@ -70,7 +70,7 @@
         Some(results.collect())
     }
 
-    /// The configuration state.
+    /// Returns the configuration state.
     pub fn config_state(&self) -> &ConfigState {
         &self.config
     }
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -1,13 +1,15 @@
-//! The durable state of a replica: promises, the log's entries, and the snapshot that stands for compacted entries, in
-//! one file. Each step is one transaction. All of it is held in memory too, from where it is read.
+//! The durable state of a replica in one file: promises, log entries, and the snapshot that replaces compacted entries.
+//! Each update is one transaction. A copy of the state in memory serves all reads.
 //!
-//! The consensus library never learns of compaction: the log seems complete to it. Where it asks for compacted entries,
-//! the first is an [`Entry::Snapshot`](crate::entry::Entry::Snapshot) with the state behind all of them, the others are
-//! [`Entry::Compacted`](crate::entry::Entry::Compacted). So a replica that lags far behind catches up as any other. (The
-//! library's own snapshots, in 0.2.4, lose entries where a follower merges a part: `docs/agreement.md`.)
+//! The consensus library is not aware of compaction and sees a complete log. When it reads compacted entries, the first
+//! one is an [`Entry::Snapshot`](crate::entry::Entry::Snapshot) with the state after all of them, the others are
+//! [`Entry::Compacted`](crate::entry::Entry::Compacted). A replica that lags far behind therefore catches up in the
+//! same way as any other. The library's own snapshots are not used, because version 0.2.4 loses entries when a follower
+//! merges a partial snapshot, see `docs/agreement.md`.
 //!
-//! A missing file is created; any other file that is not sound, or not this replica's, is an error that is reported for
-//! what it is. After a failed write nothing more may leave the replica, as it could forget what it says.
+//! A missing file is created. Opening a file that is damaged or belongs to another replica fails with an error that
+//! states the cause. After a failed write the replica must not send anything, because it could promise what it later
+//! does not know.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -33,12 +35,11 @@
 pub use identity::{DiskIdentity, PeerDisk};
 use persistent_state::{Change, PersistentState};
 
-/// The name of the file.
 const FILE_NAME: &str = "keeper.redb";
-/// The name of the file until it is complete.
+/// Name of the file while it is being created.
 const TEMPORARY_FILE_NAME: &str = "keeper.redb.new";
 
-/// The storage of a replica, shared between the log and its owner.
+/// The storage of a replica, shared by the log and its owner.
 #[derive(Clone)]
 pub struct DiskStorage(Rc<RefCell<Inner>>);
 
@@ -52,7 +53,7 @@
     handle: StorageHandle,
 }
 
-/// What the owner of a replica needs of the storage that its log writes to.
+/// The part of the storage that the owner of a replica needs while the log writes to it.
 #[derive(Clone)]
 pub struct StorageHandle {
     write_sequence: Rc<Cell<u64>>,
@@ -69,26 +70,26 @@
         }
     }
 
-    /// The number of durable transactions.
+    /// Returns the number of durable transactions.
     pub fn write_sequence(&self) -> u64 {
         self.write_sequence.get()
     }
 
-    /// What is known of the peers' disks, by replica; stored with the next durable transaction.
+    /// Returns the known state of the peers' disks, by replica. Changes are stored with the next durable transaction.
     ///
     /// # Panics
     ///
-    /// If it is borrowed already.
+    /// Panics if the state is already borrowed.
     pub fn peers_mut(&self) -> RefMut<'_, BTreeMap<u64, PeerDisk>> {
         self.peers.borrow_mut()
     }
 
-    /// Whether a write has failed, and the failure was not taken yet.
+    /// Returns whether a write has failed and the failure has not been taken.
     pub fn has_failed(&self) -> bool {
         self.failure.borrow().is_some()
     }
 
-    /// Takes the first failure of a write.
+    /// Takes the first write failure.
     pub fn take_failure(&self) -> Option<StorageError> {
         self.failure.borrow_mut().take()
     }
@@ -99,12 +100,12 @@
 }
 
 impl DiskStorage {
-    /// Opens the file in a folder and begins an incarnation, or creates the file with the id `new_disk_id`. The file may
-    /// grow to `max_bytes`.
+    /// Opens the storage file in a directory and begins a new incarnation. Creates the file with the id `new_disk_id`
+    /// if it does not exist. Writes fail once the file is larger than `max_bytes`.
     ///
     /// # Errors
     ///
-    /// When the file can't be read or written, is not sound, or belongs to another replica.
+    /// Returns an error if the file can't be read or written, is damaged, or belongs to another replica.
     pub fn open(
         dir: &Path,
         fleet: &str,
@@ -147,22 +148,23 @@
         }))))
     }
 
-    /// Whose disk it is.
+    /// Returns the identity of the disk.
     pub fn identity(&self) -> DiskIdentity {
         self.0.borrow().identity.clone()
     }
 
-    /// The number of times that the file was opened, this one included: tells this process from the ones before.
+    /// Returns how often the file has been opened, including this time. The number distinguishes this process from
+    /// earlier ones.
     pub fn incarnation(&self) -> u64 {
         self.0.borrow().incarnation
     }
 
-    /// A handle for the owner of the replica.
+    /// Returns a handle for the owner of the replica.
     pub fn handle(&self) -> StorageHandle {
         self.0.borrow().handle.clone()
     }
 
-    /// Compacts the entries before an index, if they are all decided; `snapshot` is the state after the last of them.
+    /// Compacts the entries before an index if they are all decided. `snapshot` is the state after the last of them.
     pub fn compact(&self, up_to: usize, snapshot: &StateMachine) {
         let mut inner = self.0.borrow_mut();
         let state = &inner.state;
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Puts a membership into effect from an index on; `snapshot` is the state after all entries before. It is one
-    /// transaction, so that after a crash either membership is in effect.
+    /// Puts a membership into effect at an index. `snapshot` is the state after all earlier entries. The change is one
+    /// transaction, so that after a crash either the old or the new membership is in effect.
     pub fn reconfigure(&self, membership: Membership, index: usize, snapshot: StateMachine) {
         self.0.borrow_mut().commit(vec![Change::Reconfigure {
             membership,
@@ -184,26 +186,26 @@
         }]);
     }
 
-    /// The membership, unless the configured one is still in effect.
+    /// Returns the stored membership; `None` while the configured one is in effect.
     pub fn membership(&self) -> Option<Membership> {
         self.0.borrow().state.membership.clone()
     }
 
-    /// Whether nothing was ever promised or learned.
+    /// Returns whether the storage contains no promise, membership or entry.
     pub fn is_blank(&self) -> bool {
         let state = &self.0.borrow().state;
         state.membership.is_none() && state.promise.is_none() && state.next_index() == 0
     }
 
-    /// The number of entries that are not compacted.
+    /// Returns the number of entries that are not compacted.
     pub fn retained(&self) -> usize {
         self.0.borrow().state.entries.len()
     }
 }
 
 impl Inner {
-    /// Makes changes in one transaction. In memory they are made even if the write fails: after a failure nothing
-    /// leaves the replica.
+    /// Applies changes in one transaction. The state in memory changes even if the write fails, because the replica
+    /// sends nothing after a failure.
     fn commit(&mut self, changes: Vec<Change>) {
         if self.handle.has_failed() || changes.is_empty() {
             return;
@@ -220,7 +222,7 @@
 
     fn write(&self, changes: &[Change]) -> Result<(), StorageError> {
         let write_error = |error: redb::Error| StorageError::write(&self.path, error);
-        // The number of decided entries is learned again from the peers: it alone need not be durable at once.
+        // The number of decided entries need not be durable at once, because the replica can learn it from its peers.
         let durable = changes
             .iter()
             .any(|change| !matches!(change, Change::Decided(_)));
--- a/crates/coordination-server/src/storage/consensus.rs
+++ b/crates/coordination-server/src/storage/consensus.rs
@@ -1,4 +1,4 @@
-//! The interface of the consensus library to its storage.
+//! The consensus library's storage interface, implemented by [`DiskStorage`].
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
@@ -8,7 +8,8 @@
 use crate::entry::{Entry, NoSnapshot};
 
 impl DiskStorage {
-    /// Never fails: the library has no way to go on after an error. A failure is kept in the storage's handle.
+    /// Applies changes. Always returns `Ok`, because the library can't continue after an error. The storage's handle
+    /// keeps the failure.
     fn commit(&self, changes: Vec<Change>) -> StorageResult<()> {
         self.0.borrow_mut().commit(changes);
         Ok(())
@@ -38,7 +39,7 @@
                     entries,
                 },
                 StorageOp::AppendOnPrefix(from, entries) => Change::Write { from, entries },
-                // The library never trims: it is told that nothing is compacted, and has no snapshots.
+                // Not used: for the library nothing is ever compacted, and its snapshots are disabled.
                 StorageOp::Trim(_) | StorageOp::SetCompactedIdx(_) | StorageOp::SetSnapshot(_) => {
                     continue;
                 }
--- a/crates/coordination-server/src/storage/error.rs
+++ b/crates/coordination-server/src/storage/error.rs
@@ -1,22 +1,22 @@
-//! Why a replica's storage can't be used, or no longer.
+//! Errors of a replica's storage.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use super::identity::DiskIdentity;
 
-/// Why a replica's storage can't be used, or no longer.
+/// An error that makes a replica's storage unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// The file can't be read or written.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// What failed.
+        /// The cause.
         source: io::Error,
     },
-    /// The device or the file's limit is full.
+    /// The device is full, or the file has reached its size limit.
     #[error("{}: the disk is full; make room, and start again", .0.display())]
     Full(PathBuf),
     /// Another process has the file open.
@@ -29,15 +29,15 @@
         .0.display()
     )]
     Truncated(PathBuf),
-    /// The file is no replica's, or has another format.
+    /// The file is not a replica's storage, or has an unsupported format.
     #[error("{}: no file of a keeper of this version: {source}", path.display())]
     UnsupportedFormat {
         /// The file.
         path: PathBuf,
-        /// What differs.
+        /// The difference.
         source: FormatError,
     },
-    /// The file is sound, but belongs to another replica.
+    /// The file is intact but belongs to another replica.
     #[error(
         "{}: belongs to keeper {} of fleet {:?}",
         path.display(), owner.replica, owner.fleet
@@ -48,7 +48,7 @@
         /// The identity in the file.
         owner: Box<DiskIdentity>,
     },
-    /// The checksums or the contents of the file are wrong.
+    /// The checksums or the contents of the file are invalid.
     #[error(
         "{}: damaged: {source}. What this keeper had promised is lost: replace the keeper",
         path.display()
@@ -56,48 +56,48 @@
     Corrupted {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The kind of damage.
         source: Corruption,
     },
-    /// A value to be written has no JSON form.
+    /// A value to be written can't be encoded as JSON.
     #[error("{}: what is to be written has no form there: {source}", path.display())]
     Encode {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The cause.
         source: serde_json::Error,
     },
 }
 
-/// How a file differs from this version's format.
+/// A difference between a file and the supported format.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
-    /// The first bytes are not those of the database.
+    /// The first bytes are not those of a database file.
     #[error("its first bytes are another kind's")]
     Magic,
-    /// The database has another file format.
+    /// The database file has an unsupported format version.
     #[error("store format {0}")]
     DatabaseVersion(u8),
-    /// A table is missing, or of another type.
+    /// A table is missing or has another type.
     #[error(transparent)]
     Table(#[from] redb::TableError),
-    /// The file names no owner.
+    /// The file contains no identity.
     #[error("it says of nobody whose it is")]
     NoIdentity,
-    /// The contents have another version.
+    /// The contents have an unsupported format version.
     #[error("form {found}, {expected} is known")]
     Version {
         /// The version in the file.
         found: u32,
-        /// The version of this program.
+        /// The version that this program supports.
         expected: u32,
     },
 }
 
-/// What is wrong with a file's contents.
+/// A kind of damage to a file.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
-    /// The database panicked while it opened the file.
+    /// The database panicked while opening the file.
     #[error("its pages make no sense")]
     Pages,
     /// The checksums do not match.
@@ -106,10 +106,10 @@
     /// The database reports invalid data.
     #[error(transparent)]
     InvalidData(io::Error),
-    /// The database reports another error.
+    /// The database reports another error for the contents.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// A value is not the JSON expected.
+    /// A value can't be decoded from JSON.
     #[error(transparent)]
     Decode(serde_json::Error),
     /// An entry of the log is missing.
@@ -120,7 +120,7 @@
     MissingDecidedEntries {
         /// The number of entries decided.
         decided: usize,
-        /// The number of entries there are.
+        /// The number of entries in the log, including compacted ones.
         stored: u64,
     },
 }
@@ -147,12 +147,12 @@
         }
     }
 
-    /// An error of a read: whatever the database reports counts as corruption.
+    /// Converts an error of a read. Every error that the database reports counts as corruption.
     pub(super) fn read(path: &Path, error: impl Into<redb::Error>) -> StorageError {
         StorageError::corrupted(path, Corruption::Database(Box::new(error.into())))
     }
 
-    /// An error of a write: a full disk and other I/O errors are told apart from corruption.
+    /// Converts an error of a write. A full disk and other I/O errors are distinguished from corruption.
     pub(super) fn write(path: &Path, error: impl Into<redb::Error>) -> StorageError {
         match error.into() {
             redb::Error::Io(error) if is_full(&error) => StorageError::Full(path.to_owned()),
--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -1,4 +1,4 @@
-//! The database file of a replica: how it is created, opened, read and written.
+//! Creates, opens, reads and writes a replica's database file.
 
 mod key;
 
@@ -20,15 +20,15 @@
 use super::identity::{DiskIdentity, FORMAT_VERSION, PeerDisk};
 use super::persistent_state::{Change, PersistentState};
 
-/// The first bytes of a database file.
+/// First bytes of a database file.
 const MAGIC: [u8; 4] = *b"redb";
 
-/// Single values, as JSON.
+/// Table of single values, as JSON.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The entries of the log by index, as JSON.
+/// Table of log entries by index, as JSON.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// Everything that a file holds.
+/// The contents of a file.
 pub(super) struct Contents {
     pub(super) identity: DiskIdentity,
     pub(super) state: PersistentState,
@@ -39,7 +39,8 @@
     pub(super) peers: BTreeMap<u64, PeerDisk>,
 }
 
-/// Creates a file under a temporary name first: after a crash there is no file, or a complete one.
+/// Creates a file under a temporary name and then renames it, so that after a crash the file is either missing or
+/// complete.
 pub(super) fn create(
     temporary: &Path,
     path: &Path,
@@ -71,11 +72,11 @@
         .map_err(io_error)
 }
 
-/// Opens a file whose checksums are right.
+/// Opens a file after its checksums have been verified.
 pub(super) fn open(path: &Path) -> Result<Database, StorageError> {
     check_magic(path)?;
-    // The database panics on pages that make no sense. Their checksums are verified first, and a panic there is
-    // corruption too.
+    // The database panics on invalid pages. The checksums are verified before the file is used, and a panic counts as
+    // corruption.
     let opened = std::panic::catch_unwind(|| {
         let mut database = Database::open(path)?;
         let sound = database.check_integrity()?;
@@ -125,7 +126,7 @@
     }
 }
 
-/// Reads everything, if the file belongs to a replica.
+/// Reads the contents of a file, which must belong to the given replica.
 pub(super) fn read(
     path: &Path,
     database: &Database,
@@ -220,7 +221,7 @@
     Ok(())
 }
 
-/// Stores the incarnation that begins.
+/// Stores the number of the incarnation that begins.
 pub(super) fn write_incarnation(
     path: &Path,
     database: &Database,
@@ -274,7 +275,7 @@
         })
     }
 
-    /// Stores how many durable transactions there are with this one, and what is known of the peers' disks.
+    /// Stores the number of durable transactions, including this one, and the known state of the peers' disks.
     pub(super) fn write_sequence(
         &mut self,
         sequence: u64,
@@ -341,8 +342,8 @@
     }
 }
 
-/// A value without a JSON form, as a map whose keys are no strings, must not be stored as nothing: the loss would show
-/// only when the replica starts again.
+/// Encodes a value as JSON. A value that has no JSON form, such as a map with keys that are not strings, is an error:
+/// if it were stored as an empty value, the loss would be noticed only at the next start.
 fn encode(path: &Path, value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
     serde_json::to_vec(value).map_err(|source| StorageError::Encode {
         path: path.to_owned(),
--- a/crates/coordination-server/src/storage/file/key.rs
+++ b/crates/coordination-server/src/storage/file/key.rs
@@ -1,4 +1,4 @@
-//! Keys of the table of single values. They are stored: names of the constants may change, the texts may not.
+//! Keys of the table of single values. The strings are part of the stored format and must not change.
 
 pub(super) const IDENTITY: &str = "identity";
 pub(super) const INCARNATION: &str = "life";
--- a/crates/coordination-server/src/storage/identity.rs
+++ b/crates/coordination-server/src/storage/identity.rs
@@ -1,33 +1,34 @@
-//! Whose disk a file is, and what is known of the peers' disks.
+//! The identity of a replica's disk, and the known state of the peers' disks.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the file's contents.
+/// Supported format version of the file's contents.
 pub(super) const FORMAT_VERSION: u32 = 1;
 
-/// Whose disk it is.
+/// The identity of a disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskIdentity {
-    /// The version of the file's contents.
+    /// The format version of the file's contents.
     #[serde(rename = "form")]
     pub format: u32,
     /// The name of the fleet.
     pub fleet: String,
-    /// The replica.
+    /// The id of the replica that owns the disk.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// A random id, drawn when the file was created: tells it from another file of the same replica.
+    /// A random id that distinguishes this file from other files of the same replica. It is chosen when the file is
+    /// created.
     #[serde(rename = "disk")]
     pub disk_id: String,
 }
 
-/// What is known of a peer's disk.
+/// The last known state of a peer's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDisk {
-    /// The id of its disk.
+    /// The id of the disk.
     #[serde(rename = "disk")]
     pub disk_id: String,
-    /// The number of its durable transactions.
+    /// The number of durable transactions on the disk.
     #[serde(rename = "step")]
     pub write_sequence: u64,
 }
--- a/crates/coordination-server/src/storage/persistent_state.rs
+++ b/crates/coordination-server/src/storage/persistent_state.rs
@@ -1,4 +1,4 @@
-//! The durable state of a replica as it is held in memory, and the changes that are made to it and to the file alike.
+//! The in-memory copy of a replica's durable state, and the changes that are applied to both the copy and the file.
 
 use std::collections::VecDeque;
 
@@ -9,40 +9,40 @@
 use crate::membership::Membership;
 use crate::state_machine::StateMachine;
 
-/// What a replica must not forget.
+/// The durable state of a replica.
 #[derive(Default)]
 pub(super) struct PersistentState {
     pub(super) promise: Option<Ballot>,
     pub(super) accepted_round: Option<Ballot>,
-    /// The number of entries decided.
+    /// The number of decided entries.
     pub(super) decided: usize,
     pub(super) stop_sign: Option<StopSign>,
     /// Entries before this index are compacted into `snapshot`.
     pub(super) compacted: usize,
     pub(super) snapshot: StateMachine,
-    /// The entries from index `compacted` on.
+    /// The entries from index `compacted` onwards.
     pub(super) entries: VecDeque<Entry>,
-    /// The membership; `None` as long as the configured one is in effect.
+    /// The membership; `None` while the configured one is in effect.
     pub(super) membership: Option<Membership>,
 }
 
-/// One change of the durable state.
+/// A change of the durable state.
 pub(super) enum Change {
     Promise(Ballot),
     AcceptedRound(Ballot),
     Decided(usize),
     StopSign(Option<StopSign>),
-    /// Replaces all entries from an index on.
+    /// Replaces all entries from an index onwards.
     Write {
         from: usize,
         entries: Vec<Entry>,
     },
-    /// Drops the entries before an index; the snapshot is the state after the last of them.
+    /// Removes the entries before an index. The snapshot is the state after the last of them.
     Compact {
         up_to: usize,
         snapshot: StateMachine,
     },
-    /// Another membership takes effect at an index. Promises and entries under the previous one are dropped.
+    /// Puts a new membership into effect at an index, and removes promises and entries of the previous one.
     Reconfigure {
         membership: Membership,
         index: usize,
@@ -51,13 +51,13 @@
 }
 
 impl PersistentState {
-    /// The index behind the last entry.
+    /// Returns the index after the last entry.
     pub(super) fn next_index(&self) -> usize {
         self.compacted + self.entries.len()
     }
 
-    /// Rewrites changes to the form in which they are stored: a snapshot in front of entries becomes a compaction, and
-    /// entries that are compacted already are left out.
+    /// Converts changes to the form in which they are stored: a snapshot at the start of the entries becomes a
+    /// compaction, and entries that are already compacted are omitted.
     pub(super) fn normalize(&self, changes: Vec<Change>) -> Vec<Change> {
         let mut normalized = Vec::with_capacity(changes.len());
         let mut compacted = self.compacted;
@@ -88,7 +88,7 @@
         normalized
     }
 
-    /// Makes a normalized change.
+    /// Applies a normalized change.
     pub(super) fn apply(&mut self, change: Change) {
         match change {
             Change::Promise(ballot) => self.promise = Some(ballot),
@@ -120,8 +120,8 @@
         }
     }
 
-    /// The entries from one index up to another, none if some of them are missing. Compacted entries come as
-    /// [`Entry::Snapshot`], followed by [`Entry::Compacted`].
+    /// Returns the entries from index `from` up to but not including `to`, or no entries if some of them are missing.
+    /// Represents compacted entries by one [`Entry::Snapshot`] followed by [`Entry::Compacted`].
     pub(super) fn entries_between(&self, from: usize, to: usize) -> Vec<Entry> {
         if to > self.next_index() || from >= to {
             return Vec::new();
