--- a/crates/cli/tests/fleet/replicas.rs
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -73,7 +73,7 @@
     fixture.fleet.kill_replica(2);
     fixture.fleet.restore_disk(2).expect("put back");
     assert_rejected_on_start(&mut fixture, 2);
-    assert_logged(&fixture, "keeper-3", "put back from a copy");
+    assert_logged(&fixture, "keeper-3", "restored from a copy");
     fixture.fleet.kill_replica(2);
     fixture.fleet.lose_disk(2).expect("gone");
     assert_rejected_on_start(&mut fixture, 2);
@@ -151,12 +151,12 @@
     // The lost one comes back after all, with a former disk: its place is taken.
     fixture.fleet.restore_disk(2).expect("put back");
     assert_rejected_on_start(&mut fixture, 2);
-    assert_logged(&fixture, "keeper-3", "taken this one's place");
+    assert_logged(&fixture, "keeper-3", "has replaced this one");
     // The new one loses its disk, and with it its promises: it may not join again.
     fixture.fleet.kill_replica(new);
     fixture.fleet.lose_disk(new).expect("gone");
     assert!(fixture.fleet.start_replica(new).is_err());
-    assert_logged(&fixture, "keeper-4", "don't take it in");
+    assert_logged(&fixture, "keeper-4", "rejects the join request");
     let four = fixture.propose("four", &document(&["a", "b"], 2));
     assert!(
         fixture.fleet.wait_until_in_force(four, TIMEOUT)
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -100,27 +100,27 @@
             (
                 !self.fleet.is_empty() && self.fleet.len() <= MAX_FLEET_NAME_BYTES,
                 "fleet",
-                "a name of 1 to 128 bytes is wanted",
+                "must have 1 to 128 bytes",
             ),
             (
                 matches!(self.replicas.len(), 3 | 5),
                 "keepers",
-                "three or five are wanted",
+                "must name three or five replicas",
             ),
             (
                 self.replicas.keys().all(|id| REPLICA_IDS.contains(id)),
                 "keepers",
-                "numbers from 1 to 99 are wanted, and none is ever used again",
+                "ids must be from 1 to 99 and must never be reused",
             ),
             (
                 self.replicas.contains_key(&self.replica),
                 "keeper",
-                "is none of keepers",
+                "must be one of the ids in keepers",
             ),
             (
                 self.has_distinct_addresses(),
                 "keepers",
-                "an address is given twice",
+                "must not contain an address twice",
             ),
             (
                 self.lease_term >= ConfigDuration::from_millis(MIN_LEASE_TERM_MS),
--- a/crates/coordination-server/src/config/tests.rs
+++ b/crates/coordination-server/src/config/tests.rs
@@ -12,7 +12,7 @@
         config[key] = value;
         Config::read(config).expect_err(key).to_string()
     };
-    assert!(with("keeper", json!(4)).contains("none of keepers"));
+    assert!(with("keeper", json!(4)).contains("one of the ids in keepers"));
     assert!(with("keepers", json!({ "1": "127.0.0.1:1" })).contains("three or five"));
     assert!(with("permit", json!("1ms")).contains("500ms"));
     assert!(with("permit", json!("soon")).contains("duration"));
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -24,7 +24,7 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// Another replica rejects the request.
-    #[error("the other keepers don't take it in: {0}")]
+    #[error("another replica rejects the join request: {0}")]
     Rejected(String),
 }
 
@@ -64,7 +64,10 @@
                 Ok(state) if state.membership.contains(config.replica) => {
                     return store(storage, state);
                 }
-                Ok(state) => format!("list {} does not name this keeper", state.membership.number),
+                Ok(state) => format!(
+                    "membership {} does not contain this replica",
+                    state.membership.number
+                ),
                 Err(CallError::Rejected { message, .. }) => {
                     return Err(JoinError::Rejected(message));
                 }
--- a/crates/coordination-server/src/membership.rs
+++ b/crates/coordination-server/src/membership.rs
@@ -44,13 +44,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplaceError {
     /// The replica to remove is not a member.
-    #[error("there is no keeper {0}")]
+    #[error("there is no replica {0}")]
     UnknownReplica(u64),
     /// The id of the new replica is or was in use.
-    #[error("a keeper has or had the number {0}; give the new one another")]
+    #[error("replica id {0} is or was in use; choose another id for the new replica")]
     IdInUse(u64),
     /// The id of the new replica is not in [`REPLICA_IDS`].
-    #[error("{0}: numbers from {min} to {max} are wanted", min = REPLICA_IDS.start(), max = REPLICA_IDS.end())]
+    #[error(
+        "replica id {0} is out of range: it must be from {min} to {max}",
+        min = REPLICA_IDS.start(),
+        max = REPLICA_IDS.end()
+    )]
     IdOutOfRange(u64),
 }
 
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -37,7 +37,7 @@
     #[error("{}", PeerError::Replaced)]
     Replaced,
     /// A peer rejects this replica because it was replaced or does not have the disk that it had before.
-    #[error("keeper {peer} says: {error}")]
+    #[error("replica {peer} rejects this replica: {error}")]
     RejectedByPeer {
         /// The id of the peer.
         peer: u64,
@@ -45,18 +45,18 @@
         error: PeerError,
     },
     /// The log can't continue under the new membership.
-    #[error("the log can't go on: {0}")]
+    #[error("the log can't continue under the new membership: {0}")]
     Log(#[source] LogError),
 }
 
 /// An error that leaves a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SubmitError {
-    #[error("too many calls wait already")]
+    #[error("too many requests are pending")]
     TooManyPending,
-    #[error("this keeper is ending")]
+    #[error("this replica is stopping")]
     Stopped,
-    #[error("no more than half of the keepers reach each other; it may still be done")]
+    #[error("no response from a quorum of replicas; the request may still take effect")]
     NoQuorum,
 }
 
--- a/crates/coordination-server/src/peer_link.rs
+++ b/crates/coordination-server/src/peer_link.rs
@@ -128,7 +128,7 @@
     #[error(transparent)]
     NoResponse(#[from] ClientError),
     /// The response is not signed with the fleet's secret.
-    #[error("status {status}: not the fleet's")]
+    #[error("status {status}: the response is not signed with the fleet's secret")]
     Unauthenticated {
         /// The HTTP status.
         status: u16,
@@ -139,7 +139,7 @@
     #[error(transparent)]
     Decode(serde_json::Error),
     /// The peer responded with an unexpected status.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
     /// The peer has rejected the message.
     #[error(transparent)]
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -84,8 +84,8 @@
     ConfigMismatch(String),
     /// The sender does not have the disk that it had before.
     #[error(
-        "this keeper had disk {known} before; what it promised then is lost with it. Start a keeper with a new number \
-         in its place"
+        "this replica had disk {known} before, and its promises were lost with that disk. Replace it with a replica \
+         that has a new id"
     )]
     OtherDisk {
         /// The id of the disk that the sender had before.
@@ -93,8 +93,8 @@
     },
     /// The sender's disk has fewer durable transactions than it had before.
     #[error(
-        "this keeper's disk has {write_sequence} steps, and had {known}: it was put back from a copy. Start a keeper \
-         with a new number in its place"
+        "this replica's disk has {write_sequence} transactions and had {known} before: it was restored from a copy. \
+         Replace it with a replica that has a new id"
     )]
     #[serde(rename = "went_back")]
     DiskRolledBack {
@@ -105,11 +105,11 @@
         known: u64,
     },
     /// Another replica has replaced the sender.
-    #[error("another keeper has taken this one's place; it is no longer needed")]
+    #[error("another replica has replaced this one, which is no longer a member")]
     Replaced,
     /// The two replicas have different memberships. The replica with the later one sends it to the other.
     #[error(
-        "the keepers are known there by list {receiver}, here by list {sender}. A new keeper is started with --join"
+        "the receiver has membership {receiver}, the sender has membership {sender}. Start a new replica with --join"
     )]
     #[serde(rename = "lists")]
     MembershipMismatch {
@@ -163,7 +163,7 @@
     fn check_origin(&self, batch: &MessageBatch) -> Result<(), PeerError> {
         let mismatch = |reason: String| Err(PeerError::ConfigMismatch(reason));
         if batch.fleet != self.fleet {
-            return mismatch(format!("this is fleet {:?}", self.fleet));
+            return mismatch(format!("the receiver belongs to fleet {:?}", self.fleet));
         }
         if self.removed.contains(&batch.from) {
             return Err(PeerError::Replaced);
@@ -175,22 +175,27 @@
             });
         }
         if batch.replicas != self.replicas {
-            return mismatch(format!("the keepers here are {:?}", self.replicas));
+            return mismatch(format!("the receiver's members are {:?}", self.replicas));
         }
         if batch.to != self.replica
             || batch.from == self.replica
             || !self.replicas.contains(&batch.from)
         {
-            return mismatch(format!("this is keeper {}", self.replica));
+            return mismatch(format!(
+                "the receiver is replica {} of {:?}",
+                self.replica, self.replicas
+            ));
         }
         let LeaseTiming { term, drift, .. } = self.bounds;
         if (batch.term, batch.drift) != (term, drift) {
-            return mismatch(format!("permits here last {term} us, drift {drift}"));
+            return mismatch(format!(
+                "the receiver has a lease term (permit) of {term} us and a drift of {drift} millionths"
+            ));
         }
         let foreign =
             |message: &Message| message.sender() != batch.from || message.receiver() != batch.to;
         if batch.messages.iter().any(foreign) {
-            return mismatch("its messages are others'".into());
+            return mismatch("the batch contains messages of another sender or receiver".into());
         }
         Ok(())
     }
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -25,27 +25,30 @@
 enum RequestError {
     #[error(transparent)]
     Body(#[from] serde_json::Error),
-    #[error("names of 1 to {MAX_NAME_BYTES} bytes are wanted")]
+    #[error("the names of a router and its incarnation must have 1 to {MAX_NAME_BYTES} bytes each")]
     HolderName,
-    #[error("the call is not signed with this fleet's secret")]
+    #[error("the request is not signed with this fleet's secret")]
     Unauthenticated,
-    #[error("no such call")]
+    #[error("unknown method or path")]
     UnknownPath,
-    #[error("there is no such version, or its text is no longer kept")]
+    #[error("the version does not exist, or its document is no longer stored")]
     UnknownVersion,
-    #[error("one of the versions is not there, or its text is no longer kept")]
+    #[error("one of the versions does not exist, or its document is no longer stored")]
     UnknownVersions,
-    #[error("permits last {term} us here, drift {drift}: set the router alike")]
+    #[error(
+        "this replica has a lease term (permit) of {term} us and a drift of {drift} millionths; set the same \
+         values in the router"
+    )]
     LeaseTermMismatch { term: u64, drift: u64 },
-    #[error("this is fleet {0:?}")]
+    #[error("this replica belongs to fleet {0:?}")]
     OtherFleet(String),
     #[error(transparent)]
     PeerRejected(PeerError),
-    #[error("keeper {replica} is none of list {membership}")]
+    #[error("replica {replica} is not in membership {membership}")]
     NotAMember { replica: u64, membership: u32 },
-    #[error("this keeper does not reach that one")]
+    #[error("this replica can't reach the sender")]
     LinkBroken,
-    #[error("this keeper is ending")]
+    #[error("this replica is stopping")]
     Stopped,
     #[error(transparent)]
     Submit(#[from] SubmitError),
@@ -250,7 +253,7 @@
         }
         Err(error) => {
             if !matches!(error, PeerError::MembershipMismatch { .. }) {
-                tracing::warn!(keeper = batch.from, error = %error, "messages of peer rejected");
+                tracing::warn!(keeper = batch.from, error = %error, "rejected messages from peer");
             }
             return responses::json(409, &error);
         }
@@ -293,10 +296,13 @@
     let replica = node.config.replica;
     let mismatch = |reason: String| responses::json(409, &PeerError::ConfigMismatch(reason));
     if request.fleet != node.config.fleet || request.to != replica {
-        return mismatch(format!("this is keeper {replica}"));
+        return mismatch(format!(
+            "the receiver is replica {replica} of fleet {:?}",
+            node.config.fleet
+        ));
     }
     if !request.state.membership.contains(replica) {
-        return mismatch("that list does not name this keeper".into());
+        return mismatch(format!("the membership does not contain replica {replica}"));
     }
     node.update(|replica, now| replica.install(now, request.state));
     responses::ok(&())
--- a/crates/coordination-server/src/storage/error.rs
+++ b/crates/coordination-server/src/storage/error.rs
@@ -17,20 +17,23 @@
         source: io::Error,
     },
     /// The device is full, or the file has reached its size limit.
-    #[error("{}: the disk is full; make room, and start again", .0.display())]
+    #[error(
+        "{}: the disk is full, or the file has reached most_bytes; free disk space or raise most_bytes, then restart",
+        .0.display()
+    )]
     Full(PathBuf),
     /// Another process has the file open.
-    #[error("{}: another process holds it", .0.display())]
+    #[error("{}: another process has the file open", .0.display())]
     InUse(PathBuf),
     /// The file is truncated.
     #[error(
-        "{}: the file is cut short. What this keeper had promised is lost: replace the keeper, don't restore the file \
+        "{}: the file is truncated, and this replica's promises are lost. Replace the replica; don't restore the file \
          from a copy",
         .0.display()
     )]
     Truncated(PathBuf),
     /// The file is not a replica's storage, or has an unsupported format.
-    #[error("{}: no file of a keeper of this version: {source}", path.display())]
+    #[error("{}: not a replica's storage in a supported format: {source}", path.display())]
     UnsupportedFormat {
         /// The file.
         path: PathBuf,
@@ -39,7 +42,7 @@
     },
     /// The file is intact but belongs to another replica.
     #[error(
-        "{}: belongs to keeper {} of fleet {:?}",
+        "{}: belongs to replica {} of fleet {:?}",
         path.display(), owner.replica, owner.fleet
     )]
     OtherOwner {
@@ -50,7 +53,7 @@
     },
     /// The checksums or the contents of the file are invalid.
     #[error(
-        "{}: damaged: {source}. What this keeper had promised is lost: replace the keeper",
+        "{}: the file is damaged: {source}. This replica's promises are lost: replace the replica",
         path.display()
     )]
     Corrupted {
@@ -60,7 +63,7 @@
         source: Corruption,
     },
     /// A value to be written can't be encoded as JSON.
-    #[error("{}: what is to be written has no form there: {source}", path.display())]
+    #[error("{}: a value can't be encoded as JSON: {source}", path.display())]
     Encode {
         /// The file.
         path: PathBuf,
@@ -73,19 +76,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
     /// The first bytes are not those of a database file.
-    #[error("its first bytes are another kind's")]
+    #[error("the file does not start with the database's magic bytes")]
     Magic,
     /// The database file has an unsupported format version.
-    #[error("store format {0}")]
+    #[error("unsupported database format {0}")]
     DatabaseVersion(u8),
     /// A table is missing or has another type.
     #[error(transparent)]
     Table(#[from] redb::TableError),
     /// The file contains no identity.
-    #[error("it says of nobody whose it is")]
+    #[error("the file contains no identity")]
     NoIdentity,
     /// The contents have an unsupported format version.
-    #[error("form {found}, {expected} is known")]
+    #[error("the contents have format version {found}, supported is {expected}")]
     Version {
         /// The version in the file.
         found: u32,
@@ -98,10 +101,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
     /// The database panicked while opening the file.
-    #[error("its pages make no sense")]
+    #[error("invalid pages")]
     Pages,
     /// The checksums do not match.
-    #[error("its checksums are wrong")]
+    #[error("checksum mismatch")]
     Checksums,
     /// The database reports invalid data.
     #[error(transparent)]
@@ -113,10 +116,10 @@
     #[error(transparent)]
     Decode(serde_json::Error),
     /// An entry of the log is missing.
-    #[error("entry {0} of the log is missing")]
+    #[error("log entry {0} is missing")]
     MissingEntry(u64),
     /// More entries are decided than the log has.
-    #[error("{decided} entries are decided, {stored} are there")]
+    #[error("{decided} entries are decided, but only {stored} are stored")]
     MissingDecidedEntries {
         /// The number of entries decided.
         decided: usize,
