--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the duration of leases and the accuracy of clocks.
-    pub fn bounds(&self) -> LeaseTiming {
+    pub fn lease_timing(&self) -> LeaseTiming {
         LeaseTiming {
             term: self.lease_term.as_micros(),
             drift: self.drift,
--- a/crates/coordination-server/src/config/tests.rs
+++ b/crates/coordination-server/src/config/tests.rs
@@ -6,7 +6,10 @@
     let good = json!({ "fleet": "f", "keeper": 1, "dir": "d", "secret": "s",
         "keepers": { "1": "127.0.0.1:1", "2": "127.0.0.1:2", "3": "127.0.0.1:3" } });
     let read = Config::read(good.clone()).expect("good");
-    assert_eq!((read.bounds().term, read.peers().count()), (10_000_000, 2));
+    assert_eq!(
+        (read.lease_timing().term, read.peers().count()),
+        (10_000_000, 2)
+    );
     let with = |key: &str, value: serde_json::Value| {
         let mut config = good.clone();
         config[key] = value;
--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -8,21 +8,21 @@
 use hoptiller_coordination::fault_injection::{self, Fault};
 use hoptiller_coordination::{Command, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros};
 
-use crate::in_flight::REPROPOSE_AFTER;
+use crate::in_flight::REPROPOSE_TIMEOUT;
 use crate::state_machine::EntryId;
 
 /// Minimum interval between two checks.
 const CHECK_INTERVAL: Micros = 50_000;
 /// Minimum interval between two entries that only remove expired leases.
-const DROP_EXPIRED_INTERVAL: Micros = 1_000_000;
+const REMOVE_EXPIRED_INTERVAL: Micros = 1_000_000;
 /// Time that a follower leaves the leader to put a version into force before it proposes to do so itself.
 const FOLLOWER_DELAY: Micros = 1_000_000;
 
 /// The inputs of one check.
-pub(crate) struct ExpiryView<'a> {
+pub(crate) struct ExpiryCheckInput<'a> {
     pub(crate) config: &'a ConfigState,
     pub(crate) expiry: &'a ExpiryTracker,
-    pub(crate) bounds: &'a LeaseTiming,
+    pub(crate) lease_timing: &'a LeaseTiming,
     /// Whether this replica is the leader and can decide entries.
     pub(crate) is_leader: bool,
 }
@@ -30,9 +30,9 @@
 /// The state of the periodic check.
 #[derive(Default)]
 pub(crate) struct ExpiryCheck {
-    checked_at: Micros,
+    last_check_at: Micros,
     /// The time at which a [`Command::CompleteRollout`] was last proposed.
-    completed_at: Micros,
+    last_completion_at: Micros,
     /// The last proposed entry and its time; `None` once the entry is decided.
     in_flight: Option<(EntryId, Micros)>,
     /// The time since which nothing blocks the next version.
@@ -41,30 +41,34 @@
 
 impl ExpiryCheck {
     /// Runs a check if one is due and returns the commands to propose, each in an entry of its own. The caller must
-    /// call [`ExpiryCheck::proposed`] for each entry.
-    pub(crate) fn due_commands(&mut self, now: Micros, view: &ExpiryView<'_>) -> Vec<Command> {
+    /// call [`ExpiryCheck::record_proposed`] for each entry.
+    pub(crate) fn due_commands(
+        &mut self,
+        now: Micros,
+        input: &ExpiryCheckInput<'_>,
+    ) -> Vec<Command> {
         let is_in_flight = self
             .in_flight
-            .is_some_and(|(_, proposed_at)| now < proposed_at + REPROPOSE_AFTER);
-        if now < self.checked_at + CHECK_INTERVAL || is_in_flight {
+            .is_some_and(|(_, proposed_at)| now < proposed_at + REPROPOSE_TIMEOUT);
+        if now < self.last_check_at + CHECK_INTERVAL || is_in_flight {
             return Vec::new();
         }
-        self.checked_at = now;
+        self.last_check_at = now;
         let mut commands = Vec::new();
-        let expired_leases = view.expiry.expired_task_leases(now, view.bounds);
-        if view.is_leader && !expired_leases.is_empty() {
+        let expired_leases = input.expiry.expired_task_leases(now, input.lease_timing);
+        if input.is_leader && !expired_leases.is_empty() {
             commands.push(Command::ExpireTaskLeases(expired_leases));
         }
-        let expired_holders = view.expiry.expired_config_leases(now, view.bounds);
+        let expired_holders = input.expiry.expired_config_leases(now, input.lease_timing);
         let holders = expired_holders.iter().map(|(holder, _)| holder).collect();
-        self.update_unblocked(now, view.config, &holders);
-        let drops_expired = view.is_leader
+        self.update_unblocked_since(now, input.config, &holders);
+        let removes_expired = input.is_leader
             && !expired_holders.is_empty()
-            && now >= self.completed_at + DROP_EXPIRED_INTERVAL;
-        if drops_expired || self.may_complete_rollout(now, view.is_leader) {
-            self.completed_at = now;
+            && now >= self.last_completion_at + REMOVE_EXPIRED_INTERVAL;
+        if removes_expired || self.may_complete_rollout(now, input.is_leader) {
+            self.last_completion_at = now;
             commands.push(Command::CompleteRollout {
-                upto: view.config.latest(),
+                upto: input.config.latest(),
                 lapsed: expired_holders,
             });
         }
@@ -72,18 +76,23 @@
     }
 
     /// Records that an entry with a command of this check was proposed.
-    pub(crate) fn proposed(&mut self, now: Micros, id: EntryId) {
+    pub(crate) fn record_proposed(&mut self, now: Micros, id: EntryId) {
         self.in_flight = Some((id, now));
     }
 
     /// Records that an entry was decided.
-    pub(crate) fn decided(&mut self, id: EntryId) {
+    pub(crate) fn record_decided(&mut self, id: EntryId) {
         if self.in_flight.is_some_and(|(proposed, _)| proposed == id) {
             self.in_flight = None;
         }
     }
 
-    fn update_unblocked(&mut self, now: Micros, config: &ConfigState, expired: &BTreeSet<&Holder>) {
+    fn update_unblocked_since(
+        &mut self,
+        now: Micros,
+        config: &ConfigState,
+        expired: &BTreeSet<&Holder>,
+    ) {
         self.unblocked_since =
             is_unblocked(config, expired).then(|| self.unblocked_since.unwrap_or(now));
     }
--- a/crates/coordination-server/src/in_flight.rs
+++ b/crates/coordination-server/src/in_flight.rs
@@ -9,7 +9,7 @@
 use crate::state_machine::EntryId;
 
 /// Time after which an entry that is not decided is proposed again, because its message or the leader may be lost.
-pub(crate) const REPROPOSE_AFTER: Micros = 700_000;
+pub(crate) const REPROPOSE_TIMEOUT: Micros = 700_000;
 
 struct InFlightEntry {
     entry: Entry,
@@ -20,10 +20,10 @@
 
 impl InFlightEntry {
     fn is_overdue(&self, now: Micros) -> bool {
-        now >= self.proposed_at + REPROPOSE_AFTER
+        now >= self.proposed_at + REPROPOSE_TIMEOUT
     }
 
-    fn is_awaited(&self) -> bool {
+    fn has_waiting_request(&self) -> bool {
         self.requests.iter().any(Option::is_some)
     }
 }
@@ -70,22 +70,26 @@
         }
     }
 
-    /// Returns the overdue entries for which a request waits, to be proposed again at `now`, and removes other overdue
-    /// entries.
-    pub(crate) fn take_overdue(&mut self, now: Micros) -> Vec<Entry> {
+    /// Returns the overdue entries for which a request waits, to be proposed again, and restarts their timeout at
+    /// `now`. Removes other overdue entries.
+    pub(crate) fn repropose_overdue(&mut self, now: Micros) -> Vec<Entry> {
         self.by_id
-            .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.is_awaited());
-        self.restart(now, |in_flight| in_flight.is_overdue(now))
+            .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.has_waiting_request());
+        self.repropose_where(now, |in_flight| in_flight.is_overdue(now))
     }
 
-    /// Returns all entries, to be proposed again at `now`.
-    pub(crate) fn take_all(&mut self, now: Micros) -> Vec<Entry> {
-        self.restart(now, |_| true)
+    /// Returns all entries, to be proposed again, and restarts their timeout at `now`.
+    pub(crate) fn repropose_all(&mut self, now: Micros) -> Vec<Entry> {
+        self.repropose_where(now, |_| true)
     }
 
-    fn restart(&mut self, now: Micros, is_chosen: impl Fn(&InFlightEntry) -> bool) -> Vec<Entry> {
-        let chosen = self.by_id.values_mut().filter(|entry| is_chosen(entry));
-        chosen
+    fn repropose_where(
+        &mut self,
+        now: Micros,
+        predicate: impl Fn(&InFlightEntry) -> bool,
+    ) -> Vec<Entry> {
+        let selected = self.by_id.values_mut().filter(|entry| predicate(entry));
+        selected
             .map(|in_flight| {
                 in_flight.proposed_at = now;
                 in_flight.entry.clone()
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -39,7 +39,7 @@
     secret: &Secret,
     storage: &DiskStorage,
 ) -> Result<(), JoinError> {
-    if !storage.is_blank() {
+    if !storage.is_empty() {
         return Ok(());
     }
     let endpoints = config.peers().map(|(_, address)| address).collect();
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -70,13 +70,13 @@
     pub(crate) storage: StorageHandle,
     pub(crate) replica: RefCell<Replica>,
     /// The values that batches of peers are checked against, for the membership in effect.
-    pub(crate) local: RefCell<LocalView>,
-    pub(crate) batches: RefCell<BatchReceiver>,
+    pub(crate) local_view: RefCell<LocalView>,
+    pub(crate) batch_receiver: RefCell<BatchReceiver>,
     /// The links to the other members.
     pub(crate) links: RefCell<BTreeMap<u64, Rc<PeerLink>>>,
-    pending: RefCell<BTreeMap<RequestId, Sender<Response>>>,
+    pending_requests: RefCell<BTreeMap<RequestId, Sender<Response>>>,
     versions: Cell<wire::VersionNumbers>,
-    /// Notified when `versions` changes.
+    /// Notified when `versions` has changed.
     versions_changed: Event,
     stop_reason: RefCell<Option<StopReason>>,
     stopped: Event,
@@ -95,9 +95,9 @@
         let disk_id = storage.identity().disk_id;
         let initial = Membership::initial(config.replicas.clone());
         let log = ReplicatedLog::open(id, initial, storage)?;
-        let replica = Replica::new(id, incarnation, config.bounds(), log, clock.now());
+        let replica = Replica::new(id, incarnation, config.lease_timing(), log, clock.now());
         Ok(Node {
-            local: RefCell::new(local_view(&config, replica.membership())),
+            local_view: RefCell::new(local_view(&config, replica.membership())),
             versions: Cell::new(responses::version_numbers(replica.config_state())),
             replica: RefCell::new(replica),
             config,
@@ -106,9 +106,9 @@
             incarnation,
             disk_id,
             storage: handle,
-            batches: RefCell::default(),
+            batch_receiver: RefCell::default(),
             links: RefCell::default(),
-            pending: RefCell::default(),
+            pending_requests: RefCell::default(),
             versions_changed: Event::new(),
             stop_reason: RefCell::default(),
             stopped: Event::new(),
@@ -165,7 +165,7 @@
     }
 
     fn respond(&self, completed: Vec<CompletedRequest>) {
-        let mut pending = self.pending.borrow_mut();
+        let mut pending = self.pending_requests.borrow_mut();
         for CompletedRequest { request, response } in completed {
             if let Some(sender) = pending.remove(&request) {
                 // Fails if the request has just timed out.
@@ -175,10 +175,10 @@
     }
 
     fn update_membership(&self, membership: &Membership) {
-        if membership.number == self.local.borrow().membership {
+        if membership.number == self.local_view.borrow().membership {
             return;
         }
-        *self.local.borrow_mut() = local_view(&self.config, membership);
+        *self.local_view.borrow_mut() = local_view(&self.config, membership);
         tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "membership changed");
         // Messages queued under the previous membership are void.
         for link in self.links.borrow().values() {
@@ -227,13 +227,13 @@
         &self,
         submit: impl FnOnce(&mut Replica, Micros) -> RequestId,
     ) -> Result<Response, SubmitError> {
-        if self.pending.borrow().len() >= MAX_PENDING_REQUESTS {
+        if self.pending_requests.borrow().len() >= MAX_PENDING_REQUESTS {
             return Err(SubmitError::TooManyPending);
         }
         let (sender, receiver) = async_channel::bounded(1);
         let request = self.update(submit).ok_or(SubmitError::Stopped)?;
-        self.pending.borrow_mut().insert(request, sender);
-        let _pending = PendingRequest {
+        self.pending_requests.borrow_mut().insert(request, sender);
+        let _guard = PendingRequestGuard {
             node: self,
             request,
         };
@@ -256,19 +256,23 @@
         replicas: membership.replica_ids(),
         membership: membership.number,
         removed: membership.removed.clone(),
-        bounds: config.bounds(),
+        lease_timing: config.lease_timing(),
     }
 }
 
 /// Guard that cancels its request if it is dropped before the response arrives, however the waiting task ends.
-struct PendingRequest<'a> {
+struct PendingRequestGuard<'a> {
     node: &'a Node,
     request: RequestId,
 }
 
-impl Drop for PendingRequest<'_> {
+impl Drop for PendingRequestGuard<'_> {
     fn drop(&mut self) {
-        let sender = self.node.pending.borrow_mut().remove(&self.request);
+        let sender = self
+            .node
+            .pending_requests
+            .borrow_mut()
+            .remove(&self.request);
         if sender.is_some() {
             self.node.replica.borrow_mut().cancel(self.request);
         }
--- a/crates/coordination-server/src/peer_link.rs
+++ b/crates/coordination-server/src/peer_link.rs
@@ -32,7 +32,7 @@
     /// Whether queued messages were dropped.
     overflowed: Cell<bool>,
     /// The time at which the peer last accepted a batch, by the clock that measures leases.
-    heard_at: Cell<Option<Micros>>,
+    last_accepted_at: Cell<Option<Micros>>,
     /// Whether the last batch got no response.
     broken: Cell<bool>,
     closed: Cell<bool>,
@@ -45,17 +45,17 @@
             queue: RefCell::default(),
             changed: Event::new(),
             overflowed: Cell::new(false),
-            heard_at: Cell::new(None),
+            last_accepted_at: Cell::new(None),
             broken: Cell::new(false),
             closed: Cell::new(false),
         })
     }
 
     /// Returns a connection to the peer that is not open yet.
-    pub(crate) fn connection(&self) -> PeerConnection {
+    pub(crate) fn new_connection(&self) -> PeerConnection {
         PeerConnection {
             address: self.address,
-            open: None,
+            connection: None,
         }
     }
 
@@ -99,13 +99,13 @@
         self.overflowed.take()
     }
 
-    pub(crate) fn set_heard_at(&self, now: Micros) {
-        self.heard_at.set(Some(now));
+    pub(crate) fn set_last_accepted_at(&self, now: Micros) {
+        self.last_accepted_at.set(Some(now));
     }
 
     /// Returns the time at which the peer last accepted a batch.
-    pub(crate) fn heard_at(&self) -> Option<Micros> {
-        self.heard_at.get()
+    pub(crate) fn last_accepted_at(&self) -> Option<Micros> {
+        self.last_accepted_at.get()
     }
 
     pub(crate) fn set_broken(&self, broken: bool) {
@@ -148,7 +148,7 @@
 
 impl SendError {
     /// Returns whether the peer has not responded at all.
-    pub(crate) fn is_without_response(&self) -> bool {
+    pub(crate) fn has_no_response(&self) -> bool {
         matches!(self, SendError::Encode(_) | SendError::NoResponse(_))
     }
 }
@@ -156,13 +156,13 @@
 /// A connection to a peer that is opened on demand.
 pub(crate) struct PeerConnection {
     address: SocketAddr,
-    open: Option<Connection<Async<TcpStream>>>,
+    connection: Option<Connection<Async<TcpStream>>>,
 }
 
 impl PeerConnection {
     /// Closes the connection. The next message opens a new one.
     pub(crate) fn close(&mut self) {
-        self.open = None;
+        self.connection = None;
     }
 
     /// Sends a message and waits until the peer has accepted it.
@@ -176,7 +176,7 @@
         request.body = serde_json::to_vec(body).map_err(SendError::Encode)?;
         let request = secret.sign_request(request);
         let reusable = self
-            .open
+            .connection
             .take()
             .filter(|connection| connection.is_reusable() && !connection.is_stale());
         let mut connection = match reusable {
@@ -188,7 +188,7 @@
         secret
             .verify_response(&request, &response)
             .map_err(|source| SendError::Unauthenticated { status, source })?;
-        self.open = Some(connection);
+        self.connection = Some(connection);
         match status {
             200 => Ok(()),
             409 => {
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -155,7 +155,7 @@
     pub(crate) membership: u32,
     /// The ids of removed replicas.
     pub(crate) removed: BTreeSet<u64>,
-    pub(crate) bounds: LeaseTiming,
+    pub(crate) lease_timing: LeaseTiming,
 }
 
 impl LocalView {
@@ -186,15 +186,15 @@
                 self.replica, self.replicas
             ));
         }
-        let LeaseTiming { term, drift, .. } = self.bounds;
+        let LeaseTiming { term, drift, .. } = self.lease_timing;
         if (batch.term, batch.drift) != (term, drift) {
             return mismatch(format!(
                 "the receiver has a lease term (permit) of {term} us and a drift of {drift} millionths"
             ));
         }
-        let foreign =
+        let is_foreign =
             |message: &Message| message.sender() != batch.from || message.receiver() != batch.to;
-        if batch.messages.iter().any(foreign) {
+        if batch.messages.iter().any(is_foreign) {
             return mismatch("the batch contains messages of another sender or receiver".into());
         }
         Ok(())
@@ -203,7 +203,7 @@
 
 /// The last batch received from a peer.
 #[derive(Clone, Copy)]
-struct Received {
+struct LastBatch {
     incarnation: u64,
     sequence: u64,
 }
@@ -211,7 +211,7 @@
 /// Checks the order and origin of batches from all peers.
 #[derive(Default)]
 pub(crate) struct BatchReceiver {
-    last: BTreeMap<u64, Received>,
+    last_batches: BTreeMap<u64, LastBatch>,
 }
 
 impl BatchReceiver {
@@ -235,7 +235,7 @@
             write_sequence: batch.write_sequence,
             known: known_sequence,
         };
-        let last = self.last.get(&batch.from).copied();
+        let last = self.last_batches.get(&batch.from).copied();
         if let Some(last) = last
             && (batch.incarnation, batch.sequence) <= (last.incarnation, last.sequence)
         {
@@ -254,11 +254,11 @@
             return Err(rolled_back);
         }
         disk.write_sequence = batch.write_sequence;
-        let received = Received {
+        let received = LastBatch {
             incarnation: batch.incarnation,
             sequence: batch.sequence,
         };
-        self.last.insert(batch.from, received);
+        self.last_batches.insert(batch.from, received);
         match last {
             Some(last)
                 if last.incarnation == batch.incarnation && last.sequence + 1 == batch.sequence =>
--- a/crates/coordination-server/src/peer_protocol/tests.rs
+++ b/crates/coordination-server/src/peer_protocol/tests.rs
@@ -7,7 +7,7 @@
         replicas: vec![1, 2, 3],
         membership: 2,
         removed: [9].into(),
-        bounds: LeaseTiming { term: 10, drift: 1 },
+        lease_timing: LeaseTiming { term: 10, drift: 1 },
     }
 }
 
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Entry;
-use crate::expiry_check::{ExpiryCheck, ExpiryView};
+use crate::expiry_check::{ExpiryCheck, ExpiryCheckInput};
 use crate::in_flight::InFlightEntries;
 use crate::membership::{Membership, Replacement};
 use crate::replicated_log::{LogError, LogSize, Message, ReplicatedLog};
@@ -35,16 +35,16 @@
 pub struct Replica {
     id: u64,
     incarnation: u64,
-    bounds: LeaseTiming,
+    lease_timing: LeaseTiming,
     log: ReplicatedLog,
     state_machine: StateMachine,
     /// The expiry of leases by this replica's clock.
     expiry: ExpiryTracker,
     /// Submitted commands that are not proposed yet.
-    batch: Vec<(RequestId, Command)>,
+    queued_commands: Vec<(RequestId, Command)>,
     in_flight: InFlightEntries,
     completed: Vec<CompletedRequest>,
-    next_request: RequestId,
+    next_request_id: RequestId,
     next_sequence: u64,
     expiry_check: ExpiryCheck,
     /// Set if the log can't continue under a new membership.
@@ -56,21 +56,21 @@
     pub fn new(
         id: u64,
         incarnation: u64,
-        bounds: LeaseTiming,
+        lease_timing: LeaseTiming,
         log: ReplicatedLog,
         now: Micros,
     ) -> Replica {
         let mut replica = Replica {
             id,
             incarnation,
-            bounds,
+            lease_timing,
             log,
             state_machine: StateMachine::default(),
             expiry: ExpiryTracker::default(),
-            batch: Vec::new(),
+            queued_commands: Vec::new(),
             in_flight: InFlightEntries::default(),
             completed: Vec::new(),
-            next_request: RequestId::default(),
+            next_request_id: RequestId::default(),
             next_sequence: 0,
             expiry_check: ExpiryCheck::default(),
             failure: None,
@@ -82,14 +82,14 @@
 
     /// Submits a command. Its response becomes available once a quorum has accepted the command.
     pub fn submit(&mut self, command: Command) -> RequestId {
-        let request = self.new_request();
-        self.batch.push((request, command));
+        let request = self.new_request_id();
+        self.queued_commands.push((request, command));
         request
     }
 
     /// Submits a replacement of one replica by another.
-    pub fn replace(&mut self, now: Micros, replacement: Replacement) -> RequestId {
-        let request = self.new_request();
+    pub fn submit_replacement(&mut self, now: Micros, replacement: Replacement) -> RequestId {
+        let request = self.new_request_id();
         let id = self.new_entry_id();
         let entry = Entry::Replace(id, replacement);
         self.propose(now, id, entry, vec![Some(request)]);
@@ -116,7 +116,8 @@
 
     /// Cancels a request for which no caller waits any more. Its command may still take effect.
     pub fn cancel(&mut self, request: RequestId) {
-        self.batch.retain(|(batched, _)| *batched != request);
+        self.queued_commands
+            .retain(|(queued, _)| *queued != request);
         self.in_flight.cancel(request);
     }
 
@@ -136,10 +137,10 @@
     /// Proposes the submitted commands. [`Replica::tick`] calls this too; call it after a burst of commands to propose
     /// them without waiting for the next tick.
     pub fn flush(&mut self, now: Micros) {
-        while !self.batch.is_empty() {
-            let size = self.batch.len().min(MAX_COMMANDS_PER_ENTRY);
+        while !self.queued_commands.is_empty() {
+            let size = self.queued_commands.len().min(MAX_COMMANDS_PER_ENTRY);
             let (requests, commands) = self
-                .batch
+                .queued_commands
                 .drain(..size)
                 .map(|(request, command)| (Some(request), command))
                 .unzip();
@@ -155,7 +156,7 @@
         }
         self.log.tick();
         self.flush(now);
-        for entry in self.in_flight.take_overdue(now) {
+        for entry in self.in_flight.repropose_overdue(now) {
             self.log.propose(entry);
         }
         self.check_expiry(now);
@@ -184,9 +185,9 @@
         self.log.propose(entry);
     }
 
-    fn new_request(&mut self) -> RequestId {
-        let request = self.next_request;
-        self.next_request = request.next();
+    fn new_request_id(&mut self) -> RequestId {
+        let request = self.next_request_id;
+        self.next_request_id = request.next();
         request
     }
 
@@ -204,22 +205,22 @@
         if let Err(error) = self.log.reconfigure(membership, index, &self.state_machine) {
             self.failure = Some(error);
         }
-        for entry in self.in_flight.take_all(now) {
+        for entry in self.in_flight.repropose_all(now) {
             self.log.propose(entry);
         }
     }
 
     /// Proposes the commands that put unblocked versions into force and remove expired leases.
     fn check_expiry(&mut self, now: Micros) {
-        let view = ExpiryView {
+        let input = ExpiryCheckInput {
             config: self.state_machine.config_state(),
             expiry: &self.expiry,
-            bounds: &self.bounds,
+            lease_timing: &self.lease_timing,
             is_leader: self.is_leader(),
         };
-        for command in self.expiry_check.due_commands(now, &view) {
+        for command in self.expiry_check.due_commands(now, &input) {
             let id = self.propose_commands(now, Vec::new(), vec![command]);
-            self.expiry_check.proposed(now, id);
+            self.expiry_check.record_proposed(now, id);
         }
     }
 
@@ -261,7 +262,7 @@
 
     fn apply_commands(&mut self, id: EntryId, commands: Vec<Command>) {
         let requests = self.in_flight.remove(id);
-        self.expiry_check.decided(id);
+        self.expiry_check.record_decided(id);
         let results = self.state_machine.apply(id, commands).unwrap_or_default();
         for (request, result) in requests.into_iter().zip(results) {
             self.complete(request, Response::Command(result));
@@ -308,14 +309,15 @@
     }
 
     /// Returns the time until a holder's configuration lease expires by this replica's clock; `None` if it is not held.
-    pub fn config_lease_left(&self, now: Micros, holder: &Holder) -> Option<Micros> {
+    pub fn config_lease_remaining(&self, now: Micros, holder: &Holder) -> Option<Micros> {
         self.expiry
-            .config_lease_remaining(now, holder, &self.bounds)
+            .config_lease_remaining(now, holder, &self.lease_timing)
     }
 
     /// Returns the time until the lease of a shard expires by this replica's clock; `None` if it is not held.
-    pub fn shard_lease_left(&self, now: Micros, shard: &Shard) -> Option<Micros> {
-        self.expiry.task_lease_remaining(now, shard, &self.bounds)
+    pub fn task_lease_remaining(&self, now: Micros, shard: &Shard) -> Option<Micros> {
+        self.expiry
+            .task_lease_remaining(now, shard, &self.lease_timing)
     }
 
     /// Returns the id of the leader, if this replica knows one.
--- a/crates/coordination-server/src/replication.rs
+++ b/crates/coordination-server/src/replication.rs
@@ -35,20 +35,20 @@
             // This replica's own configuration takes precedence: peers may reach each other at different addresses.
             let link = PeerLink::new(*node.config.replicas.get(peer).unwrap_or(address));
             links.insert(*peer, link.clone());
-            spawner.spawn(replicate(node.clone(), *peer, link));
+            spawner.spawn(run_sender(node.clone(), *peer, link));
         }
     }
 }
 
 /// Sends batches to one peer until the link is closed or the replica has stopped.
-async fn replicate(node: Rc<Node>, peer: u64, link: Rc<PeerLink>) {
+async fn run_sender(node: Rc<Node>, peer: u64, link: Rc<PeerLink>) {
     let mut sender = PeerSender {
-        connection: link.connection(),
+        connection: link.new_connection(),
         node,
         peer,
         link,
         next_sequence: 0,
-        interrupted: false,
+        has_lost_messages: false,
     };
     loop {
         let messages = sender.link.take_messages().await;
@@ -60,8 +60,8 @@
             Err(SendError::Rejected(error)) if error.is_final() => {
                 return sender.node.stop(StopReason::RejectedByPeer { peer, error });
             }
-            Err(SendError::Rejected(error)) => Some(sender.on_rejected(error).await),
-            Err(error) => Some(sender.on_failed(&error)),
+            Err(SendError::Rejected(error)) => Some(sender.handle_rejection(error).await),
+            Err(error) => Some(sender.handle_failure(&error)),
         };
         if let Some(pause) = pause {
             Timer::after(pause).await;
@@ -78,7 +78,7 @@
     /// The sequence number of the next batch.
     next_sequence: u64,
     /// Whether the last batch was not accepted, so that messages are lost.
-    interrupted: bool,
+    has_lost_messages: bool,
 }
 
 impl PeerSender {
@@ -88,8 +88,8 @@
             .send(&self.node.secret, wire::MESSAGES, &batch)
             .await?;
         self.link.set_broken(false);
-        self.link.set_heard_at(self.node.clock.now());
-        if std::mem::take(&mut self.interrupted) | self.link.take_overflowed() {
+        self.link.set_last_accepted_at(self.node.clock.now());
+        if std::mem::take(&mut self.has_lost_messages) | self.link.take_overflowed() {
             let peer = self.peer;
             self.node.update(|replica, _| replica.reconnected(peer));
         }
@@ -99,15 +99,15 @@
     fn new_batch(&mut self, messages: Vec<Message>) -> MessageBatch {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let local = self.node.local.borrow();
+        let local = self.node.local_view.borrow();
         MessageBatch {
             fleet: local.fleet.clone(),
             from: local.replica,
             to: self.peer,
             replicas: local.replicas.clone(),
             membership: local.membership,
-            term: local.bounds.term,
-            drift: local.bounds.drift,
+            term: local.lease_timing.term,
+            drift: local.lease_timing.drift,
             incarnation: self.node.incarnation,
             sequence,
             disk_id: self.node.disk_id.clone(),
@@ -117,12 +117,12 @@
     }
 
     /// Handles a rejected batch and returns the pause before the next one.
-    async fn on_rejected(&mut self, error: PeerError) -> Duration {
+    async fn handle_rejection(&mut self, error: PeerError) -> Duration {
         if let PeerError::MembershipMismatch { sender, receiver } = error {
             self.link.set_broken(false);
-            self.interrupted = true;
+            self.has_lost_messages = true;
             if sender > receiver {
-                self.install_state().await;
+                self.send_state().await;
             }
             return RETRY_PAUSE;
         }
@@ -131,20 +131,20 @@
     }
 
     /// Handles a failure to send a batch and returns the pause before the next one.
-    fn on_failed(&mut self, error: &SendError) -> Duration {
-        if !self.interrupted {
+    fn handle_failure(&mut self, error: &SendError) -> Duration {
+        if !self.has_lost_messages {
             tracing::warn!(keeper = self.peer, error = %error, "link to peer is broken");
         }
-        self.interrupted = true;
+        self.has_lost_messages = true;
         // A response means that this direction of the link works, even if the peer reports that it can't reach this
         // replica.
-        self.link.set_broken(error.is_without_response());
+        self.link.set_broken(error.has_no_response());
         self.connection.close();
         RETRY_PAUSE
     }
 
     /// Sends the replicated state to a peer with an outdated membership.
-    async fn install_state(&mut self) {
+    async fn send_state(&mut self) {
         let state = self.node.replica.borrow().replicated_state();
         tracing::info!(
             keeper = self.peer,
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -24,9 +24,9 @@
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
-    Body(#[from] serde_json::Error),
+    InvalidBody(#[from] serde_json::Error),
     #[error("the names of a router and its incarnation must have 1 to {MAX_NAME_BYTES} bytes each")]
-    HolderName,
+    InvalidHolderName,
     #[error("the request is not signed with this fleet's secret")]
     Unauthenticated,
     #[error("unknown method or path")]
@@ -57,7 +57,7 @@
 impl RequestError {
     fn status(&self) -> u16 {
         match self {
-            RequestError::Body(_) | RequestError::HolderName => 400,
+            RequestError::InvalidBody(_) | RequestError::InvalidHolderName => 400,
             RequestError::Unauthenticated => 401,
             RequestError::UnknownPath
             | RequestError::UnknownVersion
@@ -93,33 +93,33 @@
 
 async fn route(node: &Node, request: &Request) -> Result<Response, RequestError> {
     match (&request.method, request.path()) {
-        (Method::Post, wire::MESSAGES) => Ok(receive_batch(node, parse(request)?)),
-        (Method::Post, wire::RENEW_LEASE) => renew_lease(node, parse(request)?).await,
+        (Method::Post, wire::MESSAGES) => Ok(receive_batch(node, parse_body(request)?)),
+        (Method::Post, wire::RENEW_LEASE) => renew_lease(node, parse_body(request)?).await,
         (Method::Post, wire::RELEASE_LEASE) => {
-            let holder: Holder = parse(request)?;
+            let holder: Holder = parse_body(request)?;
             submit_command(node, Command::ReleaseLease(holder)).await
         }
-        (Method::Post, wire::RECORD_NOTE) => record_note(node, parse(request)?).await,
+        (Method::Post, wire::RECORD_NOTE) => record_note(node, parse_body(request)?).await,
         (Method::Get, wire::LEASES) => {
             let leases = responses::leases(&node.replica.borrow(), node.clock.now());
             Ok(responses::ok(&leases))
         }
         (Method::Post, wire::PROPOSE) => {
-            let proposal: Proposal = parse(request)?;
+            let proposal: Proposal = parse_body(request)?;
             submit_command(node, Command::Propose(Box::new(proposal))).await
         }
         (Method::Post, wire::REPLACE) => {
-            let replacement: Replacement = parse(request)?;
+            let replacement: Replacement = parse_body(request)?;
             let response = node
-                .submit(|replica, now| replica.replace(now, replacement))
+                .submit(|replica, now| replica.submit_replacement(now, replacement))
                 .await?;
             Ok(responses::completed(response))
         }
-        (Method::Post, wire::STATE) => admit(node, &parse(request)?),
-        (Method::Post, wire::INSTALL) => Ok(install(node, parse(request)?)),
-        (Method::Post, wire::WATCH) => Ok(watch(node, parse(request)?).await),
-        (Method::Post, wire::SHOW) => show_version(node, parse(request)?),
-        (Method::Post, wire::DIFF) => diff_versions(node, parse(request)?),
+        (Method::Post, wire::STATE) => admit_replica(node, &parse_body(request)?),
+        (Method::Post, wire::INSTALL) => Ok(install_state(node, parse_body(request)?)),
+        (Method::Post, wire::WATCH) => Ok(watch(node, parse_body(request)?).await),
+        (Method::Post, wire::SHOW) => show_version(node, parse_body(request)?),
+        (Method::Post, wire::DIFF) => diff_versions(node, parse_body(request)?),
         (Method::Get, wire::HISTORY) => {
             let replica = node.replica.borrow();
             let heads: Vec<_> = replica.config_state().history().collect();
@@ -130,7 +130,7 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(request: &Request) -> Result<T, RequestError> {
+fn parse_body<T: DeserializeOwned>(request: &Request) -> Result<T, RequestError> {
     Ok(serde_json::from_slice(&request.body)?)
 }
 
@@ -143,16 +143,16 @@
     node: &Node,
     request: wire::LeaseRenewalRequest,
 ) -> Result<Response, RequestError> {
-    let bounds = node.config.bounds();
-    if (request.term, request.drift) != (bounds.term, bounds.drift) {
+    let lease_timing = node.config.lease_timing();
+    if (request.term, request.drift) != (lease_timing.term, lease_timing.drift) {
         return Err(RequestError::LeaseTermMismatch {
-            term: bounds.term,
-            drift: bounds.drift,
+            term: lease_timing.term,
+            drift: lease_timing.drift,
         });
     }
     let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     if !is_name(&request.holder.router) || !is_name(&request.holder.incarnation) {
-        return Err(RequestError::HolderName);
+        return Err(RequestError::InvalidHolderName);
     }
     let command = Command::RenewLease {
         holder: request.holder,
@@ -215,7 +215,7 @@
     let peers = links.iter().map(|(peer, link)| wire::PeerStatus {
         replica: *peer,
         heard_ms_ago: link
-            .heard_at()
+            .last_accepted_at()
             .map(|at| now.saturating_sub(at) / MICROS_PER_MS),
     });
     let replica = node.replica.borrow();
@@ -236,9 +236,9 @@
     if is_broken {
         return RequestError::LinkBroken.to_response();
     }
-    let received = node.batches.borrow_mut().receive(
-        &node.local.borrow(),
-        &mut node.storage.peers_mut(),
+    let received = node.batch_receiver.borrow_mut().receive(
+        &node.local_view.borrow(),
+        &mut node.storage.peer_disks_mut(),
         &batch,
     );
     match received {
@@ -262,7 +262,7 @@
 }
 
 /// Sends the replicated state to a new replica that joins.
-fn admit(node: &Node, join: &JoinRequest) -> Result<Response, RequestError> {
+fn admit_replica(node: &Node, join: &JoinRequest) -> Result<Response, RequestError> {
     let replica = node.replica.borrow();
     let membership = replica.membership();
     if join.fleet != node.config.fleet {
@@ -278,21 +278,21 @@
         });
     }
     // A replica that was admitted before and has lost its disk since may have made promises that it no longer knows.
-    let mut disks = node.storage.peers_mut();
-    let known = disks.entry(join.replica).or_insert_with(|| PeerDisk {
+    let mut disks = node.storage.peer_disks_mut();
+    let known_disk = disks.entry(join.replica).or_insert_with(|| PeerDisk {
         disk_id: join.disk_id.clone(),
         write_sequence: 0,
     });
-    if known.disk_id != join.disk_id {
+    if known_disk.disk_id != join.disk_id {
         return Err(RequestError::PeerRejected(PeerError::OtherDisk {
-            known: known.disk_id.clone(),
+            known: known_disk.disk_id.clone(),
         }));
     }
     Ok(responses::ok(&replica.replicated_state()))
 }
 
 /// Installs the replicated state that a peer sends because this replica's membership is outdated.
-fn install(node: &Node, request: InstallRequest) -> Response {
+fn install_state(node: &Node, request: InstallRequest) -> Response {
     let replica = node.config.replica;
     let mismatch = |reason: String| responses::json(409, &PeerError::ConfigMismatch(reason));
     if request.fleet != node.config.fleet || request.to != replica {
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -69,7 +69,7 @@
 pub(crate) fn leases(replica: &Replica, now: Micros) -> Vec<LeaseStatus> {
     let status = |entry: LeaseTableEntry| LeaseStatus {
         left_ms: replica
-            .shard_lease_left(now, &entry.shard)
+            .task_lease_remaining(now, &entry.shard)
             .map(|left| left / MICROS_PER_MS),
         shard: entry.shard,
         holder: entry.holder,
@@ -94,7 +94,7 @@
     let holders = config.holders().map(|(holder, held)| HolderStatus {
         holder: holder.clone(),
         enforced_version: held.enforced,
-        left_ms: replica.config_lease_left(now, holder).unwrap_or(0) / MICROS_PER_MS,
+        left_ms: replica.config_lease_remaining(now, holder).unwrap_or(0) / MICROS_PER_MS,
         blocks_rollout: next.is_some_and(|next| held.enforced < next),
     });
     let log = replica.log_size();
--- a/crates/coordination-server/src/server.rs
+++ b/crates/coordination-server/src/server.rs
@@ -114,7 +114,7 @@
         spawner.spawn(async move {
             server::serve(listener, config, handler, http_spawner).await;
         });
-        spawner.spawn(tick(self.node.clone(), spawner.clone()));
+        spawner.spawn(run_ticks(self.node.clone(), spawner.clone()));
         Ok(local_address)
     }
 
@@ -125,7 +125,7 @@
 }
 
 /// Updates the links and advances the replica at each tick.
-async fn tick(node: Rc<Node>, spawner: Spawner) {
+async fn run_ticks(node: Rc<Node>, spawner: Spawner) {
     loop {
         replication::update_links(&node, &spawner);
         Timer::after(TICK_INTERVAL).await;
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -57,15 +57,15 @@
 #[derive(Clone)]
 pub struct StorageHandle {
     write_sequence: Rc<Cell<u64>>,
-    peers: Rc<RefCell<BTreeMap<u64, PeerDisk>>>,
+    peer_disks: Rc<RefCell<BTreeMap<u64, PeerDisk>>>,
     failure: Rc<RefCell<Option<StorageError>>>,
 }
 
 impl StorageHandle {
-    fn new(write_sequence: u64, peers: BTreeMap<u64, PeerDisk>) -> StorageHandle {
+    fn new(write_sequence: u64, peer_disks: BTreeMap<u64, PeerDisk>) -> StorageHandle {
         StorageHandle {
             write_sequence: Rc::new(Cell::new(write_sequence)),
-            peers: Rc::new(RefCell::new(peers)),
+            peer_disks: Rc::new(RefCell::new(peer_disks)),
             failure: Rc::default(),
         }
     }
@@ -80,8 +80,8 @@
     /// # Panics
     ///
     /// Panics if the state is already borrowed.
-    pub fn peers_mut(&self) -> RefMut<'_, BTreeMap<u64, PeerDisk>> {
-        self.peers.borrow_mut()
+    pub fn peer_disks_mut(&self) -> RefMut<'_, BTreeMap<u64, PeerDisk>> {
+        self.peer_disks.borrow_mut()
     }
 
     /// Returns whether a write has failed and the failure has not been taken.
@@ -94,7 +94,7 @@
         self.failure.borrow_mut().take()
     }
 
-    fn fail(&self, error: StorageError) {
+    fn record_failure(&self, error: StorageError) {
         self.failure.borrow_mut().get_or_insert(error);
     }
 }
@@ -144,7 +144,7 @@
             state: contents.state,
             incarnation,
             max_bytes,
-            handle: StorageHandle::new(contents.write_sequence, contents.peers),
+            handle: StorageHandle::new(contents.write_sequence, contents.peer_disks),
         }))))
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Returns whether the storage contains no promise, membership or entry.
-    pub fn is_blank(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         let state = &self.0.borrow().state;
         state.membership.is_none() && state.promise.is_none() && state.next_index() == 0
     }
@@ -213,7 +213,7 @@
         let changes = self.state.normalize(changes);
         if let Err(error) = self.write(&changes) {
             tracing::error!(error = %error, "storage write failed");
-            self.handle.fail(error);
+            self.handle.record_failure(error);
         }
         for change in changes {
             self.state.apply(change);
@@ -223,20 +223,20 @@
     fn write(&self, changes: &[Change]) -> Result<(), StorageError> {
         let write_error = |error: redb::Error| StorageError::write(&self.path, error);
         // The number of decided entries need not be durable at once, because the replica can learn it from its peers.
-        let durable = changes
+        let is_durable = changes
             .iter()
             .any(|change| !matches!(change, Change::Decided(_)));
-        let bytes = fs::metadata(&self.path)
+        let file_bytes = fs::metadata(&self.path)
             .map_err(|error| StorageError::io(&self.path, error))?
             .len();
-        if bytes > self.max_bytes {
+        if file_bytes > self.max_bytes {
             return Err(StorageError::Full(self.path.clone()));
         }
         let mut transaction = self
             .database
             .begin_write()
             .map_err(|error| write_error(error.into()))?;
-        if !durable {
+        if !is_durable {
             transaction
                 .set_durability(Durability::None)
                 .map_err(|error| write_error(error.into()))?;
@@ -246,14 +246,14 @@
         for change in changes {
             tables.write_change(change)?;
         }
-        if durable {
-            tables.write_sequence(sequence, &self.handle.peers.borrow())?;
+        if is_durable {
+            tables.put_write_sequence(sequence, &self.handle.peer_disks.borrow())?;
         }
         drop(tables);
         transaction
             .commit()
             .map_err(|error| write_error(error.into()))?;
-        if durable {
+        if is_durable {
             self.handle.write_sequence.set(sequence);
         }
         Ok(())
--- a/crates/coordination-server/src/storage/error.rs
+++ b/crates/coordination-server/src/storage/error.rs
@@ -102,10 +102,10 @@
 pub enum Corruption {
     /// The database panicked while opening the file.
     #[error("invalid pages")]
-    Pages,
+    InvalidPages,
     /// The checksums do not match.
     #[error("checksum mismatch")]
-    Checksums,
+    ChecksumMismatch,
     /// The database reports invalid data.
     #[error(transparent)]
     InvalidData(io::Error),
--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -36,7 +36,7 @@
     pub(super) incarnation: u64,
     /// The number of durable transactions.
     pub(super) write_sequence: u64,
-    pub(super) peers: BTreeMap<u64, PeerDisk>,
+    pub(super) peer_disks: BTreeMap<u64, PeerDisk>,
 }
 
 /// Creates a file under a temporary name and then renames it, so that after a crash the file is either missing or
@@ -79,13 +79,13 @@
     // corruption.
     let opened = std::panic::catch_unwind(|| {
         let mut database = Database::open(path)?;
-        let sound = database.check_integrity()?;
-        Ok((database, sound))
+        let is_valid = database.check_integrity()?;
+        Ok((database, is_valid))
     });
     match opened {
-        Err(_) => Err(StorageError::corrupted(path, Corruption::Pages)),
+        Err(_) => Err(StorageError::corrupted(path, Corruption::InvalidPages)),
         Ok(Ok((database, true))) => Ok(database),
-        Ok(Ok((_, false))) => Err(StorageError::corrupted(path, Corruption::Checksums)),
+        Ok(Ok((_, false))) => Err(StorageError::corrupted(path, Corruption::ChecksumMismatch)),
         Ok(Err(error)) => Err(open_error(path, error)),
     }
 }
@@ -154,14 +154,14 @@
         membership: meta.value(key::MEMBERSHIP)?,
     };
     let write_sequence = meta.value(key::WRITE_SEQUENCE)?.unwrap_or(0);
-    let peers = meta.value(key::PEERS)?.unwrap_or_default();
+    let peer_disks = meta.value(key::PEERS)?.unwrap_or_default();
     read_entries(path, &transaction, &mut state)?;
     Ok(Contents {
         identity,
         state,
         incarnation: meta.value(key::INCARNATION)?.unwrap_or(0),
         write_sequence,
-        peers,
+        peer_disks,
     })
 }
 
@@ -276,13 +276,13 @@
     }
 
     /// Stores the number of durable transactions, including this one, and the known state of the peers' disks.
-    pub(super) fn write_sequence(
+    pub(super) fn put_write_sequence(
         &mut self,
         sequence: u64,
-        peers: &BTreeMap<u64, PeerDisk>,
+        peer_disks: &BTreeMap<u64, PeerDisk>,
     ) -> Result<(), StorageError> {
         self.put(key::WRITE_SEQUENCE, &sequence)?;
-        self.put(key::PEERS, peers)
+        self.put(key::PEERS, peer_disks)
     }
 
     pub(super) fn write_change(&mut self, change: &Change) -> Result<(), StorageError> {
--- a/crates/coordination-server/tests/simulated/cluster.rs
+++ b/crates/coordination-server/tests/simulated/cluster.rs
@@ -13,7 +13,7 @@
 use hoptiller_coordination_server::storage::DiskStorage;
 
 pub const MS: Micros = 1000;
-pub const BOUNDS: LeaseTiming = LeaseTiming {
+pub const LEASE_TIMING: LeaseTiming = LeaseTiming {
     term: 2000 * MS,
     drift: 1000,
 };
@@ -141,8 +141,10 @@
     pub fn start_on(&mut self, id: u64, storage: DiskStorage) {
         let incarnation = storage.incarnation();
         let log = ReplicatedLog::open(id, initial_membership(), storage).expect("opened");
-        self.replicas
-            .insert(id, Replica::new(id, incarnation, BOUNDS, log, self.now));
+        self.replicas.insert(
+            id,
+            Replica::new(id, incarnation, LEASE_TIMING, log, self.now),
+        );
         // Messages to the previous process are lost, and the others notice the broken links.
         self.in_flight
             .retain(|(_, _, m)| m.receiver() != id && m.sender() != id);
@@ -184,14 +186,17 @@
     pub fn replace(&mut self, id: u64, lost: u64, new: u64) -> RequestId {
         let now = self.now;
         let at = ([127, 0, 0, 1], 9).into();
-        self.replicas.get_mut(&id).expect("running").replace(
-            now,
-            Replacement {
-                lost,
-                new,
-                address: at,
-            },
-        )
+        self.replicas
+            .get_mut(&id)
+            .expect("running")
+            .submit_replacement(
+                now,
+                Replacement {
+                    lost,
+                    new,
+                    address: at,
+                },
+            )
     }
 
     /// Runs until a replacement has its response.
--- a/crates/coordination-server/tests/simulated/rollout.rs
+++ b/crates/coordination-server/tests/simulated/rollout.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_coordination::{CommandResponse, Rejection};
 
-use super::cluster::{BOUNDS, Cluster, propose, renew};
+use super::cluster::{Cluster, LEASE_TIMING, propose, renew};
 
 #[test]
 fn a_version_waits_for_a_lease_across_a_leader_change_and_no_longer_than_its_term() {
@@ -24,7 +24,7 @@
         cluster.complete(other, propose("two", 2)),
         Some(CommandResponse::Proposed(Ok(2)))
     );
-    while cluster.now < granted + BOUNDS.term {
+    while cluster.now < granted + LEASE_TIMING.term {
         assert_eq!(cluster.in_force(other), 1, "at {}", cluster.now);
         cluster.step();
     }
