--- a/crates/coordination-server/src/membership/tests.rs
+++ b/crates/coordination-server/src/membership/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(
         second.with_replacement(&replace(3, 4)),
         Ok(second.clone()),
-        "requested twice"
+        "a repeated replacement has no effect"
     );
     assert_eq!(
         second.with_replacement(&replace(3, 5)),
--- a/crates/coordination-server/src/peer_protocol/tests.rs
+++ b/crates/coordination-server/src/peer_protocol/tests.rs
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn duplicates_gaps_and_new_incarnations_are_recognized() {
+fn duplicates_gaps_and_new_incarnations_are_detected() {
     let (mut receiver, mut disks) = (BatchReceiver::default(), BTreeMap::new());
-    let mut receive = |b: MessageBatch| receiver.receive(&local_view(), &mut disks, &b);
+    let mut receive = |batch: MessageBatch| receiver.receive(&local_view(), &mut disks, &batch);
     assert_eq!(receive(batch(1, 0, 5)), Ok(Delivery::AfterGap));
     assert_eq!(receive(batch(1, 1, 5)), Ok(Delivery::InOrder));
     assert_eq!(receive(batch(1, 1, 5)), Ok(Delivery::Stale), "a duplicate");
     assert_eq!(
         receive(batch(1, 3, 7)),
         Ok(Delivery::AfterGap),
-        "one is missing"
+        "a batch is missing"
     );
     assert_eq!(
         receive(batch(1, 2, 6)),
         Ok(Delivery::Stale),
-        "it was overtaken"
+        "a batch that was overtaken"
     );
     assert_eq!(
         receive(batch(2, 0, 8)),
@@ -55,24 +55,24 @@
 #[test]
 fn another_membership_is_reported_and_a_replaced_sender_must_stop() {
     let (mut receiver, mut disks) = (BatchReceiver::default(), BTreeMap::new());
-    let mut receive = |b: MessageBatch| {
+    let mut receive = |batch: MessageBatch| {
         receiver
-            .receive(&local_view(), &mut disks, &b)
+            .receive(&local_view(), &mut disks, &batch)
             .expect_err("rejected")
     };
-    for list in [1, 3] {
-        let lists = receive(MessageBatch {
-            membership: list,
+    for membership in [1, 3] {
+        let mismatch = receive(MessageBatch {
+            membership,
             ..batch(1, 0, 5)
         });
         assert_eq!(
-            lists,
+            mismatch,
             PeerError::MembershipMismatch {
-                sender: list,
+                sender: membership,
                 receiver: 2
             }
         );
-        assert!(!lists.is_final());
+        assert!(!mismatch.is_final());
     }
     let replaced = receive(MessageBatch {
         from: 9,
@@ -80,17 +80,17 @@
         ..batch(1, 0, 5)
     });
     assert!(replaced == PeerError::Replaced && replaced.is_final());
-    let first = serde_json::to_string(&MessageBatch {
+    let initial = serde_json::to_string(&MessageBatch {
         membership: 1,
         ..batch(1, 0, 5)
     })
     .expect("json");
     assert!(
-        !first.contains("list"),
-        "as programs before it wrote it: {first}"
+        !initial.contains("list"),
+        "programs that predate numbered memberships know no such field: {initial}"
     );
     assert_eq!(
-        serde_json::from_str::<MessageBatch>(&first)
+        serde_json::from_str::<MessageBatch>(&initial)
             .expect("read")
             .membership,
         1
@@ -103,28 +103,29 @@
     receiver
         .receive(&local_view(), &mut disks, &batch(3, 0, 50))
         .expect("accepted");
-    let old = receiver
+    let rolled_back = receiver
         .receive(&local_view(), &mut disks, &batch(4, 0, 49))
         .expect_err("rejected");
     assert_eq!(
-        old,
+        rolled_back,
         PeerError::DiskRolledBack {
             write_sequence: 49,
             known: 50
         }
     );
-    assert!(old.is_final());
-    // Restored from a copy so old that its incarnations count from before.
+    assert!(rolled_back.is_final());
+    // The disk was restored from a copy so old that its incarnation number has been used before.
     assert!(
         receiver
             .receive(&local_view(), &mut disks, &batch(2, 0, 20))
             .expect_err("rejected")
             .is_final()
     );
-    // The receiver has restarted, and knows the sequence from its own disk.
-    let again = BatchReceiver::default().receive(&local_view(), &mut disks, &batch(4, 0, 49));
+    // After a restart the receiver knows the sequence from its own disk.
+    let after_restart =
+        BatchReceiver::default().receive(&local_view(), &mut disks, &batch(4, 0, 49));
     assert_eq!(
-        again,
+        after_restart,
         Err(PeerError::DiskRolledBack {
             write_sequence: 49,
             known: 50
@@ -138,13 +139,13 @@
         .receive(&local_view(), &mut disks, &other)
         .expect_err("rejected");
     assert_eq!(other, PeerError::OtherDisk { known: "d".into() });
-    let unlike = MessageBatch {
+    let other_term = MessageBatch {
         term: 11,
         ..batch(4, 1, 51)
     };
     assert!(
         !receiver
-            .receive(&local_view(), &mut disks, &unlike)
+            .receive(&local_view(), &mut disks, &other_term)
             .expect_err("rejected")
             .is_final()
     );
--- a/crates/coordination-server/src/state_machine/tests.rs
+++ b/crates/coordination-server/src/state_machine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use hoptiller_coordination::Holder;
 
-fn applies(state_machine: &mut StateMachine, incarnation: u64, sequence: u64) -> bool {
+fn apply_entry(state_machine: &mut StateMachine, incarnation: u64, sequence: u64) -> bool {
     let holder = Holder {
         router: "r".into(),
         incarnation: "1".into(),
@@ -19,24 +19,27 @@
 }
 
 #[test]
-fn an_entry_is_applied_once_in_any_order_of_its_duplicates() {
+fn an_entry_is_applied_once_whatever_the_order_of_duplicates() {
     let mut state_machine = StateMachine::default();
-    assert!(applies(&mut state_machine, 1, 5));
+    assert!(apply_entry(&mut state_machine, 1, 5));
     assert!(
-        applies(&mut state_machine, 1, 4),
+        apply_entry(&mut state_machine, 1, 4),
         "entries may overtake each other"
     );
-    assert!(!applies(&mut state_machine, 1, 5));
-    for n in 6..6 + DEDUPLICATION_WINDOW as u64 {
-        assert!(applies(&mut state_machine, 1, n));
+    assert!(!apply_entry(&mut state_machine, 1, 5));
+    for sequence in 6..6 + DEDUPLICATION_WINDOW as u64 {
+        assert!(apply_entry(&mut state_machine, 1, sequence));
     }
-    assert!(!applies(&mut state_machine, 1, 4), "older than the window");
     assert!(
-        applies(&mut state_machine, 2, 0),
-        "a later incarnation starts over"
+        !apply_entry(&mut state_machine, 1, 4),
+        "older than the window"
     );
     assert!(
-        !applies(&mut state_machine, 1, 9999),
+        apply_entry(&mut state_machine, 2, 0),
+        "a later incarnation starts with no applied entries"
+    );
+    assert!(
+        !apply_entry(&mut state_machine, 1, 9999),
         "the earlier incarnation has ended"
     );
 }
--- a/crates/coordination-server/tests/old_and_new.rs
+++ b/crates/coordination-server/tests/backward_compatibility.rs
@@ -1,9 +1,10 @@
-//! Old and new side by side: replicas on a disk that was written before any type was renamed serve a router that sends
-//! the message bytes of that time, over sockets.
+//! Backward compatibility over sockets: replicas that start from a disk of an earlier program version serve a router
+//! that sends the message bytes of that version.
 //!
-//! The disk is that of replica 1 of 1, 2 and 4, with three entries that are accepted but not decided, the last of which
-//! replaces replica 4 by 5. Replica 1 starts on a copy; replica 2 joins it on an empty disk, as `hoptiller keep --join`
-//! does. The two are a quorum, decide what was accepted, and are a quorum of 1, 2 and 5 too.
+//! The disk belongs to replica 1 of 1, 2 and 4. It contains three entries that are accepted but not decided, the last
+//! of which replaces replica 4 by 5. Replica 1 starts on a copy; replica 2 joins on an empty disk, in the way of
+//! `hoptiller keep --join`. The two replicas are a quorum of 1, 2 and 4, decide the accepted entries, and are a quorum
+//! of 1, 2 and 5 as well.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -20,14 +21,14 @@
 use serde_json::{Value, json};
 
 const TIMEOUT: Duration = Duration::from_secs(8);
-/// Limit of the time until the replicas have a leader and the last version is in force.
-const ELECTION_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit until the replicas have a leader and the last version is in force.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn fixture(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// The bodies of one kind of message, as stored before any type was renamed.
+/// Returns the recorded bodies of one kind of message.
 fn stored_bodies(kind: &str) -> Vec<String> {
     let path = fixture("../coordination-client/tests/fixtures/messages.txt");
     let text = std::fs::read_to_string(path).expect("the fixture exists");
@@ -42,7 +43,7 @@
     Secret::new(b"sixteen bytes or more")
 }
 
-/// A loopback address of this process alone, so that its ports are free.
+/// Returns a loopback address that only this process uses, so that its ports are free.
 fn address(replica: u16) -> SocketAddr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, high | 0x80, middle, low.max(1));
@@ -62,7 +63,7 @@
     .expect("a configuration")
 }
 
-/// Sends a body as it is, and returns the authenticated response.
+/// Sends a body unchanged and returns the authenticated response.
 async fn send(replica: u16, method: Method, path: &str, body: &str) -> Response {
     let mut request = Request::new(method, path);
     request.body = body.as_bytes().to_vec();
@@ -73,12 +74,12 @@
     let response = connection
         .exchange(&request, TIMEOUT)
         .await
-        .expect("the replica answers");
+        .expect("the replica responds");
     assert_eq!(secret().verify_response(&request, &response), Ok(()));
     response
 }
 
-/// The body of a response with status 200.
+/// Sends a POST request and returns the body of the response, which must have status 200.
 async fn post(replica: u16, path: &str, body: &str) -> String {
     let response = send(replica, Method::Post, path, body).await;
     let text = String::from_utf8(response.body).expect("text");
@@ -86,7 +87,7 @@
     text
 }
 
-/// The keys of an object, sorted.
+/// Returns the sorted keys of an object.
 fn keys(value: &Value) -> Vec<&str> {
     let object = value.as_object().expect("an object");
     let mut keys: Vec<&str> = object.keys().map(String::as_str).collect();
@@ -95,10 +96,13 @@
 }
 
 #[test]
-fn replicas_on_an_old_disk_serve_an_old_router() {
-    let dir = std::env::temp_dir().join(format!("hoptiller-old-and-new-{}", std::process::id()));
+fn replicas_on_a_disk_of_an_earlier_version_serve_a_router_of_that_version() {
+    let dir = std::env::temp_dir().join(format!(
+        "hoptiller-backward-compatibility-{}",
+        std::process::id()
+    ));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(dir.join("1")).expect("made");
+    std::fs::create_dir_all(dir.join("1")).expect("created");
     std::fs::copy(
         fixture("tests/fixtures/keeper.redb"),
         dir.join("1/keeper.redb"),
@@ -139,7 +143,7 @@
         if versions.starts_with(r#"{"in_force":4,"last":4,"board":"#) {
             return;
         }
-        assert!(start.elapsed() < ELECTION_LIMIT, "{replica}: {versions}");
+        assert!(start.elapsed() < ELECTION_TIMEOUT, "{replica}: {versions}");
         Timer::after(Duration::from_millis(100)).await;
     }
 }
@@ -172,7 +176,7 @@
     }
 }
 
-/// The holders that a replica's status gives, once the rest of it is as expected.
+/// Checks a replica's status and returns the lease holders in it.
 async fn holders(replica: u16) -> Value {
     let response = send(replica, Method::Get, "/v1/fleet/status", "").await;
     assert_eq!(response.status.0, 200);
--- a/crates/coordination-server/tests/simulated/availability.rs
+++ b/crates/coordination-server/tests/simulated/availability.rs
@@ -6,7 +6,7 @@
 use super::cluster::{Cluster, propose, renew};
 
 #[test]
-fn a_version_accepted_by_any_replica_is_in_force_at_all_and_survives_a_full_restart() {
+fn a_version_proposed_at_any_replica_comes_into_force_at_all_and_survives_a_full_restart() {
     let mut cluster = Cluster::new("any", 1);
     assert_eq!(
         cluster.complete(2, propose("one", 3)),
@@ -17,7 +17,7 @@
         Some(CommandResponse::Proposed(Ok(2)))
     );
     cluster.run(500);
-    assert_eq!([1, 2, 3].map(|k| cluster.in_force(k)), [2, 2, 2]);
+    assert_eq!([1, 2, 3].map(|id| cluster.in_force(id)), [2, 2, 2]);
     for id in 1..=3 {
         cluster.stop(id);
     }
@@ -25,11 +25,11 @@
         cluster.start(id);
     }
     cluster.run(3000);
-    assert_eq!([1, 2, 3].map(|k| cluster.in_force(k)), [2, 2, 2]);
+    assert_eq!([1, 2, 3].map(|id| cluster.in_force(id)), [2, 2, 2]);
     assert_eq!(
         cluster.complete(1, propose("one", 3)),
         Some(CommandResponse::Proposed(Ok(1))),
-        "known by its name"
+        "a repeated proposal is recognized by its name"
     );
     assert_eq!(
         cluster.complete(1, propose("three", 4)),
@@ -44,15 +44,15 @@
         cluster.complete(1, propose("one", 3)),
         Some(CommandResponse::Proposed(Ok(1)))
     );
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     cluster.stop(leader);
-    let other = (1..=3).find(|k| *k != leader).expect("two are left");
+    let other = (1..=3).find(|id| *id != leader).expect("two are left");
     assert_eq!(
         cluster.complete(other, propose("two", 2)),
         Some(CommandResponse::Proposed(Ok(2)))
     );
     let last = (1..=3)
-        .find(|k| *k != leader && *k != other)
+        .find(|id| *id != leader && *id != other)
         .expect("one more");
     cluster.stop(last);
     assert_eq!(cluster.complete(other, propose("three", 4)), None);
@@ -61,7 +61,7 @@
     assert_eq!(
         cluster.complete(last, propose("four", 5)),
         Some(CommandResponse::Proposed(Ok(4))),
-        "three was decided once two were back"
+        "version three was decided once a quorum was running again"
     );
 }
 
@@ -72,21 +72,23 @@
         cluster.complete(1, propose("one", 3)),
         Some(CommandResponse::Proposed(Ok(1)))
     );
-    let leader = cluster.leader().expect("somebody leads");
-    for other in (1..=3).filter(|k| *k != leader) {
-        cluster.blocked.extend([(leader, other), (other, leader)]);
+    let leader = cluster.leader().expect("a leader");
+    for other in (1..=3).filter(|id| *id != leader) {
+        cluster
+            .blocked_links
+            .extend([(leader, other), (other, leader)]);
     }
     assert_eq!(
         cluster.complete(leader, renew("r", 0, 0)),
         None,
-        "it still believes that it leads"
+        "the partitioned leader can't decide"
     );
-    let other = (1..=3).find(|k| *k != leader).expect("others");
+    let other = (1..=3).find(|id| *id != leader).expect("others");
     assert!(matches!(
         cluster.complete(other, renew("r", 0, 0)),
         Some(CommandResponse::LeaseGranted(_))
     ));
-    cluster.blocked.clear();
+    cluster.blocked_links.clear();
     cluster.run(4000);
     assert!(matches!(
         cluster.complete(leader, renew("r", 1, 1)),
@@ -101,19 +103,19 @@
         cluster.complete(1, propose("one", 3)),
         Some(CommandResponse::Proposed(Ok(1)))
     );
-    // 1 hears 2, 2 hears 3, 3 hears 1, and nobody both ways but over the third.
-    cluster.blocked = vec![(1, 2), (2, 1)];
+    // Each pair of replicas in turn can communicate only through the third one.
+    cluster.blocked_links = vec![(1, 2), (2, 1)];
     assert_eq!(
         cluster.complete(3, propose("two", 2)),
         Some(CommandResponse::Proposed(Ok(2)))
     );
-    cluster.blocked = vec![(2, 3), (3, 2)];
+    cluster.blocked_links = vec![(2, 3), (3, 2)];
     cluster.run(3000);
     assert_eq!(
         cluster.complete(1, propose("three", 4)),
         Some(CommandResponse::Proposed(Ok(3)))
     );
-    cluster.blocked = vec![(3, 1), (1, 3)];
+    cluster.blocked_links = vec![(3, 1), (1, 3)];
     cluster.run(3000);
     assert_eq!(
         cluster.complete(2, propose("four", 5)),
@@ -150,7 +152,7 @@
         cluster.replicas[&3].config_state(),
         cluster.replicas[&1].config_state()
     );
-    // The state is on the disk, with who holds a permit.
+    // After a restart of all replicas the state on the disk still contains the lease.
     assert!(matches!(
         cluster.complete(1, renew("r", 1, 1)),
         Some(CommandResponse::LeaseGranted(_))
--- a/crates/coordination-server/tests/simulated/cluster.rs
+++ b/crates/coordination-server/tests/simulated/cluster.rs
@@ -12,9 +12,9 @@
 use hoptiller_coordination_server::request::{RequestId, Response};
 use hoptiller_coordination_server::storage::DiskStorage;
 
-pub const MS: Micros = 1000;
+pub const MICROS_PER_MS: Micros = 1000;
 pub const LEASE_TIMING: LeaseTiming = LeaseTiming {
-    term: 2000 * MS,
+    term: 2000 * MICROS_PER_MS,
     drift: 1000,
 };
 
@@ -35,15 +35,15 @@
     pub dir: PathBuf,
     pub now: Micros,
     pub replicas: BTreeMap<u64, Replica>,
-    /// Messages under way: when each arrives, and the number of its sender's membership.
+    /// Messages in flight, each with its arrival time and the number of its sender's membership.
     pub in_flight: Vec<(Micros, u32, Message)>,
-    /// Links that drop all messages, each in one direction.
-    pub blocked: Vec<(u64, u64)>,
-    /// One message in so many is lost; 0 for none.
+    /// Links that drop all messages, as (sender, receiver).
+    pub blocked_links: Vec<(u64, u64)>,
+    /// One in this many messages is lost on average; 0 for no loss.
     pub loss_interval: u64,
     pub random: Random,
-    pub answers: BTreeMap<(u64, RequestId), CommandResponse>,
-    pub replaced: BTreeMap<(u64, RequestId), Result<u32, ReplaceError>>,
+    pub responses: BTreeMap<(u64, RequestId), CommandResponse>,
+    pub replacement_responses: BTreeMap<(u64, RequestId), Result<u32, ReplaceError>>,
 }
 
 pub fn document(attempts: u32) -> Document {
@@ -67,13 +67,13 @@
     }))
 }
 
-pub fn renew(router: &str, heeds: u64, in_force: u64) -> Command {
+pub fn renew(router: &str, enforced: u64, in_force: u64) -> Command {
     Command::RenewLease {
         holder: Holder {
             router: router.into(),
             incarnation: "1".into(),
         },
-        enforced: heeds,
+        enforced,
         in_force,
         offer: None,
     }
@@ -90,18 +90,18 @@
 impl Cluster {
     pub fn new(name: &str, seed: u64) -> Cluster {
         let dir =
-            std::env::temp_dir().join(format!("hoptiller-keepers-{name}-{}", std::process::id()));
+            std::env::temp_dir().join(format!("hoptiller-cluster-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         let mut cluster = Cluster {
             dir,
             now: 0,
             replicas: BTreeMap::new(),
             in_flight: Vec::new(),
-            blocked: Vec::new(),
+            blocked_links: Vec::new(),
             loss_interval: 0,
             random: Random(seed),
-            answers: BTreeMap::new(),
-            replaced: BTreeMap::new(),
+            responses: BTreeMap::new(),
+            replacement_responses: BTreeMap::new(),
         };
         for id in 1..=3 {
             cluster.start(id);
@@ -114,12 +114,13 @@
     }
 
     pub fn start(&mut self, id: u64) {
-        self.start_on(id, self.open_storage(id));
+        self.start_with_storage(id, self.open_storage(id));
     }
 
-    /// Starts a new replica with the state of another one; false if no other can admit it.
+    /// Starts a new replica with the state of another one. Returns false if no running replica can admit it.
     pub fn join(&mut self, id: u64) -> bool {
-        let admits = |c: &&Replica| !c.is_replaced() && c.membership().contains(id);
+        let admits =
+            |replica: &&Replica| !replica.is_replaced() && replica.membership().contains(id);
         let Some(ReplicatedState {
             membership,
             index,
@@ -134,34 +135,34 @@
         };
         let storage = self.open_storage(id);
         storage.reconfigure(membership, index, state_machine);
-        self.start_on(id, storage);
+        self.start_with_storage(id, storage);
         true
     }
 
-    pub fn start_on(&mut self, id: u64, storage: DiskStorage) {
+    pub fn start_with_storage(&mut self, id: u64, storage: DiskStorage) {
         let incarnation = storage.incarnation();
         let log = ReplicatedLog::open(id, initial_membership(), storage).expect("opened");
         self.replicas.insert(
             id,
             Replica::new(id, incarnation, LEASE_TIMING, log, self.now),
         );
-        // Messages to the previous process are lost, and the others notice the broken links.
+        // Messages from and to the previous process are lost, and the peers notice the broken connections.
         self.in_flight
             .retain(|(_, _, m)| m.receiver() != id && m.sender() != id);
         let others: Vec<u64> = self.replicas.keys().copied().filter(|o| *o != id).collect();
         for other in others {
             self.replicas
                 .get_mut(&other)
-                .expect("there")
+                .expect("running")
                 .reconnected(id);
             self.replicas
                 .get_mut(&id)
-                .expect("there")
+                .expect("running")
                 .reconnected(other);
         }
     }
 
-    /// Delivers a message as the server does: only under the same membership.
+    /// Delivers a message in the same way as the server, which accepts it only under its own membership.
     pub fn deliver(&mut self, membership: u32, message: Message) {
         let (from, now) = (message.sender(), self.now);
         let Some(replica) = self.replicas.get_mut(&message.receiver()) else {
@@ -183,32 +184,25 @@
         }
     }
 
-    pub fn replace(&mut self, id: u64, lost: u64, new: u64) -> RequestId {
+    pub fn submit_replacement(&mut self, id: u64, lost: u64, new: u64) -> RequestId {
         let now = self.now;
-        let at = ([127, 0, 0, 1], 9).into();
+        let address = ([127, 0, 0, 1], 9).into();
         self.replicas
             .get_mut(&id)
             .expect("running")
-            .submit_replacement(
-                now,
-                Replacement {
-                    lost,
-                    new,
-                    address: at,
-                },
-            )
+            .submit_replacement(now, Replacement { lost, new, address })
     }
 
-    /// Runs until a replacement has its response.
-    pub fn wait_replaced(
+    /// Runs until a replacement has a response. Returns `None` if it has none after 1000 steps.
+    pub fn wait_for_replacement(
         &mut self,
         id: u64,
         request: RequestId,
     ) -> Option<Result<u32, ReplaceError>> {
         for _ in 0..1000 {
             self.step();
-            if let Some(answer) = self.replaced.remove(&(id, request)) {
-                return Some(answer);
+            if let Some(response) = self.replacement_responses.remove(&(id, request)) {
+                return Some(response);
             }
         }
         None
@@ -219,7 +213,7 @@
     }
 
     pub fn step(&mut self) {
-        self.now += 10 * MS;
+        self.now += 10 * MICROS_PER_MS;
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -234,10 +228,14 @@
         let mut sent = Vec::new();
         for (id, replica) in &mut self.replicas {
             for completed in replica.take_completed() {
-                let call = (*id, completed.request);
+                let key = (*id, completed.request);
                 match completed.response {
-                    Response::Command(answer) => drop(self.answers.insert(call, answer)),
-                    Response::Replaced(membership) => drop(self.replaced.insert(call, membership)),
+                    Response::Command(response) => {
+                        self.responses.insert(key, response);
+                    }
+                    Response::Replaced(membership) => {
+                        self.replacement_responses.insert(key, membership);
+                    }
                 }
             }
             let membership = replica.membership().number;
@@ -246,10 +244,11 @@
         for (membership, message) in sent {
             let link = (message.sender(), message.receiver());
             let lost = self.loss_interval > 0 && self.random.below(self.loss_interval) == 0;
-            if !self.blocked.contains(&link) && !lost {
-                self.in_flight.push((now + 2 * MS, membership, message));
+            if !self.blocked_links.contains(&link) && !lost {
+                self.in_flight
+                    .push((now + 2 * MICROS_PER_MS, membership, message));
             } else if lost && self.random.below(3) == 0 {
-                // A lossy link is noticed in the end, as a broken connection is.
+                // The receiver notices some of the lost messages, as it would notice a broken connection.
                 if let Some(replica) = self.replicas.get_mut(&link.1) {
                     replica.reconnected(link.0);
                 }
@@ -267,13 +266,13 @@
         self.replicas.get_mut(&id).expect("running").submit(command)
     }
 
-    /// Submits a command, and runs until it has a response.
+    /// Submits a command and runs until it has a response. Returns `None` if it has none after 1000 steps.
     pub fn complete(&mut self, id: u64, command: Command) -> Option<CommandResponse> {
         let request = self.submit(id, command);
         for _ in 0..1000 {
             self.step();
-            if let Some(answer) = self.answers.remove(&(id, request)) {
-                return Some(answer);
+            if let Some(response) = self.responses.remove(&(id, request)) {
+                return Some(response);
             }
         }
         None
--- a/crates/coordination-server/tests/simulated/random_faults.rs
+++ b/crates/coordination-server/tests/simulated/random_faults.rs
@@ -17,27 +17,27 @@
     random_faults("replacing", true);
 }
 
-fn random_faults(name: &str, replacing: bool) {
+fn random_faults(name: &str, with_replacements: bool) {
     for seed in 0..6 {
-        let mut run = FaultRun::new(name, seed, replacing);
+        let mut run = FaultRun::new(name, seed, with_replacements);
         for round in 0..400 {
             run.inject_fault(round);
             run.cluster.run(100);
-            run.collect_answers();
+            run.collect_responses();
         }
-        run.heal();
+        run.end_faults();
         run.check();
     }
 }
 
-/// A proposal without an answer.
-struct OpenProposal {
+/// A proposal without a response.
+struct PendingProposal {
     replica: u64,
     request: RequestId,
     attempts: u32,
 }
 
-/// A replica that is replaced by another.
+/// A replacement that is not complete.
 #[derive(Clone, Copy)]
 struct PendingReplacement {
     lost: u64,
@@ -47,26 +47,26 @@
 struct FaultRun {
     cluster: Cluster,
     seed: u64,
-    replacing: bool,
+    with_replacements: bool,
     members: Vec<u64>,
     replacement: Option<PendingReplacement>,
-    memberships: u32,
-    /// By version: the setting that was proposed with it.
+    membership_count: u32,
+    /// Accepted versions, with the `max_attempts` setting that was proposed for each.
     accepted: BTreeMap<u64, u32>,
-    open: Vec<OpenProposal>,
+    pending_proposals: Vec<PendingProposal>,
 }
 
 impl FaultRun {
-    fn new(name: &str, seed: u64, replacing: bool) -> FaultRun {
+    fn new(name: &str, seed: u64, with_replacements: bool) -> FaultRun {
         FaultRun {
             cluster: Cluster::new(&format!("{name}{seed}"), 100 + seed),
             seed,
-            replacing,
+            with_replacements,
             members: vec![1, 2, 3],
             replacement: None,
-            memberships: 1,
+            membership_count: 1,
             accepted: BTreeMap::new(),
-            open: Vec::new(),
+            pending_proposals: Vec::new(),
         }
     }
 
@@ -83,9 +83,9 @@
             0 => self.cluster.loss_interval = [0, 20, 5][self.cluster.random.below(3) as usize],
             1 => {
                 let link = (self.random_member(), self.random_member());
-                self.cluster.blocked.push(link);
+                self.cluster.blocked_links.push(link);
             }
-            2 | 3 => self.cluster.blocked.clear(),
+            2 | 3 => self.cluster.blocked_links.clear(),
             4 => self.crash(),
             5 | 6 => self.restart(),
             7 | 8 => self.propose(round),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Stops a replica where all run, in some runs never to return.
+    /// Stops a replica if all are running. In runs with replacements, some of the stopped replicas are to be replaced.
     fn crash(&mut self) {
         let all_run = self.members.iter().all(|member| self.is_running(*member));
         if self.replacement.is_some() || !all_run {
@@ -102,8 +102,9 @@
         }
         let lost = self.random_member();
         self.cluster.stop(lost);
-        self.open.retain(|proposal| proposal.replica != lost);
-        if self.replacing && self.cluster.random.below(2) == 0 {
+        self.pending_proposals
+            .retain(|proposal| proposal.replica != lost);
+        if self.with_replacements && self.cluster.random.below(2) == 0 {
             let new = self.members.iter().max().expect("three") + 1;
             self.replacement = Some(PendingReplacement { lost, new });
         }
@@ -122,20 +123,20 @@
         }
     }
 
-    /// Requested again and again at any replica, as by an administrator who gets no response.
+    /// Submits the pending replacement at a random replica, repeatedly, as an administrator does who gets no response.
     fn replace(&mut self) {
         let Some(PendingReplacement { lost, new }) = self.replacement else {
             return;
         };
         let replica = self.random_member();
         if self.is_running(replica) {
-            self.cluster.replace(replica, lost, new);
+            self.cluster.submit_replacement(replica, lost, new);
         }
         if self.cluster.join(new) {
             self.members.retain(|member| *member != lost);
             self.members.push(new);
             self.replacement = None;
-            self.memberships += 1;
+            self.membership_count += 1;
         }
     }
 
@@ -144,7 +145,7 @@
         if self.is_running(replica) {
             let attempts = 1 + round;
             let command = propose(&format!("{}-{round}", self.seed), attempts);
-            self.open.push(OpenProposal {
+            self.pending_proposals.push(PendingProposal {
                 replica,
                 request: self.cluster.submit(replica, command),
                 attempts,
@@ -152,25 +153,25 @@
         }
     }
 
-    fn collect_answers(&mut self) {
-        let (answers, accepted) = (&mut self.cluster.answers, &mut self.accepted);
-        self.open.retain(
-            |proposal| match answers.remove(&(proposal.replica, proposal.request)) {
+    fn collect_responses(&mut self) {
+        let (responses, accepted) = (&mut self.cluster.responses, &mut self.accepted);
+        self.pending_proposals.retain(|proposal| {
+            match responses.remove(&(proposal.replica, proposal.request)) {
                 None => true,
                 Some(CommandResponse::Proposed(Ok(number))) => {
-                    let before = accepted.insert(number, proposal.attempts);
-                    assert_eq!(before, None, "version {number} was given to two changes");
+                    let previous = accepted.insert(number, proposal.attempts);
+                    assert_eq!(previous, None, "two proposals have version {number}");
                     false
                 }
                 Some(_) => false,
-            },
-        );
+            }
+        });
     }
 
-    /// Ends all faults. A replica that was not replaced returns.
-    fn heal(&mut self) {
+    /// Ends all faults, and restarts stopped replicas that were not replaced.
+    fn end_faults(&mut self) {
         self.cluster.loss_interval = 0;
-        self.cluster.blocked.clear();
+        self.cluster.blocked_links.clear();
         for member in self.members.clone() {
             if !self.is_running(member) {
                 self.cluster.start(member);
@@ -183,13 +184,17 @@
     }
 
     fn check(&self) {
-        let (seed, memberships, accepted) = (self.seed, self.memberships, self.accepted.len());
+        let (seed, membership_count, accepted) =
+            (self.seed, self.membership_count, self.accepted.len());
         assert_eq!(
-            self.replacing,
-            memberships > 2,
-            "seed {seed}: {memberships} memberships"
+            self.with_replacements,
+            membership_count > 2,
+            "seed {seed}: {membership_count} memberships"
+        );
+        assert!(
+            accepted > 5,
+            "seed {seed}: only {accepted} versions were accepted"
         );
-        assert!(accepted > 5, "seed {seed}: only {accepted} changes");
         let replicas = self.cluster.replicas.values();
         let states: Vec<_> = replicas.map(|replica| replica.config_state()).collect();
         assert!(
--- a/crates/coordination-server/tests/simulated/rollout.rs
+++ b/crates/coordination-server/tests/simulated/rollout.rs
@@ -5,7 +5,7 @@
 use super::cluster::{Cluster, LEASE_TIMING, propose, renew};
 
 #[test]
-fn a_version_waits_for_a_lease_across_a_leader_change_and_no_longer_than_its_term() {
+fn a_version_waits_for_a_lease_across_a_leader_change_but_no_longer_than_its_term() {
     let mut cluster = Cluster::new("term", 5);
     assert_eq!(
         cluster.complete(1, propose("one", 3)),
@@ -15,16 +15,16 @@
         cluster.complete(1, renew("r", 0, 0)),
         Some(CommandResponse::LeaseGranted(_))
     ));
-    let granted = cluster.now;
+    let granted_at = cluster.now;
     cluster.run(1500);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     cluster.stop(leader);
-    let other = (1..=3).find(|k| *k != leader).expect("others");
+    let other = (1..=3).find(|id| *id != leader).expect("others");
     assert_eq!(
         cluster.complete(other, propose("two", 2)),
         Some(CommandResponse::Proposed(Ok(2)))
     );
-    while cluster.now < granted + LEASE_TIMING.term {
+    while cluster.now < granted_at + LEASE_TIMING.term {
         assert_eq!(cluster.in_force(other), 1, "at {}", cluster.now);
         cluster.step();
     }
@@ -50,19 +50,19 @@
         ));
     }
     cluster.loss_interval = 3;
-    let refused = cluster.complete(2, propose("late", 9));
+    let rejected = cluster.complete(2, propose("late", 9));
     assert_eq!(
-        refused,
+        rejected,
         Some(CommandResponse::Proposed(Err(Rejection::TooManyPending {
             pending: 8
         })))
     );
     cluster.loss_interval = 0;
     cluster.run(6000);
-    let fleet = cluster.replicas[&1].config_state();
+    let config = cluster.replicas[&1].config_state();
     assert_eq!(
-        (fleet.in_force(), fleet.latest()),
+        (config.in_force(), config.latest()),
         (9, 9),
-        "its permit has run out, and nothing came behind"
+        "the lease has expired, and the rejected version was not added"
     );
 }
--- a/crates/coordination-server/tests/storage.rs
+++ b/crates/coordination-server/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of a replica across restarts, compaction, damage and a full storage.
+//! Storage across restarts and compaction, with damaged files and with a full disk.
 
 use std::path::{Path, PathBuf};
 
@@ -14,8 +14,8 @@
     dir
 }
 
-fn open(dir: &Path, fleet: &str, keeper: u64) -> Result<DiskStorage, StorageError> {
-    DiskStorage::open(dir, fleet, keeper, "fresh", 1 << 30)
+fn open(dir: &Path, fleet: &str, replica: u64) -> Result<DiskStorage, StorageError> {
+    DiskStorage::open(dir, fleet, replica, "fresh", 1 << 30)
 }
 
 fn entry(number: u64) -> Entry {
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn contents_survive_a_restart_and_each_incarnation_has_its_number() {
-    let dir = dir("again");
-    let mut storage = open(&dir, "f", 1).expect("made");
+fn contents_survive_a_restart_and_each_start_has_a_new_incarnation() {
+    let dir = dir("restart");
+    let mut storage = open(&dir, "f", 1).expect("created");
     storage
         .append_entries((0..5).map(entry).collect())
         .expect("written");
@@ -64,11 +64,11 @@
     );
     assert!(
         storage.get_entries(2, 5).expect("read").is_empty(),
-        "not in part"
+        "a range beyond the end returns no entries"
     );
-    // Another storage accepts the snapshot, though it has entries of its own there.
+    // A lagging storage accepts the snapshot in place of its own entries.
     let other = dir.join("other");
-    let mut lagging = open(&other, "f", 2).expect("made");
+    let mut lagging = open(&other, "f", 2).expect("created");
     lagging.append_entries(vec![entry(9)]).expect("written");
     lagging.append_on_prefix(0, entries).expect("written");
     assert_eq!(
@@ -79,7 +79,7 @@
         lagging.get_suffix(2).expect("read"),
         vec![entry(2), entry(7)]
     );
-    // Compacted entries are not written again.
+    // Entries that are already compacted are not written again.
     lagging
         .append_on_prefix(1, vec![entry(8), entry(2), entry(6)])
         .expect("written");
@@ -104,10 +104,10 @@
 }
 
 #[test]
-fn each_kind_of_damage_is_reported_as_what_it_is() {
+fn each_kind_of_damage_is_reported_as_its_own_error() {
     let dir = dir("damage");
     let file = dir.join("keeper.redb");
-    let mut storage = open(&dir, "f", 1).expect("made");
+    let mut storage = open(&dir, "f", 1).expect("created");
     storage
         .append_entries((0..200).map(entry).collect())
         .expect("written");
@@ -121,65 +121,65 @@
         open(&dir, "g", 1),
         Err(StorageError::OtherOwner { .. })
     ));
-    let whole = std::fs::read(&file).expect("read");
-    let with = |bytes: &[u8]| {
+    let intact = std::fs::read(&file).expect("read");
+    let open_with = |bytes: &[u8]| {
         std::fs::write(&file, bytes).expect("written");
         open(&dir, "f", 1).map(|_| ())
     };
-    assert!(matches!(with(b""), Err(StorageError::Truncated(_))));
-    assert!(matches!(with(b"re"), Err(StorageError::Truncated(_))));
+    assert!(matches!(open_with(b""), Err(StorageError::Truncated(_))));
+    assert!(matches!(open_with(b"re"), Err(StorageError::Truncated(_))));
     assert!(matches!(
-        with(b"a text that somebody left here"),
+        open_with(b"a text file of another program"),
         Err(StorageError::UnsupportedFormat { .. })
     ));
-    for part in [16, 500, whole.len() / 2, whole.len() - 4096] {
-        let cut = with(&whole[..part]);
+    for part in [16, 500, intact.len() / 2, intact.len() - 4096] {
+        let truncated = open_with(&intact[..part]);
         assert!(
             matches!(
-                cut,
+                truncated,
                 Err(StorageError::Truncated(_) | StorageError::Corrupted { .. })
             ),
-            "{part}: {cut:?}"
+            "{part}: {truncated:?}"
         );
     }
-    let mut torn = whole.clone();
-    torn[4096..].fill(0xa5);
-    let torn = with(&torn);
+    let mut overwritten = intact.clone();
+    overwritten[4096..].fill(0xa5);
+    let overwritten = open_with(&overwritten);
     assert!(
         matches!(
-            torn,
+            overwritten,
             Err(StorageError::Corrupted { .. } | StorageError::UnsupportedFormat { .. })
         ),
-        "{torn:?}"
+        "{overwritten:?}"
     );
-    assert!(with(&whole).is_ok());
+    assert!(open_with(&intact).is_ok());
     std::fs::remove_dir_all(&dir).expect("removed");
 }
 
 #[test]
 fn nothing_is_written_after_a_failed_write() {
     let dir = dir("full");
-    let mut storage = DiskStorage::open(&dir, "f", 1, "fresh", 16 << 20).expect("made");
+    let mut storage = DiskStorage::open(&dir, "f", 1, "fresh", 16 << 20).expect("created");
     let handle = storage.handle();
-    let mut steps = 0;
+    let mut writes = 0;
     while !handle.has_failed() {
         storage
             .append_entries((0..500).map(entry).collect())
-            .expect("taken");
-        steps += 1;
-        assert!(steps < 1000, "it never fills");
+            .expect("accepted");
+        writes += 1;
+        assert!(writes < 1000, "the limit is never reached");
     }
-    let written = handle.write_sequence();
-    storage.append_entry(entry(1)).expect("taken");
+    let write_sequence = handle.write_sequence();
+    storage.append_entry(entry(1)).expect("accepted");
     assert_eq!(
         handle.write_sequence(),
-        written,
-        "nothing is written behind the failure"
+        write_sequence,
+        "nothing is written after the failure"
     );
     assert!(matches!(handle.take_failure(), Some(StorageError::Full(_))));
     drop(storage);
-    let again = DiskStorage::open(&dir, "f", 1, "fresh", 1 << 30).expect("whole");
-    assert_eq!(again.handle().write_sequence(), written);
-    drop(again);
+    let reopened = DiskStorage::open(&dir, "f", 1, "fresh", 1 << 30).expect("intact");
+    assert_eq!(reopened.handle().write_sequence(), write_sequence);
+    drop(reopened);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
--- a/crates/coordination-server/tests/stored_form.rs
+++ b/crates/coordination-server/tests/stored_form.rs
@@ -1,5 +1,5 @@
-//! A replica's disk that was written before any type was renamed still opens and gives the same state; what is written
-//! into it now has the same form.
+//! Compatibility of the stored format: a disk of an earlier program version opens with the same state, and a disk
+//! written now has the same contents.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +11,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::Storage;
 
-const MOST_BYTES: u64 = 1 << 30;
+const MAX_BYTES: u64 = 1 << 30;
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -19,38 +19,38 @@
         .join(name)
 }
 
-fn updates() -> bool {
+fn is_update_requested() -> bool {
     std::env::var_os("UPDATE_FIXTURES").is_some()
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn temporary_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("hoptiller-stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("made");
+    std::fs::create_dir_all(&dir).expect("created");
     dir
 }
 
-fn acts() -> Vec<Command> {
+fn commands() -> Vec<Command> {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../coordination/tests/fixtures/acts.jsonl");
     let text = std::fs::read_to_string(path).expect("the fixture exists");
     text.lines()
-        .map(|line| serde_json::from_str(line).expect("a stored act"))
+        .map(|line| serde_json::from_str(line).expect("a recorded command"))
         .collect()
 }
 
-fn entry(number: u64, act: Command) -> Entry {
+fn entry(number: u64, command: Command) -> Entry {
     Entry::Commands(
         EntryId {
             replica: 1,
             incarnation: 1,
             sequence: number,
         },
-        vec![act],
+        vec![command],
     )
 }
 
-fn members() -> Membership {
+fn membership() -> Membership {
     let address = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let first =
         Membership::initial([(1, address(7001)), (2, address(7002)), (3, address(7003))].into());
@@ -63,108 +63,115 @@
         .expect("replaced")
 }
 
-/// Permits, leases and pending changes in the state; a promise, an accepted round and entries behind it.
+/// Writes a disk with configuration leases, task leases and pending versions in the state, and with a promise, an
+/// accepted round and entries after that state.
 fn write_disk(dir: &Path) {
-    let mut disk =
-        DiskStorage::open(dir, "stored", 1, "disk-of-the-fixture", MOST_BYTES).expect("made");
-    let (mut machine, acts) = (StateMachine::default(), acts());
-    let (before, behind) = acts.split_at(acts.len() - 6);
-    for (number, act) in (0u64..).zip(before) {
-        machine
+    let mut storage =
+        DiskStorage::open(dir, "stored", 1, "disk-of-the-fixture", MAX_BYTES).expect("created");
+    let (mut state_machine, commands) = (StateMachine::default(), commands());
+    let (before, after) = commands.split_at(commands.len() - 6);
+    for (number, command) in (0u64..).zip(before) {
+        state_machine
             .apply(
                 EntryId {
                     replica: 1,
                     incarnation: 1,
                     sequence: number,
                 },
-                vec![act.clone()],
+                vec![command.clone()],
             )
             .expect("applied");
     }
-    disk.reconfigure(members(), before.len(), machine);
+    storage.reconfigure(membership(), before.len(), state_machine);
     let ballot = Ballot::with(2, 3, 0, 4);
-    disk.set_promise(ballot).expect("written");
-    disk.set_accepted_round(ballot).expect("written");
-    let numbered = (before.len() as u64..).zip(behind);
-    disk.append_entries(
-        numbered
-            .map(|(number, act)| entry(number, act.clone()))
-            .collect(),
-    )
-    .expect("written");
-    disk.set_decided_idx(before.len() + 4).expect("written");
-    disk.append_entry(Entry::Replace(
-        EntryId {
-            replica: 1,
-            incarnation: 1,
-            sequence: 1000,
-        },
-        Replacement {
-            lost: 4,
-            new: 5,
-            address: ([127, 0, 0, 1], 7005).into(),
-        },
-    ))
-    .expect("written");
+    storage.set_promise(ballot).expect("written");
+    storage.set_accepted_round(ballot).expect("written");
+    let numbered = (before.len() as u64..).zip(after);
+    storage
+        .append_entries(
+            numbered
+                .map(|(number, command)| entry(number, command.clone()))
+                .collect(),
+        )
+        .expect("written");
+    storage.set_decided_idx(before.len() + 4).expect("written");
+    storage
+        .append_entry(Entry::Replace(
+            EntryId {
+                replica: 1,
+                incarnation: 1,
+                sequence: 1000,
+            },
+            Replacement {
+                lost: 4,
+                new: 5,
+                address: ([127, 0, 0, 1], 7005).into(),
+            },
+        ))
+        .expect("written");
 }
 
 fn json(value: &impl serde::Serialize) -> String {
     serde_json::to_string(value).expect("it has a JSON form")
 }
 
-fn describe(disk: &DiskStorage) -> String {
-    let length = disk.get_log_len().expect("read");
-    let entries = disk.get_entries(0, length).expect("read");
-    let kept: Vec<&Entry> = entries
+fn describe(storage: &DiskStorage) -> String {
+    let length = storage.get_log_len().expect("read");
+    let entries = storage.get_entries(0, length).expect("read");
+    let retained: Vec<&Entry> = entries
         .iter()
         .filter(|entry| **entry != Entry::Compacted)
         .collect();
     [
-        json(&disk.identity()),
-        json(&disk.membership()),
-        json(&disk.get_promise().expect("read")),
-        json(&disk.get_accepted_round().expect("read")),
-        json(&disk.get_decided_idx().expect("read")),
+        json(&storage.identity()),
+        json(&storage.membership()),
+        json(&storage.get_promise().expect("read")),
+        json(&storage.get_accepted_round().expect("read")),
+        json(&storage.get_decided_idx().expect("read")),
         json(&length),
-        json(&kept),
+        json(&retained),
     ]
     .join("\n")
 }
 
 #[test]
-fn an_old_disk_opens_and_gives_the_same_state() {
-    if updates() {
-        let dir = scratch("update");
+fn a_disk_of_an_earlier_version_opens_with_the_same_state() {
+    if is_update_requested() {
+        let dir = temporary_dir("update");
         write_disk(&dir);
         std::fs::copy(dir.join("keeper.redb"), fixture("keeper.redb")).expect("copied");
         std::fs::remove_dir_all(&dir).expect("removed");
     }
-    let dir = scratch("old");
+    let dir = temporary_dir("old");
     std::fs::copy(fixture("keeper.redb"), dir.join("keeper.redb")).expect("copied");
-    let disk =
-        DiskStorage::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("an old disk opens");
-    let described = describe(&disk);
-    if updates() {
+    let storage = DiskStorage::open(&dir, "stored", 1, "unused", MAX_BYTES)
+        .expect("a disk of an earlier version opens");
+    let described = describe(&storage);
+    if is_update_requested() {
         std::fs::write(fixture("disk.txt"), &described).expect("the fixture can be written");
     }
     assert_eq!(
         std::fs::read_to_string(fixture("disk.txt")).expect("the fixture exists"),
         described
     );
-    assert_eq!(disk.incarnation(), 2, "the fixture was opened once before");
-    drop(disk);
+    assert_eq!(
+        storage.incarnation(),
+        2,
+        "the fixture was opened once before"
+    );
+    drop(storage);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
 
 #[test]
 fn a_disk_written_now_has_the_same_contents() {
-    let dir = scratch("new");
+    let dir = temporary_dir("new");
     write_disk(&dir);
-    let disk = DiskStorage::open(&dir, "stored", 1, "unused", MOST_BYTES).expect("opened");
+    let storage = DiskStorage::open(&dir, "stored", 1, "unused", MAX_BYTES).expect("opened");
     assert_eq!(
         std::fs::read_to_string(fixture("disk.txt")).expect("the fixture exists"),
-        describe(&disk)
+        describe(&storage)
     );
-    drop(disk);
+    drop(storage);
     std::fs::remove_dir_all(&dir).expect("removed");
 }
