--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -15,7 +15,7 @@
 const CHECK_INTERVAL: Micros = 50_000;
 /// Minimum interval between two entries that only remove expired leases.
 const REMOVE_EXPIRED_INTERVAL: Micros = 1_000_000;
-/// Time that a follower leaves the leader to put a version into force before it proposes to do so itself.
+/// Time that a follower waits for the leader to put an unblocked version into force before it proposes this itself.
 const FOLLOWER_DELAY: Micros = 1_000_000;
 
 /// The inputs of one check.
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -83,7 +83,7 @@
 }
 
 impl Node {
-    /// Opens the log in the storage.
+    /// Creates a node and opens the log in the storage.
     pub(crate) fn open(
         config: Config,
         secret: Secret,
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -45,7 +45,7 @@
     pub(crate) messages: Vec<Message>,
 }
 
-/// Returns the membership of programs that predate numbered memberships: they know only the initial one.
+/// Returns the number of the initial membership, the only one known to programs that predate numbered memberships.
 fn initial_membership() -> u32 {
     1
 }
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -80,7 +80,7 @@
         replica
     }
 
-    /// Submits a command. Its response becomes available once a quorum has accepted the command.
+    /// Submits a command. Its response becomes available once a quorum has decided the command.
     pub fn submit(&mut self, command: Command) -> RequestId {
         let request = self.new_request_id();
         self.queued_commands.push((request, command));
--- a/crates/coordination-server/src/replicated_log.rs
+++ b/crates/coordination-server/src/replicated_log.rs
@@ -180,7 +180,8 @@
             .collect()
     }
 
-    /// Compacts the log if it retains more than `COMPACTION_THRESHOLD` entries. `state` is the state after all entries taken.
+    /// Compacts the log if it retains more than `COMPACTION_THRESHOLD` entries. `state` is the state after all entries
+    /// taken.
     pub fn compact_if_long(&mut self, state: &StateMachine) {
         if self.storage.retained() > COMPACTION_THRESHOLD {
             self.storage.compact(self.next_index, state);
--- a/crates/coordination-server/src/server.rs
+++ b/crates/coordination-server/src/server.rs
@@ -66,7 +66,7 @@
         Ok(storage)
     }
 
-    /// Opens the log in the storage.
+    /// Creates a server and opens the log in the storage.
     ///
     /// # Errors
     ///
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -153,8 +153,8 @@
         self.0.borrow().identity.clone()
     }
 
-    /// Returns how often the file has been opened, including this time. The number distinguishes this process from
-    /// earlier ones.
+    /// Returns the number of times that the file has been opened, including this one. It distinguishes this process
+    /// from earlier ones.
     pub fn incarnation(&self) -> u64 {
         self.0.borrow().incarnation
     }
