--- a/crates/cli/tests/fleet/replicas.rs
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -151,7 +151,7 @@
     // The lost one comes back after all, with a former disk: its place is taken.
     fixture.fleet.restore_disk(2).expect("put back");
     assert_rejected_on_start(&mut fixture, 2);
-    assert_logged(&fixture, "keeper-3", "has replaced this one");
+    assert_logged(&fixture, "keeper-3", "has replaced the sender");
     // The new one loses its disk, and with it its promises: it may not join again.
     fixture.fleet.kill_replica(new);
     fixture.fleet.lose_disk(new).expect("gone");
--- a/crates/coordination-server/src/config.rs
+++ b/crates/coordination-server/src/config.rs
@@ -24,7 +24,8 @@
     /// The id of this replica, a key of `replicas`.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// The addresses of the three or five replicas by id, for peers and routers.
+    /// The addresses of the three or five replicas by id, for peers and routers. The id of a removed replica must never
+    /// be reused.
     #[serde(rename = "keepers")]
     pub replicas: BTreeMap<u64, SocketAddr>,
     /// The address to listen on; by default this replica's address in `replicas`.
@@ -34,14 +35,14 @@
     pub dir: PathBuf,
     /// The file that contains the fleet's secret.
     pub secret: PathBuf,
-    /// The duration of a lease; all replicas and routers of the fleet must agree on it.
+    /// The lease term, that is the duration of a lease; all replicas and routers of the fleet must agree on it.
     #[serde(rename = "permit", default = "default_lease_term")]
     pub lease_term: ConfigDuration,
-    /// The maximum difference between the rates of two clocks, in millionths; all replicas and routers of the fleet
-    /// must agree on it.
+    /// The maximum clock drift, that is the difference between the rates of two clocks, in millionths; all replicas and
+    /// routers of the fleet must agree on it.
     #[serde(default = "default_drift")]
     pub drift: u64,
-    /// The maximum size of the storage file, in bytes.
+    /// The size of the storage file, in bytes, above which writes fail.
     #[serde(rename = "most_bytes", default = "default_max_bytes")]
     pub max_bytes: u64,
 }
@@ -110,7 +111,7 @@
             (
                 self.replicas.keys().all(|id| REPLICA_IDS.contains(id)),
                 "keepers",
-                "ids must be from 1 to 99 and must never be reused",
+                "ids must be from 1 to 99",
             ),
             (
                 self.replicas.contains_key(&self.replica),
@@ -157,7 +158,7 @@
         addresses.len() == self.replicas.len()
     }
 
-    /// Returns the duration of leases and the accuracy of clocks.
+    /// Returns the lease term and the maximum clock drift.
     pub fn lease_timing(&self) -> LeaseTiming {
         LeaseTiming {
             term: self.lease_term.as_micros(),
@@ -169,6 +170,7 @@
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
             .or_else(|| self.replicas.get(&self.replica).copied())
+            // Not reached: a valid configuration has an address for this replica.
             .unwrap_or(([127, 0, 0, 1], 0).into())
     }
 
--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -1,7 +1,9 @@
-//! The periodic check that proposes to put unblocked versions into force and to remove expired leases.
+//! The periodic check that proposes to put unblocked versions into force and to remove expired leases. A pending
+//! version is unblocked once every holder of an unexpired configuration lease enforces it.
 //!
 //! Any replica may propose to put versions into force, because each measures leases by its own clock, from the time at
-//! which it learned of them. The leader proposes first, which saves duplicate entries.
+//! which it learned of them. The leader proposes first, which saves duplicate entries. Only the leader proposes
+//! entries that do no more than remove expired leases.
 
 use std::collections::BTreeSet;
 
@@ -31,8 +33,9 @@
 #[derive(Default)]
 pub(crate) struct ExpiryCheck {
     last_check_at: Micros,
-    /// The time at which a [`Command::CompleteRollout`] was last proposed.
-    last_completion_at: Micros,
+    /// The time at which a [`Command::CompleteRollout`] was last proposed, to put a version into force or to remove
+    /// leases.
+    last_complete_rollout_at: Micros,
     /// The last proposed entry and its time; `None` once the entry is decided.
     in_flight: Option<(EntryId, Micros)>,
     /// The time since which nothing blocks the next version.
@@ -64,9 +67,9 @@
         self.update_unblocked_since(now, input.config, &holders);
         let removes_expired = input.is_leader
             && !expired_holders.is_empty()
-            && now >= self.last_completion_at + REMOVE_EXPIRED_INTERVAL;
+            && now >= self.last_complete_rollout_at + REMOVE_EXPIRED_INTERVAL;
         if removes_expired || self.may_complete_rollout(now, input.is_leader) {
-            self.last_completion_at = now;
+            self.last_complete_rollout_at = now;
             commands.push(Command::CompleteRollout {
                 upto: input.config.latest(),
                 lapsed: expired_holders,
--- a/crates/coordination-server/src/in_flight.rs
+++ b/crates/coordination-server/src/in_flight.rs
@@ -8,7 +8,8 @@
 use crate::request::RequestId;
 use crate::state_machine::EntryId;
 
-/// Time after which an entry that is not decided is proposed again, because its message or the leader may be lost.
+/// Time after which an undecided entry is proposed again if a request waits for it: its message or the leader may be
+/// lost.
 pub(crate) const REPROPOSE_TIMEOUT: Micros = 700_000;
 
 struct InFlightEntry {
@@ -71,19 +72,20 @@
     }
 
     /// Returns the overdue entries for which a request waits, to be proposed again, and restarts their timeout at
-    /// `now`. Removes other overdue entries.
-    pub(crate) fn repropose_overdue(&mut self, now: Micros) -> Vec<Entry> {
+    /// `now`. Removes other overdue entries, because the expiry check proposes its commands anew and no caller waits
+    /// for the rest.
+    pub(crate) fn restart_overdue(&mut self, now: Micros) -> Vec<Entry> {
         self.by_id
             .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.has_waiting_request());
-        self.repropose_where(now, |in_flight| in_flight.is_overdue(now))
+        self.restart_where(now, |in_flight| in_flight.is_overdue(now))
     }
 
     /// Returns all entries, to be proposed again, and restarts their timeout at `now`.
-    pub(crate) fn repropose_all(&mut self, now: Micros) -> Vec<Entry> {
-        self.repropose_where(now, |_| true)
+    pub(crate) fn restart_all(&mut self, now: Micros) -> Vec<Entry> {
+        self.restart_where(now, |_| true)
     }
 
-    fn repropose_where(
+    fn restart_where(
         &mut self,
         now: Micros,
         predicate: impl Fn(&InFlightEntry) -> bool,
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -28,8 +28,9 @@
     Rejected(String),
 }
 
-/// Requests the replicated state from the other replicas until one of them sends it, and stores it. Leaves a storage
-/// that is not empty unchanged, because its replica has joined before.
+/// Requests the replicated state from the other replicas, and stores it. Repeats the requests without limit until the
+/// replacement that makes this replica a member has taken effect. Leaves a storage that is not empty unchanged, because
+/// its replica has joined before.
 ///
 /// # Errors
 ///
--- a/crates/coordination-server/src/membership.rs
+++ b/crates/coordination-server/src/membership.rs
@@ -78,8 +78,9 @@
         self.addresses.keys().copied().collect()
     }
 
-    /// Returns the membership after a replacement, or this membership if the replacement has been made before. Whether
-    /// the replacement is valid depends on ids alone, because replicas may know each other by different addresses.
+    /// Returns the membership after a replacement, or this membership if `lost` is already removed and `new` is already
+    /// a member, as after a repeated request. Whether the replacement is valid depends on ids alone, because replicas
+    /// may know each other by different addresses.
     ///
     /// # Errors
     ///
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -34,7 +34,7 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// Another replica has replaced this one.
-    #[error("{}", PeerError::Replaced)]
+    #[error("another replica has replaced this one")]
     Replaced,
     /// A peer rejects this replica because it was replaced or does not have the disk that it had before.
     #[error("replica {peer} rejects this replica: {error}")]
@@ -52,11 +52,14 @@
 /// An error that leaves a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SubmitError {
-    #[error("too many requests are pending")]
+    #[error("{MAX_PENDING_REQUESTS} requests are already pending")]
     TooManyPending,
     #[error("this replica is stopping")]
     Stopped,
-    #[error("no response from a quorum of replicas; the request may still take effect")]
+    #[error(
+        "no response from a quorum of replicas within {} s; the request may still take effect",
+        QUORUM_TIMEOUT.as_secs()
+    )]
     NoQuorum,
 }
 
@@ -115,7 +118,7 @@
         })
     }
 
-    /// Stops the replica. Only the first reason is kept.
+    /// Stops the replica. The first reason is kept until [`Node::stopped`] takes it.
     pub(crate) fn stop(&self, reason: StopReason) {
         self.stop_reason.borrow_mut().get_or_insert(reason);
         self.stopped.notify(usize::MAX);
@@ -125,7 +128,8 @@
         self.stop_reason.borrow().is_some()
     }
 
-    /// Waits until the replica has stopped on its own initiative, and returns the reason.
+    /// Waits until the replica has stopped on its own initiative, and takes the reason. It may be called only once, and
+    /// the node must not be used afterwards.
     pub(crate) async fn stopped(&self) -> StopReason {
         loop {
             let stopped = self.stopped.listen();
@@ -136,8 +140,9 @@
         }
     }
 
-    /// Applies a change to the replica and performs its effects: responses, messages to peers, a new membership. After
-    /// a storage failure the replica sends nothing, and this method returns `None`.
+    /// Applies a change to the replica and performs its effects: responses, messages to peers, a new membership.
+    /// Returns `None` if the replica has stopped or the change stops it. After a failure of the storage or the log
+    /// nothing is sent, after a replacement only the responses are.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
         if self.is_stopped() {
             return None;
@@ -166,8 +171,12 @@
 
     fn respond(&self, completed: Vec<CompletedRequest>) {
         let mut pending = self.pending_requests.borrow_mut();
-        for CompletedRequest { request, response } in completed {
-            if let Some(sender) = pending.remove(&request) {
+        for CompletedRequest {
+            request_id,
+            response,
+        } in completed
+        {
+            if let Some(sender) = pending.remove(&request_id) {
                 // Fails if the request has just timed out.
                 let _ = sender.try_send(response);
             }
@@ -200,7 +209,7 @@
             tracing::info!(
                 in_force = versions.in_force,
                 last = versions.last,
-                "versions changed"
+                "versions or lease table changed"
             );
             self.versions_changed.notify(usize::MAX);
         }
@@ -231,11 +240,13 @@
             return Err(SubmitError::TooManyPending);
         }
         let (sender, receiver) = async_channel::bounded(1);
-        let request = self.update(submit).ok_or(SubmitError::Stopped)?;
-        self.pending_requests.borrow_mut().insert(request, sender);
+        let request_id = self.update(submit).ok_or(SubmitError::Stopped)?;
+        self.pending_requests
+            .borrow_mut()
+            .insert(request_id, sender);
         let _guard = PendingRequestGuard {
             node: self,
-            request,
+            request_id,
         };
         let response = async { receiver.recv().await.ok() };
         let timeout = async {
@@ -263,7 +274,7 @@
 /// Guard that cancels its request if it is dropped before the response arrives, however the waiting task ends.
 struct PendingRequestGuard<'a> {
     node: &'a Node,
-    request: RequestId,
+    request_id: RequestId,
 }
 
 impl Drop for PendingRequestGuard<'_> {
@@ -272,9 +283,9 @@
             .node
             .pending_requests
             .borrow_mut()
-            .remove(&self.request);
+            .remove(&self.request_id);
         if sender.is_some() {
-            self.node.replica.borrow_mut().cancel(self.request);
+            self.node.replica.borrow_mut().cancel(self.request_id);
         }
     }
 }
--- a/crates/coordination-server/src/peer_link.rs
+++ b/crates/coordination-server/src/peer_link.rs
@@ -139,7 +139,7 @@
     #[error(transparent)]
     Decode(serde_json::Error),
     /// The peer responded with an unexpected status.
-    #[error("unexpected status {0}")]
+    #[error("unexpected status {0}, expected 200 or 409")]
     Status(u16),
     /// The peer has rejected the message.
     #[error(transparent)]
--- a/crates/coordination-server/src/peer_protocol.rs
+++ b/crates/coordination-server/src/peer_protocol.rs
@@ -30,7 +30,7 @@
     pub(crate) membership: u32,
     /// The sender's lease term, in µs.
     pub(crate) term: u64,
-    /// The sender's maximum difference between the rates of two clocks, in millionths.
+    /// The sender's maximum clock drift, in millionths.
     pub(crate) drift: u64,
     #[serde(rename = "life")]
     pub(crate) incarnation: u64,
@@ -84,8 +84,8 @@
     ConfigMismatch(String),
     /// The sender does not have the disk that it had before.
     #[error(
-        "this replica had disk {known} before, and its promises were lost with that disk. Replace it with a replica \
-         that has a new id"
+        "the sender had disk {known} before, and its promises were lost with that disk. Replace the sender with a \
+         replica that has a new id"
     )]
     OtherDisk {
         /// The id of the disk that the sender had before.
@@ -93,8 +93,8 @@
     },
     /// The sender's disk has fewer durable transactions than it had before.
     #[error(
-        "this replica's disk has {write_sequence} transactions and had {known} before: it was restored from a copy. \
-         Replace it with a replica that has a new id"
+        "the sender's disk has {write_sequence} transactions and had {known} before: it was restored from a copy. \
+         Replace the sender with a replica that has a new id"
     )]
     #[serde(rename = "went_back")]
     DiskRolledBack {
@@ -105,11 +105,12 @@
         known: u64,
     },
     /// Another replica has replaced the sender.
-    #[error("another replica has replaced this one, which is no longer a member")]
+    #[error("another replica has replaced the sender, which is no longer a member")]
     Replaced,
     /// The two replicas have different memberships. The replica with the later one sends it to the other.
     #[error(
-        "the receiver has membership {receiver}, the sender has membership {sender}. Start a new replica with --join"
+        "the sender has membership {sender}, the receiver has membership {receiver}. If the replica with the earlier \
+         one is new, start it with --join"
     )]
     #[serde(rename = "lists")]
     MembershipMismatch {
@@ -163,7 +164,10 @@
     fn check_origin(&self, batch: &MessageBatch) -> Result<(), PeerError> {
         let mismatch = |reason: String| Err(PeerError::ConfigMismatch(reason));
         if batch.fleet != self.fleet {
-            return mismatch(format!("the receiver belongs to fleet {:?}", self.fleet));
+            return mismatch(format!(
+                "the sender belongs to fleet {:?}, the receiver to fleet {:?}",
+                batch.fleet, self.fleet
+            ));
         }
         if self.removed.contains(&batch.from) {
             return Err(PeerError::Replaced);
@@ -175,21 +179,26 @@
             });
         }
         if batch.replicas != self.replicas {
-            return mismatch(format!("the receiver's members are {:?}", self.replicas));
+            return mismatch(format!(
+                "the sender's members are {:?}, the receiver's {:?}",
+                batch.replicas, self.replicas
+            ));
         }
         if batch.to != self.replica
             || batch.from == self.replica
             || !self.replicas.contains(&batch.from)
         {
             return mismatch(format!(
-                "the receiver is replica {} of {:?}",
-                self.replica, self.replicas
+                "the batch is from replica {} to replica {}, the receiver is replica {} of {:?}",
+                batch.from, batch.to, self.replica, self.replicas
             ));
         }
         let LeaseTiming { term, drift, .. } = self.lease_timing;
         if (batch.term, batch.drift) != (term, drift) {
             return mismatch(format!(
-                "the receiver has a lease term (permit) of {term} us and a drift of {drift} millionths"
+                "the sender has a lease term (permit) of {} us and a drift of {} millionths, the receiver has {term} \
+                 us and {drift} millionths",
+                batch.term, batch.drift
             ));
         }
         let is_foreign =
@@ -239,8 +248,8 @@
         if let Some(last) = last
             && (batch.incarnation, batch.sequence) <= (last.incarnation, last.sequence)
         {
-            // Batches of an ended incarnation may still arrive, but not its first one: a first batch means that a new
-            // process has started on a disk restored from a copy.
+            // Delayed batches of an ended incarnation are ignored. A first batch is not taken for a delayed one: it
+            // begins an incarnation on a disk that was restored from a copy.
             if batch.incarnation < last.incarnation && batch.sequence == 0 {
                 return Err(rolled_back);
             }
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -17,7 +17,7 @@
 /// Maximum number of commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 512;
 
-/// The state from which a replica starts under a membership.
+/// The state from which a replica starts under a membership, as sent to a new or outdated replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicatedState {
@@ -76,24 +76,25 @@
             failure: None,
         };
         replica.apply_decided(now);
+        // When the leases were last renewed is unknown after a restart, so that all of them count from now.
         replica.expiry = ExpiryTracker::start(now, replica.config_state());
         replica
     }
 
     /// Submits a command. Its response becomes available once a quorum has decided the command.
     pub fn submit(&mut self, command: Command) -> RequestId {
-        let request = self.new_request_id();
-        self.queued_commands.push((request, command));
-        request
+        let request_id = self.new_request_id();
+        self.queued_commands.push((request_id, command));
+        request_id
     }
 
     /// Submits a replacement of one replica by another.
     pub fn submit_replacement(&mut self, now: Micros, replacement: Replacement) -> RequestId {
-        let request = self.new_request_id();
+        let request_id = self.new_request_id();
         let id = self.new_entry_id();
         let entry = Entry::Replace(id, replacement);
-        self.propose(now, id, entry, vec![Some(request)]);
-        request
+        self.propose(now, id, entry, vec![Some(request_id)]);
+        request_id
     }
 
     /// Returns the state that a new or outdated replica needs.
@@ -115,10 +116,10 @@
     }
 
     /// Cancels a request for which no caller waits any more. Its command may still take effect.
-    pub fn cancel(&mut self, request: RequestId) {
+    pub fn cancel(&mut self, request_id: RequestId) {
         self.queued_commands
-            .retain(|(queued, _)| *queued != request);
-        self.in_flight.cancel(request);
+            .retain(|(queued, _)| *queued != request_id);
+        self.in_flight.cancel(request_id);
     }
 
     /// Handles messages from another replica, which must have been sent under the membership in effect here.
@@ -134,15 +135,15 @@
         self.log.reconnected(replica);
     }
 
-    /// Proposes the submitted commands. [`Replica::tick`] calls this too; call it after a burst of commands to propose
-    /// them without waiting for the next tick.
+    /// Proposes the submitted commands, in entries of up to `MAX_COMMANDS_PER_ENTRY` commands, and applies decided
+    /// entries. [`Replica::tick`] calls this, so that the commands of one tick share an entry.
     pub fn flush(&mut self, now: Micros) {
         while !self.queued_commands.is_empty() {
             let size = self.queued_commands.len().min(MAX_COMMANDS_PER_ENTRY);
             let (requests, commands) = self
                 .queued_commands
                 .drain(..size)
-                .map(|(request, command)| (Some(request), command))
+                .map(|(request_id, command)| (Some(request_id), command))
                 .unzip();
             self.propose_commands(now, requests, commands);
         }
@@ -156,7 +157,7 @@
         }
         self.log.tick();
         self.flush(now);
-        for entry in self.in_flight.repropose_overdue(now) {
+        for entry in self.in_flight.restart_overdue(now) {
             self.log.propose(entry);
         }
         self.check_expiry(now);
@@ -186,9 +187,9 @@
     }
 
     fn new_request_id(&mut self) -> RequestId {
-        let request = self.next_request_id;
-        self.next_request_id = request.next();
-        request
+        let request_id = self.next_request_id;
+        self.next_request_id = request_id.next();
+        request_id
     }
 
     fn new_entry_id(&mut self) -> EntryId {
@@ -200,12 +201,13 @@
         }
     }
 
-    /// Continues under a new membership. Proposes again the entries in flight, which are void under the new membership.
+    /// Continues under a new membership. Proposals under the previous membership no longer take effect, so the entries
+    /// in flight are proposed again. Those that were already applied are ignored, see [`StateMachine::apply`].
     fn reconfigure(&mut self, now: Micros, membership: Membership, index: usize) {
         if let Err(error) = self.log.reconfigure(membership, index, &self.state_machine) {
             self.failure = Some(error);
         }
-        for entry in self.in_flight.repropose_all(now) {
+        for entry in self.in_flight.restart_all(now) {
             self.log.propose(entry);
         }
     }
@@ -241,8 +243,10 @@
         }
         for decided in decided {
             match decided.entry {
-                // Commands of this replica among the compacted entries get no response here. They are proposed again.
+                // Commands of this replica among the compacted entries get no response: when they are proposed again,
+                // they count as applied. Their callers time out.
                 Entry::Snapshot(_, state_machine) => self.state_machine = *state_machine,
+                // `ReplicatedLog::take_decided` leaves these out.
                 Entry::Compacted => {}
                 Entry::Commands(id, commands) => self.apply_commands(id, commands),
                 Entry::Replace(id, replacement) => {
@@ -254,6 +258,7 @@
                 }
             }
         }
+        // The storage of a replaced replica stays unchanged, see `ReplicatedLog::reconfigure`.
         if !self.is_replaced() {
             self.log.compact_if_long(&self.state_machine);
         }
@@ -264,8 +269,8 @@
         let requests = self.in_flight.remove(id);
         self.expiry_check.record_decided(id);
         let results = self.state_machine.apply(id, commands).unwrap_or_default();
-        for (request, result) in requests.into_iter().zip(results) {
-            self.complete(request, Response::Command(result));
+        for (request_id, result) in requests.into_iter().zip(results) {
+            self.complete(request_id, Response::Command(result));
         }
     }
 
@@ -276,16 +281,19 @@
             .as_ref()
             .map(|next| next.number)
             .map_err(|error| *error);
-        for request in self.in_flight.remove(id) {
-            self.complete(request, Response::Replaced(number));
+        for request_id in self.in_flight.remove(id) {
+            self.complete(request_id, Response::Replaced(number));
         }
         next.ok()
             .filter(|next| next.number > self.membership().number)
     }
 
-    fn complete(&mut self, request: Option<RequestId>, response: Response) {
-        if let Some(request) = request {
-            self.completed.push(CompletedRequest { request, response });
+    fn complete(&mut self, request_id: Option<RequestId>, response: Response) {
+        if let Some(request_id) = request_id {
+            self.completed.push(CompletedRequest {
+                request_id,
+                response,
+            });
         }
     }
 
--- a/crates/coordination-server/src/replicated_log.rs
+++ b/crates/coordination-server/src/replicated_log.rs
@@ -13,7 +13,8 @@
 use crate::state_machine::StateMachine;
 use crate::storage::DiskStorage;
 
-/// Ticks without a heartbeat from the leader until an election.
+/// Ticks between two rounds of leader election, in which a leader without heartbeats is replaced. The server ticks
+/// every `TICK_INTERVAL`.
 const ELECTION_TIMEOUT_TICKS: u64 = 10;
 /// Ticks until an unanswered message is sent again.
 const RESEND_TIMEOUT_TICKS: u64 = 25;
@@ -168,6 +169,7 @@
             return Vec::new();
         }
         let from = self.next_index;
+        // `None` only for a range outside the log, which is complete for the library, see `storage`.
         let entries = self.consensus.read_decided_suffix(from).unwrap_or_default();
         self.next_index = decided;
         (from + 1..)
--- a/crates/coordination-server/src/request.rs
+++ b/crates/coordination-server/src/request.rs
@@ -1,4 +1,5 @@
-//! Requests that go through the log, and their responses.
+//! Requests that go through the log, and their responses. A request here is a command or a replacement, not an HTTP
+//! request.
 
 use hoptiller_coordination::CommandResponse;
 
@@ -19,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedRequest {
     /// The id of the request.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// Its response.
     pub response: Response,
 }
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use hoptiller_coordination::{Command, Holder, Proposal};
+use hoptiller_coordination::{Command, Holder, LeaseTiming, Proposal, VersionNumber};
 use hoptiller_coordination_client::wire;
 use hoptiller_http::{Method, Request, Response};
 use serde::de::DeserializeOwned;
@@ -25,23 +25,39 @@
 enum RequestError {
     #[error(transparent)]
     InvalidBody(#[from] serde_json::Error),
-    #[error("the names of a router and its incarnation must have 1 to {MAX_NAME_BYTES} bytes each")]
-    InvalidHolderName,
+    #[error(
+        "the router's name has {router_bytes} bytes, its incarnation {incarnation_bytes}; both must have 1 to \
+         {MAX_NAME_BYTES}"
+    )]
+    InvalidHolderName {
+        router_bytes: usize,
+        incarnation_bytes: usize,
+    },
     #[error("the request is not signed with this fleet's secret")]
     Unauthenticated,
-    #[error("unknown method or path")]
-    UnknownPath,
-    #[error("the version does not exist, or its document is no longer stored")]
-    UnknownVersion,
-    #[error("one of the versions does not exist, or its document is no longer stored")]
-    UnknownVersions,
+    #[error("unknown method or path: {0}")]
+    UnknownPath(String),
+    #[error("version {0} does not exist, or its document is no longer stored")]
+    UnknownVersion(VersionNumber),
+    #[error("version {from} or {to} does not exist, or its document is no longer stored")]
+    UnknownVersions {
+        from: VersionNumber,
+        to: VersionNumber,
+    },
     #[error(
-        "this replica has a lease term (permit) of {term} us and a drift of {drift} millionths; set the same \
-         values in the router"
+        "the request has a lease term (permit) of {} us and a drift of {} millionths, this replica has {} us and {} \
+         millionths; set the same values in the router",
+        .requested.term, .requested.drift, .configured.term, .configured.drift
     )]
-    LeaseTermMismatch { term: u64, drift: u64 },
-    #[error("this replica belongs to fleet {0:?}")]
-    OtherFleet(String),
+    LeaseTermMismatch {
+        requested: LeaseTiming,
+        configured: LeaseTiming,
+    },
+    #[error("the request is for fleet {requested:?}, this replica belongs to fleet {configured:?}")]
+    OtherFleet {
+        requested: String,
+        configured: String,
+    },
     #[error(transparent)]
     PeerRejected(PeerError),
     #[error("replica {replica} is not in membership {membership}")]
@@ -57,13 +73,13 @@
 impl RequestError {
     fn status(&self) -> u16 {
         match self {
-            RequestError::InvalidBody(_) | RequestError::InvalidHolderName => 400,
+            RequestError::InvalidBody(_) | RequestError::InvalidHolderName { .. } => 400,
             RequestError::Unauthenticated => 401,
-            RequestError::UnknownPath
-            | RequestError::UnknownVersion
-            | RequestError::UnknownVersions => 404,
+            RequestError::UnknownPath(_)
+            | RequestError::UnknownVersion(_)
+            | RequestError::UnknownVersions { .. } => 404,
             RequestError::LeaseTermMismatch { .. }
-            | RequestError::OtherFleet(_)
+            | RequestError::OtherFleet { .. }
             | RequestError::PeerRejected(_) => 409,
             RequestError::NotAMember { .. }
             | RequestError::LinkBroken
@@ -77,7 +93,8 @@
     }
 }
 
-/// Authenticates and handles a request, and signs the response.
+/// Authenticates and handles a request. Signs the response, unless the request is not authenticated or the replica is
+/// stopping.
 pub(crate) async fn handle(node: &Node, request: &Request) -> Response {
     if node.secret.verify_request(request).is_err() {
         return RequestError::Unauthenticated.to_response();
@@ -113,7 +130,7 @@
             let response = node
                 .submit(|replica, now| replica.submit_replacement(now, replacement))
                 .await?;
-            Ok(responses::completed(response))
+            Ok(responses::from_log(response))
         }
         (Method::Post, wire::STATE) => admit_replica(node, &parse_body(request)?),
         (Method::Post, wire::INSTALL) => Ok(install_state(node, parse_body(request)?)),
@@ -126,7 +143,10 @@
             Ok(responses::ok(&heads))
         }
         (Method::Get, wire::STATUS) => Ok(status(node)),
-        _ => Err(RequestError::UnknownPath),
+        (method, path) => {
+            let unknown = format!("{} {path}", method.as_str());
+            Err(RequestError::UnknownPath(unknown))
+        }
     }
 }
 
@@ -136,23 +156,30 @@
 
 async fn submit_command(node: &Node, command: Command) -> Result<Response, RequestError> {
     let response = node.submit(|replica, _| replica.submit(command)).await?;
-    Ok(responses::completed(response))
+    Ok(responses::from_log(response))
 }
 
 async fn renew_lease(
     node: &Node,
     request: wire::LeaseRenewalRequest,
 ) -> Result<Response, RequestError> {
-    let lease_timing = node.config.lease_timing();
-    if (request.term, request.drift) != (lease_timing.term, lease_timing.drift) {
+    let configured = node.config.lease_timing();
+    let requested = LeaseTiming {
+        term: request.term,
+        drift: request.drift,
+    };
+    if requested != configured {
         return Err(RequestError::LeaseTermMismatch {
-            term: lease_timing.term,
-            drift: lease_timing.drift,
+            requested,
+            configured,
         });
     }
     let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     if !is_name(&request.holder.router) || !is_name(&request.holder.incarnation) {
-        return Err(RequestError::InvalidHolderName);
+        return Err(RequestError::InvalidHolderName {
+            router_bytes: request.holder.router.len(),
+            incarnation_bytes: request.holder.incarnation.len(),
+        });
     }
     let command = Command::RenewLease {
         holder: request.holder,
@@ -194,19 +221,21 @@
 fn show_version(node: &Node, request: wire::VersionRequest) -> Result<Response, RequestError> {
     let replica = node.replica.borrow();
     let config = replica.config_state();
+    let number = request.number.unwrap_or(config.latest());
     config
-        .version(request.number.unwrap_or(config.latest()))
+        .version(number)
         .map(responses::ok)
-        .ok_or(RequestError::UnknownVersion)
+        .ok_or(RequestError::UnknownVersion(number))
 }
 
 fn diff_versions(node: &Node, request: wire::DiffRequest) -> Result<Response, RequestError> {
     let replica = node.replica.borrow();
+    let wire::DiffRequest { from, to } = request;
     replica
         .config_state()
-        .differences(request.from, request.to)
+        .differences(from, to)
         .map(|differences| responses::ok(&differences))
-        .ok_or(RequestError::UnknownVersions)
+        .ok_or(RequestError::UnknownVersions { from, to })
 }
 
 fn status(node: &Node) -> Response {
@@ -266,7 +295,10 @@
     let replica = node.replica.borrow();
     let membership = replica.membership();
     if join.fleet != node.config.fleet {
-        return Err(RequestError::OtherFleet(node.config.fleet.clone()));
+        return Err(RequestError::OtherFleet {
+            requested: join.fleet.clone(),
+            configured: node.config.fleet.clone(),
+        });
     }
     if membership.removed.contains(&join.replica) {
         return Err(RequestError::PeerRejected(PeerError::Replaced));
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -35,7 +35,7 @@
 }
 
 /// Returns the HTTP response to a request that went through the log.
-pub(crate) fn completed(response: Response) -> HttpResponse {
+pub(crate) fn from_log(response: Response) -> HttpResponse {
     match response {
         Response::Command(result) => command_result(result),
         Response::Replaced(Ok(membership)) => ok(&ReplaceResponse { membership }),
--- a/crates/coordination-server/src/server.rs
+++ b/crates/coordination-server/src/server.rs
@@ -118,7 +118,8 @@
         Ok(local_address)
     }
 
-    /// Waits until the replica has stopped on its own initiative, and returns the reason.
+    /// Waits until the replica has stopped on its own initiative, and returns the reason. It may be called only once,
+    /// and the server must not be used afterwards.
     pub async fn stopped(&self) -> StopReason {
         self.node.stopped().await
     }
--- a/crates/coordination-server/src/state_machine.rs
+++ b/crates/coordination-server/src/state_machine.rs
@@ -1,5 +1,7 @@
 //! The replicated state machine: the configuration state and the ids of the log entries applied to it. An entry that a
-//! replica proposed twice, because it did not learn the outcome, is applied only once.
+//! replica proposed twice, because it did not learn the outcome, is applied only once. Replacements are not recorded
+//! here: repeating one has no effect, see
+//! [`Membership::with_replacement`](crate::membership::Membership::with_replacement).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +36,7 @@
     floor: u64,
 }
 
-/// The replicated state.
+/// The state machine to which all replicas apply the log: the configuration state and the ids of applied entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateMachine {
     #[serde(rename = "fleet")]
@@ -44,7 +46,8 @@
 }
 
 impl StateMachine {
-    /// Applies the commands of an entry and returns their results, or `None` if the entry was applied before.
+    /// Applies the commands of an entry and returns their results. Returns `None` if the entry was applied before or
+    /// counts as applied: it is older than the last `DEDUPLICATION_WINDOW` entries, or belongs to an ended incarnation.
     pub fn apply(&mut self, id: EntryId, commands: Vec<Command>) -> Option<Vec<CommandResponse>> {
         let applied = self.applied.entry(id.replica).or_default();
         if id.incarnation < applied.incarnation {
--- a/crates/coordination-server/src/storage.rs
+++ b/crates/coordination-server/src/storage.rs
@@ -1,5 +1,6 @@
 //! The durable state of a replica in one file: promises, log entries, and the snapshot that replaces compacted entries.
-//! Each update is one transaction. A copy of the state in memory serves all reads.
+//! Each update is one transaction. A copy of the state in memory serves all reads. The disk of a replica, in names and
+//! messages, is this file: a file that is created anew is another disk, whatever the device.
 //!
 //! The consensus library is not aware of compaction and sees a complete log. When it reads compacted entries, the first
 //! one is an [`Entry::Snapshot`](crate::entry::Entry::Snapshot) with the state after all of them, the others are
@@ -221,7 +222,7 @@
     }
 
     fn write(&self, changes: &[Change]) -> Result<(), StorageError> {
-        let write_error = |error: redb::Error| StorageError::write(&self.path, error);
+        let write_error = |error: redb::Error| StorageError::from_write_error(&self.path, error);
         // The number of decided entries need not be durable at once, because the replica can learn it from its peers.
         let is_durable = changes
             .iter()
--- a/crates/coordination-server/src/storage/error.rs
+++ b/crates/coordination-server/src/storage/error.rs
@@ -18,7 +18,8 @@
     },
     /// The device is full, or the file has reached its size limit.
     #[error(
-        "{}: the disk is full, or the file has reached most_bytes; free disk space or raise most_bytes, then restart",
+        "{}: the disk is full, or the file is larger than the setting most_bytes; free disk space or raise the \
+         setting, then restart",
         .0.display()
     )]
     Full(PathBuf),
@@ -42,7 +43,7 @@
     },
     /// The file is intact but belongs to another replica.
     #[error(
-        "{}: belongs to replica {} of fleet {:?}",
+        "{}: belongs to replica {} of fleet {:?}, not to replica {replica} of fleet {fleet:?}",
         path.display(), owner.replica, owner.fleet
     )]
     OtherOwner {
@@ -50,6 +51,10 @@
         path: PathBuf,
         /// The identity in the file.
         owner: Box<DiskIdentity>,
+        /// The fleet of the replica that opens the file.
+        fleet: String,
+        /// The id of the replica that opens the file.
+        replica: u64,
     },
     /// The checksums or the contents of the file are invalid.
     #[error(
@@ -151,16 +156,16 @@
     }
 
     /// Converts an error of a read. Every error that the database reports counts as corruption.
-    pub(super) fn read(path: &Path, error: impl Into<redb::Error>) -> StorageError {
+    pub(super) fn from_read_error(path: &Path, error: impl Into<redb::Error>) -> StorageError {
         StorageError::corrupted(path, Corruption::Database(Box::new(error.into())))
     }
 
     /// Converts an error of a write. A full disk and other I/O errors are distinguished from corruption.
-    pub(super) fn write(path: &Path, error: impl Into<redb::Error>) -> StorageError {
+    pub(super) fn from_write_error(path: &Path, error: impl Into<redb::Error>) -> StorageError {
         match error.into() {
             redb::Error::Io(error) if is_full(&error) => StorageError::Full(path.to_owned()),
             redb::Error::Io(error) => StorageError::io(path, error),
-            error => StorageError::read(path, error),
+            error => StorageError::from_read_error(path, error),
         }
     }
 }
--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -51,8 +51,8 @@
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(io_error(error)),
         _ => {}
     }
-    let database =
-        Database::create(temporary).map_err(|error| StorageError::write(temporary, error))?;
+    let database = Database::create(temporary)
+        .map_err(|error| StorageError::from_write_error(temporary, error))?;
     let identity = encode(temporary, identity)?;
     let write = || -> Result<(), redb::Error> {
         let transaction = database.begin_write()?;
@@ -63,7 +63,7 @@
         transaction.commit()?;
         Ok(())
     };
-    write().map_err(|error| StorageError::write(temporary, error))?;
+    write().map_err(|error| StorageError::from_write_error(temporary, error))?;
     drop(database);
     fs::rename(temporary, path).map_err(io_error)?;
     let dir = path.parent().unwrap_or(path);
@@ -122,7 +122,8 @@
         {
             StorageError::corrupted(path, Corruption::InvalidData(error))
         }
-        error => StorageError::write(path, error),
+        // An I/O error here, such as a missing permission, is not a sign of corruption.
+        error => StorageError::from_write_error(path, error),
     }
 }
 
@@ -135,7 +136,7 @@
 ) -> Result<Contents, StorageError> {
     let transaction = database
         .begin_read()
-        .map_err(|error| StorageError::read(path, error))?;
+        .map_err(|error| StorageError::from_read_error(path, error))?;
     let meta = MetaReader {
         path,
         table: transaction
@@ -185,6 +186,8 @@
         return Err(StorageError::OtherOwner {
             path: path.to_owned(),
             owner: Box::new(identity),
+            fleet: fleet.to_owned(),
+            replica,
         });
     }
     Ok(identity)
@@ -195,7 +198,7 @@
     transaction: &ReadTransaction,
     state: &mut PersistentState,
 ) -> Result<(), StorageError> {
-    let read_error = |error| StorageError::read(path, error);
+    let read_error = |error| StorageError::from_read_error(path, error);
     let log = transaction
         .open_table(LOG)
         .map_err(|error| StorageError::unsupported(path, error))?;
@@ -235,7 +238,7 @@
         transaction.commit()?;
         Ok(())
     };
-    write().map_err(|error| StorageError::write(path, error))
+    write().map_err(|error| StorageError::from_write_error(path, error))
 }
 
 struct MetaReader<'a> {
@@ -248,7 +251,7 @@
         let stored = self
             .table
             .get(key)
-            .map_err(|error| StorageError::read(self.path, error))?;
+            .map_err(|error| StorageError::from_read_error(self.path, error))?;
         stored
             .map(|bytes| decode(self.path, bytes.value()))
             .transpose()
@@ -267,7 +270,7 @@
         path: &'a Path,
         transaction: &'a WriteTransaction,
     ) -> Result<TableWriter<'a>, StorageError> {
-        let write_error = |error| StorageError::write(path, error);
+        let write_error = |error| StorageError::from_write_error(path, error);
         Ok(TableWriter {
             path,
             meta: transaction.open_table(META).map_err(write_error)?,
@@ -298,7 +301,7 @@
                     let entry = encode(self.path, entry)?;
                     self.log
                         .insert(index, entry.as_slice())
-                        .map_err(|error| StorageError::write(self.path, error))?;
+                        .map_err(|error| StorageError::from_write_error(self.path, error))?;
                 }
                 Ok(())
             }
@@ -329,7 +332,7 @@
         self.meta
             .insert(key, value.as_slice())
             .map(|_| ())
-            .map_err(|error| StorageError::write(self.path, error))
+            .map_err(|error| StorageError::from_write_error(self.path, error))
     }
 
     fn remove_entries(
@@ -338,7 +341,7 @@
     ) -> Result<(), StorageError> {
         self.log
             .retain_in(indexes, |_, _| false)
-            .map_err(|error| StorageError::write(self.path, error))
+            .map_err(|error| StorageError::from_write_error(self.path, error))
     }
 }
 
--- a/crates/coordination-server/src/storage/identity.rs
+++ b/crates/coordination-server/src/storage/identity.rs
@@ -16,8 +16,7 @@
     /// The id of the replica that owns the disk.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// A random id that distinguishes this file from other files of the same replica. It is chosen when the file is
-    /// created.
+    /// A random id, chosen when the file is created. It distinguishes this disk from other disks of the same replica.
     #[serde(rename = "disk")]
     pub disk_id: String,
 }
--- a/crates/coordination-server/tests/simulated/cluster.rs
+++ b/crates/coordination-server/tests/simulated/cluster.rs
@@ -228,7 +228,7 @@
         let mut sent = Vec::new();
         for (id, replica) in &mut self.replicas {
             for completed in replica.take_completed() {
-                let key = (*id, completed.request);
+                let key = (*id, completed.request_id);
                 match completed.response {
                     Response::Command(response) => {
                         self.responses.insert(key, response);
