--- a/crates/coordination-server/tests/backward_compatibility.rs
+++ b/crates/coordination-server/tests/backward_compatibility.rs
@@ -1,10 +1,11 @@
-//! Backward compatibility over sockets: replicas that start from a disk of an earlier program version serve a router
-//! that sends the message bytes of that version.
+//! Guards against a renamed type, field or variant that changes the JSON on disk or on the wire: replicas that start
+//! from a disk written before the types were renamed serve a router that sends the message bytes recorded at that time,
+//! over sockets.
 //!
 //! The disk belongs to replica 1 of 1, 2 and 4. It contains three entries that are accepted but not decided, the last
-//! of which replaces replica 4 by 5. Replica 1 starts on a copy; replica 2 joins on an empty disk, in the way of
-//! `hoptiller keep --join`. The two replicas are a quorum of 1, 2 and 4, decide the accepted entries, and are a quorum
-//! of 1, 2 and 5 as well.
+//! of which replaces replica 4 by 5. Replica 1 starts on a copy; replica 2 joins on an empty disk as `hoptiller keep
+//! --join` does. The two replicas are a quorum of 1, 2 and 4, decide the accepted entries, and are a quorum of 1, 2 and
+//! 5 as well.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -28,7 +29,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Returns the recorded bodies of one kind of message.
+/// Returns the bodies of one kind of message, as recorded before the types were renamed.
 fn stored_bodies(kind: &str) -> Vec<String> {
     let path = fixture("../coordination-client/tests/fixtures/messages.txt");
     let text = std::fs::read_to_string(path).expect("the fixture exists");
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn replicas_on_a_disk_of_an_earlier_version_serve_a_router_of_that_version() {
+fn replicas_on_a_disk_written_before_the_renaming_serve_a_router_of_that_time() {
     let dir = std::env::temp_dir().join(format!(
         "hoptiller-backward-compatibility-{}",
         std::process::id()
--- a/crates/coordination-server/tests/simulated/availability.rs
+++ b/crates/coordination-server/tests/simulated/availability.rs
@@ -81,7 +81,7 @@
     assert_eq!(
         cluster.complete(leader, renew("r", 0, 0)),
         None,
-        "the partitioned leader can't decide"
+        "a leader that is cut off still believes that it leads, but must not grant a lease without a quorum"
     );
     let other = (1..=3).find(|id| *id != leader).expect("others");
     assert!(matches!(
@@ -152,7 +152,6 @@
         cluster.replicas[&3].config_state(),
         cluster.replicas[&1].config_state()
     );
-    // After a restart of all replicas the state on the disk still contains the lease.
     assert!(matches!(
         cluster.complete(1, renew("r", 1, 1)),
         Some(CommandResponse::LeaseGranted(_))
@@ -160,6 +159,7 @@
     for id in 1..=3 {
         cluster.stop(id);
     }
+    // Replica 1 alone has no quorum, so its state, including the lease, comes from its disk.
     cluster.start(1);
     assert_eq!(
         (
--- a/crates/coordination-server/tests/simulated/main.rs
+++ b/crates/coordination-server/tests/simulated/main.rs
@@ -1,5 +1,5 @@
-//! Three replicas in simulated time, on real disks: messages lost, links blocked, replicas crashed and restarted,
-//! replicas replaced. The code is that of the processes.
+//! Three replicas in simulated time, on real disks, with lost messages, blocked links, crashes, restarts and
+//! replacements. The tests run the same replica, log and storage code as the server process.
 
 mod availability;
 mod cluster;
--- a/crates/coordination-server/tests/simulated/random_faults.rs
+++ b/crates/coordination-server/tests/simulated/random_faults.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Stops a replica if all are running. In runs with replacements, some of the stopped replicas are to be replaced.
+    /// Stops a replica if all are running. In runs with replacements, every second stopped replica on average is never
+    /// restarted but replaced.
     fn crash(&mut self) {
         let all_run = self.members.iter().all(|member| self.is_running(*member));
         if self.replacement.is_some() || !all_run {
@@ -168,7 +169,7 @@
         });
     }
 
-    /// Ends all faults, and restarts stopped replicas that were not replaced.
+    /// Ends all faults, restarts stopped members, runs for 8 s and removes replaced replicas.
     fn end_faults(&mut self) {
         self.cluster.loss_interval = 0;
         self.cluster.blocked_links.clear();
--- a/crates/coordination-server/tests/storage.rs
+++ b/crates/coordination-server/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Storage across restarts and compaction, with damaged files and with a full disk.
+//! Storage across restarts and compaction, with damaged files and at the size limit.
 
 use std::path::{Path, PathBuf};
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn each_kind_of_damage_is_reported_as_its_own_error() {
+fn damaged_and_foreign_files_are_rejected() {
     let dir = dir("damage");
     let file = dir.join("keeper.redb");
     let mut storage = open(&dir, "f", 1).expect("created");
--- a/crates/coordination-server/tests/stored_form.rs
+++ b/crates/coordination-server/tests/stored_form.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the stored format: a disk of an earlier program version opens with the same state, and a disk
-//! written now has the same contents.
+//! Guards against a renamed type, field or variant that changes the stored JSON: a disk that was written before the
+//! types were renamed opens with the same state, and a disk written now has the same contents.
 
 use std::path::{Path, PathBuf};
 
@@ -19,6 +19,8 @@
         .join(name)
 }
 
+/// Returns whether `UPDATE_FIXTURES` is set, which rewrites the fixtures. Set it only for a deliberate change of the
+/// stored format.
 fn is_update_requested() -> bool {
     std::env::var_os("UPDATE_FIXTURES").is_some()
 }
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn a_disk_of_an_earlier_version_opens_with_the_same_state() {
+fn a_disk_written_before_the_renaming_opens_with_the_same_state() {
     if is_update_requested() {
         let dir = temporary_dir("update");
         write_disk(&dir);
@@ -145,7 +147,7 @@
     let dir = temporary_dir("old");
     std::fs::copy(fixture("keeper.redb"), dir.join("keeper.redb")).expect("copied");
     let storage = DiskStorage::open(&dir, "stored", 1, "unused", MAX_BYTES)
-        .expect("a disk of an earlier version opens");
+        .expect("a disk written before the renaming opens");
     let described = describe(&storage);
     if is_update_requested() {
         std::fs::write(fixture("disk.txt"), &described).expect("the fixture can be written");
