--- a/crates/coordination-server/src/in_flight.rs
+++ b/crates/coordination-server/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Proposed entries that are not known to be decided, with the requests that wait for them.
+//! Proposed entries that are not known to be decided, with the requests that wait for their results.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,35 @@
 use crate::request::RequestId;
 use crate::state_machine::EntryId;
 
-/// An entry that is not decided by then is proposed again: its message was lost, or its leader.
-pub(crate) const REPROPOSE_AFTER: Micros = 700_000;
+/// Time after which an undecided entry is proposed again if a request waits for it: its message or the leader may be
+/// lost.
+pub(crate) const REPROPOSE_TIMEOUT: Micros = 700_000;
 
 struct InFlightEntry {
     entry: Entry,
-    /// The request of each command; `None` once nobody waits for its response.
+    /// The request of each command; `None` if no caller waits for the response.
     requests: Vec<Option<RequestId>>,
     proposed_at: Micros,
 }
 
 impl InFlightEntry {
     fn is_overdue(&self, now: Micros) -> bool {
-        now >= self.proposed_at + REPROPOSE_AFTER
+        now >= self.proposed_at + REPROPOSE_TIMEOUT
     }
 
-    fn is_awaited(&self) -> bool {
+    fn has_waiting_request(&self) -> bool {
         self.requests.iter().any(Option::is_some)
     }
 }
 
-/// The entries in flight of one replica.
+/// The entries that one replica has in flight.
 #[derive(Default)]
 pub(crate) struct InFlightEntries {
     by_id: BTreeMap<EntryId, InFlightEntry>,
 }
 
 impl InFlightEntries {
-    /// Adds an entry that is proposed now, with the request of each of its commands.
+    /// Adds an entry that is proposed at `now`, with the request of each of its commands.
     pub(crate) fn insert(
         &mut self,
         now: Micros,
@@ -51,7 +52,7 @@
         self.by_id.insert(id, in_flight);
     }
 
-    /// Removes a decided entry. Returns the requests of its commands; none if another replica proposed it.
+    /// Removes a decided entry and returns the requests of its commands, or no requests if another replica proposed it.
     pub(crate) fn remove(&mut self, id: EntryId) -> Vec<Option<RequestId>> {
         self.by_id
             .remove(&id)
@@ -59,7 +60,7 @@
             .unwrap_or_default()
     }
 
-    /// Nobody waits for the response to a request any more.
+    /// Records that no caller waits for the response to a request any more.
     pub(crate) fn cancel(&mut self, request: RequestId) {
         let requests = self
             .by_id
@@ -70,21 +71,27 @@
         }
     }
 
-    /// The entries that are overdue, to be proposed again now. Those that nobody waits for are dropped.
-    pub(crate) fn take_overdue(&mut self, now: Micros) -> Vec<Entry> {
+    /// Returns the overdue entries for which a request waits, to be proposed again, and restarts their timeout at
+    /// `now`. Removes other overdue entries, because the expiry check proposes its commands anew and no caller waits
+    /// for the rest.
+    pub(crate) fn restart_overdue(&mut self, now: Micros) -> Vec<Entry> {
         self.by_id
-            .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.is_awaited());
-        self.restart(now, |in_flight| in_flight.is_overdue(now))
+            .retain(|_, in_flight| !in_flight.is_overdue(now) || in_flight.has_waiting_request());
+        self.restart_where(now, |in_flight| in_flight.is_overdue(now))
     }
 
-    /// All entries, to be proposed again now.
-    pub(crate) fn take_all(&mut self, now: Micros) -> Vec<Entry> {
-        self.restart(now, |_| true)
+    /// Returns all entries, to be proposed again, and restarts their timeout at `now`.
+    pub(crate) fn restart_all(&mut self, now: Micros) -> Vec<Entry> {
+        self.restart_where(now, |_| true)
     }
 
-    fn restart(&mut self, now: Micros, is_chosen: impl Fn(&InFlightEntry) -> bool) -> Vec<Entry> {
-        let chosen = self.by_id.values_mut().filter(|entry| is_chosen(entry));
-        chosen
+    fn restart_where(
+        &mut self,
+        now: Micros,
+        predicate: impl Fn(&InFlightEntry) -> bool,
+    ) -> Vec<Entry> {
+        let selected = self.by_id.values_mut().filter(|entry| predicate(entry));
+        selected
             .map(|in_flight| {
                 in_flight.proposed_at = now;
                 in_flight.entry.clone()
--- a/crates/coordination-server/src/join.rs
+++ b/crates/coordination-server/src/join.rs
@@ -1,5 +1,6 @@
-//! How a new replica joins the cluster: it begins with the state that another replica sends, once a replacement has made
-//! it a member. It has promised nothing under that membership, so that state is all that it has to know.
+//! The procedure by which a new replica joins the cluster. Once a replacement has made it a member, the replica starts
+//! from the replicated state of another replica. It has made no promises under that membership, so the replicated state
+//! is all that it needs.
 
 use std::time::Duration;
 
@@ -11,34 +12,35 @@
 use crate::replica::ReplicatedState;
 use crate::storage::{DiskStorage, StorageError};
 
-/// Limit of the time for each replica's answer; states may be large.
+/// Time limit for the response of one replica. The replicated state may be large.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before all are called again.
+/// Pause between two rounds of calls to all replicas.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Why a replica can't join.
+/// An error that prevents a replica from joining.
 #[derive(Debug, thiserror::Error)]
 pub enum JoinError {
-    /// The state can't be stored.
+    /// The replicated state can't be stored.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The other replicas reject it.
-    #[error("the other keepers don't take it in: {0}")]
+    /// Another replica rejects the request.
+    #[error("another replica rejects the join request: {0}")]
     Rejected(String),
 }
 
-/// Waits until another replica sends the replicated state, and stores it. A storage that holds something already is left
-/// as it is: that replica has joined before.
+/// Requests the replicated state from the other replicas, and stores it. Repeats the requests without limit until the
+/// replacement that makes this replica a member has taken effect. Leaves a storage that is not empty unchanged, because
+/// its replica has joined before.
 ///
 /// # Errors
 ///
-/// When the others reject the replica, or the state can't be stored.
+/// Returns an error if another replica rejects the request or the state can't be stored.
 pub async fn join(
     config: &Config,
     secret: &Secret,
     storage: &DiskStorage,
 ) -> Result<(), JoinError> {
-    if !storage.is_blank() {
+    if !storage.is_empty() {
         return Ok(());
     }
     let endpoints = config.peers().map(|(_, address)| address).collect();
@@ -63,7 +65,10 @@
                 Ok(state) if state.membership.contains(config.replica) => {
                     return store(storage, state);
                 }
-                Ok(state) => format!("list {} does not name this keeper", state.membership.number),
+                Ok(state) => format!(
+                    "membership {} does not contain this replica",
+                    state.membership.number
+                ),
                 Err(CallError::Rejected { message, .. }) => {
                     return Err(JoinError::Rejected(message));
                 }
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -1,4 +1,4 @@
-//! A replica with its clock, storage and links: the state that request handlers and links share.
+//! The state that the request handlers and links of one replica share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,41 +22,44 @@
 use crate::responses;
 use crate::storage::{DiskStorage, StorageError, StorageHandle};
 
-/// How long a request waits for a quorum.
+/// Maximum time that a request waits for a quorum.
 const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Limit of the requests that wait at once.
+/// Maximum number of requests that wait for a response at once.
 const MAX_PENDING_REQUESTS: usize = 8192;
 
-/// Why a replica has stopped by itself.
+/// The reason why a replica has stopped on its own initiative.
 #[derive(Debug, thiserror::Error)]
 pub enum StopReason {
-    /// Its storage failed.
+    /// The storage failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// Another replica has replaced it.
-    #[error("{}", PeerError::Replaced)]
+    /// Another replica has replaced this one.
+    #[error("another replica has replaced this one")]
     Replaced,
-    /// A peer rejects it: it was replaced, or its disk is not the one that it had.
-    #[error("keeper {peer} says: {error}")]
+    /// A peer rejects this replica because it was replaced or does not have the disk that it had before.
+    #[error("replica {peer} rejects this replica: {error}")]
     RejectedByPeer {
-        /// The peer.
+        /// The id of the peer.
         peer: u64,
-        /// Why.
+        /// The peer's reason.
         error: PeerError,
     },
-    /// Its log could not continue under another membership.
-    #[error("the log can't go on: {0}")]
+    /// The log can't continue under the new membership.
+    #[error("the log can't continue under the new membership: {0}")]
     Log(#[source] LogError),
 }
 
-/// Why a request has no response.
+/// An error that leaves a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SubmitError {
-    #[error("too many calls wait already")]
+    #[error("{MAX_PENDING_REQUESTS} requests are already pending")]
     TooManyPending,
-    #[error("this keeper is ending")]
+    #[error("this replica is stopping")]
     Stopped,
-    #[error("no more than half of the keepers reach each other; it may still be done")]
+    #[error(
+        "no response from a quorum of replicas within {} s; the request may still take effect",
+        QUORUM_TIMEOUT.as_secs()
+    )]
     NoQuorum,
 }
 
@@ -69,21 +72,21 @@
     pub(crate) disk_id: String,
     pub(crate) storage: StorageHandle,
     pub(crate) replica: RefCell<Replica>,
-    /// What peers are compared with, for the membership in effect.
-    pub(crate) local: RefCell<LocalView>,
-    pub(crate) batches: RefCell<BatchReceiver>,
+    /// The values that batches of peers are checked against, for the membership in effect.
+    pub(crate) local_view: RefCell<LocalView>,
+    pub(crate) batch_receiver: RefCell<BatchReceiver>,
     /// The links to the other members.
     pub(crate) links: RefCell<BTreeMap<u64, Rc<PeerLink>>>,
-    pending: RefCell<BTreeMap<RequestId, Sender<Response>>>,
+    pending_requests: RefCell<BTreeMap<RequestId, Sender<Response>>>,
     versions: Cell<wire::VersionNumbers>,
-    /// Notified when `versions` changes.
+    /// Notified when `versions` has changed.
     versions_changed: Event,
     stop_reason: RefCell<Option<StopReason>>,
     stopped: Event,
 }
 
 impl Node {
-    /// Opens the log in a storage.
+    /// Creates a node and opens the log in the storage.
     pub(crate) fn open(
         config: Config,
         secret: Secret,
@@ -95,9 +98,9 @@
         let disk_id = storage.identity().disk_id;
         let initial = Membership::initial(config.replicas.clone());
         let log = ReplicatedLog::open(id, initial, storage)?;
-        let replica = Replica::new(id, incarnation, config.bounds(), log, clock.now());
+        let replica = Replica::new(id, incarnation, config.lease_timing(), log, clock.now());
         Ok(Node {
-            local: RefCell::new(local_view(&config, replica.membership())),
+            local_view: RefCell::new(local_view(&config, replica.membership())),
             versions: Cell::new(responses::version_numbers(replica.config_state())),
             replica: RefCell::new(replica),
             config,
@@ -106,16 +109,16 @@
             incarnation,
             disk_id,
             storage: handle,
-            batches: RefCell::default(),
+            batch_receiver: RefCell::default(),
             links: RefCell::default(),
-            pending: RefCell::default(),
+            pending_requests: RefCell::default(),
             versions_changed: Event::new(),
             stop_reason: RefCell::default(),
             stopped: Event::new(),
         })
     }
 
-    /// Stops the replica; the first reason counts.
+    /// Stops the replica. The first reason is kept until [`Node::stopped`] takes it.
     pub(crate) fn stop(&self, reason: StopReason) {
         self.stop_reason.borrow_mut().get_or_insert(reason);
         self.stopped.notify(usize::MAX);
@@ -125,7 +128,8 @@
         self.stop_reason.borrow().is_some()
     }
 
-    /// Waits until the replica has stopped by itself.
+    /// Waits until the replica has stopped on its own initiative, and takes the reason. It may be called only once, and
+    /// the node must not be used afterwards.
     pub(crate) async fn stopped(&self) -> StopReason {
         loop {
             let stopped = self.stopped.listen();
@@ -136,8 +140,9 @@
         }
     }
 
-    /// Changes the replica, and carries out what results: responses, messages, a new membership. Nothing leaves the
-    /// replica after a failure of its storage; then the result is `None`.
+    /// Applies a change to the replica and performs its effects: responses, messages to peers, a new membership.
+    /// Returns `None` if the replica has stopped or the change stops it. After a failure of the storage or the log
+    /// nothing is sent, after a replacement only the responses are.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
         if self.is_stopped() {
             return None;
@@ -165,22 +170,26 @@
     }
 
     fn respond(&self, completed: Vec<CompletedRequest>) {
-        let mut pending = self.pending.borrow_mut();
-        for CompletedRequest { request, response } in completed {
-            if let Some(sender) = pending.remove(&request) {
-                // Fails where the request has just timed out.
+        let mut pending = self.pending_requests.borrow_mut();
+        for CompletedRequest {
+            request_id,
+            response,
+        } in completed
+        {
+            if let Some(sender) = pending.remove(&request_id) {
+                // Fails if the request has just timed out.
                 let _ = sender.try_send(response);
             }
         }
     }
 
     fn update_membership(&self, membership: &Membership) {
-        if membership.number == self.local.borrow().membership {
+        if membership.number == self.local_view.borrow().membership {
             return;
         }
-        *self.local.borrow_mut() = local_view(&self.config, membership);
+        *self.local_view.borrow_mut() = local_view(&self.config, membership);
         tracing::info!(list = membership.number, keepers = ?membership.replica_ids(), "membership changed");
-        // Messages under the previous membership are void.
+        // Messages queued under the previous membership are void.
         for link in self.links.borrow().values() {
             link.clear();
         }
@@ -200,18 +209,18 @@
             tracing::info!(
                 in_force = versions.in_force,
                 last = versions.last,
-                "versions changed"
+                "versions or lease table changed"
             );
             self.versions_changed.notify(usize::MAX);
         }
     }
 
-    /// The current version numbers.
+    /// Returns the current version numbers.
     pub(crate) fn versions(&self) -> wire::VersionNumbers {
         self.versions.get()
     }
 
-    /// Waits until the version numbers fulfil a condition.
+    /// Waits until the version numbers satisfy a condition.
     pub(crate) async fn wait_for_versions(&self, condition: impl Fn(wire::VersionNumbers) -> bool) {
         loop {
             let changed = self.versions_changed.listen();
@@ -222,20 +231,22 @@
         }
     }
 
-    /// Submits a request that goes through the log, and waits for its response.
+    /// Submits a request that goes through the log and waits for its response.
     pub(crate) async fn submit(
         &self,
         submit: impl FnOnce(&mut Replica, Micros) -> RequestId,
     ) -> Result<Response, SubmitError> {
-        if self.pending.borrow().len() >= MAX_PENDING_REQUESTS {
+        if self.pending_requests.borrow().len() >= MAX_PENDING_REQUESTS {
             return Err(SubmitError::TooManyPending);
         }
         let (sender, receiver) = async_channel::bounded(1);
-        let request = self.update(submit).ok_or(SubmitError::Stopped)?;
-        self.pending.borrow_mut().insert(request, sender);
-        let _pending = PendingRequest {
+        let request_id = self.update(submit).ok_or(SubmitError::Stopped)?;
+        self.pending_requests
+            .borrow_mut()
+            .insert(request_id, sender);
+        let _guard = PendingRequestGuard {
             node: self,
-            request,
+            request_id,
         };
         let response = async { receiver.recv().await.ok() };
         let timeout = async {
@@ -248,7 +259,7 @@
     }
 }
 
-/// What peers are compared with under a membership.
+/// Returns the values that batches of peers are checked against under a membership.
 fn local_view(config: &Config, membership: &Membership) -> LocalView {
     LocalView {
         fleet: config.fleet.clone(),
@@ -256,21 +267,25 @@
         replicas: membership.replica_ids(),
         membership: membership.number,
         removed: membership.removed.clone(),
-        bounds: config.bounds(),
+        lease_timing: config.lease_timing(),
     }
 }
 
-/// Cancels a request when dropped before its response, however the task that waits ends.
-struct PendingRequest<'a> {
+/// Guard that cancels its request if it is dropped before the response arrives, however the waiting task ends.
+struct PendingRequestGuard<'a> {
     node: &'a Node,
-    request: RequestId,
+    request_id: RequestId,
 }
 
-impl Drop for PendingRequest<'_> {
+impl Drop for PendingRequestGuard<'_> {
     fn drop(&mut self) {
-        let sender = self.node.pending.borrow_mut().remove(&self.request);
+        let sender = self
+            .node
+            .pending_requests
+            .borrow_mut()
+            .remove(&self.request_id);
         if sender.is_some() {
-            self.node.replica.borrow_mut().cancel(self.request);
+            self.node.replica.borrow_mut().cancel(self.request_id);
         }
     }
 }
--- a/crates/coordination-server/src/peer_link.rs
+++ b/crates/coordination-server/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The link to one peer: a queue of log messages, what is known of the link's health, and the connection.
+//! The link to one peer: a queue of log messages, the state of the link, and the connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,22 +18,22 @@
 use crate::peer_protocol::PeerError;
 use crate::replicated_log::Message;
 
-/// Limit of the time for opening a connection, and for each exchange.
+/// Time limit for opening a connection, and for each exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Limit of the messages queued; with more all are dropped, which the log tolerates.
+/// Maximum number of queued messages. If it is exceeded, all queued messages are dropped, which the log tolerates.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 
 /// The link to one peer.
 pub(crate) struct PeerLink {
     address: SocketAddr,
     queue: RefCell<VecDeque<Message>>,
-    /// Notified when a message is queued, or the link is closed.
+    /// Notified when a message is queued or the link is closed.
     changed: Event,
-    /// Queued messages were dropped.
+    /// Whether queued messages were dropped.
     overflowed: Cell<bool>,
-    /// When the peer last accepted a batch, by the clock of leases.
-    heard_at: Cell<Option<Micros>>,
-    /// The last batch got no response.
+    /// The time at which the peer last accepted a batch, by the clock that measures leases.
+    last_accepted_at: Cell<Option<Micros>>,
+    /// Whether the last batch got no response.
     broken: Cell<bool>,
     closed: Cell<bool>,
 }
@@ -45,17 +45,17 @@
             queue: RefCell::default(),
             changed: Event::new(),
             overflowed: Cell::new(false),
-            heard_at: Cell::new(None),
+            last_accepted_at: Cell::new(None),
             broken: Cell::new(false),
             closed: Cell::new(false),
         })
     }
 
-    /// A connection to the peer, not yet open.
-    pub(crate) fn connection(&self) -> PeerConnection {
+    /// Returns a connection to the peer that is not open yet.
+    pub(crate) fn new_connection(&self) -> PeerConnection {
         PeerConnection {
             address: self.address,
-            open: None,
+            connection: None,
         }
     }
 
@@ -70,12 +70,12 @@
         self.changed.notify(1);
     }
 
-    /// Drops the messages queued.
+    /// Drops all queued messages.
     pub(crate) fn clear(&self) {
         self.queue.borrow_mut().clear();
     }
 
-    /// Takes the messages queued, once there are some or the link is closed.
+    /// Waits until messages are queued or the link is closed, and takes the queued messages.
     pub(crate) async fn take_messages(&self) -> Vec<Message> {
         let changed = self.changed.listen();
         if self.queue.borrow().is_empty() && !self.is_closed() {
@@ -84,7 +84,7 @@
         self.queue.borrow_mut().drain(..).collect()
     }
 
-    /// Closes the link: nothing more is sent.
+    /// Closes the link, which stops its sender.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.changed.notify(usize::MAX);
@@ -99,73 +99,73 @@
         self.overflowed.take()
     }
 
-    pub(crate) fn set_heard_at(&self, now: Micros) {
-        self.heard_at.set(Some(now));
+    pub(crate) fn set_last_accepted_at(&self, now: Micros) {
+        self.last_accepted_at.set(Some(now));
     }
 
-    /// When the peer last accepted a batch.
-    pub(crate) fn heard_at(&self) -> Option<Micros> {
-        self.heard_at.get()
+    /// Returns the time at which the peer last accepted a batch.
+    pub(crate) fn last_accepted_at(&self) -> Option<Micros> {
+        self.last_accepted_at.get()
     }
 
     pub(crate) fn set_broken(&self, broken: bool) {
         self.broken.set(broken);
     }
 
-    /// Whether the last batch got no response.
+    /// Returns whether the last batch got no response.
     pub(crate) fn is_broken(&self) -> bool {
         self.broken.get()
     }
 }
 
-/// Why a message was not accepted, as far as is known.
+/// An error that leaves a message unaccepted or its outcome unknown.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SendError {
-    /// The message has no JSON form.
+    /// The message can't be encoded as JSON.
     #[error(transparent)]
     Encode(serde_json::Error),
-    /// There is no response: whether the message arrived is unknown.
+    /// There is no response, so it is unknown whether the message arrived.
     #[error(transparent)]
     NoResponse(#[from] ClientError),
-    /// The response is not authenticated.
-    #[error("status {status}: not the fleet's")]
+    /// The response is not signed with the fleet's secret.
+    #[error("status {status}: the response is not signed with the fleet's secret")]
     Unauthenticated {
         /// The HTTP status.
         status: u16,
-        /// What is wrong.
+        /// The cause.
         source: AuthenticationError,
     },
-    /// The response is not the JSON expected.
+    /// The response body can't be decoded.
     #[error(transparent)]
     Decode(serde_json::Error),
-    /// The peer answered with another error.
-    #[error("status {0}")]
+    /// The peer responded with an unexpected status.
+    #[error("unexpected status {0}, expected 200 or 409")]
     Status(u16),
-    /// The peer rejects the message.
+    /// The peer has rejected the message.
     #[error(transparent)]
     Rejected(PeerError),
 }
 
 impl SendError {
-    /// Whether the peer has not answered at all.
-    pub(crate) fn is_without_response(&self) -> bool {
+    /// Returns whether the peer has not responded at all.
+    pub(crate) fn has_no_response(&self) -> bool {
         matches!(self, SendError::Encode(_) | SendError::NoResponse(_))
     }
 }
 
-/// A connection to a peer, opened again whenever it is needed.
+/// A connection to a peer that is opened on demand.
 pub(crate) struct PeerConnection {
     address: SocketAddr,
-    open: Option<Connection<Async<TcpStream>>>,
+    connection: Option<Connection<Async<TcpStream>>>,
 }
 
 impl PeerConnection {
-    /// Closes the connection.
+    /// Closes the connection. The next message opens a new one.
     pub(crate) fn close(&mut self) {
-        self.open = None;
+        self.connection = None;
     }
 
-    /// Sends a message, and waits until the peer has accepted it.
+    /// Sends a message and waits until the peer has accepted it.
     pub(crate) async fn send(
         &mut self,
         secret: &Secret,
@@ -176,7 +176,7 @@
         request.body = serde_json::to_vec(body).map_err(SendError::Encode)?;
         let request = secret.sign_request(request);
         let reusable = self
-            .open
+            .connection
             .take()
             .filter(|connection| connection.is_reusable() && !connection.is_stale());
         let mut connection = match reusable {
@@ -188,7 +188,7 @@
         secret
             .verify_response(&request, &response)
             .map_err(|source| SendError::Unauthenticated { status, source })?;
-        self.open = Some(connection);
+        self.connection = Some(connection);
         match status {
             200 => Ok(()),
             409 => {
--- a/crates/coordination-server/src/replica.rs
+++ b/crates/coordination-server/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica without its sockets and clocks: requests, messages and time go in, responses and messages come out. The
-//! same code runs behind sockets and in simulated time.
+//! A replica without sockets or a clock: its inputs are requests, messages and the current time, its outputs are
+//! responses and messages. The same code runs in the server and in simulated time.
 
 use hoptiller_coordination::{
     Command, ConfigState, ExpiryTracker, Holder, LeaseTiming, Micros, Shard,
@@ -7,96 +7,97 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Entry;
-use crate::expiry_check::{ExpiryCheck, ExpiryView};
+use crate::expiry_check::{ExpiryCheck, ExpiryCheckInput};
 use crate::in_flight::InFlightEntries;
 use crate::membership::{Membership, Replacement};
 use crate::replicated_log::{LogError, LogSize, Message, ReplicatedLog};
 use crate::request::{CompletedRequest, RequestId, Response};
 use crate::state_machine::{EntryId, StateMachine};
 
-/// Limit of the commands in one entry.
+/// Maximum number of commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 512;
 
-/// What a replica needs to begin under a membership.
+/// The state from which a replica starts under a membership, as sent to a new or outdated replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicatedState {
     /// The membership.
     #[serde(rename = "members")]
     pub membership: Membership,
-    /// The number of entries that led to the state.
+    /// The number of log entries applied to the state.
     pub index: usize,
-    /// The state after these entries.
+    /// The state machine after these entries.
     #[serde(rename = "machine")]
     pub state_machine: StateMachine,
 }
 
-/// A replica.
+/// A replica of the coordination service.
 pub struct Replica {
     id: u64,
     incarnation: u64,
-    bounds: LeaseTiming,
+    lease_timing: LeaseTiming,
     log: ReplicatedLog,
     state_machine: StateMachine,
-    /// When leases expire by this replica's clock.
+    /// The expiry of leases by this replica's clock.
     expiry: ExpiryTracker,
-    /// Commands for the next entry.
-    batch: Vec<(RequestId, Command)>,
+    /// Submitted commands that are not proposed yet.
+    queued_commands: Vec<(RequestId, Command)>,
     in_flight: InFlightEntries,
     completed: Vec<CompletedRequest>,
-    next_request: RequestId,
+    next_request_id: RequestId,
     next_sequence: u64,
     expiry_check: ExpiryCheck,
-    /// The log could not continue under another membership.
+    /// Set if the log can't continue under a new membership.
     failure: Option<LogError>,
 }
 
 impl Replica {
-    /// A replica that continues with its log; `incarnation` tells this process from the ones before.
+    /// Creates a replica that continues from its log. `incarnation` distinguishes this process from earlier ones.
     pub fn new(
         id: u64,
         incarnation: u64,
-        bounds: LeaseTiming,
+        lease_timing: LeaseTiming,
         log: ReplicatedLog,
         now: Micros,
     ) -> Replica {
         let mut replica = Replica {
             id,
             incarnation,
-            bounds,
+            lease_timing,
             log,
             state_machine: StateMachine::default(),
             expiry: ExpiryTracker::default(),
-            batch: Vec::new(),
+            queued_commands: Vec::new(),
             in_flight: InFlightEntries::default(),
             completed: Vec::new(),
-            next_request: RequestId::default(),
+            next_request_id: RequestId::default(),
             next_sequence: 0,
             expiry_check: ExpiryCheck::default(),
             failure: None,
         };
         replica.apply_decided(now);
+        // When the leases were last renewed is unknown after a restart, so that all of them count from now.
         replica.expiry = ExpiryTracker::start(now, replica.config_state());
         replica
     }
 
-    /// Submits a command. Its response follows once a quorum has it.
+    /// Submits a command. Its response becomes available once a quorum has decided the command.
     pub fn submit(&mut self, command: Command) -> RequestId {
-        let request = self.new_request();
-        self.batch.push((request, command));
-        request
+        let request_id = self.new_request_id();
+        self.queued_commands.push((request_id, command));
+        request_id
     }
 
-    /// Submits the replacement of a replica.
-    pub fn replace(&mut self, now: Micros, replacement: Replacement) -> RequestId {
-        let request = self.new_request();
+    /// Submits a replacement of one replica by another.
+    pub fn submit_replacement(&mut self, now: Micros, replacement: Replacement) -> RequestId {
+        let request_id = self.new_request_id();
         let id = self.new_entry_id();
         let entry = Entry::Replace(id, replacement);
-        self.propose(now, id, entry, vec![Some(request)]);
-        request
+        self.propose(now, id, entry, vec![Some(request_id)]);
+        request_id
     }
 
-    /// What a replica that lags behind needs.
+    /// Returns the state that a new or outdated replica needs.
     pub fn replicated_state(&self) -> ReplicatedState {
         ReplicatedState {
             membership: self.membership().clone(),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Installs a later membership with the state that belongs to it. One that is not later changes nothing.
+    /// Installs a later membership and its state. Ignores a membership that is not later than the current one.
     pub fn install(&mut self, now: Micros, state: ReplicatedState) {
         if state.membership.number > self.membership().number {
             self.state_machine = state.state_machine;
@@ -114,13 +115,14 @@
         }
     }
 
-    /// Cancels a request: nobody waits for its response any more. Its command may still take effect.
-    pub fn cancel(&mut self, request: RequestId) {
-        self.batch.retain(|(batched, _)| *batched != request);
-        self.in_flight.cancel(request);
+    /// Cancels a request for which no caller waits any more. Its command may still take effect.
+    pub fn cancel(&mut self, request_id: RequestId) {
+        self.queued_commands
+            .retain(|(queued, _)| *queued != request_id);
+        self.in_flight.cancel(request_id);
     }
 
-    /// Handles messages of another replica. They must have been sent under the membership in effect here.
+    /// Handles messages from another replica, which must have been sent under the membership in effect here.
     pub fn handle_messages(&mut self, now: Micros, messages: Vec<Message>) {
         for message in messages {
             self.log.handle_message(message);
@@ -128,33 +130,34 @@
         self.apply_decided(now);
     }
 
-    /// Records that messages of or to a replica were lost.
+    /// Notifies the log that messages from or to a replica may have been lost.
     pub fn reconnected(&mut self, replica: u64) {
         self.log.reconnected(replica);
     }
 
-    /// Proposes the commands submitted: to be called after each burst of them. [`Replica::tick`] does so too.
+    /// Proposes the submitted commands, in entries of up to `MAX_COMMANDS_PER_ENTRY` commands, and applies decided
+    /// entries. [`Replica::tick`] calls this, so that the commands of one tick share an entry.
     pub fn flush(&mut self, now: Micros) {
-        while !self.batch.is_empty() {
-            let size = self.batch.len().min(MAX_COMMANDS_PER_ENTRY);
+        while !self.queued_commands.is_empty() {
+            let size = self.queued_commands.len().min(MAX_COMMANDS_PER_ENTRY);
             let (requests, commands) = self
-                .batch
+                .queued_commands
                 .drain(..size)
-                .map(|(request, command)| (Some(request), command))
+                .map(|(request_id, command)| (Some(request_id), command))
                 .unzip();
             self.propose_commands(now, requests, commands);
         }
         self.apply_decided(now);
     }
 
-    /// Advances time by one tick.
+    /// Advances timeouts by one tick, and proposes submitted commands, overdue entries and commands for expired leases.
     pub fn tick(&mut self, now: Micros) {
         if self.is_replaced() {
             return;
         }
         self.log.tick();
         self.flush(now);
-        for entry in self.in_flight.take_overdue(now) {
+        for entry in self.in_flight.restart_overdue(now) {
             self.log.propose(entry);
         }
         self.check_expiry(now);
@@ -183,10 +186,10 @@
         self.log.propose(entry);
     }
 
-    fn new_request(&mut self) -> RequestId {
-        let request = self.next_request;
-        self.next_request = request.next();
-        request
+    fn new_request_id(&mut self) -> RequestId {
+        let request_id = self.next_request_id;
+        self.next_request_id = request_id.next();
+        request_id
     }
 
     fn new_entry_id(&mut self) -> EntryId {
@@ -198,32 +201,32 @@
         }
     }
 
-    /// Continues under another membership. Entries in flight under the one before are void there, and are proposed
-    /// again.
+    /// Continues under a new membership. Proposals under the previous membership no longer take effect, so the entries
+    /// in flight are proposed again. Those that were already applied are ignored, see [`StateMachine::apply`].
     fn reconfigure(&mut self, now: Micros, membership: Membership, index: usize) {
         if let Err(error) = self.log.reconfigure(membership, index, &self.state_machine) {
             self.failure = Some(error);
         }
-        for entry in self.in_flight.take_all(now) {
+        for entry in self.in_flight.restart_all(now) {
             self.log.propose(entry);
         }
     }
 
-    /// Proposes to put versions into force that nothing blocks any more, and to drop expired leases.
+    /// Proposes the commands that put unblocked versions into force and remove expired leases.
     fn check_expiry(&mut self, now: Micros) {
-        let view = ExpiryView {
+        let input = ExpiryCheckInput {
             config: self.state_machine.config_state(),
             expiry: &self.expiry,
-            bounds: &self.bounds,
+            lease_timing: &self.lease_timing,
             is_leader: self.is_leader(),
         };
-        for command in self.expiry_check.due_commands(now, &view) {
+        for command in self.expiry_check.due_commands(now, &input) {
             let id = self.propose_commands(now, Vec::new(), vec![command]);
-            self.expiry_check.proposed(now, id);
+            self.expiry_check.record_proposed(now, id);
         }
     }
 
-    /// Whether this replica leads and can decide entries.
+    /// Returns whether this replica is the leader and can decide entries.
     fn is_leader(&self) -> bool {
         self.log
             .leader()
@@ -240,19 +243,22 @@
         }
         for decided in decided {
             match decided.entry {
-                // Commands of this replica among the compacted entries have no response: they are proposed again.
+                // Commands of this replica among the compacted entries get no response: when they are proposed again,
+                // they count as applied. Their callers time out.
                 Entry::Snapshot(_, state_machine) => self.state_machine = *state_machine,
+                // `ReplicatedLog::take_decided` leaves these out.
                 Entry::Compacted => {}
                 Entry::Commands(id, commands) => self.apply_commands(id, commands),
                 Entry::Replace(id, replacement) => {
                     if let Some(next) = self.apply_replacement(id, &replacement) {
                         self.reconfigure(now, next, decided.next_index);
-                        // The entries behind it were decided under the membership that has just ended.
+                        // Later entries were decided under the previous membership, and are void.
                         break;
                     }
                 }
             }
         }
+        // The storage of a replaced replica stays unchanged, see `ReplicatedLog::reconfigure`.
         if !self.is_replaced() {
             self.log.compact_if_long(&self.state_machine);
         }
@@ -261,10 +267,10 @@
 
     fn apply_commands(&mut self, id: EntryId, commands: Vec<Command>) {
         let requests = self.in_flight.remove(id);
-        self.expiry_check.decided(id);
+        self.expiry_check.record_decided(id);
         let results = self.state_machine.apply(id, commands).unwrap_or_default();
-        for (request, result) in requests.into_iter().zip(results) {
-            self.complete(request, Response::Command(result));
+        for (request_id, result) in requests.into_iter().zip(results) {
+            self.complete(request_id, Response::Command(result));
         }
     }
 
@@ -275,25 +281,28 @@
             .as_ref()
             .map(|next| next.number)
             .map_err(|error| *error);
-        for request in self.in_flight.remove(id) {
-            self.complete(request, Response::Replaced(number));
+        for request_id in self.in_flight.remove(id) {
+            self.complete(request_id, Response::Replaced(number));
         }
         next.ok()
             .filter(|next| next.number > self.membership().number)
     }
 
-    fn complete(&mut self, request: Option<RequestId>, response: Response) {
-        if let Some(request) = request {
-            self.completed.push(CompletedRequest { request, response });
+    fn complete(&mut self, request_id: Option<RequestId>, response: Response) {
+        if let Some(request_id) = request_id {
+            self.completed.push(CompletedRequest {
+                request_id,
+                response,
+            });
         }
     }
 
-    /// Takes the requests that have a response.
+    /// Takes the completed requests.
     pub fn take_completed(&mut self) -> Vec<CompletedRequest> {
         std::mem::take(&mut self.completed)
     }
 
-    /// Takes the messages to be sent.
+    /// Takes the messages to send.
     pub fn take_messages(&mut self) -> Vec<Message> {
         if self.is_replaced() {
             Vec::new()
@@ -302,43 +311,44 @@
         }
     }
 
-    /// The configuration state, as this replica knows it.
+    /// Returns the configuration state as known to this replica.
     pub fn config_state(&self) -> &ConfigState {
         self.state_machine.config_state()
     }
 
-    /// Time until a holder's lease of the configuration expires by this replica's clock.
-    pub fn config_lease_left(&self, now: Micros, holder: &Holder) -> Option<Micros> {
+    /// Returns the time until a holder's configuration lease expires by this replica's clock; `None` if it is not held.
+    pub fn config_lease_remaining(&self, now: Micros, holder: &Holder) -> Option<Micros> {
         self.expiry
-            .config_lease_remaining(now, holder, &self.bounds)
+            .config_lease_remaining(now, holder, &self.lease_timing)
     }
 
-    /// Time until the lease of a shard expires by this replica's clock.
-    pub fn shard_lease_left(&self, now: Micros, shard: &Shard) -> Option<Micros> {
-        self.expiry.task_lease_remaining(now, shard, &self.bounds)
+    /// Returns the time until the lease of a shard expires by this replica's clock; `None` if it is not held.
+    pub fn task_lease_remaining(&self, now: Micros, shard: &Shard) -> Option<Micros> {
+        self.expiry
+            .task_lease_remaining(now, shard, &self.lease_timing)
     }
 
-    /// The replica that leads, as far as this one knows.
+    /// Returns the id of the leader, if this replica knows one.
     pub fn leader(&self) -> Option<u64> {
         self.log.leader().map(|leader| leader.replica)
     }
 
-    /// The membership in effect.
+    /// Returns the membership in effect.
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// Whether another replica has replaced this one.
+    /// Returns whether another replica has replaced this one.
     pub fn is_replaced(&self) -> bool {
         !self.membership().contains(self.id)
     }
 
-    /// Takes the error after which this replica must stop.
+    /// Takes the error because of which this replica must stop.
     pub fn take_failure(&mut self) -> Option<LogError> {
         self.failure.take()
     }
 
-    /// The size of the log.
+    /// Returns the size of the log.
     pub fn log_size(&self) -> LogSize {
         self.log.size()
     }
--- a/crates/coordination-server/src/request.rs
+++ b/crates/coordination-server/src/request.rs
@@ -1,15 +1,16 @@
-//! Requests that go through the log, and their responses.
+//! Requests that go through the log, and their responses. A request here is a command or a replacement, not an HTTP
+//! request.
 
 use hoptiller_coordination::CommandResponse;
 
 use crate::membership::ReplaceError;
 
-/// The id of a request that waits for its response.
+/// The id of a request that goes through the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(u64);
 
 impl RequestId {
-    /// The id that follows.
+    /// Returns the next id.
     pub(crate) fn next(self) -> RequestId {
         RequestId(self.0 + 1)
     }
@@ -18,8 +19,8 @@
 /// A request with its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedRequest {
-    /// The request.
-    pub request: RequestId,
+    /// The id of the request.
+    pub request_id: RequestId,
     /// Its response.
     pub response: Response,
 }
--- a/crates/coordination-server/src/state_machine.rs
+++ b/crates/coordination-server/src/state_machine.rs
@@ -1,12 +1,14 @@
-//! The replicated state machine: the configuration state, and the ids of the log entries applied to it. An entry that a
-//! replica proposed twice, because it did not learn the outcome, is applied once.
+//! The replicated state machine: the configuration state and the ids of the log entries applied to it. An entry that a
+//! replica proposed twice, because it did not learn the outcome, is applied only once. Replacements are not recorded
+//! here: repeating one has no effect, see
+//! [`Membership::with_replacement`](crate::membership::Membership::with_replacement).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hoptiller_coordination::{Command, CommandResponse, ConfigState};
 use serde::{Deserialize, Serialize};
 
-/// How many entries of one replica are remembered one by one; older ones count as applied.
+/// Number of applied entries that are remembered individually for each replica. Older entries count as applied.
 const DEDUPLICATION_WINDOW: usize = 1024;
 
 /// The id of a log entry.
@@ -15,26 +17,26 @@
     /// The replica that proposed the entry.
     #[serde(rename = "keeper")]
     pub replica: u64,
-    /// The incarnation of that replica.
+    /// The incarnation of that replica in which it proposed the entry.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The sequence number of the entry in that incarnation.
+    /// The sequence number of the entry within that incarnation.
     #[serde(rename = "number")]
     pub sequence: u64,
 }
 
-/// The entries applied of one replica's last incarnation.
+/// The applied entries of one replica's last incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct AppliedEntries {
     #[serde(rename = "life")]
     incarnation: u64,
     #[serde(rename = "numbers")]
     sequences: BTreeSet<u64>,
-    /// All sequence numbers below count as applied.
+    /// All sequence numbers below this one count as applied.
     floor: u64,
 }
 
-/// The replicated state.
+/// The state machine to which all replicas apply the log: the configuration state and the ids of applied entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateMachine {
     #[serde(rename = "fleet")]
@@ -44,7 +46,8 @@
 }
 
 impl StateMachine {
-    /// Applies the commands of an entry and returns their results; `None` if the entry was applied before.
+    /// Applies the commands of an entry and returns their results. Returns `None` if the entry was applied before or
+    /// counts as applied: it is older than the last `DEDUPLICATION_WINDOW` entries, or belongs to an ended incarnation.
     pub fn apply(&mut self, id: EntryId, commands: Vec<Command>) -> Option<Vec<CommandResponse>> {
         let applied = self.applied.entry(id.replica).or_default();
         if id.incarnation < applied.incarnation {
@@ -70,7 +73,7 @@
         Some(results.collect())
     }
 
-    /// The configuration state.
+    /// Returns the configuration state.
     pub fn config_state(&self) -> &ConfigState {
         &self.config
     }
--- a/crates/coordination-server/src/storage/file.rs
+++ b/crates/coordination-server/src/storage/file.rs
@@ -1,4 +1,4 @@
-//! The database file of a replica: how it is created, opened, read and written.
+//! Creates, opens, reads and writes a replica's database file.
 
 mod key;
 
@@ -20,15 +20,15 @@
 use super::identity::{DiskIdentity, FORMAT_VERSION, PeerDisk};
 use super::persistent_state::{Change, PersistentState};
 
-/// The first bytes of a database file.
+/// First bytes of a database file.
 const MAGIC: [u8; 4] = *b"redb";
 
-/// Single values, as JSON.
+/// Table of single values, as JSON.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The entries of the log by index, as JSON.
+/// Table of log entries by index, as JSON.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// Everything that a file holds.
+/// The contents of a file.
 pub(super) struct Contents {
     pub(super) identity: DiskIdentity,
     pub(super) state: PersistentState,
@@ -36,10 +36,11 @@
     pub(super) incarnation: u64,
     /// The number of durable transactions.
     pub(super) write_sequence: u64,
-    pub(super) peers: BTreeMap<u64, PeerDisk>,
+    pub(super) peer_disks: BTreeMap<u64, PeerDisk>,
 }
 
-/// Creates a file under a temporary name first: after a crash there is no file, or a complete one.
+/// Creates a file under a temporary name and then renames it, so that after a crash the file is either missing or
+/// complete.
 pub(super) fn create(
     temporary: &Path,
     path: &Path,
@@ -50,8 +51,8 @@
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(io_error(error)),
         _ => {}
     }
-    let database =
-        Database::create(temporary).map_err(|error| StorageError::write(temporary, error))?;
+    let database = Database::create(temporary)
+        .map_err(|error| StorageError::from_write_error(temporary, error))?;
     let identity = encode(temporary, identity)?;
     let write = || -> Result<(), redb::Error> {
         let transaction = database.begin_write()?;
@@ -62,7 +63,7 @@
         transaction.commit()?;
         Ok(())
     };
-    write().map_err(|error| StorageError::write(temporary, error))?;
+    write().map_err(|error| StorageError::from_write_error(temporary, error))?;
     drop(database);
     fs::rename(temporary, path).map_err(io_error)?;
     let dir = path.parent().unwrap_or(path);
@@ -71,20 +72,20 @@
         .map_err(io_error)
 }
 
-/// Opens a file whose checksums are right.
+/// Opens a file after its checksums have been verified.
 pub(super) fn open(path: &Path) -> Result<Database, StorageError> {
     check_magic(path)?;
-    // The database panics on pages that make no sense. Their checksums are verified first, and a panic there is
-    // corruption too.
+    // The database panics on invalid pages. The checksums are verified before the file is used, and a panic counts as
+    // corruption.
     let opened = std::panic::catch_unwind(|| {
         let mut database = Database::open(path)?;
-        let sound = database.check_integrity()?;
-        Ok((database, sound))
+        let is_valid = database.check_integrity()?;
+        Ok((database, is_valid))
     });
     match opened {
-        Err(_) => Err(StorageError::corrupted(path, Corruption::Pages)),
+        Err(_) => Err(StorageError::corrupted(path, Corruption::InvalidPages)),
         Ok(Ok((database, true))) => Ok(database),
-        Ok(Ok((_, false))) => Err(StorageError::corrupted(path, Corruption::Checksums)),
+        Ok(Ok((_, false))) => Err(StorageError::corrupted(path, Corruption::ChecksumMismatch)),
         Ok(Err(error)) => Err(open_error(path, error)),
     }
 }
@@ -121,11 +122,12 @@
         {
             StorageError::corrupted(path, Corruption::InvalidData(error))
         }
-        error => StorageError::write(path, error),
+        // An I/O error here, such as a missing permission, is not a sign of corruption.
+        error => StorageError::from_write_error(path, error),
     }
 }
 
-/// Reads everything, if the file belongs to a replica.
+/// Reads the contents of a file, which must belong to the given replica.
 pub(super) fn read(
     path: &Path,
     database: &Database,
@@ -134,7 +136,7 @@
 ) -> Result<Contents, StorageError> {
     let transaction = database
         .begin_read()
-        .map_err(|error| StorageError::read(path, error))?;
+        .map_err(|error| StorageError::from_read_error(path, error))?;
     let meta = MetaReader {
         path,
         table: transaction
@@ -153,14 +155,14 @@
         membership: meta.value(key::MEMBERSHIP)?,
     };
     let write_sequence = meta.value(key::WRITE_SEQUENCE)?.unwrap_or(0);
-    let peers = meta.value(key::PEERS)?.unwrap_or_default();
+    let peer_disks = meta.value(key::PEERS)?.unwrap_or_default();
     read_entries(path, &transaction, &mut state)?;
     Ok(Contents {
         identity,
         state,
         incarnation: meta.value(key::INCARNATION)?.unwrap_or(0),
         write_sequence,
-        peers,
+        peer_disks,
     })
 }
 
@@ -184,6 +186,8 @@
         return Err(StorageError::OtherOwner {
             path: path.to_owned(),
             owner: Box::new(identity),
+            fleet: fleet.to_owned(),
+            replica,
         });
     }
     Ok(identity)
@@ -194,7 +198,7 @@
     transaction: &ReadTransaction,
     state: &mut PersistentState,
 ) -> Result<(), StorageError> {
-    let read_error = |error| StorageError::read(path, error);
+    let read_error = |error| StorageError::from_read_error(path, error);
     let log = transaction
         .open_table(LOG)
         .map_err(|error| StorageError::unsupported(path, error))?;
@@ -220,7 +224,7 @@
     Ok(())
 }
 
-/// Stores the incarnation that begins.
+/// Stores the number of the incarnation that begins.
 pub(super) fn write_incarnation(
     path: &Path,
     database: &Database,
@@ -234,7 +238,7 @@
         transaction.commit()?;
         Ok(())
     };
-    write().map_err(|error| StorageError::write(path, error))
+    write().map_err(|error| StorageError::from_write_error(path, error))
 }
 
 struct MetaReader<'a> {
@@ -247,7 +251,7 @@
         let stored = self
             .table
             .get(key)
-            .map_err(|error| StorageError::read(self.path, error))?;
+            .map_err(|error| StorageError::from_read_error(self.path, error))?;
         stored
             .map(|bytes| decode(self.path, bytes.value()))
             .transpose()
@@ -266,7 +270,7 @@
         path: &'a Path,
         transaction: &'a WriteTransaction,
     ) -> Result<TableWriter<'a>, StorageError> {
-        let write_error = |error| StorageError::write(path, error);
+        let write_error = |error| StorageError::from_write_error(path, error);
         Ok(TableWriter {
             path,
             meta: transaction.open_table(META).map_err(write_error)?,
@@ -274,14 +278,14 @@
         })
     }
 
-    /// Stores how many durable transactions there are with this one, and what is known of the peers' disks.
-    pub(super) fn write_sequence(
+    /// Stores the number of durable transactions, including this one, and the known state of the peers' disks.
+    pub(super) fn put_write_sequence(
         &mut self,
         sequence: u64,
-        peers: &BTreeMap<u64, PeerDisk>,
+        peer_disks: &BTreeMap<u64, PeerDisk>,
     ) -> Result<(), StorageError> {
         self.put(key::WRITE_SEQUENCE, &sequence)?;
-        self.put(key::PEERS, peers)
+        self.put(key::PEERS, peer_disks)
     }
 
     pub(super) fn write_change(&mut self, change: &Change) -> Result<(), StorageError> {
@@ -297,7 +301,7 @@
                     let entry = encode(self.path, entry)?;
                     self.log
                         .insert(index, entry.as_slice())
-                        .map_err(|error| StorageError::write(self.path, error))?;
+                        .map_err(|error| StorageError::from_write_error(self.path, error))?;
                 }
                 Ok(())
             }
@@ -328,7 +332,7 @@
         self.meta
             .insert(key, value.as_slice())
             .map(|_| ())
-            .map_err(|error| StorageError::write(self.path, error))
+            .map_err(|error| StorageError::from_write_error(self.path, error))
     }
 
     fn remove_entries(
@@ -337,12 +341,12 @@
     ) -> Result<(), StorageError> {
         self.log
             .retain_in(indexes, |_, _| false)
-            .map_err(|error| StorageError::write(self.path, error))
+            .map_err(|error| StorageError::from_write_error(self.path, error))
     }
 }
 
-/// A value without a JSON form, as a map whose keys are no strings, must not be stored as nothing: the loss would show
-/// only when the replica starts again.
+/// Encodes a value as JSON. A value that has no JSON form, such as a map with keys that are not strings, is an error:
+/// if it were stored as an empty value, the loss would be noticed only at the next start.
 fn encode(path: &Path, value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
     serde_json::to_vec(value).map_err(|source| StorageError::Encode {
         path: path.to_owned(),
