--- a/crates/runaway/src/distributions.rs
+++ b/crates/runaway/src/distributions.rs
@@ -1,15 +1,16 @@
-//! Distributions of the figures of runs: run time, work, work by rows, memory.
+//! Distributions of the values measured in runs: run time, work, work per 1000 rows, memory.
 
 use crate::sketch::Sketch;
 use crate::units::{Memory, RunTime, Work};
 
-/// Work by rows is kept for this many rows: less than a microsecond for one row would be lost.
+/// Number of rows that work per row is stored for: distributions hold whole microseconds, so that less than 1 µs for
+/// one row would be lost.
 pub(crate) const ROWS_UNIT: f64 = 1000.0;
 
-/// Figures of one run that ended with its result.
+/// The measured values of one run that returned its result.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Run {
-    /// Run time at an engine of usual speed.
+    /// Run time on an engine of usual speed.
     pub(crate) run_time: RunTime,
     pub(crate) work: Option<Work>,
     /// Rows read.
@@ -18,21 +19,21 @@
     pub(crate) memory: Option<Memory>,
 }
 
-/// Distributions of one size of a fingerprint, or of a class.
+/// Distributions for one size bucket of a fingerprint, or for a class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Distributions {
     /// Run time, in µs.
     pub(crate) run_time: Sketch,
     /// Work, in µs.
     pub(crate) work: Sketch,
-    /// Work for [`ROWS_UNIT`] rows, in µs.
+    /// Work per [`ROWS_UNIT`] rows, in µs.
     pub(crate) work_by_rows: Sketch,
     /// Memory, in MB.
     pub(crate) memory_mb: Sketch,
 }
 
 impl Distributions {
-    /// Adds a run; a figure that was not reported is left out.
+    /// Adds a run; values that were not reported are left out.
     pub(crate) fn add(&mut self, run: &Run) {
         self.run_time.add(run.run_time.0);
         self.work.add(run.work.unwrap_or_default().0);
@@ -42,13 +43,13 @@
         self.memory_mb.add(run.memory.unwrap_or_default().0);
     }
 
-    /// Runs that were added, the older ones with less weight.
+    /// Returns the number of added runs, with less weight on older ones.
     pub(crate) fn runs(&self) -> u64 {
         self.run_time.count()
     }
 }
 
-/// Work for [`ROWS_UNIT`] rows, in µs.
+/// Returns the work per [`ROWS_UNIT`] rows, in µs.
 pub(crate) fn work_by_rows(work: Work, rows: f64) -> f64 {
     work.0 * ROWS_UNIT / rows.max(1.0)
 }
--- a/crates/runaway/src/expectation.rs
+++ b/crates/runaway/src/expectation.rs
@@ -1,41 +1,42 @@
-//! What is usual of a figure, and the bound over it: by the runs of a fingerprint, by those of its class while the
-//! fingerprint is new, by the settings while the class is new.
+//! The usual value of a quantity and the bound above it: based on the runs of the fingerprint, on the runs of its class
+//! while the fingerprint is new, and on the settings while the class is new.
 
 use crate::distributions::Distributions;
 use crate::interface::{Basis, Class};
 use crate::sketch::Sketch;
 use crate::units::{Memory, Quantity, RunTime, Work};
 
-/// The bound as a multiple of the median. Ten times the median is a large statement that must pass; the rest is
-/// tolerance for the precision of the median and noise in progress reports.
+/// Bound as a multiple of the median. Statements of ten times the median are large but legitimate; the margin above
+/// that covers the precision of the median and noise in progress reports.
 const BOUND_OVER_MEDIAN: f64 = 12.0;
-/// The bound as a multiple of the 99th percentile; the larger of both applies.
+/// Bound as a multiple of the 99th percentile; the larger of both bounds applies.
 const BOUND_OVER_P99: f64 = 2.0;
-/// The bound of memory as a multiple of the median.
+/// Memory bound as a multiple of the median.
 const MEMORY_BOUND_OVER_MEDIAN: f64 = 4.0;
-/// Factor on the bound of the class while a fingerprint is unknown.
+/// Factor by which the class bound is raised for unknown fingerprints.
 const UNKNOWN_FACTOR: f64 = 2.0;
-/// Runs from which the bound of the class no longer applies to a fingerprint.
+/// Number of runs from which the bound of the class no longer applies to a fingerprint.
 const MIN_RUNS_FOR_OWN_BOUND: u64 = 30;
-/// Runs from which a fingerprint is known, and its median is what is usual.
+/// Number of runs from which a fingerprint is known, so that its own median is the usual value.
 pub(crate) const MIN_RUNS_KNOWN: u64 = 10;
-/// Runs of a class from which its distributions are used.
+/// Number of runs of a class from which its distributions are used.
 const MIN_CLASS_RUNS: u64 = 20;
-/// An estimate is used where earlier estimates were right within this factor.
+/// Estimates are used only if the 10th and 90th percentiles of earlier ratios of work to estimate are within this
+/// factor of the median ratio.
 const MAX_ESTIMATE_ERROR: f64 = 4.0;
-/// The largest factor by which an estimate raises what is expected.
+/// Largest factor by which an estimate raises what is expected.
 const MAX_ESTIMATE_FACTOR: f64 = 1e4;
-/// Work against its estimate is kept in thousandths: distributions hold whole numbers.
+/// Scale of the stored ratio of work to its estimate: distributions hold whole numbers, so it is kept in thousandths.
 const ACCURACY_UNIT: f64 = 1000.0;
 
-/// What is usual of a quantity, and from where on it is too much.
+/// The usual value of a quantity, and the bound from which on it is excessive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Expected<Q> {
     /// The median.
     pub(crate) usual: Q,
     /// The bound.
     pub(crate) bound: Q,
-    /// What both rest on.
+    /// The data that both values are based on.
     pub(crate) basis: Basis,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The figures alone, to be compared with one of the same quantity.
+    /// Returns the plain values, for comparisons with a value of the same quantity.
     pub(crate) fn figures(self) -> Expected<f64> {
         Expected {
             usual: self.usual.figure(),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The same with a bound that is larger by a factor.
+    /// Returns the expectation with its bound multiplied by a factor.
     pub(crate) fn with_bound_factor(self, factor: f64) -> Expected<Q> {
         Expected {
             bound: Q::from_figure(self.bound.figure() * factor),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The same for a statement that is larger by a factor.
+    /// Returns the expectation for a statement that is larger by a factor.
     pub(crate) fn scaled(self, factor: f64) -> Expected<Q> {
         Expected {
             usual: Q::from_figure(self.usual.figure() * factor),
@@ -74,23 +75,24 @@
     }
 }
 
-/// What is expected of one statement.
+/// The expected quantities of one statement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expectation {
-    /// Its run time.
+    /// The expected run time.
     pub(crate) run_time: Expected<RunTime>,
-    /// Its work.
+    /// The expected work.
     pub(crate) work: Expected<Work>,
-    /// Its memory, where known.
+    /// The expected memory, if known.
     pub(crate) memory: Option<Expected<Memory>>,
-    /// Its usual work for [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs, where known.
+    /// The usual work per [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs, if known.
     pub(crate) work_by_rows: Option<f64>,
-    /// Whether its fingerprint is known.
+    /// Whether the statement's fingerprint is known.
     pub(crate) is_known: bool,
 }
 
-/// What is expected of a quantity by the distributions of the fingerprint and of the class. `scale` is the factor by
-/// which the statement is larger than those of `own`; `by_settings` is what it should take according to the settings.
+/// Returns what is expected of a quantity, given the distributions of the fingerprint and of its class. `scale` is the
+/// factor by which the statement is larger than those in `own`; `by_settings` is the value expected according to the
+/// settings.
 pub(crate) fn expected_quantity<Q: Quantity>(
     own: Option<&Sketch>,
     scale: f64,
@@ -142,15 +144,15 @@
     }
 }
 
-/// What is expected of a figure of a statement whose fingerprint has no runs.
+/// Returns what is expected of a statement whose fingerprint has no runs.
 fn expected_of_unknown(
     of_class: &Sketch,
     by_settings: f64,
     class_settings: &Class,
 ) -> Expected<f64> {
     if of_class.count() < MIN_CLASS_RUNS {
-        // Without runs, the latency objective is what a statement should take, and it may take at least as long as
-        // its clients wait. The same figure bounds its work: one thread at least runs all that time.
+        // Without runs, a statement is expected to meet the latency objective, and it may run at least as long as its
+        // clients wait. The same value bounds its work, because at least one thread runs all that time.
         let bound = (by_settings * BOUND_OVER_MEDIAN).max(class_settings.client_timeout as f64);
         return Expected {
             usual: by_settings,
@@ -166,8 +168,8 @@
     }
 }
 
-/// The expected run time of a statement of another router. That router knows its fingerprint, so the factor for unknown
-/// fingerprints does not apply.
+/// Returns the expected run time of a statement of another router. That router knows the fingerprint of the statement,
+/// so the factor for unknown fingerprints does not apply.
 pub(crate) fn expected_of_remote(of_class: &Sketch, class_settings: &Class) -> Expected<RunTime> {
     let objective = class_settings.latency_objective as f64;
     let expected = expected_of_unknown(of_class, objective, class_settings);
@@ -182,7 +184,7 @@
     )
 }
 
-/// The expected memory; `None` while too few runs reported theirs.
+/// Returns the expected memory, or `None` while too few runs have reported theirs.
 pub(crate) fn expected_memory(own: &Distributions, scale: f64) -> Option<Expected<Memory>> {
     let runs = own.memory_mb.count();
     if runs < MIN_RUNS_KNOWN {
@@ -197,21 +199,21 @@
     }))
 }
 
-/// The usual work for [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs; `None` while too few runs reported
-/// both.
+/// Returns the usual work per [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs, or `None` while too few runs
+/// have reported both work and rows.
 pub(crate) fn usual_work_by_rows(own: &Distributions) -> Option<f64> {
     Some(&own.work_by_rows)
         .filter(|sketch| sketch.count() >= MIN_RUNS_KNOWN)
         .and_then(|sketch| sketch.quantile(0.5))
 }
 
-/// How accurate an estimate of the work was.
+/// Returns the ratio of the work to its estimate, in thousandths.
 pub(crate) fn estimate_accuracy(work: Work, estimate: Work) -> f64 {
     work.0 * ACCURACY_UNIT / estimate.0.max(1.0)
 }
 
-/// The factor, at least 1, by which an estimate makes a statement larger than usual. It is 1 unless earlier estimates
-/// were right: otherwise a client could hide a runaway behind a wrong estimate.
+/// Returns the factor, at least 1, by which an estimate makes a statement larger than usual. The factor is 1 unless
+/// earlier estimates were accurate: otherwise a client could hide a runaway behind a wrong estimate.
 pub(crate) fn estimate_factor(estimate: Work, accuracy: &Sketch, usual: Work) -> f64 {
     if accuracy.count() < MIN_RUNS_KNOWN {
         return 1.0;
@@ -224,7 +226,7 @@
     (estimate.0 * median / usual.0.max(1.0)).clamp(1.0, MAX_ESTIMATE_FACTOR)
 }
 
-/// The bound over a distribution; `None` if it is empty.
+/// Returns the bound above a distribution, or `None` if the distribution is empty.
 fn bound_over(distribution: &Sketch, over_median: f64) -> Option<f64> {
     let by_median = distribution.quantile(0.5)? * over_median;
     Some(by_median.max(distribution.quantile(0.99)? * BOUND_OVER_P99))
--- a/crates/runaway/src/fingerprint_statistics.rs
+++ b/crates/runaway/src/fingerprint_statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics of one fingerprint, by the size that its statements announce, and of one class.
+//! Statistics of one fingerprint, by announced size, and of one class.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,37 +9,37 @@
 use crate::expectation::MIN_RUNS_KNOWN;
 use crate::sketch::Sketch;
 
-/// Size buckets of a fingerprint: powers of two.
+/// Number of size buckets of a fingerprint; bucket n begins at 2^n.
 const SIZE_BUCKETS: u8 = 24;
-/// A statement is taken to be larger by at most this power of two than those of its fingerprint that have run.
+/// Exponent of the largest factor by which a statement is assumed to exceed earlier ones of its fingerprint: 2^20.
 const MAX_SCALE_EXPONENT: u8 = 20;
 
-/// Distributions of a class.
+/// Statistics of a class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassStatistics {
     pub(crate) distributions: Distributions,
-    /// Work against its estimate.
+    /// Ratio of work to its estimate.
     pub(crate) estimate_accuracy: Sketch,
 }
 
-/// Distributions of a fingerprint.
+/// Statistics of a fingerprint.
 #[derive(Clone, Debug)]
 pub(crate) struct FingerprintStatistics {
     pub(crate) class: usize,
-    /// The text of the fingerprint, for display.
+    /// The display text of the fingerprint.
     pub(crate) label: Rc<str>,
-    /// By size bucket.
+    /// Distributions by size bucket.
     pub(crate) by_size: BTreeMap<u8, Distributions>,
-    /// Work against its estimate.
+    /// Ratio of work to its estimate.
     pub(crate) estimate_accuracy: Sketch,
-    /// Runs beyond the bound, which are used only once they are adopted.
+    /// Runs over the bound, which are used only after they are adopted.
     pub(crate) beyond_bound: Distributions,
-    /// When a statement of the fingerprint last arrived.
+    /// The time at which the latest statement of the fingerprint arrived.
     pub(crate) last_use: Micros,
 }
 
 impl FingerprintStatistics {
-    /// A fingerprint without runs.
+    /// Creates the statistics of a fingerprint without runs.
     pub(crate) fn new(class: usize, label: Rc<str>, now: Micros) -> FingerprintStatistics {
         FingerprintStatistics {
             class,
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Whether it has run often enough to be judged apart from its class.
+    /// Returns whether the fingerprint has enough runs to be assessed separately from its class.
     pub(crate) fn is_known(&self) -> bool {
         let runs: u64 = self.by_size.values().map(Distributions::runs).sum();
         runs >= MIN_RUNS_KNOWN
     }
 
-    /// The distributions for statements of an announced size.
+    /// Returns the distributions for statements of an announced size.
     pub(crate) fn for_size(&mut self, size: u64) -> &mut Distributions {
         self.by_size.entry(bucket(size)).or_default()
     }
 
-    /// The distributions of the nearest size, and the factor to scale them by: a larger statement may take more in
-    /// proportion; the bound of a smaller one is not scaled down.
+    /// Returns the distributions of the nearest size bucket and the factor to scale them by. A larger statement may
+    /// take proportionally more; the bound of a smaller one is not scaled down.
     pub(crate) fn nearest_size(&self, size: u64) -> (Option<&Distributions>, f64) {
         let wanted = bucket(size);
         let known = self
@@ -71,7 +71,7 @@
             .iter()
             .filter(|(_, distributions)| distributions.runs() >= MIN_RUNS_KNOWN);
         let nearest = known.min_by_key(|(bucket, _)| (bucket.abs_diff(wanted), **bucket));
-        // Until one size is known, the one with the most runs.
+        // If no size bucket has enough runs yet, the one with the most runs is used.
         let nearest = nearest.or_else(|| self.by_size.iter().max_by_key(|(_, sizes)| sizes.runs()));
         match nearest {
             Some((bucket, distributions)) => {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Runs beyond the bound become the usual ones.
+    /// Replaces the usual runs with the runs over the bound.
     pub(crate) fn adopt_beyond_bound(&mut self) {
         if self.beyond_bound.runs() > 0 {
             let beyond_bound = std::mem::take(&mut self.beyond_bound);
--- a/crates/runaway/src/interface/decisions.rs
+++ b/crates/runaway/src/interface/decisions.rs
@@ -1,4 +1,4 @@
-//! What the router is to do.
+//! Decisions that the router carries out.
 
 use hoptiller_policy::Hold;
 
@@ -8,14 +8,14 @@
 /// A decision that the router carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Report a new, changed or cleared finding.
+    /// Reports a new, changed or cleared finding.
     Found(Box<Finding>),
-    /// Apply a hold to routing decisions.
+    /// Applies a hold to routing decisions.
     Hold(Hold),
-    /// Pause an attempt.
+    /// Pauses an attempt.
     Pause(AttemptId),
-    /// Resume a paused attempt.
+    /// Resumes a paused attempt.
     Resume(AttemptId),
-    /// End an attempt; its outcome still comes from the engine.
+    /// Kills an attempt; the engine still reports its outcome.
     End(AttemptId),
 }
--- a/crates/runaway/src/interface/events.rs
+++ b/crates/runaway/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the router reports to the detector: statements, attempts, engines.
+//! Events that the router reports to the detector: progress and ends of attempts, and the status of engines.
 
 use std::rc::Rc;
 
@@ -6,54 +6,55 @@
 
 use super::ids::{AttemptId, FingerprintId};
 
-/// What a client announces of the size of a statement.
+/// The size hints that a client sends with a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Announced {
-    /// What its cost grows with, such as values in lists or inserted rows; 0 if nothing is announced.
+    /// The quantity that the cost of the statement grows with, such as the number of list values or inserted rows; 0 if
+    /// none is announced.
     pub size: u64,
-    /// The estimate of its work in µs, over all threads.
+    /// The estimated work in µs, summed over all threads.
     pub estimate: Option<Micros>,
 }
 
-/// Why an attempt is blocked.
+/// The reason why an attempt is blocked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BlockedState {
-    /// It waits for memory.
+    /// The attempt waits for memory.
     Memory,
-    /// It waits for another statement, which engines name if they can.
+    /// The attempt waits for another statement, which some engines name.
     Behind(Option<Holder>),
 }
 
-/// The statement that blocks another, as an engine reports it.
+/// A statement that blocks another one, as reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// Its name: `ROUTER/NUMBER_INCARNATION`.
+    /// The statement's name: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
-    /// Its class, if reported.
+    /// The statement's class, if reported.
     pub class: Option<usize>,
-    /// How long it has run without blocked time, if reported.
+    /// The statement's run time without blocked time, if reported.
     pub age: Option<Micros>,
 }
 
-/// What an engine reports of a running attempt; `None` for what it does not report.
+/// An engine's report on a running attempt; `None` stands for values that the engine does not report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProgressReport {
-    /// Work done so far in µs, over all threads.
+    /// Work done so far in µs, summed over all threads.
     pub work: Option<Micros>,
-    /// The approximate share done, from 0 to 1.
+    /// The approximate completed fraction, from 0 to 1.
     pub done: Option<f64>,
     /// Rows read so far.
     pub rows: Option<u64>,
     /// Peak memory in MB.
     pub memory_mb: Option<f64>,
-    /// Whether it lacks memory and spills.
+    /// Whether the attempt lacks memory and spills to disk.
     pub spills: bool,
-    /// Why it is blocked, if it is.
+    /// The reason why the attempt is blocked, if it is.
     pub blocked_state: Option<BlockedState>,
 }
 
 impl ProgressReport {
-    /// Whether nothing was reported.
+    /// Returns whether the report contains no values.
     pub fn is_empty(&self) -> bool {
         *self == ProgressReport::default()
     }
@@ -64,44 +65,45 @@
 pub struct AttemptStart {
     /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Where.
+    /// The engine that runs the attempt.
     pub engine: EngineId,
-    /// Its class.
+    /// The index of the statement's class.
     pub class: usize,
-    /// The name of the statement at engines: `ROUTER/NUMBER_INCARNATION`.
+    /// The statement's name on engines: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
-    /// Its fingerprint.
+    /// The statement's fingerprint.
     pub fingerprint: FingerprintId,
-    /// The fingerprint under which it can be held: its own, or that of all unknown ones.
+    /// The fingerprint whose hold applies to the statement: its own, or the one that stands for all unknown
+    /// fingerprints of its class.
     pub held_as: FingerprintId,
-    /// The text of its fingerprint, for display.
+    /// The display text of the fingerprint.
     pub label: Rc<str>,
-    /// What its client announces of its size.
+    /// The size hints sent by the client.
     pub announced: Announced,
-    /// The table group that it reads or writes.
+    /// The table group that the statement reads or writes.
     pub group: Option<u64>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// With its result.
+    /// The attempt returned its result.
     Succeeded,
-    /// It is over at the engine, without a result.
+    /// The attempt ended on the engine without a result.
     Failed,
-    /// It never ran.
+    /// The attempt never ran.
     NeverRan,
-    /// The router stopped waiting; the engine may still run it.
+    /// The router stopped waiting for the attempt; the engine may still run it.
     Abandoned,
 }
 
 /// The status of a listed engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// The engine.
+    /// The engine's id.
     pub engine: EngineId,
-    /// Whether it accepts work.
+    /// Whether the engine accepts work.
     pub is_up: bool,
-    /// By class: whether it may run there.
+    /// By class index: whether the class may run on the engine.
     pub classes: Vec<bool>,
 }
--- a/crates/runaway/src/interface/findings.rs
+++ b/crates/runaway/src/interface/findings.rs
@@ -1,4 +1,4 @@
-//! Findings: a verdict on a statement, a fingerprint or an engine, with its evidence.
+//! Findings: verdicts on statements, fingerprints and engines, with their evidence.
 
 use std::fmt;
 
@@ -9,17 +9,17 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How certain a finding is.
+/// The certainty of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Over its bound, but not for long enough.
+    /// The subject exceeds a bound, but has not done so for long enough to be a runaway.
     Suspect,
-    /// At fault.
+    /// The subject is a runaway.
     Runaway,
-    /// An observation that is no statement's fault.
+    /// An observation for which no statement is responsible.
     Notice,
-    /// The finding no longer holds.
+    /// The finding no longer applies.
     Cleared,
 }
 
@@ -27,27 +27,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It does far more work than is usual for its fingerprint.
+    /// The statement does far more work than is usual for its fingerprint.
     Heavy,
-    /// It does far more work per row than is usual for its fingerprint.
+    /// The statement does far more work per row than is usual for its fingerprint.
     BadPlan,
-    /// Others wait for it, and it takes longer than is usual.
+    /// Other statements wait for this one, and it runs longer than is usual.
     Blocks,
-    /// It and others wait for each other.
+    /// The statement and others wait for each other.
     Deadlock,
-    /// It uses far more memory than is usual while others wait for memory.
+    /// The statement uses far more memory than is usual while others wait for memory.
     Memory,
-    /// All statements of the fingerprint run long: it has changed.
+    /// All statements of the fingerprint run long, so the fingerprint has changed.
     #[serde(rename = "kind_changed")]
     FingerprintChanged,
     /// Everything on the engine runs long.
     SlowEngine,
-    /// The engine is done, and the client receives the rows slowly.
+    /// The engine has finished the statement, and the client receives the rows slowly.
     SlowReader,
 }
 
 impl Cause {
-    /// The description on pages and in metrics.
+    /// Returns the description used on pages and in metrics.
     pub fn description(self) -> &'static str {
         match self {
             Cause::Heavy => "heavy by itself",
@@ -62,23 +62,23 @@
     }
 }
 
-/// Which figure a finding rests on.
+/// The measured quantity that a finding is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
     /// Work so far, in µs.
     Work,
-    /// Total work projected from the share done, in µs.
+    /// Total work projected from the completed fraction, in µs.
     WorkToCome,
     /// Run time without blocked time, divided by the slowness of the engine, in µs.
     Run,
-    /// Total run time projected from the share done, in µs.
+    /// Total run time projected from the completed fraction, in µs.
     RunToCome,
     /// Memory, in MB.
     Memory,
-    /// Time for which it was blocked, or its client has received rows, in µs.
+    /// Time for which the statement was blocked, or its client has been receiving rows, in µs.
     Time,
-    /// Ratio to the usual run time.
+    /// Ratio of the run time to the usual run time.
     Times,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A value in this measure, with its unit.
+    /// Formats a value of this measure with its unit.
     fn format(self, value: f64) -> String {
         match self {
             Measure::Memory => format!("{value:.0} MB"),
@@ -109,16 +109,16 @@
     }
 }
 
-/// What an expectation rests on.
+/// The data that an expectation is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "on", content = "runs")]
 pub enum Basis {
-    /// This many runs of the fingerprint.
+    /// The given number of runs of the fingerprint.
     #[serde(rename = "kind")]
     Fingerprint(u64),
-    /// This many runs of the class; the fingerprint is unknown.
+    /// The given number of runs of the class; the fingerprint is unknown.
     Class(u64),
-    /// The settings; there are no runs yet.
+    /// The class settings, as there are no runs yet.
     Settings,
 }
 
@@ -132,19 +132,19 @@
     }
 }
 
-/// A figure and what was expected of it.
+/// A measured value, with the usual value and the bound that it exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Evidence {
-    /// Which figure it is.
+    /// The measured quantity.
     pub measure: Measure,
-    /// Its value.
+    /// The measured value.
     pub figure: f64,
-    /// What is usual.
+    /// The usual value.
     pub usual: f64,
-    /// The bound that it exceeds.
+    /// The bound that the measured value exceeds.
     #[serde(rename = "bar")]
     pub bound: f64,
-    /// What `usual` and `bound` rest on.
+    /// The data that `usual` and `bound` are based on.
     pub basis: Basis,
 }
 
@@ -161,10 +161,10 @@
     }
 }
 
-/// What a finding is about.
+/// The subject of a finding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A statement of this router or, as engines report it, of another; by name.
+    /// A statement of this router or, as reported by engines, of another one; by name.
     Statement(String),
     /// A fingerprint.
     Fingerprint(FingerprintId),
@@ -175,40 +175,41 @@
 /// A verdict on a subject, with its evidence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Its number; it stays while the finding on the subject is open.
+    /// The number of the finding, which does not change while the finding on the subject is open.
     pub id: u64,
-    /// What it is about.
+    /// The subject of the finding.
     pub subject: Subject,
-    /// How certain it is.
+    /// The certainty of the finding.
     pub verdict: Verdict,
-    /// The cause.
+    /// The cause of the finding.
     pub cause: Cause,
     /// The class of the statement or fingerprint, if known.
     pub class: Option<usize>,
-    /// Its fingerprint, if known.
+    /// The fingerprint of the statement, if known.
     pub fingerprint: Option<FingerprintId>,
-    /// The text of the fingerprint, for display.
+    /// The display text of the fingerprint.
     pub label: String,
-    /// The engine where it runs.
+    /// The engine that runs the statement.
     pub engine: Option<EngineId>,
-    /// When it started, as far as known.
+    /// The time at which the statement started, as far as known.
     pub started: Micros,
-    /// Since when the figure is over the bound.
+    /// The time since which the measured value has exceeded the bound.
     pub since: Micros,
-    /// When this verdict was reached.
+    /// The time at which this verdict was reached.
     pub at: Micros,
-    /// The figure that shows it.
+    /// The measured value that the verdict is based on.
     pub evidence: Evidence,
-    /// Names of the statements that it blocks; the first [`MAX_BLOCKED_NAMES`] of them.
+    /// The names of the blocked statements, at most [`MAX_BLOCKED_NAMES`] of them.
     pub blocks: Vec<String>,
-    /// How many statements it blocks.
+    /// The number of blocked statements.
     pub blocked: usize,
-    /// Why it was cleared, or a remark.
+    /// The reason why the finding was cleared, or a remark.
     pub note: &'static str,
 }
 
 impl Finding {
-    /// A finding of which no more is known; it blocks nobody. Its number is given when it is recorded.
+    /// Creates a finding without details that blocks no statement.
+    /// [`Findings::report`](crate::findings::Findings::report) assigns its number.
     pub(crate) fn new(
         subject: Subject,
         verdict: Verdict,
@@ -236,5 +237,5 @@
     }
 }
 
-/// Names of blocked statements that a finding keeps at most.
+/// Maximum number of blocked statements named in a finding.
 pub const MAX_BLOCKED_NAMES: usize = 64;
--- a/crates/runaway/src/interface/ids.rs
+++ b/crates/runaway/src/interface/ids.rs
@@ -6,7 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Input of the hash that stands for unknown fingerprints. Routers and snapshots must agree on it, so it keeps its form.
+/// Input of the hash that stands for unknown fingerprints. Other routers and stored snapshots use the same input, so it
+/// must not change.
 const UNKNOWN_DOMAIN: &[u8] = b"hardly known kinds of ";
 
 /// The id of a fingerprint within a class: a hash of both.
@@ -14,7 +15,8 @@
 pub struct FingerprintId(pub u64);
 
 impl FingerprintId {
-    /// The id of a fingerprint within a class. The class is identified by its name, as its number may change.
+    /// Returns the id of a fingerprint within a class. The class is identified by its name, because its index may
+    /// change.
     pub fn new(class: &str, fingerprint: u64) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(&fingerprint.to_le_bytes())
@@ -22,7 +24,7 @@
         FingerprintId(first_eight_bytes(&hash))
     }
 
-    /// The id that stands for all unknown fingerprints of a class.
+    /// Returns the id that stands for all unknown fingerprints of a class.
     pub fn unknown(class: &str) -> FingerprintId {
         let mut hash = blake3::Hasher::new();
         hash.update(UNKNOWN_DOMAIN).update(class.as_bytes());
@@ -53,8 +55,8 @@
 /// The id of an attempt of a statement of this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The number of the statement at this router.
+    /// The statement's number, unique on this router.
     pub statement: u64,
-    /// The attempt number, from 0.
+    /// The attempt's number, starting from 0.
     pub number: u32,
 }
--- a/crates/runaway/src/interface/mod.rs
+++ b/crates/runaway/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The detector's settings, events, findings and decisions: plain data.
+//! The detector's settings, events, findings and decisions, as plain data.
 
 mod decisions;
 mod events;
--- a/crates/runaway/src/interface/settings.rs
+++ b/crates/runaway/src/interface/settings.rs
@@ -3,49 +3,49 @@
 use hoptiller_policy::{Idempotency, Micros};
 use serde::Serialize;
 
-/// What may be done about runaways of a class.
+/// The actions permitted against runaways of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnforcementOptions {
-    /// Report them.
+    /// Whether runaways are reported.
     pub name: bool,
-    /// Limit how many of the fingerprint run at once, and on which engines.
+    /// Whether the number of statements of a runaway's fingerprint that run at once, and their engines, are limited.
     pub hold: bool,
-    /// Run the fingerprint at low priority inside engines.
+    /// Whether the statements of a held fingerprint run at low priority inside engines.
     pub lower: bool,
-    /// Pause them for a while.
+    /// Whether a runaway is paused once, for a limited time.
     pub pause: bool,
-    /// End them.
+    /// Whether runaways are killed.
     pub end: bool,
 }
 
 /// The settings of a class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The class name.
     pub name: String,
-    /// The latency objective, queueing included.
+    /// The latency objective, including queueing time.
     pub latency_objective: Micros,
-    /// How long its clients wait.
+    /// The time for which clients wait for a response.
     pub client_timeout: Micros,
-    /// Threads that a statement runs on.
+    /// Number of threads that a statement runs on.
     pub threads: f64,
-    /// Whether its statements may run more than once.
+    /// Whether statements of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Whether its statements lock their table group while they run, as loads do.
+    /// Whether statements of the class lock their table group while they run, as loads do.
     pub holds_tables: bool,
-    /// What may be done about its runaways.
+    /// The actions permitted against runaways of the class.
     pub enforcement: EnforcementOptions,
 }
 
 /// The settings of a detector.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes; events refer to them by index.
+    /// The classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// Fingerprints with statistics that are kept at most.
+    /// Maximum number of fingerprints with statistics.
     pub max_fingerprints: usize,
-    /// How long a statement is paused.
+    /// The duration of a pause.
     pub pause_for: Micros,
-    /// Time between the finding on a runaway and its end.
+    /// The delay from the detection of a runaway until it is killed.
     pub end_after: Micros,
 }
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -1,25 +1,29 @@
-//! Detects runaway statements: those that run far longer or use far more than is usual for their fingerprint. It
-//! reports them, limits the concurrency of their fingerprint and ends them, as the options of their class allow.
+//! Detection of runaway statements: statements that run far longer or use far more resources than is usual for their
+//! fingerprint. The detector reports them, limits the concurrency of their fingerprint and kills them, as far as the
+//! enforcement options of their class allow.
 //!
-//! [`RunawayDetector`] receives starts, progress reports and ends of attempts and returns [`Decision`]s. It does no
-//! I/O and reads no clock: the same events lead to the same decisions. Holds take effect through the routing
+//! [`RunawayDetector`] receives the starts, progress reports and ends of attempts and returns [`Decision`]s. It does no
+//! I/O and reads no clock, so the same events always lead to the same decisions. Holds take effect through routing
 //! decisions (`hoptiller_policy::Event::Hold`).
 //!
-//! The detector only orders the steps. Each rule is a module that owns its state and uses only earlier ones of:
+//! The detector only runs the steps in order. Each rule is a module that owns its state and uses only modules listed
+//! before it:
 //!
-//! - `interface`, `units`: settings, events, findings and decisions; quantities.
-//! - `sketch`, `distributions`, `expectation`, `fingerprint_statistics`, `statistics`: what is usual for a fingerprint,
-//!   a class and an announced size.
-//! - `enforcement`, `attempt`, `attempts`, `remote_statements`: what runs, here and at other routers.
-//! - `findings`: the open findings and the latest cleared ones.
-//! - `measures`, `engine_speed`, `slow_engine`, `fingerprint_change`: what is long, and whether the engine or the
-//!   fingerprint is the reason.
-//! - `wait_graph`, `wait_inference`: who waits for whom.
-//! - `judgement`, `blocker`, `completion`: whether a statement is at fault, by its progress, by those that it blocks, by
-//!   its end.
-//! - `unknown_runaways`, `group_exclusion`, `holds`: what may run meanwhile, and where.
-//! - `snapshot`: what survives a restart.
-//! - `ending`: whether the client of a statement that was ended may retry it.
+//! - `interface`, `units`: settings, events, findings, decisions, and types for quantities.
+//! - `sketch`, `distributions`, `expectation`, `fingerprint_statistics`, `statistics`: the usual values of a
+//!   fingerprint, of a class and of an announced size, and the bounds derived from them.
+//! - `enforcement`, `attempt`, `attempts`, `remote_statements`: the statements that run, sent by this router and by
+//!   others.
+//! - `findings`: the open findings and the most recently cleared ones.
+//! - `measures`, `engine_speed`, `slow_engine`, `fingerprint_change`: which attempts run long, and whether the cause is
+//!   their engine or a change of their fingerprint.
+//! - `wait_graph`, `wait_inference`: which statement waits for which.
+//! - `assessment`, `blocker`, `completion`: whether a statement is a runaway, judging by its progress, by the
+//!   statements that it blocks, and by its completion.
+//! - `unknown_runaways`, `group_exclusion`, `holds`: how many statements of a fingerprint may run at once, and on which
+//!   engines.
+//! - `snapshot`: the state that survives a restart.
+//! - `retry_safety`: whether the client of a killed statement may retry it.
 
 #![warn(missing_docs)]
 
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -1,4 +1,4 @@
-//! Comparison of an attempt's figures with what is expected of it.
+//! Comparison of the measured values of an attempt with what is expected of it.
 
 use hoptiller_policy::Micros;
 
@@ -8,41 +8,43 @@
 use crate::interface::{Evidence, Measure};
 use crate::units::{Quantity, RunTime};
 
-/// Attempts that have run for less are not judged.
+/// Minimum active time from which attempts are assessed.
 const MIN_ACTIVE_TIME: RunTime = RunTime(1_000_000.0);
-/// Error of a reported share done: it is added to the share.
+/// Error of a reported completed fraction, which is added to the fraction.
 const PROGRESS_ERROR: f64 = 0.02;
-/// Tolerance of a figure that is projected from the share done.
+/// Tolerance of values projected from the completed fraction.
 const PROJECTION_TOLERANCE: f64 = 1.25;
-/// Multiple of the usual run time from which a reported share done counts.
+/// Multiple of the usual run time from which a reported completed fraction is used.
 const MIN_RUN_FOR_PROGRESS: f64 = 2.0;
-/// The same while the share done is still zero.
+/// Multiple of the usual run time from which a reported completed fraction of zero is used.
 const MIN_RUN_WITHOUT_PROGRESS: f64 = 6.0;
-/// Progress reports from which a reported share done counts.
+/// Number of progress reports from which a reported completed fraction is used.
 const MIN_PROGRESS_REPORTS: u32 = 3;
-/// An attempt that lacks memory and spills repeats work through no fault of its own.
+/// Factor by which the bounds of a spilling attempt are raised: for lack of memory, it repeats work that its statement
+/// is not responsible for.
 const SPILL_TOLERANCE: f64 = 3.0;
-/// Multiple of the usual figure from which an attempt counts as long for a change of its fingerprint.
+/// Multiple of the usual value from which an attempt counts as a long run when changes of its fingerprint are detected.
 pub(crate) const LONG_RUN_FACTOR: f64 = 4.0;
-/// Multiple of the usual work by rows that shows a bad plan.
+/// Multiple of the usual work per row from which a plan is considered bad.
 const BAD_PLAN_FACTOR: f64 = 4.0;
 
-/// A figure must be over its bound for this long; work already done needs no confirmation.
+/// Time for which a value must exceed its bound before the excess is confirmed; work already done needs no
+/// confirmation.
 pub(crate) const CONFIRMATION_TIME: Micros = 3_000_000;
-/// Number of blocked attempts from which their blocker is judged by a part of its bound.
+/// Number of blocked attempts from which a stricter bound applies to their blocker.
 pub(crate) const MANY_WAITERS: usize = 8;
-/// That part.
+/// Factor of that stricter bound.
 pub(crate) const MANY_WAITERS_BOUND_FACTOR: f64 = 0.25;
 
-/// A figure of an attempt that is over its bound.
+/// A measured value of an attempt that exceeds its bound.
 #[derive(Clone, Debug)]
 pub(crate) struct Excess {
     pub(crate) evidence: Evidence,
-    /// It is work already done, which needs no confirmation over time.
+    /// Whether the value is work already done, which needs no confirmation over time.
     pub(crate) is_certain: bool,
 }
 
-/// A figure of an attempt and what is expected of it.
+/// A measured value of an attempt and what is expected of it.
 struct Measurement {
     measure: Measure,
     value: f64,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The total that is projected from the share done, from 0 to 1.
+    /// Returns the total projected from the completed fraction, which ranges from 0 to 1.
     fn projected(&self, done: f64) -> Measurement {
         let measure = match self.measure {
             Measure::Work => Measure::WorkToCome,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Evidence of a value against what is expected of it.
+/// Creates the evidence for a value that is compared with its expectation.
 pub(crate) fn evidence<Q: Quantity>(measure: Measure, value: Q, expected: Expected<Q>) -> Evidence {
     Evidence {
         measure,
@@ -87,7 +89,7 @@
     }
 }
 
-/// Factor by which an attempt may exceed its bounds.
+/// Returns the factor by which an attempt may exceed its bounds because it spills.
 pub(crate) fn spill_tolerance(attempt: &RunningAttempt) -> f64 {
     if attempt.progress().spills {
         SPILL_TOLERANCE
@@ -96,7 +98,7 @@
     }
 }
 
-/// All figures of an attempt that can be compared. `slowness` is the factor of its engine.
+/// Returns all values of an attempt that can be compared with its expectation. `slowness` is the factor of its engine.
 fn measurements(
     attempt: &RunningAttempt,
     expectation: &Expectation,
@@ -124,7 +126,8 @@
     std::iter::once(so_far).chain(projected).collect()
 }
 
-/// Whether an attempt takes several times what is usual for its fingerprint. `slowness` is the factor of its engine.
+/// Returns whether an attempt takes several times what is usual for its fingerprint. `slowness` is the factor of its
+/// engine.
 pub(crate) fn is_long_run(
     attempt: &RunningAttempt,
     expectation: &Expectation,
@@ -138,7 +141,8 @@
             .any(is_long)
 }
 
-/// The figure that is furthest over its bound, if any is. `bound_factor` scales all bounds.
+/// Returns the value with the largest ratio to its bound among those that exceed it, if any. `bound_factor` scales all
+/// bounds.
 pub(crate) fn largest_excess(
     attempt: &RunningAttempt,
     expectation: &Expectation,
@@ -168,7 +172,7 @@
     })
 }
 
-/// Whether an attempt does far more work for its rows than is usual for its fingerprint.
+/// Returns whether an attempt does far more work per row than is usual for its fingerprint.
 pub(crate) fn has_bad_plan(attempt: &RunningAttempt, expectation: &Expectation) -> bool {
     let (Some(work), Some(rows), Some(usual)) = (
         attempt.work(),
--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -1,23 +1,24 @@
-//! A distribution of positive figures that favours recent ones: quantiles by `hdrhistogram`, halved when it is full.
+//! A distribution of positive values that favours recent ones: quantiles by `hdrhistogram`, with all weights halved
+//! when it is full.
 
 use hdrhistogram::Histogram;
 
-/// Number of figures at which the weight of all is halved.
+/// Total weight at which all weights are halved.
 const MAX_COUNT: u64 = 512;
-/// The least figure, in the unit of the caller; lesser ones are clamped.
+/// The smallest recorded value, in the caller's unit; smaller ones are clamped.
 const MIN_FIGURE: u64 = 1;
-/// The greatest figure; greater ones are clamped.
+/// The largest recorded value; larger ones are clamped.
 const MAX_FIGURE: u64 = 1 << 42;
 
-/// Quantiles of some hundreds of figures, the newer ones with more weight.
+/// Quantiles over some hundreds of values, with more weight on recent ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sketch {
-    /// Allocated with the first figure: most sketches stay empty.
+    /// The histogram, allocated with the first value because most sketches stay empty.
     histogram: Option<Box<Histogram<u16>>>,
 }
 
 impl Sketch {
-    /// Adds a figure; one that is no positive number is ignored.
+    /// Adds a value; ignores it unless it is a positive finite number.
     pub(crate) fn add(&mut self, figure: f64) {
         if !figure.is_finite() || figure <= 0.0 {
             return;
@@ -29,7 +30,8 @@
     }
 
     fn add_many(&mut self, figure: u64, n: u16) {
-        // One digit: buckets of a sixteenth. Growth by itself keeps a sketch of short runs small.
+        // With one significant digit, a bucket spans at most a sixteenth of its value. Automatic resizing keeps a
+        // sketch of short runs small.
         let histogram = self.histogram.get_or_insert_with(|| {
             let mut empty =
                 Histogram::new(1).unwrap_or_else(|_| unreachable!("one digit is permitted"));
@@ -39,8 +41,8 @@
         let _ = histogram.record_n(figure.clamp(MIN_FIGURE, MAX_FIGURE), n);
     }
 
-    /// Halves the weight of each figure. The halves that odd weights leave are carried to the next figure, so that
-    /// single figures that are far apart don't all vanish.
+    /// Halves the weight of each value. The remainder of an odd weight is carried over to the next value, so that rare
+    /// values far apart are not all lost.
     fn halve(&mut self) {
         let pairs = self.pairs();
         *self = Sketch::default();
@@ -54,14 +56,14 @@
         }
     }
 
-    /// Total weight of the figures.
+    /// Returns the total weight of the values.
     pub(crate) fn count(&self) -> u64 {
         self.histogram
             .as_ref()
             .map_or(0, |histogram| histogram.len())
     }
 
-    /// A quantile; `None` without figures.
+    /// Returns a quantile, or `None` if the sketch is empty.
     pub(crate) fn quantile(&self, quantile: f64) -> Option<f64> {
         self.histogram
             .as_ref()
@@ -69,7 +71,7 @@
             .map(|histogram| histogram.value_at_quantile(quantile) as f64)
     }
 
-    /// Figures with their weights.
+    /// Returns the values with their weights.
     pub(crate) fn pairs(&self) -> Vec<(u64, u16)> {
         let Some(histogram) = &self.histogram else {
             return Vec::new();
@@ -80,7 +82,7 @@
             .collect()
     }
 
-    /// From [`Sketch::pairs`]; `None` if the weights or figures are out of bounds.
+    /// Rebuilds a sketch from [`Sketch::weighted_values`]; `None` if weights or values are out of range.
     pub(crate) fn from_pairs(pairs: &[(u64, u16)]) -> Option<Sketch> {
         let total: u64 = pairs.iter().map(|p| u64::from(p.1)).sum();
         let is_valid = total <= MAX_COUNT
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -1,10 +1,10 @@
-//! What is usual: for a fingerprint, for a class while a fingerprint is new, for a size that a statement announces.
+//! Usual values: of a fingerprint, of its class while the fingerprint is new, and of an announced size.
 //!
-//! Runaways are not learned from; when most runs of a fingerprint are beyond its bound, it has changed, and they become
-//! the new usual ([`Statistics::adopt_beyond_bound`]).
+//! Runaways are not learned from. When most runs of a fingerprint exceed its bound, the fingerprint has changed, and
+//! these runs become its new usual ones ([`Statistics::adopt_over_bound`]).
 //!
-//! Memory is bounded. Known and unknown fingerprints have separate quotas, so that thousands of generated texts only
-//! evict each other.
+//! Memory use is limited. Known and unknown fingerprints have separate quotas, so that thousands of generated statement
+//! texts evict only each other.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::interface::{Announced, Class, FingerprintId};
 use crate::units::{RunTime, Work};
 
-/// Unknown fingerprints may use one place in this many.
+/// Unknown fingerprints may use one slot in this many.
 const UNKNOWN_QUOTA_DIVISOR: usize = 4;
 
 /// Statistics of all fingerprints and classes.
@@ -29,14 +29,14 @@
     max_fingerprints: usize,
     fingerprints: HashMap<FingerprintId, FingerprintStatistics>,
     classes: Vec<ClassStatistics>,
-    /// Unknown fingerprints by the time of their last use.
+    /// Unknown fingerprints, ordered by their last use.
     unknown_by_last_use: BTreeSet<(Micros, FingerprintId)>,
-    /// Known fingerprints by the time of their last use.
+    /// Known fingerprints, ordered by their last use.
     known_by_last_use: BTreeSet<(Micros, FingerprintId)>,
 }
 
 impl Statistics {
-    /// Empty statistics of some classes, for so many fingerprints at most.
+    /// Creates empty statistics for `classes` classes and at most `max_fingerprints` fingerprints.
     pub(crate) fn new(classes: usize, max_fingerprints: usize) -> Statistics {
         Statistics {
             max_fingerprints: max_fingerprints.max(UNKNOWN_QUOTA_DIVISOR),
@@ -52,19 +52,19 @@
         self.classes.resize(classes, ClassStatistics::default());
     }
 
-    /// Number of fingerprints with statistics.
+    /// Returns the number of fingerprints with statistics.
     pub(crate) fn len(&self) -> usize {
         self.fingerprints.len()
     }
 
-    /// Whether a fingerprint has run often enough to be judged apart from its class.
+    /// Returns whether a fingerprint has enough runs to be assessed separately from its class.
     pub(crate) fn is_known(&self, fingerprint: FingerprintId) -> bool {
         self.fingerprints
             .get(&fingerprint)
             .is_some_and(FingerprintStatistics::is_known)
     }
 
-    /// Number of known fingerprints of a class.
+    /// Returns the number of known fingerprints of a class.
     pub(crate) fn known_in_class(&self, class: usize) -> usize {
         self.known_by_last_use
             .iter()
@@ -73,20 +73,20 @@
             .count()
     }
 
-    /// The statistics of each class, by its number.
+    /// Returns the statistics of each class, by class index.
     pub(crate) fn classes(&self) -> &[ClassStatistics] {
         &self.classes
     }
 
-    /// The fingerprints with their statistics, the least recently used first.
+    /// Returns the fingerprints with their statistics, the least recently used first.
     pub(crate) fn fingerprints_by_last_use(&self) -> Vec<(FingerprintId, &FingerprintStatistics)> {
         let mut all: Vec<_> = self.fingerprints.iter().map(|(id, s)| (*id, s)).collect();
         all.sort_by_key(|(id, statistics)| (statistics.last_use, *id));
         all
     }
 
-    /// Records that a statement of a fingerprint arrived. Evicts the least recently used fingerprint if there is no
-    /// room.
+    /// Records the arrival of a statement of a fingerprint. Evicts the least recently used fingerprint if the quota is
+    /// exceeded.
     pub(crate) fn record_arrival(
         &mut self,
         fingerprint: FingerprintId,
@@ -123,7 +123,7 @@
         self.evict_excess();
     }
 
-    /// What is expected of a statement of this fingerprint and class that announces this.
+    /// Returns what is expected of a statement with this fingerprint, class and size hints.
     pub(crate) fn expectation(
         &self,
         fingerprint: FingerprintId,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The expected run time of a statement of another router.
+    /// Returns the expected run time of a statement of another router.
     pub(crate) fn remote_expectation(
         &self,
         class: usize,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Records a run beyond its bound, which is not learned from yet. Returns how many there have been.
+    /// Records a run over the bound, which is not learned from yet. Returns the number of such runs.
     pub(crate) fn record_beyond_bound(&mut self, fingerprint: FingerprintId, run: &Run) -> u64 {
         let Some(statistics) = self.fingerprints.get_mut(&fingerprint) else {
             return 0;
@@ -216,14 +216,14 @@
         statistics.beyond_bound.runs()
     }
 
-    /// The fingerprint has changed: runs beyond its bound become the usual ones.
+    /// Replaces the usual runs of a changed fingerprint with its runs over the bound.
     pub(crate) fn adopt_beyond_bound(&mut self, fingerprint: FingerprintId) {
         if let Some(statistics) = self.fingerprints.get_mut(&fingerprint) {
             statistics.adopt_beyond_bound();
         }
     }
 
-    /// The fingerprint has not changed: runs beyond its bound were outliers.
+    /// Discards the runs over the bound of an unchanged fingerprint: they were outliers.
     pub(crate) fn discard_beyond_bound(&mut self, fingerprint: FingerprintId) {
         if let Some(statistics) = self.fingerprints.get_mut(&fingerprint) {
             statistics.beyond_bound = Distributions::default();
--- a/crates/runaway/src/units.rs
+++ b/crates/runaway/src/units.rs
@@ -1,12 +1,12 @@
-//! Quantities of runs that are easily mixed up, as types. All wrap an `f64`, as they are quantiles and multiples of
-//! quantiles. Instants and durations that the router reports stay whole microseconds.
+//! Types for quantities of runs that are easily confused. All wrap an `f64`, because they are quantiles and multiples
+//! of quantiles. Times and durations reported by the router remain whole microseconds.
 
-/// A quantity that statistics are kept of.
+/// A quantity that statistics are kept for.
 pub(crate) trait Quantity: Copy {
-    /// The quantity of a figure in its unit.
+    /// Creates the quantity from a value in its unit.
     fn from_figure(figure: f64) -> Self;
 
-    /// Its figure in its unit.
+    /// Returns the value in the quantity's unit.
     fn figure(self) -> f64;
 }
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct RunTime(pub(crate) f64);
 
-/// Work over all threads, in µs of one thread.
+/// Work over all threads, in µs of single-thread time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct Work(pub(crate) f64);
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A figure whose unit is given by a [`Measure`](crate::Measure) beside it.
+/// A value whose unit is given by an accompanying [`Measure`](crate::Measure).
 impl Quantity for f64 {
     fn from_figure(figure: f64) -> f64 {
         figure
@@ -64,7 +64,8 @@
 }
 
 impl RunTime {
-    /// The run time at an engine of usual speed. `slowness` is the factor of the engine where it was measured.
+    /// Converts to the run time on an engine of usual speed. `slowness` is the factor of the engine that ran the
+    /// attempt.
     pub(crate) fn at_usual_speed(self, slowness: f64) -> RunTime {
         RunTime(self.0 / slowness)
     }
