--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(factor(&[1.0, 1.2, 50.0, 0.9]), 1.0);
     assert_eq!(factor(&[4.0, 5.0, 50.0, 6.0]), 5.0);
     assert_eq!(factor(&[400.0; 5]), MAX_SLOWNESS);
-    // One fingerprint that takes long among others that don't.
+    // One slow fingerprint among others does not make its engine slow.
     let mut mixed = samples(&[50.0; 9]);
     mixed.push(Sample {
         fingerprint: FingerprintId(2),
--- a/crates/runaway/src/holds/tests.rs
+++ b/crates/runaway/src/holds/tests.rs
@@ -2,7 +2,7 @@
 
 const K: FingerprintId = FingerprintId(7);
 
-/// Engines that are up, the even ones open to both classes.
+/// Returns engines that are up; those with even ids run both classes, the others only class 0.
 fn engines(count: u32) -> Vec<EngineStatus> {
     let listed = |n| EngineStatus {
         engine: EngineId(n),
@@ -79,7 +79,7 @@
         .filter(|n| n % 2 == 0 && !a[0].excluded_engines.contains(&EngineId(*n)))
         .collect();
     assert_eq!(open.len(), 1);
-    // Its engine goes down: another one is chosen.
+    // The chosen engine goes down, and another one is chosen.
     let mut remaining = engines(6);
     remaining[open[0] as usize].is_up = false;
     let changes = one.take_changes(&remaining);
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -63,7 +63,7 @@
     let own = some(&statistics_of(FingerprintId(1), 60));
     assert_eq!(own.basis, Basis::Fingerprint(60));
     assert!((11.0 * S..13.0 * S).contains(&own.bound), "{own:?}");
-    // A fingerprint never seen, in a class that is known: wider than the bound of known ones.
+    // An unknown fingerprint in a class with runs has a higher bound than a known one.
     let unknown = expected_run_time(&statistics_of(FingerprintId(1), 60), 2, nothing);
     assert_eq!(unknown.basis, Basis::Class(60));
     assert!(unknown.bound > 1.8 * own.bound, "{unknown:?}");
@@ -81,7 +81,7 @@
         (7.0..9.0).contains(&(twelve.bound / plain.bound)),
         "the power of two under 12"
     );
-    // Estimates of which nothing is known are not used.
+    // Without earlier estimates to compare with, an estimate is not used.
     assert_eq!(
         expected_run_time(&statistics, 1, announced(0, Some(900_000_000))),
         plain
@@ -143,7 +143,7 @@
             .contains_key(&FingerprintId(100_009))
             && !statistics.fingerprints.contains_key(&FingerprintId(10))
     );
-    // Known ones are bounded too.
+    // Known fingerprints have a quota, too.
     for n in 0..1000u64 {
         statistics.record_arrival(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
         (0..MIN_RUNS_KNOWN).for_each(|_| {
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -39,7 +39,7 @@
         ),
         (40, 40, 1)
     );
-    // Readers of its tables are excluded from that engine until it ends.
+    // Readers of its table group are excluded from that engine until the load ends.
     let exclusion = Hold {
         target: HoldTarget::Group(77),
         max_in_flight: u32::MAX,
@@ -108,7 +108,7 @@
         found,
         [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]
     );
-    // The cycle is broken: neither is at fault any more.
+    // The cycle is broken: neither member is a runaway any longer.
     simulation.finish(b);
     for id in [a, c] {
         simulation.detector.report_progress(
@@ -172,7 +172,7 @@
             .excluded_engines()
             .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     );
-    // Its engine restarted: the attempt is gone.
+    // The engine restarts and no longer runs the attempt.
     simulation
         .detector
         .reset_engine(simulation.now, EngineId(2));
@@ -183,7 +183,7 @@
             .open_findings()
             .all(|f| f.subject != Subject::Statement(name(load)))
     );
-    // A statement of a router that died, which this one never sent.
+    // A statement of a crashed router, which this router never sent.
     simulation.decisions.clear();
     let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * S);
     assert_eq!(
@@ -259,7 +259,8 @@
         simulation.reports_progress = false;
         simulation
     };
-    // Alone, it may wait for as long as a load may run. Two on the same tables wait for something.
+    // A single reader may wait for as long as a load may run. Two readers of the same tables are assumed to wait for a
+    // load.
     let mut alone = without_reports();
     let id = lookup(&mut alone, 900e6);
     alone.advance(15);
@@ -271,7 +272,7 @@
     lookup(&mut two, 900e6);
     two.advance(60);
     assert_eq!(two.runaways(), []);
-    // Another reader of those tables that started later has completed: the first is heavy by itself.
+    // A reader of the same tables that started later has completed, so the first one does not wait: it is heavy.
     let mut passed = without_reports();
     let id = lookup(&mut passed, 900e6);
     passed.advance(1);
@@ -307,7 +308,7 @@
         .collect();
     simulation.running.clear();
     for second in 0..30u64 {
-        // The first is a runaway; the second starts to run only after it.
+        // The first load is a runaway; the second one starts only after it.
         let (name, age) = if second < 27 {
             ("r2/00001_x", second * S)
         } else {
@@ -376,7 +377,7 @@
     );
     simulation.advance(6);
     assert!(!is_excluded(&simulation), "the exclusion has ended");
-    // One attempt that it blocks again is enough.
+    // A single newly blocked attempt is enough for another exclusion.
     wait_for_remote(&mut simulation, 1, 2);
     assert!(is_excluded(&simulation));
     simulation.advance(35);
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -63,7 +63,7 @@
     pub announced: Announced,
     /// Total work over all threads, in µs.
     pub work: f64,
-    /// How many times slower it runs than its threads could.
+    /// Factor by which the statement runs slower than its threads allow.
     pub slow: f64,
     pub rows: Option<u64>,
     /// Work done so far, in µs.
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A simulation in which each of three fingerprints has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
+    /// Creates a simulation with a history of a hundred runs of each of three fingerprints: lookups of 0.25 s, reports
+    /// of 2 s and loads of 2 s.
     pub fn with_history(options: EnforcementOptions, engines: u32) -> Simulation {
         let mut simulation = Simulation::new(options, engines);
         simulation.run_history(100);
@@ -205,7 +206,8 @@
         self.decisions.extend(self.detector.take_decisions());
     }
 
-    /// Advances time in half seconds; jobs progress, are reported each second, and end when they are done.
+    /// Advances time in steps of half a second. Jobs progress, are reported on each second, and finish when their work
+    /// is done.
     pub fn advance(&mut self, seconds: u64) {
         for half in 0..2 * seconds {
             self.now += S / 2;
@@ -233,12 +235,12 @@
         }
     }
 
-    /// Drops a job without a report of its end.
+    /// Removes a job without reporting its end.
     pub fn drop_job(&mut self, id: u64) {
         self.running.retain(|j| j.id != id);
     }
 
-    /// An engine reports that an attempt is blocked.
+    /// Reports an attempt as blocked.
     pub fn report_blocked(&mut self, id: u64, state: BlockedState) {
         let report = ProgressReport {
             blocked_state: Some(state),
@@ -270,7 +272,7 @@
             .collect()
     }
 
-    /// Names of statements found to be runaways.
+    /// Returns the statements found to be runaways, with the causes.
     pub fn runaways(&self) -> Vec<(String, Cause)> {
         let is_runaway = |f: &&Finding| f.verdict == Verdict::Runaway;
         let name = |f: &Finding| match &f.subject {
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -1,5 +1,5 @@
-//! Seeded events: arrivals, reports, waits, ends, engine lists and settings, in phases of a slow engine, a changed
-//! fingerprint and an engine that lacks memory.
+//! A generator of seeded events: arrivals, reports, waits, ends, engine lists and settings. There are phases with a
+//! slow engine, with a changed fingerprint and with an engine that lacks memory.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 const ENGINES: u64 = 6;
 const FINGERPRINTS: u64 = 7;
 const GROUPS: u64 = 3;
-/// Attempts in flight at most.
+/// Maximum number of attempts in flight.
 const MAX_RUNNING: usize = 60;
 
 struct Draw(Pcg64Mcg);
@@ -63,7 +63,7 @@
     }
 }
 
-/// An attempt that runs at a simulated engine.
+/// An attempt that runs on a simulated engine.
 struct Running {
     start: AttemptStart,
     work: f64,
@@ -77,18 +77,18 @@
 pub struct Generator {
     draw: Draw,
     settings: Settings,
-    /// Whether engines report progress in this seed.
+    /// Whether engines report progress with this seed.
     reports_progress: bool,
-    /// Whether these reports contain work.
+    /// Whether progress reports contain the work done.
     reports_work: bool,
     now: Micros,
     next_statement: u64,
     running: BTreeMap<AttemptId, Running>,
-    /// Attempts that the router no longer waits for and that still run.
+    /// Names of abandoned attempts that still run.
     abandoned: Vec<String>,
     slow_engine: u64,
     changed_fingerprint: u64,
-    /// The engine where others than large statements wait for memory.
+    /// The engine on which all but large statements wait for memory.
     engine_without_memory: u64,
 }
 
@@ -123,7 +123,7 @@
         self.now += duration;
     }
 
-    /// One step: events of statements and engines, then a detection run.
+    /// Generates the events of one step, then runs detection.
     pub fn step(&mut self, detector: &mut RunawayDetector, number: u64) {
         let phase = number * 8 / STEPS;
         self.slow_engine = if phase == 3 { 1 } else { ENGINES };
@@ -204,7 +204,7 @@
         self.running.insert(attempt, running);
     }
 
-    /// Advances the work of all attempts that no other blocks; loads block the readers of their table group.
+    /// Advances the work of all attempts that are not blocked; loads block later attempts on their table group.
     fn progress(&mut self, detector: &mut RunawayDetector) {
         let loads: Vec<(AttemptId, EngineId, Option<u64>)> = self
             .running
@@ -341,7 +341,7 @@
     }
 }
 
-/// What an engine reports of an attempt: mostly the truth, now and then figures that can't be.
+/// Returns an engine's report on an attempt: mostly correct values, occasionally invalid ones.
 fn generated_report(
     draw: &mut Draw,
     running: &Running,
--- a/crates/runaway/tests/decision_digest/main.rs
+++ b/crates/runaway/tests/decision_digest/main.rs
@@ -1,8 +1,8 @@
-//! Pins a digest of all that the detector shows for seeded generated events: decisions, findings, holds, exclusions and
-//! snapshots. A refactoring must leave each digest as it is.
+//! Digests of the detector's output for seeded generated events: decisions, findings, holds, exclusions and snapshots.
+//! A refactoring must not change any digest.
 //!
-//! The digest is taken over explicit numbers, texts and JSON keys and not over `Debug` output, so that renamed types do
-//! not change it. `UPDATE_FIXTURES=1` rewrites the file; only a deliberate change of a decision justifies that.
+//! The digests cover explicit numbers, texts and JSON keys instead of `Debug` output, so that renaming a type does not
+//! change them. `UPDATE_FIXTURES=1` rewrites the fixture; only a deliberate change of decisions justifies that.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -23,7 +23,8 @@
 const STEPS: u64 = 1_600;
 const STEP: Micros = S / 4;
 
-/// The time from one step to the next: longer pauses now and then, and one after which abandoned attempts are given up.
+/// Returns the time from one step to the next: occasionally a longer pause, and once a pause after which abandoned
+/// attempts are no longer tracked.
 fn pause_after(number: u64) -> Micros {
     match number {
         1_199 => 1_000 * S,
@@ -32,7 +33,8 @@
     }
 }
 
-/// Plays one seed. Returns its digest, and adds to `counts` how often each label of a decision or finding came.
+/// Runs the events of one seed and returns the digest. Adds the number of occurrences of each label of a decision or
+/// finding to `counts`.
 fn play(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
     let mut generator = Generator::new(seed);
     let mut detector = RunawayDetector::new(generator.settings().clone());
--- a/crates/runaway/tests/decision_digest/recorder.rs
+++ b/crates/runaway/tests/decision_digest/recorder.rs
@@ -1,11 +1,11 @@
-//! The digest of what a detector shows.
+//! A recorder that digests the detector's output.
 
 use std::collections::BTreeMap;
 
 use hoptiller_policy::{Hold, HoldTarget};
 use hoptiller_runaway::*;
 
-/// A digest of all that it is given, and how often each label of a decision or finding came.
+/// A digest of the recorded output, and the number of occurrences of each label of a decision or finding.
 pub struct Recorder {
     hasher: blake3::Hasher,
     counts: BTreeMap<String, u64>,
@@ -118,7 +118,7 @@
         self.add_number(u64::from(attempt.number));
     }
 
-    /// All that the detector shows beside its decisions.
+    /// Adds the detector's state that is visible apart from its decisions.
     pub fn add_state(&mut self, detector: &RunawayDetector, classes: &[Class]) {
         let counts = detector.tracked_counts();
         for count in [
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -1,4 +1,4 @@
-//! Which statements are found to be runaways, when, and on what evidence.
+//! Detection: which statements are found to be runaways, when, and on which evidence.
 
 mod common;
 
@@ -123,7 +123,7 @@
 #[test]
 fn an_unknown_fingerprint_is_bounded_by_its_class() {
     let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    // Ten times its class's median: new, large, and honest.
+    // A new fingerprint with ten times the median of its class is large but legitimate.
     simulation.start(REPORT, 900, 0, 40e6);
     simulation.advance(25);
     assert!(simulation.running.is_empty() && simulation.runaways().is_empty());
@@ -204,7 +204,7 @@
 #[test]
 fn a_changed_fingerprint_does_not_make_an_engine_slow() {
     let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    // Chance has given engine 0 hardly any of the usual ones.
+    // Engine 0 happens to run only one of the usual statements.
     for n in 0..36u32 {
         simulation.start(
             REPORT,
@@ -234,7 +234,7 @@
         (simulation.runaways(), simulation.notices()),
         (vec![(name(id), Cause::Heavy)], vec![])
     );
-    // It taught nothing: the next one is found as fast.
+    // The runaway is not learned from: the next one is found just as early.
     simulation.detector.end_attempt(
         simulation.now,
         Simulation::attempt(id),
@@ -384,7 +384,7 @@
         simulation.detector.tracked_counts().fingerprints <= 1000
             && simulation.detector.tracked_counts().attempts == 0
     );
-    // Runaways whose text is another one each time.
+    // Runaways with a different statement text each time.
     for fingerprint in 0..4 {
         simulation.start(LOOKUP, 2_000_000 + fingerprint, 0, 900e6);
         simulation.advance(20);
--- a/crates/runaway/tests/enforcement.rs
+++ b/crates/runaway/tests/enforcement.rs
@@ -1,4 +1,4 @@
-//! What is done about runaways, as the options of their class allow.
+//! Actions against runaways, as the enforcement options of their class allow.
 
 mod common;
 
@@ -106,7 +106,7 @@
             .iter()
             .any(|d| matches!(d, Decision::End(_)))
     );
-    // Nor one whose client already takes rows.
+    // Nor is one killed whose client already receives rows.
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(15);
     simulation
@@ -191,7 +191,7 @@
     simulation.detector.update_engines(Vec::new());
     simulation.advance(5);
     assert_eq!(simulation.runaways(), []);
-    // Engines that name thousands of holders.
+    // An engine reports thousands of blocking statements.
     for n in 0..5000 {
         simulation.report_blocked_by(id, &format!("x/{n}"));
     }
--- a/crates/runaway/tests/snapshot.rs
+++ b/crates/runaway/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! What survives a restart.
+//! Saving and restoring of statistics and holds.
 
 mod common;
 
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -1,4 +1,4 @@
-//! A snapshot of statistics and holds that was written before any type was renamed is restored whole, and saved again
+//! Compatibility with stored snapshots: a snapshot written by an earlier version is restored completely and saved again
 //! with the same bytes.
 
 mod common;
@@ -14,7 +14,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/runaways")
 }
 
-/// Statistics of three kinds with announced sizes, and a hold.
+/// Returns a snapshot with statistics of three fingerprints, one announced size and one hold.
 fn saved_by_a_simulation() -> Vec<u8> {
     let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
     let mut job = simulation.job(REPORT, REPORT as u64, 1, 40e6);
