--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! State kept for one attempt that was sent and may still run at its engine.
+//! The state of one attempt that was sent and may still run on its engine.
 
 use hoptiller_policy::Micros;
 
@@ -11,44 +11,45 @@
 use crate::statistics::Statistics;
 use crate::units::{Memory, RunTime, Work};
 
-/// A report that an attempt is blocked counts for this long.
+/// Time for which a report that an attempt is blocked counts.
 const BLOCKED_REPORT_TTL: Micros = 3_000_000;
-/// An expectation is looked up again after this time.
+/// Time after which an expectation is looked up again.
 const EXPECTATION_TTL: Micros = 4_000_000;
 
-/// An attempt that was sent and may still run at its engine.
+/// An attempt that was sent and may still run on its engine.
 #[derive(Debug)]
 pub(crate) struct RunningAttempt {
     start: AttemptStart,
     started_at: Micros,
-    /// When its engine last reported on it.
+    /// The time of the engine's latest report on the attempt.
     reported_at: Micros,
-    /// Total time for which its engine reported it as blocked.
+    /// Total time for which the engine reported the attempt as blocked.
     blocked_time: Micros,
-    /// The last report that it is blocked, and when that was received.
+    /// The reason why the attempt is blocked, if its latest report says so, and the time of that report.
     blocked: Option<(Micros, BlockedState)>,
-    /// The latest value of each reported figure.
+    /// The latest value of each reported quantity.
     progress: ProgressReport,
-    /// Reports with work or a completed share.
+    /// Number of reports with work or a completed fraction.
     progress_reports: u32,
-    /// When its client began to receive rows.
+    /// The time at which the client began to receive rows.
     streaming_since: Option<Micros>,
-    /// When its router stopped waiting for it.
+    /// The time at which the router stopped waiting for the attempt.
     abandoned_at: Option<Micros>,
-    /// Since when a figure has been over its bound.
+    /// The time since which a measured value has exceeded its bound.
     over_bound_since: Option<Micros>,
-    /// It waits for another statement or for memory, as reported or inferred in the last detection run.
+    /// Whether the attempt waits for another statement or for memory, as reported or inferred in the last detection
+    /// run.
     is_blocked: bool,
-    /// It is counted as a runaway in the hold of `start.held_as`.
+    /// Whether the attempt is counted as a runaway in the hold of `start.held_as`.
     is_counted_in_hold: bool,
-    /// What is expected of it, and when that was looked up.
+    /// What is expected of the attempt, and the time at which that was looked up.
     expectation: Option<(Micros, Expectation)>,
-    /// Its pause and its end.
+    /// The state of its pause and its kill.
     pub(crate) enforcement: AttemptEnforcement,
 }
 
 impl RunningAttempt {
-    /// An attempt of which nothing has been reported yet.
+    /// Creates an attempt that nothing has been reported on yet.
     pub(crate) fn new(now: Micros, start: AttemptStart) -> RunningAttempt {
         RunningAttempt {
             start,
@@ -68,63 +69,63 @@
         }
     }
 
-    /// What its router reported when it was sent.
+    /// Returns the event that reported the start of the attempt.
     pub(crate) fn start(&self) -> &AttemptStart {
         &self.start
     }
 
-    /// When it was sent.
+    /// Returns the time at which the attempt was sent.
     pub(crate) fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Total time for which its engine reported it as blocked.
+    /// Returns the total time for which the engine reported the attempt as blocked.
     pub(crate) fn blocked_time(&self) -> Micros {
         self.blocked_time
     }
 
-    /// The latest value of each reported figure.
+    /// Returns the latest value of each reported quantity.
     pub(crate) fn progress(&self) -> &ProgressReport {
         &self.progress
     }
 
-    /// Reports with work or a completed share.
+    /// Returns the number of reports with work or a completed fraction.
     pub(crate) fn progress_reports(&self) -> u32 {
         self.progress_reports
     }
 
-    /// When its client began to receive rows.
+    /// Returns the time at which the client began to receive rows.
     pub(crate) fn streaming_since(&self) -> Option<Micros> {
         self.streaming_since
     }
 
-    /// When its router stopped waiting for it.
+    /// Returns the time at which the router stopped waiting for the attempt.
     pub(crate) fn abandoned_at(&self) -> Option<Micros> {
         self.abandoned_at
     }
 
-    /// Since when a figure has been over its bound.
+    /// Returns the time since which a measured value has exceeded its bound.
     pub(crate) fn over_bound_since(&self) -> Option<Micros> {
         self.over_bound_since
     }
 
-    /// Whether it waited for another statement or for memory in the last detection run.
+    /// Returns whether the attempt waited for another statement or for memory in the last detection run.
     pub(crate) fn is_blocked(&self) -> bool {
         self.is_blocked
     }
 
-    /// Its engine works on it and its router waits for it.
+    /// Returns whether the engine works on the attempt and the router waits for it.
     pub(crate) fn is_executing(&self) -> bool {
         self.abandoned_at.is_none() && self.streaming_since.is_none()
     }
 
-    /// Run time without the time for which it was blocked.
+    /// Returns the run time without the time for which the attempt was blocked.
     pub(crate) fn active_time(&self, now: Micros) -> RunTime {
         let until = self.streaming_since.or(self.abandoned_at).unwrap_or(now);
         RunTime((until - self.started_at).saturating_sub(self.blocked_time) as f64)
     }
 
-    /// Why it is blocked, if a recent report says so.
+    /// Returns the reason why the attempt is blocked, if a recent report says so.
     pub(crate) fn blocked_state(&self, now: Micros) -> Option<&BlockedState> {
         self.blocked
             .as_ref()
@@ -132,17 +133,17 @@
             .map(|(_, state)| state)
     }
 
-    /// Work done so far, if reported.
+    /// Returns the work done so far, if reported.
     pub(crate) fn work(&self) -> Option<Work> {
         self.progress.work.map(|work| Work(work as f64))
     }
 
-    /// Peak memory, if reported.
+    /// Returns the peak memory, if reported.
     pub(crate) fn memory(&self) -> Option<Memory> {
         self.progress.memory_mb.map(Memory)
     }
 
-    /// Records what its engine reports. A figure that is not reported again keeps its value; one that can't be is
+    /// Records an engine's report. Values that are missing from the report keep their previous value; invalid ones are
     /// ignored.
     pub(crate) fn record_report(&mut self, now: Micros, report: ProgressReport) {
         if report.blocked_state.is_some() {
@@ -163,53 +164,54 @@
         };
     }
 
-    /// Records its total work in µs, if that is reported at its end.
+    /// Records the total work in µs, if it was reported at the end.
     pub(crate) fn record_total_work(&mut self, work: Option<Micros>) {
         self.progress.work = work.or(self.progress.work);
     }
 
-    /// Records that its client began to receive rows.
+    /// Records that the client began to receive rows.
     pub(crate) fn start_streaming(&mut self, now: Micros) {
         self.streaming_since.get_or_insert(now);
     }
 
-    /// Records that its router stopped waiting for it.
+    /// Records that the router stopped waiting for the attempt.
     pub(crate) fn abandon(&mut self, now: Micros) {
         self.abandoned_at.get_or_insert(now);
     }
 
-    /// Records whether it is blocked in this detection run.
+    /// Records whether the attempt is blocked in this detection run.
     pub(crate) fn set_blocked(&mut self, is_blocked: bool) {
         self.is_blocked = is_blocked;
     }
 
-    /// Records that a figure is over its bound. Returns since when.
+    /// Records that a measured value exceeds its bound. Returns the time since which one has.
     pub(crate) fn mark_over_bound(&mut self, now: Micros) -> Micros {
         *self.over_bound_since.get_or_insert(now)
     }
 
-    /// Records that it is within its bound.
+    /// Records that the attempt is within its bound.
     pub(crate) fn mark_within_bound(&mut self) {
         self.over_bound_since = None;
     }
 
-    /// Records that it is counted as a runaway in the hold of a fingerprint.
+    /// Records that the attempt is counted as a runaway in the hold of a fingerprint.
     pub(crate) fn count_in_hold(&mut self, held_as: FingerprintId) {
         self.is_counted_in_hold = true;
         self.start.held_as = held_as;
     }
 
-    /// The fingerprint in whose hold it is counted as a runaway; it is to be counted there no longer.
+    /// Stops counting the attempt as a runaway in a hold. Returns the fingerprint of that hold, if it was counted in
+    /// one.
     pub(crate) fn take_hold_count(&mut self) -> Option<FingerprintId> {
         std::mem::take(&mut self.is_counted_in_hold).then_some(self.start.held_as)
     }
 
-    /// What is expected of it, as last looked up.
+    /// Returns what is expected of the attempt, as last looked up.
     pub(crate) fn expectation(&self) -> Option<&Expectation> {
         self.expectation.as_ref().map(|(_, expected)| expected)
     }
 
-    /// What is expected of it, looked up again if the last look-up is too old.
+    /// Returns what is expected of the attempt, looked up again if the last result is too old.
     pub(crate) fn refresh_expectation(
         &mut self,
         now: Micros,
@@ -233,17 +235,17 @@
         expected
     }
 
-    /// Has its expectation looked up again.
+    /// Discards the expectation, so that it is looked up again.
     pub(crate) fn invalidate_expectation(&mut self) {
         self.expectation = None;
     }
 
-    /// What findings call it.
+    /// Returns the subject of findings on the attempt.
     pub(crate) fn subject(&self) -> Subject {
         Subject::Statement(self.start.name.clone())
     }
 
-    /// A finding on this attempt that blocks nobody and has no note.
+    /// Creates a finding on the attempt, without blocked statements and without a note.
     pub(crate) fn finding(
         &self,
         now: Micros,
--- a/crates/runaway/src/attempts.rs
+++ b/crates/runaway/src/attempts.rs
@@ -1,7 +1,7 @@
-//! All attempts that run or may run, by id and by the name that engines know them by.
+//! All attempts that run or may run, by id and by their name on engines.
 //!
-//! An attempt is kept after its router stopped waiting for it while its engine may still run it: such an attempt often
-//! blocks others. It is unconfirmed from then on.
+//! An abandoned attempt is kept for as long as its engine may still run it, because such an attempt often blocks
+//! others. It is called unconfirmed, as its end has not been confirmed.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -10,12 +10,12 @@
 use crate::attempt::RunningAttempt;
 use crate::interface::{AttemptId, AttemptStart};
 
-/// Unconfirmed attempts that are kept at most.
+/// Maximum number of unconfirmed attempts.
 const MAX_UNCONFIRMED: usize = 1024;
-/// An unconfirmed attempt is kept for this long.
+/// Time for which an unconfirmed attempt is kept.
 const UNCONFIRMED_TTL: Micros = 900_000_000;
 
-/// The table of attempts. An unconfirmed attempt is always in it by its id.
+/// The table of attempts. Each unconfirmed attempt is also in `by_id`.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     by_id: BTreeMap<AttemptId, RunningAttempt>,
@@ -32,7 +32,7 @@
         self.ids_by_name.insert(name, id);
     }
 
-    /// Removes an attempt of which nothing more can be learned.
+    /// Removes an attempt that no further reports are expected for.
     pub(crate) fn remove(&mut self, id: AttemptId) -> Option<RunningAttempt> {
         let attempt = self.by_id.remove(&id)?;
         self.unconfirmed.retain(|other| *other != id);
@@ -43,48 +43,48 @@
         Some(attempt)
     }
 
-    /// Number of attempts.
+    /// Returns the number of attempts.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// An attempt by its id.
+    /// Returns an attempt by its id.
     pub(crate) fn get(&self, id: AttemptId) -> Option<&RunningAttempt> {
         self.by_id.get(&id)
     }
 
-    /// An attempt by its id.
+    /// Returns an attempt by its id, for changes.
     pub(crate) fn get_mut(&mut self, id: AttemptId) -> Option<&mut RunningAttempt> {
         self.by_id.get_mut(&id)
     }
 
-    /// The id of the attempt that engines know by this name.
+    /// Returns the id of the attempt with this name on engines.
     pub(crate) fn id_by_name(&self, name: &str) -> Option<AttemptId> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// The attempt that engines know by this name.
+    /// Returns the attempt with this name on engines.
     pub(crate) fn get_by_name(&self, name: &str) -> Option<&RunningAttempt> {
         self.get(self.id_by_name(name)?)
     }
 
-    /// The ids, in order.
+    /// Returns the ids in ascending order.
     pub(crate) fn ids(&self) -> Vec<AttemptId> {
         self.by_id.keys().copied().collect()
     }
 
-    /// The attempts, in order of their ids.
+    /// Returns the attempts, ordered by id.
     pub(crate) fn values(&self) -> impl Iterator<Item = &RunningAttempt> {
         self.by_id.values()
     }
 
-    /// The attempts, in order of their ids.
+    /// Returns the attempts for changes, ordered by id.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut RunningAttempt> {
         self.by_id.values_mut()
     }
 
-    /// Marks an abandoned attempt as one that its engine may still run. Returns the oldest such attempt if there are
-    /// too many: it is to be removed.
+    /// Marks an abandoned attempt as unconfirmed. If there are too many unconfirmed attempts, returns the oldest one,
+    /// which the caller has to remove.
     pub(crate) fn mark_unconfirmed(&mut self, id: AttemptId) -> Option<AttemptId> {
         self.unconfirmed.push_back(id);
         if self.unconfirmed.len() > MAX_UNCONFIRMED {
@@ -93,12 +93,12 @@
         None
     }
 
-    /// The unconfirmed attempts, oldest first.
+    /// Returns the unconfirmed attempts, oldest first.
     pub(crate) fn unconfirmed(&self) -> impl Iterator<Item = &RunningAttempt> {
         self.unconfirmed.iter().filter_map(|id| self.get(*id))
     }
 
-    /// The unconfirmed attempts that have been kept for long enough.
+    /// Returns the unconfirmed attempts that have been kept for longer than [`UNCONFIRMED_TTL`].
     pub(crate) fn expired_unconfirmed(&self, now: Micros) -> Vec<AttemptId> {
         let is_expired = |attempt: &&RunningAttempt| {
             attempt
@@ -109,7 +109,7 @@
         expired.map(|attempt| attempt.start().attempt).collect()
     }
 
-    /// The unconfirmed attempts of an engine.
+    /// Returns the unconfirmed attempts on an engine.
     pub(crate) fn unconfirmed_at(&self, engine: EngineId) -> Vec<AttemptId> {
         self.unconfirmed()
             .filter(|attempt| attempt.start().engine == engine)
--- a/crates/runaway/src/blocker.rs
+++ b/crates/runaway/src/blocker.rs
@@ -1,5 +1,5 @@
-//! Judgement of statements that this router no longer waits for or never sent: abandoned attempts and statements of
-//! other routers. All that is known of them is their age and the attempts that they block.
+//! Assessment of statements that this router no longer waits for or never sent: abandoned attempts and statements of
+//! other routers. Only their age and the attempts that they block are known.
 
 use hoptiller_policy::{EngineId, Micros};
 
@@ -14,24 +14,24 @@
 use crate::statistics::Statistics;
 use crate::units::RunTime;
 
-/// What is known of a statement that blocks attempts.
+/// A statement that blocks attempts.
 #[derive(Debug)]
 pub(crate) struct Blocker {
-    /// Its id, if it is an attempt of this router.
+    /// The attempt id, for an attempt of this router.
     id: Option<AttemptId>,
     engine: EngineId,
     class: Option<usize>,
     fingerprint: Option<FingerprintId>,
     label: String,
-    /// When it started; for an attempt of this router, later by the time for which it was blocked.
+    /// The start time; for an attempt of this router, moved forward by its blocked time.
     started_at: Micros,
     over_bound_since: Option<Micros>,
-    /// The expected run time of an attempt of this router.
+    /// The expected run time, for an attempt of this router.
     expected: Option<Expected<RunTime>>,
 }
 
 impl Blocker {
-    /// The attempt of this router with that name, or else the remote statement.
+    /// Finds the attempt of this router with this name, or else the remote statement.
     pub(crate) fn find(
         name: &str,
         attempts: &Attempts,
@@ -62,12 +62,12 @@
         })
     }
 
-    /// Its id, if it is an attempt of this router.
+    /// Returns the attempt id, for an attempt of this router.
     pub(crate) fn id(&self) -> Option<AttemptId> {
         self.id
     }
 
-    /// Evidence that it has run for too long, given how many attempts it blocks.
+    /// Returns evidence that the blocker has run for too long, given the number of attempts that it blocks.
     pub(crate) fn excess(
         &self,
         now: Micros,
@@ -83,7 +83,7 @@
         (run_time > expected.bound).then(|| evidence(Measure::Run, run_time, expected))
     }
 
-    /// The finding on it, under the name that engines know it by.
+    /// Creates the finding on the blocker, under its name on engines.
     pub(crate) fn finding(
         self,
         now: Micros,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The expected run time: its own, that of its class, or that of the class that takes longest.
+    /// Returns the expected run time: of the attempt itself, or of its class, or of the class with the highest bound.
     fn expected_run_time(
         &self,
         statistics: &Statistics,
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -1,4 +1,4 @@
-//! What a run that ended with its result says of its statement, its fingerprint and its engine.
+//! Conclusions from a run that returned its result, about its statement, its fingerprint and its engine.
 
 use hoptiller_policy::Micros;
 
@@ -8,29 +8,29 @@
 use crate::measures::{LONG_RUN_FACTOR, spill_tolerance};
 use crate::units::RunTime;
 
-/// A run within this part of its bound counts as clean for the hold of its fingerprint.
+/// Fraction of the bound up to which a run counts as clean for the hold of its fingerprint.
 const CLEAN_RUN_PART: f64 = 0.5;
 
-/// A run that ended with its result, compared with what was expected of it.
+/// A run that returned its result, compared with what was expected of it.
 #[derive(Debug)]
 pub(crate) struct Completion {
-    /// Its figures.
+    /// The measured values of the run.
     pub(crate) run: Run,
-    /// It was over its bound, so that it is not learned from.
+    /// Whether the run was over its bound, so that it is not learned from.
     pub(crate) is_beyond_bound: bool,
-    /// It was well within its bound.
+    /// Whether the run was well within its bound.
     pub(crate) is_clean: bool,
-    /// It took no more than a few times what is usual.
+    /// Whether the run took no more than a few times what is usual.
     pub(crate) is_usual: bool,
-    /// Its work was reported, and it ran for less than the usual run time.
+    /// Whether the work of the run was reported and its run time was below the usual one.
     pub(crate) is_usual_by_time: bool,
-    /// Ratio of its run time to the usual one, if that says anything of its engine.
+    /// Ratio of the run time to the usual one, if it indicates the speed of the engine.
     pub(crate) engine_sample: Option<f64>,
 }
 
 impl Completion {
-    /// Compares an attempt that ended now. `slowness` is the factor of its engine; `was_runaway` tells whether it was
-    /// found to be a runaway.
+    /// Compares an attempt that ended now with its expectation. `slowness` is the factor of its engine; `was_runaway`
+    /// indicates whether the attempt was found to be a runaway.
     pub(crate) fn new(
         now: Micros,
         attempt: &RunningAttempt,
@@ -45,7 +45,7 @@
             None => (run_time.0, expectation.run_time.figures()),
         };
         let is_beyond_bound = was_runaway || figure > expected.bound * spill_tolerance(attempt);
-        // A wait that was only inferred is part of the run time.
+        // Waits that were only inferred are not subtracted from the run time.
         let is_time_its_own = !attempt.is_blocked() || attempt.blocked_time() > 0;
         let usual_run_time = expectation.run_time.usual;
         Completion {
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -1,5 +1,5 @@
-//! The detector: it orders the steps and passes each rule what it reads. What a rule decides, with its state and its
-//! constants, stands in the module that is named after it.
+//! The detector, which runs the steps in order and passes to each rule the data that it reads. The decisions of a rule,
+//! its state and its constants are in the module named after it.
 
 mod attempts;
 mod blockers;
@@ -23,7 +23,7 @@
 use crate::unknown_runaways::UnknownRunaways;
 use crate::wait_inference::WaitInference;
 
-/// Finds runaway statements and decides what is done about them. See the [crate].
+/// The detector of runaway statements, which also decides on actions against them. See the [crate] documentation.
 #[derive(Debug)]
 pub struct RunawayDetector {
     settings: Settings,
@@ -38,23 +38,23 @@
     holds: Holds,
     unknown_runaways: UnknownRunaways,
     next_detection_at: Micros,
-    /// Decisions that were not taken yet.
+    /// Decisions that have not been taken yet.
     decisions: Vec<Decision>,
 }
 
-/// How much a detector tracks.
+/// The numbers of items that a detector tracks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedCounts {
-    /// Fingerprints with statistics.
+    /// Number of fingerprints with statistics.
     pub fingerprints: usize,
-    /// Attempts that run or may run.
+    /// Number of attempts that run or may run.
     pub attempts: usize,
-    /// Statements of other routers.
+    /// Number of statements of other routers.
     pub remote_statements: usize,
 }
 
 impl RunawayDetector {
-    /// A detector without statistics.
+    /// Creates a detector without statistics.
     pub fn new(settings: Settings) -> RunawayDetector {
         let classes = settings.classes.len();
         RunawayDetector {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Replaces the settings. Classes keep their numbers and new ones follow them; settings with fewer classes are
+    /// Replaces the settings. Classes keep their indexes and new ones are appended; settings with fewer classes are
     /// ignored.
     pub fn update_settings(&mut self, settings: Settings) {
         let classes = settings.classes.len();
@@ -94,28 +94,28 @@
         self.publish_holds();
     }
 
-    /// An engine restarted: abandoned attempts that it ran are gone.
+    /// Records that an engine restarted, so that it no longer runs the abandoned attempts.
     pub fn reset_engine(&mut self, now: Micros, engine: EngineId) {
         for id in self.attempts.unconfirmed_at(engine) {
             self.remove_attempt(now, id, "its engine was started anew");
         }
     }
 
-    /// The id of a fingerprint within a class.
+    /// Returns the id of a fingerprint within a class.
     ///
     /// # Panics
     ///
-    /// If there is no such class.
+    /// Panics if there is no such class.
     pub fn fingerprint_id(&self, class: usize, fingerprint: u64) -> FingerprintId {
         FingerprintId::new(&self.settings.classes[class].name, fingerprint)
     }
 
-    /// Records that a statement arrived. Returns the fingerprint under which it can be held: its own, or the one
-    /// that stands for all unknown fingerprints of its class while those are held together.
+    /// Records the arrival of a statement. Returns the fingerprint whose hold applies to it: its own, or the one that
+    /// stands for all unknown fingerprints of its class while those are held together.
     ///
     /// # Panics
     ///
-    /// If there is no such class.
+    /// Panics if there is no such class.
     pub fn observe_arrival(
         &mut self,
         now: Micros,
@@ -133,14 +133,14 @@
         }
     }
 
-    /// Lifts the hold of a fingerprint on behalf of an operator. False if it is not held.
+    /// Releases the hold of a fingerprint on behalf of an operator. Returns `false` if the fingerprint is not held.
     pub fn release_hold(&mut self, fingerprint: FingerprintId) -> bool {
         let was_held = self.holds.release(fingerprint);
         self.publish_holds();
         was_held
     }
 
-    /// When the next detection run is due.
+    /// Returns the time at which the next detection run is due.
     pub fn next_detection_at(&self) -> Micros {
         self.next_detection_at
     }
@@ -150,27 +150,27 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Findings that still hold.
+    /// Returns the open findings.
     pub fn open_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.open()
     }
 
-    /// The latest findings that were cleared, oldest first.
+    /// Returns the most recently cleared findings, oldest first.
     pub fn past_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.past()
     }
 
-    /// Fingerprints whose concurrency is limited.
+    /// Returns the held fingerprints.
     pub fn holds(&self) -> impl Iterator<Item = (&FingerprintId, &FingerprintHold)> {
         self.holds.fingerprints()
     }
 
-    /// Table groups with the engines that they are excluded from.
+    /// Returns the table groups with the engines that they are excluded from.
     pub fn excluded_engines(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
         self.holds.groups()
     }
 
-    /// How much is tracked.
+    /// Returns the numbers of tracked items.
     pub fn tracked_counts(&self) -> TrackedCounts {
         TrackedCounts {
             fingerprints: self.statistics.len(),
@@ -179,16 +179,16 @@
         }
     }
 
-    /// Encodes what survives a restart.
+    /// Encodes the statistics and holds, which survive a restart.
     pub fn save(&self) -> Vec<u8> {
         snapshot::encode(&self.settings.classes, &self.statistics, &self.holds)
     }
 
-    /// Restores what was saved, all or nothing: on an error, nothing has changed.
+    /// Restores saved statistics and holds. On an error, nothing changes.
     ///
     /// # Errors
     ///
-    /// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
+    /// Returns an error if `bytes` is not a snapshot of this version, is damaged or cannot be decoded.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<RestoredCounts, SnapshotError> {
         let snapshot = snapshot::decode(now, bytes, &self.settings.classes)?;
         for (class, statistics) in snapshot.classes {
@@ -202,14 +202,14 @@
         Ok(snapshot.counts)
     }
 
-    /// Decides on holds that changed.
+    /// Adds decisions for holds that changed.
     fn publish_holds(&mut self) {
         let changes = self.holds.take_changes(&self.engines);
         self.decisions
             .extend(changes.into_iter().map(Decision::Hold));
     }
 
-    /// Number of engines that accept work.
+    /// Returns the number of engines that accept work.
     fn engines_up(&self) -> usize {
         self.engines.iter().filter(|status| status.is_up).count()
     }
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempts.rs
@@ -1,4 +1,4 @@
-//! Events of attempts: they are sent, report progress, and end.
+//! Handlers for the events of attempts: start, progress reports and end.
 
 use hoptiller_policy::Micros;
 
@@ -18,7 +18,7 @@
         self.attempts.insert(now, start);
     }
 
-    /// Records what an engine reports of an attempt.
+    /// Records an engine's report on an attempt.
     pub fn report_progress(&mut self, now: Micros, id: AttemptId, report: ProgressReport) {
         self.wait_inference.record_report(now);
         let Some(attempt) = self.attempts.get_mut(id) else {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Records that an attempt ended. `work` is its total work in µs, if reported.
+    /// Records the end of an attempt. `work` is its total work in µs, if reported.
     pub fn end_attempt(
         &mut self,
         now: Micros,
@@ -72,7 +72,7 @@
             .clear(now, &attempt.subject(), note, &mut self.decisions);
     }
 
-    /// Stops tracking an attempt of which nothing more can be learned.
+    /// Stops tracking an attempt that no further reports are expected for.
     pub(super) fn remove_attempt(&mut self, now: Micros, id: AttemptId, note: &'static str) {
         let Some(mut attempt) = self.attempts.remove(id) else {
             return;
@@ -84,7 +84,7 @@
             .clear(now, &attempt.subject(), note, &mut self.decisions);
     }
 
-    /// The router stopped waiting; the engine may still run the attempt.
+    /// Records that the router stopped waiting for an attempt that its engine may still run.
     fn abandon_attempt(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -92,7 +92,7 @@
         attempt.abandon(now);
         let holds_tables = self.settings.classes[attempt.start().class].holds_tables;
         if !holds_tables && attempt.over_bound_since().is_none() {
-            // It needs no further observation.
+            // The attempt locks no tables and is within its bound, so it is not observed further.
             self.remove_attempt(now, id, "its router has stopped waiting");
         } else if let Some(oldest) = self.attempts.mark_unconfirmed(id) {
             self.remove_attempt(now, oldest, "it went on at its engine, and is forgotten");
@@ -182,7 +182,7 @@
         self.findings.is_changed(fingerprint) || status == ChangeStatus::Changed
     }
 
-    /// The new figures of a changed fingerprint are the usual ones from now on.
+    /// Adopts the new values of a changed fingerprint as the usual ones.
     fn adopt_changed_fingerprint(&mut self, now: Micros, fingerprint: FingerprintId) {
         self.statistics.adopt_beyond_bound(fingerprint);
         self.fingerprint_changes.remove(fingerprint);
--- a/crates/runaway/src/detector/blockers.rs
+++ b/crates/runaway/src/detector/blockers.rs
@@ -10,7 +10,7 @@
 use crate::wait_graph::WaitGraph;
 
 impl RunawayDetector {
-    /// Judges abandoned attempts and statements of other routers by the attempts that they block.
+    /// Assesses abandoned attempts and statements of other routers by the attempts that they block.
     pub(super) fn detect_blockers(&mut self, now: Micros, waits: &WaitGraph) {
         let remote = self.remote_statements.names();
         let abandoned = self
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Extends the exclusion of the tables that a remote runaway still blocks.
+    /// Extends the exclusion of the table groups that a remote runaway still blocks.
     fn extend_exclusion(&mut self, now: Micros, name: &str, blocked: &[String]) {
         if blocked.is_empty() {
             return;
@@ -42,7 +42,7 @@
         self.remote_statements.extend_exclusion(now, name, groups);
     }
 
-    /// Removes a remote statement that was not reported lately. True if it was removed.
+    /// Removes a remote statement that has not been reported recently. Returns whether it was removed.
     fn remove_expired_remote(&mut self, now: Micros, name: &str) -> bool {
         let is_own = self.attempts.get_by_name(name).is_some();
         if is_own || !self.remote_statements.is_expired(now, name) {
--- a/crates/runaway/src/detector/detection.rs
+++ b/crates/runaway/src/detector/detection.rs
@@ -9,7 +9,7 @@
 use crate::slow_engine::report_slow_engines;
 use crate::wait_graph::WaitGraph;
 
-/// Time between two detection runs.
+/// Interval between detection runs.
 const DETECTION_INTERVAL: Micros = 500_000;
 
 impl RunawayDetector {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Finds out who waits for whom.
+    /// Updates the waits between statements, and marks the attempts that are blocked.
     fn update_waits(&mut self, now: Micros) -> WaitGraph {
         let classes = &self.settings.classes;
         let waits = self.wait_inference.wait_graph(now, &self.attempts, classes);
--- a/crates/runaway/src/detector/enforcement.rs
+++ b/crates/runaway/src/detector/enforcement.rs
@@ -1,4 +1,4 @@
-//! What is done about a runaway, as the options of its class allow: end it, pause it, hold its fingerprint.
+//! Actions against a runaway, as the options of its class allow: killing it, pausing it and holding its fingerprint.
 
 use hoptiller_policy::Micros;
 
@@ -6,10 +6,10 @@
 use crate::interface::{AttemptId, Cause, Decision, FingerprintId};
 
 impl RunawayDetector {
-    /// Enforces the options of its class on a runaway. `blocked` are the statements that it blocks: in a deadlock, the
-    /// others of the cycle.
+    /// Applies the enforcement options of its class to a runaway. `blocked` names the statements that it blocks; in a
+    /// deadlock, the other members of the cycle.
     pub(super) fn enforce(&mut self, now: Micros, id: AttemptId, cause: Cause, blocked: &[String]) {
-        // Of a deadlock, the youngest is ended: it has done the least work, and the others can continue.
+        // In a deadlock, only the youngest attempt is killed: it has done the least work, and the others can continue.
         let has_younger = cause == Cause::Deadlock
             && blocked
                 .iter()
@@ -25,7 +25,7 @@
                 let end_at = now + self.settings.end_after;
                 attempt.enforcement.schedule_end(end_at);
             }
-            // A paused statement would keep what others wait for even longer.
+            // Pausing a statement that others wait for would prolong their wait.
             let blocks_others = class.holds_tables
                 || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
             let resume_at = now + self.settings.pause_for;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Ends and resumes attempts that are due.
+    /// Kills and resumes the attempts that are due.
     pub(super) fn enforce_due(&mut self, now: Micros) {
         for attempt in self.attempts.values_mut() {
             let id = attempt.start().attempt;
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The fingerprint to hold: its own, or that of all unknown fingerprints of the class.
+    /// Returns the fingerprint to hold: the runaway's own, or the one that stands for all unknown fingerprints of its
+    /// class.
     fn fingerprint_to_hold(
         &mut self,
         now: Micros,
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/findings.rs
@@ -1,4 +1,5 @@
-//! What becomes of the judgement of an attempt: a finding, a notice that its fingerprint has changed, or neither.
+//! The conclusions from the assessment of an attempt: a finding on it, a notice that its fingerprint has changed, or
+//! neither.
 
 use hoptiller_policy::Micros;
 
@@ -9,8 +10,8 @@
 use crate::measures::CONFIRMATION_TIME;
 
 impl RunawayDetector {
-    /// Reports an attempt that is over its bound: a suspect until that is confirmed, then a runaway, unless all of its
-    /// fingerprint run long.
+    /// Reports an attempt that is over its bound: as a suspect until that is confirmed, then as a runaway, unless the
+    /// statements of its fingerprint run long in general.
     pub(super) fn report_over_bound(&mut self, now: Micros, id: AttemptId, found: OverBound) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -18,7 +19,7 @@
         let since = attempt.mark_over_bound(now);
         let fingerprint = attempt.start().fingerprint;
         if self.findings.is_changed(fingerprint) {
-            return; // One notice covers all of them.
+            return; // One notice covers all attempts of the fingerprint.
         }
         let over_for = now - since;
         let is_confirmed = found.excess.is_certain || over_for >= CONFIRMATION_TIME;
@@ -34,8 +35,8 @@
         self.report_attempt(now, id, since, verdict, found);
     }
 
-    /// Whether the fingerprint of an attempt that is over its bound has changed. One that was found to be a runaway
-    /// before stays one.
+    /// Returns the change status of the fingerprint of an attempt that is over its bound. An attempt that has already
+    /// been found to be a runaway remains one.
     fn change_status(&self, id: AttemptId, cause: Cause, over_for: Micros) -> ChangeStatus {
         let is_own_fault = matches!(cause, Cause::Heavy | Cause::BadPlan);
         match self.attempts.get(id) {
@@ -75,15 +76,15 @@
         }
     }
 
-    /// Clears what was suspected of an attempt that is within its bound.
+    /// Clears the suspicion against an attempt that is within its bound.
     pub(super) fn clear_suspicion(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         let subject = attempt.subject();
         let finding = self.findings.get(&subject);
-        // A runaway stays one until it ends, even if a lower figure is reported, except for deadlocks and lack of
-        // memory, which pass.
+        // A runaway remains one until it ends, even if a lower value is reported, except for deadlocks and lack of
+        // memory, which may resolve.
         let is_revocable = finding.is_some_and(|finding| {
             finding.verdict == Verdict::Suspect
                 || matches!(finding.cause, Cause::Deadlock | Cause::Memory)
@@ -112,7 +113,8 @@
         self.findings.report(finding, &mut self.decisions);
     }
 
-    /// Reports one notice for the changed fingerprint of an attempt, and clears the findings on its attempts.
+    /// Reports one notice for the changed fingerprint of an attempt, and clears the findings on attempts of that
+    /// fingerprint.
     fn report_fingerprint_change(&mut self, now: Micros, id: AttemptId, evidence: Evidence) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -145,7 +147,7 @@
         self.publish_holds();
     }
 
-    /// An attempt is no runaway any more: it no longer counts in the hold of its fingerprint.
+    /// Stops counting an attempt as a runaway in the hold of its fingerprint.
     fn remove_from_hold(&mut self, now: Micros, id: AttemptId) {
         let attempt = self.attempts.get_mut(id);
         if let Some(held_as) = attempt.and_then(|attempt| attempt.take_hold_count()) {
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -1,31 +1,32 @@
-//! Whether the client of a statement that was ended at its engine may retry it. A response must never invite a second
-//! run of a statement that may have had its effect.
+//! Whether the client of a killed statement may retry it. A response must never invite a second run of a statement that
+//! may have taken effect.
 
 use hoptiller_policy::{DeduplicationScope, Idempotency, Micros};
 
-/// What an engine reports on the effects of a statement that it has ended.
+/// An engine's report on the effects of a statement that it has killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// They are rolled back.
+    /// The effects are rolled back.
     RolledBack,
-    /// They are committed.
+    /// The effects are committed.
     Committed,
-    /// It does not report it.
+    /// The engine does not report on the effects.
     Unknown,
 }
 
-/// Whether a retry is safe, as the response to the client shows.
+/// The safety of a retry, as indicated by the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// A retry is safe: the statement is answered as rejected.
+    /// A retry is safe; the response rejects the statement.
     Safe,
-    /// It may have run: it is answered as failed.
+    /// The statement may have run; the response reports a failure.
     MayHaveRun,
-    /// It has run, and its effects are durable: it is answered as failed.
+    /// The statement has run, and its effects are durable; the response reports a failure.
     HasRun,
 }
 
-/// Whether a retry is safe. `since` is when the first attempt that may have run was sent.
+/// Returns whether a retry of a killed statement is safe. `since` is the time at which the first attempt that may have
+/// run was sent.
 pub fn retry_safety_after_end(
     idempotency: Idempotency,
     proof: Proof,
@@ -34,7 +35,7 @@
 ) -> RetrySafety {
     match (idempotency, proof) {
         (Idempotency::Idempotent, _) | (_, Proof::RolledBack) => RetrySafety::Safe,
-        // Repeats are discarded at any engine, but only within the window.
+        // All engines discard repeats of the key, but only within the window.
         (
             Idempotency::WithKey {
                 scope: DeduplicationScope::All,
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -1,41 +1,41 @@
-//! The pause and the end of one runaway: each is decided once.
+//! Pausing and killing one runaway: each is decided once.
 
 use hoptiller_policy::Micros;
 
-/// What was decided on the pause and the end of an attempt.
+/// The state of the pause and the kill of an attempt.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptEnforcement {
-    /// When it is due to be ended.
+    /// The time at which the attempt is due to be killed.
     end_at: Option<Micros>,
-    /// Its end was decided; it is not decided again.
+    /// Whether the kill has been decided; it is not decided again.
     is_end_decided: bool,
-    /// When it is due to be resumed.
+    /// The time at which the attempt is due to be resumed.
     resume_at: Option<Micros>,
-    /// It was paused once; it is not paused again.
+    /// Whether the attempt has been paused; it is not paused again.
     was_paused: bool,
 }
 
-/// What is due for an attempt.
+/// The actions due for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DueEnforcement {
-    /// It is to be resumed.
+    /// Whether the attempt is to be resumed.
     pub(crate) resume: bool,
-    /// It is to be ended.
+    /// Whether the attempt is to be killed.
     pub(crate) end: bool,
 }
 
 impl AttemptEnforcement {
-    /// Has the attempt ended at this time.
+    /// Schedules the kill of the attempt.
     pub(crate) fn schedule_end(&mut self, at: Micros) {
         self.end_at = Some(at);
     }
 
-    /// The attempt is not to be ended after all.
+    /// Cancels the scheduled kill of the attempt.
     pub(crate) fn cancel_end(&mut self) {
         self.end_at = None;
     }
 
-    /// Pauses the attempt until this time. False if it was paused before.
+    /// Pauses the attempt until this time. Returns `false` if it was paused before.
     pub(crate) fn pause_until(&mut self, at: Micros) -> bool {
         if self.was_paused {
             return false;
@@ -45,7 +45,8 @@
         true
     }
 
-    /// What is due now. A pause is over at once when the attempt does not execute any more; then it is not ended.
+    /// Takes the actions that are due now. When the attempt stops executing, its pause ends at once and it is no longer
+    /// killed.
     pub(crate) fn take_due(&mut self, now: Micros, is_executing: bool) -> DueEnforcement {
         let resume = self
             .resume_at
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -1,5 +1,5 @@
-//! How slow each engine is by itself: the median, over the fingerprints that ran or run there, of the ratio of their
-//! run time to the usual one. Where everything is slow, no statement is at fault for it.
+//! The slowness of each engine: the ratio of run times to the usual ones, as the median over the fingerprints that run
+//! or recently ran on the engine. If everything on an engine is slow, no statement is responsible for it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,36 +10,36 @@
 use crate::findings::Findings;
 use crate::interface::{AttemptId, FingerprintId};
 
-/// Completions kept for an engine.
+/// Maximum number of completions kept per engine.
 const MAX_COMPLETIONS: usize = 16;
-/// How long a completion counts.
+/// Time for which a completion counts.
 const COMPLETION_TTL: Micros = 20_000_000;
-/// Samples from which the median of an engine counts.
+/// Number of samples from which the median of an engine is used.
 const MIN_SAMPLES: usize = 3;
-/// The largest slowness that is reported.
+/// Upper limit of the slowness factor.
 const MAX_SLOWNESS: f64 = 20.0;
-/// Multiple of the usual run time from which a running attempt says anything of its engine.
+/// Multiple of the usual run time from which a running attempt counts as a sample of its engine.
 const MIN_SLOW_SAMPLE: f64 = 2.0;
 /// Slowness from which an engine is reported.
 pub(crate) const MIN_REPORTED_SLOWNESS: f64 = 3.0;
-/// Ratio to the median slowness of the others from which an engine is reported.
+/// Ratio to the median slowness of the other engines from which an engine is reported.
 const MIN_RATIO_TO_OTHERS: f64 = 2.0;
 
-/// Run time of one attempt relative to the usual one; a lower bound while it runs.
+/// Run time of one attempt relative to the usual one; a lower bound while the attempt runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
-    /// Its fingerprint.
+    /// The attempt's fingerprint.
     pub(crate) fingerprint: FingerprintId,
-    /// Ratio of its run time to the usual one.
+    /// Ratio of the attempt's run time to the usual one.
     pub(crate) slowdown: f64,
 }
 
-/// How slow an engine is.
+/// The slowness of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Slowness {
-    /// Ratio of run slowdown to usual ones, at least 1.
+    /// Ratio of run times to the usual ones, at least 1.
     pub(crate) factor: f64,
-    /// Attempts that it rests on.
+    /// Number of attempts that the factor is based on.
     pub(crate) samples: usize,
 }
 
@@ -47,12 +47,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct EngineSpeeds {
     completions: BTreeMap<EngineId, VecDeque<(Micros, Sample)>>,
-    /// As of the last detection run.
+    /// Samples of running attempts, as of the last detection run.
     running: BTreeMap<EngineId, Vec<(AttemptId, Sample)>>,
 }
 
 impl EngineSpeeds {
-    /// Records that an attempt ended.
+    /// Records the completion of an attempt.
     pub(crate) fn record_completion(&mut self, now: Micros, engine: EngineId, sample: Sample) {
         let completions = self.completions.entry(engine).or_default();
         completions.push_back((now, sample));
@@ -88,14 +88,14 @@
         self.completions.retain(|id, _| is_listed(*id));
     }
 
-    /// How slow an engine is, by all attempts that ended or run there.
+    /// Returns the slowness of an engine, based on all attempts that run or recently ran on it.
     pub(crate) fn slowness(&self, now: Micros, engine: EngineId) -> Slowness {
         let running = self.running.get(&engine).into_iter().flatten();
         let samples: Vec<Sample> = running.map(|(_, sample)| *sample).collect();
         self.slowness_with(now, engine, &samples)
     }
 
-    /// How slow the engine of an attempt is, by the other attempts that ended or run there.
+    /// Returns the slowness of an attempt's engine, based on the other attempts that run or recently ran on it.
     pub(crate) fn slowness_for(&self, now: Micros, attempt: &RunningAttempt) -> Slowness {
         let start = attempt.start();
         let running = self.running.get(&start.engine).into_iter().flatten();
@@ -126,7 +126,7 @@
                 samples,
             };
         }
-        // By fingerprint: one that has changed is slow everywhere and says nothing of an engine.
+        // A changed fingerprint is slow on all engines, so each fingerprint contributes only one median.
         let mut medians: Vec<f64> = by_fingerprint
             .values_mut()
             .map(|slowdowns| median(slowdowns))
@@ -138,11 +138,11 @@
     }
 }
 
-/// The sample of a running attempt; `None` unless it takes longer than usual.
+/// Returns the sample of a running attempt, or `None` unless it takes longer than usual.
 fn running_sample(now: Micros, attempt: &RunningAttempt) -> Option<Sample> {
     let expectation = attempt.expectation().filter(|e| e.is_known)?;
-    // Run time so far is a lower bound. A larger statement, as its reported work shows, takes longer at any engine and
-    // says nothing of this one.
+    // The run time so far is a lower bound. A statement that is larger, according to its reported work, takes longer on
+    // any engine and indicates nothing about this one.
     let size_ratio = attempt
         .work()
         .map_or(1.0, |work| work.0 / expectation.work.usual.0.max(1.0))
@@ -155,7 +155,7 @@
     })
 }
 
-/// The lower median: it takes more than half of the values to excuse an attempt.
+/// Returns the lower median, so that more than half of the values must be high before an attempt is excused.
 fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     values
@@ -164,8 +164,8 @@
         .unwrap_or(1.0)
 }
 
-/// Whether an engine is slower than the others. One that `is_reported` stays so until it is clearly faster
-/// (hysteresis).
+/// Returns whether an engine is slower than the others. An engine that `is_reported` remains reported until it is
+/// clearly faster (hysteresis).
 pub(crate) fn is_slower_than_others(own: Slowness, others: &[Slowness], is_reported: bool) -> bool {
     let mut known: Vec<f64> = others
         .iter()
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -1,5 +1,5 @@
-//! The open findings, one per subject, and the latest cleared ones. A changed finding is reported; an unchanged one is
-//! updated without a report.
+//! The open findings, one per subject, and the most recently cleared ones. A changed finding is reported; an unchanged
+//! one is updated without a report.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,9 +7,9 @@
 
 use crate::interface::{Cause, Decision, Finding, FingerprintId, Subject, Verdict};
 
-/// Cleared findings that are kept.
+/// Maximum number of cleared findings kept.
 const MAX_PAST: usize = 256;
-/// Open findings that are kept; a suspect is evicted before a runaway, an old finding before a new one.
+/// Maximum number of open findings kept; suspects are evicted before runaways, and older findings before newer ones.
 const MAX_OPEN: usize = 1024;
 
 /// Open and cleared findings.
@@ -21,34 +21,35 @@
 }
 
 impl Findings {
-    /// The open finding on a subject.
+    /// Returns the open finding on a subject.
     pub(crate) fn get(&self, subject: &Subject) -> Option<&Finding> {
         self.open.get(subject)
     }
 
-    /// Whether a subject is found to be a runaway.
+    /// Returns whether a subject was found to be a runaway.
     pub(crate) fn is_runaway(&self, subject: &Subject) -> bool {
         self.get(subject)
             .is_some_and(|f| f.verdict == Verdict::Runaway)
     }
 
-    /// Whether a fingerprint is found to have changed.
+    /// Returns whether a fingerprint was found to have changed.
     pub(crate) fn is_changed(&self, fingerprint: FingerprintId) -> bool {
         self.get(&Subject::Fingerprint(fingerprint))
             .is_some_and(|f| f.cause == Cause::FingerprintChanged)
     }
 
-    /// The open findings.
+    /// Returns the open findings.
     pub(crate) fn open(&self) -> impl Iterator<Item = &Finding> {
         self.open.values()
     }
 
-    /// The latest cleared findings, oldest first.
+    /// Returns the most recently cleared findings, oldest first.
     pub(crate) fn past(&self) -> impl Iterator<Item = &Finding> {
         self.past.iter()
     }
 
-    /// Records a finding and reports it if it is new, more certain or of another cause. True if it was reported.
+    /// Records a finding, and reports it if it is new, more certain or has another cause. Returns whether it was
+    /// reported.
     pub(crate) fn report(&mut self, mut finding: Finding, out: &mut Vec<Decision>) -> bool {
         let old = self.open.get(&finding.subject);
         finding.id = old.map_or_else(|| self.last_id + 1, |old| old.id);
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -1,8 +1,8 @@
-//! Whether all statements of a fingerprint run long, as after a release. Then the fingerprint has changed and its
-//! statements are not at fault: one notice covers them.
+//! Detection of changed fingerprints: fingerprints whose statements all run long, as after a release. The statements
+//! are not runaways then, and one notice covers them all.
 //!
-//! Counting starts with the first long run and includes only attempts that started after it: earlier ones say nothing
-//! of what a release did.
+//! Counting starts with the first long run and includes only attempts that started after it, because earlier ones are
+//! not affected by the release.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,38 +13,38 @@
 use crate::interface::{AttemptId, FingerprintId};
 use crate::measures::is_long_run;
 
-/// Long runs from which a fingerprint may have changed.
+/// Number of long runs from which a fingerprint may have changed.
 const MIN_LONG_RUNS: usize = 4;
-/// The part of all runs since then that must be long.
+/// Fraction of all runs since the first long one that must be long.
 const MIN_LONG_PART: f64 = 0.6;
-/// How long a finding waits for more runs while all since the first are long.
+/// Time for which a finding waits for more runs while most runs since the first long one are long.
 const MAX_UNDECIDED: Micros = 8_000_000;
-/// Usual runs after which the long ones may count as outliers.
+/// Number of usual runs from which the long ones may count as outliers.
 const MIN_USUAL_RUNS: usize = 8;
-/// Fingerprints that are counted at once; the least recently updated one is evicted.
+/// Maximum number of fingerprints counted at once; the least recently updated one is evicted.
 const MAX_FINGERPRINTS: usize = 256;
-/// Long runs of a fingerprint that are counted at most.
+/// Maximum number of long runs counted per fingerprint.
 const MAX_LONG_RUNS: usize = 1024;
-/// Runs beyond its bound after which the new figures of a changed fingerprint are adopted.
+/// Number of runs over the bound from which the new values of a changed fingerprint are adopted.
 pub(crate) const MIN_RUNS_TO_ADOPT: u64 = 8;
 
-/// What the runs of a fingerprint say of a statement that is over its bound.
+/// The status of a fingerprint, from the point of view of a statement that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeStatus {
-    /// Others of its fingerprint run as usual: it is at fault.
+    /// Other statements of the fingerprint run as usual, so the statement is a runaway.
     Isolated,
-    /// It is too early to tell.
+    /// There are too few runs to decide.
     Undecided,
-    /// All of them run long.
+    /// The statements of the fingerprint run long in general.
     Changed,
 }
 
 /// Runs of a fingerprint since its first long one.
 #[derive(Debug)]
 struct ChangeCounter {
-    /// When the first long run started.
+    /// The start time of the first long run.
     since: Micros,
-    /// Long runs, with the engines where they run or ran.
+    /// Long runs, with the engines that run or ran them.
     long: BTreeMap<AttemptId, EngineId>,
     /// Number of usual runs that started since then.
     usual: usize,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether the long runs are outliers among usual ones.
+    /// Returns whether the long runs are outliers among usual ones.
     fn is_refuted(&self) -> bool {
         let long = self.long.len();
         long == 0
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Counts the running attempts of known fingerprints that already run long.
+    /// Records the running attempts of known fingerprints that already run long.
     pub(crate) fn count_running(
         &mut self,
         now: Micros,
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Classifies a fingerprint for an attempt that has been over its bound for some time. With a single engine, a
-    /// slow engine can't be told from a changed fingerprint.
+    /// Classifies a fingerprint for an attempt that has been over its bound for `over_bound_for`. With a single engine,
+    /// a slow engine cannot be distinguished from a changed fingerprint.
     pub(crate) fn classify(
         &self,
         fingerprint: FingerprintId,
@@ -166,12 +166,12 @@
         }
     }
 
-    /// Stops counting for a fingerprint.
+    /// Stops counting the runs of a fingerprint.
     pub(crate) fn remove(&mut self, fingerprint: FingerprintId) {
         self.counters.remove(&fingerprint);
     }
 
-    /// Whether a fingerprint has long runs.
+    /// Returns whether a fingerprint has long runs.
     pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
         self.counters.contains_key(&fingerprint)
     }
--- a/crates/runaway/src/group_exclusion.rs
+++ b/crates/runaway/src/group_exclusion.rs
@@ -1,5 +1,5 @@
-//! Which table groups are excluded from which engines: those that a runaway load holds, so that their readers run
-//! elsewhere meanwhile.
+//! Exclusion of table groups from engines: the readers of a group that a runaway load holds run on other engines
+//! meanwhile.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// Engines by the table group that is excluded from them.
 pub(crate) type ExcludedEngines = BTreeMap<u64, Vec<EngineId>>;
 
-/// The exclusions for all runaway loads of this router and of others.
+/// Returns the exclusions for all runaway loads, of this router and of others.
 pub(crate) fn excluded_engines(
     now: Micros,
     attempts: &Attempts,
@@ -34,7 +34,7 @@
         }
     }
     for (remote, groups) in remote_statements.excluded(now) {
-        // Without a reported class, it is enough that any class allows it.
+        // If the class is not reported, one class that permits holds is enough.
         let is_allowed = match remote.class {
             Some(class) => classes[class].enforcement.hold,
             None => classes.iter().any(|class| class.enforcement.hold),
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -1,9 +1,11 @@
-//! Holds: how many statements of a fingerprint may run at once, on which engines, and how the limit recovers.
+//! Holds: limits on how many statements of a fingerprint run at once and on which engines, and the recovery of these
+//! limits.
 //!
-//! A hold starts with a limit of one, on the one engine that all routers choose alike. Every `MIN_CLEAN_RUNS` runs
-//! within half of the bound double the limit; a further runaway resets it to one and doubles the number of clean runs
-//! needed. At `RELEASE_LIMIT` the hold is lifted. The hold of a fingerprint without runs recovers by time, one step per
-//! `IDLE_STEP`. A table group that a runaway blocks at an engine is excluded from that engine meanwhile.
+//! A hold starts with a limit of one, on one engine that all routers choose alike. After `MIN_CLEAN_RUNS` consecutive
+//! runs within half of the bound, the limit doubles. A further runaway resets the limit to one and doubles the number
+//! of clean runs needed. At `RELEASE_LIMIT` the hold is released. The hold of a fingerprint without runs recovers by
+//! time, one step per `IDLE_STEP`. A table group that a runaway blocks on an engine is excluded from that engine
+//! meanwhile.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,42 +16,42 @@
 use crate::group_exclusion::ExcludedEngines;
 use crate::interface::{EngineStatus, FingerprintId};
 
-/// Clean runs for the first step.
+/// Number of clean runs needed for the first step.
 const MIN_CLEAN_RUNS: u32 = 3;
-/// Clean runs for a step at most.
+/// Maximum number of clean runs needed for a step.
 const MAX_CLEAN_RUNS: u32 = 48;
-/// Limit at which a hold is lifted.
+/// Limit at which a hold is released.
 const RELEASE_LIMIT: u32 = 8;
 /// Time without an ended run or a change of the limit after which the limit doubles.
 const IDLE_STEP: Micros = 300_000_000;
-/// Holds that are kept; the one that is nearest to its release is evicted.
+/// Maximum number of holds; the one nearest to its release is evicted.
 const MAX_HOLDS: usize = 256;
 
 /// The hold of a fingerprint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FingerprintHold {
-    /// Its class.
+    /// The class index.
     pub class: usize,
-    /// The text of the fingerprint, for display.
+    /// The display text of the fingerprint.
     pub label: String,
-    /// How many may run at once, runaways not counted.
+    /// Number of statements that may run at once, not counting runaways.
     #[serde(rename = "at_once")]
     pub max_in_flight: u32,
-    /// Consecutive clean runs since the last step.
+    /// Number of consecutive clean runs since the last step.
     #[serde(rename = "clean")]
     pub clean_runs: u32,
-    /// Clean runs that the next step takes.
+    /// Number of clean runs needed for the next step.
     #[serde(rename = "wanted")]
     pub clean_runs_needed: u32,
-    /// When the hold began.
+    /// The time at which the hold began.
     pub since: Micros,
-    /// When a statement of the fingerprint last ended, or the limit last changed.
+    /// The time at which a statement of the fingerprint last ended, or the limit last changed.
     #[serde(rename = "last")]
     pub last_end: Micros,
-    /// Whether it also runs at low priority inside engines.
+    /// Whether the fingerprint also runs at low priority inside engines.
     #[serde(rename = "lower")]
     pub low_priority: bool,
-    /// Runaways of the fingerprint that still run, in addition to the limit.
+    /// Number of runaways of the fingerprint that still run, in addition to the limit.
     #[serde(skip)]
     pub runaways: u32,
 }
@@ -61,7 +63,7 @@
         self.clean_runs = 0;
     }
 
-    /// Resets the limit for a further runaway.
+    /// Resets the limit because of a further runaway.
     fn tighten(&mut self, now: Micros) {
         self.clean_runs_needed = (self.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
         self.max_in_flight = 1;
@@ -85,17 +87,17 @@
 }
 
 impl Holds {
-    /// The held fingerprints.
+    /// Returns the held fingerprints.
     pub(crate) fn fingerprints(&self) -> impl Iterator<Item = (&FingerprintId, &FingerprintHold)> {
         self.fingerprints.iter()
     }
 
-    /// Table groups with the engines that they are excluded from.
+    /// Returns the table groups with the engines that they are excluded from.
     pub(crate) fn groups(&self) -> impl Iterator<Item = (&u64, &Vec<EngineId>)> {
         self.groups.iter()
     }
 
-    /// Whether a fingerprint is held.
+    /// Returns whether a fingerprint is held.
     pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
         self.fingerprints.contains_key(&fingerprint)
     }
@@ -105,7 +107,7 @@
         self.fingerprints.extend(holds);
     }
 
-    /// Holds a fingerprint for a runaway that was found.
+    /// Holds a fingerprint because of a runaway.
     pub(crate) fn add_runaway(
         &mut self,
         now: Micros,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Records that a statement of a fingerprint ended; `is_clean` if within half of its bound.
+    /// Records that a statement of a fingerprint ended; `is_clean` if it stayed within half of its bound.
     pub(crate) fn record_run(&mut self, now: Micros, fingerprint: FingerprintId, is_clean: bool) {
         let Some(hold) = self.fingerprints.get_mut(&fingerprint) else {
             return;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Lifts a hold. False if the fingerprint is not held.
+    /// Releases a hold. Returns `false` if the fingerprint is not held.
     pub(crate) fn release(&mut self, fingerprint: FingerprintId) -> bool {
         self.fingerprints.remove(&fingerprint).is_some()
     }
@@ -182,7 +184,8 @@
         self.fingerprints.retain(|_, hold| !hold.is_lifted());
     }
 
-    /// The holds that are new or changed since the last call; lifted ones come as holds without a limit.
+    /// Returns the holds that are new or changed since the last call. Released ones are returned as holds without a
+    /// limit.
     pub(crate) fn take_changes(&mut self, engines: &[EngineStatus]) -> Vec<Hold> {
         let wanted = self.wanted(engines);
         let is_lifted = |target: &&HoldTarget| !wanted.contains_key(target);
@@ -201,7 +204,7 @@
         changes
     }
 
-    /// The holds that are to be in effect at these engines.
+    /// Returns the holds that should be in effect, given these engines.
     fn wanted(&self, engines: &[EngineStatus]) -> BTreeMap<HoldTarget, Hold> {
         let fingerprints = self.fingerprints.iter().map(|(fingerprint, hold)| Hold {
             target: HoldTarget::Kind(fingerprint.0),
@@ -209,7 +212,7 @@
             excluded_engines: excluded_engines(*fingerprint, hold, engines),
             low_priority: hold.low_priority,
         });
-        // Excluded from every engine, a group would never run.
+        // A group excluded from every engine would never run.
         let may_run = |excluded: &[EngineId]| {
             engines
                 .iter()
@@ -246,8 +249,8 @@
     }
 }
 
-/// The engines where a held fingerprint may not run: all but as many as its limit, chosen by a hash that is the same at
-/// all routers, so that they agree on a few engines without communication (rendezvous hashing).
+/// Returns the engines that a held fingerprint may not run on: all but as many as its limit. The allowed engines are
+/// chosen by a hash that is the same on all routers, so that routers agree without communication (rendezvous hashing).
 fn excluded_engines(
     fingerprint: FingerprintId,
     hold: &FingerprintHold,
--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/judgement.rs
@@ -1,8 +1,8 @@
-//! Judgement of one running attempt: whether it is at fault, and for which cause.
+//! Assessment of one running attempt: whether it is a runaway, and for which cause.
 //!
-//! In this order: an attempt that is blocked is not at fault, except in a deadlock; one that blocks many others is
-//! judged more strictly; reported work is the attempt's own; where only time is known, it is divided by the slowness
-//! of the engine.
+//! The rules, in this order: a blocked attempt is not responsible for its run time, except in a deadlock; an attempt
+//! that blocks many others has a stricter bound; reported work is the attempt's own; where only the run time is known,
+//! it is divided by the slowness of the engine.
 
 use hoptiller_policy::Micros;
 
@@ -19,10 +19,10 @@
 use crate::wait_graph::WaitGraph;
 use crate::wait_inference::WaitInference;
 
-/// A client that has received rows for this long reads slowly.
+/// Time for which a client may receive rows before it counts as a slow reader.
 const SLOW_READER_AFTER: Micros = 30_000_000;
 
-/// What a judgement is based on beside the attempt.
+/// The data that an assessment is based on, apart from the attempt itself.
 pub(crate) struct Observations<'a> {
     pub(crate) now: Micros,
     pub(crate) classes: &'a [Class],
@@ -33,23 +33,23 @@
     pub(crate) waits: &'a WaitGraph,
 }
 
-/// What is found of an attempt.
+/// The result of an assessment.
 #[derive(Debug)]
 pub(crate) enum Judgement {
-    /// It is not judged, or nothing is expected of it yet.
+    /// The attempt is not assessed, or nothing is expected of it yet.
     NotJudged,
-    /// It is within its bound, or something else is the reason that it is not.
+    /// The attempt is within its bound, or is not responsible for the excess.
     WithinBound,
-    /// Its client has been receiving pages for longer than a client should need.
+    /// The client has been receiving rows for longer than it should need.
     SlowReader(SlowReader),
-    /// It is over its bound.
+    /// The attempt exceeds its bound.
     OverBound(OverBound),
 }
 
-/// A client that reads slowly.
+/// A client that receives rows slowly.
 #[derive(Debug)]
 pub(crate) struct SlowReader {
-    /// Since when it has received rows.
+    /// The time since which the client has been receiving rows.
     pub(crate) since: Micros,
     pub(crate) evidence: Evidence,
 }
@@ -59,7 +59,7 @@
 pub(crate) struct OverBound {
     pub(crate) cause: Cause,
     pub(crate) excess: Excess,
-    /// Names of the statements that it blocks; in a deadlock, the others of the cycle.
+    /// Names of the statements that the attempt blocks; in a deadlock, the other members of the cycle.
     pub(crate) blocked: Vec<String>,
 }
 
@@ -70,7 +70,7 @@
             return judge_reader(self.now, since);
         }
         if attempt.abandoned_at().is_some() {
-            return Judgement::NotJudged; // It is judged by the attempts that it blocks.
+            return Judgement::NotJudged; // Abandoned attempts are assessed by the attempts that they block.
         }
         let name = &attempt.start().name;
         if let Some(cycle) = self.waits.cycle(name) {
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The largest excess of an attempt, unless something other than the attempt may be the reason for it.
+    /// Returns the largest excess of an attempt, unless the excess may have a cause other than the attempt.
     fn inexcusable_excess(
         &self,
         attempt: &RunningAttempt,
@@ -122,7 +122,7 @@
             1.0
         };
         let excess = largest_excess(attempt, expectation, self.now, slowness, bound_factor)?;
-        // An attempt that is blocked is not at fault, whatever it took before.
+        // A blocked attempt is not responsible for its run time, whatever it used before.
         if attempt.is_blocked() {
             return None;
         }
@@ -140,8 +140,8 @@
         ) {
             return None;
         }
-        // Where engines report on other attempts, one without reports is unreachable rather than heavy: that is for
-        // routing to handle.
+        // If engines report on other attempts, an attempt without reports is more likely unreachable than heavy, which
+        // is up to routing to handle.
         let is_silent = attempt.progress_reports() == 0
             && self
                 .attempts
@@ -150,7 +150,8 @@
         (blocks_many || !is_silent).then_some(excess)
     }
 
-    /// Evidence that an attempt uses far more memory than usual while others at its engine wait for memory.
+    /// Returns evidence that an attempt uses far more memory than usual while other attempts on its engine wait for
+    /// memory.
     fn excessive_memory(
         &self,
         attempt: &RunningAttempt,
@@ -185,7 +186,8 @@
     })
 }
 
-/// `cycle` are the names of those that wait for each other, the attempt first.
+/// Creates the assessment of an attempt in a deadlock. `cycle` names the statements that wait for each other, the
+/// attempt first.
 fn deadlock(attempt: &RunningAttempt, cycle: &[&str]) -> OverBound {
     let evidence = Evidence {
         measure: Measure::Time,
--- a/crates/runaway/src/remote_statements.rs
+++ b/crates/runaway/src/remote_statements.rs
@@ -1,8 +1,8 @@
-//! Statements of other routers, or of an earlier incarnation of this one, that engines name as blockers of attempts of
-//! this router.
+//! Statements of other routers, or of an earlier incarnation of this one, that engines report as blockers of this
+//! router's attempts.
 //!
-//! Where such a statement is found to be a runaway, the table groups that it blocks are excluded from its engine for a
-//! time that doubles whenever the statement outlasts it.
+//! If such a statement is a runaway, the table groups that it blocks are excluded from its engine for a time that
+//! doubles whenever the statement still blocks attempts after it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,13 +10,13 @@
 
 use crate::interface::{Class, Holder};
 
-/// Statements that are tracked at most.
+/// Maximum number of tracked statements.
 const MAX_REMOTE_STATEMENTS: usize = 256;
-/// A statement that was not reported for this long is gone.
+/// Time without a report after which a statement is considered gone.
 const REMOTE_TTL: Micros = 5_000_000;
-/// The first exclusion of table groups from the engine where a runaway blocks them.
+/// Duration of the first exclusion of table groups from the engine where a runaway blocks them.
 const MIN_EXCLUSION: Micros = 20_000_000;
-/// The longest such exclusion.
+/// Maximum duration of such an exclusion.
 const MAX_EXCLUSION: Micros = 160_000_000;
 
 /// A statement that this router did not send.
@@ -30,12 +30,12 @@
     exclusion: Exclusion,
 }
 
-/// The exclusion of table groups from the engine of a runaway.
+/// An exclusion of table groups from the engine of a runaway.
 #[derive(Debug)]
 struct Exclusion {
-    /// Table groups of the attempts that it blocked.
+    /// The table groups of the attempts that the runaway blocked.
     groups: BTreeSet<u64>,
-    /// Until when they are excluded; 0 if it was never found to be a runaway.
+    /// The end of the exclusion; 0 if the statement has not been found to be a runaway.
     until: Micros,
     duration: Micros,
 }
@@ -47,7 +47,7 @@
 }
 
 impl RemoteStatements {
-    /// Records that an engine names a statement as the blocker of an attempt.
+    /// Records an engine's report that a statement blocks an attempt.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -56,9 +56,9 @@
         classes: &[Class],
     ) {
         if self.len() >= MAX_REMOTE_STATEMENTS && !self.by_name.contains_key(&holder.name) {
-            return; // Tracked ones expire soon.
+            return; // New ones are dropped, as tracked ones expire soon.
         }
-        // Without a reported age, it is as old as the first report of it.
+        // Without a reported age, the statement is assumed to have started at its first report.
         let started_at = holder.age.map(|age| now.saturating_sub(age));
         let class = holder.class.filter(|class| *class < classes.len());
         let remote = self
@@ -73,23 +73,23 @@
         remote.class = remote.class.or(class);
     }
 
-    /// Number of tracked statements.
+    /// Returns the number of tracked statements.
     pub(crate) fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// The names, in order.
+    /// Returns the names in ascending order.
     pub(crate) fn names(&self) -> impl Iterator<Item = &String> {
         self.by_name.keys()
     }
 
-    /// A statement by its name.
+    /// Returns a statement by its name.
     pub(crate) fn get(&self, name: &str) -> Option<&RemoteStatement> {
         self.by_name.get(name)
     }
 
-    /// Whether a statement was not reported lately. One whose tables are excluded blocks nobody, so that it is kept for
-    /// as long as the exclusion lasts.
+    /// Returns whether a statement has not been reported recently. During an exclusion, a statement blocks no attempts
+    /// and is not reported, so it is kept until [`REMOTE_TTL`] after the exclusion.
     pub(crate) fn is_expired(&self, now: Micros, name: &str) -> bool {
         self.get(name).is_some_and(|remote| {
             let last = remote.reported_at.max(remote.exclusion.until);
@@ -102,22 +102,22 @@
         self.by_name.remove(name);
     }
 
-    /// Records since when a statement is over its bound.
+    /// Records the time since which a statement has been over its bound.
     pub(crate) fn mark_over_bound(&mut self, name: &str, since: Micros) {
         if let Some(remote) = self.by_name.get_mut(name) {
             remote.over_bound_since = Some(since);
         }
     }
 
-    /// Starts the exclusion of the tables of a statement that was found to be a runaway.
+    /// Starts the exclusion of the table groups that a new runaway blocks.
     pub(crate) fn start_exclusion(&mut self, now: Micros, name: &str) {
         if let Some(RemoteStatement { exclusion, .. }) = self.by_name.get_mut(name) {
             exclusion.until = now + exclusion.duration;
         }
     }
 
-    /// Extends the exclusion for a runaway that still blocks attempts on `groups`. If the exclusion had ended, the next
-    /// one is twice as long.
+    /// Extends the exclusion for a runaway that still blocks attempts on `groups`. If the previous exclusion had ended,
+    /// the new one is twice as long.
     pub(crate) fn extend_exclusion(
         &mut self,
         now: Micros,
@@ -137,7 +137,7 @@
         exclusion.groups.extend(groups);
     }
 
-    /// The statements whose tables are excluded now, with those table groups.
+    /// Returns the statements with a current exclusion, and their excluded table groups.
     pub(crate) fn excluded(
         &self,
         now: Micros,
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -1,4 +1,4 @@
-//! Findings on engines where everything runs long without a statement at fault for it.
+//! Findings on engines where everything runs long without a responsible statement.
 
 use hoptiller_policy::{EngineId, Micros};
 
@@ -8,7 +8,7 @@
     Basis, Cause, Decision, EngineStatus, Evidence, Finding, Measure, Subject, Verdict,
 };
 
-/// Reports engines that are slower than the others, and clears the reports that no longer hold.
+/// Reports engines that are slower than the others, and clears reports that no longer apply.
 pub(crate) fn report_slow_engines(
     now: Micros,
     engines: &[EngineStatus],
@@ -45,7 +45,7 @@
         .any(|f| f.engine == Some(engine) && f.verdict == Verdict::Runaway)
 }
 
-/// Clears findings on engines that are not listed any more.
+/// Clears findings on engines that are no longer listed.
 fn clear_unlisted_engines(
     now: Micros,
     engines: &[EngineStatus],
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! The form in which statistics and holds survive a restart: a line that names the format and its version, a line with
-//! the BLAKE3 checksum of the rest, and the rest as JSON. The writer replaces the file atomically; the reader restores
-//! all of it or nothing.
+//! The stored form of statistics and holds, which survives a restart: a line with the name and version of the format, a
+//! line with the BLAKE3 checksum of the remainder, and the remainder as JSON. The writer replaces the file atomically;
+//! the reader restores either all of it or nothing.
 
 use std::collections::BTreeMap;
 
@@ -17,48 +17,48 @@
 /// The first line; the number is the version of the format.
 const HEADER: &str = "hoptiller runaways 1";
 
-/// Bytes of the line with the checksum: 64 hexadecimal digits and a line feed.
+/// Length of the checksum line in bytes: 64 hexadecimal digits and a line feed.
 const CHECKSUM_LINE_LEN: usize = 65;
 
-/// Why a snapshot can't be restored.
+/// The reason why a snapshot cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no snapshot, or one of another version.
+    /// The data is not a snapshot, or is one of another version.
     #[error("it does not begin with {HEADER:?}")]
     UnknownFormat,
-    /// Its checksum does not match: it was cut or changed.
+    /// The checksum does not match: the snapshot was truncated or modified.
     #[error("its checksum is wrong: it was cut or changed")]
     Damaged,
-    /// Its checksum matches, but its content is not the expected JSON.
+    /// The checksum matches, but the content is not the expected JSON.
     #[error("it can't be understood: {0}")]
     InvalidJson(#[source] serde_json::Error),
-    /// Its checksum matches, but one of its distributions has weights or figures out of bounds.
+    /// The checksum matches, but weights or values of a distribution are out of range.
     #[error("it can't be understood: a distribution out of bounds")]
     InvalidDistribution,
 }
 
-/// How much was restored.
+/// Numbers of restored and dropped items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoredCounts {
-    /// Fingerprints.
+    /// Number of restored fingerprints.
     pub fingerprints: usize,
-    /// Holds.
+    /// Number of restored holds.
     pub holds: usize,
-    /// Fingerprints and holds of classes that are not in the settings any more.
+    /// Number of fingerprints and holds that were dropped because their class is no longer in the settings.
     pub dropped: usize,
 }
 
-/// A decoded snapshot, with the numbers that classes have in the present settings.
+/// A decoded snapshot, with class indexes of the current settings.
 pub(crate) struct Snapshot {
-    /// Statistics by class number.
+    /// Statistics by class index.
     pub(crate) classes: Vec<(usize, ClassStatistics)>,
-    /// The least recently used first.
+    /// Statistics of fingerprints, the least recently used first.
     pub(crate) fingerprints: Vec<(FingerprintId, FingerprintStatistics)>,
     pub(crate) holds: Vec<(FingerprintId, FingerprintHold)>,
     pub(crate) counts: RestoredCounts,
 }
 
-/// Encodes what survives a restart.
+/// Encodes the statistics and holds.
 pub(crate) fn encode(classes: &[Class], statistics: &Statistics, holds: &Holds) -> Vec<u8> {
     let saved = Saved {
         classes: classes
@@ -82,11 +82,12 @@
     bytes
 }
 
-/// Decodes a snapshot. Classes are matched by name: the settings may have others now, or in another order.
+/// Decodes a snapshot. Classes are matched by name, because the current settings may contain other classes or another
+/// order.
 ///
 /// # Errors
 ///
-/// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
+/// Returns an error if `bytes` is not a snapshot of this version, is damaged or cannot be decoded.
 pub(crate) fn decode(
     now: Micros,
     bytes: &[u8],
@@ -121,15 +122,15 @@
     })
 }
 
-/// The figures of a distribution with their weights.
+/// The values of a distribution with their weights.
 type SavedSketch = Vec<(u64, u16)>;
-/// Run time, work, work by rows, memory.
+/// The distributions of run time, work, work per 1000 rows and memory.
 type SavedDistributions = [SavedSketch; 4];
 
 #[derive(Serialize, Deserialize)]
 struct Saved {
     classes: Vec<SavedClass>,
-    /// The least recently used first.
+    /// Statistics of fingerprints, the least recently used first.
     #[serde(rename = "kinds")]
     fingerprints: Vec<SavedFingerprint>,
     holds: Vec<(FingerprintId, FingerprintHold)>,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// `class` is its number in the present settings, `last_use` its place in the order of use.
+    /// Restores the statistics, with the current index of the class. `last_use` is the position in the order of use.
     fn restore(
         self,
         class: usize,
@@ -235,7 +236,7 @@
     Sketch::from_pairs(saved).ok_or(SnapshotError::InvalidDistribution)
 }
 
-/// Checks the header and the checksum, and decodes the rest.
+/// Checks the header and the checksum, and decodes the remainder.
 fn decode_saved(bytes: &[u8]) -> Result<Saved, SnapshotError> {
     let rest = bytes
         .strip_prefix(HEADER.as_bytes())
@@ -251,7 +252,8 @@
     serde_json::from_slice(body).map_err(SnapshotError::InvalidJson)
 }
 
-/// The statistics of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+/// Restores the statistics of fingerprints whose class still exists. `class_indexes` maps saved class indexes to
+/// current ones.
 fn restore_fingerprints(
     saved: Vec<SavedFingerprint>,
     numbers: &[Option<usize>],
@@ -261,14 +263,15 @@
         let Some(class) = numbers.get(saved.class).copied().flatten() else {
             continue;
         };
-        // The clock of an earlier process means nothing now; the order does.
+        // Times of an earlier process cannot be compared with current ones, but their order remains valid.
         let last_use = position as Micros;
         restored.push((saved.id, saved.restore(class, last_use)?));
     }
     Ok(restored)
 }
 
-/// The holds of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+/// Restores the holds of fingerprints whose class still exists. `class_indexes` maps saved class indexes to current
+/// ones.
 fn restore_holds(
     now: Micros,
     saved: Vec<(FingerprintId, FingerprintHold)>,
--- a/crates/runaway/src/unknown_runaways.rs
+++ b/crates/runaway/src/unknown_runaways.rs
@@ -1,23 +1,24 @@
-//! Whether the unknown fingerprints of a class are held together: they are when several of them ran away within a short
-//! time, as happens when every text is different and a hold on one of them has no effect.
+//! Whether all unknown fingerprints of a class are held together. They are if several of them had runaways within a
+//! short time: a client that varies its statement texts would evade holds on single fingerprints.
 
 use std::collections::VecDeque;
 
 use hoptiller_policy::Micros;
 
-/// Runaways of unknown fingerprints of a class, within the window, from which all of them are held together.
+/// Number of runaways of unknown fingerprints of a class, within [`WINDOW`], from which all unknown ones are held
+/// together.
 const MIN_RUNAWAYS: usize = 3;
-/// That window.
+/// Time window in which runaways of unknown fingerprints are counted.
 const WINDOW: Micros = 300_000_000;
 
-/// When runaways of unknown fingerprints were found, by class.
+/// The times at which runaways of unknown fingerprints were found, by class.
 #[derive(Debug)]
 pub(crate) struct UnknownRunaways {
     found_at: Vec<VecDeque<Micros>>,
 }
 
 impl UnknownRunaways {
-    /// No runaways of some classes.
+    /// Creates the counters of `classes` classes, without runaways.
     pub(crate) fn new(classes: usize) -> UnknownRunaways {
         UnknownRunaways {
             found_at: vec![VecDeque::new(); classes],
@@ -29,7 +30,8 @@
         self.found_at.resize(classes, VecDeque::new());
     }
 
-    /// Records a runaway of an unknown fingerprint. Returns whether there are enough of them to be held together.
+    /// Records a runaway of an unknown fingerprint. Returns whether all unknown fingerprints of the class are to be
+    /// held together.
     pub(crate) fn record(&mut self, now: Micros, class: usize) -> bool {
         let found_at = &mut self.found_at[class];
         found_at.push_back(now);
--- a/crates/runaway/src/wait_graph.rs
+++ b/crates/runaway/src/wait_graph.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Edges that a search for a cycle follows at most.
+/// Maximum number of edges that a search for a cycle follows.
 const MAX_CHAIN: usize = 64;
 
-/// Which statement waits for which.
+/// The waits between statements.
 #[derive(Debug, Default)]
 pub(crate) struct WaitGraph {
     holders: BTreeMap<String, String>,
@@ -13,8 +13,8 @@
 }
 
 impl WaitGraph {
-    /// Adds that `waiter` waits for `holder`. Of several holders, the first has the waiter among its own, and the last
-    /// is the one that a search for a cycle follows.
+    /// Adds a wait of `waiter` for `holder`. If `waiter` already waits for another statement, it remains among the
+    /// waiters of the first one, and a search for a cycle follows the last one.
     pub(crate) fn add_wait(&mut self, waiter: &str, holder: &str) {
         if waiter == holder {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The statements that wait for this one, directly or through others, without itself.
+    /// Returns the other statements that wait for this one, directly or through others.
     pub(crate) fn waiters_of(&self, name: &str) -> Vec<&str> {
         let mut all: Vec<&str> = Vec::new();
         let mut visited = BTreeSet::from([name]);
@@ -42,7 +42,7 @@
         all
     }
 
-    /// The same as owned names.
+    /// Returns the other statements that wait for this one as owned names.
     pub(crate) fn waiter_names(&self, name: &str) -> Vec<String> {
         self.waiters_of(name)
             .into_iter()
@@ -50,12 +50,12 @@
             .collect()
     }
 
-    /// Whether a statement waits for another.
+    /// Returns whether a statement waits for another.
     pub(crate) fn is_waiting(&self, name: &str) -> bool {
         self.holders.contains_key(name)
     }
 
-    /// The cycle that a statement is part of, itself first.
+    /// Returns the cycle that a statement is part of, starting with the statement itself.
     pub(crate) fn cycle(&self, name: &str) -> Option<Vec<&str>> {
         let mut cycle = Vec::new();
         let mut current = name;
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -1,4 +1,4 @@
-//! Which attempt waits for which statement: as engines report it, or inferred from table groups where none does.
+//! Waits between attempts: as reported by engines, or inferred from table groups if no engine reports progress.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +13,29 @@
 
 /// Multiple of the usual run time from which an attempt may be inferred to wait for a load.
 const MAY_WAIT_FACTOR: f64 = 4.0;
-/// If no engine has sent a progress report for this long, engines are taken not to report progress.
+/// Time without any progress report after which engines are assumed not to report progress.
 const REPORTS_TTL: Micros = 60_000_000;
-/// Time after which a completion is dropped where too many are kept.
+/// Age from which completions are dropped when too many are kept.
 const COMPLETION_TTL: Micros = 60_000_000;
-/// Pairs of engine and table group of which the last completion is kept.
+/// Maximum number of pairs of engine and table group whose last completion is kept.
 const MAX_COMPLETIONS: usize = 8192;
 
-/// What waits are inferred from beside the running attempts.
+/// The data that waits are inferred from, apart from the running attempts.
 #[derive(Debug, Default)]
 pub(crate) struct WaitInference {
-    /// When any engine last reported progress of an attempt.
+    /// The time of the last progress report of any engine.
     last_report_at: Option<Micros>,
-    /// By engine and table group: the latest start among the attempts that ran there as usual.
+    /// By engine and table group: the latest start time among the attempts that completed there as usual.
     last_completions: BTreeMap<(EngineId, u64), Micros>,
 }
 
 impl WaitInference {
-    /// Records that an engine reported progress.
+    /// Records a progress report of any engine.
     pub(crate) fn record_report(&mut self, now: Micros) {
         self.last_report_at = Some(now);
     }
 
-    /// Records that an attempt on a table group ran as usual at an engine.
+    /// Records that an attempt on a table group completed as usual on an engine.
     pub(crate) fn record_completion(
         &mut self,
         now: Micros,
@@ -50,12 +50,12 @@
                 .retain(|_, started_at| now.saturating_sub(*started_at) < COMPLETION_TTL);
         }
         if self.last_completions.len() > MAX_COMPLETIONS {
-            // Still too many recent ones: waits are inferred more often until completions come again.
+            // Too many completions are recent. Without them, waits are inferred more often until new ones are recorded.
             self.last_completions.clear();
         }
     }
 
-    /// Who waits for whom now.
+    /// Returns the current waits.
     pub(crate) fn wait_graph(
         &self,
         now: Micros,
@@ -74,9 +74,9 @@
         waits
     }
 
-    /// Where engines report no waits: whether an attempt may wait for a load of another router. It may not if another
-    /// attempt on its table group that started later ran there as usual; otherwise it may if another one runs long
-    /// there too, or if it has run no longer than a load may.
+    /// Returns whether an attempt may wait for a load of another router, if engines do not report waits. It does not if
+    /// another attempt on its table group that started later completed there as usual; otherwise it may if another
+    /// attempt there runs long too, or if it has run no longer than a load may.
     pub(crate) fn may_be_blocked_unseen(
         &self,
         now: Micros,
@@ -115,13 +115,13 @@
         awaited(attempts).any(runs_long_too) || run_time.0 <= longest_load
     }
 
-    /// Whether any engine reported progress lately.
+    /// Returns whether any engine has reported progress recently.
     fn has_recent_reports(&self, now: Micros) -> bool {
         self.last_report_at
             .is_some_and(|at| now.saturating_sub(at) < REPORTS_TTL)
     }
 
-    /// Whether an attempt on this table group that started at this engine after `since` ran as usual.
+    /// Returns whether an attempt on this table group that started on this engine after `since` completed as usual.
     fn is_completed_since(&self, engine: EngineId, group: u64, since: Micros) -> bool {
         self.last_completions
             .get(&(engine, group))
@@ -129,7 +129,7 @@
     }
 }
 
-/// An attempt that takes far longer than usual is taken to wait for a load on its table group that started earlier at
+/// Infers that an attempt that takes far longer than usual waits for a load on its table group that started earlier on
 /// the same engine.
 fn infer_waits(now: Micros, attempts: &Attempts, classes: &[Class], waits: &mut WaitGraph) {
     let is_load = |attempt: &&RunningAttempt| {
@@ -148,7 +148,7 @@
     }
 }
 
-/// The attempts that this router waits for.
+/// Returns the attempts that this router still waits for.
 fn awaited(attempts: &Attempts) -> impl Iterator<Item = &RunningAttempt> {
     attempts
         .values()
