--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -5,7 +5,7 @@
 use hoptiller_mock_servers::work_model::{self, Admission, ExecutionProgress, Job, WorkModel};
 use hoptiller_policy::{AttemptStatus, LoadReport, Micros, Progress};
 use hoptiller_router_core::ResultPage;
-use hoptiller_runaway::{BlockedState, Holder, ProgressReport};
+use hoptiller_runaway::{BlockedState, BlockingStatement, ProgressReport};
 use rand::Rng;
 
 use super::events::{AttemptId, SimulatedEvent};
@@ -267,19 +267,19 @@
     fn reported_block(&self, engine: usize, blocked: work_model::BlockedState) -> BlockedState {
         match blocked {
             work_model::BlockedState::WaitingForMemory => BlockedState::Memory,
-            work_model::BlockedState::Paused => BlockedState::Behind(None),
+            work_model::BlockedState::Paused => BlockedState::Statement(None),
             work_model::BlockedState::BlockedBy(job) => {
-                BlockedState::Behind(self.holder(engine, job))
+                BlockedState::Statement(self.holder(engine, job))
             }
         }
     }
 
     /// The attempt that blocks another, by the name that its router gave it.
-    fn holder(&self, engine: usize, job: u64) -> Option<Holder> {
+    fn holder(&self, engine: usize, job: u64) -> Option<BlockingStatement> {
         let simulated = &self.engines[engine];
         let admitted = *simulated.admitted.get(&job)?;
         let identity = &self.routers[admitted.router].identity;
-        Some(Holder {
+        Some(BlockingStatement {
             name: identity.statement_name(admitted.attempt.statement),
             class: Some(self.planned_statement(admitted).class),
             age: simulated.model.progress(job).map(|p| p.run_micros),
--- a/crates/emulator/src/study/workload.rs
+++ b/crates/emulator/src/study/workload.rs
@@ -152,7 +152,7 @@
     settings.engines.health_checks &= condition.reports_load;
     for acts in &mut settings.runaways.enforcement {
         acts.hold &= condition.holds_runaways;
-        acts.end |= condition.kills_runaways;
+        acts.kill |= condition.kills_runaways;
     }
     settings.runaways.kill_after = KILL_AFTER;
     settings
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -1,7 +1,7 @@
 //! What is reported of attempts, and the settling of statements.
 
 use hoptiller_policy::{Event, Micros, Progress, RequestId};
-use hoptiller_runaway::{ExecutionOutcome, Proof, RetrySafety, retry_safety_after_end};
+use hoptiller_runaway::{ExecutionOutcome, Proof, RetrySafety, retry_safety_after_kill};
 
 use super::Core;
 use crate::command::{AttemptOutcome, Command};
@@ -111,7 +111,7 @@
         self.events.extend(event);
         let first_sent_at = statement.attempts().first_sent_at().unwrap_or(now);
         let idempotency = self.endpoints.idempotency(statement.class());
-        let safety = retry_safety_after_end(idempotency, proof, first_sent_at, now);
+        let safety = retry_safety_after_kill(idempotency, proof, first_sent_at, now);
         let response = self.response_after_kill(safety, reason);
         self.settle(now, id, response);
         self.statements.remove_if_finished(id);
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -182,7 +182,7 @@
                 Decision::Found(finding) => Command::ReportFinding(finding),
                 Decision::Pause(attempt) => pause_command(attempt, true),
                 Decision::Resume(attempt) => pause_command(attempt, false),
-                Decision::End(attempt) => Command::Kill {
+                Decision::Kill(attempt) => Command::Kill {
                     id: attempt.statement,
                     attempt: attempt.number,
                 },
--- a/crates/runaway/src/blocker.rs
+++ b/crates/runaway/src/blocker.rs
@@ -105,8 +105,8 @@
             engine: Some(self.engine),
             started: self.started_at,
             since,
-            blocked: blocked.len(),
-            blocks: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
+            blocked_count: blocked.len(),
+            blocked_names: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
             note: match self.id {
                 Some(_) => "this router waits for it no longer; its engine goes on",
                 None => "not a statement of this router's present life",
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -156,7 +156,7 @@
     }
 
     /// Returns the most recently cleared findings, oldest first.
-    pub fn past_findings(&self) -> impl Iterator<Item = &Finding> {
+    pub fn cleared_findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.past()
     }
 
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempts.rs
@@ -27,7 +27,7 @@
         let engine = attempt.start().engine;
         let blocked_state = report.blocked_state.clone();
         attempt.record_report(now, report);
-        if let Some(BlockedState::Behind(Some(holder))) = blocked_state
+        if let Some(BlockedState::Statement(Some(holder))) = blocked_state
             && self.attempts.id_by_name(&holder.name).is_none()
         {
             let classes = &self.settings.classes;
--- a/crates/runaway/src/detector/enforcement.rs
+++ b/crates/runaway/src/detector/enforcement.rs
@@ -21,8 +21,8 @@
         let class = &self.settings.classes[attempt.start().class];
         let options = class.enforcement;
         if attempt.is_executing() {
-            if options.end && !has_younger {
-                let end_at = now + self.settings.end_after;
+            if options.kill && !has_younger {
+                let end_at = now + self.settings.kill_after;
                 attempt.enforcement.schedule_end(end_at);
             }
             // Pausing a statement that others wait for would prolong their wait.
@@ -34,7 +34,7 @@
             }
         }
         if options.hold {
-            self.hold_fingerprint(now, id, options.lower);
+            self.hold_fingerprint(now, id, options.low_priority);
         }
     }
 
@@ -48,7 +48,7 @@
                 self.decisions.push(Decision::Resume(id));
             }
             if due.end {
-                self.decisions.push(Decision::End(id));
+                self.decisions.push(Decision::Kill(id));
             }
         }
     }
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/findings.rs
@@ -66,8 +66,8 @@
             blocked,
         } = found;
         let finding = Finding {
-            blocked: blocked.len(),
-            blocks: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
+            blocked_count: blocked.len(),
+            blocked_names: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
             ..attempt.finding(now, since, verdict, cause, excess.evidence)
         };
         let is_new = self.findings.report(finding, &mut self.decisions);
--- a/crates/runaway/src/ending.rs
+++ b/crates/runaway/src/ending.rs
@@ -27,7 +27,7 @@
 
 /// Returns whether a retry of a killed statement is safe. `since` is the time at which the first attempt that may have
 /// run was sent.
-pub fn retry_safety_after_end(
+pub fn retry_safety_after_kill(
     idempotency: Idempotency,
     proof: Proof,
     since: Micros,
--- a/crates/runaway/src/ending/tests.rs
+++ b/crates/runaway/src/ending/tests.rs
@@ -49,7 +49,7 @@
         ),
     ] {
         assert_eq!(
-            retry_safety_after_end(idempotency, proof, 100, 200),
+            retry_safety_after_kill(idempotency, proof, 100, 200),
             want,
             "{idempotency:?} {proof:?}"
         );
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -22,8 +22,8 @@
         since: at,
         at,
         evidence,
-        blocks: Vec::new(),
-        blocked: 0,
+        blocked_names: Vec::new(),
+        blocked_count: 0,
         note: "",
     }
 }
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -47,7 +47,7 @@
     pub since: Micros,
     /// The time at which a statement of the fingerprint last ended, or the limit last changed.
     #[serde(rename = "last")]
-    pub last_end: Micros,
+    pub last_change: Micros,
     /// Whether the fingerprint also runs at low priority inside engines.
     #[serde(rename = "lower")]
     pub low_priority: bool,
@@ -68,7 +68,7 @@
         self.clean_runs_needed = (self.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
         self.max_in_flight = 1;
         self.clean_runs = 0;
-        self.last_end = now;
+        self.last_change = now;
         self.runaways += 1;
     }
 
@@ -128,7 +128,7 @@
             clean_runs: 0,
             clean_runs_needed: MIN_CLEAN_RUNS,
             since: now,
-            last_end: now,
+            last_change: now,
             low_priority,
             runaways: 1,
         };
@@ -139,7 +139,7 @@
     pub(crate) fn remove_runaway(&mut self, now: Micros, fingerprint: FingerprintId) {
         if let Some(hold) = self.fingerprints.get_mut(&fingerprint) {
             hold.runaways = hold.runaways.saturating_sub(1);
-            hold.last_end = now;
+            hold.last_change = now;
         }
     }
 
@@ -148,7 +148,7 @@
         let Some(hold) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
-        hold.last_end = now;
+        hold.last_change = now;
         if !is_clean {
             hold.clean_runs = 0;
             return;
@@ -176,9 +176,9 @@
     pub(crate) fn relax_idle(&mut self, now: Micros) {
         let without_runaways = self.fingerprints.values_mut().filter(|h| h.runaways == 0);
         for hold in without_runaways {
-            if now.saturating_sub(hold.last_end) >= IDLE_STEP {
+            if now.saturating_sub(hold.last_change) >= IDLE_STEP {
                 hold.relax();
-                hold.last_end = now;
+                hold.last_change = now;
             }
         }
         self.fingerprints.retain(|_, hold| !hold.is_lifted());
@@ -242,7 +242,7 @@
         let nearest_release = self
             .fingerprints
             .iter()
-            .max_by_key(|(_, hold)| (hold.max_in_flight, Reverse(hold.last_end)));
+            .max_by_key(|(_, hold)| (hold.max_in_flight, Reverse(hold.last_change)));
         if let Some(id) = nearest_release.map(|(id, _)| *id) {
             self.fingerprints.remove(&id);
         }
--- a/crates/runaway/src/interface/decisions.rs
+++ b/crates/runaway/src/interface/decisions.rs
@@ -17,5 +17,5 @@
     /// Resumes a paused attempt.
     Resume(AttemptId),
     /// Kills an attempt; the engine still reports its outcome.
-    End(AttemptId),
+    Kill(AttemptId),
 }
--- a/crates/runaway/src/interface/events.rs
+++ b/crates/runaway/src/interface/events.rs
@@ -22,12 +22,12 @@
     /// The attempt waits for memory.
     Memory,
     /// The attempt waits for another statement, which some engines name.
-    Behind(Option<Holder>),
+    Statement(Option<BlockingStatement>),
 }
 
 /// A statement that blocks another one, as reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct BlockingStatement {
     /// The statement's name: `ROUTER/NUMBER_INCARNATION`.
     pub name: String,
     /// The statement's class, if reported.
--- a/crates/runaway/src/interface/findings.rs
+++ b/crates/runaway/src/interface/findings.rs
@@ -200,9 +200,9 @@
     /// The measured value that the verdict is based on.
     pub evidence: Evidence,
     /// The names of the blocked statements, at most [`MAX_BLOCKED_NAMES`] of them.
-    pub blocks: Vec<String>,
+    pub blocked_names: Vec<String>,
     /// The number of blocked statements.
-    pub blocked: usize,
+    pub blocked_count: usize,
     /// The reason why the finding was cleared, or a remark.
     pub note: &'static str,
 }
@@ -230,8 +230,8 @@
             since: now,
             at: now,
             evidence,
-            blocks: Vec::new(),
-            blocked: 0,
+            blocked_names: Vec::new(),
+            blocked_count: 0,
             note: "",
         }
     }
--- a/crates/runaway/src/interface/mod.rs
+++ b/crates/runaway/src/interface/mod.rs
@@ -8,7 +8,8 @@
 
 pub use decisions::Decision;
 pub use events::{
-    Announced, AttemptStart, BlockedState, EngineStatus, ExecutionOutcome, Holder, ProgressReport,
+    Announced, AttemptStart, BlockedState, BlockingStatement, EngineStatus, ExecutionOutcome,
+    ProgressReport,
 };
 pub use findings::{Basis, Cause, Evidence, Finding, MAX_BLOCKED_NAMES, Measure, Subject, Verdict};
 pub use ids::{AttemptId, FingerprintId};
--- a/crates/runaway/src/interface/settings.rs
+++ b/crates/runaway/src/interface/settings.rs
@@ -7,15 +7,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnforcementOptions {
     /// Whether runaways are reported.
-    pub name: bool,
+    #[serde(rename = "name")]
+    pub report: bool,
     /// Whether the number of statements of a runaway's fingerprint that run at once, and their engines, are limited.
     pub hold: bool,
     /// Whether the statements of a held fingerprint run at low priority inside engines.
-    pub lower: bool,
+    #[serde(rename = "lower")]
+    pub low_priority: bool,
     /// Whether a runaway is paused once, for a limited time.
     pub pause: bool,
     /// Whether runaways are killed.
-    pub end: bool,
+    #[serde(rename = "end")]
+    pub kill: bool,
 }
 
 /// The settings of a class.
@@ -47,5 +50,5 @@
     /// The duration of a pause.
     pub pause_for: Micros,
     /// The delay from the detection of a runaway until it is killed.
-    pub end_after: Micros,
+    pub kill_after: Micros,
 }
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -56,11 +56,11 @@
 mod wait_inference;
 
 pub use detector::{RunawayDetector, TrackedCounts};
-pub use ending::{Proof, RetrySafety, retry_safety_after_end};
+pub use ending::{Proof, RetrySafety, retry_safety_after_kill};
 pub use holds::FingerprintHold;
 pub use interface::{
-    Announced, AttemptId, AttemptStart, Basis, BlockedState, Cause, Class, Decision,
-    EnforcementOptions, EngineStatus, Evidence, ExecutionOutcome, Finding, FingerprintId, Holder,
+    Announced, AttemptId, AttemptStart, Basis, BlockedState, BlockingStatement, Cause, Class,
+    Decision, EnforcementOptions, EngineStatus, Evidence, ExecutionOutcome, Finding, FingerprintId,
     MAX_BLOCKED_NAMES, Measure, ProgressReport, Settings, Subject, Verdict,
 };
 pub use snapshot::{RestoredCounts, SnapshotError};
--- a/crates/runaway/src/remote_statements.rs
+++ b/crates/runaway/src/remote_statements.rs
@@ -8,7 +8,7 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::interface::{Class, Holder};
+use crate::interface::{BlockingStatement, Class};
 
 /// Maximum number of tracked statements.
 const MAX_REMOTE_STATEMENTS: usize = 256;
@@ -52,7 +52,7 @@
         &mut self,
         now: Micros,
         engine: EngineId,
-        holder: &Holder,
+        holder: &BlockingStatement,
         classes: &[Class],
     ) {
         if self.len() >= MAX_REMOTE_STATEMENTS && !self.by_name.contains_key(&holder.name) {
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -282,7 +282,7 @@
         let hold = FingerprintHold {
             class,
             since: now,
-            last_end: now,
+            last_change: now,
             runaways: 0,
             ..hold
         };
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -64,7 +64,7 @@
     ) -> WaitGraph {
         let mut waits = WaitGraph::default();
         for attempt in awaited(attempts) {
-            if let Some(BlockedState::Behind(Some(holder))) = attempt.blocked_state(now) {
+            if let Some(BlockedState::Statement(Some(holder))) = attempt.blocked_state(now) {
                 waits.add_wait(&attempt.start().name, &holder.name);
             }
         }
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -33,8 +33,8 @@
         .clone();
     assert_eq!(
         (
-            f.blocked,
-            f.blocks.len(),
+            f.blocked_count,
+            f.blocked_names.len(),
             simulation.detector.open_findings().count()
         ),
         (40, 40, 1)
@@ -153,12 +153,12 @@
         for second in 0..12 {
             for id in &waiting {
                 let age = Some(age + second * S);
-                let holder = Holder {
+                let holder = BlockingStatement {
                     name: holder.into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
             }
             simulation.advance(1);
         }
@@ -218,7 +218,7 @@
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.running.clear();
     for _ in 0..20 {
-        let blocked_state = Some(BlockedState::Behind(None));
+        let blocked_state = Some(BlockedState::Statement(None));
         simulation.detector.report_progress(
             simulation.now,
             Simulation::attempt(id),
@@ -315,12 +315,12 @@
             ("r2/00002_x", (second - 27) * S)
         };
         for id in &waiting {
-            let holder = Holder {
+            let holder = BlockingStatement {
                 name: name.into(),
                 class: Some(LOAD),
                 age: Some(age),
             };
-            simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+            simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
         }
         simulation.advance(1);
     }
@@ -344,12 +344,12 @@
         for second in 0..seconds {
             for id in &ids {
                 let age = Some((60 + second) * S);
-                let holder = Holder {
+                let holder = BlockingStatement {
                     name: "r2/00009_x".into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
             }
             simulation.advance(1);
         }
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -32,11 +32,11 @@
 }
 
 pub const NAME_AND_HOLD: EnforcementOptions = EnforcementOptions {
-    name: true,
+    report: true,
     hold: true,
-    lower: false,
+    low_priority: false,
     pause: false,
-    end: false,
+    kill: false,
 };
 
 pub fn settings(options: EnforcementOptions) -> Settings {
@@ -48,7 +48,7 @@
         ],
         max_fingerprints: 1000,
         pause_for: 10 * S,
-        end_after: 5 * S,
+        kill_after: 5 * S,
     }
 }
 
@@ -251,12 +251,12 @@
     }
 
     pub fn report_blocked_by(&mut self, id: u64, holder: &str) {
-        let holder = Holder {
+        let holder = BlockingStatement {
             name: holder.into(),
             class: None,
             age: None,
         };
-        self.report_blocked(id, BlockedState::Behind(Some(holder)));
+        self.report_blocked(id, BlockedState::Statement(Some(holder)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -44,11 +44,11 @@
                 Idempotency::Idempotent
             };
             let options = EnforcementOptions {
-                name: true,
+                report: true,
                 hold: !draw.one_in(4),
-                lower: draw.one_in(3),
+                low_priority: draw.one_in(3),
                 pause: draw.one_in(2),
-                end: draw.one_in(2),
+                kill: draw.one_in(2),
             };
             let objective = draw.choose(&[S, 3 * S / 2, 2 * S, 3 * S]);
             let threads = draw.choose(&[1.0, 2.0]);
@@ -59,7 +59,7 @@
         classes,
         max_fingerprints: draw.choose(&[12, 40, 1000]),
         pause_for: draw.choose(&[2 * S, 10 * S]),
-        end_after: draw.choose(&[S, 5 * S]),
+        kill_after: draw.choose(&[S, 5 * S]),
     }
 }
 
@@ -350,26 +350,26 @@
     abandoned: &[String],
 ) -> ProgressReport {
     let share = (running.done / running.work).min(1.0);
-    let holder = |name: String, draw: &mut Draw| Holder {
+    let holder = |name: String, draw: &mut Draw| BlockingStatement {
         name,
         class: draw.one_in(2).then(|| draw.below(7) as usize),
         age: draw.one_in(2).then(|| draw.below(60) * S),
     };
     let blocked_state = match (blocker, draw.below(40)) {
-        (Some(name), 0..36) => Some(BlockedState::Behind(Some(holder(name, draw)))),
-        (Some(_), _) => Some(BlockedState::Behind(None)),
+        (Some(name), 0..36) => Some(BlockedState::Statement(Some(holder(name, draw)))),
+        (Some(_), _) => Some(BlockedState::Statement(None)),
         (None, 0) => Some(BlockedState::Memory),
         (None, 1) => {
             let name = format!("r2/{:05}_life", draw.below(4));
-            Some(BlockedState::Behind(Some(holder(name, draw))))
+            Some(BlockedState::Statement(Some(holder(name, draw))))
         }
         (None, 2) => {
             let name = names[draw.below(names.len() as u64) as usize].clone();
-            Some(BlockedState::Behind(Some(holder(name, draw))))
+            Some(BlockedState::Statement(Some(holder(name, draw))))
         }
         (None, 3 | 4) => abandoned
             .last()
-            .map(|name| BlockedState::Behind(Some(holder(name.clone(), draw)))),
+            .map(|name| BlockedState::Statement(Some(holder(name.clone(), draw)))),
         _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => {
             Some(BlockedState::Memory)
         }
--- a/crates/runaway/tests/decision_digest/recorder.rs
+++ b/crates/runaway/tests/decision_digest/recorder.rs
@@ -80,10 +80,10 @@
         }
         self.add_json(&evidence.basis);
         self.add_text(&evidence.to_string());
-        for name in &finding.blocks {
+        for name in &finding.blocked_names {
             self.add_text(name);
         }
-        self.add_number(finding.blocked as u64);
+        self.add_number(finding.blocked_count as u64);
         self.add_text(finding.note);
         self.count(finding.note);
     }
@@ -110,7 +110,7 @@
             Decision::Hold(hold) => return self.add_hold(hold),
             Decision::Pause(attempt) => ("pause", attempt),
             Decision::Resume(attempt) => ("resume", attempt),
-            Decision::End(attempt) => ("end", attempt),
+            Decision::Kill(attempt) => ("end", attempt),
         };
         self.count(label);
         self.add_text(label);
@@ -129,12 +129,12 @@
             self.add_number(count as u64);
         }
         self.add_number(detector.next_detection_at());
-        for finding in detector.open_findings().chain(detector.past_findings()) {
+        for finding in detector.open_findings().chain(detector.cleared_findings()) {
             self.add_number(finding.id);
             self.add_number(finding.at);
             self.add_number(finding.since);
             self.add_number(finding.evidence.figure.to_bits());
-            self.add_number(finding.blocked as u64);
+            self.add_number(finding.blocked_count as u64);
         }
         for (fingerprint, hold) in detector.holds() {
             if *fingerprint == FingerprintId::unknown(&classes[hold.class].name) {
--- a/crates/runaway/tests/enforcement.rs
+++ b/crates/runaway/tests/enforcement.rs
@@ -7,11 +7,11 @@
 use hoptiller_runaway::*;
 
 const ALL: EnforcementOptions = EnforcementOptions {
-    name: true,
+    report: true,
     hold: true,
-    lower: true,
+    low_priority: true,
     pause: true,
-    end: true,
+    kill: true,
 };
 
 fn actions(simulation: &Simulation) -> Vec<&Decision> {
@@ -31,7 +31,7 @@
     );
     let mut simulation = Simulation::with_history(
         EnforcementOptions {
-            name: true,
+            report: true,
             ..EnforcementOptions::default()
         },
         4,
@@ -52,7 +52,7 @@
         decided,
         [
             &Decision::Pause(attempt),
-            &Decision::End(attempt),
+            &Decision::Kill(attempt),
             &Decision::Resume(attempt)
         ]
     );
@@ -70,7 +70,7 @@
     assert_eq!(simulation.runaways().len(), 1);
     assert_eq!(
         actions(&simulation),
-        [&Decision::End(Simulation::attempt(load))]
+        [&Decision::Kill(Simulation::attempt(load))]
     );
 }
 
@@ -86,14 +86,14 @@
     assert_eq!(simulation.runaways().len(), 3);
     assert_eq!(
         actions(&simulation),
-        [&Decision::End(Simulation::attempt(ids[2]))]
+        [&Decision::Kill(Simulation::attempt(ids[2]))]
     );
 }
 
 #[test]
 fn a_runaway_that_finishes_before_its_end_is_due_is_not_ended() {
     let mut settings = settings(ALL);
-    settings.end_after = 30 * S;
+    settings.kill_after = 30 * S;
     let mut simulation = Simulation::with_settings(settings, 4);
     simulation.run_history(100);
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
@@ -104,7 +104,7 @@
     assert!(
         !actions(&simulation)
             .iter()
-            .any(|d| matches!(d, Decision::End(_)))
+            .any(|d| matches!(d, Decision::Kill(_)))
     );
     // Nor is one killed whose client already receives rows.
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
@@ -117,7 +117,7 @@
     assert!(
         !actions(&simulation)
             .iter()
-            .any(|d| matches!(d, Decision::End(_)))
+            .any(|d| matches!(d, Decision::Kill(_)))
     );
 }
 
--- a/crates/statement-router/src/engines/attempt/progress.rs
+++ b/crates/statement-router/src/engines/attempt/progress.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_http::Response;
 use hoptiller_policy::Progress;
-use hoptiller_runaway::{BlockedState, Holder, ProgressReport};
+use hoptiller_runaway::{BlockedState, BlockingStatement, ProgressReport};
 use hoptiller_statement::{Stats, extra};
 
 use crate::engines::observer::AttemptReport;
@@ -76,11 +76,11 @@
         self.report.blocking_class = blocking
             .as_ref()
             .and_then(|statement| statement.class.map(str::to_owned));
-        let holder = blocking.map(|statement| Holder {
+        let holder = blocking.map(|statement| BlockingStatement {
             name: statement.name.to_owned(),
             class: None,
             age: statement.age_ms.map(|ms| ms * 1000),
         });
-        self.report.progress.blocked_state = Some(BlockedState::Behind(holder));
+        self.report.progress.blocked_state = Some(BlockedState::Statement(holder));
     }
 }
--- a/crates/statement-router/src/findings.rs
+++ b/crates/statement-router/src/findings.rs
@@ -18,5 +18,5 @@
 pub(crate) fn is_reported(settings: &Settings, finding: &Finding) -> bool {
     finding
         .class
-        .is_none_or(|class| settings.runaways.enforcement[class].name)
+        .is_none_or(|class| settings.runaways.enforcement[class].report)
 }
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -101,7 +101,7 @@
     json!({
         "router": settings.router.name,
         "findings": findings_json(context, settings, detector.open_findings(), now),
-        "past": findings_json(context, settings, detector.past_findings(), now),
+        "past": findings_json(context, settings, detector.cleared_findings(), now),
         "holds": holds_json(settings, detector, now),
         "keptAway": excluded_engines_json(context, detector),
         "kindsKnown": counts.fingerprints,
@@ -177,8 +177,8 @@
         "verdictMsAgo": millis_since(finding.at, now),
         "evidence": finding.evidence,
         "seen": finding.evidence.to_string(),
-        "blocks": finding.blocks,
-        "blocked": finding.blocked,
+        "blocks": finding.blocked_names,
+        "blocked": finding.blocked_count,
         "note": finding.note,
     })
 }
--- a/crates/statement-router/src/service/engine_observer.rs
+++ b/crates/statement-router/src/service/engine_observer.rs
@@ -43,7 +43,7 @@
 
     fn status_reported(&self, id: AttemptId, report: AttemptReport) {
         let mut progress = report.progress;
-        if let Some(BlockedState::Behind(Some(holder))) = &mut progress.blocked_state {
+        if let Some(BlockedState::Statement(Some(holder))) = &mut progress.blocked_state {
             let class = report.blocking_class.as_deref();
             holder.class = class.and_then(|name| self.settings().class_index(name));
         }
--- a/crates/statement-router/src/service/finding_log.rs
+++ b/crates/statement-router/src/service/finding_log.rs
@@ -28,7 +28,7 @@
             .map(|engine| self.context.engine_name(engine));
         let engine = engine.unwrap_or_default();
         let seen = finding.evidence.to_string();
-        let (blocked, note) = (finding.blocked, finding.note);
+        let (blocked, note) = (finding.blocked_count, finding.note);
         match finding.verdict {
             Verdict::Runaway | Verdict::Notice => {
                 tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -93,7 +93,7 @@
                 .collect(),
             max_fingerprints: self.runaways.max_fingerprints,
             pause_for: micros(self.runaways.pause_for),
-            end_after: micros(self.runaways.kill_after),
+            kill_after: micros(self.runaways.kill_after),
         }
     }
 
--- a/crates/statement-router/src/settings/fleet_document.rs
+++ b/crates/statement-router/src/settings/fleet_document.rs
@@ -98,9 +98,9 @@
     /// Removes what the engines don't support from what is done about runaway statements.
     fn limit_enforcement(&mut self) {
         for enforcement in &mut self.runaways.enforcement {
-            enforcement.end &= self.engines.supports_kill;
+            enforcement.kill &= self.engines.supports_kill;
             enforcement.pause &= self.engines.supports_pause;
-            enforcement.lower &= self.engines.supports_priorities;
+            enforcement.low_priority &= self.engines.supports_priorities;
         }
     }
 }
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -324,7 +324,7 @@
     ) -> Option<Vec<EnforcementOptions>> {
         let default = match self.optional(runaways, "acts") {
             None => Some(EnforcementOptions {
-                name: true,
+                report: true,
                 hold: true,
                 ..EnforcementOptions::default()
             }),
@@ -351,11 +351,11 @@
         };
         for (position, name) in names.iter().enumerate() {
             let option = match name.as_str() {
-                Some("name") => &mut options.name,
+                Some("name") => &mut options.report,
                 Some("hold") => &mut options.hold,
-                Some("lower") => &mut options.lower,
+                Some("lower") => &mut options.low_priority,
                 Some("pause") => &mut options.pause,
-                Some("end") => &mut options.end,
+                Some("end") => &mut options.kill,
                 _ => {
                     self.reject(
                         format!("{path}[{position}]"),
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -151,7 +151,7 @@
         let engines = &self.settings.engines;
         let path = format!("runaways: class {:?}", class.name);
         self.reject_if(
-            enforcement.end && !engines.supports_kill,
+            enforcement.kill && !engines.supports_kill,
             &path,
             "'end' only works where engines.ends is true",
         );
@@ -161,13 +161,13 @@
             "'pause' only works where engines.pauses is true",
         );
         self.reject_if(
-            enforcement.lower && !(enforcement.hold && engines.supports_priorities),
+            enforcement.low_priority && !(enforcement.hold && engines.supports_priorities),
             &path,
             "'lower' only works with 'hold' and where engines.priorities is true",
         );
-        let is_enforced = enforcement.hold || enforcement.end || enforcement.pause;
+        let is_enforced = enforcement.hold || enforcement.kill || enforcement.pause;
         self.reject_if(
-            is_enforced && !enforcement.name,
+            is_enforced && !enforcement.report,
             &path,
             "what is held, paused or ended must be named too: add 'name'",
         );
