--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -153,7 +153,7 @@
         self.progress_reports += u32::from(report.done.is_some() || report.work.is_some());
         self.blocked = report.blocked_state.map(|state| (now, state));
         let old = std::mem::take(&mut self.progress);
-        let valid = |figure: Option<f64>| figure.filter(|f| f.is_finite() && *f >= 0.0);
+        let valid = |value: Option<f64>| value.filter(|f| f.is_finite() && *f >= 0.0);
         self.progress = ProgressReport {
             work: report.work.or(old.work),
             done: valid(report.done).filter(|done| *done <= 1.0).or(old.done),
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -40,11 +40,11 @@
     ) -> Completion {
         let active = RunTime(attempt.active_time(now).0.max(1.0));
         let run_time = active.at_usual_speed(slowness);
-        let (figure, expected) = match attempt.work() {
-            Some(work) => (work.0, expectation.work.figures()),
-            None => (run_time.0, expectation.run_time.figures()),
+        let (value, expected) = match attempt.work() {
+            Some(work) => (work.0, expectation.work.to_f64()),
+            None => (run_time.0, expectation.run_time.to_f64()),
         };
-        let is_beyond_bound = was_runaway || figure > expected.bound * spill_tolerance(attempt);
+        let is_beyond_bound = was_runaway || value > expected.bound * spill_tolerance(attempt);
         // Waits that were only inferred are not subtracted from the run time.
         let is_time_its_own = !attempt.is_blocked() || attempt.blocked_time() > 0;
         let usual_run_time = expectation.run_time.usual;
@@ -56,8 +56,8 @@
                 memory: attempt.memory(),
             },
             is_beyond_bound,
-            is_clean: figure <= expected.bound * CLEAN_RUN_PART,
-            is_usual: figure < expected.usual * LONG_RUN_FACTOR,
+            is_clean: value <= expected.bound * CLEAN_RUN_PART,
+            is_usual: value < expected.usual * LONG_RUN_FACTOR,
             is_usual_by_time: attempt.work().is_some() && active < usual_run_time,
             engine_sample: (expectation.is_known && !is_beyond_bound && is_time_its_own)
                 .then(|| active.0 / usual_run_time.0.max(1.0)),
--- a/crates/runaway/src/distributions.rs
+++ b/crates/runaway/src/distributions.rs
@@ -27,7 +27,7 @@
     /// Work, in µs.
     pub(crate) work: Sketch,
     /// Work per [`ROWS_UNIT`] rows, in µs.
-    pub(crate) work_by_rows: Sketch,
+    pub(crate) work_per_1000_rows: Sketch,
     /// Memory, in MB.
     pub(crate) memory_mb: Sketch,
 }
@@ -38,7 +38,7 @@
         self.run_time.add(run.run_time.0);
         self.work.add(run.work.unwrap_or_default().0);
         if let (Some(work), Some(rows)) = (run.work, run.rows) {
-            self.work_by_rows.add(work_by_rows(work, rows));
+            self.work_per_1000_rows.add(work_per_1000_rows(work, rows));
         }
         self.memory_mb.add(run.memory.unwrap_or_default().0);
     }
@@ -50,6 +50,6 @@
 }
 
 /// Returns the work per [`ROWS_UNIT`] rows, in µs.
-pub(crate) fn work_by_rows(work: Work, rows: f64) -> f64 {
+pub(crate) fn work_per_1000_rows(work: Work, rows: f64) -> f64 {
     work.0 * ROWS_UNIT / rows.max(1.0)
 }
--- a/crates/runaway/src/expectation.rs
+++ b/crates/runaway/src/expectation.rs
@@ -41,19 +41,19 @@
 }
 
 impl<Q: Quantity> Expected<Q> {
-    fn from_figures(figures: Expected<f64>) -> Expected<Q> {
+    fn from_f64(values: Expected<f64>) -> Expected<Q> {
         Expected {
-            usual: Q::from_figure(figures.usual),
-            bound: Q::from_figure(figures.bound),
-            basis: figures.basis,
+            usual: Q::from_value(values.usual),
+            bound: Q::from_value(values.bound),
+            basis: values.basis,
         }
     }
 
     /// Returns the plain values, for comparisons with a value of the same quantity.
-    pub(crate) fn figures(self) -> Expected<f64> {
+    pub(crate) fn to_f64(self) -> Expected<f64> {
         Expected {
-            usual: self.usual.figure(),
-            bound: self.bound.figure(),
+            usual: self.usual.value(),
+            bound: self.bound.value(),
             basis: self.basis,
         }
     }
@@ -61,7 +61,7 @@
     /// Returns the expectation with its bound multiplied by a factor.
     pub(crate) fn with_bound_factor(self, factor: f64) -> Expected<Q> {
         Expected {
-            bound: Q::from_figure(self.bound.figure() * factor),
+            bound: Q::from_value(self.bound.value() * factor),
             ..self
         }
     }
@@ -69,7 +69,7 @@
     /// Returns the expectation for a statement that is larger by a factor.
     pub(crate) fn scaled(self, factor: f64) -> Expected<Q> {
         Expected {
-            usual: Q::from_figure(self.usual.figure() * factor),
+            usual: Q::from_value(self.usual.value() * factor),
             ..self.with_bound_factor(factor)
         }
     }
@@ -85,7 +85,7 @@
     /// The expected memory, if known.
     pub(crate) memory: Option<Expected<Memory>>,
     /// The usual work per [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs, if known.
-    pub(crate) work_by_rows: Option<f64>,
+    pub(crate) work_per_1000_rows: Option<f64>,
     /// Whether the statement's fingerprint is known.
     pub(crate) is_known: bool,
 }
@@ -100,8 +100,8 @@
     by_settings: Q,
     class_settings: &Class,
 ) -> Expected<Q> {
-    let by_settings = by_settings.figure();
-    Expected::from_figures(expected_figure(
+    let by_settings = by_settings.value();
+    Expected::from_f64(expected_f64(
         own,
         scale,
         of_class,
@@ -110,7 +110,7 @@
     ))
 }
 
-fn expected_figure(
+fn expected_f64(
     own: Option<&Sketch>,
     scale: f64,
     of_class: &Sketch,
@@ -173,7 +173,7 @@
 pub(crate) fn expected_of_remote(of_class: &Sketch, class_settings: &Class) -> Expected<RunTime> {
     let objective = class_settings.latency_objective as f64;
     let expected = expected_of_unknown(of_class, objective, class_settings);
-    Expected::from_figures(
+    Expected::from_f64(
         match (expected.basis, bound_over(of_class, BOUND_OVER_MEDIAN)) {
             (Basis::Class(_), Some(bound)) => Expected {
                 bound: bound.max(objective),
@@ -192,7 +192,7 @@
     }
     let usual = own.memory_mb.quantile(0.5)? * scale;
     let p99 = own.memory_mb.quantile(0.99)? * scale;
-    Some(Expected::from_figures(Expected {
+    Some(Expected::from_f64(Expected {
         usual,
         bound: (usual * MEMORY_BOUND_OVER_MEDIAN).max(p99 * BOUND_OVER_P99),
         basis: Basis::Fingerprint(runs),
@@ -201,8 +201,8 @@
 
 /// Returns the usual work per [`ROWS_UNIT`](crate::distributions::ROWS_UNIT) rows, in µs, or `None` while too few runs
 /// have reported both work and rows.
-pub(crate) fn usual_work_by_rows(own: &Distributions) -> Option<f64> {
-    Some(&own.work_by_rows)
+pub(crate) fn usual_work_per_1000_rows(own: &Distributions) -> Option<f64> {
+    Some(&own.work_per_1000_rows)
         .filter(|sketch| sketch.count() >= MIN_RUNS_KNOWN)
         .and_then(|sketch| sketch.quantile(0.5))
 }
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -4,7 +4,7 @@
 fn finding(name: &str, verdict: Verdict, at: Micros) -> Finding {
     let evidence = Evidence {
         measure: Measure::Work,
-        figure: 9e6,
+        value: 9e6,
         usual: 1e5,
         bound: 1e6,
         basis: Basis::Fingerprint(40),
--- a/crates/runaway/src/interface/findings.rs
+++ b/crates/runaway/src/interface/findings.rs
@@ -138,7 +138,8 @@
     /// The measured quantity.
     pub measure: Measure,
     /// The measured value.
-    pub figure: f64,
+    #[serde(rename = "figure")]
+    pub value: f64,
     /// The usual value.
     pub usual: f64,
     /// The bound that the measured value exceeds.
@@ -151,13 +152,10 @@
 impl fmt::Display for Evidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = self.measure.description();
-        let [figure, usual, bound] =
-            [self.figure, self.usual, self.bound].map(|value| self.measure.format(value));
+        let [value, usual, bound] =
+            [self.value, self.usual, self.bound].map(|value| self.measure.format(value));
         let basis = self.basis;
-        write!(
-            f,
-            "{name} {figure}, usual {usual}, bound {bound} by {basis}"
-        )
+        write!(f, "{name} {value}, usual {usual}, bound {bound} by {basis}")
     }
 }
 
--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/judgement.rs
@@ -129,7 +129,7 @@
         if !matches!(excess.evidence.measure, Measure::Run | Measure::RunToCome) {
             return Some(excess);
         }
-        let run_time = RunTime(excess.evidence.figure);
+        let run_time = RunTime(excess.evidence.value);
         if self.wait_inference.may_be_blocked_unseen(
             self.now,
             attempt,
@@ -178,7 +178,7 @@
         since,
         evidence: Evidence {
             measure: Measure::Time,
-            figure: (now - since) as f64,
+            value: (now - since) as f64,
             usual: 0.0,
             bound: SLOW_READER_AFTER as f64,
             basis: Basis::Settings,
@@ -191,7 +191,7 @@
 fn deadlock(attempt: &RunningAttempt, cycle: &[&str]) -> OverBound {
     let evidence = Evidence {
         measure: Measure::Time,
-        figure: attempt.blocked_time() as f64,
+        value: attempt.blocked_time() as f64,
         usual: 0.0,
         bound: 0.0,
         basis: Basis::Settings,
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -3,7 +3,7 @@
 use hoptiller_policy::Micros;
 
 use crate::attempt::RunningAttempt;
-use crate::distributions::work_by_rows;
+use crate::distributions::work_per_1000_rows;
 use crate::expectation::{Expectation, Expected};
 use crate::interface::{Evidence, Measure};
 use crate::units::{Quantity, RunTime};
@@ -57,8 +57,8 @@
     fn new<Q: Quantity>(measure: Measure, value: Q, expected: Expected<Q>) -> Measurement {
         Measurement {
             measure,
-            value: value.figure(),
-            expected: expected.figures(),
+            value: value.value(),
+            expected: expected.to_f64(),
             tolerance: 1.0,
         }
     }
@@ -82,9 +82,9 @@
 pub(crate) fn evidence<Q: Quantity>(measure: Measure, value: Q, expected: Expected<Q>) -> Evidence {
     Evidence {
         measure,
-        figure: value.figure(),
-        usual: expected.usual.figure(),
-        bound: expected.bound.figure(),
+        value: value.value(),
+        usual: expected.usual.value(),
+        bound: expected.bound.value(),
         basis: expected.basis,
     }
 }
@@ -177,9 +177,9 @@
     let (Some(work), Some(rows), Some(usual)) = (
         attempt.work(),
         attempt.progress().rows,
-        expectation.work_by_rows,
+        expectation.work_per_1000_rows,
     ) else {
         return false;
     };
-    work_by_rows(work, rows as f64) > BAD_PLAN_FACTOR * usual
+    work_per_1000_rows(work, rows as f64) > BAD_PLAN_FACTOR * usual
 }
--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -6,9 +6,9 @@
 /// Total weight at which all weights are halved.
 const MAX_COUNT: u64 = 512;
 /// The smallest recorded value, in the caller's unit; smaller ones are clamped.
-const MIN_FIGURE: u64 = 1;
+const MIN_VALUE: u64 = 1;
 /// The largest recorded value; larger ones are clamped.
-const MAX_FIGURE: u64 = 1 << 42;
+const MAX_VALUE: u64 = 1 << 42;
 
 /// Quantiles over some hundreds of values, with more weight on recent ones.
 #[derive(Clone, Debug, Default)]
@@ -19,17 +19,17 @@
 
 impl Sketch {
     /// Adds a value; ignores it unless it is a positive finite number.
-    pub(crate) fn add(&mut self, figure: f64) {
-        if !figure.is_finite() || figure <= 0.0 {
+    pub(crate) fn add(&mut self, value: f64) {
+        if !value.is_finite() || value <= 0.0 {
             return;
         }
-        self.add_many(figure.round() as u64, 1);
+        self.add_weighted(value.round() as u64, 1);
         if self.count() >= MAX_COUNT {
             self.halve();
         }
     }
 
-    fn add_many(&mut self, figure: u64, n: u16) {
+    fn add_weighted(&mut self, value: u64, weight: u16) {
         // With one significant digit, a bucket spans at most a sixteenth of its value. Automatic resizing keeps a
         // sketch of short runs small.
         let histogram = self.histogram.get_or_insert_with(|| {
@@ -38,20 +38,20 @@
             empty.auto(true);
             Box::new(empty)
         });
-        let _ = histogram.record_n(figure.clamp(MIN_FIGURE, MAX_FIGURE), n);
+        let _ = histogram.record_n(value.clamp(MIN_VALUE, MAX_VALUE), weight);
     }
 
     /// Halves the weight of each value. The remainder of an odd weight is carried over to the next value, so that rare
     /// values far apart are not all lost.
     fn halve(&mut self) {
-        let pairs = self.pairs();
+        let weighted_values = self.weighted_values();
         *self = Sketch::default();
         let mut carried = 0;
-        for (figure, n) in pairs {
-            let n = n + carried;
-            carried = n % 2;
-            if n > 1 {
-                self.add_many(figure, n / 2);
+        for (value, weight) in weighted_values {
+            let weight = weight + carried;
+            carried = weight % 2;
+            if weight > 1 {
+                self.add_weighted(value, weight / 2);
             }
         }
     }
@@ -72,28 +72,31 @@
     }
 
     /// Returns the values with their weights.
-    pub(crate) fn pairs(&self) -> Vec<(u64, u16)> {
+    pub(crate) fn weighted_values(&self) -> Vec<(u64, u16)> {
         let Some(histogram) = &self.histogram else {
             return Vec::new();
         };
         histogram
             .iter_recorded()
-            .map(|v| (v.value_iterated_to(), v.count_at_value()))
+            .map(|recorded| (recorded.value_iterated_to(), recorded.count_at_value()))
             .collect()
     }
 
     /// Rebuilds a sketch from [`Sketch::weighted_values`]; `None` if weights or values are out of range.
-    pub(crate) fn from_pairs(pairs: &[(u64, u16)]) -> Option<Sketch> {
-        let total: u64 = pairs.iter().map(|p| u64::from(p.1)).sum();
+    pub(crate) fn from_weighted_values(weighted_values: &[(u64, u16)]) -> Option<Sketch> {
+        let total: u64 = weighted_values
+            .iter()
+            .map(|(_, weight)| u64::from(*weight))
+            .sum();
         let is_valid = total <= MAX_COUNT
-            && pairs
+            && weighted_values
                 .iter()
-                .all(|p| (MIN_FIGURE..=2 * MAX_FIGURE).contains(&p.0));
+                .all(|(value, _)| (MIN_VALUE..=2 * MAX_VALUE).contains(value));
         let mut sketch = Sketch::default();
         if is_valid {
-            pairs
+            weighted_values
                 .iter()
-                .for_each(|(figure, n)| sketch.add_many(*figure, *n));
+                .for_each(|(value, weight)| sketch.add_weighted(*value, *weight));
         }
         is_valid.then_some(sketch)
     }
--- a/crates/runaway/src/sketch/tests.rs
+++ b/crates/runaway/src/sketch/tests.rs
@@ -27,7 +27,10 @@
     for bad in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         s.add(bad);
     }
-    let back = Sketch::from_pairs(&s.pairs()).expect("our own");
-    assert_eq!(back.pairs(), s.pairs());
-    assert!(Sketch::from_pairs(&[(5, 600)]).is_none() && Sketch::from_pairs(&[(0, 1)]).is_none());
+    let back = Sketch::from_weighted_values(&s.weighted_values()).expect("our own");
+    assert_eq!(back.weighted_values(), s.weighted_values());
+    assert!(
+        Sketch::from_weighted_values(&[(5, 600)]).is_none()
+            && Sketch::from_weighted_values(&[(0, 1)]).is_none()
+    );
 }
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -67,7 +67,7 @@
 fn slow_engine_finding(now: Micros, engine: EngineId, slowness: Slowness) -> Finding {
     let evidence = Evidence {
         measure: Measure::Times,
-        figure: slowness.factor,
+        value: slowness.factor,
         usual: 1.0,
         bound: MIN_REPORTED_SLOWNESS,
         basis: Basis::Class(slowness.samples as u64),
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -163,7 +163,7 @@
         SavedClass {
             name: class.name.clone(),
             distributions: save_distributions(&statistics.distributions),
-            estimate_accuracy: statistics.estimate_accuracy.pairs(),
+            estimate_accuracy: statistics.estimate_accuracy.weighted_values(),
         }
     }
 
@@ -186,7 +186,7 @@
                 .iter()
                 .map(|(size, distributions)| (*size, save_distributions(distributions)))
                 .collect(),
-            estimate_accuracy: statistics.estimate_accuracy.pairs(),
+            estimate_accuracy: statistics.estimate_accuracy.weighted_values(),
             beyond_bound: save_distributions(&statistics.beyond_bound),
         }
     }
@@ -215,25 +215,25 @@
 
 fn save_distributions(distributions: &Distributions) -> SavedDistributions {
     [
-        distributions.run_time.pairs(),
-        distributions.work.pairs(),
-        distributions.work_by_rows.pairs(),
-        distributions.memory_mb.pairs(),
+        distributions.run_time.weighted_values(),
+        distributions.work.weighted_values(),
+        distributions.work_per_1000_rows.weighted_values(),
+        distributions.memory_mb.weighted_values(),
     ]
 }
 
 fn restore_distributions(saved: &SavedDistributions) -> Result<Distributions, SnapshotError> {
-    let [run_time, work, work_by_rows, memory_mb] = saved;
+    let [run_time, work, work_per_1000_rows, memory_mb] = saved;
     Ok(Distributions {
         run_time: restore_sketch(run_time)?,
         work: restore_sketch(work)?,
-        work_by_rows: restore_sketch(work_by_rows)?,
+        work_per_1000_rows: restore_sketch(work_per_1000_rows)?,
         memory_mb: restore_sketch(memory_mb)?,
     })
 }
 
 fn restore_sketch(saved: &SavedSketch) -> Result<Sketch, SnapshotError> {
-    Sketch::from_pairs(saved).ok_or(SnapshotError::InvalidDistribution)
+    Sketch::from_weighted_values(saved).ok_or(SnapshotError::InvalidDistribution)
 }
 
 /// Checks the header and the checksum, and decodes the remainder.
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -14,7 +14,7 @@
 use crate::distributions::{Distributions, Run};
 use crate::expectation::{
     Expectation, Expected, MIN_RUNS_KNOWN, estimate_accuracy, estimate_factor, expected_memory,
-    expected_of_remote, expected_quantity, usual_work_by_rows,
+    expected_of_remote, expected_quantity, usual_work_per_1000_rows,
 };
 use crate::fingerprint_statistics::{ClassStatistics, FingerprintStatistics};
 use crate::interface::{Announced, Class, FingerprintId};
@@ -162,7 +162,7 @@
             memory: own
                 .and_then(|own| expected_memory(own, scale))
                 .map(|memory| memory.scaled(factor)),
-            work_by_rows: own.and_then(usual_work_by_rows),
+            work_per_1000_rows: own.and_then(usual_work_per_1000_rows),
             is_known: statistics.is_some_and(FingerprintStatistics::is_known),
         }
     }
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -46,7 +46,7 @@
     statistics
         .expectation(FingerprintId(fingerprint), 0, &class_settings(), announced)
         .run_time
-        .figures()
+        .to_f64()
 }
 
 #[test]
--- a/crates/runaway/src/units.rs
+++ b/crates/runaway/src/units.rs
@@ -4,10 +4,10 @@
 /// A quantity that statistics are kept for.
 pub(crate) trait Quantity: Copy {
     /// Creates the quantity from a value in its unit.
-    fn from_figure(figure: f64) -> Self;
+    fn from_value(value: f64) -> Self;
 
     /// Returns the value in the quantity's unit.
-    fn figure(self) -> f64;
+    fn value(self) -> f64;
 }
 
 /// Run time without blocked time, in µs.
@@ -23,42 +23,42 @@
 pub(crate) struct Memory(pub(crate) f64);
 
 impl Quantity for RunTime {
-    fn from_figure(figure: f64) -> RunTime {
-        RunTime(figure)
+    fn from_value(value: f64) -> RunTime {
+        RunTime(value)
     }
 
-    fn figure(self) -> f64 {
+    fn value(self) -> f64 {
         self.0
     }
 }
 
 impl Quantity for Work {
-    fn from_figure(figure: f64) -> Work {
-        Work(figure)
+    fn from_value(value: f64) -> Work {
+        Work(value)
     }
 
-    fn figure(self) -> f64 {
+    fn value(self) -> f64 {
         self.0
     }
 }
 
 impl Quantity for Memory {
-    fn from_figure(figure: f64) -> Memory {
-        Memory(figure)
+    fn from_value(value: f64) -> Memory {
+        Memory(value)
     }
 
-    fn figure(self) -> f64 {
+    fn value(self) -> f64 {
         self.0
     }
 }
 
 /// A value whose unit is given by an accompanying [`Measure`](crate::Measure).
 impl Quantity for f64 {
-    fn from_figure(figure: f64) -> f64 {
-        figure
+    fn from_value(value: f64) -> f64 {
+        value
     }
 
-    fn figure(self) -> f64 {
+    fn value(self) -> f64 {
         self
     }
 }
--- a/crates/runaway/tests/decision_digest/recorder.rs
+++ b/crates/runaway/tests/decision_digest/recorder.rs
@@ -75,8 +75,8 @@
         let evidence = &finding.evidence;
         let measure = self.add_json(&evidence.measure);
         self.count(measure);
-        for figure in [evidence.figure, evidence.usual, evidence.bound] {
-            self.add_number(figure.to_bits());
+        for value in [evidence.value, evidence.usual, evidence.bound] {
+            self.add_number(value.to_bits());
         }
         self.add_json(&evidence.basis);
         self.add_text(&evidence.to_string());
@@ -133,7 +133,7 @@
             self.add_number(finding.id);
             self.add_number(finding.at);
             self.add_number(finding.since);
-            self.add_number(finding.evidence.figure.to_bits());
+            self.add_number(finding.evidence.value.to_bits());
             self.add_number(finding.blocked_count as u64);
         }
         for (fingerprint, hold) in detector.holds() {
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -21,7 +21,7 @@
     assert_eq!(f.evidence.measure, Measure::WorkToCome);
     assert!(matches!(f.evidence.basis, Basis::Fingerprint(n) if n >= 100));
     assert!(
-        f.evidence.figure > f.evidence.bound && f.at - f.started < 10 * S,
+        f.evidence.value > f.evidence.bound && f.at - f.started < 10 * S,
         "{f:?}"
     );
     assert!(
