--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/assessment.rs
@@ -35,9 +35,9 @@
 
 /// The result of an assessment.
 #[derive(Debug)]
-pub(crate) enum Judgement {
+pub(crate) enum Assessment {
     /// The attempt is not assessed, or nothing is expected of it yet.
-    NotJudged,
+    NotAssessed,
     /// The attempt is within its bound, or is not responsible for the excess.
     WithinBound,
     /// The client has been receiving rows for longer than it should need.
@@ -65,22 +65,22 @@
 
 impl Observations<'_> {
     /// Compares an attempt with what is expected of it.
-    pub(crate) fn judge(&self, attempt: &RunningAttempt) -> Judgement {
+    pub(crate) fn assess(&self, attempt: &RunningAttempt) -> Assessment {
         if let Some(since) = attempt.streaming_since() {
-            return judge_reader(self.now, since);
+            return assess_reader(self.now, since);
         }
         if attempt.abandoned_at().is_some() {
-            return Judgement::NotJudged; // Abandoned attempts are assessed by the attempts that they block.
+            return Assessment::NotAssessed; // Abandoned attempts are assessed by the attempts that they block.
         }
         let name = &attempt.start().name;
         if let Some(cycle) = self.waits.cycle(name) {
-            return Judgement::OverBound(deadlock(attempt, &cycle));
+            return Assessment::OverBound(deadlock(attempt, &cycle));
         }
         let Some(expectation) = attempt.expectation() else {
-            return Judgement::NotJudged;
+            return Assessment::NotAssessed;
         };
         if let Some(evidence) = self.excessive_memory(attempt, expectation) {
-            return Judgement::OverBound(OverBound {
+            return Assessment::OverBound(OverBound {
                 cause: Cause::Memory,
                 excess: Excess {
                     evidence,
@@ -91,8 +91,8 @@
         }
         let blocked = self.waits.waiter_names(name);
         let blocks_many = blocked.len() >= MANY_WAITERS;
-        let Some(excess) = self.inexcusable_excess(attempt, expectation, blocks_many) else {
-            return Judgement::WithinBound;
+        let Some(excess) = self.attributable_excess(attempt, expectation, blocks_many) else {
+            return Assessment::WithinBound;
         };
         let cause = if blocks_many {
             Cause::Blocks
@@ -101,7 +101,7 @@
         } else {
             Cause::Heavy
         };
-        Judgement::OverBound(OverBound {
+        Assessment::OverBound(OverBound {
             cause,
             excess,
             blocked,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the largest excess of an attempt, unless the excess may have a cause other than the attempt.
-    fn inexcusable_excess(
+    fn attributable_excess(
         &self,
         attempt: &RunningAttempt,
         expectation: &Expectation,
@@ -142,12 +142,12 @@
         }
         // If engines report on other attempts, an attempt without reports is more likely unreachable than heavy, which
         // is up to routing to handle.
-        let is_silent = attempt.progress_reports() == 0
+        let is_unreported = attempt.progress_reports() == 0
             && self
                 .attempts
                 .values()
                 .any(|other| other.progress_reports() > 0);
-        (blocks_many || !is_silent).then_some(excess)
+        (blocks_many || !is_unreported).then_some(excess)
     }
 
     /// Returns evidence that an attempt uses far more memory than usual while other attempts on its engine wait for
@@ -170,11 +170,11 @@
     }
 }
 
-fn judge_reader(now: Micros, since: Micros) -> Judgement {
+fn assess_reader(now: Micros, since: Micros) -> Assessment {
     if now - since < SLOW_READER_AFTER {
-        return Judgement::NotJudged;
+        return Assessment::NotAssessed;
     }
-    Judgement::SlowReader(SlowReader {
+    Assessment::SlowReader(SlowReader {
         since,
         evidence: Evidence {
             measure: Measure::Time,
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -17,7 +17,7 @@
     /// The measured values of the run.
     pub(crate) run: Run,
     /// Whether the run was over its bound, so that it is not learned from.
-    pub(crate) is_beyond_bound: bool,
+    pub(crate) is_over_bound: bool,
     /// Whether the run was well within its bound.
     pub(crate) is_clean: bool,
     /// Whether the run took no more than a few times what is usual.
@@ -44,7 +44,7 @@
             Some(work) => (work.0, expectation.work.to_f64()),
             None => (run_time.0, expectation.run_time.to_f64()),
         };
-        let is_beyond_bound = was_runaway || value > expected.bound * spill_tolerance(attempt);
+        let is_over_bound = was_runaway || value > expected.bound * spill_tolerance(attempt);
         // Waits that were only inferred are not subtracted from the run time.
         let is_time_its_own = !attempt.is_blocked() || attempt.blocked_time() > 0;
         let usual_run_time = expectation.run_time.usual;
@@ -55,11 +55,11 @@
                 rows: attempt.progress().rows.map(|rows| rows as f64),
                 memory: attempt.memory(),
             },
-            is_beyond_bound,
+            is_over_bound,
             is_clean: value <= expected.bound * CLEAN_RUN_PART,
             is_usual: value < expected.usual * LONG_RUN_FACTOR,
             is_usual_by_time: attempt.work().is_some() && active < usual_run_time,
-            engine_sample: (expectation.is_known && !is_beyond_bound && is_time_its_own)
+            engine_sample: (expectation.is_known && !is_over_bound && is_time_its_own)
                 .then(|| active.0 / usual_run_time.0.max(1.0)),
         }
     }
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempts.rs
@@ -120,14 +120,14 @@
         }
         self.holds
             .record_run(now, start.held_as, completion.is_clean);
-        if completion.is_beyond_bound {
-            self.record_run_beyond_bound(now, attempt, &completion);
+        if completion.is_over_bound {
+            self.record_run_over_bound(now, attempt, &completion);
         } else {
             self.record_run_within_bound(now, attempt, &completion);
         }
     }
 
-    fn record_run_beyond_bound(
+    fn record_run_over_bound(
         &mut self,
         now: Micros,
         attempt: &RunningAttempt,
@@ -136,7 +136,7 @@
         let start = attempt.start();
         let runs = self
             .statistics
-            .record_beyond_bound(start.fingerprint, &completion.run);
+            .record_over_bound(start.fingerprint, &completion.run);
         self.fingerprint_changes.record_long_run(
             now,
             start.fingerprint,
@@ -165,7 +165,7 @@
                 .record_completion(now, start.engine, group, started_at);
         }
         if !self.fingerprint_changes.contains(start.fingerprint) {
-            self.statistics.discard_beyond_bound(start.fingerprint);
+            self.statistics.discard_over_bound(start.fingerprint);
         }
         self.statistics.record_run(
             start.fingerprint,
@@ -184,7 +184,7 @@
 
     /// Adopts the new values of a changed fingerprint as the usual ones.
     fn adopt_changed_fingerprint(&mut self, now: Micros, fingerprint: FingerprintId) {
-        self.statistics.adopt_beyond_bound(fingerprint);
+        self.statistics.adopt_over_bound(fingerprint);
         self.fingerprint_changes.remove(fingerprint);
         self.attempts
             .values_mut()
--- a/crates/runaway/src/detector/blockers.rs
+++ b/crates/runaway/src/detector/blockers.rs
@@ -26,7 +26,7 @@
             }
             let blocker = Blocker::find(&name, &self.attempts, &self.remote_statements);
             if let Some(blocker) = blocker {
-                self.judge_blocker(now, &name, blocker, &blocked);
+                self.assess_blocker(now, &name, blocker, &blocked);
             }
         }
     }
@@ -56,7 +56,7 @@
         true
     }
 
-    fn judge_blocker(&mut self, now: Micros, name: &str, blocker: Blocker, blocked: &[String]) {
+    fn assess_blocker(&mut self, now: Micros, name: &str, blocker: Blocker, blocked: &[String]) {
         let classes = &self.settings.classes;
         let excess = blocker.excess(now, blocked.len(), &self.statistics, classes);
         let Some(evidence) = excess else {
--- a/crates/runaway/src/detector/detection.rs
+++ b/crates/runaway/src/detector/detection.rs
@@ -3,9 +3,9 @@
 use hoptiller_policy::Micros;
 
 use super::RunawayDetector;
+use crate::assessment::{Assessment, Observations};
 use crate::group_exclusion::excluded_engines;
 use crate::interface::AttemptId;
-use crate::judgement::{Judgement, Observations};
 use crate::slow_engine::report_slow_engines;
 use crate::wait_graph::WaitGraph;
 
@@ -79,11 +79,11 @@
             wait_inference: &self.wait_inference,
             waits,
         };
-        match observations.judge(attempt) {
-            Judgement::NotJudged => {}
-            Judgement::WithinBound => self.clear_suspicion(now, id),
-            Judgement::SlowReader(reader) => self.report_slow_reader(now, id, reader),
-            Judgement::OverBound(over_bound) => self.report_over_bound(now, id, over_bound),
+        match observations.assess(attempt) {
+            Assessment::NotAssessed => {}
+            Assessment::WithinBound => self.clear_suspicion(now, id),
+            Assessment::SlowReader(reader) => self.report_slow_reader(now, id, reader),
+            Assessment::OverBound(over_bound) => self.report_over_bound(now, id, over_bound),
         }
     }
 
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/findings.rs
@@ -4,9 +4,9 @@
 use hoptiller_policy::Micros;
 
 use super::RunawayDetector;
+use crate::assessment::{OverBound, SlowReader};
 use crate::fingerprint_change::ChangeStatus;
 use crate::interface::{AttemptId, Cause, Evidence, Finding, MAX_BLOCKED_NAMES, Subject, Verdict};
-use crate::judgement::{OverBound, SlowReader};
 use crate::measures::CONFIRMATION_TIME;
 
 impl RunawayDetector {
--- a/crates/runaway/src/fingerprint_statistics.rs
+++ b/crates/runaway/src/fingerprint_statistics.rs
@@ -33,7 +33,7 @@
     /// Ratio of work to its estimate.
     pub(crate) estimate_accuracy: Sketch,
     /// Runs over the bound, which are used only after they are adopted.
-    pub(crate) beyond_bound: Distributions,
+    pub(crate) over_bound: Distributions,
     /// The time at which the latest statement of the fingerprint arrived.
     pub(crate) last_use: Micros,
 }
@@ -46,7 +46,7 @@
             label,
             by_size: BTreeMap::new(),
             estimate_accuracy: Sketch::default(),
-            beyond_bound: Distributions::default(),
+            over_bound: Distributions::default(),
             last_use: now,
         }
     }
@@ -83,10 +83,10 @@
     }
 
     /// Replaces the usual runs with the runs over the bound.
-    pub(crate) fn adopt_beyond_bound(&mut self) {
-        if self.beyond_bound.runs() > 0 {
-            let beyond_bound = std::mem::take(&mut self.beyond_bound);
-            self.by_size = BTreeMap::from([(0, beyond_bound)]);
+    pub(crate) fn adopt_over_bound(&mut self) {
+        if self.over_bound.runs() > 0 {
+            let over_bound = std::mem::take(&mut self.over_bound);
+            self.by_size = BTreeMap::from([(0, over_bound)]);
         }
     }
 }
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -27,13 +27,13 @@
 
 #![warn(missing_docs)]
 
+mod assessment;
 mod attempt;
 mod attempts;
 mod blocker;
 mod completion;
 mod detector;
 mod distributions;
-mod ending;
 mod enforcement;
 mod engine_speed;
 mod expectation;
@@ -43,9 +43,9 @@
 mod group_exclusion;
 mod holds;
 mod interface;
-mod judgement;
 mod measures;
 mod remote_statements;
+mod retry_safety;
 mod sketch;
 mod slow_engine;
 mod snapshot;
@@ -56,11 +56,11 @@
 mod wait_inference;
 
 pub use detector::{RunawayDetector, TrackedCounts};
-pub use ending::{Proof, RetrySafety, retry_safety_after_kill};
 pub use holds::FingerprintHold;
 pub use interface::{
     Announced, AttemptId, AttemptStart, Basis, BlockedState, BlockingStatement, Cause, Class,
     Decision, EnforcementOptions, EngineStatus, Evidence, ExecutionOutcome, Finding, FingerprintId,
     MAX_BLOCKED_NAMES, Measure, ProgressReport, Settings, Subject, Verdict,
 };
+pub use retry_safety::{Proof, RetrySafety, retry_safety_after_kill};
 pub use snapshot::{RestoredCounts, SnapshotError};
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -155,7 +155,7 @@
     #[serde(rename = "honesty")]
     estimate_accuracy: SavedSketch,
     #[serde(rename = "beyond")]
-    beyond_bound: SavedDistributions,
+    over_bound: SavedDistributions,
 }
 
 impl SavedClass {
@@ -187,7 +187,7 @@
                 .map(|(size, distributions)| (*size, save_distributions(distributions)))
                 .collect(),
             estimate_accuracy: statistics.estimate_accuracy.weighted_values(),
-            beyond_bound: save_distributions(&statistics.beyond_bound),
+            over_bound: save_distributions(&statistics.over_bound),
         }
     }
 
@@ -207,7 +207,7 @@
             label: self.label.into(),
             by_size: by_size?,
             estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
-            beyond_bound: restore_distributions(&self.beyond_bound)?,
+            over_bound: restore_distributions(&self.over_bound)?,
             last_use,
         })
     }
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -208,25 +208,25 @@
     }
 
     /// Records a run over the bound, which is not learned from yet. Returns the number of such runs.
-    pub(crate) fn record_beyond_bound(&mut self, fingerprint: FingerprintId, run: &Run) -> u64 {
+    pub(crate) fn record_over_bound(&mut self, fingerprint: FingerprintId, run: &Run) -> u64 {
         let Some(statistics) = self.fingerprints.get_mut(&fingerprint) else {
             return 0;
         };
-        statistics.beyond_bound.add(run);
-        statistics.beyond_bound.runs()
+        statistics.over_bound.add(run);
+        statistics.over_bound.runs()
     }
 
     /// Replaces the usual runs of a changed fingerprint with its runs over the bound.
-    pub(crate) fn adopt_beyond_bound(&mut self, fingerprint: FingerprintId) {
+    pub(crate) fn adopt_over_bound(&mut self, fingerprint: FingerprintId) {
         if let Some(statistics) = self.fingerprints.get_mut(&fingerprint) {
-            statistics.adopt_beyond_bound();
+            statistics.adopt_over_bound();
         }
     }
 
     /// Discards the runs over the bound of an unchanged fingerprint: they were outliers.
-    pub(crate) fn discard_beyond_bound(&mut self, fingerprint: FingerprintId) {
+    pub(crate) fn discard_over_bound(&mut self, fingerprint: FingerprintId) {
         if let Some(statistics) = self.fingerprints.get_mut(&fingerprint) {
-            statistics.beyond_bound = Distributions::default();
+            statistics.over_bound = Distributions::default();
         }
     }
 
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -115,7 +115,7 @@
     let mut statistics = statistics_of(FingerprintId(1), 200);
     let before = expected_run_time(&statistics, 1, Announced::default());
     for _ in 0..20 {
-        statistics.record_beyond_bound(FingerprintId(1), &run(100.0));
+        statistics.record_over_bound(FingerprintId(1), &run(100.0));
     }
     assert_eq!(
         expected_run_time(&statistics, 1, Announced::default()),
@@ -125,7 +125,7 @@
         statistics.record_run(FingerprintId(1), 0, Announced::default(), &run(4.0));
     }
     assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 3.5 * before.usual);
-    statistics.adopt_beyond_bound(FingerprintId(1));
+    statistics.adopt_over_bound(FingerprintId(1));
     assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 90.0 * S);
 }
 
