--- a/crates/runaway/src/assessment.rs
+++ b/crates/runaway/src/assessment.rs
@@ -130,7 +130,7 @@
             return Some(excess);
         }
         let run_time = RunTime(excess.evidence.value);
-        if self.wait_inference.may_be_blocked_unseen(
+        if self.wait_inference.may_wait_for_remote_load(
             self.now,
             attempt,
             run_time,
--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -202,7 +202,7 @@
 
     /// Stops counting the attempt as a runaway in a hold. Returns the fingerprint of that hold, if it was counted in
     /// one.
-    pub(crate) fn take_hold_count(&mut self) -> Option<FingerprintId> {
+    pub(crate) fn stop_counting_in_hold(&mut self) -> Option<FingerprintId> {
         std::mem::take(&mut self.is_counted_in_hold).then_some(self.start.held_as)
     }
 
--- a/crates/runaway/src/attempts.rs
+++ b/crates/runaway/src/attempts.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns the unconfirmed attempts on an engine.
-    pub(crate) fn unconfirmed_at(&self, engine: EngineId) -> Vec<AttemptId> {
+    pub(crate) fn unconfirmed_on(&self, engine: EngineId) -> Vec<AttemptId> {
         self.unconfirmed()
             .filter(|attempt| attempt.start().engine == engine)
             .map(|attempt| attempt.start().attempt)
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -9,7 +9,7 @@
 use crate::units::RunTime;
 
 /// Fraction of the bound up to which a run counts as clean for the hold of its fingerprint.
-const CLEAN_RUN_PART: f64 = 0.5;
+const CLEAN_RUN_FRACTION: f64 = 0.5;
 
 /// A run that returned its result, compared with what was expected of it.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Whether the work of the run was reported and its run time was below the usual one.
     pub(crate) is_usual_by_time: bool,
     /// Ratio of the run time to the usual one, if it indicates the speed of the engine.
-    pub(crate) engine_sample: Option<f64>,
+    pub(crate) engine_slowdown: Option<f64>,
 }
 
 impl Completion {
@@ -46,7 +46,7 @@
         };
         let is_over_bound = was_runaway || value > expected.bound * spill_tolerance(attempt);
         // Waits that were only inferred are not subtracted from the run time.
-        let is_time_its_own = !attempt.is_blocked() || attempt.blocked_time() > 0;
+        let excludes_wait_time = !attempt.is_blocked() || attempt.blocked_time() > 0;
         let usual_run_time = expectation.run_time.usual;
         Completion {
             run: Run {
@@ -56,10 +56,10 @@
                 memory: attempt.memory(),
             },
             is_over_bound,
-            is_clean: value <= expected.bound * CLEAN_RUN_PART,
+            is_clean: value <= expected.bound * CLEAN_RUN_FRACTION,
             is_usual: value < expected.usual * LONG_RUN_FACTOR,
             is_usual_by_time: attempt.work().is_some() && active < usual_run_time,
-            engine_sample: (expectation.is_known && !is_over_bound && is_time_its_own)
+            engine_slowdown: (expectation.is_known && !is_over_bound && excludes_wait_time)
                 .then(|| active.0 / usual_run_time.0.max(1.0)),
         }
     }
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -96,7 +96,7 @@
 
     /// Records that an engine restarted, so that it no longer runs the abandoned attempts.
     pub fn reset_engine(&mut self, now: Micros, engine: EngineId) {
-        for id in self.attempts.unconfirmed_at(engine) {
+        for id in self.attempts.unconfirmed_on(engine) {
             self.remove_attempt(now, id, "its engine was started anew");
         }
     }
@@ -157,7 +157,7 @@
 
     /// Returns the most recently cleared findings, oldest first.
     pub fn cleared_findings(&self) -> impl Iterator<Item = &Finding> {
-        self.findings.past()
+        self.findings.cleared()
     }
 
     /// Returns the held fingerprints.
@@ -210,7 +210,7 @@
     }
 
     /// Returns the number of engines that accept work.
-    fn engines_up(&self) -> usize {
+    fn up_engine_count(&self) -> usize {
         self.engines.iter().filter(|status| status.is_up).count()
     }
 }
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempts.rs
@@ -27,11 +27,12 @@
         let engine = attempt.start().engine;
         let blocked_state = report.blocked_state.clone();
         attempt.record_report(now, report);
-        if let Some(BlockedState::Statement(Some(holder))) = blocked_state
-            && self.attempts.id_by_name(&holder.name).is_none()
+        if let Some(BlockedState::Statement(Some(blocker))) = blocked_state
+            && self.attempts.id_by_name(&blocker.name).is_none()
         {
             let classes = &self.settings.classes;
-            self.remote_statements.record(now, engine, &holder, classes);
+            self.remote_statements
+                .record(now, engine, &blocker, classes);
         }
     }
 
@@ -62,7 +63,7 @@
         let classes = &self.settings.classes;
         let expectation = attempt.refresh_expectation(now, &self.statistics, classes);
         attempt.record_total_work(work);
-        if let Some(held_as) = attempt.take_hold_count() {
+        if let Some(held_as) = attempt.stop_counting_in_hold() {
             self.holds.remove_runaway(now, held_as);
         }
         if outcome == ExecutionOutcome::Succeeded {
@@ -77,7 +78,7 @@
         let Some(mut attempt) = self.attempts.remove(id) else {
             return;
         };
-        if let Some(held_as) = attempt.take_hold_count() {
+        if let Some(held_as) = attempt.stop_counting_in_hold() {
             self.holds.remove_runaway(now, held_as);
         }
         self.findings
@@ -110,7 +111,7 @@
         let slowness = self.engine_speeds.slowness_for(now, attempt).factor;
         let was_runaway = self.findings.is_runaway(&attempt.subject());
         let completion = Completion::new(now, attempt, expectation, slowness, was_runaway);
-        if let Some(slowdown) = completion.engine_sample {
+        if let Some(slowdown) = completion.engine_slowdown {
             let sample = Sample {
                 fingerprint: start.fingerprint,
                 slowdown,
@@ -178,7 +179,7 @@
     fn is_fingerprint_changed(&self, fingerprint: FingerprintId) -> bool {
         let status = self
             .fingerprint_changes
-            .classify(fingerprint, 0, self.engines_up());
+            .classify(fingerprint, 0, self.up_engine_count());
         self.findings.is_changed(fingerprint) || status == ChangeStatus::Changed
     }
 
--- a/crates/runaway/src/detector/enforcement.rs
+++ b/crates/runaway/src/detector/enforcement.rs
@@ -22,8 +22,8 @@
         let options = class.enforcement;
         if attempt.is_executing() {
             if options.kill && !has_younger {
-                let end_at = now + self.settings.kill_after;
-                attempt.enforcement.schedule_end(end_at);
+                let kill_at = now + self.settings.kill_after;
+                attempt.enforcement.schedule_kill(kill_at);
             }
             // Pausing a statement that others wait for would prolong their wait.
             let blocks_others = class.holds_tables
@@ -47,7 +47,7 @@
             if due.resume {
                 self.decisions.push(Decision::Resume(id));
             }
-            if due.end {
+            if due.kill {
                 self.decisions.push(Decision::Kill(id));
             }
         }
@@ -79,9 +79,9 @@
         if self.statistics.is_known(fingerprint) {
             return fingerprint;
         }
-        let are_many = self.unknown_runaways.record(now, class);
+        let are_held_together = self.unknown_runaways.record(now, class);
         // While the class itself is new, all of its fingerprints are unknown.
-        if are_many && self.statistics.known_in_class(class) > 0 {
+        if are_held_together && self.statistics.known_count(class) > 0 {
             FingerprintId::unknown(&self.settings.classes[class].name)
         } else {
             fingerprint
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/findings.rs
@@ -12,7 +12,7 @@
 impl RunawayDetector {
     /// Reports an attempt that is over its bound: as a suspect until that is confirmed, then as a runaway, unless the
     /// statements of its fingerprint run long in general.
-    pub(super) fn report_over_bound(&mut self, now: Micros, id: AttemptId, found: OverBound) {
+    pub(super) fn report_over_bound(&mut self, now: Micros, id: AttemptId, over_bound: OverBound) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
@@ -21,29 +21,32 @@
         if self.findings.is_changed(fingerprint) {
             return; // One notice covers all attempts of the fingerprint.
         }
-        let over_for = now - since;
-        let is_confirmed = found.excess.is_certain || over_for >= CONFIRMATION_TIME;
-        let status = self.change_status(id, found.cause, over_for);
+        let over_bound_for = now - since;
+        let is_confirmed = over_bound.excess.is_certain || over_bound_for >= CONFIRMATION_TIME;
+        let status = self.change_status(id, over_bound.cause, over_bound_for);
         if is_confirmed && status == ChangeStatus::Changed {
-            return self.report_fingerprint_change(now, id, found.excess.evidence);
+            return self.report_fingerprint_change(now, id, over_bound.excess.evidence);
         }
         let verdict = if is_confirmed && status == ChangeStatus::Isolated {
             Verdict::Runaway
         } else {
             Verdict::Suspect
         };
-        self.report_attempt(now, id, since, verdict, found);
+        self.report_attempt(now, id, since, verdict, over_bound);
     }
 
     /// Returns the change status of the fingerprint of an attempt that is over its bound. An attempt that has already
     /// been found to be a runaway remains one.
-    fn change_status(&self, id: AttemptId, cause: Cause, over_for: Micros) -> ChangeStatus {
+    fn change_status(&self, id: AttemptId, cause: Cause, over_bound_for: Micros) -> ChangeStatus {
         let is_own_fault = matches!(cause, Cause::Heavy | Cause::BadPlan);
         match self.attempts.get(id) {
             Some(attempt) if is_own_fault && !self.findings.is_runaway(&attempt.subject()) => {
                 let fingerprint = attempt.start().fingerprint;
-                self.fingerprint_changes
-                    .classify(fingerprint, over_for, self.engines_up())
+                self.fingerprint_changes.classify(
+                    fingerprint,
+                    over_bound_for,
+                    self.up_engine_count(),
+                )
             }
             _ => ChangeStatus::Isolated,
         }
@@ -55,7 +58,7 @@
         id: AttemptId,
         since: Micros,
         verdict: Verdict,
-        found: OverBound,
+        over_bound: OverBound,
     ) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -64,7 +67,7 @@
             cause,
             excess,
             blocked,
-        } = found;
+        } = over_bound;
         let finding = Finding {
             blocked_count: blocked.len(),
             blocked_names: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
@@ -91,7 +94,7 @@
         });
         if is_revocable || finding.is_none() {
             attempt.mark_within_bound();
-            attempt.enforcement.cancel_end();
+            attempt.enforcement.cancel_kill();
         }
         if is_revocable {
             self.findings
@@ -136,7 +139,7 @@
             if attempt.start().fingerprint != fingerprint {
                 continue;
             }
-            attempt.enforcement.cancel_end();
+            attempt.enforcement.cancel_kill();
             let subject = attempt.subject();
             let note = "all of its kind run long";
             self.findings
@@ -150,7 +153,7 @@
     /// Stops counting an attempt as a runaway in the hold of its fingerprint.
     fn remove_from_hold(&mut self, now: Micros, id: AttemptId) {
         let attempt = self.attempts.get_mut(id);
-        if let Some(held_as) = attempt.and_then(|attempt| attempt.take_hold_count()) {
+        if let Some(held_as) = attempt.and_then(|attempt| attempt.stop_counting_in_hold()) {
             self.holds.remove_runaway(now, held_as);
         }
     }
--- a/crates/runaway/src/enforcement.rs
+++ b/crates/runaway/src/enforcement.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct AttemptEnforcement {
     /// The time at which the attempt is due to be killed.
-    end_at: Option<Micros>,
+    kill_at: Option<Micros>,
     /// Whether the kill has been decided; it is not decided again.
-    is_end_decided: bool,
+    is_kill_decided: bool,
     /// The time at which the attempt is due to be resumed.
     resume_at: Option<Micros>,
     /// Whether the attempt has been paused; it is not paused again.
@@ -21,18 +21,18 @@
     /// Whether the attempt is to be resumed.
     pub(crate) resume: bool,
     /// Whether the attempt is to be killed.
-    pub(crate) end: bool,
+    pub(crate) kill: bool,
 }
 
 impl AttemptEnforcement {
     /// Schedules the kill of the attempt.
-    pub(crate) fn schedule_end(&mut self, at: Micros) {
-        self.end_at = Some(at);
+    pub(crate) fn schedule_kill(&mut self, at: Micros) {
+        self.kill_at = Some(at);
     }
 
     /// Cancels the scheduled kill of the attempt.
-    pub(crate) fn cancel_end(&mut self) {
-        self.end_at = None;
+    pub(crate) fn cancel_kill(&mut self) {
+        self.kill_at = None;
     }
 
     /// Pauses the attempt until this time. Returns `false` if it was paused before.
@@ -52,10 +52,10 @@
             .resume_at
             .take_if(|at| *at <= now || !is_executing)
             .is_some();
-        let is_end_due = self.end_at.is_some_and(|at| at <= now);
-        let end = is_executing && is_end_due && !self.is_end_decided;
-        self.is_end_decided |= end;
-        DueEnforcement { resume, end }
+        let is_kill_due = self.kill_at.is_some_and(|at| at <= now);
+        let kill = is_executing && is_kill_due && !self.is_kill_decided;
+        self.is_kill_decided |= kill;
+        DueEnforcement { resume, kill }
     }
 }
 
--- a/crates/runaway/src/enforcement/tests.rs
+++ b/crates/runaway/src/enforcement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn due(resume: bool, end: bool) -> DueEnforcement {
-    DueEnforcement { resume, end }
+fn due(resume: bool, kill: bool) -> DueEnforcement {
+    DueEnforcement { resume, kill }
 }
 
 #[test]
@@ -24,7 +24,7 @@
 #[test]
 fn an_end_is_decided_once_and_only_while_the_attempt_executes() {
     let mut enforcement = AttemptEnforcement::default();
-    enforcement.schedule_end(10);
+    enforcement.schedule_kill(10);
     assert_eq!(enforcement.take_due(9, true), due(false, false));
     assert_eq!(enforcement.take_due(10, false), due(false, false));
     assert_eq!(enforcement.take_due(10, true), due(false, true));
@@ -34,7 +34,7 @@
 #[test]
 fn an_end_that_is_cancelled_is_not_due() {
     let mut enforcement = AttemptEnforcement::default();
-    enforcement.schedule_end(10);
-    enforcement.cancel_end();
+    enforcement.schedule_kill(10);
+    enforcement.cancel_kill();
     assert_eq!(enforcement.take_due(10, true), due(false, false));
 }
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -8,7 +8,7 @@
 use crate::interface::{Cause, Decision, Finding, FingerprintId, Subject, Verdict};
 
 /// Maximum number of cleared findings kept.
-const MAX_PAST: usize = 256;
+const MAX_CLEARED: usize = 256;
 /// Maximum number of open findings kept; suspects are evicted before runaways, and older findings before newer ones.
 const MAX_OPEN: usize = 1024;
 
@@ -17,7 +17,7 @@
 pub(crate) struct Findings {
     last_id: u64,
     open: BTreeMap<Subject, Finding>,
-    past: VecDeque<Finding>,
+    cleared: VecDeque<Finding>,
 }
 
 impl Findings {
@@ -44,8 +44,8 @@
     }
 
     /// Returns the most recently cleared findings, oldest first.
-    pub(crate) fn past(&self) -> impl Iterator<Item = &Finding> {
-        self.past.iter()
+    pub(crate) fn cleared(&self) -> impl Iterator<Item = &Finding> {
+        self.cleared.iter()
     }
 
     /// Records a finding, and reports it if it is new, more certain or has another cause. Returns whether it was
@@ -88,9 +88,9 @@
         finding.verdict = Verdict::Cleared;
         finding.at = now;
         finding.note = note;
-        self.past.push_back(finding.clone());
-        if self.past.len() > MAX_PAST {
-            self.past.pop_front();
+        self.cleared.push_back(finding.clone());
+        if self.cleared.len() > MAX_CLEARED {
+            self.cleared.pop_front();
         }
         out.push(Decision::Found(Box::new(finding)));
     }
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -41,7 +41,7 @@
     all.clear(5, &a, "over", &mut out);
     all.clear(5, &a, "over", &mut out);
     assert_eq!(
-        (out.len(), all.open().count(), all.past().count()),
+        (out.len(), all.open().count(), all.cleared().count()),
         (3, 0, 1)
     );
     assert!(all.report(finding("b", Verdict::Suspect, 6), &mut out));
@@ -56,8 +56,8 @@
         all.report(finding(&format!("s{n}"), Verdict::Suspect, n), &mut out);
     });
     assert_eq!(
-        (all.open().count(), all.past().count()),
-        (MAX_OPEN, MAX_PAST)
+        (all.open().count(), all.cleared().count()),
+        (MAX_OPEN, MAX_CLEARED)
     );
     assert!(all.is_runaway(&Subject::Statement("r".into())));
 }
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -16,9 +16,9 @@
 /// Number of long runs from which a fingerprint may have changed.
 const MIN_LONG_RUNS: usize = 4;
 /// Fraction of all runs since the first long one that must be long.
-const MIN_LONG_PART: f64 = 0.6;
+const MIN_LONG_FRACTION: f64 = 0.6;
 /// Time for which a finding waits for more runs while most runs since the first long one are long.
-const MAX_UNDECIDED: Micros = 8_000_000;
+const MAX_UNDECIDED_TIME: Micros = 8_000_000;
 /// Number of usual runs from which the long ones may count as outliers.
 const MIN_USUAL_RUNS: usize = 8;
 /// Maximum number of fingerprints counted at once; the least recently updated one is evicted.
@@ -45,9 +45,9 @@
     /// The start time of the first long run.
     since: Micros,
     /// Long runs, with the engines that run or ran them.
-    long: BTreeMap<AttemptId, EngineId>,
+    long_runs: BTreeMap<AttemptId, EngineId>,
     /// Number of usual runs that started since then.
-    usual: usize,
+    usual_runs: usize,
     updated_at: Micros,
 }
 
@@ -55,17 +55,18 @@
     fn new(now: Micros, since: Micros) -> ChangeCounter {
         ChangeCounter {
             since,
-            long: BTreeMap::new(),
-            usual: 0,
+            long_runs: BTreeMap::new(),
+            usual_runs: 0,
             updated_at: now,
         }
     }
 
     /// Returns whether the long runs are outliers among usual ones.
-    fn is_refuted(&self) -> bool {
-        let long = self.long.len();
+    fn are_long_runs_outliers(&self) -> bool {
+        let long = self.long_runs.len();
         long == 0
-            || self.usual >= MIN_USUAL_RUNS && (long as f64) < MIN_LONG_PART * self.usual as f64
+            || self.usual_runs >= MIN_USUAL_RUNS
+                && (long as f64) < MIN_LONG_FRACTION * self.usual_runs as f64
     }
 }
 
@@ -91,8 +92,8 @@
             .entry(fingerprint)
             .or_insert_with(|| ChangeCounter::new(now, started));
         counter.updated_at = now;
-        if counter.long.len() < MAX_LONG_RUNS {
-            counter.long.insert(attempt, engine);
+        if counter.long_runs.len() < MAX_LONG_RUNS {
+            counter.long_runs.insert(attempt, engine);
         }
     }
 
@@ -134,9 +135,9 @@
         let Some(counter) = self.counters.get_mut(&fingerprint) else {
             return;
         };
-        counter.long.remove(&attempt);
-        counter.usual += usize::from(started >= counter.since);
-        if counter.is_refuted() {
+        counter.long_runs.remove(&attempt);
+        counter.usual_runs += usize::from(started >= counter.since);
+        if counter.are_long_runs_outliers() {
             self.counters.remove(&fingerprint);
         }
     }
@@ -146,20 +147,20 @@
     pub(crate) fn classify(
         &self,
         fingerprint: FingerprintId,
-        over_for: Micros,
+        over_bound_for: Micros,
         engines: usize,
     ) -> ChangeStatus {
         let Some(counter) = self.counters.get(&fingerprint) else {
             return ChangeStatus::Isolated;
         };
-        let long = counter.long.len();
-        let all = long + counter.usual;
-        let engines_with_long_runs = counter.long.values().collect::<BTreeSet<_>>().len();
-        let are_most_long = long as f64 >= MIN_LONG_PART * all as f64;
+        let long = counter.long_runs.len();
+        let all = long + counter.usual_runs;
+        let engines_with_long_runs = counter.long_runs.values().collect::<BTreeSet<_>>().len();
+        let are_most_long = long as f64 >= MIN_LONG_FRACTION * all as f64;
         let is_everywhere = engines_with_long_runs > 1 || engines < 2;
         if long >= MIN_LONG_RUNS && are_most_long && is_everywhere {
             ChangeStatus::Changed
-        } else if long > 1 && are_most_long && over_for < MAX_UNDECIDED {
+        } else if long > 1 && are_most_long && over_bound_for < MAX_UNDECIDED_TIME {
             ChangeStatus::Undecided
         } else {
             ChangeStatus::Isolated
--- a/crates/runaway/src/fingerprint_change/tests.rs
+++ b/crates/runaway/src/fingerprint_change/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(c.classify(K, 0, 4), ChangeStatus::Isolated);
     long(&mut c, 11, 1);
     assert_eq!(
-        (c.classify(K, 0, 4), c.classify(K, MAX_UNDECIDED, 4)),
+        (c.classify(K, 0, 4), c.classify(K, MAX_UNDECIDED_TIME, 4)),
         (ChangeStatus::Undecided, ChangeStatus::Isolated)
     );
     long(&mut c, 12, 0);
@@ -50,7 +50,7 @@
     let mut c = FingerprintChanges::default();
     (10..16).for_each(|n| long(&mut c, n, 3));
     assert_eq!(
-        (c.classify(K, MAX_UNDECIDED, 4), c.classify(K, 0, 1)),
+        (c.classify(K, MAX_UNDECIDED_TIME, 4), c.classify(K, 0, 1)),
         (ChangeStatus::Isolated, ChangeStatus::Changed)
     );
     (10..16).for_each(|n| c.record_usual_run(K, id(n), n));
--- a/crates/runaway/src/fingerprint_statistics.rs
+++ b/crates/runaway/src/fingerprint_statistics.rs
@@ -65,17 +65,17 @@
     /// Returns the distributions of the nearest size bucket and the factor to scale them by. A larger statement may
     /// take proportionally more; the bound of a smaller one is not scaled down.
     pub(crate) fn nearest_size(&self, size: u64) -> (Option<&Distributions>, f64) {
-        let wanted = bucket(size);
+        let requested = bucket(size);
         let known = self
             .by_size
             .iter()
             .filter(|(_, distributions)| distributions.runs() >= MIN_RUNS_KNOWN);
-        let nearest = known.min_by_key(|(bucket, _)| (bucket.abs_diff(wanted), **bucket));
+        let nearest = known.min_by_key(|(bucket, _)| (bucket.abs_diff(requested), **bucket));
         // If no size bucket has enough runs yet, the one with the most runs is used.
         let nearest = nearest.or_else(|| self.by_size.iter().max_by_key(|(_, sizes)| sizes.runs()));
         match nearest {
             Some((bucket, distributions)) => {
-                let exponent = wanted.saturating_sub(*bucket).min(MAX_SCALE_EXPONENT);
+                let exponent = requested.saturating_sub(*bucket).min(MAX_SCALE_EXPONENT);
                 (Some(distributions), f64::from(1u32 << exponent))
             }
             None => (None, 1.0),
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -72,7 +72,7 @@
         self.runaways += 1;
     }
 
-    fn is_lifted(&self) -> bool {
+    fn can_be_released(&self) -> bool {
         self.max_in_flight >= RELEASE_LIMIT && self.runaways == 0
     }
 }
@@ -157,7 +157,7 @@
         if hold.clean_runs >= hold.clean_runs_needed {
             hold.relax();
         }
-        if hold.is_lifted() {
+        if hold.can_be_released() {
             self.fingerprints.remove(&fingerprint);
         }
     }
@@ -181,16 +181,16 @@
                 hold.last_change = now;
             }
         }
-        self.fingerprints.retain(|_, hold| !hold.is_lifted());
+        self.fingerprints.retain(|_, hold| !hold.can_be_released());
     }
 
     /// Returns the holds that are new or changed since the last call. Released ones are returned as holds without a
     /// limit.
     pub(crate) fn take_changes(&mut self, engines: &[EngineStatus]) -> Vec<Hold> {
-        let wanted = self.wanted(engines);
-        let is_lifted = |target: &&HoldTarget| !wanted.contains_key(target);
-        let lifted = self.published.keys().filter(is_lifted);
-        let mut changes: Vec<Hold> = lifted
+        let desired = self.desired_holds(engines);
+        let is_released = |target: &&HoldTarget| !desired.contains_key(target);
+        let released = self.published.keys().filter(is_released);
+        let mut changes: Vec<Hold> = released
             .map(|target| Hold {
                 target: *target,
                 max_in_flight: u32::MAX,
@@ -199,13 +199,13 @@
             })
             .collect();
         let is_changed = |hold: &&Hold| self.published.get(&hold.target) != Some(hold);
-        changes.extend(wanted.values().filter(is_changed).cloned());
-        self.published = wanted;
+        changes.extend(desired.values().filter(is_changed).cloned());
+        self.published = desired;
         changes
     }
 
     /// Returns the holds that should be in effect, given these engines.
-    fn wanted(&self, engines: &[EngineStatus]) -> BTreeMap<HoldTarget, Hold> {
+    fn desired_holds(&self, engines: &[EngineStatus]) -> BTreeMap<HoldTarget, Hold> {
         let fingerprints = self.fingerprints.iter().map(|(fingerprint, hold)| Hold {
             target: HoldTarget::Kind(fingerprint.0),
             max_in_flight: hold.max_in_flight + hold.runaways,
--- a/crates/runaway/src/remote_statements.rs
+++ b/crates/runaway/src/remote_statements.rs
@@ -52,18 +52,18 @@
         &mut self,
         now: Micros,
         engine: EngineId,
-        holder: &BlockingStatement,
+        blocker: &BlockingStatement,
         classes: &[Class],
     ) {
-        if self.len() >= MAX_REMOTE_STATEMENTS && !self.by_name.contains_key(&holder.name) {
+        if self.len() >= MAX_REMOTE_STATEMENTS && !self.by_name.contains_key(&blocker.name) {
             return; // New ones are dropped, as tracked ones expire soon.
         }
         // Without a reported age, the statement is assumed to have started at its first report.
-        let started_at = holder.age.map(|age| now.saturating_sub(age));
-        let class = holder.class.filter(|class| *class < classes.len());
+        let started_at = blocker.age.map(|age| now.saturating_sub(age));
+        let class = blocker.class.filter(|class| *class < classes.len());
         let remote = self
             .by_name
-            .entry(holder.name.clone())
+            .entry(blocker.name.clone())
             .or_insert_with(|| RemoteStatement::new(now, engine, class, started_at.unwrap_or(now)));
         remote.reported_at = now;
         remote.engine = engine;
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -94,21 +94,21 @@
     classes: &[Class],
 ) -> Result<Snapshot, SnapshotError> {
     let saved = decode_saved(bytes)?;
-    let number_of = |name: &str| classes.iter().position(|class| class.name == name);
-    let numbers: Vec<Option<usize>> = saved
+    let index_of = |name: &str| classes.iter().position(|class| class.name == name);
+    let class_indexes: Vec<Option<usize>> = saved
         .classes
         .iter()
-        .map(|class| number_of(&class.name))
+        .map(|class| index_of(&class.name))
         .collect();
     let mut restored_classes = Vec::new();
-    for (class, number) in saved.classes.iter().zip(&numbers) {
-        if let Some(number) = number {
-            restored_classes.push((*number, class.restore()?));
+    for (class, index) in saved.classes.iter().zip(&class_indexes) {
+        if let Some(index) = index {
+            restored_classes.push((*index, class.restore()?));
         }
     }
     let total = saved.fingerprints.len() + saved.holds.len();
-    let fingerprints = restore_fingerprints(saved.fingerprints, &numbers)?;
-    let holds = restore_holds(now, saved.holds, &numbers);
+    let fingerprints = restore_fingerprints(saved.fingerprints, &class_indexes)?;
+    let holds = restore_holds(now, saved.holds, &class_indexes);
     let counts = RestoredCounts {
         fingerprints: fingerprints.len(),
         holds: holds.len(),
@@ -256,11 +256,11 @@
 /// current ones.
 fn restore_fingerprints(
     saved: Vec<SavedFingerprint>,
-    numbers: &[Option<usize>],
+    class_indexes: &[Option<usize>],
 ) -> Result<Vec<(FingerprintId, FingerprintStatistics)>, SnapshotError> {
     let mut restored = Vec::new();
     for (position, saved) in saved.into_iter().enumerate() {
-        let Some(class) = numbers.get(saved.class).copied().flatten() else {
+        let Some(class) = class_indexes.get(saved.class).copied().flatten() else {
             continue;
         };
         // Times of an earlier process cannot be compared with current ones, but their order remains valid.
@@ -275,10 +275,10 @@
 fn restore_holds(
     now: Micros,
     saved: Vec<(FingerprintId, FingerprintHold)>,
-    numbers: &[Option<usize>],
+    class_indexes: &[Option<usize>],
 ) -> Vec<(FingerprintId, FingerprintHold)> {
     let restore = |(id, hold): (FingerprintId, FingerprintHold)| {
-        let class = numbers.get(hold.class).copied().flatten()?;
+        let class = class_indexes.get(hold.class).copied().flatten()?;
         let hold = FingerprintHold {
             class,
             since: now,
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the number of known fingerprints of a class.
-    pub(crate) fn known_in_class(&self, class: usize) -> usize {
+    pub(crate) fn known_count(&self, class: usize) -> usize {
         self.known_by_last_use
             .iter()
             .filter_map(|(_, id)| self.fingerprints.get(id))
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -155,5 +155,5 @@
             )
         });
     }
-    assert!(statistics.len() <= 400 && statistics.known_in_class(0) == 300);
+    assert!(statistics.len() <= 400 && statistics.known_count(0) == 300);
 }
--- a/crates/runaway/src/wait_graph.rs
+++ b/crates/runaway/src/wait_graph.rs
@@ -8,20 +8,20 @@
 /// The waits between statements.
 #[derive(Debug, Default)]
 pub(crate) struct WaitGraph {
-    holders: BTreeMap<String, String>,
+    blockers: BTreeMap<String, String>,
     waiters: BTreeMap<String, Vec<String>>,
 }
 
 impl WaitGraph {
-    /// Adds a wait of `waiter` for `holder`. If `waiter` already waits for another statement, it remains among the
+    /// Adds a wait of `waiter` for `blocker`. If `waiter` already waits for another statement, it remains among the
     /// waiters of the first one, and a search for a cycle follows the last one.
-    pub(crate) fn add_wait(&mut self, waiter: &str, holder: &str) {
-        if waiter == holder {
+    pub(crate) fn add_wait(&mut self, waiter: &str, blocker: &str) {
+        if waiter == blocker {
             return;
         }
-        let previous = self.holders.insert(waiter.to_owned(), holder.to_owned());
+        let previous = self.blockers.insert(waiter.to_owned(), blocker.to_owned());
         if previous.is_none() {
-            let waiters = self.waiters.entry(holder.to_owned()).or_default();
+            let waiters = self.waiters.entry(blocker.to_owned()).or_default();
             waiters.push(waiter.to_owned());
         }
     }
@@ -31,8 +31,8 @@
         let mut all: Vec<&str> = Vec::new();
         let mut visited = BTreeSet::from([name]);
         let mut pending = vec![name];
-        while let Some(holder) = pending.pop() {
-            for waiter in self.waiters.get(holder).into_iter().flatten() {
+        while let Some(blocker) = pending.pop() {
+            for waiter in self.waiters.get(blocker).into_iter().flatten() {
                 if visited.insert(waiter) {
                     all.push(waiter);
                     pending.push(waiter);
@@ -52,7 +52,7 @@
 
     /// Returns whether a statement waits for another.
     pub(crate) fn is_waiting(&self, name: &str) -> bool {
-        self.holders.contains_key(name)
+        self.blockers.contains_key(name)
     }
 
     /// Returns the cycle that a statement is part of, starting with the statement itself.
@@ -60,12 +60,12 @@
         let mut cycle = Vec::new();
         let mut current = name;
         while cycle.len() < MAX_CHAIN {
-            let (waiter, holder) = self.holders.get_key_value(current)?;
+            let (waiter, blocker) = self.blockers.get_key_value(current)?;
             cycle.push(waiter.as_str());
-            if holder == name {
+            if blocker == name {
                 return Some(cycle);
             }
-            current = holder;
+            current = blocker;
         }
         None
     }
--- a/crates/runaway/src/wait_graph/tests.rs
+++ b/crates/runaway/src/wait_graph/tests.rs
@@ -2,8 +2,8 @@
 
 fn wait_graph(waits: &[(&str, &str)]) -> WaitGraph {
     let mut graph = WaitGraph::default();
-    for (waiter, holder) in waits {
-        graph.add_wait(waiter, holder);
+    for (waiter, blocker) in waits {
+        graph.add_wait(waiter, blocker);
     }
     graph
 }
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -64,8 +64,8 @@
     ) -> WaitGraph {
         let mut waits = WaitGraph::default();
         for attempt in awaited(attempts) {
-            if let Some(BlockedState::Statement(Some(holder))) = attempt.blocked_state(now) {
-                waits.add_wait(&attempt.start().name, &holder.name);
+            if let Some(BlockedState::Statement(Some(blocker))) = attempt.blocked_state(now) {
+                waits.add_wait(&attempt.start().name, &blocker.name);
             }
         }
         if !self.has_recent_reports(now) {
@@ -77,7 +77,7 @@
     /// Returns whether an attempt may wait for a load of another router, if engines do not report waits. It does not if
     /// another attempt on its table group that started later completed there as usual; otherwise it may if another
     /// attempt there runs long too, or if it has run no longer than a load may.
-    pub(crate) fn may_be_blocked_unseen(
+    pub(crate) fn may_wait_for_remote_load(
         &self,
         now: Micros,
         attempt: &RunningAttempt,
@@ -108,7 +108,7 @@
             .map(|(class, settings)| statistics.remote_expectation(class, settings).bound.0)
             .fold(0.0, f64::max);
         let runs_long_too = |other: &RunningAttempt| {
-            is_same_tables(other, attempt)
+            is_on_same_tables(other, attempt)
                 && other.start().attempt != start.attempt
                 && takes_unusually_long(now, other)
         };
@@ -138,7 +138,7 @@
     };
     for load in attempts.values().filter(is_load) {
         for attempt in awaited(attempts) {
-            if is_same_tables(attempt, load)
+            if is_on_same_tables(attempt, load)
                 && attempt.started_at() > load.started_at()
                 && takes_unusually_long(now, attempt)
             {
@@ -155,7 +155,7 @@
         .filter(|attempt| attempt.abandoned_at().is_none())
 }
 
-fn is_same_tables(one: &RunningAttempt, other: &RunningAttempt) -> bool {
+fn is_on_same_tables(one: &RunningAttempt, other: &RunningAttempt) -> bool {
     let (one, other) = (one.start(), other.start());
     (one.engine, one.group) == (other.engine, other.group)
 }
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -145,7 +145,7 @@
         ExecutionOutcome::Abandoned,
         None,
     );
-    let blocked = |simulation: &mut Simulation, holder: &str, age| {
+    let blocked = |simulation: &mut Simulation, blocker: &str, age| {
         let waiting: Vec<u64> = (0..10)
             .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
             .collect();
@@ -153,12 +153,12 @@
         for second in 0..12 {
             for id in &waiting {
                 let age = Some(age + second * S);
-                let holder = BlockingStatement {
-                    name: holder.into(),
+                let blocker = BlockingStatement {
+                    name: blocker.into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
             }
             simulation.advance(1);
         }
@@ -315,12 +315,12 @@
             ("r2/00002_x", (second - 27) * S)
         };
         for id in &waiting {
-            let holder = BlockingStatement {
+            let blocker = BlockingStatement {
                 name: name.into(),
                 class: Some(LOAD),
                 age: Some(age),
             };
-            simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
+            simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
         }
         simulation.advance(1);
     }
@@ -344,12 +344,12 @@
         for second in 0..seconds {
             for id in &ids {
                 let age = Some((60 + second) * S);
-                let holder = BlockingStatement {
+                let blocker = BlockingStatement {
                     name: "r2/00009_x".into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Statement(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
             }
             simulation.advance(1);
         }
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -250,13 +250,13 @@
             .report_progress(self.now, Simulation::attempt(id), report);
     }
 
-    pub fn report_blocked_by(&mut self, id: u64, holder: &str) {
-        let holder = BlockingStatement {
-            name: holder.into(),
+    pub fn report_blocked_by(&mut self, id: u64, blocker: &str) {
+        let blocker = BlockingStatement {
+            name: blocker.into(),
             class: None,
             age: None,
         };
-        self.report_blocked(id, BlockedState::Statement(Some(holder)));
+        self.report_blocked(id, BlockedState::Statement(Some(blocker)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -350,26 +350,32 @@
     abandoned: &[String],
 ) -> ProgressReport {
     let share = (running.done / running.work).min(1.0);
-    let holder = |name: String, draw: &mut Draw| BlockingStatement {
+    let blocking_statement = |name: String, draw: &mut Draw| BlockingStatement {
         name,
         class: draw.one_in(2).then(|| draw.below(7) as usize),
         age: draw.one_in(2).then(|| draw.below(60) * S),
     };
     let blocked_state = match (blocker, draw.below(40)) {
-        (Some(name), 0..36) => Some(BlockedState::Statement(Some(holder(name, draw)))),
+        (Some(name), 0..36) => Some(BlockedState::Statement(Some(blocking_statement(
+            name, draw,
+        )))),
         (Some(_), _) => Some(BlockedState::Statement(None)),
         (None, 0) => Some(BlockedState::Memory),
         (None, 1) => {
             let name = format!("r2/{:05}_life", draw.below(4));
-            Some(BlockedState::Statement(Some(holder(name, draw))))
+            Some(BlockedState::Statement(Some(blocking_statement(
+                name, draw,
+            ))))
         }
         (None, 2) => {
             let name = names[draw.below(names.len() as u64) as usize].clone();
-            Some(BlockedState::Statement(Some(holder(name, draw))))
+            Some(BlockedState::Statement(Some(blocking_statement(
+                name, draw,
+            ))))
         }
         (None, 3 | 4) => abandoned
             .last()
-            .map(|name| BlockedState::Statement(Some(holder(name.clone(), draw)))),
+            .map(|name| BlockedState::Statement(Some(blocking_statement(name.clone(), draw)))),
         _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => {
             Some(BlockedState::Memory)
         }
