--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -33,8 +33,8 @@
         // With one significant digit, a bucket spans at most a sixteenth of its value. Automatic resizing keeps a
         // sketch of short runs small.
         let histogram = self.histogram.get_or_insert_with(|| {
-            let mut empty =
-                Histogram::new(1).unwrap_or_else(|_| unreachable!("one digit is permitted"));
+            let mut empty = Histogram::new(1)
+                .unwrap_or_else(|_| unreachable!("one significant digit is valid"));
             empty.auto(true);
             Box::new(empty)
         });
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -24,16 +24,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The data is not a snapshot, or is one of another version.
-    #[error("it does not begin with {HEADER:?}")]
+    #[error("not a runaway snapshot of this version: the first line is not {HEADER:?}")]
     UnknownFormat,
     /// The checksum does not match: the snapshot was truncated or modified.
-    #[error("its checksum is wrong: it was cut or changed")]
+    #[error("checksum mismatch: the snapshot was truncated or modified")]
     Damaged,
     /// The checksum matches, but the content is not the expected JSON.
-    #[error("it can't be understood: {0}")]
+    #[error("invalid snapshot content: {0}")]
     InvalidJson(#[source] serde_json::Error),
     /// The checksum matches, but weights or values of a distribution are out of range.
-    #[error("it can't be understood: a distribution out of bounds")]
+    #[error("invalid snapshot content: a distribution is out of range")]
     InvalidDistribution,
 }
 
