--- a/crates/runaway/src/enforcement/tests.rs
+++ b/crates/runaway/src/enforcement/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_end_is_decided_once_and_only_while_the_attempt_executes() {
+fn a_kill_is_decided_once_and_only_while_the_attempt_executes() {
     let mut enforcement = AttemptEnforcement::default();
     enforcement.schedule_kill(10);
     assert_eq!(enforcement.take_due(9, true), due(false, false));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_end_that_is_cancelled_is_not_due() {
+fn a_cancelled_kill_is_not_due() {
     let mut enforcement = AttemptEnforcement::default();
     enforcement.schedule_kill(10);
     enforcement.cancel_kill();
--- a/crates/runaway/src/engine_speed/tests.rs
+++ b/crates/runaway/src/engine_speed/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn samples(times: &[f64]) -> Vec<Sample> {
-    times
+fn samples(slowdowns: &[f64]) -> Vec<Sample> {
+    slowdowns
         .iter()
-        .map(|t| Sample {
+        .map(|slowdown| Sample {
             fingerprint: FingerprintId(1),
-            slowdown: *t,
+            slowdown: *slowdown,
         })
         .collect()
 }
@@ -17,7 +17,11 @@
 #[test]
 fn slowness_needs_several_samples() {
     let speeds = EngineSpeeds::default();
-    let factor = |times: &[f64]| speeds.slowness_with(0, EngineId(1), &samples(times)).factor;
+    let factor = |slowdowns: &[f64]| {
+        speeds
+            .slowness_with(0, EngineId(1), &samples(slowdowns))
+            .factor
+    };
     assert_eq!(factor(&[50.0, 50.0]), 1.0);
     assert_eq!(factor(&[1.0, 1.2, 50.0, 0.9]), 1.0);
     assert_eq!(factor(&[4.0, 5.0, 50.0, 6.0]), 5.0);
@@ -54,17 +58,18 @@
 
 #[test]
 fn an_engine_is_slow_only_compared_with_the_others() {
-    let new = |own, others: &[_]| is_slower_than_others(own, others, false);
+    let is_newly_slow = |own, others: &[_]| is_slower_than_others(own, others, false);
     assert!(
-        new(slowness(4.0, 8), &[slowness(1.0, 8), slowness(1.2, 8)]) && new(slowness(4.0, 8), &[])
+        is_newly_slow(slowness(4.0, 8), &[slowness(1.0, 8), slowness(1.2, 8)])
+            && is_newly_slow(slowness(4.0, 8), &[])
     );
-    assert!(!new(
+    assert!(!is_newly_slow(
         slowness(4.0, 8),
         &[slowness(3.0, 8), slowness(4.0, 8), slowness(1.0, 0)]
     ));
     assert!(
-        !new(slowness(2.5, 8), &[slowness(1.0, 8)])
-            && !new(slowness(9.0, MIN_SAMPLES), &[slowness(1.0, 8)])
+        !is_newly_slow(slowness(2.5, 8), &[slowness(1.0, 8)])
+            && !is_newly_slow(slowness(9.0, MIN_SAMPLES), &[slowness(1.0, 8)])
     );
     assert!(
         is_slower_than_others(slowness(2.5, 8), &[slowness(1.0, 8)], true)
--- a/crates/runaway/src/findings/tests.rs
+++ b/crates/runaway/src/findings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::{Basis, Evidence, Measure};
 
-fn finding(name: &str, verdict: Verdict, at: Micros) -> Finding {
+fn statement_finding(name: &str, verdict: Verdict, at: Micros) -> Finding {
     let evidence = Evidence {
         measure: Measure::Work,
         value: 9e6,
@@ -31,29 +31,35 @@
 #[test]
 fn only_changes_are_reported_and_a_finding_stays_until_it_is_cleared() {
     let (mut all, mut out) = (Findings::default(), Vec::new());
-    assert!(all.report(finding("a", Verdict::Suspect, 1), &mut out));
-    assert!(!all.report(finding("a", Verdict::Suspect, 2), &mut out));
-    assert!(all.report(finding("a", Verdict::Runaway, 3), &mut out));
-    assert!(!all.report(finding("a", Verdict::Suspect, 4), &mut out));
+    assert!(all.report(statement_finding("a", Verdict::Suspect, 1), &mut out));
+    assert!(!all.report(statement_finding("a", Verdict::Suspect, 2), &mut out));
+    assert!(all.report(statement_finding("a", Verdict::Runaway, 3), &mut out));
+    assert!(!all.report(statement_finding("a", Verdict::Suspect, 4), &mut out));
     let a = Subject::Statement("a".into());
-    let f = all.get(&a).expect("an open finding");
-    assert_eq!((f.id, f.verdict, f.at), (1, Verdict::Runaway, 3));
+    let finding = all.get(&a).expect("an open finding");
+    assert_eq!(
+        (finding.id, finding.verdict, finding.at),
+        (1, Verdict::Runaway, 3)
+    );
     all.clear(5, &a, "over", &mut out);
     all.clear(5, &a, "over", &mut out);
     assert_eq!(
         (out.len(), all.open().count(), all.cleared().count()),
         (3, 0, 1)
     );
-    assert!(all.report(finding("b", Verdict::Suspect, 6), &mut out));
+    assert!(all.report(statement_finding("b", Verdict::Suspect, 6), &mut out));
     assert_eq!(all.open().next().map(|f| f.id), Some(2));
 }
 
 #[test]
 fn findings_are_bounded_and_suspects_are_evicted_first() {
     let (mut all, mut out) = (Findings::default(), Vec::new());
-    all.report(finding("r", Verdict::Runaway, 0), &mut out);
+    all.report(statement_finding("r", Verdict::Runaway, 0), &mut out);
     (0..5000).for_each(|n| {
-        all.report(finding(&format!("s{n}"), Verdict::Suspect, n), &mut out);
+        all.report(
+            statement_finding(&format!("s{n}"), Verdict::Suspect, n),
+            &mut out,
+        );
     });
     assert_eq!(
         (all.open().count(), all.cleared().count()),
@@ -63,8 +69,10 @@
 }
 
 #[test]
-fn evidence_is_displayed_as_a_sentence() {
-    let text = finding("a", Verdict::Runaway, 0).evidence.to_string();
+fn evidence_is_displayed_with_units_and_basis() {
+    let text = statement_finding("a", Verdict::Runaway, 0)
+        .evidence
+        .to_string();
     assert_eq!(
         text,
         "work so far 9.0 s, usual 0.1 s, bound 1.0 s by 40 runs of its kind"
--- a/crates/runaway/src/retry_safety/tests.rs
+++ b/crates/runaway/src/retry_safety/tests.rs
@@ -1,13 +1,10 @@
 use super::*;
 
 #[test]
-fn only_proof_or_a_window_that_still_holds_makes_a_second_run_harmless() {
+fn a_retry_is_safe_if_idempotent_rolled_back_or_within_the_deduplication_window() {
     use Proof::*;
-    let keyed = |group, window| Idempotency::WithKey {
-        scope: group,
-        window,
-    };
-    for (idempotency, proof, want) in [
+    let keyed = |scope, window| Idempotency::WithKey { scope, window };
+    for (idempotency, proof, expected) in [
         (Idempotency::Idempotent, Unknown, RetrySafety::Safe),
         (Idempotency::NotIdempotent, RolledBack, RetrySafety::Safe),
         (Idempotency::NotIdempotent, Unknown, RetrySafety::MayHaveRun),
@@ -50,7 +47,7 @@
     ] {
         assert_eq!(
             retry_safety_after_kill(idempotency, proof, 100, 200),
-            want,
+            expected,
             "{idempotency:?} {proof:?}"
         );
     }
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::{Basis, EnforcementOptions};
 use hoptiller_policy::Idempotency;
 
-const S: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 fn class_settings() -> Class {
     Class {
@@ -18,8 +18,8 @@
 
 fn run(seconds: f64) -> Run {
     Run {
-        run_time: RunTime(seconds * S),
-        work: Some(Work(2.0 * seconds * S)),
+        run_time: RunTime(seconds * MICROS_PER_SECOND),
+        work: Some(Work(2.0 * seconds * MICROS_PER_SECOND)),
         ..Run::default()
     }
 }
@@ -51,20 +51,26 @@
 
 #[test]
 fn the_bound_of_the_class_applies_until_a_fingerprint_has_enough_runs() {
-    let (nothing, some) = (Announced::default(), |b: &Statistics| {
+    let (nothing_announced, expected) = (Announced::default(), |b: &Statistics| {
         expected_run_time(b, 1, Announced::default())
     });
     assert_eq!(
-        some(&statistics_of(FingerprintId(1), 0)).basis,
+        expected(&statistics_of(FingerprintId(1), 0)).basis,
         Basis::Settings
     );
-    let ten = some(&statistics_of(FingerprintId(1), 10));
-    assert_eq!((ten.basis, ten.bound), (Basis::Settings, 25.0 * S));
-    let own = some(&statistics_of(FingerprintId(1), 60));
+    let ten = expected(&statistics_of(FingerprintId(1), 10));
+    assert_eq!(
+        (ten.basis, ten.bound),
+        (Basis::Settings, 25.0 * MICROS_PER_SECOND)
+    );
+    let own = expected(&statistics_of(FingerprintId(1), 60));
     assert_eq!(own.basis, Basis::Fingerprint(60));
-    assert!((11.0 * S..13.0 * S).contains(&own.bound), "{own:?}");
+    assert!(
+        (11.0 * MICROS_PER_SECOND..13.0 * MICROS_PER_SECOND).contains(&own.bound),
+        "{own:?}"
+    );
     // An unknown fingerprint in a class with runs has a higher bound than a known one.
-    let unknown = expected_run_time(&statistics_of(FingerprintId(1), 60), 2, nothing);
+    let unknown = expected_run_time(&statistics_of(FingerprintId(1), 60), 2, nothing_announced);
     assert_eq!(unknown.basis, Basis::Class(60));
     assert!(unknown.bound > 1.8 * own.bound, "{unknown:?}");
 }
@@ -79,7 +85,7 @@
     );
     assert!(
         (7.0..9.0).contains(&(twelve.bound / plain.bound)),
-        "the power of two under 12"
+        "12 is in the size bucket that begins at 8"
     );
     // Without earlier estimates to compare with, an estimate is not used.
     assert_eq!(
@@ -126,7 +132,9 @@
     }
     assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 3.5 * before.usual);
     statistics.adopt_over_bound(FingerprintId(1));
-    assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 90.0 * S);
+    assert!(
+        expected_run_time(&statistics, 1, Announced::default()).usual > 90.0 * MICROS_PER_SECOND
+    );
 }
 
 #[test]
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_load_that_blocks_many_lookups_is_a_runaway_and_they_are_not() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
     let load = simulation.run(load);
@@ -25,7 +25,7 @@
         simulation.advance(1);
     }
     assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
-    let f = simulation
+    let finding = simulation
         .detector
         .open_findings()
         .next()
@@ -33,8 +33,8 @@
         .clone();
     assert_eq!(
         (
-            f.blocked_count,
-            f.blocked_names.len(),
+            finding.blocked_count,
+            finding.blocked_names.len(),
             simulation.detector.open_findings().count()
         ),
         (40, 40, 1)
@@ -66,7 +66,7 @@
 
 #[test]
 fn waits_are_inferred_from_table_groups_without_reports() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     simulation.reports_progress = false;
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
@@ -83,34 +83,37 @@
     assert_eq!(
         simulation.runaways(),
         [(name(load), Cause::Blocks)],
-        "the lookups wait for it, as far as is known"
+        "the lookups are inferred to wait for it"
     );
 }
 
 #[test]
 fn both_members_of_a_deadlock_are_runaways_and_their_waiters_are_not() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    let (a, b) = (
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
+    let (first, second) = (
         simulation.start(LOAD, LOAD as u64, 1, 4e6),
         simulation.start(LOAD, LOAD as u64, 1, 4e6),
     );
-    let c = simulation.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
+    let waiter = simulation.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
     simulation.running.clear();
     for _ in 0..6 {
-        simulation.report_blocked_by(a, &name(b));
-        simulation.report_blocked_by(b, &name(a));
-        simulation.report_blocked_by(c, &name(a));
+        simulation.report_blocked_by(first, &name(second));
+        simulation.report_blocked_by(second, &name(first));
+        simulation.report_blocked_by(waiter, &name(first));
         simulation.advance(1);
     }
     let mut found = simulation.runaways();
     found.sort();
     assert_eq!(
         found,
-        [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]
+        [
+            (name(first), Cause::Deadlock),
+            (name(second), Cause::Deadlock)
+        ]
     );
     // The cycle is broken: neither member is a runaway any longer.
-    simulation.finish(b);
-    for id in [a, c] {
+    simulation.finish(second);
+    for id in [first, waiter] {
         simulation.detector.report_progress(
             simulation.now,
             Simulation::attempt(id),
@@ -125,7 +128,7 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.verdict != Verdict::Runaway),
+            .all(|finding| finding.verdict != Verdict::Runaway),
         "{:?}",
         simulation.detector.open_findings().collect::<Vec<_>>()
     );
@@ -133,7 +136,7 @@
 
 #[test]
 fn an_abandoned_attempt_is_found_by_its_waiters() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 900e6);
     load.group = Some(5);
     let load = simulation.run(load);
@@ -152,7 +155,7 @@
         simulation.running.clear();
         for second in 0..12 {
             for id in &waiting {
-                let age = Some(age + second * S);
+                let age = Some(age + second * SECOND);
                 let blocker = BlockingStatement {
                     name: blocker.into(),
                     class: Some(LOAD),
@@ -164,7 +167,7 @@
         }
         waiting
     };
-    blocked(&mut simulation, &name(load), S);
+    blocked(&mut simulation, &name(load), SECOND);
     assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
     assert!(
         simulation
@@ -181,11 +184,11 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.subject != Subject::Statement(name(load)))
+            .all(|finding| finding.subject != Subject::Statement(name(load)))
     );
     // A statement of a crashed router, which this router never sent.
     simulation.decisions.clear();
-    let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * S);
+    let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * SECOND);
     assert_eq!(
         simulation.runaways(),
         [("r2/00009_gone".to_owned(), Cause::Blocks)]
@@ -203,7 +206,7 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
+            .all(|finding| finding.subject != Subject::Statement("r2/00009_gone".into()))
     );
     assert_eq!(
         simulation.detector.tracked_counts().remote_statements,
@@ -213,8 +216,8 @@
 }
 
 #[test]
-fn a_blocked_attempt_is_not_at_fault_whatever_it_used_before() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_blocked_attempt_is_no_runaway_whatever_it_used_before() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.running.clear();
     for _ in 0..20 {
@@ -223,7 +226,7 @@
             simulation.now,
             Simulation::attempt(id),
             ProgressReport {
-                work: Some(400 * S),
+                work: Some(400 * SECOND),
                 blocked_state,
                 ..ProgressReport::default()
             },
@@ -235,7 +238,7 @@
         simulation.now,
         Simulation::attempt(id),
         ProgressReport {
-            work: Some(400 * S),
+            work: Some(400 * SECOND),
             ..ProgressReport::default()
         },
     );
@@ -255,7 +258,7 @@
         simulation.run(job)
     };
     let without_reports = || {
-        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+        let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
         simulation.reports_progress = false;
         simulation
     };
@@ -273,17 +276,17 @@
     two.advance(60);
     assert_eq!(two.runaways(), []);
     // A reader of the same tables that started later has completed, so the first one does not wait: it is heavy.
-    let mut passed = without_reports();
-    let id = lookup(&mut passed, 900e6);
-    passed.advance(1);
-    lookup(&mut passed, 250_000.0);
-    passed.advance(10);
-    assert_eq!(passed.runaways(), [(name(id), Cause::Heavy)]);
+    let mut overtaken = without_reports();
+    let id = lookup(&mut overtaken, 900e6);
+    overtaken.advance(1);
+    lookup(&mut overtaken, 250_000.0);
+    overtaken.advance(10);
+    assert_eq!(overtaken.runaways(), [(name(id), Cause::Heavy)]);
 }
 
 #[test]
-fn a_holder_without_a_reported_age_is_as_old_as_its_first_report() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_blocker_without_a_reported_age_is_as_old_as_its_first_report() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..10)
         .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
@@ -302,7 +305,7 @@
 
 #[test]
 fn blocked_time_does_not_count_against_a_load() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..3)
         .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
@@ -310,9 +313,9 @@
     for second in 0..30u64 {
         // The first load is a runaway; the second one starts only after it.
         let (name, age) = if second < 27 {
-            ("r2/00001_x", second * S)
+            ("r2/00001_x", second * SECOND)
         } else {
-            ("r2/00002_x", (second - 27) * S)
+            ("r2/00002_x", (second - 27) * SECOND)
         };
         for id in &waiting {
             let blocker = BlockingStatement {
@@ -332,7 +335,7 @@
 
 #[test]
 fn table_groups_are_excluded_from_the_engine_of_a_remote_runaway_until_it_is_gone() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let wait_for_remote = |simulation: &mut Simulation, n: u64, seconds: u64| {
         let mut ids = Vec::new();
         for _ in 0..n {
@@ -343,7 +346,7 @@
         simulation.running.clear();
         for second in 0..seconds {
             for id in &ids {
-                let age = Some((60 + second) * S);
+                let age = Some((60 + second) * SECOND);
                 let blocker = BlockingStatement {
                     name: "r2/00009_x".into(),
                     class: Some(LOAD),
@@ -366,14 +369,14 @@
         simulation
             .detector
             .excluded_engines()
-            .any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]))
+            .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     };
     wait_for_remote(&mut simulation, 10, 6);
     assert!(is_excluded(&simulation));
     simulation.advance(15);
     assert!(
         is_excluded(&simulation),
-        "it blocks nothing at the moment: it is still tracked"
+        "it is still tracked while it blocks no attempts"
     );
     simulation.advance(6);
     assert!(!is_excluded(&simulation), "the exclusion has ended");
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use hoptiller_policy::{EngineId, Hold, Idempotency, Micros};
 use hoptiller_runaway::*;
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 
 pub const LOOKUP: usize = 0;
 pub const REPORT: usize = 1;
@@ -23,7 +23,7 @@
     Class {
         name: name.into(),
         latency_objective,
-        client_timeout: 25 * S,
+        client_timeout: 25 * SECOND,
         threads,
         idempotency,
         holds_tables,
@@ -31,7 +31,7 @@
     }
 }
 
-pub const NAME_AND_HOLD: EnforcementOptions = EnforcementOptions {
+pub const REPORT_AND_HOLD: EnforcementOptions = EnforcementOptions {
     report: true,
     hold: true,
     low_priority: false,
@@ -42,13 +42,25 @@
 pub fn settings(options: EnforcementOptions) -> Settings {
     Settings {
         classes: vec![
-            class("lookup", 3 * S / 2, 1.0, Idempotency::Idempotent, options),
-            class("report", 2 * S, 2.0, Idempotency::Idempotent, options),
-            class("rent-load", 3 * S, 2.0, Idempotency::NotIdempotent, options),
+            class(
+                "lookup",
+                3 * SECOND / 2,
+                1.0,
+                Idempotency::Idempotent,
+                options,
+            ),
+            class("report", 2 * SECOND, 2.0, Idempotency::Idempotent, options),
+            class(
+                "rent-load",
+                3 * SECOND,
+                2.0,
+                Idempotency::NotIdempotent,
+                options,
+            ),
         ],
         max_fingerprints: 1000,
-        pause_for: 10 * S,
-        kill_after: 5 * S,
+        pause_for: 10 * SECOND,
+        kill_after: 5 * SECOND,
     }
 }
 
@@ -64,7 +76,7 @@
     /// Total work over all threads, in µs.
     pub work: f64,
     /// Factor by which the statement runs slower than its threads allow.
-    pub slow: f64,
+    pub slowdown: f64,
     pub rows: Option<u64>,
     /// Work done so far, in µs.
     pub done: f64,
@@ -82,7 +94,7 @@
 }
 
 pub fn name(id: u64) -> String {
-    format!("r1/{id:05}_life")
+    format!("r1/{id:05}_incarnation")
 }
 
 impl Simulation {
@@ -101,7 +113,7 @@
         detector.update_engines((0..engines).map(listed).collect());
         Simulation {
             detector,
-            now: 100 * S,
+            now: 100 * SECOND,
             reports_progress: true,
             running: vec![],
             decisions: vec![],
@@ -128,7 +140,7 @@
                 self.finish(id);
             }
         }
-        self.now += 60 * S;
+        self.now += 60 * SECOND;
         self.decisions.clear();
     }
 
@@ -142,7 +154,7 @@
             group: None,
             announced: Announced::default(),
             work,
-            slow: 1.0,
+            slowdown: 1.0,
             rows: None,
             done: 0.0,
         }
@@ -210,11 +222,11 @@
     /// is done.
     pub fn advance(&mut self, seconds: u64) {
         for half in 0..2 * seconds {
-            self.now += S / 2;
+            self.now += SECOND / 2;
             let mut over = Vec::new();
             for job in &mut self.running {
-                let rate = self.threads[job.class] / job.slow;
-                job.done += rate * (S / 2) as f64;
+                let rate = self.threads[job.class] / job.slowdown;
+                job.done += rate * (SECOND / 2) as f64;
                 if job.done >= job.work {
                     over.push(job.id);
                 } else if self.reports_progress && half % 2 == 1 {
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -9,7 +9,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::common::{S, class};
+use crate::common::{SECOND, class};
 use crate::{STEP, STEPS};
 
 const ENGINES: u64 = 6;
@@ -18,9 +18,9 @@
 /// Maximum number of attempts in flight.
 const MAX_RUNNING: usize = 60;
 
-struct Draw(Pcg64Mcg);
+struct RandomSource(Pcg64Mcg);
 
-impl Draw {
+impl RandomSource {
     fn below(&mut self, bound: u64) -> u64 {
         self.0.next_u64() % bound
     }
@@ -34,37 +34,37 @@
     }
 }
 
-fn generated_settings(draw: &mut Draw) -> Settings {
+fn generated_settings(random: &mut RandomSource) -> Settings {
     let names = ["lookup", "report", "load", "other", "batch"];
-    let classes = (0..3 + draw.below(3) as usize)
+    let classes = (0..3 + random.below(3) as usize)
         .map(|number| {
-            let effect = if number == 2 || draw.one_in(4) {
+            let idempotency = if number == 2 || random.one_in(4) {
                 Idempotency::NotIdempotent
             } else {
                 Idempotency::Idempotent
             };
             let options = EnforcementOptions {
                 report: true,
-                hold: !draw.one_in(4),
-                low_priority: draw.one_in(3),
-                pause: draw.one_in(2),
-                kill: draw.one_in(2),
+                hold: !random.one_in(4),
+                low_priority: random.one_in(3),
+                pause: random.one_in(2),
+                kill: random.one_in(2),
             };
-            let objective = draw.choose(&[S, 3 * S / 2, 2 * S, 3 * S]);
-            let threads = draw.choose(&[1.0, 2.0]);
-            class(names[number], objective, threads, effect, options)
+            let objective = random.choose(&[SECOND, 3 * SECOND / 2, 2 * SECOND, 3 * SECOND]);
+            let threads = random.choose(&[1.0, 2.0]);
+            class(names[number], objective, threads, idempotency, options)
         })
         .collect();
     Settings {
         classes,
-        max_fingerprints: draw.choose(&[12, 40, 1000]),
-        pause_for: draw.choose(&[2 * S, 10 * S]),
-        kill_after: draw.choose(&[S, 5 * S]),
+        max_fingerprints: random.choose(&[12, 40, 1000]),
+        pause_for: random.choose(&[2 * SECOND, 10 * SECOND]),
+        kill_after: random.choose(&[SECOND, 5 * SECOND]),
     }
 }
 
 /// An attempt that runs on a simulated engine.
-struct Running {
+struct SimulatedAttempt {
     start: AttemptStart,
     work: f64,
     done: f64,
@@ -75,7 +75,7 @@
 }
 
 pub struct Generator {
-    draw: Draw,
+    random: RandomSource,
     settings: Settings,
     /// Whether engines report progress with this seed.
     reports_progress: bool,
@@ -83,7 +83,7 @@
     reports_work: bool,
     now: Micros,
     next_statement: u64,
-    running: BTreeMap<AttemptId, Running>,
+    running: BTreeMap<AttemptId, SimulatedAttempt>,
     /// Names of abandoned attempts that still run.
     abandoned: Vec<String>,
     slow_engine: u64,
@@ -94,14 +94,14 @@
 
 impl Generator {
     pub fn new(seed: u64) -> Generator {
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
-        let settings = generated_settings(&mut draw);
+        let mut random = RandomSource(Pcg64Mcg::seed_from_u64(seed));
+        let settings = generated_settings(&mut random);
         Generator {
-            draw,
+            random,
             settings,
             reports_progress: seed % 4 != 3,
             reports_work: seed % 4 != 2,
-            now: 100 * S,
+            now: 100 * SECOND,
             next_statement: 0,
             running: BTreeMap::new(),
             abandoned: Vec::new(),
@@ -133,12 +133,12 @@
         self.progress(detector);
         self.report(detector);
         self.end_attempts(detector);
-        self.add_rare(detector, number);
+        self.add_rare_events(detector, number);
         detector.run_detection(self.now);
     }
 
     fn start_attempts(&mut self, detector: &mut RunawayDetector) {
-        for _ in 0..self.draw.below(5) {
+        for _ in 0..self.random.below(5) {
             if self.running.len() >= MAX_RUNNING {
                 return;
             }
@@ -147,11 +147,11 @@
     }
 
     fn start_attempt(&mut self, detector: &mut RunawayDetector) {
-        let draw = &mut self.draw;
-        let number = if draw.one_in(12) {
-            1_000 + draw.below(30)
+        let random = &mut self.random;
+        let number = if random.one_in(12) {
+            1_000 + random.below(30)
         } else {
-            draw.below(FINGERPRINTS)
+            random.below(FINGERPRINTS)
         };
         let class = (number % self.settings.classes.len() as u64) as usize;
         let fingerprint = detector.fingerprint_id(class, number);
@@ -160,25 +160,25 @@
         self.next_statement += 1;
         let attempt = AttemptId {
             statement: self.next_statement,
-            number: draw.below(2) as u32,
+            number: random.below(2) as u32,
         };
-        let size = draw.choose(&[0, 0, 0, 12, 300]);
+        let size = random.choose(&[0, 0, 0, 12, 300]);
         let usual = 200_000.0 * (1 + number % 5) as f64 * (1.0 + size as f64 / 30.0);
-        let mut work = usual * draw.choose(&[0.7, 0.9, 1.0, 1.1, 1.4]);
-        let estimate = draw
+        let mut work = usual * random.choose(&[0.7, 0.9, 1.0, 1.1, 1.4]);
+        let estimate = random
             .one_in(3)
-            .then(|| (work * draw.choose(&[0.8, 1.0, 1.2])) as Micros);
-        if draw.one_in(70) || number >= 1_000 && draw.one_in(4) {
-            work *= draw.choose(&[20.0, 60.0, 200.0]);
+            .then(|| (work * random.choose(&[0.8, 1.0, 1.2])) as Micros);
+        if random.one_in(70) || number >= 1_000 && random.one_in(4) {
+            work *= random.choose(&[20.0, 60.0, 200.0]);
         }
         if number == self.changed_fingerprint {
             work *= 30.0;
         }
         let is_load = self.settings.classes[class].holds_tables;
-        let engine = if self.engine_without_memory < ENGINES && draw.one_in(2) {
+        let engine = if self.engine_without_memory < ENGINES && random.one_in(2) {
             self.engine_without_memory
         } else {
-            draw.below(ENGINES)
+            random.below(ENGINES)
         };
         let start = AttemptStart {
             attempt,
@@ -189,17 +189,17 @@
             held_as,
             label,
             announced: Announced { size, estimate },
-            group: (is_load || draw.one_in(2)).then(|| draw.below(GROUPS)),
+            group: (is_load || random.one_in(2)).then(|| random.below(GROUPS)),
         };
         detector.start_attempt(self.now, start.clone());
-        let running = Running {
+        let running = SimulatedAttempt {
             start,
             work,
             done: 0.0,
             blocked_by: None,
-            reports: self.reports_progress && !draw.one_in(15),
-            memory_mb: draw.one_in(2).then(|| draw.choose(&[10.0, 20.0, 30.0])),
-            spills: draw.one_in(40),
+            reports: self.reports_progress && !random.one_in(15),
+            memory_mb: random.one_in(2).then(|| random.choose(&[10.0, 20.0, 30.0])),
+            spills: random.one_in(40),
         };
         self.running.insert(attempt, running);
     }
@@ -232,7 +232,7 @@
                     self.settings.classes[start.class].threads / if is_slow { 6.0 } else { 1.0 };
                 running.done += rate * STEP as f64;
             }
-            if running.done < running.work && self.draw.one_in(900) {
+            if running.done < running.work && self.random.one_in(900) {
                 detector.start_streaming(self.now, start.attempt);
             }
         }
@@ -249,7 +249,7 @@
             let Some(running) = self.running.get(&id) else {
                 continue;
             };
-            if !running.reports || !self.draw.one_in(4) {
+            if !running.reports || !self.random.one_in(4) {
                 continue;
             }
             let blocker = running
@@ -257,10 +257,10 @@
                 .and_then(|id| self.running.get(&id))
                 .map(|blocker| blocker.start.name.clone());
             let mut report =
-                generated_report(&mut self.draw, running, blocker, &names, &self.abandoned);
+                generated_report(&mut self.random, running, blocker, &names, &self.abandoned);
             let waits_for_memory = u64::from(running.start.engine.0) == self.engine_without_memory
                 && running.work < 1e7;
-            if waits_for_memory && !self.draw.one_in(5) {
+            if waits_for_memory && !self.random.one_in(5) {
                 report.blocked_state = Some(BlockedState::Memory);
             }
             if !self.reports_work {
@@ -268,7 +268,7 @@
             }
             detector.report_progress(self.now, id, report);
         }
-        if self.draw.one_in(50) {
+        if self.random.one_in(50) {
             let unknown = AttemptId {
                 statement: 1 << 40,
                 number: 0,
@@ -278,13 +278,13 @@
     }
 
     fn end_attempts(&mut self, detector: &mut RunawayDetector) {
-        let draw = &mut self.draw;
+        let random = &mut self.random;
         let mut over = Vec::new();
         for (id, running) in &self.running {
             if running.done >= running.work {
                 over.push((*id, ExecutionOutcome::Succeeded));
-            } else if draw.one_in(400) {
-                let outcome = draw.choose(&[
+            } else if random.one_in(400) {
+                let outcome = random.choose(&[
                     ExecutionOutcome::Failed,
                     ExecutionOutcome::NeverRan,
                     ExecutionOutcome::Abandoned,
@@ -300,7 +300,7 @@
             if outcome == ExecutionOutcome::Abandoned {
                 self.abandoned.push(running.start.name);
             }
-            let work = (running.reports && !self.draw.one_in(5) && self.reports_work)
+            let work = (running.reports && !self.random.one_in(5) && self.reports_work)
                 .then_some(running.work as Micros);
             detector.end_attempt(self.now, id, outcome, work);
         }
@@ -309,25 +309,25 @@
         }
     }
 
-    fn add_rare(&mut self, detector: &mut RunawayDetector, number: u64) {
-        let draw = &mut self.draw;
-        if number == 0 || draw.one_in(100) {
+    fn add_rare_events(&mut self, detector: &mut RunawayDetector, number: u64) {
+        let random = &mut self.random;
+        if number == 0 || random.one_in(100) {
             let classes = self.settings.classes.len();
             let engines = (0..ENGINES as u32)
-                .filter(|_| number == 0 || !draw.one_in(8))
+                .filter(|_| number == 0 || !random.one_in(8))
                 .collect::<Vec<_>>();
             let engines = engines.into_iter().map(|engine| EngineStatus {
                 engine: EngineId(engine),
-                is_up: !draw.one_in(8),
-                classes: (0..classes).map(|_| !draw.one_in(6)).collect(),
+                is_up: !random.one_in(8),
+                classes: (0..classes).map(|_| !random.one_in(6)).collect(),
             });
             let engines = engines.collect();
             detector.update_engines(engines);
         }
-        if draw.one_in(300) {
-            detector.reset_engine(self.now, EngineId(draw.below(ENGINES) as u32));
+        if random.one_in(300) {
+            detector.reset_engine(self.now, EngineId(random.below(ENGINES) as u32));
         }
-        if draw.one_in(200) {
+        if random.one_in(200) {
             let held: Vec<FingerprintId> = detector.holds().map(|(id, _)| *id).collect();
             held.first().map(|id| detector.release_hold(*id));
         }
@@ -343,54 +343,54 @@
 
 /// Returns an engine's report on an attempt: mostly correct values, occasionally invalid ones.
 fn generated_report(
-    draw: &mut Draw,
-    running: &Running,
+    random: &mut RandomSource,
+    running: &SimulatedAttempt,
     blocker: Option<String>,
     names: &[String],
     abandoned: &[String],
 ) -> ProgressReport {
     let share = (running.done / running.work).min(1.0);
-    let blocking_statement = |name: String, draw: &mut Draw| BlockingStatement {
+    let blocking_statement = |name: String, random: &mut RandomSource| BlockingStatement {
         name,
-        class: draw.one_in(2).then(|| draw.below(7) as usize),
-        age: draw.one_in(2).then(|| draw.below(60) * S),
+        class: random.one_in(2).then(|| random.below(7) as usize),
+        age: random.one_in(2).then(|| random.below(60) * SECOND),
     };
-    let blocked_state = match (blocker, draw.below(40)) {
+    let blocked_state = match (blocker, random.below(40)) {
         (Some(name), 0..36) => Some(BlockedState::Statement(Some(blocking_statement(
-            name, draw,
+            name, random,
         )))),
         (Some(_), _) => Some(BlockedState::Statement(None)),
         (None, 0) => Some(BlockedState::Memory),
         (None, 1) => {
-            let name = format!("r2/{:05}_life", draw.below(4));
+            let name = format!("r2/{:05}_life", random.below(4));
             Some(BlockedState::Statement(Some(blocking_statement(
-                name, draw,
+                name, random,
             ))))
         }
         (None, 2) => {
-            let name = names[draw.below(names.len() as u64) as usize].clone();
+            let name = names[random.below(names.len() as u64) as usize].clone();
             Some(BlockedState::Statement(Some(blocking_statement(
-                name, draw,
+                name, random,
             ))))
         }
         (None, 3 | 4) => abandoned
             .last()
-            .map(|name| BlockedState::Statement(Some(blocking_statement(name.clone(), draw)))),
-        _ if running.start.fingerprint.0.is_multiple_of(3) && draw.one_in(3) => {
+            .map(|name| BlockedState::Statement(Some(blocking_statement(name.clone(), random)))),
+        _ if running.start.fingerprint.0.is_multiple_of(3) && random.one_in(3) => {
             Some(BlockedState::Memory)
         }
         _ => None,
     };
-    let done = match draw.below(60) {
+    let done = match random.below(60) {
         0 => Some(f64::NAN),
         1 => Some(7.0),
         2..30 => Some(share),
         _ => None,
     };
     ProgressReport {
-        work: (!draw.one_in(4)).then_some(running.done as Micros),
+        work: (!random.one_in(4)).then_some(running.done as Micros),
         done,
-        rows: draw
+        rows: random
             .one_in(2)
             .then_some((running.done / if running.work > 1e7 { 900.0 } else { 50.0 }) as u64),
         memory_mb: running
--- a/crates/runaway/tests/decision_digest/main.rs
+++ b/crates/runaway/tests/decision_digest/main.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use common::S;
+use common::SECOND;
 use generator::Generator;
 use hoptiller_policy::Micros;
 use hoptiller_runaway::RunawayDetector;
@@ -21,21 +21,21 @@
 
 const SEEDS: u64 = 12;
 const STEPS: u64 = 1_600;
-const STEP: Micros = S / 4;
+const STEP: Micros = SECOND / 4;
 
 /// Returns the time from one step to the next: occasionally a longer pause, and once a pause after which abandoned
 /// attempts are no longer tracked.
 fn pause_after(number: u64) -> Micros {
     match number {
-        1_199 => 1_000 * S,
-        number if number % 300 == 299 => 20 * S,
+        1_199 => 1_000 * SECOND,
+        number if number % 300 == 299 => 20 * SECOND,
         _ => STEP,
     }
 }
 
 /// Runs the events of one seed and returns the digest. Adds the number of occurrences of each label of a decision or
 /// finding to `counts`.
-fn play(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
+fn digest_seed(seed: u64, counts: &mut BTreeMap<String, u64>) -> String {
     let mut generator = Generator::new(seed);
     let mut detector = RunawayDetector::new(generator.settings().clone());
     let mut recorder = Recorder::new(std::mem::take(counts));
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn generated_events_give_the_pinned_decisions() {
+fn generated_events_give_the_recorded_decisions() {
     let mut text = String::new();
     let mut counts = BTreeMap::new();
     for seed in 0..SEEDS {
-        let _ = writeln!(text, "{seed} {}", play(seed, &mut counts));
+        let _ = writeln!(text, "{seed} {}", digest_seed(seed, &mut counts));
     }
     for (label, count) in &counts {
         let _ = writeln!(text, "{count} {label}");
@@ -79,6 +79,6 @@
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(&path, &text).expect("the fixture can be written");
     }
-    let pinned = std::fs::read_to_string(&path).expect("the fixture exists");
-    assert_eq!(pinned, text, "the detector's decisions have changed");
+    let recorded = std::fs::read_to_string(&path).expect("the fixture exists");
+    assert_eq!(recorded, text, "the detector's decisions have changed");
 }
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -8,28 +8,29 @@
 
 #[test]
 fn a_runaway_is_found_before_its_bound_by_its_progress() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 400e6);
     simulation.advance(10);
     assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
-    let f = simulation
+    let finding = simulation
         .found()
         .into_iter()
-        .find(|f| f.verdict == Verdict::Runaway)
-        .expect("found")
+        .find(|finding| finding.verdict == Verdict::Runaway)
+        .expect("a runaway")
         .clone();
-    assert_eq!(f.evidence.measure, Measure::WorkToCome);
-    assert!(matches!(f.evidence.basis, Basis::Fingerprint(n) if n >= 100));
+    assert_eq!(finding.evidence.measure, Measure::WorkToCome);
+    assert!(matches!(finding.evidence.basis, Basis::Fingerprint(n) if n >= 100));
     assert!(
-        f.evidence.value > f.evidence.bound && f.at - f.started < 10 * S,
-        "{f:?}"
+        finding.evidence.value > finding.evidence.bound
+            && finding.at - finding.started < 10 * SECOND,
+        "{finding:?}"
     );
     assert!(
         simulation
             .found()
             .iter()
-            .any(|f| f.verdict == Verdict::Suspect),
-        "suspected before it is found"
+            .any(|finding| finding.verdict == Verdict::Suspect),
+        "it is suspected first"
     );
     let hold = simulation.holds();
     assert!(
@@ -43,7 +44,7 @@
 
 #[test]
 fn without_progress_reports_a_runaway_is_found_by_its_run_time() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     simulation.reports_progress = false;
     let id = simulation.start(REPORT, REPORT as u64, 0, 400e6);
     simulation.advance(20);
@@ -54,7 +55,7 @@
 
 #[test]
 fn ten_times_the_median_is_no_runaway() {
-    for notes in [true, false] {
+    for reports_progress in [true, false] {
         for announced in [
             Announced::default(),
             Announced {
@@ -62,8 +63,8 @@
                 estimate: None,
             },
         ] {
-            let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-            simulation.reports_progress = notes;
+            let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
+            simulation.reports_progress = reports_progress;
             let mut job = simulation.job(REPORT, REPORT as u64, 0, 40e6);
             job.announced = announced;
             simulation.run(job);
@@ -79,7 +80,7 @@
 
 #[test]
 fn an_announced_size_raises_the_bound() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut job = simulation.job(REPORT, REPORT as u64, 0, 160e6);
     job.announced.size = 48;
     simulation.run(job);
@@ -89,15 +90,15 @@
 
 #[test]
 fn a_slow_engine_is_reported_and_its_statements_are_not() {
-    for notes in [true, false] {
-        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-        simulation.reports_progress = notes;
+    for reports_progress in [true, false] {
+        let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
+        simulation.reports_progress = reports_progress;
         for second in 0..40 {
             for engine in 0..4 {
                 let mut lookup = simulation.job(LOOKUP, LOOKUP as u64, engine, 250_000.0);
                 let mut report = simulation.job(REPORT, REPORT as u64, engine, 4e6);
                 if engine == 3 {
-                    (lookup.slow, report.slow) = (15.0, 15.0);
+                    (lookup.slowdown, report.slowdown) = (15.0, 15.0);
                 }
                 simulation.run(lookup);
                 if second % 2 == 0 {
@@ -109,20 +110,20 @@
         assert_eq!(
             (simulation.runaways(), simulation.notices()),
             (vec![], vec![Cause::SlowEngine]),
-            "notes: {notes}"
+            "reports_progress: {reports_progress}"
         );
         let subject = simulation
             .detector
             .open_findings()
             .next()
-            .map(|f| f.subject.clone());
+            .map(|finding| finding.subject.clone());
         assert_eq!(subject, Some(Subject::Engine(EngineId(3))));
     }
 }
 
 #[test]
 fn an_unknown_fingerprint_is_bounded_by_its_class() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     // A new fingerprint with ten times the median of its class is large but legitimate.
     simulation.start(REPORT, 900, 0, 40e6);
     simulation.advance(25);
@@ -130,26 +131,26 @@
     let id = simulation.start(LOOKUP, 901, 1, 300e6);
     simulation.advance(25);
     assert_eq!(simulation.runaways(), [(name(id), Cause::Heavy)]);
-    let f = simulation
+    let finding = simulation
         .detector
         .open_findings()
         .next()
         .expect("an open finding");
     assert!(
-        matches!(f.evidence.basis, Basis::Class(_)),
+        matches!(finding.evidence.basis, Basis::Class(_)),
         "{:?}",
-        f.evidence
+        finding.evidence
     );
 }
 
 #[test]
 fn without_history_the_settings_set_the_bound() {
-    let mut simulation = Simulation::new(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::new(REPORT_AND_HOLD, 4);
     simulation.start(LOOKUP, 1, 0, 10e6);
     simulation.advance(12);
     assert!(
         simulation.found().is_empty(),
-        "ten seconds of a class whose clients wait 25"
+        "10 s are within the bound of a class whose clients wait 25 s"
     );
     let id = simulation.start(LOOKUP, 1, 0, 900e6);
     simulation.advance(29);
@@ -159,14 +160,14 @@
             .detector
             .open_findings()
             .next()
-            .map(|f| f.evidence.basis),
+            .map(|finding| finding.evidence.basis),
         Some(Basis::Settings)
     );
 }
 
 #[test]
-fn a_changed_fingerprint_gets_one_notice_and_its_new_figures_are_adopted() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_changed_fingerprint_gets_one_notice_and_its_new_values_are_adopted() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     for n in 0..100u32 {
         simulation.start(REPORT, REPORT as u64, n % 4, 100e6);
         simulation.start(LOOKUP, LOOKUP as u64, n % 4, 250_000.0);
@@ -184,13 +185,13 @@
     );
     assert!(
         simulation.detector.holds().next().is_none(),
-        "a changed kind is not held"
+        "a changed fingerprint is not held"
     );
     simulation.advance(60);
     assert_eq!(
         simulation.detector.open_findings().count(),
         0,
-        "the new figures are usual now"
+        "the new values are usual now"
     );
     simulation.decisions.clear();
     for n in 0..20u32 {
@@ -203,7 +204,7 @@
 
 #[test]
 fn a_changed_fingerprint_does_not_make_an_engine_slow() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     // Engine 0 happens to run only one of the usual statements.
     for n in 0..36u32 {
         simulation.start(
@@ -214,7 +215,7 @@
         );
     }
     simulation.advance(3);
-    assert!(simulation.running.is_empty(), "usual ones have ended");
+    assert!(simulation.running.is_empty(), "usual statements have ended");
     for n in 0..40u32 {
         simulation.start(REPORT, REPORT as u64, n % 4, 100e6);
     }
@@ -224,7 +225,7 @@
 
 #[test]
 fn one_long_run_among_usual_ones_is_no_fingerprint_change() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
     for n in 0..30u32 {
         simulation.start(REPORT, REPORT as u64, n % 4, 4e6);
@@ -239,7 +240,7 @@
         simulation.now,
         Simulation::attempt(id),
         ExecutionOutcome::Succeeded,
-        Some(900 * S),
+        Some(900 * SECOND),
     );
     simulation.drop_job(id);
     simulation.collect_decisions();
@@ -249,8 +250,8 @@
 }
 
 #[test]
-fn waiters_for_memory_are_excused_and_its_largest_user_is_a_runaway() {
-    let mut simulation = Simulation::new(NAME_AND_HOLD, 2);
+fn the_largest_memory_user_is_a_runaway_and_waiters_for_memory_are_not() {
+    let mut simulation = Simulation::new(REPORT_AND_HOLD, 2);
     let memory = |mb: f64| ProgressReport {
         work: Some(1000),
         memory_mb: Some(mb),
@@ -261,10 +262,10 @@
         simulation
             .detector
             .report_progress(simulation.now, Simulation::attempt(id), memory(200.0));
-        simulation.now += 2 * S;
+        simulation.now += 2 * SECOND;
         simulation.finish(id);
     }
-    let hog = simulation.start(REPORT, 1, 0, 20e6);
+    let largest_user = simulation.start(REPORT, 1, 0, 20e6);
     let waiting: Vec<u64> = (0..10)
         .map(|_| simulation.start(REPORT, 1, 0, 4e6))
         .collect();
@@ -272,7 +273,7 @@
     for _ in 0..100 {
         simulation.detector.report_progress(
             simulation.now,
-            Simulation::attempt(hog),
+            Simulation::attempt(largest_user),
             memory(3800.0),
         );
         waiting
@@ -280,17 +281,17 @@
             .for_each(|id| simulation.report_blocked(*id, BlockedState::Memory));
         simulation.advance(1);
     }
-    assert_eq!(simulation.runaways(), [(name(hog), Cause::Memory)]);
+    assert_eq!(simulation.runaways(), [(name(largest_user), Cause::Memory)]);
     assert_eq!(
         simulation.detector.open_findings().count(),
         1,
-        "a hundred seconds of standing are nobody's fault"
+        "there is no finding on attempts that waited for 100 s"
     );
 }
 
 #[test]
 fn spilling_raises_the_bound_up_to_a_limit() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let spilling = |simulation: &mut Simulation, times: f64| {
         let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
         simulation.running.clear();
@@ -318,7 +319,7 @@
 #[test]
 fn a_bad_plan_is_recognised_by_its_work_per_row() {
     for (rows, cause) in [(100_000u64, Cause::BadPlan), (9_000_000, Cause::Heavy)] {
-        let mut simulation = Simulation::new(NAME_AND_HOLD, 4);
+        let mut simulation = Simulation::new(REPORT_AND_HOLD, 4);
         for n in 0..40u32 {
             let mut job = simulation.job(REPORT, 1, n % 4, 4e6);
             job.rows = Some(100_000);
@@ -335,7 +336,7 @@
 
 #[test]
 fn a_slow_reader_is_a_notice_and_no_runaway() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.drop_job(id);
     simulation.advance(2);
@@ -351,14 +352,14 @@
         simulation.now,
         Simulation::attempt(id),
         ExecutionOutcome::Succeeded,
-        Some(4 * S),
+        Some(4 * SECOND),
     );
     assert_eq!(simulation.detector.open_findings().count(), 0);
 }
 
 #[test]
 fn an_attempt_without_reports_among_reported_ones_is_not_heavy() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.drop_job(id);
     for _ in 0..60 {
@@ -370,7 +371,7 @@
 
 #[test]
 fn generated_fingerprints_use_bounded_memory_and_are_held_together() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     for fingerprint in 0..20_000 {
         let id = simulation.start(
             LOOKUP,
@@ -418,8 +419,8 @@
 
 #[test]
 fn the_same_events_lead_to_the_same_decisions() {
-    let play = || {
-        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let simulate = || {
+        let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
         for n in 0..40u32 {
             simulation.start(
                 REPORT,
@@ -434,6 +435,6 @@
             simulation.detector.save(),
         )
     };
-    let (one, two) = (play(), play());
+    let (one, two) = (simulate(), simulate());
     assert!(one.0.contains("Runaway") && one == two);
 }
--- a/crates/runaway/tests/enforcement.rs
+++ b/crates/runaway/tests/enforcement.rs
@@ -6,7 +6,7 @@
 use hoptiller_policy::EngineId;
 use hoptiller_runaway::*;
 
-const ALL: EnforcementOptions = EnforcementOptions {
+const ALL_OPTIONS: EnforcementOptions = EnforcementOptions {
     report: true,
     hold: true,
     low_priority: true,
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn the_default_options_report_and_hold_only() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn reporting_and_holding_do_not_pause_or_kill() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(60);
     assert!(
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn a_runaway_is_paused_once_resumed_and_ended_once() {
-    let mut simulation = Simulation::with_history(ALL, 4);
+fn a_runaway_is_paused_once_resumed_and_killed_once() {
+    let mut simulation = Simulation::with_history(ALL_OPTIONS, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(60);
     let attempt = Simulation::attempt(id);
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_blocker_is_never_paused() {
-    let mut simulation = Simulation::with_history(ALL, 4);
+    let mut simulation = Simulation::with_history(ALL_OPTIONS, 4);
     let load = simulation.start(LOAD, LOAD as u64, 0, 900e6);
     simulation.advance(40);
     assert_eq!(simulation.runaways().len(), 1);
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn only_the_youngest_of_a_deadlock_is_ended() {
-    let mut simulation = Simulation::with_history(ALL, 4);
+fn only_the_youngest_of_a_deadlock_is_killed() {
+    let mut simulation = Simulation::with_history(ALL_OPTIONS, 4);
     let ids = [(); 3].map(|()| simulation.start(LOAD, LOAD as u64, 1, 4e6));
     simulation.running.clear();
     for _ in 0..15 {
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn a_runaway_that_finishes_before_its_end_is_due_is_not_ended() {
-    let mut settings = settings(ALL);
-    settings.kill_after = 30 * S;
+fn a_runaway_that_finishes_before_its_kill_is_due_is_not_killed() {
+    let mut settings = settings(ALL_OPTIONS);
+    settings.kill_after = 30 * SECOND;
     let mut simulation = Simulation::with_settings(settings, 4);
     simulation.run_history(100);
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
@@ -122,25 +122,25 @@
 }
 
 #[test]
-fn a_hold_is_lifted_by_clean_runs_or_by_an_operator() {
-    let most = |simulation: &Simulation| simulation.holds().last().map(|h| h.max_in_flight);
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_hold_is_released_by_clean_runs_or_by_an_operator() {
+    let last_limit = |simulation: &Simulation| simulation.holds().last().map(|h| h.max_in_flight);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(15);
-    assert_eq!(most(&simulation), Some(2));
+    assert_eq!(last_limit(&simulation), Some(2));
     simulation.finish(id);
     simulation.advance(1);
-    assert_eq!(most(&simulation), Some(1));
+    assert_eq!(last_limit(&simulation), Some(1));
     for want in [2, 4, u32::MAX] {
         for _ in 0..3 {
             simulation.start(REPORT, REPORT as u64, 0, 4e6);
             simulation.advance(3);
         }
-        assert_eq!(most(&simulation), Some(want));
+        assert_eq!(last_limit(&simulation), Some(want));
     }
     simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(15);
-    assert!(most(&simulation) < Some(u32::MAX));
+    assert!(last_limit(&simulation) < Some(u32::MAX));
     assert!(
         simulation
             .detector
@@ -150,12 +150,12 @@
                 .release_hold(FingerprintId(REPORT as u64))
     );
     simulation.collect_decisions();
-    assert_eq!(most(&simulation), Some(u32::MAX));
+    assert_eq!(last_limit(&simulation), Some(u32::MAX));
 }
 
 #[test]
 fn invalid_reports_and_unknown_attempts_are_ignored() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.drop_job(id);
     for done in [f64::NAN, -1.0, 7.0, f64::INFINITY] {
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -8,7 +8,7 @@
 use common::*;
 use hoptiller_runaway::*;
 
-const RESTORED_AT: u64 = 7 * S;
+const RESTORED_AT: u64 = 7 * SECOND;
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/runaways")
@@ -16,7 +16,7 @@
 
 /// Returns a snapshot with statistics of three fingerprints, one announced size and one hold.
 fn saved_by_a_simulation() -> Vec<u8> {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut job = simulation.job(REPORT, REPORT as u64, 1, 40e6);
     job.announced = Announced {
         size: 12,
@@ -30,7 +30,7 @@
         !simulation.holds().is_empty(),
         "the fixture must contain a hold"
     );
-    let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
+    let mut fresh = RunawayDetector::new(settings(REPORT_AND_HOLD));
     fresh
         .restore(RESTORED_AT, &simulation.detector.save())
         .expect("restored");
@@ -43,7 +43,7 @@
         std::fs::write(fixture(), saved_by_a_simulation()).expect("the fixture can be written");
     }
     let stored = std::fs::read(fixture()).expect("the fixture exists");
-    let mut detector = RunawayDetector::new(settings(NAME_AND_HOLD));
+    let mut detector = RunawayDetector::new(settings(REPORT_AND_HOLD));
     let restored = detector
         .restore(RESTORED_AT, &stored)
         .expect("an old snapshot can be read");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_snapshot_of_the_same_past_has_the_same_bytes() {
+fn the_same_events_give_the_same_snapshot() {
     let stored = std::fs::read(fixture()).expect("the fixture exists");
     assert_eq!(
         String::from_utf8_lossy(&stored),
