--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -108,14 +108,14 @@
 
     fn slowness_with(&self, now: Micros, engine: EngineId, running: &[Sample]) -> Slowness {
         let since = now.saturating_sub(COMPLETION_TTL);
-        let ended = self
+        let completed = self
             .completions
             .get(&engine)
             .into_iter()
             .flatten()
             .filter(|(at, _)| *at >= since);
         let mut by_fingerprint: BTreeMap<FingerprintId, Vec<f64>> = BTreeMap::new();
-        for sample in ended.map(|(_, sample)| sample).chain(running) {
+        for sample in completed.map(|(_, sample)| sample).chain(running) {
             let slowdowns = by_fingerprint.entry(sample.fingerprint).or_default();
             slowdowns.push(sample.slowdown);
         }
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -211,7 +211,7 @@
     assert_eq!(
         simulation.detector.tracked_counts().remote_statements,
         0,
-        "it is not tracked any more"
+        "it is no longer tracked"
     );
 }
 
@@ -246,7 +246,7 @@
     assert_eq!(
         simulation.runaways(),
         [(name(id), Cause::Heavy)],
-        "it is not blocked any more"
+        "it is no longer blocked"
     );
 }
 
@@ -388,7 +388,7 @@
     simulation.advance(20);
     assert!(
         !is_excluded(&simulation) && simulation.detector.tracked_counts().remote_statements == 0,
-        "it is not tracked any more"
+        "it is no longer tracked"
     );
     assert_eq!(simulation.runaways().len(), 1, "one finding");
 }
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -230,11 +230,11 @@
                 if job.done >= job.work {
                     over.push(job.id);
                 } else if self.reports_progress && half % 2 == 1 {
-                    let share = job.done / job.work;
+                    let fraction = job.done / job.work;
                     let report = ProgressReport {
                         work: Some(job.done as Micros),
-                        done: Some(share),
-                        rows: job.rows.map(|r| (r as f64 * share) as u64),
+                        done: Some(fraction),
+                        rows: job.rows.map(|r| (r as f64 * fraction) as u64),
                         ..ProgressReport::default()
                     };
                     self.detector
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -349,7 +349,7 @@
     names: &[String],
     abandoned: &[String],
 ) -> ProgressReport {
-    let share = (running.done / running.work).min(1.0);
+    let fraction = (running.done / running.work).min(1.0);
     let blocking_statement = |name: String, random: &mut RandomSource| BlockingStatement {
         name,
         class: random.one_in(2).then(|| random.below(7) as usize),
@@ -384,7 +384,7 @@
     let done = match random.below(60) {
         0 => Some(f64::NAN),
         1 => Some(7.0),
-        2..30 => Some(share),
+        2..30 => Some(fraction),
         _ => None,
     };
     ProgressReport {
--- a/crates/runaway/tests/detection.rs
+++ b/crates/runaway/tests/detection.rs
@@ -435,6 +435,6 @@
             simulation.detector.save(),
         )
     };
-    let (one, two) = (simulate(), simulate());
-    assert!(one.0.contains("Runaway") && one == two);
+    let (first, second) = (simulate(), simulate());
+    assert!(first.0.contains("Runaway") && first == second);
 }
