--- a/crates/runaway/src/attempt.rs
+++ b/crates/runaway/src/attempt.rs
@@ -194,7 +194,8 @@
         self.over_bound_since = None;
     }
 
-    /// Records that the attempt is counted as a runaway in the hold of a fingerprint.
+    /// Records that the attempt is counted as a runaway in the hold of a fingerprint, which may be the one of all
+    /// unknown fingerprints. `start.held_as` is set to it.
     pub(crate) fn count_in_hold(&mut self, held_as: FingerprintId) {
         self.is_counted_in_hold = true;
         self.start.held_as = held_as;
--- a/crates/runaway/src/attempts.rs
+++ b/crates/runaway/src/attempts.rs
@@ -1,7 +1,7 @@
-//! All attempts that run or may run, by id and by their name on engines.
+//! All attempts that run or may run, by id and by the name of their statement on engines.
 //!
-//! An abandoned attempt is kept for as long as its engine may still run it, because such an attempt often blocks
-//! others. It is called unconfirmed, as its end has not been confirmed.
+//! An abandoned attempt that locks its table group or is over its bound is kept as unconfirmed, because it may still
+//! run and block others. It is removed when its engine restarts or when the limits below are reached.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -58,12 +58,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Returns the id of the attempt with this name on engines.
+    /// Returns the id of the latest attempt of the statement with this name on engines.
     pub(crate) fn id_by_name(&self, name: &str) -> Option<AttemptId> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// Returns the attempt with this name on engines.
+    /// Returns the latest attempt of the statement with this name on engines.
     pub(crate) fn get_by_name(&self, name: &str) -> Option<&RunningAttempt> {
         self.get(self.id_by_name(name)?)
     }
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -22,7 +22,7 @@
     pub(crate) is_clean: bool,
     /// Whether the run took no more than a few times what is usual.
     pub(crate) is_usual: bool,
-    /// Whether the work of the run was reported and its run time was below the usual one.
+    /// Whether the run finished within the usual run time, although its reported work may exceed the usual work.
     pub(crate) is_usual_by_time: bool,
     /// Ratio of the run time to the usual one, if it indicates the speed of the engine.
     pub(crate) engine_slowdown: Option<f64>,
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -1,5 +1,5 @@
-//! The detector, which runs the steps in order and passes to each rule the data that it reads. The decisions of a rule,
-//! its state and its constants are in the module named after it.
+//! The detector, which runs the steps in order and passes to each rule the data that it reads. Most rules are modules
+//! of their own; the submodules here apply them to attempts, findings and holds.
 
 mod attempts;
 mod blockers;
--- a/crates/runaway/src/detector/enforcement.rs
+++ b/crates/runaway/src/detector/enforcement.rs
@@ -6,8 +6,8 @@
 use crate::interface::{AttemptId, Cause, Decision, FingerprintId};
 
 impl RunawayDetector {
-    /// Applies the enforcement options of its class to a runaway. `blocked` names the statements that it blocks; in a
-    /// deadlock, the other members of the cycle.
+    /// Applies the enforcement options of its class to a runaway. `deadlock_members` names the other members of the
+    /// cycle and is read only for a deadlock. The fingerprint of an attempt that no longer executes can only be held.
     pub(super) fn enforce(&mut self, now: Micros, id: AttemptId, cause: Cause, blocked: &[String]) {
         // In a deadlock, only the youngest attempt is killed: it has done the least work, and the others can continue.
         let has_younger = cause == Cause::Deadlock
@@ -80,7 +80,8 @@
             return fingerprint;
         }
         let are_held_together = self.unknown_runaways.record(now, class);
-        // While the class itself is new, all of its fingerprints are unknown.
+        // While the class itself is new, all of its fingerprints are unknown, so holding them together would hold the
+        // whole class.
         if are_held_together && self.statistics.known_count(class) > 0 {
             FingerprintId::unknown(&self.settings.classes[class].name)
         } else {
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/findings.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Clears the suspicion against an attempt that is within its bound.
+    /// Clears the finding on an attempt that is within its bound, and cancels its kill, unless it is a runaway that
+    /// remains one.
     pub(super) fn clear_suspicion(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -116,8 +117,8 @@
         self.findings.report(finding, &mut self.decisions);
     }
 
-    /// Reports one notice for the changed fingerprint of an attempt, and clears the findings on attempts of that
-    /// fingerprint.
+    /// Reports one notice for the changed fingerprint of an attempt. Clears the findings on all attempts of that
+    /// fingerprint, cancels their kills and releases the hold of the fingerprint.
     fn report_fingerprint_change(&mut self, now: Micros, id: AttemptId, evidence: Evidence) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
--- a/crates/runaway/src/distributions.rs
+++ b/crates/runaway/src/distributions.rs
@@ -33,7 +33,7 @@
 }
 
 impl Distributions {
-    /// Adds a run; values that were not reported are left out.
+    /// Adds a run. A value that was not reported is passed as 0, which [`Sketch::add`] ignores.
     pub(crate) fn add(&mut self, run: &Run) {
         self.run_time.add(run.run_time.0);
         self.work.add(run.work.unwrap_or_default().0);
--- a/crates/runaway/src/engine_speed.rs
+++ b/crates/runaway/src/engine_speed.rs
@@ -14,7 +14,7 @@
 const MAX_COMPLETIONS: usize = 16;
 /// Time for which a completion counts.
 const COMPLETION_TTL: Micros = 20_000_000;
-/// Number of samples from which the median of an engine is used.
+/// Number of samples from which the median of an engine is used as its slowness.
 const MIN_SAMPLES: usize = 3;
 /// Upper limit of the slowness factor.
 const MAX_SLOWNESS: f64 = 20.0;
@@ -25,7 +25,7 @@
 /// Ratio to the median slowness of the other engines from which an engine is reported.
 const MIN_RATIO_TO_OTHERS: f64 = 2.0;
 
-/// Run time of one attempt relative to the usual one; a lower bound while the attempt runs.
+/// A sample of an engine: the slowdown of one attempt. It is a lower bound while the attempt runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     /// The attempt's fingerprint.
@@ -34,7 +34,7 @@
     pub(crate) slowdown: f64,
 }
 
-/// The slowness of an engine.
+/// The slowness of an engine: the median slowdown of its attempts, by fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Slowness {
     /// Ratio of run times to the usual ones, at least 1.
@@ -141,8 +141,8 @@
 /// Returns the sample of a running attempt, or `None` unless it takes longer than usual.
 fn running_sample(now: Micros, attempt: &RunningAttempt) -> Option<Sample> {
     let expectation = attempt.expectation().filter(|e| e.is_known)?;
-    // The run time so far is a lower bound. A statement that is larger, according to its reported work, takes longer on
-    // any engine and indicates nothing about this one.
+    // The run time so far is only a lower bound, so an attempt counts once it takes [`MIN_SLOW_SAMPLE`] times the usual
+    // one. A statement with more work than usual takes longer on any engine, so its usual run time is scaled up.
     let size_ratio = attempt
         .work()
         .map_or(1.0, |work| work.0 / expectation.work.usual.0.max(1.0))
--- a/crates/runaway/src/expectation.rs
+++ b/crates/runaway/src/expectation.rs
@@ -32,7 +32,7 @@
 /// The usual value of a quantity, and the bound from which on it is excessive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Expected<Q> {
-    /// The median.
+    /// The median, or the latency objective while there are no runs.
     pub(crate) usual: Q,
     /// The bound.
     pub(crate) bound: Q,
@@ -212,8 +212,9 @@
     work.0 * ACCURACY_UNIT / estimate.0.max(1.0)
 }
 
-/// Returns the factor, at least 1, by which an estimate makes a statement larger than usual. The factor is 1 unless
-/// earlier estimates were accurate: otherwise a client could hide a runaway behind a wrong estimate.
+/// Returns the factor, at least 1, by which an estimate makes a statement larger than usual. The estimate is corrected
+/// by the median ratio of earlier ones. The factor is 1 unless earlier ratios were consistent: otherwise a client could
+/// hide a runaway behind a wrong estimate.
 pub(crate) fn estimate_factor(estimate: Work, accuracy: &Sketch, usual: Work) -> f64 {
     if accuracy.count() < MIN_RUNS_KNOWN {
         return 1.0;
--- a/crates/runaway/src/findings.rs
+++ b/crates/runaway/src/findings.rs
@@ -48,20 +48,20 @@
         self.cleared.iter()
     }
 
-    /// Records a finding, and reports it if it is new, more certain or has another cause. Returns whether it was
-    /// reported.
+    /// Records a finding, and reports it if it is new, more certain or has another cause. Otherwise the previous
+    /// verdict and cause remain, with the new evidence. Returns whether it was reported.
     pub(crate) fn report(&mut self, mut finding: Finding, out: &mut Vec<Decision>) -> bool {
         let old = self.open.get(&finding.subject);
         finding.id = old.map_or_else(|| self.last_id + 1, |old| old.id);
         self.last_id = self.last_id.max(finding.id);
         // A finding does not become less certain until it is cleared.
-        let is_reported = |old: &&Finding| {
+        let supersedes = |old: &&Finding| {
             old.verdict > finding.verdict
                 || (old.verdict, old.cause) == (finding.verdict, finding.cause)
         };
-        let reported = old.filter(is_reported);
-        let is_new = reported.is_none();
-        if let Some(old) = reported {
+        let previous = old.filter(supersedes);
+        let is_new = previous.is_none();
+        if let Some(old) = previous {
             finding.verdict = old.verdict;
             finding.cause = old.cause;
             finding.at = old.at;
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -1,8 +1,8 @@
-//! Detection of changed fingerprints: fingerprints whose statements all run long, as after a release. The statements
+//! Detection of changed fingerprints: fingerprints whose statements mostly run long, as after a release. The statements
 //! are not runaways then, and one notice covers them all.
 //!
-//! Counting starts with the first long run and includes only attempts that started after it, because earlier ones are
-//! not affected by the release.
+//! The first long run that is recorded marks the assumed change. Usual runs that started before it are not counted,
+//! because they ran before the change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,8 @@
 
 /// Number of long runs from which a fingerprint may have changed.
 const MIN_LONG_RUNS: usize = 4;
-/// Fraction of all runs since the first long one that must be long.
+/// Fraction of long runs among all runs since the assumed change from which the fingerprint has changed. Counting stops
+/// if the ratio of long runs to usual runs is below this value.
 const MIN_LONG_FRACTION: f64 = 0.6;
 /// Time for which a finding waits for more runs while most runs since the first long one are long.
 const MAX_UNDECIDED_TIME: Micros = 8_000_000;
@@ -31,18 +32,18 @@
 /// The status of a fingerprint, from the point of view of a statement that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeStatus {
-    /// Other statements of the fingerprint run as usual, so the statement is a runaway.
+    /// There is no sign that the fingerprint has changed, so the statement is assessed on its own.
     Isolated,
-    /// There are too few runs to decide.
+    /// Most runs are long, but there are too few of them or they ran on a single engine.
     Undecided,
-    /// The statements of the fingerprint run long in general.
+    /// Most runs are long, and they ran on several engines.
     Changed,
 }
 
-/// Runs of a fingerprint since its first long one.
+/// Runs of a fingerprint since its assumed change.
 #[derive(Debug)]
 struct ChangeCounter {
-    /// The start time of the first long run.
+    /// The start time of the long run that was recorded first.
     since: Micros,
     /// Long runs, with the engines that run or ran them.
     long_runs: BTreeMap<AttemptId, EngineId>,
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Returns whether the long runs are outliers among usual ones.
+    /// Returns whether to stop counting: no long runs are left, or they are few compared with at least
+    /// [`MIN_USUAL_RUNS`] usual runs.
     fn are_long_runs_outliers(&self) -> bool {
         let long = self.long_runs.len();
         long == 0
@@ -143,7 +145,7 @@
     }
 
     /// Classifies a fingerprint for an attempt that has been over its bound for `over_bound_for`. With a single engine,
-    /// a slow engine cannot be distinguished from a changed fingerprint.
+    /// a slow engine cannot be distinguished from a changed fingerprint, which is assumed then.
     pub(crate) fn classify(
         &self,
         fingerprint: FingerprintId,
--- a/crates/runaway/src/fingerprint_statistics.rs
+++ b/crates/runaway/src/fingerprint_statistics.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassStatistics {
     pub(crate) distributions: Distributions,
-    /// Ratio of work to its estimate.
+    /// Ratios of work to its estimate, in thousandths.
     pub(crate) estimate_accuracy: Sketch,
 }
 
@@ -30,7 +30,7 @@
     pub(crate) label: Rc<str>,
     /// Distributions by size bucket.
     pub(crate) by_size: BTreeMap<u8, Distributions>,
-    /// Ratio of work to its estimate.
+    /// Ratios of work to its estimate, in thousandths.
     pub(crate) estimate_accuracy: Sketch,
     /// Runs over the bound, which are used only after they are adopted.
     pub(crate) over_bound: Distributions,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Replaces the usual runs with the runs over the bound.
+    /// Replaces the usual runs with the runs over the bound. The sizes of these are not recorded, so all go to the
+    /// smallest size bucket, from which larger sizes are scaled up.
     pub(crate) fn adopt_over_bound(&mut self) {
         if self.over_bound.runs() > 0 {
             let over_bound = std::mem::take(&mut self.over_bound);
--- a/crates/runaway/src/group_exclusion.rs
+++ b/crates/runaway/src/group_exclusion.rs
@@ -1,4 +1,4 @@
-//! Exclusion of table groups from engines: the readers of a group that a runaway load holds run on other engines
+//! Exclusion of table groups from engines: the readers of a group that a runaway load locks run on other engines
 //! meanwhile.
 
 use std::collections::BTreeMap;
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -1,11 +1,11 @@
 //! Holds: limits on how many statements of a fingerprint run at once and on which engines, and the recovery of these
 //! limits.
 //!
-//! A hold starts with a limit of one, on one engine that all routers choose alike. After `MIN_CLEAN_RUNS` consecutive
-//! runs within half of the bound, the limit doubles. A further runaway resets the limit to one and doubles the number
-//! of clean runs needed. At `RELEASE_LIMIT` the hold is released. The hold of a fingerprint without runs recovers by
-//! time, one step per `IDLE_STEP`. A table group that a runaway blocks on an engine is excluded from that engine
-//! meanwhile.
+//! A hold starts with a limit of one, on one engine that all routers choose alike. Each time that `MIN_CLEAN_RUNS`
+//! consecutive runs stay within half of the bound, the limit doubles, and with it the number of engines. A further
+//! runaway resets the limit to one and doubles the number of clean runs needed. At `RELEASE_LIMIT` the hold is
+//! released. The hold of a fingerprint without runs recovers by time, one step per `IDLE_STEP`. A table group that a
+//! runaway locks on an engine is excluded from that engine meanwhile.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -45,7 +45,8 @@
     pub clean_runs_needed: u32,
     /// The time at which the hold began.
     pub since: Micros,
-    /// The time at which a statement of the fingerprint last ended, or the limit last changed.
+    /// The time of the latest end of a statement or change of the limit. A hold that is idle since then recovers by
+    /// time.
     #[serde(rename = "last")]
     pub last_change: Micros,
     /// Whether the fingerprint also runs at low priority inside engines.
--- a/crates/runaway/src/interface/events.rs
+++ b/crates/runaway/src/interface/events.rs
@@ -1,4 +1,5 @@
-//! Events that the router reports to the detector: progress and ends of attempts, and the status of engines.
+//! Events that the router reports to the detector: starts, progress reports and ends of attempts, and the status of
+//! engines.
 
 use std::rc::Rc;
 
@@ -6,7 +7,7 @@
 
 use super::ids::{AttemptId, FingerprintId};
 
-/// The size hints that a client sends with a statement.
+/// The hints that a client announces with a statement: its size and an estimate of its work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Announced {
     /// The quantity that the cost of the statement grows with, such as the number of list values or inserted rows; 0 if
@@ -21,7 +22,7 @@
 pub enum BlockedState {
     /// The attempt waits for memory.
     Memory,
-    /// The attempt waits for another statement, which some engines name.
+    /// The attempt waits for another statement, which some engines name, or is paused.
     Statement(Option<BlockingStatement>),
 }
 
@@ -69,7 +70,7 @@
     pub engine: EngineId,
     /// The index of the statement's class.
     pub class: usize,
-    /// The statement's name on engines: `ROUTER/NUMBER_INCARNATION`.
+    /// The statement's name on engines: `ROUTER/NUMBER_INCARNATION`. All attempts of the statement share it.
     pub name: String,
     /// The statement's fingerprint.
     pub fingerprint: FingerprintId,
@@ -78,7 +79,7 @@
     pub held_as: FingerprintId,
     /// The display text of the fingerprint.
     pub label: Rc<str>,
-    /// The size hints sent by the client.
+    /// The hints announced by the client.
     pub announced: Announced,
     /// The table group that the statement reads or writes.
     pub group: Option<u64>,
--- a/crates/runaway/src/interface/findings.rs
+++ b/crates/runaway/src/interface/findings.rs
@@ -9,11 +9,12 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The certainty of a finding.
+/// The verdict of a finding. The order of the variants matters: a finding is reported again if its verdict rises, and
+/// findings with lower verdicts are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The subject exceeds a bound, but has not done so for long enough to be a runaway.
+    /// The subject exceeds a bound, but the excess is not confirmed yet, or the fingerprint may have changed.
     Suspect,
     /// The subject is a runaway.
     Runaway,
@@ -27,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The statement does far more work than is usual for its fingerprint.
+    /// The statement does far more work, or runs far longer, than is usual for its fingerprint.
     Heavy,
     /// The statement does far more work per row than is usual for its fingerprint.
     BadPlan,
@@ -37,7 +38,7 @@
     Deadlock,
     /// The statement uses far more memory than is usual while others wait for memory.
     Memory,
-    /// All statements of the fingerprint run long, so the fingerprint has changed.
+    /// Most statements of the fingerprint run long, so the fingerprint has changed.
     #[serde(rename = "kind_changed")]
     FingerprintChanged,
     /// Everything on the engine runs long.
@@ -47,7 +48,7 @@
 }
 
 impl Cause {
-    /// Returns the description used on pages and in metrics.
+    /// Returns the text shown in the admin API and the log and used as a metric label. It must not change.
     pub fn description(self) -> &'static str {
         match self {
             Cause::Heavy => "heavy by itself",
@@ -70,7 +71,8 @@
     Work,
     /// Total work projected from the completed fraction, in µs.
     WorkToCome,
-    /// Run time without blocked time, divided by the slowness of the engine, in µs.
+    /// Run time without blocked time, divided by the slowness of the engine, in µs; for an abandoned attempt or a
+    /// statement of another router, not divided.
     Run,
     /// Total run time projected from the completed fraction, in µs.
     RunToCome,
@@ -116,9 +118,10 @@
     /// The given number of runs of the fingerprint.
     #[serde(rename = "kind")]
     Fingerprint(u64),
-    /// The given number of runs of the class; the fingerprint is unknown.
+    /// The given number of runs of the class, as the fingerprint is unknown; for a slow engine, the given number of
+    /// samples.
     Class(u64),
-    /// The class settings, as there are no runs yet.
+    /// No runs: the settings of the class or a fixed limit.
     Settings,
 }
 
@@ -132,7 +135,8 @@
     }
 }
 
-/// A measured value, with the usual value and the bound that it exceeds.
+/// A measured value, with the usual value and the bound that it exceeds. The displayed text is part of the recorded
+/// decision digests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Evidence {
     /// The measured quantity.
@@ -177,7 +181,7 @@
     pub id: u64,
     /// The subject of the finding.
     pub subject: Subject,
-    /// The certainty of the finding.
+    /// The verdict.
     pub verdict: Verdict,
     /// The cause of the finding.
     pub cause: Cause,
@@ -187,9 +191,9 @@
     pub fingerprint: Option<FingerprintId>,
     /// The display text of the fingerprint.
     pub label: String,
-    /// The engine that runs the statement.
+    /// The engine that the finding concerns.
     pub engine: Option<EngineId>,
-    /// The time at which the statement started, as far as known.
+    /// The time at which the statement started, as far as known; for an engine, the time of the finding.
     pub started: Micros,
     /// The time since which the measured value has exceeded the bound.
     pub since: Micros,
@@ -201,12 +205,12 @@
     pub blocked_names: Vec<String>,
     /// The number of blocked statements.
     pub blocked_count: usize,
-    /// The reason why the finding was cleared, or a remark.
+    /// The reason why the finding was cleared, or a remark. The text is part of the recorded decision digests.
     pub note: &'static str,
 }
 
 impl Finding {
-    /// Creates a finding without details that blocks no statement.
+    /// Creates a finding without details, on a subject that blocks no statement.
     /// [`Findings::report`](crate::findings::Findings::report) assigns its number.
     pub(crate) fn new(
         subject: Subject,
--- a/crates/runaway/src/interface/ids.rs
+++ b/crates/runaway/src/interface/ids.rs
@@ -55,7 +55,7 @@
 /// The id of an attempt of a statement of this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The statement's number, unique on this router.
+    /// The statement's number, unique within one incarnation of this router.
     pub statement: u64,
     /// The attempt's number, starting from 0.
     pub number: u32,
--- a/crates/runaway/src/interface/settings.rs
+++ b/crates/runaway/src/interface/settings.rs
@@ -6,10 +6,11 @@
 /// The actions permitted against runaways of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnforcementOptions {
-    /// Whether runaways are reported.
+    /// Whether the router reports findings on the class; the detector returns them in any case.
     #[serde(rename = "name")]
     pub report: bool,
-    /// Whether the number of statements of a runaway's fingerprint that run at once, and their engines, are limited.
+    /// Whether the number of statements of a runaway's fingerprint that run at once, and their engines, are limited,
+    /// and whether the table group that a runaway locks is excluded from its engine.
     pub hold: bool,
     /// Whether the statements of a held fingerprint run at low priority inside engines.
     #[serde(rename = "lower")]
@@ -34,7 +35,7 @@
     pub threads: f64,
     /// Whether statements of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Whether statements of the class lock their table group while they run, as loads do.
+    /// Whether statements of the class lock their table group while they run. Such statements are called loads.
     pub holds_tables: bool,
     /// The actions permitted against runaways of the class.
     pub enforcement: EnforcementOptions,
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -8,7 +8,7 @@
 use crate::interface::{Evidence, Measure};
 use crate::units::{Quantity, RunTime};
 
-/// Minimum active time from which attempts are assessed.
+/// Active time below which the values of an attempt are not compared with their bounds.
 const MIN_ACTIVE_TIME: RunTime = RunTime(1_000_000.0);
 /// Error of a reported completed fraction, which is added to the fraction.
 const PROGRESS_ERROR: f64 = 0.02;
@@ -28,10 +28,11 @@
 /// Multiple of the usual work per row from which a plan is considered bad.
 const BAD_PLAN_FACTOR: f64 = 4.0;
 
-/// Time for which a value must exceed its bound before the excess is confirmed; work already done needs no
-/// confirmation.
+/// Time for which a value must exceed its bound before the excess is confirmed. Work already done that exceeds the full
+/// bound needs no confirmation.
 pub(crate) const CONFIRMATION_TIME: Micros = 3_000_000;
-/// Number of blocked attempts from which a stricter bound applies to their blocker.
+/// Number of blocked attempts from which a stricter bound applies to their blocker. Also the number of attempts that
+/// must wait for memory before its largest users are runaways.
 pub(crate) const MANY_WAITERS: usize = 8;
 /// Factor of that stricter bound.
 pub(crate) const MANY_WAITERS_BOUND_FACTOR: f64 = 0.25;
@@ -40,7 +41,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Excess {
     pub(crate) evidence: Evidence,
-    /// Whether the value is work already done, which needs no confirmation over time.
+    /// Whether the value is work already done that exceeds the full bound. Only such an excess needs no confirmation
+    /// over time; an excess of the stricter bound of a blocker does.
     pub(crate) is_certain: bool,
 }
 
--- a/crates/runaway/src/remote_statements.rs
+++ b/crates/runaway/src/remote_statements.rs
@@ -47,7 +47,8 @@
 }
 
 impl RemoteStatements {
-    /// Records an engine's report that a statement blocks an attempt.
+    /// Records an engine's report that a statement blocks an attempt. A reported age excludes blocked time, so the
+    /// assumed start moves forward while the statement is blocked.
     pub(crate) fn record(
         &mut self,
         now: Micros,
--- a/crates/runaway/src/sketch.rs
+++ b/crates/runaway/src/sketch.rs
@@ -38,6 +38,7 @@
             empty.auto(true);
             Box::new(empty)
         });
+        // Cannot fail, because the histogram resizes automatically.
         let _ = histogram.record_n(value.clamp(MIN_VALUE, MAX_VALUE), weight);
     }
 
@@ -88,6 +89,7 @@
             .iter()
             .map(|(_, weight)| u64::from(*weight))
             .sum();
+        // A stored value is the upper end of a bucket, which may exceed `MAX_VALUE`.
         let is_valid = total <= MAX_COUNT
             && weighted_values
                 .iter()
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -76,6 +76,7 @@
             .map(|(id, hold)| (*id, hold.clone()))
             .collect(),
     };
+    // Cannot fail: the data consists of numbers, texts, lists, and maps whose keys are integers.
     let body = serde_json::to_vec(&saved).unwrap_or_default();
     let mut bytes = format!("{HEADER}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
     bytes.extend(body);
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Adds or removes classes at the end.
+    /// Adds classes at the end.
     pub(crate) fn resize_classes(&mut self, classes: usize) {
         self.classes.resize(classes, ClassStatistics::default());
     }
--- a/crates/runaway/src/wait_graph.rs
+++ b/crates/runaway/src/wait_graph.rs
@@ -8,13 +8,15 @@
 /// The waits between statements.
 #[derive(Debug, Default)]
 pub(crate) struct WaitGraph {
+    /// By waiter: the statement that it waits for.
     blockers: BTreeMap<String, String>,
+    /// By blocker: the statements that wait for it.
     waiters: BTreeMap<String, Vec<String>>,
 }
 
 impl WaitGraph {
-    /// Adds a wait of `waiter` for `blocker`. If `waiter` already waits for another statement, it remains among the
-    /// waiters of the first one, and a search for a cycle follows the last one.
+    /// Adds a wait of `waiter` for `blocker`. An attempt is expected to wait for one statement; if it waits for
+    /// several, it counts as a waiter of the first one, and a search for a cycle follows the last one.
     pub(crate) fn add_wait(&mut self, waiter: &str, blocker: &str) {
         if waiter == blocker {
             return;
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -50,7 +50,8 @@
                 .retain(|_, started_at| now.saturating_sub(*started_at) < COMPLETION_TTL);
         }
         if self.last_completions.len() > MAX_COMPLETIONS {
-            // Too many completions are recent. Without them, waits are inferred more often until new ones are recorded.
+            // Too many completions are recent. Without them, long readers are excused more often until new ones are
+            // recorded.
             self.last_completions.clear();
         }
     }
@@ -74,9 +75,10 @@
         waits
     }
 
-    /// Returns whether an attempt may wait for a load of another router, if engines do not report waits. It does not if
-    /// another attempt on its table group that started later completed there as usual; otherwise it may if another
-    /// attempt there runs long too, or if it has run no longer than a load may.
+    /// Returns whether an attempt may wait for a load of another router. Always returns `false` while engines report
+    /// progress, because they report waits then. It does not wait if another attempt on its table group that started
+    /// later completed there as usual; otherwise it may if another attempt there runs long too, or if it has run no
+    /// longer than a load may.
     pub(crate) fn may_wait_for_remote_load(
         &self,
         now: Micros,
@@ -121,7 +123,7 @@
             .is_some_and(|at| now.saturating_sub(at) < REPORTS_TTL)
     }
 
-    /// Returns whether an attempt on this table group that started on this engine after `since` completed as usual.
+    /// Returns whether an attempt on this table group that started on this engine after `since` has completed as usual.
     fn is_completed_since(&self, engine: EngineId, group: u64, since: Micros) -> bool {
         self.last_completions
             .get(&(engine, group))
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -31,6 +31,7 @@
     }
 }
 
+/// The options that a router applies by default.
 pub const REPORT_AND_HOLD: EnforcementOptions = EnforcementOptions {
     report: true,
     hold: true,
@@ -94,7 +95,7 @@
 }
 
 pub fn name(id: u64) -> String {
-    format!("r1/{id:05}_incarnation")
+    format!("r1/{id:05}_1")
 }
 
 impl Simulation {
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -184,6 +184,7 @@
             attempt,
             engine: EngineId(engine as u32),
             class,
+            // Names are part of the recorded digests.
             name: format!("r1/{:05}_life", self.next_statement),
             fingerprint,
             held_as,
--- a/crates/runaway/tests/decision_digest/recorder.rs
+++ b/crates/runaway/tests/decision_digest/recorder.rs
@@ -110,6 +110,7 @@
             Decision::Hold(hold) => return self.add_hold(hold),
             Decision::Pause(attempt) => ("pause", attempt),
             Decision::Resume(attempt) => ("resume", attempt),
+            // The label is part of the recorded digests.
             Decision::Kill(attempt) => ("end", attempt),
         };
         self.count(label);
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -1,5 +1,6 @@
-//! Compatibility with stored snapshots: a snapshot written by an earlier version is restored completely and saved again
-//! with the same bytes.
+//! Compatibility with stored snapshots: a snapshot that was written before types of this package were renamed is
+//! restored completely and saved again with the same bytes, so renaming must not change the stored form.
+//! `UPDATE_FIXTURES=1` rewrites the fixture; only a new version of the format justifies that.
 
 mod common;
 
