--- a/crates/runaway/src/assessment.rs
+++ b/crates/runaway/src/assessment.rs
@@ -8,7 +8,7 @@
 
 use crate::attempt::RunningAttempt;
 use crate::attempts::Attempts;
-use crate::engine_speed::EngineSpeeds;
+use crate::engine_slowness::EngineSlowness;
 use crate::expectation::Expectation;
 use crate::interface::{Basis, BlockedState, Cause, Class, Evidence, Measure};
 use crate::measures::{
@@ -28,7 +28,7 @@
     pub(crate) classes: &'a [Class],
     pub(crate) statistics: &'a Statistics,
     pub(crate) attempts: &'a Attempts,
-    pub(crate) engine_speeds: &'a EngineSpeeds,
+    pub(crate) engine_slowness: &'a EngineSlowness,
     pub(crate) wait_inference: &'a WaitInference,
     pub(crate) waits: &'a WaitGraph,
 }
@@ -115,7 +115,7 @@
         expectation: &Expectation,
         blocks_many: bool,
     ) -> Option<Excess> {
-        let slowness = self.engine_speeds.slowness_for(self.now, attempt).factor;
+        let slowness = self.engine_slowness.slowness_for(self.now, attempt).factor;
         let bound_factor = if blocks_many {
             MANY_WAITERS_BOUND_FACTOR
         } else {
--- a/crates/runaway/src/completion.rs
+++ b/crates/runaway/src/completion.rs
@@ -23,7 +23,7 @@
     /// Whether the run took no more than a few times what is usual.
     pub(crate) is_usual: bool,
     /// Whether the run finished within the usual run time, although its reported work may exceed the usual work.
-    pub(crate) is_usual_by_time: bool,
+    pub(crate) finished_in_usual_time: bool,
     /// Ratio of the run time to the usual one, if it indicates the speed of the engine.
     pub(crate) engine_slowdown: Option<f64>,
 }
@@ -58,7 +58,7 @@
             is_over_bound,
             is_clean: value <= expected.bound * CLEAN_RUN_FRACTION,
             is_usual: value < expected.usual * LONG_RUN_FACTOR,
-            is_usual_by_time: attempt.work().is_some() && active < usual_run_time,
+            finished_in_usual_time: attempt.work().is_some() && active < usual_run_time,
             engine_slowdown: (expectation.is_known && !is_over_bound && excludes_wait_time)
                 .then(|| active.0 / usual_run_time.0.max(1.0)),
         }
--- a/crates/runaway/src/detector.rs
+++ b/crates/runaway/src/detector.rs
@@ -1,18 +1,18 @@
 //! The detector, which runs the steps in order and passes to each rule the data that it reads. Most rules are modules
 //! of their own; the submodules here apply them to attempts, findings and holds.
 
-mod attempts;
-mod blockers;
+mod attempt_events;
+mod attempt_findings;
+mod blocker_detection;
 mod detection;
-mod enforcement;
-mod findings;
+mod runaway_actions;
 
 use std::rc::Rc;
 
 use hoptiller_policy::{EngineId, Micros};
 
 use crate::attempts::Attempts;
-use crate::engine_speed::EngineSpeeds;
+use crate::engine_slowness::EngineSlowness;
 use crate::findings::Findings;
 use crate::fingerprint_change::FingerprintChanges;
 use crate::holds::{FingerprintHold, Holds};
@@ -32,7 +32,7 @@
     attempts: Attempts,
     remote_statements: RemoteStatements,
     wait_inference: WaitInference,
-    engine_speeds: EngineSpeeds,
+    engine_slowness: EngineSlowness,
     fingerprint_changes: FingerprintChanges,
     findings: Findings,
     holds: Holds,
@@ -63,7 +63,7 @@
             attempts: Attempts::default(),
             remote_statements: RemoteStatements::default(),
             wait_inference: WaitInference::default(),
-            engine_speeds: EngineSpeeds::default(),
+            engine_slowness: EngineSlowness::default(),
             fingerprint_changes: FingerprintChanges::default(),
             findings: Findings::default(),
             holds: Holds::default(),
@@ -88,7 +88,7 @@
 
     /// Replaces the engine list.
     pub fn update_engines(&mut self, engines: Vec<EngineStatus>) {
-        self.engine_speeds
+        self.engine_slowness
             .retain(|id| engines.iter().any(|status| status.engine == id));
         self.engines = engines;
         self.publish_holds();
--- a/crates/runaway/src/detector/attempt_events.rs
+++ b/crates/runaway/src/detector/attempt_events.rs
@@ -5,7 +5,7 @@
 use super::RunawayDetector;
 use crate::attempt::RunningAttempt;
 use crate::completion::Completion;
-use crate::engine_speed::Sample;
+use crate::engine_slowness::Sample;
 use crate::expectation::Expectation;
 use crate::fingerprint_change::{ChangeStatus, MIN_RUNS_TO_ADOPT};
 use crate::interface::{
@@ -91,8 +91,8 @@
             return;
         };
         attempt.abandon(now);
-        let holds_tables = self.settings.classes[attempt.start().class].holds_tables;
-        if !holds_tables && attempt.over_bound_since().is_none() {
+        let locks_group = self.settings.classes[attempt.start().class].locks_group;
+        if !locks_group && attempt.over_bound_since().is_none() {
             // The attempt locks no tables and is within its bound, so it is not observed further.
             self.remove_attempt(now, id, "its router has stopped waiting");
         } else if let Some(oldest) = self.attempts.mark_unconfirmed(id) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Updates engine speeds, holds and statistics with an attempt that succeeded.
+    /// Updates the slowness of engines, holds and statistics with an attempt that succeeded.
     fn learn_from_success(
         &mut self,
         now: Micros,
@@ -108,7 +108,7 @@
         expectation: &Expectation,
     ) {
         let start = attempt.start();
-        let slowness = self.engine_speeds.slowness_for(now, attempt).factor;
+        let slowness = self.engine_slowness.slowness_for(now, attempt).factor;
         let was_runaway = self.findings.is_runaway(&attempt.subject());
         let completion = Completion::new(now, attempt, expectation, slowness, was_runaway);
         if let Some(slowdown) = completion.engine_slowdown {
@@ -116,7 +116,7 @@
                 fingerprint: start.fingerprint,
                 slowdown,
             };
-            self.engine_speeds
+            self.engine_slowness
                 .record_completion(now, start.engine, sample);
         }
         self.holds
@@ -157,7 +157,7 @@
         completion: &Completion,
     ) {
         let (start, started_at) = (attempt.start(), attempt.started_at());
-        if completion.is_usual || completion.is_usual_by_time {
+        if completion.is_usual || completion.finished_in_usual_time {
             self.fingerprint_changes
                 .record_usual_run(start.fingerprint, start.attempt, started_at);
         }
--- a/crates/runaway/src/detector/attempt_findings.rs
+++ b/crates/runaway/src/detector/attempt_findings.rs
@@ -81,7 +81,7 @@
 
     /// Clears the finding on an attempt that is within its bound, and cancels its kill, unless it is a runaway that
     /// remains one.
-    pub(super) fn clear_suspicion(&mut self, now: Micros, id: AttemptId) {
+    pub(super) fn clear_if_revocable(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
--- a/crates/runaway/src/detector/detection.rs
+++ b/crates/runaway/src/detector/detection.rs
@@ -4,7 +4,7 @@
 
 use super::RunawayDetector;
 use crate::assessment::{Assessment, Observations};
-use crate::group_exclusion::excluded_engines;
+use crate::group_exclusion::group_exclusions;
 use crate::interface::AttemptId;
 use crate::slow_engine::report_slow_engines;
 use crate::wait_graph::WaitGraph;
@@ -26,7 +26,7 @@
         let waits = self.update_waits(now);
         self.detect_slow_engines(now);
         self.fingerprint_changes
-            .count_running(now, &self.attempts, &self.engine_speeds);
+            .count_running(now, &self.attempts, &self.engine_slowness);
         for id in self.attempts.ids() {
             self.detect_runaway(now, id, &waits);
         }
@@ -55,12 +55,12 @@
     }
 
     fn detect_slow_engines(&mut self, now: Micros) {
-        self.engine_speeds
+        self.engine_slowness
             .observe_running(now, &self.attempts, &self.findings);
         report_slow_engines(
             now,
             &self.engines,
-            &self.engine_speeds,
+            &self.engine_slowness,
             &mut self.findings,
             &mut self.decisions,
         );
@@ -75,20 +75,20 @@
             classes: &self.settings.classes,
             statistics: &self.statistics,
             attempts: &self.attempts,
-            engine_speeds: &self.engine_speeds,
+            engine_slowness: &self.engine_slowness,
             wait_inference: &self.wait_inference,
             waits,
         };
         match observations.assess(attempt) {
             Assessment::NotAssessed => {}
-            Assessment::WithinBound => self.clear_suspicion(now, id),
+            Assessment::WithinBound => self.clear_if_revocable(now, id),
             Assessment::SlowReader(reader) => self.report_slow_reader(now, id, reader),
             Assessment::OverBound(over_bound) => self.report_over_bound(now, id, over_bound),
         }
     }
 
     fn exclude_groups(&mut self, now: Micros) {
-        self.holds.exclude_groups(excluded_engines(
+        self.holds.exclude_groups(group_exclusions(
             now,
             &self.attempts,
             &self.remote_statements,
--- a/crates/runaway/src/detector/runaway_actions.rs
+++ b/crates/runaway/src/detector/runaway_actions.rs
@@ -8,10 +8,16 @@
 impl RunawayDetector {
     /// Applies the enforcement options of its class to a runaway. `deadlock_members` names the other members of the
     /// cycle and is read only for a deadlock. The fingerprint of an attempt that no longer executes can only be held.
-    pub(super) fn enforce(&mut self, now: Micros, id: AttemptId, cause: Cause, blocked: &[String]) {
+    pub(super) fn enforce(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        cause: Cause,
+        deadlock_members: &[String],
+    ) {
         // In a deadlock, only the youngest attempt is killed: it has done the least work, and the others can continue.
         let has_younger = cause == Cause::Deadlock
-            && blocked
+            && deadlock_members
                 .iter()
                 .filter_map(|name| self.attempts.id_by_name(name))
                 .any(|other| other > id);
@@ -26,7 +32,7 @@
                 attempt.enforcement.schedule_kill(kill_at);
             }
             // Pausing a statement that others wait for would prolong their wait.
-            let blocks_others = class.holds_tables
+            let blocks_others = class.locks_group
                 || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
             let resume_at = now + self.settings.pause_for;
             if options.pause && !blocks_others && attempt.enforcement.pause_until(resume_at) {
--- a/crates/runaway/src/engine_slowness.rs
+++ b/crates/runaway/src/engine_slowness.rs
@@ -16,6 +16,8 @@
 const COMPLETION_TTL: Micros = 20_000_000;
 /// Number of samples from which the median of an engine is used as its slowness.
 const MIN_SAMPLES: usize = 3;
+/// Number of samples from which an engine is reported.
+const MIN_SAMPLES_TO_REPORT: usize = MIN_SAMPLES + 1;
 /// Upper limit of the slowness factor.
 const MAX_SLOWNESS: f64 = 20.0;
 /// Multiple of the usual run time from which a running attempt counts as a sample of its engine.
@@ -24,6 +26,8 @@
 pub(crate) const MIN_REPORTED_SLOWNESS: f64 = 3.0;
 /// Ratio to the median slowness of the other engines from which an engine is reported.
 const MIN_RATIO_TO_OTHERS: f64 = 2.0;
+/// Divisor of both thresholds for an engine that is already reported.
+const HYSTERESIS_FACTOR: f64 = 2.0;
 
 /// A sample of an engine: the slowdown of one attempt. It is a lower bound while the attempt runs.
 #[derive(Clone, Copy, Debug)]
@@ -45,13 +49,13 @@
 
 /// Samples of each engine: recent completions, and running attempts that take longer than usual.
 #[derive(Debug, Default)]
-pub(crate) struct EngineSpeeds {
+pub(crate) struct EngineSlowness {
     completions: BTreeMap<EngineId, VecDeque<(Micros, Sample)>>,
     /// Samples of running attempts, as of the last detection run.
     running: BTreeMap<EngineId, Vec<(AttemptId, Sample)>>,
 }
 
-impl EngineSpeeds {
+impl EngineSlowness {
     /// Records the completion of an attempt.
     pub(crate) fn record_completion(&mut self, now: Micros, engine: EngineId, sample: Sample) {
         let completions = self.completions.entry(engine).or_default();
@@ -174,10 +178,10 @@
         .collect();
     let usual = median(&mut known);
     if is_reported {
-        return own.factor >= MIN_REPORTED_SLOWNESS / 2.0
-            && own.factor >= MIN_RATIO_TO_OTHERS / 2.0 * usual;
+        return own.factor >= MIN_REPORTED_SLOWNESS / HYSTERESIS_FACTOR
+            && own.factor >= MIN_RATIO_TO_OTHERS / HYSTERESIS_FACTOR * usual;
     }
-    own.samples > MIN_SAMPLES
+    own.samples >= MIN_SAMPLES_TO_REPORT
         && own.factor >= MIN_REPORTED_SLOWNESS
         && own.factor >= MIN_RATIO_TO_OTHERS * usual
 }
--- a/crates/runaway/src/engine_slowness/tests.rs
+++ b/crates/runaway/src/engine_slowness/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn slowness_needs_several_samples() {
-    let speeds = EngineSpeeds::default();
+    let speeds = EngineSlowness::default();
     let factor = |slowdowns: &[f64]| {
         speeds
             .slowness_with(0, EngineId(1), &samples(slowdowns))
@@ -40,7 +40,7 @@
 
 #[test]
 fn old_completions_do_not_count() {
-    let mut speeds = EngineSpeeds::default();
+    let mut speeds = EngineSlowness::default();
     for _ in 0..100 {
         speeds.record_completion(0, EngineId(1), samples(&[8.0])[0]);
     }
--- a/crates/runaway/src/expectation.rs
+++ b/crates/runaway/src/expectation.rs
@@ -27,7 +27,7 @@
 /// Largest factor by which an estimate raises what is expected.
 const MAX_ESTIMATE_FACTOR: f64 = 1e4;
 /// Scale of the stored ratio of work to its estimate: distributions hold whole numbers, so it is kept in thousandths.
-const ACCURACY_UNIT: f64 = 1000.0;
+const ESTIMATE_RATIO_UNIT: f64 = 1000.0;
 
 /// The usual value of a quantity, and the bound from which on it is excessive.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -208,18 +208,18 @@
 }
 
 /// Returns the ratio of the work to its estimate, in thousandths.
-pub(crate) fn estimate_accuracy(work: Work, estimate: Work) -> f64 {
-    work.0 * ACCURACY_UNIT / estimate.0.max(1.0)
+pub(crate) fn estimate_ratio(work: Work, estimate: Work) -> f64 {
+    work.0 * ESTIMATE_RATIO_UNIT / estimate.0.max(1.0)
 }
 
 /// Returns the factor, at least 1, by which an estimate makes a statement larger than usual. The estimate is corrected
 /// by the median ratio of earlier ones. The factor is 1 unless earlier ratios were consistent: otherwise a client could
 /// hide a runaway behind a wrong estimate.
-pub(crate) fn estimate_factor(estimate: Work, accuracy: &Sketch, usual: Work) -> f64 {
-    if accuracy.count() < MIN_RUNS_KNOWN {
+pub(crate) fn estimate_factor(estimate: Work, ratios: &Sketch, usual: Work) -> f64 {
+    if ratios.count() < MIN_RUNS_KNOWN {
         return 1.0;
     }
-    let ratio = |quantile| accuracy.quantile(quantile).unwrap_or(0.0) / ACCURACY_UNIT;
+    let ratio = |quantile| ratios.quantile(quantile).unwrap_or(0.0) / ESTIMATE_RATIO_UNIT;
     let (low, median, high) = (ratio(0.1), ratio(0.5), ratio(0.9));
     if median <= 0.0 || low < median / MAX_ESTIMATE_ERROR || high > median * MAX_ESTIMATE_ERROR {
         return 1.0;
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -9,7 +9,7 @@
 use hoptiller_policy::{EngineId, Micros};
 
 use crate::attempts::Attempts;
-use crate::engine_speed::EngineSpeeds;
+use crate::engine_slowness::EngineSlowness;
 use crate::interface::{AttemptId, FingerprintId};
 use crate::measures::is_long_run;
 
@@ -64,7 +64,7 @@
 
     /// Returns whether to stop counting: no long runs are left, or they are few compared with at least
     /// [`MIN_USUAL_RUNS`] usual runs.
-    fn are_long_runs_outliers(&self) -> bool {
+    fn is_change_ruled_out(&self) -> bool {
         let long = self.long_runs.len();
         long == 0
             || self.usual_runs >= MIN_USUAL_RUNS
@@ -104,7 +104,7 @@
         &mut self,
         now: Micros,
         attempts: &Attempts,
-        engine_speeds: &EngineSpeeds,
+        engine_slowness: &EngineSlowness,
     ) {
         for attempt in attempts.values() {
             let Some(expectation) = attempt.expectation() else {
@@ -113,7 +113,7 @@
             if !attempt.is_executing() || !expectation.is_known || attempt.is_blocked() {
                 continue;
             }
-            let slowness = engine_speeds.slowness_for(now, attempt).factor;
+            let slowness = engine_slowness.slowness_for(now, attempt).factor;
             if is_long_run(attempt, expectation, now, slowness) {
                 let (start, started_at) = (attempt.start(), attempt.started_at());
                 self.record_long_run(
@@ -139,7 +139,7 @@
         };
         counter.long_runs.remove(&attempt);
         counter.usual_runs += usize::from(started >= counter.since);
-        if counter.are_long_runs_outliers() {
+        if counter.is_change_ruled_out() {
             self.counters.remove(&fingerprint);
         }
     }
--- a/crates/runaway/src/fingerprint_statistics.rs
+++ b/crates/runaway/src/fingerprint_statistics.rs
@@ -19,7 +19,7 @@
 pub(crate) struct ClassStatistics {
     pub(crate) distributions: Distributions,
     /// Ratios of work to its estimate, in thousandths.
-    pub(crate) estimate_accuracy: Sketch,
+    pub(crate) estimate_ratios: Sketch,
 }
 
 /// Statistics of a fingerprint.
@@ -31,7 +31,7 @@
     /// Distributions by size bucket.
     pub(crate) by_size: BTreeMap<u8, Distributions>,
     /// Ratios of work to its estimate, in thousandths.
-    pub(crate) estimate_accuracy: Sketch,
+    pub(crate) estimate_ratios: Sketch,
     /// Runs over the bound, which are used only after they are adopted.
     pub(crate) over_bound: Distributions,
     /// The time at which the latest statement of the fingerprint arrived.
@@ -45,7 +45,7 @@
             class,
             label,
             by_size: BTreeMap::new(),
-            estimate_accuracy: Sketch::default(),
+            estimate_ratios: Sketch::default(),
             over_bound: Distributions::default(),
             last_use: now,
         }
--- a/crates/runaway/src/group_exclusion.rs
+++ b/crates/runaway/src/group_exclusion.rs
@@ -14,7 +14,7 @@
 pub(crate) type ExcludedEngines = BTreeMap<u64, Vec<EngineId>>;
 
 /// Returns the exclusions for all runaway loads, of this router and of others.
-pub(crate) fn excluded_engines(
+pub(crate) fn group_exclusions(
     now: Micros,
     attempts: &Attempts,
     remote_statements: &RemoteStatements,
@@ -26,7 +26,7 @@
         let start = attempt.start();
         let class = &classes[start.class];
         if let Some(group) = start.group
-            && class.holds_tables
+            && class.locks_group
             && class.enforcement.hold
             && findings.is_runaway(&attempt.subject())
         {
--- a/crates/runaway/src/holds.rs
+++ b/crates/runaway/src/holds.rs
@@ -48,7 +48,7 @@
     /// The time of the latest end of a statement or change of the limit. A hold that is idle since then recovers by
     /// time.
     #[serde(rename = "last")]
-    pub last_change: Micros,
+    pub last_activity_at: Micros,
     /// Whether the fingerprint also runs at low priority inside engines.
     #[serde(rename = "lower")]
     pub low_priority: bool,
@@ -69,7 +69,7 @@
         self.clean_runs_needed = (self.clean_runs_needed * 2).min(MAX_CLEAN_RUNS);
         self.max_in_flight = 1;
         self.clean_runs = 0;
-        self.last_change = now;
+        self.last_activity_at = now;
         self.runaways += 1;
     }
 
@@ -129,7 +129,7 @@
             clean_runs: 0,
             clean_runs_needed: MIN_CLEAN_RUNS,
             since: now,
-            last_change: now,
+            last_activity_at: now,
             low_priority,
             runaways: 1,
         };
@@ -140,7 +140,7 @@
     pub(crate) fn remove_runaway(&mut self, now: Micros, fingerprint: FingerprintId) {
         if let Some(hold) = self.fingerprints.get_mut(&fingerprint) {
             hold.runaways = hold.runaways.saturating_sub(1);
-            hold.last_change = now;
+            hold.last_activity_at = now;
         }
     }
 
@@ -149,7 +149,7 @@
         let Some(hold) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
-        hold.last_change = now;
+        hold.last_activity_at = now;
         if !is_clean {
             hold.clean_runs = 0;
             return;
@@ -177,9 +177,9 @@
     pub(crate) fn relax_idle(&mut self, now: Micros) {
         let without_runaways = self.fingerprints.values_mut().filter(|h| h.runaways == 0);
         for hold in without_runaways {
-            if now.saturating_sub(hold.last_change) >= IDLE_STEP {
+            if now.saturating_sub(hold.last_activity_at) >= IDLE_STEP {
                 hold.relax();
-                hold.last_change = now;
+                hold.last_activity_at = now;
             }
         }
         self.fingerprints.retain(|_, hold| !hold.can_be_released());
@@ -210,7 +210,7 @@
         let fingerprints = self.fingerprints.iter().map(|(fingerprint, hold)| Hold {
             target: HoldTarget::Kind(fingerprint.0),
             max_in_flight: hold.max_in_flight + hold.runaways,
-            excluded_engines: excluded_engines(*fingerprint, hold, engines),
+            excluded_engines: engines_excluded_by_hold(*fingerprint, hold, engines),
             low_priority: hold.low_priority,
         });
         // A group excluded from every engine would never run.
@@ -243,7 +243,7 @@
         let nearest_release = self
             .fingerprints
             .iter()
-            .max_by_key(|(_, hold)| (hold.max_in_flight, Reverse(hold.last_change)));
+            .max_by_key(|(_, hold)| (hold.max_in_flight, Reverse(hold.last_activity_at)));
         if let Some(id) = nearest_release.map(|(id, _)| *id) {
             self.fingerprints.remove(&id);
         }
@@ -252,7 +252,7 @@
 
 /// Returns the engines that a held fingerprint may not run on: all but as many as its limit. The allowed engines are
 /// chosen by a hash that is the same on all routers, so that routers agree without communication (rendezvous hashing).
-fn excluded_engines(
+fn engines_excluded_by_hold(
     fingerprint: FingerprintId,
     hold: &FingerprintHold,
     engines: &[EngineStatus],
--- a/crates/runaway/src/interface/settings.rs
+++ b/crates/runaway/src/interface/settings.rs
@@ -36,7 +36,7 @@
     /// Whether statements of the class may run more than once.
     pub idempotency: Idempotency,
     /// Whether statements of the class lock their table group while they run. Such statements are called loads.
-    pub holds_tables: bool,
+    pub locks_group: bool,
     /// The actions permitted against runaways of the class.
     pub enforcement: EnforcementOptions,
 }
--- a/crates/runaway/src/lib.rs
+++ b/crates/runaway/src/lib.rs
@@ -35,7 +35,7 @@
 mod detector;
 mod distributions;
 mod enforcement;
-mod engine_speed;
+mod engine_slowness;
 mod expectation;
 mod findings;
 mod fingerprint_change;
--- a/crates/runaway/src/measures.rs
+++ b/crates/runaway/src/measures.rs
@@ -15,9 +15,9 @@
 /// Tolerance of values projected from the completed fraction.
 const PROJECTION_TOLERANCE: f64 = 1.25;
 /// Multiple of the usual run time from which a reported completed fraction is used.
-const MIN_RUN_FOR_PROGRESS: f64 = 2.0;
+const MIN_RUN_RATIO_FOR_PROGRESS: f64 = 2.0;
 /// Multiple of the usual run time from which a reported completed fraction of zero is used.
-const MIN_RUN_WITHOUT_PROGRESS: f64 = 6.0;
+const MIN_RUN_RATIO_AT_ZERO_PROGRESS: f64 = 6.0;
 /// Number of progress reports from which a reported completed fraction is used.
 const MIN_PROGRESS_REPORTS: u32 = 3;
 /// Factor by which the bounds of a spilling attempt are raised: for lack of memory, it repeats work that its statement
@@ -117,9 +117,9 @@
     };
     let done = attempt.progress().done.filter(|done| {
         let min_run = if *done > 0.0 {
-            MIN_RUN_FOR_PROGRESS
+            MIN_RUN_RATIO_FOR_PROGRESS
         } else {
-            MIN_RUN_WITHOUT_PROGRESS
+            MIN_RUN_RATIO_AT_ZERO_PROGRESS
         };
         attempt.progress_reports() >= MIN_PROGRESS_REPORTS
             && active.0 >= min_run * expectation.run_time.usual.0
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -2,7 +2,9 @@
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::engine_speed::{EngineSpeeds, MIN_REPORTED_SLOWNESS, Slowness, is_slower_than_others};
+use crate::engine_slowness::{
+    EngineSlowness, MIN_REPORTED_SLOWNESS, Slowness, is_slower_than_others,
+};
 use crate::findings::Findings;
 use crate::interface::{
     Basis, Cause, Decision, EngineStatus, Evidence, Finding, Measure, Subject, Verdict,
@@ -12,13 +14,13 @@
 pub(crate) fn report_slow_engines(
     now: Micros,
     engines: &[EngineStatus],
-    engine_speeds: &EngineSpeeds,
+    engine_slowness: &EngineSlowness,
     findings: &mut Findings,
     out: &mut Vec<Decision>,
 ) {
     let speeds: Vec<(EngineId, Slowness)> = engines
         .iter()
-        .map(|status| (status.engine, engine_speeds.slowness(now, status.engine)))
+        .map(|status| (status.engine, engine_slowness.slowness(now, status.engine)))
         .collect();
     for (engine, slowness) in &speeds {
         let others: Vec<Slowness> = speeds
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -143,7 +143,7 @@
     #[serde(rename = "figures")]
     distributions: SavedDistributions,
     #[serde(rename = "honesty")]
-    estimate_accuracy: SavedSketch,
+    estimate_ratios: SavedSketch,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -154,7 +154,7 @@
     #[serde(rename = "sizes")]
     by_size: BTreeMap<u8, SavedDistributions>,
     #[serde(rename = "honesty")]
-    estimate_accuracy: SavedSketch,
+    estimate_ratios: SavedSketch,
     #[serde(rename = "beyond")]
     over_bound: SavedDistributions,
 }
@@ -164,14 +164,14 @@
         SavedClass {
             name: class.name.clone(),
             distributions: save_distributions(&statistics.distributions),
-            estimate_accuracy: statistics.estimate_accuracy.weighted_values(),
+            estimate_ratios: statistics.estimate_ratios.weighted_values(),
         }
     }
 
     fn restore(&self) -> Result<ClassStatistics, SnapshotError> {
         Ok(ClassStatistics {
             distributions: restore_distributions(&self.distributions)?,
-            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
+            estimate_ratios: restore_sketch(&self.estimate_ratios)?,
         })
     }
 }
@@ -187,7 +187,7 @@
                 .iter()
                 .map(|(size, distributions)| (*size, save_distributions(distributions)))
                 .collect(),
-            estimate_accuracy: statistics.estimate_accuracy.weighted_values(),
+            estimate_ratios: statistics.estimate_ratios.weighted_values(),
             over_bound: save_distributions(&statistics.over_bound),
         }
     }
@@ -207,7 +207,7 @@
             class,
             label: self.label.into(),
             by_size: by_size?,
-            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
+            estimate_ratios: restore_sketch(&self.estimate_ratios)?,
             over_bound: restore_distributions(&self.over_bound)?,
             last_use,
         })
@@ -283,7 +283,7 @@
         let hold = FingerprintHold {
             class,
             since: now,
-            last_change: now,
+            last_activity_at: now,
             runaways: 0,
             ..hold
         };
--- a/crates/runaway/src/statistics.rs
+++ b/crates/runaway/src/statistics.rs
@@ -13,7 +13,7 @@
 
 use crate::distributions::{Distributions, Run};
 use crate::expectation::{
-    Expectation, Expected, MIN_RUNS_KNOWN, estimate_accuracy, estimate_factor, expected_memory,
+    Expectation, Expected, MIN_RUNS_KNOWN, estimate_factor, estimate_ratio, expected_memory,
     expected_of_remote, expected_quantity, usual_work_per_1000_rows,
 };
 use crate::fingerprint_statistics::{ClassStatistics, FingerprintStatistics};
@@ -149,12 +149,12 @@
             Work(objective * class_settings.threads),
             class_settings,
         );
-        let accuracy = statistics
-            .map(|s| &s.estimate_accuracy)
-            .filter(|accuracy| accuracy.count() >= MIN_RUNS_KNOWN)
-            .unwrap_or(&by_class.estimate_accuracy);
+        let ratios = statistics
+            .map(|s| &s.estimate_ratios)
+            .filter(|ratios| ratios.count() >= MIN_RUNS_KNOWN)
+            .unwrap_or(&by_class.estimate_ratios);
         let factor = announced.estimate.map_or(1.0, |estimate| {
-            estimate_factor(Work(estimate as f64), accuracy, work.usual)
+            estimate_factor(Work(estimate as f64), ratios, work.usual)
         });
         Expectation {
             run_time: run_time.scaled(factor),
@@ -184,20 +184,20 @@
         announced: Announced,
         run: &Run,
     ) {
-        let accuracy = announced
+        let ratio = announced
             .estimate
             .zip(run.work)
             .map_or(0.0, |(estimate, work)| {
-                estimate_accuracy(work, Work(estimate as f64))
+                estimate_ratio(work, Work(estimate as f64))
             });
         let by_class = &mut self.classes[class];
         by_class.distributions.add(run);
-        by_class.estimate_accuracy.add(accuracy);
+        by_class.estimate_ratios.add(ratio);
         let Some(statistics) = self.fingerprints.get_mut(&fingerprint) else {
             return;
         };
         let was_known = statistics.is_known();
-        statistics.estimate_accuracy.add(accuracy);
+        statistics.estimate_ratios.add(ratio);
         statistics.for_size(announced.size).add(run);
         if !was_known && statistics.is_known() {
             let entry = (statistics.last_use, fingerprint);
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -11,7 +11,7 @@
         client_timeout: 25_000_000,
         threads: 2.0,
         idempotency: Idempotency::Idempotent,
-        holds_tables: false,
+        locks_group: false,
         enforcement: EnforcementOptions::default(),
     }
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn estimates_are_used_where_earlier_ones_were_right() {
+fn estimates_are_used_if_earlier_ones_were_consistent() {
     let statistics = statistics_of(FingerprintId(1), 60);
     let announced = |size, estimate| Announced { size, estimate };
     let (plain, twelve) = (
@@ -92,16 +92,16 @@
         expected_run_time(&statistics, 1, announced(0, Some(900_000_000))),
         plain
     );
-    let mut accurate = statistics_of(FingerprintId(1), 60);
-    let mut inaccurate = statistics_of(FingerprintId(1), 60);
+    let mut consistent = statistics_of(FingerprintId(1), 60);
+    let mut inconsistent = statistics_of(FingerprintId(1), 60);
     for n in 0..20u64 {
-        accurate.record_run(
+        consistent.record_run(
             FingerprintId(1),
             0,
             announced(0, Some(1_000_000)),
             &run(1.0),
         );
-        inaccurate.record_run(
+        inconsistent.record_run(
             FingerprintId(1),
             0,
             announced(0, Some(10_000 << (n % 14))),
@@ -109,10 +109,11 @@
         );
     }
     assert!(
-        expected_run_time(&accurate, 1, announced(0, Some(10_000_000))).bound > 9.0 * plain.bound
+        expected_run_time(&consistent, 1, announced(0, Some(10_000_000))).bound > 9.0 * plain.bound
     );
     assert!(
-        expected_run_time(&inaccurate, 1, announced(0, Some(10_000_000))).bound < 1.1 * plain.bound
+        expected_run_time(&inconsistent, 1, announced(0, Some(10_000_000))).bound
+            < 1.1 * plain.bound
     );
 }
 
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -16,9 +16,9 @@
 /// Time without any progress report after which engines are assumed not to report progress.
 const REPORTS_TTL: Micros = 60_000_000;
 /// Age from which completions are dropped when too many are kept.
-const COMPLETION_TTL: Micros = 60_000_000;
+const GROUP_COMPLETION_TTL: Micros = 60_000_000;
 /// Maximum number of pairs of engine and table group whose last completion is kept.
-const MAX_COMPLETIONS: usize = 8192;
+const MAX_GROUP_COMPLETIONS: usize = 8192;
 
 /// The data that waits are inferred from, apart from the running attempts.
 #[derive(Debug, Default)]
@@ -45,11 +45,11 @@
     ) {
         let last = self.last_completions.entry((engine, group)).or_default();
         *last = (*last).max(started_at);
-        if self.last_completions.len() > MAX_COMPLETIONS {
+        if self.last_completions.len() > MAX_GROUP_COMPLETIONS {
             self.last_completions
-                .retain(|_, started_at| now.saturating_sub(*started_at) < COMPLETION_TTL);
+                .retain(|_, started_at| now.saturating_sub(*started_at) < GROUP_COMPLETION_TTL);
         }
-        if self.last_completions.len() > MAX_COMPLETIONS {
+        if self.last_completions.len() > MAX_GROUP_COMPLETIONS {
             // Too many completions are recent. Without them, long readers are excused more often until new ones are
             // recorded.
             self.last_completions.clear();
@@ -95,15 +95,15 @@
         let mut loads = classes
             .iter()
             .enumerate()
-            .filter(|(_, class)| class.holds_tables)
+            .filter(|(_, class)| class.locks_group)
             .peekable();
         if self.has_recent_reports(now)
-            || classes[start.class].holds_tables
+            || classes[start.class].locks_group
             || loads.peek().is_none()
         {
             return false;
         }
-        if self.is_completed_since(start.engine, group, attempt.started_at()) {
+        if self.has_later_start_completed(start.engine, group, attempt.started_at()) {
             return false;
         }
         let longest_load = loads
@@ -124,7 +124,7 @@
     }
 
     /// Returns whether an attempt on this table group that started on this engine after `since` has completed as usual.
-    fn is_completed_since(&self, engine: EngineId, group: u64, since: Micros) -> bool {
+    fn has_later_start_completed(&self, engine: EngineId, group: u64, since: Micros) -> bool {
         self.last_completions
             .get(&(engine, group))
             .is_some_and(|started_at| *started_at > since)
@@ -136,7 +136,7 @@
 fn infer_waits(now: Micros, attempts: &Attempts, classes: &[Class], waits: &mut WaitGraph) {
     let is_load = |attempt: &&RunningAttempt| {
         let start = attempt.start();
-        classes[start.class].holds_tables && start.group.is_some()
+        classes[start.class].locks_group && start.group.is_some()
     };
     for load in attempts.values().filter(is_load) {
         for attempt in awaited(attempts) {
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -19,14 +19,14 @@
     idempotency: Idempotency,
     options: EnforcementOptions,
 ) -> Class {
-    let holds_tables = idempotency == Idempotency::NotIdempotent;
+    let locks_group = idempotency == Idempotency::NotIdempotent;
     Class {
         name: name.into(),
         latency_objective,
         client_timeout: 25 * SECOND,
         threads,
         idempotency,
-        holds_tables,
+        locks_group,
         enforcement: options,
     }
 }
--- a/crates/runaway/tests/decision_digest/generator.rs
+++ b/crates/runaway/tests/decision_digest/generator.rs
@@ -174,7 +174,7 @@
         if number == self.changed_fingerprint {
             work *= 30.0;
         }
-        let is_load = self.settings.classes[class].holds_tables;
+        let is_load = self.settings.classes[class].locks_group;
         let engine = if self.engine_without_memory < ENGINES && random.one_in(2) {
             self.engine_without_memory
         } else {
@@ -210,7 +210,7 @@
         let loads: Vec<(AttemptId, EngineId, Option<u64>)> = self
             .running
             .values()
-            .filter(|running| self.settings.classes[running.start.class].holds_tables)
+            .filter(|running| self.settings.classes[running.start.class].locks_group)
             .map(|running| {
                 (
                     running.start.attempt,
--- a/crates/runaway/tests/enforcement.rs
+++ b/crates/runaway/tests/enforcement.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn reporting_and_holding_do_not_pause_or_kill() {
+fn the_default_options_do_not_pause_or_kill_and_reporting_alone_does_not_hold() {
     let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     simulation.start(REPORT, REPORT as u64, 0, 900e6);
     simulation.advance(60);
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -81,7 +81,7 @@
                 client_timeout: micros(class.client_timeout),
                 threads: class.threads,
                 idempotency: class.policy_idempotency(),
-                holds_tables: class.holds_tables,
+                locks_group: class.holds_tables,
                 enforcement: *enforcement,
             };
         runaway::Settings {
