--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -24,17 +24,28 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The data is not a snapshot, or is one of another version.
-    #[error("not a runaway snapshot of this version: the first line is not {HEADER:?}")]
-    UnknownFormat,
+    #[error("not a runaway snapshot of this version: expected {HEADER:?}, found {found:?}")]
+    UnknownFormat {
+        /// The beginning of the data.
+        found: String,
+    },
     /// The checksum does not match: the snapshot was truncated or modified.
-    #[error("checksum mismatch: the snapshot was truncated or modified")]
-    Damaged,
+    #[error("snapshot truncated or modified: expected checksum {expected}, found {found:?}")]
+    Damaged {
+        /// The checksum of the content.
+        expected: String,
+        /// The data in place of the checksum.
+        found: String,
+    },
     /// The checksum matches, but the content is not the expected JSON.
     #[error("invalid snapshot content: {0}")]
     InvalidJson(#[source] serde_json::Error),
     /// The checksum matches, but weights or values of a distribution are out of range.
-    #[error("invalid snapshot content: a distribution is out of range")]
-    InvalidDistribution,
+    #[error("invalid snapshot content: weights or values of {owner} are out of range")]
+    InvalidDistribution {
+        /// The class or fingerprint of the distribution.
+        owner: String,
+    },
 }
 
 /// Numbers of restored and dropped items.
@@ -104,7 +115,11 @@
     let mut restored_classes = Vec::new();
     for (class, index) in saved.classes.iter().zip(&class_indexes) {
         if let Some(index) = index {
-            restored_classes.push((*index, class.restore()?));
+            let statistics = class.restore().ok_or_else(|| {
+                let owner = format!("class {:?}", class.name);
+                SnapshotError::InvalidDistribution { owner }
+            })?;
+            restored_classes.push((*index, statistics));
         }
     }
     let total = saved.fingerprints.len() + saved.holds.len();
@@ -168,10 +183,11 @@
         }
     }
 
-    fn restore(&self) -> Result<ClassStatistics, SnapshotError> {
-        Ok(ClassStatistics {
+    /// Restores the statistics, or returns `None` if a distribution is out of range.
+    fn restore(&self) -> Option<ClassStatistics> {
+        Some(ClassStatistics {
             distributions: restore_distributions(&self.distributions)?,
-            estimate_ratios: restore_sketch(&self.estimate_ratios)?,
+            estimate_ratios: Sketch::from_weighted_values(&self.estimate_ratios)?,
         })
     }
 }
@@ -192,22 +208,19 @@
         }
     }
 
-    /// Restores the statistics, with the current index of the class. `last_use` is the position in the order of use.
-    fn restore(
-        self,
-        class: usize,
-        last_use: Micros,
-    ) -> Result<FingerprintStatistics, SnapshotError> {
-        let by_size: Result<BTreeMap<u8, Distributions>, SnapshotError> = self
+    /// Restores the statistics, with the current index of the class, or returns `None` if a distribution is out of
+    /// range. `last_use` is the position in the order of use.
+    fn restore(self, class: usize, last_use: Micros) -> Option<FingerprintStatistics> {
+        let by_size: Option<BTreeMap<u8, Distributions>> = self
             .by_size
             .iter()
-            .map(|(size, saved)| Ok((*size, restore_distributions(saved)?)))
+            .map(|(size, saved)| Some((*size, restore_distributions(saved)?)))
             .collect();
-        Ok(FingerprintStatistics {
+        Some(FingerprintStatistics {
             class,
             label: self.label.into(),
             by_size: by_size?,
-            estimate_ratios: restore_sketch(&self.estimate_ratios)?,
+            estimate_ratios: Sketch::from_weighted_values(&self.estimate_ratios)?,
             over_bound: restore_distributions(&self.over_bound)?,
             last_use,
         })
@@ -223,36 +236,38 @@
     ]
 }
 
-fn restore_distributions(saved: &SavedDistributions) -> Result<Distributions, SnapshotError> {
+fn restore_distributions(saved: &SavedDistributions) -> Option<Distributions> {
     let [run_time, work, work_per_1000_rows, memory_mb] = saved;
-    Ok(Distributions {
-        run_time: restore_sketch(run_time)?,
-        work: restore_sketch(work)?,
-        work_per_1000_rows: restore_sketch(work_per_1000_rows)?,
-        memory_mb: restore_sketch(memory_mb)?,
+    Some(Distributions {
+        run_time: Sketch::from_weighted_values(run_time)?,
+        work: Sketch::from_weighted_values(work)?,
+        work_per_1000_rows: Sketch::from_weighted_values(work_per_1000_rows)?,
+        memory_mb: Sketch::from_weighted_values(memory_mb)?,
     })
 }
 
-fn restore_sketch(saved: &SavedSketch) -> Result<Sketch, SnapshotError> {
-    Sketch::from_weighted_values(saved).ok_or(SnapshotError::InvalidDistribution)
-}
-
 /// Checks the header and the checksum, and decodes the remainder.
 fn decode_saved(bytes: &[u8]) -> Result<Saved, SnapshotError> {
     let rest = bytes
         .strip_prefix(HEADER.as_bytes())
         .and_then(|rest| rest.strip_prefix(b"\n"))
-        .ok_or(SnapshotError::UnknownFormat)?;
-    let (checksum, body) = rest
-        .split_at_checked(CHECKSUM_LINE_LEN)
-        .ok_or(SnapshotError::Damaged)?;
-    let expected = format!("{}\n", blake3::hash(body).to_hex());
-    if checksum != expected.as_bytes() {
-        return Err(SnapshotError::Damaged);
+        .ok_or_else(|| SnapshotError::UnknownFormat {
+            found: lossy_text(&bytes[..bytes.len().min(HEADER.len() + 1)]),
+        })?;
+    // If the data ends within the checksum line, the line is too short to be equal to the expected one.
+    let (checksum, body) = rest.split_at(rest.len().min(CHECKSUM_LINE_LEN));
+    let expected = blake3::hash(body).to_hex().to_string();
+    if checksum != format!("{expected}\n").as_bytes() {
+        let found = lossy_text(checksum);
+        return Err(SnapshotError::Damaged { expected, found });
     }
     serde_json::from_slice(body).map_err(SnapshotError::InvalidJson)
 }
 
+fn lossy_text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
+
 /// Restores the statistics of fingerprints whose class still exists. `class_indexes` maps saved class indexes to
 /// current ones.
 fn restore_fingerprints(
@@ -266,7 +281,12 @@
         };
         // Times of an earlier process cannot be compared with current ones, but their order remains valid.
         let last_use = position as Micros;
-        restored.push((saved.id, saved.restore(class, last_use)?));
+        let id = saved.id;
+        let statistics = saved.restore(class, last_use).ok_or_else(|| {
+            let owner = format!("fingerprint {id}");
+            SnapshotError::InvalidDistribution { owner }
+        })?;
+        restored.push((id, statistics));
     }
     Ok(restored)
 }
--- a/crates/runaway/tests/snapshot.rs
+++ b/crates/runaway/tests/snapshot.rs
@@ -65,14 +65,14 @@
         changed[at] ^= 0x40;
         check(&changed);
     }
-    assert!(matches!(check(b""), SnapshotError::UnknownFormat));
+    assert!(matches!(check(b""), SnapshotError::UnknownFormat { .. }));
     assert!(matches!(
         check(b"\x7fELF\x00\x00 something else"),
-        SnapshotError::UnknownFormat
+        SnapshotError::UnknownFormat { .. }
     ));
     assert!(matches!(
         check(&saved[..saved.len() - 1]),
-        SnapshotError::Damaged
+        SnapshotError::Damaged { .. }
     ));
     let body = br#"{"classes":[],"kinds":[{"id":1}],"holds":[]}"#;
     let checksum = blake3::hash(body).to_hex();
