--- a/crates/runaway/src/judgement.rs
+++ b/crates/runaway/src/assessment.rs
@@ -1,14 +1,14 @@
-//! Judgement of one running attempt: whether it is at fault, and for which cause.
+//! Assessment of one running attempt: whether it is a runaway, and for which cause.
 //!
-//! In this order: an attempt that is blocked is not at fault, except in a deadlock; one that blocks many others is
-//! judged more strictly; reported work is the attempt's own; where only time is known, it is divided by the slowness
-//! of the engine.
+//! The rules, in this order: a blocked attempt is not responsible for its run time, except in a deadlock; an attempt
+//! that blocks many others has a stricter bound; reported work is the attempt's own; where only the run time is known,
+//! it is divided by the slowness of the engine.
 
 use hoptiller_policy::Micros;
 
 use crate::attempt::RunningAttempt;
 use crate::attempts::Attempts;
-use crate::engine_speed::EngineSpeeds;
+use crate::engine_slowness::EngineSlowness;
 use crate::expectation::Expectation;
 use crate::interface::{Basis, BlockedState, Cause, Class, Evidence, Measure};
 use crate::measures::{
@@ -19,37 +19,37 @@
 use crate::wait_graph::WaitGraph;
 use crate::wait_inference::WaitInference;
 
-/// A client that has received rows for this long reads slowly.
+/// Time for which a client may receive rows before it counts as a slow reader.
 const SLOW_READER_AFTER: Micros = 30_000_000;
 
-/// What a judgement is based on beside the attempt.
+/// The data that an assessment is based on, apart from the attempt itself.
 pub(crate) struct Observations<'a> {
     pub(crate) now: Micros,
     pub(crate) classes: &'a [Class],
     pub(crate) statistics: &'a Statistics,
     pub(crate) attempts: &'a Attempts,
-    pub(crate) engine_speeds: &'a EngineSpeeds,
+    pub(crate) engine_slowness: &'a EngineSlowness,
     pub(crate) wait_inference: &'a WaitInference,
     pub(crate) waits: &'a WaitGraph,
 }
 
-/// What is found of an attempt.
+/// The result of an assessment.
 #[derive(Debug)]
-pub(crate) enum Judgement {
-    /// It is not judged, or nothing is expected of it yet.
-    NotJudged,
-    /// It is within its bound, or something else is the reason that it is not.
+pub(crate) enum Assessment {
+    /// The attempt is not assessed, or nothing is expected of it yet.
+    NotAssessed,
+    /// The attempt is within its bound, or is not responsible for the excess.
     WithinBound,
-    /// Its client has been receiving pages for longer than a client should need.
+    /// The client has been receiving rows for longer than it should need.
     SlowReader(SlowReader),
-    /// It is over its bound.
+    /// The attempt exceeds its bound.
     OverBound(OverBound),
 }
 
-/// A client that reads slowly.
+/// A client that receives rows slowly.
 #[derive(Debug)]
 pub(crate) struct SlowReader {
-    /// Since when it has received rows.
+    /// The time since which the client has been receiving rows.
     pub(crate) since: Micros,
     pub(crate) evidence: Evidence,
 }
@@ -59,28 +59,28 @@
 pub(crate) struct OverBound {
     pub(crate) cause: Cause,
     pub(crate) excess: Excess,
-    /// Names of the statements that it blocks; in a deadlock, the others of the cycle.
+    /// Names of the statements that the attempt blocks; in a deadlock, the other members of the cycle.
     pub(crate) blocked: Vec<String>,
 }
 
 impl Observations<'_> {
     /// Compares an attempt with what is expected of it.
-    pub(crate) fn judge(&self, attempt: &RunningAttempt) -> Judgement {
+    pub(crate) fn assess(&self, attempt: &RunningAttempt) -> Assessment {
         if let Some(since) = attempt.streaming_since() {
-            return judge_reader(self.now, since);
+            return assess_reader(self.now, since);
         }
         if attempt.abandoned_at().is_some() {
-            return Judgement::NotJudged; // It is judged by the attempts that it blocks.
+            return Assessment::NotAssessed; // Abandoned attempts are assessed by the attempts that they block.
         }
         let name = &attempt.start().name;
         if let Some(cycle) = self.waits.cycle(name) {
-            return Judgement::OverBound(deadlock(attempt, &cycle));
+            return Assessment::OverBound(deadlock(attempt, &cycle));
         }
         let Some(expectation) = attempt.expectation() else {
-            return Judgement::NotJudged;
+            return Assessment::NotAssessed;
         };
         if let Some(evidence) = self.excessive_memory(attempt, expectation) {
-            return Judgement::OverBound(OverBound {
+            return Assessment::OverBound(OverBound {
                 cause: Cause::Memory,
                 excess: Excess {
                     evidence,
@@ -91,8 +91,8 @@
         }
         let blocked = self.waits.waiter_names(name);
         let blocks_many = blocked.len() >= MANY_WAITERS;
-        let Some(excess) = self.inexcusable_excess(attempt, expectation, blocks_many) else {
-            return Judgement::WithinBound;
+        let Some(excess) = self.attributable_excess(attempt, expectation, blocks_many) else {
+            return Assessment::WithinBound;
         };
         let cause = if blocks_many {
             Cause::Blocks
@@ -101,36 +101,36 @@
         } else {
             Cause::Heavy
         };
-        Judgement::OverBound(OverBound {
+        Assessment::OverBound(OverBound {
             cause,
             excess,
             blocked,
         })
     }
 
-    /// The largest excess of an attempt, unless something other than the attempt may be the reason for it.
-    fn inexcusable_excess(
+    /// Returns the largest excess of an attempt, unless the excess may have a cause other than the attempt.
+    fn attributable_excess(
         &self,
         attempt: &RunningAttempt,
         expectation: &Expectation,
         blocks_many: bool,
     ) -> Option<Excess> {
-        let slowness = self.engine_speeds.slowness_for(self.now, attempt).factor;
+        let slowness = self.engine_slowness.slowness_for(self.now, attempt).factor;
         let bound_factor = if blocks_many {
             MANY_WAITERS_BOUND_FACTOR
         } else {
             1.0
         };
         let excess = largest_excess(attempt, expectation, self.now, slowness, bound_factor)?;
-        // An attempt that is blocked is not at fault, whatever it took before.
+        // A blocked attempt is not responsible for its run time, whatever it used before.
         if attempt.is_blocked() {
             return None;
         }
         if !matches!(excess.evidence.measure, Measure::Run | Measure::RunToCome) {
             return Some(excess);
         }
-        let run_time = RunTime(excess.evidence.figure);
-        if self.wait_inference.may_be_blocked_unseen(
+        let run_time = RunTime(excess.evidence.value);
+        if self.wait_inference.may_wait_for_remote_load(
             self.now,
             attempt,
             run_time,
@@ -140,17 +140,18 @@
         ) {
             return None;
         }
-        // Where engines report on other attempts, one without reports is unreachable rather than heavy: that is for
-        // routing to handle.
-        let is_silent = attempt.progress_reports() == 0
+        // If engines report on other attempts, an attempt without reports is more likely unreachable than heavy, which
+        // is up to routing to handle.
+        let is_unreported = attempt.progress_reports() == 0
             && self
                 .attempts
                 .values()
                 .any(|other| other.progress_reports() > 0);
-        (blocks_many || !is_silent).then_some(excess)
+        (blocks_many || !is_unreported).then_some(excess)
     }
 
-    /// Evidence that an attempt uses far more memory than usual while others at its engine wait for memory.
+    /// Returns evidence that an attempt uses far more memory than usual while other attempts on its engine wait for
+    /// memory.
     fn excessive_memory(
         &self,
         attempt: &RunningAttempt,
@@ -169,15 +170,15 @@
     }
 }
 
-fn judge_reader(now: Micros, since: Micros) -> Judgement {
+fn assess_reader(now: Micros, since: Micros) -> Assessment {
     if now - since < SLOW_READER_AFTER {
-        return Judgement::NotJudged;
+        return Assessment::NotAssessed;
     }
-    Judgement::SlowReader(SlowReader {
+    Assessment::SlowReader(SlowReader {
         since,
         evidence: Evidence {
             measure: Measure::Time,
-            figure: (now - since) as f64,
+            value: (now - since) as f64,
             usual: 0.0,
             bound: SLOW_READER_AFTER as f64,
             basis: Basis::Settings,
@@ -185,11 +186,12 @@
     })
 }
 
-/// `cycle` are the names of those that wait for each other, the attempt first.
+/// Creates the assessment of an attempt in a deadlock. `cycle` names the statements that wait for each other, the
+/// attempt first.
 fn deadlock(attempt: &RunningAttempt, cycle: &[&str]) -> OverBound {
     let evidence = Evidence {
         measure: Measure::Time,
-        figure: attempt.blocked_time() as f64,
+        value: attempt.blocked_time() as f64,
         usual: 0.0,
         bound: 0.0,
         basis: Basis::Settings,
--- a/crates/runaway/src/detector/attempts.rs
+++ b/crates/runaway/src/detector/attempt_events.rs
@@ -1,11 +1,11 @@
-//! Events of attempts: they are sent, report progress, and end.
+//! Handlers for the events of attempts: start, progress reports and end.
 
 use hoptiller_policy::Micros;
 
 use super::RunawayDetector;
 use crate::attempt::RunningAttempt;
 use crate::completion::Completion;
-use crate::engine_speed::Sample;
+use crate::engine_slowness::Sample;
 use crate::expectation::Expectation;
 use crate::fingerprint_change::{ChangeStatus, MIN_RUNS_TO_ADOPT};
 use crate::interface::{
@@ -18,7 +18,7 @@
         self.attempts.insert(now, start);
     }
 
-    /// Records what an engine reports of an attempt.
+    /// Records an engine's report on an attempt.
     pub fn report_progress(&mut self, now: Micros, id: AttemptId, report: ProgressReport) {
         self.wait_inference.record_report(now);
         let Some(attempt) = self.attempts.get_mut(id) else {
@@ -27,11 +27,12 @@
         let engine = attempt.start().engine;
         let blocked_state = report.blocked_state.clone();
         attempt.record_report(now, report);
-        if let Some(BlockedState::Behind(Some(holder))) = blocked_state
-            && self.attempts.id_by_name(&holder.name).is_none()
+        if let Some(BlockedState::Statement(Some(blocker))) = blocked_state
+            && self.attempts.id_by_name(&blocker.name).is_none()
         {
             let classes = &self.settings.classes;
-            self.remote_statements.record(now, engine, &holder, classes);
+            self.remote_statements
+                .record(now, engine, &blocker, classes);
         }
     }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Records that an attempt ended. `work` is its total work in µs, if reported.
+    /// Records the end of an attempt. `work` is its total work in µs, if reported.
     pub fn end_attempt(
         &mut self,
         now: Micros,
@@ -62,7 +63,7 @@
         let classes = &self.settings.classes;
         let expectation = attempt.refresh_expectation(now, &self.statistics, classes);
         attempt.record_total_work(work);
-        if let Some(held_as) = attempt.take_hold_count() {
+        if let Some(held_as) = attempt.stop_counting_in_hold() {
             self.holds.remove_runaway(now, held_as);
         }
         if outcome == ExecutionOutcome::Succeeded {
@@ -72,34 +73,34 @@
             .clear(now, &attempt.subject(), note, &mut self.decisions);
     }
 
-    /// Stops tracking an attempt of which nothing more can be learned.
+    /// Stops tracking an attempt that no further reports are expected for.
     pub(super) fn remove_attempt(&mut self, now: Micros, id: AttemptId, note: &'static str) {
         let Some(mut attempt) = self.attempts.remove(id) else {
             return;
         };
-        if let Some(held_as) = attempt.take_hold_count() {
+        if let Some(held_as) = attempt.stop_counting_in_hold() {
             self.holds.remove_runaway(now, held_as);
         }
         self.findings
             .clear(now, &attempt.subject(), note, &mut self.decisions);
     }
 
-    /// The router stopped waiting; the engine may still run the attempt.
+    /// Records that the router stopped waiting for an attempt that its engine may still run.
     fn abandon_attempt(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         attempt.abandon(now);
-        let holds_tables = self.settings.classes[attempt.start().class].holds_tables;
-        if !holds_tables && attempt.over_bound_since().is_none() {
-            // It needs no further observation.
+        let locks_group = self.settings.classes[attempt.start().class].locks_group;
+        if !locks_group && attempt.over_bound_since().is_none() {
+            // The attempt locks no tables and is within its bound, so it is not observed further.
             self.remove_attempt(now, id, "its router has stopped waiting");
         } else if let Some(oldest) = self.attempts.mark_unconfirmed(id) {
             self.remove_attempt(now, oldest, "it went on at its engine, and is forgotten");
         }
     }
 
-    /// Updates engine speeds, holds and statistics with an attempt that succeeded.
+    /// Updates the slowness of engines, holds and statistics with an attempt that succeeded.
     fn learn_from_success(
         &mut self,
         now: Micros,
@@ -107,27 +108,27 @@
         expectation: &Expectation,
     ) {
         let start = attempt.start();
-        let slowness = self.engine_speeds.slowness_for(now, attempt).factor;
+        let slowness = self.engine_slowness.slowness_for(now, attempt).factor;
         let was_runaway = self.findings.is_runaway(&attempt.subject());
         let completion = Completion::new(now, attempt, expectation, slowness, was_runaway);
-        if let Some(slowdown) = completion.engine_sample {
+        if let Some(slowdown) = completion.engine_slowdown {
             let sample = Sample {
                 fingerprint: start.fingerprint,
                 slowdown,
             };
-            self.engine_speeds
+            self.engine_slowness
                 .record_completion(now, start.engine, sample);
         }
         self.holds
             .record_run(now, start.held_as, completion.is_clean);
-        if completion.is_beyond_bound {
-            self.record_run_beyond_bound(now, attempt, &completion);
+        if completion.is_over_bound {
+            self.record_run_over_bound(now, attempt, &completion);
         } else {
             self.record_run_within_bound(now, attempt, &completion);
         }
     }
 
-    fn record_run_beyond_bound(
+    fn record_run_over_bound(
         &mut self,
         now: Micros,
         attempt: &RunningAttempt,
@@ -136,7 +137,7 @@
         let start = attempt.start();
         let runs = self
             .statistics
-            .record_beyond_bound(start.fingerprint, &completion.run);
+            .record_over_bound(start.fingerprint, &completion.run);
         self.fingerprint_changes.record_long_run(
             now,
             start.fingerprint,
@@ -156,7 +157,7 @@
         completion: &Completion,
     ) {
         let (start, started_at) = (attempt.start(), attempt.started_at());
-        if completion.is_usual || completion.is_usual_by_time {
+        if completion.is_usual || completion.finished_in_usual_time {
             self.fingerprint_changes
                 .record_usual_run(start.fingerprint, start.attempt, started_at);
         }
@@ -165,7 +166,7 @@
                 .record_completion(now, start.engine, group, started_at);
         }
         if !self.fingerprint_changes.contains(start.fingerprint) {
-            self.statistics.discard_beyond_bound(start.fingerprint);
+            self.statistics.discard_over_bound(start.fingerprint);
         }
         self.statistics.record_run(
             start.fingerprint,
@@ -178,13 +179,13 @@
     fn is_fingerprint_changed(&self, fingerprint: FingerprintId) -> bool {
         let status = self
             .fingerprint_changes
-            .classify(fingerprint, 0, self.engines_up());
+            .classify(fingerprint, 0, self.up_engine_count());
         self.findings.is_changed(fingerprint) || status == ChangeStatus::Changed
     }
 
-    /// The new figures of a changed fingerprint are the usual ones from now on.
+    /// Adopts the new values of a changed fingerprint as the usual ones.
     fn adopt_changed_fingerprint(&mut self, now: Micros, fingerprint: FingerprintId) {
-        self.statistics.adopt_beyond_bound(fingerprint);
+        self.statistics.adopt_over_bound(fingerprint);
         self.fingerprint_changes.remove(fingerprint);
         self.attempts
             .values_mut()
--- a/crates/runaway/src/detector/findings.rs
+++ b/crates/runaway/src/detector/attempt_findings.rs
@@ -1,48 +1,52 @@
-//! What becomes of the judgement of an attempt: a finding, a notice that its fingerprint has changed, or neither.
+//! The conclusions from the assessment of an attempt: a finding on it, a notice that its fingerprint has changed, or
+//! neither.
 
 use hoptiller_policy::Micros;
 
 use super::RunawayDetector;
+use crate::assessment::{OverBound, SlowReader};
 use crate::fingerprint_change::ChangeStatus;
 use crate::interface::{AttemptId, Cause, Evidence, Finding, MAX_BLOCKED_NAMES, Subject, Verdict};
-use crate::judgement::{OverBound, SlowReader};
 use crate::measures::CONFIRMATION_TIME;
 
 impl RunawayDetector {
-    /// Reports an attempt that is over its bound: a suspect until that is confirmed, then a runaway, unless all of its
-    /// fingerprint run long.
-    pub(super) fn report_over_bound(&mut self, now: Micros, id: AttemptId, found: OverBound) {
+    /// Reports an attempt that is over its bound: as a suspect until that is confirmed, then as a runaway, unless the
+    /// statements of its fingerprint run long in general.
+    pub(super) fn report_over_bound(&mut self, now: Micros, id: AttemptId, over_bound: OverBound) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         let since = attempt.mark_over_bound(now);
         let fingerprint = attempt.start().fingerprint;
         if self.findings.is_changed(fingerprint) {
-            return; // One notice covers all of them.
+            return; // One notice covers all attempts of the fingerprint.
         }
-        let over_for = now - since;
-        let is_confirmed = found.excess.is_certain || over_for >= CONFIRMATION_TIME;
-        let status = self.change_status(id, found.cause, over_for);
+        let over_bound_for = now - since;
+        let is_confirmed = over_bound.excess.is_certain || over_bound_for >= CONFIRMATION_TIME;
+        let status = self.change_status(id, over_bound.cause, over_bound_for);
         if is_confirmed && status == ChangeStatus::Changed {
-            return self.report_fingerprint_change(now, id, found.excess.evidence);
+            return self.report_fingerprint_change(now, id, over_bound.excess.evidence);
         }
         let verdict = if is_confirmed && status == ChangeStatus::Isolated {
             Verdict::Runaway
         } else {
             Verdict::Suspect
         };
-        self.report_attempt(now, id, since, verdict, found);
+        self.report_attempt(now, id, since, verdict, over_bound);
     }
 
-    /// Whether the fingerprint of an attempt that is over its bound has changed. One that was found to be a runaway
-    /// before stays one.
-    fn change_status(&self, id: AttemptId, cause: Cause, over_for: Micros) -> ChangeStatus {
+    /// Returns the change status of the fingerprint of an attempt that is over its bound. An attempt that has already
+    /// been found to be a runaway remains one.
+    fn change_status(&self, id: AttemptId, cause: Cause, over_bound_for: Micros) -> ChangeStatus {
         let is_own_fault = matches!(cause, Cause::Heavy | Cause::BadPlan);
         match self.attempts.get(id) {
             Some(attempt) if is_own_fault && !self.findings.is_runaway(&attempt.subject()) => {
                 let fingerprint = attempt.start().fingerprint;
-                self.fingerprint_changes
-                    .classify(fingerprint, over_for, self.engines_up())
+                self.fingerprint_changes.classify(
+                    fingerprint,
+                    over_bound_for,
+                    self.up_engine_count(),
+                )
             }
             _ => ChangeStatus::Isolated,
         }
@@ -54,7 +58,7 @@
         id: AttemptId,
         since: Micros,
         verdict: Verdict,
-        found: OverBound,
+        over_bound: OverBound,
     ) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -63,10 +67,10 @@
             cause,
             excess,
             blocked,
-        } = found;
+        } = over_bound;
         let finding = Finding {
-            blocked: blocked.len(),
-            blocks: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
+            blocked_count: blocked.len(),
+            blocked_names: blocked.iter().take(MAX_BLOCKED_NAMES).cloned().collect(),
             ..attempt.finding(now, since, verdict, cause, excess.evidence)
         };
         let is_new = self.findings.report(finding, &mut self.decisions);
@@ -75,22 +79,23 @@
         }
     }
 
-    /// Clears what was suspected of an attempt that is within its bound.
-    pub(super) fn clear_suspicion(&mut self, now: Micros, id: AttemptId) {
+    /// Clears the finding on an attempt that is within its bound, and cancels its kill, unless it is a runaway that
+    /// remains one.
+    pub(super) fn clear_if_revocable(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         let subject = attempt.subject();
         let finding = self.findings.get(&subject);
-        // A runaway stays one until it ends, even if a lower figure is reported, except for deadlocks and lack of
-        // memory, which pass.
+        // A runaway remains one until it ends, even if a lower value is reported, except for deadlocks and lack of
+        // memory, which may resolve.
         let is_revocable = finding.is_some_and(|finding| {
             finding.verdict == Verdict::Suspect
                 || matches!(finding.cause, Cause::Deadlock | Cause::Memory)
         });
         if is_revocable || finding.is_none() {
             attempt.mark_within_bound();
-            attempt.enforcement.cancel_end();
+            attempt.enforcement.cancel_kill();
         }
         if is_revocable {
             self.findings
@@ -112,7 +117,8 @@
         self.findings.report(finding, &mut self.decisions);
     }
 
-    /// Reports one notice for the changed fingerprint of an attempt, and clears the findings on its attempts.
+    /// Reports one notice for the changed fingerprint of an attempt. Clears the findings on all attempts of that
+    /// fingerprint, cancels their kills and releases the hold of the fingerprint.
     fn report_fingerprint_change(&mut self, now: Micros, id: AttemptId, evidence: Evidence) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -134,7 +140,7 @@
             if attempt.start().fingerprint != fingerprint {
                 continue;
             }
-            attempt.enforcement.cancel_end();
+            attempt.enforcement.cancel_kill();
             let subject = attempt.subject();
             let note = "all of its kind run long";
             self.findings
@@ -145,10 +151,10 @@
         self.publish_holds();
     }
 
-    /// An attempt is no runaway any more: it no longer counts in the hold of its fingerprint.
+    /// Stops counting an attempt as a runaway in the hold of its fingerprint.
     fn remove_from_hold(&mut self, now: Micros, id: AttemptId) {
         let attempt = self.attempts.get_mut(id);
-        if let Some(held_as) = attempt.and_then(|attempt| attempt.take_hold_count()) {
+        if let Some(held_as) = attempt.and_then(|attempt| attempt.stop_counting_in_hold()) {
             self.holds.remove_runaway(now, held_as);
         }
     }
--- a/crates/runaway/src/detector/blockers.rs
+++ b/crates/runaway/src/detector/blocker_detection.rs
@@ -10,7 +10,7 @@
 use crate::wait_graph::WaitGraph;
 
 impl RunawayDetector {
-    /// Judges abandoned attempts and statements of other routers by the attempts that they block.
+    /// Assesses abandoned attempts and statements of other routers by the attempts that they block.
     pub(super) fn detect_blockers(&mut self, now: Micros, waits: &WaitGraph) {
         let remote = self.remote_statements.names();
         let abandoned = self
@@ -26,12 +26,12 @@
             }
             let blocker = Blocker::find(&name, &self.attempts, &self.remote_statements);
             if let Some(blocker) = blocker {
-                self.judge_blocker(now, &name, blocker, &blocked);
+                self.assess_blocker(now, &name, blocker, &blocked);
             }
         }
     }
 
-    /// Extends the exclusion of the tables that a remote runaway still blocks.
+    /// Extends the exclusion of the table groups that a remote runaway still blocks.
     fn extend_exclusion(&mut self, now: Micros, name: &str, blocked: &[String]) {
         if blocked.is_empty() {
             return;
@@ -42,7 +42,7 @@
         self.remote_statements.extend_exclusion(now, name, groups);
     }
 
-    /// Removes a remote statement that was not reported lately. True if it was removed.
+    /// Removes a remote statement that has not been reported recently. Returns whether it was removed.
     fn remove_expired_remote(&mut self, now: Micros, name: &str) -> bool {
         let is_own = self.attempts.get_by_name(name).is_some();
         if is_own || !self.remote_statements.is_expired(now, name) {
@@ -56,7 +56,7 @@
         true
     }
 
-    fn judge_blocker(&mut self, now: Micros, name: &str, blocker: Blocker, blocked: &[String]) {
+    fn assess_blocker(&mut self, now: Micros, name: &str, blocker: Blocker, blocked: &[String]) {
         let classes = &self.settings.classes;
         let excess = blocker.excess(now, blocked.len(), &self.statistics, classes);
         let Some(evidence) = excess else {
--- a/crates/runaway/src/detector/enforcement.rs
+++ b/crates/runaway/src/detector/runaway_actions.rs
@@ -1,4 +1,4 @@
-//! What is done about a runaway, as the options of its class allow: end it, pause it, hold its fingerprint.
+//! Actions against a runaway, as the options of its class allow: killing it, pausing it and holding its fingerprint.
 
 use hoptiller_policy::Micros;
 
@@ -6,12 +6,18 @@
 use crate::interface::{AttemptId, Cause, Decision, FingerprintId};
 
 impl RunawayDetector {
-    /// Enforces the options of its class on a runaway. `blocked` are the statements that it blocks: in a deadlock, the
-    /// others of the cycle.
-    pub(super) fn enforce(&mut self, now: Micros, id: AttemptId, cause: Cause, blocked: &[String]) {
-        // Of a deadlock, the youngest is ended: it has done the least work, and the others can continue.
+    /// Applies the enforcement options of its class to a runaway. `deadlock_members` names the other members of the
+    /// cycle and is read only for a deadlock. The fingerprint of an attempt that no longer executes can only be held.
+    pub(super) fn enforce(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        cause: Cause,
+        deadlock_members: &[String],
+    ) {
+        // In a deadlock, only the youngest attempt is killed: it has done the least work, and the others can continue.
         let has_younger = cause == Cause::Deadlock
-            && blocked
+            && deadlock_members
                 .iter()
                 .filter_map(|name| self.attempts.id_by_name(name))
                 .any(|other| other > id);
@@ -21,12 +27,12 @@
         let class = &self.settings.classes[attempt.start().class];
         let options = class.enforcement;
         if attempt.is_executing() {
-            if options.end && !has_younger {
-                let end_at = now + self.settings.end_after;
-                attempt.enforcement.schedule_end(end_at);
+            if options.kill && !has_younger {
+                let kill_at = now + self.settings.kill_after;
+                attempt.enforcement.schedule_kill(kill_at);
             }
-            // A paused statement would keep what others wait for even longer.
-            let blocks_others = class.holds_tables
+            // Pausing a statement that others wait for would prolong their wait.
+            let blocks_others = class.locks_group
                 || matches!(cause, Cause::Blocks | Cause::Deadlock | Cause::Memory);
             let resume_at = now + self.settings.pause_for;
             if options.pause && !blocks_others && attempt.enforcement.pause_until(resume_at) {
@@ -34,11 +40,11 @@
             }
         }
         if options.hold {
-            self.hold_fingerprint(now, id, options.lower);
+            self.hold_fingerprint(now, id, options.low_priority);
         }
     }
 
-    /// Ends and resumes attempts that are due.
+    /// Kills and resumes the attempts that are due.
     pub(super) fn enforce_due(&mut self, now: Micros) {
         for attempt in self.attempts.values_mut() {
             let id = attempt.start().attempt;
@@ -47,8 +53,8 @@
             if due.resume {
                 self.decisions.push(Decision::Resume(id));
             }
-            if due.end {
-                self.decisions.push(Decision::End(id));
+            if due.kill {
+                self.decisions.push(Decision::Kill(id));
             }
         }
     }
@@ -68,7 +74,8 @@
         }
     }
 
-    /// The fingerprint to hold: its own, or that of all unknown fingerprints of the class.
+    /// Returns the fingerprint to hold: the runaway's own, or the one that stands for all unknown fingerprints of its
+    /// class.
     fn fingerprint_to_hold(
         &mut self,
         now: Micros,
@@ -78,9 +85,10 @@
         if self.statistics.is_known(fingerprint) {
             return fingerprint;
         }
-        let are_many = self.unknown_runaways.record(now, class);
-        // While the class itself is new, all of its fingerprints are unknown.
-        if are_many && self.statistics.known_in_class(class) > 0 {
+        let are_held_together = self.unknown_runaways.record(now, class);
+        // While the class itself is new, all of its fingerprints are unknown, so holding them together would hold the
+        // whole class.
+        if are_held_together && self.statistics.known_count(class) > 0 {
             FingerprintId::unknown(&self.settings.classes[class].name)
         } else {
             fingerprint
--- a/crates/runaway/src/fingerprint_change.rs
+++ b/crates/runaway/src/fingerprint_change.rs
@@ -1,53 +1,54 @@
-//! Whether all statements of a fingerprint run long, as after a release. Then the fingerprint has changed and its
-//! statements are not at fault: one notice covers them.
+//! Detection of changed fingerprints: fingerprints whose statements mostly run long, as after a release. The statements
+//! are not runaways then, and one notice covers them all.
 //!
-//! Counting starts with the first long run and includes only attempts that started after it: earlier ones say nothing
-//! of what a release did.
+//! The first long run that is recorded marks the assumed change. Usual runs that started before it are not counted,
+//! because they ran before the change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hoptiller_policy::{EngineId, Micros};
 
 use crate::attempts::Attempts;
-use crate::engine_speed::EngineSpeeds;
+use crate::engine_slowness::EngineSlowness;
 use crate::interface::{AttemptId, FingerprintId};
 use crate::measures::is_long_run;
 
-/// Long runs from which a fingerprint may have changed.
+/// Number of long runs from which a fingerprint may have changed.
 const MIN_LONG_RUNS: usize = 4;
-/// The part of all runs since then that must be long.
-const MIN_LONG_PART: f64 = 0.6;
-/// How long a finding waits for more runs while all since the first are long.
-const MAX_UNDECIDED: Micros = 8_000_000;
-/// Usual runs after which the long ones may count as outliers.
+/// Fraction of long runs among all runs since the assumed change from which the fingerprint has changed. Counting stops
+/// if the ratio of long runs to usual runs is below this value.
+const MIN_LONG_FRACTION: f64 = 0.6;
+/// Time for which a finding waits for more runs while most runs since the first long one are long.
+const MAX_UNDECIDED_TIME: Micros = 8_000_000;
+/// Number of usual runs from which the long ones may count as outliers.
 const MIN_USUAL_RUNS: usize = 8;
-/// Fingerprints that are counted at once; the least recently updated one is evicted.
+/// Maximum number of fingerprints counted at once; the least recently updated one is evicted.
 const MAX_FINGERPRINTS: usize = 256;
-/// Long runs of a fingerprint that are counted at most.
+/// Maximum number of long runs counted per fingerprint.
 const MAX_LONG_RUNS: usize = 1024;
-/// Runs beyond its bound after which the new figures of a changed fingerprint are adopted.
+/// Number of runs over the bound from which the new values of a changed fingerprint are adopted.
 pub(crate) const MIN_RUNS_TO_ADOPT: u64 = 8;
 
-/// What the runs of a fingerprint say of a statement that is over its bound.
+/// The status of a fingerprint, from the point of view of a statement that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeStatus {
-    /// Others of its fingerprint run as usual: it is at fault.
+    /// There is no sign that the fingerprint has changed, so the statement is assessed on its own.
     Isolated,
-    /// It is too early to tell.
+    /// Most runs are long, but there are too few of them or they ran on a single engine.
     Undecided,
-    /// All of them run long.
+    /// Most runs are long, and they ran on several engines.
     Changed,
 }
 
-/// Runs of a fingerprint since its first long one.
+/// Runs of a fingerprint since its assumed change.
 #[derive(Debug)]
 struct ChangeCounter {
-    /// When the first long run started.
+    /// The start time of the long run that was recorded first.
     since: Micros,
-    /// Long runs, with the engines where they run or ran.
-    long: BTreeMap<AttemptId, EngineId>,
+    /// Long runs, with the engines that run or ran them.
+    long_runs: BTreeMap<AttemptId, EngineId>,
     /// Number of usual runs that started since then.
-    usual: usize,
+    usual_runs: usize,
     updated_at: Micros,
 }
 
@@ -55,17 +56,19 @@
     fn new(now: Micros, since: Micros) -> ChangeCounter {
         ChangeCounter {
             since,
-            long: BTreeMap::new(),
-            usual: 0,
+            long_runs: BTreeMap::new(),
+            usual_runs: 0,
             updated_at: now,
         }
     }
 
-    /// Whether the long runs are outliers among usual ones.
-    fn is_refuted(&self) -> bool {
-        let long = self.long.len();
+    /// Returns whether to stop counting: no long runs are left, or they are few compared with at least
+    /// [`MIN_USUAL_RUNS`] usual runs.
+    fn is_change_ruled_out(&self) -> bool {
+        let long = self.long_runs.len();
         long == 0
-            || self.usual >= MIN_USUAL_RUNS && (long as f64) < MIN_LONG_PART * self.usual as f64
+            || self.usual_runs >= MIN_USUAL_RUNS
+                && (long as f64) < MIN_LONG_FRACTION * self.usual_runs as f64
     }
 }
 
@@ -91,17 +94,17 @@
             .entry(fingerprint)
             .or_insert_with(|| ChangeCounter::new(now, started));
         counter.updated_at = now;
-        if counter.long.len() < MAX_LONG_RUNS {
-            counter.long.insert(attempt, engine);
+        if counter.long_runs.len() < MAX_LONG_RUNS {
+            counter.long_runs.insert(attempt, engine);
         }
     }
 
-    /// Counts the running attempts of known fingerprints that already run long.
+    /// Records the running attempts of known fingerprints that already run long.
     pub(crate) fn count_running(
         &mut self,
         now: Micros,
         attempts: &Attempts,
-        engine_speeds: &EngineSpeeds,
+        engine_slowness: &EngineSlowness,
     ) {
         for attempt in attempts.values() {
             let Some(expectation) = attempt.expectation() else {
@@ -110,7 +113,7 @@
             if !attempt.is_executing() || !expectation.is_known || attempt.is_blocked() {
                 continue;
             }
-            let slowness = engine_speeds.slowness_for(now, attempt).factor;
+            let slowness = engine_slowness.slowness_for(now, attempt).factor;
             if is_long_run(attempt, expectation, now, slowness) {
                 let (start, started_at) = (attempt.start(), attempt.started_at());
                 self.record_long_run(
@@ -134,44 +137,44 @@
         let Some(counter) = self.counters.get_mut(&fingerprint) else {
             return;
         };
-        counter.long.remove(&attempt);
-        counter.usual += usize::from(started >= counter.since);
-        if counter.is_refuted() {
+        counter.long_runs.remove(&attempt);
+        counter.usual_runs += usize::from(started >= counter.since);
+        if counter.is_change_ruled_out() {
             self.counters.remove(&fingerprint);
         }
     }
 
-    /// Classifies a fingerprint for an attempt that has been over its bound for some time. With a single engine, a
-    /// slow engine can't be told from a changed fingerprint.
+    /// Classifies a fingerprint for an attempt that has been over its bound for `over_bound_for`. With a single engine,
+    /// a slow engine cannot be distinguished from a changed fingerprint, which is assumed then.
     pub(crate) fn classify(
         &self,
         fingerprint: FingerprintId,
-        over_for: Micros,
+        over_bound_for: Micros,
         engines: usize,
     ) -> ChangeStatus {
         let Some(counter) = self.counters.get(&fingerprint) else {
             return ChangeStatus::Isolated;
         };
-        let long = counter.long.len();
-        let all = long + counter.usual;
-        let engines_with_long_runs = counter.long.values().collect::<BTreeSet<_>>().len();
-        let are_most_long = long as f64 >= MIN_LONG_PART * all as f64;
+        let long = counter.long_runs.len();
+        let all = long + counter.usual_runs;
+        let engines_with_long_runs = counter.long_runs.values().collect::<BTreeSet<_>>().len();
+        let are_most_long = long as f64 >= MIN_LONG_FRACTION * all as f64;
         let is_everywhere = engines_with_long_runs > 1 || engines < 2;
         if long >= MIN_LONG_RUNS && are_most_long && is_everywhere {
             ChangeStatus::Changed
-        } else if long > 1 && are_most_long && over_for < MAX_UNDECIDED {
+        } else if long > 1 && are_most_long && over_bound_for < MAX_UNDECIDED_TIME {
             ChangeStatus::Undecided
         } else {
             ChangeStatus::Isolated
         }
     }
 
-    /// Stops counting for a fingerprint.
+    /// Stops counting the runs of a fingerprint.
     pub(crate) fn remove(&mut self, fingerprint: FingerprintId) {
         self.counters.remove(&fingerprint);
     }
 
-    /// Whether a fingerprint has long runs.
+    /// Returns whether a fingerprint has long runs.
     pub(crate) fn contains(&self, fingerprint: FingerprintId) -> bool {
         self.counters.contains_key(&fingerprint)
     }
--- a/crates/runaway/src/interface/settings.rs
+++ b/crates/runaway/src/interface/settings.rs
@@ -3,49 +3,53 @@
 use hoptiller_policy::{Idempotency, Micros};
 use serde::Serialize;
 
-/// What may be done about runaways of a class.
+/// The actions permitted against runaways of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnforcementOptions {
-    /// Report them.
-    pub name: bool,
-    /// Limit how many of the fingerprint run at once, and on which engines.
+    /// Whether the router reports findings on the class; the detector returns them in any case.
+    #[serde(rename = "name")]
+    pub report: bool,
+    /// Whether the number of statements of a runaway's fingerprint that run at once, and their engines, are limited,
+    /// and whether the table group that a runaway locks is excluded from its engine.
     pub hold: bool,
-    /// Run the fingerprint at low priority inside engines.
-    pub lower: bool,
-    /// Pause them for a while.
+    /// Whether the statements of a held fingerprint run at low priority inside engines.
+    #[serde(rename = "lower")]
+    pub low_priority: bool,
+    /// Whether a runaway is paused once, for a limited time.
     pub pause: bool,
-    /// End them.
-    pub end: bool,
+    /// Whether runaways are killed.
+    #[serde(rename = "end")]
+    pub kill: bool,
 }
 
 /// The settings of a class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The class name.
     pub name: String,
-    /// The latency objective, queueing included.
+    /// The latency objective, including queueing time.
     pub latency_objective: Micros,
-    /// How long its clients wait.
+    /// The time for which clients wait for a response.
     pub client_timeout: Micros,
-    /// Threads that a statement runs on.
+    /// Number of threads that a statement runs on.
     pub threads: f64,
-    /// Whether its statements may run more than once.
+    /// Whether statements of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Whether its statements lock their table group while they run, as loads do.
-    pub holds_tables: bool,
-    /// What may be done about its runaways.
+    /// Whether statements of the class lock their table group while they run. Such statements are called loads.
+    pub locks_group: bool,
+    /// The actions permitted against runaways of the class.
     pub enforcement: EnforcementOptions,
 }
 
 /// The settings of a detector.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes; events refer to them by index.
+    /// The classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// Fingerprints with statistics that are kept at most.
+    /// Maximum number of fingerprints with statistics.
     pub max_fingerprints: usize,
-    /// How long a statement is paused.
+    /// The duration of a pause.
     pub pause_for: Micros,
-    /// Time between the finding on a runaway and its end.
-    pub end_after: Micros,
+    /// The delay from the detection of a runaway until it is killed.
+    pub kill_after: Micros,
 }
--- a/crates/runaway/src/slow_engine.rs
+++ b/crates/runaway/src/slow_engine.rs
@@ -1,24 +1,26 @@
-//! Findings on engines where everything runs long without a statement at fault for it.
+//! Findings on engines where everything runs long without a responsible statement.
 
 use hoptiller_policy::{EngineId, Micros};
 
-use crate::engine_speed::{EngineSpeeds, MIN_REPORTED_SLOWNESS, Slowness, is_slower_than_others};
+use crate::engine_slowness::{
+    EngineSlowness, MIN_REPORTED_SLOWNESS, Slowness, is_slower_than_others,
+};
 use crate::findings::Findings;
 use crate::interface::{
     Basis, Cause, Decision, EngineStatus, Evidence, Finding, Measure, Subject, Verdict,
 };
 
-/// Reports engines that are slower than the others, and clears the reports that no longer hold.
+/// Reports engines that are slower than the others, and clears reports that no longer apply.
 pub(crate) fn report_slow_engines(
     now: Micros,
     engines: &[EngineStatus],
-    engine_speeds: &EngineSpeeds,
+    engine_slowness: &EngineSlowness,
     findings: &mut Findings,
     out: &mut Vec<Decision>,
 ) {
     let speeds: Vec<(EngineId, Slowness)> = engines
         .iter()
-        .map(|status| (status.engine, engine_speeds.slowness(now, status.engine)))
+        .map(|status| (status.engine, engine_slowness.slowness(now, status.engine)))
         .collect();
     for (engine, slowness) in &speeds {
         let others: Vec<Slowness> = speeds
@@ -45,7 +47,7 @@
         .any(|f| f.engine == Some(engine) && f.verdict == Verdict::Runaway)
 }
 
-/// Clears findings on engines that are not listed any more.
+/// Clears findings on engines that are no longer listed.
 fn clear_unlisted_engines(
     now: Micros,
     engines: &[EngineStatus],
@@ -67,7 +69,7 @@
 fn slow_engine_finding(now: Micros, engine: EngineId, slowness: Slowness) -> Finding {
     let evidence = Evidence {
         measure: Measure::Times,
-        figure: slowness.factor,
+        value: slowness.factor,
         usual: 1.0,
         bound: MIN_REPORTED_SLOWNESS,
         basis: Basis::Class(slowness.samples as u64),
--- a/crates/runaway/src/snapshot.rs
+++ b/crates/runaway/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! The form in which statistics and holds survive a restart: a line that names the format and its version, a line with
-//! the BLAKE3 checksum of the rest, and the rest as JSON. The writer replaces the file atomically; the reader restores
-//! all of it or nothing.
+//! The stored form of statistics and holds, which survives a restart: a line with the name and version of the format, a
+//! line with the BLAKE3 checksum of the remainder, and the remainder as JSON. The writer replaces the file atomically;
+//! the reader restores either all of it or nothing.
 
 use std::collections::BTreeMap;
 
@@ -17,48 +17,59 @@
 /// The first line; the number is the version of the format.
 const HEADER: &str = "hoptiller runaways 1";
 
-/// Bytes of the line with the checksum: 64 hexadecimal digits and a line feed.
+/// Length of the checksum line in bytes: 64 hexadecimal digits and a line feed.
 const CHECKSUM_LINE_LEN: usize = 65;
 
-/// Why a snapshot can't be restored.
+/// The reason why a snapshot cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no snapshot, or one of another version.
-    #[error("it does not begin with {HEADER:?}")]
-    UnknownFormat,
-    /// Its checksum does not match: it was cut or changed.
-    #[error("its checksum is wrong: it was cut or changed")]
-    Damaged,
-    /// Its checksum matches, but its content is not the expected JSON.
-    #[error("it can't be understood: {0}")]
+    /// The data is not a snapshot, or is one of another version.
+    #[error("not a runaway snapshot of this version: expected {HEADER:?}, found {found:?}")]
+    UnknownFormat {
+        /// The beginning of the data.
+        found: String,
+    },
+    /// The checksum does not match: the snapshot was truncated or modified.
+    #[error("snapshot truncated or modified: expected checksum {expected}, found {found:?}")]
+    Damaged {
+        /// The checksum of the content.
+        expected: String,
+        /// The data in place of the checksum.
+        found: String,
+    },
+    /// The checksum matches, but the content is not the expected JSON.
+    #[error("invalid snapshot content: {0}")]
     InvalidJson(#[source] serde_json::Error),
-    /// Its checksum matches, but one of its distributions has weights or figures out of bounds.
-    #[error("it can't be understood: a distribution out of bounds")]
-    InvalidDistribution,
+    /// The checksum matches, but weights or values of a distribution are out of range.
+    #[error("invalid snapshot content: weights or values of {owner} are out of range")]
+    InvalidDistribution {
+        /// The class or fingerprint of the distribution.
+        owner: String,
+    },
 }
 
-/// How much was restored.
+/// Numbers of restored and dropped items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoredCounts {
-    /// Fingerprints.
+    /// Number of restored fingerprints.
     pub fingerprints: usize,
-    /// Holds.
+    /// Number of restored holds.
     pub holds: usize,
-    /// Fingerprints and holds of classes that are not in the settings any more.
+    /// Number of fingerprints and holds that were dropped because their class is no longer in the settings.
     pub dropped: usize,
 }
 
-/// A decoded snapshot, with the numbers that classes have in the present settings.
+/// A decoded snapshot, with class indexes of the current settings.
 pub(crate) struct Snapshot {
-    /// Statistics by class number.
+    /// Statistics by class index.
     pub(crate) classes: Vec<(usize, ClassStatistics)>,
-    /// The least recently used first.
+    /// Statistics of fingerprints, the least recently used first.
     pub(crate) fingerprints: Vec<(FingerprintId, FingerprintStatistics)>,
     pub(crate) holds: Vec<(FingerprintId, FingerprintHold)>,
     pub(crate) counts: RestoredCounts,
 }
 
-/// Encodes what survives a restart.
+/// Encodes the statistics and holds.
 pub(crate) fn encode(classes: &[Class], statistics: &Statistics, holds: &Holds) -> Vec<u8> {
     let saved = Saved {
         classes: classes
@@ -76,38 +87,44 @@
             .map(|(id, hold)| (*id, hold.clone()))
             .collect(),
     };
+    // Cannot fail: the data consists of numbers, texts, lists, and maps whose keys are integers.
     let body = serde_json::to_vec(&saved).unwrap_or_default();
     let mut bytes = format!("{HEADER}\n{}\n", blake3::hash(&body).to_hex()).into_bytes();
     bytes.extend(body);
     bytes
 }
 
-/// Decodes a snapshot. Classes are matched by name: the settings may have others now, or in another order.
+/// Decodes a snapshot. Classes are matched by name, because the current settings may contain other classes or another
+/// order.
 ///
 /// # Errors
 ///
-/// If `bytes` is no snapshot of this version, or is damaged or can't be decoded.
+/// Returns an error if `bytes` is not a snapshot of this version, is damaged or cannot be decoded.
 pub(crate) fn decode(
     now: Micros,
     bytes: &[u8],
     classes: &[Class],
 ) -> Result<Snapshot, SnapshotError> {
     let saved = decode_saved(bytes)?;
-    let number_of = |name: &str| classes.iter().position(|class| class.name == name);
-    let numbers: Vec<Option<usize>> = saved
+    let index_of = |name: &str| classes.iter().position(|class| class.name == name);
+    let class_indexes: Vec<Option<usize>> = saved
         .classes
         .iter()
-        .map(|class| number_of(&class.name))
+        .map(|class| index_of(&class.name))
         .collect();
     let mut restored_classes = Vec::new();
-    for (class, number) in saved.classes.iter().zip(&numbers) {
-        if let Some(number) = number {
-            restored_classes.push((*number, class.restore()?));
+    for (class, index) in saved.classes.iter().zip(&class_indexes) {
+        if let Some(index) = index {
+            let statistics = class.restore().ok_or_else(|| {
+                let owner = format!("class {:?}", class.name);
+                SnapshotError::InvalidDistribution { owner }
+            })?;
+            restored_classes.push((*index, statistics));
         }
     }
     let total = saved.fingerprints.len() + saved.holds.len();
-    let fingerprints = restore_fingerprints(saved.fingerprints, &numbers)?;
-    let holds = restore_holds(now, saved.holds, &numbers);
+    let fingerprints = restore_fingerprints(saved.fingerprints, &class_indexes)?;
+    let holds = restore_holds(now, saved.holds, &class_indexes);
     let counts = RestoredCounts {
         fingerprints: fingerprints.len(),
         holds: holds.len(),
@@ -121,15 +138,15 @@
     })
 }
 
-/// The figures of a distribution with their weights.
+/// The values of a distribution with their weights.
 type SavedSketch = Vec<(u64, u16)>;
-/// Run time, work, work by rows, memory.
+/// The distributions of run time, work, work per 1000 rows and memory.
 type SavedDistributions = [SavedSketch; 4];
 
 #[derive(Serialize, Deserialize)]
 struct Saved {
     classes: Vec<SavedClass>,
-    /// The least recently used first.
+    /// Statistics of fingerprints, the least recently used first.
     #[serde(rename = "kinds")]
     fingerprints: Vec<SavedFingerprint>,
     holds: Vec<(FingerprintId, FingerprintHold)>,
@@ -141,7 +158,7 @@
     #[serde(rename = "figures")]
     distributions: SavedDistributions,
     #[serde(rename = "honesty")]
-    estimate_accuracy: SavedSketch,
+    estimate_ratios: SavedSketch,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -152,9 +169,9 @@
     #[serde(rename = "sizes")]
     by_size: BTreeMap<u8, SavedDistributions>,
     #[serde(rename = "honesty")]
-    estimate_accuracy: SavedSketch,
+    estimate_ratios: SavedSketch,
     #[serde(rename = "beyond")]
-    beyond_bound: SavedDistributions,
+    over_bound: SavedDistributions,
 }
 
 impl SavedClass {
@@ -162,14 +179,15 @@
         SavedClass {
             name: class.name.clone(),
             distributions: save_distributions(&statistics.distributions),
-            estimate_accuracy: statistics.estimate_accuracy.pairs(),
+            estimate_ratios: statistics.estimate_ratios.weighted_values(),
         }
     }
 
-    fn restore(&self) -> Result<ClassStatistics, SnapshotError> {
-        Ok(ClassStatistics {
+    /// Restores the statistics, or returns `None` if a distribution is out of range.
+    fn restore(&self) -> Option<ClassStatistics> {
+        Some(ClassStatistics {
             distributions: restore_distributions(&self.distributions)?,
-            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
+            estimate_ratios: Sketch::from_weighted_values(&self.estimate_ratios)?,
         })
     }
 }
@@ -185,28 +203,25 @@
                 .iter()
                 .map(|(size, distributions)| (*size, save_distributions(distributions)))
                 .collect(),
-            estimate_accuracy: statistics.estimate_accuracy.pairs(),
-            beyond_bound: save_distributions(&statistics.beyond_bound),
+            estimate_ratios: statistics.estimate_ratios.weighted_values(),
+            over_bound: save_distributions(&statistics.over_bound),
         }
     }
 
-    /// `class` is its number in the present settings, `last_use` its place in the order of use.
-    fn restore(
-        self,
-        class: usize,
-        last_use: Micros,
-    ) -> Result<FingerprintStatistics, SnapshotError> {
-        let by_size: Result<BTreeMap<u8, Distributions>, SnapshotError> = self
+    /// Restores the statistics, with the current index of the class, or returns `None` if a distribution is out of
+    /// range. `last_use` is the position in the order of use.
+    fn restore(self, class: usize, last_use: Micros) -> Option<FingerprintStatistics> {
+        let by_size: Option<BTreeMap<u8, Distributions>> = self
             .by_size
             .iter()
-            .map(|(size, saved)| Ok((*size, restore_distributions(saved)?)))
+            .map(|(size, saved)| Some((*size, restore_distributions(saved)?)))
             .collect();
-        Ok(FingerprintStatistics {
+        Some(FingerprintStatistics {
             class,
             label: self.label.into(),
             by_size: by_size?,
-            estimate_accuracy: restore_sketch(&self.estimate_accuracy)?,
-            beyond_bound: restore_distributions(&self.beyond_bound)?,
+            estimate_ratios: Sketch::from_weighted_values(&self.estimate_ratios)?,
+            over_bound: restore_distributions(&self.over_bound)?,
             last_use,
         })
     }
@@ -214,72 +229,81 @@
 
 fn save_distributions(distributions: &Distributions) -> SavedDistributions {
     [
-        distributions.run_time.pairs(),
-        distributions.work.pairs(),
-        distributions.work_by_rows.pairs(),
-        distributions.memory_mb.pairs(),
+        distributions.run_time.weighted_values(),
+        distributions.work.weighted_values(),
+        distributions.work_per_1000_rows.weighted_values(),
+        distributions.memory_mb.weighted_values(),
     ]
 }
 
-fn restore_distributions(saved: &SavedDistributions) -> Result<Distributions, SnapshotError> {
-    let [run_time, work, work_by_rows, memory_mb] = saved;
-    Ok(Distributions {
-        run_time: restore_sketch(run_time)?,
-        work: restore_sketch(work)?,
-        work_by_rows: restore_sketch(work_by_rows)?,
-        memory_mb: restore_sketch(memory_mb)?,
+fn restore_distributions(saved: &SavedDistributions) -> Option<Distributions> {
+    let [run_time, work, work_per_1000_rows, memory_mb] = saved;
+    Some(Distributions {
+        run_time: Sketch::from_weighted_values(run_time)?,
+        work: Sketch::from_weighted_values(work)?,
+        work_per_1000_rows: Sketch::from_weighted_values(work_per_1000_rows)?,
+        memory_mb: Sketch::from_weighted_values(memory_mb)?,
     })
 }
 
-fn restore_sketch(saved: &SavedSketch) -> Result<Sketch, SnapshotError> {
-    Sketch::from_pairs(saved).ok_or(SnapshotError::InvalidDistribution)
-}
-
-/// Checks the header and the checksum, and decodes the rest.
+/// Checks the header and the checksum, and decodes the remainder.
 fn decode_saved(bytes: &[u8]) -> Result<Saved, SnapshotError> {
     let rest = bytes
         .strip_prefix(HEADER.as_bytes())
         .and_then(|rest| rest.strip_prefix(b"\n"))
-        .ok_or(SnapshotError::UnknownFormat)?;
-    let (checksum, body) = rest
-        .split_at_checked(CHECKSUM_LINE_LEN)
-        .ok_or(SnapshotError::Damaged)?;
-    let expected = format!("{}\n", blake3::hash(body).to_hex());
-    if checksum != expected.as_bytes() {
-        return Err(SnapshotError::Damaged);
+        .ok_or_else(|| SnapshotError::UnknownFormat {
+            found: lossy_text(&bytes[..bytes.len().min(HEADER.len() + 1)]),
+        })?;
+    // If the data ends within the checksum line, the line is too short to be equal to the expected one.
+    let (checksum, body) = rest.split_at(rest.len().min(CHECKSUM_LINE_LEN));
+    let expected = blake3::hash(body).to_hex().to_string();
+    if checksum != format!("{expected}\n").as_bytes() {
+        let found = lossy_text(checksum);
+        return Err(SnapshotError::Damaged { expected, found });
     }
     serde_json::from_slice(body).map_err(SnapshotError::InvalidJson)
 }
 
-/// The statistics of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+fn lossy_text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
+
+/// Restores the statistics of fingerprints whose class still exists. `class_indexes` maps saved class indexes to
+/// current ones.
 fn restore_fingerprints(
     saved: Vec<SavedFingerprint>,
-    numbers: &[Option<usize>],
+    class_indexes: &[Option<usize>],
 ) -> Result<Vec<(FingerprintId, FingerprintStatistics)>, SnapshotError> {
     let mut restored = Vec::new();
     for (position, saved) in saved.into_iter().enumerate() {
-        let Some(class) = numbers.get(saved.class).copied().flatten() else {
+        let Some(class) = class_indexes.get(saved.class).copied().flatten() else {
             continue;
         };
-        // The clock of an earlier process means nothing now; the order does.
+        // Times of an earlier process cannot be compared with current ones, but their order remains valid.
         let last_use = position as Micros;
-        restored.push((saved.id, saved.restore(class, last_use)?));
+        let id = saved.id;
+        let statistics = saved.restore(class, last_use).ok_or_else(|| {
+            let owner = format!("fingerprint {id}");
+            SnapshotError::InvalidDistribution { owner }
+        })?;
+        restored.push((id, statistics));
     }
     Ok(restored)
 }
 
-/// The holds of fingerprints whose class still exists. `numbers` are the present numbers of saved classes.
+/// Restores the holds of fingerprints whose class still exists. `class_indexes` maps saved class indexes to current
+/// ones.
 fn restore_holds(
     now: Micros,
     saved: Vec<(FingerprintId, FingerprintHold)>,
-    numbers: &[Option<usize>],
+    class_indexes: &[Option<usize>],
 ) -> Vec<(FingerprintId, FingerprintHold)> {
     let restore = |(id, hold): (FingerprintId, FingerprintHold)| {
-        let class = numbers.get(hold.class).copied().flatten()?;
+        let class = class_indexes.get(hold.class).copied().flatten()?;
         let hold = FingerprintHold {
             class,
             since: now,
-            last_end: now,
+            last_activity_at: now,
             runaways: 0,
             ..hold
         };
--- a/crates/runaway/src/statistics/tests.rs
+++ b/crates/runaway/src/statistics/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::{Basis, EnforcementOptions};
 use hoptiller_policy::Idempotency;
 
-const S: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 fn class_settings() -> Class {
     Class {
@@ -11,15 +11,15 @@
         client_timeout: 25_000_000,
         threads: 2.0,
         idempotency: Idempotency::Idempotent,
-        holds_tables: false,
+        locks_group: false,
         enforcement: EnforcementOptions::default(),
     }
 }
 
 fn run(seconds: f64) -> Run {
     Run {
-        run_time: RunTime(seconds * S),
-        work: Some(Work(2.0 * seconds * S)),
+        run_time: RunTime(seconds * MICROS_PER_SECOND),
+        work: Some(Work(2.0 * seconds * MICROS_PER_SECOND)),
         ..Run::default()
     }
 }
@@ -46,31 +46,37 @@
     statistics
         .expectation(FingerprintId(fingerprint), 0, &class_settings(), announced)
         .run_time
-        .figures()
+        .to_f64()
 }
 
 #[test]
 fn the_bound_of_the_class_applies_until_a_fingerprint_has_enough_runs() {
-    let (nothing, some) = (Announced::default(), |b: &Statistics| {
+    let (nothing_announced, expected) = (Announced::default(), |b: &Statistics| {
         expected_run_time(b, 1, Announced::default())
     });
     assert_eq!(
-        some(&statistics_of(FingerprintId(1), 0)).basis,
+        expected(&statistics_of(FingerprintId(1), 0)).basis,
         Basis::Settings
     );
-    let ten = some(&statistics_of(FingerprintId(1), 10));
-    assert_eq!((ten.basis, ten.bound), (Basis::Settings, 25.0 * S));
-    let own = some(&statistics_of(FingerprintId(1), 60));
+    let ten = expected(&statistics_of(FingerprintId(1), 10));
+    assert_eq!(
+        (ten.basis, ten.bound),
+        (Basis::Settings, 25.0 * MICROS_PER_SECOND)
+    );
+    let own = expected(&statistics_of(FingerprintId(1), 60));
     assert_eq!(own.basis, Basis::Fingerprint(60));
-    assert!((11.0 * S..13.0 * S).contains(&own.bound), "{own:?}");
-    // A fingerprint never seen, in a class that is known: wider than the bound of known ones.
-    let unknown = expected_run_time(&statistics_of(FingerprintId(1), 60), 2, nothing);
+    assert!(
+        (11.0 * MICROS_PER_SECOND..13.0 * MICROS_PER_SECOND).contains(&own.bound),
+        "{own:?}"
+    );
+    // An unknown fingerprint in a class with runs has a higher bound than a known one.
+    let unknown = expected_run_time(&statistics_of(FingerprintId(1), 60), 2, nothing_announced);
     assert_eq!(unknown.basis, Basis::Class(60));
     assert!(unknown.bound > 1.8 * own.bound, "{unknown:?}");
 }
 
 #[test]
-fn estimates_are_used_where_earlier_ones_were_right() {
+fn estimates_are_used_if_earlier_ones_were_consistent() {
     let statistics = statistics_of(FingerprintId(1), 60);
     let announced = |size, estimate| Announced { size, estimate };
     let (plain, twelve) = (
@@ -79,23 +85,23 @@
     );
     assert!(
         (7.0..9.0).contains(&(twelve.bound / plain.bound)),
-        "the power of two under 12"
+        "12 is in the size bucket that begins at 8"
     );
-    // Estimates of which nothing is known are not used.
+    // Without earlier estimates to compare with, an estimate is not used.
     assert_eq!(
         expected_run_time(&statistics, 1, announced(0, Some(900_000_000))),
         plain
     );
-    let mut accurate = statistics_of(FingerprintId(1), 60);
-    let mut inaccurate = statistics_of(FingerprintId(1), 60);
+    let mut consistent = statistics_of(FingerprintId(1), 60);
+    let mut inconsistent = statistics_of(FingerprintId(1), 60);
     for n in 0..20u64 {
-        accurate.record_run(
+        consistent.record_run(
             FingerprintId(1),
             0,
             announced(0, Some(1_000_000)),
             &run(1.0),
         );
-        inaccurate.record_run(
+        inconsistent.record_run(
             FingerprintId(1),
             0,
             announced(0, Some(10_000 << (n % 14))),
@@ -103,10 +109,11 @@
         );
     }
     assert!(
-        expected_run_time(&accurate, 1, announced(0, Some(10_000_000))).bound > 9.0 * plain.bound
+        expected_run_time(&consistent, 1, announced(0, Some(10_000_000))).bound > 9.0 * plain.bound
     );
     assert!(
-        expected_run_time(&inaccurate, 1, announced(0, Some(10_000_000))).bound < 1.1 * plain.bound
+        expected_run_time(&inconsistent, 1, announced(0, Some(10_000_000))).bound
+            < 1.1 * plain.bound
     );
 }
 
@@ -115,7 +122,7 @@
     let mut statistics = statistics_of(FingerprintId(1), 200);
     let before = expected_run_time(&statistics, 1, Announced::default());
     for _ in 0..20 {
-        statistics.record_beyond_bound(FingerprintId(1), &run(100.0));
+        statistics.record_over_bound(FingerprintId(1), &run(100.0));
     }
     assert_eq!(
         expected_run_time(&statistics, 1, Announced::default()),
@@ -125,8 +132,10 @@
         statistics.record_run(FingerprintId(1), 0, Announced::default(), &run(4.0));
     }
     assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 3.5 * before.usual);
-    statistics.adopt_beyond_bound(FingerprintId(1));
-    assert!(expected_run_time(&statistics, 1, Announced::default()).usual > 90.0 * S);
+    statistics.adopt_over_bound(FingerprintId(1));
+    assert!(
+        expected_run_time(&statistics, 1, Announced::default()).usual > 90.0 * MICROS_PER_SECOND
+    );
 }
 
 #[test]
@@ -143,7 +152,7 @@
             .contains_key(&FingerprintId(100_009))
             && !statistics.fingerprints.contains_key(&FingerprintId(10))
     );
-    // Known ones are bounded too.
+    // Known fingerprints have a quota, too.
     for n in 0..1000u64 {
         statistics.record_arrival(FingerprintId(n + 1_000_000), 0, &"x".into(), 200_000 + n);
         (0..MIN_RUNS_KNOWN).for_each(|_| {
@@ -155,5 +164,5 @@
             )
         });
     }
-    assert!(statistics.len() <= 400 && statistics.known_in_class(0) == 300);
+    assert!(statistics.len() <= 400 && statistics.known_count(0) == 300);
 }
--- a/crates/runaway/src/wait_graph.rs
+++ b/crates/runaway/src/wait_graph.rs
@@ -2,37 +2,39 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Edges that a search for a cycle follows at most.
+/// Maximum number of edges that a search for a cycle follows.
 const MAX_CHAIN: usize = 64;
 
-/// Which statement waits for which.
+/// The waits between statements.
 #[derive(Debug, Default)]
 pub(crate) struct WaitGraph {
-    holders: BTreeMap<String, String>,
+    /// By waiter: the statement that it waits for.
+    blockers: BTreeMap<String, String>,
+    /// By blocker: the statements that wait for it.
     waiters: BTreeMap<String, Vec<String>>,
 }
 
 impl WaitGraph {
-    /// Adds that `waiter` waits for `holder`. Of several holders, the first has the waiter among its own, and the last
-    /// is the one that a search for a cycle follows.
-    pub(crate) fn add_wait(&mut self, waiter: &str, holder: &str) {
-        if waiter == holder {
+    /// Adds a wait of `waiter` for `blocker`. An attempt is expected to wait for one statement; if it waits for
+    /// several, it counts as a waiter of the first one, and a search for a cycle follows the last one.
+    pub(crate) fn add_wait(&mut self, waiter: &str, blocker: &str) {
+        if waiter == blocker {
             return;
         }
-        let previous = self.holders.insert(waiter.to_owned(), holder.to_owned());
+        let previous = self.blockers.insert(waiter.to_owned(), blocker.to_owned());
         if previous.is_none() {
-            let waiters = self.waiters.entry(holder.to_owned()).or_default();
+            let waiters = self.waiters.entry(blocker.to_owned()).or_default();
             waiters.push(waiter.to_owned());
         }
     }
 
-    /// The statements that wait for this one, directly or through others, without itself.
+    /// Returns the other statements that wait for this one, directly or through others.
     pub(crate) fn waiters_of(&self, name: &str) -> Vec<&str> {
         let mut all: Vec<&str> = Vec::new();
         let mut visited = BTreeSet::from([name]);
         let mut pending = vec![name];
-        while let Some(holder) = pending.pop() {
-            for waiter in self.waiters.get(holder).into_iter().flatten() {
+        while let Some(blocker) = pending.pop() {
+            for waiter in self.waiters.get(blocker).into_iter().flatten() {
                 if visited.insert(waiter) {
                     all.push(waiter);
                     pending.push(waiter);
@@ -42,7 +44,7 @@
         all
     }
 
-    /// The same as owned names.
+    /// Returns the other statements that wait for this one as owned names.
     pub(crate) fn waiter_names(&self, name: &str) -> Vec<String> {
         self.waiters_of(name)
             .into_iter()
@@ -50,22 +52,22 @@
             .collect()
     }
 
-    /// Whether a statement waits for another.
+    /// Returns whether a statement waits for another.
     pub(crate) fn is_waiting(&self, name: &str) -> bool {
-        self.holders.contains_key(name)
+        self.blockers.contains_key(name)
     }
 
-    /// The cycle that a statement is part of, itself first.
+    /// Returns the cycle that a statement is part of, starting with the statement itself.
     pub(crate) fn cycle(&self, name: &str) -> Option<Vec<&str>> {
         let mut cycle = Vec::new();
         let mut current = name;
         while cycle.len() < MAX_CHAIN {
-            let (waiter, holder) = self.holders.get_key_value(current)?;
+            let (waiter, blocker) = self.blockers.get_key_value(current)?;
             cycle.push(waiter.as_str());
-            if holder == name {
+            if blocker == name {
                 return Some(cycle);
             }
-            current = holder;
+            current = blocker;
         }
         None
     }
--- a/crates/runaway/src/wait_inference.rs
+++ b/crates/runaway/src/wait_inference.rs
@@ -1,4 +1,4 @@
-//! Which attempt waits for which statement: as engines report it, or inferred from table groups where none does.
+//! Waits between attempts: as reported by engines, or inferred from table groups if no engine reports progress.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +13,29 @@
 
 /// Multiple of the usual run time from which an attempt may be inferred to wait for a load.
 const MAY_WAIT_FACTOR: f64 = 4.0;
-/// If no engine has sent a progress report for this long, engines are taken not to report progress.
+/// Time without any progress report after which engines are assumed not to report progress.
 const REPORTS_TTL: Micros = 60_000_000;
-/// Time after which a completion is dropped where too many are kept.
-const COMPLETION_TTL: Micros = 60_000_000;
-/// Pairs of engine and table group of which the last completion is kept.
-const MAX_COMPLETIONS: usize = 8192;
+/// Age from which completions are dropped when too many are kept.
+const GROUP_COMPLETION_TTL: Micros = 60_000_000;
+/// Maximum number of pairs of engine and table group whose last completion is kept.
+const MAX_GROUP_COMPLETIONS: usize = 8192;
 
-/// What waits are inferred from beside the running attempts.
+/// The data that waits are inferred from, apart from the running attempts.
 #[derive(Debug, Default)]
 pub(crate) struct WaitInference {
-    /// When any engine last reported progress of an attempt.
+    /// The time of the last progress report of any engine.
     last_report_at: Option<Micros>,
-    /// By engine and table group: the latest start among the attempts that ran there as usual.
+    /// By engine and table group: the latest start time among the attempts that completed there as usual.
     last_completions: BTreeMap<(EngineId, u64), Micros>,
 }
 
 impl WaitInference {
-    /// Records that an engine reported progress.
+    /// Records a progress report of any engine.
     pub(crate) fn record_report(&mut self, now: Micros) {
         self.last_report_at = Some(now);
     }
 
-    /// Records that an attempt on a table group ran as usual at an engine.
+    /// Records that an attempt on a table group completed as usual on an engine.
     pub(crate) fn record_completion(
         &mut self,
         now: Micros,
@@ -45,17 +45,18 @@
     ) {
         let last = self.last_completions.entry((engine, group)).or_default();
         *last = (*last).max(started_at);
-        if self.last_completions.len() > MAX_COMPLETIONS {
+        if self.last_completions.len() > MAX_GROUP_COMPLETIONS {
             self.last_completions
-                .retain(|_, started_at| now.saturating_sub(*started_at) < COMPLETION_TTL);
+                .retain(|_, started_at| now.saturating_sub(*started_at) < GROUP_COMPLETION_TTL);
         }
-        if self.last_completions.len() > MAX_COMPLETIONS {
-            // Still too many recent ones: waits are inferred more often until completions come again.
+        if self.last_completions.len() > MAX_GROUP_COMPLETIONS {
+            // Too many completions are recent. Without them, long readers are excused more often until new ones are
+            // recorded.
             self.last_completions.clear();
         }
     }
 
-    /// Who waits for whom now.
+    /// Returns the current waits.
     pub(crate) fn wait_graph(
         &self,
         now: Micros,
@@ -64,8 +65,8 @@
     ) -> WaitGraph {
         let mut waits = WaitGraph::default();
         for attempt in awaited(attempts) {
-            if let Some(BlockedState::Behind(Some(holder))) = attempt.blocked_state(now) {
-                waits.add_wait(&attempt.start().name, &holder.name);
+            if let Some(BlockedState::Statement(Some(blocker))) = attempt.blocked_state(now) {
+                waits.add_wait(&attempt.start().name, &blocker.name);
             }
         }
         if !self.has_recent_reports(now) {
@@ -74,10 +75,11 @@
         waits
     }
 
-    /// Where engines report no waits: whether an attempt may wait for a load of another router. It may not if another
-    /// attempt on its table group that started later ran there as usual; otherwise it may if another one runs long
-    /// there too, or if it has run no longer than a load may.
-    pub(crate) fn may_be_blocked_unseen(
+    /// Returns whether an attempt may wait for a load of another router. Always returns `false` while engines report
+    /// progress, because they report waits then. It does not wait if another attempt on its table group that started
+    /// later completed there as usual; otherwise it may if another attempt there runs long too, or if it has run no
+    /// longer than a load may.
+    pub(crate) fn may_wait_for_remote_load(
         &self,
         now: Micros,
         attempt: &RunningAttempt,
@@ -93,52 +95,52 @@
         let mut loads = classes
             .iter()
             .enumerate()
-            .filter(|(_, class)| class.holds_tables)
+            .filter(|(_, class)| class.locks_group)
             .peekable();
         if self.has_recent_reports(now)
-            || classes[start.class].holds_tables
+            || classes[start.class].locks_group
             || loads.peek().is_none()
         {
             return false;
         }
-        if self.is_completed_since(start.engine, group, attempt.started_at()) {
+        if self.has_later_start_completed(start.engine, group, attempt.started_at()) {
             return false;
         }
         let longest_load = loads
             .map(|(class, settings)| statistics.remote_expectation(class, settings).bound.0)
             .fold(0.0, f64::max);
         let runs_long_too = |other: &RunningAttempt| {
-            is_same_tables(other, attempt)
+            is_on_same_tables(other, attempt)
                 && other.start().attempt != start.attempt
                 && takes_unusually_long(now, other)
         };
         awaited(attempts).any(runs_long_too) || run_time.0 <= longest_load
     }
 
-    /// Whether any engine reported progress lately.
+    /// Returns whether any engine has reported progress recently.
     fn has_recent_reports(&self, now: Micros) -> bool {
         self.last_report_at
             .is_some_and(|at| now.saturating_sub(at) < REPORTS_TTL)
     }
 
-    /// Whether an attempt on this table group that started at this engine after `since` ran as usual.
-    fn is_completed_since(&self, engine: EngineId, group: u64, since: Micros) -> bool {
+    /// Returns whether an attempt on this table group that started on this engine after `since` has completed as usual.
+    fn has_later_start_completed(&self, engine: EngineId, group: u64, since: Micros) -> bool {
         self.last_completions
             .get(&(engine, group))
             .is_some_and(|started_at| *started_at > since)
     }
 }
 
-/// An attempt that takes far longer than usual is taken to wait for a load on its table group that started earlier at
+/// Infers that an attempt that takes far longer than usual waits for a load on its table group that started earlier on
 /// the same engine.
 fn infer_waits(now: Micros, attempts: &Attempts, classes: &[Class], waits: &mut WaitGraph) {
     let is_load = |attempt: &&RunningAttempt| {
         let start = attempt.start();
-        classes[start.class].holds_tables && start.group.is_some()
+        classes[start.class].locks_group && start.group.is_some()
     };
     for load in attempts.values().filter(is_load) {
         for attempt in awaited(attempts) {
-            if is_same_tables(attempt, load)
+            if is_on_same_tables(attempt, load)
                 && attempt.started_at() > load.started_at()
                 && takes_unusually_long(now, attempt)
             {
@@ -148,14 +150,14 @@
     }
 }
 
-/// The attempts that this router waits for.
+/// Returns the attempts that this router still waits for.
 fn awaited(attempts: &Attempts) -> impl Iterator<Item = &RunningAttempt> {
     attempts
         .values()
         .filter(|attempt| attempt.abandoned_at().is_none())
 }
 
-fn is_same_tables(one: &RunningAttempt, other: &RunningAttempt) -> bool {
+fn is_on_same_tables(one: &RunningAttempt, other: &RunningAttempt) -> bool {
     let (one, other) = (one.start(), other.start());
     (one.engine, one.group) == (other.engine, other.group)
 }
--- a/crates/runaway/tests/blocking.rs
+++ b/crates/runaway/tests/blocking.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_load_that_blocks_many_lookups_is_a_runaway_and_they_are_not() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
     let load = simulation.run(load);
@@ -25,7 +25,7 @@
         simulation.advance(1);
     }
     assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
-    let f = simulation
+    let finding = simulation
         .detector
         .open_findings()
         .next()
@@ -33,13 +33,13 @@
         .clone();
     assert_eq!(
         (
-            f.blocked,
-            f.blocks.len(),
+            finding.blocked_count,
+            finding.blocked_names.len(),
             simulation.detector.open_findings().count()
         ),
         (40, 40, 1)
     );
-    // Readers of its tables are excluded from that engine until it ends.
+    // Readers of its table group are excluded from that engine until the load ends.
     let exclusion = Hold {
         target: HoldTarget::Group(77),
         max_in_flight: u32::MAX,
@@ -66,51 +66,52 @@
 
 #[test]
 fn waits_are_inferred_from_table_groups_without_reports() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     simulation.reports_progress = false;
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 600e6);
     load.group = Some(77);
     let load = simulation.run(load);
     simulation.advance(1);
-    for n in 0..20 {
+    for _ in 0..12 {
         let mut lookup = simulation.job(LOOKUP, LOOKUP as u64, 2, 250e6);
-        lookup.group = Some(if n < 12 { 77 } else { 78 });
-        if n < 12 {
-            simulation.run(lookup);
-        }
+        lookup.group = Some(77);
+        simulation.run(lookup);
     }
     simulation.advance(11);
     assert_eq!(
         simulation.runaways(),
         [(name(load), Cause::Blocks)],
-        "the lookups wait for it, as far as is known"
+        "the lookups are inferred to wait for it"
     );
 }
 
 #[test]
 fn both_members_of_a_deadlock_are_runaways_and_their_waiters_are_not() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
-    let (a, b) = (
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
+    let (first, second) = (
         simulation.start(LOAD, LOAD as u64, 1, 4e6),
         simulation.start(LOAD, LOAD as u64, 1, 4e6),
     );
-    let c = simulation.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
+    let waiter = simulation.start(LOOKUP, LOOKUP as u64, 1, 250_000.0);
     simulation.running.clear();
     for _ in 0..6 {
-        simulation.report_blocked_by(a, &name(b));
-        simulation.report_blocked_by(b, &name(a));
-        simulation.report_blocked_by(c, &name(a));
+        simulation.report_blocked_by(first, &name(second));
+        simulation.report_blocked_by(second, &name(first));
+        simulation.report_blocked_by(waiter, &name(first));
         simulation.advance(1);
     }
     let mut found = simulation.runaways();
     found.sort();
     assert_eq!(
         found,
-        [(name(a), Cause::Deadlock), (name(b), Cause::Deadlock)]
+        [
+            (name(first), Cause::Deadlock),
+            (name(second), Cause::Deadlock)
+        ]
     );
-    // The cycle is broken: neither is at fault any more.
-    simulation.finish(b);
-    for id in [a, c] {
+    // The cycle is broken: neither member is a runaway any longer.
+    simulation.finish(second);
+    for id in [first, waiter] {
         simulation.detector.report_progress(
             simulation.now,
             Simulation::attempt(id),
@@ -125,7 +126,7 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.verdict != Verdict::Runaway),
+            .all(|finding| finding.verdict != Verdict::Runaway),
         "{:?}",
         simulation.detector.open_findings().collect::<Vec<_>>()
     );
@@ -133,7 +134,7 @@
 
 #[test]
 fn an_abandoned_attempt_is_found_by_its_waiters() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut load = simulation.job(LOAD, LOAD as u64, 2, 900e6);
     load.group = Some(5);
     let load = simulation.run(load);
@@ -145,26 +146,26 @@
         ExecutionOutcome::Abandoned,
         None,
     );
-    let blocked = |simulation: &mut Simulation, holder: &str, age| {
+    let blocked = |simulation: &mut Simulation, blocker: &str, age| {
         let waiting: Vec<u64> = (0..10)
             .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
             .collect();
         simulation.running.clear();
         for second in 0..12 {
             for id in &waiting {
-                let age = Some(age + second * S);
-                let holder = Holder {
-                    name: holder.into(),
+                let age = Some(age + second * SECOND);
+                let blocker = BlockingStatement {
+                    name: blocker.into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
             }
             simulation.advance(1);
         }
         waiting
     };
-    blocked(&mut simulation, &name(load), S);
+    blocked(&mut simulation, &name(load), SECOND);
     assert_eq!(simulation.runaways(), [(name(load), Cause::Blocks)]);
     assert!(
         simulation
@@ -172,7 +173,7 @@
             .excluded_engines()
             .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     );
-    // Its engine restarted: the attempt is gone.
+    // The engine restarts and no longer runs the attempt.
     simulation
         .detector
         .reset_engine(simulation.now, EngineId(2));
@@ -181,11 +182,11 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.subject != Subject::Statement(name(load)))
+            .all(|finding| finding.subject != Subject::Statement(name(load)))
     );
-    // A statement of a router that died, which this one never sent.
+    // A statement of a crashed router, which this router never sent.
     simulation.decisions.clear();
-    let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * S);
+    let waiting = blocked(&mut simulation, "r2/00009_gone", 40 * SECOND);
     assert_eq!(
         simulation.runaways(),
         [("r2/00009_gone".to_owned(), Cause::Blocks)]
@@ -203,27 +204,27 @@
         simulation
             .detector
             .open_findings()
-            .all(|f| f.subject != Subject::Statement("r2/00009_gone".into()))
+            .all(|finding| finding.subject != Subject::Statement("r2/00009_gone".into()))
     );
     assert_eq!(
         simulation.detector.tracked_counts().remote_statements,
         0,
-        "it is not tracked any more"
+        "it is no longer tracked"
     );
 }
 
 #[test]
-fn a_blocked_attempt_is_not_at_fault_whatever_it_used_before() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_blocked_attempt_is_no_runaway_whatever_it_used_before() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let id = simulation.start(REPORT, REPORT as u64, 0, 4e6);
     simulation.running.clear();
     for _ in 0..20 {
-        let blocked_state = Some(BlockedState::Behind(None));
+        let blocked_state = Some(BlockedState::Statement(None));
         simulation.detector.report_progress(
             simulation.now,
             Simulation::attempt(id),
             ProgressReport {
-                work: Some(400 * S),
+                work: Some(400 * SECOND),
                 blocked_state,
                 ..ProgressReport::default()
             },
@@ -235,7 +236,7 @@
         simulation.now,
         Simulation::attempt(id),
         ProgressReport {
-            work: Some(400 * S),
+            work: Some(400 * SECOND),
             ..ProgressReport::default()
         },
     );
@@ -243,7 +244,7 @@
     assert_eq!(
         simulation.runaways(),
         [(name(id), Cause::Heavy)],
-        "it is not blocked any more"
+        "it is no longer blocked"
     );
 }
 
@@ -255,11 +256,12 @@
         simulation.run(job)
     };
     let without_reports = || {
-        let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+        let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
         simulation.reports_progress = false;
         simulation
     };
-    // Alone, it may wait for as long as a load may run. Two on the same tables wait for something.
+    // A single reader may wait for as long as a load may run. Two readers of the same tables are assumed to wait for a
+    // load.
     let mut alone = without_reports();
     let id = lookup(&mut alone, 900e6);
     alone.advance(15);
@@ -271,18 +273,18 @@
     lookup(&mut two, 900e6);
     two.advance(60);
     assert_eq!(two.runaways(), []);
-    // Another reader of those tables that started later has completed: the first is heavy by itself.
-    let mut passed = without_reports();
-    let id = lookup(&mut passed, 900e6);
-    passed.advance(1);
-    lookup(&mut passed, 250_000.0);
-    passed.advance(10);
-    assert_eq!(passed.runaways(), [(name(id), Cause::Heavy)]);
+    // A reader of the same tables that started later has completed, so the first one does not wait: it is heavy.
+    let mut overtaken = without_reports();
+    let id = lookup(&mut overtaken, 900e6);
+    overtaken.advance(1);
+    lookup(&mut overtaken, 250_000.0);
+    overtaken.advance(10);
+    assert_eq!(overtaken.runaways(), [(name(id), Cause::Heavy)]);
 }
 
 #[test]
-fn a_holder_without_a_reported_age_is_as_old_as_its_first_report() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+fn a_blocker_without_a_reported_age_is_as_old_as_its_first_report() {
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..10)
         .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
@@ -301,25 +303,25 @@
 
 #[test]
 fn blocked_time_does_not_count_against_a_load() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let waiting: Vec<u64> = (0..3)
         .map(|_| simulation.start(LOOKUP, LOOKUP as u64, 2, 250_000.0))
         .collect();
     simulation.running.clear();
     for second in 0..30u64 {
-        // The first is a runaway; the second starts to run only after it.
+        // The first load is a runaway; the second one starts only after it.
         let (name, age) = if second < 27 {
-            ("r2/00001_x", second * S)
+            ("r2/00001_x", second * SECOND)
         } else {
-            ("r2/00002_x", (second - 27) * S)
+            ("r2/00002_x", (second - 27) * SECOND)
         };
         for id in &waiting {
-            let holder = Holder {
+            let blocker = BlockingStatement {
                 name: name.into(),
                 class: Some(LOAD),
                 age: Some(age),
             };
-            simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+            simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
         }
         simulation.advance(1);
     }
@@ -331,7 +333,7 @@
 
 #[test]
 fn table_groups_are_excluded_from_the_engine_of_a_remote_runaway_until_it_is_gone() {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let wait_for_remote = |simulation: &mut Simulation, n: u64, seconds: u64| {
         let mut ids = Vec::new();
         for _ in 0..n {
@@ -342,13 +344,13 @@
         simulation.running.clear();
         for second in 0..seconds {
             for id in &ids {
-                let age = Some((60 + second) * S);
-                let holder = Holder {
+                let age = Some((60 + second) * SECOND);
+                let blocker = BlockingStatement {
                     name: "r2/00009_x".into(),
                     class: Some(LOAD),
                     age,
                 };
-                simulation.report_blocked(*id, BlockedState::Behind(Some(holder)));
+                simulation.report_blocked(*id, BlockedState::Statement(Some(blocker)));
             }
             simulation.advance(1);
         }
@@ -365,18 +367,18 @@
         simulation
             .detector
             .excluded_engines()
-            .any(|(g, e)| (*g, &e[..]) == (5, &[EngineId(2)][..]))
+            .any(|(group, engines)| (*group, &engines[..]) == (5, &[EngineId(2)][..]))
     };
     wait_for_remote(&mut simulation, 10, 6);
     assert!(is_excluded(&simulation));
     simulation.advance(15);
     assert!(
         is_excluded(&simulation),
-        "it blocks nothing at the moment: it is still tracked"
+        "it is still tracked while it blocks no attempts"
     );
     simulation.advance(6);
     assert!(!is_excluded(&simulation), "the exclusion has ended");
-    // One attempt that it blocks again is enough.
+    // A single newly blocked attempt is enough for another exclusion.
     wait_for_remote(&mut simulation, 1, 2);
     assert!(is_excluded(&simulation));
     simulation.advance(35);
@@ -384,7 +386,7 @@
     simulation.advance(20);
     assert!(
         !is_excluded(&simulation) && simulation.detector.tracked_counts().remote_statements == 0,
-        "it is not tracked any more"
+        "it is no longer tracked"
     );
     assert_eq!(simulation.runaways().len(), 1, "one finding");
 }
--- a/crates/runaway/tests/common/mod.rs
+++ b/crates/runaway/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use hoptiller_policy::{EngineId, Hold, Idempotency, Micros};
 use hoptiller_runaway::*;
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 
 pub const LOOKUP: usize = 0;
 pub const REPORT: usize = 1;
@@ -19,36 +19,49 @@
     idempotency: Idempotency,
     options: EnforcementOptions,
 ) -> Class {
-    let holds_tables = idempotency == Idempotency::NotIdempotent;
+    let locks_group = idempotency == Idempotency::NotIdempotent;
     Class {
         name: name.into(),
         latency_objective,
-        client_timeout: 25 * S,
+        client_timeout: 25 * SECOND,
         threads,
         idempotency,
-        holds_tables,
+        locks_group,
         enforcement: options,
     }
 }
 
-pub const NAME_AND_HOLD: EnforcementOptions = EnforcementOptions {
-    name: true,
+/// The options that a router applies by default.
+pub const REPORT_AND_HOLD: EnforcementOptions = EnforcementOptions {
+    report: true,
     hold: true,
-    lower: false,
+    low_priority: false,
     pause: false,
-    end: false,
+    kill: false,
 };
 
 pub fn settings(options: EnforcementOptions) -> Settings {
     Settings {
         classes: vec![
-            class("lookup", 3 * S / 2, 1.0, Idempotency::Idempotent, options),
-            class("report", 2 * S, 2.0, Idempotency::Idempotent, options),
-            class("rent-load", 3 * S, 2.0, Idempotency::NotIdempotent, options),
+            class(
+                "lookup",
+                3 * SECOND / 2,
+                1.0,
+                Idempotency::Idempotent,
+                options,
+            ),
+            class("report", 2 * SECOND, 2.0, Idempotency::Idempotent, options),
+            class(
+                "rent-load",
+                3 * SECOND,
+                2.0,
+                Idempotency::NotIdempotent,
+                options,
+            ),
         ],
         max_fingerprints: 1000,
-        pause_for: 10 * S,
-        end_after: 5 * S,
+        pause_for: 10 * SECOND,
+        kill_after: 5 * SECOND,
     }
 }
 
@@ -63,8 +76,8 @@
     pub announced: Announced,
     /// Total work over all threads, in µs.
     pub work: f64,
-    /// How many times slower it runs than its threads could.
-    pub slow: f64,
+    /// Factor by which the statement runs slower than its threads allow.
+    pub slowdown: f64,
     pub rows: Option<u64>,
     /// Work done so far, in µs.
     pub done: f64,
@@ -82,7 +95,7 @@
 }
 
 pub fn name(id: u64) -> String {
-    format!("r1/{id:05}_life")
+    format!("r1/{id:05}_1")
 }
 
 impl Simulation {
@@ -101,7 +114,7 @@
         detector.update_engines((0..engines).map(listed).collect());
         Simulation {
             detector,
-            now: 100 * S,
+            now: 100 * SECOND,
             reports_progress: true,
             running: vec![],
             decisions: vec![],
@@ -110,7 +123,8 @@
         }
     }
 
-    /// A simulation in which each of three fingerprints has run a hundred times: lookups of 0.25 s, reports of 2 s, loads of 2 s.
+    /// Creates a simulation with a history of a hundred runs of each of three fingerprints: lookups of 0.25 s, reports
+    /// of 2 s and loads of 2 s.
     pub fn with_history(options: EnforcementOptions, engines: u32) -> Simulation {
         let mut simulation = Simulation::new(options, engines);
         simulation.run_history(100);
@@ -127,7 +141,7 @@
                 self.finish(id);
             }
         }
-        self.now += 60 * S;
+        self.now += 60 * SECOND;
         self.decisions.clear();
     }
 
@@ -141,7 +155,7 @@
             group: None,
             announced: Announced::default(),
             work,
-            slow: 1.0,
+            slowdown: 1.0,
             rows: None,
             done: 0.0,
         }
@@ -205,22 +219,23 @@
         self.decisions.extend(self.detector.take_decisions());
     }
 
-    /// Advances time in half seconds; jobs progress, are reported each second, and end when they are done.
+    /// Advances time in steps of half a second. Jobs progress, are reported on each second, and finish when their work
+    /// is done.
     pub fn advance(&mut self, seconds: u64) {
         for half in 0..2 * seconds {
-            self.now += S / 2;
+            self.now += SECOND / 2;
             let mut over = Vec::new();
             for job in &mut self.running {
-                let rate = self.threads[job.class] / job.slow;
-                job.done += rate * (S / 2) as f64;
+                let rate = self.threads[job.class] / job.slowdown;
+                job.done += rate * (SECOND / 2) as f64;
                 if job.done >= job.work {
                     over.push(job.id);
                 } else if self.reports_progress && half % 2 == 1 {
-                    let share = job.done / job.work;
+                    let fraction = job.done / job.work;
                     let report = ProgressReport {
                         work: Some(job.done as Micros),
-                        done: Some(share),
-                        rows: job.rows.map(|r| (r as f64 * share) as u64),
+                        done: Some(fraction),
+                        rows: job.rows.map(|r| (r as f64 * fraction) as u64),
                         ..ProgressReport::default()
                     };
                     self.detector
@@ -233,12 +248,12 @@
         }
     }
 
-    /// Drops a job without a report of its end.
+    /// Removes a job without reporting its end.
     pub fn drop_job(&mut self, id: u64) {
         self.running.retain(|j| j.id != id);
     }
 
-    /// An engine reports that an attempt is blocked.
+    /// Reports an attempt as blocked.
     pub fn report_blocked(&mut self, id: u64, state: BlockedState) {
         let report = ProgressReport {
             blocked_state: Some(state),
@@ -248,13 +263,13 @@
             .report_progress(self.now, Simulation::attempt(id), report);
     }
 
-    pub fn report_blocked_by(&mut self, id: u64, holder: &str) {
-        let holder = Holder {
-            name: holder.into(),
+    pub fn report_blocked_by(&mut self, id: u64, blocker: &str) {
+        let blocker = BlockingStatement {
+            name: blocker.into(),
             class: None,
             age: None,
         };
-        self.report_blocked(id, BlockedState::Behind(Some(holder)));
+        self.report_blocked(id, BlockedState::Statement(Some(blocker)));
     }
 
     pub fn found(&self) -> Vec<&Finding> {
@@ -270,7 +285,7 @@
             .collect()
     }
 
-    /// Names of statements found to be runaways.
+    /// Returns the statements found to be runaways, with the causes.
     pub fn runaways(&self) -> Vec<(String, Cause)> {
         let is_runaway = |f: &&Finding| f.verdict == Verdict::Runaway;
         let name = |f: &Finding| match &f.subject {
--- a/crates/runaway/tests/decision_digest/recorder.rs
+++ b/crates/runaway/tests/decision_digest/recorder.rs
@@ -1,11 +1,11 @@
-//! The digest of what a detector shows.
+//! A recorder that digests the detector's output.
 
 use std::collections::BTreeMap;
 
 use hoptiller_policy::{Hold, HoldTarget};
 use hoptiller_runaway::*;
 
-/// A digest of all that it is given, and how often each label of a decision or finding came.
+/// A digest of the recorded output, and the number of occurrences of each label of a decision or finding.
 pub struct Recorder {
     hasher: blake3::Hasher,
     counts: BTreeMap<String, u64>,
@@ -75,15 +75,15 @@
         let evidence = &finding.evidence;
         let measure = self.add_json(&evidence.measure);
         self.count(measure);
-        for figure in [evidence.figure, evidence.usual, evidence.bound] {
-            self.add_number(figure.to_bits());
+        for value in [evidence.value, evidence.usual, evidence.bound] {
+            self.add_number(value.to_bits());
         }
         self.add_json(&evidence.basis);
         self.add_text(&evidence.to_string());
-        for name in &finding.blocks {
+        for name in &finding.blocked_names {
             self.add_text(name);
         }
-        self.add_number(finding.blocked as u64);
+        self.add_number(finding.blocked_count as u64);
         self.add_text(finding.note);
         self.count(finding.note);
     }
@@ -110,7 +110,8 @@
             Decision::Hold(hold) => return self.add_hold(hold),
             Decision::Pause(attempt) => ("pause", attempt),
             Decision::Resume(attempt) => ("resume", attempt),
-            Decision::End(attempt) => ("end", attempt),
+            // The label is part of the recorded digests.
+            Decision::Kill(attempt) => ("end", attempt),
         };
         self.count(label);
         self.add_text(label);
@@ -118,7 +119,7 @@
         self.add_number(u64::from(attempt.number));
     }
 
-    /// All that the detector shows beside its decisions.
+    /// Adds the detector's state that is visible apart from its decisions.
     pub fn add_state(&mut self, detector: &RunawayDetector, classes: &[Class]) {
         let counts = detector.tracked_counts();
         for count in [
@@ -129,12 +130,12 @@
             self.add_number(count as u64);
         }
         self.add_number(detector.next_detection_at());
-        for finding in detector.open_findings().chain(detector.past_findings()) {
+        for finding in detector.open_findings().chain(detector.cleared_findings()) {
             self.add_number(finding.id);
             self.add_number(finding.at);
             self.add_number(finding.since);
-            self.add_number(finding.evidence.figure.to_bits());
-            self.add_number(finding.blocked as u64);
+            self.add_number(finding.evidence.value.to_bits());
+            self.add_number(finding.blocked_count as u64);
         }
         for (fingerprint, hold) in detector.holds() {
             if *fingerprint == FingerprintId::unknown(&classes[hold.class].name) {
--- a/crates/runaway/tests/stored_form.rs
+++ b/crates/runaway/tests/stored_form.rs
@@ -1,5 +1,6 @@
-//! A snapshot of statistics and holds that was written before any type was renamed is restored whole, and saved again
-//! with the same bytes.
+//! Compatibility with stored snapshots: a snapshot that was written before types of this package were renamed is
+//! restored completely and saved again with the same bytes, so renaming must not change the stored form.
+//! `UPDATE_FIXTURES=1` rewrites the fixture; only a new version of the format justifies that.
 
 mod common;
 
@@ -8,15 +9,15 @@
 use common::*;
 use hoptiller_runaway::*;
 
-const RESTORED_AT: u64 = 7 * S;
+const RESTORED_AT: u64 = 7 * SECOND;
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/runaways")
 }
 
-/// Statistics of three kinds with announced sizes, and a hold.
+/// Returns a snapshot with statistics of three fingerprints, one announced size and one hold.
 fn saved_by_a_simulation() -> Vec<u8> {
-    let mut simulation = Simulation::with_history(NAME_AND_HOLD, 4);
+    let mut simulation = Simulation::with_history(REPORT_AND_HOLD, 4);
     let mut job = simulation.job(REPORT, REPORT as u64, 1, 40e6);
     job.announced = Announced {
         size: 12,
@@ -30,7 +31,7 @@
         !simulation.holds().is_empty(),
         "the fixture must contain a hold"
     );
-    let mut fresh = RunawayDetector::new(settings(NAME_AND_HOLD));
+    let mut fresh = RunawayDetector::new(settings(REPORT_AND_HOLD));
     fresh
         .restore(RESTORED_AT, &simulation.detector.save())
         .expect("restored");
@@ -43,7 +44,7 @@
         std::fs::write(fixture(), saved_by_a_simulation()).expect("the fixture can be written");
     }
     let stored = std::fs::read(fixture()).expect("the fixture exists");
-    let mut detector = RunawayDetector::new(settings(NAME_AND_HOLD));
+    let mut detector = RunawayDetector::new(settings(REPORT_AND_HOLD));
     let restored = detector
         .restore(RESTORED_AT, &stored)
         .expect("an old snapshot can be read");
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_snapshot_of_the_same_past_has_the_same_bytes() {
+fn the_same_events_give_the_same_snapshot() {
     let stored = std::fs::read(fixture()).expect("the fixture exists");
     assert_eq!(
         String::from_utf8_lossy(&stored),
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -81,7 +81,7 @@
                 client_timeout: micros(class.client_timeout),
                 threads: class.threads,
                 idempotency: class.policy_idempotency(),
-                holds_tables: class.holds_tables,
+                locks_group: class.holds_tables,
                 enforcement: *enforcement,
             };
         runaway::Settings {
@@ -93,7 +93,7 @@
                 .collect(),
             max_fingerprints: self.runaways.max_fingerprints,
             pause_for: micros(self.runaways.pause_for),
-            end_after: micros(self.runaways.kill_after),
+            kill_after: micros(self.runaways.kill_after),
         }
     }
 
