--- a/crates/cli/src/commands/fleet/status/tests.rs
+++ b/crates/cli/src/commands/fleet/status/tests.rs
@@ -19,7 +19,7 @@
         versions: VersionNumbers {
             in_force: 6,
             last: 7,
-            lease_table: 0,
+            table_revision: 0,
         },
         pending: Vec::new(),
         holders: vec![holder("r1", 7, false), holder("r2", 6, true)],
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -129,16 +129,16 @@
 pub struct VersionNumbers {
     /// The version in force.
     pub in_force: VersionNumber,
-    /// The last version, in force or pending.
+    /// The latest version, in force or pending.
     pub last: VersionNumber,
-    /// The number of changes of the lease table.
+    /// The revision of the lease table.
     #[serde(rename = "board", default, skip_serializing_if = "is_zero")]
-    pub lease_table: u64,
+    pub table_revision: u64,
 }
 
-/// Programs that know no lease table reject the field, so a count of 0 is left out.
-fn is_zero(count: &u64) -> bool {
-    *count == 0
+/// Returns whether a revision is 0 and thus left out, as programs that know no lease table reject the field.
+fn is_zero(revision: &u64) -> bool {
+    *revision == 0
 }
 
 /// The response of [`PROPOSE`].
--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -65,7 +65,7 @@
             self.completed_at = now;
             commands.push(Command::CompleteRollout {
                 upto: view.config.latest(),
-                lapsed: expired_holders,
+                expired: expired_holders,
             });
         }
         commands
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -179,7 +179,7 @@
     let known = request.known;
     let changed = node.wait_for_versions(|mut current| {
         if !request.watch_leases {
-            current.lease_table = known.lease_table;
+            current.table_revision = known.table_revision;
         }
         current != known
     });
--- a/crates/coordination-server/src/responses.rs
+++ b/crates/coordination-server/src/responses.rs
@@ -62,7 +62,7 @@
     VersionNumbers {
         in_force: config.in_force(),
         last: config.latest(),
-        lease_table: config.lease_table().revision(),
+        table_revision: config.lease_table().revision(),
     }
 }
 
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -35,9 +35,10 @@
     CompleteRollout {
         /// The latest version to bring in force.
         upto: VersionNumber,
-        /// Configuration leases that have expired by the clock of the replica that issues the command, each with the
+        /// The configuration leases that have expired by the clock of the replica that issues the command, each with the
         /// serial of its last renewal.
-        lapsed: Vec<(Holder, u64)>,
+        #[serde(rename = "lapsed")]
+        expired: Vec<(Holder, u64)>,
     },
     /// Removes task leases that have expired by the clock of the replica that issues the command, each with the serial of
     /// its last renewal.
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -91,7 +91,7 @@
                 fencing_token,
                 &text,
             )),
-            Command::CompleteRollout { upto, lapsed } => self.complete_rollout(upto, &lapsed),
+            Command::CompleteRollout { upto, expired } => self.complete_rollout(upto, &expired),
         }
     }
 
--- a/crates/coordination/tests/rollout/support.rs
+++ b/crates/coordination/tests/rollout/support.rs
@@ -78,7 +78,7 @@
 pub fn complete_rollout(config: &mut ConfigState, expired: Vec<(Holder, u64)>) -> u64 {
     match config.apply(Command::CompleteRollout {
         upto: config.latest(),
-        lapsed: expired,
+        expired,
     }) {
         CommandResponse::InForce(n) => n,
         other => panic!("{other:?}"),
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -113,10 +113,8 @@
             self.expiry.expired_task_leases(self.now, &TIMING),
         ));
         let expired = self.expiry.expired_config_leases(self.now, &TIMING);
-        self.config.apply(Command::CompleteRollout {
-            upto: 1,
-            lapsed: expired,
-        });
+        self.config
+            .apply(Command::CompleteRollout { upto: 1, expired });
         self.expiry.observe(self.now, &self.config);
         let acting = self.acting();
         assert!(
--- a/crates/fault-harness/tests/report.rs
+++ b/crates/fault-harness/tests/report.rs
@@ -20,7 +20,7 @@
             numbers: VersionNumbers {
                 in_force: 4,
                 last: 5,
-                lease_table: 6,
+                table_revision: 6,
             },
             entries: vec![OutcomeEntry {
                 elapsed_ms: 2000,
--- a/crates/model-check/src/transitions.rs
+++ b/crates/model-check/src/transitions.rs
@@ -32,7 +32,7 @@
             let expiry = state.replicas[replica].expiry.as_ref()?;
             let command = Command::CompleteRollout {
                 upto: state.log.0.latest(),
-                lapsed: expiry.expired_config_leases(now, &model.timing),
+                expired: expiry.expired_config_leases(now, &model.timing),
             };
             append(model, state, replica, command)?;
         }
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -88,7 +88,7 @@
         let known = wire::VersionNumbers {
             in_force: versions.in_force,
             last: versions.enforced,
-            lease_table: self.task_leases.table_revision(),
+            table_revision: self.task_leases.table_revision(),
         };
         wire::WatchRequest {
             known,
@@ -100,7 +100,7 @@
     fn is_change(&self, numbers: &wire::VersionNumbers) -> bool {
         let versions = self.versions();
         let has_new_leases =
-            self.has_tasks() && numbers.lease_table > self.task_leases.table_revision();
+            self.has_tasks() && numbers.table_revision > self.task_leases.table_revision();
         numbers.in_force > versions.in_force || numbers.last > versions.enforced || has_new_leases
     }
 
