--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -13,38 +13,38 @@
     /// Proposes a version.
     #[serde(rename = "Put")]
     Propose(Box<Proposal>),
-    /// Renews a router's configuration lease, and its task leases.
+    /// Renews a router's configuration lease and its task leases.
     #[serde(rename = "Ask")]
     RenewLease {
         /// The router.
         holder: Holder,
-        /// The latest version that the router enforces, alone or merged with others; 0: none yet.
+        /// The latest version that the router enforces, alone or merged with others, or 0 for none.
         #[serde(rename = "heeds")]
         enforced: VersionNumber,
-        /// The version that the router believes to be in force; 0: none.
+        /// The version that the router believes to be in force, or 0 for none.
         in_force: VersionNumber,
-        /// Its side of task leases, where the router takes part in them.
+        /// The router's offer to hold task leases, if it takes part in them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         offer: Option<LeaseOffer>,
     },
-    /// Releases a router's leases: it acts no more.
+    /// Releases all leases of a router, which does nothing under them any more.
     #[serde(rename = "GiveBack")]
     ReleaseLease(Holder),
-    /// Brings versions in force that all holders enforce.
+    /// Brings the versions in force that all holders enforce.
     #[serde(rename = "Settle")]
     CompleteRollout {
         /// The latest version to bring in force.
         upto: VersionNumber,
-        /// The configuration leases that have expired by the clock of the replica that issues the command, each with the
-        /// serial of its last renewal.
+        /// The configuration leases that have expired by the clock of the replica that issues the command, each with
+        /// the serial of its last renewal.
         #[serde(rename = "lapsed")]
         expired: Vec<(Holder, u64)>,
     },
-    /// Removes task leases that have expired by the clock of the replica that issues the command, each with the serial of
-    /// its last renewal.
+    /// Removes task leases that have expired by the clock of the replica that issues the command, each with the serial
+    /// of its last renewal.
     #[serde(rename = "Free")]
     ExpireTaskLeases(Vec<(Shard, u64)>),
-    /// Records the progress of a lease's holder.
+    /// Records a note on the progress of a task by the holder of its lease.
     #[serde(rename = "Note")]
     RecordNote {
         /// The router.
@@ -55,7 +55,7 @@
         /// The lease's fencing token.
         #[serde(rename = "number")]
         fencing_token: u64,
-        /// The note.
+        /// The text of the note.
         text: String,
     },
 }
@@ -63,21 +63,21 @@
 /// The response to a [`Command`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandResponse {
-    /// The number of the proposed version, also where the same change was proposed before.
+    /// The number of the proposed version, or why it is rejected. A change that was proposed before keeps its number.
     Proposed(Result<VersionNumber, Rejection>),
     /// The lease is renewed.
     LeaseGranted(ConfigLeaseGrant),
-    /// No lease: the router knows a version that this state never had, so that some state has been rolled back.
+    /// No lease is granted: the router knows a version that this state never had, so some state has been rolled back.
     UnknownVersion,
-    /// No lease: there is no version yet.
+    /// No lease is granted: there is no version yet.
     NoVersion,
-    /// No lease: there are too many holders.
+    /// No lease is granted: there are too many holders.
     TooManyHolders,
     /// The leases are released.
     LeaseReleased,
     /// The version that is in force.
     InForce(VersionNumber),
-    /// The note is recorded, or not.
+    /// The note is recorded, or the reason why not.
     NoteRecorded(Result<(), NoteError>),
 }
 
@@ -89,15 +89,15 @@
     /// The latest version to enforce.
     #[serde(rename = "heed")]
     pub enforce: VersionNumber,
-    /// All versions from the one in force to the latest, in order; empty where the router has reported that it has them.
+    /// All versions from the one in force to the latest, in order; empty if the router has reported that it has them.
     pub versions: Vec<Version>,
     /// The serial of this renewal.
     #[serde(default)]
     pub serial: u64,
-    /// The router's task leases; `None` where none is renewed.
+    /// The router's task leases; `None` if they are not renewed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leases: Option<Vec<TaskLeaseGrant>>,
-    /// Changes of the lease table.
+    /// The changes of the lease table that the router does not know yet.
     #[serde(rename = "board", default, skip_serializing_if = "Option::is_none")]
     pub lease_table: Option<LeaseTableUpdate>,
 }
--- a/crates/coordination/src/config_lease.rs
+++ b/crates/coordination/src/config_lease.rs
@@ -1,13 +1,13 @@
-//! Lease times. A router counts a lease from when it *sent* the renewal and subtracts what its clock may run slow; a
-//! replica counts from when it *learned* of the renewal and adds what its clock may run fast. So the lease ends at the
-//! router first, however long the response was on its way.
+//! The timing of leases. A router counts the term of a lease from when it *sent* the renewal, and shortens the term in
+//! case its clock runs slow. A replica counts from when it *learned* of the renewal, and lengthens the term in case its
+//! clock runs fast. So the lease ends at the router first, however long the response takes.
 
 use crate::fault_injection::{self, Fault};
 
-/// Whole microseconds on a clock that also runs while the machine or the process is suspended.
+/// A time or a duration in whole microseconds, by a clock that also runs while the machine or the process is suspended.
 pub type Micros = u64;
 
-/// The duration of leases and the accuracy of clocks. The same for all replicas and routers of a fleet.
+/// The duration of leases and the accuracy of clocks, which are the same for all replicas and routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
     /// The duration of a lease.
@@ -17,12 +17,12 @@
 }
 
 impl LeaseTiming {
-    /// The term as a router counts it: over before any clock within the drift says that the term is over.
+    /// Returns the term as a router counts it. It ends before the term has passed on any clock within the drift.
     pub fn router_term(&self) -> Micros {
         self.term.saturating_sub(self.slack())
     }
 
-    /// The term as a replica counts it.
+    /// Returns the term as a replica counts it.
     pub fn replica_term(&self) -> Micros {
         self.term.saturating_add(self.slack())
     }
@@ -40,13 +40,13 @@
 }
 
 impl ConfigLease {
-    /// Renews the lease by a request that was sent at `sent_at`. A late response is not worth more.
+    /// Renews the lease from the time at which the renewal was sent; a late response does not extend it.
     pub fn renew(&mut self, sent_at: Micros, timing: &LeaseTiming) {
         let expires_at = sent_at.saturating_add(timing.router_term());
         self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// Whether the lease is valid.
+    /// Returns whether the lease is valid.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.expires_at
             || (self.expires_at > 0 && fault_injection::is_injected(Fault::LeaseNeverExpires))
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -1,12 +1,17 @@
 //! The replicated state of the configuration: the version in force, the versions that are being rolled out, and the
 //! routers that hold a lease. Commands come from the replicated log in one order and have the same result on every
-//! replica: no clock, no randomness.
+//! replica, so their application uses neither a clock nor random numbers.
 //!
-//! A version takes effect in three steps. It is *proposed*: routers that receive it enforce the merge of all versions from
-//! the one in force to the latest, and report so with their next renewal. Its rollout is *complete* once every holder of
-//! a lease has reported so or its lease has expired, which a replica judges by its own clock and states in the command.
-//! Then it is *in force*. So while one router enforces a version alone, no other enforces the one before it alone, and the
-//! merge in between contradicts neither.
+//! A version takes effect in three steps:
+//!
+//! 1. It is *proposed*. Routers that receive it enforce the merge of all versions from the one in force to the latest,
+//!    and report this with their next renewal.
+//! 2. Its rollout is *complete* once every lease holder has reported this or its lease has expired. A replica judges
+//!    the expiry by its own clock and states it in the command.
+//! 3. It is *in force*.
+//!
+//! So while one router enforces a version alone, no other enforces the one before it alone, and the merge in between
+//! contradicts neither.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -28,29 +33,29 @@
 const MAX_HOLDERS: usize = 4096;
 /// Number of retired versions whose metadata is kept.
 const MAX_RETIRED_METADATA: usize = 256;
-/// Number of retired versions that are kept whole, for comparison and rollback.
+/// Number of retired versions whose documents are kept, for comparison and rollback.
 const MAX_RETIRED_VERSIONS: usize = 32;
 
-/// A router's configuration lease, as the replicated log knows it.
+/// A router's configuration lease, as recorded in the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldConfigLease {
     /// The latest version that the holder enforces.
     #[serde(rename = "heeds")]
     pub enforced: VersionNumber,
-    /// The serial of the last renewal: tells it from earlier ones.
+    /// The serial of the last renewal, which distinguishes it from earlier ones.
     pub serial: u64,
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// From the version in force to the latest; empty before the first.
+    /// The versions from the one in force to the latest; empty before the first.
     #[serde(rename = "course")]
     active: VecDeque<Version>,
-    /// Metadata of earlier versions, oldest first.
+    /// The metadata of retired versions, oldest first.
     #[serde(rename = "past")]
     retired_metadata: VecDeque<VersionMetadata>,
-    /// The last of the earlier versions, oldest first.
+    /// The last retired versions with their documents, oldest first.
     #[serde(rename = "texts")]
     retired_versions: VecDeque<Version>,
     #[serde(with = "crate::map_as_pairs")]
@@ -62,7 +67,7 @@
 }
 
 impl ConfigState {
-    /// Applies the next command of the log.
+    /// Applies the next command of the log and returns its response.
     pub fn apply(&mut self, command: Command) -> CommandResponse {
         match command {
             Command::Propose(proposal) => CommandResponse::Proposed(self.propose(*proposal)),
@@ -124,7 +129,7 @@
             metadata,
             document: proposal.document,
         });
-        // The first version contradicts nothing, as no router acted before it; neither does a neutral change.
+        // The first version contradicts nothing, as routers processed nothing before it; neither does a neutral change.
         self.bring_in_force(number, |next| next == 1);
         Ok(number)
     }
@@ -175,7 +180,7 @@
             .as_ref()
             .and_then(|offer| self.lease_table.renew(&holder, serial, offer));
         let lease_table = offer.map(|offer| self.lease_table.updates_since(offer.table_revision));
-        // A router without a lease acts on nothing until it receives this response or a later one.
+        // A new holder has no lease until it receives this response or a later one, which gives it the latest version.
         let held = self.holders.entry(holder).or_insert(HeldConfigLease {
             enforced: latest,
             serial,
@@ -225,7 +230,7 @@
         CommandResponse::InForce(self.in_force())
     }
 
-    /// Brings versions in force in order, up to `upto` and as far as they are neutral or `is_enforced` by all holders.
+    /// Brings versions in force in order up to `upto`, as long as each is neutral or `is_enforced` by all holders.
     fn bring_in_force(&mut self, upto: VersionNumber, is_enforced: impl Fn(VersionNumber) -> bool) {
         while let Some(next) = self.active.get(1).map(|version| &version.metadata) {
             let ready = next.kind == Change::Neutral || is_enforced(next.number);
@@ -252,27 +257,27 @@
         }
     }
 
-    /// The version in force; 0: none yet.
+    /// Returns the number of the version in force, or 0 before the first version.
     pub fn in_force(&self) -> VersionNumber {
         self.active.front().map_or(0, |v| v.metadata.number)
     }
 
-    /// The latest version, in force or not; 0: none yet.
+    /// Returns the number of the latest version, in force or not, or 0 before the first version.
     pub fn latest(&self) -> VersionNumber {
         self.active.back().map_or(0, |v| v.metadata.number)
     }
 
-    /// The versions that are being rolled out, in order.
+    /// Returns the versions that are being rolled out, in order.
     pub fn pending(&self) -> impl ExactSizeIterator<Item = &Version> {
         self.active.iter().skip(1)
     }
 
-    /// The merge of the versions from the one in force to the latest.
+    /// Returns the merge of the versions from the one in force to the latest.
     pub fn merged_document(&self) -> Option<Document> {
         merge_versions(&self.active)
     }
 
-    /// A version that is still kept whole.
+    /// Returns a version, if its document is still kept.
     pub fn version(&self, number: VersionNumber) -> Option<&Version> {
         self.retired_versions
             .iter()
@@ -280,23 +285,23 @@
             .find(|version| version.metadata.number == number)
     }
 
-    /// Metadata of all versions that are kept, oldest first.
+    /// Returns the metadata of all versions that are kept, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &VersionMetadata> {
         let active = self.active.iter().map(|version| &version.metadata);
         self.retired_metadata.iter().chain(active)
     }
 
-    /// The routers that hold a lease.
+    /// Returns the routers that hold a configuration lease.
     pub fn holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
         self.holders.iter()
     }
 
-    /// The leases of fleet-wide tasks.
+    /// Returns the leases of fleet-wide tasks.
     pub fn lease_table(&self) -> &LeaseTable {
         &self.lease_table
     }
 
-    /// Holders that do not enforce the next version yet.
+    /// Returns the holders that do not enforce the next version yet.
     pub fn blocking_holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
         let next = self.pending().next().map(|v| v.metadata.number);
         self.holders
@@ -304,7 +309,7 @@
             .filter(move |(_, held)| next.is_some_and(|next| held.enforced < next))
     }
 
-    /// The differences between two versions; `None` where one of them is not kept whole.
+    /// Returns the differences between two versions, or `None` if the document of one of them is not kept.
     pub fn differences(&self, from: VersionNumber, to: VersionNumber) -> Option<Vec<Difference>> {
         let (from, to) = (self.version(from)?, self.version(to)?);
         Some(from.document.differences(&to.document))
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -1,5 +1,5 @@
-//! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests from
-//! the replicas next. Its decision on a class is to be taken again right before each attempt is sent.
+//! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests
+//! from the replicas next. A router asks for a new decision on the class right before it sends each attempt.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::fault_injection::{self, Fault};
 use crate::version::{Holder, Version, VersionNumber, merge_versions};
 
-/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+/// Maximum number of renewals without a response. A further one replaces the oldest.
 const MAX_OPEN_RENEWALS: usize = 16;
 
-/// Why a grant is rejected. The lease is then not renewed.
+/// The reason for the rejection of a grant, which then does not renew the lease.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
     /// It is the response to no open renewal.
@@ -34,25 +34,25 @@
     Inconsistent,
 }
 
-/// What a router may do with statements of a class.
+/// The decision of a router on the statements of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Process them by the merge of the versions from the one in force to the latest enforced.
+    /// The router processes them under the merge of the versions from the one in force to the latest enforced.
     Allow {
         /// The version in force, as far as the router knows.
         in_force: VersionNumber,
         /// The latest version that the router enforces.
         enforced: VersionNumber,
     },
-    /// Process them by the last known versions, without the guarantee: the lease has expired, and the policy of the class
-    /// is to serve.
+    /// The router processes them under the last known versions, without the guarantee that no other router enforces a
+    /// version that contradicts them: its lease has expired, and the policy of the class is [`InDoubtPolicy::Serve`].
     AllowInDoubt {
-        /// See [`Decision::Allow`].
+        /// The version in force, as far as the router knows.
         in_force: VersionNumber,
-        /// See [`Decision::Allow`].
+        /// The latest version that the router enforces.
         enforced: VersionNumber,
     },
-    /// Reject them as safe to retry: there is no valid lease, or no such class.
+    /// The router rejects them as safe to retry: it has no valid lease, or there is no such class.
     Reject,
 }
 
@@ -67,7 +67,7 @@
 pub struct ConfigWatcher {
     holder: Holder,
     timing: LeaseTiming,
-    /// From the version in force to the latest enforced.
+    /// The versions from the one in force to the latest enforced.
     versions: Vec<Version>,
     /// The merge of these versions.
     merged: Option<Document>,
@@ -77,7 +77,8 @@
 }
 
 impl ConfigWatcher {
-    /// A watcher without a lease. `known`: the versions that an earlier incarnation of this router has stored.
+    /// Creates a watcher without a lease. `known` are the versions that an earlier incarnation of this router has
+    /// stored.
     pub fn new(holder: Holder, timing: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
         let incarnation = if fault_injection::is_injected(Fault::IgnoreIncarnation) {
             String::new()
@@ -141,12 +142,12 @@
     ///
     /// # Errors
     ///
-    /// Where the grant contradicts what this router knows; the lease is then not renewed.
+    /// Returns an error if the grant contradicts what this router knows. The lease is then not renewed.
     pub fn accept_grant(&mut self, id: u64, grant: ConfigLeaseGrant) -> Result<bool, GrantError> {
         let renewal = self.open.remove(&id).ok_or(GrantError::Unsolicited)?;
         self.check(&renewal, &grant)?;
         self.lease.renew(renewal.sent_at, &self.timing);
-        // A response that was overtaken by a later one renews the lease, and rolls no version back.
+        // A response that arrives after a later one renews the lease, but rolls no version back.
         let granted = (grant.in_force, grant.enforce);
         let is_newer = grant.in_force >= self.in_force()
             && grant.enforce >= self.enforced()
@@ -196,7 +197,7 @@
         self.versions = versions;
     }
 
-    /// Decides on statements of a class.
+    /// Decides on the statements of a class.
     pub fn decide(&self, now: Micros, class: &str) -> Decision {
         let merged = self.merged.as_ref();
         let Some(class) = merged.and_then(|document| document.classes.get(class)) else {
@@ -212,38 +213,38 @@
         }
     }
 
-    /// Whether the lease has expired, or was never granted.
+    /// Returns whether the lease has expired or was never granted.
     pub fn is_in_doubt(&self, now: Micros) -> bool {
         !self.lease.is_valid(now)
     }
 
-    /// The merge of the enforced versions; `None` where there is none yet.
+    /// Returns the merge of the enforced versions, or `None` if there are none yet.
     pub fn merged_document(&self) -> Option<&Document> {
         self.merged.as_ref()
     }
 
-    /// The enforced versions, from the one in force on, to be stored for a later incarnation.
+    /// Returns the enforced versions from the one in force on, to be stored for a later incarnation.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
 
-    /// The version in force, as far as the router knows; 0: none.
+    /// Returns the version in force, as far as the router knows, or 0 for none.
     pub fn in_force(&self) -> VersionNumber {
         self.versions.first().map_or(0, |v| v.metadata.number)
     }
 
-    /// The latest version that the router enforces; 0: none.
+    /// Returns the latest version that the router enforces, or 0 for none.
     pub fn enforced(&self) -> VersionNumber {
         self.versions.last().map_or(0, |v| v.metadata.number)
     }
 
-    /// The router.
+    /// Returns the holder of the lease.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 }
 
-/// Whether the numbers are consecutive, and each document matches its digest.
+/// Returns whether the numbers are consecutive and each document matches its digest.
 fn are_consistent(versions: &[Version]) -> bool {
     let mut pairs = versions.iter().zip(versions.iter().skip(1));
     let consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -1,5 +1,5 @@
-//! The configuration document: the settings and lists that apply to a whole fleet. Its JSON has the shape of a router's
-//! settings file, without what is the router's own (its name, its addresses, its limits, its access to discovery).
+//! The configuration document: the settings and lists that apply to a whole fleet. Its JSON has the form of a router's
+//! settings file without the settings of a single router: its name, addresses, limits and access to service discovery.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,35 +18,37 @@
 /// Maximum size of a document's JSON, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-/// Whether statements of a class may run more than once, from lax to strict.
+/// The idempotency of the statements of a class. Variants are declared from lax to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// They may be repeated.
+    /// Statements may run more than once.
     #[serde(rename = "safe")]
     Idempotent,
-    /// They must never run twice.
+    /// Statements must never run twice.
     #[serde(rename = "never")]
     NonIdempotent,
 }
 
-/// What a router does with statements of a class when its lease has expired, from lax to strict.
+/// The handling of the statements of a class by a router whose configuration lease has expired. Variants are declared
+/// from lax to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InDoubtPolicy {
-    /// Processes them by the last known versions, without the guarantee.
+    /// The router processes statements under the last known versions, without the guarantee that no other router
+    /// enforces a version that contradicts them.
     Serve,
-    /// Rejects them as safe to retry.
+    /// The router rejects statements as safe to retry.
     #[serde(rename = "refuse")]
     Reject,
 }
 
 settings! {
-    /// A class of statements.
+    /// The settings of a class of statements.
     pub struct StatementClass {
-        /// The latency objective: a response within it has the full weight.
+        /// The latency objective. A response within it has the full weight.
         [Advisory] aim: ConfigDuration,
-        /// The latency objective grows by this factor times the work over the threads.
+        /// The latency objective grows by this factor times the work of a statement divided by its threads.
         #[serde(default)]
         [Advisory] stretch: f64,
         /// The timeout of a statement.
@@ -59,28 +61,30 @@
         /// The priority weight of a statement.
         #[serde(default = "default_factor")]
         [Advisory] worth: f64,
-        /// The fraction of the weight of a response after the objective.
+        /// The weight of a response after the latency objective, as a fraction of the full weight.
         #[serde(default)]
         [Advisory] late_worth: f64,
-        /// The number of threads on which a statement runs.
+        /// The number of threads that a statement uses.
         #[serde(default = "default_factor")]
         [Maximum] threads: f64,
         /// Whether a statement locks its tables while it runs.
         #[serde(default)]
         [LogicalOr] holds: bool,
-        /// The machine kinds on which it may run; `None`: all.
+        /// The machine kinds on which statements may run; `None` means all.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [OptionalIntersection] kinds: Option<BTreeSet<String>>,
-        /// The zones in which it may run; `None`: all.
+        /// The zones in which statements may run; `None` means all.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [OptionalIntersection] zones: Option<BTreeSet<String>>,
-        /// What a router does without a lease; `None`: see [`StatementClass::in_doubt_policy`].
+        /// The policy of a router without a valid lease; `None` means the default of
+        /// [`StatementClass::in_doubt_policy`].
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [InDoubtPolicyRule] in_doubt: Option<InDoubtPolicy>,
     }
 }
 
-/// The stricter policy, where none lies between: "serve" is laxer than the default of any class, "refuse" stricter.
+/// Merges to the stricter policy. `None` ranks in the middle: no class has a default that is laxer than "serve" or
+/// stricter than "refuse".
 struct InDoubtPolicyRule;
 
 impl MergeRule<Option<InDoubtPolicy>> for InDoubtPolicyRule {
@@ -99,7 +103,8 @@
 }
 
 impl StatementClass {
-    /// What a router does without a lease. By default, statements that must never run twice are rejected.
+    /// Returns the policy of a router without a valid lease. By default, statements that must never run twice are
+    /// rejected and all others are served.
     pub fn in_doubt_policy(&self) -> InDoubtPolicy {
         self.in_doubt.unwrap_or(match self.repeat {
             Idempotency::Idempotent => InDoubtPolicy::Serve,
@@ -109,59 +114,59 @@
 }
 
 settings! {
-    /// The limit of one router's retries of all statements.
+    /// The limit on one router's retries of all statements.
     pub struct RetryBudget {
-        /// Retries that are allowed at any load.
+        /// The number of retries that are allowed at any load.
         [Minimum] spare: f64,
-        /// Retries per admitted statement.
+        /// The number of retries that are allowed per admitted statement.
         [Minimum] ratio: f64,
-        /// The window in which both are counted.
+        /// The time window in which retries and admitted statements are counted.
         [Maximum] within: ConfigDuration,
     }
 }
 
 settings! {
-    /// What engines support.
+    /// The capabilities of the engines, and the limits on attempts at them.
     pub struct EngineSettings {
-        /// Maximum number of attempts at a statement.
+        /// The maximum number of attempts at a statement.
         #[serde(default = "default_max_attempts")]
         [Minimum] max_attempts: u32,
-        /// The limit of retries of all statements; `None`: unlimited.
+        /// The limit on retries of all statements; `None` means unlimited.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [MergeOptional] budget: Option<RetryBudget>,
-        /// Whether health checks may be sent to them.
+        /// Whether health checks may be sent to engines.
         #[serde(default = "enabled")]
         [LogicalAnd] probes: bool,
-        /// Whether cancelling a statement stops its work.
+        /// Whether cancelling a statement stops its work on the engine.
         #[serde(default)]
         [LogicalAnd] cancel: bool,
-        /// Whether they support priorities.
+        /// Whether engines support priorities.
         #[serde(default)]
         [LogicalAnd] priorities: bool,
-        /// Whether they can terminate a statement.
+        /// Whether engines can terminate a statement.
         #[serde(default)]
         [LogicalAnd] ends: bool,
-        /// Whether they can pause a statement.
+        /// Whether engines can pause a statement.
         #[serde(default)]
         [LogicalAnd] pauses: bool,
     }
 }
 
 settings! {
-    /// Parameters of the rules by which statements are routed.
+    /// The parameters of the routing rules.
     pub struct RuleParameters {
-        /// The fraction of its capacity that an engine has at least while it is warming up.
+        /// The minimum fraction of its capacity that an engine has while it warms up.
         [Minimum] start_capacity: f64,
-        /// The duration of warming up.
+        /// The duration of an engine's warm-up.
         [Maximum] ramp: ConfigDuration,
-        /// The multiple of its capacity by which an engine may be overloaded...
+        /// The maximum load of an overloaded engine, as a multiple of its capacity.
         [Minimum] overload: f64,
-        /// ...for at most this duration.
+        /// The maximum duration of an overload.
         [Minimum] fall: ConfigDuration,
-        /// The pause of an ordering key after an attempt that may still run.
+        /// The pause of an ordering key after an attempt that may still be running.
         #[serde(default)]
         [Maximum] order_pause: ConfigDuration,
-        /// The grace period after a drain was reported, in which statements may still be sent.
+        /// The grace period after a drain is reported, in which statements may still be sent.
         #[serde(default = "default_drain_grace")]
         [Minimum] drain_grace: ConfigDuration,
     }
@@ -170,35 +175,36 @@
 settings! {
     /// The settings and lists of a whole fleet.
     pub struct Document {
-        /// The version of the document's format.
+        /// The version of the document format.
         [Maximum] form: u32,
-        /// The machine kinds and their numbers of cores.
+        /// The number of cores of each machine kind.
         [MinimumPerKey] kinds: BTreeMap<String, f64>,
-        /// The zones.
+        /// The names of the zones.
         #[serde(default)]
         [Intersection] zones: BTreeSet<String>,
-        /// The tenants and their quotas.
+        /// The quota of each tenant.
         #[serde(default)]
         [AdvisoryPerKey] tenants: BTreeMap<String, f64>,
-        /// The classes by name.
+        /// The statement classes by name.
         [MergePerKey] classes: BTreeMap<String, StatementClass>,
-        /// The class of a statement that names none; `None`: such a statement is rejected.
+        /// The class of statements that name none; `None` means that such statements are rejected.
         #[serde(default)]
         [EqualOrNone] default_class: Option<String>,
-        /// What engines support.
+        /// The capabilities of the engines, and the limits on attempts at them.
         [Nested] engines: EngineSettings,
-        /// Parameters of the rules.
+        /// The parameters of the routing rules.
         [Nested] rules: RuleParameters,
-        /// The engines that may be used; `None`: those that each router discovers.
+        /// The engines that may be used; `None` means those that each router discovers.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [MergeOptional] list: Option<EndpointList>,
-        /// The tasks that one router performs for all, each with its number of shards.
+        /// The number of shards of each task that one router performs for the whole fleet.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         [TaskCounts] tasks: BTreeMap<Task, u32>,
     }
 }
 
-/// The smaller number of shards. Restricts nothing: the version in force decides which tasks exist.
+/// Merges to the smaller number of shards of each task on both sides. A change restricts nothing, as only the version
+/// in force decides which tasks exist.
 struct TaskCounts;
 
 impl MergeRule<BTreeMap<Task, u32>> for TaskCounts {
@@ -233,17 +239,17 @@
 pub struct ValidationError {
     /// The path of the setting, such as `classes.report.kinds`.
     pub path: String,
-    /// What is wrong, with the rule that it would break where it is one of the seven.
+    /// The description of the error. It names the rule that the setting would break, if that is one of the seven rules.
     #[serde(rename = "what")]
     pub message: String,
 }
 
 impl Document {
-    /// Reads a document from JSON. Unknown settings are errors.
+    /// Parses a document from JSON. Unknown settings are errors.
     ///
     /// # Errors
     ///
-    /// Where the JSON is too long, or is not that of a document.
+    /// Returns an error if the JSON is too long or does not describe a document.
     pub fn from_json(bytes: &[u8]) -> Result<Document, ValidationError> {
         let error = |message: String| ValidationError {
             path: "(whole document)".to_owned(),
@@ -258,19 +264,19 @@
         serde_json::from_slice(bytes).map_err(|e| error(e.to_string()))
     }
 
-    /// The document's JSON: always the same bytes for the same document.
+    /// Returns the document's JSON, which has the same bytes for equal documents.
     pub fn to_json(&self) -> Vec<u8> {
-        // Maps with text keys and finite numbers always have a JSON form.
+        // Maps with string keys and finite numbers can always be serialized.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// The BLAKE3 digest of the document's JSON, in hexadecimal.
+    /// Returns the BLAKE3 digest of the document's JSON, in hexadecimal.
     pub fn digest(&self) -> String {
         blake3::hash(&self.to_json()).to_hex().to_string()
     }
 
-    /// The greatest lower bound of both documents. A machine kind or zone that one side does not declare is no place; a
-    /// class may be left without any.
+    /// Returns the greatest lower bound of both documents. A class keeps only the machine kinds and zones that both
+    /// documents declare, so it may be left without any.
     pub fn merge(&self, other: &Document) -> Document {
         let mut merged = Merge::merge(self, other);
         for class in merged.classes.values_mut() {
@@ -287,21 +293,21 @@
         merged
     }
 
-    /// Each setting in which `new` differs.
+    /// Returns the settings in which `new` differs from this document.
     pub fn differences(&self, new: &Document) -> Vec<Difference> {
         let mut differences = Vec::new();
         Merge::differences(self, new, "", &mut differences);
         differences
     }
 
-    /// How `new` as a whole relates to this document.
+    /// Returns how `new` as a whole relates to this document.
     pub fn change_to(&self, new: &Document) -> Change {
         self.differences(new)
             .iter()
             .fold(Change::Neutral, |all, d| all.combine(d.change))
     }
 
-    /// Paths of the settings that leave a class no machine kind or no zone.
+    /// Returns the paths of the settings that leave a class no machine kind or no zone.
     pub(crate) fn empty_placements(&self) -> Vec<String> {
         let mut paths = Vec::new();
         if self.classes.is_empty() {
--- a/crates/coordination/src/document_validation.rs
+++ b/crates/coordination/src/document_validation.rs
@@ -8,16 +8,16 @@
 use crate::endpoint_list::MAX_ENGINES;
 use crate::shard::{MAX_SHARDS, Task};
 
-/// The version of the document's format that this program supports.
+/// The version of the document format that this program supports.
 const FORMAT_VERSION: u32 = 1;
 /// Maximum number of classes.
 const MAX_CLASSES: usize = 256;
 /// Maximum size of a name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Minimum timeout of a class: with less, no response could be sent in time.
+/// Minimum timeout of a class. With a shorter one, no response could be sent in time.
 const MIN_PATIENCE: ConfigDuration = ConfigDuration::from_millis(500);
 
-/// Collects errors in the order in which they are found.
+/// The errors of a document, in the order in which they are found.
 #[derive(Default)]
 struct Errors {
     found: Vec<ValidationError>,
@@ -33,7 +33,7 @@
 }
 
 impl Document {
-    /// All errors that prevent the document from becoming a version.
+    /// Returns all errors that prevent the document from becoming a version.
     pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut errors = Errors::default();
         if self.form != FORMAT_VERSION {
--- a/crates/coordination/src/duration.rs
+++ b/crates/coordination/src/duration.rs
@@ -1,31 +1,31 @@
-//! Durations in a document: text with a unit, whole microseconds in memory.
+//! Durations in a document, written as text with a unit and held as whole microseconds.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 const NANOS_PER_MICRO: u64 = 1000;
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A duration, in whole microseconds. Written as `1500ms`; all units of settings files can be read.
+/// A duration in whole microseconds. It is written in the form `1500ms` and read with any unit of settings files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration {
     micros: u64,
 }
 
 impl ConfigDuration {
-    /// No time at all.
+    /// The duration of length zero.
     pub(crate) const ZERO: ConfigDuration = ConfigDuration::from_micros(0);
 
-    /// A duration of so many milliseconds.
+    /// Creates a duration from a number of milliseconds.
     pub const fn from_millis(millis: u64) -> ConfigDuration {
         ConfigDuration::from_micros(millis * MICROS_PER_MILLI)
     }
 
-    /// A duration of so many microseconds.
+    /// Creates a duration from a number of microseconds.
     pub const fn from_micros(micros: u64) -> ConfigDuration {
         ConfigDuration { micros }
     }
 
-    /// The duration in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.micros
     }
@@ -54,7 +54,7 @@
                 "{text:?} is no duration with its unit, such as '250ms' or '2m'"
             ))
         })?;
-        // Fractions of a microsecond are rounded, so that what is written is read as the same.
+        // Fractions of a microsecond are rounded, so that a duration is read back as it was written.
         let micros = (duration.as_nanos() as u64 + NANOS_PER_MICRO / 2) / NANOS_PER_MICRO;
         Ok(ConfigDuration::from_micros(micros))
     }
--- a/crates/coordination/src/endpoint_list.rs
+++ b/crates/coordination/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Lists of engines and their states.
 //!
-//! Knowledge of an endpoint only grows: a newer process replaces an older one of the same name, and of one process the
-//! later state counts. So two lists merge to the same one in either order.
+//! The state of an endpoint never moves backwards: a newer process replaces an older one of the same name, and of two
+//! states of one process the later one applies. So two lists merge to the same list in either order.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
 /// Maximum number of engines on a list.
 pub(crate) const MAX_ENGINES: usize = 10_000;
 
-/// Starts within this time of each other are the same process's: a start is computed from the process's age, which takes
-/// time to read.
+/// Maximum difference between two start times observed of one process. A start time is computed from the process's age,
+/// which takes time to read.
 pub const SAME_PROCESS_TOLERANCE_MS: u64 = 1500;
 
 /// The state of an engine's process, in the order of its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// Accepts work.
+    /// The process accepts work.
     Up,
-    /// Finishes the work that it has.
+    /// The process finishes the work that it has, and accepts no more.
     Draining,
-    /// Has ended.
+    /// The process has ended.
     Gone,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// When its process started, in ms since 1970: tells processes of one name apart.
+    /// The start time of its process, in ms since 1970, which distinguishes processes of the same name.
     #[serde(rename = "started")]
     pub started_at_ms: u64,
     /// The state of the process.
@@ -42,7 +42,7 @@
 }
 
 impl Endpoint {
-    /// The newer process, or of one process the later state.
+    /// Returns the newer process, or of one process the later state.
     pub fn newer(self, other: Endpoint) -> Endpoint {
         match self.started_at_ms.cmp(&other.started_at_ms) {
             std::cmp::Ordering::Less => other,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Engines by name.
+/// A list of engines, each with a unique name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EndpointList {
@@ -91,7 +91,7 @@
 }
 
 impl Merge for EndpointList {
-    /// The engines on both lists, each in its later state.
+    /// Returns the engines that are on both lists, each in its later state.
     fn merge(&self, other: &EndpointList) -> EndpointList {
         EndpointList {
             endpoints: MergePerKey::merge(&self.endpoints, &other.endpoints),
@@ -104,27 +104,27 @@
 }
 
 impl EndpointList {
-    /// Number of engines.
+    /// Returns the number of engines.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there are no engines.
+    /// Returns whether the list has no engines.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// An engine by its name.
+    /// Returns an engine by its name.
     pub fn get(&self, name: &str) -> Option<Endpoint> {
         self.endpoints.get(name).copied()
     }
 
-    /// The engines, by name.
+    /// Returns the engines in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Endpoint)> {
         self.endpoints.iter()
     }
 
-    /// Adds an engine, or replaces it.
+    /// Adds an engine, or replaces the one of that name.
     pub(crate) fn insert(&mut self, name: String, endpoint: Endpoint) {
         self.endpoints.insert(name, endpoint);
     }
@@ -134,7 +134,7 @@
         self.endpoints.remove(name);
     }
 
-    /// Whether work may be sent to an engine whose process started at `started_at_ms`.
+    /// Returns whether work may be sent to an engine whose process started at `started_at_ms`.
     pub fn accepts_work(&self, name: &str, started_at_ms: u64) -> bool {
         let Some(endpoint) = self.endpoints.get(name) else {
             return false;
--- a/crates/coordination/src/endpoint_sources.rs
+++ b/crates/coordination/src/endpoint_sources.rs
@@ -1,5 +1,5 @@
-//! Lists of engines from several sources that may disagree: a list that is rolled back, an engine that only one source
-//! reports. Routers read one source today, so that only tests use this module.
+//! Lists of engines from several sources that may disagree: the list of one source may be rolled back, or only one
+//! source may report an engine. Routers read a single source today, so only tests use this module.
 
 use std::collections::BTreeMap;
 
@@ -15,16 +15,17 @@
 /// The result of a source's update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceUpdate {
-    /// Engines of which the source reports an earlier state than before: its list was rolled back. They keep the later state.
+    /// The engines that the source reports in an earlier state than is known: its list was rolled back. They keep the
+    /// later state.
     pub regressed: Vec<String>,
-    /// Engines of which another source reports another state.
+    /// The engines that another source does not report in the same state.
     pub conflicting: Vec<String>,
     /// Whether the merged list has changed.
     pub changed: bool,
 }
 
 impl EndpointSources {
-    /// Replaces a source's list. Engines that no source reports any more are gone.
+    /// Replaces the list of a source. Engines that no source reports any more become [`EngineState::Gone`].
     pub fn update(&mut self, source: &str, list: EndpointList) -> SourceUpdate {
         let mut outcome = SourceUpdate::default();
         for (name, endpoint) in list.iter() {
@@ -80,12 +81,12 @@
         self.sources.remove(source);
     }
 
-    /// The merge of all sources' lists.
+    /// Returns the merge of the lists of all sources.
     pub fn merged(&self) -> &EndpointList {
         &self.merged
     }
 
-    /// Engines that only one of several sources reports.
+    /// Returns the engines that only one of several sources reports.
     pub fn single_source_endpoints(&self) -> Vec<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, _) in self.sources.values().flat_map(EndpointList::iter) {
@@ -99,7 +100,8 @@
     }
 }
 
-/// Bounds the list. Engines that are gone are remembered, so that an old list does not bring them back, but not all.
+/// Removes the oldest engines that are gone from a list that is too long. The others stay on it, so that an old list
+/// does not bring them back.
 fn evict_oldest_gone(list: &mut EndpointList) {
     while list.len() > MAX_ENGINES {
         let gone = list
--- a/crates/coordination/src/fault_injection.rs
+++ b/crates/coordination/src/fault_injection.rs
@@ -1,27 +1,27 @@
-//! Faults that are injected to check that tests find them: a program with the cargo feature `plant` has one of them where it
-//! is told so. Without the feature none is compiled in, and [`is_injected`] is always `false`.
+//! Faults that are injected to check that tests find them. A program that is built with the cargo feature `plant` can
+//! inject one of them. Without the feature none is compiled in, and [`is_injected`] always returns `false`.
 
-/// A fault.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// A router counts its lease from the response.
+    /// A router counts its lease from the response instead of the renewal.
     TermFromResponse = 1,
     /// A lease never expires.
     LeaseNeverExpires = 2,
-    /// A version comes in force without waiting for leases.
+    /// A version comes in force without waiting for the lease holders.
     SkipRolloutWait = 3,
-    /// A replica that restarts has lost its promises and what was not decided.
+    /// A replica that restarts has lost its promises and the log entries that were not decided.
     LoseDurableState = 4,
-    /// A replica that starts does not wait a term for earlier leases.
+    /// A replica that starts does not count a whole term for earlier leases.
     SkipStartupTerm = 5,
-    /// Fencing tokens do not grow.
+    /// Fencing tokens are reused.
     ReuseFencingTokens = 6,
-    /// A router uses its leases up to the last moment, however long an operation is on its way.
+    /// A router uses its leases until they expire, without a margin for operations on their way.
     SkipMargin = 7,
-    /// An operation under a lease is not checked again before it is sent.
+    /// A router does not check a lease again before it sends an operation under it.
     SkipRevalidation = 8,
-    /// A process uses the leases of an earlier one of its name.
+    /// A process uses the leases of an earlier process of the same router.
     IgnoreIncarnation = 9,
 }
 
@@ -39,7 +39,7 @@
         ("earlier-life", Fault::IgnoreIncarnation),
     ];
 
-    /// The fault of that name on the command line.
+    /// Returns the fault of a name on the command line.
     pub fn from_name(name: &str) -> Option<Fault> {
         Fault::ALL
             .iter()
@@ -51,19 +51,19 @@
 #[cfg(feature = "plant")]
 static INJECTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Injects a fault into this process. Only in programs with the feature.
+/// Injects a fault into this process.
 #[cfg(feature = "plant")]
 pub fn inject(fault: Fault) {
     INJECTED.store(fault as u8, std::sync::atomic::Ordering::Relaxed);
 }
 
-/// Whether the fault is injected into this process.
+/// Returns whether the fault is injected into this process.
 #[cfg(feature = "plant")]
 pub fn is_injected(fault: Fault) -> bool {
     INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
-/// Whether the fault is injected into this process.
+/// Returns whether the fault is injected into this process.
 #[cfg(not(feature = "plant"))]
 pub const fn is_injected(_: Fault) -> bool {
     false
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -1,7 +1,8 @@
 //! Assignment of task leases to routers.
 //!
-//! Leases spread evenly over the routers that have renewed often enough in a row. A router that comes and goes is assigned
-//! none; one that joins for good receives its part from the routers with the most leases, and nothing else moves.
+//! Leases are spread evenly over the routers that have renewed often enough in a row. A router that repeatedly joins
+//! and leaves is assigned none. A router that stays receives its share from the routers with the most leases, and no
+//! other lease moves.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,8 @@
 use crate::shard::Shard;
 use crate::version::Holder;
 
-/// Acknowledged renewals in a row after which a router is assigned leases: about as many as fit into one term.
+/// Number of consecutive acknowledged renewals after which a router is assigned leases: about as many as fit into one
+/// term.
 pub const MIN_CONSECUTIVE_RENEWALS: u32 = 5;
 
 /// A lease that is held.
@@ -20,7 +22,7 @@
     pub(crate) holder: Holder,
     #[serde(rename = "number")]
     pub(crate) fencing_token: u64,
-    /// The serial of its last renewal.
+    /// The serial of the last renewal.
     pub(crate) serial: u64,
     #[serde(rename = "leaving")]
     pub(crate) release_requested: bool,
@@ -49,24 +51,25 @@
     }
 }
 
-/// The state of one shard.
+/// The state of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct LeaseSlot {
     pub(crate) lease: Option<Lease>,
     pub(crate) note: Option<String>,
-    /// The router that released it last: another is preferred, if there is one.
+    /// The router that released the lease last. Another router is preferred, if there is one.
     #[serde(rename = "tried", default)]
     pub(crate) last_released_by: Option<Holder>,
     #[serde(rename = "changed")]
     pub(crate) changed_at_revision: u64,
 }
 
-/// A router that takes part in task leases.
+/// The state of a router that takes part in task leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Candidate {
-    /// The serial of its last renewal.
+    /// The serial of the last renewal.
     pub(crate) serial: u64,
-    /// Renewals in a row, each of which acknowledged the response before.
+    /// The number of consecutive renewals that acknowledged the response before them, up to
+    /// [`MIN_CONSECUTIVE_RENEWALS`].
     #[serde(rename = "in_row")]
     pub(crate) consecutive_renewals: u32,
 }
@@ -91,7 +94,7 @@
     }
 }
 
-/// The number of leases of each router that is eligible, without those that it is to release.
+/// The number of leases of each eligible router, without those that it is requested to release.
 pub(crate) struct HolderLoad {
     leases: BTreeMap<Holder, u32>,
 }
@@ -119,8 +122,8 @@
         self.leases.values().map(|count| u64::from(*count)).sum()
     }
 
-    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last counts
-    /// as one that has a lease more.
+    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last
+    /// counts as one that has a lease more.
     pub(crate) fn assign(&mut self, shard: &Shard, released_by: Option<&Holder>) -> Option<Holder> {
         let cost = |(holder, count): &(&Holder, &mut u32)| {
             let again = released_by == Some(*holder);
@@ -137,7 +140,7 @@
         }
     }
 
-    /// The routers with the most and the fewest leases, where a move between them evens out the load.
+    /// Returns the routers with the most and the fewest leases, if moving a lease between them evens out the load.
     fn next_move(&self) -> Option<(Holder, Holder)> {
         let (to, fewest) = self.leases.iter().min_by_key(|(_, count)| **count)?;
         let (from, most) = self.leases.iter().max_by_key(|(_, count)| **count)?;
@@ -152,7 +155,8 @@
 
 /// Requests the release of leases until the load is even.
 pub(crate) fn request_moves(slots: &mut BTreeMap<Shard, LeaseSlot>, load: &mut HolderLoad) {
-    // Leases that are about to be released go to the routers with the fewest: they are not requested twice.
+    // Leases whose release is requested already will go to the routers with the fewest leases. Counting them there
+    // avoids requesting more moves than needed.
     let is_moving = |slot: &&LeaseSlot| {
         let lease = slot.lease.as_ref();
         lease.is_some_and(|lease| lease.release_requested)
--- a/crates/coordination/src/lease_expiry.rs
+++ b/crates/coordination/src/lease_expiry.rs
@@ -8,15 +8,15 @@
 use crate::shard::Shard;
 use crate::version::Holder;
 
-/// When a replica learned of the last renewal of each lease. A replica that starts learns of all at once, so it counts a
-/// whole term for each, whatever was left of it.
+/// The times at which a replica learned of the last renewal of each lease. A replica that starts learns of all at once,
+/// so it counts a whole term for each, however much of it has passed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     config_leases: ObservedRenewals<Holder>,
     task_leases: ObservedRenewals<Shard>,
 }
 
-/// By lease: the serial of the last renewal, and when it was observed.
+/// The serial of the last renewal of each lease, and when the replica observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObservedRenewals<K>(BTreeMap<K, (u64, Micros)>);
 
@@ -55,7 +55,7 @@
 }
 
 impl ExpiryTracker {
-    /// The tracker of a replica that starts with this state: it knows of no time before.
+    /// Creates the tracker of a replica that starts with this state. All renewals count as observed now.
     pub fn start(now: Micros, state: &ConfigState) -> ExpiryTracker {
         let observed_at = if fault_injection::is_injected(Fault::SkipStartupTerm) {
             0
@@ -77,17 +77,17 @@
             .observe(now, state.lease_table().renewals());
     }
 
-    /// Configuration leases that have expired by this clock, each with the serial of its last renewal.
+    /// Returns the configuration leases that have expired by this clock, each with the serial of its last renewal.
     pub fn expired_config_leases(&self, now: Micros, timing: &LeaseTiming) -> Vec<(Holder, u64)> {
         self.config_leases.expired(now, timing)
     }
 
-    /// Task leases that have expired by this clock, each with the serial of its last renewal.
+    /// Returns the task leases that have expired by this clock, each with the serial of its last renewal.
     pub fn expired_task_leases(&self, now: Micros, timing: &LeaseTiming) -> Vec<(Shard, u64)> {
         self.task_leases.expired(now, timing)
     }
 
-    /// The time until a configuration lease expires by this clock; `None` where it is not held.
+    /// Returns the time until a configuration lease expires by this clock, or `None` if it is not held.
     pub fn config_lease_remaining(
         &self,
         now: Micros,
@@ -97,7 +97,7 @@
         self.config_leases.remaining(now, holder, timing)
     }
 
-    /// The time until a task lease expires by this clock; `None` where it is not held.
+    /// Returns the time until a task lease expires by this clock, or `None` if it is not held.
     pub fn task_lease_remaining(
         &self,
         now: Micros,
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -1,8 +1,8 @@
 //! The replicated table of task leases: which router holds the lease of each shard, under which fencing token.
 //!
-//! A lease is renewed together with its holder's configuration lease, and only if the holder has received the response to
-//! the renewal before. It ends in two ways: the holder releases it, or it expires by a replica's clock, counted from when
-//! that replica learned of the last renewal. Each new lease has a fencing token that was never used before.
+//! A lease is renewed together with its holder's configuration lease, and only if the holder has received the response
+//! to its previous renewal. It ends in two ways: the holder releases it, or it expires by a replica's clock, counted
+//! from when that replica learned of the last renewal. Each new lease has a fencing token that was never used before.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
     candidates: BTreeMap<Holder, Candidate>,
     #[serde(rename = "fence")]
     last_fencing_token: u64,
-    /// Counts changes of the table.
+    /// The number of changes of the table.
     #[serde(rename = "board")]
     revision: u64,
 }
@@ -44,8 +44,8 @@
         if self.slots.keys().eq(&wanted) {
             return;
         }
-        // A shard that is removed may still be held: its slot stays until the lease ends. Fencing tokens are common to all
-        // shards, so that they grow also for a shard that is added again.
+        // A removed shard may still be held: its slot stays until the lease ends. All shards share one sequence of
+        // fencing tokens, so that the tokens increase even for a shard that is removed and added again.
         self.slots
             .retain(|shard, slot| wanted.contains(shard) || slot.lease.is_some());
         for (shard, slot) in &mut self.slots {
@@ -64,8 +64,8 @@
         self.rebalance();
     }
 
-    /// Renews a router's leases; `serial` is that of its configuration lease's renewal. Returns its leases, or `None` where
-    /// it has not received the response before, so that this one renews nothing either.
+    /// Renews a router's leases; `serial` is the serial of the renewal of its configuration lease. Returns its leases,
+    /// or `None` if they are not renewed because the router has not received the response to its previous renewal.
     pub(crate) fn renew(
         &mut self,
         holder: &Holder,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Records the progress of a lease's holder, for all routers and for the next holder.
+    /// Records a note on the progress of a lease's holder, for all routers and for the next holder.
     pub(crate) fn record_note(
         &mut self,
         holder: &Holder,
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Frees a shard that its holder has released. Returns whether it held the lease.
+    /// Ends a lease that its holder has released. Returns whether the router held it.
     fn release(&mut self, holder: &Holder, shard: &Shard, fencing_token: u64) -> bool {
         let released = self.free_if(shard, |lease| lease.is_held_by(holder, fencing_token));
         if let (true, Some(slot)) = (released, self.slots.get_mut(shard)) {
@@ -180,7 +180,7 @@
         true
     }
 
-    /// Assigns free shards to the routers with the fewest leases, and requests leases back from those with the most.
+    /// Assigns free shards to the routers with the fewest leases, and requests those with the most to release some.
     fn rebalance(&mut self) {
         let mut load = HolderLoad::new(&self.slots, &self.candidates);
         if load.is_empty() {
@@ -212,9 +212,9 @@
         }
     }
 
-    /// The changes of the table since a revision.
+    /// Returns the changes of the table since a revision.
     pub fn updates_since(&self, revision: u64) -> LeaseTableUpdate {
-        // A router that knows a later revision knew another fleet's table.
+        // A router that knows a later revision than this table's knows another table, and needs all entries.
         let since = if revision > self.revision {
             0
         } else {
@@ -239,19 +239,19 @@
         }
     }
 
-    /// The number of changes of the table.
+    /// Returns the number of changes of the table.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The leases that are held, each with the serial of its last renewal.
+    /// Returns the shards whose lease is held, each with the serial of the lease's last renewal.
     pub fn renewals(&self) -> impl Iterator<Item = (Shard, u64)> + '_ {
         self.slots
             .iter()
             .filter_map(|(shard, slot)| Some((*shard, slot.lease.as_ref()?.serial)))
     }
 
-    /// The last fencing token that was assigned: how many leases there have been. For diagnosis and tests.
+    /// Returns the last fencing token that was assigned, which is the number of leases so far. For diagnosis and tests.
     pub fn last_fencing_token(&self) -> u64 {
         self.last_fencing_token
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,10 +1,11 @@
-//! Versioned configuration on which the routers of a fleet agree, and leases on tasks that one router performs for all.
-//! State machines only: no I/O, no clock, no threads; time is passed in.
+//! Replicated state machines for the routers of a fleet: a versioned configuration that all routers agree on, and
+//! leases on tasks that one router performs for the whole fleet. The crate has no I/O, clocks or threads; callers pass
+//! the time.
 //!
-//! The replicas apply [`Command`]s to a [`ConfigState`], each in the order of the replicated log. Its [`LeaseTable`]
-//! assigns the shards of fleet-wide tasks to routers. A router runs a [`ConfigWatcher`] and a [`TaskLeaseClient`]; a
-//! replica measures leases with an [`ExpiryTracker`]. While a new [`Document`] is rolled out, routers enforce the greatest
-//! lower bound of all versions that may be in use: see [`Merge`].
+//! Each replica applies [`Command`]s to a [`ConfigState`] in the order of the replicated log. The state's
+//! [`LeaseTable`] assigns the shards of fleet-wide tasks to routers. Each router runs a [`ConfigWatcher`] and a
+//! [`TaskLeaseClient`]; each replica tracks the expiry of leases with an [`ExpiryTracker`]. While a new [`Document`] is
+//! rolled out, routers enforce the greatest lower bound of all versions that may be in use; see [`Merge`].
 
 #![warn(missing_docs)]
 
--- a/crates/coordination/src/map_as_pairs.rs
+++ b/crates/coordination/src/map_as_pairs.rs
@@ -1,10 +1,10 @@
-//! Serialization of maps whose keys are not strings as a list of pairs, since JSON's own maps have string keys.
+//! Serialization of a map whose keys are not strings as a list of pairs, since JSON objects have string keys.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Pairs, or the empty map that earlier programs wrote where there were none.
+/// A list of pairs, or the empty object that earlier releases wrote for an empty map.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum StoredMap<K, V> {
--- a/crates/coordination/src/merge.rs
+++ b/crates/coordination/src/merge.rs
@@ -1,21 +1,21 @@
 //! The merge of two values: their greatest lower bound, which permits only what both permit.
 //!
-//! Merges form a semilattice: they are commutative, associative and idempotent. Values that restrict nothing (such as
-//! weights) still merge to one value for both orders.
+//! Values form a semilattice: the merge is commutative, associative and idempotent. Values that restrict nothing, such
+//! as weights, also merge to the same value in either order.
 
 use serde::{Deserialize, Serialize};
 
-/// How a change relates to the value before it.
+/// The relation of a new value to the one before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It permits and forbids the same.
+    /// The new value permits and forbids the same.
     Neutral,
-    /// It forbids more, and permits nothing new.
+    /// The new value forbids more, and permits nothing new.
     Tighter,
-    /// It permits more, and forbids nothing new.
+    /// The new value permits more, and forbids nothing new.
     Looser,
-    /// It forbids some and permits other.
+    /// The new value forbids some of what was permitted, and permits some of what was forbidden.
     #[serde(rename = "both")]
     Mixed,
 }
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The description that users see.
+    /// Returns the description that users see.
     pub fn description(self) -> &'static str {
         match self {
             Change::Neutral => "neutral",
@@ -41,12 +41,12 @@
     }
 }
 
-/// A setting that differs.
+/// A setting that differs between two documents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
     /// The path of the setting, such as `classes.report.kinds`.
     pub path: String,
-    /// How the new value relates to the old one.
+    /// The relation of the new value to the old one.
     pub change: Change,
 }
 
@@ -61,21 +61,21 @@
 
 /// A value that can be merged with another.
 pub trait Merge: Sized {
-    /// The greatest lower bound of both values.
+    /// Returns the greatest lower bound of both values.
     fn merge(&self, other: &Self) -> Self;
-    /// Appends each setting in which `new` differs. `path` is the path of the value itself.
+    /// Appends each setting in which `new` differs from this value. `path` is the path of the value itself.
     fn differences(&self, new: &Self, path: &str, into: &mut Vec<Difference>);
 }
 
 /// A rule by which values of a type are merged.
 pub(crate) trait MergeRule<T> {
-    /// Whether values that differ restrict different things.
+    /// Whether values restrict anything; if not, every change is neutral.
     const RESTRICTS: bool = true;
 
-    /// The greatest lower bound of both values.
+    /// Returns the greatest lower bound of both values.
     fn merge(a: &T, b: &T) -> T;
 
-    /// Appends how `new` differs from `old`.
+    /// Appends the differences of `new` from `old`.
     fn differences(old: &T, new: &T, path: &str, into: &mut Vec<Difference>)
     where
         T: PartialEq,
--- a/crates/coordination/src/merge_rules.rs
+++ b/crates/coordination/src/merge_rules.rs
@@ -1,4 +1,4 @@
-//! The rules by which settings are merged. Each setting is declared together with its rule by [`settings!`], so that one
+//! The rules by which settings are merged. [`settings!`] declares each setting together with its rule, so a setting
 //! without a rule does not compile.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,35 +6,36 @@
 
 use crate::merge::{Change, Difference, Merge, MergeRule};
 
-/// Restricts nothing: weighs what is permitted. The smaller value applies until the change is in force.
+/// Merges to the smaller value, which applies until the change is in force. Such values restrict nothing, but weigh
+/// what is permitted.
 pub(crate) struct Advisory;
-/// The smaller limit.
+/// Merges to the smaller limit.
 pub(crate) struct Minimum;
-/// The larger limit.
+/// Merges to the larger limit.
 pub(crate) struct Maximum;
-/// True if either is.
+/// Merges to `true` if either value is `true`.
 pub(crate) struct LogicalOr;
-/// True only if both are.
+/// Merges to `true` only if both values are `true`.
 pub(crate) struct LogicalAnd;
-/// The stricter variant; variants are declared from lax to strict.
+/// Merges to the stricter variant of an enum whose variants are declared from lax to strict.
 pub(crate) struct Strictest;
-/// The names in both sets.
+/// Merges to the names that are in both sets.
 pub(crate) struct Intersection;
-/// The names in both sets, where none is the set of all names.
+/// Merges to the names that are in both sets; `None` stands for the set of all names.
 pub(crate) struct OptionalIntersection;
-/// The value if both are equal, else none.
+/// Merges to the value if both are equal, and to `None` otherwise.
 pub(crate) struct EqualOrNone;
-/// For names on both sides, the number by a rule of its own.
+/// Merges the numbers of the names on both sides by rule `R`, and removes all other names.
 pub(crate) struct NumberPerKey<R>(PhantomData<R>);
-/// For names on both sides, the smaller number.
+/// Merges to the smaller number for each name on both sides.
 pub(crate) type MinimumPerKey = NumberPerKey<Minimum>;
-/// For names on both sides, the smaller number, which restricts nothing.
+/// Merges to the smaller number for each name on both sides. The numbers restrict nothing.
 pub(crate) type AdvisoryPerKey = NumberPerKey<Advisory>;
-/// For names on both sides, the merge of their values.
+/// Merges the values of the names on both sides, and removes all other names.
 pub(crate) struct MergePerKey;
-/// The merge of two bounds, where none is no bound.
+/// Merges two bounds; `None` stands for no bound.
 pub(crate) struct MergeOptional;
-/// A group of settings, each with its own rule.
+/// Merges a group of settings, each by its own rule.
 pub(crate) struct Nested;
 
 fn minimum<T: PartialOrd + Copy>(a: &T, b: &T) -> T {
@@ -157,7 +158,7 @@
     }
 }
 
-/// Merges two bounds, where none is no bound.
+/// Merges two bounds; `None` stands for no bound.
 fn merge_options<V: Clone>(a: &Option<V>, b: &Option<V>, merge: impl Fn(&V, &V) -> V) -> Option<V> {
     match (a, b) {
         (Some(a), Some(b)) => Some(merge(a, b)),
@@ -166,7 +167,7 @@
     }
 }
 
-/// Merges the values of the names on both sides.
+/// Merges the values of the names on both sides, and removes all other names.
 fn merge_per_key<V>(
     a: &BTreeMap<String, V>,
     b: &BTreeMap<String, V>,
@@ -177,7 +178,7 @@
         .collect()
 }
 
-/// Appends the names that are removed or added, and the differences of those on both sides.
+/// Appends the names that are removed or added, and the differences between the values of the names on both sides.
 fn differences_per_key<V>(
     old: &BTreeMap<String, V>,
     new: &BTreeMap<String, V>,
@@ -196,8 +197,8 @@
     }
 }
 
-/// Declares a struct of settings, each with its rule in front. The names of the fields are JSON keys, and parts of the
-/// paths of differences.
+/// Declares a struct of settings, each with its rule in brackets. The names of the fields are JSON keys, and parts of
+/// the paths of differences.
 macro_rules! settings {
     ($(#[$outer:meta])* pub struct $name:ident {
         $($(#[$inner:meta])* [$rule:ident] $field:ident: $type:ty,)*
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,12 +1,13 @@
-//! Placement of classes while a change is rolled out: routers then enforce the merge of several documents, which must
-//! leave each class a machine kind and a zone.
+//! Placement of classes during a rollout. Routers then enforce the merge of several documents, which must leave each
+//! class a machine kind and a zone.
 
 use std::collections::BTreeSet;
 
 use crate::document::{Document, ValidationError};
 use crate::version::VersionNumber;
 
-/// Placement settings that `merged`, the merge of the versions `from` to `to`, and `proposed` leave empty together.
+/// Returns the placement settings that are empty in the merge of `proposed` with `merged`, which is the merge of the
+/// versions `from` to `to`.
 pub(crate) fn placement_conflicts(
     merged: &Document,
     (from, to): (VersionNumber, VersionNumber),
@@ -24,7 +25,7 @@
     empty.into_iter().map(conflict).collect()
 }
 
-/// The value of a placement setting, for messages.
+/// Formats the value of a placement setting for messages.
 fn describe_setting(document: &Document, path: &str) -> String {
     let places =
         |places: Option<&Option<BTreeSet<String>>>| format!("{:?}", places.cloned().flatten());
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of new versions, and the reasons to reject one.
+//! Proposals of new versions, and the reasons for their rejection.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,15 +14,15 @@
     /// The name of the change, chosen by its author: the idempotency key of the proposal.
     #[serde(rename = "change")]
     pub change_name: String,
-    /// The latest version that the author knew; `None` to propose on top of any.
+    /// The latest version that the author knew; `None` accepts any latest version.
     pub base: Option<VersionNumber>,
-    /// Who proposes it.
+    /// The author of the change.
     #[serde(rename = "by")]
     pub author: String,
-    /// When it is proposed by the author's clock, in ms since 1970.
+    /// The time of the proposal by the author's clock, in ms since 1970.
     #[serde(rename = "at")]
     pub proposed_at_ms: u64,
-    /// Why it is proposed.
+    /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: String,
     /// The configuration.
@@ -30,7 +30,7 @@
 }
 
 impl Proposal {
-    /// All errors of the document and of the texts that describe the change.
+    /// Returns all errors of the document and of the texts that describe the change.
     pub(crate) fn validation_errors(&self) -> Vec<ValidationError> {
         let mut errors = self.document.validation_errors();
         for (path, text) in [
@@ -49,7 +49,7 @@
     }
 }
 
-/// Why a proposal is rejected.
+/// The reason for the rejection of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "refused")]
 pub enum Rejection {
@@ -57,7 +57,7 @@
     #[error("the document can't be used:{}", list(errors))]
     #[serde(rename = "flawed")]
     Invalid {
-        /// All of its errors.
+        /// All errors of the proposal.
         #[serde(rename = "flaws")]
         errors: Vec<ValidationError>,
     },
@@ -90,7 +90,7 @@
     #[error("version {number} came under that name with another text")]
     #[serde(rename = "reused")]
     NameReused {
-        /// The version of that name.
+        /// The number of that version.
         number: VersionNumber,
     },
 }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -5,20 +5,20 @@
 /// Maximum number of shards of all tasks together.
 pub(crate) const MAX_SHARDS: usize = 4096;
 
-/// A task that one router performs for all.
+/// A task that one router performs for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Task {
-    /// Reads the list of engines from service discovery.
+    /// Reading the list of engines from service discovery.
     #[serde(rename = "list")]
     Discovery,
-    /// Checks the health of engines.
+    /// Checking the health of engines.
     #[serde(rename = "probe")]
     HealthCheck,
 }
 
 impl Task {
-    /// The task's name in stored and transmitted data.
+    /// Returns the task's name in stored and transmitted data.
     pub fn name(self) -> &'static str {
         match self {
             Task::Discovery => "list",
@@ -27,7 +27,7 @@
     }
 }
 
-/// A shard of a task: what one lease is for. Written as `probe/3`.
+/// A shard of a task, for which one lease is granted. It is written in the form `probe/3`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Shard {
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -1,8 +1,8 @@
-//! A router's side of its task leases: under which it may act, until when, and which it releases.
+//! A router's side of its task leases: under which leases it may perform operations, until when, and which it releases.
 //!
 //! A lease counts from when the renewal was *sent*, less the drift and a margin, and is checked again before each
-//! operation. A lease whose release is requested ends when the operations under it have ended. It never comes back under
-//! the same fencing token, even if a late response still grants it.
+//! operation. A lease whose release is requested ends when the operations under it have ended. It is never held again
+//! under the same fencing token, even if a late response still grants it.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::lease_messages::{LeaseOffer, LeaseTableUpdate, TaskLeaseGrant};
 use crate::shard::{Shard, Task};
 
-/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+/// Maximum number of renewals without a response. A further one replaces the oldest.
 const MAX_OPEN_RENEWALS: usize = 16;
 
 /// A lease that is held.
@@ -27,13 +27,13 @@
 /// The last known state of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ShardStatus {
-    /// The fencing token under which it is held, if it is.
+    /// The fencing token of the lease; `None` if nobody holds it.
     pub fencing_token: Option<u64>,
-    /// The note that was recorded last.
+    /// The last note that was recorded.
     pub note: Option<String>,
 }
 
-/// A router's task leases, and what it knows of all others'.
+/// A router's task leases, and its knowledge of the leases of all other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TaskLeaseClient {
     term: Micros,
@@ -52,20 +52,21 @@
     shards: BTreeMap<Shard, ShardStatus>,
 }
 
-/// The right to perform one operation under a lease: plain data, as the client has no I/O. The router that performs the
-/// operation ends it by [`TaskLeaseClient::end_operation`], however the operation ends.
+/// The permission to perform one operation under a lease. It is plain data, as the client has no I/O: the router that
+/// performs the operation calls [`TaskLeaseClient::end_operation`], whether the operation succeeds or fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGuard {
     /// The shard.
     pub shard: Shard,
     /// The lease's fencing token, to be sent with the operation.
     pub fencing_token: u64,
-    /// The operation must have ended by then.
+    /// The time by which the operation must have ended.
     pub expires_at: Micros,
 }
 
 impl TaskLeaseClient {
-    /// A client without leases. `margin`: the part of each term that is left unused, for an operation on its way.
+    /// Creates a client without leases. `margin` is the part of each term that stays unused, for operations on their
+    /// way.
     pub fn new(timing: &LeaseTiming, margin: Micros) -> TaskLeaseClient {
         TaskLeaseClient {
             term: timing.router_term(),
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Accepts the response to a renewal: its serial, the leases where they are renewed, and the changes of the lease
-    /// table. Returns whether the held leases, or what is known of others', have changed.
+    /// Accepts the response to a renewal: its serial, the leases if they are renewed, and the changes of the lease
+    /// table. Returns whether the held leases or the known part of the lease table have changed.
     pub fn accept_grant(
         &mut self,
         id: u64,
@@ -257,7 +258,7 @@
         })
     }
 
-    /// Whether an operation that has begun may still be sent, to be called right before it is.
+    /// Returns whether an operation that has begun may still be sent; called right before it is sent.
     pub fn is_still_valid(&self, now: Micros, guard: &LeaseGuard) -> bool {
         let lease = self.held.get(&guard.shard);
         lease.is_some_and(|lease| {
@@ -277,20 +278,20 @@
         lease.operations == 0 && (lease.release_requested || !accepts_leases)
     }
 
-    /// Whether the lease of a shard is held and has not expired.
+    /// Returns whether the lease of a shard is held and has not expired.
     pub fn is_holding(&self, now: Micros, shard: Shard) -> bool {
         let lease = self.held.get(&shard);
         lease.is_some_and(|lease| now < lease.expires_at)
     }
 
-    /// Requests the release of a lease whose task cannot be performed here, so that another router tries.
+    /// Requests the release of a lease whose task this router cannot perform, so that another router tries.
     pub fn request_release(&mut self, shard: Shard) {
         if let Some(lease) = self.held.get_mut(&shard) {
             lease.release_requested = true;
         }
     }
 
-    /// Accepts no further leases, and releases those that are held.
+    /// Stops accepting leases, and requests the release of those that are held.
     pub fn drain(&mut self) {
         self.accepts_leases = false;
     }
@@ -300,18 +301,18 @@
         self.held.len() + self.released.len()
     }
 
-    /// The last known state of a shard; `None` where there is no such shard.
+    /// Returns the last known state of a shard, or `None` if there is no such shard.
     pub fn shard_status(&self, shard: Shard) -> Option<&ShardStatus> {
         self.shards.get(&shard)
     }
 
-    /// The number of shards of a task.
+    /// Returns the number of shards of a task.
     pub fn shard_count(&self, task: Task) -> u32 {
         let shards = self.shards.keys();
         shards.filter(|shard| shard.task == task).count() as u32
     }
 
-    /// The revision of the lease table that is known.
+    /// Returns the last known revision of the lease table.
     pub fn table_revision(&self) -> u64 {
         self.table_revision
     }
--- a/crates/coordination/src/version.rs
+++ b/crates/coordination/src/version.rs
@@ -5,15 +5,15 @@
 use crate::document::Document;
 use crate::merge::Change;
 
-/// The number of a version: versions count from 1, and 0 stands for none.
+/// The number of a version. Versions are numbered from 1, and 0 stands for none.
 pub type VersionNumber = u64;
 
-/// One process of a router. Two processes with the same router name are two holders.
+/// A process of a router, which can hold leases. Two processes with the same router name are two holders.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The router's name.
     pub router: String,
-    /// The incarnation: differs between processes of one router.
+    /// The incarnation, which differs between the processes of a router.
     #[serde(rename = "life")]
     pub incarnation: String,
 }
@@ -34,16 +34,16 @@
     /// The name of the change: the idempotency key of its proposal.
     #[serde(rename = "change")]
     pub change_name: String,
-    /// Who proposed it.
+    /// The author of the change.
     #[serde(rename = "by")]
     pub author: String,
-    /// When it was proposed by the author's clock, in ms since 1970.
+    /// The time of the proposal by the author's clock, in ms since 1970.
     #[serde(rename = "at")]
     pub proposed_at_ms: u64,
-    /// Why it was proposed.
+    /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: String,
-    /// How it relates to the version before it.
+    /// The relation of the version to the one before it.
     pub kind: Change,
 }
 
@@ -57,8 +57,8 @@
     pub document: Document,
 }
 
-/// The greatest lower bound of all versions: the document that permits only what each of them permits. `None` where there
-/// is no version.
+/// Returns the greatest lower bound of all versions: the document that permits only what each of them permits. Returns
+/// `None` if there are no versions.
 pub(crate) fn merge_versions<'a>(
     versions: impl IntoIterator<Item = &'a Version>,
 ) -> Option<Document> {
