--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -1,5 +1,6 @@
-//! Calls to the replicas of the coordination server: the replica that answered last is tried first, the others in turn
-//! when it does not answer. What became of a call without an answer is unknown, so every call is safe to repeat.
+//! Calls to the replicas of the coordination server. The replica that answered last is tried first, and the others in
+//! turn if it does not answer. Whether a call without a response took effect is unknown, so every call is safe to
+//! repeat.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,10 +14,10 @@
 use crate::secret::Secret;
 use crate::wire::{ErrorBody, MAX_BODY_BYTES};
 
-/// Limit of the time that a connection may take to open.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call has no result.
+/// The reason why a call has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// No replica has answered: the failure of each.
@@ -43,13 +44,13 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{endpoint}: {source}")]
 pub struct EndpointError {
-    /// The replica's address.
+    /// The address of the replica.
     pub endpoint: SocketAddr,
-    /// What failed.
+    /// The cause of the failure.
     pub source: EndpointFailure,
 }
 
-/// What failed in a call to one replica.
+/// The cause of a failed call to one replica.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointFailure {
     /// The exchange over HTTP.
@@ -82,7 +83,7 @@
 }
 
 impl CoordinationClient {
-    /// A client of the replicas at these addresses.
+    /// Creates a client of the replicas at these addresses.
     pub fn new(endpoints: Vec<SocketAddr>, secret: Secret) -> CoordinationClient {
         CoordinationClient {
             endpoints,
@@ -91,12 +92,13 @@
         }
     }
 
-    /// Sets which replica the next call tries first, modulo their number, to spread many clients over the replicas.
+    /// Sets which replica the next call tries first: `index` modulo the number of replicas. Spreads many clients over
+    /// the replicas.
     pub fn set_preferred(&self, index: usize) {
         self.preferred.set(index % self.endpoints.len().max(1));
     }
 
-    /// The addresses of the replicas.
+    /// Returns the addresses of the replicas.
     pub fn endpoints(&self) -> &[SocketAddr] {
         &self.endpoints
     }
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Sends an authenticated request on a connection of its own; the response is authenticated too.
+    /// Sends an authenticated request on a new connection, and verifies the response.
     async fn exchange(
         &self,
         endpoint: SocketAddr,
@@ -198,7 +200,7 @@
     }
 }
 
-/// The reason in an error's body, or the status where there is none.
+/// Returns the message in the body of an error response, or the status if there is none.
 fn error_message(response: &Response) -> String {
     serde_json::from_slice::<ErrorBody>(&response.body).map_or_else(
         |_| format!("status {}", response.status.0),
--- a/crates/coordination-client/src/clock.rs
+++ b/crates/coordination-client/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock that leases are measured with: monotonic, not settable, and running while the process is stopped and while
-//! the machine sleeps.
+//! The clock that measures leases: it is monotonic, cannot be set, and runs while the process is stopped or the machine
+//! is suspended.
 
 use hoptiller_coordination::Micros;
 use rustix::time::{ClockId, clock_gettime};
@@ -8,7 +8,7 @@
 const MILLION: i64 = 1_000_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1000;
-/// Limit of a simulated skew in either direction, in millionths.
+/// Maximum simulated skew in either direction, in millionths.
 const MAX_SKEW_MILLIONTHS: i64 = 900_000;
 
 /// A clock that counts from the machine's start. Tests make it run fast or slow to simulate drift.
@@ -19,7 +19,7 @@
 }
 
 impl Clock {
-    /// A clock that runs as the machine's.
+    /// Creates a clock that runs at the rate of the machine's clock.
     pub fn new() -> Clock {
         Clock::with_skew(0)
     }
@@ -48,7 +48,7 @@
 }
 
 fn boot_time() -> Micros {
-    // CLOCK_MONOTONIC, which `Instant` reads, stands still while a machine sleeps; CLOCK_BOOTTIME does not.
+    // CLOCK_MONOTONIC, which `Instant` reads, stops while the machine is suspended; CLOCK_BOOTTIME does not.
     let time = clock_gettime(ClockId::Boottime);
     u64::try_from(time.tv_sec).unwrap_or(0) * MICROS_PER_SECOND
         + u64::try_from(time.tv_nsec).unwrap_or(0) / NANOS_PER_MICRO
--- a/crates/coordination-client/src/lib.rs
+++ b/crates/coordination-client/src/lib.rs
@@ -1,6 +1,6 @@
 //! The protocol of the coordination server, for routers, for the command line and between replicas: message bodies
-//! ([`wire`]), authentication ([`secret`]), a [`client`], and a [`clock`] that counts time asleep. The replicated state
-//! itself is [`hoptiller_coordination`]'s.
+//! ([`wire`]), authentication ([`secret`]), a [`client`], and a [`clock`] that includes time in suspend. The crate
+//! [`hoptiller_coordination`] defines the replicated state.
 
 #![warn(missing_docs)]
 
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -1,5 +1,6 @@
 //! Authentication of requests and responses between replicas, routers and administrators: a message authentication code
-//! (keyed BLAKE3) under one secret that all of them share. It shows that a message comes from the fleet, not from whom.
+//! (keyed BLAKE3) under one secret that all of them share. It proves that a message comes from a member of the fleet,
+//! but not from which one.
 
 use std::io;
 use std::path::Path;
@@ -10,13 +11,13 @@
 /// The header that carries the authentication code.
 pub const CODE_HEADER: &str = "X-Hoptiller-Code";
 
-/// The context from which the key is derived. Programs of all versions must agree on it.
+/// The context of the key derivation. Programs of all versions must agree on it.
 const KEY_CONTEXT: &str = "hoptiller 2026 fleet calls";
-/// What a request's code covers begins with this.
+/// The first part of the input of a request's authentication code.
 const REQUEST_DOMAIN: &[u8] = b"call";
-/// What a response's code covers begins with this.
+/// The first part of the input of a response's authentication code.
 const RESPONSE_DOMAIN: &[u8] = b"answer";
-/// Minimum length of a secret, in bytes.
+/// Minimum size of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
 /// The secret that replicas, routers and administrators share.
@@ -31,7 +32,7 @@
     }
 }
 
-/// A request or a response has no valid authentication code.
+/// An error for a request or a response without a valid authentication code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the authentication code is missing or wrong")]
 pub struct AuthenticationError;
@@ -48,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// When the file can't be read, or holds anything else ([`io::ErrorKind::InvalidData`]).
+    /// Returns an error if the file can't be read, or [`io::ErrorKind::InvalidData`] if it has any other content.
     pub fn load(path: &Path) -> io::Result<Secret> {
         let text = std::fs::read_to_string(path)?;
         let bytes = HEXLOWER_PERMISSIVE
@@ -68,7 +69,7 @@
     fn authentication_code(&self, parts: &[&[u8]]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for part in parts {
-            // The length goes first, so that no two lists of parts hash the same bytes.
+            // The length comes first, so that different lists of parts never hash the same bytes.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -84,17 +85,17 @@
         ])
     }
 
-    /// Adds the authentication code to a request.
+    /// Adds its authentication code to a request.
     pub fn sign_request(&self, request: Request) -> Request {
         let code = self.request_code(&request).to_hex();
         request.with_header(CODE_HEADER, &code)
     }
 
-    /// Verifies the code of a request.
+    /// Verifies the authentication code of a request.
     ///
     /// # Errors
     ///
-    /// When the code is missing or wrong.
+    /// Returns an error if the code is missing or wrong.
     pub fn verify_request(&self, request: &Request) -> Result<(), AuthenticationError> {
         verify_code(request.headers.get(CODE_HEADER), self.request_code(request))
     }
@@ -109,17 +110,17 @@
         ])
     }
 
-    /// Adds the authentication code to the response to a request.
+    /// Adds its authentication code to the response to a request.
     pub fn sign_response(&self, request: &Request, response: Response) -> Response {
         let code = self.response_code(request, &response).to_hex();
         response.with_header(CODE_HEADER, &code)
     }
 
-    /// Verifies the code of the response to this very request.
+    /// Verifies the authentication code of the response to a request.
     ///
     /// # Errors
     ///
-    /// When the code is missing or wrong, as for the response to another request.
+    /// Returns an error if the code is missing or wrong, or belongs to the response to another request.
     pub fn verify_response(
         &self,
         request: &Request,
@@ -132,7 +133,7 @@
     }
 }
 
-/// The BLAKE3 digest of stored bytes, in hexadecimal, to detect damage.
+/// Returns the BLAKE3 digest of stored bytes, in hexadecimal. It detects damage to them.
 pub fn digest(bytes: &[u8]) -> String {
     blake3::hash(bytes).to_hex().to_string()
 }
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -1,6 +1,6 @@
 //! Paths and JSON bodies of the coordination server's HTTP interface. Unknown fields are rejected, so that a program of
-//! another version fails instead of half understanding a message. JSON names that differ from the fields' are pinned by
-//! `serde(rename)`: `tests/wire_form.rs` compares all of them with stored bytes.
+//! another version fails instead of misreading a message. `serde(rename)` sets the JSON names that differ from the
+//! names of the fields, and `tests/wire_form.rs` compares all of them with stored bytes.
 
 use hoptiller_coordination::{
     ConfigLeaseGrant, Holder, LeaseOffer, Micros, NoteError, Rejection, Shard, VersionMetadata,
@@ -8,36 +8,40 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A router renews its lease of the configuration: POST, [`LeaseRenewalRequest`] to [`LeaseRenewalResponse`].
+/// The path to renew a router's configuration lease: POST, [`LeaseRenewalRequest`] to [`LeaseRenewalResponse`].
 pub const RENEW_LEASE: &str = "/v1/fleet/ask";
-/// A router releases its lease of the configuration: POST, [`Holder`].
+/// The path to release all leases of a router: POST, [`Holder`].
 pub const RELEASE_LEASE: &str = "/v1/fleet/give-back";
-/// Waits until the versions differ from those that the caller knows: POST, [`WatchRequest`] to [`VersionNumbers`].
+/// The path to wait until the versions differ from those that the caller knows: POST, [`WatchRequest`] to
+/// [`VersionNumbers`].
 pub const WATCH: &str = "/v1/fleet/watch";
-/// The holder of a shard's lease stores a note of its progress: POST, [`RecordNoteRequest`] to [`RecordNoteResult`].
+/// The path to record a note on the progress of a shard by the holder of its lease: POST, [`RecordNoteRequest`] to
+/// [`RecordNoteResult`].
 pub const RECORD_NOTE: &str = "/v1/fleet/note";
-/// The leases of shards: GET, `Vec<`[`LeaseStatus`]`>`.
+/// The path to list the leases of shards: GET, `Vec<`[`LeaseStatus`]`>`.
 pub const LEASES: &str = "/v1/fleet/leases";
-/// The state of the cluster as one replica sees it: GET, [`ClusterStatus`].
+/// The path to read the state of the cluster as one replica knows it: GET, [`ClusterStatus`].
 pub const STATUS: &str = "/v1/fleet/status";
-/// Proposes a version of the configuration: POST, [`Proposal`](hoptiller_coordination::Proposal) to [`ProposalResponse`].
+/// The path to propose a version of the configuration: POST, [`Proposal`](hoptiller_coordination::Proposal) to
+/// [`ProposalResponse`].
 pub const PROPOSE: &str = "/v1/settings/put";
-/// Reads a version: POST, [`VersionRequest`] to [`Version`](hoptiller_coordination::Version).
+/// The path to read a version: POST, [`VersionRequest`] to [`Version`](hoptiller_coordination::Version).
 pub const SHOW: &str = "/v1/settings/show";
-/// Lists the metadata of the versions kept: GET, `Vec<`[`VersionMetadata`]`>`.
+/// The path to list the metadata of all versions that are kept: GET, `Vec<`[`VersionMetadata`]`>`.
 pub const HISTORY: &str = "/v1/settings/history";
-/// Compares two versions: POST, [`DiffRequest`] to `Vec<`[`Difference`](hoptiller_coordination::Difference)`>`.
+/// The path to compare two versions: POST, [`DiffRequest`] to
+/// `Vec<`[`Difference`](hoptiller_coordination::Difference)`>`.
 pub const DIFF: &str = "/v1/settings/diff";
-/// Log messages between replicas.
+/// The path to send log messages to another replica.
 pub const MESSAGES: &str = "/v1/keeper/messages";
-/// A replica that joins the cluster requests the replicated state.
+/// The path to request the replicated state, for a replica that joins the cluster.
 pub const STATE: &str = "/v1/keeper/state";
-/// A replica with an outdated membership receives the replicated state.
+/// The path to send the replicated state to a replica with an outdated membership.
 pub const INSTALL: &str = "/v1/keeper/install";
-/// Replaces one replica by another: POST, to [`ReplaceResponse`].
+/// The path to replace one replica by another: POST, with [`ReplaceResponse`] as the response.
 pub const REPLACE: &str = "/v1/keeper/replace";
 
-/// Limit of the size of a body, in bytes.
+/// Maximum size of a body, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
 /// The request of [`RENEW_LEASE`].
@@ -46,16 +50,17 @@
 pub struct LeaseRenewalRequest {
     /// The router.
     pub holder: Holder,
-    /// The last version that the router enforces.
+    /// The latest version that the router enforces.
     #[serde(rename = "heeds")]
     pub enforced_version: VersionNumber,
     /// The version that the router believes to be in force.
     pub in_force: VersionNumber,
-    /// How long a lease lasts by the router's settings, in µs. Both sides must agree.
+    /// The duration of a lease by the router's settings, in µs. Both sides must agree on it.
     pub term: Micros,
-    /// Limit of the difference of two clocks' rates by the router's settings, in millionths. Both sides must agree.
+    /// The maximum difference between the rates of two clocks by the router's settings, in millionths. Both sides must
+    /// agree on it.
     pub drift: u64,
-    /// The router's offer to run shards of tasks, if it takes part in them.
+    /// The router's offer to hold task leases, if it takes part in them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offer: Option<LeaseOffer>,
 }
@@ -72,11 +77,11 @@
     /// The fencing token of the lease.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// The note to be stored.
+    /// The text of the note.
     pub text: String,
 }
 
-/// The response of [`RECORD_NOTE`]: whether the note was stored, or why not.
+/// The response of [`RECORD_NOTE`]: the note is recorded, or the reason why not.
 pub type RecordNoteResult = Result<(), NoteError>;
 
 /// The lease of a shard, as one replica knows it: [`LEASES`].
@@ -85,11 +90,11 @@
     /// The shard.
     #[serde(rename = "part")]
     pub shard: Shard,
-    /// The holder and its fencing token.
+    /// The holder and the fencing token; `None` if nobody holds the lease.
     pub holder: Option<(Holder, u64)>,
-    /// Time until the lease expires by this replica's clock, in ms.
+    /// The time until the lease expires by this replica's clock, in ms; `None` if nobody holds it.
     pub left_ms: Option<u64>,
-    /// The length of the note stored, in bytes.
+    /// The size of the recorded note, in bytes.
     pub note_bytes: u64,
 }
 
@@ -99,13 +104,13 @@
 pub enum LeaseRenewalResponse {
     /// The lease is renewed.
     Granted(ConfigLeaseGrant),
-    /// The router knows of a version that the cluster never had.
+    /// The router knows a version that the cluster never had.
     #[serde(rename = "ahead")]
     UnknownVersion,
     /// There is no version yet.
     #[serde(rename = "empty")]
     NoVersion,
-    /// The limit of routers is reached.
+    /// There are too many holders.
     #[serde(rename = "crowded")]
     TooManyHolders,
 }
@@ -114,11 +119,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchRequest {
-    /// What the caller knows.
+    /// The numbers that the caller knows.
     pub known: VersionNumbers,
-    /// Limit of the time to wait, in ms.
+    /// The maximum time to wait, in ms.
     pub wait_ms: u64,
-    /// Whether to return on changes of the lease table too.
+    /// Whether to respond to changes of the lease table too.
     #[serde(rename = "board", default, skip_serializing_if = "std::ops::Not::not")]
     pub watch_leases: bool,
 }
@@ -144,10 +149,10 @@
 /// The response of [`PROPOSE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProposalResponse {
-    /// Accepted as the version of this number.
+    /// The proposal is accepted as the version of this number.
     #[serde(rename = "taken")]
     Accepted(VersionNumber),
-    /// Rejected.
+    /// The proposal is rejected.
     #[serde(rename = "refused")]
     Rejected(Rejection),
 }
@@ -156,7 +161,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionRequest {
-    /// The version's number; `None` for the last one.
+    /// The version's number; `None` means the latest version.
     pub number: Option<VersionNumber>,
 }
 
@@ -170,17 +175,17 @@
     pub to: VersionNumber,
 }
 
-/// A router's lease of the configuration, as one replica knows it.
+/// A router's configuration lease, as one replica knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderStatus {
     /// The router.
     pub holder: Holder,
-    /// The last version that the router enforces.
+    /// The latest version that the router enforces.
     #[serde(rename = "heeds")]
     pub enforced_version: VersionNumber,
-    /// Time until the lease expires by this replica's clock, in ms.
+    /// The time until the lease expires by this replica's clock, in ms.
     pub left_ms: u64,
-    /// Whether the next version waits for this router.
+    /// Whether the rollout of the next version waits for this router.
     #[serde(rename = "holds_up")]
     pub blocks_rollout: bool,
 }
@@ -196,9 +201,9 @@
     /// The current version numbers.
     #[serde(rename = "numbers")]
     pub versions: VersionNumbers,
-    /// Versions not yet in force.
+    /// The versions that are not in force yet.
     pub pending: Vec<VersionMetadata>,
-    /// Routers that hold a lease of the configuration.
+    /// The routers that hold a configuration lease.
     pub holders: Vec<HolderStatus>,
     /// The number of the membership that this replica knows.
     #[serde(rename = "list", default)]
@@ -206,20 +211,20 @@
     /// The replicas of that membership.
     #[serde(rename = "keepers", default)]
     pub replicas: Vec<u64>,
-    /// The other replicas.
+    /// The contact with the other replicas.
     #[serde(rename = "heard_ms_ago")]
     pub peers: Vec<PeerStatus>,
     /// The size of the log.
     pub log: LogStatus,
 }
 
-/// When a replica last answered another one. In JSON a pair.
+/// The time since a replica last answered another one, written as a pair in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
 pub struct PeerStatus {
     /// The other replica.
     pub replica: u64,
-    /// Time since its last answer, in ms; `None` if it has not answered yet.
+    /// The time since its last response, in ms; `None` if it has not answered yet.
     pub heard_ms_ago: Option<u64>,
 }
 
@@ -238,13 +243,13 @@
     }
 }
 
-/// The size of a replica's log, in entries. In JSON a pair.
+/// The size of a replica's log in entries, written as a pair in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct LogStatus {
-    /// Entries decided since the cluster began.
+    /// The number of entries decided since the cluster began.
     pub decided: u64,
-    /// Entries that are not compacted.
+    /// The number of entries that are not compacted.
     pub retained: u64,
 }
 
@@ -272,7 +277,7 @@
 /// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong.
+    /// The description of the error.
     #[serde(rename = "problem")]
     pub message: String,
 }
--- a/crates/fleet-tasks/src/engine_observations.rs
+++ b/crates/fleet-tasks/src/engine_observations.rs
@@ -1,30 +1,31 @@
-//! What the engines of one shard have reported of themselves: when each has started, and whether it is draining. The
-//! router that checks their health records it as the note of its lease.
+//! The observed state of the engines of one shard: when each was started, and whether it is draining. The router that
+//! checks their health records it as the note of its lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hoptiller_coordination::SAME_PROCESS_TOLERANCE_MS;
 use serde::{Deserialize, Serialize};
 
-/// What an engine has reported of itself.
+/// The state that an engine has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineObservation {
-    /// When its process started, in ms since 1970 by the clock of the router that checked it.
+    /// The start time of its process, in ms since 1970 by the clock of the router that checked it.
     #[serde(rename = "started")]
     pub started_at_ms: u64,
-    /// Whether it accepts no new work.
+    /// Whether the engine is draining: it accepts no new work.
     pub draining: bool,
 }
 
 impl EngineObservation {
-    /// Whether both are of one process: its start is computed from its age, which takes time to read.
+    /// Returns whether both observations are of one process. Its observed start time varies, as it is computed from the
+    /// process's age, which takes time to read.
     fn is_same_process(&self, other: &EngineObservation) -> bool {
         self.started_at_ms.abs_diff(other.started_at_ms) <= SAME_PROCESS_TOLERANCE_MS
     }
 }
 
-/// The observations of a shard, by the engine's name.
+/// The observations of a shard's engines, by the engine's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EngineObservations {
@@ -32,24 +33,24 @@
 }
 
 impl EngineObservations {
-    /// Reads a note. One that can't be read counts as empty, as its author checks all engines again.
+    /// Parses a note. An invalid note counts as empty, as the router that recorded it checks all engines again.
     pub fn from_note(note: &str) -> EngineObservations {
         serde_json::from_str(note).unwrap_or_default()
     }
 
-    /// The observations as a note.
+    /// Returns the observations as a note.
     pub fn to_note(&self) -> String {
-        // Plain data with text keys: it always has a JSON form.
+        // Maps with string keys can always be serialized.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// What an engine has reported of itself, if it was observed.
+    /// Returns the last observation of an engine, if there is one.
     pub fn get(&self, engine: &str) -> Option<EngineObservation> {
         self.by_engine.get(engine).copied()
     }
 
-    /// Records an observation. Returns whether it changes what is known; another reading of the start of a known process
-    /// does not.
+    /// Records an observation. Returns whether the engine runs a new process or has changed its draining state. A
+    /// slightly different start time of a known process is no change.
     pub fn record(&mut self, engine: &str, observation: EngineObservation) -> bool {
         match self.by_engine.get_mut(engine) {
             Some(known) if known.is_same_process(&observation) => {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Removes all engines but these. Returns whether any was removed.
+    /// Removes the observations of all other engines. Returns whether any was removed.
     pub fn retain(&mut self, engines: &BTreeSet<String>) -> bool {
         let before = self.by_engine.len();
         self.by_engine.retain(|name, _| engines.contains(name));
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -1,5 +1,5 @@
 //! Tasks that one router performs for the whole fleet: which router performs a shard of a task now, and what it has
-//! recorded for the others. Decisions only: no I/O, no clock. The leases are [`hoptiller_coordination`]'s.
+//! recorded for the others. The crate has no I/O and no clock. It decides by the leases of [`hoptiller_coordination`].
 
 #![warn(missing_docs)]
 
@@ -9,20 +9,20 @@
 
 pub use engine_observations::{EngineObservation, EngineObservations};
 
-/// Which router performs a shard of a task.
+/// The assignment of a shard of a task to routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskAssignment {
-    /// Each router for itself, without a lease: there is no such task, nobody holds the lease, nothing is recorded yet,
-    /// or this router is in doubt.
+    /// Each router performs the shard for itself, without a lease: there is no such task, nobody holds the lease,
+    /// nothing is recorded yet, or this router is in doubt.
     EachRouter,
-    /// This router, for all.
+    /// This router performs the shard for the whole fleet.
     Local,
-    /// Another router, which has recorded this note last.
+    /// Another router performs the shard for the whole fleet. The last note that was recorded is given.
     Remote(String),
 }
 
-/// Which router performs a shard now. `in_doubt`: this router's configuration lease has expired, so that it receives no
-/// notes of the others.
+/// Returns which router performs a shard now. `in_doubt` tells that this router's configuration lease has expired, so
+/// that it receives no notes of the others.
 pub fn task_assignment(
     leases: &TaskLeaseClient,
     now: Micros,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The shard that reads the list of engines from service discovery.
+/// The only shard of the task that reads the list of engines from service discovery.
 pub const DISCOVERY_SHARD: Shard = Shard {
     task: Task::Discovery,
     index: 0,
