--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -1,5 +1,5 @@
-//! The bodies of calls between routers, replicas and administrators, and the code that authenticates them, against
-//! fixtures that were written before any type was renamed.
+//! Compares the bodies of messages between routers, replicas and administrators, and their authentication codes, with
+//! recorded bytes: renaming a type or a field must not change what is sent.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
--- a/crates/coordination/tests/common.rs
+++ b/crates/coordination/tests/common.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_coordination::Document;
 
-/// Three classes, two kinds, three zones.
+/// Returns a document with three classes, two machine kinds and three zones.
 pub fn document() -> Document {
     let text = r#"{
         "form": 1, "kinds": {"a": 8, "b": 8}, "zones": ["x", "y", "z"], "tenants": {"t": 1},
--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -115,7 +115,7 @@
     };
     let list = match (&strict.list, &lax.list) {
         (None, Some(_)) => false,
-        // Of one process, work is accepted only where both lists allow it; of a newer one, the newer state counts.
+        // A process accepts work only if both lists allow it; for a newer process the newer state applies.
         (Some(s), Some(l)) => s.iter().all(|(name, s)| {
             l.get(name).is_some_and(|l| {
                 s.started_at_ms > l.started_at_ms
@@ -298,12 +298,12 @@
         "a drain that one source reported stays"
     );
     assert_eq!(sources.single_source_endpoints(), ["f"]);
-    // A newer process under the name takes work, also where one list is late.
+    // A newer process of the same name accepts work, even if one list is not updated yet.
     sources.update("r2", list(&[("e", 90_000, EngineState::Up)]));
     assert!(
         sources.merged().accepts_work("e", 90_000) && !sources.merged().accepts_work("e", 50_000)
     );
-    // What nobody names any more is gone, and an old list does not bring it back.
+    // An engine that no source reports any more is gone, and an old list does not bring it back.
     sources.update("r1", list(&[("e", 90_000, EngineState::Up)]));
     assert!(!sources.merged().accepts_work("f", 1));
     assert_eq!(
--- a/crates/coordination/tests/rollout/leases.rs
+++ b/crates/coordination/tests/rollout/leases.rs
@@ -1,4 +1,4 @@
-//! Which leases a rollout waits for, and which grants a router accepts.
+//! Tests of which leases a rollout waits for, and which grants a router accepts.
 
 use hoptiller_coordination::{
     CommandResponse, ConfigLeaseGrant, ConfigState, ConfigWatcher, Decision, ExpiryTracker,
@@ -104,7 +104,7 @@
     propose(&mut config, "second", None, &with_attempts(2)).expect("accepted");
     let expired = expiry.expired_config_leases(20 * SECOND, &TIMING);
     assert_eq!(expired.len(), 1);
-    // The router's renewal came first in the log; its response is lost.
+    // The router's renewal comes before the expiry in the log; its response is lost.
     let (_, renewal) = a.start_renewal(20 * SECOND);
     config.apply(renewal);
     assert_eq!(complete_rollout(&mut config, expired), 1);
@@ -133,7 +133,7 @@
             known: 2
         })
     );
-    // The same version numbers with other documents.
+    // Another replica has the same version numbers with other documents.
     let mut other = ConfigState::default();
     propose(&mut other, "first", None, &with_attempts(3)).expect("accepted");
     propose(&mut other, "else", None, &with_attempts(9)).expect("accepted");
@@ -146,7 +146,7 @@
         a.is_in_doubt(TIMING.router_term()),
         "neither response has renewed the lease"
     );
-    // A document that does not match its digest.
+    // A grant contains a document that does not match its digest.
     let mut inconsistent = ConfigLeaseGrant {
         versions: vec![config.version(2).expect("kept").clone()],
         ..granted(2)
--- a/crates/coordination/tests/rollout/main.rs
+++ b/crates/coordination/tests/rollout/main.rs
@@ -1,5 +1,5 @@
-//! Rollouts of versions, with routers that are disconnected, responses that are late or lost, and clocks that run at
-//! different rates: no two routers ever enforce versions that contradict each other.
+//! Rollouts of versions with disconnected routers, late and lost responses, and clocks that run at different rates: no
+//! two routers ever enforce versions that contradict each other.
 
 #[path = "../common.rs"]
 mod common;
--- a/crates/coordination/tests/rollout/proposals.rs
+++ b/crates/coordination/tests/rollout/proposals.rs
@@ -1,4 +1,4 @@
-//! What becomes of a proposal: in force at once, waiting, or rejected.
+//! Tests of the results of a proposal: in force at once, pending, or rejected.
 
 use hoptiller_coordination::{ConfigState, Decision, MAX_PENDING_CHANGES, Rejection};
 
@@ -15,7 +15,7 @@
     reweighted.classes.get_mut("report").expect("there").worth = 9.0;
     propose(&mut config, "worth", None, &reweighted).expect("accepted");
     assert_eq!(config.in_force(), 2);
-    // Behind a change that waits, it waits too: versions take effect in order.
+    // A neutral change behind a pending change is pending too: versions take effect in order.
     reweighted.engines.max_attempts = 1;
     propose(&mut config, "attempts", None, &reweighted).expect("accepted");
     reweighted.classes.get_mut("report").expect("there").worth = 8.0;
--- a/crates/coordination/tests/rollout/random_executions.rs
+++ b/crates/coordination/tests/rollout/random_executions.rs
@@ -1,4 +1,4 @@
-//! Random executions of rollouts, with and without an injected fault.
+//! Random executions of rollouts with and without an injected fault.
 
 use hoptiller_coordination::{
     Command, CommandResponse, ConfigLeaseGrant, ConfigState, ConfigWatcher, Decision,
@@ -21,13 +21,13 @@
     TermFromResponse,
     /// A lease never expires.
     LeaseNeverExpires,
-    /// Versions come in force without waiting.
+    /// A version comes in force without waiting for the lease holders.
     SkipRolloutWait,
     /// A replica that restarts has lost the leases that it granted.
     LoseDurableState,
 }
 
-/// A random generator: the same execution for the same seed.
+/// A pseudo-random generator (SplitMix64), which makes an execution reproducible from its seed.
 struct SeededGenerator(u64);
 
 impl SeededGenerator {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A message on its way: a renewal, or the response to one.
+/// A message in transit: a renewal, or the response to one.
 struct Message {
     due: Micros,
     router: usize,
@@ -49,7 +49,7 @@
     granted: Option<ConfigLeaseGrant>,
 }
 
-/// One execution: four routers, a replica, and the messages between them.
+/// An execution of four routers, a replica, and the messages between them.
 struct Execution {
     fault: Fault,
     generator: SeededGenerator,
@@ -87,7 +87,7 @@
         now * self.rates[process] / 1_000_000 + process as u64 * 77 * SECOND
     }
 
-    /// Proposes another value than the last: a change that changes nothing contradicts nothing.
+    /// Proposes another value than the last one, since a change that changes nothing contradicts nothing.
     fn propose_change(&mut self) {
         self.changes += 1;
         let latest = self.config.version(self.config.latest()).expect("kept");
@@ -106,7 +106,7 @@
         self.disconnected_until[router] = now + self.generator.below(25) * SECOND;
     }
 
-    /// Slow links: a renewal may be on its way for longer than a lease is valid, and so may its response.
+    /// Returns the delay of a message. On a slow link, a renewal or its response may take longer than a lease is valid.
     fn link_delay(&mut self) -> Micros {
         match self.generator.below(10) {
             0 => self.generator.below(14) * SECOND,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether a message of this router's gets through.
+    /// Returns whether a message from or to a router is delivered.
     fn is_delivered(&mut self, router: usize, now: Micros) -> bool {
         self.disconnected_until[router] < now && self.generator.below(8) != 0
     }
@@ -191,7 +191,8 @@
         complete_rollout(&mut self.config, expired);
     }
 
-    /// Whether two routers enforce versions that contradict each other: the one enforces less than is in force for the other.
+    /// Returns whether two routers enforce versions that contradict each other: the latest version that one enforces is
+    /// older than the version in force for the other.
     fn has_conflict(&self, now: Micros) -> bool {
         let enforcing = self.routers.iter().enumerate();
         let versions: Vec<(u64, u64)> = enforcing
@@ -213,7 +214,7 @@
             .any(|a| versions.iter().any(|b| contradict(a, b)))
     }
 
-    /// Executes one tick, and returns whether it ended in a conflict.
+    /// Executes one tick, and returns whether there is a conflict after it.
     fn tick(&mut self, tick: u64) -> bool {
         let now = tick * TICK;
         if self.generator.below(60) == 0 {
@@ -234,8 +235,8 @@
     }
 }
 
-/// Executes a minute, and counts the moments at which two routers enforced versions that contradict each other. Also
-/// returns how many versions came in force.
+/// Executes a minute, and returns the number of ticks after which two routers enforced versions that contradict each
+/// other, and the version in force at the end.
 fn count_violations(seed: u64, fault: Fault) -> (u64, u64) {
     let mut execution = Execution::new(seed, fault);
     let violations = (0..TICKS).filter(|tick| execution.tick(*tick)).count();
--- a/crates/coordination/tests/rollout/support.rs
+++ b/crates/coordination/tests/rollout/support.rs
@@ -1,4 +1,4 @@
-//! Proposals, watchers and renewals with an immediate response.
+//! Helpers for tests of rollouts: proposals, watchers and renewals with an immediate response.
 
 use hoptiller_coordination::{
     Command, CommandResponse, ConfigLeaseGrant, ConfigState, ConfigWatcher, Document, GrantError,
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -1,5 +1,6 @@
-//! The stored and transmitted form of acts, of the replicated state and of documents, against fixtures that were written
-//! before any type was renamed. `UPDATE_FIXTURES=1` rewrites them; only a deliberate change of the form justifies that.
+//! Compares the stored and transmitted form of commands, of the replicated state and of documents with recorded bytes:
+//! renaming a type or a field must not change what replicas store. `UPDATE_FIXTURES=1` rewrites the fixtures; only a
+//! deliberate change of the form justifies that.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -1,4 +1,4 @@
-//! Which router each shard is assigned to.
+//! Tests of the assignment of shards to routers.
 
 use hoptiller_coordination::{Holder, MIN_CONSECUTIVE_RENEWALS, Shard};
 
@@ -79,7 +79,7 @@
     cluster.join("r1", "1");
     let dead = holder("r0", "1");
     assert_eq!(cluster.count_held_by(&dead), 1000);
-    // It dies before the other has renewed often enough to be assigned any.
+    // The router dies before the other has renewed often enough to be assigned leases.
     cluster.rounds(1);
     cluster.routers.remove(&dead);
     let (died_at, last_token) = (
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -23,8 +23,9 @@
     pub now: Micros,
     pub config: ConfigState,
     pub expiry: ExpiryTracker,
+    /// The client of each router, and the id of its next renewal.
     pub routers: BTreeMap<Holder, (TaskLeaseClient, u64)>,
-    /// Routers whose responses are lost.
+    /// The names of the routers that receive no responses.
     pub unreachable: Vec<String>,
 }
 
@@ -152,13 +153,13 @@
             .collect()
     }
 
-    /// By router: how many leases it holds, as the replica knows.
+    /// Returns the number of leases that each router holds, as far as the replica knows.
     pub fn counts(&self) -> Vec<usize> {
         let count = |holder: &Holder| self.count_held_by(holder);
         self.routers.keys().map(count).collect()
     }
 
-    /// How many leases a router holds, as the replica knows.
+    /// Returns the number of leases that a router holds, as far as the replica knows.
     pub fn count_held_by(&self, router: &Holder) -> usize {
         self.held().values().filter(|held| *held == router).count()
     }
--- a/crates/coordination/tests/task_leases/holding.rs
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -1,4 +1,4 @@
-//! What a holder may do under its lease, and what ends it.
+//! Tests of the operations under a lease, the notes of its holder, and its end.
 
 use hoptiller_coordination::{
     Command, CommandResponse, LeaseOffer, MAX_NOTE_BYTES, MIN_CONSECUTIVE_RENEWALS, NoteError,
@@ -13,7 +13,7 @@
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
     assert!(cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
-    // The response names the lease, and is late.
+    // A response that grants the lease is late.
     let (late_id, late_grant) = cluster.renew(&router);
     assert_eq!(late_grant.leases.as_ref().map(Vec::len), Some(1));
     cluster
@@ -51,7 +51,7 @@
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
-    // A replica finds the lease expired, and the holder's renewal comes before the expiry in the log.
+    // A replica judges the lease expired, but the holder's renewal comes before the expiry in the log.
     cluster.expiry.observe(cluster.now, &cluster.config);
     let expired = cluster
         .expiry
@@ -196,7 +196,7 @@
             .collect::<Vec<_>>(),
         [(shard(0), Some("so far"))]
     );
-    // The next holder continues from there.
+    // The next holder continues from the recorded note.
     cluster.join("r1", "1");
     cluster.rounds(MIN_CONSECUTIVE_RENEWALS);
     cluster.routers.remove(&router);
