--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -20,10 +20,10 @@
 /// The reason why a call has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No replica has answered: the failure of each.
-    #[error("no keeper has answered{}", join_failures(.0))]
+    /// No replica has answered. The failures of all replicas are given.
+    #[error("no replica of the coordination server has answered{}", join_failures(.0))]
     Unavailable(Vec<EndpointError>),
-    /// A replica has answered that the call itself is wrong.
+    /// A replica has rejected the call as invalid.
     #[error("{message}")]
     Rejected {
         /// The HTTP status, from 400 to 499.
@@ -53,22 +53,22 @@
 /// The cause of a failed call to one replica.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointFailure {
-    /// The exchange over HTTP.
+    /// The HTTP exchange failed.
     #[error(transparent)]
     Transport(#[from] ClientError),
-    /// The request has no JSON form.
+    /// The request cannot be encoded as JSON.
     #[error("the request can't be encoded: {0}")]
     Encode(#[source] serde_json::Error),
-    /// The response is not the JSON expected.
-    #[error("its answer: {0}")]
+    /// The response is not the expected JSON.
+    #[error("the response can't be decoded: {0}")]
     Decode(#[source] serde_json::Error),
-    /// The replica rejects the authentication code of the request.
-    #[error("it does not know our secret")]
+    /// The replica rejected the authentication code of the request.
+    #[error("the replica rejected the authentication code: its fleet secret differs")]
     UnknownSecret,
-    /// The response carries no valid authentication code.
-    #[error("its answer is not the fleet's")]
+    /// The response has no valid authentication code.
+    #[error("the response has no valid authentication code")]
     UnauthenticatedResponse,
-    /// The replica answered with an error of its own.
+    /// The replica answered with an error.
     #[error("{0}")]
     Server(String),
 }
--- a/crates/coordination-client/src/clock/tests.rs
+++ b/crates/coordination-client/src/clock/tests.rs
@@ -8,6 +8,6 @@
         std::hint::spin_loop();
     }
     let now = boot_time();
-    assert!(fast.now() > now + 5000, "half again as fast");
-    assert!(slow.now() < now - 5000, "half as fast");
+    assert!(fast.now() > now + 5000, "runs at 1.5 times the rate");
+    assert!(slow.now() < now - 5000, "runs at half the rate");
 }
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -58,7 +58,7 @@
             .filter(|bytes| bytes.len() >= MIN_SECRET_BYTES);
         bytes.map(|bytes| Secret::new(&bytes)).ok_or_else(|| {
             let reason = format!(
-                "{}: {} hexadecimal digits or more are wanted",
+                "{}: not a secret of {} or more hexadecimal digits",
                 path.display(),
                 MIN_SECRET_BYTES * 2
             );
--- a/crates/coordination-client/src/secret/tests.rs
+++ b/crates/coordination-client/src/secret/tests.rs
@@ -54,10 +54,10 @@
 fn a_short_or_malformed_secret_file_is_rejected() {
     let path = std::env::temp_dir().join(format!("hoptiller-fleet-secret-{}", std::process::id()));
     for text in ["", "abcd", "zz".repeat(32).as_str()] {
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("the file can be written");
         assert!(Secret::load(&path).is_err(), "{text:?}");
     }
-    std::fs::write(&path, "00ff".repeat(8)).expect("written");
+    std::fs::write(&path, "00ff".repeat(8)).expect("the file can be written");
     assert!(Secret::load(&path).is_ok());
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::remove_file(&path).expect("the file can be removed");
 }
--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -18,7 +18,7 @@
 
 fn again<T: Serialize + DeserializeOwned>(body: &str) -> String {
     let value: T = serde_json::from_str(body).unwrap_or_else(|error| panic!("{body}: {error}"));
-    serde_json::to_string(&value).expect("it has a JSON form")
+    serde_json::to_string(&value).expect("the value can be serialized")
 }
 
 #[test]
@@ -46,7 +46,7 @@
             "differences" => again::<Vec<Difference>>(body),
             "replaced" => again::<ReplaceResponse>(body),
             "problem" => again::<ErrorBody>(body),
-            other => panic!("{other}: no such message"),
+            other => panic!("unknown message {other:?}"),
         };
         let _ = writeln!(written, "{name} {body}");
     }
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -15,11 +15,13 @@
 /// The reason for the rejection of a grant, which then does not renew the lease.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// It is the response to no open renewal.
-    #[error("it answers no open question")]
+    /// The grant is not the response to an open renewal.
+    #[error("the grant is not the response to an open renewal")]
     Unsolicited,
     /// The replica is behind the versions that this router had reported: its state has been rolled back.
-    #[error("it tells of version {reported} where {known} is known: a keeper's state went back")]
+    #[error(
+        "a replica reports version {reported}, but this router knows version {known}: the replica's state was rolled back"
+    )]
     Regressed {
         /// The replica's version, in force or latest.
         reported: VersionNumber,
@@ -27,10 +29,12 @@
         known: VersionNumber,
     },
     /// A version that this router knows has another document.
-    #[error("version {0} comes with another text than before")]
+    #[error("version {0} has another document than the one that this router knows")]
     DigestMismatch(VersionNumber),
-    /// The versions are not consecutive, or a document does not match its digest.
-    #[error("its versions don't go together")]
+    /// The granted versions are incomplete or not consecutive, or a document does not match its digest.
+    #[error(
+        "the granted versions are incomplete or not consecutive, or a document does not match its digest"
+    )]
     Inconsistent,
 }
 
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -258,7 +258,7 @@
         if bytes.len() > MAX_DOCUMENT_BYTES {
             let size = bytes.len();
             return Err(error(format!(
-                "is {size} bytes, {MAX_DOCUMENT_BYTES} at most"
+                "is {size} bytes long, the maximum is {MAX_DOCUMENT_BYTES}"
             )));
         }
         serde_json::from_slice(bytes).map_err(|e| error(e.to_string()))
--- a/crates/coordination/src/document_validation.rs
+++ b/crates/coordination/src/document_validation.rs
@@ -49,7 +49,7 @@
         check_resources(self, &mut errors);
         let default_class = self.default_class.as_ref();
         if default_class.is_some_and(|class| !self.classes.contains_key(class)) {
-            errors.push("default_class", "is no class of this document");
+            errors.push("default_class", "must be a class of this document");
         }
         check_tasks(self, &mut errors);
         for (name, class) in &self.classes {
@@ -65,7 +65,7 @@
             errors.push("list", "names more than 10000 engines");
         }
         for path in self.empty_placements() {
-            errors.push(path, "leaves no place at all (rule 6)");
+            errors.push(path, "leaves no possible placement (rule 6)");
         }
         errors.found
     }
@@ -105,7 +105,7 @@
     if tasks.get(&Task::Discovery).is_some_and(|n| *n != 1) || tasks.values().any(|n| *n == 0) {
         errors.push(
             "tasks",
-            "want 1 part or more each, and `list` just one: there is one discovery",
+            "must have 1 shard or more each, and `list` exactly 1, as service discovery is not divided",
         );
     }
 }
@@ -123,7 +123,7 @@
         if !are_valid || budget.within == ConfigDuration::ZERO {
             errors.push(
                 "engines.budget",
-                "wants numbers of 0 or more, within a span over 0 (rule 7)",
+                "must have spare and ratio of 0 or more, and within greater than 0 (rule 7)",
             );
         }
     }
@@ -133,14 +133,14 @@
     if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
         errors.push(
             "rules.start_capacity",
-            "is a part of the capacity, over 0 and up to 1 (rule 4)",
+            "must be a fraction of the capacity, greater than 0 and at most 1 (rule 4)",
         );
     }
     let is_overload = rules.overload.is_finite() && rules.overload >= 1.0;
     if !is_overload || rules.fall == ConfigDuration::ZERO {
         errors.push(
             "rules.overload",
-            "must be 1 or more, for a rules.fall over 0 (rule 4)",
+            "must be 1 or more, with a rules.fall greater than 0 (rule 4)",
         );
     }
 }
@@ -151,14 +151,14 @@
     if !name.bytes().all(is_tag_byte) {
         errors.push(
             path("name"),
-            "only letters, digits, '-', '_' and '.' can stand in a client tag",
+            "must have only letters, digits, '-', '_' and '.', the characters of a client tag",
         );
     }
     let figures = [class.stretch, class.worth, class.late_worth, class.threads];
     if !figures.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
         errors.push(
             path("threads"),
-            "stretch, worth, late_worth and threads are numbers of 0 or more, threads over 0",
+            "stretch, worth and late_worth must be 0 or more, and threads greater than 0",
         );
     }
     if class.late_worth > 1.0 {
@@ -168,13 +168,13 @@
     check_class_idempotency(class, path, errors);
     for kind in class.kinds.iter().flatten() {
         if !document.kinds.contains_key(kind) {
-            let message = format!("{kind:?} is no kind of this document (rule 6)");
+            let message = format!("{kind:?} is not a machine kind of this document (rule 6)");
             errors.push(path("kinds"), message);
         }
     }
     for zone in class.zones.iter().flatten() {
         if !document.zones.contains(zone) {
-            let message = format!("{zone:?} is no zone of this document (rule 6)");
+            let message = format!("{zone:?} is not a zone of this document (rule 6)");
             errors.push(path("zones"), message);
         }
     }
@@ -184,7 +184,7 @@
     if class.aim == ConfigDuration::ZERO || class.patience < class.aim {
         errors.push(
             path("patience"),
-            "must be the aim or more, and the aim over 0",
+            "must be at least the aim, and the aim greater than 0",
         );
     }
     if class.patience < MIN_PATIENCE {
@@ -203,13 +203,13 @@
     if class.holds && class.repeat == Idempotency::Idempotent {
         errors.push(
             path("repeat"),
-            "a class that holds tables while it loads them can't be safe to repeat (rule 2)",
+            "must be 'never' for a class that locks tables while it loads them (rule 2)",
         );
     }
     if class.repeat == Idempotency::NonIdempotent && class.in_doubt == Some(InDoubtPolicy::Serve) {
         errors.push(
             path("in_doubt"),
-            "what must never run twice can't be served in doubt (rule 2)",
+            "must not be 'serve' for statements that must never run twice (rule 2)",
         );
     }
 }
--- a/crates/coordination/src/duration.rs
+++ b/crates/coordination/src/duration.rs
@@ -51,7 +51,7 @@
         let text = String::deserialize(deserializer)?;
         let duration = hoptiller_statement::parse_duration(&text).ok_or_else(|| {
             de::Error::custom(format!(
-                "{text:?} is no duration with its unit, such as '250ms' or '2m'"
+                "{text:?} is not a duration with a unit, such as '250ms' or '2m'"
             ))
         })?;
         // Fractions of a microsecond are rounded, so that a duration is read back as it was written.
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -15,7 +15,7 @@
 ) -> Vec<ValidationError> {
     let conflict = |path: String| {
         let message = format!(
-            "nothing is in both {} (versions {from} to {to}) and {} (this change)",
+            "no value is in both {} (versions {from} to {to}) and {} (this change)",
             describe_setting(merged, &path),
             describe_setting(proposed, &path)
         );
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -41,7 +41,7 @@
             if text.is_empty() || text.len() > MAX_TEXT_BYTES {
                 errors.push(ValidationError {
                     path: path.to_owned(),
-                    message: format!("1 to {MAX_TEXT_BYTES} bytes are wanted"),
+                    message: format!("must be 1 to {MAX_TEXT_BYTES} bytes long"),
                 });
             }
         }
@@ -61,15 +61,15 @@
         #[serde(rename = "flaws")]
         errors: Vec<ValidationError>,
     },
-    /// Another version was proposed since the base of this one.
-    #[error("the last version is {latest} now; look at it, and put again")]
+    /// Another version was proposed after the base of this one.
+    #[error("the latest version is {latest} now; review it and propose the change again")]
     Outdated {
         /// The latest version.
         #[serde(rename = "last")]
         latest: VersionNumber,
     },
     /// Too many versions are being rolled out.
-    #[error("{pending} changes are on their way already; try again later")]
+    #[error("{pending} changes are being rolled out already; try again later")]
     #[serde(rename = "busy")]
     TooManyPending {
         /// The number of versions that are not in force yet.
@@ -86,8 +86,8 @@
         #[serde(rename = "places")]
         conflicts: Vec<ValidationError>,
     },
-    /// A change of that name has another document.
-    #[error("version {number} came under that name with another text")]
+    /// Another version has the same change name, but another document.
+    #[error("version {number} has the same change name, but another document")]
     #[serde(rename = "reused")]
     NameReused {
         /// The number of that version.
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -37,9 +37,9 @@
     pub index: u32,
 }
 
-/// A text that names no shard.
+/// An error for a text that names no shard.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is no part of a task, such as probe/3")]
+#[error("{text:?} is not a shard of a task, such as probe/3")]
 pub struct InvalidShard {
     text: String,
 }
--- a/crates/coordination/tests/common.rs
+++ b/crates/coordination/tests/common.rs
@@ -15,5 +15,5 @@
         "engines": {"max_attempts": 3},
         "rules": {"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}
     }"#;
-    Document::from_json(text.as_bytes()).expect("a good document")
+    Document::from_json(text.as_bytes()).expect("the document is valid")
 }
--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -193,13 +193,19 @@
 fn each_rule_merges_to_the_stricter_value() {
     let (mut a, mut b) = (document(), document());
     let report = |d: &mut Document, kinds: &[&str]| {
-        d.classes.get_mut("report").expect("there").kinds =
+        d.classes.get_mut("report").expect("the class exists").kinds =
             Some(kinds.iter().map(|k| (*k).to_owned()).collect());
     };
     report(&mut a, &["a", "b"]);
     report(&mut b, &["b"]);
-    b.classes.get_mut("lookup").expect("there").repeat = Idempotency::NonIdempotent;
-    a.classes.get_mut("lookup").expect("there").in_order = true;
+    b.classes
+        .get_mut("lookup")
+        .expect("the class exists")
+        .repeat = Idempotency::NonIdempotent;
+    a.classes
+        .get_mut("lookup")
+        .expect("the class exists")
+        .in_order = true;
     (a.engines.max_attempts, b.engines.max_attempts) = (2, 3);
     b.classes.remove("load");
     b.default_class = Some("report".into());
@@ -225,7 +231,7 @@
     assert_eq!(changed["engines.max_attempts"], Change::Looser);
     assert_eq!(a.change_to(&b), Change::Mixed);
     b = a.clone();
-    b.classes.get_mut("report").expect("there").worth = 9.0;
+    b.classes.get_mut("report").expect("the class exists").worth = 9.0;
     assert_eq!(a.change_to(&b), Change::Neutral, "weights restrict nothing");
 }
 
@@ -244,8 +250,12 @@
 #[test]
 fn validation_errors_name_the_rule() {
     let mut d = document();
-    d.classes.get_mut("load").expect("there").in_doubt = Some(InDoubtPolicy::Serve);
-    d.classes.get_mut("report").expect("there").kinds = Some(BTreeSet::from(["q".to_owned()]));
+    d.classes
+        .get_mut("load")
+        .expect("the class exists")
+        .in_doubt = Some(InDoubtPolicy::Serve);
+    d.classes.get_mut("report").expect("the class exists").kinds =
+        Some(BTreeSet::from(["q".to_owned()]));
     d.engines.max_attempts = 0;
     d.rules.overload = 0.5;
     let flaws = d.validation_errors();
--- a/crates/coordination/tests/rollout/leases.rs
+++ b/crates/coordination/tests/rollout/leases.rs
@@ -17,7 +17,11 @@
         propose(&mut config, "first", None, &with_attempts(3)),
         Ok(1)
     );
-    assert_eq!(config.in_force(), 1, "the first contradicts nobody");
+    assert_eq!(
+        config.in_force(),
+        1,
+        "the first version contradicts nothing"
+    );
     let (mut a, mut b) = (watcher("a"), watcher("b"));
     let mut expiry = ExpiryTracker::default();
     for watcher in [&mut a, &mut b] {
@@ -44,7 +48,7 @@
         a.merged_document()
             .map(|merged| merged.engines.max_attempts),
         Some(2),
-        "the tighter of both at once"
+        "the tighter value of both versions applies at once"
     );
     poll(&mut a, &mut config, 3 * SECOND).expect("granted");
     expiry.observe(3 * SECOND, &config);
@@ -54,7 +58,7 @@
             expiry.expired_config_leases(3 * SECOND, &TIMING)
         ),
         1,
-        "b has not been notified of it"
+        "router b does not enforce version 2 yet"
     );
     assert_eq!(
         config
@@ -73,7 +77,7 @@
             expiry.expired_config_leases(expired_at, &TIMING)
         ),
         2,
-        "b's lease has expired"
+        "the lease of router b has expired"
     );
     assert_eq!(b.decide(expired_at, "load"), Decision::Reject);
     assert_eq!(
--- a/crates/coordination/tests/rollout/proposals.rs
+++ b/crates/coordination/tests/rollout/proposals.rs
@@ -12,13 +12,21 @@
     let mut a = watcher("a");
     poll(&mut a, &mut config, 0).expect("granted");
     let mut reweighted = document();
-    reweighted.classes.get_mut("report").expect("there").worth = 9.0;
+    reweighted
+        .classes
+        .get_mut("report")
+        .expect("the class exists")
+        .worth = 9.0;
     propose(&mut config, "worth", None, &reweighted).expect("accepted");
     assert_eq!(config.in_force(), 2);
     // A neutral change behind a pending change is pending too: versions take effect in order.
     reweighted.engines.max_attempts = 1;
     propose(&mut config, "attempts", None, &reweighted).expect("accepted");
-    reweighted.classes.get_mut("report").expect("there").worth = 8.0;
+    reweighted
+        .classes
+        .get_mut("report")
+        .expect("the class exists")
+        .worth = 8.0;
     propose(&mut config, "worth again", None, &reweighted).expect("accepted");
     assert_eq!((config.in_force(), config.latest()), (2, 4));
     poll(&mut a, &mut config, SECOND).expect("granted");
@@ -53,13 +61,13 @@
     propose(&mut config, "drain", None, &changed).expect("accepted");
     poll(&mut a, &mut config, SECOND).expect("granted");
     assert_eq!(complete_rollout(&mut config, Vec::new()), 1);
-    let merged = a.merged_document().expect("some");
+    let merged = a.merged_document().expect("there are versions");
     assert!(!merged.list.as_ref().expect("a list").accepts_work("e", 5));
     assert_eq!(
         merged.engines.max_attempts, 3,
-        "the looser change still waits"
+        "the looser change is still pending"
     );
-    // Rolled back during the rollout: it is one more version, and nothing before it is skipped over.
+    // A rollback during the rollout is one more version. The versions before it are not skipped.
     propose(&mut config, "rollback", None, &document()).expect("accepted");
     poll(&mut a, &mut config, SECOND).expect("granted");
     assert_eq!(
@@ -83,7 +91,7 @@
     assert_eq!(
         propose(&mut config, "second", Some(1), &with_attempts(2)),
         Ok(2),
-        "the response was lost"
+        "a repeated proposal gets the same number"
     );
     assert_eq!(
         propose(&mut config, "second", Some(2), &with_attempts(4)),
@@ -97,7 +105,7 @@
     for n in 0..200 {
         match propose(
             &mut config,
-            &format!("flood {n}"),
+            &format!("change {n}"),
             None,
             &with_attempts(3 + n % 7),
         ) {
@@ -118,7 +126,11 @@
     let mut config = ConfigState::default();
     propose(&mut config, "first", None, &document()).expect("accepted");
     let mut changed = document();
-    changed.classes.get_mut("report").expect("there").kinds = Some(["b".to_owned()].into());
+    changed
+        .classes
+        .get_mut("report")
+        .expect("the class exists")
+        .kinds = Some(["b".to_owned()].into());
     let Err(Rejection::NoPlacement { conflicts }) = propose(&mut config, "move", None, &changed)
     else {
         panic!("accepted")
--- a/crates/coordination/tests/rollout/random_executions.rs
+++ b/crates/coordination/tests/rollout/random_executions.rs
@@ -172,7 +172,7 @@
         let accepted = watcher.accept_grant(id, granted);
         assert!(
             matches!(accepted, Ok(_) | Err(GrantError::Unsolicited)),
-            "one honest log: {accepted:?}"
+            "all grants come from one log: {accepted:?}"
         );
     }
 
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -21,11 +21,11 @@
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(fixture(name), actual).expect("the fixture can be written");
     }
-    assert_eq!(read(name), actual, "{name} has another form");
+    assert_eq!(read(name), actual, "the form of {name} has changed");
 }
 
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("it has a JSON form")
+    serde_json::to_string(value).expect("the value can be serialized")
 }
 
 fn answer_line(answer: &CommandResponse) -> String {
@@ -65,7 +65,7 @@
     let mut pinned = String::new();
     for version in state["course"].as_array().expect("versions") {
         let bytes = version["document"].to_string();
-        let document = Document::from_json(bytes.as_bytes()).expect("a good document");
+        let document = Document::from_json(bytes.as_bytes()).expect("the document is valid");
         assert_eq!(version["head"]["digest"], document.digest());
         let _ = writeln!(
             pinned,
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -50,7 +50,7 @@
             .filter(|all| all.len() == 1)
             .count()
             >= 86,
-        "the others act on"
+        "the other routers keep acting"
     );
 }
 
@@ -95,14 +95,14 @@
     }
     assert!(
         cluster.now > died_at + TIMING.term,
-        "not before the term has passed"
+        "leases expire only after the term has passed"
     );
     cluster.rounds(2);
     assert_eq!(cluster.count_held_by(&holder("r1", "1")), 1000);
     assert_eq!(
         cluster.config.lease_table().last_fencing_token(),
         last_token + 1000,
-        "each under a fencing token of its own"
+        "each lease has a new fencing token"
     );
 }
 
@@ -118,11 +118,11 @@
     assert_eq!(
         cluster.counts(),
         [0, 8],
-        "a term and a little after the last response that it received"
+        "its leases expire a little more than a term after the last response that it received"
     );
     cluster.unreachable.clear();
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
-    assert_eq!(cluster.counts(), [4, 4], "it is assigned some again");
+    assert_eq!(cluster.counts(), [4, 4], "it is assigned leases again");
 }
 
 #[test]
@@ -160,9 +160,9 @@
     let second = cluster.held()[&shard(0)].clone();
     assert_ne!(
         second, first,
-        "each holds as many as the others, and another is a candidate first"
+        "all hold the same number of leases, and another router is preferred"
     );
-    // With no other router there, it is assigned to the same again.
+    // If there is no other router, the shard is assigned to the same router again.
     cluster.routers.retain(|holder, _| *holder == second);
     cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
     cluster
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -72,9 +72,9 @@
         );
     }
 
-    /// Sends a renewal, and returns its response, which the router has not received yet.
+    /// Sends a renewal. Returns its id and its response, which the router has not received yet.
     pub fn renew(&mut self, holder: &Holder) -> (u64, ConfigLeaseGrant) {
-        let (leases, next_id) = self.routers.get_mut(holder).expect("there");
+        let (leases, next_id) = self.routers.get_mut(holder).expect("the router has joined");
         let id = *next_id;
         *next_id += 1;
         let offer = Some(leases.start_renewal(id, self.now));
@@ -120,7 +120,7 @@
         let acting = self.acting();
         assert!(
             acting.values().all(|all| all.len() <= 1),
-            "two may act: {acting:?}"
+            "two routers may act for one shard: {acting:?}"
         );
     }
 
--- a/crates/coordination/tests/task_leases/holding.rs
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -63,9 +63,9 @@
     assert_eq!(
         cluster.count_held_by(&router),
         1,
-        "it was renewed meanwhile"
+        "the lease was renewed in the meantime"
     );
-    // A duplicate of a renewal from when it released an earlier lease of that shard.
+    // A duplicated renewal releases an earlier lease of that shard.
     let token = cluster.config.lease_table().updates_since(0).entries[0]
         .holder
         .as_ref()
@@ -86,7 +86,7 @@
     assert_eq!(
         cluster.config.lease_table().updates_since(0).entries[0].holder,
         Some((router, token)),
-        "it is another lease"
+        "the current lease stays"
     );
 }
 
@@ -102,20 +102,20 @@
         leases
             .begin_operation(renewed_at, shard(0), expires_at - renewed_at)
             .is_none(),
-        "it would end too late"
+        "the operation would end too late"
     );
     let guard = leases
         .begin_operation(renewed_at, shard(0), expires_at - renewed_at - 1)
-        .expect("just in time");
+        .expect("the operation ends in time");
     assert_eq!(guard.expires_at, expires_at);
     assert!(
         leases.is_still_valid(expires_at - 1, &guard) && !leases.is_still_valid(expires_at, &guard),
-        "checked again before it is sent"
+        "the lease is checked again before the operation is sent"
     );
     leases.drain();
     assert!(
         leases.begin_operation(renewed_at, shard(0), 0).is_none(),
-        "no new operation"
+        "no new operation begins while the router drains"
     );
     let (id, grant) = cluster.renew(&router);
     cluster.receive(&router, id, &grant);
@@ -167,7 +167,7 @@
     assert_eq!(
         cluster.config.apply(other),
         CommandResponse::NoteRecorded(Err(NoteError::StaleToken)),
-        "an earlier or later incarnation"
+        "another incarnation does not hold the lease"
     );
     let long = "x".repeat(MAX_NOTE_BYTES + 1);
     assert_eq!(
@@ -182,7 +182,7 @@
     assert_eq!(
         cluster.config.lease_table().revision(),
         revision,
-        "the same note again is no change"
+        "recording the same note again changes nothing"
     );
     let entries = cluster
         .config
--- a/crates/fleet-tasks/src/engine_observations/tests.rs
+++ b/crates/fleet-tasks/src/engine_observations/tests.rs
@@ -10,15 +10,15 @@
     assert!(observations.record("a", observation(10_000, false)));
     assert!(
         !observations.record("a", observation(11_400, false)),
-        "the same process"
+        "the process is the same"
     );
     assert!(
         observations.record("a", observation(10_000, true)),
-        "it drains"
+        "the engine drains now"
     );
     assert!(
         observations.record("a", observation(20_000, false)),
-        "another process"
+        "the process is another one"
     );
     assert!(observations.record("b", observation(5, false)));
     assert_eq!(
--- a/crates/fleet-tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -12,7 +12,7 @@
     assert_eq!(
         task_assignment(&leases, 0, DISCOVERY_SHARD, false),
         TaskAssignment::EachRouter,
-        "there is no such task"
+        "the shard is unknown before the first response"
     );
     let holder = Some((
         Holder {
@@ -53,7 +53,7 @@
     assert_eq!(
         task_assignment(&accept(2, false, &holder, None), 2, DISCOVERY_SHARD, false),
         TaskAssignment::EachRouter,
-        "nothing is recorded yet"
+        "no note is recorded yet"
     );
     let remote = accept(3, false, &holder, Some("x"));
     assert_eq!(
@@ -63,7 +63,7 @@
     assert_eq!(
         task_assignment(&remote, 2, DISCOVERY_SHARD, true),
         TaskAssignment::EachRouter,
-        "in doubt"
+        "this router is in doubt"
     );
     let local = accept(4, true, &holder, Some("x"));
     assert_eq!(
@@ -73,7 +73,7 @@
     assert_eq!(
         task_assignment(&local, 9_900, DISCOVERY_SHARD, false),
         TaskAssignment::Remote("x".into()),
-        "its lease has expired"
+        "the lease of this router has expired"
     );
 }
 
@@ -81,7 +81,7 @@
 fn engines_spread_evenly_over_the_shards_and_keep_theirs() {
     let mut counts = [0; 8];
     for n in 0..800 {
-        let shard = health_check_shard(&format!("engine-{n}"), 8).expect("there are shards");
+        let shard = health_check_shard(&format!("engine-{n}"), 8).expect("the task has shards");
         assert_eq!(Some(shard), health_check_shard(&format!("engine-{n}"), 8));
         counts[shard.index as usize] += 1;
     }
