--- a/crates/coordination/src/config_lease.rs
+++ b/crates/coordination/src/config_lease.rs
@@ -19,16 +19,17 @@
 impl LeaseTiming {
     /// Returns the term as a router counts it. It ends before the term has passed on any clock within the drift.
     pub fn router_term(&self) -> Micros {
-        self.term.saturating_sub(self.slack())
+        self.term.saturating_sub(self.drift_allowance())
     }
 
     /// Returns the term as a replica counts it.
     pub fn replica_term(&self) -> Micros {
-        self.term.saturating_add(self.slack())
+        self.term.saturating_add(self.drift_allowance())
     }
 
-    /// What two clocks may differ by within a term, as their rates may differ from true time in opposite directions.
-    fn slack(&self) -> Micros {
+    /// Returns the maximum difference between two clocks after one term, as their rates may differ from true time in
+    /// opposite directions.
+    fn drift_allowance(&self) -> Micros {
         (u128::from(self.term) * u128::from(self.drift)).div_ceil(1_000_000) as Micros
     }
 }
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -102,8 +102,8 @@
 
     fn propose(&mut self, proposal: Proposal) -> Result<VersionNumber, Rejection> {
         let digest = proposal.document.digest();
-        let same_name = |known: &&VersionMetadata| known.change_name == proposal.change_name;
-        if let Some(known) = self.history().find(same_name) {
+        let has_same_name = |known: &&VersionMetadata| known.change_name == proposal.change_name;
+        if let Some(known) = self.history().find(has_same_name) {
             let number = known.number;
             return if known.digest == digest {
                 Ok(number)
@@ -111,7 +111,7 @@
                 Err(Rejection::NameReused { number })
             };
         }
-        self.check(&proposal)?;
+        self.check_proposal(&proposal)?;
         let number = self.latest() + 1;
         let kind = self.active.back().map_or(Change::Looser, |latest| {
             latest.document.change_to(&proposal.document)
@@ -134,8 +134,8 @@
         Ok(number)
     }
 
-    /// Checks a proposal against the versions that are active.
-    fn check(&self, proposal: &Proposal) -> Result<(), Rejection> {
+    /// Checks a proposal against the active versions.
+    fn check_proposal(&self, proposal: &Proposal) -> Result<(), Rejection> {
         let errors = proposal.validation_errors();
         if !errors.is_empty() {
             return Err(Rejection::Invalid { errors });
@@ -237,14 +237,14 @@
             if next.number > upto || !ready {
                 break;
             }
-            self.retire_front();
+            self.retire_version_in_force();
         }
         if let Some(front) = self.active.front() {
             self.lease_table.set_tasks(&front.document.tasks);
         }
     }
 
-    fn retire_front(&mut self) {
+    fn retire_version_in_force(&mut self) {
         if let Some(retired) = self.active.pop_front() {
             self.retired_metadata.push_back(retired.metadata.clone());
             self.retired_versions.push_back(retired);
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -20,7 +20,7 @@
     Unsolicited,
     /// The replica is behind the versions that this router had reported: its state has been rolled back.
     #[error(
-        "a replica reports version {reported}, but this router knows version {known}: the replica's state was rolled back"
+        "a replica reports version {reported}, but version {known} is known: the replica's state was rolled back"
     )]
     Regressed {
         /// The replica's version, in force or latest.
@@ -76,7 +76,7 @@
     /// The merge of these versions.
     merged: Option<Document>,
     lease: ConfigLease,
-    open: BTreeMap<u64, OpenRenewal>,
+    open_renewals: BTreeMap<u64, OpenRenewal>,
     next_id: u64,
 }
 
@@ -98,7 +98,7 @@
             versions: Vec::new(),
             merged: None,
             lease: ConfigLease::default(),
-            open: BTreeMap::new(),
+            open_renewals: BTreeMap::new(),
             next_id: 0,
         };
         if are_consistent(&known) {
@@ -109,8 +109,8 @@
 
     /// Starts a renewal that is sent now. Returns its id and the command.
     pub fn start_renewal(&mut self, now: Micros) -> (u64, Command) {
-        while self.open.len() >= MAX_OPEN_RENEWALS {
-            self.open.pop_first();
+        while self.open_renewals.len() >= MAX_OPEN_RENEWALS {
+            self.open_renewals.pop_first();
         }
         let id = self.next_id;
         self.next_id += 1;
@@ -120,7 +120,7 @@
             enforced,
             in_force,
         };
-        self.open.insert(id, renewal);
+        self.open_renewals.insert(id, renewal);
         let command = Command::RenewLease {
             holder: self.holder.clone(),
             enforced,
@@ -130,16 +130,17 @@
         (id, command)
     }
 
-    /// Counts a renewal from another time. That of its response would be too late: only an injected fault does so.
-    pub fn set_sent_at(&mut self, id: u64, now: Micros) {
-        if let Some(renewal) = self.open.get_mut(&id) {
-            renewal.sent_at = now;
+    /// Sets the time from which a renewal counts. Only an injected fault uses this: counted from its response, a lease
+    /// would end too late.
+    pub fn set_sent_at(&mut self, id: u64, sent_at: Micros) {
+        if let Some(renewal) = self.open_renewals.get_mut(&id) {
+            renewal.sent_at = sent_at;
         }
     }
 
     /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
-        self.open.remove(&id);
+        self.open_renewals.remove(&id);
     }
 
     /// Accepts the response to a renewal. Returns whether the enforced versions have changed.
@@ -148,8 +149,11 @@
     ///
     /// Returns an error if the grant contradicts what this router knows. The lease is then not renewed.
     pub fn accept_grant(&mut self, id: u64, grant: ConfigLeaseGrant) -> Result<bool, GrantError> {
-        let renewal = self.open.remove(&id).ok_or(GrantError::Unsolicited)?;
-        self.check(&renewal, &grant)?;
+        let renewal = self
+            .open_renewals
+            .remove(&id)
+            .ok_or(GrantError::Unsolicited)?;
+        self.check_grant(&renewal, &grant)?;
         self.lease.renew(renewal.sent_at, &self.timing);
         // A response that arrives after a later one renews the lease, but rolls no version back.
         let granted = (grant.in_force, grant.enforce);
@@ -163,7 +167,11 @@
         Ok(has_changed)
     }
 
-    fn check(&self, renewal: &OpenRenewal, grant: &ConfigLeaseGrant) -> Result<(), GrantError> {
+    fn check_grant(
+        &self,
+        renewal: &OpenRenewal,
+        grant: &ConfigLeaseGrant,
+    ) -> Result<(), GrantError> {
         for (reported, known) in [
             (grant.enforce, renewal.enforced),
             (grant.in_force, renewal.in_force),
@@ -181,9 +189,9 @@
                 Err(GrantError::Inconsistent)
             };
         };
-        let has_bounds =
+        let is_complete =
             first.metadata.number == grant.in_force && last.metadata.number == grant.enforce;
-        if !has_bounds || !are_consistent(&grant.versions) {
+        if !is_complete || !are_consistent(&grant.versions) {
             return Err(GrantError::Inconsistent);
         }
         for known in self.versions.iter().map(|version| &version.metadata) {
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -199,15 +199,15 @@
         [MergeOptional] list: Option<EndpointList>,
         /// The number of shards of each task that one router performs for the whole fleet.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-        [TaskCounts] tasks: BTreeMap<Task, u32>,
+        [ShardCounts] tasks: BTreeMap<Task, u32>,
     }
 }
 
 /// Merges to the smaller number of shards of each task on both sides. A change restricts nothing, as only the version
 /// in force decides which tasks exist.
-struct TaskCounts;
+struct ShardCounts;
 
-impl MergeRule<BTreeMap<Task, u32>> for TaskCounts {
+impl MergeRule<BTreeMap<Task, u32>> for ShardCounts {
     const RESTRICTS: bool = false;
 
     fn merge(a: &BTreeMap<Task, u32>, b: &BTreeMap<Task, u32>) -> BTreeMap<Task, u32> {
@@ -304,7 +304,9 @@
     pub fn change_to(&self, new: &Document) -> Change {
         self.differences(new)
             .iter()
-            .fold(Change::Neutral, |all, d| all.combine(d.change))
+            .fold(Change::Neutral, |combined, difference| {
+                combined.combine(difference.change)
+            })
     }
 
     /// Returns the paths of the settings that leave a class no machine kind or no zone.
--- a/crates/coordination/src/document_validation.rs
+++ b/crates/coordination/src/document_validation.rs
@@ -39,11 +39,14 @@
         if self.form != FORMAT_VERSION {
             errors.push(
                 "form",
-                "is another form of the document than this program knows",
+                format!("must be {FORMAT_VERSION}, the only format version that is supported"),
             );
         }
         if self.classes.len() > MAX_CLASSES {
-            errors.push("classes", "are more than 256");
+            errors.push(
+                "classes",
+                format!("must contain {MAX_CLASSES} classes at most"),
+            );
         }
         check_names(self, &mut errors);
         check_resources(self, &mut errors);
@@ -62,7 +65,7 @@
             .as_ref()
             .is_some_and(|list| list.len() > MAX_ENGINES)
         {
-            errors.push("list", "names more than 10000 engines");
+            errors.push("list", format!("must name {MAX_ENGINES} engines at most"));
         }
         for path in self.empty_placements() {
             errors.push(path, "leaves no possible placement (rule 6)");
@@ -79,7 +82,8 @@
         .chain(&document.zones)
         .chain(document.tenants.keys());
     for name in names.filter(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
-        errors.push(format!("{name:.40?}"), "a name of 1 to 128 bytes is wanted");
+        let message = format!("must be a name of 1 to {MAX_NAME_BYTES} bytes");
+        errors.push(format!("{name:.40?}"), message);
     }
 }
 
@@ -87,20 +91,26 @@
     let is_positive = |number: f64| number.is_finite() && number > 0.0;
     for (kind, cores) in &document.kinds {
         if !is_positive(*cores) {
-            errors.push(format!("kinds.{kind}"), "cores over 0 are wanted");
+            let message = "must be a number of cores greater than 0";
+            errors.push(format!("kinds.{kind}"), message);
         }
     }
     for (tenant, quota) in &document.tenants {
         if !is_positive(*quota) {
-            errors.push(format!("tenants.{tenant}"), "a share over 0 is wanted");
+            let message = "must be a quota greater than 0";
+            errors.push(format!("tenants.{tenant}"), message);
         }
     }
 }
 
 fn check_tasks(document: &Document, errors: &mut Errors) {
     let tasks = &document.tasks;
-    if tasks.values().map(|n| u64::from(*n)).sum::<u64>() > MAX_SHARDS as u64 {
-        errors.push("tasks", "have more than 4096 parts");
+    let total: u64 = tasks.values().map(|shards| u64::from(*shards)).sum();
+    if total > MAX_SHARDS as u64 {
+        errors.push(
+            "tasks",
+            format!("must have {MAX_SHARDS} shards in total at most"),
+        );
     }
     if tasks.get(&Task::Discovery).is_some_and(|n| *n != 1) || tasks.values().any(|n| *n == 0) {
         errors.push(
@@ -136,8 +146,8 @@
             "must be a fraction of the capacity, greater than 0 and at most 1 (rule 4)",
         );
     }
-    let is_overload = rules.overload.is_finite() && rules.overload >= 1.0;
-    if !is_overload || rules.fall == ConfigDuration::ZERO {
+    let is_valid_overload = rules.overload.is_finite() && rules.overload >= 1.0;
+    if !is_valid_overload || rules.fall == ConfigDuration::ZERO {
         errors.push(
             "rules.overload",
             "must be 1 or more, with a rules.fall greater than 0 (rule 4)",
@@ -154,15 +164,18 @@
             "must have only letters, digits, '-', '_' and '.', the characters of a client tag",
         );
     }
-    let figures = [class.stretch, class.worth, class.late_worth, class.threads];
-    if !figures.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
+    let numbers = [class.stretch, class.worth, class.late_worth, class.threads];
+    if !numbers.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
         errors.push(
             path("threads"),
             "stretch, worth and late_worth must be 0 or more, and threads greater than 0",
         );
     }
     if class.late_worth > 1.0 {
-        errors.push(path("late_worth"), "is a part of the worth, 0 to 1");
+        errors.push(
+            path("late_worth"),
+            "must be a fraction of the worth, from 0 to 1",
+        );
     }
     check_class_times(class, path, errors);
     check_class_idempotency(class, path, errors);
@@ -190,7 +203,7 @@
     if class.patience < MIN_PATIENCE {
         errors.push(
             path("patience"),
-            "is under 500ms: no final answer could come in time (rule 1)",
+            format!("must be {MIN_PATIENCE} or more: no response could be sent in time (rule 1)"),
         );
     }
 }
--- a/crates/coordination/src/endpoint_sources.rs
+++ b/crates/coordination/src/endpoint_sources.rs
@@ -27,20 +27,20 @@
 impl EndpointSources {
     /// Replaces the list of a source. Engines that no source reports any more become [`EngineState::Gone`].
     pub fn update(&mut self, source: &str, list: EndpointList) -> SourceUpdate {
-        let mut outcome = SourceUpdate::default();
+        let mut result = SourceUpdate::default();
         for (name, endpoint) in list.iter() {
             if self.is_regression(name, *endpoint) {
-                outcome.regressed.push(name.clone());
+                result.regressed.push(name.clone());
             }
             if self.is_conflict(source, name, *endpoint) {
-                outcome.conflicting.push(name.clone());
+                result.conflicting.push(name.clone());
             }
         }
         self.sources.insert(source.to_owned(), list);
         let merged = self.merge_sources();
-        outcome.changed = merged != self.merged;
+        result.changed = merged != self.merged;
         self.merged = merged;
-        outcome
+        result
     }
 
     fn is_regression(&self, name: &str, endpoint: Endpoint) -> bool {
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -83,9 +83,9 @@
         self.consecutive_renewals >= MIN_CONSECUTIVE_RENEWALS
     }
 
-    pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts: bool) {
+    pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts_leases: bool) {
         self.serial = serial;
-        self.consecutive_renewals = if acknowledged && accepts {
+        self.consecutive_renewals = if acknowledged && accepts_leases {
             let renewals = self.consecutive_renewals.saturating_add(1);
             renewals.min(MIN_CONSECUTIVE_RENEWALS)
         } else {
@@ -122,12 +122,17 @@
         self.leases.values().map(|count| u64::from(*count)).sum()
     }
 
-    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last
-    /// counts as one that has a lease more.
-    pub(crate) fn assign(&mut self, shard: &Shard, released_by: Option<&Holder>) -> Option<Holder> {
+    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last is
+    /// treated as if it had one more lease.
+    pub(crate) fn assign(
+        &mut self,
+        shard: &Shard,
+        last_released_by: Option<&Holder>,
+    ) -> Option<Holder> {
         let cost = |(holder, count): &(&Holder, &mut u32)| {
-            let again = released_by == Some(*holder);
-            (**count + u32::from(again), again, weight(shard, holder))
+            let has_released_it = last_released_by == Some(*holder);
+            let adjusted_count = **count + u32::from(has_released_it);
+            (adjusted_count, has_released_it, tie_breaker(shard, holder))
         };
         let (holder, count) = self.leases.iter_mut().min_by_key(cost)?;
         *count += 1;
@@ -170,7 +175,7 @@
             .filter(|(_, slot)| slot.last_released_by.as_ref() != Some(&to))
             .filter_map(|(shard, slot)| Some((shard, slot.lease.as_mut()?)))
             .filter(|(_, lease)| lease.holder == from && !lease.release_requested);
-        let Some((_, lease)) = movable.max_by_key(|(shard, _)| weight(shard, &to)) else {
+        let Some((_, lease)) = movable.max_by_key(|(shard, _)| tie_breaker(shard, &to)) else {
             return;
         };
         lease.release_requested = true;
@@ -178,8 +183,8 @@
     }
 }
 
-/// Decides between routers that are alike otherwise: the same on all replicas, and spread over the routers.
-fn weight(shard: &Shard, holder: &Holder) -> [u8; 8] {
+/// Returns a hash that decides between equal choices: the same on all replicas, and evenly spread over the routers.
+fn tie_breaker(shard: &Shard, holder: &Holder) -> [u8; 8] {
     let hash = blake3::hash(format!("{shard} {}", holder.router).as_bytes());
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
--- a/crates/coordination/src/lease_messages.rs
+++ b/crates/coordination/src/lease_messages.rs
@@ -75,6 +75,6 @@
     #[serde(rename = "outdated")]
     StaleToken,
     /// The note exceeds [`MAX_NOTE_BYTES`](crate::MAX_NOTE_BYTES).
-    #[error("the note is too long")]
+    #[error("the note exceeds {} bytes", crate::MAX_NOTE_BYTES)]
     TooLong,
 }
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -104,7 +104,7 @@
         let mut changed = self.candidates.remove(holder).is_some();
         let shards: Vec<Shard> = self.slots.keys().copied().collect();
         for shard in shards {
-            changed |= self.free_if(&shard, |lease| lease.holder == *holder);
+            changed |= self.end_lease_if(&shard, |lease| lease.holder == *holder);
         }
         if changed {
             self.rebalance();
@@ -118,11 +118,11 @@
             let lease = self.slots.get(shard).and_then(|slot| slot.lease.as_ref());
             let holder = lease.map(|lease| lease.holder.clone());
             // A lease that was renewed after the replica judged it has not expired.
-            if self.free_if(shard, |lease| lease.serial == *serial) {
+            if self.end_lease_if(shard, |lease| lease.serial == *serial) {
                 changed = true;
-                // A silent holder would otherwise be assigned the lease again at once.
-                let silent = holder.and_then(|holder| self.candidates.get_mut(&holder));
-                if let Some(candidate) = silent {
+                // Otherwise the holder would be assigned the lease again at once, though it does not renew it.
+                let candidate = holder.and_then(|holder| self.candidates.get_mut(&holder));
+                if let Some(candidate) = candidate {
                     candidate.consecutive_renewals = 0;
                 }
             }
@@ -159,15 +159,15 @@
 
     /// Ends a lease that its holder has released. Returns whether the router held it.
     fn release(&mut self, holder: &Holder, shard: &Shard, fencing_token: u64) -> bool {
-        let released = self.free_if(shard, |lease| lease.is_held_by(holder, fencing_token));
+        let released = self.end_lease_if(shard, |lease| lease.is_held_by(holder, fencing_token));
         if let (true, Some(slot)) = (released, self.slots.get_mut(shard)) {
             slot.last_released_by = Some(holder.clone());
         }
         released
     }
 
-    /// Ends a shard's lease if it meets a condition. Returns whether it did.
-    fn free_if(&mut self, shard: &Shard, condition: impl Fn(&Lease) -> bool) -> bool {
+    /// Ends the lease of a shard if the lease meets a condition. Returns whether it has ended.
+    fn end_lease_if(&mut self, shard: &Shard, condition: impl Fn(&Lease) -> bool) -> bool {
         let Some(slot) = self.slots.get_mut(shard) else {
             return false;
         };
--- a/crates/coordination/src/merge_rules.rs
+++ b/crates/coordination/src/merge_rules.rs
@@ -218,8 +218,10 @@
 
             fn differences(&self, new: &Self, path: &str, into: &mut Vec<$crate::merge::Difference>) {
                 use $crate::merge::MergeRule;
-                let at = |field: &str| if path.is_empty() { field.to_owned() } else { format!("{path}.{field}") };
-                $(<$rule as MergeRule<$type>>::differences(&self.$field, &new.$field, &at(stringify!($field)), into);)*
+                let path_of = |field: &str| if path.is_empty() { field.to_owned() } else { format!("{path}.{field}") };
+                $(<$rule as MergeRule<$type>>::differences(
+                    &self.$field, &new.$field, &path_of(stringify!($field)), into,
+                );)*
             }
         }
     };
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -27,11 +27,11 @@
 
 /// Formats the value of a placement setting for messages.
 fn describe_setting(document: &Document, path: &str) -> String {
-    let places =
-        |places: Option<&Option<BTreeSet<String>>>| format!("{:?}", places.cloned().flatten());
+    let format_names =
+        |names: Option<&Option<BTreeSet<String>>>| format!("{:?}", names.cloned().flatten());
     match path.split('.').collect::<Vec<_>>()[..] {
-        ["classes", class, "kinds"] => places(document.classes.get(class).map(|c| &c.kinds)),
-        ["classes", class, "zones"] => places(document.classes.get(class).map(|c| &c.zones)),
+        ["classes", class, "kinds"] => format_names(document.classes.get(class).map(|c| &c.kinds)),
+        ["classes", class, "zones"] => format_names(document.classes.get(class).map(|c| &c.zones)),
         ["kinds"] => format!("{:?}", document.kinds.keys().collect::<Vec<_>>()),
         _ => format!("{:?}", document.classes.keys().collect::<Vec<_>>()),
     }
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -54,7 +54,7 @@
 #[serde(rename_all = "snake_case", tag = "refused")]
 pub enum Rejection {
     /// The proposal is invalid.
-    #[error("the document can't be used:{}", list(errors))]
+    #[error("the proposal is invalid:{}", format_errors(errors))]
     #[serde(rename = "flawed")]
     Invalid {
         /// All errors of the proposal.
@@ -75,10 +75,10 @@
         /// The number of versions that are not in force yet.
         pending: usize,
     },
-    /// A class could be placed nowhere during the rollout.
+    /// A class would have no placement during the rollout.
     #[error(
-        "until it is in force, a class would have no place left:{}",
-        list(conflicts)
+        "a class would have no placement during the rollout:{}",
+        format_errors(conflicts)
     )]
     #[serde(rename = "nowhere")]
     NoPlacement {
@@ -95,6 +95,6 @@
     },
 }
 
-fn list(errors: &[ValidationError]) -> String {
+fn format_errors(errors: &[ValidationError]) -> String {
     errors.iter().map(|error| format!("\n  {error}")).collect()
 }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -60,11 +60,11 @@
     type Error = InvalidShard;
 
     fn try_from(text: String) -> Result<Shard, InvalidShard> {
-        parse(&text).ok_or(InvalidShard { text })
+        parse_shard(&text).ok_or(InvalidShard { text })
     }
 }
 
-fn parse(text: &str) -> Option<Shard> {
+fn parse_shard(text: &str) -> Option<Shard> {
     let (name, index) = text.split_once('/')?;
     let task = [Task::Discovery, Task::HealthCheck]
         .into_iter()
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -20,8 +20,8 @@
     fencing_token: u64,
     expires_at: Micros,
     release_requested: bool,
-    /// The number of operations that run under it.
-    operations: u32,
+    /// The number of operations that run under the lease.
+    running_operations: u32,
 }
 
 /// The last known state of a shard.
@@ -42,12 +42,12 @@
     /// The serial of the last renewal whose response was received.
     acknowledged_serial: u64,
     held: BTreeMap<Shard, HeldLease>,
-    /// By shard: the last fencing token whose lease has ended.
-    ended: BTreeMap<Shard, u64>,
-    /// Released leases that the replicas have not confirmed.
-    released: BTreeMap<Shard, u64>,
-    /// When each open renewal was sent.
-    open: BTreeMap<u64, Micros>,
+    /// The fencing token of the last lease of each shard that has ended here.
+    last_ended_tokens: BTreeMap<Shard, u64>,
+    /// The fencing tokens of released leases whose release the replicas have not confirmed.
+    unconfirmed_releases: BTreeMap<Shard, u64>,
+    /// The time at which each open renewal was sent.
+    open_renewals: BTreeMap<u64, Micros>,
     table_revision: u64,
     shards: BTreeMap<Shard, ShardStatus>,
 }
@@ -74,28 +74,28 @@
             accepts_leases: true,
             acknowledged_serial: 0,
             held: BTreeMap::new(),
-            ended: BTreeMap::new(),
-            released: BTreeMap::new(),
-            open: BTreeMap::new(),
+            last_ended_tokens: BTreeMap::new(),
+            unconfirmed_releases: BTreeMap::new(),
+            open_renewals: BTreeMap::new(),
             table_revision: 0,
             shards: BTreeMap::new(),
         }
     }
 
-    /// The offer that goes with the renewal of that id, which is sent now.
+    /// Starts the renewal of an id, which is sent now. Returns the offer that goes with it.
     pub fn start_renewal(&mut self, id: u64, now: Micros) -> LeaseOffer {
-        while self.open.len() >= MAX_OPEN_RENEWALS {
-            self.open.pop_first();
+        while self.open_renewals.len() >= MAX_OPEN_RENEWALS {
+            self.open_renewals.pop_first();
         }
-        self.open.insert(id, now);
-        self.release_finished();
+        self.open_renewals.insert(id, now);
+        self.release_idle_leases();
         LeaseOffer {
             acknowledged_serial: self.acknowledged_serial,
             accepts_leases: self.accepts_leases,
             released: self
-                .released
+                .unconfirmed_releases
                 .iter()
-                .map(|(s, token)| (*s, *token))
+                .map(|(shard, token)| (*shard, *token))
                 .collect(),
             table_revision: self.table_revision,
         }
@@ -111,17 +111,17 @@
         leases: Option<&[TaskLeaseGrant]>,
         table: Option<&LeaseTableUpdate>,
     ) -> bool {
-        let Some(sent_at) = self.open.remove(&id) else {
+        let Some(sent_at) = self.open_renewals.remove(&id) else {
             return false;
         };
-        // A response that was overtaken may grant a lease that was released since.
+        // A response that arrives after a later one may grant a lease that was released since.
         if serial <= self.acknowledged_serial {
             return false;
         }
         self.acknowledged_serial = serial;
         let expires_at = self.expiry(sent_at, now);
         let mut changed = leases.is_some_and(|grants| self.apply_grants(grants, expires_at));
-        self.release_finished();
+        self.release_idle_leases();
         if let Some(update) = table {
             changed |= self.apply_table_update(update);
         }
@@ -151,14 +151,14 @@
         let lost: Vec<Shard> = self
             .held
             .keys()
-            .filter(|s| !is_granted(s))
+            .filter(|shard| !is_granted(shard))
             .copied()
             .collect();
         for shard in lost {
             changed = true;
             self.end_lease(shard);
         }
-        self.released.retain(|shard, token| {
+        self.unconfirmed_releases.retain(|shard, token| {
             grants
                 .iter()
                 .any(|grant| grant.shard == *shard && grant.fencing_token == *token)
@@ -167,8 +167,8 @@
     }
 
     fn apply_grant(&mut self, grant: &TaskLeaseGrant, expires_at: Micros) -> bool {
-        let ended = self.ended.get(&grant.shard);
-        if ended.is_some_and(|ended| grant.fencing_token <= *ended) {
+        let last_ended = self.last_ended_tokens.get(&grant.shard);
+        if last_ended.is_some_and(|last_ended| grant.fencing_token <= *last_ended) {
             return false;
         }
         let held = self.held.get_mut(&grant.shard);
@@ -182,11 +182,12 @@
             fencing_token: grant.fencing_token,
             expires_at,
             release_requested: grant.release_requested,
-            operations: 0,
+            running_operations: 0,
         };
-        // An earlier lease of the shard ends here: the replicas have ended it, so its time is over.
+        // A grant under another fencing token shows that the replicas have ended the earlier lease of the shard.
         if let Some(earlier) = self.held.insert(grant.shard, lease) {
-            self.ended.insert(grant.shard, earlier.fencing_token);
+            self.last_ended_tokens
+                .insert(grant.shard, earlier.fencing_token);
         }
         true
     }
@@ -207,35 +208,36 @@
 
     /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
-        self.open.remove(&id);
+        self.open_renewals.remove(&id);
     }
 
     fn end_lease(&mut self, shard: Shard) -> Option<u64> {
         let lease = self.held.remove(&shard)?;
-        self.ended.insert(shard, lease.fencing_token);
+        self.last_ended_tokens.insert(shard, lease.fencing_token);
         Some(lease.fencing_token)
     }
 
-    /// Whether a lease is to be released, and nothing runs under it.
-    fn is_finished(&self, lease: &HeldLease) -> bool {
-        lease.operations == 0 && (lease.release_requested || !self.accepts_leases)
+    /// Returns whether a lease must be released and no operation runs under it.
+    fn is_releasable(&self, lease: &HeldLease) -> bool {
+        lease.running_operations == 0 && (lease.release_requested || !self.accepts_leases)
     }
 
-    fn release_finished(&mut self) {
+    /// Releases the leases that must be released and under which no operation runs.
+    fn release_idle_leases(&mut self) {
         let held = self.held.iter();
-        let finished: Vec<Shard> = held
-            .filter(|(_, lease)| self.is_finished(lease))
+        let releasable: Vec<Shard> = held
+            .filter(|(_, lease)| self.is_releasable(lease))
             .map(|(shard, _)| *shard)
             .collect();
-        for shard in finished {
+        for shard in releasable {
             if let Some(fencing_token) = self.end_lease(shard) {
-                self.released.insert(shard, fencing_token);
+                self.unconfirmed_releases.insert(shard, fencing_token);
             }
         }
     }
 
-    /// Begins an operation that takes at most `duration`, to be called right before it. `None` where no lease lasts as
-    /// long.
+    /// Begins an operation that takes at most `duration`; called right before the operation. Returns `None` if the
+    /// lease is not held, must be released, or expires before the operation would end.
     pub fn begin_operation(
         &mut self,
         now: Micros,
@@ -250,7 +252,7 @@
         {
             return None;
         }
-        lease.operations += 1;
+        lease.running_operations += 1;
         Some(LeaseGuard {
             shard,
             fencing_token: lease.fencing_token,
@@ -274,8 +276,8 @@
         let Some(lease) = held.filter(|lease| lease.fencing_token == guard.fencing_token) else {
             return false;
         };
-        lease.operations = lease.operations.saturating_sub(1);
-        lease.operations == 0 && (lease.release_requested || !accepts_leases)
+        lease.running_operations = lease.running_operations.saturating_sub(1);
+        lease.running_operations == 0 && (lease.release_requested || !accepts_leases)
     }
 
     /// Returns whether the lease of a shard is held and has not expired.
@@ -296,9 +298,9 @@
         self.accepts_leases = false;
     }
 
-    /// The number of leases that are held or whose release is not confirmed.
+    /// Returns the number of leases that are held or whose release is not confirmed.
     pub fn outstanding_leases(&self) -> usize {
-        self.held.len() + self.released.len()
+        self.held.len() + self.unconfirmed_releases.len()
     }
 
     /// Returns the last known state of a shard, or `None` if there is no such shard.
