--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -103,18 +103,18 @@
         &self.endpoints
     }
 
-    /// Calls one replica after the other until one answers, each within `timeout`. With a body the call is a POST,
-    /// without one a GET.
+    /// Calls one replica after the other until one answers, each within `timeout`. Sends a POST if there is a body, and
+    /// a GET otherwise.
     ///
     /// # Errors
     ///
-    /// [`CallError::Rejected`] when a replica rejects the call, [`CallError::Unavailable`] when none answers.
-    pub async fn call<A: DeserializeOwned>(
+    /// Returns [`CallError::Rejected`] if a replica rejects the call, and [`CallError::Unavailable`] if none answers.
+    pub async fn call<T: DeserializeOwned>(
         &self,
         path: &str,
         body: Option<&impl Serialize>,
         timeout: Duration,
-    ) -> Result<A, CallError> {
+    ) -> Result<T, CallError> {
         let mut failures = Vec::new();
         for offset in 0..self.endpoints.len() {
             let index = (self.preferred.get() + offset) % self.endpoints.len();
@@ -122,9 +122,9 @@
                 .call_endpoint(self.endpoints[index], path, body, timeout)
                 .await
             {
-                Ok(answer) => {
+                Ok(response) => {
                     self.preferred.set(index);
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 Err(CallError::Unavailable(failed)) => failures.extend(failed),
                 Err(rejected) => return Err(rejected),
@@ -133,18 +133,19 @@
         Err(CallError::Unavailable(failures))
     }
 
-    /// Calls one replica. With a body the call is a POST, without one a GET.
+    /// Calls one replica. Sends a POST if there is a body, and a GET otherwise.
     ///
     /// # Errors
     ///
-    /// [`CallError::Rejected`] when the replica rejects the call, [`CallError::Unavailable`] when it does not answer.
-    pub async fn call_endpoint<A: DeserializeOwned>(
+    /// Returns [`CallError::Rejected`] if the replica rejects the call, and [`CallError::Unavailable`] if it does not
+    /// answer.
+    pub async fn call_endpoint<T: DeserializeOwned>(
         &self,
         endpoint: SocketAddr,
         path: &str,
         body: Option<&impl Serialize>,
         timeout: Duration,
-    ) -> Result<A, CallError> {
+    ) -> Result<T, CallError> {
         let unavailable = |source| CallError::Unavailable(vec![EndpointError { endpoint, source }]);
         let response = self
             .exchange(endpoint, path, body, timeout)
--- a/crates/coordination-client/src/clock.rs
+++ b/crates/coordination-client/src/clock.rs
@@ -4,17 +4,18 @@
 use hoptiller_coordination::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// A skew is given in parts of this.
-const MILLION: i64 = 1_000_000;
+/// The rate of a clock without skew, in millionths.
+const NORMAL_RATE_MILLIONTHS: i64 = 1_000_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1000;
 /// Maximum simulated skew in either direction, in millionths.
 const MAX_SKEW_MILLIONTHS: i64 = 900_000;
 
-/// A clock that counts from the machine's start. Tests make it run fast or slow to simulate drift.
+/// A clock that counts from the start of the machine. Tests make it run fast or slow to simulate drift.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started_at: Micros,
+    /// The time since which the skew applies.
+    skewed_since: Micros,
     skew_millionths: i64,
 }
 
@@ -24,19 +25,20 @@
         Clock::with_skew(0)
     }
 
-    /// A clock that runs fast (above 0) or slow (below 0) by so many millionths, from now on.
+    /// Creates a clock that from now on runs fast (above 0) or slow (below 0) by a number of millionths.
     pub fn with_skew(skew_millionths: i64) -> Clock {
         Clock {
-            started_at: boot_time(),
+            skewed_since: boot_time(),
             skew_millionths: skew_millionths.clamp(-MAX_SKEW_MILLIONTHS, MAX_SKEW_MILLIONTHS),
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
-        let elapsed = i128::from(boot_time().saturating_sub(self.started_at));
-        let skewed = elapsed * i128::from(MILLION + self.skew_millionths) / i128::from(MILLION);
-        self.started_at
+        let elapsed = i128::from(boot_time().saturating_sub(self.skewed_since));
+        let rate = NORMAL_RATE_MILLIONTHS + self.skew_millionths;
+        let skewed = elapsed * i128::from(rate) / i128::from(NORMAL_RATE_MILLIONTHS);
+        self.skewed_since
             .saturating_add(u64::try_from(skewed).unwrap_or(0))
     }
 }
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -101,10 +101,10 @@
     }
 
     fn response_code(&self, request: &Request, response: &Response) -> blake3::Hash {
-        let call = request.headers.get(CODE_HEADER).unwrap_or_default();
+        let request_code = request.headers.get(CODE_HEADER).unwrap_or_default();
         self.authentication_code(&[
             RESPONSE_DOMAIN,
-            call.as_bytes(),
+            request_code.as_bytes(),
             &response.status.0.to_be_bytes(),
             &response.body,
         ])
--- a/crates/coordination-client/src/secret/tests.rs
+++ b/crates/coordination-client/src/secret/tests.rs
@@ -3,47 +3,50 @@
 
 #[test]
 fn only_messages_signed_with_the_same_secret_are_verified() {
-    let (ours, theirs) = (Secret::new(b"one"), Secret::new(b"two"));
-    let call = |body: &str| {
-        let mut r = Request::new(Method::Post, "/x");
-        r.body = body.as_bytes().to_vec();
-        r
+    let (secret, other_secret) = (Secret::new(b"one"), Secret::new(b"two"));
+    let request = |body: &str| {
+        let mut request = Request::new(Method::Post, "/x");
+        request.body = body.as_bytes().to_vec();
+        request
     };
-    let signed = ours.sign_request(call("a"));
-    assert_eq!(ours.verify_request(&signed), Ok(()));
-    assert_eq!(theirs.verify_request(&signed), Err(AuthenticationError));
+    let signed = secret.sign_request(request("a"));
+    assert_eq!(secret.verify_request(&signed), Ok(()));
     assert_eq!(
-        ours.verify_request(&Request {
+        other_secret.verify_request(&signed),
+        Err(AuthenticationError)
+    );
+    assert_eq!(
+        secret.verify_request(&Request {
             body: b"b".to_vec(),
             ..signed.clone()
         }),
         Err(AuthenticationError)
     );
     assert_eq!(
-        ours.verify_request(&Request {
+        secret.verify_request(&Request {
             target: "/y".into(),
             ..signed.clone()
         }),
         Err(AuthenticationError)
     );
     assert_eq!(
-        ours.verify_request(&call("a")),
+        secret.verify_request(&request("a")),
         Err(AuthenticationError),
-        "without a code"
+        "a request without a code"
     );
-    let answer = ours.sign_response(&signed, Response::json(200, "{}"));
-    assert_eq!(ours.verify_response(&signed, &answer), Ok(()));
+    let response = secret.sign_response(&signed, Response::json(200, "{}"));
+    assert_eq!(secret.verify_response(&signed, &response), Ok(()));
     assert_eq!(
-        ours.verify_response(&ours.sign_request(call("c")), &answer),
+        secret.verify_response(&secret.sign_request(request("c")), &response),
         Err(AuthenticationError),
-        "an answer to another call"
+        "the response to another request"
     );
     assert_eq!(
-        ours.verify_response(
+        secret.verify_response(
             &signed,
             &Response {
                 body: b"[]".to_vec(),
-                ..answer
+                ..response
             }
         ),
         Err(AuthenticationError)
--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -16,7 +16,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/messages.txt")
 }
 
-fn again<T: Serialize + DeserializeOwned>(body: &str) -> String {
+/// Parses a body and returns it as it is written again.
+fn reserialize<T: Serialize + DeserializeOwned>(body: &str) -> String {
     let value: T = serde_json::from_str(body).unwrap_or_else(|error| panic!("{body}: {error}"));
     serde_json::to_string(&value).expect("the value can be serialized")
 }
@@ -28,24 +29,24 @@
     for line in stored.lines() {
         let (name, body) = line.split_once(' ').expect("a name and a body");
         let body = match name {
-            "ask" => again::<LeaseRenewalRequest>(body),
-            "asked" => again::<LeaseRenewalResponse>(body),
-            "holder" => again::<Holder>(body),
-            "watch" => again::<WatchRequest>(body),
-            "numbers" => again::<VersionNumbers>(body),
-            "note" => again::<RecordNoteRequest>(body),
-            "noted" => again::<RecordNoteResult>(body),
-            "leases" => again::<Vec<LeaseStatus>>(body),
-            "status" => again::<ClusterStatus>(body),
-            "put" => again::<Proposal>(body),
-            "put-answer" => again::<ProposalResponse>(body),
-            "which" => again::<VersionRequest>(body),
-            "version" => again::<Version>(body),
-            "history" => again::<Vec<VersionMetadata>>(body),
-            "between" => again::<DiffRequest>(body),
-            "differences" => again::<Vec<Difference>>(body),
-            "replaced" => again::<ReplaceResponse>(body),
-            "problem" => again::<ErrorBody>(body),
+            "ask" => reserialize::<LeaseRenewalRequest>(body),
+            "asked" => reserialize::<LeaseRenewalResponse>(body),
+            "holder" => reserialize::<Holder>(body),
+            "watch" => reserialize::<WatchRequest>(body),
+            "numbers" => reserialize::<VersionNumbers>(body),
+            "note" => reserialize::<RecordNoteRequest>(body),
+            "noted" => reserialize::<RecordNoteResult>(body),
+            "leases" => reserialize::<Vec<LeaseStatus>>(body),
+            "status" => reserialize::<ClusterStatus>(body),
+            "put" => reserialize::<Proposal>(body),
+            "put-answer" => reserialize::<ProposalResponse>(body),
+            "which" => reserialize::<VersionRequest>(body),
+            "version" => reserialize::<Version>(body),
+            "history" => reserialize::<Vec<VersionMetadata>>(body),
+            "between" => reserialize::<DiffRequest>(body),
+            "differences" => reserialize::<Vec<Difference>>(body),
+            "replaced" => reserialize::<ReplaceResponse>(body),
+            "problem" => reserialize::<ErrorBody>(body),
             other => panic!("unknown message {other:?}"),
         };
         let _ = writeln!(written, "{name} {body}");
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn paths_and_authentication_codes_stay() {
+fn paths_and_authentication_codes_are_unchanged() {
     let paths = [
         RENEW_LEASE,
         RELEASE_LEASE,
@@ -95,13 +96,13 @@
     ];
     assert_eq!(paths, expected);
     let secret = Secret::new(b"sixteen bytes or more");
-    let mut call = Request::new(Method::Post, RENEW_LEASE);
-    call.body = b"{}".to_vec();
-    let call = secret.sign_request(call);
-    let answer = secret.sign_response(&call, Response::json(200, "{}"));
+    let mut request = Request::new(Method::Post, RENEW_LEASE);
+    request.body = b"{}".to_vec();
+    let request = secret.sign_request(request);
+    let response = secret.sign_response(&request, Response::json(200, "{}"));
     let codes = [
-        call.headers.get("X-Hoptiller-Code"),
-        answer.headers.get("X-Hoptiller-Code"),
+        request.headers.get("X-Hoptiller-Code"),
+        response.headers.get("X-Hoptiller-Code"),
     ];
     assert_eq!(
         codes,
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -47,12 +47,12 @@
     index: 0,
 };
 
-/// The shard, of so many, in which the health of an engine is checked; `None` where there are none.
-pub fn health_check_shard(engine: &str, shards: u32) -> Option<Shard> {
+/// Returns the shard in which the health of an engine is checked, or `None` if the task has no shards.
+pub fn health_check_shard(engine: &str, shard_count: u32) -> Option<Shard> {
     let hash = blake3::hash(engine.as_bytes());
     let mut first = [0; 4];
     first.copy_from_slice(&hash.as_bytes()[..4]);
-    let index = u32::from_be_bytes(first).checked_rem(shards)?;
+    let index = u32::from_be_bytes(first).checked_rem(shard_count)?;
     Some(Shard {
         task: Task::HealthCheck,
         index,
--- a/crates/fleet-tasks/src/tests.rs
+++ b/crates/fleet-tasks/src/tests.rs
@@ -85,6 +85,9 @@
         assert_eq!(Some(shard), health_check_shard(&format!("engine-{n}"), 8));
         counts[shard.index as usize] += 1;
     }
-    assert!(counts.iter().all(|n| (70..130).contains(n)), "{counts:?}");
+    assert!(
+        counts.iter().all(|count| (70..130).contains(count)),
+        "{counts:?}"
+    );
     assert_eq!(health_check_shard("engine", 0), None);
 }
