--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -19,35 +19,35 @@
     (1u32..5).prop_map(f64::from)
 }
 
-fn span() -> impl Strategy<Value = ConfigDuration> {
-    (1u64..5).prop_map(|s| ConfigDuration::from_millis(s * 1000))
+fn duration() -> impl Strategy<Value = ConfigDuration> {
+    (1u64..5).prop_map(|seconds| ConfigDuration::from_millis(seconds * 1000))
 }
 
 prop_compose! {
     fn class()(
-        aim in span(), patience in span(), never in any::<bool>(), in_order in any::<bool>(), worth in number(),
+        aim in duration(), patience in duration(), never in any::<bool>(), in_order in any::<bool>(), worth in number(),
         threads in number(), holds in any::<bool>(), kinds in proptest::option::of(subset_of(&["a", "b", "c"])),
-        zones in proptest::option::of(subset_of(&["x", "y"])), doubt in 0..3,
+        zones in proptest::option::of(subset_of(&["x", "y"])), policy in 0..3,
     ) -> StatementClass {
         StatementClass {
             aim, patience, in_order, worth, threads, holds, kinds, zones,
             stretch: 0.0,
             late_worth: 0.5,
             repeat: if never { Idempotency::NonIdempotent } else { Idempotency::Idempotent },
-            in_doubt: [None, Some(InDoubtPolicy::Serve), Some(InDoubtPolicy::Reject)][doubt as usize],
+            in_doubt: [None, Some(InDoubtPolicy::Serve), Some(InDoubtPolicy::Reject)][policy as usize],
         }
     }
 }
 
 fn endpoint() -> impl Strategy<Value = Endpoint> {
-    let standing = prop_oneof![
+    let state = prop_oneof![
         Just(EngineState::Up),
         Just(EngineState::Draining),
         Just(EngineState::Gone)
     ];
-    (1u64..4, standing).prop_map(|(started, standing)| Endpoint {
-        started_at_ms: started,
-        state: standing,
+    (1u64..4, state).prop_map(|(started_at_ms, state)| Endpoint {
+        started_at_ms,
+        state,
     })
 }
 
@@ -59,32 +59,32 @@
     fn documents()(
         kinds in subset_of(&["a", "b", "c"]), cores in number(), zones in subset_of(&["x", "y"]),
         classes in proptest::collection::btree_map("[lrk]", class(), 0..4), default in proptest::option::of("[lr]"),
-        attempts in 1u32..4, budget in proptest::option::of((number(), span())), flags in any::<[bool; 5]>(),
-        overload in number(), pause in span(), list in proptest::option::of(endpoint_list()), tenants in subset_of(&["t", "u"]),
+        attempts in 1u32..4, budget in proptest::option::of((number(), duration())), flags in any::<[bool; 5]>(),
+        overload in number(), pause in duration(), list in proptest::option::of(endpoint_list()), tenants in subset_of(&["t", "u"]),
     ) -> Document {
-        let mut d = document();
-        d.kinds = kinds.into_iter().map(|k| (k, cores)).collect();
-        d.zones = zones;
-        d.tenants = tenants.into_iter().map(|t| (t, cores)).collect();
-        d.classes = classes;
-        d.default_class = default;
-        d.engines.max_attempts = attempts;
-        d.engines.budget = budget.map(|(spare, within)| RetryBudget { spare, ratio: 0.1, within });
-        let e = &mut d.engines;
-        [e.probes, e.cancel, e.priorities, e.ends, e.pauses] = flags;
-        d.rules.overload = overload;
-        d.rules.order_pause = pause;
-        d.list = list;
-        // A document in force names only places that it knows.
-        d.merge(&d)
+        let mut document = document();
+        document.kinds = kinds.into_iter().map(|kind| (kind, cores)).collect();
+        document.zones = zones;
+        document.tenants = tenants.into_iter().map(|tenant| (tenant, cores)).collect();
+        document.classes = classes;
+        document.default_class = default;
+        document.engines.max_attempts = attempts;
+        document.engines.budget = budget.map(|(spare, within)| RetryBudget { spare, ratio: 0.1, within });
+        let engines = &mut document.engines;
+        [engines.probes, engines.cancel, engines.priorities, engines.ends, engines.pauses] = flags;
+        document.rules.overload = overload;
+        document.rules.order_pause = pause;
+        document.list = list;
+        // The classes of a valid document name only machine kinds and zones that it declares.
+        document.merge(&document)
     }
 }
 
-/// What `strict` permits, `lax` permits too.
-fn within(strict: &Document, lax: &Document) -> bool {
-    let places = |s: &Option<BTreeSet<String>>,
-                  l: &Option<BTreeSet<String>>,
-                  known: &dyn Fn(&String) -> bool| match (s, l) {
+/// Returns whether `lax` permits everything that `strict` permits.
+fn is_at_least_as_strict(strict: &Document, lax: &Document) -> bool {
+    let is_subset = |s: &Option<BTreeSet<String>>,
+                     l: &Option<BTreeSet<String>>,
+                     known: &dyn Fn(&String) -> bool| match (s, l) {
         (Some(s), Some(l)) => s.is_subset(l),
         (None, Some(_)) => false,
         (Some(s), None) => s.iter().all(known),
@@ -101,8 +101,8 @@
             && s.threads >= l.threads
             && (s.in_doubt_policy() == InDoubtPolicy::Reject
                 || l.in_doubt_policy() == InDoubtPolicy::Serve)
-            && places(&s.kinds, &l.kinds, &|k| lax.kinds.contains_key(k))
-            && places(&s.zones, &l.zones, &|z| lax.zones.contains(z))
+            && is_subset(&s.kinds, &l.kinds, &|kind| lax.kinds.contains_key(kind))
+            && is_subset(&s.zones, &l.zones, &|zone| lax.zones.contains(zone))
     };
     let (s, l) = (&strict.engines, &lax.engines);
     let budget = match (&s.budget, &l.budget) {
@@ -110,8 +110,14 @@
         (None, Some(_)) => false,
         _ => true,
     };
-    let flags = |e: &hoptiller_coordination::EngineSettings| {
-        [e.probes, e.cancel, e.priorities, e.ends, e.pauses]
+    let flags = |engines: &hoptiller_coordination::EngineSettings| {
+        [
+            engines.probes,
+            engines.cancel,
+            engines.priorities,
+            engines.ends,
+            engines.pauses,
+        ]
     };
     let list = match (&strict.list, &lax.list) {
         (None, Some(_)) => false,
@@ -130,7 +136,10 @@
             .iter()
             .all(|(k, cores)| lax.kinds.get(k).is_some_and(|l| cores <= l))
         && strict.zones.is_subset(&lax.zones)
-        && strict.tenants.keys().all(|t| lax.tenants.contains_key(t))
+        && strict
+            .tenants
+            .keys()
+            .all(|tenant| lax.tenants.contains_key(tenant))
         && (strict.default_class.is_none() || strict.default_class == lax.default_class)
         && s.max_attempts <= l.max_attempts
         && flags(s).iter().zip(flags(l)).all(|(s, l)| *s <= l)
@@ -153,15 +162,15 @@
         prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
         prop_assert_eq!(&a.merge(&a), &a);
         let merged = a.merge(&b);
-        prop_assert!(within(&merged, &a) && within(&merged, &b), "{merged:?}");
+        prop_assert!(is_at_least_as_strict(&merged, &a) && is_at_least_as_strict(&merged, &b), "{merged:?}");
     }
 
     #[test]
     fn changes_are_classified_by_what_they_permit(a in documents(), b in documents()) {
         match a.change_to(&b) {
-            Change::Neutral => prop_assert!(within(&a, &b) && within(&b, &a)),
-            Change::Tighter => prop_assert!(within(&b, &a)),
-            Change::Looser => prop_assert!(within(&a, &b)),
+            Change::Neutral => prop_assert!(is_at_least_as_strict(&a, &b) && is_at_least_as_strict(&b, &a)),
+            Change::Tighter => prop_assert!(is_at_least_as_strict(&b, &a)),
+            Change::Looser => prop_assert!(is_at_least_as_strict(&a, &b)),
             Change::Mixed => {}
         }
         prop_assert_eq!(a.differences(&b).is_empty(), a == b);
@@ -176,28 +185,29 @@
 
     #[test]
     fn endpoint_lists_merge_to_the_same_in_any_order(a in endpoint_list(), b in endpoint_list(), c in endpoint_list()) {
-        let sum = |order: [&EndpointList; 3]| {
+        let merge_in_order = |order: [&EndpointList; 3]| {
             let mut sources = EndpointSources::default();
-            for (at, list) in order.into_iter().enumerate() {
-                // The same source reports under the same name, whatever the order.
-                let source = [&a, &b, &c].iter().position(|l| std::ptr::eq(*l, list)).unwrap_or(at);
+            for (index, list) in order.into_iter().enumerate() {
+                // A source has the same name in either order.
+                let source = [&a, &b, &c].iter().position(|l| std::ptr::eq(*l, list)).unwrap_or(index);
                 sources.update(&source.to_string(), list.clone());
             }
             sources.merged().clone()
         };
-        prop_assert_eq!(sum([&a, &b, &c]), sum([&c, &a, &b]));
+        prop_assert_eq!(merge_in_order([&a, &b, &c]), merge_in_order([&c, &a, &b]));
     }
 }
 
 #[test]
 fn each_rule_merges_to_the_stricter_value() {
     let (mut a, mut b) = (document(), document());
-    let report = |d: &mut Document, kinds: &[&str]| {
-        d.classes.get_mut("report").expect("the class exists").kinds =
-            Some(kinds.iter().map(|k| (*k).to_owned()).collect());
+    let set_report_kinds = |document: &mut Document, kinds: &[&str]| {
+        let report = document.classes.get_mut("report");
+        report.expect("the class exists").kinds =
+            Some(kinds.iter().map(|kind| (*kind).to_owned()).collect());
     };
-    report(&mut a, &["a", "b"]);
-    report(&mut b, &["b"]);
+    set_report_kinds(&mut a, &["a", "b"]);
+    set_report_kinds(&mut b, &["b"]);
     b.classes
         .get_mut("lookup")
         .expect("the class exists")
@@ -223,7 +233,7 @@
     let changed: BTreeMap<String, Change> = a
         .differences(&b)
         .into_iter()
-        .map(|d| (d.path, d.change))
+        .map(|difference| (difference.path, difference.change))
         .collect();
     assert_eq!(changed["classes.load"], Change::Tighter);
     assert_eq!(changed["classes.report.kinds"], Change::Tighter);
@@ -237,46 +247,51 @@
 
 #[test]
 fn an_unknown_setting_is_an_error() {
-    let mut value: serde_json::Value = serde_json::from_slice(&document().to_json()).expect("json");
-    value["engines"]["teleports"] = true.into();
-    let flaw =
-        Document::from_json(&serde_json::to_vec(&value).expect("json")).expect_err("rejected");
-    assert!(flaw.message.contains("teleports"), "{flaw}");
-    let mut later = document();
-    later.form = 2;
-    assert_eq!(later.validation_errors().len(), 1);
+    let mut value: serde_json::Value = serde_json::from_slice(&document().to_json()).expect("JSON");
+    value["engines"]["no_such_setting"] = true.into();
+    let error =
+        Document::from_json(&serde_json::to_vec(&value).expect("JSON")).expect_err("rejected");
+    assert!(error.message.contains("no_such_setting"), "{error}");
+    let mut later_format = document();
+    later_format.form = 2;
+    assert_eq!(later_format.validation_errors().len(), 1);
 }
 
 #[test]
 fn validation_errors_name_the_rule() {
-    let mut d = document();
-    d.classes
+    let mut invalid = document();
+    invalid
+        .classes
         .get_mut("load")
         .expect("the class exists")
         .in_doubt = Some(InDoubtPolicy::Serve);
-    d.classes.get_mut("report").expect("the class exists").kinds =
-        Some(BTreeSet::from(["q".to_owned()]));
-    d.engines.max_attempts = 0;
-    d.rules.overload = 0.5;
-    let flaws = d.validation_errors();
+    invalid
+        .classes
+        .get_mut("report")
+        .expect("the class exists")
+        .kinds = Some(BTreeSet::from(["q".to_owned()]));
+    invalid.engines.max_attempts = 0;
+    invalid.rules.overload = 0.5;
+    let errors = invalid.validation_errors();
     for (path, rule) in [
         ("classes.load.in_doubt", "rule 2"),
         ("classes.report.kinds", "rule 6"),
         ("engines.max_attempts", "rule 7"),
         ("rules.overload", "rule 4"),
     ] {
-        let found = flaws
+        let is_found = errors
             .iter()
-            .any(|f| f.path == path && f.message.contains(rule));
-        assert!(found, "{path} in {flaws:?}");
+            .any(|error| error.path == path && error.message.contains(rule));
+        assert!(is_found, "{path} in {errors:?}");
     }
     assert!(document().validation_errors().is_empty());
 }
 
 #[test]
 fn a_regressed_or_conflicting_list_keeps_the_known_state() {
-    let list = |all: &[(&str, u64, EngineState)]| {
-        all.iter()
+    let list = |engines: &[(&str, u64, EngineState)]| {
+        engines
+            .iter()
             .map(|(name, started_at_ms, state)| {
                 let endpoint = Endpoint {
                     started_at_ms: *started_at_ms,
@@ -298,9 +313,9 @@
             )
             .changed
     );
-    let outcome = sources.update("r2", list(&[("e", 50_000, EngineState::Up)]));
+    let update = sources.update("r2", list(&[("e", 50_000, EngineState::Up)]));
     assert_eq!(
-        (outcome.regressed, outcome.conflicting),
+        (update.regressed, update.conflicting),
         (vec!["e".to_owned()], vec!["e".to_owned()])
     );
     assert!(
--- a/crates/coordination/tests/rollout/leases.rs
+++ b/crates/coordination/tests/rollout/leases.rs
@@ -7,7 +7,7 @@
 
 use crate::common::document;
 use crate::support::{
-    SECOND, TIMING, complete_rollout, granted, poll, propose, watcher, with_attempts,
+    SECOND, TIMING, complete_rollout, grant_of, poll, propose, watcher, with_attempts,
 };
 
 #[test]
@@ -63,7 +63,7 @@
     assert_eq!(
         config
             .blocking_holders()
-            .map(|(h, _)| h.router.as_str())
+            .map(|(holder, _)| holder.router.as_str())
             .collect::<Vec<_>>(),
         ["b"]
     );
@@ -128,7 +128,7 @@
     let versions: Vec<_> = old.version(1).cloned().into_iter().collect();
     let regressed = ConfigLeaseGrant {
         versions,
-        ..granted(1)
+        ..grant_of(1)
     };
     assert_eq!(
         a.accept_grant(id, regressed),
@@ -153,7 +153,7 @@
     // A grant contains a document that does not match its digest.
     let mut inconsistent = ConfigLeaseGrant {
         versions: vec![config.version(2).expect("kept").clone()],
-        ..granted(2)
+        ..grant_of(2)
     };
     inconsistent.versions[0].document.engines.max_attempts = 7;
     let mut b = watcher("b");
@@ -174,15 +174,15 @@
         router: "a".into(),
         incarnation: "2".into(),
     };
-    let again = ConfigWatcher::new(restarted, TIMING, a.versions().to_vec());
-    assert_eq!(again.decide(SECOND, "load"), Decision::Reject);
+    let restarted = ConfigWatcher::new(restarted, TIMING, a.versions().to_vec());
+    assert_eq!(restarted.decide(SECOND, "load"), Decision::Reject);
     assert_eq!(
-        again.decide(SECOND, "lookup"),
+        restarted.decide(SECOND, "lookup"),
         Decision::AllowInDoubt {
             in_force: 1,
             enforced: 1
         }
     );
-    assert_eq!(again.decide(SECOND, "no such class"), Decision::Reject);
+    assert_eq!(restarted.decide(SECOND, "no such class"), Decision::Reject);
     assert_eq!(watcher("c").decide(SECOND, "lookup"), Decision::Reject);
 }
--- a/crates/coordination/tests/rollout/proposals.rs
+++ b/crates/coordination/tests/rollout/proposals.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_drain_is_enforced_at_once_while_an_earlier_change_waits() {
+fn a_drain_is_enforced_at_once_while_an_earlier_change_is_pending() {
     use hoptiller_coordination::{Endpoint, EndpointList, EngineState};
     let mut changed = document();
     let endpoint = |state| Endpoint {
--- a/crates/coordination/tests/rollout/random_executions.rs
+++ b/crates/coordination/tests/rollout/random_executions.rs
@@ -13,11 +13,11 @@
 const TICKS: u64 = 1200;
 const TICK: Micros = 50_000;
 
-/// A fault that is injected into an execution, and must be found.
+/// A fault that is injected into an execution and must be found.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    Nothing,
-    /// A router counts its lease from the response.
+    None,
+    /// A router counts its lease from the response instead of the renewal.
     TermFromResponse,
     /// A lease never expires.
     LeaseNeverExpires,
@@ -46,7 +46,7 @@
     router: usize,
     id: u64,
     request: Option<Command>,
-    granted: Option<ConfigLeaseGrant>,
+    grant: Option<ConfigLeaseGrant>,
 }
 
 /// An execution of four routers, a replica, and the messages between them.
@@ -55,8 +55,9 @@
     generator: SeededGenerator,
     config: ConfigState,
     routers: Vec<ConfigWatcher>,
-    /// Rates of clocks, in millionths of true time, within the bound of each other; the replica's is the last.
-    rates: Vec<u64>,
+    /// The rates of the clocks, in millionths of true time. They differ by the drift at most; the replica's is the
+    /// last.
+    rates_millionths: Vec<u64>,
     expiry: ExpiryTracker,
     messages: Vec<Message>,
     disconnected_until: Vec<Micros>,
@@ -72,7 +73,7 @@
             fault,
             config,
             routers: (0..ROUTERS).map(|n| watcher(&n.to_string())).collect(),
-            rates: (0..=REPLICA)
+            rates_millionths: (0..=REPLICA)
                 .map(|_| 999_000 + generator.below(2001))
                 .collect(),
             expiry: ExpiryTracker::default(),
@@ -84,7 +85,7 @@
     }
 
     fn clock(&self, process: usize, now: Micros) -> Micros {
-        now * self.rates[process] / 1_000_000 + process as u64 * 77 * SECOND
+        now * self.rates_millionths[process] / 1_000_000 + process as u64 * 77 * SECOND
     }
 
     /// Proposes another value than the last one, since a change that changes nothing contradicts nothing.
@@ -129,7 +130,7 @@
                 router,
                 id,
                 request: Some(renewal),
-                granted: None,
+                grant: None,
             });
         }
     }
@@ -142,14 +143,14 @@
         for mut message in due {
             if let Some(renewal) = message.request.take() {
                 self.receive_renewal(message, renewal, now);
-            } else if let Some(granted) = message.granted {
-                self.receive_grant(message.router, message.id, granted, now);
+            } else if let Some(grant) = message.grant {
+                self.receive_grant(message.router, message.id, grant, now);
             }
         }
     }
 
     fn receive_renewal(&mut self, message: Message, renewal: Command, now: Micros) {
-        let CommandResponse::LeaseGranted(granted) = self.config.apply(renewal) else {
+        let CommandResponse::LeaseGranted(grant) = self.config.apply(renewal) else {
             return;
         };
         let delay = self.link_delay();
@@ -157,19 +158,19 @@
             self.messages.push(Message {
                 due: now + delay + 50_000,
                 request: None,
-                granted: Some(granted),
+                grant: Some(grant),
                 ..message
             });
         }
     }
 
-    fn receive_grant(&mut self, router: usize, id: u64, granted: ConfigLeaseGrant, now: Micros) {
+    fn receive_grant(&mut self, router: usize, id: u64, grant: ConfigLeaseGrant, now: Micros) {
         let clock = self.clock(router, now);
         let watcher = &mut self.routers[router];
         if self.fault == Fault::TermFromResponse {
             watcher.set_sent_at(id, clock);
         }
-        let accepted = watcher.accept_grant(id, granted);
+        let accepted = watcher.accept_grant(id, grant);
         assert!(
             matches!(accepted, Ok(_) | Err(GrantError::Unsolicited)),
             "all grants come from one log: {accepted:?}"
@@ -245,16 +246,16 @@
 
 #[test]
 fn routers_never_enforce_conflicting_versions_in_300_random_executions_and_faults_are_found() {
-    let (mut violations, mut in_force) = (0, 0);
+    let (mut violations, mut completed_rollouts) = (0, 0);
     for seed in 0..300 {
-        let (found, latest_in_force) = count_violations(seed, Fault::Nothing);
+        let (found, in_force) = count_violations(seed, Fault::None);
         violations += found;
-        in_force += latest_in_force - 1;
+        completed_rollouts += in_force - 1;
     }
     assert_eq!(violations, 0);
     assert!(
-        in_force > 1000,
-        "executions in which little happens prove little: {in_force}"
+        completed_rollouts > 1000,
+        "too few rollouts to prove anything: {completed_rollouts}"
     );
     for fault in [
         Fault::TermFromResponse,
--- a/crates/coordination/tests/rollout/support.rs
+++ b/crates/coordination/tests/rollout/support.rs
@@ -15,12 +15,12 @@
 
 pub fn propose(
     config: &mut ConfigState,
-    change: &str,
+    change_name: &str,
     base: Option<u64>,
     document: &Document,
 ) -> Result<u64, Rejection> {
     let proposal = Proposal {
-        change_name: change.into(),
+        change_name: change_name.into(),
         base,
         author: "ann".into(),
         proposed_at_ms: 1,
@@ -28,14 +28,14 @@
         document: document.clone(),
     };
     match config.apply(Command::Propose(Box::new(proposal))) {
-        CommandResponse::Proposed(outcome) => outcome,
+        CommandResponse::Proposed(result) => result,
         other => panic!("{other:?}"),
     }
 }
 
-pub fn with_attempts(n: u32) -> Document {
+pub fn with_attempts(max_attempts: u32) -> Document {
     let mut document = document();
-    document.engines.max_attempts = n;
+    document.engines.max_attempts = max_attempts;
     document
 }
 
@@ -58,16 +58,16 @@
 ) -> Result<bool, GrantError> {
     let (id, renewal) = watcher.start_renewal(now);
     match config.apply(renewal) {
-        CommandResponse::LeaseGranted(granted) => watcher.accept_grant(id, granted),
+        CommandResponse::LeaseGranted(grant) => watcher.accept_grant(id, grant),
         other => panic!("{other:?}"),
     }
 }
 
-/// A grant with one version.
-pub fn granted(n: u64) -> ConfigLeaseGrant {
+/// Returns a grant of one version without its document.
+pub fn grant_of(number: u64) -> ConfigLeaseGrant {
     ConfigLeaseGrant {
-        in_force: n,
-        enforce: n,
+        in_force: number,
+        enforce: number,
         versions: Vec::new(),
         serial: 1,
         leases: None,
@@ -80,7 +80,7 @@
         upto: config.latest(),
         expired,
     }) {
-        CommandResponse::InForce(n) => n,
+        CommandResponse::InForce(number) => number,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -17,7 +17,7 @@
     std::fs::read_to_string(fixture(name)).expect("the fixture exists")
 }
 
-fn assert_pinned(name: &str, actual: &str) {
+fn assert_unchanged(name: &str, actual: &str) {
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(fixture(name), actual).expect("the fixture can be written");
     }
@@ -28,8 +28,8 @@
     serde_json::to_string(value).expect("the value can be serialized")
 }
 
-fn answer_line(answer: &CommandResponse) -> String {
-    match answer {
+fn response_line(response: &CommandResponse) -> String {
+    match response {
         CommandResponse::Proposed(result) => format!("put {}", json(result)),
         CommandResponse::LeaseGranted(granted) => format!("granted {}", json(granted)),
         CommandResponse::NoteRecorded(result) => format!("noted {}", json(result)),
@@ -42,37 +42,37 @@
 }
 
 #[test]
-fn stored_acts_are_written_with_the_same_bytes_and_lead_to_the_same_state() {
-    let mut fleet = ConfigState::default();
-    let (mut acts, mut answers) = (String::new(), String::new());
+fn stored_commands_are_written_with_the_same_bytes_and_lead_to_the_same_state() {
+    let mut config = ConfigState::default();
+    let (mut commands, mut responses) = (String::new(), String::new());
     for line in read("acts.jsonl").lines() {
-        let act: Command = serde_json::from_str(line).expect("a stored act can be read");
-        let _ = writeln!(acts, "{}", json(&act));
-        let _ = writeln!(answers, "{}", answer_line(&fleet.apply(act)));
+        let command: Command = serde_json::from_str(line).expect("a stored command can be read");
+        let _ = writeln!(commands, "{}", json(&command));
+        let _ = writeln!(responses, "{}", response_line(&config.apply(command)));
     }
-    assert_pinned("acts.jsonl", &acts);
-    assert_pinned("answers.txt", &answers);
-    assert_pinned("state.json", &json(&fleet));
+    assert_unchanged("acts.jsonl", &commands);
+    assert_unchanged("answers.txt", &responses);
+    assert_unchanged("state.json", &json(&config));
     let restored: ConfigState =
         serde_json::from_str(&read("state.json")).expect("a stored state can be read");
-    assert_eq!(restored, fleet);
+    assert_eq!(restored, config);
 }
 
 #[test]
-fn a_documents_bytes_and_digest_stay() {
+fn document_bytes_and_digests_are_unchanged() {
     let text = read("state.json");
     let state: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    let mut pinned = String::new();
+    let mut documents = String::new();
     for version in state["course"].as_array().expect("versions") {
         let bytes = version["document"].to_string();
         let document = Document::from_json(bytes.as_bytes()).expect("the document is valid");
         assert_eq!(version["head"]["digest"], document.digest());
         let _ = writeln!(
-            pinned,
+            documents,
             "{} {}",
             document.digest(),
             String::from_utf8_lossy(&document.to_json())
         );
     }
-    assert_pinned("documents.txt", &pinned);
+    assert_unchanged("documents.txt", &documents);
 }
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -27,27 +27,27 @@
     let moved: Vec<(Shard, Holder)> = cluster
         .held()
         .into_iter()
-        .filter(|(p, h)| before[p] != *h)
+        .filter(|(shard, holder)| before[shard] != *holder)
         .collect();
-    assert_eq!(moved.len(), 14, "a seventh of them");
+    assert_eq!(moved.len(), 14, "a seventh of the leases moves");
     assert!(
-        moved.iter().all(|(_, h)| h.router == "r6"),
-        "and to nobody else: {moved:?}"
+        moved.iter().all(|(_, holder)| holder.router == "r6"),
+        "all to the new router: {moved:?}"
     );
-    // A draining router releases its leases with its next two renewals, long before a term is over.
-    let leaving = holder("r2", "1");
-    cluster.routers.get_mut(&leaving).expect("there").0.drain();
+    // A draining router releases its leases with its next two renewals, long before a term has passed.
+    let draining = holder("r2", "1");
+    cluster.client_mut(&draining).drain();
     cluster.rounds(3);
-    assert_eq!(cluster.routers[&leaving].0.outstanding_leases(), 0);
+    assert_eq!(cluster.client(&draining).outstanding_leases(), 0);
     assert_eq!(
-        (cluster.held().len(), cluster.count_held_by(&leaving)),
+        (cluster.held().len(), cluster.count_held_by(&draining)),
         (100, 0)
     );
     assert!(
         cluster
             .acting()
             .values()
-            .filter(|all| all.len() == 1)
+            .filter(|routers| routers.len() == 1)
             .count()
             >= 86,
         "the other routers keep acting"
@@ -136,7 +136,7 @@
         cluster
             .acting()
             .values()
-            .filter(|all| all.len() == 1)
+            .filter(|routers| routers.len() == 1)
             .count(),
         4
     );
@@ -150,12 +150,7 @@
     }
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     let first = cluster.held()[&shard(0)].clone();
-    cluster
-        .routers
-        .get_mut(&first)
-        .expect("there")
-        .0
-        .request_release(shard(0));
+    cluster.client_mut(&first).request_release(shard(0));
     cluster.rounds(3);
     let second = cluster.held()[&shard(0)].clone();
     assert_ne!(
@@ -165,13 +160,8 @@
     // If there is no other router, the shard is assigned to the same router again.
     cluster.routers.retain(|holder, _| *holder == second);
     cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
-    cluster
-        .routers
-        .get_mut(&second)
-        .expect("there")
-        .0
-        .request_release(shard(0));
+    cluster.client_mut(&second).request_release(shard(0));
     cluster.rounds(3);
     assert_eq!(cluster.held()[&shard(0)], second);
-    assert!(cluster.routers[&second].0.is_holding(cluster.now, shard(0)));
+    assert!(cluster.client(&second).is_holding(cluster.now, shard(0)));
 }
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -90,17 +90,28 @@
     }
 
     pub fn receive(&mut self, holder: &Holder, id: u64, grant: &ConfigLeaseGrant) {
-        let (leases, _) = self.routers.get_mut(holder).expect("there");
-        leases.accept_grant(
+        let now = self.now;
+        self.client_mut(holder).accept_grant(
             id,
-            self.now,
+            now,
             grant.serial,
             grant.leases.as_deref(),
             grant.lease_table.as_ref(),
         );
     }
 
-    /// Time passes: each router renews once, and the replica expires leases.
+    /// Returns the client of a router that has joined.
+    pub fn client(&self, holder: &Holder) -> &TaskLeaseClient {
+        &self.routers[holder].0
+    }
+
+    /// Returns the client of a router that has joined.
+    pub fn client_mut(&mut self, holder: &Holder) -> &mut TaskLeaseClient {
+        let router = self.routers.get_mut(holder);
+        &mut router.expect("the router has joined").0
+    }
+
+    /// Advances the time by one renewal interval: each router renews once, and the replica expires leases.
     pub fn round(&mut self) {
         self.now += RENEWAL_INTERVAL;
         for holder in self.routers.keys().cloned().collect::<Vec<_>>() {
@@ -124,27 +135,27 @@
         );
     }
 
-    pub fn rounds(&mut self, n: u32) {
-        (0..n).for_each(|_| self.round());
+    pub fn rounds(&mut self, count: u32) {
+        (0..count).for_each(|_| self.round());
     }
 
-    /// By shard: the routers that may act now.
+    /// Returns the routers that may act now, by shard.
     pub fn acting(&self) -> BTreeMap<Shard, Vec<Holder>> {
-        let mut all: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
+        let mut acting: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
         for entry in self.config.lease_table().updates_since(0).entries {
             let is_holding = |(_, (leases, _)): &(&Holder, &(TaskLeaseClient, u64))| {
                 leases.is_holding(self.now, entry.shard)
             };
             let holding = self.routers.iter().filter(is_holding);
-            all.insert(
+            acting.insert(
                 entry.shard,
                 holding.map(|(holder, _)| holder.clone()).collect(),
             );
         }
-        all
+        acting
     }
 
-    /// By shard: its holder, as the replica knows.
+    /// Returns the holders that the replica knows, by shard.
     pub fn held(&self) -> BTreeMap<Shard, Holder> {
         let entries = self.config.lease_table().updates_since(0).entries;
         entries
--- a/crates/coordination/tests/task_leases/holding.rs
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -12,37 +12,32 @@
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
-    assert!(cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
+    assert!(cluster.client(&router).is_holding(cluster.now, shard(0)));
     // A response that grants the lease is late.
     let (late_id, late_grant) = cluster.renew(&router);
     assert_eq!(late_grant.leases.as_ref().map(Vec::len), Some(1));
-    cluster
-        .routers
-        .get_mut(&router)
-        .expect("there")
-        .0
-        .request_release(shard(0));
+    cluster.client_mut(&router).request_release(shard(0));
     let (id, grant) = cluster.renew(&router);
     cluster.receive(&router, late_id, &late_grant);
     assert!(
-        !cluster.routers[&router].0.is_holding(cluster.now, shard(0)),
-        "it has released it with its last renewal"
+        !cluster.client(&router).is_holding(cluster.now, shard(0)),
+        "the router has released the lease with its last renewal"
     );
     cluster.receive(&router, id, &grant);
-    assert!(!cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
-    // It had not received the response before when it renewed: the release is confirmed with the next ones.
+    assert!(!cluster.client(&router).is_holding(cluster.now, shard(0)));
+    // The last renewal was sent before the previous response was received, so only later renewals confirm the release.
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     assert!(
-        cluster.routers[&router].0.is_holding(cluster.now, shard(0)),
-        "no other router takes it: it holds it again, under another fencing token"
+        cluster.client(&router).is_holding(cluster.now, shard(0)),
+        "there is no other router, so it holds the shard again under another fencing token"
     );
-    // An older response that does not name the new lease yet does not end it.
+    // An older response without the new lease does not end it.
     let (first_id, mut old) = cluster.renew(&router);
     let (second_id, new) = cluster.renew(&router);
     old.leases = Some(Vec::new());
     cluster.receive(&router, second_id, &new);
     cluster.receive(&router, first_id, &old);
-    assert!(cluster.routers[&router].0.is_holding(cluster.now, shard(0)));
+    assert!(cluster.client(&router).is_holding(cluster.now, shard(0)));
 }
 
 #[test]
@@ -97,7 +92,7 @@
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let (router, renewed_at) = (holder("r0", "1"), cluster.now);
     let expires_at = renewed_at + TIMING.router_term() - MARGIN;
-    let leases = &mut cluster.routers.get_mut(&router).expect("there").0;
+    let leases = cluster.client_mut(&router);
     assert!(
         leases
             .begin_operation(renewed_at, shard(0), expires_at - renewed_at)
@@ -122,28 +117,29 @@
     assert_eq!(
         cluster.count_held_by(&router),
         1,
-        "not released while an operation runs under it"
+        "the lease is not released while an operation runs under it"
+    );
+    let leases = cluster.client_mut(&router);
+    assert!(
+        leases.end_operation(&guard),
+        "the lease can be released now"
     );
-    let leases = &mut cluster.routers.get_mut(&router).expect("there").0;
-    assert!(leases.end_operation(&guard), "now it can be released");
     let (id, grant) = cluster.renew(&router);
     cluster.receive(&router, id, &grant);
     assert_eq!(cluster.count_held_by(&router), 0);
 }
 
 #[test]
-fn only_the_current_holder_records_notes_and_each_router_is_notified_once() {
+fn only_the_current_holder_records_notes_and_a_repeated_note_is_no_change() {
     let mut cluster = TestCluster::new(2);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
+    let now = cluster.now;
     let guard = cluster
-        .routers
-        .get_mut(&router)
-        .expect("there")
-        .0
-        .begin_operation(cluster.now, shard(0), 0)
-        .expect("held");
+        .client_mut(&router)
+        .begin_operation(now, shard(0), 0)
+        .expect("the lease is held");
     let note = |fencing_token, text: &str| Command::RecordNote {
         holder: router.clone(),
         shard: shard(0),
@@ -201,9 +197,10 @@
     cluster.rounds(MIN_CONSECUTIVE_RENEWALS);
     cluster.routers.remove(&router);
     cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
-    let next = &cluster.routers[&holder("r1", "1")].0;
+    let next = cluster.client(&holder("r1", "1"));
     assert_eq!(
-        next.shard_status(shard(0)).and_then(|s| s.note.as_deref()),
+        next.shard_status(shard(0))
+            .and_then(|status| status.note.as_deref()),
         Some("so far")
     );
     assert!(next.is_holding(cluster.now, shard(0)));
