--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -233,8 +233,8 @@
     /// Brings versions in force in order up to `upto`, as long as each is neutral or `is_enforced` by all holders.
     fn bring_in_force(&mut self, upto: VersionNumber, is_enforced: impl Fn(VersionNumber) -> bool) {
         while let Some(next) = self.active.get(1).map(|version| &version.metadata) {
-            let ready = next.kind == Change::Neutral || is_enforced(next.number);
-            if next.number > upto || !ready {
+            let is_ready = next.kind == Change::Neutral || is_enforced(next.number);
+            if next.number > upto || !is_ready {
                 break;
             }
             self.retire_version_in_force();
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -259,7 +259,7 @@
 /// Returns whether the numbers are consecutive and each document matches its digest.
 fn are_consistent(versions: &[Version]) -> bool {
     let mut pairs = versions.iter().zip(versions.iter().skip(1));
-    let consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
+    let are_consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
     let is_intact = |v: &Version| v.metadata.number > 0 && v.document.digest() == v.metadata.digest;
-    consecutive && versions.iter().all(is_intact)
+    are_consecutive && versions.iter().all(is_intact)
 }
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -135,7 +135,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         [MergeOptional] budget: Option<RetryBudget>,
         /// Whether health checks may be sent to engines.
-        #[serde(default = "enabled")]
+        #[serde(default = "default_probes")]
         [LogicalAnd] probes: bool,
         /// Whether cancelling a statement stops its work on the engine.
         #[serde(default)]
@@ -225,7 +225,7 @@
     3
 }
 
-fn enabled() -> bool {
+fn default_probes() -> bool {
     true
 }
 
--- a/crates/coordination/src/lease_expiry.rs
+++ b/crates/coordination/src/lease_expiry.rs
@@ -39,10 +39,11 @@
     }
 
     fn expired(&self, now: Micros, timing: &LeaseTiming) -> Vec<(K, u64)> {
-        let is_over = |observed_at: Micros| now.saturating_sub(observed_at) > timing.replica_term();
+        let has_expired =
+            |observed_at: Micros| now.saturating_sub(observed_at) > timing.replica_term();
         self.0
             .iter()
-            .filter(|(_, (_, observed_at))| is_over(*observed_at))
+            .filter(|(_, (_, observed_at))| has_expired(*observed_at))
             .map(|(key, (serial, _))| (key.clone(), *serial))
             .collect()
     }
