--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -1,6 +1,6 @@
 //! Calls to the replicas of the coordination server. The replica that answered last is tried first, and the others in
-//! turn if it does not answer. Whether a call without a response took effect is unknown, so every call is safe to
-//! repeat.
+//! turn if it does not answer. Whether a call without a response took effect is unknown, so every call must be
+//! idempotent: the next replica gets it again.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -201,7 +201,7 @@
     }
 }
 
-/// Returns the message in the body of an error response, or the status if there is none.
+/// Returns the message in the body of an error response, or a message with the status if there is none.
 fn error_message(response: &Response) -> String {
     serde_json::from_slice::<ErrorBody>(&response.body).map_or_else(
         |_| format!("status {}", response.status.0),
--- a/crates/coordination-client/src/wire.rs
+++ b/crates/coordination-client/src/wire.rs
@@ -1,6 +1,7 @@
-//! Paths and JSON bodies of the coordination server's HTTP interface. Unknown fields are rejected, so that a program of
-//! another version fails instead of misreading a message. `serde(rename)` sets the JSON names that differ from the
-//! names of the fields, and `tests/wire_form.rs` compares all of them with stored bytes.
+//! Paths and JSON bodies of the coordination server's HTTP interface. Bodies with `deny_unknown_fields`, which are most
+//! requests, reject unknown fields, so that a program of another version fails instead of misreading a message.
+//! `serde(rename)` sets the JSON names that differ from the names of the fields, and `tests/wire_form.rs` compares all
+//! of them with stored bytes.
 
 use hoptiller_coordination::{
     ConfigLeaseGrant, Holder, LeaseOffer, Micros, NoteError, Rejection, Shard, VersionMetadata,
@@ -12,8 +13,8 @@
 pub const RENEW_LEASE: &str = "/v1/fleet/ask";
 /// The path to release all leases of a router: POST, [`Holder`].
 pub const RELEASE_LEASE: &str = "/v1/fleet/give-back";
-/// The path to wait until the versions differ from those that the caller knows: POST, [`WatchRequest`] to
-/// [`VersionNumbers`].
+/// The path to wait until the numbers of versions, and of the lease table on request, differ from those that the caller
+/// knows: POST, [`WatchRequest`] to [`VersionNumbers`].
 pub const WATCH: &str = "/v1/fleet/watch";
 /// The path to record a note on the progress of a shard by the holder of its lease: POST, [`RecordNoteRequest`] to
 /// [`RecordNoteResult`].
@@ -32,11 +33,13 @@
 /// The path to compare two versions: POST, [`DiffRequest`] to
 /// `Vec<`[`Difference`](hoptiller_coordination::Difference)`>`.
 pub const DIFF: &str = "/v1/settings/diff";
-/// The path to send log messages to another replica.
+/// The path for messages of the log replication protocol between replicas: POST, with bodies that the server defines.
 pub const MESSAGES: &str = "/v1/keeper/messages";
-/// The path to request the replicated state, for a replica that joins the cluster.
+/// The path to request the replicated state, for a replica that joins the cluster: POST, with bodies that the server
+/// defines.
 pub const STATE: &str = "/v1/keeper/state";
-/// The path to send the replicated state to a replica with an outdated membership.
+/// The path to send the replicated state to a replica with an outdated membership: POST, with bodies that the server
+/// defines.
 pub const INSTALL: &str = "/v1/keeper/install";
 /// The path to replace one replica by another: POST, with [`ReplaceResponse`] as the response.
 pub const REPLACE: &str = "/v1/keeper/replace";
@@ -60,7 +63,7 @@
     /// The maximum difference between the rates of two clocks by the router's settings, in millionths. Both sides must
     /// agree on it.
     pub drift: u64,
-    /// The router's offer to hold task leases, if it takes part in them.
+    /// The part of the renewal that concerns task leases, if the router takes part in them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offer: Option<LeaseOffer>,
 }
@@ -128,7 +131,7 @@
     pub watch_leases: bool,
 }
 
-/// The current version numbers.
+/// The numbers of the current versions, and the revision of the lease table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionNumbers {
@@ -198,27 +201,28 @@
     pub replica: u64,
     /// The leader, as far as this replica knows.
     pub leader: Option<u64>,
-    /// The current version numbers.
+    /// The numbers of the current versions, and the revision of the lease table.
     #[serde(rename = "numbers")]
     pub versions: VersionNumbers,
     /// The versions that are not in force yet.
     pub pending: Vec<VersionMetadata>,
     /// The routers that hold a configuration lease.
     pub holders: Vec<HolderStatus>,
-    /// The number of the membership that this replica knows.
+    /// The sequence number of the cluster's membership that this replica knows. Each replacement of a replica
+    /// increments it.
     #[serde(rename = "list", default)]
     pub membership: u32,
     /// The replicas of that membership.
     #[serde(rename = "keepers", default)]
     pub replicas: Vec<u64>,
-    /// The contact with the other replicas.
+    /// The times since the other replicas last answered this one.
     #[serde(rename = "heard_ms_ago")]
     pub peers: Vec<PeerStatus>,
     /// The size of the log.
     pub log: LogStatus,
 }
 
-/// The time since a replica last answered another one, written as a pair in JSON.
+/// The time since another replica last answered this one, written as a pair in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
 pub struct PeerStatus {
@@ -269,7 +273,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplaceResponse {
-    /// The number of the membership that is now in effect.
+    /// The sequence number of the membership that is now in effect.
     #[serde(rename = "list")]
     pub membership: u32,
 }
--- a/crates/coordination-client/tests/wire_form.rs
+++ b/crates/coordination-client/tests/wire_form.rs
@@ -1,5 +1,6 @@
 //! Compares the bodies of messages between routers, replicas and administrators, and their authentication codes, with
-//! recorded bytes: renaming a type or a field must not change what is sent.
+//! recorded bytes: renaming a type or a field must not change what is sent. `UPDATE_FIXTURES=1` rewrites the fixture;
+//! only a deliberate change of the form justifies that.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -23,11 +23,11 @@
         enforced: VersionNumber,
         /// The version that the router believes to be in force, or 0 for none.
         in_force: VersionNumber,
-        /// The router's offer to hold task leases, if it takes part in them.
+        /// The part of the renewal that concerns task leases, if the router takes part in them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         offer: Option<LeaseOffer>,
     },
-    /// Releases all leases of a router, which does nothing under them any more.
+    /// Releases all leases of a router that has ended all operations under them.
     #[serde(rename = "GiveBack")]
     ReleaseLease(Holder),
     /// Brings the versions in force that all holders enforce.
@@ -73,9 +73,9 @@
     NoVersion,
     /// No lease is granted: there are too many holders.
     TooManyHolders,
-    /// The leases are released.
+    /// All leases of the router are released.
     LeaseReleased,
-    /// The version that is in force.
+    /// The version that is in force: the response to [`Command::CompleteRollout`] and [`Command::ExpireTaskLeases`].
     InForce(VersionNumber),
     /// The note is recorded, or the reason why not.
     NoteRecorded(Result<(), NoteError>),
--- a/crates/coordination/src/config_lease.rs
+++ b/crates/coordination/src/config_lease.rs
@@ -27,8 +27,8 @@
         self.term.saturating_add(self.drift_allowance())
     }
 
-    /// Returns the maximum difference between two clocks after one term, as their rates may differ from true time in
-    /// opposite directions.
+    /// Returns the maximum difference between two clocks after one term. Routers and replicas both allow for it, as
+    /// their clocks may differ from true time in opposite directions.
     fn drift_allowance(&self) -> Micros {
         (u128::from(self.term) * u128::from(self.drift)).div_ceil(1_000_000) as Micros
     }
@@ -41,7 +41,7 @@
 }
 
 impl ConfigLease {
-    /// Renews the lease from the time at which the renewal was sent; a late response does not extend it.
+    /// Extends the lease to one term after the renewal was sent, however late its response arrives.
     pub fn renew(&mut self, sent_at: Micros, timing: &LeaseTiming) {
         let expires_at = sent_at.saturating_add(timing.router_term());
         self.expires_at = self.expires_at.max(expires_at);
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -10,6 +10,8 @@
 //!    the expiry by its own clock and states it in the command.
 //! 3. It is *in force*.
 //!
+//! A neutral change does not wait for the lease holders, but only for the versions before it.
+//!
 //! So while one router enforces a version alone, no other enforces the one before it alone, and the merge in between
 //! contradicts neither.
 
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -82,7 +82,7 @@
 
 impl ConfigWatcher {
     /// Creates a watcher without a lease. `known` are the versions that an earlier incarnation of this router has
-    /// stored.
+    /// stored; they are ignored if they are not consecutive or do not match their digests.
     pub fn new(holder: Holder, timing: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
         let incarnation = if fault_injection::is_injected(Fault::IgnoreIncarnation) {
             String::new()
@@ -107,7 +107,8 @@
         watcher
     }
 
-    /// Starts a renewal that is sent now. Returns its id and the command.
+    /// Starts a renewal that is sent now. Returns its id and the command, to which the caller adds its offer for task
+    /// leases.
     pub fn start_renewal(&mut self, now: Micros) -> (u64, Command) {
         while self.open_renewals.len() >= MAX_OPEN_RENEWALS {
             self.open_renewals.pop_first();
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -55,7 +55,7 @@
         [Minimum] patience: ConfigDuration,
         /// Whether statements may run more than once.
         [Strictest] repeat: Idempotency,
-        /// Whether statements with the same key run in order.
+        /// Whether statements with the same ordering key run in order.
         #[serde(default)]
         [LogicalOr] in_order: bool,
         /// The priority weight of a statement.
@@ -137,16 +137,16 @@
         /// Whether health checks may be sent to engines.
         #[serde(default = "default_probes")]
         [LogicalAnd] probes: bool,
-        /// Whether cancelling a statement stops its work on the engine.
+        /// Whether an engine stops the work of a statement when its request is cancelled.
         #[serde(default)]
         [LogicalAnd] cancel: bool,
         /// Whether engines support priorities.
         #[serde(default)]
         [LogicalAnd] priorities: bool,
-        /// Whether engines can terminate a statement.
+        /// Whether engines can kill a running statement on request.
         #[serde(default)]
         [LogicalAnd] ends: bool,
-        /// Whether engines can pause a statement.
+        /// Whether engines can pause a running statement on request.
         #[serde(default)]
         [LogicalAnd] pauses: bool,
     }
@@ -159,9 +159,9 @@
         [Minimum] start_capacity: f64,
         /// The duration of an engine's warm-up.
         [Maximum] ramp: ConfigDuration,
-        /// The maximum load of an overloaded engine, as a multiple of its capacity.
+        /// The load under which an engine is assumed to fail, as a multiple of its present capacity.
         [Minimum] overload: f64,
-        /// The maximum duration of an overload.
+        /// The time window in which the work that is sent to an engine counts towards its load for `overload`.
         [Minimum] fall: ConfigDuration,
         /// The pause of an ordering key after an attempt that may still be running.
         #[serde(default)]
@@ -239,7 +239,8 @@
 pub struct ValidationError {
     /// The path of the setting, such as `classes.report.kinds`.
     pub path: String,
-    /// The description of the error. It names the rule that the setting would break, if that is one of the seven rules.
+    /// The description of the error. It names the rule that the setting would break, if it is one of the seven rules
+    /// for statements, which the `audit` crate lists and checks.
     #[serde(rename = "what")]
     pub message: String,
 }
@@ -276,7 +277,8 @@
     }
 
     /// Returns the greatest lower bound of both documents. A class keeps only the machine kinds and zones that both
-    /// documents declare, so it may be left without any.
+    /// documents declare, so it may be left without any. The default class is kept only if both documents name it and
+    /// have the class.
     pub fn merge(&self, other: &Document) -> Document {
         let mut merged = Merge::merge(self, other);
         for class in merged.classes.values_mut() {
@@ -309,7 +311,8 @@
             })
     }
 
-    /// Returns the paths of the settings that leave a class no machine kind or no zone.
+    /// Returns the paths of the settings without which nothing can be placed: no classes, no machine kinds, or a class
+    /// without machine kinds or zones.
     pub(crate) fn empty_placements(&self) -> Vec<String> {
         let mut paths = Vec::new();
         if self.classes.is_empty() {
--- a/crates/coordination/src/duration.rs
+++ b/crates/coordination/src/duration.rs
@@ -5,7 +5,8 @@
 const NANOS_PER_MICRO: u64 = 1000;
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A duration in whole microseconds. It is written in the form `1500ms` and read with any unit of settings files.
+/// A duration in whole microseconds. It is written in the form `1500ms` and read with any of the units ns, us, ms, s,
+/// m, h and d.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration {
     micros: u64,
--- a/crates/coordination/src/endpoint_list.rs
+++ b/crates/coordination/src/endpoint_list.rs
@@ -134,7 +134,8 @@
         self.endpoints.remove(name);
     }
 
-    /// Returns whether work may be sent to an engine whose process started at `started_at_ms`.
+    /// Returns whether work may be sent to an engine whose process started at `started_at_ms`. The listed process
+    /// accepts work if it is up, and so does a newer process that is not on the list yet. An older process does not.
     pub fn accepts_work(&self, name: &str, started_at_ms: u64) -> bool {
         let Some(endpoint) = self.endpoints.get(name) else {
             return false;
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -1,8 +1,8 @@
 //! Assignment of task leases to routers.
 //!
-//! Leases are spread evenly over the routers that have renewed often enough in a row. A router that repeatedly joins
-//! and leaves is assigned none. A router that stays receives its share from the routers with the most leases, and no
-//! other lease moves.
+//! Leases are spread evenly over the routers that have renewed often enough in a row. A router that leaves before it
+//! has renewed that often is assigned none. A router that stays receives its share from the routers with the most
+//! leases, and no other lease moves.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 /// term.
 pub const MIN_CONSECUTIVE_RENEWALS: u32 = 5;
 
-/// A lease that is held.
+/// The lease of a shard, as recorded in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Lease {
     pub(crate) holder: Holder,
@@ -172,6 +172,7 @@
     while let Some((from, to)) = load.next_move() {
         let movable = slots
             .iter_mut()
+            // A lease is not moved back to the router that released it last.
             .filter(|(_, slot)| slot.last_released_by.as_ref() != Some(&to))
             .filter_map(|(shard, slot)| Some((shard, slot.lease.as_mut()?)))
             .filter(|(_, lease)| lease.holder == from && !lease.release_requested);
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -180,7 +180,7 @@
         true
     }
 
-    /// Assigns free shards to the routers with the fewest leases, and requests those with the most to release some.
+    /// Assigns free shards to the routers with the fewest leases, and asks the routers with the most to release some.
     fn rebalance(&mut self) {
         let mut load = HolderLoad::new(&self.slots, &self.candidates);
         if load.is_empty() {
@@ -214,7 +214,7 @@
 
     /// Returns the changes of the table since a revision.
     pub fn updates_since(&self, revision: u64) -> LeaseTableUpdate {
-        // A router that knows a later revision than this table's knows another table, and needs all entries.
+        // A later revision than this table's comes from the table of another fleet: the router is sent all entries.
         let since = if revision > self.revision {
             0
         } else {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,4 +1,4 @@
-//! Replicated state machines for the routers of a fleet: a versioned configuration that all routers agree on, and
+//! State machines for the coordination of a fleet of routers: a versioned configuration that all routers agree on, and
 //! leases on tasks that one router performs for the whole fleet. The crate has no I/O, clocks or threads; callers pass
 //! the time.
 //!
--- a/crates/coordination/src/merge_rules.rs
+++ b/crates/coordination/src/merge_rules.rs
@@ -6,8 +6,8 @@
 
 use crate::merge::{Change, Difference, Merge, MergeRule};
 
-/// Merges to the smaller value, which applies until the change is in force. Such values restrict nothing, but weigh
-/// what is permitted.
+/// Merges to the smaller value, which applies until the change is in force. Such values are objectives or weights, and
+/// restrict nothing.
 pub(crate) struct Advisory;
 /// Merges to the smaller limit.
 pub(crate) struct Minimum;
@@ -29,7 +29,7 @@
 pub(crate) struct NumberPerKey<R>(PhantomData<R>);
 /// Merges to the smaller number for each name on both sides.
 pub(crate) type MinimumPerKey = NumberPerKey<Minimum>;
-/// Merges to the smaller number for each name on both sides. The numbers restrict nothing.
+/// Merges to the smaller number for each name on both sides. The numbers restrict nothing, but the set of names does.
 pub(crate) type AdvisoryPerKey = NumberPerKey<Advisory>;
 /// Merges the values of the names on both sides, and removes all other names.
 pub(crate) struct MergePerKey;
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -14,7 +14,7 @@
 /// Maximum number of renewals without a response. A further one replaces the oldest.
 const MAX_OPEN_RENEWALS: usize = 16;
 
-/// A lease that is held.
+/// A task lease that this router holds, by its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     fencing_token: u64,
@@ -52,8 +52,9 @@
     shards: BTreeMap<Shard, ShardStatus>,
 }
 
-/// The permission to perform one operation under a lease. It is plain data, as the client has no I/O: the router that
-/// performs the operation calls [`TaskLeaseClient::end_operation`], whether the operation succeeds or fails.
+/// The permission to perform one operation under a lease. It is plain data and does nothing when it is dropped: the
+/// router that performs the operation must call [`TaskLeaseClient::end_operation`], whether the operation succeeds or
+/// fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGuard {
     /// The shard.
@@ -184,7 +185,8 @@
             release_requested: grant.release_requested,
             running_operations: 0,
         };
-        // A grant under another fencing token shows that the replicas have ended the earlier lease of the shard.
+        // A grant under another fencing token shows that the replicas have ended the earlier lease of the shard, so its
+        // time is over here too, even if operations still run under it.
         if let Some(earlier) = self.held.insert(grant.shard, lease) {
             self.last_ended_tokens
                 .insert(grant.shard, earlier.fencing_token);
@@ -236,8 +238,8 @@
         }
     }
 
-    /// Begins an operation that takes at most `duration`; called right before the operation. Returns `None` if the
-    /// lease is not held, must be released, or expires before the operation would end.
+    /// Begins an operation that takes at most `duration`. Returns `None` if the lease is not held, must be released, or
+    /// expires before the operation would end. Callers must begin an operation right before they perform it.
     pub fn begin_operation(
         &mut self,
         now: Micros,
@@ -260,7 +262,8 @@
         })
     }
 
-    /// Returns whether an operation that has begun may still be sent; called right before it is sent.
+    /// Returns whether an operation that has begun may still be sent. Callers must check this right before they send
+    /// it.
     pub fn is_still_valid(&self, now: Micros, guard: &LeaseGuard) -> bool {
         let lease = self.held.get(&guard.shard);
         lease.is_some_and(|lease| {
@@ -286,14 +289,14 @@
         lease.is_some_and(|lease| now < lease.expires_at)
     }
 
-    /// Requests the release of a lease whose task this router cannot perform, so that another router tries.
+    /// Marks a lease for release because this router cannot perform its task, so that another router tries.
     pub fn request_release(&mut self, shard: Shard) {
         if let Some(lease) = self.held.get_mut(&shard) {
             lease.release_requested = true;
         }
     }
 
-    /// Stops accepting leases, and requests the release of those that are held.
+    /// Stops accepting leases. The next renewals release each held lease as soon as no operation runs under it.
     pub fn drain(&mut self) {
         self.accepts_leases = false;
     }
--- a/crates/coordination/src/version.rs
+++ b/crates/coordination/src/version.rs
@@ -8,7 +8,7 @@
 /// The number of a version. Versions are numbered from 1, and 0 stands for none.
 pub type VersionNumber = u64;
 
-/// A process of a router, which can hold leases. Two processes with the same router name are two holders.
+/// A router process that can hold leases. Two processes with the same router name are two holders.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The router's name.
--- a/crates/coordination/tests/merge.rs
+++ b/crates/coordination/tests/merge.rs
@@ -75,7 +75,8 @@
         document.rules.overload = overload;
         document.rules.order_pause = pause;
         document.list = list;
-        // The classes of a valid document name only machine kinds and zones that it declares.
+        // The merge with itself removes machine kinds, zones and a default class that the document does not declare, as
+        // validation requires.
         document.merge(&document)
     }
 }
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of routers that renew task leases with one replica, in simulated time.
+//! A fleet of routers that renew task leases with one replica, in simulated time.
 
 use std::collections::BTreeMap;
 
--- a/crates/fleet-tasks/src/engine_observations.rs
+++ b/crates/fleet-tasks/src/engine_observations.rs
@@ -33,7 +33,8 @@
 }
 
 impl EngineObservations {
-    /// Parses a note. An invalid note counts as empty, as the router that recorded it checks all engines again.
+    /// Parses a note. An invalid note counts as empty, as the holder of the lease checks all engines again and records
+    /// a new one.
     pub fn from_note(note: &str) -> EngineObservations {
         serde_json::from_str(note).unwrap_or_default()
     }
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Removes the observations of all other engines. Returns whether any was removed.
+    /// Removes the observations of all engines that are not in `engines`. Returns whether any was removed.
     pub fn retain(&mut self, engines: &BTreeSet<String>) -> bool {
         let before = self.by_engine.len();
         self.by_engine.retain(|name, _| engines.contains(name));
--- a/crates/fleet-tasks/src/lib.rs
+++ b/crates/fleet-tasks/src/lib.rs
@@ -17,7 +17,8 @@
     EachRouter,
     /// This router performs the shard for the whole fleet.
     Local,
-    /// Another router performs the shard for the whole fleet. The last note that was recorded is given.
+    /// The lease table names a holder of the shard, and this router holds no valid lease of it. The last note that was
+    /// recorded is given.
     Remote(String),
 }
 
