--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -20,8 +20,9 @@
 /// The reason why a call has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No replica has answered. The failures of all replicas are given.
-    #[error("no replica of the coordination server has answered{}", join_failures(.0))]
+    /// No replica has given a usable response: each did not answer, answered with an error of its own, or failed the
+    /// authentication. The failures of all replicas are given.
+    #[error("no replica of the coordination server gave a usable response{}", join_failures(.0))]
     Unavailable(Vec<EndpointError>),
     /// A replica has rejected the call as invalid.
     #[error("{message}")]
@@ -63,8 +64,10 @@
     #[error("the response can't be decoded: {0}")]
     Decode(#[source] serde_json::Error),
     /// The replica rejected the authentication code of the request.
-    #[error("the replica rejected the authentication code: its fleet secret differs")]
-    UnknownSecret,
+    #[error(
+        "the replica rejected the authentication code (status 401): check that both use the same fleet secret"
+    )]
+    UnauthenticatedRequest,
     /// The response has no valid authentication code.
     #[error("the response has no valid authentication code")]
     UnauthenticatedResponse,
@@ -192,7 +195,7 @@
             Connection::open(endpoint, CONNECT_TIMEOUT.min(timeout), limits).await?;
         let response = connection.exchange(&request, timeout).await?;
         if response.status.0 == 401 {
-            return Err(EndpointFailure::UnknownSecret);
+            return Err(EndpointFailure::UnauthenticatedRequest);
         }
         self.secret
             .verify_response(&request, &response)
@@ -204,7 +207,10 @@
 /// Returns the message in the body of an error response, or a message with the status if there is none.
 fn error_message(response: &Response) -> String {
     serde_json::from_slice::<ErrorBody>(&response.body).map_or_else(
-        |_| format!("status {}", response.status.0),
+        |_| {
+            let status = response.status.0;
+            format!("the replica answered with status {status} without a message")
+        },
         |body| body.message,
     )
 }
--- a/crates/coordination-client/src/secret.rs
+++ b/crates/coordination-client/src/secret.rs
@@ -58,9 +58,10 @@
             .filter(|bytes| bytes.len() >= MIN_SECRET_BYTES);
         bytes.map(|bytes| Secret::new(&bytes)).ok_or_else(|| {
             let reason = format!(
-                "{}: not a secret of {} or more hexadecimal digits",
+                "{}: expected an even number of hexadecimal digits, {} or more; found {} characters",
                 path.display(),
-                MIN_SECRET_BYTES * 2
+                MIN_SECRET_BYTES * 2,
+                text.trim().chars().count()
             );
             io::Error::new(io::ErrorKind::InvalidData, reason)
         })
--- a/crates/coordination/src/config_state.rs
+++ b/crates/coordination/src/config_state.rs
@@ -40,7 +40,7 @@
 
 /// A router's configuration lease, as recorded in the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldConfigLease {
+pub struct ConfigLeaseRecord {
     /// The latest version that the holder enforces.
     #[serde(rename = "heeds")]
     pub enforced: VersionNumber,
@@ -61,7 +61,7 @@
     #[serde(rename = "texts")]
     retired_versions: VecDeque<Version>,
     #[serde(with = "crate::map_as_pairs")]
-    holders: BTreeMap<Holder, HeldConfigLease>,
+    holders: BTreeMap<Holder, ConfigLeaseRecord>,
     /// The serial of the last renewal of any lease.
     serial: u64,
     #[serde(rename = "leases", default)]
@@ -131,8 +131,9 @@
             metadata,
             document: proposal.document,
         });
-        // The first version contradicts nothing, as routers processed nothing before it; neither does a neutral change.
-        self.bring_in_force(number, |next| next == 1);
+        // The first version is in force at once, as the only active one: routers processed nothing before it. A neutral
+        // change contradicts nothing and needs no holder to enforce it.
+        self.bring_in_force(number, |_| false);
         Ok(number)
     }
 
@@ -183,7 +184,7 @@
             .and_then(|offer| self.lease_table.renew(&holder, serial, offer));
         let lease_table = offer.map(|offer| self.lease_table.updates_since(offer.table_revision));
         // A new holder has no lease until it receives this response or a later one, which gives it the latest version.
-        let held = self.holders.entry(holder).or_insert(HeldConfigLease {
+        let held = self.holders.entry(holder).or_insert(ConfigLeaseRecord {
             enforced: latest,
             serial,
         });
@@ -294,7 +295,7 @@
     }
 
     /// Returns the routers that hold a configuration lease.
-    pub fn holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
+    pub fn holders(&self) -> impl Iterator<Item = (&Holder, &ConfigLeaseRecord)> {
         self.holders.iter()
     }
 
@@ -304,7 +305,7 @@
     }
 
     /// Returns the holders that do not enforce the next version yet.
-    pub fn blocking_holders(&self) -> impl Iterator<Item = (&Holder, &HeldConfigLease)> {
+    pub fn blocking_holders(&self) -> impl Iterator<Item = (&Holder, &ConfigLeaseRecord)> {
         let next = self.pending().next().map(|v| v.metadata.number);
         self.holders
             .iter()
--- a/crates/coordination/src/document.rs
+++ b/crates/coordination/src/document.rs
@@ -59,13 +59,13 @@
         #[serde(default)]
         [LogicalOr] in_order: bool,
         /// The priority weight of a statement.
-        #[serde(default = "default_factor")]
+        #[serde(default = "default_worth")]
         [Advisory] worth: f64,
         /// The weight of a response after the latency objective, as a fraction of the full weight.
         #[serde(default)]
         [Advisory] late_worth: f64,
         /// The number of threads that a statement uses.
-        #[serde(default = "default_factor")]
+        #[serde(default = "default_threads")]
         [Maximum] threads: f64,
         /// Whether a statement locks its tables while it runs.
         #[serde(default)]
@@ -217,7 +217,11 @@
     }
 }
 
-fn default_factor() -> f64 {
+fn default_worth() -> f64 {
+    1.0
+}
+
+fn default_threads() -> f64 {
     1.0
 }
 
--- a/crates/coordination/src/document_validation.rs
+++ b/crates/coordination/src/document_validation.rs
@@ -5,7 +5,7 @@
     ValidationError,
 };
 use crate::duration::ConfigDuration;
-use crate::endpoint_list::MAX_ENGINES;
+use crate::endpoint_list::{EndpointList, MAX_ENGINES};
 use crate::shard::{MAX_SHARDS, Task};
 
 /// The version of the document format that this program supports.
@@ -14,8 +14,8 @@
 const MAX_CLASSES: usize = 256;
 /// Maximum size of a name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Minimum timeout of a class. With a shorter one, no response could be sent in time.
-const MIN_PATIENCE: ConfigDuration = ConfigDuration::from_millis(500);
+/// Minimum timeout of a class. With a shorter one, no final response could be sent in time.
+const MIN_CLASS_TIMEOUT: ConfigDuration = ConfigDuration::from_millis(500);
 
 /// The errors of a document, in the order in which they are found.
 #[derive(Default)]
@@ -39,13 +39,17 @@
         if self.form != FORMAT_VERSION {
             errors.push(
                 "form",
-                format!("must be {FORMAT_VERSION}, the only format version that is supported"),
+                format!(
+                    "must be {FORMAT_VERSION}, the only supported format version; found {}",
+                    self.form
+                ),
             );
         }
         if self.classes.len() > MAX_CLASSES {
+            let count = self.classes.len();
             errors.push(
                 "classes",
-                format!("must contain {MAX_CLASSES} classes at most"),
+                format!("must contain at most {MAX_CLASSES} classes; found {count}"),
             );
         }
         check_names(self, &mut errors);
@@ -60,15 +64,15 @@
         }
         check_engines(&self.engines, &mut errors);
         check_rules(&self.rules, &mut errors);
-        if self
-            .list
-            .as_ref()
-            .is_some_and(|list| list.len() > MAX_ENGINES)
-        {
-            errors.push("list", format!("must name {MAX_ENGINES} engines at most"));
+        let engine_count = self.list.as_ref().map_or(0, EndpointList::len);
+        if engine_count > MAX_ENGINES {
+            errors.push(
+                "list",
+                format!("must name at most {MAX_ENGINES} engines; found {engine_count}"),
+            );
         }
         for path in self.empty_placements() {
-            errors.push(path, "leaves no possible placement (rule 6)");
+            errors.push(path, "must not be empty: nothing could be placed (rule 6)");
         }
         errors.found
     }
@@ -82,8 +86,13 @@
         .chain(&document.zones)
         .chain(document.tenants.keys());
     for name in names.filter(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
-        let message = format!("must be a name of 1 to {MAX_NAME_BYTES} bytes");
-        errors.push(format!("{name:.40?}"), message);
+        let size = name.len();
+        errors.push(
+            format!("{name:.40?}"),
+            format!(
+                "the name of a class, machine kind, zone or tenant must have 1 to {MAX_NAME_BYTES} bytes; found {size}"
+            ),
+        );
     }
 }
 
@@ -91,13 +100,13 @@
     let is_positive = |number: f64| number.is_finite() && number > 0.0;
     for (kind, cores) in &document.kinds {
         if !is_positive(*cores) {
-            let message = "must be a number of cores greater than 0";
+            let message = format!("must be a number of cores greater than 0; found {cores}");
             errors.push(format!("kinds.{kind}"), message);
         }
     }
     for (tenant, quota) in &document.tenants {
         if !is_positive(*quota) {
-            let message = "must be a quota greater than 0";
+            let message = format!("must be a quota greater than 0; found {quota}");
             errors.push(format!("tenants.{tenant}"), message);
         }
     }
@@ -109,7 +118,7 @@
     if total > MAX_SHARDS as u64 {
         errors.push(
             "tasks",
-            format!("must have {MAX_SHARDS} shards in total at most"),
+            format!("must have at most {MAX_SHARDS} shards in total; found {total}"),
         );
     }
     if tasks.get(&Task::Discovery).is_some_and(|n| *n != 1) || tasks.values().any(|n| *n == 0) {
@@ -143,14 +152,20 @@
     if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
         errors.push(
             "rules.start_capacity",
-            "must be a fraction of the capacity, greater than 0 and at most 1 (rule 4)",
+            format!(
+                "must be a fraction of the capacity, greater than 0 and at most 1; found {} (rule 4)",
+                rules.start_capacity
+            ),
         );
     }
     let is_valid_overload = rules.overload.is_finite() && rules.overload >= 1.0;
     if !is_valid_overload || rules.fall == ConfigDuration::ZERO {
         errors.push(
             "rules.overload",
-            "must be 1 or more, with a rules.fall greater than 0 (rule 4)",
+            format!(
+                "must be 1 or more, and rules.fall greater than 0; found {} and {} (rule 4)",
+                rules.overload, rules.fall
+            ),
         );
     }
 }
@@ -168,13 +183,18 @@
     if !numbers.iter().all(|n| n.is_finite() && *n >= 0.0) || class.threads == 0.0 {
         errors.push(
             path("threads"),
-            "stretch, worth and late_worth must be 0 or more, and threads greater than 0",
+            format!(
+                "stretch, worth and late_worth must be 0 or more, and threads greater than 0; found {numbers:?}"
+            ),
         );
     }
     if class.late_worth > 1.0 {
         errors.push(
             path("late_worth"),
-            "must be a fraction of the worth, from 0 to 1",
+            format!(
+                "must be a fraction of the worth, from 0 to 1; found {}",
+                class.late_worth
+            ),
         );
     }
     check_class_times(class, path, errors);
@@ -197,13 +217,19 @@
     if class.aim == ConfigDuration::ZERO || class.patience < class.aim {
         errors.push(
             path("patience"),
-            "must be at least the aim, and the aim greater than 0",
+            format!(
+                "must be at least the aim, and the aim greater than 0; found {} and {}",
+                class.patience, class.aim
+            ),
         );
     }
-    if class.patience < MIN_PATIENCE {
+    if class.patience < MIN_CLASS_TIMEOUT {
         errors.push(
             path("patience"),
-            format!("must be {MIN_PATIENCE} or more: no response could be sent in time (rule 1)"),
+            format!(
+                "must be {MIN_CLASS_TIMEOUT} or more, or no final response could be sent in time; found {} (rule 1)",
+                class.patience
+            ),
         );
     }
 }
@@ -216,7 +242,7 @@
     if class.holds && class.repeat == Idempotency::Idempotent {
         errors.push(
             path("repeat"),
-            "must be 'never' for a class that locks tables while it loads them (rule 2)",
+            "must be 'never' if holds is true: a statement that locks its tables can't be repeated safely (rule 2)",
         );
     }
     if class.repeat == Idempotency::NonIdempotent && class.in_doubt == Some(InDoubtPolicy::Serve) {
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -75,7 +75,9 @@
 }
 
 impl Candidate {
-    pub(crate) fn is_acknowledged_by(&self, offer: &LeaseOffer) -> bool {
+    /// Returns whether an offer acknowledges the response to the last renewal. Before the first renewal, the serial is
+    /// 0 and there is no response.
+    pub(crate) fn has_acknowledged(&self, offer: &LeaseOffer) -> bool {
         self.serial > 0 && offer.acknowledged_serial == self.serial
     }
 
--- a/crates/coordination/src/lease_messages.rs
+++ b/crates/coordination/src/lease_messages.rs
@@ -70,8 +70,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum NoteError {
-    /// The lease is no longer held under that fencing token.
-    #[error("the lease is no longer held under this fencing token")]
+    /// The router does not hold the lease under that fencing token, or there is no such shard.
+    #[error("this router does not hold the lease under this fencing token")]
     #[serde(rename = "outdated")]
     StaleToken,
     /// The note exceeds [`MAX_NOTE_BYTES`](crate::MAX_NOTE_BYTES).
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -73,7 +73,7 @@
         offer: &LeaseOffer,
     ) -> Option<Vec<TaskLeaseGrant>> {
         let candidate = self.candidates.entry(holder.clone()).or_default();
-        let acknowledged = candidate.is_acknowledged_by(offer);
+        let acknowledged = candidate.has_acknowledged(offer);
         let was_eligible = candidate.is_eligible();
         candidate.record_renewal(serial, acknowledged, offer.accepts_leases);
         let mut changed = was_eligible != candidate.is_eligible();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -34,7 +34,7 @@
 
 pub use command::{Command, CommandResponse, ConfigLeaseGrant};
 pub use config_lease::{ConfigLease, LeaseTiming, Micros};
-pub use config_state::{ConfigState, HeldConfigLease, MAX_PENDING_CHANGES};
+pub use config_state::{ConfigLeaseRecord, ConfigState, MAX_PENDING_CHANGES};
 pub use config_watcher::{ConfigWatcher, Decision, GrantError};
 pub use document::{
     Document, EngineSettings, Idempotency, InDoubtPolicy, RetryBudget, RuleParameters,
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -41,7 +41,10 @@
             if text.is_empty() || text.len() > MAX_TEXT_BYTES {
                 errors.push(ValidationError {
                     path: path.to_owned(),
-                    message: format!("must be 1 to {MAX_TEXT_BYTES} bytes long"),
+                    message: format!(
+                        "must be 1 to {MAX_TEXT_BYTES} bytes long; found {}",
+                        text.len()
+                    ),
                 });
             }
         }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -39,7 +39,7 @@
 
 /// An error for a text that names no shard.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is not a shard of a task, such as probe/3")]
+#[error("{text:?} is not a shard of a task; expected a form such as probe/3")]
 pub struct InvalidShard {
     text: String,
 }
