--- a/crates/coordination/tests/rollout/proposals.rs
+++ b/crates/coordination/tests/rollout/proposals.rs
@@ -91,7 +91,7 @@
     assert_eq!(
         propose(&mut config, "second", Some(1), &with_attempts(2)),
         Ok(2),
-        "a repeated proposal gets the same number"
+        "the author repeats a proposal whose response was lost"
     );
     assert_eq!(
         propose(&mut config, "second", Some(2), &with_attempts(4)),
--- a/crates/coordination/tests/rollout/random_executions.rs
+++ b/crates/coordination/tests/rollout/random_executions.rs
@@ -12,11 +12,16 @@
 const REPLICA: usize = ROUTERS;
 const TICKS: u64 = 1200;
 const TICK: Micros = 50_000;
+/// The interval of the renewals of a router, in ticks.
+const RENEWAL_TICKS: u64 = 10;
+/// The interval at which the replica expires leases, in ticks.
+const EXPIRY_CHECK_TICKS: u64 = 7;
+/// The interval at which a replica that loses its leases restarts, in ticks: a multiple of the one of expiry checks.
+const RESTART_TICKS: u64 = 210;
 
-/// A fault that is injected into an execution and must be found.
+/// A fault that is simulated in an execution and must be found. The faults of the package itself need a cargo feature.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
-    None,
+enum SimulatedFault {
     /// A router counts its lease from the response instead of the renewal.
     TermFromResponse,
     /// A lease never expires.
@@ -24,7 +29,7 @@
     /// A version comes in force without waiting for the lease holders.
     SkipRolloutWait,
     /// A replica that restarts has lost the leases that it granted.
-    LoseDurableState,
+    LoseLeases,
 }
 
 /// A pseudo-random generator (SplitMix64), which makes an execution reproducible from its seed.
@@ -51,7 +56,7 @@
 
 /// An execution of four routers, a replica, and the messages between them.
 struct Execution {
-    fault: Fault,
+    fault: Option<SimulatedFault>,
     generator: SeededGenerator,
     config: ConfigState,
     routers: Vec<ConfigWatcher>,
@@ -65,7 +70,7 @@
 }
 
 impl Execution {
-    fn new(seed: u64, fault: Fault) -> Execution {
+    fn new(seed: u64, fault: Option<SimulatedFault>) -> Execution {
         let mut generator = SeededGenerator(seed);
         let mut config = ConfigState::default();
         propose(&mut config, "0", None, &with_attempts(3)).expect("accepted");
@@ -156,7 +161,7 @@
         let delay = self.link_delay();
         if self.is_delivered(message.router, now) {
             self.messages.push(Message {
-                due: now + delay + 50_000,
+                due: now + delay + TICK,
                 request: None,
                 grant: Some(grant),
                 ..message
@@ -167,7 +172,7 @@
     fn receive_grant(&mut self, router: usize, id: u64, grant: ConfigLeaseGrant, now: Micros) {
         let clock = self.clock(router, now);
         let watcher = &mut self.routers[router];
-        if self.fault == Fault::TermFromResponse {
+        if self.fault == Some(SimulatedFault::TermFromResponse) {
             watcher.set_sent_at(id, clock);
         }
         let accepted = watcher.accept_grant(id, grant);
@@ -181,8 +186,9 @@
         let mut expired = self
             .expiry
             .expired_config_leases(self.clock(REPLICA, now), &TIMING);
-        if self.fault == Fault::SkipRolloutWait
-            || (self.fault == Fault::LoseDurableState && tick.is_multiple_of(210))
+        let loses_leases = self.fault == Some(SimulatedFault::LoseLeases);
+        if self.fault == Some(SimulatedFault::SkipRolloutWait)
+            || (loses_leases && tick.is_multiple_of(RESTART_TICKS))
         {
             let all = self.config.holders();
             expired = all
@@ -201,7 +207,7 @@
                 |(n, router)| match router.decide(self.clock(n, now), "lookup") {
                     Decision::Allow { in_force, enforced } => Some((in_force, enforced)),
                     Decision::AllowInDoubt { in_force, enforced }
-                        if self.fault == Fault::LeaseNeverExpires =>
+                        if self.fault == Some(SimulatedFault::LeaseNeverExpires) =>
                     {
                         Some((in_force, enforced))
                     }
@@ -224,12 +230,12 @@
         if self.generator.below(80) == 0 {
             self.disconnect_a_router(now);
         }
-        if let Some(router) = (0..ROUTERS).find(|n| tick % 10 == *n as u64) {
+        if let Some(router) = (0..ROUTERS).find(|n| tick % RENEWAL_TICKS == *n as u64) {
             self.renew(router, now);
         }
         self.deliver_due_messages(now);
         self.expiry.observe(self.clock(REPLICA, now), &self.config);
-        if tick.is_multiple_of(7) {
+        if tick.is_multiple_of(EXPIRY_CHECK_TICKS) {
             self.expire_leases(tick, now);
         }
         self.has_conflict(now)
@@ -238,7 +244,7 @@
 
 /// Executes a minute, and returns the number of ticks after which two routers enforced versions that contradict each
 /// other, and the version in force at the end.
-fn count_violations(seed: u64, fault: Fault) -> (u64, u64) {
+fn count_violations(seed: u64, fault: Option<SimulatedFault>) -> (u64, u64) {
     let mut execution = Execution::new(seed, fault);
     let violations = (0..TICKS).filter(|tick| execution.tick(*tick)).count();
     (violations as u64, execution.config.in_force())
@@ -248,7 +254,7 @@
 fn routers_never_enforce_conflicting_versions_in_300_random_executions_and_faults_are_found() {
     let (mut violations, mut completed_rollouts) = (0, 0);
     for seed in 0..300 {
-        let (found, in_force) = count_violations(seed, Fault::None);
+        let (found, in_force) = count_violations(seed, None);
         violations += found;
         completed_rollouts += in_force - 1;
     }
@@ -258,13 +264,13 @@
         "too few rollouts to prove anything: {completed_rollouts}"
     );
     for fault in [
-        Fault::TermFromResponse,
-        Fault::LeaseNeverExpires,
-        Fault::SkipRolloutWait,
-        Fault::LoseDurableState,
+        SimulatedFault::TermFromResponse,
+        SimulatedFault::LeaseNeverExpires,
+        SimulatedFault::SkipRolloutWait,
+        SimulatedFault::LoseLeases,
     ] {
         let found = (0..60)
-            .filter(|seed| count_violations(*seed, fault).0 > 0)
+            .filter(|seed| count_violations(*seed, Some(fault)).0 > 0)
             .count();
         println!("{fault:?}: found in {found} of 60 executions");
         assert!(found >= 6, "{fault:?}: found in {found} of 60");
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -2,11 +2,11 @@
 
 use hoptiller_coordination::{Holder, MIN_CONSECUTIVE_RENEWALS, Shard};
 
-use crate::cluster::{TIMING, TestCluster, holder, shard};
+use crate::cluster::{TIMING, TestFleet, holder, shard};
 
 #[test]
 fn leases_spread_evenly_and_joins_and_leaves_move_the_fewest() {
-    let mut cluster = TestCluster::new(100);
+    let mut cluster = TestFleet::new(100);
     for n in 0..6 {
         cluster.join(&format!("r{n}"), "1");
     }
@@ -45,18 +45,18 @@
     );
     assert!(
         cluster
-            .acting()
+            .routers_holding()
             .values()
             .filter(|routers| routers.len() == 1)
             .count()
             >= 86,
-        "the other routers keep acting"
+        "the other routers keep their leases"
     );
 }
 
 #[test]
 fn a_flapping_router_gets_no_leases_and_moves_none() {
-    let mut cluster = TestCluster::new(60);
+    let mut cluster = TestFleet::new(60);
     for n in 0..3 {
         cluster.join(&format!("r{n}"), "1");
     }
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_thousand_leases_of_a_dead_router_are_reassigned_together_after_a_term() {
-    let mut cluster = TestCluster::new(1000);
+    let mut cluster = TestFleet::new(1000);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     cluster.join("r1", "1");
@@ -108,33 +108,33 @@
 
 #[test]
 fn a_router_that_receives_no_responses_loses_its_leases() {
-    let mut cluster = TestCluster::new(8);
+    let mut cluster = TestFleet::new(8);
     cluster.join("r0", "1");
     cluster.join("r1", "1");
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     assert_eq!(cluster.counts(), [4, 4]);
-    cluster.unreachable.push("r0".into());
+    cluster.losing_responses.push("r0".into());
     cluster.rounds(7);
     assert_eq!(
         cluster.counts(),
         [0, 8],
         "its leases expire a little more than a term after the last response that it received"
     );
-    cluster.unreachable.clear();
+    cluster.losing_responses.clear();
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     assert_eq!(cluster.counts(), [4, 4], "it is assigned leases again");
 }
 
 #[test]
 fn two_incarnations_of_a_router_are_two_holders() {
-    let mut cluster = TestCluster::new(4);
+    let mut cluster = TestFleet::new(4);
     cluster.join("r0", "1");
     cluster.join("r0", "2");
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     assert_eq!(cluster.counts(), [2, 2]);
     assert_eq!(
         cluster
-            .acting()
+            .routers_holding()
             .values()
             .filter(|routers| routers.len() == 1)
             .count(),
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_shard_that_one_router_releases_is_assigned_to_another() {
-    let mut cluster = TestCluster::new(3);
+    let mut cluster = TestFleet::new(3);
     for n in 0..3 {
         cluster.join(&format!("r{n}"), "1");
     }
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -19,14 +19,14 @@
 const RENEWAL_INTERVAL: Micros = 400 * MILLISECOND;
 
 /// Routers and one replica in simulated time.
-pub struct TestCluster {
+pub struct TestFleet {
     pub now: Micros,
     pub config: ConfigState,
     pub expiry: ExpiryTracker,
     /// The client of each router, and the id of its next renewal.
     pub routers: BTreeMap<Holder, (TaskLeaseClient, u64)>,
     /// The names of the routers that receive no responses.
-    pub unreachable: Vec<String>,
+    pub losing_responses: Vec<String>,
 }
 
 pub fn holder(router: &str, incarnation: &str) -> Holder {
@@ -43,8 +43,8 @@
     }
 }
 
-impl TestCluster {
-    pub fn new(shards: u32) -> TestCluster {
+impl TestFleet {
+    pub fn new(shards: u32) -> TestFleet {
         let mut config = ConfigState::default();
         let mut document = document();
         document.tasks = [(Task::HealthCheck, shards)].into();
@@ -56,12 +56,12 @@
             reason: "a test".to_owned(),
             document,
         })));
-        TestCluster {
+        TestFleet {
             now: 0,
             config,
             expiry: ExpiryTracker::default(),
             routers: BTreeMap::new(),
-            unreachable: Vec::new(),
+            losing_responses: Vec::new(),
         }
     }
 
@@ -116,7 +116,7 @@
         self.now += RENEWAL_INTERVAL;
         for holder in self.routers.keys().cloned().collect::<Vec<_>>() {
             let (id, grant) = self.renew(&holder);
-            if !self.unreachable.contains(&holder.router) {
+            if !self.losing_responses.contains(&holder.router) {
                 self.receive(&holder, id, &grant);
             }
         }
@@ -128,10 +128,10 @@
         self.config
             .apply(Command::CompleteRollout { upto: 1, expired });
         self.expiry.observe(self.now, &self.config);
-        let acting = self.acting();
+        let holding = self.routers_holding();
         assert!(
-            acting.values().all(|all| all.len() <= 1),
-            "two routers may act for one shard: {acting:?}"
+            holding.values().all(|routers| routers.len() <= 1),
+            "two routers hold the lease of one shard: {holding:?}"
         );
     }
 
@@ -139,20 +139,20 @@
         (0..count).for_each(|_| self.round());
     }
 
-    /// Returns the routers that may act now, by shard.
-    pub fn acting(&self) -> BTreeMap<Shard, Vec<Holder>> {
-        let mut acting: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
+    /// Returns the routers that hold a valid lease by their own clocks, by shard.
+    pub fn routers_holding(&self) -> BTreeMap<Shard, Vec<Holder>> {
+        let mut routers_holding: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
         for entry in self.config.lease_table().updates_since(0).entries {
             let is_holding = |(_, (leases, _)): &(&Holder, &(TaskLeaseClient, u64))| {
                 leases.is_holding(self.now, entry.shard)
             };
             let holding = self.routers.iter().filter(is_holding);
-            acting.insert(
+            routers_holding.insert(
                 entry.shard,
                 holding.map(|(holder, _)| holder.clone()).collect(),
             );
         }
-        acting
+        routers_holding
     }
 
     /// Returns the holders that the replica knows, by shard.
--- a/crates/coordination/tests/task_leases/holding.rs
+++ b/crates/coordination/tests/task_leases/holding.rs
@@ -4,11 +4,11 @@
     Command, CommandResponse, LeaseOffer, MAX_NOTE_BYTES, MIN_CONSECUTIVE_RENEWALS, NoteError,
 };
 
-use crate::cluster::{MARGIN, TIMING, TestCluster, holder, shard};
+use crate::cluster::{MARGIN, TIMING, TestFleet, holder, shard};
 
 #[test]
 fn a_late_response_does_not_restore_a_released_lease() {
-    let mut cluster = TestCluster::new(1);
+    let mut cluster = TestFleet::new(1);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_late_expiry_or_release_frees_nothing() {
-    let mut cluster = TestCluster::new(1);
+    let mut cluster = TestFleet::new(1);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
@@ -87,7 +87,7 @@
 
 #[test]
 fn an_operation_begins_only_with_time_to_end_and_delays_the_release() {
-    let mut cluster = TestCluster::new(1);
+    let mut cluster = TestFleet::new(1);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let (router, renewed_at) = (holder("r0", "1"), cluster.now);
@@ -131,7 +131,7 @@
 
 #[test]
 fn only_the_current_holder_records_notes_and_a_repeated_note_is_no_change() {
-    let mut cluster = TestCluster::new(2);
+    let mut cluster = TestFleet::new(2);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     let router = holder("r0", "1");
