--- a/crates/coordination-client/src/client.rs
+++ b/crates/coordination-client/src/client.rs
@@ -1,5 +1,6 @@
-//! Calls to the replicas of the coordination server: the replica that answered last is tried first, the others in turn
-//! when it does not answer. What became of a call without an answer is unknown, so every call is safe to repeat.
+//! Calls to the replicas of the coordination server. The replica that answered last is tried first, and the others in
+//! turn if it does not answer. Whether a call without a response took effect is unknown, so every call must be
+//! idempotent: the next replica gets it again.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,16 +14,17 @@
 use crate::secret::Secret;
 use crate::wire::{ErrorBody, MAX_BODY_BYTES};
 
-/// Limit of the time that a connection may take to open.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call has no result.
+/// The reason why a call has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No replica has answered: the failure of each.
-    #[error("no keeper has answered{}", join_failures(.0))]
+    /// No replica has given a usable response: each did not answer, answered with an error of its own, or failed the
+    /// authentication. The failures of all replicas are given.
+    #[error("no replica of the coordination server gave a usable response{}", join_failures(.0))]
     Unavailable(Vec<EndpointError>),
-    /// A replica has answered that the call itself is wrong.
+    /// A replica has rejected the call as invalid.
     #[error("{message}")]
     Rejected {
         /// The HTTP status, from 400 to 499.
@@ -43,31 +45,33 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{endpoint}: {source}")]
 pub struct EndpointError {
-    /// The replica's address.
+    /// The address of the replica.
     pub endpoint: SocketAddr,
-    /// What failed.
+    /// The cause of the failure.
     pub source: EndpointFailure,
 }
 
-/// What failed in a call to one replica.
+/// The cause of a failed call to one replica.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointFailure {
-    /// The exchange over HTTP.
+    /// The HTTP exchange failed.
     #[error(transparent)]
     Transport(#[from] ClientError),
-    /// The request has no JSON form.
+    /// The request cannot be encoded as JSON.
     #[error("the request can't be encoded: {0}")]
     Encode(#[source] serde_json::Error),
-    /// The response is not the JSON expected.
-    #[error("its answer: {0}")]
+    /// The response is not the expected JSON.
+    #[error("the response can't be decoded: {0}")]
     Decode(#[source] serde_json::Error),
-    /// The replica rejects the authentication code of the request.
-    #[error("it does not know our secret")]
-    UnknownSecret,
-    /// The response carries no valid authentication code.
-    #[error("its answer is not the fleet's")]
+    /// The replica rejected the authentication code of the request.
+    #[error(
+        "the replica rejected the authentication code (status 401): check that both use the same fleet secret"
+    )]
+    UnauthenticatedRequest,
+    /// The response has no valid authentication code.
+    #[error("the response has no valid authentication code")]
     UnauthenticatedResponse,
-    /// The replica answered with an error of its own.
+    /// The replica answered with an error.
     #[error("{0}")]
     Server(String),
 }
@@ -82,7 +86,7 @@
 }
 
 impl CoordinationClient {
-    /// A client of the replicas at these addresses.
+    /// Creates a client of the replicas at these addresses.
     pub fn new(endpoints: Vec<SocketAddr>, secret: Secret) -> CoordinationClient {
         CoordinationClient {
             endpoints,
@@ -91,28 +95,29 @@
         }
     }
 
-    /// Sets which replica the next call tries first, modulo their number, to spread many clients over the replicas.
+    /// Sets which replica the next call tries first: `index` modulo the number of replicas. Spreads many clients over
+    /// the replicas.
     pub fn set_preferred(&self, index: usize) {
         self.preferred.set(index % self.endpoints.len().max(1));
     }
 
-    /// The addresses of the replicas.
+    /// Returns the addresses of the replicas.
     pub fn endpoints(&self) -> &[SocketAddr] {
         &self.endpoints
     }
 
-    /// Calls one replica after the other until one answers, each within `timeout`. With a body the call is a POST,
-    /// without one a GET.
+    /// Calls one replica after the other until one answers, each within `timeout`. Sends a POST if there is a body, and
+    /// a GET otherwise.
     ///
     /// # Errors
     ///
-    /// [`CallError::Rejected`] when a replica rejects the call, [`CallError::Unavailable`] when none answers.
-    pub async fn call<A: DeserializeOwned>(
+    /// Returns [`CallError::Rejected`] if a replica rejects the call, and [`CallError::Unavailable`] if none answers.
+    pub async fn call<T: DeserializeOwned>(
         &self,
         path: &str,
         body: Option<&impl Serialize>,
         timeout: Duration,
-    ) -> Result<A, CallError> {
+    ) -> Result<T, CallError> {
         let mut failures = Vec::new();
         for offset in 0..self.endpoints.len() {
             let index = (self.preferred.get() + offset) % self.endpoints.len();
@@ -120,9 +125,9 @@
                 .call_endpoint(self.endpoints[index], path, body, timeout)
                 .await
             {
-                Ok(answer) => {
+                Ok(response) => {
                     self.preferred.set(index);
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 Err(CallError::Unavailable(failed)) => failures.extend(failed),
                 Err(rejected) => return Err(rejected),
@@ -131,18 +136,19 @@
         Err(CallError::Unavailable(failures))
     }
 
-    /// Calls one replica. With a body the call is a POST, without one a GET.
+    /// Calls one replica. Sends a POST if there is a body, and a GET otherwise.
     ///
     /// # Errors
     ///
-    /// [`CallError::Rejected`] when the replica rejects the call, [`CallError::Unavailable`] when it does not answer.
-    pub async fn call_endpoint<A: DeserializeOwned>(
+    /// Returns [`CallError::Rejected`] if the replica rejects the call, and [`CallError::Unavailable`] if it does not
+    /// answer.
+    pub async fn call_endpoint<T: DeserializeOwned>(
         &self,
         endpoint: SocketAddr,
         path: &str,
         body: Option<&impl Serialize>,
         timeout: Duration,
-    ) -> Result<A, CallError> {
+    ) -> Result<T, CallError> {
         let unavailable = |source| CallError::Unavailable(vec![EndpointError { endpoint, source }]);
         let response = self
             .exchange(endpoint, path, body, timeout)
@@ -161,7 +167,7 @@
         }
     }
 
-    /// Sends an authenticated request on a connection of its own; the response is authenticated too.
+    /// Sends an authenticated request on a new connection, and verifies the response.
     async fn exchange(
         &self,
         endpoint: SocketAddr,
@@ -189,7 +195,7 @@
             Connection::open(endpoint, CONNECT_TIMEOUT.min(timeout), limits).await?;
         let response = connection.exchange(&request, timeout).await?;
         if response.status.0 == 401 {
-            return Err(EndpointFailure::UnknownSecret);
+            return Err(EndpointFailure::UnauthenticatedRequest);
         }
         self.secret
             .verify_response(&request, &response)
@@ -198,10 +204,13 @@
     }
 }
 
-/// The reason in an error's body, or the status where there is none.
+/// Returns the message in the body of an error response, or a message with the status if there is none.
 fn error_message(response: &Response) -> String {
     serde_json::from_slice::<ErrorBody>(&response.body).map_or_else(
-        |_| format!("status {}", response.status.0),
+        |_| {
+            let status = response.status.0;
+            format!("the replica answered with status {status} without a message")
+        },
         |body| body.message,
     )
 }
--- a/crates/coordination-server/src/expiry_check.rs
+++ b/crates/coordination-server/src/expiry_check.rs
@@ -72,7 +72,7 @@
             self.last_complete_rollout_at = now;
             commands.push(Command::CompleteRollout {
                 upto: input.config.latest(),
-                lapsed: expired_holders,
+                expired: expired_holders,
             });
         }
         commands
--- a/crates/coordination/src/config_watcher.rs
+++ b/crates/coordination/src/config_watcher.rs
@@ -1,5 +1,5 @@
-//! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests from
-//! the replicas next. Its decision on a class is to be taken again right before each attempt is sent.
+//! A router's side of the configuration: which versions it enforces, whether its lease is valid, and what it requests
+//! from the replicas next. A router asks for a new decision on the class right before it sends each attempt.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,19 @@
 use crate::fault_injection::{self, Fault};
 use crate::version::{Holder, Version, VersionNumber, merge_versions};
 
-/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+/// Maximum number of renewals without a response. A further one replaces the oldest.
 const MAX_OPEN_RENEWALS: usize = 16;
 
-/// Why a grant is rejected. The lease is then not renewed.
+/// The reason for the rejection of a grant, which then does not renew the lease.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// It is the response to no open renewal.
-    #[error("it answers no open question")]
+    /// The grant is not the response to an open renewal.
+    #[error("the grant is not the response to an open renewal")]
     Unsolicited,
     /// The replica is behind the versions that this router had reported: its state has been rolled back.
-    #[error("it tells of version {reported} where {known} is known: a keeper's state went back")]
+    #[error(
+        "a replica reports version {reported}, but version {known} is known: the replica's state was rolled back"
+    )]
     Regressed {
         /// The replica's version, in force or latest.
         reported: VersionNumber,
@@ -27,32 +29,34 @@
         known: VersionNumber,
     },
     /// A version that this router knows has another document.
-    #[error("version {0} comes with another text than before")]
+    #[error("version {0} has another document than the one that this router knows")]
     DigestMismatch(VersionNumber),
-    /// The versions are not consecutive, or a document does not match its digest.
-    #[error("its versions don't go together")]
+    /// The granted versions are incomplete or not consecutive, or a document does not match its digest.
+    #[error(
+        "the granted versions are incomplete or not consecutive, or a document does not match its digest"
+    )]
     Inconsistent,
 }
 
-/// What a router may do with statements of a class.
+/// The decision of a router on the statements of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Process them by the merge of the versions from the one in force to the latest enforced.
+    /// The router processes them under the merge of the versions from the one in force to the latest enforced.
     Allow {
         /// The version in force, as far as the router knows.
         in_force: VersionNumber,
         /// The latest version that the router enforces.
         enforced: VersionNumber,
     },
-    /// Process them by the last known versions, without the guarantee: the lease has expired, and the policy of the class
-    /// is to serve.
+    /// The router processes them under the last known versions, without the guarantee that no other router enforces a
+    /// version that contradicts them: its lease has expired, and the policy of the class is [`InDoubtPolicy::Serve`].
     AllowInDoubt {
-        /// See [`Decision::Allow`].
+        /// The version in force, as far as the router knows.
         in_force: VersionNumber,
-        /// See [`Decision::Allow`].
+        /// The latest version that the router enforces.
         enforced: VersionNumber,
     },
-    /// Reject them as safe to retry: there is no valid lease, or no such class.
+    /// The router rejects them as safe to retry: it has no valid lease, or there is no such class.
     Reject,
 }
 
@@ -67,17 +71,18 @@
 pub struct ConfigWatcher {
     holder: Holder,
     timing: LeaseTiming,
-    /// From the version in force to the latest enforced.
+    /// The versions from the one in force to the latest enforced.
     versions: Vec<Version>,
     /// The merge of these versions.
     merged: Option<Document>,
     lease: ConfigLease,
-    open: BTreeMap<u64, OpenRenewal>,
+    open_renewals: BTreeMap<u64, OpenRenewal>,
     next_id: u64,
 }
 
 impl ConfigWatcher {
-    /// A watcher without a lease. `known`: the versions that an earlier incarnation of this router has stored.
+    /// Creates a watcher without a lease. `known` are the versions that an earlier incarnation of this router has
+    /// stored; they are ignored if they are not consecutive or do not match their digests.
     pub fn new(holder: Holder, timing: LeaseTiming, known: Vec<Version>) -> ConfigWatcher {
         let incarnation = if fault_injection::is_injected(Fault::IgnoreIncarnation) {
             String::new()
@@ -93,7 +98,7 @@
             versions: Vec::new(),
             merged: None,
             lease: ConfigLease::default(),
-            open: BTreeMap::new(),
+            open_renewals: BTreeMap::new(),
             next_id: 0,
         };
         if are_consistent(&known) {
@@ -102,10 +107,11 @@
         watcher
     }
 
-    /// Starts a renewal that is sent now. Returns its id and the command.
+    /// Starts a renewal that is sent now. Returns its id and the command, to which the caller adds its offer for task
+    /// leases.
     pub fn start_renewal(&mut self, now: Micros) -> (u64, Command) {
-        while self.open.len() >= MAX_OPEN_RENEWALS {
-            self.open.pop_first();
+        while self.open_renewals.len() >= MAX_OPEN_RENEWALS {
+            self.open_renewals.pop_first();
         }
         let id = self.next_id;
         self.next_id += 1;
@@ -115,7 +121,7 @@
             enforced,
             in_force,
         };
-        self.open.insert(id, renewal);
+        self.open_renewals.insert(id, renewal);
         let command = Command::RenewLease {
             holder: self.holder.clone(),
             enforced,
@@ -125,28 +131,32 @@
         (id, command)
     }
 
-    /// Counts a renewal from another time. That of its response would be too late: only an injected fault does so.
-    pub fn set_sent_at(&mut self, id: u64, now: Micros) {
-        if let Some(renewal) = self.open.get_mut(&id) {
-            renewal.sent_at = now;
+    /// Sets the time from which a renewal counts. Only an injected fault uses this: counted from its response, a lease
+    /// would end too late.
+    pub fn set_sent_at(&mut self, id: u64, sent_at: Micros) {
+        if let Some(renewal) = self.open_renewals.get_mut(&id) {
+            renewal.sent_at = sent_at;
         }
     }
 
     /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
-        self.open.remove(&id);
+        self.open_renewals.remove(&id);
     }
 
     /// Accepts the response to a renewal. Returns whether the enforced versions have changed.
     ///
     /// # Errors
     ///
-    /// Where the grant contradicts what this router knows; the lease is then not renewed.
+    /// Returns an error if the grant contradicts what this router knows. The lease is then not renewed.
     pub fn accept_grant(&mut self, id: u64, grant: ConfigLeaseGrant) -> Result<bool, GrantError> {
-        let renewal = self.open.remove(&id).ok_or(GrantError::Unsolicited)?;
-        self.check(&renewal, &grant)?;
+        let renewal = self
+            .open_renewals
+            .remove(&id)
+            .ok_or(GrantError::Unsolicited)?;
+        self.check_grant(&renewal, &grant)?;
         self.lease.renew(renewal.sent_at, &self.timing);
-        // A response that was overtaken by a later one renews the lease, and rolls no version back.
+        // A response that arrives after a later one renews the lease, but rolls no version back.
         let granted = (grant.in_force, grant.enforce);
         let is_newer = grant.in_force >= self.in_force()
             && grant.enforce >= self.enforced()
@@ -158,7 +168,11 @@
         Ok(has_changed)
     }
 
-    fn check(&self, renewal: &OpenRenewal, grant: &ConfigLeaseGrant) -> Result<(), GrantError> {
+    fn check_grant(
+        &self,
+        renewal: &OpenRenewal,
+        grant: &ConfigLeaseGrant,
+    ) -> Result<(), GrantError> {
         for (reported, known) in [
             (grant.enforce, renewal.enforced),
             (grant.in_force, renewal.in_force),
@@ -176,9 +190,9 @@
                 Err(GrantError::Inconsistent)
             };
         };
-        let has_bounds =
+        let is_complete =
             first.metadata.number == grant.in_force && last.metadata.number == grant.enforce;
-        if !has_bounds || !are_consistent(&grant.versions) {
+        if !is_complete || !are_consistent(&grant.versions) {
             return Err(GrantError::Inconsistent);
         }
         for known in self.versions.iter().map(|version| &version.metadata) {
@@ -196,7 +210,7 @@
         self.versions = versions;
     }
 
-    /// Decides on statements of a class.
+    /// Decides on the statements of a class.
     pub fn decide(&self, now: Micros, class: &str) -> Decision {
         let merged = self.merged.as_ref();
         let Some(class) = merged.and_then(|document| document.classes.get(class)) else {
@@ -212,41 +226,41 @@
         }
     }
 
-    /// Whether the lease has expired, or was never granted.
+    /// Returns whether the lease has expired or was never granted.
     pub fn is_in_doubt(&self, now: Micros) -> bool {
         !self.lease.is_valid(now)
     }
 
-    /// The merge of the enforced versions; `None` where there is none yet.
+    /// Returns the merge of the enforced versions, or `None` if there are none yet.
     pub fn merged_document(&self) -> Option<&Document> {
         self.merged.as_ref()
     }
 
-    /// The enforced versions, from the one in force on, to be stored for a later incarnation.
+    /// Returns the enforced versions from the one in force on, to be stored for a later incarnation.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
 
-    /// The version in force, as far as the router knows; 0: none.
+    /// Returns the version in force, as far as the router knows, or 0 for none.
     pub fn in_force(&self) -> VersionNumber {
         self.versions.first().map_or(0, |v| v.metadata.number)
     }
 
-    /// The latest version that the router enforces; 0: none.
+    /// Returns the latest version that the router enforces, or 0 for none.
     pub fn enforced(&self) -> VersionNumber {
         self.versions.last().map_or(0, |v| v.metadata.number)
     }
 
-    /// The router.
+    /// Returns the holder of the lease.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 }
 
-/// Whether the numbers are consecutive, and each document matches its digest.
+/// Returns whether the numbers are consecutive and each document matches its digest.
 fn are_consistent(versions: &[Version]) -> bool {
     let mut pairs = versions.iter().zip(versions.iter().skip(1));
-    let consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
+    let are_consecutive = pairs.all(|(a, b)| a.metadata.number + 1 == b.metadata.number);
     let is_intact = |v: &Version| v.metadata.number > 0 && v.document.digest() == v.metadata.digest;
-    consecutive && versions.iter().all(is_intact)
+    are_consecutive && versions.iter().all(is_intact)
 }
--- a/crates/coordination/src/lease_assignment.rs
+++ b/crates/coordination/src/lease_assignment.rs
@@ -1,7 +1,8 @@
 //! Assignment of task leases to routers.
 //!
-//! Leases spread evenly over the routers that have renewed often enough in a row. A router that comes and goes is assigned
-//! none; one that joins for good receives its part from the routers with the most leases, and nothing else moves.
+//! Leases are spread evenly over the routers that have renewed often enough in a row. A router that leaves before it
+//! has renewed that often is assigned none. A router that stays receives its share from the routers with the most
+//! leases, and no other lease moves.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,17 @@
 use crate::shard::Shard;
 use crate::version::Holder;
 
-/// Acknowledged renewals in a row after which a router is assigned leases: about as many as fit into one term.
+/// Number of consecutive acknowledged renewals after which a router is assigned leases: about as many as fit into one
+/// term.
 pub const MIN_CONSECUTIVE_RENEWALS: u32 = 5;
 
-/// A lease that is held.
+/// The lease of a shard, as recorded in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Lease {
     pub(crate) holder: Holder,
     #[serde(rename = "number")]
     pub(crate) fencing_token: u64,
-    /// The serial of its last renewal.
+    /// The serial of the last renewal.
     pub(crate) serial: u64,
     #[serde(rename = "leaving")]
     pub(crate) release_requested: bool,
@@ -49,30 +51,33 @@
     }
 }
 
-/// The state of one shard.
+/// The state of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct LeaseSlot {
     pub(crate) lease: Option<Lease>,
     pub(crate) note: Option<String>,
-    /// The router that released it last: another is preferred, if there is one.
+    /// The router that released the lease last. Another router is preferred, if there is one.
     #[serde(rename = "tried", default)]
     pub(crate) last_released_by: Option<Holder>,
     #[serde(rename = "changed")]
     pub(crate) changed_at_revision: u64,
 }
 
-/// A router that takes part in task leases.
+/// The state of a router that takes part in task leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Candidate {
-    /// The serial of its last renewal.
+    /// The serial of the last renewal.
     pub(crate) serial: u64,
-    /// Renewals in a row, each of which acknowledged the response before.
+    /// The number of consecutive renewals that acknowledged the response before them, up to
+    /// [`MIN_CONSECUTIVE_RENEWALS`].
     #[serde(rename = "in_row")]
     pub(crate) consecutive_renewals: u32,
 }
 
 impl Candidate {
-    pub(crate) fn is_acknowledged_by(&self, offer: &LeaseOffer) -> bool {
+    /// Returns whether an offer acknowledges the response to the last renewal. Before the first renewal, the serial is
+    /// 0 and there is no response.
+    pub(crate) fn has_acknowledged(&self, offer: &LeaseOffer) -> bool {
         self.serial > 0 && offer.acknowledged_serial == self.serial
     }
 
@@ -80,9 +85,9 @@
         self.consecutive_renewals >= MIN_CONSECUTIVE_RENEWALS
     }
 
-    pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts: bool) {
+    pub(crate) fn record_renewal(&mut self, serial: u64, acknowledged: bool, accepts_leases: bool) {
         self.serial = serial;
-        self.consecutive_renewals = if acknowledged && accepts {
+        self.consecutive_renewals = if acknowledged && accepts_leases {
             let renewals = self.consecutive_renewals.saturating_add(1);
             renewals.min(MIN_CONSECUTIVE_RENEWALS)
         } else {
@@ -91,7 +96,7 @@
     }
 }
 
-/// The number of leases of each router that is eligible, without those that it is to release.
+/// The number of leases of each eligible router, without those that it is requested to release.
 pub(crate) struct HolderLoad {
     leases: BTreeMap<Holder, u32>,
 }
@@ -119,12 +124,17 @@
         self.leases.values().map(|count| u64::from(*count)).sum()
     }
 
-    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last counts
-    /// as one that has a lease more.
-    pub(crate) fn assign(&mut self, shard: &Shard, released_by: Option<&Holder>) -> Option<Holder> {
+    /// Assigns a shard to the router with the fewest leases, and counts it. The router that released the shard last is
+    /// treated as if it had one more lease.
+    pub(crate) fn assign(
+        &mut self,
+        shard: &Shard,
+        last_released_by: Option<&Holder>,
+    ) -> Option<Holder> {
         let cost = |(holder, count): &(&Holder, &mut u32)| {
-            let again = released_by == Some(*holder);
-            (**count + u32::from(again), again, weight(shard, holder))
+            let has_released_it = last_released_by == Some(*holder);
+            let adjusted_count = **count + u32::from(has_released_it);
+            (adjusted_count, has_released_it, tie_breaker(shard, holder))
         };
         let (holder, count) = self.leases.iter_mut().min_by_key(cost)?;
         *count += 1;
@@ -137,7 +147,7 @@
         }
     }
 
-    /// The routers with the most and the fewest leases, where a move between them evens out the load.
+    /// Returns the routers with the most and the fewest leases, if moving a lease between them evens out the load.
     fn next_move(&self) -> Option<(Holder, Holder)> {
         let (to, fewest) = self.leases.iter().min_by_key(|(_, count)| **count)?;
         let (from, most) = self.leases.iter().max_by_key(|(_, count)| **count)?;
@@ -152,7 +162,8 @@
 
 /// Requests the release of leases until the load is even.
 pub(crate) fn request_moves(slots: &mut BTreeMap<Shard, LeaseSlot>, load: &mut HolderLoad) {
-    // Leases that are about to be released go to the routers with the fewest: they are not requested twice.
+    // Leases whose release is requested already will go to the routers with the fewest leases. Counting them there
+    // avoids requesting more moves than needed.
     let is_moving = |slot: &&LeaseSlot| {
         let lease = slot.lease.as_ref();
         lease.is_some_and(|lease| lease.release_requested)
@@ -163,10 +174,11 @@
     while let Some((from, to)) = load.next_move() {
         let movable = slots
             .iter_mut()
+            // A lease is not moved back to the router that released it last.
             .filter(|(_, slot)| slot.last_released_by.as_ref() != Some(&to))
             .filter_map(|(shard, slot)| Some((shard, slot.lease.as_mut()?)))
             .filter(|(_, lease)| lease.holder == from && !lease.release_requested);
-        let Some((_, lease)) = movable.max_by_key(|(shard, _)| weight(shard, &to)) else {
+        let Some((_, lease)) = movable.max_by_key(|(shard, _)| tie_breaker(shard, &to)) else {
             return;
         };
         lease.release_requested = true;
@@ -174,8 +186,8 @@
     }
 }
 
-/// Decides between routers that are alike otherwise: the same on all replicas, and spread over the routers.
-fn weight(shard: &Shard, holder: &Holder) -> [u8; 8] {
+/// Returns a hash that decides between equal choices: the same on all replicas, and evenly spread over the routers.
+fn tie_breaker(shard: &Shard, holder: &Holder) -> [u8; 8] {
     let hash = blake3::hash(format!("{shard} {}", holder.router).as_bytes());
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of new versions, and the reasons to reject one.
+//! Proposals of new versions, and the reasons for their rejection.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,15 +14,15 @@
     /// The name of the change, chosen by its author: the idempotency key of the proposal.
     #[serde(rename = "change")]
     pub change_name: String,
-    /// The latest version that the author knew; `None` to propose on top of any.
+    /// The latest version that the author knew; `None` accepts any latest version.
     pub base: Option<VersionNumber>,
-    /// Who proposes it.
+    /// The author of the change.
     #[serde(rename = "by")]
     pub author: String,
-    /// When it is proposed by the author's clock, in ms since 1970.
+    /// The time of the proposal by the author's clock, in ms since 1970.
     #[serde(rename = "at")]
     pub proposed_at_ms: u64,
-    /// Why it is proposed.
+    /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: String,
     /// The configuration.
@@ -30,7 +30,7 @@
 }
 
 impl Proposal {
-    /// All errors of the document and of the texts that describe the change.
+    /// Returns all errors of the document and of the texts that describe the change.
     pub(crate) fn validation_errors(&self) -> Vec<ValidationError> {
         let mut errors = self.document.validation_errors();
         for (path, text) in [
@@ -41,7 +41,10 @@
             if text.is_empty() || text.len() > MAX_TEXT_BYTES {
                 errors.push(ValidationError {
                     path: path.to_owned(),
-                    message: format!("1 to {MAX_TEXT_BYTES} bytes are wanted"),
+                    message: format!(
+                        "must be 1 to {MAX_TEXT_BYTES} bytes long; found {}",
+                        text.len()
+                    ),
                 });
             }
         }
@@ -49,36 +52,36 @@
     }
 }
 
-/// Why a proposal is rejected.
+/// The reason for the rejection of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "refused")]
 pub enum Rejection {
     /// The proposal is invalid.
-    #[error("the document can't be used:{}", list(errors))]
+    #[error("the proposal is invalid:{}", format_errors(errors))]
     #[serde(rename = "flawed")]
     Invalid {
-        /// All of its errors.
+        /// All errors of the proposal.
         #[serde(rename = "flaws")]
         errors: Vec<ValidationError>,
     },
-    /// Another version was proposed since the base of this one.
-    #[error("the last version is {latest} now; look at it, and put again")]
+    /// Another version was proposed after the base of this one.
+    #[error("the latest version is {latest} now; review it and propose the change again")]
     Outdated {
         /// The latest version.
         #[serde(rename = "last")]
         latest: VersionNumber,
     },
     /// Too many versions are being rolled out.
-    #[error("{pending} changes are on their way already; try again later")]
+    #[error("{pending} changes are being rolled out already; try again later")]
     #[serde(rename = "busy")]
     TooManyPending {
         /// The number of versions that are not in force yet.
         pending: usize,
     },
-    /// A class could be placed nowhere during the rollout.
+    /// A class would have no placement during the rollout.
     #[error(
-        "until it is in force, a class would have no place left:{}",
-        list(conflicts)
+        "a class would have no placement during the rollout:{}",
+        format_errors(conflicts)
     )]
     #[serde(rename = "nowhere")]
     NoPlacement {
@@ -86,15 +89,15 @@
         #[serde(rename = "places")]
         conflicts: Vec<ValidationError>,
     },
-    /// A change of that name has another document.
-    #[error("version {number} came under that name with another text")]
+    /// Another version has the same change name, but another document.
+    #[error("version {number} has the same change name, but another document")]
     #[serde(rename = "reused")]
     NameReused {
-        /// The version of that name.
+        /// The number of that version.
         number: VersionNumber,
     },
 }
 
-fn list(errors: &[ValidationError]) -> String {
+fn format_errors(errors: &[ValidationError]) -> String {
     errors.iter().map(|error| format!("\n  {error}")).collect()
 }
--- a/crates/coordination/src/task_lease_client.rs
+++ b/crates/coordination/src/task_lease_client.rs
@@ -1,8 +1,8 @@
-//! A router's side of its task leases: under which it may act, until when, and which it releases.
+//! A router's side of its task leases: under which leases it may perform operations, until when, and which it releases.
 //!
 //! A lease counts from when the renewal was *sent*, less the drift and a margin, and is checked again before each
-//! operation. A lease whose release is requested ends when the operations under it have ended. It never comes back under
-//! the same fencing token, even if a late response still grants it.
+//! operation. A lease whose release is requested ends when the operations under it have ended. It is never held again
+//! under the same fencing token, even if a late response still grants it.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,29 @@
 use crate::lease_messages::{LeaseOffer, LeaseTableUpdate, TaskLeaseGrant};
 use crate::shard::{Shard, Task};
 
-/// Maximum number of renewals without a response; the oldest is abandoned for a further one.
+/// Maximum number of renewals without a response. A further one replaces the oldest.
 const MAX_OPEN_RENEWALS: usize = 16;
 
-/// A lease that is held.
+/// A task lease that this router holds, by its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     fencing_token: u64,
     expires_at: Micros,
     release_requested: bool,
-    /// The number of operations that run under it.
-    operations: u32,
+    /// The number of operations that run under the lease.
+    running_operations: u32,
 }
 
 /// The last known state of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ShardStatus {
-    /// The fencing token under which it is held, if it is.
+    /// The fencing token of the lease; `None` if nobody holds it.
     pub fencing_token: Option<u64>,
-    /// The note that was recorded last.
+    /// The last note that was recorded.
     pub note: Option<String>,
 }
 
-/// A router's task leases, and what it knows of all others'.
+/// A router's task leases, and its knowledge of the leases of all other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TaskLeaseClient {
     term: Micros,
@@ -42,30 +42,32 @@
     /// The serial of the last renewal whose response was received.
     acknowledged_serial: u64,
     held: BTreeMap<Shard, HeldLease>,
-    /// By shard: the last fencing token whose lease has ended.
-    ended: BTreeMap<Shard, u64>,
-    /// Released leases that the replicas have not confirmed.
-    released: BTreeMap<Shard, u64>,
-    /// When each open renewal was sent.
-    open: BTreeMap<u64, Micros>,
+    /// The fencing token of the last lease of each shard that has ended here.
+    last_ended_tokens: BTreeMap<Shard, u64>,
+    /// The fencing tokens of released leases whose release the replicas have not confirmed.
+    unconfirmed_releases: BTreeMap<Shard, u64>,
+    /// The time at which each open renewal was sent.
+    open_renewals: BTreeMap<u64, Micros>,
     table_revision: u64,
     shards: BTreeMap<Shard, ShardStatus>,
 }
 
-/// The right to perform one operation under a lease: plain data, as the client has no I/O. The router that performs the
-/// operation ends it by [`TaskLeaseClient::end_operation`], however the operation ends.
+/// The permission to perform one operation under a lease. It is plain data and does nothing when it is dropped: the
+/// router that performs the operation must call [`TaskLeaseClient::end_operation`], whether the operation succeeds or
+/// fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGuard {
     /// The shard.
     pub shard: Shard,
     /// The lease's fencing token, to be sent with the operation.
     pub fencing_token: u64,
-    /// The operation must have ended by then.
+    /// The time by which the operation must have ended.
     pub expires_at: Micros,
 }
 
 impl TaskLeaseClient {
-    /// A client without leases. `margin`: the part of each term that is left unused, for an operation on its way.
+    /// Creates a client without leases. `margin` is the part of each term that stays unused, for operations on their
+    /// way.
     pub fn new(timing: &LeaseTiming, margin: Micros) -> TaskLeaseClient {
         TaskLeaseClient {
             term: timing.router_term(),
@@ -73,35 +75,35 @@
             accepts_leases: true,
             acknowledged_serial: 0,
             held: BTreeMap::new(),
-            ended: BTreeMap::new(),
-            released: BTreeMap::new(),
-            open: BTreeMap::new(),
+            last_ended_tokens: BTreeMap::new(),
+            unconfirmed_releases: BTreeMap::new(),
+            open_renewals: BTreeMap::new(),
             table_revision: 0,
             shards: BTreeMap::new(),
         }
     }
 
-    /// The offer that goes with the renewal of that id, which is sent now.
+    /// Starts the renewal of an id, which is sent now. Returns the offer that goes with it.
     pub fn start_renewal(&mut self, id: u64, now: Micros) -> LeaseOffer {
-        while self.open.len() >= MAX_OPEN_RENEWALS {
-            self.open.pop_first();
+        while self.open_renewals.len() >= MAX_OPEN_RENEWALS {
+            self.open_renewals.pop_first();
         }
-        self.open.insert(id, now);
-        self.release_finished();
+        self.open_renewals.insert(id, now);
+        self.release_idle_leases();
         LeaseOffer {
             acknowledged_serial: self.acknowledged_serial,
             accepts_leases: self.accepts_leases,
             released: self
-                .released
+                .unconfirmed_releases
                 .iter()
-                .map(|(s, token)| (*s, *token))
+                .map(|(shard, token)| (*shard, *token))
                 .collect(),
             table_revision: self.table_revision,
         }
     }
 
-    /// Accepts the response to a renewal: its serial, the leases where they are renewed, and the changes of the lease
-    /// table. Returns whether the held leases, or what is known of others', have changed.
+    /// Accepts the response to a renewal: its serial, the leases if they are renewed, and the changes of the lease
+    /// table. Returns whether the held leases or the known part of the lease table have changed.
     pub fn accept_grant(
         &mut self,
         id: u64,
@@ -110,17 +112,17 @@
         leases: Option<&[TaskLeaseGrant]>,
         table: Option<&LeaseTableUpdate>,
     ) -> bool {
-        let Some(sent_at) = self.open.remove(&id) else {
+        let Some(sent_at) = self.open_renewals.remove(&id) else {
             return false;
         };
-        // A response that was overtaken may grant a lease that was released since.
+        // A response that arrives after a later one may grant a lease that was released since.
         if serial <= self.acknowledged_serial {
             return false;
         }
         self.acknowledged_serial = serial;
         let expires_at = self.expiry(sent_at, now);
         let mut changed = leases.is_some_and(|grants| self.apply_grants(grants, expires_at));
-        self.release_finished();
+        self.release_idle_leases();
         if let Some(update) = table {
             changed |= self.apply_table_update(update);
         }
@@ -150,14 +152,14 @@
         let lost: Vec<Shard> = self
             .held
             .keys()
-            .filter(|s| !is_granted(s))
+            .filter(|shard| !is_granted(shard))
             .copied()
             .collect();
         for shard in lost {
             changed = true;
             self.end_lease(shard);
         }
-        self.released.retain(|shard, token| {
+        self.unconfirmed_releases.retain(|shard, token| {
             grants
                 .iter()
                 .any(|grant| grant.shard == *shard && grant.fencing_token == *token)
@@ -166,8 +168,8 @@
     }
 
     fn apply_grant(&mut self, grant: &TaskLeaseGrant, expires_at: Micros) -> bool {
-        let ended = self.ended.get(&grant.shard);
-        if ended.is_some_and(|ended| grant.fencing_token <= *ended) {
+        let last_ended = self.last_ended_tokens.get(&grant.shard);
+        if last_ended.is_some_and(|last_ended| grant.fencing_token <= *last_ended) {
             return false;
         }
         let held = self.held.get_mut(&grant.shard);
@@ -181,11 +183,13 @@
             fencing_token: grant.fencing_token,
             expires_at,
             release_requested: grant.release_requested,
-            operations: 0,
+            running_operations: 0,
         };
-        // An earlier lease of the shard ends here: the replicas have ended it, so its time is over.
+        // A grant under another fencing token shows that the replicas have ended the earlier lease of the shard, so its
+        // time is over here too, even if operations still run under it.
         if let Some(earlier) = self.held.insert(grant.shard, lease) {
-            self.ended.insert(grant.shard, earlier.fencing_token);
+            self.last_ended_tokens
+                .insert(grant.shard, earlier.fencing_token);
         }
         true
     }
@@ -206,35 +210,36 @@
 
     /// Abandons a renewal that has no response.
     pub fn abandon_renewal(&mut self, id: u64) {
-        self.open.remove(&id);
+        self.open_renewals.remove(&id);
     }
 
     fn end_lease(&mut self, shard: Shard) -> Option<u64> {
         let lease = self.held.remove(&shard)?;
-        self.ended.insert(shard, lease.fencing_token);
+        self.last_ended_tokens.insert(shard, lease.fencing_token);
         Some(lease.fencing_token)
     }
 
-    /// Whether a lease is to be released, and nothing runs under it.
-    fn is_finished(&self, lease: &HeldLease) -> bool {
-        lease.operations == 0 && (lease.release_requested || !self.accepts_leases)
+    /// Returns whether a lease must be released and no operation runs under it.
+    fn is_releasable(&self, lease: &HeldLease) -> bool {
+        lease.running_operations == 0 && (lease.release_requested || !self.accepts_leases)
     }
 
-    fn release_finished(&mut self) {
+    /// Releases the leases that must be released and under which no operation runs.
+    fn release_idle_leases(&mut self) {
         let held = self.held.iter();
-        let finished: Vec<Shard> = held
-            .filter(|(_, lease)| self.is_finished(lease))
+        let releasable: Vec<Shard> = held
+            .filter(|(_, lease)| self.is_releasable(lease))
             .map(|(shard, _)| *shard)
             .collect();
-        for shard in finished {
+        for shard in releasable {
             if let Some(fencing_token) = self.end_lease(shard) {
-                self.released.insert(shard, fencing_token);
+                self.unconfirmed_releases.insert(shard, fencing_token);
             }
         }
     }
 
-    /// Begins an operation that takes at most `duration`, to be called right before it. `None` where no lease lasts as
-    /// long.
+    /// Begins an operation that takes at most `duration`. Returns `None` if the lease is not held, must be released, or
+    /// expires before the operation would end. Callers must begin an operation right before they perform it.
     pub fn begin_operation(
         &mut self,
         now: Micros,
@@ -249,7 +254,7 @@
         {
             return None;
         }
-        lease.operations += 1;
+        lease.running_operations += 1;
         Some(LeaseGuard {
             shard,
             fencing_token: lease.fencing_token,
@@ -257,7 +262,8 @@
         })
     }
 
-    /// Whether an operation that has begun may still be sent, to be called right before it is.
+    /// Returns whether an operation that has begun may still be sent. Callers must check this right before they send
+    /// it.
     pub fn is_still_valid(&self, now: Micros, guard: &LeaseGuard) -> bool {
         let lease = self.held.get(&guard.shard);
         lease.is_some_and(|lease| {
@@ -273,45 +279,45 @@
         let Some(lease) = held.filter(|lease| lease.fencing_token == guard.fencing_token) else {
             return false;
         };
-        lease.operations = lease.operations.saturating_sub(1);
-        lease.operations == 0 && (lease.release_requested || !accepts_leases)
+        lease.running_operations = lease.running_operations.saturating_sub(1);
+        lease.running_operations == 0 && (lease.release_requested || !accepts_leases)
     }
 
-    /// Whether the lease of a shard is held and has not expired.
+    /// Returns whether the lease of a shard is held and has not expired.
     pub fn is_holding(&self, now: Micros, shard: Shard) -> bool {
         let lease = self.held.get(&shard);
         lease.is_some_and(|lease| now < lease.expires_at)
     }
 
-    /// Requests the release of a lease whose task cannot be performed here, so that another router tries.
+    /// Marks a lease for release because this router cannot perform its task, so that another router tries.
     pub fn request_release(&mut self, shard: Shard) {
         if let Some(lease) = self.held.get_mut(&shard) {
             lease.release_requested = true;
         }
     }
 
-    /// Accepts no further leases, and releases those that are held.
+    /// Stops accepting leases. The next renewals release each held lease as soon as no operation runs under it.
     pub fn drain(&mut self) {
         self.accepts_leases = false;
     }
 
-    /// The number of leases that are held or whose release is not confirmed.
+    /// Returns the number of leases that are held or whose release is not confirmed.
     pub fn outstanding_leases(&self) -> usize {
-        self.held.len() + self.released.len()
+        self.held.len() + self.unconfirmed_releases.len()
     }
 
-    /// The last known state of a shard; `None` where there is no such shard.
+    /// Returns the last known state of a shard, or `None` if there is no such shard.
     pub fn shard_status(&self, shard: Shard) -> Option<&ShardStatus> {
         self.shards.get(&shard)
     }
 
-    /// The number of shards of a task.
+    /// Returns the number of shards of a task.
     pub fn shard_count(&self, task: Task) -> u32 {
         let shards = self.shards.keys();
         shards.filter(|shard| shard.task == task).count() as u32
     }
 
-    /// The revision of the lease table that is known.
+    /// Returns the last known revision of the lease table.
     pub fn table_revision(&self) -> u64 {
         self.table_revision
     }
--- a/crates/coordination/tests/common.rs
+++ b/crates/coordination/tests/common.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_coordination::Document;
 
-/// Three classes, two kinds, three zones.
+/// Returns a document with three classes, two machine kinds and three zones.
 pub fn document() -> Document {
     let text = r#"{
         "form": 1, "kinds": {"a": 8, "b": 8}, "zones": ["x", "y", "z"], "tenants": {"t": 1},
@@ -15,5 +15,5 @@
         "engines": {"max_attempts": 3},
         "rules": {"start_capacity": 0.3, "ramp": "14s", "overload": 3, "fall": "2s"}
     }"#;
-    Document::from_json(text.as_bytes()).expect("a good document")
+    Document::from_json(text.as_bytes()).expect("the document is valid")
 }
--- a/crates/coordination/tests/rollout/leases.rs
+++ b/crates/coordination/tests/rollout/leases.rs
@@ -1,4 +1,4 @@
-//! Which leases a rollout waits for, and which grants a router accepts.
+//! Tests of which leases a rollout waits for, and which grants a router accepts.
 
 use hoptiller_coordination::{
     CommandResponse, ConfigLeaseGrant, ConfigState, ConfigWatcher, Decision, ExpiryTracker,
@@ -7,7 +7,7 @@
 
 use crate::common::document;
 use crate::support::{
-    SECOND, TIMING, complete_rollout, granted, poll, propose, watcher, with_attempts,
+    SECOND, TIMING, complete_rollout, grant_of, poll, propose, watcher, with_attempts,
 };
 
 #[test]
@@ -17,7 +17,11 @@
         propose(&mut config, "first", None, &with_attempts(3)),
         Ok(1)
     );
-    assert_eq!(config.in_force(), 1, "the first contradicts nobody");
+    assert_eq!(
+        config.in_force(),
+        1,
+        "the first version contradicts nothing"
+    );
     let (mut a, mut b) = (watcher("a"), watcher("b"));
     let mut expiry = ExpiryTracker::default();
     for watcher in [&mut a, &mut b] {
@@ -44,7 +48,7 @@
         a.merged_document()
             .map(|merged| merged.engines.max_attempts),
         Some(2),
-        "the tighter of both at once"
+        "the tighter value of both versions applies at once"
     );
     poll(&mut a, &mut config, 3 * SECOND).expect("granted");
     expiry.observe(3 * SECOND, &config);
@@ -54,12 +58,12 @@
             expiry.expired_config_leases(3 * SECOND, &TIMING)
         ),
         1,
-        "b has not been notified of it"
+        "router b does not enforce version 2 yet"
     );
     assert_eq!(
         config
             .blocking_holders()
-            .map(|(h, _)| h.router.as_str())
+            .map(|(holder, _)| holder.router.as_str())
             .collect::<Vec<_>>(),
         ["b"]
     );
@@ -73,7 +77,7 @@
             expiry.expired_config_leases(expired_at, &TIMING)
         ),
         2,
-        "b's lease has expired"
+        "the lease of router b has expired"
     );
     assert_eq!(b.decide(expired_at, "load"), Decision::Reject);
     assert_eq!(
@@ -104,7 +108,7 @@
     propose(&mut config, "second", None, &with_attempts(2)).expect("accepted");
     let expired = expiry.expired_config_leases(20 * SECOND, &TIMING);
     assert_eq!(expired.len(), 1);
-    // The router's renewal came first in the log; its response is lost.
+    // The router's renewal comes before the expiry in the log; its response is lost.
     let (_, renewal) = a.start_renewal(20 * SECOND);
     config.apply(renewal);
     assert_eq!(complete_rollout(&mut config, expired), 1);
@@ -124,7 +128,7 @@
     let versions: Vec<_> = old.version(1).cloned().into_iter().collect();
     let regressed = ConfigLeaseGrant {
         versions,
-        ..granted(1)
+        ..grant_of(1)
     };
     assert_eq!(
         a.accept_grant(id, regressed),
@@ -133,7 +137,7 @@
             known: 2
         })
     );
-    // The same version numbers with other documents.
+    // Another replica has the same version numbers with other documents.
     let mut other = ConfigState::default();
     propose(&mut other, "first", None, &with_attempts(3)).expect("accepted");
     propose(&mut other, "else", None, &with_attempts(9)).expect("accepted");
@@ -146,10 +150,10 @@
         a.is_in_doubt(TIMING.router_term()),
         "neither response has renewed the lease"
     );
-    // A document that does not match its digest.
+    // A grant contains a document that does not match its digest.
     let mut inconsistent = ConfigLeaseGrant {
         versions: vec![config.version(2).expect("kept").clone()],
-        ..granted(2)
+        ..grant_of(2)
     };
     inconsistent.versions[0].document.engines.max_attempts = 7;
     let mut b = watcher("b");
@@ -170,15 +174,15 @@
         router: "a".into(),
         incarnation: "2".into(),
     };
-    let again = ConfigWatcher::new(restarted, TIMING, a.versions().to_vec());
-    assert_eq!(again.decide(SECOND, "load"), Decision::Reject);
+    let restarted = ConfigWatcher::new(restarted, TIMING, a.versions().to_vec());
+    assert_eq!(restarted.decide(SECOND, "load"), Decision::Reject);
     assert_eq!(
-        again.decide(SECOND, "lookup"),
+        restarted.decide(SECOND, "lookup"),
         Decision::AllowInDoubt {
             in_force: 1,
             enforced: 1
         }
     );
-    assert_eq!(again.decide(SECOND, "no such class"), Decision::Reject);
+    assert_eq!(restarted.decide(SECOND, "no such class"), Decision::Reject);
     assert_eq!(watcher("c").decide(SECOND, "lookup"), Decision::Reject);
 }
--- a/crates/coordination/tests/rollout/random_executions.rs
+++ b/crates/coordination/tests/rollout/random_executions.rs
@@ -1,4 +1,4 @@
-//! Random executions of rollouts, with and without an injected fault.
+//! Random executions of rollouts with and without an injected fault.
 
 use hoptiller_coordination::{
     Command, CommandResponse, ConfigLeaseGrant, ConfigState, ConfigWatcher, Decision,
@@ -12,22 +12,27 @@
 const REPLICA: usize = ROUTERS;
 const TICKS: u64 = 1200;
 const TICK: Micros = 50_000;
+/// The interval of the renewals of a router, in ticks.
+const RENEWAL_TICKS: u64 = 10;
+/// The interval at which the replica expires leases, in ticks.
+const EXPIRY_CHECK_TICKS: u64 = 7;
+/// The interval at which a replica that loses its leases restarts, in ticks: a multiple of the one of expiry checks.
+const RESTART_TICKS: u64 = 210;
 
-/// A fault that is injected into an execution, and must be found.
+/// A fault that is simulated in an execution and must be found. The faults of the package itself need a cargo feature.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
-    Nothing,
-    /// A router counts its lease from the response.
+enum SimulatedFault {
+    /// A router counts its lease from the response instead of the renewal.
     TermFromResponse,
     /// A lease never expires.
     LeaseNeverExpires,
-    /// Versions come in force without waiting.
+    /// A version comes in force without waiting for the lease holders.
     SkipRolloutWait,
     /// A replica that restarts has lost the leases that it granted.
-    LoseDurableState,
+    LoseLeases,
 }
 
-/// A random generator: the same execution for the same seed.
+/// A pseudo-random generator (SplitMix64), which makes an execution reproducible from its seed.
 struct SeededGenerator(u64);
 
 impl SeededGenerator {
@@ -40,23 +45,24 @@
     }
 }
 
-/// A message on its way: a renewal, or the response to one.
+/// A message in transit: a renewal, or the response to one.
 struct Message {
     due: Micros,
     router: usize,
     id: u64,
     request: Option<Command>,
-    granted: Option<ConfigLeaseGrant>,
+    grant: Option<ConfigLeaseGrant>,
 }
 
-/// One execution: four routers, a replica, and the messages between them.
+/// An execution of four routers, a replica, and the messages between them.
 struct Execution {
-    fault: Fault,
+    fault: Option<SimulatedFault>,
     generator: SeededGenerator,
     config: ConfigState,
     routers: Vec<ConfigWatcher>,
-    /// Rates of clocks, in millionths of true time, within the bound of each other; the replica's is the last.
-    rates: Vec<u64>,
+    /// The rates of the clocks, in millionths of true time. They differ by the drift at most; the replica's is the
+    /// last.
+    rates_millionths: Vec<u64>,
     expiry: ExpiryTracker,
     messages: Vec<Message>,
     disconnected_until: Vec<Micros>,
@@ -64,7 +70,7 @@
 }
 
 impl Execution {
-    fn new(seed: u64, fault: Fault) -> Execution {
+    fn new(seed: u64, fault: Option<SimulatedFault>) -> Execution {
         let mut generator = SeededGenerator(seed);
         let mut config = ConfigState::default();
         propose(&mut config, "0", None, &with_attempts(3)).expect("accepted");
@@ -72,7 +78,7 @@
             fault,
             config,
             routers: (0..ROUTERS).map(|n| watcher(&n.to_string())).collect(),
-            rates: (0..=REPLICA)
+            rates_millionths: (0..=REPLICA)
                 .map(|_| 999_000 + generator.below(2001))
                 .collect(),
             expiry: ExpiryTracker::default(),
@@ -84,10 +90,10 @@
     }
 
     fn clock(&self, process: usize, now: Micros) -> Micros {
-        now * self.rates[process] / 1_000_000 + process as u64 * 77 * SECOND
+        now * self.rates_millionths[process] / 1_000_000 + process as u64 * 77 * SECOND
     }
 
-    /// Proposes another value than the last: a change that changes nothing contradicts nothing.
+    /// Proposes another value than the last one, since a change that changes nothing contradicts nothing.
     fn propose_change(&mut self) {
         self.changes += 1;
         let latest = self.config.version(self.config.latest()).expect("kept");
@@ -106,7 +112,7 @@
         self.disconnected_until[router] = now + self.generator.below(25) * SECOND;
     }
 
-    /// Slow links: a renewal may be on its way for longer than a lease is valid, and so may its response.
+    /// Returns the delay of a message. On a slow link, a renewal or its response may take longer than a lease is valid.
     fn link_delay(&mut self) -> Micros {
         match self.generator.below(10) {
             0 => self.generator.below(14) * SECOND,
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Whether a message of this router's gets through.
+    /// Returns whether a message from or to a router is delivered.
     fn is_delivered(&mut self, router: usize, now: Micros) -> bool {
         self.disconnected_until[router] < now && self.generator.below(8) != 0
     }
@@ -129,7 +135,7 @@
                 router,
                 id,
                 request: Some(renewal),
-                granted: None,
+                grant: None,
             });
         }
     }
@@ -142,37 +148,37 @@
         for mut message in due {
             if let Some(renewal) = message.request.take() {
                 self.receive_renewal(message, renewal, now);
-            } else if let Some(granted) = message.granted {
-                self.receive_grant(message.router, message.id, granted, now);
+            } else if let Some(grant) = message.grant {
+                self.receive_grant(message.router, message.id, grant, now);
             }
         }
     }
 
     fn receive_renewal(&mut self, message: Message, renewal: Command, now: Micros) {
-        let CommandResponse::LeaseGranted(granted) = self.config.apply(renewal) else {
+        let CommandResponse::LeaseGranted(grant) = self.config.apply(renewal) else {
             return;
         };
         let delay = self.link_delay();
         if self.is_delivered(message.router, now) {
             self.messages.push(Message {
-                due: now + delay + 50_000,
+                due: now + delay + TICK,
                 request: None,
-                granted: Some(granted),
+                grant: Some(grant),
                 ..message
             });
         }
     }
 
-    fn receive_grant(&mut self, router: usize, id: u64, granted: ConfigLeaseGrant, now: Micros) {
+    fn receive_grant(&mut self, router: usize, id: u64, grant: ConfigLeaseGrant, now: Micros) {
         let clock = self.clock(router, now);
         let watcher = &mut self.routers[router];
-        if self.fault == Fault::TermFromResponse {
+        if self.fault == Some(SimulatedFault::TermFromResponse) {
             watcher.set_sent_at(id, clock);
         }
-        let accepted = watcher.accept_grant(id, granted);
+        let accepted = watcher.accept_grant(id, grant);
         assert!(
             matches!(accepted, Ok(_) | Err(GrantError::Unsolicited)),
-            "one honest log: {accepted:?}"
+            "all grants come from one log: {accepted:?}"
         );
     }
 
@@ -180,8 +186,9 @@
         let mut expired = self
             .expiry
             .expired_config_leases(self.clock(REPLICA, now), &TIMING);
-        if self.fault == Fault::SkipRolloutWait
-            || (self.fault == Fault::LoseDurableState && tick.is_multiple_of(210))
+        let loses_leases = self.fault == Some(SimulatedFault::LoseLeases);
+        if self.fault == Some(SimulatedFault::SkipRolloutWait)
+            || (loses_leases && tick.is_multiple_of(RESTART_TICKS))
         {
             let all = self.config.holders();
             expired = all
@@ -191,7 +198,8 @@
         complete_rollout(&mut self.config, expired);
     }
 
-    /// Whether two routers enforce versions that contradict each other: the one enforces less than is in force for the other.
+    /// Returns whether two routers enforce versions that contradict each other: the latest version that one enforces is
+    /// older than the version in force for the other.
     fn has_conflict(&self, now: Micros) -> bool {
         let enforcing = self.routers.iter().enumerate();
         let versions: Vec<(u64, u64)> = enforcing
@@ -199,7 +207,7 @@
                 |(n, router)| match router.decide(self.clock(n, now), "lookup") {
                     Decision::Allow { in_force, enforced } => Some((in_force, enforced)),
                     Decision::AllowInDoubt { in_force, enforced }
-                        if self.fault == Fault::LeaseNeverExpires =>
+                        if self.fault == Some(SimulatedFault::LeaseNeverExpires) =>
                     {
                         Some((in_force, enforced))
                     }
@@ -213,7 +221,7 @@
             .any(|a| versions.iter().any(|b| contradict(a, b)))
     }
 
-    /// Executes one tick, and returns whether it ended in a conflict.
+    /// Executes one tick, and returns whether there is a conflict after it.
     fn tick(&mut self, tick: u64) -> bool {
         let now = tick * TICK;
         if self.generator.below(60) == 0 {
@@ -222,21 +230,21 @@
         if self.generator.below(80) == 0 {
             self.disconnect_a_router(now);
         }
-        if let Some(router) = (0..ROUTERS).find(|n| tick % 10 == *n as u64) {
+        if let Some(router) = (0..ROUTERS).find(|n| tick % RENEWAL_TICKS == *n as u64) {
             self.renew(router, now);
         }
         self.deliver_due_messages(now);
         self.expiry.observe(self.clock(REPLICA, now), &self.config);
-        if tick.is_multiple_of(7) {
+        if tick.is_multiple_of(EXPIRY_CHECK_TICKS) {
             self.expire_leases(tick, now);
         }
         self.has_conflict(now)
     }
 }
 
-/// Executes a minute, and counts the moments at which two routers enforced versions that contradict each other. Also
-/// returns how many versions came in force.
-fn count_violations(seed: u64, fault: Fault) -> (u64, u64) {
+/// Executes a minute, and returns the number of ticks after which two routers enforced versions that contradict each
+/// other, and the version in force at the end.
+fn count_violations(seed: u64, fault: Option<SimulatedFault>) -> (u64, u64) {
     let mut execution = Execution::new(seed, fault);
     let violations = (0..TICKS).filter(|tick| execution.tick(*tick)).count();
     (violations as u64, execution.config.in_force())
@@ -244,25 +252,25 @@
 
 #[test]
 fn routers_never_enforce_conflicting_versions_in_300_random_executions_and_faults_are_found() {
-    let (mut violations, mut in_force) = (0, 0);
+    let (mut violations, mut completed_rollouts) = (0, 0);
     for seed in 0..300 {
-        let (found, latest_in_force) = count_violations(seed, Fault::Nothing);
+        let (found, in_force) = count_violations(seed, None);
         violations += found;
-        in_force += latest_in_force - 1;
+        completed_rollouts += in_force - 1;
     }
     assert_eq!(violations, 0);
     assert!(
-        in_force > 1000,
-        "executions in which little happens prove little: {in_force}"
+        completed_rollouts > 1000,
+        "too few rollouts to prove anything: {completed_rollouts}"
     );
     for fault in [
-        Fault::TermFromResponse,
-        Fault::LeaseNeverExpires,
-        Fault::SkipRolloutWait,
-        Fault::LoseDurableState,
+        SimulatedFault::TermFromResponse,
+        SimulatedFault::LeaseNeverExpires,
+        SimulatedFault::SkipRolloutWait,
+        SimulatedFault::LoseLeases,
     ] {
         let found = (0..60)
-            .filter(|seed| count_violations(*seed, fault).0 > 0)
+            .filter(|seed| count_violations(*seed, Some(fault)).0 > 0)
             .count();
         println!("{fault:?}: found in {found} of 60 executions");
         assert!(found >= 6, "{fault:?}: found in {found} of 60");
--- a/crates/coordination/tests/task_leases/assignment.rs
+++ b/crates/coordination/tests/task_leases/assignment.rs
@@ -1,12 +1,12 @@
-//! Which router each shard is assigned to.
+//! Tests of the assignment of shards to routers.
 
 use hoptiller_coordination::{Holder, MIN_CONSECUTIVE_RENEWALS, Shard};
 
-use crate::cluster::{TIMING, TestCluster, holder, shard};
+use crate::cluster::{TIMING, TestFleet, holder, shard};
 
 #[test]
 fn leases_spread_evenly_and_joins_and_leaves_move_the_fewest() {
-    let mut cluster = TestCluster::new(100);
+    let mut cluster = TestFleet::new(100);
     for n in 0..6 {
         cluster.join(&format!("r{n}"), "1");
     }
@@ -27,36 +27,36 @@
     let moved: Vec<(Shard, Holder)> = cluster
         .held()
         .into_iter()
-        .filter(|(p, h)| before[p] != *h)
+        .filter(|(shard, holder)| before[shard] != *holder)
         .collect();
-    assert_eq!(moved.len(), 14, "a seventh of them");
+    assert_eq!(moved.len(), 14, "a seventh of the leases moves");
     assert!(
-        moved.iter().all(|(_, h)| h.router == "r6"),
-        "and to nobody else: {moved:?}"
+        moved.iter().all(|(_, holder)| holder.router == "r6"),
+        "all to the new router: {moved:?}"
     );
-    // A draining router releases its leases with its next two renewals, long before a term is over.
-    let leaving = holder("r2", "1");
-    cluster.routers.get_mut(&leaving).expect("there").0.drain();
+    // A draining router releases its leases with its next two renewals, long before a term has passed.
+    let draining = holder("r2", "1");
+    cluster.client_mut(&draining).drain();
     cluster.rounds(3);
-    assert_eq!(cluster.routers[&leaving].0.outstanding_leases(), 0);
+    assert_eq!(cluster.client(&draining).outstanding_leases(), 0);
     assert_eq!(
-        (cluster.held().len(), cluster.count_held_by(&leaving)),
+        (cluster.held().len(), cluster.count_held_by(&draining)),
         (100, 0)
     );
     assert!(
         cluster
-            .acting()
+            .routers_holding()
             .values()
-            .filter(|all| all.len() == 1)
+            .filter(|routers| routers.len() == 1)
             .count()
             >= 86,
-        "the others act on"
+        "the other routers keep their leases"
     );
 }
 
 #[test]
 fn a_flapping_router_gets_no_leases_and_moves_none() {
-    let mut cluster = TestCluster::new(60);
+    let mut cluster = TestFleet::new(60);
     for n in 0..3 {
         cluster.join(&format!("r{n}"), "1");
     }
@@ -73,13 +73,13 @@
 
 #[test]
 fn a_thousand_leases_of_a_dead_router_are_reassigned_together_after_a_term() {
-    let mut cluster = TestCluster::new(1000);
+    let mut cluster = TestFleet::new(1000);
     cluster.join("r0", "1");
     cluster.rounds(2 * MIN_CONSECUTIVE_RENEWALS);
     cluster.join("r1", "1");
     let dead = holder("r0", "1");
     assert_eq!(cluster.count_held_by(&dead), 1000);
-    // It dies before the other has renewed often enough to be assigned any.
+    // The router dies before the other has renewed often enough to be assigned leases.
     cluster.rounds(1);
     cluster.routers.remove(&dead);
     let (died_at, last_token) = (
@@ -95,48 +95,48 @@
     }
     assert!(
         cluster.now > died_at + TIMING.term,
-        "not before the term has passed"
+        "leases expire only after the term has passed"
     );
     cluster.rounds(2);
     assert_eq!(cluster.count_held_by(&holder("r1", "1")), 1000);
     assert_eq!(
         cluster.config.lease_table().last_fencing_token(),
         last_token + 1000,
-        "each under a fencing token of its own"
+        "each lease has a new fencing token"
     );
 }
 
 #[test]
 fn a_router_that_receives_no_responses_loses_its_leases() {
-    let mut cluster = TestCluster::new(8);
+    let mut cluster = TestFleet::new(8);
     cluster.join("r0", "1");
     cluster.join("r1", "1");
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     assert_eq!(cluster.counts(), [4, 4]);
-    cluster.unreachable.push("r0".into());
+    cluster.losing_responses.push("r0".into());
     cluster.rounds(7);
     assert_eq!(
         cluster.counts(),
         [0, 8],
-        "a term and a little after the last response that it received"
+        "its leases expire a little more than a term after the last response that it received"
     );
-    cluster.unreachable.clear();
+    cluster.losing_responses.clear();
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
-    assert_eq!(cluster.counts(), [4, 4], "it is assigned some again");
+    assert_eq!(cluster.counts(), [4, 4], "it is assigned leases again");
 }
 
 #[test]
 fn two_incarnations_of_a_router_are_two_holders() {
-    let mut cluster = TestCluster::new(4);
+    let mut cluster = TestFleet::new(4);
     cluster.join("r0", "1");
     cluster.join("r0", "2");
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     assert_eq!(cluster.counts(), [2, 2]);
     assert_eq!(
         cluster
-            .acting()
+            .routers_holding()
             .values()
-            .filter(|all| all.len() == 1)
+            .filter(|routers| routers.len() == 1)
             .count(),
         4
     );
@@ -144,34 +144,24 @@
 
 #[test]
 fn a_shard_that_one_router_releases_is_assigned_to_another() {
-    let mut cluster = TestCluster::new(3);
+    let mut cluster = TestFleet::new(3);
     for n in 0..3 {
         cluster.join(&format!("r{n}"), "1");
     }
     cluster.rounds(4 * MIN_CONSECUTIVE_RENEWALS);
     let first = cluster.held()[&shard(0)].clone();
-    cluster
-        .routers
-        .get_mut(&first)
-        .expect("there")
-        .0
-        .request_release(shard(0));
+    cluster.client_mut(&first).request_release(shard(0));
     cluster.rounds(3);
     let second = cluster.held()[&shard(0)].clone();
     assert_ne!(
         second, first,
-        "each holds as many as the others, and another is a candidate first"
+        "all hold the same number of leases, and another router is preferred"
     );
-    // With no other router there, it is assigned to the same again.
+    // If there is no other router, the shard is assigned to the same router again.
     cluster.routers.retain(|holder, _| *holder == second);
     cluster.rounds(3 * MIN_CONSECUTIVE_RENEWALS);
-    cluster
-        .routers
-        .get_mut(&second)
-        .expect("there")
-        .0
-        .request_release(shard(0));
+    cluster.client_mut(&second).request_release(shard(0));
     cluster.rounds(3);
     assert_eq!(cluster.held()[&shard(0)], second);
-    assert!(cluster.routers[&second].0.is_holding(cluster.now, shard(0)));
+    assert!(cluster.client(&second).is_holding(cluster.now, shard(0)));
 }
--- a/crates/coordination/tests/task_leases/cluster.rs
+++ b/crates/coordination/tests/task_leases/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of routers that renew task leases with one replica, in simulated time.
+//! A fleet of routers that renew task leases with one replica, in simulated time.
 
 use std::collections::BTreeMap;
 
@@ -19,13 +19,14 @@
 const RENEWAL_INTERVAL: Micros = 400 * MILLISECOND;
 
 /// Routers and one replica in simulated time.
-pub struct TestCluster {
+pub struct TestFleet {
     pub now: Micros,
     pub config: ConfigState,
     pub expiry: ExpiryTracker,
+    /// The client of each router, and the id of its next renewal.
     pub routers: BTreeMap<Holder, (TaskLeaseClient, u64)>,
-    /// Routers whose responses are lost.
-    pub unreachable: Vec<String>,
+    /// The names of the routers that receive no responses.
+    pub losing_responses: Vec<String>,
 }
 
 pub fn holder(router: &str, incarnation: &str) -> Holder {
@@ -42,8 +43,8 @@
     }
 }
 
-impl TestCluster {
-    pub fn new(shards: u32) -> TestCluster {
+impl TestFleet {
+    pub fn new(shards: u32) -> TestFleet {
         let mut config = ConfigState::default();
         let mut document = document();
         document.tasks = [(Task::HealthCheck, shards)].into();
@@ -55,12 +56,12 @@
             reason: "a test".to_owned(),
             document,
         })));
-        TestCluster {
+        TestFleet {
             now: 0,
             config,
             expiry: ExpiryTracker::default(),
             routers: BTreeMap::new(),
-            unreachable: Vec::new(),
+            losing_responses: Vec::new(),
         }
     }
 
@@ -71,9 +72,9 @@
         );
     }
 
-    /// Sends a renewal, and returns its response, which the router has not received yet.
+    /// Sends a renewal. Returns its id and its response, which the router has not received yet.
     pub fn renew(&mut self, holder: &Holder) -> (u64, ConfigLeaseGrant) {
-        let (leases, next_id) = self.routers.get_mut(holder).expect("there");
+        let (leases, next_id) = self.routers.get_mut(holder).expect("the router has joined");
         let id = *next_id;
         *next_id += 1;
         let offer = Some(leases.start_renewal(id, self.now));
@@ -89,22 +90,33 @@
     }
 
     pub fn receive(&mut self, holder: &Holder, id: u64, grant: &ConfigLeaseGrant) {
-        let (leases, _) = self.routers.get_mut(holder).expect("there");
-        leases.accept_grant(
+        let now = self.now;
+        self.client_mut(holder).accept_grant(
             id,
-            self.now,
+            now,
             grant.serial,
             grant.leases.as_deref(),
             grant.lease_table.as_ref(),
         );
     }
 
-    /// Time passes: each router renews once, and the replica expires leases.
+    /// Returns the client of a router that has joined.
+    pub fn client(&self, holder: &Holder) -> &TaskLeaseClient {
+        &self.routers[holder].0
+    }
+
+    /// Returns the client of a router that has joined.
+    pub fn client_mut(&mut self, holder: &Holder) -> &mut TaskLeaseClient {
+        let router = self.routers.get_mut(holder);
+        &mut router.expect("the router has joined").0
+    }
+
+    /// Advances the time by one renewal interval: each router renews once, and the replica expires leases.
     pub fn round(&mut self) {
         self.now += RENEWAL_INTERVAL;
         for holder in self.routers.keys().cloned().collect::<Vec<_>>() {
             let (id, grant) = self.renew(&holder);
-            if !self.unreachable.contains(&holder.router) {
+            if !self.losing_responses.contains(&holder.router) {
                 self.receive(&holder, id, &grant);
             }
         }
@@ -113,39 +125,37 @@
             self.expiry.expired_task_leases(self.now, &TIMING),
         ));
         let expired = self.expiry.expired_config_leases(self.now, &TIMING);
-        self.config.apply(Command::CompleteRollout {
-            upto: 1,
-            lapsed: expired,
-        });
+        self.config
+            .apply(Command::CompleteRollout { upto: 1, expired });
         self.expiry.observe(self.now, &self.config);
-        let acting = self.acting();
+        let holding = self.routers_holding();
         assert!(
-            acting.values().all(|all| all.len() <= 1),
-            "two may act: {acting:?}"
+            holding.values().all(|routers| routers.len() <= 1),
+            "two routers hold the lease of one shard: {holding:?}"
         );
     }
 
-    pub fn rounds(&mut self, n: u32) {
-        (0..n).for_each(|_| self.round());
+    pub fn rounds(&mut self, count: u32) {
+        (0..count).for_each(|_| self.round());
     }
 
-    /// By shard: the routers that may act now.
-    pub fn acting(&self) -> BTreeMap<Shard, Vec<Holder>> {
-        let mut all: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
+    /// Returns the routers that hold a valid lease by their own clocks, by shard.
+    pub fn routers_holding(&self) -> BTreeMap<Shard, Vec<Holder>> {
+        let mut routers_holding: BTreeMap<Shard, Vec<Holder>> = BTreeMap::new();
         for entry in self.config.lease_table().updates_since(0).entries {
             let is_holding = |(_, (leases, _)): &(&Holder, &(TaskLeaseClient, u64))| {
                 leases.is_holding(self.now, entry.shard)
             };
             let holding = self.routers.iter().filter(is_holding);
-            all.insert(
+            routers_holding.insert(
                 entry.shard,
                 holding.map(|(holder, _)| holder.clone()).collect(),
             );
         }
-        all
+        routers_holding
     }
 
-    /// By shard: its holder, as the replica knows.
+    /// Returns the holders that the replica knows, by shard.
     pub fn held(&self) -> BTreeMap<Shard, Holder> {
         let entries = self.config.lease_table().updates_since(0).entries;
         entries
@@ -154,13 +164,13 @@
             .collect()
     }
 
-    /// By router: how many leases it holds, as the replica knows.
+    /// Returns the number of leases that each router holds, as far as the replica knows.
     pub fn counts(&self) -> Vec<usize> {
         let count = |holder: &Holder| self.count_held_by(holder);
         self.routers.keys().map(count).collect()
     }
 
-    /// How many leases a router holds, as the replica knows.
+    /// Returns the number of leases that a router holds, as far as the replica knows.
     pub fn count_held_by(&self, router: &Holder) -> usize {
         self.held().values().filter(|held| *held == router).count()
     }
