--- a/crates/router-core/src/attempt_log.rs
+++ b/crates/router-core/src/attempt_log.rs
@@ -12,13 +12,13 @@
     engine: EngineId,
     sent_at: Micros,
     first_page_at: Option<Micros>,
-    /// Set once its outcome is reported to the controller.
+    /// Time and status of the end; set when the outcome is reported to the controller.
     ended: Option<(Micros, AttemptStatus)>,
-    /// What was observed at its end; empty until then.
+    /// Description of how the attempt ended; empty until then.
     reason: String,
 }
 
-/// An attempt whose outcome is to be reported to the controller.
+/// An attempt whose outcome has to be reported to the controller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) engine: EngineId,
@@ -26,14 +26,14 @@
     pub(crate) first_page_at: Option<Micros>,
 }
 
-/// The attempts of a statement. The outcome of each is reported to the controller once.
+/// The attempts of a statement. The outcome of each attempt is reported to the controller once.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptLog {
     records: Vec<AttemptRecord>,
 }
 
 impl AttemptLog {
-    /// Adds an attempt that is sent now. Returns its number.
+    /// Adds an attempt that is sent now and returns its number.
     pub(crate) fn push(&mut self, now: Micros, engine: EngineId) -> u32 {
         let number = self.count();
         self.records.push(AttemptRecord {
@@ -46,57 +46,57 @@
         number
     }
 
-    /// Number of attempts made.
+    /// Returns the number of attempts made.
     pub(crate) fn count(&self) -> u32 {
         self.records.len() as u32
     }
 
-    /// Whether no attempt was made.
+    /// Returns whether no attempt was made.
     pub(crate) fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether an attempt's outcome has not been reported.
+    /// Returns whether an attempt was made and its outcome has not been reported.
     pub(crate) fn is_in_flight(&self, attempt: u32) -> bool {
         self.get(attempt)
             .is_some_and(|record| record.ended.is_none())
     }
 
-    /// Whether the outcomes of all attempts have been reported.
+    /// Returns whether the outcomes of all attempts have been reported.
     pub(crate) fn are_all_ended(&self) -> bool {
         self.records.iter().all(|record| record.ended.is_some())
     }
 
-    /// When the first attempt was sent.
+    /// Returns the time at which the first attempt was sent.
     pub(crate) fn first_sent_at(&self) -> Option<Micros> {
         self.records.first().map(|record| record.sent_at)
     }
 
-    /// The engine that an attempt was sent to.
+    /// Returns the engine that an attempt was sent to.
     pub(crate) fn engine_of(&self, attempt: u32) -> Option<EngineId> {
         self.get(attempt).map(|record| record.engine)
     }
 
-    /// What was observed at the end of the last attempt; empty if it has not ended, `None` without attempts.
+    /// Describes how the last attempt ended; empty if it has not ended, `None` if no attempt was made.
     pub(crate) fn last_reason(&self) -> Option<&str> {
         self.records.last().map(|record| record.reason.as_str())
     }
 
-    /// Records when an attempt's first page was received.
+    /// Records the time at which an attempt's first page was received.
     pub(crate) fn record_page(&mut self, attempt: u32, now: Micros) {
         if let Some(record) = self.get_mut(attempt) {
             record.first_page_at.get_or_insert(now);
         }
     }
 
-    /// Records what was observed at the end of an attempt.
+    /// Records a description of how an attempt ended.
     pub(crate) fn record_reason(&mut self, attempt: u32, reason: &str) {
         if let Some(record) = self.get_mut(attempt) {
             record.reason = reason.to_owned();
         }
     }
 
-    /// Ends an attempt. `None` if its outcome was reported before, or there is no such attempt.
+    /// Ends an attempt. Returns `None` if its outcome was already reported or there is no such attempt.
     pub(crate) fn end(
         &mut self,
         attempt: u32,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// The history of the attempts of a statement that was received at this time.
+    /// Returns the history of the attempts, with times relative to `received_at`.
     pub(crate) fn history(&self, received_at: Micros) -> Vec<AttemptHistory> {
         let millis = |at: Micros| (at - received_at) / MICROS_PER_MILLI;
         let history = |(number, record): (usize, &AttemptRecord)| AttemptHistory {
--- a/crates/router-core/src/command.rs
+++ b/crates/router-core/src/command.rs
@@ -1,4 +1,4 @@
-//! What the core asks its caller to do, and what comes back of attempts.
+//! Commands that the core issues to its caller, and the outcomes of attempts.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::response::FinalResponse;
 use crate::submission::EngineStatement;
 
-/// What the caller is to carry out. Fields `attempt` hold an attempt's number, from 0.
+/// A command for the caller to execute. The fields named `attempt` hold the number of an attempt, from 0.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt.
@@ -28,14 +28,14 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Discard the rest of an attempt's result; its outcome need not be reported.
+    /// Discard the rest of an attempt's result; the caller need not report the outcome.
     Release {
         /// The statement.
         id: StatementId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Have the engine kill an attempt; the outcome is still reported by the attempt itself.
+    /// Have the engine kill an attempt; the attempt itself still reports its outcome.
     Kill {
         /// The statement.
         id: StatementId,
@@ -48,7 +48,7 @@
         id: StatementId,
         /// Number of the attempt.
         attempt: u32,
-        /// Whether to pause (or else to resume).
+        /// Whether to pause the attempt rather than resume it.
         paused: bool,
     },
     /// Report a finding of the runaway detector on a statement, a fingerprint or an engine.
@@ -57,7 +57,7 @@
     HealthCheck(EngineId),
     /// Refresh the engine list from discovery now.
     RefreshDiscovery,
-    /// Notify those who wait for updates of this statement.
+    /// Notify the clients that wait for updates of this statement.
     NotifyWaiters(StatementId),
     /// The final response to a statement is settled.
     Settled {
@@ -74,7 +74,7 @@
     },
 }
 
-/// An attempt to be sent.
+/// An attempt to send.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The statement.
@@ -85,31 +85,31 @@
     pub engine: EngineId,
     /// Index of the statement's class.
     pub class: usize,
-    /// Priority, 0 to 3, if one was set.
+    /// Priority from 0 to 3, if set.
     pub priority: Option<u8>,
-    /// Memory to grant, in MB; 0 leaves it to the engine.
+    /// Memory grant in MB; 0 lets the engine decide.
     pub memory_grant_mb: f64,
-    /// When to give it up.
+    /// Time at which to give up the attempt.
     pub deadline: Micros,
-    /// If its first byte is not written by then, it must not be sent at all.
+    /// Time by which the first byte must be written; after that the attempt must not be sent at all.
     pub send_by: Option<Micros>,
-    /// What to send.
+    /// Statement text and session fields to send.
     pub work: Rc<EngineStatement>,
 }
 
-/// How an attempt ended without its result.
+/// The outcome of an attempt that ended without its complete result.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// Its status.
+    /// Status of the attempt.
     pub status: AttemptStatus,
-    /// What was observed, for people.
+    /// Human-readable description of what was observed.
     pub reason: String,
-    /// The engine's load, if reported.
+    /// Load reported by the engine, if any.
     pub load_report: Option<LoadReport>,
 }
 
 impl AttemptOutcome {
-    /// The outcome of an attempt that was cancelled for this reason.
+    /// Creates the outcome of an attempt that was cancelled for the given reason.
     pub(crate) fn cancelled(reason: String) -> AttemptOutcome {
         AttemptOutcome {
             status: AttemptStatus::Cancelled,
--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The core of one router: its state, its settings, and its batches of decisions.
+//! The core of one router: its state, settings and batches of decisions.
 
 mod actions;
 mod admission;
@@ -23,36 +23,36 @@
 
 /// The core of one router.
 ///
-/// Calls leave events for the controller; [`Core::run_batch`] has the controller decide on all of them, and
-/// [`Core::next_command`] yields what is to be done.
+/// Calls queue events for the controller. [`Core::run_batch`] has the controller decide on all queued events, and
+/// [`Core::next_command`] returns the resulting commands.
 pub struct Core {
     controller: Controller,
-    /// `None` if runaways are not detected.
+    /// `None` if runaway detection is disabled.
     runaway_detector: Option<RunawayDetector>,
     endpoints: EndpointTable,
     identity: RouterIdentity,
     limits: CoreLimits,
-    /// By class: how long a statement may take.
+    /// Maximum duration of a statement, by class.
     class_deadlines: Vec<Micros>,
     statements: StatementTable,
     /// Events for the next batch.
     events: Vec<Event>,
-    /// Reused between batches.
+    /// Buffer that is reused between batches.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
     wake_at: Option<Micros>,
     is_shutting_down: bool,
-    /// Statements, with their attempts, whose next page is fetched once the buffers have space.
+    /// Statements and attempts whose next page is fetched once the buffers have space.
     awaiting_fetch: VecDeque<(StatementId, u32)>,
     buffered_bytes: u64,
 }
 
 impl Core {
-    /// A core that knows no engine yet.
+    /// Creates a core with an empty engine list.
     ///
     /// # Errors
     ///
-    /// If the controller does not accept the settings.
+    /// Returns an error if the controller rejects the settings.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Applies other settings, also to statements that wait. Classes keep their indexes; new ones follow.
+    /// Applies new settings, also to queued statements. Existing classes keep their indexes; new classes follow them.
     pub fn update_settings(
         &mut self,
         settings: Settings,
@@ -98,22 +98,22 @@
         self.events.push(Event::EndpointList(scope, entries));
     }
 
-    /// Reports the result of a health check: the engine's load, or `None` if it failed.
+    /// Reports the result of a health check: the engine's load, or `None` if the check failed.
     pub fn report_health_check(&mut self, engine: EngineId, load_report: Option<LoadReport>) {
         self.events.push(Event::HealthChecked(engine, load_report));
     }
 
-    /// Number of attempts that the controller takes to be in flight at an engine.
+    /// Returns the number of attempts that the controller counts as in flight at an engine.
     pub fn in_flight_at(&self, engine: EngineId) -> usize {
         self.controller.in_flight_at(engine)
     }
 
-    /// Whether no statement is open, and no final response is undelivered.
+    /// Returns whether no statement is open and no final response is undelivered.
     pub fn is_idle(&self) -> bool {
         self.statements.open() == 0 && self.statements.undelivered() == 0
     }
 
-    /// What the core holds at the moment.
+    /// Returns the current resource usage of the core.
     pub fn usage(&self) -> CoreUsage {
         CoreUsage {
             open_statements: self.statements.open(),
@@ -122,17 +122,17 @@
         }
     }
 
-    /// When the next batch is due even without an event.
+    /// Returns the time at which the next batch is due even without an event.
     pub fn wake_at(&self) -> Option<Micros> {
         self.wake_at
     }
 
-    /// Whether events wait for a batch.
+    /// Returns whether events are queued for the next batch.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Runs one batch: the controller decides on the events since the last one.
+    /// Runs one batch: the controller decides on the events since the previous batch.
     pub fn run_batch(&mut self, now: Micros) {
         self.handle_due_timers(now);
         self.detect_runaways(now);
@@ -153,7 +153,7 @@
         self.fetch_while_space();
     }
 
-    /// Takes the next command; `None` if there is none.
+    /// Takes the next command; returns `None` if there is none.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
--- a/crates/router-core/src/core/actions.rs
+++ b/crates/router-core/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Applies the actions of the controller.
+//! Application of the controller's actions.
 
 use hoptiller_policy::{Action, EngineId, Micros};
 
@@ -72,7 +72,7 @@
         self.start_runaway_detection(now, id, number, engine);
     }
 
-    /// The controller gives a statement up. A result received meanwhile takes precedence.
+    /// Settles a statement that the controller gave up. A result that was received in the meantime takes precedence.
     fn settle_if_pending(
         &mut self,
         now: Micros,
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! Statements that clients submit and leave.
+//! Submission of statements, and their cancellation or abandonment by clients.
 
 use hoptiller_policy::{Arrival, Event, KeyId, Micros, RequestId};
 use hoptiller_runaway::ExecutionOutcome;
@@ -15,11 +15,11 @@
 use crate::submission::{Submission, SubmitError};
 
 impl Core {
-    /// Accepts a statement, which is then owed one final response.
+    /// Accepts a statement. Exactly one final response follows.
     ///
     /// # Errors
     ///
-    /// If the router is shutting down, or too many statements are open. Nothing is owed then.
+    /// Returns an error if the router is shutting down or too many statements are open. No response follows then.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -75,12 +75,12 @@
         })
     }
 
-    /// The client cancels its statement.
+    /// Cancels a statement on request of its client.
     pub fn cancel(&mut self, now: Micros, id: StatementId) {
         self.disconnect(now, id, FinalResponse::Canceled);
     }
 
-    /// Settles a statement that its client has left, and releases what is held for it.
+    /// Settles a statement that its client cancelled or abandoned, and releases its result.
     pub(super) fn disconnect(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -88,12 +88,12 @@
         match *statement.state() {
             StatementState::Settled(_) => return,
             StatementState::Pending => self.events.push(Event::ClientDisconnected(RequestId(id))),
-            // The engine has done the work: only the rest of the result is discarded.
+            // The engine has completed the work; only the rest of the result is discarded.
             StatementState::FirstPageReady { attempt, .. } => {
                 self.release_attempt(now, id, attempt);
                 self.report_success(now, id, attempt);
             }
-            // Its success was reported with the first page.
+            // The success was already reported with the first page.
             StatementState::Streaming { attempt, .. } => self.release_attempt(now, id, attempt),
         }
         self.settle(now, id, response);
@@ -104,19 +104,19 @@
         self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Succeeded, None);
     }
 
-    /// The history of a statement up to now; `None` if it is not retained.
+    /// Returns the history of a statement so far, or `None` if the statement is not retained.
     pub fn history(&self, now: Micros, id: StatementId) -> Option<StatementHistory> {
         self.statements
             .get(id)
             .map(|statement| statement.history(now))
     }
 
-    /// Accepts no further statements.
+    /// Stops accepting statements.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Has the controller give up all open statements: the router stops before they could be answered.
+    /// Has the controller give up all open statements because the router stops before they can be completed.
     pub fn abandon_all(&mut self) {
         let mut open: Vec<StatementId> = self.statements.unsettled().collect();
         open.sort_unstable();
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! What is reported of attempts, and the settling of statements.
+//! Reports on attempts, and the settling of statements.
 
 use hoptiller_policy::{Event, Micros, Progress, RequestId};
 use hoptiller_runaway::{ExecutionOutcome, Proof, RetrySafety, retry_safety_after_end};
@@ -10,7 +10,7 @@
 use crate::statement_state::StatementState;
 
 impl Core {
-    /// Reports the progress of a running attempt.
+    /// Reports the progress of a running attempt to the controller.
     pub fn report_progress(&mut self, id: StatementId, attempt: u32, progress: Progress) {
         let statement = self.statements.get(id);
         let engine = statement.and_then(|statement| statement.attempts().engine_of(attempt));
@@ -25,7 +25,7 @@
         });
     }
 
-    /// Accepts a page of an attempt's result, or releases the attempt if its result is not wanted.
+    /// Accepts a page of an attempt's result, or releases the attempt if the page is not needed.
     pub fn accept_page(&mut self, now: Micros, id: StatementId, attempt: u32, page: ResultPage) {
         let size_bytes = page.size_bytes();
         self.report_page_to_runaway_detector(now, id, attempt, &page);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The engine reports an error in the statement, which is its final response.
+    /// Reports an error that the engine found in the statement. The error becomes the final response.
     pub fn fail_with_engine_error(
         &mut self,
         now: Micros,
@@ -55,7 +55,7 @@
         self.settle(now, id, FinalResponse::EngineError(error));
     }
 
-    /// An attempt has ended without its result, or before the end of it.
+    /// Reports that an attempt ended without its complete result.
     pub fn finish_attempt(
         &mut self,
         now: Micros,
@@ -69,7 +69,7 @@
         };
         let event = statement.record_outcome(attempt, now, &outcome, false);
         if statement.state().is_streaming_from(attempt) {
-            // Rows were delivered, and another attempt could repeat them: there is none.
+            // Rows were delivered, and another attempt could repeat them, so none follows.
             self.settle(now, id, FinalResponse::Truncated(outcome.reason));
         } else {
             self.buffered_bytes -= statement.discard_first_page(attempt);
@@ -78,7 +78,8 @@
         self.statements.remove_if_finished(id);
     }
 
-    /// The engine has killed an attempt on demand, of this router or of an administrator. This ends the statement.
+    /// Reports that the engine killed an attempt on request of this router or an administrator. This ends the
+    /// statement.
     pub fn finish_killed_attempt(
         &mut self,
         now: Micros,
@@ -104,7 +105,7 @@
             StatementState::Pending | StatementState::FirstPageReady { .. } => {}
         }
         if !statement.attempts().is_in_flight(attempt) {
-            return; // Its end was reported before.
+            return; // The outcome was already reported.
         }
         let outcome = AttemptOutcome::cancelled(reason.clone());
         let event = statement.record_outcome(attempt, now, &outcome, true);
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Reports to the controller that an attempt succeeded, unless its outcome was reported before.
+    /// Reports to the controller that an attempt succeeded, unless its outcome was already reported.
     pub(super) fn report_success(&mut self, now: Micros, id: StatementId, attempt: u32) {
         let event = self
             .statements
@@ -141,7 +142,7 @@
         self.events.extend(event);
     }
 
-    /// Settles the final response; later calls do nothing.
+    /// Settles the final response; later calls have no effect.
     pub(super) fn settle(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
         let Some(statement) = self.statements.get_mut(id) else {
             return;
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of numbered responses to clients that poll.
+//! Delivery of numbered responses to polling clients.
 
 use hoptiller_policy::Micros;
 
@@ -10,7 +10,7 @@
 use crate::statement_state::Delivery;
 
 impl Core {
-    /// Polls for the response of that number.
+    /// Polls for the response with the given number.
     pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
         let Some(statement) = self.statements.get_mut(id) else {
             return if id < self.statements.next_id() {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Polls for the response of that number without waiting: if there is nothing new, the response says so.
+    /// Polls for the response with the given number without waiting. If there is nothing new, the response says so.
     pub fn poll_now(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
         match self.poll(now, id, page) {
             PollOutcome::Pending => match self.statements.get_mut(id) {
@@ -42,21 +42,21 @@
         }
     }
 
-    /// A client starts to wait for updates of a statement.
+    /// Registers a poll that waits for updates of a statement.
     pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.add_waiter(now);
         }
     }
 
-    /// A client no longer waits for updates of a statement.
+    /// Unregisters a poll that waited for updates of a statement.
     pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.remove_waiter(now);
         }
     }
 
-    /// Delivers what is new, and moves the statement to its next state.
+    /// Delivers the next page or the final response, and moves the statement to its next state.
     fn deliver(&mut self, now: Micros, id: StatementId) -> PollOutcome {
         let Some(statement) = self.statements.get_mut(id) else {
             return PollOutcome::Gone;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Delivers a page. The first page commits the statement: no other attempt can deliver its result from then on.
+    /// Delivers a page. The first page commits the statement: from then on, no other attempt can deliver its result.
     fn deliver_page(
         &mut self,
         now: Micros,
@@ -113,7 +113,7 @@
         self.settle(now, id, FinalResponse::Completed);
     }
 
-    /// Has further pages fetched while the buffers have space for them.
+    /// Requests further pages while the buffers have space for them.
     pub(super) fn fetch_while_space(&mut self) {
         while self.buffered_bytes < self.limits.max_buffered_bytes {
             let Some((id, attempt)) = self.awaiting_fetch.pop_front() else {
--- a/crates/router-core/src/core/expiry.rs
+++ b/crates/router-core/src/core/expiry.rs
@@ -1,4 +1,4 @@
-//! Timers of statements: clients that went away, and answered statements that are no longer retained.
+//! Timers of statements, for disconnected clients and for the end of retention.
 
 use hoptiller_policy::Micros;
 
@@ -8,14 +8,14 @@
 use crate::statement::Statement;
 
 impl Core {
-    /// Handles all timers of statements that are due.
+    /// Handles all statement timers that are due.
     pub(super) fn handle_due_timers(&mut self, now: Micros) {
         while let Some(id) = self.statements.pop_due_timer(now) {
             self.handle_timer(now, id);
         }
     }
 
-    /// Removes an expired statement, abandons one whose client has gone, or sets the next timer.
+    /// Removes a statement after its retention, abandons it if its client has disconnected, or sets the next timer.
     fn handle_timer(&mut self, now: Micros, id: StatementId) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Retains a statement whose final response was delivered, within the limits of time and number.
+    /// Retains a statement whose final response was delivered, within the limits on time and number.
     pub(super) fn retain_if_delivered(&mut self, now: Micros, id: StatementId) {
         let statement = self.statements.get(id);
         if statement.is_some_and(Statement::is_finally_delivered) {
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -1,6 +1,6 @@
-//! The bridge to the runaway detector: what is reported to it, and what becomes of its decisions.
+//! The connection to the runaway detector: reports to the detector, and application of its decisions.
 //!
-//! Holds go to the controller as events, so that the controller alone decides on every send.
+//! Holds are passed to the controller as events, so that the controller alone decides on every send.
 
 use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, Event, ListScope, Micros};
 use hoptiller_runaway::{
@@ -14,12 +14,13 @@
 use crate::response::ResultPage;
 
 impl Core {
-    /// The runaway detector, if there is one.
+    /// Returns the runaway detector, if there is one.
     pub fn runaway_detector(&self) -> Option<&RunawayDetector> {
         self.runaway_detector.as_ref()
     }
 
-    /// Restores the statistics of an earlier incarnation into the runaway detector; `None` if there is no detector.
+    /// Restores the runaway detector's statistics from a snapshot of an earlier incarnation. Returns `None` if there is
+    /// no detector.
     pub fn restore_runaway_detector(
         &mut self,
         now: Micros,
@@ -30,7 +31,7 @@
             .map(|detector| detector.restore(now, snapshot))
     }
 
-    /// An operator releases a fingerprint that is held. Returns whether it was held.
+    /// Releases a held fingerprint on request of an operator. Returns whether the fingerprint was held.
     pub fn release_fingerprint(&mut self, fingerprint: FingerprintId) -> bool {
         let was_held = self
             .runaway_detector
@@ -40,7 +41,7 @@
         was_held
     }
 
-    /// An engine reports the status of a running attempt.
+    /// Reports the progress of a running attempt to the runaway detector.
     pub fn update_attempt_status(
         &mut self,
         now: Micros,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Reports to the detector that an attempt is sent.
+    /// Reports to the runaway detector that an attempt is sent.
     pub(super) fn start_runaway_detection(
         &mut self,
         now: Micros,
@@ -83,7 +84,8 @@
         detector.start_attempt(now, start);
     }
 
-    /// Reports to the detector that a page was received: the engine has a result, or with the last page all of it.
+    /// Reports a received page to the runaway detector: the last page ends the attempt, an earlier one starts its
+    /// stream of rows.
     pub(super) fn report_page_to_runaway_detector(
         &mut self,
         now: Micros,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Reports to the detector that an attempt has ended.
+    /// Reports to the runaway detector that an attempt has ended.
     pub(super) fn end_runaway_detection(
         &mut self,
         now: Micros,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Reports to the detector what the status of an ended attempt shows of its execution at the engine.
+    /// Reports to the runaway detector how an attempt ended at the engine, as far as its status shows.
     pub(super) fn end_runaway_detection_by_status(
         &mut self,
         now: Micros,
@@ -139,7 +141,7 @@
         self.end_runaway_detection(now, id, attempt, outcome, None);
     }
 
-    /// Reports to the detector an update of the engine list, except one that failed.
+    /// Reports an update of the engine list to the runaway detector, unless the update failed.
     pub(super) fn update_runaway_endpoints(
         &mut self,
         now: Micros,
@@ -159,7 +161,7 @@
         self.apply_runaway_decisions();
     }
 
-    /// Runs the detector, if it is due.
+    /// Runs the runaway detector if it is due, and applies its decisions.
     pub(super) fn detect_runaways(&mut self, now: Micros) {
         if let Some(detector) = &mut self.runaway_detector {
             detector.run_detection(now);
@@ -167,7 +169,7 @@
         self.apply_runaway_decisions();
     }
 
-    /// Turns the detector's decisions into events and commands.
+    /// Converts the runaway detector's decisions into events and commands.
     fn apply_runaway_decisions(&mut self) {
         let decisions = self
             .runaway_detector
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engine list as the runaway detector needs it: which engines are up, and which classes may run on them.
+//! The engine list for the runaway detector: which engines are up, and which classes may run on them.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 };
 use hoptiller_runaway::EngineStatus;
 
-/// Where a class may run. `None` allows all zones or kinds.
+/// The zones and kinds of engines that a class may run on; `None` allows all.
 struct Placement {
     zones: Option<Vec<usize>>,
     kinds: Option<Vec<usize>>,
@@ -25,26 +25,26 @@
         .is_none_or(|set| value.is_some_and(|index| set.contains(&index)))
 }
 
-/// The engine list, and the settings that say which classes may run where.
+/// The engine list, and the settings that define which classes may run on which engines.
 pub(crate) struct EndpointTable {
     entries: BTreeMap<EngineId, EndpointEntry>,
-    /// By class.
+    /// Permitted engines, by class.
     placement: Vec<Placement>,
-    /// By class.
+    /// Idempotency of statements, by class.
     idempotency: Vec<Idempotency>,
-    /// Whether an engine stops the work of an attempt that is cancelled.
+    /// Whether an engine stops the work of a cancelled attempt.
     cancel_stops_work: bool,
-    /// Retry-After of a statement that a rule terminated.
+    /// Retry-After time for statements that a rule terminated.
     retry_after: Option<Micros>,
 }
 
 impl EndpointTable {
-    /// A table without engines.
+    /// Creates a table without engines.
     pub(crate) fn new(settings: &Settings) -> EndpointTable {
         EndpointTable::with_entries(settings, BTreeMap::new())
     }
 
-    /// Applies other settings to the same engines.
+    /// Applies new settings to the same engines.
     pub(crate) fn update_settings(&mut self, settings: &Settings) {
         *self = EndpointTable::with_entries(settings, std::mem::take(&mut self.entries));
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Applies an update of the engine list; returns the engines that have restarted.
+    /// Applies an update of the engine list. Returns the engines that have restarted.
     pub(crate) fn update(&mut self, scope: ListScope, entries: &[EndpointEntry]) -> Vec<EngineId> {
         if matches!(scope, ListScope::All | ListScope::Cached) {
             self.entries
@@ -88,7 +88,7 @@
         restarted
     }
 
-    /// The engines that are not removed, with the classes that may run on each.
+    /// Returns the engines that are not removed, with the classes that may run on each.
     pub(crate) fn listed(&self) -> Vec<EngineStatus> {
         self.entries
             .values()
@@ -101,17 +101,17 @@
             .collect()
     }
 
-    /// Whether statements of a class can be repeated safely.
+    /// Returns whether statements of a class are idempotent.
     pub(crate) fn idempotency(&self, class: usize) -> Idempotency {
         self.idempotency[class]
     }
 
-    /// Whether an engine stops the work of an attempt that is cancelled.
+    /// Returns whether an engine stops the work of a cancelled attempt.
     pub(crate) fn cancel_stops_work(&self) -> bool {
         self.cancel_stops_work
     }
 
-    /// Retry-After of a statement that a rule terminated.
+    /// Returns the Retry-After time for statements that a rule terminated.
     pub(crate) fn retry_after(&self) -> Option<Micros> {
         self.retry_after
     }
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -1,7 +1,7 @@
-//! Runs a core: its clock, its batches of decisions, and notifications to those who wait for updates of a statement.
+//! The event loop of a core: its clock, its batches of decisions, and notifications to clients that wait for updates.
 //!
-//! The commands that the core yields go to a [`CommandExecutor`]. Client protocols, and other parts that ask the core,
-//! depend on this module and not on the router that connects them.
+//! The loop passes the core's commands to a [`CommandExecutor`]. Client protocols and other users of the core depend on
+//! this module and not on the router that connects them.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashMap;
@@ -17,43 +17,46 @@
 use crate::core::Core;
 use crate::identity::StatementId;
 
-/// Reading of the core's clock at its start, 24 hours: engines that started before the router have a start time too.
+/// Reading of the core's clock at its start: 24 hours, so that engines that started before the router have a start
+/// time.
 const CLOCK_ORIGIN: Micros = 24 * 3_600_000_000;
 
-/// Pause after a batch, as a multiple of the batch's duration: batches take a tenth of the thread at most.
+/// Pause after a batch, as a multiple of the batch's duration. Batches take at most a tenth of the thread's time unless
+/// `max_pause` cuts the pause short.
 const PAUSE_PER_BATCH: u32 = 9;
 
-/// Carries out the commands that a core yields.
+/// Executes the commands that a core returns.
 pub trait CommandExecutor {
-    /// Carries out one command.
+    /// Executes one command.
     fn execute(&self, command: Command);
 }
 
-/// How many batches the event loop has run, and for how long.
+/// The number and total duration of an event loop's batches.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BatchStats {
-    /// Batches run so far.
+    /// Number of batches run so far.
     pub batches: u64,
-    /// Wall-clock time spent in them.
+    /// Wall-clock time spent in batches.
     pub busy: Duration,
 }
 
-/// A core that runs.
+/// An event loop that drives one core.
 pub struct EventLoop {
     core: RefCell<Core>,
     executor: Weak<dyn CommandExecutor>,
-    /// The longest pause between batches while there is something to decide.
+    /// Maximum pause between batches while events are queued.
     tick: Duration,
     started_at: Instant,
     /// Notified when the core has events for a batch.
     events_available: Event,
-    /// By statement: notified when there are updates of it.
+    /// Notified when a statement has updates, by statement.
     statement_updates: RefCell<HashMap<StatementId, Rc<Event>>>,
     stats: Cell<BatchStats>,
 }
 
 impl EventLoop {
-    /// An event loop for a core, whose clock starts now. Once the executor is dropped, commands stay in the core.
+    /// Creates an event loop for a core and starts the core's clock. Once the executor is dropped, commands stay in the
+    /// core.
     pub fn new(core: Core, tick: Duration, executor: Weak<dyn CommandExecutor>) -> EventLoop {
         EventLoop {
             core: RefCell::new(core),
@@ -66,30 +69,30 @@
         }
     }
 
-    /// The current time of the core's clock.
+    /// Returns the current time of the core's clock.
     pub fn now(&self) -> Micros {
         CLOCK_ORIGIN + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Converts a time of the core's clock to one of the machine's monotonic clock.
+    /// Converts a time of the core's clock to the monotonic clock of the machine.
     pub fn instant(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(at.saturating_sub(CLOCK_ORIGIN))
     }
 
-    /// Borrows the core; commands that it yields meanwhile are not carried out.
+    /// Borrows the core. Commands that result are executed by the next batch or call of [`EventLoop::with_core`].
     ///
     /// # Panics
     ///
-    /// If the core is borrowed already.
+    /// Panics if the core is already borrowed.
     pub fn core(&self) -> RefMut<'_, Core> {
         self.core.borrow_mut()
     }
 
-    /// Calls a function on the core, carries out the commands that it yields, and starts a batch if it left events.
+    /// Calls a function on the core, executes the resulting commands, and triggers a batch if events are queued.
     ///
     /// # Panics
     ///
-    /// If the core is borrowed already.
+    /// Panics if the core is already borrowed.
     pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.now();
         let (value, has_events) = {
@@ -104,7 +107,7 @@
         value
     }
 
-    /// Listens for updates of a statement. To be called before the core is polled, so that no update is missed.
+    /// Listens for updates of a statement. Callers must listen before they poll the core, so that they miss no update.
     pub fn listen(&self, id: StatementId) -> EventListener {
         self.statement_updates
             .borrow_mut()
@@ -113,7 +116,7 @@
             .listen()
     }
 
-    /// Removes the statement's event if nobody listens for it any more.
+    /// Removes the statement's event if it has no listeners left.
     pub fn release_listener(&self, id: StatementId) {
         let mut statement_updates = self.statement_updates.borrow_mut();
         if statement_updates
@@ -124,23 +127,23 @@
         }
     }
 
-    /// Notifies all who listen for updates of a statement.
+    /// Notifies all listeners of a statement.
     pub fn notify_waiters(&self, id: StatementId) {
         if let Some(updates) = self.statement_updates.borrow().get(&id) {
             updates.notify(usize::MAX);
         }
     }
 
-    /// How many batches have run so far, and for how long.
+    /// Returns the number and total duration of the batches run so far.
     pub fn batch_stats(&self) -> BatchStats {
         self.stats.get()
     }
 
-    /// Runs batches for ever: when the core has events, and when its timer is due.
+    /// Runs batches forever: when the core has events, and when its timer is due.
     ///
     /// # Panics
     ///
-    /// If the core is borrowed by a task that waits.
+    /// Panics if another task keeps the core borrowed while it is suspended.
     pub async fn run(&self) {
         loop {
             let events_available = self.events_available.listen();
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Runs one batch and carries out its commands; returns how long that took.
+    /// Runs one batch and executes its commands. Returns the time that this took.
     fn run_batch(&self) -> Duration {
         let started_at = Instant::now();
         let now = self.now();
@@ -184,7 +187,7 @@
             return;
         };
         loop {
-            // The borrow ends before the command is carried out: the executor may use the core.
+            // The borrow ends before the command is executed, because the executor may use the core.
             let command = self.core().next_command();
             let Some(command) = command else { break };
             executor.execute(command);
--- a/crates/router-core/src/history.rs
+++ b/crates/router-core/src/history.rs
@@ -5,20 +5,20 @@
 use hoptiller_policy::{AttemptStatus, EngineId};
 use serde::{Serialize, Serializer};
 
-/// How far a statement has come. It is displayed and serialized as a description for people.
+/// The phase of a statement. Its displayed and serialized form is a human-readable description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementPhase {
-    /// No attempt was sent yet.
+    /// No attempt has been sent yet.
     Queued,
-    /// Its attempts have ended without a result, and another one will follow.
+    /// All attempts have ended without a result, and another one will follow.
     AwaitingRetry,
     /// An attempt is in flight.
     Running,
-    /// A first page was received, and its client has not fetched it.
+    /// A first page was received, but the client has not fetched it.
     ResultReady,
-    /// Its client fetches the rows.
+    /// The client is fetching rows.
     Streaming,
-    /// It has its final response, with the label of that.
+    /// The final response is settled. Holds its label.
     Settled(&'static str),
 }
 
@@ -44,44 +44,44 @@
 /// The history of a statement. Times are in milliseconds since the statement was received.
 #[derive(Clone, Debug)]
 pub struct StatementHistory {
-    /// Index of its class.
+    /// Index of the statement's class.
     pub class: usize,
-    /// How far it has come.
+    /// Current phase of the statement.
     pub state: StatementPhase,
-    /// Why it was rejected or failed; empty otherwise.
+    /// Reason why the statement was not completed; empty if there is none.
     pub reason: String,
-    /// Time up to its final response, or to now.
+    /// Time until the final response, or until now.
     pub elapsed_ms: u64,
-    /// How long its client waits.
+    /// Timeout of the client.
     pub timeout_ms: u64,
-    /// Time before its first attempt.
+    /// Time before the first attempt.
     pub queued_ms: u64,
     /// Number of responses delivered.
     pub responses: u64,
-    /// Its attempts.
+    /// Attempts of the statement.
     pub attempts: Vec<AttemptHistory>,
 }
 
 /// The history of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptHistory {
-    /// Its number, from 0.
+    /// Number of the attempt, from 0.
     pub number: u32,
-    /// The engine that it was sent to.
+    /// Engine that the attempt was sent to.
     pub engine: EngineId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_ms: u64,
-    /// When its first page was received.
+    /// Time at which the first page was received.
     pub first_page_ms: Option<u64>,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended_ms: Option<u64>,
-    /// How it ended.
+    /// Status with which the attempt ended.
     pub status: Option<AttemptStatus>,
-    /// What was observed at its end.
+    /// Description of how the attempt ended.
     pub reason: String,
 }
 
-/// Describes the status of an attempt, for people.
+/// Returns a human-readable description of an attempt's status.
 pub fn status_description(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Succeeded => "served",
--- a/crates/router-core/src/identity.rs
+++ b/crates/router-core/src/identity.rs
@@ -1,19 +1,19 @@
-//! Identities of routers and statements.
+//! Identifiers of routers and statements.
 
-/// Number of a statement, unique within one incarnation of a router.
+/// The number of a statement, unique within one incarnation of a router.
 pub type StatementId = u64;
 
-/// The name of a router, and of its current incarnation.
+/// The name of a router and of its current incarnation.
 #[derive(Clone, Debug)]
 pub struct RouterIdentity {
     /// Name of the router.
     pub router: String,
-    /// Name of the incarnation: it differs after each restart.
+    /// Name of the incarnation, which changes on each restart.
     pub incarnation: String,
 }
 
 impl RouterIdentity {
-    /// The name by which engines and other routers know a statement.
+    /// Returns the name by which engines and other routers identify a statement.
     pub fn statement_name(&self, id: StatementId) -> String {
         hoptiller_statement::extra::statement_name(&self.router, &self.incarnation, id)
     }
--- a/crates/router-core/src/lib.rs
+++ b/crates/router-core/src/lib.rs
@@ -1,18 +1,20 @@
-//! The core of a router, without I/O, and the event loop that drives it.
+//! The core of a router, which performs no I/O, and the event loop that drives it.
 //!
-//! [`Core`] owns the admission and routing [`Controller`](hoptiller_policy::Controller) and the table of statements.
-//! Its caller feeds it what clients and engines do, with a clock, and carries out the [`Command`]s that it yields. The
-//! core knows neither sockets nor the client protocol: rows are text that it passes on.
+//! [`Core`] owns the admission and routing [`Controller`](hoptiller_policy::Controller) and the statement table. Its
+//! caller reports client and engine events to it, with the current time, and executes the [`Command`]s that it returns.
+//! The core depends neither on sockets nor on the client protocol: it passes rows on as opaque text.
 //!
-//! [`Core::submit`] accepts a statement; from then on the core owes it exactly one final response. The responses of a
-//! statement are numbered. A response can be polled again, and is then the same, until its successor is polled.
+//! [`Core::submit`] accepts a statement, and the core then produces exactly one final response to it. The responses to
+//! a statement are numbered. A client can poll the latest response repeatedly and receives the same response each time,
+//! until it polls the next one.
 //!
-//! - [`event_loop`] runs a core: its clock, its batches of decisions, and the clients that wait for updates;
-//! - `core` holds the decisions, split by concern: admission, attempts, delivery, expiry, controller actions and the
-//!   bridge to the runaway detector;
-//! - `statement`, `statement_state`, `attempt_log` and `statement_table` hold the state of statements, `endpoints` the
-//!   engine list;
-//! - `submission`, `command`, `response`, `history` and `limits` hold the data that goes in and comes out.
+//! - [`event_loop`] drives a core: its clock, its batches of decisions, and notifications to clients that wait for
+//!   updates;
+//! - `core` makes the decisions, split by concern: admission, attempts, delivery, expiry, controller actions and the
+//!   connection to the runaway detector;
+//! - `statement`, `statement_state`, `attempt_log` and `statement_table` hold the state of statements, and `endpoints`
+//!   holds the engine list;
+//! - `submission`, `command`, `response`, `history` and `limits` define the input and output types.
 
 #![warn(missing_docs)]
 
--- a/crates/router-core/src/limits.rs
+++ b/crates/router-core/src/limits.rs
@@ -1,32 +1,32 @@
-//! Limits of a core, and how much of them is used.
+//! Limits of a core and their current usage.
 
 use hoptiller_policy::Micros;
 
 /// Limits that the core enforces.
 #[derive(Clone, Copy, Debug)]
 pub struct CoreLimits {
-    /// Greatest number of statements without a final response.
+    /// Maximum number of statements without a final response.
     pub max_open_statements: usize,
-    /// Greatest number of answered statements retained for clients that poll again.
+    /// Maximum number of delivered final responses retained for clients that poll again.
     pub max_retained_responses: usize,
-    /// How long an answered statement is retained.
+    /// Time for which a delivered final response is retained.
     pub retention: Micros,
-    /// A client that has not polled for this long is taken to have gone.
+    /// Time without a poll after which a client is considered disconnected.
     pub abandon_after: Micros,
-    /// Bytes of buffered result pages from which on no further page is fetched.
+    /// Total size of buffered result pages, in bytes, at which the core stops fetching further pages.
     pub max_buffered_bytes: u64,
-    /// Time reserved between the deadline of an attempt and that of its client, for the decision and the response. The
-    /// controller uses 60 ms of it.
+    /// Time reserved between the deadline of an attempt and the deadline of its client, for the decision and the
+    /// response. The controller uses 60 ms of it.
     pub response_margin: Micros,
 }
 
-/// What the core holds at the moment.
+/// Current resource usage of a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoreUsage {
-    /// Statements without a final response.
+    /// Number of statements without a final response.
     pub open_statements: usize,
-    /// Answered statements that are retained for clients that poll again.
+    /// Number of statements retained for clients that poll again.
     pub retained_statements: usize,
-    /// Bytes of buffered result pages.
+    /// Total size of buffered result pages in bytes.
     pub buffered_bytes: u64,
 }
--- a/crates/router-core/src/response.rs
+++ b/crates/router-core/src/response.rs
@@ -1,31 +1,31 @@
-//! What goes out to a client: pages of rows, and the one final response.
+//! Responses to clients: pages of rows, and the final response.
 
 use std::rc::Rc;
 
 use hoptiller_policy::{LoadReport, Micros};
 use serde_json::value::RawValue;
 
-/// A page of a result, as an engine sent it.
+/// A page of a result, as the engine sent it.
 #[derive(Clone, Debug, Default)]
 pub struct ResultPage {
-    /// Descriptions of the columns, as JSON text.
+    /// Column descriptions, as JSON text.
     pub columns: Option<Rc<RawValue>>,
     /// Rows, as JSON text.
     pub rows: Option<Rc<RawValue>>,
     /// Names and values of session fields to forward to the client.
     pub session_fields: Vec<(String, String)>,
-    /// For a statement that changes data: the type of the update, and the number of rows affected.
+    /// Update type and number of affected rows, for a statement that changes data.
     pub update: Option<(String, Option<u64>)>,
-    /// Whether it is the last page.
+    /// Whether this is the last page.
     pub is_last: bool,
-    /// The engine's load, if reported.
+    /// Load reported by the engine, if any.
     pub load_report: Option<LoadReport>,
-    /// Work that the statement needed, if reported.
+    /// Work reported for the statement, if any.
     pub work: Option<Micros>,
 }
 
 impl ResultPage {
-    /// Size of its texts in bytes.
+    /// Returns the size of columns, rows and session fields in bytes.
     pub(crate) fn size_bytes(&self) -> u64 {
         let json_bytes = [&self.columns, &self.rows]
             .into_iter()
@@ -44,7 +44,7 @@
 /// An error that an engine reports for a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineError {
-    /// Message for people.
+    /// Human-readable message.
     pub message: String,
     /// Error code.
     pub code: u32,
@@ -52,39 +52,39 @@
     pub name: String,
 }
 
-/// How a statement ended for its client.
+/// The final outcome of a statement for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// All rows were delivered.
     Completed,
-    /// It was not run; a retry is safe.
+    /// The statement was not run; a retry is safe.
     Rejected {
-        /// How long the client should wait before a retry.
+        /// Time that the client should wait before a retry.
         retry_after: Option<Micros>,
-        /// Reason for people.
+        /// Human-readable reason.
         reason: String,
     },
-    /// A rule terminated it, and none of its effects remain; a retry is safe.
+    /// A rule terminated the statement and none of its effects remain; a retry is safe.
     TerminatedByRule {
-        /// How long the client should wait before a retry.
+        /// Time that the client should wait before a retry.
         retry_after: Option<Micros>,
-        /// Reason for people.
+        /// Human-readable reason.
         reason: String,
     },
-    /// Its result is unknown: it may have run. Holds the reason.
+    /// The outcome is unknown: the statement may have run. Holds the reason.
     MayHaveRun(String),
-    /// Rows were delivered, and the rest is lost. Holds the reason.
+    /// Some rows were delivered, but the rest is lost. Holds the reason.
     Truncated(String),
     /// The engine reported an error in the statement.
     EngineError(EngineError),
-    /// The client canceled it.
+    /// The client canceled the statement.
     Canceled,
-    /// The client went away.
+    /// The client disconnected.
     Abandoned,
 }
 
 impl FinalResponse {
-    /// Why it was not completed, for people; empty where there is nothing to say.
+    /// Returns a human-readable reason why the statement was not completed, or an empty string if there is none.
     pub fn reason(&self) -> &str {
         match self {
             FinalResponse::Rejected { reason, .. }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Label in logs and metrics.
+    /// Returns the label for logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             FinalResponse::Completed => "served",
@@ -111,12 +111,12 @@
     }
 }
 
-/// What a response holds.
+/// The content of a response.
 #[derive(Clone, Debug)]
 pub enum ResponseContent {
-    /// Nothing new.
+    /// Nothing has changed.
     NoChange,
-    /// Rows; the response is final if the page is the last one.
+    /// A page of rows; the response is final if this is the last page.
     Rows(ResultPage),
     /// The final response.
     Final(FinalResponse),
@@ -125,24 +125,24 @@
 /// One numbered response to a statement.
 #[derive(Clone, Debug)]
 pub struct StatementResponse {
-    /// Its number.
+    /// Number of the response.
     pub page: u64,
     /// Index of the statement's class.
     pub class: usize,
-    /// What it holds.
+    /// Content of the response.
     pub content: ResponseContent,
-    /// Whether the statement had been sent to an engine.
+    /// Whether the statement has been sent to an engine.
     pub running: bool,
-    /// Whether rows have been delivered, with it or before.
+    /// Whether rows have been delivered with this response or an earlier one.
     pub streaming: bool,
     /// Time since the statement was received.
     pub elapsed: Micros,
-    /// Part of that time before the first attempt.
+    /// Part of `elapsed` before the first attempt.
     pub queued: Micros,
 }
 
 impl StatementResponse {
-    /// Whether no other response follows.
+    /// Returns whether no further response follows.
     pub fn is_final(&self) -> bool {
         match &self.content {
             ResponseContent::NoChange => false,
@@ -152,15 +152,15 @@
     }
 }
 
-/// What a poll finds.
+/// The outcome of a poll.
 #[derive(Clone, Debug)]
 pub enum PollOutcome {
-    /// The response.
+    /// The requested response.
     Response(Rc<StatementResponse>),
-    /// Nothing new yet: wait for [`Command::NotifyWaiters`](crate::Command::NotifyWaiters).
+    /// Nothing is new yet; [`Command::NotifyWaiters`](crate::Command::NotifyWaiters) follows when there is.
     Pending,
-    /// That response was superseded by a later one, or the statement is no longer retained.
+    /// The response was superseded by a later one, or the statement is no longer retained.
     Gone,
-    /// No such response was ever offered.
+    /// No response with that number was ever offered.
     Unknown,
 }
--- a/crates/router-core/src/runaway_profile.rs
+++ b/crates/router-core/src/runaway_profile.rs
@@ -1,20 +1,20 @@
-//! What the runaway detector needs to know of a statement.
+//! Data on a statement for the runaway detector.
 
 use std::rc::Rc;
 
 use hoptiller_runaway::{Announced, FingerprintId};
 
-/// What the runaway detector needs to know of a statement's attempts.
+/// Data on a statement that the runaway detector needs for each of its attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct RunawayProfile {
-    /// Its fingerprint within its class.
+    /// Fingerprint of the statement within its class.
     pub(crate) fingerprint: FingerprintId,
-    /// What a hold on it applies to.
+    /// Fingerprint that a hold on the statement applies to.
     pub(crate) held_as: FingerprintId,
-    /// Its text without literal values.
+    /// Normalized text of the statement, without literal values.
     pub(crate) label: Rc<str>,
-    /// What the client announced of its size.
+    /// Size and work that the client announced.
     pub(crate) announced: Announced,
-    /// Number of the group of tables that it reads or writes.
+    /// Number of the table group that the statement reads or writes.
     pub(crate) group: Option<u64>,
 }
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -1,4 +1,4 @@
-//! One statement: its state, its numbered responses, and when its client was last there.
+//! One statement: its state, its numbered responses, and the time of its client's last poll.
 
 use std::rc::Rc;
 
@@ -13,29 +13,29 @@
 use crate::statement_state::{Delivery, StatementState};
 use crate::submission::{EngineStatement, Submission};
 
-/// The position of a response number among a statement's responses.
+/// The position of a response number relative to the responses delivered so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponsePosition {
-    /// The last one delivered.
+    /// The latest response delivered.
     Latest,
-    /// The next one.
+    /// The next response.
     Next,
-    /// Delivered before the last one.
+    /// A response older than the latest one.
     Superseded,
-    /// Never offered.
+    /// A response that was never offered to the client.
     NeverOffered,
 }
 
-/// Options that the controller sets for the next attempt.
+/// Options that the controller set for the next attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SendOptions {
-    /// Priority, 0 to 3, if one was set.
+    /// Priority from 0 to 3, if set.
     pub(crate) priority: Option<u8>,
-    /// Memory to grant, in MB; 0 leaves it to the engine.
+    /// Memory grant in MB; 0 lets the engine decide.
     pub(crate) memory_grant_mb: f64,
 }
 
-/// One statement.
+/// An accepted statement.
 #[derive(Debug)]
 pub(crate) struct Statement {
     id: StatementId,
@@ -43,23 +43,23 @@
     runaway_profile: Option<RunawayProfile>,
     received_at: Micros,
     valid_until: Micros,
-    /// What to send; dropped once the final response is settled.
+    /// Text and session fields to send; dropped when the final response is settled.
     work: Option<Rc<EngineStatement>>,
     send_options: SendOptions,
     attempts: AttemptLog,
     state: StatementState,
-    /// The last response delivered.
+    /// Latest response delivered.
     latest: Rc<StatementResponse>,
     last_polled_at: Micros,
     /// Number of polls that wait for updates.
     waiters: u32,
     settled_at: Option<Micros>,
-    /// The final response was delivered, or nobody is there to receive it.
+    /// Whether the final response was delivered or has no recipient.
     is_delivered: bool,
 }
 
 impl Statement {
-    /// A statement just received.
+    /// Creates a statement that was just received.
     pub(crate) fn new(
         id: StatementId,
         submission: &Submission,
@@ -94,73 +94,73 @@
         }
     }
 
-    /// Index of its class.
+    /// Returns the index of the statement's class.
     pub(crate) fn class(&self) -> usize {
         self.class
     }
 
-    /// What the runaway detector needs to know of its attempts, if there is a detector.
+    /// Returns the data for the runaway detector, if there is a detector.
     pub(crate) fn runaway_profile(&self) -> Option<&RunawayProfile> {
         self.runaway_profile.as_ref()
     }
 
-    /// When its client gives up.
+    /// Returns the time at which the client's timeout expires.
     pub(crate) fn valid_until(&self) -> Micros {
         self.valid_until
     }
 
-    /// How far it has come.
+    /// Returns the state of the statement.
     pub(crate) fn state(&self) -> &StatementState {
         &self.state
     }
 
-    /// Its attempts.
+    /// Returns the attempts of the statement.
     pub(crate) fn attempts(&self) -> &AttemptLog {
         &self.attempts
     }
 
-    /// Whether it is with the controller: queued, or its attempts run.
+    /// Returns whether the controller still decides on the statement: it is queued or has running attempts.
     pub(crate) fn is_pending(&self) -> bool {
         matches!(self.state, StatementState::Pending)
     }
 
-    /// Whether the final response is settled.
+    /// Returns whether the final response is settled.
     pub(crate) fn is_settled(&self) -> bool {
         matches!(self.state, StatementState::Settled(_))
     }
 
-    /// When the final response was settled.
+    /// Returns the time at which the final response was settled.
     pub(crate) fn settled_at(&self) -> Option<Micros> {
         self.settled_at
     }
 
-    /// Whether the final response is settled, and was delivered or has nobody to receive it.
+    /// Returns whether the final response is settled, and was delivered or has no recipient.
     pub(crate) fn is_finally_delivered(&self) -> bool {
         self.is_settled() && self.is_delivered
     }
 
-    /// When its client last polled.
+    /// Returns the time of the client's last poll.
     pub(crate) fn last_polled_at(&self) -> Micros {
         self.last_polled_at
     }
 
-    /// Whether a poll waits for updates.
+    /// Returns whether any poll waits for updates.
     pub(crate) fn has_waiters(&self) -> bool {
         self.waiters > 0
     }
 
-    /// Records that its client polled.
+    /// Records a poll by the client.
     pub(crate) fn record_poll(&mut self, now: Micros) {
         self.last_polled_at = now;
     }
 
-    /// A poll starts to wait for updates.
+    /// Registers a poll that waits for updates.
     pub(crate) fn add_waiter(&mut self, now: Micros) {
         self.record_poll(now);
         self.waiters += 1;
     }
 
-    /// A poll no longer waits for updates.
+    /// Unregisters a poll that waited for updates.
     pub(crate) fn remove_waiter(&mut self, now: Micros) {
         self.record_poll(now);
         self.waiters = self.waiters.saturating_sub(1);
@@ -171,11 +171,11 @@
         self.send_options = options;
     }
 
-    /// Accepts a page of an attempt's result. False if it is not wanted: another attempt delivers its result, the
-    /// attempt's end was reported before, or the statement is settled.
+    /// Accepts a page of an attempt's result. Returns `false` if the page is not needed: another attempt delivers its
+    /// result, the outcome of this attempt was already reported, or the statement is settled.
     pub(crate) fn accept_page(&mut self, now: Micros, attempt: u32, page: ResultPage) -> bool {
         match &mut self.state {
-            // Rows of an attempt whose end was reported could mix with those of a later attempt.
+            // Rows of an attempt whose outcome was already reported could mix with those of a later attempt.
             StatementState::Pending if self.attempts.is_in_flight(attempt) => {
                 self.attempts.record_page(attempt, now);
                 self.state = StatementState::FirstPageReady { attempt, page };
@@ -192,17 +192,17 @@
         }
     }
 
-    /// Discards the first page of an attempt if it is not delivered yet. Returns its size in bytes.
+    /// Discards the first page of an attempt if it has not been delivered yet. Returns the size of the page in bytes.
     pub(crate) fn discard_first_page(&mut self, attempt: u32) -> u64 {
         self.state.discard_first_page(attempt)
     }
 
-    /// Takes what is new to deliver. A first page commits the statement to its attempt.
+    /// Takes the next page or the final response for delivery. A first page commits the statement to its attempt.
     pub(crate) fn take_delivery(&mut self) -> Option<Delivery> {
         self.state.take_delivery()
     }
 
-    /// Settles the final response. Returns the size in bytes of the page that it discards.
+    /// Settles the final response. Returns the size in bytes of the buffered page that it discards.
     pub(crate) fn settle(&mut self, now: Micros, response: FinalResponse) -> u64 {
         self.is_delivered |= matches!(response, FinalResponse::Canceled | FinalResponse::Abandoned);
         self.settled_at = Some(now);
@@ -210,22 +210,22 @@
         std::mem::replace(&mut self.state, StatementState::Settled(response)).buffered_bytes()
     }
 
-    /// Records that the final response, or the page that comes before it, was delivered.
+    /// Records that the final response, or the page that precedes it, was delivered.
     pub(crate) fn mark_delivered(&mut self) {
         self.is_delivered = true;
     }
 
-    /// The last response delivered.
+    /// Returns the latest response delivered.
     pub(crate) fn latest(&self) -> Rc<StatementResponse> {
         self.latest.clone()
     }
 
-    /// Time since it was received.
+    /// Returns the time since the statement was received.
     pub(crate) fn elapsed(&self, now: Micros) -> Micros {
         now - self.received_at
     }
 
-    /// The position of a response number.
+    /// Returns the position of a response number.
     pub(crate) fn position_of(&self, page: u64) -> ResponsePosition {
         match page {
             p if p == self.latest.page => ResponsePosition::Latest,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Makes the next numbered response, which supersedes the one before.
+    /// Creates the next numbered response, which supersedes the previous one.
     pub(crate) fn respond(
         &mut self,
         now: Micros,
@@ -254,7 +254,7 @@
         self.latest.clone()
     }
 
-    /// Records the next attempt, and makes it with the options set for it.
+    /// Records the next attempt and creates it with the options set for it.
     pub(crate) fn start_attempt(
         &mut self,
         now: Micros,
@@ -277,8 +277,9 @@
         }
     }
 
-    /// Marks an attempt as succeeded and returns the event for the controller; `None` if its outcome was reported
-    /// before. The run time ends with the first page: how fast a client reads the rest says nothing of the engine.
+    /// Marks an attempt as succeeded. Returns the event for the controller, or `None` if the outcome was already
+    /// reported. The run time ends with the first page, because the rest depends on how fast the client reads, not on
+    /// the engine.
     pub(crate) fn record_success(&mut self, attempt: u32, now: Micros) -> Option<Event> {
         let (report, work) = self.reported_load_and_work();
         let ended = self.attempts.end(attempt, now, AttemptStatus::Succeeded)?;
@@ -294,7 +295,8 @@
         }))
     }
 
-    /// The engine's load and the work done, as reported with the first page, or else with the page delivered last.
+    /// Returns the engine's load and the work done, as reported with the first page or else with the last page
+    /// delivered.
     fn reported_load_and_work(&self) -> (Option<LoadReport>, Option<Micros>) {
         match (&self.state, &self.latest.content) {
             (StatementState::FirstPageReady { page, .. }, _) | (_, ResponseContent::Rows(page)) => {
@@ -304,8 +306,8 @@
         }
     }
 
-    /// Marks an attempt as ended without a result and returns the event for the controller; `None` if its outcome was
-    /// reported before. After a terminal outcome there will be no other attempt.
+    /// Marks an attempt as ended without a result. Returns the event for the controller, or `None` if the outcome was
+    /// already reported. No further attempt follows a terminal outcome.
     pub(crate) fn record_outcome(
         &mut self,
         attempt: u32,
@@ -327,7 +329,7 @@
         }))
     }
 
-    /// Why the controller gave it up, for people, as far as its attempts show.
+    /// Describes why the controller gave up the statement, as far as its attempts show it.
     pub(crate) fn rejection_reason(&self, now: Micros) -> String {
         let waited_ms = self.millis_since_received(now);
         let Some(last_reason) = self.attempts.last_reason() else {
@@ -344,7 +346,7 @@
         format!("{attempts} in {waited_ms} ms; the last: {reason}")
     }
 
-    /// Its history up to now.
+    /// Returns the history of the statement so far.
     pub(crate) fn history(&self, now: Micros) -> StatementHistory {
         let end = self.settled_at.unwrap_or(now);
         let first_sent_at = self.attempts.first_sent_at().unwrap_or(end);
--- a/crates/router-core/src/statement_state.rs
+++ b/crates/router-core/src/statement_state.rs
@@ -1,8 +1,8 @@
-//! How far a statement has come, and what of its result is buffered.
+//! The state of a statement and the buffered part of its result.
 
 use crate::response::{FinalResponse, ResultPage};
 
-/// What the next response holds.
+/// The content of the next response.
 #[derive(Debug)]
 pub(crate) enum Delivery {
     /// A page of an attempt's result.
@@ -15,14 +15,14 @@
     Final(FinalResponse),
 }
 
-/// How far a statement has come.
+/// The state of a statement.
 #[derive(Debug)]
 pub(crate) enum StatementState {
-    /// With the controller: it is queued, or its attempts run.
+    /// The controller decides on the statement: it is queued or has running attempts.
     Pending,
-    /// A first page was received and not delivered: another attempt could still replace it.
+    /// A first page was received but not delivered; another attempt can still replace it.
     FirstPageReady { attempt: u32, page: ResultPage },
-    /// Rows were delivered: only this attempt can continue.
+    /// Rows were delivered, so only this attempt can continue.
     Streaming {
         attempt: u32,
         next: Option<ResultPage>,
@@ -32,7 +32,7 @@
 }
 
 impl StatementState {
-    /// Size of the buffered page in bytes.
+    /// Returns the size of the buffered page in bytes.
     pub(crate) fn buffered_bytes(&self) -> u64 {
         match self {
             StatementState::FirstPageReady { page, .. }
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Whether rows of this attempt were delivered, so that only it can continue.
+    /// Returns whether rows of this attempt were delivered, so that only it can continue.
     pub(crate) fn is_streaming_from(&self, attempt: u32) -> bool {
         matches!(self, StatementState::Streaming { attempt: streaming, .. } if *streaming == attempt)
     }
 
-    /// Whether there is something new to deliver.
+    /// Returns whether a page or the final response is ready for delivery.
     pub(crate) fn has_undelivered(&self) -> bool {
         matches!(
             self,
@@ -58,7 +58,7 @@
         )
     }
 
-    /// Discards the first page of an attempt if it is not delivered yet. Returns its size in bytes.
+    /// Discards the first page of an attempt if it has not been delivered yet. Returns the size of the page in bytes.
     pub(crate) fn discard_first_page(&mut self, attempt: u32) -> u64 {
         match self {
             StatementState::FirstPageReady { attempt: ready, .. } if *ready == attempt => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes what is new to deliver. A first page commits the statement to its attempt.
+    /// Takes the next page or the final response for delivery. A first page commits the statement to its attempt.
     pub(crate) fn take_delivery(&mut self) -> Option<Delivery> {
         let (attempt, page, is_first) = match std::mem::replace(self, StatementState::Pending) {
             StatementState::FirstPageReady { attempt, page } => (attempt, page, true),
--- a/crates/router-core/src/statement_table.rs
+++ b/crates/router-core/src/statement_table.rs
@@ -1,4 +1,4 @@
-//! The table of statements: open ones, answered ones that are retained for a while, and the timers of both.
+//! The table of statements: open ones, those retained after delivery, and the timers of both.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -8,12 +8,12 @@
 use crate::identity::StatementId;
 use crate::statement::Statement;
 
-/// A statement and what the table knows of it.
+/// A statement with its accounting in the table.
 struct Entry {
     statement: Statement,
-    /// It was counted as delivered.
+    /// Whether the statement was counted as delivered.
     is_delivered: bool,
-    /// It is to be removed once its attempts have ended.
+    /// Whether to remove the statement once its attempts have ended.
     is_retired: bool,
 }
 
@@ -24,7 +24,7 @@
     next_id: StatementId,
     open: usize,
     undelivered: usize,
-    /// Delivered ones, oldest first; some may have been removed since.
+    /// Delivered statements, oldest first; some may already have been removed.
     delivered: VecDeque<StatementId>,
     retained: usize,
     /// Timers, earliest first.
@@ -32,7 +32,7 @@
 }
 
 impl StatementTable {
-    /// Inserts a statement under the next number.
+    /// Inserts a statement under the next number and returns that number.
     pub(crate) fn insert(
         &mut self,
         make_statement: impl FnOnce(StatementId) -> Statement,
@@ -49,27 +49,27 @@
         id
     }
 
-    /// A statement by its number.
+    /// Returns a statement by its number.
     pub(crate) fn get(&self, id: StatementId) -> Option<&Statement> {
         self.entries.get(&id).map(|entry| &entry.statement)
     }
 
-    /// A statement by its number.
+    /// Returns a mutable reference to a statement by its number.
     pub(crate) fn get_mut(&mut self, id: StatementId) -> Option<&mut Statement> {
         self.entries.get_mut(&id).map(|entry| &mut entry.statement)
     }
 
-    /// The number that the next statement will have.
+    /// Returns the number of the next statement to be inserted.
     pub(crate) fn next_id(&self) -> StatementId {
         self.next_id
     }
 
-    /// Number of statements whose final response is not settled.
+    /// Returns how many statements have no settled final response.
     pub(crate) fn open(&self) -> usize {
         self.open
     }
 
-    /// The statements whose final response is not settled, in no particular order.
+    /// Returns the statements whose final response is not settled, in arbitrary order.
     pub(crate) fn unsettled(&self) -> impl Iterator<Item = StatementId> {
         self.entries
             .iter()
@@ -77,24 +77,24 @@
             .map(|(id, _)| *id)
     }
 
-    /// Number of statements whose final response is settled and not delivered.
+    /// Returns how many statements have a final response that is settled but not delivered.
     pub(crate) fn undelivered(&self) -> usize {
         self.undelivered
     }
 
-    /// Number of answered statements retained for clients that poll again.
+    /// Returns how many delivered statements are retained for clients that poll again.
     pub(crate) fn retained(&self) -> usize {
         self.retained
     }
 
-    /// Counts a statement whose final response is settled. [`StatementTable::mark_delivered`] follows, at once or at a
-    /// later poll.
+    /// Counts a statement whose final response was settled. [`StatementTable::mark_delivered`] follows, immediately or
+    /// on a later poll.
     pub(crate) fn mark_settled(&mut self) {
         self.open -= 1;
         self.undelivered += 1;
     }
 
-    /// Counts a statement whose final response was delivered, or that nobody will poll; repeated calls do nothing.
+    /// Counts a statement whose final response was delivered or has no recipient. Repeated calls have no effect.
     pub(crate) fn mark_delivered(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.get_mut(&id)
             && !entry.is_delivered
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Sets a timer on a statement; earlier ones stay.
+    /// Adds a timer for a statement; earlier timers remain.
     pub(crate) fn set_timer(&mut self, at: Micros, id: StatementId) {
         self.timers.push(Reverse((at, id)));
     }
 
-    /// Takes a timer that is due.
+    /// Removes a timer that is due and returns its statement.
     pub(crate) fn pop_due_timer(&mut self, now: Micros) -> Option<StatementId> {
         let Reverse((at, id)) = *self.timers.peek()?;
         if at > now {
@@ -122,7 +122,7 @@
         Some(id)
     }
 
-    /// Removes a statement, as soon as its last attempt has ended.
+    /// Removes a statement once its last attempt has ended.
     pub(crate) fn retire(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.get_mut(&id)
             && !std::mem::replace(&mut entry.is_retired, true)
@@ -136,7 +136,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a retired statement whose attempts have all ended.
+    /// Removes a retired statement if all its attempts have ended.
     pub(crate) fn remove_if_finished(&mut self, id: StatementId) {
         let is_finished =
             |entry: &Entry| entry.is_retired && entry.statement.attempts().are_all_ended();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Retires the oldest delivered statements until at most `max_retained` are left.
+    /// Retires the oldest delivered statements until at most `max_retained` remain.
     pub(crate) fn trim_retained(&mut self, max_retained: usize) {
         while self.retained > max_retained {
             let Some(id) = self.delivered.pop_front() else {
@@ -153,7 +153,7 @@
             };
             self.retire(id);
         }
-        // Statements that expired are still in the queue, which would otherwise grow without bound.
+        // Expired statements are still in the queue, which would otherwise grow without bound.
         while self
             .delivered
             .front()
--- a/crates/router-core/src/submission.rs
+++ b/crates/router-core/src/submission.rs
@@ -1,52 +1,52 @@
-//! What a client submits.
+//! Statements that clients submit.
 
 use std::rc::Rc;
 
 use hoptiller_policy::Micros;
 use hoptiller_runaway::Announced;
 
-/// A statement that a client submits.
+/// A statement submitted by a client.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Index of its class.
+    /// Index of the statement's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the client's tenant.
     pub tenant: Option<usize>,
-    /// Ordering key: statements with the same key run in order.
+    /// Ordering key; statements with the same key run in order.
     pub ordering_key: Option<String>,
-    /// Number of the group of tables that it reads or writes; see [`group_of`](crate::group_of).
+    /// Number of the table group that the statement reads or writes; see [`group_of`](crate::group_of).
     pub group: Option<u64>,
-    /// Estimated work, summed over all its threads.
+    /// Estimated work, summed over all threads.
     pub estimated_work: Option<Micros>,
-    /// Estimated memory in MB; 0 if not given.
+    /// Estimated memory in MB; 0 if there is no estimate.
     pub estimated_memory_mb: f64,
-    /// Fingerprint of its text.
+    /// Fingerprint of the statement's text.
     pub fingerprint: u64,
-    /// Its text without literal values, for display.
+    /// Normalized text without literal values, for display.
     pub label: Rc<str>,
-    /// What the client announces of its size.
+    /// Size and work that the client announced.
     pub announced: Announced,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked the statement as a retry.
     pub is_retry: bool,
-    /// How long the client waits, if it says so; limited by the deadline of the class.
+    /// Timeout requested by the client; the deadline of the class limits it.
     pub timeout: Option<Micros>,
-    /// What is sent to engines.
+    /// Statement text and session fields to send to engines.
     pub work: Rc<EngineStatement>,
 }
 
-/// What is sent to engines: the text, and the session fields that go with it.
+/// The part of a submission that is sent to engines.
 #[derive(Clone, Debug, Default)]
 pub struct EngineStatement {
     /// Text of the statement.
     pub text: String,
-    /// Names and values of session fields to forward.
+    /// Names and values of the session fields to forward.
     pub fields: Vec<(String, String)>,
 }
 
-/// Why a statement was not accepted. Nothing is owed for it.
+/// The reason why a statement was not accepted. The core produces no response to such a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// The greatest number of open statements is reached.
+    /// The maximum number of open statements was reached.
     #[error("too many statements are open")]
     TableFull,
     /// The router is shutting down.
