--- a/crates/statement/src/client.rs
+++ b/crates/statement/src/client.rs
@@ -1,4 +1,4 @@
-//! What a client says of its statement in `X-Trino-*` headers.
+//! The `X-Trino-*` headers in which clients describe their statements.
 
 use std::time::Duration;
 
@@ -8,62 +8,62 @@
 
 pub mod names;
 
-/// The length of the value of a tag, at most.
+/// Maximum length of a tag's value.
 const MAX_TAG_BYTES: usize = 128;
-/// The value of the tag `size=`, at most.
+/// Maximum value of the tag `size=`.
 const MAX_SIZE: u64 = 1_000_000_000_000;
 
-/// The headers of a client that matter to routing.
+/// Client headers that affect routing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClientHeaders {
-    /// The user who submits the statement.
+    /// User who submits the statement.
     pub user: String,
-    /// The program that submits it.
+    /// Program that submits the statement.
     pub source: Option<String>,
-    /// Tag `class=…`.
+    /// Class of the statement, from the tag `class=…`.
     pub class: Option<String>,
-    /// Tag `tenant=…`.
+    /// Tenant, from the tag `tenant=…`.
     pub tenant: Option<String>,
-    /// Tag `key=…`: statements with the same key keep their order, where their class asks for it.
+    /// Ordering key, from the tag `key=…`: statements with the same key keep their order if their class requires it.
     pub ordering_key: Option<String>,
-    /// Tag `tables=…`: the group of tables that the statement reads or writes.
+    /// Table group that the statement reads or writes, from the tag `tables=…`.
     pub table_group: Option<String>,
-    /// Tag `size=…`: what the statement's cost grows with, as a number: months, properties.
+    /// Quantity that the statement's cost grows with, such as a number of months or properties, from the tag `size=…`.
     pub size: Option<u64>,
-    /// Tag `estimate=…`: the client's own estimate of the work.
+    /// Client's estimate of the work, from the tag `estimate=…`.
     pub estimated_work: Option<Duration>,
-    /// Tag `repeat`: the client marks the statement as a retry.
+    /// Whether the client marks the statement as a retry, with the tag `repeat`.
     pub is_retry: bool,
-    /// Session property `query_max_run_time`.
+    /// Client's timeout, from the session property `query_max_run_time`.
     pub timeout: Option<Duration>,
 }
 
-/// Headers that can't be accepted.
+/// An error in a client's headers.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeaderError {
-    /// No user is given.
+    /// The user is missing.
     #[error("{}: must be set", names::USER)]
     MissingUser,
-    /// A tag is given twice with different values.
+    /// A tag occurs twice with different values.
     #[error("{}: {_0}= is given twice", names::CLIENT_TAGS)]
     ConflictingTag(&'static str),
     /// The value of a tag is empty or longer than 128 bytes.
     #[error("{}: {_0}= must have 1 to {MAX_TAG_BYTES} bytes", names::CLIENT_TAGS)]
     TagLength(&'static str),
-    /// Session property `query_max_run_time` is no duration.
+    /// The session property `query_max_run_time` is not a valid duration.
     #[error(
         "{}: {} is {_0:?}; a number and one of ns, us, ms, s, m, h, d is wanted, such as 30s",
         names::SESSION,
         names::MAX_RUN_TIME_PROPERTY
     )]
     InvalidTimeout(String),
-    /// Tag `size=` is no whole number of 1 to 10^12.
+    /// The tag `size=` is not a whole number from 1 to 10^12.
     #[error(
         "{}: size= is {_0:?}; a whole number of 1 to 10^12 is wanted",
         names::CLIENT_TAGS
     )]
     InvalidSize(String),
-    /// Tag `estimate=` is no duration over 0.
+    /// The tag `estimate=` is not a duration greater than 0.
     #[error(
         "{}: estimate= is {_0:?}; a number over 0 and a unit is wanted, such as 30s",
         names::CLIENT_TAGS
@@ -72,11 +72,11 @@
 }
 
 impl ClientHeaders {
-    /// Parses header fields, given as name and value. Fields, tags and properties of other names are ignored.
+    /// Parses headers, given as pairs of name and value. Unknown headers, tags and properties are ignored.
     ///
     /// # Errors
     ///
-    /// Where no user is given, or a tag or property that is known has a value that is not accepted.
+    /// Returns an error if the user is missing, or if a known tag or property has an invalid value.
     pub fn parse<'a>(
         fields: impl Iterator<Item = (&'a str, &'a str)>,
     ) -> Result<ClientHeaders, HeaderError> {
--- a/crates/statement/src/client/names.rs
+++ b/crates/statement/src/client/names.rs
@@ -1,14 +1,14 @@
-//! Names of the headers and session properties of clients.
+//! Names of client headers and session properties.
 
-/// The user who submits a statement; required.
+/// User who submits a statement; required.
 pub const USER: &str = "X-Trino-User";
-/// The program that submits a statement.
+/// Program that submits a statement.
 pub const SOURCE: &str = "X-Trino-Source";
-/// Tags, comma-separated; those of the form `name=value` are parsed.
+/// Comma-separated tags, such as `class=report` or `repeat`.
 pub const CLIENT_TAGS: &str = "X-Trino-Client-Tags";
-/// Session properties, comma-separated `name=value`.
+/// Comma-separated session properties of the form `name=value`.
 pub const SESSION: &str = "X-Trino-Session";
-/// The client's own id of a statement, which is forwarded.
+/// Client's own id of a statement, which the router forwards.
 pub const TRACE_TOKEN: &str = "X-Trino-Trace-Token";
-/// The session property that shortens a statement's timeout.
+/// Session property that shortens a statement's timeout.
 pub const MAX_RUN_TIME_PROPERTY: &str = "query_max_run_time";
--- a/crates/statement/src/discovery.rs
+++ b/crates/statement/src/discovery.rs
@@ -4,38 +4,38 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The path at which an engine announces itself, with `PUT` and `DELETE`: this, followed by its node id.
+/// Path at which an engine announces itself with `PUT` and withdraws with `DELETE`, up to the node id that follows.
 pub const ANNOUNCEMENT_PATH: &str = "/v1/announcement/";
-/// The path of the list of services: this, followed by a service type and optionally a pool.
+/// Path of the list of services, up to the service type that follows, and optionally a pool.
 pub const SERVICE_PATH: &str = "/v1/service/";
-/// The service type that engines announce.
+/// Service type that engines announce.
 pub const ENGINE_SERVICE_TYPE: &str = "trino";
 
-/// The announcement of an engine.
+/// An engine's announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Announcement {
-    /// The environment (installation) that it belongs to.
+    /// Environment (installation) that the engine belongs to.
     pub environment: String,
-    /// The id of the engine, which survives restarts.
+    /// Id of the engine, which survives restarts.
     pub node_id: String,
-    /// The pool that it belongs to.
+    /// Pool that the engine belongs to.
     pub pool: String,
-    /// The location, `/zone/node`.
+    /// Location of the engine, as `/zone/node`.
     pub location: String,
-    /// The services that it offers.
+    /// Services that the engine offers.
     pub services: Vec<AnnouncedService>,
 }
 
 /// A service that an engine announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedService {
-    /// The id of the service, another with each start of the process.
+    /// Id of the service, which changes with each start of the process.
     pub id: String,
-    /// The service type.
+    /// Service type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Properties: `http` is the address; `kind` and `cell` are extensions of the specification.
+    /// Properties of the service: `http` is the address; `kind` and `cell` extend the specification.
     #[serde(default)]
     pub properties: BTreeMap<String, String>,
 }
@@ -43,9 +43,9 @@
 /// The list of services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Services {
-    /// The environment (installation) that it belongs to.
+    /// Environment (installation) that the list belongs to.
     pub environment: String,
-    /// The services that are announced.
+    /// Announced services.
     pub services: Vec<Service>,
 }
 
@@ -53,44 +53,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Service {
-    /// The id of the service, another with each start of the process.
+    /// Id of the service, which changes with each start of the process.
     pub id: String,
-    /// The id of the engine.
+    /// Id of the engine.
     pub node_id: String,
-    /// The service type.
+    /// Service type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The pool that it belongs to.
+    /// Pool that the engine belongs to.
     pub pool: String,
-    /// The location, `/zone/node`.
+    /// Location of the engine, as `/zone/node`.
     #[serde(default)]
     pub location: String,
-    /// Properties.
+    /// Properties of the service.
     #[serde(default)]
     pub properties: BTreeMap<String, String>,
 }
 
-/// The state that an engine reports at `/v1/info/state`, in JSON.
+/// The state that an engine reports at `/v1/info/state`, as JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum NodeState {
-    /// It accepts work.
+    /// The engine accepts work.
     Active,
-    /// It does not accept work yet, or no longer.
+    /// The engine does not accept work yet or no longer does.
     #[serde(alias = "INACTIVE", alias = "DRAINING", alias = "DRAINED")]
     ShuttingDown,
 }
 
-/// What an engine reports at `/v1/info`.
+/// The information that an engine reports at `/v1/info`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The environment (installation) that it belongs to.
+    /// Environment (installation) that the engine belongs to.
     pub environment: String,
     /// Whether the node is a coordinator.
     pub coordinator: bool,
     /// Whether the node is still starting.
     pub starting: bool,
-    /// The time since the start, as a duration: `1.50m`.
+    /// Time since the start, as a duration such as `1.50m`.
     pub uptime: String,
 }
 
@@ -98,18 +98,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct NodeStatus {
-    /// The id of the engine.
+    /// Id of the engine.
     pub node_id: String,
-    /// The number of cores.
+    /// Number of cores.
     #[serde(default)]
     pub processors: u32,
-    /// The share of the cores that is busy, from 0 to 1.
+    /// Busy share of the cores, from 0 to 1.
     #[serde(default)]
     pub process_cpu_load: f64,
-    /// The memory in use, in bytes.
+    /// Memory in use, in bytes.
     #[serde(default)]
     pub heap_used: u64,
-    /// The memory in all, in bytes.
+    /// Total memory, in bytes.
     #[serde(default)]
     pub heap_available: u64,
 }
--- a/crates/statement/src/duration.rs
+++ b/crates/statement/src/duration.rs
@@ -1,15 +1,15 @@
-//! Durations as the protocol writes them.
+//! Durations in the format of the protocol.
 
 use std::time::Duration;
 
 const SECONDS_PER_MINUTE: f64 = 60.0;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Durations of this many seconds and more are not accepted.
+/// Durations of this length or more are rejected.
 const DURATION_LIMIT_SECONDS: u64 = 366 * 86_400;
 
-/// Parses a duration: a number and one of the units `ns`, `us`, `ms`, `s`, `m`, `h` and `d`, as in `1.5s`,
-/// `300ms` or `2m`. `None` where the text is not of that form or the duration is 366 days or longer.
+/// Parses a duration: a number and one of the units `ns`, `us`, `ms`, `s`, `m`, `h` and `d`, as in `1.5s`, `300ms` or
+/// `2m`. Returns `None` if the text does not have that form or if the duration is 366 days or longer.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (number, unit) = text.split_at(unit_start);
--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -2,32 +2,33 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The category of an error, by which clients sort them.
+/// The category of an error, by which clients classify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum ErrorType {
-    /// The statement is wrong, or its user cancelled it.
+    /// The statement is invalid, or its user cancelled it.
     UserError,
-    /// The service is at fault.
+    /// The service failed.
     InternalError,
-    /// There is no capacity for the statement now.
+    /// No capacity is available for the statement now.
     InsufficientResources,
-    /// A dependency of the service is at fault.
+    /// A dependency of the service failed.
     External,
 }
 
-/// The errors of the router itself. Those of engines are forwarded under their own names.
+/// The router's own errors. Errors of engines are forwarded under their own names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorName {
-    /// The statement was rejected: it has not run, or running it again changes nothing. A retry is safe.
+    /// The statement was rejected: it has not run, or running it again has no further effect. A retry is safe.
     Rejected,
-    /// A rule ended the statement at its engine, and its effects were rolled back. A retry is safe, but will end alike.
+    /// A rule terminated the statement at its engine, and its effects were rolled back. A retry is safe but will be
+    /// terminated as well.
     EndedByRule,
-    /// The statement failed and may have run: whether it did must be checked before a retry.
+    /// The statement failed and may have run. The client must check whether it did before a retry.
     MayHaveRun,
-    /// The statement failed after rows were delivered: the result is truncated.
+    /// The statement failed after rows were delivered, so the result is truncated.
     ResultTruncated,
-    /// The router was restarted; the statement has changed nothing. A retry is safe.
+    /// The router restarted, and the statement has changed nothing. A retry is safe.
     RouterRestarted,
     /// The client cancelled the statement.
     UserCanceled,
@@ -36,7 +37,7 @@
 }
 
 impl ErrorName {
-    /// The specification's name of the error of a statement that an administrator ended at an engine.
+    /// The specification's error name for a statement that an administrator killed at an engine.
     pub const ADMINISTRATIVELY_KILLED: &'static str = "ADMINISTRATIVELY_KILLED";
 
     /// All error names.
@@ -50,7 +51,7 @@
         ErrorName::Abandoned,
     ];
 
-    /// The name in responses.
+    /// Returns the name used in responses.
     pub fn name(self) -> &'static str {
         match self {
             ErrorName::Rejected => "HOPTILLER_REFUSED",
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The code in responses: within the specification's range of the type, the router's own from 0xF000.
+    /// Returns the code used in responses. It lies within the specification's range for the error type; the router's
+    /// own codes start at 0xF000 in that range.
     pub fn code(self) -> u32 {
         match self {
             ErrorName::UserCanceled => 3,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The type in responses.
+    /// Returns the type used in responses.
     pub fn error_type(self) -> ErrorType {
         match self {
             ErrorName::UserCanceled => ErrorType::UserError,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether the response promises that a retry is safe.
+    /// Returns whether the error promises that a retry is safe.
     pub fn is_retryable(self) -> bool {
         matches!(
             self,
--- a/crates/statement/src/extra.rs
+++ b/crates/statement/src/extra.rs
@@ -1,42 +1,41 @@
-//! The optional `X-Hoptiller-*` headers between router and engine. Those with numbers are lists of `name=number`;
-//! what can't be parsed is ignored, since they are hints.
+//! Optional `X-Hoptiller-*` headers between router and engine. Headers with numbers are lists of `name=number`. All of
+//! these headers are hints, so parts that cannot be parsed are ignored.
 
-/// An engine's load report, in its responses: `in_flight=3; memory=0.5; cpu=0.25`.
+/// Load report of an engine, in its responses: `in_flight=3; memory=0.5; cpu=0.25`.
 pub const LOAD: &str = "X-Hoptiller-Load";
-/// Progress of a running statement, in responses to polls: `done=0.3` or `spills=40` (MB that it lacks and spills)
-/// or `lacks=40` (MB that it waits for) or `waits=1` (it is blocked by another statement).
+/// Progress of a running statement, in responses to polls: `done=0.3`, `spills=40` (MB that it lacks and spills),
+/// `lacks=40` (MB that it waits for) or `waits=1` (another statement blocks it).
 pub const PROGRESS: &str = "X-Hoptiller-Note";
-/// The statement that blocks a running one, in responses to polls: its name as routers send it in
-/// [`STATEMENT_ID`], its class, and how long it has run, less the time in which it was blocked itself:
-/// `r1/00017_ab; class=rent-load; age_ms=12000`.
+/// Statement that blocks a running one, in responses to polls: its name as routers send it in [`STATEMENT_ID`], its
+/// class, and its run time less the time in which it was blocked itself: `r1/00017_ab; class=rent-load; age_ms=12000`.
 pub const BLOCKED_BY: &str = "X-Hoptiller-Behind";
-/// The effects of a statement that was ended, as its engine reports them on request: `rolled-back` or `committed`.
+/// Effects of a terminated statement, as its engine reports them on request: `rolled-back` or `committed`.
 pub const EFFECTS: &str = "X-Hoptiller-Effects";
-/// The cost of a statement, in its last response: `work_ms=250`.
+/// Cost of a statement, in its last response: `work_ms=250`.
 pub const COST: &str = "X-Hoptiller-Cost";
-/// The options of an attempt, when it is sent: `priority=3; grant_mb=40; hop=0`.
+/// Options of an attempt, sent with it: `priority=3; grant_mb=40; hop=0`.
 pub const ATTEMPT_OPTIONS: &str = "X-Hoptiller-Terms";
-/// The router's id of the statement, when an attempt is sent.
+/// Router's name of the statement, sent with an attempt.
 pub const STATEMENT_ID: &str = "X-Hoptiller-Statement";
-/// The class of the statement, when an attempt is sent.
+/// Class of the statement, sent with an attempt.
 pub const CLASS: &str = "X-Hoptiller-Class";
-/// The configuration versions under which an attempt is sent, as [`ConfigVersions`]. Engines may reject what is
-/// older than they have seen.
+/// Configuration versions under which an attempt is sent, as [`ConfigVersions`]. Engines may reject versions older than
+/// those they have seen.
 pub const CONFIG_VERSIONS: &str = "X-Hoptiller-Versions";
-/// The router that sends: attempts, and requests to discovery.
+/// Name of the router that sends an attempt or a request to discovery.
 pub const ROUTER: &str = "X-Hoptiller-Router";
-/// The lease of a fleet-wide task under which a request is sent, as [`TaskLease`]. A receiver that compares fencing
-/// tokens rejects one that is lower than another that it has seen for the same shard.
+/// Lease of the fleet-wide task for which a request is sent, as [`TaskLease`]. A receiver that compares fencing tokens
+/// rejects a token lower than one that it has seen for the same shard.
 pub const LEASE: &str = "X-Hoptiller-Lease";
 
-/// What follows the numbers in [`CONFIG_VERSIONS`] where the router's lease has expired.
+/// Suffix of [`CONFIG_VERSIONS`] if the router's lease has expired.
 const IN_DOUBT_SUFFIX: &str = " doubt";
-/// The length of the name of a blocking statement, at most.
+/// Maximum length of a blocking statement's name.
 const MAX_NAME_BYTES: usize = 128;
-/// Ages of this many milliseconds and more are ignored.
+/// Ages of this length or more are ignored.
 const AGE_LIMIT_MS: u64 = 1 << 40;
 
-/// Parses `name=number` pairs, separated by `;`; only finite numbers count.
+/// Parses `name=number` pairs separated by `;`, and skips those without a finite number.
 pub fn parse_numbers(value: &str) -> impl Iterator<Item = (&str, f64)> {
     value.split(';').filter_map(|pair| {
         let (name, number) = pair.split_once('=')?;
@@ -45,14 +44,14 @@
     })
 }
 
-/// The first number of that name among `name=number` pairs.
+/// Returns the first number with the given name among `name=number` pairs.
 pub fn find_number(value: &str, name: &str) -> Option<f64> {
     parse_numbers(value)
         .find(|(other, _)| *other == name)
         .map(|(_, number)| number)
 }
 
-/// Formats `name=number` pairs, with three decimals at most.
+/// Formats `name=number` pairs, with at most three decimals.
 pub fn format_numbers(pairs: &[(&str, f64)]) -> String {
     let formatted: Vec<String> = pairs
         .iter()
@@ -61,22 +60,22 @@
     formatted.join("; ")
 }
 
-/// The name under which routers send a statement to engines. No two incarnations of a router give the same name.
+/// Returns the name under which routers send a statement to engines. No two incarnations of a router use the same name.
 pub fn statement_name(router: &str, incarnation: &str, number: u64) -> String {
     format!("{router}/{number:05}_{incarnation}")
 }
 
-/// The value of [`LEASE`]: `probe/3#17`.
+/// The value of [`LEASE`], such as `probe/3#17`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskLease<'a> {
-    /// The shard that is leased, `probe/3`.
+    /// Leased shard, such as `probe/3`.
     pub shard: &'a str,
-    /// The lease's fencing token.
+    /// Fencing token of the lease.
     pub fencing_token: u64,
 }
 
 impl<'a> TaskLease<'a> {
-    /// Parses the value of [`LEASE`].
+    /// Parses the value of [`LEASE`]. Returns `None` if it is malformed.
     pub fn parse(value: &'a str) -> Option<TaskLease<'a>> {
         let (shard, token) = value.split_once('#')?;
         let fencing_token = token.parse().ok()?;
@@ -87,19 +86,19 @@
     }
 }
 
-/// The value of [`CONFIG_VERSIONS`]: `3..4`, with ` doubt` behind it where the router's lease has expired.
+/// The value of [`CONFIG_VERSIONS`], such as `3..4`, followed by ` doubt` if the router's lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigVersions {
-    /// The version in force.
+    /// Version in force.
     pub in_force: u64,
-    /// The latest version that the router enforces.
+    /// Latest version that the router enforces.
     pub enforced: u64,
     /// Whether the router's lease has expired.
     pub in_doubt: bool,
 }
 
 impl ConfigVersions {
-    /// Parses the value of [`CONFIG_VERSIONS`].
+    /// Parses the value of [`CONFIG_VERSIONS`]. Returns `None` if it is malformed.
     pub fn parse(value: &str) -> Option<ConfigVersions> {
         let (versions, in_doubt) = match value.strip_suffix(IN_DOUBT_SUFFIX) {
             Some(versions) => (versions, true),
@@ -117,16 +116,16 @@
 /// The value of [`BLOCKED_BY`]: the statement that blocks another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockingStatement<'a> {
-    /// Its name, as of [`statement_name`].
+    /// Name of the statement, in the form of [`statement_name`].
     pub name: &'a str,
-    /// Its class, where reported.
+    /// Class of the statement, if reported.
     pub class: Option<&'a str>,
-    /// How long it has run, less the time in which it was blocked itself, in milliseconds, where reported.
+    /// Run time of the statement in milliseconds, less the time in which it was blocked itself, if reported.
     pub age_ms: Option<u64>,
 }
 
 impl<'a> BlockingStatement<'a> {
-    /// Parses the value of [`BLOCKED_BY`]; `None` where there is no name.
+    /// Parses the value of [`BLOCKED_BY`]. Returns `None` if it contains no valid name.
     pub fn parse(value: &'a str) -> Option<BlockingStatement<'a>> {
         let mut parts = value.split(';').map(str::trim);
         let name = parts
--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -1,8 +1,8 @@
 //! The statement protocol, without I/O: messages, headers, paging tokens, states and errors.
 //!
-//! Source: the client REST API and the discovery protocol in Trino's public documentation. What that
-//! specification lacks (load reports, progress, options of an attempt) travels in optional headers that start
-//! with `X-Hoptiller-`; a peer that leaves them out is served all the same.
+//! Source: the client REST API and the discovery protocol in Trino's public documentation. Data that the specification
+//! does not cover (load reports, progress, options of an attempt) is sent in optional headers that start with
+//! `X-Hoptiller-`. Peers may omit these headers.
 
 #![warn(missing_docs)]
 
@@ -22,5 +22,5 @@
 pub use results::{FailureInfo, QueryError, QueryResults, State, Stats};
 pub use token::{Idempotency, PageToken, Phase, RecoveryState, TokenError, TokenKey};
 
-/// The path that statements are posted to.
+/// Path to which clients post statements.
 pub const STATEMENT_PATH: &str = "/v1/statement";
--- a/crates/statement/src/query_id.rs
+++ b/crates/statement/src/query_id.rs
@@ -1,4 +1,4 @@
-//! Ids of statements, such as `20261201_120000_00042_k3v9xq2m`: the time of arrival, the statement's number, and
+//! Ids of statements, such as `20261201_120000_00042_k3v9xq2m`: the time of arrival, the number of the statement, and
 //! the incarnation of the router that accepted it.
 
 use std::fmt;
@@ -7,22 +7,22 @@
 const SECONDS_PER_DAY: u64 = 86_400;
 const DATE_DIGITS: usize = 8;
 const TIME_DIGITS: usize = 6;
-/// At most 19 digits fit into a `u64` whichever they are.
+/// Any number of at most 19 digits fits into a `u64`.
 const NUMBER_DIGITS: std::ops::RangeInclusive<usize> = 5..=19;
 const MAX_INCARNATION_BYTES: usize = 16;
 
-/// The id under which clients know a statement. Its text is kept, since every response contains it.
+/// The id under which clients know a statement. Its text is stored because every response contains it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueryId {
     text: String,
     number: u64,
-    /// The offset of the incarnation in the text.
+    /// Offset of the incarnation in the text.
     incarnation_start: usize,
 }
 
 impl QueryId {
-    /// The id of a statement that arrived at that time, from its number in the router's incarnation. The name of
-    /// the incarnation must consist of letters and digits.
+    /// Creates the id of a statement from its arrival time and its number within the router's incarnation.
+    /// `incarnation` must consist of letters and digits.
     pub fn new(arrived_at: SystemTime, number: u64, incarnation: &str) -> QueryId {
         let since_epoch = arrived_at
             .duration_since(UNIX_EPOCH)
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Parses an id; `None` where the text does not have the form of one. It may still be an id that was never
-    /// issued: only the authentication code beside it shows that.
+    /// Parses an id. Returns `None` if the text does not have the form of an id. A well-formed id may never have been
+    /// issued; only the authentication code that accompanies it shows that.
     pub fn parse(text: &str) -> Option<QueryId> {
         let mut parts = text.split('_');
         let [
@@ -74,17 +74,17 @@
         })
     }
 
-    /// The statement's number in the router's incarnation.
+    /// Returns the number of the statement within the router's incarnation.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// The incarnation of the router that accepted the statement.
+    /// Returns the incarnation of the router that accepted the statement.
     pub fn incarnation(&self) -> &str {
         &self.text[self.incarnation_start..]
     }
 
-    /// The text of the id.
+    /// Returns the text of the id.
     pub fn as_str(&self) -> &str {
         &self.text
     }
@@ -105,8 +105,8 @@
         && text.bytes().all(|b| b.is_ascii_alphanumeric())
 }
 
-/// Year, month and day of a day since 1970, in the proleptic Gregorian calendar. Years are counted from March, in
-/// eras of 400 years of 146,097 days.
+/// Converts a number of days since 1970-01-01 to year, month and day in the proleptic Gregorian calendar. The
+/// calculation counts years from March, in eras of 400 years (146,097 days).
 ///
 /// Source: Howard Hinnant, "chrono-Compatible Low-Level Date Algorithms", `civil_from_days`.
 fn civil_date(days: i64) -> (i64, i64, i64) {
--- a/crates/statement/src/results.rs
+++ b/crates/statement/src/results.rs
@@ -1,5 +1,5 @@
-//! `QueryResults`, the response to submitting and to polling. Rows stay the JSON text that the engine sent: the
-//! router forwards values without parsing them.
+//! `QueryResults`, the response to a submission and to each poll. Rows remain the JSON text that the engine sent,
+//! because the router forwards values without parsing them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -10,83 +10,83 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum State {
-    /// Waiting for a slot.
+    /// The statement waits for a slot.
     Queued,
-    /// Being planned.
+    /// The statement is being planned.
     Planning,
-    /// About to run.
+    /// The statement is about to run.
     Starting,
-    /// Running.
+    /// The statement is running.
     Running,
-    /// Has run, while rows are still fetched.
+    /// The statement has run, but the client is still fetching rows.
     Finishing,
-    /// Completed.
+    /// The statement is completed.
     Finished,
-    /// Rejected or failed.
+    /// The statement was rejected or failed.
     Failed,
     /// Any other state that an engine reports.
     #[serde(other)]
     Other,
 }
 
-/// Statistics of a statement. Those that are not known are 0.
+/// Statistics of a statement. Unknown numbers are 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Stats {
-    /// The state of the statement.
+    /// State of the statement.
     pub state: State,
-    /// Whether it is queued.
+    /// Whether the statement is queued.
     #[serde(default)]
     pub queued: bool,
-    /// Whether it was sent to an engine.
+    /// Whether the statement was sent to an engine.
     #[serde(default)]
     pub scheduled: bool,
-    /// The number of nodes that work on it.
+    /// Number of nodes that work on the statement.
     #[serde(default)]
     pub nodes: u32,
-    /// The number of splits.
+    /// Total number of splits.
     #[serde(default)]
     pub total_splits: u64,
-    /// The number of splits that are queued.
+    /// Number of queued splits.
     #[serde(default)]
     pub queued_splits: u64,
-    /// The number of splits that are running.
+    /// Number of running splits.
     #[serde(default)]
     pub running_splits: u64,
-    /// The number of splits that are completed.
+    /// Number of completed splits.
     #[serde(default)]
     pub completed_splits: u64,
     /// CPU time of all threads, in milliseconds.
     #[serde(default)]
     pub cpu_time_millis: u64,
-    /// Time since it began to run, in milliseconds.
+    /// Time since the statement began to run, in milliseconds.
     #[serde(default)]
     pub wall_time_millis: u64,
-    /// Time for which it was queued, in milliseconds.
+    /// Time for which the statement was queued, in milliseconds.
     #[serde(default)]
     pub queued_time_millis: u64,
-    /// Time since its arrival, in milliseconds.
+    /// Time since the statement's arrival, in milliseconds.
     #[serde(default)]
     pub elapsed_time_millis: u64,
-    /// The number of rows that it has read.
+    /// Number of rows read.
     #[serde(default)]
     pub processed_rows: u64,
-    /// The number of bytes that it has read.
+    /// Number of bytes read.
     #[serde(default)]
     pub processed_bytes: u64,
-    /// The peak of its memory, in bytes.
+    /// Peak memory use, in bytes.
     #[serde(default)]
     pub peak_memory_bytes: u64,
-    /// The bytes that it has spilled for want of memory.
+    /// Number of bytes spilled for lack of memory.
     #[serde(default)]
     pub spilled_bytes: u64,
-    /// The share of its work that is completed, in percent, where known.
+    /// Completed share of the work in percent, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub progress_percentage: Option<f64>,
 }
 
 impl Stats {
-    /// Statistics of which only the state is known.
+    /// Creates statistics in which only the state is known.
     pub fn from_state(state: State) -> Stats {
         Stats {
             state,
@@ -114,21 +114,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct QueryError {
-    /// The text for people.
+    /// Human-readable message.
     pub message: String,
-    /// The code of the error.
+    /// Code of the error.
     pub error_code: u32,
-    /// The name of the error.
+    /// Name of the error.
     pub error_name: String,
-    /// The type of the error.
+    /// Type of the error.
     pub error_type: ErrorType,
-    /// Details of the failure; clients expect them to be present.
+    /// Details of the failure, which clients expect to be present.
     #[serde(default)]
     pub failure_info: FailureInfo,
 }
 
 impl QueryError {
-    /// An error of the router.
+    /// Creates an error of the router.
     pub fn from_name(name: ErrorName, message: String) -> QueryError {
         QueryError::new(
             name.name().to_owned(),
@@ -138,7 +138,7 @@
         )
     }
 
-    /// An error of any name.
+    /// Creates an error with any name.
     pub fn new(name: String, code: u32, error_type: ErrorType, message: String) -> QueryError {
         let failure_info = FailureInfo {
             kind: name.clone(),
@@ -157,50 +157,50 @@
 /// Details of a failure.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FailureInfo {
-    /// The kind of the failure, here the error's name.
+    /// Kind of the failure: the name of the error.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// The text for people.
+    /// Human-readable message.
     #[serde(default)]
     pub message: String,
 }
 
-/// The response to submitting and to each poll. Without `next_uri` it is the last one.
+/// The response to a submission and to each poll. The last response has no `next_uri`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct QueryResults {
-    /// The id of the statement.
+    /// Id of the statement.
     pub id: String,
-    /// The URI at which the course of the statement is reported.
+    /// URI at which the router reports the history of the statement.
     #[serde(default)]
     pub info_uri: String,
-    /// The URI to poll next.
+    /// URI to poll next.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next_uri: Option<String>,
-    /// The columns of the rows.
+    /// Columns of the rows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub columns: Option<Box<RawValue>>,
-    /// The rows of this page.
+    /// Rows of this page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<Box<RawValue>>,
     /// Statistics of the statement.
     pub stats: Stats,
-    /// The error, where the statement failed.
+    /// Error, if the statement failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<QueryError>,
     /// Warnings, as the engine sent them.
     #[serde(default)]
     pub warnings: Vec<Box<RawValue>>,
-    /// The kind of an update, such as `INSERT`.
+    /// Type of an update, such as `INSERT`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub update_type: Option<String>,
-    /// The number of rows that an update changed.
+    /// Number of rows that an update changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub update_count: Option<u64>,
 }
 
 impl QueryResults {
-    /// Whether the page has any row.
+    /// Returns whether the page contains any row.
     pub fn has_rows(&self) -> bool {
         self.data
             .as_ref()
--- a/crates/statement/src/token.rs
+++ b/crates/statement/src/token.rs
@@ -1,6 +1,5 @@
-//! The part of a `nextUri` that the router issues: which page is requested, and what was known of the statement
-//! when that URI was issued, with an authentication code. A router that has lost all else answers truthfully from
-//! it.
+//! The part of a `nextUri` that the router issues: the requested page and the state of the statement when the URI was
+//! issued, with an authentication code. From it, a router that has lost all other state can still answer correctly.
 
 use std::fmt::Write as _;
 
@@ -9,31 +8,31 @@
 
 use crate::query_id::QueryId;
 
-/// The bytes of the hash that the authentication code keeps: a guess succeeds with a probability of 2^-80.
+/// Number of hash bytes in the authentication code: a guess succeeds with a probability of 2^-80.
 const CODE_BYTES: usize = 10;
-/// The length of the authentication code as text.
+/// Length of the authentication code as text.
 const CODE_LETTERS: usize = 16;
-/// At most 19 digits fit into a `u64` whichever they are.
+/// Any number of at most 19 digits fits into a `u64`.
 const MAX_PAGE_DIGITS: usize = 19;
 const PAGE_PREFIX: &str = "/v1/statement/";
 const QUERY_PREFIX: &str = "/v1/query/";
-/// Room for most paths of pages and of queries, in bytes.
+/// Initial capacity for the paths of pages and queries, in bytes; sufficient for most.
 const PAGE_PATH_CAPACITY: usize = 96;
 const QUERY_PATH_CAPACITY: usize = 80;
 
 /// Whether running a statement again is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again has no further effect.
+    /// Running the statement again has no further effect.
     Idempotent,
-    /// Running it again may have a second effect.
+    /// Running the statement again may have a second effect.
     NotIdempotent,
 }
 
 impl Idempotency {
     const ALL: [Idempotency; 2] = [Idempotency::Idempotent, Idempotency::NotIdempotent];
 
-    /// The form in a path.
+    /// Returns the form used in a path.
     fn as_str(self) -> &'static str {
         match self {
             Idempotency::Idempotent => "s",
@@ -42,7 +41,7 @@
     }
 }
 
-/// How far a statement had come when the URI was issued.
+/// How far a statement had progressed when the URI was issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// No rows had been delivered.
@@ -54,7 +53,7 @@
 impl Phase {
     const ALL: [Phase; 2] = [Phase::Waiting, Phase::RowsDelivered];
 
-    /// The form in a path.
+    /// Returns the form used in a path.
     fn as_str(self) -> &'static str {
         match self {
             Phase::Waiting => "queued",
@@ -63,37 +62,38 @@
     }
 }
 
-/// What a URI says of its statement to a router that has lost all else.
+/// The state of a statement that a URI records for a router that has lost all other state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryState {
     /// Whether running the statement again is safe.
     pub idempotency: Idempotency,
-    /// How far the statement had come.
+    /// How far the statement had progressed.
     pub phase: Phase,
 }
 
-/// A page of a statement's results, with what was known when its URI was issued.
+/// A page of a statement's results, with the state recorded when its URI was issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PageToken {
-    /// The statement.
+    /// Id of the statement.
     pub id: QueryId,
-    /// The number of the page, from 0.
+    /// Number of the page, from 0.
     pub page: u64,
-    /// What was known when the URI was issued.
+    /// State recorded when the URI was issued.
     pub recovery: RecoveryState,
 }
 
-/// A path that is no token of this router. It does not say which part is wrong, lest that helps in guessing one.
+/// The error for a path that is not a token of this router. It does not say which part is wrong, because that would
+/// help in guessing a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("no such statement")]
 pub struct TokenError;
 
-/// The key with which a router authenticates its paths. Paths of one key are invalid under another.
+/// The key with which a router authenticates its paths. Paths issued under one key are invalid under any other.
 #[derive(Clone)]
 pub struct TokenKey([u8; 32]);
 
 impl TokenKey {
-    /// The key of a router, derived from its stored secret and its name.
+    /// Derives the key of a router from its stored secret and its name.
     pub fn new(secret: &[u8], router: &str) -> TokenKey {
         let mut material = secret.to_vec();
         material.push(0);
@@ -114,7 +114,7 @@
 
     /// Appends the path of a page, which lies below [`STATEMENT_PATH`](crate::STATEMENT_PATH).
     pub fn push_page_path(&self, out: &mut String, token: &PageToken) {
-        // The whole path without its code is authenticated, so that nothing in it can be altered.
+        // The code covers the rest of the path, so that no part of it can be altered.
         let path_start = out.len();
         out.push_str(PAGE_PREFIX);
         out.push_str(token.recovery.phase.as_str());
@@ -129,7 +129,7 @@
         out.insert_str(code_start, std::str::from_utf8(&code).unwrap_or_default());
     }
 
-    /// The path of a page.
+    /// Returns the path of a page.
     pub fn page_path(&self, token: &PageToken) -> String {
         let mut path = String::with_capacity(PAGE_PATH_CAPACITY);
         self.push_page_path(&mut path, token);
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// Where the path was not issued under this key, or any character of it was altered.
+    /// Returns an error if the path was not issued under this key or was altered.
     pub fn parse_page_path(&self, path: &str) -> Result<PageToken, TokenError> {
         let token = parse_unauthenticated(path).ok_or(TokenError)?;
         if !constant_time_eq(self.page_path(&token).as_bytes(), path.as_bytes()) {
@@ -149,7 +149,7 @@
         Ok(token)
     }
 
-    /// Appends the path at which the course of a statement is reported.
+    /// Appends the path at which the router reports the history of a statement.
     pub fn push_query_path(&self, out: &mut String, id: &QueryId) {
         let path_start = out.len();
         out.push_str(QUERY_PREFIX);
@@ -159,18 +159,18 @@
         out.push_str(std::str::from_utf8(&code).unwrap_or_default());
     }
 
-    /// The path at which the course of a statement is reported.
+    /// Returns the path at which the router reports the history of a statement.
     pub fn query_path(&self, id: &QueryId) -> String {
         let mut path = String::with_capacity(QUERY_PATH_CAPACITY);
         self.push_query_path(&mut path, id);
         path
     }
 
-    /// Parses the path at which the course of a statement is reported.
+    /// Parses the path at which the router reports the history of a statement.
     ///
     /// # Errors
     ///
-    /// Where the path was not issued under this key, or any character of it was altered.
+    /// Returns an error if the path was not issued under this key or was altered.
     pub fn parse_query_path(&self, path: &str) -> Result<QueryId, TokenError> {
         let rest = path.strip_prefix(QUERY_PREFIX).ok_or(TokenError)?;
         let id = QueryId::parse(rest.split('/').next().unwrap_or_default()).ok_or(TokenError)?;
@@ -181,7 +181,7 @@
     }
 }
 
-/// Parses the path of a page without looking at its authentication code.
+/// Parses the path of a page without verifying its authentication code.
 fn parse_unauthenticated(path: &str) -> Option<PageToken> {
     let mut parts = path.strip_prefix(PAGE_PREFIX)?.split('/');
     let [Some(phase), Some(id), Some(code), Some(page), None] =
@@ -207,7 +207,7 @@
     })
 }
 
-/// Compares in a time that does not depend on where the first difference is.
+/// Compares in time that does not depend on the position of the first difference.
 fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len()
         && a.iter()
--- a/crates/statement/tests/wire_form.rs
+++ b/crates/statement/tests/wire_form.rs
@@ -1,4 +1,4 @@
-//! What stands on the wire, byte by byte: error names and codes, header names, token paths, JSON.
+//! The wire format, byte by byte: error names and codes, header names, token paths, JSON.
 
 use std::time::{Duration, UNIX_EPOCH};
 
