--- a/crates/sql/src/fingerprint.rs
+++ b/crates/sql/src/fingerprint.rs
@@ -1,9 +1,9 @@
 //! Fingerprints of normalized statements, and the writer that computes them.
 
-/// Greatest length of a label in bytes.
+/// Maximum length of a label.
 pub const MAX_LABEL_BYTES: usize = 160;
 
-/// The fingerprint of a normalized statement: the first 64 bits of BLAKE3 over its pieces.
+/// The fingerprint of a normalized statement: the first 64 bits of the BLAKE3 hash of its pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
@@ -13,7 +13,8 @@
     }
 }
 
-/// Receives the pieces of a normalized statement; computes the fingerprint, and keeps the start of the text.
+/// Receives the pieces of a normalized statement, computes the fingerprint, and keeps the start of the text as the
+/// label.
 #[derive(Default)]
 pub(crate) struct FingerprintWriter {
     hasher: blake3::Hasher,
@@ -23,14 +24,14 @@
 impl FingerprintWriter {
     /// Appends one piece.
     pub(crate) fn write(&mut self, piece: &str) {
-        // A separator that occurs in no piece distinguishes `a b` from `ab`.
+        // The separator makes `a b` differ from `ab`.
         self.hasher.update(piece.as_bytes()).update(b"\0");
         if self.label.len() < MAX_LABEL_BYTES {
             self.extend_label(piece);
         }
     }
 
-    /// Appends as many characters of a piece as the label has space for.
+    /// Appends as many characters of a piece as fit into the label.
     fn extend_label(&mut self, piece: &str) {
         let needs_no_space = matches!(piece, "," | ")" | "]" | "." | ";")
             || self.label.ends_with(['(', '[', '.'])
@@ -48,7 +49,7 @@
         self.label.push_str(&piece[..end]);
     }
 
-    /// The fingerprint of all pieces, and the label.
+    /// Returns the fingerprint of all pieces and the label.
     pub(crate) fn finish(self) -> (Fingerprint, String) {
         let mut first_bytes = [0; 8];
         first_bytes.copy_from_slice(&self.hasher.finalize().as_bytes()[..8]);
--- a/crates/sql/src/lexer.rs
+++ b/crates/sql/src/lexer.rs
@@ -1,39 +1,40 @@
 //! Splits SQL text into tokens.
 //!
 //! Each byte of the text belongs to exactly one token, in order, so that a caller can copy, skip or replace any part.
-//! Nothing is an error: what is not terminated extends to the end of the text and is marked, and a character that starts
-//! no known token is a token of its own.
+//! The lexer accepts any text: an unterminated token extends to the end of the text and is marked, and a character that
+//! starts no known token is a token of its own.
 //!
-//! Lexical rules: ISO/IEC 9075-2, section 5 (tokens, separators, literals); where products differ, [`Dialect`].
+//! Lexical rules: ISO/IEC 9075-2, section 5 (tokens, separators, literals). [`Dialect`] covers the differences between
+//! products.
 
-/// Operators of several characters; longer ones before their prefixes.
+/// Operators of several characters; longer operators precede their prefixes.
 const LONG_OPERATORS: [&str; 16] = [
     "<=>", "->>", "||", "<>", "!=", "<=", ">=", "=>", "->", "::", ":=", "==", "&&", "<<", ">>",
     "..",
 ];
 
-/// Lexical rules in which products differ.
+/// Lexical rules that differ between products.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// In a string, a backslash escapes the next character (MySQL).
+    /// Whether a backslash in a string escapes the next character (MySQL).
     pub backslash_escapes: bool,
-    /// `"…"` is a string, not an identifier (MySQL without ANSI_QUOTES).
+    /// Whether `"…"` is a string and not an identifier (MySQL without ANSI_QUOTES).
     pub double_quoted_strings: bool,
-    /// `#` starts a comment that extends to the end of its line (MySQL).
+    /// Whether `#` starts a comment that extends to the end of the line (MySQL).
     pub hash_comments: bool,
-    /// `/* /* */ */` is one comment (PostgreSQL; the standard leaves it open).
+    /// Whether comments nest, so that `/* /* */ */` is one comment (PostgreSQL; optional in the standard).
     pub nested_comments: bool,
 }
 
 impl Dialect {
-    /// The standard, as Trino reads it.
+    /// The standard, as implemented by Trino.
     pub const STANDARD: Dialect = Dialect {
         backslash_escapes: false,
         double_quoted_strings: false,
         hash_comments: false,
         nested_comments: false,
     };
-    /// MySQL's default modes.
+    /// MySQL with its default modes.
     pub const MYSQL: Dialect = Dialect {
         backslash_escapes: true,
         double_quoted_strings: true,
@@ -45,50 +46,50 @@
 /// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenKind {
-    /// Spaces and line ends.
+    /// Spaces and line breaks.
     Whitespace,
-    /// `-- …`, `/* … */`, `# …`.
+    /// A comment: `-- …`, `/* … */` or `# …`.
     Comment,
-    /// A keyword or an identifier without quotes.
+    /// A keyword or an unquoted identifier.
     Word,
-    /// An identifier in quotes: `"…"`, `` `…` ``.
+    /// A quoted identifier: `"…"` or `` `…` ``.
     QuotedIdentifier,
     /// A string literal: `'…'`.
     String,
     /// A numeric literal.
     Number,
-    /// A parameter: `?`, `$1`, `:name`, `@name`.
+    /// A parameter: `?`, `$1`, `:name` or `@name`.
     Parameter,
-    /// An operator, a bracket, a comma.
+    /// An operator, a bracket, a comma or another punctuation character.
     Symbol,
     /// A character that starts no known token.
     Unknown,
 }
 
-/// A token and its place in the text.
+/// A token and its position in the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token<'a> {
-    /// Its kind.
+    /// Kind of the token.
     pub kind: TokenKind,
-    /// Its text, unchanged.
+    /// Text of the token, unchanged.
     pub text: &'a str,
-    /// Byte offset of its start.
+    /// Byte offset of the start.
     pub offset: usize,
-    /// False for a string, a quoted identifier or a comment that lacks its end.
+    /// Whether the end of the token is present; `false` for an unterminated string, quoted identifier or comment.
     pub is_terminated: bool,
 }
 
 impl Token<'_> {
-    /// Whether it is whitespace or a comment, which have no meaning.
+    /// Returns whether the token is whitespace or a comment, which have no meaning.
     pub fn is_trivia(&self) -> bool {
         matches!(self.kind, TokenKind::Whitespace | TokenKind::Comment)
     }
 }
 
-/// What the lexer recognized at the current offset.
+/// A token that the lexer recognized at the current offset.
 struct Lexeme {
     kind: TokenKind,
-    /// Byte offset of its end.
+    /// Byte offset of the end.
     end: usize,
     is_terminated: bool,
 }
@@ -120,7 +121,7 @@
 }
 
 impl<'a> Lexer<'a> {
-    /// A lexer at the start of a text.
+    /// Creates a lexer at the start of a text.
     pub fn new(text: &'a str, dialect: Dialect) -> Lexer<'a> {
         Lexer {
             text,
@@ -133,7 +134,7 @@
         self.text.as_bytes().get(at).copied()
     }
 
-    /// Recognizes the token at the current offset; `None` at the end of the text.
+    /// Recognizes the token at the current offset. Returns `None` at the end of the text.
     fn recognize(&self) -> Option<Lexeme> {
         let start = self.offset;
         let first = self.text[start..].chars().next()?;
@@ -170,19 +171,19 @@
         Some(lexeme)
     }
 
-    /// The end of the longest run from `start` whose characters are all accepted.
+    /// Returns the end of the longest run from `start` in which every character is accepted.
     fn end_of_run(&self, start: usize, accepts: impl Fn(char) -> bool) -> usize {
         self.text[start..]
             .find(|c| !accepts(c))
             .map_or(self.text.len(), |length| start + length)
     }
 
-    /// A comment up to the end of its line.
+    /// Recognizes a comment that extends to the end of its line.
     fn line_comment(&self, start: usize) -> Lexeme {
         Lexeme::terminated(TokenKind::Comment, self.end_of_run(start, |c| c != '\n'))
     }
 
-    /// A comment in `/* */`.
+    /// Recognizes a comment in `/* */`.
     fn block_comment(&self, start: usize) -> Lexeme {
         let bytes = self.text.as_bytes();
         let mut depth = 1usize;
@@ -206,7 +207,7 @@
         Lexeme::unterminated(TokenKind::Comment, bytes.len())
     }
 
-    /// A string literal.
+    /// Recognizes a string literal.
     fn string(&self, start: usize, quote: u8) -> Lexeme {
         self.quoted(
             start,
@@ -216,7 +217,7 @@
         )
     }
 
-    /// A token in quotes; a doubled quote stands for one.
+    /// Recognizes a quoted token, in which a doubled quote stands for one quote.
     fn quoted(&self, start: usize, kind: TokenKind, quote: u8, backslash_escapes: bool) -> Lexeme {
         let bytes = self.text.as_bytes();
         let mut at = start + 1;
@@ -231,7 +232,7 @@
         Lexeme::unterminated(kind, bytes.len())
     }
 
-    /// A number: digits with `_`, a fraction, an exponent; or hexadecimal, octal, binary.
+    /// Recognizes a number: digits with `_`, a fraction and an exponent; or hexadecimal, octal or binary digits.
     fn number(&self, start: usize) -> Lexeme {
         Lexeme::terminated(TokenKind::Number, self.end_of_number(start))
     }
@@ -258,7 +259,7 @@
         end
     }
 
-    /// An operator or another punctuation character.
+    /// Recognizes an operator or another punctuation character.
     fn symbol(&self, start: usize) -> Lexeme {
         let rest = &self.text[start..];
         let length = LONG_OPERATORS
--- a/crates/sql/src/lib.rs
+++ b/crates/sql/src/lib.rs
@@ -1,8 +1,8 @@
-//! SQL text, without I/O: a [`lexer`] that covers every byte, and the [normalization](normalize()) of statements on top
-//! of it, which yields their fingerprints.
+//! SQL text processing without I/O: a [`lexer`] that covers every byte of a text, and the [normalization](normalize())
+//! of statements, which yields their fingerprints.
 //!
-//! There is no grammar here. What a statement does is the engines' concern; its tokens are enough to tell whether two
-//! statements differ only in their values.
+//! There is no grammar, because only engines need to know what a statement does. Its tokens are enough to tell whether
+//! two statements differ only in their values.
 
 #![warn(missing_docs)]
 
--- a/crates/sql/src/normalize.rs
+++ b/crates/sql/src/normalize.rs
@@ -1,28 +1,29 @@
-//! Normalizes statements, so that those that differ only in their values get the same fingerprint.
+//! Normalization of statements, so that statements that differ only in their values have the same fingerprint.
 //!
-//! Comments, whitespace, case and the quotes of plain names are dropped; each literal and parameter becomes `?`; a list
-//! of values becomes `?+`; rows of `VALUES` that look alike become one. What was left out is counted as the size.
+//! Comments, whitespace, case and unnecessary quotes of identifiers are dropped; each literal and parameter becomes
+//! `?`; a list of values becomes `?+`; consecutive equal rows of `VALUES` become one. The size of the statement counts
+//! the values and rows that were merged.
 //!
-//! One pass over the text. Memory is bounded, however long the text is.
+//! Normalization takes one pass over the text. Its memory use does not grow with the number of tokens.
 
 use crate::fingerprint::Fingerprint;
 use crate::lexer::{Dialect, Lexer, Token, TokenKind};
 use crate::value_rows::RowCollapser;
 
-/// Keywords after which a `-` is a sign and not an operator.
+/// Keywords after which `-` or `+` is a sign and not an operator.
 const KEYWORDS_BEFORE_OPERANDS: [&str; 22] = [
     "select", "where", "and", "or", "not", "between", "like", "then", "else", "when", "case", "on",
     "having", "limit", "offset", "by", "return", "set", "is", "all", "distinct", "escape",
 ];
 
-/// What normalization tells of a statement.
+/// The result of normalizing a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NormalizedStatement {
-    /// Alike for statements that differ only in their values.
+    /// Fingerprint, equal for statements that differ only in their values.
     pub fingerprint: Fingerprint,
-    /// The start of the normalized text, for people; it holds no value of the statement.
+    /// Start of the normalized text, for display; it contains no value of the statement.
     pub label: String,
-    /// Length of the longest list of values, or number of rows that it inserts; at least 1.
+    /// Length of the longest list of values or largest number of rows in `VALUES`, whichever is greater; at least 1.
     pub size: u64,
 }
 
@@ -35,17 +36,17 @@
     normalizer.finish()
 }
 
-/// What precedes a token, as far as normalization depends on it.
+/// The context of a token, as far as normalization depends on it.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Context {
-    /// Something after which `-` is a sign.
+    /// An operand is expected, so that `-` is a sign.
     #[default]
     ExpectsOperand,
-    /// A value or a name, after which `-` subtracts.
+    /// A value or a name precedes, so that `-` subtracts.
     AfterOperand,
-    /// `IN` or `VALUES`.
+    /// `IN`, `VALUES` or `VALUE` precedes.
     AfterListKeyword,
-    /// The bracket after such a keyword.
+    /// The opening bracket of a list or a row precedes.
     ListStart,
 }
 
@@ -63,12 +64,12 @@
 struct Normalizer {
     output: RowCollapser,
     context: Context,
-    /// A sign that may belong to a number.
+    /// Sign that may belong to a number.
     pending_sign: Option<&'static str>,
     run: ValueRun,
     longest_list: u64,
     bracket_depth: u32,
-    /// A `;` that is dropped if nothing follows.
+    /// Whether a `;` was read, which is dropped if nothing follows.
     has_pending_semicolon: bool,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A literal or a parameter extends the current run, or starts one.
+    /// Adds a literal or a parameter to the current run of values, or starts a new run.
     fn push_value(&mut self) {
         self.pending_sign = None;
         if self.run.length > 0 && !self.run.ends_with_comma {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Whether an operand precedes, so that a sign would be an operator.
+    /// Returns whether an operand precedes, so that a sign would be an operator.
     fn follows_operand(&self) -> bool {
         if self.run.length > 0 {
             !self.run.ends_with_comma
@@ -169,7 +170,7 @@
         };
     }
 
-    /// Writes the run of values that has ended, and a sign that belongs to no number.
+    /// Writes the completed run of values, and a sign that belongs to no number.
     fn flush(&mut self) {
         let run = std::mem::take(&mut self.run);
         if run.length > 0 {
@@ -211,7 +212,7 @@
     word.eq_ignore_ascii_case("true") || word.eq_ignore_ascii_case("false")
 }
 
-/// The name inside quotes, in lower case, if it could be written without them.
+/// Returns the name inside the quotes in lower case, if the name is valid without quotes.
 fn plain_name(token: &Token<'_>) -> Option<String> {
     let name = token.text.get(1..token.text.len().checked_sub(1)?)?;
     let is_plain = name.starts_with(|c: char| c.is_alphabetic() || c == '_')
--- a/crates/sql/src/normalize/tests.rs
+++ b/crates/sql/src/normalize/tests.rs
@@ -66,7 +66,7 @@
     ];
     let prints: std::collections::BTreeSet<u64> =
         texts.iter().map(|t| normalized(t).fingerprint.0).collect();
-    // The last two are a value each.
+    // The last two texts are one value each, so they have the same fingerprint.
     assert_eq!(prints.len(), texts.len() - 1);
 }
 
--- a/crates/sql/src/value_rows.rs
+++ b/crates/sql/src/value_rows.rs
@@ -1,11 +1,11 @@
-//! Collapses the rows of `VALUES`: consecutive rows that are alike become one.
+//! Collapses consecutive equal rows of `VALUES` into one.
 
 use crate::fingerprint::FingerprintWriter;
 
-/// Rows up to this length in bytes are compared with the row before; longer ones are not collapsed.
+/// Maximum length of rows that are compared with the previous row; longer rows are not collapsed.
 const MAX_COMPARED_ROW_BYTES: usize = 4096;
 
-/// Passes pieces on to a writer, except for the rows of `VALUES` that equal the row before.
+/// Passes pieces on to a writer, except for rows of `VALUES` that equal the previous row.
 #[derive(Default)]
 pub(crate) struct RowCollapser {
     writer: FingerprintWriter,
@@ -16,19 +16,19 @@
 /// The rows of the current `VALUES`.
 #[derive(Default)]
 struct Rows {
-    /// Bracket depth at which the rows begin; `None` outside of `VALUES`.
+    /// Bracket depth at which rows start; `None` outside of `VALUES`.
     depth: Option<u32>,
-    /// The row that is being read.
+    /// Row that is being read.
     current: Option<String>,
-    /// The last row written.
+    /// Last row written.
     previous: Option<String>,
-    /// Whether a comma was read after a row and is not yet written.
+    /// Whether a comma was read after a row and has not been written.
     has_pending_comma: bool,
     count: u64,
 }
 
 impl RowCollapser {
-    /// Rows of `VALUES` follow at this depth, unless they would be nested in others.
+    /// Starts the rows of `VALUES` at this bracket depth, unless they are nested in other rows.
     pub(crate) fn start_rows(&mut self, depth: u32) {
         if self.rows.depth.is_none() {
             self.rows = Rows {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Whether rows begin at this depth.
+    /// Returns whether rows start at this bracket depth.
     pub(crate) fn expects_row(&self, depth: u32) -> bool {
         self.rows.depth == Some(depth)
     }
 
-    /// An opening bracket begins a row.
+    /// Starts a row at its opening bracket.
     pub(crate) fn open_row(&mut self) {
         self.rows.current = Some(String::new());
     }
 
-    /// A bracket was closed, down to this depth: if that ends a row, compares it with the row before.
+    /// Handles a closing bracket that returns to this depth: if it ends a row, compares the row with the previous one.
     pub(crate) fn close_row(&mut self, depth: u32) {
         if !self.expects_row(depth) {
             return;
@@ -59,7 +59,7 @@
         self.rows.count += 1;
         self.max_rows = self.max_rows.max(self.rows.count);
         if self.rows.previous.as_ref() == Some(&row) {
-            // The row and the comma before it are left out.
+            // The row and the comma before it are omitted.
             self.rows.has_pending_comma = false;
             return;
         }
@@ -68,7 +68,7 @@
         self.rows.previous = Some(row);
     }
 
-    /// Writes a piece at this depth, or appends it to the row that is being read.
+    /// Writes a piece at this bracket depth, or appends it to the row that is being read.
     pub(crate) fn write(&mut self, piece: &str, depth: u32) {
         if let Some(row) = &mut self.rows.current {
             if !row.is_empty() {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Writes what is left of an unfinished row; returns the writer, and the greatest number of rows of a `VALUES`.
+    /// Writes what is left of an unfinished row. Returns the writer and the largest number of rows in one `VALUES`.
     pub(crate) fn finish(mut self) -> (FingerprintWriter, u64) {
         if let Some(row) = self.rows.current.take() {
             self.writer.write(&row);
--- a/crates/sql/tests/generated.rs
+++ b/crates/sql/tests/generated.rs
@@ -1,4 +1,5 @@
-//! Generated texts: nothing is lost, nothing panics, and what must not matter does not.
+//! Property tests on generated texts: the lexer loses no byte, nothing panics, and values and trivia do not affect
+//! fingerprints.
 
 use hoptiller_sql::{Dialect, Lexer, TokenKind, normalize};
 use proptest::prelude::*;
@@ -13,7 +14,7 @@
     }
 }
 
-/// Texts that are full of what lexers trip over.
+/// Texts full of character sequences that are difficult for lexers.
 fn nasty() -> impl Strategy<Value = String> {
     let parts = prop::sample::select(vec![
         "select", "IN", "values", "(", ")", ",", "'", "''", "\"", "`", "--", "\n", "/*", "*/", "/",
@@ -23,7 +24,7 @@
     prop::collection::vec(parts, 0..60).prop_map(|v| v.concat())
 }
 
-/// A statement in parts; those that are values can be given others.
+/// The parts of a statement; each `VALUE` is a placeholder for a value.
 fn parts() -> impl Strategy<Value = Vec<&'static str>> {
     let word = prop::sample::select(vec![
         "select", "a", "from", "t", "where", "=", "<", "(", ")", "and", "in", "values", "insert",
@@ -90,7 +91,7 @@
         other[at] = "something_else";
         let prints = [text(&parts, &["1"], " "), text(&other, &["1"], " ")]
             .map(|t| normalize(&t, Dialect::STANDARD).fingerprint);
-        // A word that stands in the second of two rows alike makes them differ, too.
+        // A word in the second of two equal rows makes the rows differ, so the fingerprint changes then, too.
         prop_assert_ne!(prints[0], prints[1]);
     }
 
