--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -72,7 +72,7 @@
         announced: statement.announced,
         is_retry: false,
         timeout: None,
-        work: Rc::new(EngineStatement {
+        engine_statement: Rc::new(EngineStatement {
             text: index.to_string(),
             fields: Vec::new(),
         }),
--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -259,7 +259,7 @@
         let now = self.now;
         let core = &mut self.routers[admitted.router].core;
         core.report_progress(statement, number, reported);
-        core.update_attempt_status(now, statement, number, report);
+        core.report_progress_to_runaway_detector(now, statement, number, report);
         self.process_router(admitted.router);
     }
 
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -61,7 +61,7 @@
         // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             round = self.event_loop.batch_stats().batches,
@@ -96,11 +96,11 @@
     ) {
         let request = AttemptRequest {
             command: StatementCommand {
-                id: request_id(&attempt.work),
+                id: request_id(&attempt.engine_statement),
                 class: &self.catalog.classes[attempt.class].name,
-                idempotency_key: idempotency_key(&attempt.work),
+                idempotency_key: idempotency_key(&attempt.engine_statement),
                 priority: attempt.priority,
-                statement: &attempt.work.text,
+                statement: &attempt.engine_statement.text,
             },
             deadline: self.event_loop.instant(attempt.deadline),
             send_by: attempt.send_by.map(|at| self.event_loop.instant(at)),
@@ -121,7 +121,7 @@
     fn report_served(&self, attempt: &Attempt, response: CompleteResponse) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             work = response.work,
@@ -140,7 +140,7 @@
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             why = %error,
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -172,7 +172,7 @@
         match poll {
             PollOutcome::Pending => notified.await,
             PollOutcome::Response(response) => match &response.content {
-                ResponseContent::NoChange => page = response.page + 1,
+                ResponseContent::NoChange => page = response.number + 1,
                 ResponseContent::Rows(rows) => {
                     return served_response(rows.rows.as_deref().map_or("[]", |rows| rows.get()));
                 }
@@ -221,7 +221,7 @@
         announced: Announced::default(),
         is_retry: request.is_retry,
         timeout: Some(request.timeout),
-        work: Rc::new(engine_statement(
+        engine_statement: Rc::new(engine_statement(
             request.statement,
             request.id,
             request.idempotency_key,
--- a/crates/router-core/src/command.rs
+++ b/crates/router-core/src/command.rs
@@ -94,7 +94,7 @@
     /// Time by which the first byte must be written; after that the attempt must not be sent at all.
     pub send_by: Option<Micros>,
     /// Statement text and session fields to send.
-    pub work: Rc<EngineStatement>,
+    pub engine_statement: Rc<EngineStatement>,
 }
 
 /// The outcome of an attempt that ended without its complete result.
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports the progress of a running attempt to the runaway detector.
-    pub fn update_attempt_status(
+    pub fn report_progress_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
--- a/crates/router-core/src/response.rs
+++ b/crates/router-core/src/response.rs
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub struct StatementResponse {
     /// Number of the response.
-    pub page: u64,
+    pub number: u64,
     /// Index of the statement's class.
     pub class: usize,
     /// Content of the response.
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -44,7 +44,7 @@
     received_at: Micros,
     valid_until: Micros,
     /// Text and session fields to send; dropped when the final response is settled.
-    work: Option<Rc<EngineStatement>>,
+    engine_statement: Option<Rc<EngineStatement>>,
     send_options: SendOptions,
     attempts: AttemptLog,
     state: StatementState,
@@ -68,7 +68,7 @@
         valid_until: Micros,
     ) -> Statement {
         let first = StatementResponse {
-            page: 0,
+            number: 0,
             class: submission.class,
             content: ResponseContent::NoChange,
             running: false,
@@ -82,7 +82,7 @@
             runaway_profile,
             received_at: now,
             valid_until,
-            work: Some(submission.work.clone()),
+            engine_statement: Some(submission.engine_statement.clone()),
             send_options: SendOptions::default(),
             attempts: AttemptLog::default(),
             state: StatementState::Pending,
@@ -206,7 +206,7 @@
     pub(crate) fn settle(&mut self, now: Micros, response: FinalResponse) -> u64 {
         self.is_delivered |= matches!(response, FinalResponse::Canceled | FinalResponse::Abandoned);
         self.settled_at = Some(now);
-        self.work = None;
+        self.engine_statement = None;
         std::mem::replace(&mut self.state, StatementState::Settled(response)).buffered_bytes()
     }
 
@@ -228,9 +228,9 @@
     /// Returns the position of a response number.
     pub(crate) fn position_of(&self, page: u64) -> ResponsePosition {
         match page {
-            p if p == self.latest.page => ResponsePosition::Latest,
-            p if p < self.latest.page => ResponsePosition::Superseded,
-            p if p == self.latest.page + 1 && !self.latest.is_final() => ResponsePosition::Next,
+            p if p == self.latest.number => ResponsePosition::Latest,
+            p if p < self.latest.number => ResponsePosition::Superseded,
+            p if p == self.latest.number + 1 && !self.latest.is_final() => ResponsePosition::Next,
             _ => ResponsePosition::NeverOffered,
         }
     }
@@ -242,7 +242,7 @@
         content: ResponseContent,
     ) -> Rc<StatementResponse> {
         let response = StatementResponse {
-            page: self.latest.page + 1,
+            number: self.latest.number + 1,
             class: self.class,
             streaming: self.latest.streaming || matches!(content, ResponseContent::Rows(_)),
             content,
@@ -273,7 +273,7 @@
             memory_grant_mb: options.memory_grant_mb,
             deadline,
             send_by,
-            work: self.work.clone().unwrap_or_default(),
+            engine_statement: self.engine_statement.clone().unwrap_or_default(),
         }
     }
 
@@ -361,7 +361,7 @@
             elapsed_ms: self.millis_since_received(end),
             timeout_ms: self.millis_since_received(self.valid_until),
             queued_ms: self.millis_since_received(first_sent_at),
-            responses: self.latest.page,
+            responses: self.latest.number,
             attempts: self.attempts.history(self.received_at),
         }
     }
--- a/crates/router-core/src/submission.rs
+++ b/crates/router-core/src/submission.rs
@@ -31,7 +31,7 @@
     /// Timeout requested by the client; the deadline of the class limits it.
     pub timeout: Option<Micros>,
     /// Statement text and session fields to send to engines.
-    pub work: Rc<EngineStatement>,
+    pub engine_statement: Rc<EngineStatement>,
 }
 
 /// The part of a submission that is sent to engines.
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -42,7 +42,7 @@
     fn submit_request(&self) -> Request {
         let attempt = self.attempt;
         let mut request = Request::new(Method::Post, STATEMENT_PATH);
-        for (name, value) in &attempt.work.fields {
+        for (name, value) in &attempt.engine_statement.fields {
             request.headers.push(name, value);
         }
         let identity = &self.transport.options.identity;
@@ -58,7 +58,7 @@
         request
             .headers
             .push(extra::ATTEMPT_OPTIONS, &extra::format_numbers(&options));
-        request.body = attempt.work.text.clone().into_bytes();
+        request.body = attempt.engine_statement.text.clone().into_bytes();
         request
     }
 
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -137,7 +137,7 @@
 ) -> Response {
     let next = (!response.is_final()).then(|| PageToken {
         id: id.clone(),
-        page: response.page + 1,
+        page: response.number + 1,
         recovery: recovery_state(context, response.class, response.streaming),
     });
     let empty = ResultPage::default();
@@ -215,7 +215,7 @@
             (ErrorName::Rejected, message)
         }
         FinalResponse::TerminatedByRule { reason, .. } => (
-            ErrorName::EndedByRule,
+            ErrorName::TerminatedByRule,
             format!("ended by rule: {reason}. Nothing of it stands; the same again will end alike"),
         ),
         FinalResponse::MayHaveRun(reason) => (
--- a/crates/statement-router/src/front_end/submission.rs
+++ b/crates/statement-router/src/front_end/submission.rs
@@ -88,7 +88,7 @@
         announced,
         is_retry: headers.is_retry,
         timeout: headers.timeout.map(|timeout| timeout.as_micros() as u64),
-        work: Rc::new(EngineStatement {
+        engine_statement: Rc::new(EngineStatement {
             text,
             fields: engine_headers(request),
         }),
--- a/crates/statement-router/src/service/engine_observer.rs
+++ b/crates/statement-router/src/service/engine_observer.rs
@@ -48,7 +48,7 @@
             holder.class = class.and_then(|name| self.settings().class_index(name));
         }
         self.context.with_core(|core, now| {
-            core.update_attempt_status(now, id.statement, id.number, progress);
+            core.report_progress_to_runaway_detector(now, id.statement, id.number, progress);
         });
     }
 
--- a/crates/statement-router/tests/core/harness.rs
+++ b/crates/statement-router/tests/core/harness.rs
@@ -256,9 +256,9 @@
             return Ok(());
         };
         let client = self.clients.get_mut(&id).expect("known");
-        prop_assert_eq!(response.page, page);
+        prop_assert_eq!(response.number, page);
         if let Some(last) = &client.last_response
-            && last.page == page
+            && last.number == page
         {
             let is_same = Rc::ptr_eq(last, &response);
             prop_assert!(is_same, "another response under the same number");
--- a/crates/statement-router/tests/core/main.rs
+++ b/crates/statement-router/tests/core/main.rs
@@ -65,7 +65,7 @@
         announced: Announced::default(),
         is_retry: false,
         timeout: None,
-        work: Rc::new(EngineStatement::default()),
+        engine_statement: Rc::new(EngineStatement::default()),
     }
 }
 
--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -23,7 +23,7 @@
     Rejected,
     /// A rule terminated the statement at its engine, and its effects were rolled back. A retry is safe but will be
     /// terminated as well.
-    EndedByRule,
+    TerminatedByRule,
     /// The statement failed and may have run. The client must check whether it did before a retry.
     MayHaveRun,
     /// The statement failed after rows were delivered, so the result is truncated.
@@ -43,7 +43,7 @@
     /// All error names.
     pub const ALL: [ErrorName; 7] = [
         ErrorName::Rejected,
-        ErrorName::EndedByRule,
+        ErrorName::TerminatedByRule,
         ErrorName::MayHaveRun,
         ErrorName::ResultTruncated,
         ErrorName::RouterRestarted,
@@ -55,7 +55,7 @@
     pub fn name(self) -> &'static str {
         match self {
             ErrorName::Rejected => "HOPTILLER_REFUSED",
-            ErrorName::EndedByRule => "HOPTILLER_ENDED_BY_RULE",
+            ErrorName::TerminatedByRule => "HOPTILLER_ENDED_BY_RULE",
             ErrorName::MayHaveRun => "HOPTILLER_MAY_HAVE_RUN",
             ErrorName::ResultTruncated => "HOPTILLER_RESULT_CUT",
             ErrorName::RouterRestarted => "HOPTILLER_ROUTER_RESTARTED",
@@ -72,7 +72,7 @@
             ErrorName::Abandoned => 0x0001_0006,
             ErrorName::Rejected => 0x0002_F001,
             ErrorName::RouterRestarted => 0x0002_F002,
-            ErrorName::EndedByRule => 0x0002_F003,
+            ErrorName::TerminatedByRule => 0x0002_F003,
             ErrorName::MayHaveRun => 0x0100_F001,
             ErrorName::ResultTruncated => 0x0100_F002,
         }
@@ -83,7 +83,7 @@
         match self {
             ErrorName::UserCanceled => ErrorType::UserError,
             ErrorName::Abandoned => ErrorType::InternalError,
-            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::EndedByRule => {
+            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::TerminatedByRule => {
                 ErrorType::InsufficientResources
             }
             ErrorName::MayHaveRun | ErrorName::ResultTruncated => ErrorType::External,
@@ -94,7 +94,7 @@
     pub fn is_retryable(self) -> bool {
         matches!(
             self,
-            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::EndedByRule
+            ErrorName::Rejected | ErrorName::RouterRestarted | ErrorName::TerminatedByRule
         )
     }
 }
