--- a/crates/router-core/src/attempt_log.rs
+++ b/crates/router-core/src/attempt_log.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records the time at which an attempt's first page was received.
-    pub(crate) fn record_page(&mut self, attempt: u32, now: Micros) {
+    pub(crate) fn record_first_page(&mut self, attempt: u32, now: Micros) {
         if let Some(record) = self.get_mut(attempt) {
             record.first_page_at.get_or_insert(now);
         }
--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -94,7 +94,7 @@
 
     /// Applies an update of the engine list.
     pub fn update_endpoints(&mut self, now: Micros, scope: ListScope, entries: Vec<EndpointEntry>) {
-        self.update_runaway_endpoints(now, scope, &entries);
+        self.report_endpoints_to_runaway_detector(now, scope, &entries);
         self.events.push(Event::EndpointList(scope, entries));
     }
 
@@ -110,14 +110,14 @@
 
     /// Returns whether no statement is open and no final response is undelivered.
     pub fn is_idle(&self) -> bool {
-        self.statements.open() == 0 && self.statements.undelivered() == 0
+        self.statements.open_count() == 0 && self.statements.undelivered_count() == 0
     }
 
     /// Returns the current resource usage of the core.
     pub fn usage(&self) -> CoreUsage {
         CoreUsage {
-            open_statements: self.statements.open(),
-            retained_statements: self.statements.retained(),
+            open_statements: self.statements.open_count(),
+            retained_statements: self.statements.retained_count(),
             buffered_bytes: self.buffered_bytes,
         }
     }
@@ -150,7 +150,7 @@
             self.apply_action(now, action);
         }
         self.actions = actions;
-        self.fetch_while_space();
+        self.request_pages_within_limit();
     }
 
     /// Takes the next command; returns `None` if there is none.
--- a/crates/router-core/src/core/actions.rs
+++ b/crates/router-core/src/core/actions.rs
@@ -69,7 +69,7 @@
         let attempt = statement.start_attempt(now, engine, deadline, send_by);
         let number = attempt.number;
         self.commands.push_back(Command::Send(attempt));
-        self.start_runaway_detection(now, id, number, engine);
+        self.report_start_to_runaway_detector(now, id, number, engine);
     }
 
     /// Settles a statement that the controller gave up. A result that was received in the meantime takes precedence.
@@ -83,7 +83,7 @@
             return;
         };
         if statement.is_pending() {
-            let response = make_response(statement.rejection_reason(now));
+            let response = make_response(statement.failure_reason(now));
             self.settle(now, id, response);
         }
     }
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -28,7 +28,7 @@
         if self.is_shutting_down {
             return Err(SubmitError::ShuttingDown);
         }
-        if self.statements.open() >= self.limits.max_open_statements {
+        if self.statements.open_count() >= self.limits.max_open_statements {
             return Err(SubmitError::TableFull);
         }
         let class_deadline = self.class_deadlines[submission.class];
@@ -37,7 +37,7 @@
             .unwrap_or(class_deadline)
             .min(class_deadline);
         let valid_until = now.saturating_add(timeout);
-        let profile = self.runaway_profile(now, &submission);
+        let profile = self.register_arrival(now, &submission);
         let held_as = profile.as_ref().map(|profile| profile.held_as.0);
         let id = self
             .statements
@@ -61,7 +61,7 @@
     }
 
     /// Registers an arrival with the runaway detector, if there is one.
-    fn runaway_profile(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
+    fn register_arrival(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
         let detector = self.runaway_detector.as_mut()?;
         let class = submission.class;
         let fingerprint = detector.fingerprint_id(class, submission.fingerprint);
@@ -101,7 +101,7 @@
 
     fn release_attempt(&mut self, now: Micros, id: StatementId, attempt: u32) {
         self.commands.push_back(Command::Release { id, attempt });
-        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Succeeded, None);
+        self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Succeeded, None);
     }
 
     /// Returns the history of a statement so far, or `None` if the statement is not retained.
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -50,7 +50,7 @@
         attempt: u32,
         error: EngineError,
     ) {
-        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Failed, None);
+        self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Failed, None);
         self.report_success(now, id, attempt);
         self.settle(now, id, FinalResponse::EngineError(error));
     }
@@ -63,7 +63,7 @@
         attempt: u32,
         outcome: AttemptOutcome,
     ) {
-        self.end_runaway_detection_by_status(now, id, attempt, outcome.status);
+        self.report_status_to_runaway_detector(now, id, attempt, outcome.status);
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
@@ -88,7 +88,7 @@
         proof: Proof,
         reason: String,
     ) {
-        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Failed, None);
+        self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Failed, None);
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -11,7 +11,7 @@
 
 impl Core {
     /// Polls for the response with the given number.
-    pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
+    pub fn poll(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
         let Some(statement) = self.statements.get_mut(id) else {
             return if id < self.statements.next_id() {
                 PollOutcome::Gone
@@ -20,18 +20,20 @@
             };
         };
         statement.record_poll(now);
-        match statement.position_of(page) {
+        match statement.position_of(number) {
             ResponsePosition::Latest => PollOutcome::Response(statement.latest()),
             ResponsePosition::Superseded => PollOutcome::Gone,
             ResponsePosition::NeverOffered => PollOutcome::Unknown,
-            ResponsePosition::Next if statement.state().has_undelivered() => self.deliver(now, id),
+            ResponsePosition::Next if statement.state().has_pending_delivery() => {
+                self.deliver(now, id)
+            }
             ResponsePosition::Next => PollOutcome::Pending,
         }
     }
 
     /// Polls for the response with the given number without waiting. If there is nothing new, the response says so.
-    pub fn poll_now(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
-        match self.poll(now, id, page) {
+    pub fn poll_now(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
+        match self.poll(now, id, number) {
             PollOutcome::Pending => match self.statements.get_mut(id) {
                 Some(statement) => {
                     PollOutcome::Response(statement.respond(now, ResponseContent::NoChange))
@@ -100,7 +102,7 @@
             self.settle_completed(now, id);
         } else {
             self.awaiting_fetch.push_back((id, attempt));
-            self.fetch_while_space();
+            self.request_pages_within_limit();
         }
         PollOutcome::Response(response)
     }
@@ -114,7 +116,7 @@
     }
 
     /// Requests further pages while the buffers have space for them.
-    pub(super) fn fetch_while_space(&mut self) {
+    pub(super) fn request_pages_within_limit(&mut self) {
         while self.buffered_bytes < self.limits.max_buffered_bytes {
             let Some((id, attempt)) = self.awaiting_fetch.pop_front() else {
                 break;
--- a/crates/router-core/src/core/expiry.rs
+++ b/crates/router-core/src/core/expiry.rs
@@ -44,7 +44,7 @@
     /// Retains a statement whose final response was delivered, within the limits on time and number.
     pub(super) fn retain_if_delivered(&mut self, now: Micros, id: StatementId) {
         let statement = self.statements.get(id);
-        if statement.is_some_and(Statement::is_finally_delivered) {
+        if statement.is_some_and(Statement::is_settled_and_delivered) {
             self.statements.mark_delivered(id);
             self.statements.set_timer(now + self.limits.retention, id);
             self.statements
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -55,7 +55,7 @@
     }
 
     /// Reports to the runaway detector that an attempt is sent.
-    pub(super) fn start_runaway_detection(
+    pub(super) fn report_start_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -105,7 +105,7 @@
     }
 
     /// Reports to the runaway detector that an attempt has ended.
-    pub(super) fn end_runaway_detection(
+    pub(super) fn report_end_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -119,7 +119,7 @@
     }
 
     /// Reports to the runaway detector how an attempt ended at the engine, as far as its status shows.
-    pub(super) fn end_runaway_detection_by_status(
+    pub(super) fn report_status_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -138,11 +138,11 @@
                 ExecutionOutcome::Abandoned
             }
         };
-        self.end_runaway_detection(now, id, attempt, outcome, None);
+        self.report_end_to_runaway_detector(now, id, attempt, outcome, None);
     }
 
     /// Reports an update of the engine list to the runaway detector, unless the update failed.
-    pub(super) fn update_runaway_endpoints(
+    pub(super) fn report_endpoints_to_runaway_detector(
         &mut self,
         now: Micros,
         scope: ListScope,
@@ -157,7 +157,7 @@
         for engine in self.endpoints.update(scope, entries) {
             detector.reset_engine(now, engine);
         }
-        detector.update_engines(self.endpoints.listed());
+        detector.update_engines(self.endpoints.engine_statuses());
         self.apply_runaway_decisions();
     }
 
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -29,9 +29,9 @@
 pub(crate) struct EndpointTable {
     entries: BTreeMap<EngineId, EndpointEntry>,
     /// Permitted engines, by class.
-    placement: Vec<Placement>,
+    class_placements: Vec<Placement>,
     /// Idempotency of statements, by class.
-    idempotency: Vec<Idempotency>,
+    class_idempotency: Vec<Idempotency>,
     /// Whether an engine stops the work of a cancelled attempt.
     cancel_stops_work: bool,
     /// Retry-After time for statements that a rule terminated.
@@ -56,7 +56,7 @@
         let limits = &settings.limits;
         EndpointTable {
             entries,
-            placement: settings
+            class_placements: settings
                 .classes
                 .iter()
                 .map(|class| Placement {
@@ -64,7 +64,11 @@
                     kinds: class.kinds.clone(),
                 })
                 .collect(),
-            idempotency: settings.classes.iter().map(|c| c.idempotency).collect(),
+            class_idempotency: settings
+                .classes
+                .iter()
+                .map(|class| class.idempotency)
+                .collect(),
             cancel_stops_work: limits.cancel,
             retry_after: limits.retry_after.then_some(limits.max_retry_after),
         }
@@ -89,21 +93,25 @@
     }
 
     /// Returns the engines that are not removed, with the classes that may run on each.
-    pub(crate) fn listed(&self) -> Vec<EngineStatus> {
+    pub(crate) fn engine_statuses(&self) -> Vec<EngineStatus> {
         self.entries
             .values()
             .filter(|entry| entry.readiness != Readiness::Removed)
             .map(|entry| EngineStatus {
                 engine: entry.engine,
                 is_up: entry.readiness == Readiness::Up,
-                classes: self.placement.iter().map(|p| p.allows(entry)).collect(),
+                classes: self
+                    .class_placements
+                    .iter()
+                    .map(|placement| placement.allows(entry))
+                    .collect(),
             })
             .collect()
     }
 
     /// Returns whether statements of a class are idempotent.
     pub(crate) fn idempotency(&self, class: usize) -> Idempotency {
-        self.idempotency[class]
+        self.class_idempotency[class]
     }
 
     /// Returns whether an engine stops the work of a cancelled attempt.
--- a/crates/router-core/src/endpoints/tests.rs
+++ b/crates/router-core/src/endpoints/tests.rs
@@ -11,15 +11,15 @@
 
 #[test]
 fn updates_replace_entries_and_detect_restarts() {
-    let placement = [Some(vec![1]), None]
+    let class_placements = [Some(vec![1]), None]
         .into_iter()
         .map(|kinds| Placement { zones: None, kinds })
         .collect();
-    let idempotency = vec![Idempotency::Idempotent, Idempotency::NotIdempotent];
+    let class_idempotency = vec![Idempotency::Idempotent, Idempotency::NotIdempotent];
     let mut table = EndpointTable {
         entries: BTreeMap::new(),
-        placement,
-        idempotency,
+        class_placements,
+        class_idempotency,
         cancel_stops_work: false,
         retry_after: None,
     };
@@ -28,8 +28,12 @@
             .update(ListScope::All, &[entry(1, 0, 5), entry(2, 1, 5)])
             .is_empty()
     );
-    let fits: Vec<Vec<bool>> = table.listed().into_iter().map(|l| l.classes).collect();
-    assert_eq!(fits, [[false, true], [true, true]]);
+    let allowed_classes: Vec<Vec<bool>> = table
+        .engine_statuses()
+        .into_iter()
+        .map(|status| status.classes)
+        .collect();
+    assert_eq!(allowed_classes, [[false, true], [true, true]]);
     assert_eq!(
         table.update(ListScope::Changes, &[entry(1, 0, 9)]),
         [EngineId(1)]
@@ -41,9 +45,9 @@
     table.update(ListScope::All, &[draining]);
     assert_eq!(
         table
-            .listed()
+            .engine_statuses()
             .iter()
-            .map(|l| (l.engine.0, l.is_up))
+            .map(|status| (status.engine.0, status.is_up))
             .collect::<Vec<_>>(),
         [(2, false)]
     );
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -23,7 +23,7 @@
 
 /// Pause after a batch, as a multiple of the batch's duration. Batches take at most a tenth of the thread's time unless
 /// `max_pause` cuts the pause short.
-const PAUSE_PER_BATCH: u32 = 9;
+const PAUSE_FACTOR: u32 = 9;
 
 /// Executes the commands that a core returns.
 pub trait CommandExecutor {
@@ -45,7 +45,7 @@
     core: RefCell<Core>,
     executor: Weak<dyn CommandExecutor>,
     /// Maximum pause between batches while events are queued.
-    tick: Duration,
+    max_pause: Duration,
     started_at: Instant,
     /// Notified when the core has events for a batch.
     events_available: Event,
@@ -57,11 +57,11 @@
 impl EventLoop {
     /// Creates an event loop for a core and starts the core's clock. Once the executor is dropped, commands stay in the
     /// core.
-    pub fn new(core: Core, tick: Duration, executor: Weak<dyn CommandExecutor>) -> EventLoop {
+    pub fn new(core: Core, max_pause: Duration, executor: Weak<dyn CommandExecutor>) -> EventLoop {
         EventLoop {
             core: RefCell::new(core),
             executor,
-            tick,
+            max_pause,
             started_at: Instant::now(),
             events_available: Event::new(),
             statement_updates: RefCell::default(),
@@ -93,11 +93,11 @@
     /// # Panics
     ///
     /// Panics if the core is already borrowed.
-    pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
+    pub fn with_core<T>(&self, operation: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.now();
         let (value, has_events) = {
             let mut core = self.core();
-            let value = act(&mut core, now);
+            let value = operation(&mut core, now);
             (value, core.has_events())
         };
         self.execute_commands();
@@ -163,7 +163,7 @@
                 .await;
             }
             let batch_duration = self.run_batch();
-            Timer::after((batch_duration * PAUSE_PER_BATCH).min(self.tick)).await;
+            Timer::after((batch_duration * PAUSE_FACTOR).min(self.max_pause)).await;
         }
     }
 
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -135,7 +135,7 @@
     }
 
     /// Returns whether the final response is settled, and was delivered or has no recipient.
-    pub(crate) fn is_finally_delivered(&self) -> bool {
+    pub(crate) fn is_settled_and_delivered(&self) -> bool {
         self.is_settled() && self.is_delivered
     }
 
@@ -177,7 +177,7 @@
         match &mut self.state {
             // Rows of an attempt whose outcome was already reported could mix with those of a later attempt.
             StatementState::Pending if self.attempts.is_in_flight(attempt) => {
-                self.attempts.record_page(attempt, now);
+                self.attempts.record_first_page(attempt, now);
                 self.state = StatementState::FirstPageReady { attempt, page };
                 true
             }
@@ -226,11 +226,11 @@
     }
 
     /// Returns the position of a response number.
-    pub(crate) fn position_of(&self, page: u64) -> ResponsePosition {
-        match page {
-            p if p == self.latest.number => ResponsePosition::Latest,
-            p if p < self.latest.number => ResponsePosition::Superseded,
-            p if p == self.latest.number + 1 && !self.latest.is_final() => ResponsePosition::Next,
+    pub(crate) fn position_of(&self, number: u64) -> ResponsePosition {
+        match number {
+            n if n == self.latest.number => ResponsePosition::Latest,
+            n if n < self.latest.number => ResponsePosition::Superseded,
+            n if n == self.latest.number + 1 && !self.latest.is_final() => ResponsePosition::Next,
             _ => ResponsePosition::NeverOffered,
         }
     }
@@ -330,7 +330,7 @@
     }
 
     /// Describes why the controller gave up the statement, as far as its attempts show it.
-    pub(crate) fn rejection_reason(&self, now: Micros) -> String {
+    pub(crate) fn failure_reason(&self, now: Micros) -> String {
         let waited_ms = self.millis_since_received(now);
         let Some(last_reason) = self.attempts.last_reason() else {
             return format!("no engine had a place for it within {waited_ms} ms");
--- a/crates/router-core/src/statement_state.rs
+++ b/crates/router-core/src/statement_state.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether a page or the final response is ready for delivery.
-    pub(crate) fn has_undelivered(&self) -> bool {
+    pub(crate) fn has_pending_delivery(&self) -> bool {
         matches!(
             self,
             StatementState::FirstPageReady { .. }
--- a/crates/router-core/src/statement_table.rs
+++ b/crates/router-core/src/statement_table.rs
@@ -22,11 +22,11 @@
 pub(crate) struct StatementTable {
     entries: HashMap<StatementId, Entry>,
     next_id: StatementId,
-    open: usize,
-    undelivered: usize,
+    open_count: usize,
+    undelivered_count: usize,
     /// Delivered statements, oldest first; some may already have been removed.
     delivered: VecDeque<StatementId>,
-    retained: usize,
+    retained_count: usize,
     /// Timers, earliest first.
     timers: BinaryHeap<Reverse<(Micros, StatementId)>>,
 }
@@ -45,7 +45,7 @@
             is_retired: false,
         };
         self.entries.insert(id, entry);
-        self.open += 1;
+        self.open_count += 1;
         id
     }
 
@@ -65,8 +65,8 @@
     }
 
     /// Returns how many statements have no settled final response.
-    pub(crate) fn open(&self) -> usize {
-        self.open
+    pub(crate) fn open_count(&self) -> usize {
+        self.open_count
     }
 
     /// Returns the statements whose final response is not settled, in arbitrary order.
@@ -78,20 +78,20 @@
     }
 
     /// Returns how many statements have a final response that is settled but not delivered.
-    pub(crate) fn undelivered(&self) -> usize {
-        self.undelivered
+    pub(crate) fn undelivered_count(&self) -> usize {
+        self.undelivered_count
     }
 
     /// Returns how many delivered statements are retained for clients that poll again.
-    pub(crate) fn retained(&self) -> usize {
-        self.retained
+    pub(crate) fn retained_count(&self) -> usize {
+        self.retained_count
     }
 
     /// Counts a statement whose final response was settled. [`StatementTable::mark_delivered`] follows, immediately or
     /// on a later poll.
     pub(crate) fn mark_settled(&mut self) {
-        self.open -= 1;
-        self.undelivered += 1;
+        self.open_count -= 1;
+        self.undelivered_count += 1;
     }
 
     /// Counts a statement whose final response was delivered or has no recipient. Repeated calls have no effect.
@@ -101,8 +101,8 @@
             && !entry.is_retired
         {
             entry.is_delivered = true;
-            self.undelivered -= 1;
-            self.retained += 1;
+            self.undelivered_count -= 1;
+            self.retained_count += 1;
             self.delivered.push_back(id);
         }
     }
@@ -128,9 +128,9 @@
             && !std::mem::replace(&mut entry.is_retired, true)
         {
             if entry.is_delivered {
-                self.retained -= 1;
+                self.retained_count -= 1;
             } else {
-                self.undelivered -= 1;
+                self.undelivered_count -= 1;
             }
         }
         self.remove_if_finished(id);
@@ -147,7 +147,7 @@
 
     /// Retires the oldest delivered statements until at most `max_retained` remain.
     pub(crate) fn trim_retained(&mut self, max_retained: usize) {
-        while self.retained > max_retained {
+        while self.retained_count > max_retained {
             let Some(id) = self.delivered.pop_front() else {
                 break;
             };
--- a/crates/sql/src/normalize.rs
+++ b/crates/sql/src/normalize.rs
@@ -67,7 +67,7 @@
     /// Sign that may belong to a number.
     pending_sign: Option<&'static str>,
     run: ValueRun,
-    longest_list: u64,
+    max_list_length: u64,
     bracket_depth: u32,
     /// Whether a `;` was read, which is dropped if nothing follows.
     has_pending_semicolon: bool,
@@ -84,7 +84,7 @@
             TokenKind::Word => self.push_word(&token.text.to_lowercase()),
             TokenKind::QuotedIdentifier => {
                 self.flush();
-                self.write(plain_name(token).as_deref().unwrap_or(token.text));
+                self.write(unquoted_name(token).as_deref().unwrap_or(token.text));
                 self.context = Context::AfterOperand;
             }
             _ => self.push_symbol(token.text),
@@ -175,7 +175,7 @@
         let run = std::mem::take(&mut self.run);
         if run.length > 0 {
             if run.length > 1 || run.starts_list {
-                self.longest_list = self.longest_list.max(run.length);
+                self.max_list_length = self.max_list_length.max(run.length);
                 self.write("?+");
             } else {
                 self.write("?");
@@ -203,7 +203,7 @@
         NormalizedStatement {
             fingerprint,
             label,
-            size: self.longest_list.max(max_rows).max(1),
+            size: self.max_list_length.max(max_rows).max(1),
         }
     }
 }
@@ -213,7 +213,7 @@
 }
 
 /// Returns the name inside the quotes in lower case, if the name is valid without quotes.
-fn plain_name(token: &Token<'_>) -> Option<String> {
+fn unquoted_name(token: &Token<'_>) -> Option<String> {
     let name = token.text.get(1..token.text.len().checked_sub(1)?)?;
     let is_plain = name.starts_with(|c: char| c.is_alphabetic() || c == '_')
         && name.chars().all(|c| c.is_alphanumeric() || c == '_');
--- a/crates/statement/src/token.rs
+++ b/crates/statement/src/token.rs
@@ -11,11 +11,11 @@
 /// Number of hash bytes in the authentication code: a guess succeeds with a probability of 2^-80.
 const CODE_BYTES: usize = 10;
 /// Length of the authentication code as text.
-const CODE_LETTERS: usize = 16;
+const CODE_CHARS: usize = 16;
 /// Any number of at most 19 digits fits into a `u64`.
 const MAX_PAGE_DIGITS: usize = 19;
-const PAGE_PREFIX: &str = "/v1/statement/";
-const QUERY_PREFIX: &str = "/v1/query/";
+const PAGE_PATH_PREFIX: &str = "/v1/statement/";
+const QUERY_PATH_PREFIX: &str = "/v1/query/";
 /// Initial capacity for the paths of pages and queries, in bytes; sufficient for most.
 const PAGE_PATH_CAPACITY: usize = 96;
 const QUERY_PATH_CAPACITY: usize = 80;
@@ -104,19 +104,19 @@
         ))
     }
 
-    fn authentication_code(&self, message: &[u8]) -> [u8; CODE_LETTERS] {
+    fn authentication_code(&self, message: &[u8]) -> [u8; CODE_CHARS] {
         let hash = blake3::keyed_hash(&self.0, message);
-        let mut letters = [0; CODE_LETTERS];
-        BASE32_NOPAD.encode_mut(&hash.as_bytes()[..CODE_BYTES], &mut letters);
-        letters.make_ascii_lowercase();
-        letters
+        let mut encoded = [0; CODE_CHARS];
+        BASE32_NOPAD.encode_mut(&hash.as_bytes()[..CODE_BYTES], &mut encoded);
+        encoded.make_ascii_lowercase();
+        encoded
     }
 
     /// Appends the path of a page, which lies below [`STATEMENT_PATH`](crate::STATEMENT_PATH).
     pub fn push_page_path(&self, out: &mut String, token: &PageToken) {
         // The code covers the rest of the path, so that no part of it can be altered.
         let path_start = out.len();
-        out.push_str(PAGE_PREFIX);
+        out.push_str(PAGE_PATH_PREFIX);
         out.push_str(token.recovery.phase.as_str());
         out.push('/');
         out.push_str(token.id.as_str());
@@ -152,7 +152,7 @@
     /// Appends the path at which the router reports the history of a statement.
     pub fn push_query_path(&self, out: &mut String, id: &QueryId) {
         let path_start = out.len();
-        out.push_str(QUERY_PREFIX);
+        out.push_str(QUERY_PATH_PREFIX);
         out.push_str(id.as_str());
         let code = self.authentication_code(&out.as_bytes()[path_start..]);
         out.push('/');
@@ -172,7 +172,7 @@
     ///
     /// Returns an error if the path was not issued under this key or was altered.
     pub fn parse_query_path(&self, path: &str) -> Result<QueryId, TokenError> {
-        let rest = path.strip_prefix(QUERY_PREFIX).ok_or(TokenError)?;
+        let rest = path.strip_prefix(QUERY_PATH_PREFIX).ok_or(TokenError)?;
         let id = QueryId::parse(rest.split('/').next().unwrap_or_default()).ok_or(TokenError)?;
         if !constant_time_eq(self.query_path(&id).as_bytes(), path.as_bytes()) {
             return Err(TokenError);
@@ -183,7 +183,7 @@
 
 /// Parses the path of a page without verifying its authentication code.
 fn parse_unauthenticated(path: &str) -> Option<PageToken> {
-    let mut parts = path.strip_prefix(PAGE_PREFIX)?.split('/');
+    let mut parts = path.strip_prefix(PAGE_PATH_PREFIX)?.split('/');
     let [Some(phase), Some(id), Some(code), Some(page), None] =
         std::array::from_fn(|_| parts.next())
     else {
