--- a/crates/sql/src/normalize/tests.rs
+++ b/crates/sql/src/normalize/tests.rs
@@ -64,14 +64,14 @@
         "'",
         "?",
     ];
-    let prints: std::collections::BTreeSet<u64> =
+    let fingerprints: std::collections::BTreeSet<u64> =
         texts.iter().map(|t| normalized(t).fingerprint.0).collect();
     // The last two texts are one value each, so they have the same fingerprint.
-    assert_eq!(prints.len(), texts.len() - 1);
+    assert_eq!(fingerprints.len(), texts.len() - 1);
 }
 
 #[test]
-fn labels_hold_no_values_and_are_bounded() {
+fn labels_contain_no_values_and_are_bounded() {
     let secret = "SELECT * FROM t WHERE a = 'hunter2' AND b IN ('hunter2', 'x') AND c = 'hunter2";
     assert!(!label(secret).contains("hunter2"), "{}", label(secret));
     let long = format!("SELECT {} FROM t", "ä_very_long_name, ".repeat(1000));
--- a/crates/sql/tests/generated.rs
+++ b/crates/sql/tests/generated.rs
@@ -15,7 +15,7 @@
 }
 
 /// Texts full of character sequences that are difficult for lexers.
-fn nasty() -> impl Strategy<Value = String> {
+fn adversarial_text() -> impl Strategy<Value = String> {
     let parts = prop::sample::select(vec![
         "select", "IN", "values", "(", ")", ",", "'", "''", "\"", "`", "--", "\n", "/*", "*/", "/",
         "*", "-", "+", "1", "0x", "1e", "1e-", ".", "..", "$", "$1", ":", "::", ":a", "@", "?",
@@ -25,7 +25,7 @@
 }
 
 /// The parts of a statement; each `VALUE` is a placeholder for a value.
-fn parts() -> impl Strategy<Value = Vec<&'static str>> {
+fn statement_parts() -> impl Strategy<Value = Vec<&'static str>> {
     let word = prop::sample::select(vec![
         "select", "a", "from", "t", "where", "=", "<", "(", ")", "and", "in", "values", "insert",
         "f", ",", "VALUE", "VALUE", "VALUE",
@@ -33,23 +33,23 @@
     prop::collection::vec(word, 1..40)
 }
 
-fn text(parts: &[&str], values: &[&str], space: &str) -> String {
-    let mut n = 0;
-    let words = parts.iter().map(|p| match *p {
+fn statement_text(parts: &[&str], values: &[&str], separator: &str) -> String {
+    let mut value_count = 0;
+    let words = parts.iter().map(|part| match *part {
         "VALUE" => {
-            n += 1;
-            values[n % values.len()]
+            value_count += 1;
+            values[value_count % values.len()]
         }
         other => other,
     });
-    words.collect::<Vec<_>>().join(space)
+    words.collect::<Vec<_>>().join(separator)
 }
 
 proptest! {
     #![proptest_config(config())]
 
     #[test]
-    fn every_byte_is_in_exactly_one_token(text in prop_oneof![nasty(), any::<String>()]) {
+    fn every_byte_is_in_exactly_one_token(text in prop_oneof![adversarial_text(), any::<String>()]) {
         for dialect in [Dialect::STANDARD, Dialect::MYSQL] {
             let mut at = 0;
             for token in Lexer::new(&text, dialect) {
@@ -62,37 +62,37 @@
     }
 
     #[test]
-    fn any_text_is_normalized_deterministically(text in prop_oneof![nasty(), any::<String>()]) {
+    fn any_text_is_normalized_deterministically(text in prop_oneof![adversarial_text(), any::<String>()]) {
         let normalized = normalize(&text, Dialect::STANDARD);
         prop_assert!(normalized.size >= 1 && normalized.label.len() <= hoptiller_sql::MAX_LABEL_BYTES + 1);
         prop_assert_eq!(normalized, normalize(&text, Dialect::STANDARD));
     }
 
     #[test]
-    fn values_and_trivia_do_not_change_the_fingerprint(parts in parts()) {
-        let plain = text(&parts, &["1"], " ");
+    fn values_and_trivia_do_not_change_the_fingerprint(parts in statement_parts()) {
+        let plain = statement_text(&parts, &["1"], " ");
         let normalized = normalize(&plain, Dialect::STANDARD);
-        for (values, space) in [
+        for (values, separator) in [
             (&["'it''s'", "2.5e3", "?", "$7", "TRUE", "'/*'"][..], "\n\t"),
             (&["'--'", ":x", "0xFF"][..], " /* a ' comment */ "),
             (&["9"][..], " -- one\n"),
         ] {
-            let other = text(&parts, values, space);
+            let other = statement_text(&parts, values, separator);
             prop_assert_eq!(&normalized, &normalize(&other, Dialect::STANDARD), "{} / {}", plain, other);
         }
         prop_assert_eq!(&normalized, &normalize(&plain.to_uppercase(), Dialect::STANDARD));
     }
 
     #[test]
-    fn words_change_the_fingerprint(parts in parts(), at in any::<prop::sample::Index>()) {
+    fn words_change_the_fingerprint(parts in statement_parts(), at in any::<prop::sample::Index>()) {
         let mut other = parts.clone();
         let at = at.index(other.len());
         prop_assume!(other[at] != "VALUE");
         other[at] = "something_else";
-        let prints = [text(&parts, &["1"], " "), text(&other, &["1"], " ")]
+        let fingerprints = [statement_text(&parts, &["1"], " "), statement_text(&other, &["1"], " ")]
             .map(|t| normalize(&t, Dialect::STANDARD).fingerprint);
         // A word in the second of two equal rows makes the rows differ, so the fingerprint changes then, too.
-        prop_assert_ne!(prints[0], prints[1]);
+        prop_assert_ne!(fingerprints[0], fingerprints[1]);
     }
 
     #[test]
--- a/crates/statement/src/client/tests.rs
+++ b/crates/statement/src/client/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn invalid_headers_are_rejected_by_name() {
+fn errors_name_the_invalid_header_or_tag() {
     assert_eq!(parse(&[]), Err(HeaderError::MissingUser));
     let tags = |value| parse(&[("X-Trino-User", "a"), ("X-Trino-Client-Tags", value)]);
     assert_eq!(
@@ -61,7 +61,11 @@
     );
     for text in ["", "5", "s", "-1s", "1..5s", "1x", "99999999d", "1e400s"] {
         let session = format!("query_max_run_time={text}");
-        let got = parse(&[("X-Trino-User", "a"), ("X-Trino-Session", &session)]);
-        assert_eq!(got, Err(HeaderError::InvalidTimeout(text.into())), "{text}");
+        let parsed = parse(&[("X-Trino-User", "a"), ("X-Trino-Session", &session)]);
+        assert_eq!(
+            parsed,
+            Err(HeaderError::InvalidTimeout(text.into())),
+            "{text}"
+        );
     }
 }
--- a/crates/statement/src/error/tests.rs
+++ b/crates/statement/src/error/tests.rs
@@ -2,16 +2,16 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn names_and_codes_are_unique_and_documented_in_the_operating_page() {
+fn error_names_and_codes_are_unique_and_names_are_documented() {
     let page = include_str!("../../../../docs/operating.md");
-    let names: BTreeSet<&str> = ErrorName::ALL.iter().map(|n| n.name()).collect();
-    let codes: BTreeSet<u32> = ErrorName::ALL.iter().map(|n| n.code()).collect();
+    let names: BTreeSet<&str> = ErrorName::ALL.iter().map(|error| error.name()).collect();
+    let codes: BTreeSet<u32> = ErrorName::ALL.iter().map(|error| error.code()).collect();
     assert_eq!(
         (names.len(), codes.len()),
         (ErrorName::ALL.len(), ErrorName::ALL.len())
     );
     assert!(
-        names.iter().all(|n| page.contains(&format!("`{n}`"))),
+        names.iter().all(|name| page.contains(&format!("`{name}`"))),
         "{names:?}"
     );
 }
--- a/crates/statement/src/extra/tests.rs
+++ b/crates/statement/src/extra/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
 
 #[test]
-fn a_blocking_statement_is_parsed_as_far_as_possible() {
-    let whole = BlockingStatement::parse("r1/00017_ab; class=rent-load;age_ms=12000");
+fn invalid_fields_of_a_blocking_statement_are_ignored() {
+    let complete = BlockingStatement::parse("r1/00017_ab; class=rent-load;age_ms=12000");
     assert_eq!(
-        whole,
+        complete,
         Some(BlockingStatement {
             name: "r1/00017_ab",
             class: Some("rent-load"),
             age_ms: Some(12_000)
         })
     );
-    let some = BlockingStatement::parse("x; class=; age_ms=-1; y; age_ms=99999999999999999");
+    let partly_invalid =
+        BlockingStatement::parse("x; class=; age_ms=-1; y; age_ms=99999999999999999");
     assert_eq!(
-        some,
+        partly_invalid,
         Some(BlockingStatement {
             name: "x",
             class: None,
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn configuration_versions_are_parsed_completely_or_not_at_all() {
+fn malformed_configuration_versions_are_rejected() {
     assert_eq!(
         ConfigVersions::parse("3..4"),
         Some(ConfigVersions {
@@ -48,13 +49,13 @@
             in_doubt: true
         })
     );
-    for bad in ["", "3", "3..", "..4", "3..x", "3..4 sure", "-1..4"] {
-        assert_eq!(ConfigVersions::parse(bad), None, "{bad:?}");
+    for malformed in ["", "3", "3..", "..4", "3..x", "3..4 sure", "-1..4"] {
+        assert_eq!(ConfigVersions::parse(malformed), None, "{malformed:?}");
     }
 }
 
 #[test]
-fn what_is_not_a_finite_number_is_ignored() {
+fn pairs_without_a_finite_number_are_ignored() {
     let value = "in_flight=3; memory=0.5;cpu=x; =; a; nan=NaN; inf=inf; cpu=1e999";
     assert_eq!(
         parse_numbers(value).collect::<Vec<_>>(),
--- a/crates/statement/src/token/tests.rs
+++ b/crates/statement/src/token/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn any_altered_character_invalidates_a_path() {
     let key = TokenKey::new(b"secret", "r1");
-    let id = QueryId::new(SystemTime::UNIX_EPOCH, 7, "lifelife");
+    let id = QueryId::new(SystemTime::UNIX_EPOCH, 7, "k3v9xq2m");
     for (phase, idempotency) in [
         (Phase::Waiting, Idempotency::NotIdempotent),
         (Phase::RowsDelivered, Idempotency::Idempotent),
@@ -41,7 +41,7 @@
     }
     assert_eq!(key.parse_query_path(&key.query_path(&id)), Ok(id));
     assert!(
-        key.parse_query_path("/v1/query/19700101_000000_00007_lifelife/x")
+        key.parse_query_path("/v1/query/19700101_000000_00007_k3v9xq2m/x")
             .is_err()
     );
 }
--- a/crates/statement/tests/wire_form.rs
+++ b/crates/statement/tests/wire_format.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn error_names_codes_and_types_stay() {
+fn error_names_codes_and_types_are_stable() {
     let all = ErrorName::ALL.map(|error| {
         let error_type = serde_json::to_string(&error.error_type()).expect("JSON");
         let retryable = error.is_retryable();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn token_paths_stay() {
+fn token_paths_are_stable() {
     let key = TokenKey::new(b"secret", "r1");
     let id = QueryId::new(UNIX_EPOCH + Duration::from_secs(1_796_083_200), 7, "ab12");
     let token = |phase, idempotency| PageToken {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn header_names_and_values_stay() {
+fn header_names_and_values_are_stable() {
     use client::names;
     assert_eq!(
         [
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn header_errors_keep_their_texts() {
+fn header_error_messages_are_stable() {
     let errors = [
         HeaderError::MissingUser,
         HeaderError::ConflictingTag("key"),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn results_and_announcements_keep_their_json() {
+fn json_of_results_and_announcements_is_stable() {
     let results = QueryResults {
         id: "q".into(),
         info_uri: "i".into(),
