--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -125,10 +125,10 @@
                 reason,
             },
             RetrySafety::MayHaveRun => FinalResponse::MayHaveRun(format!(
-                "it was ended at its engine, which does not say what stands of it ({reason})"
+                "the engine terminated the statement and does not report whether its effects remain ({reason})"
             )),
             RetrySafety::HasRun => FinalResponse::MayHaveRun(format!(
-                "it was ended at its engine, and its effects stand ({reason})"
+                "the engine terminated the statement, but its effects were committed ({reason})"
             )),
         }
     }
--- a/crates/router-core/src/submission.rs
+++ b/crates/router-core/src/submission.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
     /// The maximum number of open statements was reached.
-    #[error("too many statements are open")]
+    #[error("too many open statements")]
     TableFull,
     /// The router is shutting down.
     #[error("the router is shutting down")]
