--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -23,7 +23,7 @@
 
 /// The core of one router.
 ///
-/// Calls queue events for the controller. [`Core::run_batch`] has the controller decide on all queued events, and
+/// Most methods queue events for the controller. [`Core::run_batch`] has the controller decide on all queued events, and
 /// [`Core::next_command`] returns the resulting commands.
 pub struct Core {
     controller: Controller,
--- a/crates/router-core/src/response.rs
+++ b/crates/router-core/src/response.rs
@@ -77,7 +77,7 @@
     Truncated(String),
     /// The engine reported an error in the statement.
     EngineError(EngineError),
-    /// The client canceled the statement.
+    /// The client cancelled the statement.
     Canceled,
     /// The client disconnected.
     Abandoned,
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -210,7 +210,7 @@
         std::mem::replace(&mut self.state, StatementState::Settled(response)).buffered_bytes()
     }
 
-    /// Records that the final response, or the page that precedes it, was delivered.
+    /// Records that the final response or the last page of the result was delivered.
     pub(crate) fn mark_delivered(&mut self) {
         self.is_delivered = true;
     }
--- a/crates/sql/src/normalize.rs
+++ b/crates/sql/src/normalize.rs
@@ -1,8 +1,8 @@
 //! Normalization of statements, so that statements that differ only in their values have the same fingerprint.
 //!
 //! Comments, whitespace, case and unnecessary quotes of identifiers are dropped; each literal and parameter becomes
-//! `?`; a list of values becomes `?+`; consecutive equal rows of `VALUES` become one. The size of the statement counts
-//! the values and rows that were merged.
+//! `?`; a list of values becomes `?+`; consecutive equal rows of `VALUES` become one.
+//! [`NormalizedStatement::size`] keeps the greatest number of values or rows that were merged.
 //!
 //! Normalization takes one pass over the text. Its memory use does not grow with the number of tokens.
 
--- a/crates/statement/src/discovery.rs
+++ b/crates/statement/src/discovery.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Path at which an engine announces itself with `PUT` and withdraws with `DELETE`, up to the node id that follows.
+/// Prefix of the path at which an engine announces (`PUT`) or withdraws (`DELETE`) itself; its node id follows.
 pub const ANNOUNCEMENT_PATH: &str = "/v1/announcement/";
-/// Path of the list of services, up to the service type that follows, and optionally a pool.
+/// Prefix of the path of the list of services; a service type and optionally a pool follow.
 pub const SERVICE_PATH: &str = "/v1/service/";
 /// Service type that engines announce.
 pub const ENGINE_SERVICE_TYPE: &str = "trino";
--- a/crates/statement/src/extra.rs
+++ b/crates/statement/src/extra.rs
@@ -1,5 +1,5 @@
-//! Optional `X-Hoptiller-*` headers between router and engine. Headers with numbers are lists of `name=number`. All of
-//! these headers are hints, so parts that cannot be parsed are ignored.
+//! Optional `X-Hoptiller-*` headers between router and engine. Headers with numbers are lists of `name=number`; they are
+//! hints, so parts that cannot be parsed are ignored.
 
 /// Load report of an engine, in its responses: `in_flight=3; memory=0.5; cpu=0.25`.
 pub const LOAD: &str = "X-Hoptiller-Load";
