--- a/crates/emulator/src/simulation/routers.rs
+++ b/crates/emulator/src/simulation/routers.rs
@@ -142,7 +142,7 @@
                 self.release_attempt(router, attempt_id(id, attempt));
             }
             Command::Kill { id, attempt } => self.kill_attempt(router, attempt_id(id, attempt)),
-            Command::Pause {
+            Command::SetPaused {
                 id,
                 attempt,
                 paused,
@@ -172,7 +172,7 @@
 
     fn send_attempt(&mut self, router: usize, sent: &Attempt) {
         let attempt = AttemptId {
-            statement: sent.id,
+            statement: sent.statement_id,
             number: sent.number,
         };
         let options = AttemptOptions {
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -237,7 +237,7 @@
     announcement.services.iter().map(|service| Service {
         id: service.id.clone(),
         node_id: announcement.node_id.clone(),
-        kind: service.kind.clone(),
+        service_type: service.service_type.clone(),
         pool: announcement.pool.clone(),
         location: announcement.location.clone(),
         properties: service.properties.clone(),
--- a/crates/mock-servers/src/engine/announcer.rs
+++ b/crates/mock-servers/src/engine/announcer.rs
@@ -42,7 +42,7 @@
     let id = u128::from(unix_micros()) << 16 | u128::from(addr.port());
     let service = AnnouncedService {
         id: format!("{id:032x}"),
-        kind: ENGINE_SERVICE_TYPE.into(),
+        service_type: ENGINE_SERVICE_TYPE.into(),
         properties: properties
             .map(|(name, value)| (name.to_owned(), value))
             .into(),
--- a/crates/mock-servers/src/engine/submission.rs
+++ b/crates/mock-servers/src/engine/submission.rs
@@ -35,7 +35,7 @@
 impl SubmittedAttempt {
     fn from_request(request: &Request) -> Self {
         let header = |name| request.headers.get(name).unwrap_or_default().to_owned();
-        let statement_name = header(extra::STATEMENT_ID);
+        let statement_name = header(extra::STATEMENT_NAME);
         let trace = match header(client::names::TRACE_TOKEN) {
             trace if trace.is_empty() => statement_name.clone(),
             trace => trace,
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -50,7 +50,7 @@
             | Command::Release { .. }
             | Command::RefreshDiscovery
             | Command::Kill { .. }
-            | Command::Pause { .. }
+            | Command::SetPaused { .. }
             | Command::ReportFinding(_) => {}
         }
     }
@@ -75,15 +75,18 @@
         let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
             let outcome = failed_outcome(&AttemptError::UnknownEngine);
             let now = self.event_loop.now();
-            self.event_loop
-                .core()
-                .finish_attempt(now, attempt.id, attempt.number, outcome);
+            self.event_loop.core().finish_attempt(
+                now,
+                attempt.statement_id,
+                attempt.number,
+                outcome,
+            );
             return;
         };
         let token = Rc::<CancelToken>::default();
         self.in_flight
             .borrow_mut()
-            .insert((attempt.id, attempt.number), token.clone());
+            .insert((attempt.statement_id, attempt.number), token.clone());
         self.spawner
             .spawn(self.clone().run_attempt(attempt, endpoint, token));
     }
@@ -111,7 +114,7 @@
         let result = self.pool.attempt(attempt.engine, &request).await;
         self.in_flight
             .borrow_mut()
-            .remove(&(attempt.id, attempt.number));
+            .remove(&(attempt.statement_id, attempt.number));
         match result {
             Ok(response) => self.report_served(&attempt, response),
             Err(error) => self.report_failed(&attempt, &error),
@@ -134,7 +137,9 @@
             load_report: response.load_report,
             ..ResultPage::default()
         };
-        self.with_core(|core, now| core.accept_page(now, attempt.id, attempt.number, page));
+        self.with_core(|core, now| {
+            core.accept_page(now, attempt.statement_id, attempt.number, page)
+        });
     }
 
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
@@ -147,7 +152,9 @@
             "ended"
         );
         let outcome = failed_outcome(error);
-        self.with_core(|core, now| core.finish_attempt(now, attempt.id, attempt.number, outcome));
+        self.with_core(|core, now| {
+            core.finish_attempt(now, attempt.statement_id, attempt.number, outcome)
+        });
     }
 
     fn cancel_attempt(&self, id: StatementId, number: u32) {
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -46,7 +46,7 @@
             || self.open_requests() > 0
         {
             if started.elapsed() >= self.shutdown_timeout {
-                self.with_core(|core, _| core.abandon_all());
+                self.with_core(|core, _| core.give_up_all());
             }
             let all_completed = self.open_requests() == 0;
             if all_completed && started.elapsed() >= self.shutdown_timeout + CLOSE_AFTER {
--- a/crates/router-core/src/command.rs
+++ b/crates/router-core/src/command.rs
@@ -43,7 +43,7 @@
         attempt: u32,
     },
     /// Have the engine pause or resume an attempt.
-    Pause {
+    SetPaused {
         /// The statement.
         id: StatementId,
         /// Number of the attempt.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The statement.
-    pub id: StatementId,
+    pub statement_id: StatementId,
     /// Number of the attempt, from 0.
     pub number: u32,
     /// The engine to send it to.
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -29,7 +29,7 @@
             return Err(SubmitError::ShuttingDown);
         }
         if self.statements.open_count() >= self.limits.max_open_statements {
-            return Err(SubmitError::TableFull);
+            return Err(SubmitError::TooManyOpenStatements);
         }
         let class_deadline = self.class_deadlines[submission.class];
         let timeout = submission
@@ -117,7 +117,7 @@
     }
 
     /// Has the controller give up all open statements because the router stops before they can be completed.
-    pub fn abandon_all(&mut self) {
+    pub fn give_up_all(&mut self) {
         let mut open: Vec<StatementId> = self.statements.unsettled().collect();
         open.sort_unstable();
         let abandoned = open.into_iter().map(|id| Event::Abandoned(RequestId(id)));
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -32,7 +32,7 @@
     }
 
     /// Polls for the response with the given number without waiting. If there is nothing new, the response says so.
-    pub fn poll_now(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
+    pub fn poll_or_no_change(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
         match self.poll(now, id, number) {
             PollOutcome::Pending => match self.statements.get_mut(id) {
                 Some(statement) => {
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -202,7 +202,7 @@
 }
 
 fn pause_command(attempt: AttemptId, paused: bool) -> Command {
-    Command::Pause {
+    Command::SetPaused {
         id: attempt.statement,
         attempt: attempt.number,
         paused,
--- a/crates/router-core/src/history.rs
+++ b/crates/router-core/src/history.rs
@@ -47,7 +47,7 @@
     /// Index of the statement's class.
     pub class: usize,
     /// Current phase of the statement.
-    pub state: StatementPhase,
+    pub phase: StatementPhase,
     /// Reason why the statement was not completed; empty if there is none.
     pub reason: String,
     /// Time until the final response, or until now.
--- a/crates/router-core/src/response.rs
+++ b/crates/router-core/src/response.rs
@@ -132,7 +132,7 @@
     /// Content of the response.
     pub content: ResponseContent,
     /// Whether the statement has been sent to an engine.
-    pub running: bool,
+    pub was_sent: bool,
     /// Whether rows have been delivered with this response or an earlier one.
     pub streaming: bool,
     /// Time since the statement was received.
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -71,7 +71,7 @@
             number: 0,
             class: submission.class,
             content: ResponseContent::NoChange,
-            running: false,
+            was_sent: false,
             streaming: false,
             elapsed: 0,
             queued: 0,
@@ -246,7 +246,7 @@
             class: self.class,
             streaming: self.latest.streaming || matches!(content, ResponseContent::Rows(_)),
             content,
-            running: !self.attempts.is_empty(),
+            was_sent: !self.attempts.is_empty(),
             elapsed: self.elapsed(now),
             queued: self.attempts.first_sent_at().unwrap_or(now) - self.received_at,
         };
@@ -265,7 +265,7 @@
         let number = self.attempts.push(now, engine);
         let options = std::mem::take(&mut self.send_options);
         Attempt {
-            id: self.id,
+            statement_id: self.id,
             number,
             engine,
             class: self.class,
@@ -356,7 +356,7 @@
         };
         StatementHistory {
             class: self.class,
-            state: self.phase(),
+            phase: self.phase(),
             reason,
             elapsed_ms: self.millis_since_received(end),
             timeout_ms: self.millis_since_received(self.valid_until),
--- a/crates/router-core/src/submission.rs
+++ b/crates/router-core/src/submission.rs
@@ -48,7 +48,7 @@
 pub enum SubmitError {
     /// The maximum number of open statements was reached.
     #[error("too many open statements")]
-    TableFull,
+    TooManyOpenStatements,
     /// The router is shutting down.
     #[error("the router is shutting down")]
     ShuttingDown,
--- a/crates/statement-router/src/endpoint_list.rs
+++ b/crates/statement-router/src/endpoint_list.rs
@@ -109,7 +109,7 @@
         let mut errors = Vec::new();
         let mut endpoints = BTreeMap::new();
         let services = list.services.iter();
-        for service in services.filter(|service| service.kind == ENGINE_SERVICE_TYPE) {
+        for service in services.filter(|service| service.service_type == ENGINE_SERVICE_TYPE) {
             if endpoints.len() == MAX_ENGINES {
                 errors.push(EntryError::TooManyEngines);
                 break;
--- a/crates/statement-router/src/endpoint_list/tests.rs
+++ b/crates/statement-router/src/endpoint_list/tests.rs
@@ -6,7 +6,7 @@
     let service = |(node, id, http): &(&str, &str, &str)| Service {
         id: (*id).into(),
         node_id: (*node).into(),
-        kind: ENGINE_SERVICE_TYPE.into(),
+        service_type: ENGINE_SERVICE_TYPE.into(),
         pool: "general".into(),
         location: format!("/hall-b/{node}"),
         properties: [("http", *http), ("kind", "big")]
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -98,7 +98,7 @@
     observer: &dyn EngineObserver,
 ) {
     let id = AttemptId {
-        statement: attempt.id,
+        statement: attempt.statement_id,
         number: attempt.number,
     };
     let Some(endpoint) = transport.endpoint(attempt.engine) else {
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -47,8 +47,8 @@
         }
         let identity = &self.transport.options.identity;
         request.headers.push(extra::ROUTER, &identity.router);
-        let statement_name = identity.statement_name(attempt.id);
-        request.headers.push(extra::STATEMENT_ID, &statement_name);
+        let statement_name = identity.statement_name(attempt.statement_id);
+        request.headers.push(extra::STATEMENT_NAME, &statement_name);
         let class_name = self.transport.class_name(attempt.class);
         request.headers.push(extra::CLASS, &class_name);
         let mut options = vec![("hop", f64::from(attempt.number))];
--- a/crates/statement-router/src/engines/client.rs
+++ b/crates/statement-router/src/engines/client.rs
@@ -109,7 +109,7 @@
     ) -> (Receiver<AttemptControl>, InFlightGuard<'_>) {
         let (sender, receiver) = async_channel::bounded(CONTROL_CHANNEL_CAPACITY);
         let id = AttemptId {
-            statement: attempt.id,
+            statement: attempt.statement_id,
             number: attempt.number,
         };
         let in_flight = InFlightAttempt {
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -152,7 +152,7 @@
         base_uri,
         page,
         state: state_of(response, final_response),
-        is_running: response.running,
+        is_running: response.was_sent,
         elapsed_ms: response.elapsed / 1000,
         queued_ms: response.queued / 1000,
         error: final_response.and_then(query_error),
@@ -174,7 +174,7 @@
     match (final_response, response.is_final()) {
         (Some(FinalResponse::Completed), _) | (None, true) => State::Finished,
         (Some(_), _) => State::Failed,
-        (None, false) if response.running => State::Running,
+        (None, false) if response.was_sent => State::Running,
         (None, false) => State::Queued,
     }
 }
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -119,7 +119,7 @@
     }
     let id = match context.with_core(|core, now| core.submit(now, submission.submission)) {
         Ok(id) => id,
-        Err(SubmitError::TableFull) => {
+        Err(SubmitError::TooManyOpenStatements) => {
             return reject(&SubmissionRejected::TooManyStatements, &retry_after);
         }
         Err(SubmitError::ShuttingDown) => {
@@ -183,7 +183,7 @@
             true
         };
         if future::or(news, timed_out).await {
-            return context.with_core(|core, now| core.poll_now(now, id, page));
+            return context.with_core(|core, now| core.poll_or_no_change(now, id, page));
         }
     }
 }
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -61,7 +61,7 @@
         "id": id.to_string(),
         "router": settings.router.name,
         "class": settings.classes[history.class].name,
-        "state": history.state,
+        "state": history.phase,
         "why": history.reason,
         "elapsedMs": history.elapsed_ms,
         "patienceMs": history.timeout_ms,
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -30,7 +30,7 @@
                 let reason = KILL_REASON.to_owned();
                 self.control_statement(id, attempt, StatementControl::Kill { reason });
             }
-            Command::Pause {
+            Command::SetPaused {
                 id,
                 attempt,
                 paused,
@@ -65,7 +65,7 @@
         let engine = self.context.engine_name(attempt.engine);
         let settings = self.settings();
         let class = settings.classes[attempt.class].name.as_str();
-        let statement = self.statement_label(attempt.id);
+        let statement = self.statement_label(attempt.statement_id);
         let span =
             tracing::debug_span!("attempt", %statement, class, hop = attempt.number, %engine);
         span.in_scope(|| tracing::debug!("attempt sent"));
--- a/crates/statement-router/tests/core/harness.rs
+++ b/crates/statement-router/tests/core/harness.rs
@@ -145,7 +145,7 @@
                 prop_assert!(earlier.is_none(), "settled twice");
             }
             Command::HealthCheck(engine) => self.core.report_health_check(engine, None),
-            Command::Cancel { .. } | Command::Kill { .. } | Command::Pause { .. } => {
+            Command::Cancel { .. } | Command::Kill { .. } | Command::SetPaused { .. } => {
                 prop_assert!(false, "the settings allow no {command:?}");
             }
             Command::RefreshDiscovery | Command::NotifyWaiters(_) | Command::ReportFinding(_) => {}
@@ -154,7 +154,7 @@
     }
 
     fn send(&mut self, attempt: &Attempt) -> TestResult {
-        let earlier = self.sent.entry(attempt.id).or_default();
+        let earlier = self.sent.entry(attempt.statement_id).or_default();
         if attempt.class == NON_IDEMPOTENT_CLASS {
             let may_repeat = earlier.iter().all(SentAttempt::is_proved_unexecuted);
             prop_assert!(may_repeat, "it may have run, and was sent again");
@@ -165,7 +165,7 @@
             statuses: Vec::new(),
         });
         self.in_flight.push(InFlightAttempt {
-            statement: attempt.id,
+            statement: attempt.statement_id,
             number: attempt.number,
             may_deliver: true,
         });
@@ -177,7 +177,7 @@
         match *step {
             Step::Submit(class) => self.submit(class)?,
             Step::Poll(index) => self.poll_next(index, Core::poll)?,
-            Step::PollNow(index) => self.poll_next(index, Core::poll_now)?,
+            Step::PollNow(index) => self.poll_next(index, Core::poll_or_no_change)?,
             Step::PollAgain(index) => self.poll_again(index)?,
             Step::Cancel(index) => self.cancel(index),
             Step::Page { index, is_last } => self.deliver_page(index, is_last),
--- a/crates/statement/src/discovery.rs
+++ b/crates/statement/src/discovery.rs
@@ -34,7 +34,7 @@
     pub id: String,
     /// Service type.
     #[serde(rename = "type")]
-    pub kind: String,
+    pub service_type: String,
     /// Properties of the service: `http` is the address; `kind` and `cell` extend the specification.
     #[serde(default)]
     pub properties: BTreeMap<String, String>,
@@ -59,7 +59,7 @@
     pub node_id: String,
     /// Service type.
     #[serde(rename = "type")]
-    pub kind: String,
+    pub service_type: String,
     /// Pool that the engine belongs to.
     pub pool: String,
     /// Location of the engine, as `/zone/node`.
--- a/crates/statement/src/extra.rs
+++ b/crates/statement/src/extra.rs
@@ -6,7 +6,7 @@
 /// Progress of a running statement, in responses to polls: `done=0.3`, `spills=40` (MB that it lacks and spills),
 /// `lacks=40` (MB that it waits for) or `waits=1` (another statement blocks it).
 pub const PROGRESS: &str = "X-Hoptiller-Note";
-/// Statement that blocks a running one, in responses to polls: its name as routers send it in [`STATEMENT_ID`], its
+/// Statement that blocks a running one, in responses to polls: its name as routers send it in [`STATEMENT_NAME`], its
 /// class, and its run time less the time in which it was blocked itself: `r1/00017_ab; class=rent-load; age_ms=12000`.
 pub const BLOCKED_BY: &str = "X-Hoptiller-Behind";
 /// Effects of a terminated statement, as its engine reports them on request: `rolled-back` or `committed`.
@@ -16,7 +16,7 @@
 /// Options of an attempt, sent with it: `priority=3; grant_mb=40; hop=0`.
 pub const ATTEMPT_OPTIONS: &str = "X-Hoptiller-Terms";
 /// Router's name of the statement, sent with an attempt.
-pub const STATEMENT_ID: &str = "X-Hoptiller-Statement";
+pub const STATEMENT_NAME: &str = "X-Hoptiller-Statement";
 /// Class of the statement, sent with an attempt.
 pub const CLASS: &str = "X-Hoptiller-Class";
 /// Configuration versions under which an attempt is sent, as [`ConfigVersions`]. Engines may reject versions older than
--- a/crates/statement/tests/wire_format.rs
+++ b/crates/statement/tests/wire_format.rs
@@ -89,7 +89,7 @@
             extra::EFFECTS,
             extra::COST,
             extra::ATTEMPT_OPTIONS,
-            extra::STATEMENT_ID,
+            extra::STATEMENT_NAME,
             extra::CLASS,
             extra::CONFIG_VERSIONS,
             extra::ROUTER,
@@ -175,7 +175,7 @@
         location: "/z/n".into(),
         services: vec![AnnouncedService {
             id: "s".into(),
-            kind: "trino".into(),
+            service_type: "trino".into(),
             properties: [("http".into(), "h".into())].into(),
         }],
     };
