--- a/crates/sql/src/normalize/tests.rs
+++ b/crates/sql/src/normalize/tests.rs
@@ -75,5 +75,5 @@
     let secret = "SELECT * FROM t WHERE a = 'hunter2' AND b IN ('hunter2', 'x') AND c = 'hunter2";
     assert!(!label(secret).contains("hunter2"), "{}", label(secret));
     let long = format!("SELECT {} FROM t", "ä_very_long_name, ".repeat(1000));
-    assert!(label(&long).len() <= MAX_LABEL_BYTES + 1);
+    assert!(label(&long).len() <= MAX_LABEL_BYTES);
 }
--- a/crates/sql/tests/generated.rs
+++ b/crates/sql/tests/generated.rs
@@ -8,6 +8,7 @@
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
+        // Fixed, so that failures can be reproduced.
         rng_seed: RngSeed::Fixed(14),
         failure_persistence: None,
         ..Default::default()
@@ -64,7 +65,7 @@
     #[test]
     fn any_text_is_normalized_deterministically(text in prop_oneof![adversarial_text(), any::<String>()]) {
         let normalized = normalize(&text, Dialect::STANDARD);
-        prop_assert!(normalized.size >= 1 && normalized.label.len() <= hoptiller_sql::MAX_LABEL_BYTES + 1);
+        prop_assert!(normalized.size >= 1 && normalized.label.len() <= hoptiller_sql::MAX_LABEL_BYTES);
         prop_assert_eq!(normalized, normalize(&text, Dialect::STANDARD));
     }
 
