--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -32,8 +32,8 @@
     endpoints: EndpointTable,
     identity: RouterIdentity,
     limits: CoreLimits,
-    /// Maximum duration of a statement, by class.
-    class_deadlines: Vec<Micros>,
+    /// Maximum timeout of a statement, by class.
+    class_timeouts: Vec<Micros>,
     statements: StatementTable,
     /// Events for the next batch.
     events: Vec<Event>,
@@ -64,7 +64,7 @@
             endpoints: EndpointTable::new(&settings),
             runaway_detector,
             identity,
-            class_deadlines: class_deadlines(&settings),
+            class_timeouts: class_timeouts(&settings),
             controller: Controller::new(settings, seed)?,
             limits,
             statements: StatementTable::default(),
@@ -84,7 +84,7 @@
         settings: Settings,
         runaway_settings: hoptiller_runaway::Settings,
     ) {
-        self.class_deadlines = class_deadlines(&settings);
+        self.class_timeouts = class_timeouts(&settings);
         self.endpoints.update_settings(&settings);
         if let Some(detector) = &mut self.runaway_detector {
             detector.update_settings(runaway_settings);
@@ -159,7 +159,7 @@
     }
 }
 
-fn class_deadlines(settings: &Settings) -> Vec<Micros> {
+fn class_timeouts(settings: &Settings) -> Vec<Micros> {
     settings
         .classes
         .iter()
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -31,11 +31,11 @@
         if self.statements.open_count() >= self.limits.max_open_statements {
             return Err(SubmitError::TooManyOpenStatements);
         }
-        let class_deadline = self.class_deadlines[submission.class];
+        let class_timeout = self.class_timeouts[submission.class];
         let timeout = submission
             .timeout
-            .unwrap_or(class_deadline)
-            .min(class_deadline);
+            .unwrap_or(class_timeout)
+            .min(class_timeout);
         let valid_until = now.saturating_add(timeout);
         let profile = self.register_arrival(now, &submission);
         let held_as = profile.as_ref().map(|profile| profile.held_as.0);
@@ -77,11 +77,16 @@
 
     /// Cancels a statement on request of its client.
     pub fn cancel(&mut self, now: Micros, id: StatementId) {
-        self.disconnect(now, id, FinalResponse::Canceled);
+        self.settle_without_recipient(now, id, FinalResponse::Canceled);
     }
 
     /// Settles a statement that its client cancelled or abandoned, and releases its result.
-    pub(super) fn disconnect(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
+    pub(super) fn settle_without_recipient(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        response: FinalResponse,
+    ) {
         let Some(statement) = self.statements.get(id) else {
             return;
         };
@@ -118,7 +123,7 @@
 
     /// Has the controller give up all open statements because the router stops before they can be completed.
     pub fn give_up_all(&mut self) {
-        let mut open: Vec<StatementId> = self.statements.unsettled().collect();
+        let mut open: Vec<StatementId> = self.statements.open_ids().collect();
         open.sort_unstable();
         let abandoned = open.into_iter().map(|id| Event::Abandoned(RequestId(id)));
         self.events.extend(abandoned);
--- a/crates/router-core/src/core/expiry.rs
+++ b/crates/router-core/src/core/expiry.rs
@@ -37,7 +37,7 @@
         } else if abandoned_at > now {
             self.statements.set_timer(abandoned_at, id);
         } else {
-            self.disconnect(now, id, FinalResponse::Abandoned);
+            self.settle_without_recipient(now, id, FinalResponse::Abandoned);
         }
     }
 
--- a/crates/router-core/src/statement_table.rs
+++ b/crates/router-core/src/statement_table.rs
@@ -69,8 +69,8 @@
         self.open_count
     }
 
-    /// Returns the statements whose final response is not settled, in arbitrary order.
-    pub(crate) fn unsettled(&self) -> impl Iterator<Item = StatementId> {
+    /// Returns the numbers of the statements whose final response is not settled, in arbitrary order.
+    pub(crate) fn open_ids(&self) -> impl Iterator<Item = StatementId> {
         self.entries
             .iter()
             .filter(|(_, entry)| !entry.statement.is_settled())
