--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -125,10 +125,10 @@
                 reason,
             },
             RetrySafety::MayHaveRun => FinalResponse::MayHaveRun(format!(
-                "the engine terminated the statement and does not report whether its effects remain ({reason})"
+                "the engine killed the statement and does not report whether its effects remain ({reason})"
             )),
             RetrySafety::HasRun => FinalResponse::MayHaveRun(format!(
-                "the engine terminated the statement, but its effects were committed ({reason})"
+                "the engine killed the statement, but its effects were committed ({reason})"
             )),
         }
     }
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -333,17 +333,17 @@
     pub(crate) fn failure_reason(&self, now: Micros) -> String {
         let waited_ms = self.millis_since_received(now);
         let Some(last_reason) = self.attempts.last_reason() else {
-            return format!("no engine had capacity for the statement within {waited_ms} ms");
+            return format!("the statement was not sent to any engine within {waited_ms} ms");
         };
         let attempts = match self.attempts.count() {
             1 => "one attempt".to_owned(),
             count => format!("{count} attempts"),
         };
         let reason = match last_reason {
-            "" => "still running",
+            "" => "no outcome yet",
             reason => reason,
         };
-        format!("{attempts} in {waited_ms} ms; last outcome: {reason}")
+        format!("{attempts} in {waited_ms} ms; last attempt: {reason}")
     }
 
     /// Returns the history of the statement so far.
