--- a/crates/router-core/src/attempt_log.rs
+++ b/crates/router-core/src/attempt_log.rs
@@ -14,7 +14,7 @@
     first_page_at: Option<Micros>,
     /// Time and status of the end; set when the outcome is reported to the controller.
     ended: Option<(Micros, AttemptStatus)>,
-    /// Description of how the attempt ended; empty until then.
+    /// Description of how the attempt failed; empty if it succeeded or has not ended.
     reason: String,
 }
 
@@ -77,7 +77,7 @@
         self.get(attempt).map(|record| record.engine)
     }
 
-    /// Describes how the last attempt ended; empty if it has not ended, `None` if no attempt was made.
+    /// Describes how the last attempt failed; empty if it succeeded or has not ended, `None` if no attempt was made.
     pub(crate) fn last_reason(&self) -> Option<&str> {
         self.records.last().map(|record| record.reason.as_str())
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records a description of how an attempt ended.
+    /// Records a description of how an attempt failed.
     pub(crate) fn record_reason(&mut self, attempt: u32, reason: &str) {
         if let Some(record) = self.get_mut(attempt) {
             record.reason = reason.to_owned();
--- a/crates/router-core/src/command.rs
+++ b/crates/router-core/src/command.rs
@@ -59,7 +59,7 @@
     RefreshDiscovery,
     /// Notify the clients that wait for updates of this statement.
     NotifyWaiters(StatementId),
-    /// The final response to a statement is settled.
+    /// Record that the final response to a statement is settled.
     Settled {
         /// The statement.
         id: StatementId,
@@ -77,7 +77,7 @@
 /// An attempt to send.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The statement.
+    /// Number of the statement.
     pub statement_id: StatementId,
     /// Number of the attempt, from 0.
     pub number: u32,
--- a/crates/router-core/src/core.rs
+++ b/crates/router-core/src/core.rs
@@ -23,8 +23,8 @@
 
 /// The core of one router.
 ///
-/// Most methods queue events for the controller. [`Core::run_batch`] has the controller decide on all queued events, and
-/// [`Core::next_command`] returns the resulting commands.
+/// Most methods queue events for the controller. [`Core::run_batch`] has the controller decide on all queued events,
+/// and [`Core::next_command`] returns the resulting commands.
 pub struct Core {
     controller: Controller,
     /// `None` if runaway detection is disabled.
@@ -123,6 +123,9 @@
     }
 
     /// Returns the time at which the next batch is due even without an event.
+    ///
+    /// The controller sets this timer anew in each housekeeping, so that statement timers and the runaway detector,
+    /// which run with each batch, need none of their own.
     pub fn wake_at(&self) -> Option<Micros> {
         self.wake_at
     }
@@ -132,7 +135,8 @@
         !self.events.is_empty()
     }
 
-    /// Runs one batch: the controller decides on the events since the previous batch.
+    /// Runs one batch: handles due statement timers, runs the runaway detector, and has the controller decide on the
+    /// events since the previous batch.
     pub fn run_batch(&mut self, now: Micros) {
         self.handle_due_timers(now);
         self.detect_runaways(now);
--- a/crates/router-core/src/core/actions.rs
+++ b/crates/router-core/src/core/actions.rs
@@ -48,6 +48,7 @@
                 let at = now.saturating_add(after);
                 self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
             }
+            // Callers refresh the engine list now instead of subscribing to its changes.
             Action::Subscribe => self.commands.push_back(Command::RefreshDiscovery),
         }
     }
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -20,6 +20,10 @@
     /// # Errors
     ///
     /// Returns an error if the router is shutting down or too many statements are open. No response follows then.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no class has the index of the submission.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -93,7 +97,7 @@
         match *statement.state() {
             StatementState::Settled(_) => return,
             StatementState::Pending => self.events.push(Event::ClientDisconnected(RequestId(id))),
-            // The engine has completed the work; only the rest of the result is discarded.
+            // The engine has produced a first page, so the attempt succeeded; only the rest of the result is discarded.
             StatementState::FirstPageReady { attempt, .. } => {
                 self.release_attempt(now, id, attempt);
                 self.report_success(now, id, attempt);
@@ -109,7 +113,7 @@
         self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Succeeded, None);
     }
 
-    /// Returns the history of a statement so far, or `None` if the statement is not retained.
+    /// Returns the history of a statement so far, or `None` if the statement is unknown or was removed.
     pub fn history(&self, now: Micros, id: StatementId) -> Option<StatementHistory> {
         self.statements
             .get(id)
--- a/crates/router-core/src/core/attempts.rs
+++ b/crates/router-core/src/core/attempts.rs
@@ -38,6 +38,7 @@
             self.commands.push_back(Command::NotifyWaiters(id));
         } else {
             self.commands.push_back(Command::Release { id, attempt });
+            // The engine has done its work, even though the result is not needed.
             self.report_success(now, id, attempt);
         }
     }
@@ -51,6 +52,7 @@
         error: EngineError,
     ) {
         self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Failed, None);
+        // To the controller the attempt succeeded: the engine answered, and the fault is in the statement.
         self.report_success(now, id, attempt);
         self.settle(now, id, FinalResponse::EngineError(error));
     }
@@ -78,8 +80,9 @@
         self.statements.remove_if_finished(id);
     }
 
-    /// Reports that the engine killed an attempt on request of this router or an administrator. This ends the
-    /// statement.
+    /// Reports that the engine killed an attempt on request of this router or an administrator. This settles the
+    /// statement, unless it is already settled, another attempt delivers its result, or the outcome of the attempt was
+    /// already reported.
     pub fn finish_killed_attempt(
         &mut self,
         now: Micros,
@@ -107,6 +110,7 @@
         if !statement.attempts().is_in_flight(attempt) {
             return; // The outcome was already reported.
         }
+        // The controller has no status of its own for killed attempts: like cancelled ones, they may have run.
         let outcome = AttemptOutcome::cancelled(reason.clone());
         let event = statement.record_outcome(attempt, now, &outcome, true);
         self.events.extend(event);
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Polls for the response with the given number without waiting. If there is nothing new, the response says so.
+    /// Polls like [`Core::poll`], but if there is nothing new, creates a response without a change, with which the
+    /// caller can end a long poll.
     pub fn poll_or_no_change(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
         match self.poll(now, id, number) {
             PollOutcome::Pending => match self.statements.get_mut(id) {
--- a/crates/router-core/src/core/expiry.rs
+++ b/crates/router-core/src/core/expiry.rs
@@ -1,4 +1,4 @@
-//! Timers of statements, for disconnected clients and for the end of retention.
+//! Timers of statements, for clients that stop polling and for the end of retention.
 
 use hoptiller_policy::Micros;
 
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Removes a statement after its retention, abandons it if its client has disconnected, or sets the next timer.
+    /// Removes a statement after its retention, abandons it if its client has stopped polling, or sets the next timer.
     fn handle_timer(&mut self, now: Micros, id: StatementId) {
         let Some(statement) = self.statements.get(id) else {
             return;
--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -25,7 +25,7 @@
         .is_none_or(|set| value.is_some_and(|index| set.contains(&index)))
 }
 
-/// The engine list, and the settings that define which classes may run on which engines.
+/// The engine list, whose entries are endpoints, and the settings that define which classes may run on which engines.
 pub(crate) struct EndpointTable {
     entries: BTreeMap<EngineId, EndpointEntry>,
     /// Permitted engines, by class.
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    /// Returns whether statements of a class are idempotent.
+    /// Returns the idempotency of the statements of a class.
     pub(crate) fn idempotency(&self, class: usize) -> Idempotency {
         self.class_idempotency[class]
     }
--- a/crates/router-core/src/event_loop.rs
+++ b/crates/router-core/src/event_loop.rs
@@ -17,8 +17,8 @@
 use crate::core::Core;
 use crate::identity::StatementId;
 
-/// Reading of the core's clock at its start: 24 hours, so that engines that started before the router have a start
-/// time.
+/// Reading of the core's clock at its start: 24 hours. Times are unsigned, and engines that started before the router
+/// need a start time, too.
 const CLOCK_ORIGIN: Micros = 24 * 3_600_000_000;
 
 /// Pause after a batch, as a multiple of the batch's duration. Batches take at most a tenth of the thread's time unless
@@ -55,8 +55,8 @@
 }
 
 impl EventLoop {
-    /// Creates an event loop for a core and starts the core's clock. Once the executor is dropped, commands stay in the
-    /// core.
+    /// Creates an event loop for a core and starts the core's clock. `max_pause` limits the pause between batches while
+    /// events are queued. Once the executor is dropped, commands stay in the core.
     pub fn new(core: Core, max_pause: Duration, executor: Weak<dyn CommandExecutor>) -> EventLoop {
         EventLoop {
             core: RefCell::new(core),
@@ -79,7 +79,8 @@
         self.started_at + Duration::from_micros(at.saturating_sub(CLOCK_ORIGIN))
     }
 
-    /// Borrows the core. Commands that result are executed by the next batch or call of [`EventLoop::with_core`].
+    /// Borrows the core. Commands that result are executed by the next batch or call of [`EventLoop::with_core`];
+    /// events that result do not trigger a batch.
     ///
     /// # Panics
     ///
--- a/crates/router-core/src/history.rs
+++ b/crates/router-core/src/history.rs
@@ -52,7 +52,7 @@
     pub reason: String,
     /// Time until the final response, or until now.
     pub elapsed_ms: u64,
-    /// Timeout of the client.
+    /// Timeout of the statement: that of the client, limited by the deadline of the class.
     pub timeout_ms: u64,
     /// Time before the first attempt.
     pub queued_ms: u64,
--- a/crates/router-core/src/identity.rs
+++ b/crates/router-core/src/identity.rs
@@ -1,6 +1,7 @@
 //! Identifiers of routers and statements.
 
-/// The number of a statement, unique within one incarnation of a router.
+/// The number of a statement, unique within one incarnation of a router. Engines know a statement by
+/// [its name](RouterIdentity::statement_name), clients by its [`QueryId`](hoptiller_statement::QueryId).
 pub type StatementId = u64;
 
 /// The name of a router and of its current incarnation.
--- a/crates/router-core/src/limits.rs
+++ b/crates/router-core/src/limits.rs
@@ -7,16 +7,17 @@
 pub struct CoreLimits {
     /// Maximum number of statements without a final response.
     pub max_open_statements: usize,
-    /// Maximum number of delivered final responses retained for clients that poll again.
+    /// Maximum number of delivered statements retained for clients that poll again.
     pub max_retained_responses: usize,
-    /// Time for which a delivered final response is retained.
+    /// Time for which a settled statement is retained, delivered or not, counted from the later of its settlement and
+    /// its last poll.
     pub retention: Micros,
-    /// Time without a poll after which a client is considered disconnected.
+    /// Time without a poll after which an open statement is abandoned.
     pub abandon_after: Micros,
     /// Total size of buffered result pages, in bytes, at which the core stops fetching further pages.
     pub max_buffered_bytes: u64,
-    /// Time reserved between the deadline of an attempt and the deadline of its client, for the decision and the
-    /// response. The controller uses 60 ms of it.
+    /// Time reserved between the deadline of an attempt and the timeout of its statement, for the decision and the
+    /// response. The controller uses 60 ms of it: it gives up queued statements that long before their timeout.
     pub response_margin: Micros,
 }
 
@@ -25,7 +26,7 @@
 pub struct CoreUsage {
     /// Number of statements without a final response.
     pub open_statements: usize,
-    /// Number of statements retained for clients that poll again.
+    /// Number of delivered statements retained for clients that poll again.
     pub retained_statements: usize,
     /// Total size of buffered result pages in bytes.
     pub buffered_bytes: u64,
--- a/crates/router-core/src/response.rs
+++ b/crates/router-core/src/response.rs
@@ -12,7 +12,7 @@
     pub columns: Option<Rc<RawValue>>,
     /// Rows, as JSON text.
     pub rows: Option<Rc<RawValue>>,
-    /// Names and values of session fields to forward to the client.
+    /// Names and values of session fields to forward to the client, such as headers of the client protocol.
     pub session_fields: Vec<(String, String)>,
     /// Update type and number of affected rows, for a statement that changes data.
     pub update: Option<(String, Option<u64>)>,
@@ -20,7 +20,7 @@
     pub is_last: bool,
     /// Load reported by the engine, if any.
     pub load_report: Option<LoadReport>,
-    /// Work reported for the statement, if any.
+    /// Work that the statement needed, summed over all threads, if reported.
     pub work: Option<Micros>,
 }
 
@@ -57,14 +57,15 @@
 pub enum FinalResponse {
     /// All rows were delivered.
     Completed,
-    /// The statement was not run; a retry is safe.
+    /// The statement was not run, or running it again has no further effect. A retry is safe.
     Rejected {
         /// Time that the client should wait before a retry.
         retry_after: Option<Micros>,
         /// Human-readable reason.
         reason: String,
     },
-    /// A rule terminated the statement and none of its effects remain; a retry is safe.
+    /// A rule terminated the statement. Its effects were rolled back, or running it again has no further effect. A
+    /// retry is safe.
     TerminatedByRule {
         /// Time that the client should wait before a retry.
         retry_after: Option<Micros>,
@@ -79,7 +80,7 @@
     EngineError(EngineError),
     /// The client cancelled the statement.
     Canceled,
-    /// The client disconnected.
+    /// The client did not poll within [`CoreLimits::abandon_after`](crate::CoreLimits::abandon_after).
     Abandoned,
 }
 
--- a/crates/router-core/src/runaway_profile.rs
+++ b/crates/router-core/src/runaway_profile.rs
@@ -9,11 +9,11 @@
 pub(crate) struct RunawayProfile {
     /// Fingerprint of the statement within its class.
     pub(crate) fingerprint: FingerprintId,
-    /// Fingerprint that a hold on the statement applies to.
+    /// Fingerprint under which the statement can be held: its own, or that of all unknown statements.
     pub(crate) held_as: FingerprintId,
-    /// Normalized text of the statement, without literal values.
+    /// Start of the normalized text, without literal values.
     pub(crate) label: Rc<str>,
-    /// Size and work that the client announced.
+    /// Size of the statement and estimate of its work.
     pub(crate) announced: Announced,
     /// Number of the table group that the statement reads or writes.
     pub(crate) group: Option<u64>,
--- a/crates/router-core/src/statement.rs
+++ b/crates/router-core/src/statement.rs
@@ -104,7 +104,7 @@
         self.runaway_profile.as_ref()
     }
 
-    /// Returns the time at which the client's timeout expires.
+    /// Returns the time at which the statement times out: the client's timeout is limited by the deadline of the class.
     pub(crate) fn valid_until(&self) -> Micros {
         self.valid_until
     }
--- a/crates/router-core/src/statement_state.rs
+++ b/crates/router-core/src/statement_state.rs
@@ -20,14 +20,15 @@
 pub(crate) enum StatementState {
     /// The controller decides on the statement: it is queued or has running attempts.
     Pending,
-    /// A first page was received but not delivered; another attempt can still replace it.
+    /// A first page was received but not delivered. If its attempt fails before the delivery, the page is discarded and
+    /// another attempt can deliver the result.
     FirstPageReady { attempt: u32, page: ResultPage },
     /// Rows were delivered, so only this attempt can continue.
     Streaming {
         attempt: u32,
         next: Option<ResultPage>,
     },
-    /// The final response is settled.
+    /// The final response is settled: it will not change, but may not have been delivered.
     Settled(FinalResponse),
 }
 
--- a/crates/router-core/src/statement_table.rs
+++ b/crates/router-core/src/statement_table.rs
@@ -1,4 +1,4 @@
-//! The table of statements: open ones, those retained after delivery, and the timers of both.
+//! The table of statements: open ones, settled ones until they are removed, and the timers of both.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
--- a/crates/router-core/src/submission.rs
+++ b/crates/router-core/src/submission.rs
@@ -12,7 +12,7 @@
     pub class: usize,
     /// Index of the client's tenant.
     pub tenant: Option<usize>,
-    /// Ordering key; statements with the same key run in order.
+    /// Ordering key; statements with the same key run in order if their class requires it.
     pub ordering_key: Option<String>,
     /// Number of the table group that the statement reads or writes; see [`group_of`](crate::group_of).
     pub group: Option<u64>,
@@ -22,13 +22,13 @@
     pub estimated_memory_mb: f64,
     /// Fingerprint of the statement's text.
     pub fingerprint: u64,
-    /// Normalized text without literal values, for display.
+    /// Start of the normalized text, without literal values, for display.
     pub label: Rc<str>,
-    /// Size and work that the client announced.
+    /// Size and estimated work, as announced by the client; the caller may derive the size from the text.
     pub announced: Announced,
     /// Whether the client marked the statement as a retry.
     pub is_retry: bool,
-    /// Timeout requested by the client; the deadline of the class limits it.
+    /// Timeout requested by the client. The deadline of the class limits it, and applies if it is `None`.
     pub timeout: Option<Micros>,
     /// Statement text and session fields to send to engines.
     pub engine_statement: Rc<EngineStatement>,
@@ -39,7 +39,7 @@
 pub struct EngineStatement {
     /// Text of the statement.
     pub text: String,
-    /// Names and values of the session fields to forward.
+    /// Names and values of the session fields to forward, such as headers of the client protocol.
     pub fields: Vec<(String, String)>,
 }
 
--- a/crates/sql/src/fingerprint.rs
+++ b/crates/sql/src/fingerprint.rs
@@ -24,7 +24,7 @@
 impl FingerprintWriter {
     /// Appends one piece.
     pub(crate) fn write(&mut self, piece: &str) {
-        // The separator makes `a b` differ from `ab`.
+        // The separator makes `a b` differ from `ab`. A NUL inside a piece could still make two statements equal.
         self.hasher.update(piece.as_bytes()).update(b"\0");
         if self.label.len() < MAX_LABEL_BYTES {
             self.extend_label(piece);
--- a/crates/sql/src/lexer.rs
+++ b/crates/sql/src/lexer.rs
@@ -27,7 +27,8 @@
 }
 
 impl Dialect {
-    /// The standard, as implemented by Trino.
+    /// The standard's rules for strings and comments, as implemented by Trino. Other tokens are recognized in all
+    /// dialects alike.
     pub const STANDARD: Dialect = Dialect {
         backslash_escapes: false,
         double_quoted_strings: false,
@@ -54,7 +55,7 @@
     Word,
     /// A quoted identifier: `"…"` or `` `…` ``.
     QuotedIdentifier,
-    /// A string literal: `'…'`.
+    /// A string literal: `'…'`, and `"…"` in dialects with double-quoted strings.
     String,
     /// A numeric literal.
     Number,
--- a/crates/sql/src/normalize.rs
+++ b/crates/sql/src/normalize.rs
@@ -1,8 +1,9 @@
 //! Normalization of statements, so that statements that differ only in their values have the same fingerprint.
 //!
 //! Comments, whitespace, case and unnecessary quotes of identifiers are dropped; each literal and parameter becomes
-//! `?`; a list of values becomes `?+`; consecutive equal rows of `VALUES` become one.
-//! [`NormalizedStatement::size`] keeps the greatest number of values or rows that were merged.
+//! `?`; several values separated by commas, and a single value in a list, become `?+`; consecutive equal rows of
+//! `VALUES` become one, unless they are very long. [`NormalizedStatement::size`] keeps the length of the longest list
+//! or `VALUES`.
 //!
 //! Normalization takes one pass over the text. Its memory use does not grow with the number of tokens.
 
@@ -56,7 +57,8 @@
     length: u64,
     /// Whether a comma followed the last value.
     ends_with_comma: bool,
-    /// Whether the run is at the start of a list.
+    /// Whether the run is at the start of a list, where even a single value becomes `?+`, so that `IN (1)` and
+    /// `IN (1, 2)` have the same fingerprint.
     starts_list: bool,
 }
 
@@ -212,7 +214,8 @@
     word.eq_ignore_ascii_case("true") || word.eq_ignore_ascii_case("false")
 }
 
-/// Returns the name inside the quotes in lower case, if the name is valid without quotes.
+/// Returns the name inside the quotes in lower case, if it consists of letters, digits and `_` and does not start with
+/// a digit. Reserved words are not excluded.
 fn unquoted_name(token: &Token<'_>) -> Option<String> {
     let name = token.text.get(1..token.text.len().checked_sub(1)?)?;
     let is_plain = name.starts_with(|c: char| c.is_alphabetic() || c == '_')
--- a/crates/sql/src/value_rows.rs
+++ b/crates/sql/src/value_rows.rs
@@ -2,7 +2,8 @@
 
 use crate::fingerprint::FingerprintWriter;
 
-/// Maximum length of rows that are compared with the previous row; longer rows are not collapsed.
+/// Maximum length of rows that are buffered to be compared with the previous row. From the first longer row on, the
+/// rows of that `VALUES` are neither collapsed nor counted.
 const MAX_COMPARED_ROW_BYTES: usize = 4096;
 
 /// Passes pieces on to a writer, except for rows of `VALUES` that equal the previous row.
--- a/crates/statement/src/client.rs
+++ b/crates/statement/src/client.rs
@@ -44,7 +44,7 @@
     /// The user is missing.
     #[error("{}: must be set", names::USER)]
     MissingUser,
-    /// A tag occurs twice with different values.
+    /// One of the tags `class=`, `tenant=`, `key=` and `tables=` occurs twice with different values.
     #[error("{}: {_0}= is given twice", names::CLIENT_TAGS)]
     ConflictingTag(&'static str),
     /// The value of a tag is empty or longer than 128 bytes.
--- a/crates/statement/src/discovery.rs
+++ b/crates/statement/src/discovery.rs
@@ -35,7 +35,8 @@
     /// Service type.
     #[serde(rename = "type")]
     pub service_type: String,
-    /// Properties of the service: `http` is the address; `kind` and `cell` extend the specification.
+    /// Properties of the service: `http` is the address. The extensions `kind` and `cell` hold the kind of the engine
+    /// and the cell that it belongs to.
     #[serde(default)]
     pub properties: BTreeMap<String, String>,
 }
--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -21,8 +21,8 @@
 pub enum ErrorName {
     /// The statement was rejected: it has not run, or running it again has no further effect. A retry is safe.
     Rejected,
-    /// A rule terminated the statement at its engine, and its effects were rolled back. A retry is safe but will be
-    /// terminated as well.
+    /// A rule terminated the statement at its engine. Its effects were rolled back, or running it again has no further
+    /// effect. A retry is safe but will be terminated as well.
     TerminatedByRule,
     /// The statement failed and may have run. The client must check whether it did before a retry.
     MayHaveRun,
--- a/crates/statement/src/extra.rs
+++ b/crates/statement/src/extra.rs
@@ -1,5 +1,5 @@
-//! Optional `X-Hoptiller-*` headers between router and engine. Headers with numbers are lists of `name=number`; they are
-//! hints, so parts that cannot be parsed are ignored.
+//! Optional `X-Hoptiller-*` headers between routers, engines and discovery. Headers with numbers are lists of
+//! `name=number`; they are hints, so parts that cannot be parsed are ignored.
 
 /// Load report of an engine, in its responses: `in_flight=3; memory=0.5; cpu=0.25`.
 pub const LOAD: &str = "X-Hoptiller-Load";
@@ -9,13 +9,14 @@
 /// Statement that blocks a running one, in responses to polls: its name as routers send it in [`STATEMENT_NAME`], its
 /// class, and its run time less the time in which it was blocked itself: `r1/00017_ab; class=rent-load; age_ms=12000`.
 pub const BLOCKED_BY: &str = "X-Hoptiller-Behind";
-/// Effects of a terminated statement, as its engine reports them on request: `rolled-back` or `committed`.
+/// Effects of a killed statement, as its engine reports them on request: `rolled-back` or `committed`.
 pub const EFFECTS: &str = "X-Hoptiller-Effects";
 /// Cost of a statement, in its last response: `work_ms=250`.
 pub const COST: &str = "X-Hoptiller-Cost";
-/// Options of an attempt, sent with it: `priority=3; grant_mb=40; hop=0`.
+/// Options of an attempt, sent with it: priority from 0 to 3, memory grant in MB, and `hop`, the number of the attempt:
+/// `priority=3; grant_mb=40; hop=0`.
 pub const ATTEMPT_OPTIONS: &str = "X-Hoptiller-Terms";
-/// Router's name of the statement, sent with an attempt.
+/// Name of the statement, as of [`statement_name`], sent with an attempt.
 pub const STATEMENT_NAME: &str = "X-Hoptiller-Statement";
 /// Class of the statement, sent with an attempt.
 pub const CLASS: &str = "X-Hoptiller-Class";
@@ -28,7 +29,7 @@
 /// rejects a token lower than one that it has seen for the same shard.
 pub const LEASE: &str = "X-Hoptiller-Lease";
 
-/// Suffix of [`CONFIG_VERSIONS`] if the router's lease has expired.
+/// Suffix of [`CONFIG_VERSIONS`] if the router's configuration lease has expired.
 const IN_DOUBT_SUFFIX: &str = " doubt";
 /// Maximum length of a blocking statement's name.
 const MAX_NAME_BYTES: usize = 128;
@@ -86,14 +87,15 @@
     }
 }
 
-/// The value of [`CONFIG_VERSIONS`], such as `3..4`, followed by ` doubt` if the router's lease has expired.
+/// The value of [`CONFIG_VERSIONS`], such as `3..4`, followed by ` doubt` if the router's configuration lease has
+/// expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigVersions {
-    /// Version in force.
+    /// Version in force in the fleet, as far as the router knows.
     pub in_force: u64,
-    /// Latest version that the router enforces.
+    /// Latest version that the router already enforces, `in_force` or a later one.
     pub enforced: u64,
-    /// Whether the router's lease has expired.
+    /// Whether the router's configuration lease has expired.
     pub in_doubt: bool,
 }
 
--- a/crates/statement/src/results.rs
+++ b/crates/statement/src/results.rs
@@ -200,7 +200,8 @@
 }
 
 impl QueryResults {
-    /// Returns whether the page contains any row.
+    /// Returns whether the page contains any row. The rows are not parsed: there is none if only `[` and spaces precede
+    /// the first `]`.
     pub fn has_rows(&self) -> bool {
         self.data
             .as_ref()
--- a/crates/statement/src/token.rs
+++ b/crates/statement/src/token.rs
@@ -16,7 +16,7 @@
 const MAX_PAGE_DIGITS: usize = 19;
 const PAGE_PATH_PREFIX: &str = "/v1/statement/";
 const QUERY_PATH_PREFIX: &str = "/v1/query/";
-/// Initial capacity for the paths of pages and queries, in bytes; sufficient for most.
+/// Initial capacity for paths of pages and of queries, in bytes; sufficient for most.
 const PAGE_PATH_CAPACITY: usize = 96;
 const QUERY_PATH_CAPACITY: usize = 80;
 
@@ -32,7 +32,7 @@
 impl Idempotency {
     const ALL: [Idempotency; 2] = [Idempotency::Idempotent, Idempotency::NotIdempotent];
 
-    /// Returns the form used in a path.
+    /// Returns the form used in a path: `s` if a retry is safe, `u` if it is unsafe.
     fn as_str(self) -> &'static str {
         match self {
             Idempotency::Idempotent => "s",
@@ -76,7 +76,7 @@
 pub struct PageToken {
     /// Id of the statement.
     pub id: QueryId,
-    /// Number of the page, from 0.
+    /// Number of the page, from 0; the same as the number of the response that contains it.
     pub page: u64,
     /// State recorded when the URI was issued.
     pub recovery: RecoveryState,
