--- a/crates/statement/src/client.rs
+++ b/crates/statement/src/client.rs
@@ -45,27 +45,29 @@
     #[error("{}: must be set", names::USER)]
     MissingUser,
     /// One of the tags `class=`, `tenant=`, `key=` and `tables=` occurs twice with different values.
-    #[error("{}: {_0}= is given twice", names::CLIENT_TAGS)]
+    #[error("{}: {_0}= is given twice with different values", names::CLIENT_TAGS)]
     ConflictingTag(&'static str),
     /// The value of a tag is empty or longer than 128 bytes.
     #[error("{}: {_0}= must have 1 to {MAX_TAG_BYTES} bytes", names::CLIENT_TAGS)]
     TagLength(&'static str),
     /// The session property `query_max_run_time` is not a valid duration.
     #[error(
-        "{}: {} is {_0:?}; a number and one of ns, us, ms, s, m, h, d is wanted, such as 30s",
+        "{}: {} is {_0:?}; expected a number and a unit (ns, us, ms, s, m, h, d), \
+         less than 366 days, such as 30s",
         names::SESSION,
         names::MAX_RUN_TIME_PROPERTY
     )]
     InvalidTimeout(String),
     /// The tag `size=` is not a whole number from 1 to 10^12.
     #[error(
-        "{}: size= is {_0:?}; a whole number of 1 to 10^12 is wanted",
+        "{}: size= is {_0:?}; expected a whole number from 1 to 10^12",
         names::CLIENT_TAGS
     )]
     InvalidSize(String),
     /// The tag `estimate=` is not a duration greater than 0.
     #[error(
-        "{}: estimate= is {_0:?}; a number over 0 and a unit is wanted, such as 30s",
+        "{}: estimate= is {_0:?}; expected a number greater than 0 and a unit (ns, us, ms, s, m, h, d), \
+         less than 366 days, such as 30s",
         names::CLIENT_TAGS
     )]
     InvalidEstimate(String),
--- a/crates/statement/tests/wire_format.rs
+++ b/crates/statement/tests/wire_format.rs
@@ -130,13 +130,16 @@
         errors.map(|error| error.to_string()),
         [
             "X-Trino-User: must be set",
-            "X-Trino-Client-Tags: key= is given twice",
+            "X-Trino-Client-Tags: key= is given twice with different values",
             "X-Trino-Client-Tags: key= must have 1 to 128 bytes",
-            r#"X-Trino-Client-Tags: size= is "x"; a whole number of 1 to 10^12 is wanted"#,
-            r#"X-Trino-Client-Tags: estimate= is "0s"; a number over 0 and a unit is wanted, such as 30s"#,
+            r#"X-Trino-Client-Tags: size= is "x"; expected a whole number from 1 to 10^12"#,
             concat!(
-                r#"X-Trino-Session: query_max_run_time is "1x"; a number and one of ns, us, ms, s, m, h, d is wanted, "#,
-                "such as 30s"
+                r#"X-Trino-Client-Tags: estimate= is "0s"; expected a number greater than 0 and a unit "#,
+                "(ns, us, ms, s, m, h, d), less than 366 days, such as 30s"
+            ),
+            concat!(
+                r#"X-Trino-Session: query_max_run_time is "1x"; expected a number and a unit (ns, us, ms, s, m, h, d), "#,
+                "less than 366 days, such as 30s"
             ),
         ]
     );
