--- a/crates/router-core/src/endpoints.rs
+++ b/crates/router-core/src/endpoints.rs
@@ -34,7 +34,8 @@
     class_idempotency: Vec<Idempotency>,
     /// Whether an engine stops the work of a cancelled attempt.
     cancel_stops_work: bool,
-    /// Retry-After time for statements that a rule terminated.
+    /// Retry-After time for statements that a rule terminated: the maximum of the settings, or `None` if they disable
+    /// Retry-After.
     retry_after: Option<Micros>,
 }
 
