--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -50,7 +50,7 @@
             | Command::Release { .. }
             | Command::RefreshDiscovery
             | Command::Kill { .. }
-            | Command::Pause { .. }
+            | Command::SetPaused { .. }
             | Command::ReportFinding(_) => {}
         }
     }
@@ -61,7 +61,7 @@
         // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             round = self.event_loop.batch_stats().batches,
@@ -75,15 +75,18 @@
         let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
             let outcome = failed_outcome(&AttemptError::UnknownEngine);
             let now = self.event_loop.now();
-            self.event_loop
-                .core()
-                .finish_attempt(now, attempt.id, attempt.number, outcome);
+            self.event_loop.core().finish_attempt(
+                now,
+                attempt.statement_id,
+                attempt.number,
+                outcome,
+            );
             return;
         };
         let token = Rc::<CancelToken>::default();
         self.in_flight
             .borrow_mut()
-            .insert((attempt.id, attempt.number), token.clone());
+            .insert((attempt.statement_id, attempt.number), token.clone());
         self.spawner
             .spawn(self.clone().run_attempt(attempt, endpoint, token));
     }
@@ -96,11 +99,11 @@
     ) {
         let request = AttemptRequest {
             command: StatementCommand {
-                id: request_id(&attempt.work),
+                id: request_id(&attempt.engine_statement),
                 class: &self.catalog.classes[attempt.class].name,
-                idempotency_key: idempotency_key(&attempt.work),
+                idempotency_key: idempotency_key(&attempt.engine_statement),
                 priority: attempt.priority,
-                statement: &attempt.work.text,
+                statement: &attempt.engine_statement.text,
             },
             deadline: self.event_loop.instant(attempt.deadline),
             send_by: attempt.send_by.map(|at| self.event_loop.instant(at)),
@@ -111,7 +114,7 @@
         let result = self.pool.attempt(attempt.engine, &request).await;
         self.in_flight
             .borrow_mut()
-            .remove(&(attempt.id, attempt.number));
+            .remove(&(attempt.statement_id, attempt.number));
         match result {
             Ok(response) => self.report_served(&attempt, response),
             Err(error) => self.report_failed(&attempt, &error),
@@ -121,7 +124,7 @@
     fn report_served(&self, attempt: &Attempt, response: CompleteResponse) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             work = response.work,
@@ -134,20 +137,24 @@
             load_report: response.load_report,
             ..ResultPage::default()
         };
-        self.with_core(|core, now| core.accept_page(now, attempt.id, attempt.number, page));
+        self.with_core(|core, now| {
+            core.accept_page(now, attempt.statement_id, attempt.number, page)
+        });
     }
 
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             why = %error,
             "ended"
         );
         let outcome = failed_outcome(error);
-        self.with_core(|core, now| core.finish_attempt(now, attempt.id, attempt.number, outcome));
+        self.with_core(|core, now| {
+            core.finish_attempt(now, attempt.statement_id, attempt.number, outcome)
+        });
     }
 
     fn cancel_attempt(&self, id: StatementId, number: u32) {
--- a/crates/router-core/src/core/actions.rs
+++ b/crates/router-core/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Applies the actions of the controller.
+//! Application of the controller's actions.
 
 use hoptiller_policy::{Action, EngineId, Micros};
 
@@ -48,6 +48,7 @@
                 let at = now.saturating_add(after);
                 self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
             }
+            // Callers refresh the engine list now instead of subscribing to its changes.
             Action::Subscribe => self.commands.push_back(Command::RefreshDiscovery),
         }
     }
@@ -69,10 +70,10 @@
         let attempt = statement.start_attempt(now, engine, deadline, send_by);
         let number = attempt.number;
         self.commands.push_back(Command::Send(attempt));
-        self.start_runaway_detection(now, id, number, engine);
+        self.report_start_to_runaway_detector(now, id, number, engine);
     }
 
-    /// The controller gives a statement up. A result received meanwhile takes precedence.
+    /// Settles a statement that the controller gave up. A result that was received in the meantime takes precedence.
     fn settle_if_pending(
         &mut self,
         now: Micros,
@@ -83,7 +84,7 @@
             return;
         };
         if statement.is_pending() {
-            let response = make_response(statement.rejection_reason(now));
+            let response = make_response(statement.failure_reason(now));
             self.settle(now, id, response);
         }
     }
--- a/crates/router-core/src/core/admission.rs
+++ b/crates/router-core/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! Statements that clients submit and leave.
+//! Submission of statements, and their cancellation or abandonment by clients.
 
 use hoptiller_policy::{Arrival, Event, KeyId, Micros, RequestId};
 use hoptiller_runaway::ExecutionOutcome;
@@ -15,11 +15,15 @@
 use crate::submission::{Submission, SubmitError};
 
 impl Core {
-    /// Accepts a statement, which is then owed one final response.
+    /// Accepts a statement. Exactly one final response follows.
     ///
     /// # Errors
     ///
-    /// If the router is shutting down, or too many statements are open. Nothing is owed then.
+    /// Returns an error if the router is shutting down or too many statements are open. No response follows then.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no class has the index of the submission.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -28,16 +32,16 @@
         if self.is_shutting_down {
             return Err(SubmitError::ShuttingDown);
         }
-        if self.statements.open() >= self.limits.max_open_statements {
-            return Err(SubmitError::TableFull);
+        if self.statements.open_count() >= self.limits.max_open_statements {
+            return Err(SubmitError::TooManyOpenStatements);
         }
-        let class_deadline = self.class_deadlines[submission.class];
+        let class_timeout = self.class_timeouts[submission.class];
         let timeout = submission
             .timeout
-            .unwrap_or(class_deadline)
-            .min(class_deadline);
+            .unwrap_or(class_timeout)
+            .min(class_timeout);
         let valid_until = now.saturating_add(timeout);
-        let profile = self.runaway_profile(now, &submission);
+        let profile = self.register_arrival(now, &submission);
         let held_as = profile.as_ref().map(|profile| profile.held_as.0);
         let id = self
             .statements
@@ -61,7 +65,7 @@
     }
 
     /// Registers an arrival with the runaway detector, if there is one.
-    fn runaway_profile(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
+    fn register_arrival(&mut self, now: Micros, submission: &Submission) -> Option<RunawayProfile> {
         let detector = self.runaway_detector.as_mut()?;
         let class = submission.class;
         let fingerprint = detector.fingerprint_id(class, submission.fingerprint);
@@ -75,25 +79,30 @@
         })
     }
 
-    /// The client cancels its statement.
+    /// Cancels a statement on request of its client.
     pub fn cancel(&mut self, now: Micros, id: StatementId) {
-        self.disconnect(now, id, FinalResponse::Canceled);
+        self.settle_without_recipient(now, id, FinalResponse::Canceled);
     }
 
-    /// Settles a statement that its client has left, and releases what is held for it.
-    pub(super) fn disconnect(&mut self, now: Micros, id: StatementId, response: FinalResponse) {
+    /// Settles a statement that its client cancelled or abandoned, and releases its result.
+    pub(super) fn settle_without_recipient(
+        &mut self,
+        now: Micros,
+        id: StatementId,
+        response: FinalResponse,
+    ) {
         let Some(statement) = self.statements.get(id) else {
             return;
         };
         match *statement.state() {
             StatementState::Settled(_) => return,
             StatementState::Pending => self.events.push(Event::ClientDisconnected(RequestId(id))),
-            // The engine has done the work: only the rest of the result is discarded.
+            // The engine has produced a first page, so the attempt succeeded; only the rest of the result is discarded.
             StatementState::FirstPageReady { attempt, .. } => {
                 self.release_attempt(now, id, attempt);
                 self.report_success(now, id, attempt);
             }
-            // Its success was reported with the first page.
+            // The success was already reported with the first page.
             StatementState::Streaming { attempt, .. } => self.release_attempt(now, id, attempt),
         }
         self.settle(now, id, response);
@@ -101,24 +110,24 @@
 
     fn release_attempt(&mut self, now: Micros, id: StatementId, attempt: u32) {
         self.commands.push_back(Command::Release { id, attempt });
-        self.end_runaway_detection(now, id, attempt, ExecutionOutcome::Succeeded, None);
+        self.report_end_to_runaway_detector(now, id, attempt, ExecutionOutcome::Succeeded, None);
     }
 
-    /// The history of a statement up to now; `None` if it is not retained.
+    /// Returns the history of a statement so far, or `None` if the statement is unknown or was removed.
     pub fn history(&self, now: Micros, id: StatementId) -> Option<StatementHistory> {
         self.statements
             .get(id)
             .map(|statement| statement.history(now))
     }
 
-    /// Accepts no further statements.
+    /// Stops accepting statements.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Has the controller give up all open statements: the router stops before they could be answered.
-    pub fn abandon_all(&mut self) {
-        let mut open: Vec<StatementId> = self.statements.unsettled().collect();
+    /// Has the controller give up all open statements because the router stops before they can be completed.
+    pub fn give_up_all(&mut self) {
+        let mut open: Vec<StatementId> = self.statements.open_ids().collect();
         open.sort_unstable();
         let abandoned = open.into_iter().map(|id| Event::Abandoned(RequestId(id)));
         self.events.extend(abandoned);
--- a/crates/router-core/src/core/runaways.rs
+++ b/crates/router-core/src/core/runaways.rs
@@ -1,6 +1,6 @@
-//! The bridge to the runaway detector: what is reported to it, and what becomes of its decisions.
+//! The connection to the runaway detector: reports to the detector, and application of its decisions.
 //!
-//! Holds go to the controller as events, so that the controller alone decides on every send.
+//! Holds are passed to the controller as events, so that the controller alone decides on every send.
 
 use hoptiller_policy::{AttemptStatus, EndpointEntry, EngineId, Event, ListScope, Micros};
 use hoptiller_runaway::{
@@ -14,12 +14,13 @@
 use crate::response::ResultPage;
 
 impl Core {
-    /// The runaway detector, if there is one.
+    /// Returns the runaway detector, if there is one.
     pub fn runaway_detector(&self) -> Option<&RunawayDetector> {
         self.runaway_detector.as_ref()
     }
 
-    /// Restores the statistics of an earlier incarnation into the runaway detector; `None` if there is no detector.
+    /// Restores the runaway detector's statistics from a snapshot of an earlier incarnation. Returns `None` if there is
+    /// no detector.
     pub fn restore_runaway_detector(
         &mut self,
         now: Micros,
@@ -30,7 +31,7 @@
             .map(|detector| detector.restore(now, snapshot))
     }
 
-    /// An operator releases a fingerprint that is held. Returns whether it was held.
+    /// Releases a held fingerprint on request of an operator. Returns whether the fingerprint was held.
     pub fn release_fingerprint(&mut self, fingerprint: FingerprintId) -> bool {
         let was_held = self
             .runaway_detector
@@ -40,8 +41,8 @@
         was_held
     }
 
-    /// An engine reports the status of a running attempt.
-    pub fn update_attempt_status(
+    /// Reports the progress of a running attempt to the runaway detector.
+    pub fn report_progress_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Reports to the detector that an attempt is sent.
-    pub(super) fn start_runaway_detection(
+    /// Reports to the runaway detector that an attempt is sent.
+    pub(super) fn report_start_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -83,7 +84,8 @@
         detector.start_attempt(now, start);
     }
 
-    /// Reports to the detector that a page was received: the engine has a result, or with the last page all of it.
+    /// Reports a received page to the runaway detector: the last page ends the attempt, an earlier one starts its
+    /// stream of rows.
     pub(super) fn report_page_to_runaway_detector(
         &mut self,
         now: Micros,
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Reports to the detector that an attempt has ended.
-    pub(super) fn end_runaway_detection(
+    /// Reports to the runaway detector that an attempt has ended.
+    pub(super) fn report_end_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Reports to the detector what the status of an ended attempt shows of its execution at the engine.
-    pub(super) fn end_runaway_detection_by_status(
+    /// Reports to the runaway detector how an attempt ended at the engine, as far as its status shows.
+    pub(super) fn report_status_to_runaway_detector(
         &mut self,
         now: Micros,
         id: StatementId,
@@ -136,11 +138,11 @@
                 ExecutionOutcome::Abandoned
             }
         };
-        self.end_runaway_detection(now, id, attempt, outcome, None);
+        self.report_end_to_runaway_detector(now, id, attempt, outcome, None);
     }
 
-    /// Reports to the detector an update of the engine list, except one that failed.
-    pub(super) fn update_runaway_endpoints(
+    /// Reports an update of the engine list to the runaway detector, unless the update failed.
+    pub(super) fn report_endpoints_to_runaway_detector(
         &mut self,
         now: Micros,
         scope: ListScope,
@@ -155,11 +157,11 @@
         for engine in self.endpoints.update(scope, entries) {
             detector.reset_engine(now, engine);
         }
-        detector.update_engines(self.endpoints.listed());
+        detector.update_engines(self.endpoints.engine_statuses());
         self.apply_runaway_decisions();
     }
 
-    /// Runs the detector, if it is due.
+    /// Runs the runaway detector if it is due, and applies its decisions.
     pub(super) fn detect_runaways(&mut self, now: Micros) {
         if let Some(detector) = &mut self.runaway_detector {
             detector.run_detection(now);
@@ -167,7 +169,7 @@
         self.apply_runaway_decisions();
     }
 
-    /// Turns the detector's decisions into events and commands.
+    /// Converts the runaway detector's decisions into events and commands.
     fn apply_runaway_decisions(&mut self) {
         let decisions = self
             .runaway_detector
@@ -200,7 +202,7 @@
 }
 
 fn pause_command(attempt: AttemptId, paused: bool) -> Command {
-    Command::Pause {
+    Command::SetPaused {
         id: attempt.statement,
         attempt: attempt.number,
         paused,
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -42,13 +42,13 @@
     fn submit_request(&self) -> Request {
         let attempt = self.attempt;
         let mut request = Request::new(Method::Post, STATEMENT_PATH);
-        for (name, value) in &attempt.work.fields {
+        for (name, value) in &attempt.engine_statement.fields {
             request.headers.push(name, value);
         }
         let identity = &self.transport.options.identity;
         request.headers.push(extra::ROUTER, &identity.router);
-        let statement_name = identity.statement_name(attempt.id);
-        request.headers.push(extra::STATEMENT_ID, &statement_name);
+        let statement_name = identity.statement_name(attempt.statement_id);
+        request.headers.push(extra::STATEMENT_NAME, &statement_name);
         let class_name = self.transport.class_name(attempt.class);
         request.headers.push(extra::CLASS, &class_name);
         let mut options = vec![("hop", f64::from(attempt.number))];
@@ -58,7 +58,7 @@
         request
             .headers
             .push(extra::ATTEMPT_OPTIONS, &extra::format_numbers(&options));
-        request.body = attempt.work.text.clone().into_bytes();
+        request.body = attempt.engine_statement.text.clone().into_bytes();
         request
     }
 
