--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -138,7 +138,7 @@
             ..ResultPage::default()
         };
         self.with_core(|core, now| {
-            core.accept_page(now, attempt.statement_id, attempt.number, page)
+            core.accept_page(now, attempt.statement_id, attempt.number, page);
         });
     }
 
@@ -153,7 +153,7 @@
         );
         let outcome = failed_outcome(error);
         self.with_core(|core, now| {
-            core.finish_attempt(now, attempt.statement_id, attempt.number, outcome)
+            core.finish_attempt(now, attempt.statement_id, attempt.number, outcome);
         });
     }
 
