--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! A router's configuration file: its name and address, its resource limits, the coordinator, and the policy settings.
+//! The configuration file of a router: name and address, resource limits, coordinator, and policy settings.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 use crate::endpoint_list::EndpointListUpdate;
 use crate::initial_events::{InitialEvents, InitialEventsError};
 
-/// The smallest usable memory limit, in MB.
+/// The smallest accepted memory limit, in MB.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// The smallest usable limit of descriptors.
+/// The smallest accepted limit on file descriptors.
 const MIN_SOCKETS: usize = 64;
 
 /// A router's configuration.
@@ -19,7 +19,7 @@
     pub name: String,
     /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The seed for random numbers, in hex digits; another one at each start.
+    /// The seed for random numbers, in hex digits. It differs at each start.
     pub seed: String,
     /// The resource limits.
     pub limits: Limits,
@@ -31,7 +31,7 @@
     pub settings: hoptiller_policy_settings::Settings,
 }
 
-/// The resources that a router's processes may use together.
+/// The resources that all processes of a router may use together.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     /// CPU, in cores.
@@ -57,11 +57,11 @@
     1024
 }
 
-/// A configuration that can't be used.
+/// The reason why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file is not JSON of the configuration's form.
-    #[error("not a configuration: {0}")]
+    /// The file is not a JSON configuration.
+    #[error("invalid configuration: {0}")]
     Json(#[source] serde_json::Error),
     /// `limits.memory_mb` is below its minimum.
     #[error("limits.memory_mb: {0} is less than {MIN_MEMORY_MB}")]
@@ -69,7 +69,7 @@
     /// `limits.sockets` is below its minimum.
     #[error("limits.sockets: {0} is less than {MIN_SOCKETS}")]
     Sockets(usize),
-    /// The endpoint list as of the start is invalid.
+    /// The events up to the start are invalid.
     #[error("known: {0}")]
     InitialEvents(#[source] InitialEventsError),
 }
@@ -78,7 +78,7 @@
     /// Parses the contents of the configuration file.
     ///
     /// # Errors
-    /// If it is not JSON of the expected form, or a limit is too low.
+    /// Returns an error if it is not JSON of the expected form or a limit is too low.
     pub fn parse(bytes: &[u8]) -> Result<Config, ConfigError> {
         let config: Config = serde_json::from_slice(bytes).map_err(ConfigError::Json)?;
         let Limits {
@@ -93,17 +93,17 @@
         Ok(config)
     }
 
-    /// The endpoint list as of the start, with the number of its last event.
+    /// Returns the endpoint list at the router's start, with the number of its last event.
     ///
     /// # Errors
-    /// If an event has an endpoint with an invalid id or phase.
+    /// Returns an error if an event has an endpoint with an invalid id or phase.
     pub fn initial_endpoints(&self) -> Result<EndpointListUpdate, ConfigError> {
         self.initial_events
             .to_update(&self.settings.zones, &self.settings.kinds)
             .map_err(ConfigError::InitialEvents)
     }
 
-    /// The seed as a number; text other than 16 hex digits is hashed.
+    /// Returns the seed as a number. Text that is not a hexadecimal number of at most 64 bits is hashed.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
             self.seed.bytes().fold(0, |hash: u64, byte| {
--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -1,34 +1,34 @@
-//! The coordinator's list of engines: endpoints and numbered updates of the list.
+//! The coordinator's list of engine endpoints and its numbered updates.
 
 use std::net::SocketAddr;
 
-/// The phase of an engine's life.
+/// The lifecycle phase of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It accepts requests.
+    /// The engine accepts requests.
     Ready,
-    /// It finishes the requests that it has, and accepts no others.
+    /// The engine completes the requests that it has and accepts no others.
     Draining,
-    /// It has been removed.
+    /// The engine has been removed.
     Removed,
 }
 
-/// An engine as listed.
+/// An engine's entry on the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// The engine's number; in text `s-` and 8 hex digits.
+    /// The engine's number; in text form, `s-` and 8 hex digits.
     pub id: u32,
-    /// The address that it listens on.
+    /// The address that the engine listens on.
     pub addr: SocketAddr,
-    /// The position of its zone in the settings, if known.
+    /// The index of the engine's zone in the settings, if known.
     pub zone: Option<usize>,
-    /// The position of its machine kind in the settings, if known.
+    /// The index of the engine's machine kind in the settings, if known.
     pub kind: Option<usize>,
-    /// Its cell.
+    /// The engine's cell.
     pub cell: u32,
-    /// Its phase.
+    /// The engine's phase.
     pub phase: Phase,
-    /// Unix time of a recent start, in ms; 0: it started long ago.
+    /// Unix time of the engine's start, in ms; 0 if it started long ago.
     pub started_ms: u64,
 }
 
@@ -37,8 +37,8 @@
 pub struct EndpointListUpdate {
     /// The event's number.
     pub number: u64,
-    /// Whether the update is the complete list; otherwise it has only the endpoints that changed.
+    /// Whether the update is the complete list; otherwise it contains only the endpoints that changed.
     pub is_complete: bool,
-    /// The endpoints.
+    /// The listed or changed endpoints.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/platform-protocol/src/engine_command.rs
+++ b/crates/platform-protocol/src/engine_command.rs
@@ -1,16 +1,16 @@
-//! Encoding of the commands that a router sends to an engine, one JSON object a line.
+//! Encoding of the commands that a router sends to an engine, one JSON object per line.
 
 use std::fmt::Write as _;
 
 use data_encoding::BASE64;
 use serde_json::Value;
 
-/// The highest priority that engines know.
+/// The highest priority that engines support.
 const MAX_PRIORITY: u8 = 3;
-/// Bytes of a command around the statement, roughly.
-const COMMAND_OVERHEAD: usize = 160;
+/// Approximate length of a command without its statement.
+const COMMAND_OVERHEAD_BYTES: usize = 160;
 
-/// A statement to be executed, as the client sent it, and its priority.
+/// A client's statement, to be executed by an engine, and its priority.
 #[derive(Clone, Copy, Debug)]
 pub struct StatementCommand<'a> {
     /// The request's id.
@@ -19,15 +19,15 @@
     pub class: &'a str,
     /// The client's idempotency key, if any.
     pub idempotency_key: Option<&'a str>,
-    /// The priority, if one was assigned; engines know 0 to 3, higher values are capped.
+    /// The priority, if one was assigned. Engines support 0 to 3; higher values are sent as 3.
     pub priority: Option<u8>,
     /// The text of the statement.
     pub statement: &'a str,
 }
 
-/// Encodes the command to execute a statement, with the time in ms that the router waits for the response.
+/// Encodes the command that executes a statement. `wait_ms` is how long the router waits for the response.
 pub fn encode_statement(command: &StatementCommand<'_>, wait_ms: u64) -> String {
-    let mut line = String::with_capacity(COMMAND_OVERHEAD + command.statement.len() * 4 / 3);
+    let mut line = String::with_capacity(COMMAND_OVERHEAD_BYTES + command.statement.len() * 4 / 3);
     line.push_str("{\"t\":\"REQ\",\"i\":");
     line.push_str(&quoted(command.id));
     line.push_str(",\"f\":{\"c\":");
@@ -46,26 +46,27 @@
     line
 }
 
-/// Encodes the command to fetch a further page; pages are numbered from 0, and page 0 comes with the first response.
+/// Encodes the command that fetches another page. Pages are numbered from 0; page 0 arrives with the first response.
 pub fn encode_fetch(id: &str, page: usize) -> String {
     format!("{{\"t\":\"FETCH\",\"i\":{},\"x\":{page}}}\n", quoted(id))
 }
 
-/// Encodes the command that ends a result whose remaining pages are not wanted.
-pub fn encode_end(id: &str) -> String {
+/// Encodes the command that discards the remaining pages of a result.
+pub fn encode_discard(id: &str) -> String {
     format!("{{\"t\":\"END\",\"i\":{}}}\n", quoted(id))
 }
 
 /// Encodes the command that cancels a request.
-pub fn encode_stop(id: &str) -> String {
+pub fn encode_cancel(id: &str) -> String {
     format!("{{\"t\":\"STOP\",\"i\":{}}}\n", quoted(id))
 }
 
-/// Encodes the request for a load report; the response carries the tag as its id.
-pub fn encode_stat(tag: &str) -> String {
+/// Encodes the request for a load report. The response carries the tag as its id.
+pub fn encode_load_request(tag: &str) -> String {
     format!("{{\"t\":\"STAT\",\"i\":{}}}\n", quoted(tag))
 }
 
+/// Encodes text as a JSON string.
 fn quoted(text: &str) -> String {
     Value::from(text).to_string()
 }
--- a/crates/platform-protocol/src/engine_response.rs
+++ b/crates/platform-protocol/src/engine_response.rs
@@ -1,4 +1,4 @@
-//! Decoding of an engine's responses, one JSON object a line.
+//! Decoding of an engine's responses, one JSON object per line.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -8,28 +8,28 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Bytes of a response line at most: a page of 6,000 bytes in base64, and its fields.
+/// Maximum length of a response line: a page of 6,000 bytes in base64, and its fields.
 pub const MAX_LINE_BYTES: usize = 12 << 10;
-/// Pages of a result at most.
+/// Maximum number of pages in a result.
 const MAX_PAGES: f64 = 64.0;
-/// The highest plausible effort, in ms of work.
+/// Maximum work that an engine may report for a statement, in ms. Greater values are invalid.
 const MAX_EFFORT_MS: f64 = 1e9;
 
 /// A response of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineResponse {
-    /// The id of the request, or the tag of the load request, that it belongs to.
+    /// The id of the request or the tag of the load request that it responds to.
     pub id: String,
-    /// What it reports.
+    /// The response's content.
     pub body: ResponseBody,
 }
 
-/// What a response reports.
+/// The content of a response.
 #[derive(Clone, Debug)]
 pub enum ResponseBody {
     /// The statement was executed.
     Served(ServedResult),
-    /// A further page of a result.
+    /// Another page of a result.
     Page {
         /// The page's number; the first page, 0, comes with [`ResponseBody::Served`].
         number: usize,
@@ -40,16 +40,16 @@
     Overloaded,
     /// The engine failed; the statement may have been executed.
     Crashed,
-    /// The request was over before it began; it was not executed.
+    /// The request had ended before the engine started it; it was not executed.
     NotExecuted,
-    /// The response to a load request, with the load report if it has one.
+    /// The engine responded to a load request, with a load report if it has one.
     Load(Option<LoadReport>),
 }
 
-/// The successful end of a statement.
+/// The result of a statement that was executed successfully.
 #[derive(Clone, Debug)]
 pub struct ServedResult {
-    /// The number of the result's pages.
+    /// The number of pages in the result.
     pub pages: usize,
     /// The first page.
     pub first_page: Vec<u8>,
@@ -59,21 +59,23 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// A line that is not a valid response. The rest of its connection can't be trusted.
+/// An invalid response line. Nothing that follows it on its connection can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// The line is longer than [`MAX_LINE_BYTES`], or the engine sends more than is accepted.
-    #[error("a line of over {MAX_LINE_BYTES} bytes")]
+    /// The line is longer than [`MAX_LINE_BYTES`], or the engine sent more bytes than a request may receive.
+    #[error(
+        "the engine sent a line of over {MAX_LINE_BYTES} bytes, or too many bytes for one request"
+    )]
     TooLong,
-    /// The line is not JSON of a response's form.
-    #[error("a line that is no answer")]
+    /// The line is not a JSON object of a known kind of response.
+    #[error("the engine sent a malformed response line")]
     Malformed,
-    /// The field of this name has an unusable value.
-    #[error("an answer whose field {0} can't be used")]
+    /// The field of this name is missing or has an invalid value.
+    #[error("the engine's response has a missing or invalid field {0}")]
     Field(&'static str),
 }
 
-/// A response line as JSON.
+/// The JSON object of a response line.
 #[derive(Deserialize)]
 struct RawLine {
     #[serde(rename = "t")]
@@ -90,14 +92,14 @@
 #[derive(Debug, Default)]
 pub struct LineDecoder {
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that belong to decoded lines.
+    /// The number of bytes in `buffer` that belong to decoded lines.
     consumed: usize,
-    /// Bytes of `buffer` that were searched for the end of a line.
+    /// The number of bytes in `buffer` that have been searched for the end of a line.
     searched: usize,
 }
 
 impl LineDecoder {
-    /// Appends bytes that were received.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         let consumed = std::mem::take(&mut self.consumed);
         self.buffer.drain(..consumed);
@@ -105,7 +107,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether there are bytes that belong to no decoded line.
+    /// Returns whether the buffer holds bytes of a line that has not been decoded.
     pub fn has_pending_bytes(&self) -> bool {
         self.buffer.len() > self.consumed
     }
@@ -117,10 +119,10 @@
         }
     }
 
-    /// Decodes the next response; `None` until its line is complete.
+    /// Decodes the next response. Returns `None` until its line is complete.
     ///
     /// # Errors
-    /// If the line is too long or not a valid response.
+    /// Returns an error if the line is too long or not a valid response.
     pub fn next_response(&mut self) -> Result<Option<EngineResponse>, LineError> {
         let end = self.buffer[self.searched..]
             .iter()
@@ -172,7 +174,7 @@
         .map_err(|_| LineError::Field("b"))
 }
 
-/// A numeric field, which engines write as a number or as text.
+/// Reads a numeric field, which engines write as a number or as text.
 fn number(
     line: &RawLine,
     name: &'static str,
@@ -189,7 +191,7 @@
         .ok_or(LineError::Field(name))
 }
 
-/// A load report such as `inflight:7;util:0.61`. It is a hint, so entries that can't be parsed are skipped.
+/// Parses a load report such as `inflight:7;util:0.61`. The report is advisory, so invalid entries are skipped.
 fn parse_load(line: &RawLine) -> Option<LoadReport> {
     let text = line.fields.get("load")?.as_str()?;
     let mut report = LoadReport::default();
--- a/crates/platform-protocol/src/frame_decoder.rs
+++ b/crates/platform-protocol/src/frame_decoder.rs
@@ -1,47 +1,46 @@
 //! Decoding of the coordinator's frames, each of which is an update of the endpoint list or a keep-alive.
 //!
-//! A frame is a length (32 bits), an event number (64 bits), a kind (8 bits) and records of 27 bytes, one an endpoint;
-//! all numbers are big-endian.
+//! A frame consists of a length (32 bits), an event number (64 bits), a kind (8 bits), and one record of 27 bytes per
+//! endpoint. All numbers are big-endian.
 
 use std::net::Ipv4Addr;
 
 use crate::endpoint_list::{Endpoint, EndpointListUpdate, Phase};
 
-/// Bytes of a frame's length.
+/// Size of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the event number and the kind, which the length counts.
+/// Size of the event number and the kind, which the length includes.
 const HEADER_BYTES: usize = 9;
-/// Bytes of an endpoint's record.
+/// Size of an endpoint's record.
 const RECORD_BYTES: usize = 27;
-/// Records of a frame at most.
+/// Maximum number of records in a frame.
 const MAX_RECORDS: usize = 4096;
 
-/// The kinds of frames.
 const KIND_KEEP_ALIVE: u8 = 0;
 const KIND_COMPLETE: u8 = 1;
 const KIND_CHANGES: u8 = 2;
 
-/// Bytes that are no valid frame. The rest of their connection can't be used.
+/// An invalid frame. The rest of its connection can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A length that no frame of this kind has.
-    #[error("a frame of {0} bytes")]
+    /// The length is invalid for a frame, or for a frame of its kind.
+    #[error("invalid frame length {0}")]
     Length(u32),
-    /// A kind that does not exist.
-    #[error("a frame of kind {0}")]
+    /// The kind is unknown.
+    #[error("unknown frame kind {0}")]
     Kind(u8),
-    /// A phase that does not exist.
-    #[error("an engine in state {0}")]
+    /// An endpoint's phase is unknown.
+    #[error("unknown endpoint phase {0}")]
     Phase(u8),
-    /// The events before this one are missing.
-    #[error("events are missing before number {0}")]
+    /// Events before the one of this number are missing.
+    #[error("events before number {0} are missing")]
     Gap(u64),
 }
 
 /// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A keep-alive, or an event that was received before.
+    /// A keep-alive, or an event that was already received.
     NoChange,
     /// The next update.
     Update(EndpointListUpdate),
@@ -52,12 +51,12 @@
 pub struct FrameDecoder {
     last_event: u64,
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that belong to decoded frames.
+    /// The number of bytes in `buffer` that belong to decoded frames.
     consumed: usize,
 }
 
 impl FrameDecoder {
-    /// For a connection on which the events after this number were requested.
+    /// Creates a decoder for a connection on which the events after `last_event` were requested.
     pub fn new(last_event: u64) -> FrameDecoder {
         FrameDecoder {
             last_event,
@@ -66,16 +65,16 @@
         }
     }
 
-    /// Appends bytes that were received.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..std::mem::take(&mut self.consumed));
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Decodes the next frame; `None` until it is complete.
+    /// Decodes the next frame. Returns `None` until it is complete.
     ///
     /// # Errors
-    /// If the frame is invalid, or events before it are missing.
+    /// Returns an error if the frame is invalid or events before it are missing.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let bytes = &self.buffer[self.consumed..];
         let Some((length, rest)) = bytes.split_first_chunk() else {
@@ -112,7 +111,7 @@
     if number <= last_event {
         return Ok(Frame::NoChange);
     }
-    // Changes after a missed event would be applied to the wrong list.
+    // After a missed event, changes would be applied to an outdated list.
     if !is_complete && number != last_event + 1 {
         return Err(FrameError::Gap(number));
     }
@@ -127,7 +126,7 @@
     }))
 }
 
-/// Reads big-endian numbers; past the end, zeros. Lengths are checked before.
+/// Reads big-endian numbers. Lengths are checked beforehand; reading past the end gives zeros.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
--- a/crates/platform-protocol/src/initial_events.rs
+++ b/crates/platform-protocol/src/initial_events.rs
@@ -1,4 +1,4 @@
-//! The coordinator's events as of a router's start, which its configuration file holds as JSON.
+//! The coordinator's events up to a router's start, stored as JSON in its configuration file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 
 use crate::endpoint_list::{Endpoint, EndpointListUpdate, Phase};
 
-/// An event that the endpoint list can't be built from.
+/// The reason why the endpoint list can't be built from an event.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InitialEventsError {
-    /// A phase that does not exist.
-    #[error("no such phase: {0:?}")]
+    /// An endpoint's phase is unknown.
+    #[error("unknown endpoint phase {0:?}")]
     Phase(String),
-    /// An id of another form.
-    #[error("an id other than s- and 8 hex digits: {0:?}")]
+    /// An endpoint's id is not `s-` and 8 hex digits.
+    #[error("invalid endpoint id {0:?}: expected s- and 8 hex digits")]
     Id(String),
 }
 
-/// The events as of a router's start.
+/// The events up to a router's start.
 #[derive(Default, Deserialize)]
 pub(crate) struct InitialEvents {
     #[serde(rename = "index")]
@@ -57,7 +57,7 @@
 }
 
 impl InitialEvents {
-    /// Applies all events in order, and returns the result as one complete list.
+    /// Applies all events in order and returns the result as one complete list.
     pub(crate) fn to_update(
         &self,
         zones: &[String],
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's protocol, without I/O: requests of clients and their responses ([`request`], [`table_group`]),
-//! commands to engines and their responses ([`engine_command`], [`engine_response`], [`result_rows`]), the
+//! The platform's protocol, without I/O: client requests and the responses to them ([`request`], [`table_group`]),
+//! commands to engines and the engines' responses ([`engine_command`], [`engine_response`], [`result_rows`]), the
 //! coordinator's endpoint list ([`endpoint_list`], [`frame_decoder`]), and a router's configuration file ([`config`]).
 //!
-//! Every length is checked before memory is reserved for it; no input causes a panic.
+//! Every length is checked before memory is allocated for it, and no input causes a panic.
 #![warn(missing_docs)]
 
 pub mod config;
--- a/crates/platform-protocol/src/request.rs
+++ b/crates/platform-protocol/src/request.rs
@@ -1,27 +1,27 @@
-//! A client's request to execute a statement, read from its HTTP request, and the HTTP responses to it.
+//! Clients' requests to execute statements, parsed from HTTP requests, and the HTTP responses to them.
 
 use hoptiller_http::{Request, Response};
 use hoptiller_policy::Micros;
 
 use crate::table_group::table_group;
 
-/// The path of statements, which the class's name follows.
+/// The path prefix of statement requests, followed by the class's name.
 pub const STATEMENT_PATH: &str = "/call/";
 /// The path of a router's health check.
 pub const HEALTH_PATH: &str = "/ping";
 
-/// A client may ask for a timeout of up to this multiple of its class's.
+/// Maximum timeout that a client may request, as a multiple of its class's timeout.
 const MAX_TIMEOUT_FACTOR: f64 = 1.5;
-/// The shortest timeout that a client may ask for, in ms.
+/// Minimum timeout that a client may request, in ms.
 const MIN_TIMEOUT_MS: f64 = 1.0;
-/// The highest plausible estimate, in ms of work or MB of memory.
+/// Maximum estimate that a client may send, in ms of work or MB of memory. Greater values are invalid.
 const MAX_ESTIMATE: f64 = 1e8;
-/// Bytes of an idempotency key at most.
+/// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
-/// Digits of a request's id.
+/// Number of hex digits in a request's id.
 const ID_DIGITS: usize = 16;
-/// Characters of a decimal number at most.
-const MAX_DECIMAL_LENGTH: usize = 20;
+/// Maximum length of a decimal number.
+const MAX_DECIMAL_BYTES: usize = 20;
 
 const ID_HEADER: &str = "Trace-Id";
 const TENANT_HEADER: &str = "Project";
@@ -32,70 +32,70 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "Replay-Key";
 const RETRY_AFTER_HEADER: &str = "Hold-Off-Ms";
 
-/// What clients may ask for in a class.
+/// The options of a class's requests.
 #[derive(Clone, Debug)]
 pub struct ClassOptions {
     /// The class's name.
     pub name: String,
-    /// How long its clients usually wait.
+    /// How long clients usually wait; the maximum timeout of a request is a multiple of it.
     pub timeout: Micros,
-    /// Whether each request needs an idempotency key, by which engines drop duplicates.
+    /// Whether each request needs an idempotency key, by which engines recognize duplicates.
     pub requires_idempotency_key: bool,
 }
 
-/// The classes and the tenants that requests may name; requests refer to them by position.
+/// The classes and tenants that requests may name. Parsed requests refer to them by index.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// The classes.
+    /// The classes that requests may name.
     pub classes: Vec<ClassOptions>,
-    /// The tenants' names. If there are none, requests need not name one.
+    /// The tenants' names. If there are none, requests don't have to name a tenant.
     pub tenants: Vec<String>,
 }
 
 /// A client's request to execute a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatementRequest {
-    /// Its id, of 16 hex digits.
+    /// The request's id, 16 hex digits.
     pub id: String,
-    /// The position of its class.
+    /// The index of the request's class.
     pub class: usize,
-    /// The position of its tenant.
+    /// The index of the request's tenant, if it names one.
     pub tenant: Option<usize>,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub timeout: Micros,
-    /// Whether the client says that this is a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// The client's estimate of the work, if any.
     pub estimated_work: Option<Micros>,
-    /// The client's estimate of the memory, in MB; 0: none.
+    /// The client's estimate of the memory, in MB; 0 if there is none.
     pub memory_mb: f64,
-    /// The key by which engines know a duplicate, if any; passed on unchanged.
+    /// The key by which engines recognize a duplicate, if any. It is forwarded unchanged.
     pub idempotency_key: Option<String>,
-    /// The group of the statement's tables, if any.
+    /// The statement's table group, if any.
     pub table_group: Option<u64>,
     /// The text of the statement.
     pub statement: String,
 }
 
-/// A request that is invalid, and was not taken into account anywhere.
+/// The reason why a request is invalid. Such a request is not counted anywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The path names no class.
+    /// The path names no known class.
     #[error("no such class")]
     UnknownClass,
-    /// The header of this name is missing, repeated, or has an unusable value.
+    /// The header of this name is missing, repeated, or has an invalid value.
     #[error("{0}: missing, given twice, or out of range")]
     Header(&'static str),
-    /// The body is no statement.
+    /// The body is not a statement.
     #[error("the body is no statement")]
     Body,
-    /// A request of the same id is in flight.
+    /// A request with the same id is in flight.
     #[error("Trace-Id: a request of that id is open")]
     DuplicateId,
 }
 
 impl RequestError {
-    /// The status code of the response.
+    /// Returns the status code of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::UnknownClass => 404,
@@ -106,18 +106,19 @@
 }
 
 impl StatementRequest {
-    /// Reads and checks a client's request.
+    /// Parses and validates a client's request.
     ///
     /// # Errors
-    /// If the class is unknown, a header is missing, repeated or unusable, or the body is no statement.
+    /// Returns an error if the class is unknown, a header is missing, repeated or invalid, or the body is not a
+    /// statement.
     pub fn from_http(
         request: Request,
         catalog: &Catalog,
     ) -> Result<StatementRequest, RequestError> {
-        let class = class_position(&request, catalog)?;
+        let class = class_index(&request, catalog)?;
         let options = &catalog.classes[class];
         let id = request_id(&request)?;
-        let tenant = tenant_position(&request, catalog)?;
+        let tenant = tenant_index(&request, catalog)?;
         let timeout = timeout(&request, options)?;
         let is_retry = match single_header(&request, RETRY_HEADER)? {
             None => false,
@@ -128,7 +129,7 @@
             .map(|ms| (ms * 1000.0) as Micros);
         let memory_mb = decimal_header(&request, MEMORY_HEADER, MAX_ESTIMATE)?.unwrap_or(0.0);
         let idempotency_key = idempotency_key(&request, options)?;
-        let statement = statement_of(request.body)?;
+        let statement = parse_statement(request.body)?;
         Ok(StatementRequest {
             id,
             class,
@@ -144,7 +145,7 @@
     }
 }
 
-fn class_position(request: &Request, catalog: &Catalog) -> Result<usize, RequestError> {
+fn class_index(request: &Request, catalog: &Catalog) -> Result<usize, RequestError> {
     let name = request.target.strip_prefix(STATEMENT_PATH);
     let name = name.ok_or(RequestError::UnknownClass)?;
     catalog
@@ -161,15 +162,15 @@
         .ok_or(RequestError::Header(ID_HEADER))
 }
 
-fn tenant_position(request: &Request, catalog: &Catalog) -> Result<Option<usize>, RequestError> {
-    let unusable = RequestError::Header(TENANT_HEADER);
+fn tenant_index(request: &Request, catalog: &Catalog) -> Result<Option<usize>, RequestError> {
+    let invalid = RequestError::Header(TENANT_HEADER);
     match single_header(request, TENANT_HEADER)? {
         Some(name) => {
-            let position = catalog.tenants.iter().position(|tenant| tenant == name);
-            position.map(Some).ok_or(unusable)
+            let index = catalog.tenants.iter().position(|tenant| tenant == name);
+            index.map(Some).ok_or(invalid)
         }
         None if catalog.tenants.is_empty() => Ok(None),
-        None => Err(unusable),
+        None => Err(invalid),
     }
 }
 
@@ -181,30 +182,30 @@
         .ok_or(RequestError::Header(TIMEOUT_HEADER))
 }
 
-/// The idempotency key. Where one is required, a request without it is invalid: its duplicate could not be recognised.
+/// Reads the idempotency key. A request without a required key is invalid, as its duplicates could not be recognized.
 fn idempotency_key(
     request: &Request,
     class: &ClassOptions,
 ) -> Result<Option<String>, RequestError> {
-    let is_usable = |key: &str| {
+    let is_valid = |key: &str| {
         (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len())
             && key.bytes().all(|byte| byte.is_ascii_graphic())
     };
     match single_header(request, IDEMPOTENCY_KEY_HEADER)? {
-        Some(key) if is_usable(key) => Ok(Some(key.to_owned())),
+        Some(key) if is_valid(key) => Ok(Some(key.to_owned())),
         None if !class.requires_idempotency_key => Ok(None),
         Some(_) | None => Err(RequestError::Header(IDEMPOTENCY_KEY_HEADER)),
     }
 }
 
-fn statement_of(body: Vec<u8>) -> Result<String, RequestError> {
+fn parse_statement(body: Vec<u8>) -> Result<String, RequestError> {
     String::from_utf8(body)
         .ok()
         .filter(|text| !text.trim().is_empty() && !text.contains('\0'))
         .ok_or(RequestError::Body)
 }
 
-/// The value of a header that may be given once at most.
+/// Returns the value of a header that may occur at most once.
 fn single_header<'a>(
     request: &'a Request,
     name: &'static str,
@@ -216,7 +217,7 @@
     }
 }
 
-/// The value of a header that holds a decimal number of `max` at most.
+/// Returns the value of a header that contains a decimal number of at most `max`.
 fn decimal_header(
     request: &Request,
     name: &'static str,
@@ -231,9 +232,9 @@
     }
 }
 
-/// Parses a plain decimal number: digits, optionally a point and more digits; no sign, no exponent.
+/// Parses a plain decimal number: digits, optionally a point and more digits, without sign or exponent.
 fn parse_decimal(text: &str) -> Option<f64> {
-    let is_plain = text.len() <= MAX_DECIMAL_LENGTH
+    let is_plain = text.len() <= MAX_DECIMAL_BYTES
         && text.starts_with(|first: char| first.is_ascii_digit())
         && text
             .bytes()
@@ -241,12 +242,12 @@
     is_plain.then(|| text.parse().ok())?
 }
 
-/// The response to a served request: all rows, as JSON.
+/// Returns the response to a served request, with all rows as JSON.
 pub fn served_response(rows: &str) -> Response {
     Response::json(200, format!("{{\"batch\":{rows}}}"))
 }
 
-/// The response to a rejected request, which may safely be retried, after a time if one is given.
+/// Returns the response to a rejected request, which is safe to retry, after `retry_after` if given.
 pub fn rejected_response(retry_after: Option<Micros>) -> Response {
     let response = Response::json(429, "{\"reason\":\"Throttled\"}");
     match retry_after {
@@ -255,13 +256,13 @@
     }
 }
 
-/// The response to a failed request, which may have been executed.
+/// Returns the response to a failed request, which may have been executed.
 pub fn failed_response(reason: &str) -> Response {
     let body = serde_json::json!({ "reason": "Broken", "detail": reason });
     Response::json(500, body.to_string())
 }
 
-/// The response to an invalid request.
+/// Returns the response to an invalid request.
 pub fn invalid_request_response(error: RequestError) -> Response {
     Response::text(error.status(), &error.to_string())
 }
--- a/crates/platform-protocol/src/result_rows.rs
+++ b/crates/platform-protocol/src/result_rows.rs
@@ -1,23 +1,23 @@
-//! Assembly of a result from its pages, and its rows as the JSON that clients receive.
+//! Assembly of a result from its pages, and encoding of its rows as the JSON that clients receive.
 
-/// Bytes of a complete result at most, as engines send it: 48,000 by the protocol.
+/// Maximum size of a complete result as engines send it, set by the protocol.
 pub const MAX_RESULT_BYTES: usize = 48_000;
-/// Bytes of a page at most.
+/// Maximum size of a page.
 pub const MAX_PAGE_BYTES: usize = 6_000;
-/// Columns of a row.
-const COLUMNS: usize = 3;
+/// Number of columns in each row.
+const COLUMNS_PER_ROW: usize = 3;
 
-/// Why pages give no result.
+/// The reason why pages can't be assembled into a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RowsError {
-    /// A page of a number that was not requested.
-    #[error("page {0}, which was not asked for")]
+    /// The page of this number was not requested.
+    #[error("page {0} was not requested")]
     UnexpectedPage(usize),
     /// A page or the result exceeds its size limit.
-    #[error("more bytes than a result has")]
+    #[error("a page or the result exceeds its maximum size")]
     TooLong,
     /// A page does not consist of complete rows of three text columns.
-    #[error("a page that does not hold whole rows")]
+    #[error("a page does not consist of complete rows")]
     MalformedRows,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl RowAssembler {
-    /// For a result of so many pages, none of which has arrived.
+    /// Creates an assembler for a result of `pages` pages, none of which has arrived.
     pub fn new(pages: usize) -> RowAssembler {
         RowAssembler {
             pages: vec![None; pages],
@@ -40,7 +40,7 @@
     /// Adds a page. A duplicate is ignored.
     ///
     /// # Errors
-    /// If the page was not requested, is too long, or ends within a row.
+    /// Returns an error if the page was not requested, ends within a row, or makes the page or result too long.
     pub fn add_page(&mut self, number: usize, page: Vec<u8>) -> Result<(), RowsError> {
         let entry = self
             .pages
@@ -60,22 +60,22 @@
         Ok(())
     }
 
-    /// Whether all pages have arrived.
+    /// Returns whether all pages have arrived.
     pub fn is_complete(&self) -> bool {
         self.pages.iter().all(Option::is_some)
     }
 
-    /// The rows as a JSON array of arrays of strings.
+    /// Encodes the rows as a JSON array of arrays of strings.
     ///
     /// # Errors
-    /// If a page is not UTF-8 or has a row of another number of columns.
+    /// Returns an error if a page is not UTF-8 or has a row with a wrong number of columns.
     pub fn to_json(&self) -> Result<String, RowsError> {
         let mut json = String::with_capacity(self.bytes * 5 / 4 + 16);
         json.push('[');
         for page in self.pages.iter().flatten() {
             let page = std::str::from_utf8(page).map_err(|_| RowsError::MalformedRows)?;
             for row in page.split_terminator('\n') {
-                if row.bytes().filter(|byte| *byte == b'\t').count() + 1 != COLUMNS {
+                if row.bytes().filter(|byte| *byte == b'\t').count() + 1 != COLUMNS_PER_ROW {
                     return Err(RowsError::MalformedRows);
                 }
                 json.push_str(if json.len() > 1 { ",[" } else { "[" });
@@ -93,7 +93,7 @@
     }
 }
 
-/// Appends a JSON string; text without characters to escape is copied as it is.
+/// Appends a JSON string. Text without characters that need escaping is copied unchanged.
 fn push_json_string(json: &mut String, text: &str) {
     let is_plain = |byte: u8| byte >= 0x20 && byte != b'"' && byte != b'\\' && byte != 0x7f;
     if text.bytes().all(is_plain) {
--- a/crates/platform-protocol/src/table_group.rs
+++ b/crates/platform-protocol/src/table_group.rs
@@ -1,12 +1,12 @@
-//! The group of tables that a statement reads or writes, found in its text.
+//! Detection of a statement's table group in its text.
 
 use hoptiller_sql::{Dialect, Lexer, Token, TokenKind};
 
-/// Keywords that a table's name follows.
+/// Keywords that precede a table name.
 const TABLE_KEYWORDS: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
 
-/// The number behind the underscore in the name of the schema that a statement reads or writes, such as 17 in
-/// `sales_17.orders`. Strings, comments and the schema `staging` don't count.
+/// Returns the number after the underscore in the name of the schema that a statement reads or writes, such as 17 in
+/// `sales_17.orders`. Strings, comments and schemas without a number, such as `staging`, are skipped.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens: Vec<Token> = Lexer::new(statement, Dialect::STANDARD)
         .filter(|token| !token.is_trivia())
@@ -14,7 +14,7 @@
     let mut column_group = None;
     let mut index = 0;
     while index < tokens.len() {
-        // A dotted name is read to its end: the schema is its last part but one.
+        // The schema is the second to last part of a dotted name.
         let start = index;
         while index + 2 < tokens.len()
             && is_name(&tokens[index])
@@ -32,7 +32,7 @@
             if previous.is_some_and(|word| TABLE_KEYWORDS.contains(&word.as_str())) {
                 return Some(group);
             }
-            // A column of an alias such as t_1 looks the same, so this counts only if no table name is found.
+            // A column of an alias such as t_1 looks the same, so this number is used only if no table name is found.
             column_group = column_group.or(Some(group));
         }
         index += 1;
--- a/crates/platform-protocol/tests/wire_form.rs
+++ b/crates/platform-protocol/tests/wire_form.rs
@@ -1,7 +1,8 @@
 //! The bytes that pass between a router, its clients, its engines and the coordinator.
 
 use hoptiller_platform_protocol::engine_command::{
-    StatementCommand, encode_end, encode_fetch, encode_stat, encode_statement, encode_stop,
+    StatementCommand, encode_cancel, encode_discard, encode_fetch, encode_load_request,
+    encode_statement,
 };
 use hoptiller_platform_protocol::engine_response::{LineDecoder, ResponseBody};
 use hoptiller_platform_protocol::frame_decoder::{Frame, FrameDecoder};
@@ -34,9 +35,9 @@
         encode_fetch("a", 2),
         "{\"t\":\"FETCH\",\"i\":\"a\",\"x\":2}\n"
     );
-    assert_eq!(encode_end("a"), "{\"t\":\"END\",\"i\":\"a\"}\n");
-    assert_eq!(encode_stop("a"), "{\"t\":\"STOP\",\"i\":\"a\"}\n");
-    assert_eq!(encode_stat("p1"), "{\"t\":\"STAT\",\"i\":\"p1\"}\n");
+    assert_eq!(encode_discard("a"), "{\"t\":\"END\",\"i\":\"a\"}\n");
+    assert_eq!(encode_cancel("a"), "{\"t\":\"STOP\",\"i\":\"a\"}\n");
+    assert_eq!(encode_load_request("p1"), "{\"t\":\"STAT\",\"i\":\"p1\"}\n");
 }
 
 #[test]
--- a/crates/platform-router/src/connection_pool.rs
+++ b/crates/platform-router/src/connection_pool.rs
@@ -161,7 +161,7 @@
         let exchange = async {
             let (mut connection, _) = self.acquire(engine, None).await.ok()?;
             connection
-                .write_all(engine_command::encode_stat(&tag).as_bytes())
+                .write_all(engine_command::encode_load_request(&tag).as_bytes())
                 .await
                 .ok()?;
             loop {
--- a/crates/platform-router/src/connection_pool/exchange.rs
+++ b/crates/platform-router/src/connection_pool/exchange.rs
@@ -181,7 +181,7 @@
             let bytes = served.pages as u64 * MAX_PAGE_BYTES as u64;
             let Some(_reservation) = self.reserve_memory(bytes, request.token).await else {
                 connection
-                    .write_all(engine_command::encode_end(id).as_bytes())
+                    .write_all(engine_command::encode_discard(id).as_bytes())
                     .await
                     .map_err(AttemptError::ConnectionReset)?;
                 return Err(AttemptError::Abandoned);
