--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine: what is sent and until when, the response, and the reasons why there is none.
+//! An attempt to execute a statement at an engine: its request, its response, and its errors.
 
 use std::io;
 use std::time::Instant;
@@ -16,11 +16,11 @@
     pub command: StatementCommand<'a>,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// If set, the first byte is written before this time or not at all.
+    /// The time by which the first byte must be written; an attempt that is late is not sent.
     pub send_by: Option<Instant>,
-    /// Whether an attempt of the same request was made before.
+    /// Whether this is not the first attempt of its request.
     pub is_retry: bool,
-    /// Cancels the attempt.
+    /// The token that cancels the attempt.
     pub token: &'a CancelToken,
     /// The state of the engine's endpoint at the time of the decision.
     pub endpoint: EndpointState,
@@ -37,28 +37,29 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// Why an attempt has no response. The trace analysis matches the messages of `Overloaded` and `Connect`.
+/// The reason why an attempt has no complete response. The trace analysis matches the messages of `Overloaded` and
+/// `Connect`.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
-    /// Not sent: the limit of connections is reached.
+    /// Not sent: the connection limit was reached, and no connection became free in time.
     #[error("no descriptor was left for it")]
-    NoDescriptor,
+    ConnectionLimitReached,
     /// Not sent: the engine is not on the endpoint list.
     #[error("the engine has gone from the list")]
     UnknownEngine,
-    /// Not sent: when the first byte could be written, the attempt was no longer allowed.
+    /// Not sent: the attempt was no longer allowed when its first byte could be written, or it ended before that.
     #[error("not sent: {0}")]
     NotSent(#[source] NotSentReason),
     /// No connection was established.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke before a byte of the request was written.
+    /// The connection failed before a byte of the request was written.
     #[error("the connection broke before it was sent: {0}")]
-    Unsent(#[source] io::Error),
-    /// The connection broke after that.
+    FailedBeforeSend(#[source] io::Error),
+    /// The connection failed after the first byte of the request was written.
     #[error("the connection broke: {0}")]
     ConnectionReset(#[source] io::Error),
-    /// The engine sent an invalid line.
+    /// The engine sent an invalid response line, or too many bytes.
     #[error("{0}")]
     Line(#[source] LineError),
     /// The pages of the result are invalid.
@@ -67,52 +68,54 @@
     /// The engine rejected the request for lack of capacity.
     #[error("the engine is full")]
     Overloaded,
-    /// The engine failed.
+    /// The engine failed while it executed the statement.
     #[error("the engine's own error")]
     Crashed,
-    /// The request was over when the engine received it.
+    /// The request had ended before the engine started it.
     #[error("it was over before it began")]
     NotExecuted,
-    /// No response before the deadline.
+    /// The deadline passed before the response was complete.
     #[error("no answer in time")]
     TimedOut,
     /// The policy cancelled the attempt.
     #[error("withdrawn")]
     Cancelled,
-    /// The client disconnected before all pages of the result were fetched.
+    /// The client disconnected before the other pages of the result were fetched.
     #[error("its client left")]
     Abandoned,
 }
 
-/// Why an attempt that the policy decided on was not sent.
+/// The reason why an attempt that the policy decided on was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotSentReason {
-    /// It was cancelled, or the client disconnected.
+    /// The attempt was cancelled, or the client disconnected.
     #[error("it was taken back")]
     Cancelled,
-    /// Its deadline had passed.
+    /// The deadline of the attempt had passed.
     #[error("its time was over")]
     TimedOut,
-    /// The engine would no longer recognise it as a duplicate.
+    /// The engine would no longer recognize the attempt as a duplicate.
     #[error("a repeat would no longer be recognised")]
     IdempotencyWindowPassed,
-    /// The retry budget was spent.
+    /// The retry budget was exhausted.
     #[error("too many further attempts have begun")]
-    RetryBudgetSpent,
+    RetryBudgetExhausted,
     /// The state of the engine's endpoint had changed.
     #[error("the list tells something else of the engine now")]
     EndpointChanged,
 }
 
 impl AttemptError {
-    /// The outcome that is reported to the policy.
+    /// Returns the status that is reported to the policy.
     pub fn status(&self) -> AttemptStatus {
         match self {
-            AttemptError::NoDescriptor
+            AttemptError::ConnectionLimitReached
             | AttemptError::UnknownEngine
             | AttemptError::NotSent(_)
             | AttemptError::NotExecuted => AttemptStatus::NotSent,
-            AttemptError::Connect(_) | AttemptError::Unsent(_) => AttemptStatus::ConnectFailed,
+            AttemptError::Connect(_) | AttemptError::FailedBeforeSend(_) => {
+                AttemptStatus::ConnectFailed
+            }
             AttemptError::ConnectionReset(_) => AttemptStatus::ConnectionReset,
             AttemptError::Line(_) | AttemptError::Rows(_) | AttemptError::Crashed => {
                 AttemptStatus::ErrorResponse
--- a/crates/platform-router/src/budget.rs
+++ b/crates/platform-router/src/budget.rs
@@ -1,28 +1,29 @@
-//! How a router's descriptors and memory are divided.
+//! Division of a router's descriptors and memory between their uses.
 
 use hoptiller_platform_protocol::config::Limits;
 
-/// Descriptors of the process itself: standard streams, listener, polling, signals, coordinator, configuration file.
+/// Descriptors that the process itself needs: standard streams, listener, polling, signals, coordinator, configuration
+/// file.
 const PROCESS_DESCRIPTORS: usize = 24;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The limit of each use.
+/// The limits on a router's resources, by use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Connections of clients. Well-behaved clients hold a third of all descriptors at most.
+    /// Maximum number of client connections. Well-behaved clients use at most a third of all descriptors.
     pub client_connections: usize,
-    /// Connections to engines.
+    /// Maximum number of connections to engines.
     pub engine_connections: usize,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub open_requests: usize,
-    /// Bytes of request bodies that are being received, of all clients together.
+    /// Maximum size of the request bodies being received from all clients.
     pub incoming_bytes: u64,
-    /// Bytes of results that are held, of all requests together.
+    /// Maximum size of the results held for all requests.
     pub result_bytes: u64,
 }
 
 impl Budget {
-    /// Divides the configured limits.
+    /// Divides the configured limits between the uses.
     pub fn from_limits(limits: &Limits) -> Budget {
         let usable = limits.sockets.saturating_sub(PROCESS_DESCRIPTORS);
         let client_connections = (limits.sockets * 9 / 20).min(usable);
--- a/crates/platform-router/src/budget/tests.rs
+++ b/crates/platform-router/src/budget/tests.rs
@@ -1,4 +1,4 @@
-//! The division of descriptors and memory.
+//! Tests of the division of descriptors and memory.
 
 use super::*;
 
@@ -19,7 +19,7 @@
         );
         assert!(
             budget.incoming_bytes + budget.result_bytes < 32 << 18,
-            "under a quarter: {budget:?}"
+            "request bodies and results use less than a quarter of the memory: {budget:?}"
         );
     }
 }
--- a/crates/platform-router/src/cancel.rs
+++ b/crates/platform-router/src/cancel.rs
@@ -1,10 +1,10 @@
-//! Cancellation of an attempt. It is a state and not only a notification, so a task that checks later still sees it.
+//! Cancellation of an attempt. The token keeps it as state, so that a task that checks later still sees it.
 
 use std::cell::Cell;
 
 use event_listener::Event;
 
-/// Shared by an attempt and by those who may cancel it.
+/// The cancellation state shared by an attempt and the tasks that may cancel it.
 #[derive(Debug, Default)]
 pub struct CancelToken {
     cancelled: Cell<bool>,
@@ -20,8 +20,8 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Records that the client no longer waits: an attempt that has not started is cancelled; one whose first byte was
-    /// written goes on, as the policy has not cancelled it, but fetches nothing further.
+    /// Records that the client no longer waits. An attempt that has not started is cancelled. One whose first byte was
+    /// written continues, as the policy has not cancelled it, but fetches no further pages.
     pub fn abandon(&self) {
         self.abandoned.set(true);
         if !self.started.get() {
@@ -29,27 +29,27 @@
         }
     }
 
-    /// Records that the first byte was written.
+    /// Records that the first byte of the attempt was written.
     pub fn mark_started(&self) {
         self.started.set(true);
     }
 
-    /// Whether a byte was written, so that the engine may have executed the statement.
+    /// Returns whether a byte was written, so that the engine may have executed the statement.
     pub fn has_started(&self) -> bool {
         self.started.get()
     }
 
-    /// Whether the attempt was cancelled.
+    /// Returns whether the attempt was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Whether the client no longer waits for the result.
+    /// Returns whether the client no longer waits for the result.
     pub fn is_abandoned(&self) -> bool {
         self.abandoned.get()
     }
 
-    /// Waits until the attempt is cancelled; returns at once if it has been.
+    /// Waits until the attempt is cancelled. Returns at once if it already is.
     pub async fn cancelled(&self) {
         loop {
             let changed = self.changed.listen();
--- a/crates/platform-router/src/clock.rs
+++ b/crates/platform-router/src/clock.rs
@@ -2,7 +2,7 @@
 
 use hoptiller_policy::Micros;
 
-/// The same moment on the core's clock and in Unix time.
+/// The same point in time on the core's clock and in Unix time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockReference {
     pub(crate) core: Micros,
@@ -10,7 +10,7 @@
 }
 
 impl ClockReference {
-    /// The time of an engine's start on the core's clock; 0, long ago, stays 0.
+    /// Converts the time of an engine's start to the core's clock. 0, which means long ago, stays 0.
     pub(crate) fn start_time(self, unix_ms: u64) -> Micros {
         match unix_ms {
             0 => 0,
--- a/crates/platform-router/src/clock/tests.rs
+++ b/crates/platform-router/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! Conversion of start times.
+//! Tests of the conversion of start times.
 
 use super::*;
 
@@ -16,6 +16,6 @@
     assert_eq!(
         reference.start_time(1),
         1,
-        "older than the clock is not long ago"
+        "a start before the clock's zero stays distinct from 0, which means long ago"
     );
 }
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -1,4 +1,4 @@
-//! Execution of the core's commands: attempts at engines, their cancellation, health checks, and notifications.
+//! Execution of the core's commands: attempts and their cancellation, health checks, and notifications.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
         match command {
             Command::Send(attempt) => router.start_attempt(attempt),
             Command::Cancel { id, attempt } => router.cancel_attempt(id, attempt),
-            Command::HealthCheck(engine) => router.start_probe(engine),
+            Command::HealthCheck(engine) => router.start_health_check(engine),
             Command::NotifyWaiters(id) => router.event_loop.notify_waiters(id),
             Command::Settled {
                 id,
@@ -44,8 +44,8 @@
                 );
                 router.abandon_attempts(id);
             }
-            // Results are returned complete, so there are no further pages and nothing to release; the coordinator
-            // reports by itself; runaways are not detected here.
+            // Results are returned complete, so there are no pages to fetch and nothing to release. The coordinator
+            // pushes updates unasked. This router does not detect runaways.
             Command::Fetch { .. }
             | Command::Release { .. }
             | Command::RefreshDiscovery
@@ -58,7 +58,8 @@
 
 impl Router {
     fn start_attempt(self: &Rc<Self>, attempt: Attempt) {
-        // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
+        // The trace analysis relies on this: when a round's commands are executed, the core already counts all sends of
+        // the round as in flight.
         tracing::debug!(
             target: TRACE_TARGET,
             id = request_id(&attempt.work),
@@ -71,7 +72,7 @@
             until = attempt.deadline,
             "send"
         );
-        // The token and the endpoint's state are those of the decision, not of the task's first step.
+        // The token and the endpoint's state are taken at the decision, not when the spawned task first runs.
         let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
             let outcome = failed_outcome(&AttemptError::UnknownEngine);
             let now = self.event_loop.now();
@@ -156,7 +157,8 @@
         }
     }
 
-    /// The client has its response or has disconnected, so no further attempt may start for it.
+    /// Abandons the attempts of a request whose client has its response or has disconnected, so that none of them
+    /// starts.
     fn abandon_attempts(&self, id: StatementId) {
         self.in_flight
             .borrow()
@@ -164,10 +166,10 @@
             .for_each(|(_, token)| token.abandon());
     }
 
-    fn start_probe(self: &Rc<Self>, engine: EngineId) {
+    fn start_health_check(self: &Rc<Self>, engine: EngineId) {
         let router = self.clone();
         self.spawner.spawn(async move {
-            let report = router.pool.probe(engine).await;
+            let report = router.pool.check_health(engine).await;
             tracing::debug!(engine = engine.0, ?report, "health check completed");
             router.with_core(|core, _| core.report_health_check(engine, report));
         });
--- a/crates/platform-router/src/connection.rs
+++ b/crates/platform-router/src/connection.rs
@@ -13,26 +13,25 @@
 use crate::connection_limiter::ConnectionPermit;
 use crate::endpoint::EndpointState;
 
-/// Requests that a connection carries at most. It remembers their ids and carries none twice, as a late or second
-/// response to the first would be taken for one to the second.
+/// Maximum number of requests on a connection. The connection remembers their ids and carries none twice, as a late or
+/// duplicate response to the first attempt would be mistaken for the response to the second.
 const MAX_REQUESTS: usize = 256;
-/// Bytes that an engine may send for one request; a result and its copy are far smaller.
+/// Maximum bytes that an engine may send during one request. A result and a duplicate of it are far smaller.
 const MAX_BYTES_PER_REQUEST: usize = 512 << 10;
-/// Bytes that an engine may have sent while the connection was idle.
+/// Maximum bytes that an engine may have sent while the connection was idle.
 const MAX_IDLE_BYTES: usize = 64 << 10;
-/// Bytes that are read at once.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// A connection. The fields are dropped in their order: the socket is closed before its permit is returned.
+/// A connection to an engine. Fields are dropped in declaration order: the socket closes before its permit is returned.
 pub(crate) struct Connection {
     stream: Async<TcpStream>,
     decoder: LineDecoder,
     idle_since: Instant,
-    /// The state of the endpoint to which it was opened.
+    /// The state of the endpoint when the connection was opened.
     endpoint: EndpointState,
-    /// The keys of the requests that it carried; a late or second response to each may still be received.
+    /// The keys of the requests carried so far. A late or duplicate response to each may still arrive.
     carried: Vec<u64>,
-    /// Bytes received for the present request.
+    /// The number of bytes received during the current request.
     received: usize,
     _permit: ConnectionPermit,
 }
@@ -70,12 +69,12 @@
         self.carried.push(request);
     }
 
-    /// Whether it may carry further requests.
+    /// Returns whether the connection may carry further requests.
     pub(crate) fn is_reusable(&self) -> bool {
         self.carried.len() < MAX_REQUESTS
     }
 
-    /// Prepares it for the next request.
+    /// Prepares the connection for its next request.
     pub(crate) fn mark_idle(&mut self) {
         self.decoder.release_empty_buffer();
         self.idle_since = Instant::now();
@@ -96,7 +95,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Receives the next response to a request; responses to others are skipped, up to a limit.
+    /// Receives the next response to a request. Responses to other requests are skipped, up to a limit in bytes.
     pub(crate) async fn response(&mut self, id: &str) -> Result<ResponseBody, AttemptError> {
         loop {
             while let Some(response) = self.decoder.next_response().map_err(AttemptError::Line)? {
@@ -110,7 +109,7 @@
                     let end = io::ErrorKind::UnexpectedEof.into();
                     return Err(AttemptError::ConnectionReset(end));
                 }
-                // An engine that sends without end would keep the thread from all other tasks.
+                // Reading endless data from one engine would starve all other tasks of the thread.
                 Ok(n) if self.received + n > MAX_BYTES_PER_REQUEST => {
                     return Err(AttemptError::Line(LineError::TooLong));
                 }
@@ -123,7 +122,8 @@
         }
     }
 
-    /// Whether an idle connection can carry a request: it is open, and has received only complete responses meanwhile.
+    /// Returns whether an idle connection can carry a request: it is open and received only complete responses while
+    /// idle.
     pub(crate) fn is_healthy(&mut self) -> bool {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut received = 0;
--- a/crates/platform-router/src/connection_limiter.rs
+++ b/crates/platform-router/src/connection_limiter.rs
@@ -1,15 +1,15 @@
-//! The limit of connections to engines.
+//! The limit on connections to engines.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the connections to all engines, including those that are being established.
+/// Limits the connections to all engines, including those being established.
 pub(crate) struct ConnectionLimiter {
     max: usize,
     open: Rc<Cell<usize>>,
 }
 
-/// The right to one connection; returned when dropped.
+/// A permit for one connection. It is returned on drop.
 pub(crate) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionLimiter {
--- a/crates/platform-router/src/connection_pool.rs
+++ b/crates/platform-router/src/connection_pool.rs
@@ -1,5 +1,5 @@
-//! The connections to all engines. A connection carries one request at a time, so a response that is invalid, cut off or
-//! lost makes its connection useless and affects no other request. Idle connections are kept for reuse.
+//! A pool of the connections to all engines. Each connection carries one request at a time, so that an invalid,
+//! truncated or lost response costs its connection but affects no other request. Idle connections are kept for reuse.
 
 mod exchange;
 
@@ -23,39 +23,39 @@
 use crate::result_memory::ResultMemory;
 use crate::retry_limiter::RetryLimiter;
 
-/// Timeouts and limits.
+/// The timeouts and limits of a connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConfig {
     /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Idle connections are closed after this time, before engines do.
+    /// The time after which idle connections are closed, before engines close them.
     pub idle_timeout: Duration,
     /// The timeout of a health check.
-    pub probe_timeout: Duration,
-    /// Connections at most.
+    pub health_check_timeout: Duration,
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Bytes of results that are being fetched at most, all together.
+    /// Maximum size of all results of several pages that are being fetched.
     pub max_result_bytes: u64,
 }
 
-/// The connections to all engines.
+/// A pool of the connections to all engines.
 pub struct ConnectionPool {
     config: PoolConfig,
     engines: RefCell<HashMap<EngineId, EngineEntry>>,
     limiter: ConnectionLimiter,
     result_memory: ResultMemory,
-    /// Notified when a connection or memory may have become free.
+    /// Notifies waiting attempts that a connection or memory may have become free.
     freed: Event,
-    probes_sent: Cell<u64>,
+    health_checks_sent: Cell<u64>,
     retries: Rc<RetryLimiter>,
 }
 
 /// An engine and its idle connections.
 struct EngineEntry {
     endpoint: EndpointState,
-    /// Attempts and health checks in flight.
+    /// The number of attempts and health checks in flight.
     in_flight: usize,
-    /// Idle connections, the one used last at the end.
+    /// The idle connections, with the most recently used one last.
     idle: Vec<Connection>,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without engines.
+    /// Creates a pool without engines.
     pub fn new(config: PoolConfig, retries: Rc<RetryLimiter>) -> ConnectionPool {
         ConnectionPool {
             config,
@@ -88,12 +88,12 @@
             limiter: ConnectionLimiter::new(config.max_connections),
             result_memory: ResultMemory::new(config.max_result_bytes),
             freed: Event::new(),
-            probes_sent: Cell::new(0),
+            health_checks_sent: Cell::new(0),
             retries,
         }
     }
 
-    /// Applies an update of an endpoint. Engines are known by id, as an address may pass to another engine.
+    /// Applies an update of an endpoint. Engines are identified by id, as an address may pass to another engine.
     pub fn update_endpoint(&self, endpoint: &Endpoint) {
         let mut engines = self.engines.borrow_mut();
         let id = EngineId(endpoint.id);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Removes the engines that are not on a complete endpoint list.
+    /// Removes the engines that are missing from a complete endpoint list.
     pub fn retain_listed(&self, listed: &[Endpoint]) {
         self.engines.borrow_mut().retain(|id, entry| {
             if !listed.iter().any(|endpoint| endpoint.id == id.0) {
@@ -123,7 +123,7 @@
         });
     }
 
-    /// The state of an engine's endpoint; `None` if it was removed or never listed.
+    /// Returns the state of an engine's endpoint, or `None` if it was removed or never listed.
     pub fn endpoint(&self, engine: EngineId) -> Option<EndpointState> {
         self.engines
             .borrow()
@@ -132,18 +132,18 @@
             .filter(|endpoint| !endpoint.is_removed())
     }
 
-    /// Connections, including those that are being established.
+    /// Returns the number of connections, including those being established.
     pub fn open_connections(&self) -> usize {
         self.limiter.open()
     }
 
-    /// Engines with an entry.
+    /// Returns the number of engines in the pool, including removed ones with attempts or health checks in flight.
     pub fn known_engines(&self) -> usize {
         self.engines.borrow().len()
     }
 
-    /// Closes the connections that have been idle for too long.
-    pub fn close_expired(&self) {
+    /// Closes the connections whose idle timeout has passed.
+    pub fn close_expired_connections(&self) {
         let timeout = self.config.idle_timeout;
         for entry in self.engines.borrow_mut().values_mut() {
             entry
@@ -153,11 +153,12 @@
         self.freed.notify(usize::MAX);
     }
 
-    /// Requests a load report from an engine; `None` if there is none within the timeout.
-    pub async fn probe(&self, engine: EngineId) -> Option<LoadReport> {
-        let _in_flight = self.enter(engine)?;
-        self.probes_sent.set(self.probes_sent.get() + 1);
-        let tag = format!("load-{}", self.probes_sent.get());
+    /// Requests a load report from an engine. Returns `None` if none arrives within the timeout.
+    pub async fn check_health(&self, engine: EngineId) -> Option<LoadReport> {
+        let _in_flight = self.track_in_flight(engine)?;
+        self.health_checks_sent
+            .set(self.health_checks_sent.get() + 1);
+        let tag = format!("load-{}", self.health_checks_sent.get());
         let exchange = async {
             let (mut connection, _) = self.acquire(engine, None).await.ok()?;
             connection
@@ -172,13 +173,15 @@
             }
         };
         future::or(exchange, async {
-            Timer::after(self.config.probe_timeout).await;
+            Timer::after(self.config.health_check_timeout).await;
             None
         })
         .await
     }
 
-    fn enter(&self, engine: EngineId) -> Option<InFlightGuard<'_>> {
+    /// Counts an attempt or a health check as in flight until the guard is dropped. Returns `None` for an engine that
+    /// is not listed.
+    fn track_in_flight(&self, engine: EngineId) -> Option<InFlightGuard<'_>> {
         self.engines
             .borrow_mut()
             .get_mut(&engine)
@@ -187,7 +190,7 @@
         Some(InFlightGuard { pool: self, engine })
     }
 
-    /// A connection to an engine that has not carried this request, and whether it was used before.
+    /// Returns a connection to an engine that has not carried this request, and whether it was idle in the pool before.
     async fn acquire(
         &self,
         engine: EngineId,
@@ -204,7 +207,7 @@
         let endpoint = self.endpoint(engine).ok_or(AttemptError::UnknownEngine)?;
         let deadline = Instant::now() + self.config.connect_timeout;
         let permit = self.acquire_permit(deadline).await;
-        let permit = permit.ok_or(AttemptError::NoDescriptor)?;
+        let permit = permit.ok_or(AttemptError::ConnectionLimitReached)?;
         let connect = Async::<TcpStream>::connect(endpoint.addr);
         let stream = future::or(connect, async {
             Timer::at(deadline).await;
@@ -215,8 +218,8 @@
         Ok((Connection::new(stream, endpoint, permit), false))
     }
 
-    /// Takes the idle connection used last that has not carried this request: a late response to an earlier attempt of
-    /// the same request must not be taken for the response to this one.
+    /// Takes the most recently used idle connection that has not carried this request, so that a late response to an
+    /// earlier attempt of the same request is not mistaken for the response to this one.
     fn take_idle(&self, engine: EngineId, request: Option<u64>) -> Option<Connection> {
         let mut engines = self.engines.borrow_mut();
         let idle = &mut engines.get_mut(&engine)?.idle;
@@ -226,7 +229,7 @@
         Some(idle.remove(position))
     }
 
-    /// Acquires the right to a connection, if need be by closing the one that has been idle longest.
+    /// Acquires a permit for a new connection, closing the longest idle connection if necessary.
     async fn acquire_permit(&self, deadline: Instant) -> Option<ConnectionPermit> {
         loop {
             let freed = self.freed.listen();
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Returns a connection whose request has ended.
+    /// Returns a connection to the pool after its request has ended.
     fn release(&self, engine: EngineId, mut connection: Connection) {
         connection.mark_idle();
         if let Some(entry) = self.engines.borrow_mut().get_mut(&engine)
@@ -273,7 +276,8 @@
         {
             entry.idle.push(connection);
         }
-        // All are notified: of two notifications of one waiter each, the second is lost if the first has not run yet.
+        // All waiters are notified: after two notifications of one waiter each, only one waiter would wake if the first
+        // had not run yet.
         self.freed.notify(usize::MAX);
     }
 }
--- a/crates/platform-router/src/connection_pool/exchange.rs
+++ b/crates/platform-router/src/connection_pool/exchange.rs
@@ -1,10 +1,10 @@
-//! The exchange of one attempt with an engine.
+//! The exchange of commands and responses with an engine for one attempt.
 //!
-//! The outcome reports only what is certain: the statement was not executed if not one byte of it was written, or the
-//! engine says so; otherwise it may have been.
+//! The outcome reports only what is certain: the statement was not executed if none of its bytes was written or the
+//! engine says so; otherwise it may have been executed.
 //!
-//! A connection may take long to establish. Whether the attempt is still allowed is checked right before its first byte,
-//! against the endpoint list, the clock and the client's state at that time.
+//! Establishing a connection may take long. Right before the first byte is written, the endpoint list, the clock and
+//! the client's state decide whether the attempt is still allowed.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -22,33 +22,36 @@
 use crate::connection::Connection;
 use crate::result_memory::ResultReservation;
 
-/// The longest pause between checks whether a result's client has disconnected, while there is no memory for the result.
+/// Maximum interval of the checks whether a client has disconnected, while there is no memory for its result.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ConnectionPool {
-    /// Sends a statement and fetches its result, until the deadline or the cancellation.
+    /// Sends a statement and fetches its result, until the attempt's deadline or cancellation.
     ///
     /// # Errors
-    /// If there is no complete result; [`AttemptError::status`] says whether the statement may have been executed.
+    /// Returns an error if there is no complete result. [`AttemptError::status`] tells whether the statement may have
+    /// been executed.
     pub async fn attempt(
         &self,
         engine: EngineId,
         request: &AttemptRequest<'_>,
     ) -> Result<CompleteResponse, AttemptError> {
-        let _in_flight = self.enter(engine).ok_or(AttemptError::UnknownEngine)?;
-        let interrupted = |started, not_sent| match request.token.has_started() {
+        let _in_flight = self
+            .track_in_flight(engine)
+            .ok_or(AttemptError::UnknownEngine)?;
+        let interrupt = |started, not_sent| match request.token.has_started() {
             true => Err(started),
             false => Err(AttemptError::NotSent(not_sent)),
         };
         let timed_out = async {
             Timer::at(request.deadline).await;
-            interrupted(AttemptError::TimedOut, NotSentReason::TimedOut)
+            interrupt(AttemptError::TimedOut, NotSentReason::TimedOut)
         };
         let cancelled = async {
             request.token.cancelled().await;
-            interrupted(AttemptError::Cancelled, NotSentReason::Cancelled)
+            interrupt(AttemptError::Cancelled, NotSentReason::Cancelled)
         };
-        // A connection that is dropped here with its request in flight is closed, which cancels the request.
+        // If the exchange is dropped with its request in flight, the connection closes, which cancels the request.
         let interruption = future::or(timed_out, cancelled);
         future::or(self.exchange(engine, request), interruption).await
     }
@@ -63,11 +66,15 @@
             let (mut connection, was_idle) = self.acquire(engine, Some(key)).await?;
             match self.send(engine, request, &mut connection).await {
                 Ok(()) => break connection,
-                // The engine had closed an idle connection: nothing was sent, and there are others.
-                Err(AttemptError::Unsent(_)) if was_idle => {}
-                // The connection is still good.
+                // The engine had closed the idle connection. Nothing was sent, so another connection can be used.
+                Err(AttemptError::FailedBeforeSend(_)) if was_idle => {}
+                // Nothing was written, so the connection can be reused.
                 Err(AttemptError::NotSent(reason)) => {
-                    return self.fail(engine, connection, AttemptError::NotSent(reason));
+                    return self.release_and_fail(
+                        engine,
+                        connection,
+                        AttemptError::NotSent(reason),
+                    );
                 }
                 Err(error) => return Err(error),
             }
@@ -81,12 +88,12 @@
                 ResponseBody::Crashed => AttemptError::Crashed,
                 ResponseBody::NotExecuted => AttemptError::NotExecuted,
             };
-            return self.fail(engine, connection, error);
+            return self.release_and_fail(engine, connection, error);
         };
         let (work, load_report) = (served.work, served.load_report);
         let rows = match self.fetch_rows(&mut connection, request, served).await {
             Err(AttemptError::Abandoned) => {
-                return self.fail(engine, connection, AttemptError::Abandoned);
+                return self.release_and_fail(engine, connection, AttemptError::Abandoned);
             }
             rows => rows?,
         };
@@ -98,8 +105,8 @@
         })
     }
 
-    /// Writes the command. Its first byte is written at a moment at which the attempt is allowed; the timeout that the
-    /// engine is given counts from then.
+    /// Writes the command. Its first byte is written only while the attempt is allowed, and the timeout sent to the
+    /// engine counts from that time.
     async fn send(
         &self,
         engine: EngineId,
@@ -113,13 +120,20 @@
             let wait_ms = wait.as_millis().max(1) as u64;
             let line = engine_command::encode_statement(&request.command, wait_ms);
             match connection.try_write(line.as_bytes()) {
-                Ok(0) => return Err(AttemptError::Unsent(io::ErrorKind::WriteZero.into())),
+                Ok(0) => {
+                    return Err(AttemptError::FailedBeforeSend(
+                        io::ErrorKind::WriteZero.into(),
+                    ));
+                }
                 Ok(written) => break (line, written),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    connection.writable().await.map_err(AttemptError::Unsent)?;
+                    connection
+                        .writable()
+                        .await
+                        .map_err(AttemptError::FailedBeforeSend)?;
                 }
-                Err(error) => return Err(AttemptError::Unsent(error)),
+                Err(error) => return Err(AttemptError::FailedBeforeSend(error)),
             }
         };
         request.token.mark_started();
@@ -132,8 +146,8 @@
             .map_err(AttemptError::ConnectionReset)
     }
 
-    /// Whether an attempt may start now. Between the decision and a connection lies time, in which clients disconnect,
-    /// engines drain or pass on their address, and idempotency windows end.
+    /// Checks whether an attempt may start now. While its connection is established, the client may disconnect, the
+    /// engine may drain, its address may pass to another engine, and the idempotency window may end.
     fn check_allowed(
         &self,
         engine: EngineId,
@@ -147,7 +161,7 @@
         } else if request.send_by.is_some_and(|send_by| now >= send_by) {
             Err(NotSentReason::IdempotencyWindowPassed)
         } else if request.is_retry && !self.retries.allows_retry(now) {
-            Err(NotSentReason::RetryBudgetSpent)
+            Err(NotSentReason::RetryBudgetExhausted)
         } else if self.endpoint(engine) != Some(request.endpoint) {
             Err(NotSentReason::EndpointChanged)
         } else {
@@ -155,8 +169,8 @@
         }
     }
 
-    /// Returns the connection, which is still good, and the error.
-    fn fail<T>(
+    /// Releases the connection, which can be reused, and returns the error.
+    fn release_and_fail<T>(
         &self,
         engine: EngineId,
         connection: Connection,
@@ -166,7 +180,7 @@
         Err(error)
     }
 
-    /// Fetches the further pages, all at once, as soon as there is memory for them; returns the rows as JSON.
+    /// Fetches all other pages at once, as soon as there is memory for them, and returns the rows as JSON.
     async fn fetch_rows(
         &self,
         connection: &mut Connection,
@@ -199,7 +213,7 @@
                         rows.add_page(number, bytes).map_err(AttemptError::Rows)?;
                     }
                     ResponseBody::Crashed => return Err(AttemptError::Crashed),
-                    // A duplicate of an earlier response.
+                    // Any other response is a duplicate of an earlier one.
                     _ => {}
                 }
             }
@@ -207,7 +221,7 @@
         rows.to_json().map_err(AttemptError::Rows)
     }
 
-    /// Waits for memory for a result; `None` once the client has disconnected.
+    /// Waits for memory for a result. Returns `None` once the client has disconnected.
     async fn reserve_memory(&self, bytes: u64, token: &CancelToken) -> Option<ResultReservation> {
         loop {
             if token.is_abandoned() {
@@ -225,7 +239,7 @@
     }
 }
 
-/// The form in which connections remember a request's id.
+/// Returns the number under which connections remember a request's id.
 fn request_key(id: &str) -> u64 {
     u64::from_str_radix(id, 16).unwrap_or_else(|_| hoptiller_router_core::group_of(id))
 }
--- a/crates/platform-router/src/endpoint.rs
+++ b/crates/platform-router/src/endpoint.rs
@@ -1,14 +1,14 @@
-//! The state of an engine's endpoint, as the endpoint list has it.
+//! The state of an engine's endpoint, according to the endpoint list.
 
 use std::net::SocketAddr;
 
 use hoptiller_platform_protocol::{Endpoint, Phase};
 
-/// The state of an endpoint.
+/// The state of an engine's endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointState {
     pub(crate) addr: SocketAddr,
-    /// Unix time of the start, in ms; another one means another process.
+    /// Unix time of the engine's start, in ms. A different time means a different process.
     started_ms: u64,
     phase: Phase,
 }
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -1,4 +1,4 @@
-//! The front end: reads clients' requests, submits them to the core, and responds once to each.
+//! The front end: receives client requests, submits them to the core, and sends one response to each.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -22,12 +22,12 @@
 use crate::retry_limiter::RetryLimiter;
 use crate::statement_fields::engine_statement;
 
-/// A client that has not sent a complete request so long after it connected gets an error, or is disconnected.
+/// A client that has not sent a complete request within this time gets an error or is disconnected.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 const LINGER_TIMEOUT: Duration = Duration::from_millis(5_500);
-/// Bytes of a statement at most; usual ones are far shorter.
+/// Maximum size of a statement. Typical ones are far shorter.
 const MAX_BODY_BYTES: u64 = 64 << 10;
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const MAX_HEADERS: usize = 40;
@@ -44,7 +44,7 @@
         self.ids.borrow().len()
     }
 
-    /// Adds an id; `false` if it is in flight already.
+    /// Adds an id. Returns `false` if it is already in flight.
     fn insert(&self, id: String) -> bool {
         self.ids.borrow_mut().insert(id)
     }
@@ -54,18 +54,18 @@
     }
 }
 
-/// What requests are served with.
+/// The state shared by the handlers of all requests.
 pub(crate) struct FrontEnd {
     pub(crate) event_loop: Rc<EventLoop>,
     pub(crate) catalog: Rc<Catalog>,
     pub(crate) budget: Budget,
-    /// Counts requests, as retries are limited in proportion.
+    /// Counts requests, as the retry budget is proportional to them.
     pub(crate) retries: Rc<RetryLimiter>,
     pub(crate) in_flight_ids: InFlightIds,
     pub(crate) spawner: Spawner,
 }
 
-/// Serves clients until `stop` is ready, and then those that have connected by then.
+/// Accepts and serves clients until `stop` is ready, then serves those already connected.
 pub(crate) async fn serve(
     front_end: Rc<FrontEnd>,
     listener: Async<TcpListener>,
@@ -95,7 +95,7 @@
         request_timeout: REQUEST_TIMEOUT,
         first_byte_timeout: REQUEST_TIMEOUT,
         idle_timeout: IDLE_TIMEOUT,
-        write_timeout: STALL_TIMEOUT,
+        write_timeout: WRITE_TIMEOUT,
         linger_timeout: LINGER_TIMEOUT,
         cancels_on_disconnect: true,
     }
@@ -114,7 +114,8 @@
     }
 }
 
-/// A request in flight. If it is dropped before its response, the client has disconnected and the request is cancelled.
+/// A request in flight. If it is dropped before it is completed, the client has disconnected and the request is
+/// cancelled.
 struct InFlightRequest {
     front_end: Rc<FrontEnd>,
     statement: StatementId,
@@ -164,7 +165,7 @@
 async fn wait_for_response(front_end: &FrontEnd, statement: StatementId) -> Response {
     let mut page = 0;
     loop {
-        // The listener is registered before the core is polled, so that no notification is missed.
+        // The listener is registered before polling the core, so that no notification is missed.
         let notified = front_end.event_loop.listen(statement);
         let poll = front_end
             .event_loop
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,16 +1,17 @@
-//! The router on the platform's protocol: a front end, a connection pool and a watch client for
+//! The router for the platform's protocol: a front end, a connection pool and a watch client around
 //! [`hoptiller_router_core`].
 //!
 //! - [`Router`]: the running router; `startup`, `reload` and `shutdown` are the phases of its lifecycle.
-//! - `command_executor`: carries out the commands of the core.
-//! - `front_end`, `statement_fields`: clients, over [`hoptiller_http::server`]; what goes with a statement through the core.
-//! - [`connection_pool`], `connection`: connections to engines; one request at a time on each.
-//! - [`attempt`], [`cancel`]: one attempt, its outcome, and its cancellation.
-//! - `watch_client`: the connection to the coordinator, and the updates of the endpoint list.
+//! - `command_executor`: executes the commands of the core.
+//! - `front_end`, `statement_fields`: client requests, received by [`hoptiller_http::server`], and the fields that
+//!   accompany a statement through the core.
+//! - [`connection_pool`], `connection`: connections to engines, with one request at a time on each.
+//! - [`attempt`], [`cancel`]: an attempt, its outcome and its cancellation.
+//! - `watch_client`: the connection to the coordinator, which receives updates of the endpoint list.
 //! - [`budget`], `connection_limiter`, `result_memory`, [`retry_limiter`]: resource limits.
-//! - [`trace`]: checks the log of attempts against what the policy counted.
+//! - [`trace`]: compares the attempts in a router's log with the policy's counts.
 //!
-//! The wire format is in `hoptiller_platform_protocol`; decisions are made in `hoptiller_policy`.
+//! `hoptiller_platform_protocol` defines the wire format; `hoptiller_policy` makes the decisions.
 #![warn(missing_docs)]
 
 pub mod attempt;
--- a/crates/platform-router/src/reload.rs
+++ b/crates/platform-router/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading of the configuration file, of which a running router follows the coordinator's address.
+//! Reloading of the configuration file. A running router adopts only the coordinator's address from it.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::router::Router;
 use crate::startup::{StartError, read_config};
 
-/// A file that can't be read may be half written: it is read again after this time, up to so many times.
+/// Pause before reading again a file that is invalid, perhaps because it is only partly written.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_TRIES: usize = 100;
 
 impl Router {
-    /// Reloads the configuration file, and connects to the coordinator that it names. Until it can be read, the present
-    /// configuration is used; a later call replaces an earlier one that still tries.
+    /// Reloads the configuration file and connects to the coordinator that it names. The current configuration remains
+    /// in use until the file can be read. A later call replaces an earlier one that is still retrying.
     pub async fn reload(&self) {
         let request = self.reloads_requested.get() + 1;
         self.reloads_requested.set(request);
@@ -26,7 +26,7 @@
                     return self.watch_client.set_addr(config.coordinator);
                 }
                 Err(error) => {
-                    tracing::warn!(%file, %error, "configuration not reloaded, trying again");
+                    tracing::warn!(%file, %error, "configuration not reloaded; retrying");
                 }
             }
             Timer::after(RETRY_INTERVAL).await;
@@ -34,7 +34,7 @@
                 return;
             }
         }
-        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded");
+        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded; giving up");
     }
 
     fn read_own_config(&self) -> Result<Config, StartError> {
--- a/crates/platform-router/src/result_memory.rs
+++ b/crates/platform-router/src/result_memory.rs
@@ -1,15 +1,15 @@
-//! The memory for results of several pages while they are fetched.
+//! The limit on memory for results of several pages while they are fetched.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the bytes reserved for all results.
+/// Limits the bytes that all results together may reserve.
 pub(crate) struct ResultMemory {
     max_bytes: u64,
     reserved: Rc<Cell<u64>>,
 }
 
-/// Memory reserved for one result; returned when dropped.
+/// Memory reserved for one result. It is released on drop.
 pub(crate) struct ResultReservation {
     reserved: Rc<Cell<u64>>,
     bytes: u64,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reserves memory if there is enough. A result that is larger than all of it is accepted alone.
+    /// Reserves memory if enough is free. A result larger than the limit is accepted while no other is reserved.
     pub(crate) fn try_reserve(&self, bytes: u64) -> Option<ResultReservation> {
         let reserved = self.reserved.get();
         if reserved != 0 && reserved + bytes > self.max_bytes {
--- a/crates/platform-router/src/retry_limiter.rs
+++ b/crates/platform-router/src/retry_limiter.rs
@@ -1,5 +1,5 @@
-//! The retry budget at the moment at which retries are sent. The policy counts a retry when it decides on it; while a
-//! connection is slow to come up, several may be sent at once, and the budget has to hold then too.
+//! Enforcement of the retry budget when retries are sent. The policy counts a retry when it decides on it. Retries
+//! whose connections are slow to establish may all be sent at once, and the budget has to hold then too.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -7,14 +7,14 @@
 
 use hoptiller_policy::RetryBudget;
 
-/// Counts requests received and retries sent within the budget's window.
+/// Limits retries, based on the requests received and the retries sent within the budget's window.
 #[derive(Debug)]
 pub struct RetryLimiter {
     budget: Option<RetryBudget>,
     window: RefCell<Window>,
 }
 
-/// The times of what lies within the budget's window, oldest first.
+/// The times of requests and retries within the budget's window, oldest first.
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Instant>,
@@ -35,7 +35,7 @@
 }
 
 impl RetryLimiter {
-    /// With no requests counted yet. `None`: retries are not limited, and nothing is counted.
+    /// Creates a limiter with no requests counted. Without a budget, retries are not limited and nothing is counted.
     pub fn new(budget: Option<RetryBudget>) -> RetryLimiter {
         RetryLimiter {
             budget,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Counts a request that was received.
+    /// Counts a received request.
     pub fn record_request(&self, now: Instant) {
         let Some(budget) = self.budget else { return };
         let mut window = self.window.borrow_mut();
@@ -51,7 +51,7 @@
         window.prune(now, Duration::from_micros(budget.window));
     }
 
-    /// Whether the budget allows one more retry.
+    /// Returns whether the budget allows one more retry.
     pub fn allows_retry(&self, now: Instant) -> bool {
         let Some(budget) = self.budget else {
             return true;
@@ -59,7 +59,7 @@
         let length = Duration::from_micros(budget.window);
         let mut window = self.window.borrow_mut();
         window.prune(now, length);
-        // At the very edge of the window retries still count, and requests no longer do.
+        // At exactly the window's length, retries still count but requests no longer do.
         let requests = window
             .requests
             .iter()
@@ -68,7 +68,7 @@
         window.retries.len() as f64 + 1.0 <= budget.min_retries + budget.ratio * requests as f64
     }
 
-    /// Counts a retry that was sent.
+    /// Counts a sent retry.
     pub fn record_retry(&self, now: Instant) {
         if self.budget.is_some() {
             self.window.borrow_mut().retries.push_back(now);
--- a/crates/platform-router/src/router.rs
+++ b/crates/platform-router/src/router.rs
@@ -1,4 +1,4 @@
-//! The running router: the core, its front end, the connections to engines and the watch on the endpoint list.
+//! The running router: core, front end, connections to engines, and watch on the endpoint list.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -35,60 +35,60 @@
     pub(crate) watch_client: WatchClient,
     pub(crate) spawner: Spawner,
     pub(crate) client_connections: Rc<ServerConnections>,
-    /// Attempts from the decision to the outcome, by request and attempt number.
+    /// The tokens of attempts from decision to outcome, by statement and attempt number.
     pub(crate) in_flight: RefCell<BTreeMap<(StatementId, u32), Rc<CancelToken>>>,
-    /// How often a reload was requested; only the last request is carried out.
+    /// The number of reloads requested so far. A new reload replaces one that is still in progress.
     pub(crate) reloads_requested: Cell<u64>,
     pub(crate) clock: ClockReference,
     pub(crate) stop_accepting: Event,
     pub(crate) is_accepting: Cell<bool>,
-    /// Requests that are in flight so long after the start of the shutdown are given up.
+    /// The time after the start of a shutdown at which requests still in flight are abandoned.
     pub(crate) shutdown_timeout: Duration,
 }
 
 impl Router {
-    /// The number of the coordinator's last event.
+    /// Returns the number of the last event received from the coordinator.
     pub fn last_event(&self) -> u64 {
         self.watch_client.last_event()
     }
 
-    /// Attempts that were decided on and have no outcome yet.
+    /// Returns the number of attempts that were decided on and have no outcome yet.
     pub fn attempts_in_flight(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Connections to engines, including those that are being established.
+    /// Returns the number of connections to engines, including those being established.
     pub fn engine_connections(&self) -> usize {
         self.pool.open_connections()
     }
 
-    /// Engines known.
+    /// Returns the number of engines in the connection pool.
     pub fn known_engines(&self) -> usize {
         self.pool.known_engines()
     }
 
-    /// Requests that the core knows.
+    /// Returns the number of statements that the core holds, open and retained.
     pub fn known_requests(&self) -> usize {
         let usage = self.event_loop.core().usage();
         usage.open_statements + usage.retained_statements
     }
 
-    /// Requests in flight, by id.
+    /// Returns the number of request ids in flight.
     pub fn requests_in_flight(&self) -> usize {
         self.front_end.in_flight_ids.len()
     }
 
-    /// How descriptors and memory are divided.
+    /// Returns how descriptors and memory are divided.
     pub fn budget(&self) -> &Budget {
         &self.front_end.budget
     }
 
-    /// Connections of clients.
+    /// Returns the number of open client connections.
     pub fn client_connections(&self) -> usize {
         self.client_connections.counts().open
     }
 
-    /// Calls the core; the commands that follow are carried out, and the event loop is woken if need be.
+    /// Calls the core, executes the resulting commands, and wakes the event loop if necessary.
     pub(crate) fn with_core<T>(&self, call: impl FnOnce(&mut Core, Micros) -> T) -> T {
         self.event_loop.with_core(call)
     }
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -7,39 +7,39 @@
 
 use crate::router::Router;
 
-/// After SIGTERM requests are still sent to the router for so long, and are served as before.
+/// How long requests still arrive after SIGTERM. They are served as before.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(900);
-/// Then no connection is accepted, and those accepted last have so long to send their first byte.
-const LAST_ACCEPTED_DELAY: Duration = Duration::from_millis(100);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline of a class, or this time where that is less, and 0.7 s
-/// more.
+/// How long the connections accepted last have to send their first byte, once no more are accepted.
+const FIRST_BYTE_DELAY: Duration = Duration::from_millis(100);
+/// SIGKILL follows SIGTERM no sooner than 0.7 s after the longest class deadline, of which at most this time counts.
 const MAX_TERMINATION_GRACE: Duration = Duration::from_secs(3);
-/// Requests in flight are given up this long after that deadline, which leaves time to respond before SIGKILL.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(450);
-/// Connections whose responses are not read, or that only send, are waited for so much longer.
-const CLOSE_AFTER: Duration = Duration::from_millis(200);
-/// Pause between checks whether all requests have a response.
+/// Requests in flight are abandoned this long after that time, which leaves time to respond before SIGKILL.
+const ABANDON_DELAY: Duration = Duration::from_millis(450);
+/// How much longer the shutdown waits for clients that don't read their responses or don't stop sending.
+const CLOSE_DELAY: Duration = Duration::from_millis(200);
+/// Interval of the checks whether all requests have a response.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long after the start of a shutdown requests in flight are given up.
+/// Returns how long after the start of a shutdown requests in flight are abandoned.
 pub(crate) fn timeout(classes: &[Class]) -> Duration {
     let longest = classes
         .iter()
         .map(|class| Duration::from_micros(class.deadline))
         .max()
         .unwrap_or(MAX_TERMINATION_GRACE);
-    longest.min(MAX_TERMINATION_GRACE) + GIVE_UP_AFTER
+    longest.min(MAX_TERMINATION_GRACE) + ABANDON_DELAY
 }
 
 impl Router {
-    /// Serves the requests that still arrive, then accepts none, completes those in flight, and returns. Requests that
-    /// are not completed in time are given up, and their clients get a response that says so.
+    /// Serves the requests that still arrive, then stops accepting connections and waits until all requests in flight
+    /// are completed. Requests that are not completed in time are abandoned, and their clients get a response that says
+    /// so.
     pub async fn shutdown(&self) {
         let started = Instant::now();
         self.client_connections.announce_end();
         Timer::after(DEREGISTRATION_DELAY).await;
         self.stop_accepting.notify(usize::MAX);
-        Timer::after(LAST_ACCEPTED_DELAY).await;
+        Timer::after(FIRST_BYTE_DELAY).await;
         self.client_connections.close_idle();
         while self.is_accepting.get()
             || self.client_connections.counts().active > 0
@@ -49,7 +49,7 @@
                 self.with_core(|core, _| core.abandon_all());
             }
             let all_completed = self.open_requests() == 0;
-            if all_completed && started.elapsed() >= self.shutdown_timeout + CLOSE_AFTER {
+            if all_completed && started.elapsed() >= self.shutdown_timeout + CLOSE_DELAY {
                 return;
             }
             Timer::after(CHECK_INTERVAL).await;
--- a/crates/platform-router/src/startup.rs
+++ b/crates/platform-router/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a router from its configuration file.
+//! Creation of a router from its configuration file, and its start.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -27,36 +27,37 @@
 use crate::shutdown;
 use crate::watch_client::WatchClient;
 
-/// The time kept for the outcome of the last attempt, the decision and the response before a client's timeout.
+/// The time reserved before a client's timeout for the last attempt's outcome, the decision and the response.
 const RESPONSE_MARGIN: Micros = 30_000;
-/// Requests are abandoned when their client closes its connection, and so never for want of polling.
+/// The time without polls after which the core abandons a request. It is never reached: requests are cancelled as soon
+/// as their client closes its connection.
 const ABANDON_AFTER: Micros = 600_000_000;
-/// Pause between checks for idle connections that have expired.
+/// Interval of the checks for expired idle connections.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Idle connections are closed after this part of the time after which engines close them.
+/// The idle timeout of connections, as a fraction of the engines' own.
 const IDLE_TIMEOUT_FACTOR: f64 = 0.7;
 const MIN_CONNECT_TIMEOUT_MS: f64 = 50.0;
 const MIN_IDLE_TIMEOUT_MS: f64 = 500.0;
 const MIN_TICK_MS: f64 = 1.0;
 
-/// Why a router can't start, or its configuration can't be reloaded.
+/// The reason why a router can't start or its configuration can't be reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The configuration file can't be read.
-    #[error("can't be read: {0}")]
+    #[error("the file can't be read: {0}")]
     File(#[source] io::Error),
     /// The configuration is invalid.
     #[error("{0}")]
     Config(#[source] ConfigError),
-    /// The policy can't work with the settings.
+    /// The policy rejects the settings.
     #[error("settings: {0}")]
     Settings(#[source] hoptiller_policy::SettingsError),
-    /// On reload: the configuration is that of the router of this name.
-    #[error("name: it is for the router {0}")]
+    /// The reloaded configuration belongs to the router of this name.
+    #[error("name: the configuration belongs to router {0}")]
     OtherRouter(String),
 }
 
-/// Reads and checks a configuration file.
+/// Reads and validates a configuration file.
 pub(crate) fn read_config(file: &Path) -> Result<Config, StartError> {
     let bytes = std::fs::read(file).map_err(StartError::File)?;
     Config::parse(&bytes).map_err(StartError::Config)
@@ -66,7 +67,7 @@
     /// Creates a router from its configuration file.
     ///
     /// # Errors
-    /// If the file can't be read, or the configuration or its settings are invalid.
+    /// Returns an error if the file can't be read, or the configuration or its settings are invalid.
     pub fn load(config_file: PathBuf, spawner: Spawner) -> Result<Rc<Router>, StartError> {
         let config = read_config(&config_file)?;
         let endpoints = config.initial_endpoints().map_err(StartError::Config)?;
@@ -78,11 +79,11 @@
         let tick = duration_from_millis(config.settings.tick, MIN_TICK_MS);
         let shutdown_timeout = shutdown::timeout(&policy.classes);
         let retries = Rc::new(RetryLimiter::new(policy.rules.retry_budget));
-        let names = core::RouterIdentity {
+        let identity = core::RouterIdentity {
             router: config.name.clone(),
             incarnation: config.seed.clone(),
         };
-        let core = Core::new(policy, config.seed(), core_limits(&budget), None, names)
+        let core = Core::new(policy, config.seed(), core_limits(&budget), None, identity)
             .map_err(StartError::Settings)?;
         let router = Rc::new_cyclic(|this: &Weak<Router>| {
             let event_loop = Rc::new(EventLoop::new(core, tick, this.clone()));
@@ -119,10 +120,10 @@
         Ok(router)
     }
 
-    /// Listens for clients, and starts all tasks. Returns the address.
+    /// Listens for clients, starts all tasks, and returns the listening address.
     ///
     /// # Errors
-    /// If the address can't be listened on.
+    /// Returns an error if the address can't be bound.
     pub fn start(self: &Rc<Self>) -> io::Result<SocketAddr> {
         let listener = server::bind(self.listen)?;
         let addr = listener.get_ref().local_addr()?;
@@ -138,7 +139,7 @@
         self.spawner.spawn(async move {
             loop {
                 Timer::after(EXPIRY_INTERVAL).await;
-                router.pool.close_expired();
+                router.pool.close_expired_connections();
             }
         });
         let (router, stop) = (self.clone(), self.stop_accepting.listen());
@@ -152,8 +153,8 @@
     }
 }
 
-/// The settings of the policy. Well-behaved clients hold a third of the descriptors at most, with one request in flight
-/// on each connection, which limits the requests in flight.
+/// Returns the policy's settings. Well-behaved clients use at most a third of the descriptors and have one request in
+/// flight per connection, which limits the requests in flight.
 fn policy_settings(config: &Config) -> hoptiller_policy::Settings {
     let mut policy = config.settings.to_policy();
     let max_open = config.limits.sockets / 3;
@@ -193,7 +194,7 @@
     let connect_timeout = duration_from_millis(limits.connect_timeout, MIN_CONNECT_TIMEOUT_MS);
     PoolConfig {
         connect_timeout,
-        probe_timeout: connect_timeout,
+        health_check_timeout: connect_timeout,
         idle_timeout: duration_from_millis(
             limits.conn_idle * IDLE_TIMEOUT_FACTOR,
             MIN_IDLE_TIMEOUT_MS,
--- a/crates/platform-router/src/statement_fields.rs
+++ b/crates/platform-router/src/statement_fields.rs
@@ -1,11 +1,11 @@
-//! The fields that go with a statement through the core: the id that the client gave its request, and its idempotency key.
+//! The fields that accompany a statement through the core: the client's request id and its idempotency key.
 
 use hoptiller_router_core::EngineStatement;
 
 const REQUEST_ID: &str = "Trace-Id";
 const IDEMPOTENCY_KEY: &str = "Replay-Key";
 
-/// The statement of a request, as the core passes it on.
+/// Creates the statement that the core passes to engines.
 pub(crate) fn engine_statement(
     text: String,
     request_id: String,
@@ -20,12 +20,12 @@
     }
 }
 
-/// The id that the client gave its request; empty if there is none.
+/// Returns the id that the client gave its request; empty if there is none.
 pub(crate) fn request_id(statement: &EngineStatement) -> &str {
     field(statement, REQUEST_ID).unwrap_or_default()
 }
 
-/// The idempotency key, if the statement has one.
+/// Returns the idempotency key, if the statement has one.
 pub(crate) fn idempotency_key(statement: &EngineStatement) -> Option<&str> {
     field(statement, IDEMPOTENCY_KEY)
 }
--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -1,86 +1,86 @@
-//! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each engine,
-//! counted from the events, are compared with what the policy believed; and attempts at engines that had just rejected one
-//! are counted. It reads text only.
+//! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each
+//! engine, counted from the events, are compared with the policy's counts, and attempts sent to an engine soon after it
+//! rejected one are counted. The input is plain text.
 //!
-//! The events `send`, `served` and `ended` are written where the core's commands are executed.
+//! The events `send`, `served` and `ended` are logged where the core's commands are executed.
 
 use std::collections::{BTreeMap, HashSet};
 
 /// The log target of the events that a trace is made of.
 pub const TRACE_TARGET: &str = "hoptiller_platform_router::trace";
-/// The target of the same events in traces of releases before the package was renamed.
+/// The target of the same events in traces of releases from before the package was renamed.
 const FORMER_TRACE_TARGET: &str = "hoptiller_node::node";
 
 /// An attempt counts as early if it is sent within this time after the engine rejected one or was not reached.
 const EARLY_RESEND_MICROS: u64 = 1_000_000;
-/// Mismatches that are kept; further ones are only counted.
+/// Maximum number of mismatches that are kept. Further ones are only counted.
 const MAX_MISMATCHES: usize = 100;
-/// How the reason of an `ended` event starts if the engine rejected the attempt.
+/// The prefix of an `ended` event's reason if the engine rejected the attempt.
 const REJECTED_REASON: &str = "the engine is full";
-/// How it starts if no connection was established.
+/// The prefix of an `ended` event's reason if no connection was established.
 const UNREACHED_REASON: &str = "no connection";
 
-/// The attempts at an engine.
+/// Counts of the attempts at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineObservations {
-    /// Attempts sent.
+    /// The number of attempts sent.
     pub sent: u64,
-    /// Attempts served.
+    /// The number of attempts served.
     pub served: u64,
-    /// Attempts that the engine rejected for lack of capacity.
+    /// The number of attempts that the engine rejected for lack of capacity.
     pub rejected: u64,
-    /// Attempts for which no connection was established.
+    /// The number of attempts for which no connection was established.
     pub unreached: u64,
-    /// Attempts sent within a second after the engine rejected one or was not reached.
+    /// The number of attempts sent within a second after the engine rejected one or was not reached.
     pub resent_early: u64,
-    /// The most attempts in flight at once.
+    /// The maximum number of attempts in flight at once.
     pub max_in_flight: u64,
 }
 
-/// A difference between the attempts in flight and what the policy believed.
+/// A difference between the attempts in flight according to the trace and to the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mismatch {
-    /// The line of the trace, from 1.
+    /// The line number in the trace, starting at 1.
     pub line: usize,
-    /// The engine.
+    /// The engine's id.
     pub engine: u32,
-    /// Attempts in flight by the trace.
+    /// The attempts in flight, counted from the trace.
     pub counted: u64,
-    /// Attempts in flight by the policy.
+    /// The attempts in flight according to the policy.
     pub believed: u64,
 }
 
 /// The result of the analysis of a router's trace.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// The observations by engine.
+    /// The observations, by engine.
     pub engines: BTreeMap<u32, EngineObservations>,
-    /// The first mismatches.
+    /// The first mismatches, up to a limit.
     pub mismatches: Vec<Mismatch>,
     /// The number of all mismatches.
     pub mismatch_count: usize,
-    /// The number of comparisons.
+    /// The number of comparisons made.
     pub comparisons: usize,
-    /// Lines of attempts that can't be parsed, or that end an attempt that was not sent.
+    /// The number of event lines that can't be parsed or that end an attempt that was not sent.
     pub unparsed_lines: usize,
     in_flight: BTreeMap<u32, HashSet<AttemptId>>,
-    /// By engine: when it last rejected an attempt or was not reached, in µs of the day.
+    /// By engine, the time of day in µs at which it last rejected an attempt or was not reached.
     last_rejections: BTreeMap<u32, u64>,
     round: Option<Round>,
 }
 
-/// An attempt of a request.
+/// The identity of an attempt.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: String,
     number: u32,
 }
 
-/// The attempts sent in one round of the core. Already at the first of them the policy counts all as in flight.
+/// The attempts sent in one round of the core. The policy counts all of them as in flight before the first is logged.
 #[derive(Debug)]
 struct Round {
     number: u64,
-    /// By engine: the last `send` event.
+    /// The last `send` event, by engine.
     sends: BTreeMap<u32, SendEvent>,
 }
 
@@ -161,7 +161,7 @@
         was_in_flight.then_some(())
     }
 
-    /// Compares the attempts in flight with the policy's belief, once all of a round are sent.
+    /// Compares the attempts in flight with the policy's counts, once all attempts of a round are sent.
     fn compare_round(&mut self) {
         let Some(round) = self.round.take() else {
             return;
@@ -192,7 +192,7 @@
     })
 }
 
-/// Splits the log line of an attempt's event into the part before its target, and the event with its fields.
+/// Splits the log line of a trace event into the part before the target and the event with its fields.
 fn split_event(line: &str) -> Option<(&str, &str)> {
     [TRACE_TARGET, FORMER_TRACE_TARGET]
         .into_iter()
@@ -202,7 +202,7 @@
         })
 }
 
-/// The time of day of a line in µs, from its RFC 3339 timestamp.
+/// Returns the time of day of a line in µs, from its RFC 3339 timestamp.
 fn time_of_day(head: &str) -> Option<u64> {
     let stamp = head
         .split_whitespace()
--- a/crates/platform-router/src/watch_client.rs
+++ b/crates/platform-router/src/watch_client.rs
@@ -1,5 +1,5 @@
-//! The watch on the coordinator's endpoint list: updates are requested from the last one received on, and the client
-//! reconnects after any error. While the coordinator is away, the list stays as it is.
+//! A client that watches the coordinator's endpoint list. It requests the updates after the last one received and
+//! reconnects after any error. While the coordinator is unreachable, the list stays unchanged.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,24 +12,28 @@
 use hoptiller_platform_protocol::frame_decoder::{Frame, FrameError};
 use hoptiller_platform_protocol::{EndpointListUpdate, FrameDecoder};
 
-/// The coordinator sends a keep-alive each second. Without a complete frame for so long, the connection is given up;
-/// single bytes don't count.
+/// The connection is closed if no complete frame arrives within this time; partial frames don't count. The coordinator
+/// sends a keep-alive each second.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(2_200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// Why a connection to the coordinator ended.
+/// The reason why a connection to the coordinator ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("no response for {} ms", KEEP_ALIVE_TIMEOUT.as_millis())]
+    #[error(
+        "no connection within {} ms, or no complete frame within {} ms",
+        CONNECT_TIMEOUT.as_millis(),
+        KEEP_ALIVE_TIMEOUT.as_millis()
+    )]
     TimedOut,
     #[error("{0}")]
     Frame(#[from] FrameError),
-    #[error("the configuration names another address")]
+    #[error("the coordinator's address has changed")]
     AddressChanged,
 }
 
@@ -42,7 +46,7 @@
 }
 
 impl WatchClient {
-    /// For the coordinator at this address, from the event after this one on.
+    /// Creates a client for the coordinator at an address that watches the events after `last_event`.
     pub(crate) fn new(addr: SocketAddr, last_event: u64) -> WatchClient {
         WatchClient {
             addr: Cell::new(addr),
@@ -52,19 +56,19 @@
         }
     }
 
-    /// Reconnects to another address, if it is another one.
+    /// Reconnects if the address differs from the current one.
     pub(crate) fn set_addr(&self, addr: SocketAddr) {
         if self.addr.replace(addr) != addr {
             self.addr_changed.notify(usize::MAX);
         }
     }
 
-    /// The number of the last event received.
+    /// Returns the number of the last event received.
     pub(crate) fn last_event(&self) -> u64 {
         self.last_event.get()
     }
 
-    /// Watches for ever; `on_update` is called once for each update, in order.
+    /// Watches forever, calling `on_update` once for each update, in order.
     pub(crate) async fn run(&self, on_update: impl Fn(EndpointListUpdate)) {
         loop {
             let addr_changed = self.addr_changed.listen();
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Pauses before the next connection, unless the address has changed or does so meanwhile.
+    /// Waits before the next connection, but no longer than until the address changes.
     async fn back_off(&self, addr: SocketAddr) {
         let backoff = *self.backoff.borrow();
         *self.backoff.borrow_mut() = (backoff * 2).min(MAX_BACKOFF);
--- a/crates/platform-router/tests/common/pool.rs
+++ b/crates/platform-router/tests/common/pool.rs
@@ -28,7 +28,7 @@
     let config = PoolConfig {
         connect_timeout: timeout,
         idle_timeout: timeout,
-        probe_timeout: timeout,
+        health_check_timeout: timeout,
         max_connections,
         max_result_bytes,
     };
--- a/crates/platform-router/tests/connection_pool.rs
+++ b/crates/platform-router/tests/connection_pool.rs
@@ -126,7 +126,7 @@
             assert!(
                 matches!(
                     second,
-                    Err(AttemptError::NotSent(NotSentReason::RetryBudgetSpent))
+                    Err(AttemptError::NotSent(NotSentReason::RetryBudgetExhausted))
                 ),
                 "{second:?}"
             );
