--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -42,10 +42,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
     /// Not sent: the connection limit was reached, and no connection became free in time.
-    #[error("no descriptor was left for it")]
+    #[error("connection limit reached")]
     ConnectionLimitReached,
     /// Not sent: the engine is not on the endpoint list.
-    #[error("the engine has gone from the list")]
+    #[error("the engine is no longer on the endpoint list")]
     UnknownEngine,
     /// Not sent: the attempt was no longer allowed when its first byte could be written, or it ended before that.
     #[error("not sent: {0}")]
@@ -54,10 +54,10 @@
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
     /// The connection failed before a byte of the request was written.
-    #[error("the connection broke before it was sent: {0}")]
+    #[error("the connection failed before the request was sent: {0}")]
     FailedBeforeSend(#[source] io::Error),
     /// The connection failed after the first byte of the request was written.
-    #[error("the connection broke: {0}")]
+    #[error("the connection failed during the request: {0}")]
     ConnectionReset(#[source] io::Error),
     /// The engine sent an invalid response line, or too many bytes.
     #[error("{0}")]
@@ -69,19 +69,19 @@
     #[error("the engine is full")]
     Overloaded,
     /// The engine failed while it executed the statement.
-    #[error("the engine's own error")]
+    #[error("the engine failed")]
     Crashed,
     /// The request had ended before the engine started it.
-    #[error("it was over before it began")]
+    #[error("the request had ended before the engine started it")]
     NotExecuted,
     /// The deadline passed before the response was complete.
-    #[error("no answer in time")]
+    #[error("no complete response before the deadline")]
     TimedOut,
     /// The policy cancelled the attempt.
-    #[error("withdrawn")]
+    #[error("the attempt was cancelled")]
     Cancelled,
     /// The client disconnected before the other pages of the result were fetched.
-    #[error("its client left")]
+    #[error("the client disconnected")]
     Abandoned,
 }
 
@@ -89,19 +89,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotSentReason {
     /// The attempt was cancelled, or the client disconnected.
-    #[error("it was taken back")]
+    #[error("the attempt was cancelled")]
     Cancelled,
     /// The deadline of the attempt had passed.
-    #[error("its time was over")]
+    #[error("the deadline had passed")]
     TimedOut,
     /// The engine would no longer recognize the attempt as a duplicate.
-    #[error("a repeat would no longer be recognised")]
+    #[error("the idempotency window had passed")]
     IdempotencyWindowPassed,
     /// The retry budget was exhausted.
-    #[error("too many further attempts have begun")]
+    #[error("the retry budget is exhausted")]
     RetryBudgetExhausted,
     /// The state of the engine's endpoint had changed.
-    #[error("the list tells something else of the engine now")]
+    #[error("the engine's endpoint has changed")]
     EndpointChanged,
 }
 
--- a/crates/platform-router/src/trace/tests.rs
+++ b/crates/platform-router/src/trace/tests.rs
@@ -1,4 +1,4 @@
-//! The analysis of traces.
+//! Tests of the trace analysis.
 
 use super::*;
 
@@ -13,28 +13,28 @@
     )
 }
 
-fn end(second: f64, id: &str, engine: u32, why: &str) -> String {
+fn ended(second: f64, id: &str, engine: u32, why: &str) -> String {
     line(
         second,
         &format!("ended id=\"{id}\" hop=0 engine={engine} why={why}"),
     )
 }
 
-fn read(lines: &[String]) -> Trace {
+fn parse(lines: &[String]) -> Trace {
     Trace::parse(lines.iter().map(String::as_str))
 }
 
 #[test]
-fn only_mismatched_beliefs_are_reported() {
+fn only_mismatched_counts_are_reported() {
     let served = line(3.0, "served id=\"a\" hop=0 engine=1 work=Some(5)");
-    // Two sends of one round are both believed in flight at the first of them.
+    // Both sends of a round count as believed in flight at the first of them.
     let mut lines = vec![
         send(1.0, "a", 1, 7, 2),
         send(1.0, "b", 1, 7, 2),
         send(1.0, "c", 2, 7, 1),
     ];
     lines.extend([served, send(4.0, "d", 1, 8, 2)]);
-    let trace = read(&lines);
+    let trace = parse(&lines);
     assert_eq!(
         (
             trace.comparisons,
@@ -55,7 +55,7 @@
         }
     );
     lines[4] = send(4.0, "d", 1, 8, 3);
-    let trace = read(&lines);
+    let trace = parse(&lines);
     assert_eq!(
         trace.mismatches,
         [Mismatch {
@@ -71,14 +71,14 @@
 fn early_attempts_after_a_rejection_are_counted() {
     let lines = [
         send(1.0, "a", 1, 1, 1),
-        end(1.1, "a", 1, "the engine is full"),
+        ended(1.1, "a", 1, "the engine is full"),
         send(1.2, "a", 1, 2, 1),
-        end(1.3, "a", 1, "no connection: timed out"),
+        ended(1.3, "a", 1, "no connection: timed out"),
         send(2.4, "b", 1, 3, 1),
-        end(2.5, "b", 1, "no answer in time"),
+        ended(2.5, "b", 1, "no complete response before the deadline"),
         send(2.6, "c", 1, 4, 1),
     ];
-    let observations = read(&lines).engines[&1];
+    let observations = parse(&lines).engines[&1];
     let expected = EngineObservations {
         sent: 4,
         rejected: 1,
@@ -89,7 +89,7 @@
     };
     assert_eq!(
         observations, expected,
-        "1.1 s after the last rejection is no longer early"
+        "an attempt 1.1 s after the last failed connection is not early"
     );
 }
 
@@ -99,11 +99,11 @@
         "noise".to_owned(),
         line(1.0, "send id=\"a\" hop=0"),
         line(1.0, "served"),
-        end(1.0, "nobody", 4, "the engine is full"),
+        ended(1.0, "nobody", 4, "the engine is full"),
         line(1.0, "settled id=3"),
         send(1.0, "a", 1, 1, 1).replace("T22", "T9999999999999"),
     ];
-    let trace = read(&lines);
+    let trace = parse(&lines);
     assert_eq!(
         (trace.unparsed_lines, trace.comparisons, trace.engines.len()),
         (4, 0, 0)
