--- a/crates/platform-protocol/src/config/tests.rs
+++ b/crates/platform-protocol/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid configuration files.
+//! Tests of valid and invalid configuration files.
 
 use super::*;
 use crate::endpoint_list::Phase;
@@ -19,12 +19,12 @@
 
 #[test]
 fn initial_events_are_applied_in_order() {
-    let config = Config::parse(TEXT.as_bytes()).expect("good");
+    let config = Config::parse(TEXT.as_bytes()).expect("valid");
     assert_eq!(
         (config.seed(), config.limits.sockets),
         (0x8c1f_30d2_7a5b_e964, 256)
     );
-    let initial = config.initial_endpoints().expect("good");
+    let initial = config.initial_endpoints().expect("valid");
     assert_eq!(
         (initial.number, initial.is_complete, initial.endpoints.len()),
         (4, true, 1)
@@ -42,14 +42,14 @@
         Config::parse(&TEXT.as_bytes()[..TEXT.len() / 2]),
         Err(ConfigError::Json(_))
     ));
-    let few = TEXT.replace("\"sockets\":256", "\"sockets\":3");
+    let too_few_sockets = TEXT.replace("\"sockets\":256", "\"sockets\":3");
     assert!(matches!(
-        Config::parse(few.as_bytes()),
+        Config::parse(too_few_sockets.as_bytes()),
         Err(ConfigError::Sockets(3))
     ));
-    let odd = TEXT.replace("s-00000002", "s-02");
+    let invalid_id = TEXT.replace("s-00000002", "s-02");
     assert!(
-        Config::parse(odd.as_bytes())
+        Config::parse(invalid_id.as_bytes())
             .expect("JSON")
             .initial_endpoints()
             .is_err()
--- a/crates/platform-protocol/src/engine_command/tests.rs
+++ b/crates/platform-protocol/src/engine_command/tests.rs
@@ -1,4 +1,4 @@
-//! The JSON of commands to engines.
+//! Tests of the JSON of commands to engines.
 
 use super::*;
 
@@ -14,9 +14,9 @@
     let parse = |line: String| serde_json::from_str::<Value>(line.trim_end()).expect("JSON");
     let line = encode_statement(&command, 1500);
     assert!(line.ends_with('\n'));
-    let without = serde_json::json!({"t": "REQ", "i": "9b1f", "f": {"c": "post", "w": 1500, "weight": 3}, "b": "YQ=="});
-    assert_eq!(parse(line), without);
-    let with = parse(encode_statement(
+    let expected = serde_json::json!({"t": "REQ", "i": "9b1f", "f": {"c": "post", "w": 1500, "weight": 3}, "b": "YQ=="});
+    assert_eq!(parse(line), expected);
+    let with_key = parse(encode_statement(
         &StatementCommand {
             idempotency_key: Some("k\"1"),
             priority: None,
@@ -25,7 +25,7 @@
         1,
     ));
     assert_eq!(
-        with["f"],
+        with_key["f"],
         serde_json::json!({"c": "post", "w": 1, "i": "k\"1"})
     );
 }
--- a/crates/platform-protocol/src/engine_response/tests.rs
+++ b/crates/platform-protocol/src/engine_response/tests.rs
@@ -1,4 +1,4 @@
-//! Response lines of engines: valid, split and invalid.
+//! Tests of valid, split and invalid response lines.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,7 +10,9 @@
 fn decode(line: &str) -> Result<EngineResponse, LineError> {
     let mut decoder = LineDecoder::default();
     decoder.feed(format!("{line}\n").as_bytes());
-    decoder.next_response().map(|a| a.expect("whole"))
+    decoder
+        .next_response()
+        .map(|response| response.expect("a complete line"))
 }
 
 const SERVED: &str =
@@ -18,22 +20,22 @@
 
 #[test]
 fn numeric_fields_may_be_text_or_numbers() {
-    let ResponseBody::Served(result) = decode(SERVED).expect("good").body else {
-        panic!("served")
+    let ResponseBody::Served(result) = decode(SERVED).expect("valid").body else {
+        panic!("expected a served response")
     };
     assert_eq!(
         (result.pages, result.first_page.as_slice(), result.work),
         (3, &b"a\t1\tx\n"[..], Some(820_500))
     );
     let Ok(EngineResponse {
-        body: ResponseBody::Load(Some(r)),
+        body: ResponseBody::Load(Some(report)),
         ..
     }) = decode(r#"{"t":"green","i":"p1","f":{"load":"inflight:7;util:0.61;svc:x"}}"#)
     else {
-        panic!("a report")
+        panic!("expected a load report")
     };
     assert_eq!(
-        (r.in_flight, r.cpu, r.memory),
+        (report.in_flight, report.cpu, report.memory),
         (Some(7.0), Some(0.61), None)
     );
 }
@@ -62,15 +64,15 @@
     fn arbitrary_bytes_do_not_panic_and_splits_do_not_matter(cut in 0usize..400, noise in proptest::collection::vec(any::<u8>(), 0..60)) {
         let mut stream = format!("{SERVED}\n{SERVED}\n").into_bytes();
         stream.extend(noise);
-        let mut whole = LineDecoder::default();
-        whole.feed(&stream);
-        let text = |r: Result<Vec<EngineResponse>, LineError>| format!("{r:?}");
-        let expected = text(decode_all(&mut whole));
-        let (a, b) = stream.split_at(cut.min(stream.len()));
+        let mut unsplit = LineDecoder::default();
+        unsplit.feed(&stream);
+        let text = |responses: Result<Vec<EngineResponse>, LineError>| format!("{responses:?}");
+        let expected = text(decode_all(&mut unsplit));
+        let (head, tail) = stream.split_at(cut.min(stream.len()));
         let mut split = LineDecoder::default();
-        split.feed(a);
+        split.feed(head);
         let decoded = decode_all(&mut split).and_then(|mut first| {
-            split.feed(b);
+            split.feed(tail);
             first.extend(decode_all(&mut split)?);
             Ok(first)
         });
--- a/crates/platform-protocol/src/frame_decoder/tests.rs
+++ b/crates/platform-protocol/src/frame_decoder/tests.rs
@@ -1,26 +1,26 @@
-//! Frames of the coordinator, valid and not.
+//! Tests of valid, split and invalid frames.
 
 use super::*;
 use proptest::prelude::*;
 
 fn frame(number: u64, kind: u8, records: &[[u8; RECORD_BYTES]]) -> Vec<u8> {
-    let mut out = ((HEADER_BYTES + records.len() * RECORD_BYTES) as u32)
+    let mut bytes = ((HEADER_BYTES + records.len() * RECORD_BYTES) as u32)
         .to_be_bytes()
         .to_vec();
-    out.extend(number.to_be_bytes());
-    out.push(kind);
-    out.extend(records.iter().flatten());
-    out
+    bytes.extend(number.to_be_bytes());
+    bytes.push(kind);
+    bytes.extend(records.iter().flatten());
+    bytes
 }
 
-fn record(id: u32, state: u8) -> [u8; RECORD_BYTES] {
-    let mut r = [0; RECORD_BYTES];
-    r[..4].copy_from_slice(&id.to_be_bytes());
-    r[4..10].copy_from_slice(&[127, 1, 0, 9, 0x1f, 0x90]);
-    r[10..15].copy_from_slice(&[state, 1, 2, 0, 7]);
-    r[15..19].copy_from_slice(&4000u32.to_be_bytes());
-    r[19..].copy_from_slice(&1_700_000_000_123u64.to_be_bytes());
-    r
+fn record(id: u32, phase: u8) -> [u8; RECORD_BYTES] {
+    let mut record = [0; RECORD_BYTES];
+    record[..4].copy_from_slice(&id.to_be_bytes());
+    record[4..10].copy_from_slice(&[127, 1, 0, 9, 0x1f, 0x90]);
+    record[10..15].copy_from_slice(&[phase, 1, 2, 0, 7]);
+    record[15..19].copy_from_slice(&4000u32.to_be_bytes());
+    record[19..].copy_from_slice(&1_700_000_000_123u64.to_be_bytes());
+    record
 }
 
 fn decode_all(decoder: &mut FrameDecoder) -> Result<Vec<Frame>, FrameError> {
@@ -32,7 +32,7 @@
     let mut decoder = FrameDecoder::new(6);
     decoder.feed(&frame(7, 2, &[record(0x00c4_1f7a, 1)]));
     let Ok(Some(Frame::Update(update))) = decoder.next_frame() else {
-        panic!("an update")
+        panic!("expected an update")
     };
     let endpoint = &update.endpoints[0];
     assert_eq!(
@@ -57,17 +57,17 @@
 #[test]
 fn duplicate_events_are_ignored_and_a_gap_is_an_error() {
     let mut decoder = FrameDecoder::new(6);
-    let twice = [
+    let frames = [
         frame(6, 2, &[record(1, 0)]),
         frame(7, 2, &[record(1, 0)]),
         frame(7, 2, &[record(1, 0)]),
     ];
-    decoder.feed(&twice.concat());
-    let decoded = decode_all(&mut decoder).expect("good");
+    decoder.feed(&frames.concat());
+    let decoded = decode_all(&mut decoder).expect("valid");
     assert_eq!(
         decoded
             .iter()
-            .filter(|f| matches!(f, Frame::Update(_)))
+            .filter(|frame| matches!(frame, Frame::Update(_)))
             .count(),
         1
     );
@@ -76,8 +76,8 @@
     let mut decoder = FrameDecoder::new(6);
     decoder.feed(&frame(9, 1, &[record(1, 0)]));
     assert!(
-        matches!(decoder.next_frame(), Ok(Some(Frame::Update(u))) if u.is_complete),
-        "a complete list fills any gap"
+        matches!(decoder.next_frame(), Ok(Some(Frame::Update(update))) if update.is_complete),
+        "a complete list is accepted after a gap"
     );
 }
 
@@ -102,16 +102,16 @@
     fn arbitrary_bytes_do_not_panic_and_splits_do_not_matter(
         bytes in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..400, noise in any::<bool>()
     ) {
-        let good = [frame(1, 1, &[record(1, 0)]), frame(1, 0, &[]), frame(2, 2, &[record(2, 2)])].concat();
-        let stream = if noise { bytes } else { good };
-        let mut whole = FrameDecoder::new(0);
-        whole.feed(&stream);
-        let expected = decode_all(&mut whole);
-        let (a, b) = stream.split_at(cut.min(stream.len()));
+        let valid = [frame(1, 1, &[record(1, 0)]), frame(1, 0, &[]), frame(2, 2, &[record(2, 2)])].concat();
+        let stream = if noise { bytes } else { valid };
+        let mut unsplit = FrameDecoder::new(0);
+        unsplit.feed(&stream);
+        let expected = decode_all(&mut unsplit);
+        let (head, tail) = stream.split_at(cut.min(stream.len()));
         let mut split = FrameDecoder::new(0);
-        split.feed(a);
+        split.feed(head);
         let decoded = decode_all(&mut split).and_then(|mut first| {
-            split.feed(b);
+            split.feed(tail);
             first.extend(decode_all(&mut split)?);
             Ok(first)
         });
--- a/crates/platform-protocol/src/request/tests.rs
+++ b/crates/platform-protocol/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid requests of clients.
+//! Tests of valid and invalid client requests.
 
 use super::*;
 use hoptiller_http::Method;
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn valid_request_is_read() {
+fn valid_request_is_parsed() {
     let request =
         StatementRequest::from_http(valid_request().with_header("Is-Retry", "1"), &catalog())
-            .expect("good");
+            .expect("valid");
     assert_eq!(
         (
             request.class,
@@ -62,11 +62,12 @@
         let kept: Vec<(String, String)> = request
             .headers
             .iter()
-            .filter(|(n, _)| *n != name)
-            .map(|(n, v)| (n.to_owned(), v.to_owned()))
+            .filter(|(kept_name, _)| *kept_name != name)
+            .map(|(kept_name, value)| (kept_name.to_owned(), value.to_owned()))
             .collect();
         request.headers = Default::default();
-        kept.iter().for_each(|(n, v)| request.headers.push(n, v));
+        kept.iter()
+            .for_each(|(name, value)| request.headers.push(name, value));
         request
     };
     for name in ["Trace-Id", "Max-Wait-Ms", "Project"] {
@@ -74,9 +75,9 @@
             StatementRequest::from_http(without(name), &catalog()),
             Err(RequestError::Header(name))
         );
-        let twice = valid_request().with_header(name, "1");
+        let repeated = valid_request().with_header(name, "1");
         assert_eq!(
-            StatementRequest::from_http(twice, &catalog()),
+            StatementRequest::from_http(repeated, &catalog()),
             Err(RequestError::Header(name))
         );
     }
@@ -94,9 +95,9 @@
         ("X-Heap-Mb", "99999999999999999999"),
         ("Is-Retry", "yes"),
     ] {
-        let r = without(name).with_header(name, value);
+        let request = without(name).with_header(name, value);
         assert_eq!(
-            StatementRequest::from_http(r, &catalog()),
+            StatementRequest::from_http(request, &catalog()),
             Err(RequestError::Header(name)),
             "{name}: {value}"
         );
@@ -105,12 +106,12 @@
 
 #[test]
 fn unknown_class_and_invalid_bodies_are_rejected() {
-    let other = Request {
+    let unknown_class = Request {
         target: "/call/other".into(),
         ..valid_request()
     };
     assert_eq!(
-        StatementRequest::from_http(other, &catalog()),
+        StatementRequest::from_http(unknown_class, &catalog()),
         Err(RequestError::UnknownClass)
     );
     for body in [&b""[..], b"  ", b"\xff\xfe", b"a\0"] {
@@ -129,22 +130,36 @@
 
 #[test]
 fn idempotency_key_is_required_in_some_classes_and_optional_in_others() {
-    let key_of = |class: &str, key: &[&str]| {
-        let r = Request {
+    let parsed_key = |class: &str, keys: &[&str]| {
+        let request = Request {
             target: format!("/call/{class}"),
             ..valid_request()
         };
-        let r = key.iter().fold(r, |r, k| r.with_header("Replay-Key", k));
-        StatementRequest::from_http(r, &catalog()).map(|request| request.idempotency_key)
+        let request = keys.iter().fold(request, |request, key| {
+            request.with_header("Replay-Key", key)
+        });
+        StatementRequest::from_http(request, &catalog()).map(|request| request.idempotency_key)
     };
-    let long = "k".repeat(65);
+    let too_long_key = "k".repeat(65);
     let rejected = Err(RequestError::Header("Replay-Key"));
-    assert_eq!(key_of("post", &["9ad32c6f"]), Ok(Some("9ad32c6f".into())));
     assert_eq!(
-        (key_of("report", &["9ad32c6f"]), key_of("report", &[])),
+        parsed_key("post", &["9ad32c6f"]),
+        Ok(Some("9ad32c6f".into()))
+    );
+    assert_eq!(
+        (
+            parsed_key("report", &["9ad32c6f"]),
+            parsed_key("report", &[])
+        ),
         (Ok(Some("9ad32c6f".into())), Ok(None))
     );
-    for invalid in [&[][..], &[""], &["a b"], &["a", "a"], &[long.as_str()]] {
-        assert_eq!(key_of("post", invalid), rejected, "{invalid:?}");
+    for invalid in [
+        &[][..],
+        &[""],
+        &["a b"],
+        &["a", "a"],
+        &[too_long_key.as_str()],
+    ] {
+        assert_eq!(parsed_key("post", invalid), rejected, "{invalid:?}");
     }
 }
--- a/crates/platform-protocol/src/result_rows/tests.rs
+++ b/crates/platform-protocol/src/result_rows/tests.rs
@@ -1,11 +1,11 @@
-//! Results from pages.
+//! Tests of the assembly of results from pages.
 
 use super::*;
 
 fn assemble(pages: &[&str]) -> Result<String, RowsError> {
     let mut assembler = RowAssembler::new(pages.len());
-    for (n, page) in pages.iter().enumerate().rev() {
-        assembler.add_page(n, page.as_bytes().to_vec())?;
+    for (number, page) in pages.iter().enumerate().rev() {
+        assembler.add_page(number, page.as_bytes().to_vec())?;
     }
     assert!(assembler.is_complete());
     assembler.to_json()
@@ -13,9 +13,9 @@
 
 #[test]
 fn pages_in_any_order_give_rows_in_page_order() {
-    let json = assemble(&["a\t1\tx\nb\t\"2\"\t\\\n", "", "c\t3\té\n"]).expect("good");
+    let json = assemble(&["a\t1\tx\nb\t\"2\"\t\\\n", "", "c\t3\té\n"]).expect("valid");
     assert_eq!(json, r#"[["a","1","x"],["b","\"2\"","\\"],["c","3","é"]]"#);
-    assert_eq!(assemble(&[""]).expect("none"), "[]");
+    assert_eq!(assemble(&[""]).expect("valid"), "[]");
 }
 
 #[test]
@@ -32,9 +32,9 @@
         Err(RowsError::TooLong)
     );
     let mut assembler = RowAssembler::new(2);
-    assembler.add_page(0, b"a\tb\tc\n".to_vec()).expect("good");
+    assembler.add_page(0, b"a\tb\tc\n".to_vec()).expect("valid");
     assembler
         .add_page(0, b"x\tb\tc\n".to_vec())
-        .expect("ignored");
-    assert!(!assembler.is_complete() && assembler.to_json().expect("good").contains("\"a\""));
+        .expect("a duplicate is ignored");
+    assert!(!assembler.is_complete() && assembler.to_json().expect("valid").contains("\"a\""));
 }
--- a/crates/platform-protocol/src/table_group/tests.rs
+++ b/crates/platform-protocol/src/table_group/tests.rs
@@ -1,9 +1,9 @@
-//! Groups of tables in statements.
+//! Tests of the detection of table groups.
 
 use super::*;
 
 #[test]
-fn group_is_the_number_of_the_tables_schema() {
+fn table_group_is_the_number_in_the_schema_name() {
     for (text, group) in [
         (
             "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
--- a/crates/platform-protocol/tests/wire_form.rs
+++ b/crates/platform-protocol/tests/wire_form.rs
@@ -1,4 +1,4 @@
-//! The bytes that pass between a router, its clients, its engines and the coordinator.
+//! The wire format between a router, its clients, its engines and the coordinator, byte for byte.
 
 use hoptiller_platform_protocol::engine_command::{
     StatementCommand, encode_cancel, encode_discard, encode_fetch, encode_load_request,
@@ -13,7 +13,7 @@
 use hoptiller_policy::LoadReport;
 
 #[test]
-fn commands_to_engines_stay() {
+fn commands_to_engines_keep_their_wire_format() {
     let mut command = StatementCommand {
         id: "9b1f03aa5c7e2d41",
         class: "re\"port",
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn answers_of_engines_are_read_as_before() {
+fn engine_responses_keep_their_wire_format() {
     let mut decoder = LineDecoder::default();
     decoder.feed(
         b"{\"t\":\"served\",\"i\":\"a\",\"f\":{\"fetches\":\"2\",\"effort\":820.5,\"load\":\"inflight:7;x0:0.5;util:0.61\"},\"b\":\"YQ==\"}\n\
@@ -52,20 +52,20 @@
     let mut next = || {
         decoder
             .next_response()
-            .expect("a good line")
-            .expect("a whole line")
+            .expect("a valid line")
+            .expect("a complete line")
     };
-    let answer = next();
-    let ResponseBody::Served(result) = answer.body else {
-        panic!("served")
+    let response = next();
+    let ResponseBody::Served(result) = response.body else {
+        panic!("expected a served response")
     };
     let LoadReport {
         in_flight,
         memory,
         cpu,
-    } = result.load_report.expect("a report");
+    } = result.load_report.expect("a load report");
     assert_eq!(
-        (answer.id.as_str(), result.pages, result.work),
+        (response.id.as_str(), result.pages, result.work),
         ("a", 2, Some(820_500))
     );
     assert_eq!((in_flight, memory, cpu), (Some(7.0), Some(0.5), Some(0.61)));
@@ -77,24 +77,24 @@
 }
 
 #[test]
-fn answers_to_clients_stay() {
+fn responses_to_clients_keep_their_wire_format() {
     let text = |response: hoptiller_http::Response| {
         String::from_utf8(response.encode(false))
             .expect("UTF-8")
             .replace("\r\n", "\n")
     };
     assert_eq!(text(served_response("[[1]]")), SERVED);
-    assert_eq!(text(rejected_response(Some(1_500_001))), REFUSED);
+    assert_eq!(text(rejected_response(Some(1_500_001))), REJECTED);
     assert_eq!(
         text(rejected_response(None)),
-        REFUSED.replace("Hold-Off-Ms: 1501\n", "")
+        REJECTED.replace("Hold-Off-Ms: 1501\n", "")
     );
     assert_eq!(text(failed_response("it \"broke\"")), FAILED);
     assert_eq!(
         text(invalid_request_response(RequestError::Header(
             "Max-Wait-Ms"
         ))),
-        WRONG
+        INVALID_REQUEST
     );
     let status = [
         RequestError::UnknownClass,
@@ -107,40 +107,40 @@
 
 const SERVED: &str =
     "HTTP/1.1 200 OK\nContent-Length: 15\nContent-Type: application/json\n\n{\"batch\":[[1]]}";
-const REFUSED: &str = "HTTP/1.1 429 Too Many Requests\nContent-Length: 22\nContent-Type: application/json\n\
+const REJECTED: &str = "HTTP/1.1 429 Too Many Requests\nContent-Length: 22\nContent-Type: application/json\n\
     Hold-Off-Ms: 1501\n\n{\"reason\":\"Throttled\"}";
 const FAILED: &str = "HTTP/1.1 500 Internal Server Error\nContent-Length: 43\nContent-Type: application/json\n\n\
     {\"detail\":\"it \\\"broke\\\"\",\"reason\":\"Broken\"}";
-const WRONG: &str = "HTTP/1.1 400 Bad Request\nContent-Length: 51\nContent-Type: text/plain; charset=utf-8\n\n\
+const INVALID_REQUEST: &str = "HTTP/1.1 400 Bad Request\nContent-Length: 51\nContent-Type: text/plain; charset=utf-8\n\n\
     Max-Wait-Ms: missing, given twice, or out of range\n";
 
 #[test]
-fn a_configuration_and_a_frame_are_read_as_before() {
+fn configuration_and_frame_keep_their_format() {
     let config = Config::parse(
         br#"{"name":"n3","listen":"127.0.0.4:8080","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":96,"sockets":300},
         "coordinator":"127.0.0.9:7000","known":{"index":41,"updates":[{"endpoints":{"complete":true,"members":[
         {"id":"s-0000002a","host_port":"127.1.2.3:9000","locality":"y","flavor":"k","cell":4,"phase":"terminating","up_since_ms":7}]}}]},
         "settings":{"zones":["z","y"],"kinds":["k"],"lanes":[]}}"#,
     )
-    .expect("a good configuration");
+    .expect("a valid configuration");
     assert_eq!(
         (config.seed(), config.limits.sockets),
         (0x8c1f_30d2_7a5b_e964, 300)
     );
-    let known = config.initial_endpoints().expect("a list");
-    let endpoint = &known.endpoints[0];
+    let initial = config.initial_endpoints().expect("a valid endpoint list");
+    let endpoint = &initial.endpoints[0];
     assert_eq!(
-        (known.number, endpoint.id, endpoint.zone, endpoint.phase),
+        (initial.number, endpoint.id, endpoint.zone, endpoint.phase),
         (41, 42, Some(1), Phase::Draining)
     );
-    let mut record = vec![0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2];
-    record.extend([
+    let mut frame = vec![0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2];
+    frame.extend([
         0, 0, 0, 43, 127, 1, 2, 4, 0x23, 0x28, 2, 1, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9,
     ]);
     let mut decoder = FrameDecoder::new(41);
-    decoder.feed(&record);
-    let Some(Frame::Update(update)) = decoder.next_frame().expect("a good frame") else {
-        panic!("an event")
+    decoder.feed(&frame);
+    let Some(Frame::Update(update)) = decoder.next_frame().expect("a valid frame") else {
+        panic!("expected an update")
     };
     let endpoint = &update.endpoints[0];
     assert_eq!(
