--- a/crates/platform-router/tests/abusive_clients.rs
+++ b/crates/platform-router/tests/abusive_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send too much, too slowly, or nothing: each gets a response or a close within 3 s, others are served
-//! throughout, and connections stay within their budget.
+//! Tests of clients that send too much, too slowly, or nothing. Each gets a response or is disconnected within 3 s,
+//! other clients are served throughout, and connections stay within their budget.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use hoptiller_http::Spawner;
 
-const DUE: Duration = Duration::from_secs(3);
+const TIME_LIMIT: Duration = Duration::from_secs(3);
 
-/// Runs clients against a router with 128 descriptors, while another client is served without a failure.
+/// Runs abusive clients against a router with 128 descriptors while another client must be served without a failure.
 fn run_with_active_client<F: Future<Output = ()>>(
     name: &'static str,
     abusive: impl FnOnce(Rc<hoptiller_platform_router::Router>, std::net::SocketAddr) -> F,
@@ -30,7 +30,7 @@
             for n in 0u64.. {
                 let text = statement_request("lookup", &format!("{n:016x}"), 1500);
                 assert_eq!(
-                    send_request(listen, &text).await.expect("an answer").0,
+                    send_request(listen, &text).await.expect("a response").0,
                     200,
                     "active client {n}"
                 );
@@ -46,72 +46,78 @@
     });
 }
 
-/// Reads to the end, and how long that took from `began`.
+/// Reads until the connection ends. Returns the text and the time since `started`.
 async fn read_to_end(
     stream: &mut async_io::Async<std::net::TcpStream>,
-    began: Instant,
+    started: Instant,
 ) -> (String, Duration) {
-    let (mut all, mut part) = (Vec::new(), [0; 4096]);
-    while let Ok(n @ 1..) = stream.read(&mut part).await {
-        all.extend_from_slice(&part[..n]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
+    while let Ok(n @ 1..) = stream.read(&mut buffer).await {
+        received.extend_from_slice(&buffer[..n]);
     }
-    (String::from_utf8_lossy(&all).into_owned(), began.elapsed())
+    (
+        String::from_utf8_lossy(&received).into_owned(),
+        started.elapsed(),
+    )
 }
 
 #[test]
 fn pipelined_requests_are_served_one_at_a_time() {
     run_with_active_client("pipelined", async |router, listen| {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut client = connect(listen).await;
-        let all: String = (0..300)
+        let requests: String = (0..300)
             .map(|n| statement_request("lookup", &format!("{:016x}", 0xf000 + n), 1500))
             .collect();
-        client.write_all(all.as_bytes()).await.expect("taken");
-        let (mut all, mut part, mut answers) = (Vec::new(), [0; 4096], 0);
-        while answers < 300 {
-            let n = client.read(&mut part).await.expect("no reset");
-            assert!(n > 0, "an end after {answers} answers");
-            all.extend_from_slice(&part[..n]);
-            answers = String::from_utf8_lossy(&all)
+        client
+            .write_all(requests.as_bytes())
+            .await
+            .expect("written");
+        let (mut received, mut buffer, mut responses) = (Vec::new(), [0; 4096], 0);
+        while responses < 300 {
+            let n = client.read(&mut buffer).await.expect("no reset");
+            assert!(n > 0, "the connection ended after {responses} responses");
+            received.extend_from_slice(&buffer[..n]);
+            responses = String::from_utf8_lossy(&received)
                 .matches("HTTP/1.1 200")
                 .count();
             assert!(
                 router.requests_in_flight() <= 2,
-                "one at a time, beside that of a usual client"
+                "at most one request of this client and one of the active client"
             );
         }
-        assert!(began.elapsed() < DUE, "{:?}", began.elapsed());
+        assert!(started.elapsed() < TIME_LIMIT, "{:?}", started.elapsed());
     });
 }
 
 #[test]
 fn slow_bodies_and_oversized_heads_get_an_error_or_a_close_in_time() {
     run_with_active_client("slow", async |_, listen| {
-        let began = Instant::now();
-        let mut trickles = connect(listen).await;
+        let started = Instant::now();
+        let mut slow_client = connect(listen).await;
         let text = statement_request("lookup", ID, 1500);
-        trickles
+        slow_client
             .write_all(&text.as_bytes()[..text.len() - 20])
             .await
             .expect("written");
-        let byte = async {
-            while trickles.write_all(b"x").await.is_ok() && began.elapsed() < DUE {
+        let slow_body = async {
+            while slow_client.write_all(b"x").await.is_ok() && started.elapsed() < TIME_LIMIT {
                 Timer::after(Duration::from_millis(200)).await;
             }
-            began.elapsed()
+            started.elapsed()
         };
-        let head = async {
+        let oversized_head = async {
             let mut client = connect(listen).await;
-            let long = text.replace(
+            let request = text.replace(
                 "Host: h",
                 &format!("Host: h\r\nX-Long: {}", "x".repeat(9 << 10)),
             );
-            client.write_all(long.as_bytes()).await.expect("written");
+            client.write_all(request.as_bytes()).await.expect("written");
             read_to_end(&mut client, Instant::now()).await
         };
-        let (took, (answer, _)) = future::zip(byte, head).await;
-        assert!(took < DUE, "{took:?}");
-        assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
+        let (elapsed, (response, _)) = future::zip(slow_body, oversized_head).await;
+        assert!(elapsed < TIME_LIMIT, "{elapsed:?}");
+        assert!(response.starts_with("HTTP/1.1 431"), "{response}");
     });
 }
 
@@ -122,16 +128,16 @@
         for n in 0..1_000 {
             open.push((connect(listen).await, Instant::now()));
             if n % 50 == 0 {
-                // So many at most wait in the kernel's queue.
+                // This bounds the number of connections that wait in the kernel's backlog.
                 wait_until(|| router.client_connections() < router.budget().client_connections)
                     .await;
             }
         }
-        let (mut last, at) = open.pop().expect("one");
-        let (_, took) = read_to_end(&mut last, at).await;
-        assert!(took < DUE, "{took:?}");
-        for (mut stream, at) in open {
-            let (text, _) = read_to_end(&mut stream, at).await;
+        let (mut last, connected_at) = open.pop().expect("one");
+        let (_, elapsed) = read_to_end(&mut last, connected_at).await;
+        assert!(elapsed < TIME_LIMIT, "{elapsed:?}");
+        for (mut stream, connected_at) in open {
+            let (text, _) = read_to_end(&mut stream, connected_at).await;
             assert!(text.is_empty(), "{text}");
         }
     });
--- a/crates/platform-router/tests/clients.rs
+++ b/crates/platform-router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Invalid and silent clients, which must not affect the others; reload and shutdown.
+//! Tests of invalid and silent clients, which must not affect other clients, and of reload and shutdown.
 
 mod common;
 
@@ -13,55 +13,55 @@
 #[test]
 fn invalid_requests_get_an_error_and_are_not_forwarded() {
     run_test(async |ex| {
-        let (addr, seen) = spawn_engine(
+        let (addr, received) = spawn_engine(
             &ex,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let file = ConfigFile::new("wrong", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (_router, listen) = start_router(&file, &ex);
-        let good = statement_request("lookup", ID, 1500);
-        for (wrong, status) in [
+        let valid = statement_request("lookup", ID, 1500);
+        for (invalid, expected_status) in [
             (
-                good.replace(
+                valid.replace(
                     "Content-Length",
                     "Transfer-Encoding: chunked\r\nContent-Length",
                 ),
                 400,
             ),
             (
-                good.replace("Content-Length", "Content-Length: 2\r\nContent-Length"),
+                valid.replace("Content-Length", "Content-Length: 2\r\nContent-Length"),
                 400,
             ),
             (
-                good.replace("Content-Length: 29", "Content-Length: -1"),
+                valid.replace("Content-Length: 29", "Content-Length: -1"),
                 400,
             ),
             (
-                good.replace(
+                valid.replace(
                     "Content-Length: 29",
                     "Content-Length: 99999999999999999999999",
                 ),
                 400,
             ),
             (
-                good.replace("Content-Length: 29", "Content-Length: 3000000000"),
+                valid.replace("Content-Length: 29", "Content-Length: 3000000000"),
                 413,
             ),
-            (good.replace("/call/lookup", "/call/other"), 404),
-            (good.replace("acme", "nobody"), 400),
-            (good.replace(ID, "x"), 400),
-            (good.replace("1500", "-1"), 400),
-            (good.replace("1500", "1e99"), 400),
+            (valid.replace("/call/lookup", "/call/other"), 404),
+            (valid.replace("acme", "nobody"), 400),
+            (valid.replace(ID, "x"), 400),
+            (valid.replace("1500", "-1"), 400),
+            (valid.replace("1500", "1e99"), 400),
             ("\0\u{1}\u{2}\r\n\r\n".to_owned(), 400),
         ] {
-            let (told, ..) = send_request(listen, &wrong).await.expect("an answer");
-            assert_eq!(told, status, "{wrong}");
+            let (status, ..) = send_request(listen, &invalid).await.expect("a response");
+            assert_eq!(status, expected_status, "{invalid}");
         }
-        assert!(seen.borrow().is_empty());
+        assert!(received.borrow().is_empty());
         assert_eq!(
             send_request(listen, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .0,
             200
         );
@@ -71,52 +71,58 @@
 #[test]
 fn duplicate_id_in_flight_is_rejected_and_the_first_request_is_served() {
     run_test(async |ex| {
-        let (addr, seen) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
+        let (addr, received) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
         let file = ConfigFile::new("open", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, listen) = start_router(&file, &ex);
-        let mut owner = connect(listen).await;
-        owner
+        let mut first_client = connect(listen).await;
+        first_client
             .write_all(statement_request("lookup", ID, 8000).as_bytes())
             .await
             .expect("written");
-        while seen.borrow().is_empty() {
+        while received.borrow().is_empty() {
             Timer::after(Duration::from_millis(5)).await;
         }
         assert_eq!(
             send_request(listen, &statement_request("load", ID, 1500))
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .0,
             409
         );
-        assert_eq!((seen.borrow().len(), router.requests_in_flight()), (1, 1));
-        // Its owner leaves: the module hears of it at once, and the id is free.
-        drop(owner);
-        let left = Instant::now();
+        assert_eq!(
+            (received.borrow().len(), router.requests_in_flight()),
+            (1, 1)
+        );
+        // The router detects the disconnect at once and releases the id.
+        drop(first_client);
+        let disconnected = Instant::now();
         while router.requests_in_flight() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
         assert!(
-            left.elapsed() < Duration::from_secs(5),
-            "not only when its 8 s are over"
+            disconnected.elapsed() < Duration::from_secs(5),
+            "the id must be released before the request's timeout of 8 s"
         );
     });
 }
 
 #[test]
-fn oversized_body_is_rejected_at_its_head_and_the_response_arrives() {
+fn oversized_body_is_rejected_after_its_head_and_the_response_arrives() {
     run_test(async |ex| {
         let file = ConfigFile::new("large", &[], spawn_idle_coordinator(&ex), 256);
         let (_router, listen) = start_router(&file, &ex);
-        let mut s = connect(listen).await;
+        let mut client = connect(listen).await;
         let head = statement_request("lookup", ID, 1500)
             .replace("Content-Length: 29", "Content-Length: 60000000");
-        s.write_all(head.as_bytes()).await.expect("written");
+        client.write_all(head.as_bytes()).await.expect("written");
         let part = vec![b'x'; 1 << 20];
         for _ in 0..59 {
-            s.write_all(&part).await.expect("it is read on");
+            client
+                .write_all(&part)
+                .await
+                .expect("the router keeps reading");
         }
-        assert_eq!(read_response(&mut s).await.expect("an answer").0, 413);
+        assert_eq!(read_response(&mut client).await.expect("a response").0, 413);
     });
 }
 
@@ -130,16 +136,17 @@
         let file = ConfigFile::new("silent", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, listen) = start_router(&file, &ex);
         let mut silent = Vec::new();
-        let began = Instant::now();
+        let started = Instant::now();
         for n in 0..300 {
             silent.push(connect(listen).await);
             if n % 10 == 9 {
-                let mut s = connect(listen).await;
-                s.write_all(statement_request("lookup", &format!("{n:016x}"), 1500).as_bytes())
+                let mut active = connect(listen).await;
+                active
+                    .write_all(statement_request("lookup", &format!("{n:016x}"), 1500).as_bytes())
                     .await
                     .expect("written");
-                assert_eq!(read_response(&mut s).await.expect("an answer").0, 200);
-                silent.push(s);
+                assert_eq!(read_response(&mut active).await.expect("a response").0, 200);
+                silent.push(active);
             }
         }
         assert!(
@@ -147,10 +154,10 @@
             "{}",
             router.client_connections()
         );
-        // Each is closed in the end, within 3 s of connecting.
+        // The router closes each silent connection within 3 s of connecting.
         let first = &mut silent[0];
         assert_eq!(first.read(&mut [0; 8]).await.unwrap_or(0), 0);
-        assert!(began.elapsed() < Duration::from_secs(20));
+        assert!(started.elapsed() < Duration::from_secs(20));
     });
 }
 
@@ -161,7 +168,7 @@
             &ex,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let (second, asked) = spawn_coordinator(
+        let (second, last_events) = spawn_coordinator(
             &ex,
             Rc::new(move |_, _| (frame(2, 2, &[endpoint_record(8, addr, 0)]), false)),
         );
@@ -175,18 +182,18 @@
             assert_eq!(
                 send_request(listen, &statement_request("lookup", ID, 1500))
                     .await
-                    .expect("an answer")
+                    .expect("a response")
                     .0,
                 200
             );
-            assert!(asked.borrow().is_empty());
+            assert!(last_events.borrow().is_empty());
             std::fs::write(&file.0, &text).expect("written");
         };
         future::zip(reloading, serving).await;
         while router.last_event() < 2 {
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert_eq!(*asked.borrow(), [1]);
+        assert_eq!(*last_events.borrow(), [1]);
     });
 }
 
@@ -199,42 +206,54 @@
         );
         let file = ConfigFile::new("end", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, listen) = start_router(&file, &ex);
-        let (mut kept, mut idle) = (connect(listen).await, connect(listen).await);
+        let (mut reused, mut idle) = (connect(listen).await, connect(listen).await);
         let ended = Cell::new(false);
         let ending = async {
             router.shutdown().await;
             ended.set(true);
         };
         let late = async {
-            let began = Instant::now();
+            let started = Instant::now();
             Timer::after(Duration::from_millis(200)).await;
             for n in 0..10 {
-                let new = statement_request("lookup", &format!("{n:016x}"), 1500);
-                assert_eq!(send_request(listen, &new).await.expect("an answer").0, 200);
+                let request = statement_request("lookup", &format!("{n:016x}"), 1500);
+                assert_eq!(
+                    send_request(listen, &request).await.expect("a response").0,
+                    200
+                );
             }
-            Timer::at(began + Duration::from_millis(600)).await;
-            // An open connection is served once more, and its client told to come over another.
-            kept.write_all(statement_request("lookup", ID, 1500).as_bytes())
+            Timer::at(started + Duration::from_millis(600)).await;
+            // An open connection is served once more, and the response closes it.
+            reused
+                .write_all(statement_request("lookup", ID, 1500).as_bytes())
                 .await
                 .expect("written");
-            let (status, head, _) = read_response(&mut kept).await.expect("an answer");
+            let (status, head, _) = read_response(&mut reused).await.expect("a response");
             assert!(
                 status == 200 && head.contains("Connection: close"),
                 "{head}"
             );
             assert_eq!(
-                kept.read(&mut [0; 8]).await.expect("an end, and no reset"),
+                reused
+                    .read(&mut [0; 8])
+                    .await
+                    .expect("closed without a reset"),
                 0
             );
-            let new = statement_request("lookup", "9b1f03aa5c7e2d42", 1500);
-            assert_eq!(send_request(listen, &new).await.expect("an answer").0, 200);
+            let request = statement_request("lookup", "9b1f03aa5c7e2d42", 1500);
+            assert_eq!(
+                send_request(listen, &request).await.expect("a response").0,
+                200
+            );
             assert!(!ended.get());
         };
         future::zip(ending, late).await;
         assert_eq!(
-            idle.read(&mut [0; 8]).await.expect("an end, and no reset"),
+            idle.read(&mut [0; 8])
+                .await
+                .expect("closed without a reset"),
             0,
-            "idle ones are closed"
+            "idle connections are closed"
         );
         assert_eq!(router.client_connections(), 0);
     });
--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router on loopback with scripted engines, a scripted coordinator and clients.
+//! Utilities that run a router on loopback with scripted engines, a scripted coordinator and clients.
 #![allow(dead_code)]
 
 pub mod pool;
@@ -17,14 +17,15 @@
 use hoptiller_http::Spawner;
 use hoptiller_platform_router::Router;
 
-/// The id of a request.
+/// The default request id.
 pub const ID: &str = "9b1f03aa5c7e2d41";
-pub const ENCODED_PAGE: &str = "YQkxCXgK"; // a, 1, x
+/// A page in base64, with one row of the columns a, 1 and x.
+pub const ENCODED_PAGE: &str = "YQkxCXgK";
 
-/// An engine's reaction to the n-th command: the bytes to write, and whether it then closes the connection.
+/// An engine's reaction to a command, given its index: the bytes to write, and whether the connection is then closed.
 pub type EngineScript = Rc<dyn Fn(usize, &str) -> (Vec<u8>, bool)>;
 
-/// The commands that an engine received, each behind the number of its connection.
+/// The commands that an engine received, each preceded by the number of its connection.
 pub type ReceivedCommands = Rc<RefCell<Vec<String>>>;
 
 pub fn served_line(id: &str) -> Vec<u8> {
@@ -37,35 +38,35 @@
     value["i"].as_str().expect("an id").to_owned()
 }
 
-/// An engine that responds to each command by its script.
+/// Starts an engine that responds to each command according to its script.
 pub fn spawn_engine(ex: &Spawner, script: EngineScript) -> (SocketAddr, ReceivedCommands) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
-    let (addr, seen) = (
+    let (addr, received) = (
         listener.get_ref().local_addr().expect("bound"),
         ReceivedCommands::default(),
     );
-    let (lines, spawner) = (seen.clone(), ex.clone());
+    let (commands, spawner) = (received.clone(), ex.clone());
     ex.spawn(async move {
         let mut connection = 0;
         while let Ok((stream, _)) = listener.accept().await {
             connection += 1;
-            let (lines, script) = (lines.clone(), script.clone());
+            let (commands, script) = (commands.clone(), script.clone());
             spawner.spawn(async move {
                 let stream = Rc::new(stream);
                 let mut read = BufReader::new(&*stream).lines();
                 while let Some(Ok(line)) = read.next().await {
                     if line.contains("\"STAT\"") {
-                        let answer = format!(
+                        let response = format!(
                             "{{\"t\":\"green\",\"i\":\"{}\",\"f\":{{\"load\":\"util:0.1\"}}}}\n",
                             command_id(&line)
                         );
-                        let _ = (&*stream).write_all(answer.as_bytes()).await;
+                        let _ = (&*stream).write_all(response.as_bytes()).await;
                         continue;
                     }
-                    let n = lines.borrow().len();
-                    lines.borrow_mut().push(format!("{connection} {line}"));
-                    let (answer, close) = script(n, &line);
-                    let _ = (&*stream).write_all(&answer).await;
+                    let index = commands.borrow().len();
+                    commands.borrow_mut().push(format!("{connection} {line}"));
+                    let (response, close) = script(index, &line);
+                    let _ = (&*stream).write_all(&response).await;
                     if close {
                         return;
                     }
@@ -73,71 +74,72 @@
             });
         }
     });
-    (addr, seen)
+    (addr, received)
 }
 
-/// An endpoint's record in a frame.
-pub fn endpoint_record(id: u32, addr: SocketAddr, state: u8) -> Vec<u8> {
+/// Encodes an endpoint's record in a frame.
+pub fn endpoint_record(id: u32, addr: SocketAddr, phase: u8) -> Vec<u8> {
     let SocketAddr::V4(v4) = addr else {
-        panic!("IPv4")
+        panic!("expected an IPv4 address")
     };
-    let mut r = id.to_be_bytes().to_vec();
-    r.extend(v4.ip().octets());
-    r.extend(v4.port().to_be_bytes());
-    r.extend([state, 0, 0, 0, 0]);
-    r.extend([0; 12]);
-    r
+    let mut record = id.to_be_bytes().to_vec();
+    record.extend(v4.ip().octets());
+    record.extend(v4.port().to_be_bytes());
+    record.extend([phase, 0, 0, 0, 0]);
+    record.extend([0; 12]);
+    record
 }
 
 pub fn frame(number: u64, kind: u8, records: &[Vec<u8>]) -> Vec<u8> {
     let payload = records.concat();
-    let mut f = (9 + payload.len() as u32).to_be_bytes().to_vec();
-    f.extend(number.to_be_bytes());
-    f.push(kind);
-    f.extend(payload);
-    f
+    let mut frame = (9 + payload.len() as u32).to_be_bytes().to_vec();
+    frame.extend(number.to_be_bytes());
+    frame.push(kind);
+    frame.extend(payload);
+    frame
 }
 
-/// A coordinator that sends each connection the bytes of its script, given the number of the connection and of the last event.
+/// Starts a coordinator that sends on each connection what its script returns, given the numbers of the connection and
+/// of the last event that the router has. Returns its address and these event numbers, one per connection.
 pub fn spawn_coordinator(
     ex: &Spawner,
     script: Rc<dyn Fn(usize, u64) -> (Vec<u8>, bool)>,
 ) -> (SocketAddr, Rc<RefCell<Vec<u64>>>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
-    let (addr, asked) = (
+    let (addr, last_events) = (
         listener.get_ref().local_addr().expect("bound"),
         Rc::<RefCell<Vec<u64>>>::default(),
     );
-    let (seen, spawner) = (asked.clone(), ex.clone());
+    let (requested, spawner) = (last_events.clone(), ex.clone());
     ex.spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (seen, script) = (seen.clone(), script.clone());
+            let (requested, script) = (requested.clone(), script.clone());
             spawner.spawn(async move {
                 let mut number = [0; 8];
                 if stream.read_exact(&mut number).await.is_err() {
                     return;
                 }
-                let after = u64::from_be_bytes(number);
-                seen.borrow_mut().push(after);
-                let nth = seen.borrow().len();
-                let (bytes, close) = script(nth, after);
+                let last_event = u64::from_be_bytes(number);
+                requested.borrow_mut().push(last_event);
+                let connection = requested.borrow().len();
+                let (bytes, close) = script(connection, last_event);
                 let _ = stream.write_all(&bytes).await;
-                let beat = frame(after, 0, &[]);
-                while !close && stream.write_all(&beat).await.is_ok() {
+                let keep_alive = frame(last_event, 0, &[]);
+                while !close && stream.write_all(&keep_alive).await.is_ok() {
                     Timer::after(Duration::from_millis(500)).await;
                 }
             });
         }
     });
-    (addr, asked)
+    (addr, last_events)
 }
 
-/// A coordinator that sends keep-alives only.
+/// Starts a coordinator that sends only keep-alives.
 pub fn spawn_idle_coordinator(ex: &Spawner) -> SocketAddr {
     spawn_coordinator(ex, Rc::new(|_, _| (Vec::new(), false))).0
 }
 
-/// A configuration file; removed when dropped.
+/// A configuration file that is removed on drop.
 pub struct ConfigFile(pub PathBuf);
 
 impl ConfigFile {
@@ -156,11 +158,11 @@
     }
 
     pub fn text(engines: &[(u32, SocketAddr)], coordinator: SocketAddr, sockets: usize) -> String {
-        let member = |(id, addr): &(u32, SocketAddr)| {
+        let endpoint = |(id, addr): &(u32, SocketAddr)| {
             serde_json::json!({"id": format!("s-{id:08x}"), "host_port": addr.to_string(), "locality": "a",
                 "flavor": "k", "cell": 0, "phase": "in_service", "up_since_ms": 0})
         };
-        let members: Vec<_> = engines.iter().map(member).collect();
+        let members: Vec<_> = engines.iter().map(endpoint).collect();
         serde_json::json!({
             "name": "n0", "listen": "127.0.0.1:0", "seed": "0000000000000007",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets}, "coordinator": coordinator.to_string(),
@@ -187,11 +189,11 @@
     }
 }
 
-/// An engine whose connections a test handles itself, line by line.
+/// An engine whose connections the test handles itself, command by command.
 pub struct ManualEngine {
     listener: Async<TcpListener>,
     pub addr: SocketAddr,
-    /// Fills the listener's backlog; as long as it is open, no connection is established.
+    /// A connection that fills the listener's backlog. While it is open, no other connection is established.
     backlog_filler: RefCell<Option<Async<TcpStream>>>,
 }
 
@@ -206,20 +208,25 @@
         }
     }
 
-    /// No connection to it is established until [`ManualEngine::accept_backlog`]: its backlog holds one, which is used.
+    /// Creates an engine to which no connection is established until [`ManualEngine::accept_backlog`]: its backlog has
+    /// room for one connection, which is taken.
     pub async fn with_full_backlog() -> ManualEngine {
         let manual_engine = ManualEngine::new();
-        rustix::net::listen(manual_engine.listener.get_ref(), 0).expect("a shorter queue");
+        rustix::net::listen(manual_engine.listener.get_ref(), 0).expect("shorter backlog");
         *manual_engine.backlog_filler.borrow_mut() = Some(connect(manual_engine.addr).await);
         manual_engine
     }
 
-    /// Waiting connections are established when the kernel tries again, within about a second.
+    /// Empties the backlog. Waiting connections are established when the kernel retries, within about a second.
     pub async fn accept_backlog(&self) {
-        rustix::net::listen(self.listener.get_ref(), 128).expect("a longer queue");
+        rustix::net::listen(self.listener.get_ref(), 128).expect("longer backlog");
         let filler = self.backlog_filler.borrow_mut().take();
-        let (first, _) = self.listener.accept().await.expect("the filler");
-        drop((first, filler));
+        let (accepted, _) = self
+            .listener
+            .accept()
+            .await
+            .expect("the connection that fills the backlog");
+        drop((accepted, filler));
     }
 
     pub async fn accept(&self) -> EngineConnection {
@@ -238,52 +245,52 @@
 }
 
 impl EngineConnection {
-    /// The next command; `None` at the end.
+    /// Receives the next command. Returns `None` when the connection is closed.
     pub async fn next_command(&mut self) -> Option<String> {
         loop {
-            if let Some(end) = self.bytes.iter().position(|b| *b == b'\n') {
+            if let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') {
                 let rest = self.bytes.split_off(end + 1);
                 let line = std::mem::replace(&mut self.bytes, rest);
                 return Some(String::from_utf8(line).expect("text").trim_end().to_owned());
             }
-            let mut part = [0; 4096];
-            match self.stream.read(&mut part).await {
+            let mut buffer = [0; 4096];
+            match self.stream.read(&mut buffer).await {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => self.bytes.extend_from_slice(&part[..n]),
+                Ok(n) => self.bytes.extend_from_slice(&buffer[..n]),
             }
         }
     }
 
-    /// Writes as much as the router accepts.
+    /// Writes bytes, ignoring errors if the router closes the connection.
     pub async fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
     }
 }
 
-/// Waits until a condition holds; a test in which it never does fails.
-pub async fn wait_until(seen: impl Fn() -> bool) {
-    while !seen() {
+/// Waits until a condition holds. If it never does, the test fails on its time limit.
+pub async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// Runs a test on an executor of its own; one that hangs fails.
+/// Runs a test on its own executor. It fails if it takes over 30 s.
 pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Spawner) -> F) {
     let ex = Rc::new(LocalExecutor::new());
     let test = test(Spawner::new(&ex));
     async_io::block_on(ex.run(futures_lite::future::or(test, async {
         Timer::after(Duration::from_secs(30)).await;
-        panic!("the test hangs");
+        panic!("the test did not complete within 30 s");
     })));
 }
 
 pub fn start_router(file: &ConfigFile, ex: &Spawner) -> (Rc<Router>, SocketAddr) {
-    let router = Router::load(file.0.clone(), ex.clone()).expect("usable");
-    let addr = router.start().expect("listens");
+    let router = Router::load(file.0.clone(), ex.clone()).expect("a valid configuration");
+    let addr = router.start().expect("the router listens");
     (router, addr)
 }
 
-/// A valid request.
+/// Returns a valid request as HTTP text.
 pub fn statement_request(class: &str, id: &str, wait_ms: u64) -> String {
     let body = "SELECT a FROM sales_17.orders";
     format!(
@@ -297,14 +304,14 @@
     Async::<TcpStream>::connect(addr).await.expect("connected")
 }
 
-/// Reads one response whole: its status, its head and its body. `None`: the connection ended before one.
-pub async fn read_response(s: &mut Async<TcpStream>) -> Option<(u16, String, String)> {
+/// Reads a complete response and returns its status, head and body, or `None` if the connection ends before that.
+pub async fn read_response(stream: &mut Async<TcpStream>) -> Option<(u16, String, String)> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|l| {
-                l.to_ascii_lowercase()
+            let length = head.lines().find_map(|line| {
+                line.to_ascii_lowercase()
                     .strip_prefix("content-length: ")?
                     .parse()
                     .ok()
@@ -314,17 +321,17 @@
                 return Some((status, head.to_owned(), body.to_owned()));
             }
         }
-        let mut part = [0; 4096];
-        match s.read(&mut part).await {
+        let mut buffer = [0; 4096];
+        match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return None,
-            Ok(n) => bytes.extend_from_slice(&part[..n]),
+            Ok(n) => bytes.extend_from_slice(&buffer[..n]),
         }
     }
 }
 
-/// Sends a request over a connection of its own, and reads the response.
+/// Sends a request over a new connection and reads the response.
 pub async fn send_request(addr: SocketAddr, request: &str) -> Option<(u16, String, String)> {
-    let mut s = connect(addr).await;
-    s.write_all(request.as_bytes()).await.ok()?;
-    read_response(&mut s).await
+    let mut stream = connect(addr).await;
+    stream.write_all(request.as_bytes()).await.ok()?;
+    read_response(&mut stream).await
 }
--- a/crates/platform-router/tests/common/pool.rs
+++ b/crates/platform-router/tests/common/pool.rs
@@ -1,4 +1,4 @@
-//! A connection pool, and attempts on it.
+//! Utilities for tests of the connection pool.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 pub const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
-/// A pool whose timeouts are longer than a test.
+/// Creates a pool whose timeouts are longer than any of its tests.
 pub fn pool_with(
     max_connections: usize,
     max_result_bytes: u64,
@@ -35,12 +35,12 @@
     ConnectionPool::new(config, Rc::new(retries))
 }
 
-/// A pool that permits retries without bound.
+/// Creates a pool with no limit on retries.
 pub fn pool() -> ConnectionPool {
     pool_with(8, 1 << 20, RetryLimiter::new(None))
 }
 
-/// The list entry of engine 7.
+/// Returns the endpoint of engine 7.
 pub fn listed_endpoint(addr: SocketAddr, phase: Phase, started_ms: u64) -> Endpoint {
     Endpoint {
         id: 7,
@@ -53,7 +53,7 @@
     }
 }
 
-/// An attempt that each test changes as it needs.
+/// The parameters of an attempt, which each test changes as needed.
 pub struct TestAttempt {
     pub token: CancelToken,
     pub deadline: Instant,
@@ -107,16 +107,16 @@
     }
 }
 
-/// The reason why an attempt was not sent whose connection was established only after `happens` was done.
+/// Runs an attempt whose connection is established only after `event` has completed, and returns why it was not sent.
 pub async fn not_sent_reason_after(
     attempt: &TestAttempt,
-    happens: impl AsyncFnOnce(&ConnectionPool, SocketAddr),
+    event: impl AsyncFnOnce(&ConnectionPool, SocketAddr),
 ) -> NotSentReason {
     let (manual_engine, pool) = (ManualEngine::with_full_backlog().await, pool());
     pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
     let meanwhile = async {
         wait_until(|| pool.open_connections() == 1).await;
-        happens(&pool, manual_engine.addr).await;
+        event(&pool, manual_engine.addr).await;
         manual_engine.accept_backlog().await;
         future::pending::<()>().await;
     };
@@ -130,6 +130,6 @@
             assert!(!attempt.token.has_started());
             reason
         }
-        other => panic!("it was sent: {other:?}"),
+        other => panic!("expected an attempt that is not sent: {other:?}"),
     }
 }
--- a/crates/platform-router/tests/connection_pool.rs
+++ b/crates/platform-router/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: events between the decision on an attempt and its first byte.
+//! Tests of events between the decision on an attempt and its first byte.
 
 mod common;
 
@@ -19,17 +19,17 @@
         let (manual_engine, pool) = (ManualEngine::new(), pool());
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let engine = async {
-            let mut line = manual_engine.accept().await;
-            line.next_command().await.expect("the first request");
-            line.send(&served_line(IDS[0])).await;
+            let mut connection = manual_engine.accept().await;
+            connection.next_command().await.expect("the first request");
+            connection.send(&served_line(IDS[0])).await;
             assert_eq!(
-                command_id(&line.next_command().await.expect("the next request")),
+                command_id(&connection.next_command().await.expect("the next request")),
                 IDS[2]
             );
-            line.send(&served_line(IDS[2])).await;
+            connection.send(&served_line(IDS[2])).await;
         };
         let router = async {
-            // With an idle connection, it could be written in its task's first step.
+            // This leaves an idle connection, over which the next attempt could be sent when its task first runs.
             TestAttempt::new().run(&pool, IDS[0]).await.expect("served");
             let attempt = TestAttempt::new();
             attempt.token.cancel();
@@ -74,9 +74,9 @@
         });
     }
     run_test(async |_| {
-        let left_out = async |pool: &ConnectionPool, _| pool.retain_listed(&[]);
+        let unlisted = async |pool: &ConnectionPool, _| pool.retain_listed(&[]);
         assert_eq!(
-            not_sent_reason_after(&TestAttempt::new(), left_out).await,
+            not_sent_reason_after(&TestAttempt::new(), unlisted).await,
             NotSentReason::EndpointChanged
         );
     });
@@ -110,10 +110,10 @@
         let pool = pool_with(8, 1 << 20, RetryLimiter::new(Some(budget)));
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let engine = async {
-            let mut line = manual_engine.accept().await;
+            let mut connection = manual_engine.accept().await;
             for _ in 0..2 {
-                let id = command_id(&line.next_command().await.expect("a request"));
-                line.send(&served_line(&id)).await;
+                let id = command_id(&connection.next_command().await.expect("a request"));
+                connection.send(&served_line(&id)).await;
             }
         };
         let retry = || TestAttempt {
@@ -142,9 +142,9 @@
 #[test]
 fn timeout_before_the_connection_is_established_counts_as_not_sent() {
     run_test(async |_| {
-        let over = Instant::now() + Duration::from_millis(100);
+        let deadline = Instant::now() + Duration::from_millis(100);
         let attempt = TestAttempt {
-            deadline: over,
+            deadline,
             ..TestAttempt::new()
         };
         let passed = async |_: &ConnectionPool, _| future::pending().await;
@@ -167,20 +167,21 @@
         let engine = async {
             wait_until(|| pool.open_connections() == 1).await;
             manual_engine.accept_backlog().await;
-            let mut line = manual_engine.accept().await;
+            let mut connection = manual_engine.accept().await;
             let left = attempt.deadline.saturating_duration_since(Instant::now());
             let request: serde_json::Value =
-                serde_json::from_str(&line.next_command().await.expect("a request")).expect("JSON");
-            line.send(&served_line(IDS[0])).await;
+                serde_json::from_str(&connection.next_command().await.expect("a request"))
+                    .expect("JSON");
+            connection.send(&served_line(IDS[0])).await;
             (request["f"]["w"].as_u64().expect("w"), left)
         };
         let (result, (wait_ms, left)) = future::zip(attempt.run(&pool, IDS[0]), engine).await;
         result.expect("served");
-        // It was written after the connection came up, and before it was accepted here or soon after.
-        let at_first = Duration::from_secs(10);
+        // The command was written after the connection was established, at about the time at which it was accepted
+        // here.
+        let initial = Duration::from_secs(10);
         assert!(
-            left < at_first
-                && Duration::from_millis(wait_ms) < at_first - Duration::from_millis(500),
+            left < initial && Duration::from_millis(wait_ms) < initial - Duration::from_millis(500),
             "{wait_ms}"
         );
         assert!(
--- a/crates/platform-router/tests/connection_reuse.rs
+++ b/crates/platform-router/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! The connection pool: which connections are used again, and bytes on one that no request asked for.
+//! Tests of the connection pool: reuse of connections, and unexpected bytes on them.
 
 mod common;
 
@@ -25,8 +25,8 @@
             first
                 .next_command()
                 .await
-                .expect("another request, over the same");
-            // With its response, a late second one to the first attempt.
+                .expect("another request on the same connection");
+            // The response is followed by a late duplicate of the response to the first attempt.
             first
                 .send(&[served_line(IDS[1]), overloaded(IDS[0])].concat())
                 .await;
@@ -55,8 +55,8 @@
 
 #[test]
 fn idle_connection_with_a_partial_line_or_too_many_bytes_is_not_reused() {
-    let foreign = served_line(IDS[2]).repeat(2_000);
-    for meanwhile in [b"{\"t\":\"served\",".to_vec(), foreign] {
+    let other_responses = served_line(IDS[2]).repeat(2_000);
+    for bytes_while_idle in [b"{\"t\":\"served\",".to_vec(), other_responses] {
         run_test(async move |_| {
             let (manual_engine, pool) = (ManualEngine::new(), pool());
             pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
@@ -69,8 +69,8 @@
             let (result, mut first) =
                 future::zip(TestAttempt::new().run(&pool, IDS[0]), engine).await;
             result.expect("served");
-            // It is received once the engine's write is done, as both run on one kernel.
-            first.send(&meanwhile).await;
+            // On loopback, the bytes have been received once the write completes.
+            first.send(&bytes_while_idle).await;
             let engine = async {
                 let mut second = manual_engine.accept().await;
                 assert_eq!(
@@ -92,11 +92,11 @@
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let addr = manual_engine.addr;
         ex.spawn(async move {
-            let mut line = manual_engine.accept().await;
-            line.next_command().await.expect("a request");
-            let foreign = served_line(IDS[2]).repeat(100);
+            let mut connection = manual_engine.accept().await;
+            connection.next_command().await.expect("a request");
+            let other_responses = served_line(IDS[2]).repeat(100);
             for _ in 0..4_000 {
-                line.send(&foreign).await;
+                connection.send(&other_responses).await;
             }
         });
         let attempt = TestAttempt::new();
@@ -105,14 +105,17 @@
             matches!(result, Err(AttemptError::Line(_))),
             "{addr}: {result:?}"
         );
-        assert!(Instant::now() < attempt.deadline, "before its time");
+        assert!(
+            Instant::now() < attempt.deadline,
+            "the attempt must fail before its deadline"
+        );
     });
 }
 
 #[test]
 fn no_pages_are_fetched_for_a_disconnected_client_and_the_connection_is_reused() {
     run_test(async |_| {
-        // Room for one result of several pages.
+        // There is memory for one result of several pages.
         let pool = pool_with(8, 20_000, RetryLimiter::new(None));
         let manual_engine = ManualEngine::new();
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
@@ -122,7 +125,8 @@
             )
             .into_bytes()
         };
-        let (holds, left, next) = (TestAttempt::new(), TestAttempt::new(), TestAttempt::new());
+        let (reserving, abandoned, next) =
+            (TestAttempt::new(), TestAttempt::new(), TestAttempt::new());
         let engine = async {
             let mut first = manual_engine.accept().await;
             first.next_command().await.expect("a request");
@@ -130,15 +134,15 @@
             first
                 .next_command()
                 .await
-                .expect("it fetches, and has the room");
+                .expect("a fetch command, as the memory is reserved");
             let mut second = manual_engine.accept().await;
             second.next_command().await.expect("a request");
             second.send(&pages(IDS[1])).await;
-            left.token.abandon();
-            let said = second.next_command().await.expect("a command");
+            abandoned.token.abandon();
+            let command = second.next_command().await.expect("a command");
             assert!(
-                said.contains("\"END\"") && !said.contains("FETCH"),
-                "{said}"
+                command.contains("\"END\"") && !command.contains("FETCH"),
+                "{command}"
             );
             assert_eq!(
                 command_id(&second.next_command().await.expect("the next request")),
@@ -148,15 +152,15 @@
             first
         };
         let second = async {
-            wait_until(|| holds.token.has_started()).await;
-            let result = left.run(&pool, IDS[1]).await;
+            wait_until(|| reserving.token.has_started()).await;
+            let result = abandoned.run(&pool, IDS[1]).await;
             assert!(matches!(result, Err(AttemptError::Abandoned)), "{result:?}");
             next.run(&pool, IDS[2]).await.expect("served");
         };
         let others = future::zip(engine, second);
         let first = async {
-            let _ = holds.run(&pool, IDS[0]).await;
-            panic!("its pages never come");
+            let _ = reserving.run(&pool, IDS[0]).await;
+            panic!("the attempt ended although its pages were never sent");
         };
         future::or(first, async {
             others.await;
@@ -183,33 +187,33 @@
         );
         let waiting = async {
             wait_until(|| a.token.has_started() && b.token.has_started()).await;
-            let to_the_other =
+            let run_at_second =
                 async |attempt: &TestAttempt, id| attempt.run_at(8, &pool, id).await.map(|_| ());
             future::zip(
-                to_the_other(&c, "9b1f03aa5c7e2d51"),
-                to_the_other(&d, "9b1f03aa5c7e2d52"),
+                run_at_second(&c, "9b1f03aa5c7e2d51"),
+                run_at_second(&d, "9b1f03aa5c7e2d52"),
             )
             .await
         };
         let running = future::zip(a.run(&pool, IDS[0]), b.run(&pool, IDS[1]));
         let engines = async {
             let (mut x, mut y) = (first.accept().await, first.accept().await);
-            let (of_x, of_y) = (
+            let (x_command, y_command) = (
                 x.next_command().await.expect("a request"),
                 y.next_command().await.expect("a request"),
             );
-            // Both wait for a permit by now: nothing else is due on this thread.
+            // After this, both other attempts are waiting for a permit, as no other task on this thread is ready.
             for _ in 0..20 {
                 future::yield_now().await;
             }
             Timer::after(Duration::from_millis(20)).await;
-            x.send(&served_line(&command_id(&of_x))).await;
-            y.send(&served_line(&command_id(&of_y))).await;
-            // Neither is answered before both have come.
+            x.send(&served_line(&command_id(&x_command))).await;
+            y.send(&served_line(&command_id(&y_command))).await;
+            // Neither request gets a response before both connections are accepted.
             let mut both = [second.accept().await, second.accept().await];
-            for line in &mut both {
-                let id = command_id(&line.next_command().await.expect("a request"));
-                line.send(&served_line(&id)).await;
+            for connection in &mut both {
+                let id = command_id(&connection.next_command().await.expect("a request"));
+                connection.send(&served_line(&id)).await;
             }
             (x, y, both)
         };
--- a/crates/platform-router/tests/engines.rs
+++ b/crates/platform-router/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Invalid responses of engines, and what clients then receive.
+//! Tests of invalid engine responses and of what clients receive then.
 
 mod common;
 
@@ -9,36 +9,37 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 
-/// Runs one request of a class through a router to a scripted engine: the status, the response and the number of attempts.
+/// Runs one request of a class through a router to a scripted engine. Returns the status, the response and the number
+/// of attempts.
 fn run_request(
     name: &'static str,
     class: &'static str,
     script: impl Fn(usize, &str) -> (Vec<u8>, bool) + 'static,
 ) -> (u16, String, usize) {
     let result = Rc::new(std::cell::RefCell::new(None));
-    let out = result.clone();
+    let result_of_test = result.clone();
     run_test(async move |ex| {
-        let (addr, seen) = spawn_engine(&ex, Rc::new(script));
+        let (addr, received) = spawn_engine(&ex, Rc::new(script));
         let coordinator = spawn_idle_coordinator(&ex);
         let file = ConfigFile::new(name, &[(7, addr)], coordinator, 256);
         let (_router, listen) = start_router(&file, &ex);
         let (status, head, body) = send_request(listen, &statement_request(class, ID, 1500))
             .await
-            .expect("an answer");
-        let requests = seen
+            .expect("a response");
+        let attempts = received
             .borrow()
             .iter()
-            .filter(|l| l.contains("\"REQ\""))
+            .filter(|line| line.contains("\"REQ\""))
             .count();
-        *out.borrow_mut() = Some((status, head + &body, requests));
+        *result_of_test.borrow_mut() = Some((status, head + &body, attempts));
     });
     let result = result.borrow_mut().take();
-    result.expect("played")
+    result.expect("the test has completed")
 }
 
 #[test]
 fn statement_is_forwarded_unchanged_and_rows_are_returned() {
-    let (status, text, requests) = run_request("rows", "lookup", |_, line| {
+    let (status, text, attempts) = run_request("rows", "lookup", |_, line| {
         assert!(
             line.contains("U0VMRUNUIGEgRlJPTSBzYWxlc18xNy5vcmRlcnM=")
                 && line.contains("\"c\":\"lookup\"")
@@ -49,27 +50,27 @@
         status == 200 && text.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"),
         "{text}"
     );
-    assert_eq!(requests, 1);
+    assert_eq!(attempts, 1);
 }
 
 #[test]
 fn pages_received_out_of_order_are_returned_in_order() {
     let (status, text, _) = run_request("pages", "lookup", |_, line| match line {
-        l if l.contains("REQ") => {
-            let id = command_id(l);
+        line if line.contains("REQ") => {
+            let id = command_id(line);
             (
                 format!("{{\"t\":\"served\",\"i\":\"{id}\",\"f\":{{\"fetches\":\"3\"}},\"b\":\"{ENCODED_PAGE}\"}}\n")
                     .into_bytes(),
                 false,
             )
         }
-        l if l.contains("\"x\":1}") => (Vec::new(), false),
-        l => {
-            // Asked for the second one, it gives that, a second copy of it, and only then the first.
-            let page = |n: u32, b: &str| {
+        line if line.contains("\"x\":1}") => (Vec::new(), false),
+        line => {
+            // The response to the fetch of page 2 has that page, a duplicate of it, and then page 1.
+            let page = |number: u32, rows: &str| {
                 format!(
-                    "{{\"t\":\"rows\",\"i\":\"{}\",\"f\":{{\"fetch_no\":{n}}},\"b\":\"{b}\"}}\n",
-                    command_id(l)
+                    "{{\"t\":\"rows\",\"i\":\"{}\",\"f\":{{\"fetch_no\":{number}}},\"b\":\"{rows}\"}}\n",
+                    command_id(line)
                 )
             };
             (
@@ -86,7 +87,7 @@
 
 #[test]
 fn responses_with_an_unknown_id_and_duplicates_are_ignored() {
-    let (status, text, requests) = run_request("foreign", "lookup", |_, line| {
+    let (status, text, attempts) = run_request("foreign", "lookup", |_, line| {
         let other = String::from_utf8(served_line("0000000000000000"))
             .expect("text")
             .replace(ENCODED_PAGE, "YgkyCXkK");
@@ -100,26 +101,28 @@
             false,
         )
     });
-    assert_eq!((status, requests), (200, 1));
+    assert_eq!((status, attempts), (200, 1));
     assert!(
         text.ends_with("[[\"a\",\"1\",\"x\"]]}"),
-        "its own rows: {text}"
+        "the client must receive the rows of its own request: {text}"
     );
 }
 
 #[test]
 fn idempotent_statement_is_retried_after_any_invalid_response() {
-    let good = String::from_utf8(served_line(ID)).expect("text");
-    let spoilt: Vec<(Vec<u8>, bool)> = vec![
+    let valid = String::from_utf8(served_line(ID)).expect("text");
+    let invalid_responses: Vec<(Vec<u8>, bool)> = vec![
         (b"noise\n".to_vec(), false),
         (vec![b'x'; 3 << 20], false),
-        (good.replace("YQkx", "Y*kx").into_bytes(), false),
-        (good.replace("CXgK", "CXg=").into_bytes(), false),
+        (valid.replace("YQkx", "Y*kx").into_bytes(), false),
+        (valid.replace("CXgK", "CXg=").into_bytes(), false),
         (
-            good.replace("\"fetches\":1", "\"fetches\":-1").into_bytes(),
+            valid
+                .replace("\"fetches\":1", "\"fetches\":-1")
+                .into_bytes(),
             false,
         ),
-        (good.as_bytes()[..good.len() / 2].to_vec(), true),
+        (valid.as_bytes()[..valid.len() / 2].to_vec(), true),
         (Vec::new(), true),
         (
             format!("{{\"t\":\"crashed\",\"i\":\"{ID}\"}}\n").into_bytes(),
@@ -134,82 +137,83 @@
             false,
         ),
     ];
-    for (at, bad) in spoilt.into_iter().enumerate() {
-        let (status, text, requests) = run_request("spoilt", "lookup", move |n, line| match n {
-            0 => bad.clone(),
-            _ => (served_line(&command_id(line)), false),
-        });
-        assert_eq!((status, requests), (200, 2), "case {at}: {text}");
+    for (case, invalid) in invalid_responses.into_iter().enumerate() {
+        let (status, text, attempts) =
+            run_request("invalid", "lookup", move |index, line| match index {
+                0 => invalid.clone(),
+                _ => (served_line(&command_id(line)), false),
+            });
+        assert_eq!((status, attempts), (200, 2), "case {case}: {text}");
     }
 }
 
 #[test]
 fn non_idempotent_statement_is_retried_only_if_it_was_not_executed() {
-    for (answer, close, expected) in [
+    for (kind, close, expected) in [
         ("crashed", false, (500, 1)),
         ("", true, (500, 1)),
         ("overload", false, (200, 2)),
     ] {
-        let (status, text, requests) =
-            run_request("unsafe", "load", move |n, line| match (n, answer) {
+        let (status, text, attempts) =
+            run_request("unsafe", "load", move |index, line| match (index, kind) {
                 (0, "") => (Vec::new(), close),
-                (0, word) => (
-                    format!("{{\"t\":\"{word}\",\"i\":\"{ID}\"}}\n").into_bytes(),
+                (0, kind) => (
+                    format!("{{\"t\":\"{kind}\",\"i\":\"{ID}\"}}\n").into_bytes(),
                     close,
                 ),
                 _ => (served_line(&command_id(line)), false),
             });
-        assert_eq!((status, requests), expected, "{answer:?}: {text}");
+        assert_eq!((status, attempts), expected, "{kind:?}: {text}");
     }
 }
 
 #[test]
 fn request_without_a_response_is_rejected_with_a_retry_time() {
-    let began = Instant::now();
+    let started = Instant::now();
     let (status, text, _) = run_request("silence", "lookup", |_, _| (Vec::new(), false));
     assert!(status == 429 && text.contains("Hold-Off-Ms: 900"), "{text}");
     assert!(
-        began.elapsed() >= Duration::from_millis(1_300),
-        "not before its time: {:?}",
-        began.elapsed()
+        started.elapsed() >= Duration::from_millis(1_300),
+        "rejected long before its timeout of 1500 ms: {:?}",
+        started.elapsed()
     );
 }
 
 #[test]
 fn address_of_a_removed_engine_can_be_reused_by_another() {
     run_test(async |ex| {
-        let (addr, seen) = spawn_engine(
+        let (addr, received) = spawn_engine(
             &ex,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        // Broken off within the second event; then the rest from there, a copy of the first ahead of it.
+        // The first connection ends within the second event. The second connection repeats both events.
         let events = [
             frame(2, 2, &[endpoint_record(7, addr, 2)]),
             frame(3, 2, &[endpoint_record(8, addr, 0)]),
         ];
-        let script = move |nth: usize, _| match nth {
+        let script = move |connection: usize, _| match connection {
             1 => ([&events[0][..], &events[1][..20]].concat(), true),
             _ => (events.concat(), false),
         };
-        let (coordinator, asked) = spawn_coordinator(&ex, Rc::new(script));
+        let (coordinator, last_events) = spawn_coordinator(&ex, Rc::new(script));
         let file = ConfigFile::new("list", &[(7, addr)], coordinator, 256);
         let (router, listen) = start_router(&file, &ex);
         while router.last_event() < 3 {
             Timer::after(Duration::from_millis(10)).await;
         }
         assert_eq!(
-            *asked.borrow(),
+            *last_events.borrow(),
             [1, 2],
-            "on from the last event that came whole"
+            "the router resumes after the last complete event"
         );
         assert_eq!(
             send_request(listen, &statement_request("lookup", ID, 1500))
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .0,
             200
         );
-        assert_eq!((seen.borrow().len(), router.known_engines()), (1, 1));
+        assert_eq!((received.borrow().len(), router.known_engines()), (1, 1));
     });
 }
 
@@ -220,17 +224,17 @@
             &ex,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let gone = |n: u64| {
+        let replace_engine = |number: u64| {
             frame(
-                n,
+                number,
                 2,
                 &[
-                    endpoint_record(n as u32 + 5, addr, 2),
-                    endpoint_record(n as u32 + 6, addr, 0),
+                    endpoint_record(number as u32 + 5, addr, 2),
+                    endpoint_record(number as u32 + 6, addr, 0),
                 ],
             )
         };
-        let events: Vec<u8> = (2..202).flat_map(gone).collect();
+        let events: Vec<u8> = (2..202).flat_map(replace_engine).collect();
         let (coordinator, _) = spawn_coordinator(&ex, Rc::new(move |_, _| (events.clone(), false)));
         let file = ConfigFile::new("many", &[(7, addr)], coordinator, 256);
         let (router, listen) = start_router(&file, &ex);
@@ -239,17 +243,18 @@
         }
         assert_eq!(router.known_engines(), 1);
         for n in 0..300 {
-            let mut s = connect(listen).await;
-            s.write_all(statement_request("lookup", &format!("{n:016x}"), 1500).as_bytes())
+            let mut client = connect(listen).await;
+            client
+                .write_all(statement_request("lookup", &format!("{n:016x}"), 1500).as_bytes())
                 .await
                 .expect("written");
-            assert_eq!(read_response(&mut s).await.expect("an answer").0, 200);
+            assert_eq!(read_response(&mut client).await.expect("a response").0, 200);
         }
         Timer::after(Duration::from_millis(100)).await;
         assert_eq!(
             (router.known_requests(), router.requests_in_flight()),
             (0, 0),
-            "neither requests nor ids are kept"
+            "no request and no id remains"
         );
     });
 }
@@ -257,23 +262,23 @@
 #[test]
 fn retry_uses_another_connection_than_the_first_attempt() {
     run_test(async |ex| {
-        let full = |line: &str| {
+        let overloaded = |line: &str| {
             format!("{{\"t\":\"overload\",\"i\":\"{}\"}}\n", command_id(line)).into_bytes()
         };
-        let script = move |n, line: &str| {
+        let script = move |index, line: &str| {
             (
-                if n == 0 {
-                    full(line)
+                if index == 0 {
+                    overloaded(line)
                 } else {
                     served_line(&command_id(line))
                 },
                 false,
             )
         };
-        let (addr, seen) = spawn_engine(&ex, Rc::new(script));
+        let (addr, received) = spawn_engine(&ex, Rc::new(script));
         let coordinator = spawn_idle_coordinator(&ex);
         let file = ConfigFile::new("carried", &[(7, addr)], coordinator, 256);
-        // No probes, which would leave connections of their own to choose from.
+        // Health checks are disabled, as they would add idle connections to the pool.
         let text = ConfigFile::text(&[(7, addr)], coordinator, 256)
             .replace("\"mayProbe\":true", "\"mayProbe\":false");
         std::fs::write(&file.0, text).expect("written");
@@ -281,15 +286,18 @@
         assert_eq!(
             send_request(listen, &statement_request("lookup", ID, 1500))
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .0,
             200
         );
-        let seen = seen.borrow();
-        let over: Vec<&str> = seen.iter().filter_map(|l| l.split(' ').next()).collect();
+        let received = received.borrow();
+        let connections: Vec<&str> = received
+            .iter()
+            .filter_map(|line| line.split(' ').next())
+            .collect();
         assert!(
-            over.len() == 2 && over[0] != over[1],
-            "a late answer to the first could be taken for it: {over:?}"
+            connections.len() == 2 && connections[0] != connections[1],
+            "a late response to the first attempt could be mistaken for one to the retry: {connections:?}"
         );
     });
 }
--- a/crates/platform-router/tests/races.rs
+++ b/crates/platform-router/tests/races.rs
@@ -1,4 +1,4 @@
-//! Races: clients that disconnect with requests in flight, shutdown, reload, and the watch on the coordinator.
+//! Tests of races: disconnects with requests in flight, shutdown, reload, and the watch on the endpoint list.
 
 mod common;
 
@@ -11,8 +11,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use hoptiller_http::Spawner;
 
-/// The configuration of a router that knows this engine, sends no health checks, can't cancel at engines, and whose
-/// timeouts are longer than a test: what does not end by itself hangs.
+/// Creates the configuration of a router for one engine, without health checks or cancellation at engines. Its timeouts
+/// are longer than a test, so that a request that depends on one to end makes the test fail.
 fn config_with_long_timeouts(name: &str, manual_engine: &ManualEngine, ex: &Spawner) -> ConfigFile {
     let coordinator = spawn_idle_coordinator(ex);
     let file = ConfigFile::new(name, &[(7, manual_engine.addr)], coordinator, 256);
@@ -38,28 +38,28 @@
         wait_until(|| router.attempts_in_flight() == 1 && router.engine_connections() == 1).await;
         drop(client);
         wait_until(|| (router.known_requests(), router.requests_in_flight()) == (0, 0)).await;
-        // Its attempt is over before any connection has come up: nothing is left that could be sent.
+        // The attempt ends before its connection is established, so nothing can be sent.
         wait_until(|| router.attempts_in_flight() == 0).await;
         manual_engine.accept_backlog().await;
         let next = async {
-            let mut line = manual_engine.accept().await;
-            let said = loop {
-                match line.next_command().await {
-                    Some(said) => break said,
-                    // The connection of the one that left, if it still came up.
-                    None => line = manual_engine.accept().await,
+            let mut connection = manual_engine.accept().await;
+            let command = loop {
+                match connection.next_command().await {
+                    Some(command) => break command,
+                    // The connection of the cancelled attempt, if it was still established.
+                    None => connection = manual_engine.accept().await,
                 }
             };
-            line.send(&served_line(&command_id(&said))).await;
-            command_id(&said)
+            connection.send(&served_line(&command_id(&command))).await;
+            command_id(&command)
         };
         let other = statement_request("lookup", "9b1f03aa5c7e2d42", 8000);
-        let (first, answer) = future::zip(next, send_request(listen, &other)).await;
+        let (first, response) = future::zip(next, send_request(listen, &other)).await;
         assert_eq!(
             first, "9b1f03aa5c7e2d42",
-            "what the engine saw first is the other's"
+            "the engine must receive only the other client's request"
         );
-        assert_eq!(answer.expect("an answer").0, 200);
+        assert_eq!(response.expect("a response").0, 200);
     });
 }
 
@@ -74,13 +74,13 @@
             .write_all(statement_request("lookup", ID, 90_000).as_bytes())
             .await
             .expect("written");
-        let mut line = manual_engine.accept().await;
-        line.next_command().await.expect("its request");
-        let ahead = statement_request("lookup", "9b1f03aa5c7e2d42", 8000).repeat(2_000);
+        let mut connection = manual_engine.accept().await;
+        connection.next_command().await.expect("its request");
+        let pipelined = statement_request("lookup", "9b1f03aa5c7e2d42", 8000).repeat(2_000);
         client
-            .write_all(ahead.as_bytes())
+            .write_all(pipelined.as_bytes())
             .await
-            .expect("it is read on");
+            .expect("the router keeps reading");
         drop(client);
         wait_until(|| {
             (router.known_requests(), router.requests_in_flight()) == (0, 0)
@@ -100,21 +100,24 @@
         let last = statement_request("lookup", ID, 8000)
             .replace("Host: h", "Host: h\r\nConnection: close");
         client.write_all(last.as_bytes()).await.expect("written");
-        let mut line = manual_engine.accept().await;
-        line.next_command().await.expect("its request");
-        // Written by the time of the answer, and too much to be read ahead.
+        let mut connection = manual_engine.accept().await;
+        connection.next_command().await.expect("its request");
+        // Written before the response, and too much to be read ahead.
         client
             .write_all(&vec![b'x'; 200 << 10])
             .await
-            .expect("taken");
-        line.send(&served_line(ID)).await;
-        let (status, head, _) = read_response(&mut client).await.expect("an answer");
+            .expect("written");
+        connection.send(&served_line(ID)).await;
+        let (status, head, _) = read_response(&mut client).await.expect("a response");
         assert!(
             status == 200 && head.contains("Connection: close"),
             "{head}"
         );
         let end = client.read(&mut [0; 64]).await;
-        assert!(matches!(end, Ok(0)), "an end, and no reset: {end:?}");
+        assert!(
+            matches!(end, Ok(0)),
+            "the connection must be closed without a reset: {end:?}"
+        );
     });
 }
 
@@ -128,7 +131,7 @@
         let file = ConfigFile::new("half", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, listen) = start_router(&file, &ex);
         let mut client = connect(listen).await;
-        let whole = statement_request("lookup", ID, 1500);
+        let request = statement_request("lookup", ID, 1500);
         let ended = Rc::new(Cell::new(false));
         let (done, ending) = (ended.clone(), router.clone());
         ex.spawn(async move {
@@ -136,23 +139,23 @@
             done.set(true);
         });
         client
-            .write_all(&whole.as_bytes()[..40])
+            .write_all(&request.as_bytes()[..40])
             .await
             .expect("written");
-        // Resting connections are closed then: one that only rests sees it.
-        let mut rests = connect(listen).await;
-        assert!(matches!(rests.read(&mut [0; 8]).await, Ok(0)));
+        // The shutdown closes idle connections. A connection that sends nothing observes it.
+        let mut idle = connect(listen).await;
+        assert!(matches!(idle.read(&mut [0; 8]).await, Ok(0)));
         client
-            .write_all(&whole.as_bytes()[40..])
+            .write_all(&request.as_bytes()[40..])
             .await
             .expect("written");
-        let (status, head, _) = read_response(&mut client).await.expect("an answer");
+        let (status, head, _) = read_response(&mut client).await.expect("a response");
         assert!(
             status == 200 && head.contains("Connection: close"),
             "{head}"
         );
         assert!(matches!(client.read(&mut [0; 8]).await, Ok(0)));
-        drop((client, rests));
+        drop((client, idle));
         wait_until(|| ended.get()).await;
     });
 }
@@ -170,13 +173,13 @@
         kept.write_all(statement_request("lookup", ID, 1500).as_bytes())
             .await
             .expect("written");
-        let (_, head, _) = read_response(&mut kept).await.expect("an answer");
+        let (_, head, _) = read_response(&mut kept).await.expect("a response");
         assert!(!head.contains("Connection: close"), "{head}");
         let next = async {
             kept.write_all(statement_request("lookup", "9b1f03aa5c7e2d42", 1500).as_bytes())
                 .await
                 .expect("written");
-            let (_, head, _) = read_response(&mut kept).await.expect("an answer");
+            let (_, head, _) = read_response(&mut kept).await.expect("a response");
             assert!(head.contains("Connection: close"), "{head}");
             assert!(matches!(kept.read(&mut [0; 8]).await, Ok(0)));
         };
@@ -185,32 +188,49 @@
 }
 
 #[test]
-fn unanswered_requests_are_given_up_before_the_process_is_killed() {
+fn requests_without_response_are_abandoned_before_the_process_is_killed() {
     run_test(async |ex| {
         let (addr, _) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
         let file = ConfigFile::new("hangs", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, listen) = start_router(&file, &ex);
-        let (safe, unsafe_) = (
+        let (idempotent, non_idempotent) = (
             statement_request("lookup", ID, 8000),
             statement_request("load", "9b1f03aa5c7e2d42", 8000),
         );
-        let asked = future::zip(send_request(listen, &safe), send_request(listen, &unsafe_));
-        // One that sent no request is read on for 5.5 s, which the end does not wait for.
-        let mut bad = connect(listen).await;
-        bad.write_all(b"no request\r\n\r\n").await.expect("written");
-        assert_eq!(read_response(&mut bad).await.expect("an answer").0, 400);
-        let end = async {
+        let requests = future::zip(
+            send_request(listen, &idempotent),
+            send_request(listen, &non_idempotent),
+        );
+        // After an invalid request the router keeps reading for 5.5 s, which the shutdown does not wait for.
+        let mut invalid = connect(listen).await;
+        invalid
+            .write_all(b"no request\r\n\r\n")
+            .await
+            .expect("written");
+        assert_eq!(
+            read_response(&mut invalid).await.expect("a response").0,
+            400
+        );
+        let shutdown = async {
             wait_until(|| router.attempts_in_flight() == 2).await;
-            let began = Instant::now();
+            let started = Instant::now();
             router.shutdown().await;
-            began.elapsed()
+            started.elapsed()
         };
-        let ((safe, unsafe_), took) = future::zip(asked, end).await;
-        drop(bad);
-        // SIGKILL comes 3.7 s after SIGTERM at the soonest, as the longest patience here is 8 s.
-        assert!(took < Duration::from_millis(3_700), "{took:?}");
-        assert_eq!(safe.expect("an answer").0, 429, "it is safe to try again");
-        assert_eq!(unsafe_.expect("an answer").0, 500, "it may have run");
+        let ((idempotent, non_idempotent), elapsed) = future::zip(requests, shutdown).await;
+        drop(invalid);
+        // SIGKILL follows SIGTERM after 3.7 s at the earliest: the longest deadline, 8 s, counts as 3 s.
+        assert!(elapsed < Duration::from_millis(3_700), "{elapsed:?}");
+        assert_eq!(
+            idempotent.expect("a response").0,
+            429,
+            "the request is safe to retry"
+        );
+        assert_eq!(
+            non_idempotent.expect("a response").0,
+            500,
+            "the statement may have been executed"
+        );
     });
 }
 
@@ -218,20 +238,20 @@
 fn partial_frames_do_not_keep_a_watch_alive() {
     run_test(async |ex| {
         let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
-        let at = listener.get_ref().local_addr().expect("bound");
+        let coordinator = listener.get_ref().local_addr().expect("bound");
         let (addr, _) = spawn_engine(
             &ex,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let spawner = ex.clone();
         ex.spawn(async move {
-            for nth in 0.. {
+            for connection in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else {
                     return;
                 };
                 spawner.spawn(async move {
                     let event = frame(2, 2, &[endpoint_record(8, addr, 0)]);
-                    if nth > 0 {
+                    if connection > 0 {
                         let _ = stream.write_all(&event).await;
                         return future::pending().await;
                     }
@@ -244,14 +264,14 @@
                 });
             }
         });
-        let file = ConfigFile::new("trickle", &[(7, addr)], at, 256);
-        let began = Instant::now();
+        let file = ConfigFile::new("trickle", &[(7, addr)], coordinator, 256);
+        let started = Instant::now();
         let (router, _) = start_router(&file, &ex);
         wait_until(|| router.last_event() == 2).await;
         assert!(
-            began.elapsed() < Duration::from_secs(4),
+            started.elapsed() < Duration::from_secs(4),
             "{:?}",
-            began.elapsed()
+            started.elapsed()
         );
     });
 }
@@ -260,7 +280,7 @@
 fn watch_client_connects_while_clients_hold_all_their_connections() {
     run_test(async |ex| {
         let (addr, _) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
-        // Bound, so that nobody else gets the port, and not listening: discovery is down.
+        // The coordinator is down: its port is bound, so that no other process gets it, but does not listen.
         let down = rustix::net::socket(
             rustix::net::AddressFamily::INET,
             rustix::net::SocketType::STREAM,
@@ -269,23 +289,26 @@
         .expect("a socket");
         rustix::net::bind(&down, &std::net::SocketAddr::from(([127, 0, 0, 1], 0))).expect("bound");
         let down = std::net::TcpListener::from(down);
-        let at = down.local_addr().expect("bound");
-        let file = ConfigFile::new("filled", &[(7, addr)], at, 64);
+        let coordinator = down.local_addr().expect("bound");
+        let file = ConfigFile::new("filled", &[(7, addr)], coordinator, 64);
         let (router, listen) = start_router(&file, &ex);
         let budget = *router.budget();
         let mut clients = Vec::new();
         for _ in 0..budget.client_connections {
             clients.push(connect(listen).await);
         }
-        // One is told to go before the next one comes, so that there always is room for that.
+        // The router closes a connection before it accepts the next one, so that it always has a free descriptor.
         wait_until(|| router.client_connections() + 1 >= budget.client_connections).await;
         assert!(
             budget.client_connections + budget.engine_connections + 24 <= 64,
-            "24 are left to the process itself: {budget:?}"
+            "24 descriptors remain for the process itself: {budget:?}"
         );
-        rustix::net::listen(&down, 16).expect("discovery is back");
-        let back = Async::new(down).expect("usable");
-        let (mut stream, _) = back.accept().await.expect("the follower comes again");
+        rustix::net::listen(&down, 16).expect("the coordinator listens again");
+        let listener = Async::new(down).expect("a listener");
+        let (mut stream, _) = listener
+            .accept()
+            .await
+            .expect("the watch client reconnects");
         stream
             .write_all(&frame(2, 2, &[endpoint_record(8, addr, 0)]))
             .await
@@ -302,14 +325,14 @@
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let event = move |_, _| (frame(2, 2, &[endpoint_record(8, addr, 0)]), false);
-        let (wrong, asked_wrong) = spawn_coordinator(&ex, Rc::new(event));
-        let (right, asked_right) = spawn_coordinator(&ex, Rc::new(event));
+        let (wrong, wrong_requests) = spawn_coordinator(&ex, Rc::new(event));
+        let (right, right_requests) = spawn_coordinator(&ex, Rc::new(event));
         let file = ConfigFile::new("other", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
         let (router, _) = start_router(&file, &ex);
         let text = ConfigFile::text(&[(7, addr)], wrong, 256)
             .replace("\"name\":\"n0\"", "\"name\":\"n1\"");
         std::fs::write(&file.0, text).expect("written");
-        let (first_ended, began) = (Rc::new(Cell::new(false)), Instant::now());
+        let (first_ended, started) = (Rc::new(Cell::new(false)), Instant::now());
         let (ended, first) = (first_ended.clone(), router.clone());
         ex.spawn(async move {
             first.reload().await;
@@ -320,19 +343,19 @@
             router.reload().await;
         };
         let right_file = async {
-            // The first one gives way to the second, and does not try on beside it for its 10 s.
+            // The second reload replaces the first, which must not keep retrying for its 10 s.
             wait_until(|| first_ended.get()).await;
             assert!(
-                began.elapsed() < Duration::from_secs(5),
+                started.elapsed() < Duration::from_secs(5),
                 "{:?}",
-                began.elapsed()
+                started.elapsed()
             );
             std::fs::write(&file.0, ConfigFile::text(&[(7, addr)], right, 256)).expect("written");
         };
         future::zip(second, right_file).await;
         wait_until(|| router.last_event() == 2).await;
         assert_eq!(
-            (asked_wrong.borrow().len(), asked_right.borrow().len()),
+            (wrong_requests.borrow().len(), right_requests.borrow().len()),
             (0, 1)
         );
     });
--- a/crates/platform-router/tests/retry_limiter.rs
+++ b/crates/platform-router/tests/retry_limiter.rs
@@ -1,4 +1,4 @@
-//! The retry budget at the times at which retries are sent.
+//! Tests of the retry budget, which applies when retries are sent.
 
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,10 @@
     let (limiter, now) = (limiter_with(0.0, 0.5), Instant::now());
     assert!(!limiter.allows_retry(now));
     limiter.record_request(now);
-    assert!(!limiter.allows_retry(now), "half a retry");
+    assert!(
+        !limiter.allows_retry(now),
+        "one request allows half a retry"
+    );
     limiter.record_request(now + Duration::from_secs(1));
     assert!(limiter.allows_retry(now + Duration::from_secs(2)));
     assert!(
