--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -208,8 +208,8 @@
         .split_whitespace()
         .find(|word| word.contains('T') && word.ends_with('Z'))?;
     let mut parts = stamp.split_once('T')?.1.trim_end_matches('Z').split(':');
-    let whole = |part: Option<&str>| part?.parse::<u64>().ok().filter(|n| *n < 60);
-    let (hours, minutes) = (whole(parts.next())?, whole(parts.next())?);
+    let integer = |part: Option<&str>| part?.parse::<u64>().ok().filter(|n| *n < 60);
+    let (hours, minutes) = (integer(parts.next())?, integer(parts.next())?);
     let seconds = parts
         .next()?
         .parse::<f64>()
