--- a/crates/platform-protocol/src/engine_response.rs
+++ b/crates/platform-protocol/src/engine_response.rs
@@ -15,7 +15,7 @@
 /// Maximum work that an engine may report for a statement, in ms. Greater values are invalid.
 const MAX_EFFORT_MS: f64 = 1e9;
 
-/// A response of an engine.
+/// An engine's response.
 #[derive(Clone, Debug)]
 pub struct EngineResponse {
     /// The id of the request or the tag of the load request that it responds to.
@@ -62,7 +62,7 @@
 /// An invalid response line. Nothing that follows it on its connection can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// The line is longer than [`MAX_LINE_BYTES`], or the engine sent more bytes than a request may receive.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the engine sent too many bytes during one request.
     #[error(
         "the engine sent a line of over {MAX_LINE_BYTES} bytes, or too many bytes for one request"
     )]
--- a/crates/platform-router/src/connection_pool.rs
+++ b/crates/platform-router/src/connection_pool.rs
@@ -59,7 +59,7 @@
     idle: Vec<Connection>,
 }
 
-/// Keeps an engine's entry while an attempt or a health check is in flight.
+/// Counts an attempt or a health check as in flight until it is dropped, which keeps the engine's entry in the pool.
 struct InFlightGuard<'a> {
     pool: &'a ConnectionPool,
     engine: EngineId,
--- a/crates/platform-router/src/reload.rs
+++ b/crates/platform-router/src/reload.rs
@@ -14,7 +14,7 @@
 
 impl Router {
     /// Reloads the configuration file and connects to the coordinator that it names. The current configuration remains
-    /// in use until the file can be read. A later call replaces an earlier one that is still retrying.
+    /// in use until the file is valid. A later call replaces an earlier one that is still retrying.
     pub async fn reload(&self) {
         let request = self.reloads_requested.get() + 1;
         self.reloads_requested.set(request);
--- a/crates/platform-router/tests/races.rs
+++ b/crates/platform-router/tests/races.rs
@@ -297,7 +297,7 @@
         for _ in 0..budget.client_connections {
             clients.push(connect(listen).await);
         }
-        // The router closes a connection before it accepts the next one, so that it always has a free descriptor.
+        // The router closes one connection ahead of the next, which keeps a slot free.
         wait_until(|| router.client_connections() + 1 >= budget.client_connections).await;
         assert!(
             budget.client_connections + budget.engine_connections + 24 <= 64,
