--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -7,10 +7,12 @@
 use crate::endpoint_list::EndpointListUpdate;
 use crate::initial_events::{InitialEvents, InitialEventsError};
 
-/// The smallest accepted memory limit, in MB.
+/// The smallest memory limit, in MB, with which a router can work.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// The smallest accepted limit on file descriptors.
+/// The smallest limit on file descriptors with which a router can work.
 const MIN_SOCKETS: usize = 64;
+/// Prime of the 64-bit FNV hash.
+const FNV_PRIME: u64 = 1_099_511_628_211;
 
 /// A router's configuration.
 #[derive(Deserialize)]
@@ -19,7 +21,8 @@
     pub name: String,
     /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The seed for random numbers, in hex digits. It differs at each start.
+    /// The seed for random numbers, usually in hex digits. It differs at each start, so it also identifies the router's
+    /// incarnation.
     pub seed: String,
     /// The resource limits.
     pub limits: Limits,
@@ -34,7 +37,7 @@
 /// The resources that all processes of a router may use together.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// CPU, in cores.
+    /// CPU, in cores. The router does not enforce it.
     #[serde(default = "default_cores")]
     pub cores: f64,
     /// Memory, in MB.
@@ -107,7 +110,7 @@
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
             self.seed.bytes().fold(0, |hash: u64, byte| {
-                hash.wrapping_mul(1_099_511_628_211) ^ u64::from(byte)
+                hash.wrapping_mul(FNV_PRIME) ^ u64::from(byte)
             })
         })
     }
--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -32,7 +32,7 @@
     pub started_ms: u64,
 }
 
-/// An update of the endpoint list.
+/// An update of the endpoint list, the content of one of the coordinator's numbered events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointListUpdate {
     /// The event's number.
--- a/crates/platform-protocol/src/engine_command.rs
+++ b/crates/platform-protocol/src/engine_command.rs
@@ -1,4 +1,8 @@
 //! Encoding of the commands that a router sends to an engine, one JSON object per line.
+//!
+//! The members are `t`, the kind of command; `i`, the request's id; `x`, the number of a page; `b`, the statement in
+//! base64; and `f`, the fields: `c`, the class; `w`, the time in ms that the router waits; `i`, the idempotency key;
+//! and `weight`, the priority.
 
 use std::fmt::Write as _;
 
@@ -56,7 +60,7 @@
     format!("{{\"t\":\"END\",\"i\":{}}}\n", quoted(id))
 }
 
-/// Encodes the command that cancels a request.
+/// Encodes the command that cancels a request. The router itself cancels by closing the connection.
 pub fn encode_cancel(id: &str) -> String {
     format!("{{\"t\":\"STOP\",\"i\":{}}}\n", quoted(id))
 }
--- a/crates/platform-protocol/src/engine_response.rs
+++ b/crates/platform-protocol/src/engine_response.rs
@@ -1,4 +1,6 @@
 //! Decoding of an engine's responses, one JSON object per line.
+//!
+//! The members are `t`, the kind of response; `i`, the id; `f`, the fields; and `b`, a page of rows in base64.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -12,7 +14,7 @@
 pub const MAX_LINE_BYTES: usize = 12 << 10;
 /// Maximum number of pages in a result.
 const MAX_PAGES: f64 = 64.0;
-/// Maximum work that an engine may report for a statement, in ms. Greater values are invalid.
+/// The highest plausible work of a statement, in ms. Greater values are treated as errors.
 const MAX_EFFORT_MS: f64 = 1e9;
 
 /// An engine's response.
@@ -62,10 +64,8 @@
 /// An invalid response line. Nothing that follows it on its connection can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// The line is longer than [`MAX_LINE_BYTES`], or the engine sent too many bytes during one request.
-    #[error(
-        "the engine sent a line of over {MAX_LINE_BYTES} bytes, or too many bytes for one request"
-    )]
+    /// The line is longer than [`MAX_LINE_BYTES`].
+    #[error("the engine sent a line of over {MAX_LINE_BYTES} bytes")]
     TooLong,
     /// The line is not a JSON object of a known kind of response.
     #[error("the engine sent a malformed response line")]
--- a/crates/platform-protocol/src/frame_decoder.rs
+++ b/crates/platform-protocol/src/frame_decoder.rs
@@ -2,6 +2,9 @@
 //!
 //! A frame consists of a length (32 bits), an event number (64 bits), a kind (8 bits), and one record of 27 bytes per
 //! endpoint. All numbers are big-endian.
+//!
+//! A record consists of the engine's id (32 bits), IPv4 address (32 bits), port (16 bits), phase (8 bits), zone (8
+//! bits), machine kind (8 bits), cell (16 bits), weight (32 bits, not used) and start time in Unix ms (64 bits).
 
 use std::net::Ipv4Addr;
 
@@ -20,11 +23,18 @@
 const KIND_COMPLETE: u8 = 1;
 const KIND_CHANGES: u8 = 2;
 
+const PHASE_READY: u8 = 0;
+const PHASE_DRAINING: u8 = 1;
+const PHASE_REMOVED: u8 = 2;
+
 /// An invalid frame. The rest of its connection can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The length is invalid for a frame, or for a frame of its kind.
-    #[error("invalid frame length {0}")]
+    #[error(
+        "invalid frame length {0}: expected {HEADER_BYTES} bytes and up to {MAX_RECORDS} records of {RECORD_BYTES} \
+         bytes, or no record in a keep-alive"
+    )]
     Length(u32),
     /// The kind is unknown.
     #[error("unknown frame kind {0}")]
@@ -32,9 +42,14 @@
     /// An endpoint's phase is unknown.
     #[error("unknown endpoint phase {0}")]
     Phase(u8),
-    /// Events before the one of this number are missing.
-    #[error("events before number {0} are missing")]
-    Gap(u64),
+    /// Events are missing.
+    #[error("expected event {expected}, found event {found}")]
+    Gap {
+        /// The number of the next event.
+        expected: u64,
+        /// The number of the event received.
+        found: u64,
+    },
 }
 
 /// A decoded frame.
@@ -113,7 +128,10 @@
     }
     // After a missed event, changes would be applied to an outdated list.
     if !is_complete && number != last_event + 1 {
-        return Err(FrameError::Gap(number));
+        return Err(FrameError::Gap {
+            expected: last_event + 1,
+            found: number,
+        });
     }
     let mut endpoints = Vec::with_capacity(reader.0.len() / RECORD_BYTES);
     while !reader.is_empty() {
@@ -164,9 +182,9 @@
         let ip = Ipv4Addr::from(self.bytes::<4>());
         let port = self.u16();
         let phase = match self.u8() {
-            0 => Phase::Ready,
-            1 => Phase::Draining,
-            2 => Phase::Removed,
+            PHASE_READY => Phase::Ready,
+            PHASE_DRAINING => Phase::Draining,
+            PHASE_REMOVED => Phase::Removed,
             other => return Err(FrameError::Phase(other)),
         };
         let zone = Some(self.u8().into());
--- a/crates/platform-protocol/src/frame_decoder/tests.rs
+++ b/crates/platform-protocol/src/frame_decoder/tests.rs
@@ -72,7 +72,13 @@
         1
     );
     decoder.feed(&frame(9, 2, &[]));
-    assert_eq!(decoder.next_frame(), Err(FrameError::Gap(9)));
+    assert_eq!(
+        decoder.next_frame(),
+        Err(FrameError::Gap {
+            expected: 8,
+            found: 9
+        })
+    );
     let mut decoder = FrameDecoder::new(6);
     decoder.feed(&frame(9, 1, &[record(1, 0)]));
     assert!(
--- a/crates/platform-protocol/src/initial_events.rs
+++ b/crates/platform-protocol/src/initial_events.rs
@@ -37,11 +37,11 @@
     #[serde(rename = "complete", default)]
     is_complete: bool,
     #[serde(rename = "members", default)]
-    entries: Vec<EndpointEntry>,
+    entries: Vec<InitialEndpoint>,
 }
 
 #[derive(Deserialize)]
-struct EndpointEntry {
+struct InitialEndpoint {
     id: String,
     #[serde(rename = "host_port")]
     addr: SocketAddr,
@@ -84,7 +84,7 @@
     }
 }
 
-impl EndpointEntry {
+impl InitialEndpoint {
     fn to_endpoint(
         &self,
         zones: &[String],
--- a/crates/platform-protocol/src/request.rs
+++ b/crates/platform-protocol/src/request.rs
@@ -14,8 +14,10 @@
 const MAX_TIMEOUT_FACTOR: f64 = 1.5;
 /// Minimum timeout that a client may request, in ms.
 const MIN_TIMEOUT_MS: f64 = 1.0;
-/// Maximum estimate that a client may send, in ms of work or MB of memory. Greater values are invalid.
-const MAX_ESTIMATE: f64 = 1e8;
+/// The highest plausible estimate of work, in ms. Greater values are treated as errors.
+const MAX_ESTIMATED_WORK_MS: f64 = 1e8;
+/// The highest plausible estimate of memory, in MB. Greater values are treated as errors.
+const MAX_ESTIMATED_MEMORY_MB: f64 = 1e8;
 /// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
 /// Number of hex digits in a request's id.
@@ -32,12 +34,13 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "Replay-Key";
 const RETRY_AFTER_HEADER: &str = "Hold-Off-Ms";
 
-/// The options of a class's requests.
+/// The properties of a class that its requests are validated against.
 #[derive(Clone, Debug)]
 pub struct ClassOptions {
     /// The class's name.
     pub name: String,
-    /// How long clients usually wait; the maximum timeout of a request is a multiple of it.
+    /// The class's deadline in the settings: how long clients usually wait. The maximum timeout of a request is a
+    /// multiple of it.
     pub timeout: Micros,
     /// Whether each request needs an idempotency key, by which engines recognize duplicates.
     pub requires_idempotency_key: bool,
@@ -125,9 +128,11 @@
             Some("1") => true,
             Some(_) => return Err(RequestError::Header(RETRY_HEADER)),
         };
-        let estimated_work = decimal_header(&request, ESTIMATED_WORK_HEADER, MAX_ESTIMATE)?
-            .map(|ms| (ms * 1000.0) as Micros);
-        let memory_mb = decimal_header(&request, MEMORY_HEADER, MAX_ESTIMATE)?.unwrap_or(0.0);
+        let estimated_work =
+            decimal_header(&request, ESTIMATED_WORK_HEADER, MAX_ESTIMATED_WORK_MS)?
+                .map(|ms| (ms * 1000.0) as Micros);
+        let memory_mb =
+            decimal_header(&request, MEMORY_HEADER, MAX_ESTIMATED_MEMORY_MB)?.unwrap_or(0.0);
         let idempotency_key = idempotency_key(&request, options)?;
         let statement = parse_statement(request.body)?;
         Ok(StatementRequest {
--- a/crates/platform-protocol/src/result_rows.rs
+++ b/crates/platform-protocol/src/result_rows.rs
@@ -14,10 +14,10 @@
     #[error("page {0} was not requested")]
     UnexpectedPage(usize),
     /// A page or the result exceeds its size limit.
-    #[error("a page or the result exceeds its maximum size")]
+    #[error("a page exceeds {MAX_PAGE_BYTES} bytes, or the result {MAX_RESULT_BYTES} bytes")]
     TooLong,
     /// A page does not consist of complete rows of three text columns.
-    #[error("a page does not consist of complete rows")]
+    #[error("a page does not consist of complete rows of {COLUMNS_PER_ROW} columns in UTF-8")]
     MalformedRows,
 }
 
--- a/crates/platform-protocol/src/table_group.rs
+++ b/crates/platform-protocol/src/table_group.rs
@@ -14,7 +14,7 @@
     let mut column_group = None;
     let mut index = 0;
     while index < tokens.len() {
-        // The schema is the second to last part of a dotted name.
+        // Reads a dotted name to its end. The schema is its second to last part.
         let start = index;
         while index + 2 < tokens.len()
             && is_name(&tokens[index])
