--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -8,6 +8,7 @@
 use hoptiller_policy::{AttemptStatus, LoadReport, Micros};
 
 use crate::cancel::CancelToken;
+use crate::connection::MAX_BYTES_PER_REQUEST;
 use crate::endpoint::EndpointState;
 
 /// An attempt that the policy decided on.
@@ -16,9 +17,10 @@
     pub command: StatementCommand<'a>,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// The time by which the first byte must be written; an attempt that is late is not sent.
+    /// The end of the idempotency window, if there is one. An attempt is not sent if its first byte can't be written
+    /// before that.
     pub send_by: Option<Instant>,
-    /// Whether this is not the first attempt of its request.
+    /// Whether this is a retry by the router, that is, an attempt after the first.
     pub is_retry: bool,
     /// The token that cancels the attempt.
     pub token: &'a CancelToken,
@@ -42,10 +44,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
     /// Not sent: the connection limit was reached, and no connection became free in time.
-    #[error("connection limit reached")]
+    #[error("connection limit reached, and no connection became free in time")]
     ConnectionLimitReached,
-    /// Not sent: the engine is not on the endpoint list.
-    #[error("the engine is no longer on the endpoint list")]
+    /// Not sent: the engine was removed from the endpoint list or never listed.
+    #[error("the engine is not on the endpoint list")]
     UnknownEngine,
     /// Not sent: the attempt was no longer allowed when its first byte could be written, or it ended before that.
     #[error("not sent: {0}")]
@@ -59,16 +61,20 @@
     /// The connection failed after the first byte of the request was written.
     #[error("the connection failed during the request: {0}")]
     ConnectionReset(#[source] io::Error),
-    /// The engine sent an invalid response line, or too many bytes.
+    /// The engine sent an invalid response line.
     #[error("{0}")]
     Line(#[source] LineError),
+    /// The engine sent too many bytes for one request.
+    #[error("the engine sent over {MAX_BYTES_PER_REQUEST} bytes for one request")]
+    TooManyBytes,
     /// The pages of the result are invalid.
     #[error("{0}")]
     Rows(#[source] RowsError),
     /// The engine rejected the request for lack of capacity.
     #[error("the engine is full")]
     Overloaded,
-    /// The engine failed while it executed the statement.
+    /// The engine reported a failure, during execution or while pages were fetched; the statement may have been
+    /// executed.
     #[error("the engine failed")]
     Crashed,
     /// The request had ended before the engine started it.
@@ -80,16 +86,16 @@
     /// The policy cancelled the attempt.
     #[error("the attempt was cancelled")]
     Cancelled,
-    /// The client disconnected before the other pages of the result were fetched.
-    #[error("the client disconnected")]
-    Abandoned,
+    /// The request ended before the other pages of the result were fetched: its client has a response or disconnected.
+    #[error("the request ended before its result was complete")]
+    RequestEnded,
 }
 
 /// The reason why an attempt that the policy decided on was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotSentReason {
-    /// The attempt was cancelled, or the client disconnected.
-    #[error("the attempt was cancelled")]
+    /// The attempt was cancelled, or its request ended: its client has a response or disconnected.
+    #[error("the attempt was cancelled or its request ended")]
     Cancelled,
     /// The deadline of the attempt had passed.
     #[error("the deadline had passed")]
@@ -117,12 +123,13 @@
                 AttemptStatus::ConnectFailed
             }
             AttemptError::ConnectionReset(_) => AttemptStatus::ConnectionReset,
-            AttemptError::Line(_) | AttemptError::Rows(_) | AttemptError::Crashed => {
-                AttemptStatus::ErrorResponse
-            }
+            AttemptError::Line(_)
+            | AttemptError::TooManyBytes
+            | AttemptError::Rows(_)
+            | AttemptError::Crashed => AttemptStatus::ErrorResponse,
             AttemptError::Overloaded => AttemptStatus::Rejected,
             AttemptError::TimedOut => AttemptStatus::TimedOut,
-            AttemptError::Cancelled | AttemptError::Abandoned => AttemptStatus::Cancelled,
+            AttemptError::Cancelled | AttemptError::RequestEnded => AttemptStatus::Cancelled,
         }
     }
 }
--- a/crates/platform-router/src/budget.rs
+++ b/crates/platform-router/src/budget.rs
@@ -14,11 +14,12 @@
     pub client_connections: usize,
     /// Maximum number of connections to engines.
     pub engine_connections: usize,
-    /// Maximum number of requests in flight.
+    /// Maximum number of requests in flight, one per client connection.
     pub open_requests: usize,
     /// Maximum size of the request bodies being received from all clients.
     pub incoming_bytes: u64,
-    /// Maximum size of the results held for all requests.
+    /// Maximum size of the results of several pages being fetched and, counted separately, of the results buffered in
+    /// the core.
     pub result_bytes: u64,
 }
 
--- a/crates/platform-router/src/budget/tests.rs
+++ b/crates/platform-router/src/budget/tests.rs
@@ -19,7 +19,7 @@
         );
         assert!(
             budget.incoming_bytes + budget.result_bytes < 32 << 18,
-            "request bodies and results use less than a quarter of the memory: {budget:?}"
+            "incoming_bytes + result_bytes must be less than a quarter of the memory: {budget:?}"
         );
     }
 }
--- a/crates/platform-router/src/cancel.rs
+++ b/crates/platform-router/src/cancel.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct CancelToken {
     cancelled: Cell<bool>,
-    abandoned: Cell<bool>,
+    request_ended: Cell<bool>,
     started: Cell<bool>,
     changed: Event,
 }
@@ -20,10 +20,11 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Records that the client no longer waits. An attempt that has not started is cancelled. One whose first byte was
-    /// written continues, as the policy has not cancelled it, but fetches no further pages.
-    pub fn abandon(&self) {
-        self.abandoned.set(true);
+    /// Records that the request ended: its client has a response or disconnected. An attempt that has not started is
+    /// cancelled. One whose first byte was written continues, as the policy has not cancelled it, but fetches no
+    /// further pages.
+    pub fn mark_request_ended(&self) {
+        self.request_ended.set(true);
         if !self.started.get() {
             self.cancel();
         }
@@ -44,9 +45,9 @@
         self.cancelled.get()
     }
 
-    /// Returns whether the client no longer waits for the result.
-    pub fn is_abandoned(&self) -> bool {
-        self.abandoned.get()
+    /// Returns whether the request ended, so that no client waits for the result.
+    pub fn has_request_ended(&self) -> bool {
+        self.request_ended.get()
     }
 
     /// Waits until the attempt is cancelled. Returns at once if it already is.
--- a/crates/platform-router/src/clock.rs
+++ b/crates/platform-router/src/clock.rs
@@ -10,7 +10,8 @@
 }
 
 impl ClockReference {
-    /// Converts the time of an engine's start to the core's clock. 0, which means long ago, stays 0.
+    /// Converts the time of an engine's start to the core's clock. 0, which means long ago, stays 0; any other
+    /// start is at least 1.
     pub(crate) fn start_time(self, unix_ms: u64) -> Micros {
         match unix_ms {
             0 => 0,
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -42,10 +42,11 @@
                     attempts,
                     "settled"
                 );
-                router.abandon_attempts(id);
+                router.mark_request_ended(id);
             }
-            // Results are returned complete, so there are no pages to fetch and nothing to release. The coordinator
-            // pushes updates unasked. This router does not detect runaways.
+            // The connection pool fetches all pages before it returns a result, so the core has none to fetch or
+            // release. The watch client receives endpoint updates as they occur, so there is nothing to refresh. This
+            // router does not detect runaways.
             Command::Fetch { .. }
             | Command::Release { .. }
             | Command::RefreshDiscovery
@@ -157,13 +158,12 @@
         }
     }
 
-    /// Abandons the attempts of a request whose client has its response or has disconnected, so that none of them
-    /// starts.
-    fn abandon_attempts(&self, id: StatementId) {
+    /// Tells the attempts of a request that its client has a response or disconnected, so that none of them starts.
+    fn mark_request_ended(&self, id: StatementId) {
         self.in_flight
             .borrow()
             .range((id, 0)..=(id, u32::MAX))
-            .for_each(|(_, token)| token.abandon());
+            .for_each(|(_, token)| token.mark_request_ended());
     }
 
     fn start_health_check(self: &Rc<Self>, engine: EngineId) {
--- a/crates/platform-router/src/connection.rs
+++ b/crates/platform-router/src/connection.rs
@@ -6,18 +6,17 @@
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use hoptiller_platform_protocol::engine_response::LineError;
 use hoptiller_platform_protocol::{LineDecoder, ResponseBody};
 
 use crate::attempt::AttemptError;
 use crate::connection_limiter::ConnectionPermit;
 use crate::endpoint::EndpointState;
 
-/// Maximum number of requests on a connection. The connection remembers their ids and carries none twice, as a late or
-/// duplicate response to the first attempt would be mistaken for the response to the second.
+/// Maximum number of requests on a connection, which bounds the list of remembered request ids. No id is sent twice on
+/// a connection, as a late or duplicate response to the first attempt would be mistaken for the response to the second.
 const MAX_REQUESTS: usize = 256;
 /// Maximum bytes that an engine may send during one request. A result and a duplicate of it are far smaller.
-const MAX_BYTES_PER_REQUEST: usize = 512 << 10;
+pub(crate) const MAX_BYTES_PER_REQUEST: usize = 512 << 10;
 /// Maximum bytes that an engine may have sent while the connection was idle.
 const MAX_IDLE_BYTES: usize = 64 << 10;
 const READ_BUFFER_BYTES: usize = 4096;
@@ -29,7 +28,7 @@
     idle_since: Instant,
     /// The state of the endpoint when the connection was opened.
     endpoint: EndpointState,
-    /// The keys of the requests carried so far. A late or duplicate response to each may still arrive.
+    /// The numeric ids of the requests carried so far. A late or duplicate response to each may still arrive.
     carried: Vec<u64>,
     /// The number of bytes received during the current request.
     received: usize,
@@ -111,7 +110,7 @@
                 }
                 // Reading endless data from one engine would starve all other tasks of the thread.
                 Ok(n) if self.received + n > MAX_BYTES_PER_REQUEST => {
-                    return Err(AttemptError::Line(LineError::TooLong));
+                    return Err(AttemptError::TooManyBytes);
                 }
                 Ok(n) => {
                     self.received += n;
@@ -124,7 +123,7 @@
 
     /// Returns whether an idle connection can carry a request: it is open and received only complete responses while
     /// idle.
-    pub(crate) fn is_healthy(&mut self) -> bool {
+    pub(crate) fn is_usable(&mut self) -> bool {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut received = 0;
         loop {
--- a/crates/platform-router/src/connection_pool.rs
+++ b/crates/platform-router/src/connection_pool.rs
@@ -153,7 +153,8 @@
         self.freed.notify(usize::MAX);
     }
 
-    /// Requests a load report from an engine. Returns `None` if none arrives within the timeout.
+    /// Checks an engine's health by a load request. Returns its load report, or `None` if none arrives within the
+    /// timeout.
     pub async fn check_health(&self, engine: EngineId) -> Option<LoadReport> {
         let _in_flight = self.track_in_flight(engine)?;
         self.health_checks_sent
@@ -190,7 +191,8 @@
         Some(InFlightGuard { pool: self, engine })
     }
 
-    /// Returns a connection to an engine that has not carried this request, and whether it was idle in the pool before.
+    /// Returns a connection to an engine, on which this request was not sent before, and whether the connection was
+    /// idle in the pool.
     async fn acquire(
         &self,
         engine: EngineId,
@@ -200,7 +202,7 @@
             let Some(mut connection) = self.take_idle(engine, request) else {
                 break;
             };
-            if connection.is_healthy() {
+            if connection.is_usable() {
                 return Ok((connection, true));
             }
         }
@@ -276,8 +278,8 @@
         {
             entry.idle.push(connection);
         }
-        // All waiters are notified: after two notifications of one waiter each, only one waiter would wake if the first
-        // had not run yet.
+        // `notify(1)` does nothing while a waiter that was already notified has not run, so two releases in a row would
+        // wake only one waiter.
         self.freed.notify(usize::MAX);
     }
 }
--- a/crates/platform-router/src/connection_pool/exchange.rs
+++ b/crates/platform-router/src/connection_pool/exchange.rs
@@ -22,7 +22,7 @@
 use crate::connection::Connection;
 use crate::result_memory::ResultReservation;
 
-/// Maximum interval of the checks whether a client has disconnected, while there is no memory for its result.
+/// Maximum interval of the checks whether a request has ended, while there is no memory for its result.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ConnectionPool {
@@ -39,17 +39,17 @@
         let _in_flight = self
             .track_in_flight(engine)
             .ok_or(AttemptError::UnknownEngine)?;
-        let interrupt = |started, not_sent| match request.token.has_started() {
+        let interruption_error = |started, not_sent| match request.token.has_started() {
             true => Err(started),
             false => Err(AttemptError::NotSent(not_sent)),
         };
         let timed_out = async {
             Timer::at(request.deadline).await;
-            interrupt(AttemptError::TimedOut, NotSentReason::TimedOut)
+            interruption_error(AttemptError::TimedOut, NotSentReason::TimedOut)
         };
         let cancelled = async {
             request.token.cancelled().await;
-            interrupt(AttemptError::Cancelled, NotSentReason::Cancelled)
+            interruption_error(AttemptError::Cancelled, NotSentReason::Cancelled)
         };
         // If the exchange is dropped with its request in flight, the connection closes, which cancels the request.
         let interruption = future::or(timed_out, cancelled);
@@ -61,9 +61,9 @@
         engine: EngineId,
         request: &AttemptRequest<'_>,
     ) -> Result<CompleteResponse, AttemptError> {
-        let key = request_key(request.command.id);
+        let request_id = numeric_id(request.command.id);
         let mut connection = loop {
-            let (mut connection, was_idle) = self.acquire(engine, Some(key)).await?;
+            let (mut connection, was_idle) = self.acquire(engine, Some(request_id)).await?;
             match self.send(engine, request, &mut connection).await {
                 Ok(()) => break connection,
                 // The engine had closed the idle connection. Nothing was sent, so another connection can be used.
@@ -79,7 +79,7 @@
                 Err(error) => return Err(error),
             }
         };
-        connection.record_request(key);
+        connection.record_request(request_id);
         let served = loop {
             let error = match connection.response(request.command.id).await? {
                 ResponseBody::Served(served) => break served,
@@ -92,8 +92,8 @@
         };
         let (work, load_report) = (served.work, served.load_report);
         let rows = match self.fetch_rows(&mut connection, request, served).await {
-            Err(AttemptError::Abandoned) => {
-                return self.release_and_fail(engine, connection, AttemptError::Abandoned);
+            Err(AttemptError::RequestEnded) => {
+                return self.release_and_fail(engine, connection, AttemptError::RequestEnded);
             }
             rows => rows?,
         };
@@ -147,7 +147,8 @@
     }
 
     /// Checks whether an attempt may start now. While its connection is established, the client may disconnect, the
-    /// engine may drain, its address may pass to another engine, and the idempotency window may end.
+    /// deadline may pass, the engine may drain, its address may pass to another engine, the idempotency window may end,
+    /// and other retries may exhaust the retry budget.
     fn check_allowed(
         &self,
         engine: EngineId,
@@ -198,7 +199,7 @@
                     .write_all(engine_command::encode_discard(id).as_bytes())
                     .await
                     .map_err(AttemptError::ConnectionReset)?;
-                return Err(AttemptError::Abandoned);
+                return Err(AttemptError::RequestEnded);
             };
             let commands: String = (1..served.pages)
                 .map(|page| engine_command::encode_fetch(id, page))
@@ -213,7 +214,7 @@
                         rows.add_page(number, bytes).map_err(AttemptError::Rows)?;
                     }
                     ResponseBody::Crashed => return Err(AttemptError::Crashed),
-                    // Any other response is a duplicate of an earlier one.
+                    // Other responses, such as a duplicate of `Served`, are ignored.
                     _ => {}
                 }
             }
@@ -221,10 +222,10 @@
         rows.to_json().map_err(AttemptError::Rows)
     }
 
-    /// Waits for memory for a result. Returns `None` once the client has disconnected.
+    /// Waits for memory for a result. Returns `None` once the request has ended.
     async fn reserve_memory(&self, bytes: u64, token: &CancelToken) -> Option<ResultReservation> {
         loop {
-            if token.is_abandoned() {
+            if token.has_request_ended() {
                 return None;
             }
             let freed = self.freed.listen();
@@ -239,7 +240,7 @@
     }
 }
 
-/// Returns the number under which connections remember a request's id.
-fn request_key(id: &str) -> u64 {
+/// Returns a request's id as a number: its 16 hex digits, or a hash of any other text.
+fn numeric_id(id: &str) -> u64 {
     u64::from_str_radix(id, 16).unwrap_or_else(|_| hoptiller_router_core::group_of(id))
 }
--- a/crates/platform-router/src/front_end.rs
+++ b/crates/platform-router/src/front_end.rs
@@ -22,7 +22,8 @@
 use crate::retry_limiter::RetryLimiter;
 use crate::statement_fields::engine_statement;
 
-/// A client that has not sent a complete request within this time gets an error or is disconnected.
+/// Timeout for a connection's first byte, and again from a request's first byte to its last. A client that exceeds it
+/// gets an error or is disconnected.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/platform-router/src/reload.rs
+++ b/crates/platform-router/src/reload.rs
@@ -14,10 +14,11 @@
 
 impl Router {
     /// Reloads the configuration file and connects to the coordinator that it names. The current configuration remains
-    /// in use until the file is valid. A later call replaces an earlier one that is still retrying.
+    /// in use until the file is valid. A later call replaces an earlier one that is still retrying. Gives up after
+    /// `MAX_TRIES` tries. The configuration of another router counts as invalid.
     pub async fn reload(&self) {
-        let request = self.reloads_requested.get() + 1;
-        self.reloads_requested.set(request);
+        let reload = self.reloads_requested.get() + 1;
+        self.reloads_requested.set(reload);
         let file = self.config_file.display();
         for _ in 0..MAX_TRIES {
             match self.read_own_config() {
@@ -30,7 +31,7 @@
                 }
             }
             Timer::after(RETRY_INTERVAL).await;
-            if self.reloads_requested.get() != request {
+            if self.reloads_requested.get() != reload {
                 return;
             }
         }
@@ -39,7 +40,10 @@
 
     fn read_own_config(&self) -> Result<Config, StartError> {
         match read_config(&self.config_file) {
-            Ok(config) if config.name != self.name => Err(StartError::OtherRouter(config.name)),
+            Ok(config) if config.name != self.name => Err(StartError::OtherRouter {
+                expected: self.name.clone(),
+                found: config.name,
+            }),
             result => result,
         }
     }
--- a/crates/platform-router/src/retry_limiter.rs
+++ b/crates/platform-router/src/retry_limiter.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Counts a received request.
+    /// Counts a received request, whether or not its client marks it as a retry.
     pub fn record_request(&self, now: Instant) {
         let Some(budget) = self.budget else { return };
         let mut window = self.window.borrow_mut();
@@ -59,7 +59,8 @@
         let length = Duration::from_micros(budget.window);
         let mut window = self.window.borrow_mut();
         window.prune(now, length);
-        // At exactly the window's length, retries still count but requests no longer do.
+        // The count is conservative, as in the policy: at exactly the window's length, retries still count but requests
+        // no longer do.
         let requests = window
             .requests
             .iter()
--- a/crates/platform-router/src/router.rs
+++ b/crates/platform-router/src/router.rs
@@ -67,7 +67,7 @@
         self.pool.known_engines()
     }
 
-    /// Returns the number of statements that the core holds, open and retained.
+    /// Returns the number of requests that the core holds, open and retained. Each is one statement there.
     pub fn known_requests(&self) -> usize {
         let usage = self.event_loop.core().usage();
         usage.open_statements + usage.retained_statements
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -11,11 +11,14 @@
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(900);
 /// How long the connections accepted last have to send their first byte, once no more are accepted.
 const FIRST_BYTE_DELAY: Duration = Duration::from_millis(100);
-/// SIGKILL follows SIGTERM no sooner than 0.7 s after the longest class deadline, of which at most this time counts.
+/// Upper bound of the grace period, which otherwise is the longest class deadline. SIGKILL follows SIGTERM at the
+/// earliest 0.7 s after the grace period.
 const MAX_TERMINATION_GRACE: Duration = Duration::from_secs(3);
-/// Requests in flight are abandoned this long after that time, which leaves time to respond before SIGKILL.
+/// Requests in flight are abandoned this long after the grace period, 0.25 s before the earliest SIGKILL, which leaves
+/// time to respond.
 const ABANDON_DELAY: Duration = Duration::from_millis(450);
-/// How much longer the shutdown waits for clients that don't read their responses or don't stop sending.
+/// How much longer the shutdown waits, still before SIGKILL, for clients that don't read their responses or don't stop
+/// sending.
 const CLOSE_DELAY: Duration = Duration::from_millis(200);
 /// Interval of the checks whether all requests have a response.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -32,8 +35,8 @@
 
 impl Router {
     /// Serves the requests that still arrive, then stops accepting connections and waits until all requests in flight
-    /// are completed. Requests that are not completed in time are abandoned, and their clients get a response that says
-    /// so.
+    /// are completed. Requests that are not completed in time are abandoned; their clients get
+    /// 429 if a retry is safe, otherwise 500.
     pub async fn shutdown(&self) {
         let started = Instant::now();
         self.client_connections.announce_end();
--- a/crates/platform-router/src/startup.rs
+++ b/crates/platform-router/src/startup.rs
@@ -52,9 +52,14 @@
     /// The policy rejects the settings.
     #[error("settings: {0}")]
     Settings(#[source] hoptiller_policy::SettingsError),
-    /// The reloaded configuration belongs to the router of this name.
-    #[error("name: the configuration belongs to router {0}")]
-    OtherRouter(String),
+    /// The reloaded configuration belongs to another router.
+    #[error("name: expected {expected}, found {found}")]
+    OtherRouter {
+        /// The name of the running router.
+        expected: String,
+        /// The name in the configuration.
+        found: String,
+    },
 }
 
 /// Reads and validates a configuration file.
--- a/crates/platform-router/src/statement_fields.rs
+++ b/crates/platform-router/src/statement_fields.rs
@@ -2,10 +2,11 @@
 
 use hoptiller_router_core::EngineStatement;
 
+/// The names of the fields. They exist only inside the router and are independent of the headers of the same names.
 const REQUEST_ID: &str = "Trace-Id";
 const IDEMPOTENCY_KEY: &str = "Replay-Key";
 
-/// Creates the statement that the core passes to engines.
+/// Creates the statement that the core carries from submission to each attempt.
 pub(crate) fn engine_statement(
     text: String,
     request_id: String,
--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -1,6 +1,6 @@
 //! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each
 //! engine, counted from the events, are compared with the policy's counts, and attempts sent to an engine soon after it
-//! rejected one are counted. The input is plain text.
+//! rejected one or was not reached are counted. The input is plain text.
 //!
 //! The events `send`, `served` and `ended` are logged where the core's commands are executed.
 
@@ -65,7 +65,7 @@
     pub unparsed_lines: usize,
     in_flight: BTreeMap<u32, HashSet<AttemptId>>,
     /// By engine, the time of day in µs at which it last rejected an attempt or was not reached.
-    last_rejections: BTreeMap<u32, u64>,
+    last_failures: BTreeMap<u32, u64>,
     round: Option<Round>,
 }
 
@@ -76,7 +76,8 @@
     number: u32,
 }
 
-/// The attempts sent in one round of the core. The policy counts all of them as in flight before the first is logged.
+/// The attempts sent in one round, that is, one batch of the core's event loop. The policy counts all of them as in
+/// flight before the first is logged.
 #[derive(Debug)]
 struct Round {
     number: u64,
@@ -133,8 +134,9 @@
         let observations = self.engines.entry(engine).or_default();
         observations.sent += 1;
         observations.max_in_flight = observations.max_in_flight.max(in_flight.len() as u64);
-        let rejection = self.last_rejections.get(&engine);
-        let is_early = rejection.is_some_and(|time| at.saturating_sub(*time) < EARLY_RESEND_MICROS);
+        let last_failure = self.last_failures.get(&engine);
+        let is_early =
+            last_failure.is_some_and(|time| at.saturating_sub(*time) < EARLY_RESEND_MICROS);
         observations.resent_early += u64::from(is_early);
         Some(())
     }
@@ -150,11 +152,11 @@
             None => observations.served += 1,
             Some(reason) if reason.starts_with(REJECTED_REASON) => {
                 observations.rejected += 1;
-                self.last_rejections.insert(engine, at);
+                self.last_failures.insert(engine, at);
             }
             Some(reason) if reason.starts_with(UNREACHED_REASON) => {
                 observations.unreached += 1;
-                self.last_rejections.insert(engine, at);
+                self.last_failures.insert(engine, at);
             }
             Some(_) => {}
         }
--- a/crates/platform-router/src/trace/tests.rs
+++ b/crates/platform-router/src/trace/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn only_mismatched_counts_are_reported() {
     let served = line(3.0, "served id=\"a\" hop=0 engine=1 work=Some(5)");
-    // Both sends of a round count as believed in flight at the first of them.
+    // The first send of a round already reports both of its attempts as in flight.
     let mut lines = vec![
         send(1.0, "a", 1, 7, 2),
         send(1.0, "b", 1, 7, 2),
--- a/crates/platform-router/src/watch_client.rs
+++ b/crates/platform-router/src/watch_client.rs
@@ -25,12 +25,10 @@
 enum WatchError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error(
-        "no connection within {} ms, or no complete frame within {} ms",
-        CONNECT_TIMEOUT.as_millis(),
-        KEEP_ALIVE_TIMEOUT.as_millis()
-    )]
-    TimedOut,
+    #[error("connecting or subscribing took over {} ms", CONNECT_TIMEOUT.as_millis())]
+    ConnectTimedOut,
+    #[error("no complete frame within {} ms", KEEP_ALIVE_TIMEOUT.as_millis())]
+    FrameTimedOut,
     #[error("{0}")]
     Frame(#[from] FrameError),
     #[error("the coordinator's address has changed")]
@@ -111,16 +109,26 @@
         addr: SocketAddr,
         on_update: &impl Fn(EndpointListUpdate),
     ) -> Result<std::convert::Infallible, WatchError> {
-        let mut stream = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(addr)).await?;
+        let mut stream = with_timeout(
+            CONNECT_TIMEOUT,
+            WatchError::ConnectTimedOut,
+            Async::<TcpStream>::connect(addr),
+        )
+        .await?;
         let _ = stream.get_ref().set_nodelay(true);
         let last_event = self.last_event.get().to_be_bytes();
-        with_timeout(CONNECT_TIMEOUT, stream.write_all(&last_event)).await?;
+        with_timeout(
+            CONNECT_TIMEOUT,
+            WatchError::ConnectTimedOut,
+            stream.write_all(&last_event),
+        )
+        .await?;
         let mut decoder = FrameDecoder::new(self.last_event.get());
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut last_frame_at = Instant::now();
         loop {
             let left = KEEP_ALIVE_TIMEOUT.saturating_sub(last_frame_at.elapsed());
-            let n = with_timeout(left, stream.read(&mut buffer)).await?;
+            let n = with_timeout(left, WatchError::FrameTimedOut, stream.read(&mut buffer)).await?;
             if n == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
@@ -139,12 +147,13 @@
 
 async fn with_timeout<T>(
     timeout: Duration,
+    timeout_error: WatchError,
     work: impl Future<Output = io::Result<T>>,
 ) -> Result<T, WatchError> {
     let work = async { work.await.map_err(WatchError::Io) };
     future::or(work, async {
         Timer::after(timeout).await;
-        Err(WatchError::TimedOut)
+        Err(timeout_error)
     })
     .await
 }
--- a/crates/platform-router/tests/abusive_clients.rs
+++ b/crates/platform-router/tests/abusive_clients.rs
@@ -18,14 +18,14 @@
     name: &'static str,
     abusive: impl FnOnce(Rc<hoptiller_platform_router::Router>, std::net::SocketAddr) -> F,
 ) {
-    run_test(async |ex: Spawner| {
+    run_test(async |spawner: Spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let coordinator = spawn_idle_coordinator(&ex);
+        let coordinator = spawn_idle_coordinator(&spawner);
         let file = ConfigFile::new(name, &[(7, addr)], coordinator, 128);
-        let (router, listen) = start_router(&file, &ex);
+        let (router, listen) = start_router(&file, &spawner);
         let active = async {
             for n in 0u64.. {
                 let text = statement_request("lookup", &format!("{n:016x}"), 1500);
--- a/crates/platform-router/tests/clients.rs
+++ b/crates/platform-router/tests/clients.rs
@@ -12,13 +12,13 @@
 
 #[test]
 fn invalid_requests_get_an_error_and_are_not_forwarded() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, received) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let file = ConfigFile::new("wrong", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (_router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new("wrong", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (_router, listen) = start_router(&file, &spawner);
         let valid = statement_request("lookup", ID, 1500);
         for (invalid, expected_status) in [
             (
@@ -69,11 +69,11 @@
 }
 
 #[test]
-fn duplicate_id_in_flight_is_rejected_and_the_first_request_is_served() {
-    run_test(async |ex| {
-        let (addr, received) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
-        let file = ConfigFile::new("open", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+fn duplicate_id_in_flight_is_rejected_and_a_disconnect_releases_the_id() {
+    run_test(async |spawner| {
+        let (addr, received) = spawn_engine(&spawner, Rc::new(|_, _| (Vec::new(), false)));
+        let file = ConfigFile::new("open", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, listen) = start_router(&file, &spawner);
         let mut first_client = connect(listen).await;
         first_client
             .write_all(statement_request("lookup", ID, 8000).as_bytes())
@@ -93,7 +93,7 @@
             (received.borrow().len(), router.requests_in_flight()),
             (1, 1)
         );
-        // The router detects the disconnect at once and releases the id.
+        // The router must detect the disconnect and release the id before the request's timeout.
         drop(first_client);
         let disconnected = Instant::now();
         while router.requests_in_flight() > 0 {
@@ -108,9 +108,9 @@
 
 #[test]
 fn oversized_body_is_rejected_after_its_head_and_the_response_arrives() {
-    run_test(async |ex| {
-        let file = ConfigFile::new("large", &[], spawn_idle_coordinator(&ex), 256);
-        let (_router, listen) = start_router(&file, &ex);
+    run_test(async |spawner| {
+        let file = ConfigFile::new("large", &[], spawn_idle_coordinator(&spawner), 256);
+        let (_router, listen) = start_router(&file, &spawner);
         let mut client = connect(listen).await;
         let head = statement_request("lookup", ID, 1500)
             .replace("Content-Length: 29", "Content-Length: 60000000");
@@ -128,13 +128,18 @@
 
 #[test]
 fn silent_connections_make_room_for_active_clients() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let file = ConfigFile::new("silent", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new(
+            "silent",
+            &[(7, addr)],
+            spawn_idle_coordinator(&spawner),
+            256,
+        );
+        let (router, listen) = start_router(&file, &spawner);
         let mut silent = Vec::new();
         let started = Instant::now();
         for n in 0..300 {
@@ -154,7 +159,7 @@
             "{}",
             router.client_connections()
         );
-        // The router closes each silent connection within 3 s of connecting.
+        // The router closes the first silent connection. abusive_clients.rs checks that each is closed within 3 s.
         let first = &mut silent[0];
         assert_eq!(first.read(&mut [0; 8]).await.unwrap_or(0), 0);
         assert!(started.elapsed() < Duration::from_secs(20));
@@ -163,17 +168,22 @@
 
 #[test]
 fn reload_keeps_the_coordinator_until_the_file_is_complete_and_resumes_from_the_last_event() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let (second, last_events) = spawn_coordinator(
-            &ex,
+            &spawner,
             Rc::new(move |_, _| (frame(2, 2, &[endpoint_record(8, addr, 0)]), false)),
         );
-        let file = ConfigFile::new("reload", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new(
+            "reload",
+            &[(7, addr)],
+            spawn_idle_coordinator(&spawner),
+            256,
+        );
+        let (router, listen) = start_router(&file, &spawner);
         let text = ConfigFile::text(&[(7, addr)], second, 256);
         std::fs::write(&file.0, &text[..text.len() / 2]).expect("written");
         let reloading = router.reload();
@@ -199,13 +209,13 @@
 
 #[test]
 fn shutdown_serves_late_requests_and_then_completes() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let file = ConfigFile::new("end", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new("end", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, listen) = start_router(&file, &spawner);
         let (mut reused, mut idle) = (connect(listen).await, connect(listen).await);
         let ended = Cell::new(false);
         let ending = async {
--- a/crates/platform-router/tests/common/mod.rs
+++ b/crates/platform-router/tests/common/mod.rs
@@ -38,20 +38,21 @@
     value["i"].as_str().expect("an id").to_owned()
 }
 
-/// Starts an engine that responds to each command according to its script.
-pub fn spawn_engine(ex: &Spawner, script: EngineScript) -> (SocketAddr, ReceivedCommands) {
+/// Starts an engine that responds according to its script to each command except load requests, which always get a
+/// report. Returns its address and the commands received, without load requests.
+pub fn spawn_engine(spawner: &Spawner, script: EngineScript) -> (SocketAddr, ReceivedCommands) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
     let (addr, received) = (
         listener.get_ref().local_addr().expect("bound"),
         ReceivedCommands::default(),
     );
-    let (commands, spawner) = (received.clone(), ex.clone());
-    ex.spawn(async move {
+    let (commands, connection_spawner) = (received.clone(), spawner.clone());
+    spawner.spawn(async move {
         let mut connection = 0;
         while let Ok((stream, _)) = listener.accept().await {
             connection += 1;
             let (commands, script) = (commands.clone(), script.clone());
-            spawner.spawn(async move {
+            connection_spawner.spawn(async move {
                 let stream = Rc::new(stream);
                 let mut read = BufReader::new(&*stream).lines();
                 while let Some(Ok(line)) = read.next().await {
@@ -102,7 +103,7 @@
 /// Starts a coordinator that sends on each connection what its script returns, given the numbers of the connection and
 /// of the last event that the router has. Returns its address and these event numbers, one per connection.
 pub fn spawn_coordinator(
-    ex: &Spawner,
+    spawner: &Spawner,
     script: Rc<dyn Fn(usize, u64) -> (Vec<u8>, bool)>,
 ) -> (SocketAddr, Rc<RefCell<Vec<u64>>>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
@@ -110,11 +111,11 @@
         listener.get_ref().local_addr().expect("bound"),
         Rc::<RefCell<Vec<u64>>>::default(),
     );
-    let (requested, spawner) = (last_events.clone(), ex.clone());
-    ex.spawn(async move {
+    let (requested, connection_spawner) = (last_events.clone(), spawner.clone());
+    spawner.spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let (requested, script) = (requested.clone(), script.clone());
-            spawner.spawn(async move {
+            connection_spawner.spawn(async move {
                 let mut number = [0; 8];
                 if stream.read_exact(&mut number).await.is_err() {
                     return;
@@ -135,8 +136,8 @@
 }
 
 /// Starts a coordinator that sends only keep-alives.
-pub fn spawn_idle_coordinator(ex: &Spawner) -> SocketAddr {
-    spawn_coordinator(ex, Rc::new(|_, _| (Vec::new(), false))).0
+pub fn spawn_idle_coordinator(spawner: &Spawner) -> SocketAddr {
+    spawn_coordinator(spawner, Rc::new(|_, _| (Vec::new(), false))).0
 }
 
 /// A configuration file that is removed on drop.
@@ -274,18 +275,18 @@
     }
 }
 
-/// Runs a test on its own executor. It fails if it takes over 30 s.
+/// Runs a test on its own executor. A test that takes over 30 s fails.
 pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Spawner) -> F) {
-    let ex = Rc::new(LocalExecutor::new());
-    let test = test(Spawner::new(&ex));
-    async_io::block_on(ex.run(futures_lite::future::or(test, async {
+    let executor = Rc::new(LocalExecutor::new());
+    let test = test(Spawner::new(&executor));
+    async_io::block_on(executor.run(futures_lite::future::or(test, async {
         Timer::after(Duration::from_secs(30)).await;
         panic!("the test did not complete within 30 s");
     })));
 }
 
-pub fn start_router(file: &ConfigFile, ex: &Spawner) -> (Rc<Router>, SocketAddr) {
-    let router = Router::load(file.0.clone(), ex.clone()).expect("a valid configuration");
+pub fn start_router(file: &ConfigFile, spawner: &Spawner) -> (Rc<Router>, SocketAddr) {
+    let router = Router::load(file.0.clone(), spawner.clone()).expect("a valid configuration");
     let addr = router.start().expect("the router listens");
     (router, addr)
 }
--- a/crates/platform-router/tests/connection_pool.rs
+++ b/crates/platform-router/tests/connection_pool.rs
@@ -48,10 +48,11 @@
 }
 
 #[test]
-fn abandoned_attempt_is_not_sent_when_its_connection_is_established() {
+fn attempt_of_an_ended_request_is_not_sent_when_its_connection_is_established() {
     run_test(async |_| {
         let attempt = TestAttempt::new();
-        let reason = not_sent_reason_after(&attempt, async |_, _| attempt.token.abandon()).await;
+        let reason =
+            not_sent_reason_after(&attempt, async |_, _| attempt.token.mark_request_ended()).await;
         assert_eq!(reason, NotSentReason::Cancelled);
     });
 }
@@ -179,6 +180,7 @@
         result.expect("served");
         // The command was written after the connection was established, at about the time at which it was accepted
         // here.
+        // The kernel retries after about a second, so at least 500 ms have passed.
         let initial = Duration::from_secs(10);
         assert!(
             left < initial && Duration::from_millis(wait_ms) < initial - Duration::from_millis(500),
--- a/crates/platform-router/tests/connection_reuse.rs
+++ b/crates/platform-router/tests/connection_reuse.rs
@@ -87,11 +87,11 @@
 
 #[test]
 fn endless_responses_to_other_requests_fail_the_attempt() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (manual_engine, pool) = (ManualEngine::new(), pool());
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
         let addr = manual_engine.addr;
-        ex.spawn(async move {
+        spawner.spawn(async move {
             let mut connection = manual_engine.accept().await;
             connection.next_command().await.expect("a request");
             let other_responses = served_line(IDS[2]).repeat(100);
@@ -102,7 +102,7 @@
         let attempt = TestAttempt::new();
         let result = attempt.run(&pool, IDS[0]).await;
         assert!(
-            matches!(result, Err(AttemptError::Line(_))),
+            matches!(result, Err(AttemptError::TooManyBytes)),
             "{addr}: {result:?}"
         );
         assert!(
@@ -115,7 +115,7 @@
 #[test]
 fn no_pages_are_fetched_for_a_disconnected_client_and_the_connection_is_reused() {
     run_test(async |_| {
-        // There is memory for one result of several pages.
+        // There is memory for one result of 3 pages of 6,000 bytes, but not for two.
         let pool = pool_with(8, 20_000, RetryLimiter::new(None));
         let manual_engine = ManualEngine::new();
         pool.update_endpoint(&listed_endpoint(manual_engine.addr, Phase::Ready, 0));
@@ -138,7 +138,7 @@
             let mut second = manual_engine.accept().await;
             second.next_command().await.expect("a request");
             second.send(&pages(IDS[1])).await;
-            abandoned.token.abandon();
+            abandoned.token.mark_request_ended();
             let command = second.next_command().await.expect("a command");
             assert!(
                 command.contains("\"END\"") && !command.contains("FETCH"),
@@ -154,7 +154,10 @@
         let second = async {
             wait_until(|| reserving.token.has_started()).await;
             let result = abandoned.run(&pool, IDS[1]).await;
-            assert!(matches!(result, Err(AttemptError::Abandoned)), "{result:?}");
+            assert!(
+                matches!(result, Err(AttemptError::RequestEnded)),
+                "{result:?}"
+            );
             next.run(&pool, IDS[2]).await.expect("served");
         };
         let others = future::zip(engine, second);
--- a/crates/platform-router/tests/engines.rs
+++ b/crates/platform-router/tests/engines.rs
@@ -18,11 +18,11 @@
 ) -> (u16, String, usize) {
     let result = Rc::new(std::cell::RefCell::new(None));
     let result_of_test = result.clone();
-    run_test(async move |ex| {
-        let (addr, received) = spawn_engine(&ex, Rc::new(script));
-        let coordinator = spawn_idle_coordinator(&ex);
+    run_test(async move |spawner| {
+        let (addr, received) = spawn_engine(&spawner, Rc::new(script));
+        let coordinator = spawn_idle_coordinator(&spawner);
         let file = ConfigFile::new(name, &[(7, addr)], coordinator, 256);
-        let (_router, listen) = start_router(&file, &ex);
+        let (_router, listen) = start_router(&file, &spawner);
         let (status, head, body) = send_request(listen, &statement_request(class, ID, 1500))
             .await
             .expect("a response");
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn idempotent_statement_is_retried_after_any_invalid_response() {
+fn idempotent_statement_is_retried_after_any_failure() {
     let valid = String::from_utf8(served_line(ID)).expect("text");
-    let invalid_responses: Vec<(Vec<u8>, bool)> = vec![
+    let failures: Vec<(Vec<u8>, bool)> = vec![
         (b"noise\n".to_vec(), false),
         (vec![b'x'; 3 << 20], false),
         (valid.replace("YQkx", "Y*kx").into_bytes(), false),
@@ -137,10 +137,10 @@
             false,
         ),
     ];
-    for (case, invalid) in invalid_responses.into_iter().enumerate() {
+    for (case, failure) in failures.into_iter().enumerate() {
         let (status, text, attempts) =
-            run_request("invalid", "lookup", move |index, line| match index {
-                0 => invalid.clone(),
+            run_request("failures", "lookup", move |index, line| match index {
+                0 => failure.clone(),
                 _ => (served_line(&command_id(line)), false),
             });
         assert_eq!((status, attempts), (200, 2), "case {case}: {text}");
@@ -174,16 +174,16 @@
     assert!(status == 429 && text.contains("Hold-Off-Ms: 900"), "{text}");
     assert!(
         started.elapsed() >= Duration::from_millis(1_300),
-        "rejected long before its timeout of 1500 ms: {:?}",
+        "rejected more than 200 ms before its timeout of 1500 ms: {:?}",
         started.elapsed()
     );
 }
 
 #[test]
 fn address_of_a_removed_engine_can_be_reused_by_another() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, received) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         // The first connection ends within the second event. The second connection repeats both events.
@@ -195,9 +195,9 @@
             1 => ([&events[0][..], &events[1][..20]].concat(), true),
             _ => (events.concat(), false),
         };
-        let (coordinator, last_events) = spawn_coordinator(&ex, Rc::new(script));
+        let (coordinator, last_events) = spawn_coordinator(&spawner, Rc::new(script));
         let file = ConfigFile::new("list", &[(7, addr)], coordinator, 256);
-        let (router, listen) = start_router(&file, &ex);
+        let (router, listen) = start_router(&file, &spawner);
         while router.last_event() < 3 {
             Timer::after(Duration::from_millis(10)).await;
         }
@@ -219,9 +219,9 @@
 
 #[test]
 fn removed_engines_leave_no_state() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let replace_engine = |number: u64| {
@@ -235,9 +235,10 @@
             )
         };
         let events: Vec<u8> = (2..202).flat_map(replace_engine).collect();
-        let (coordinator, _) = spawn_coordinator(&ex, Rc::new(move |_, _| (events.clone(), false)));
+        let (coordinator, _) =
+            spawn_coordinator(&spawner, Rc::new(move |_, _| (events.clone(), false)));
         let file = ConfigFile::new("many", &[(7, addr)], coordinator, 256);
-        let (router, listen) = start_router(&file, &ex);
+        let (router, listen) = start_router(&file, &spawner);
         while router.last_event() < 201 {
             Timer::after(Duration::from_millis(10)).await;
         }
@@ -261,7 +262,7 @@
 
 #[test]
 fn retry_uses_another_connection_than_the_first_attempt() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let overloaded = |line: &str| {
             format!("{{\"t\":\"overload\",\"i\":\"{}\"}}\n", command_id(line)).into_bytes()
         };
@@ -275,14 +276,14 @@
                 false,
             )
         };
-        let (addr, received) = spawn_engine(&ex, Rc::new(script));
-        let coordinator = spawn_idle_coordinator(&ex);
+        let (addr, received) = spawn_engine(&spawner, Rc::new(script));
+        let coordinator = spawn_idle_coordinator(&spawner);
         let file = ConfigFile::new("carried", &[(7, addr)], coordinator, 256);
         // Health checks are disabled, as they would add idle connections to the pool.
         let text = ConfigFile::text(&[(7, addr)], coordinator, 256)
             .replace("\"mayProbe\":true", "\"mayProbe\":false");
         std::fs::write(&file.0, text).expect("written");
-        let (_router, listen) = start_router(&file, &ex);
+        let (_router, listen) = start_router(&file, &spawner);
         assert_eq!(
             send_request(listen, &statement_request("lookup", ID, 1500))
                 .await
--- a/crates/platform-router/tests/races.rs
+++ b/crates/platform-router/tests/races.rs
@@ -11,10 +11,14 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use hoptiller_http::Spawner;
 
-/// Creates the configuration of a router for one engine, without health checks or cancellation at engines. Its timeouts
-/// are longer than a test, so that a request that depends on one to end makes the test fail.
-fn config_with_long_timeouts(name: &str, manual_engine: &ManualEngine, ex: &Spawner) -> ConfigFile {
-    let coordinator = spawn_idle_coordinator(ex);
+/// Creates the configuration of a router for one engine, without health checks. The settings don't enable cancellation
+/// at engines. The timeouts are longer than a test, so that a request that depends on one to end makes the test fail.
+fn config_with_long_timeouts(
+    name: &str,
+    manual_engine: &ManualEngine,
+    spawner: &Spawner,
+) -> ConfigFile {
+    let coordinator = spawn_idle_coordinator(spawner);
     let file = ConfigFile::new(name, &[(7, manual_engine.addr)], coordinator, 256);
     let text = ConfigFile::text(&[(7, manual_engine.addr)], coordinator, 256)
         .replace("\"mayProbe\":true", "\"mayProbe\":false")
@@ -26,10 +30,10 @@
 
 #[test]
 fn request_of_a_disconnected_client_is_not_sent_even_if_engines_cannot_cancel() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let manual_engine = ManualEngine::with_full_backlog().await;
-        let file = config_with_long_timeouts("left", &manual_engine, &ex);
-        let (router, listen) = start_router(&file, &ex);
+        let file = config_with_long_timeouts("left", &manual_engine, &spawner);
+        let (router, listen) = start_router(&file, &spawner);
         let mut client = connect(listen).await;
         client
             .write_all(statement_request("load", ID, 90_000).as_bytes())
@@ -57,7 +61,7 @@
         let (first, response) = future::zip(next, send_request(listen, &other)).await;
         assert_eq!(
             first, "9b1f03aa5c7e2d42",
-            "the engine must receive only the other client's request"
+            "the first command that the engine receives must be the other client's"
         );
         assert_eq!(response.expect("a response").0, 200);
     });
@@ -65,10 +69,10 @@
 
 #[test]
 fn disconnect_is_detected_behind_pipelined_requests() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let manual_engine = ManualEngine::new();
-        let file = config_with_long_timeouts("ahead", &manual_engine, &ex);
-        let (router, listen) = start_router(&file, &ex);
+        let file = config_with_long_timeouts("ahead", &manual_engine, &spawner);
+        let (router, listen) = start_router(&file, &spawner);
         let mut client = connect(listen).await;
         client
             .write_all(statement_request("lookup", ID, 90_000).as_bytes())
@@ -92,10 +96,10 @@
 
 #[test]
 fn unread_bytes_behind_a_request_do_not_reset_its_response() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let manual_engine = ManualEngine::new();
-        let file = config_with_long_timeouts("unread", &manual_engine, &ex);
-        let (_router, listen) = start_router(&file, &ex);
+        let file = config_with_long_timeouts("unread", &manual_engine, &spawner);
+        let (_router, listen) = start_router(&file, &spawner);
         let mut client = connect(listen).await;
         let last = statement_request("lookup", ID, 8000)
             .replace("Host: h", "Host: h\r\nConnection: close");
@@ -123,18 +127,18 @@
 
 #[test]
 fn partial_first_request_at_shutdown_is_completed_and_closes_the_connection() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let file = ConfigFile::new("half", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new("half", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, listen) = start_router(&file, &spawner);
         let mut client = connect(listen).await;
         let request = statement_request("lookup", ID, 1500);
         let ended = Rc::new(Cell::new(false));
         let (done, ending) = (ended.clone(), router.clone());
-        ex.spawn(async move {
+        spawner.spawn(async move {
             ending.shutdown().await;
             done.set(true);
         });
@@ -142,7 +146,8 @@
             .write_all(&request.as_bytes()[..40])
             .await
             .expect("written");
-        // The shutdown closes idle connections. A connection that sends nothing observes it.
+        // This connection sends nothing. Once it is closed, the shutdown has closed the idle connections, but not the
+        // one with a partial request.
         let mut idle = connect(listen).await;
         assert!(matches!(idle.read(&mut [0; 8]).await, Ok(0)));
         client
@@ -162,13 +167,13 @@
 
 #[test]
 fn responses_during_shutdown_close_their_connections() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let file = ConfigFile::new("last", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+        let file = ConfigFile::new("last", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, listen) = start_router(&file, &spawner);
         let mut kept = connect(listen).await;
         kept.write_all(statement_request("lookup", ID, 1500).as_bytes())
             .await
@@ -189,10 +194,10 @@
 
 #[test]
 fn requests_without_response_are_abandoned_before_the_process_is_killed() {
-    run_test(async |ex| {
-        let (addr, _) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
-        let file = ConfigFile::new("hangs", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, listen) = start_router(&file, &ex);
+    run_test(async |spawner| {
+        let (addr, _) = spawn_engine(&spawner, Rc::new(|_, _| (Vec::new(), false)));
+        let file = ConfigFile::new("hangs", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, listen) = start_router(&file, &spawner);
         let (idempotent, non_idempotent) = (
             statement_request("lookup", ID, 8000),
             statement_request("load", "9b1f03aa5c7e2d42", 8000),
@@ -236,20 +241,20 @@
 
 #[test]
 fn partial_frames_do_not_keep_a_watch_alive() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let listener = Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("bound");
         let coordinator = listener.get_ref().local_addr().expect("bound");
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
-        let spawner = ex.clone();
-        ex.spawn(async move {
+        let connection_spawner = spawner.clone();
+        spawner.spawn(async move {
             for connection in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else {
                     return;
                 };
-                spawner.spawn(async move {
+                connection_spawner.spawn(async move {
                     let event = frame(2, 2, &[endpoint_record(8, addr, 0)]);
                     if connection > 0 {
                         let _ = stream.write_all(&event).await;
@@ -266,7 +271,7 @@
         });
         let file = ConfigFile::new("trickle", &[(7, addr)], coordinator, 256);
         let started = Instant::now();
-        let (router, _) = start_router(&file, &ex);
+        let (router, _) = start_router(&file, &spawner);
         wait_until(|| router.last_event() == 2).await;
         assert!(
             started.elapsed() < Duration::from_secs(4),
@@ -278,8 +283,8 @@
 
 #[test]
 fn watch_client_connects_while_clients_hold_all_their_connections() {
-    run_test(async |ex| {
-        let (addr, _) = spawn_engine(&ex, Rc::new(|_, _| (Vec::new(), false)));
+    run_test(async |spawner| {
+        let (addr, _) = spawn_engine(&spawner, Rc::new(|_, _| (Vec::new(), false)));
         // The coordinator is down: its port is bound, so that no other process gets it, but does not listen.
         let down = rustix::net::socket(
             rustix::net::AddressFamily::INET,
@@ -291,13 +296,13 @@
         let down = std::net::TcpListener::from(down);
         let coordinator = down.local_addr().expect("bound");
         let file = ConfigFile::new("filled", &[(7, addr)], coordinator, 64);
-        let (router, listen) = start_router(&file, &ex);
+        let (router, listen) = start_router(&file, &spawner);
         let budget = *router.budget();
         let mut clients = Vec::new();
         for _ in 0..budget.client_connections {
             clients.push(connect(listen).await);
         }
-        // The router closes one connection ahead of the next, which keeps a slot free.
+        // At the limit, the router closes an idle connection to make room, so one below the limit counts as full.
         wait_until(|| router.client_connections() + 1 >= budget.client_connections).await;
         assert!(
             budget.client_connections + budget.engine_connections + 24 <= 64,
@@ -319,22 +324,22 @@
 
 #[test]
 fn config_of_another_router_is_ignored_and_the_last_reload_wins() {
-    run_test(async |ex| {
+    run_test(async |spawner| {
         let (addr, _) = spawn_engine(
-            &ex,
+            &spawner,
             Rc::new(|_, line| (served_line(&command_id(line)), false)),
         );
         let event = move |_, _| (frame(2, 2, &[endpoint_record(8, addr, 0)]), false);
-        let (wrong, wrong_requests) = spawn_coordinator(&ex, Rc::new(event));
-        let (right, right_requests) = spawn_coordinator(&ex, Rc::new(event));
-        let file = ConfigFile::new("other", &[(7, addr)], spawn_idle_coordinator(&ex), 256);
-        let (router, _) = start_router(&file, &ex);
+        let (wrong, wrong_requests) = spawn_coordinator(&spawner, Rc::new(event));
+        let (right, right_requests) = spawn_coordinator(&spawner, Rc::new(event));
+        let file = ConfigFile::new("other", &[(7, addr)], spawn_idle_coordinator(&spawner), 256);
+        let (router, _) = start_router(&file, &spawner);
         let text = ConfigFile::text(&[(7, addr)], wrong, 256)
             .replace("\"name\":\"n0\"", "\"name\":\"n1\"");
         std::fs::write(&file.0, text).expect("written");
         let (first_ended, started) = (Rc::new(Cell::new(false)), Instant::now());
         let (ended, first) = (first_ended.clone(), router.clone());
-        ex.spawn(async move {
+        spawner.spawn(async move {
             first.reload().await;
             ended.set(true);
         });
