--- a/crates/platform-router/src/reload.rs
+++ b/crates/platform-router/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading of the configuration file, of which a running router follows the coordinator's address.
+//! Reloading of the configuration file. A running router adopts only the coordinator's address from it.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
 use crate::router::Router;
 use crate::startup::{StartError, read_config};
 
-/// A file that can't be read may be half written: it is read again after this time, up to so many times.
+/// Pause before reading again a file that is invalid, perhaps because it is only partly written.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_TRIES: usize = 100;
 
 impl Router {
-    /// Reloads the configuration file, and connects to the coordinator that it names. Until it can be read, the present
-    /// configuration is used; a later call replaces an earlier one that still tries.
+    /// Reloads the configuration file and connects to the coordinator that it names. The current configuration remains
+    /// in use until the file is valid. A later call replaces an earlier one that is still retrying. Gives up after
+    /// `MAX_TRIES` tries. The configuration of another router counts as invalid.
     pub async fn reload(&self) {
-        let request = self.reloads_requested.get() + 1;
-        self.reloads_requested.set(request);
+        let reload = self.reloads_requested.get() + 1;
+        self.reloads_requested.set(reload);
         let file = self.config_file.display();
         for _ in 0..MAX_TRIES {
             match self.read_own_config() {
@@ -26,20 +27,23 @@
                     return self.watch_client.set_addr(config.coordinator);
                 }
                 Err(error) => {
-                    tracing::warn!(%file, %error, "configuration not reloaded, trying again");
+                    tracing::warn!(%file, %error, "configuration not reloaded; retrying");
                 }
             }
             Timer::after(RETRY_INTERVAL).await;
-            if self.reloads_requested.get() != request {
+            if self.reloads_requested.get() != reload {
                 return;
             }
         }
-        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded");
+        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded; giving up");
     }
 
     fn read_own_config(&self) -> Result<Config, StartError> {
         match read_config(&self.config_file) {
-            Ok(config) if config.name != self.name => Err(StartError::OtherRouter(config.name)),
+            Ok(config) if config.name != self.name => Err(StartError::OtherRouter {
+                expected: self.name.clone(),
+                found: config.name,
+            }),
             result => result,
         }
     }
--- a/crates/platform-router/src/trace.rs
+++ b/crates/platform-router/src/trace.rs
@@ -1,86 +1,87 @@
-//! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each engine,
-//! counted from the events, are compared with what the policy believed; and attempts at engines that had just rejected one
-//! are counted. It reads text only.
+//! Analysis of a router's trace (`HOPTILLER_LOG=hoptiller_platform_router=debug`): the attempts in flight at each
+//! engine, counted from the events, are compared with the policy's counts, and attempts sent to an engine soon after it
+//! rejected one or was not reached are counted. The input is plain text.
 //!
-//! The events `send`, `served` and `ended` are written where the core's commands are executed.
+//! The events `send`, `served` and `ended` are logged where the core's commands are executed.
 
 use std::collections::{BTreeMap, HashSet};
 
 /// The log target of the events that a trace is made of.
 pub const TRACE_TARGET: &str = "hoptiller_platform_router::trace";
-/// The target of the same events in traces of releases before the package was renamed.
+/// The target of the same events in traces of releases from before the package was renamed.
 const FORMER_TRACE_TARGET: &str = "hoptiller_node::node";
 
 /// An attempt counts as early if it is sent within this time after the engine rejected one or was not reached.
 const EARLY_RESEND_MICROS: u64 = 1_000_000;
-/// Mismatches that are kept; further ones are only counted.
+/// Maximum number of mismatches that are kept. Further ones are only counted.
 const MAX_MISMATCHES: usize = 100;
-/// How the reason of an `ended` event starts if the engine rejected the attempt.
+/// The prefix of an `ended` event's reason if the engine rejected the attempt.
 const REJECTED_REASON: &str = "the engine is full";
-/// How it starts if no connection was established.
+/// The prefix of an `ended` event's reason if no connection was established.
 const UNREACHED_REASON: &str = "no connection";
 
-/// The attempts at an engine.
+/// Counts of the attempts at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineObservations {
-    /// Attempts sent.
+    /// The number of attempts sent.
     pub sent: u64,
-    /// Attempts served.
+    /// The number of attempts served.
     pub served: u64,
-    /// Attempts that the engine rejected for lack of capacity.
+    /// The number of attempts that the engine rejected for lack of capacity.
     pub rejected: u64,
-    /// Attempts for which no connection was established.
+    /// The number of attempts for which no connection was established.
     pub unreached: u64,
-    /// Attempts sent within a second after the engine rejected one or was not reached.
+    /// The number of attempts sent within a second after the engine rejected one or was not reached.
     pub resent_early: u64,
-    /// The most attempts in flight at once.
+    /// The maximum number of attempts in flight at once.
     pub max_in_flight: u64,
 }
 
-/// A difference between the attempts in flight and what the policy believed.
+/// A difference between the attempts in flight according to the trace and to the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mismatch {
-    /// The line of the trace, from 1.
+    /// The line number in the trace, starting at 1.
     pub line: usize,
-    /// The engine.
+    /// The engine's id.
     pub engine: u32,
-    /// Attempts in flight by the trace.
+    /// The attempts in flight, counted from the trace.
     pub counted: u64,
-    /// Attempts in flight by the policy.
+    /// The attempts in flight according to the policy.
     pub believed: u64,
 }
 
 /// The result of the analysis of a router's trace.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// The observations by engine.
+    /// The observations, by engine.
     pub engines: BTreeMap<u32, EngineObservations>,
-    /// The first mismatches.
+    /// The first mismatches, up to a limit.
     pub mismatches: Vec<Mismatch>,
     /// The number of all mismatches.
     pub mismatch_count: usize,
-    /// The number of comparisons.
+    /// The number of comparisons made.
     pub comparisons: usize,
-    /// Lines of attempts that can't be parsed, or that end an attempt that was not sent.
+    /// The number of event lines that can't be parsed or that end an attempt that was not sent.
     pub unparsed_lines: usize,
     in_flight: BTreeMap<u32, HashSet<AttemptId>>,
-    /// By engine: when it last rejected an attempt or was not reached, in µs of the day.
-    last_rejections: BTreeMap<u32, u64>,
+    /// By engine, the time of day in µs at which it last rejected an attempt or was not reached.
+    last_failures: BTreeMap<u32, u64>,
     round: Option<Round>,
 }
 
-/// An attempt of a request.
+/// The identity of an attempt.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: String,
     number: u32,
 }
 
-/// The attempts sent in one round of the core. Already at the first of them the policy counts all as in flight.
+/// The attempts sent in one round, that is, one batch of the core's event loop. The policy counts all of them as in
+/// flight before the first is logged.
 #[derive(Debug)]
 struct Round {
     number: u64,
-    /// By engine: the last `send` event.
+    /// The last `send` event, by engine.
     sends: BTreeMap<u32, SendEvent>,
 }
 
@@ -133,8 +134,9 @@
         let observations = self.engines.entry(engine).or_default();
         observations.sent += 1;
         observations.max_in_flight = observations.max_in_flight.max(in_flight.len() as u64);
-        let rejection = self.last_rejections.get(&engine);
-        let is_early = rejection.is_some_and(|time| at.saturating_sub(*time) < EARLY_RESEND_MICROS);
+        let last_failure = self.last_failures.get(&engine);
+        let is_early =
+            last_failure.is_some_and(|time| at.saturating_sub(*time) < EARLY_RESEND_MICROS);
         observations.resent_early += u64::from(is_early);
         Some(())
     }
@@ -150,18 +152,18 @@
             None => observations.served += 1,
             Some(reason) if reason.starts_with(REJECTED_REASON) => {
                 observations.rejected += 1;
-                self.last_rejections.insert(engine, at);
+                self.last_failures.insert(engine, at);
             }
             Some(reason) if reason.starts_with(UNREACHED_REASON) => {
                 observations.unreached += 1;
-                self.last_rejections.insert(engine, at);
+                self.last_failures.insert(engine, at);
             }
             Some(_) => {}
         }
         was_in_flight.then_some(())
     }
 
-    /// Compares the attempts in flight with the policy's belief, once all of a round are sent.
+    /// Compares the attempts in flight with the policy's counts, once all attempts of a round are sent.
     fn compare_round(&mut self) {
         let Some(round) = self.round.take() else {
             return;
@@ -192,7 +194,7 @@
     })
 }
 
-/// Splits the log line of an attempt's event into the part before its target, and the event with its fields.
+/// Splits the log line of a trace event into the part before the target and the event with its fields.
 fn split_event(line: &str) -> Option<(&str, &str)> {
     [TRACE_TARGET, FORMER_TRACE_TARGET]
         .into_iter()
@@ -202,14 +204,14 @@
         })
 }
 
-/// The time of day of a line in µs, from its RFC 3339 timestamp.
+/// Returns the time of day of a line in µs, from its RFC 3339 timestamp.
 fn time_of_day(head: &str) -> Option<u64> {
     let stamp = head
         .split_whitespace()
         .find(|word| word.contains('T') && word.ends_with('Z'))?;
     let mut parts = stamp.split_once('T')?.1.trim_end_matches('Z').split(':');
-    let whole = |part: Option<&str>| part?.parse::<u64>().ok().filter(|n| *n < 60);
-    let (hours, minutes) = (whole(parts.next())?, whole(parts.next())?);
+    let integer = |part: Option<&str>| part?.parse::<u64>().ok().filter(|n| *n < 60);
+    let (hours, minutes) = (integer(parts.next())?, integer(parts.next())?);
     let seconds = parts
         .next()?
         .parse::<f64>()
