--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -1,14 +1,14 @@
-//! Rule 1: each admitted statement gets exactly one final answer, in time. No answer is owed for a statement whose router
-//! was killed or paused while it held it, or whose client cancelled it.
+//! Rule 1: each admitted statement gets exactly one final response, in time. No response is required for a statement that
+//! its client cancelled, or whose router was killed or paused while holding it.
 
 use std::collections::BTreeMap;
 
-use super::submissions::{FinalAnswer, Submission, Submissions};
+use super::submissions::{FinalResponse, Submission, Submissions};
 use crate::record::{Outcome, Record};
 use crate::rules::Rules;
 use crate::verdict::{Rule, Verdict};
 
-pub(super) fn check_answers(
+pub(super) fn check_responses(
     records: &[Record],
     submissions: &Submissions,
     rules: &Rules,
@@ -19,8 +19,8 @@
     let interruptions = Interruptions::collect(records);
     for (request, submission) in submissions {
         if submission.admitted_at.is_none() {
-            if !submission.final_answers.is_empty() {
-                verdict.add(
+            if !submission.final_responses.is_empty() {
+                verdict.add_violation(
                     Rule::SingleFinalAnswer,
                     format!("request {request}: answered though it was never taken"),
                 );
@@ -28,17 +28,17 @@
             continue;
         }
         verdict.tally(submission.class).admitted += 1;
-        let interrupted = interruptions.affect(submission);
-        let Some(answer) = submission.final_answers.first() else {
-            check_unanswered(*request, submission, interrupted, verdict);
+        let interrupted = interruptions.affects(submission);
+        let Some(response) = submission.final_responses.first() else {
+            check_missing_response(*request, submission, interrupted, verdict);
             continue;
         };
-        let answered_at = submission
+        let responded_at = submission
             .first_rows_at
-            .map_or(answer.at, |rows_at| rows_at.min(answer.at));
+            .map_or(response.at, |rows_at| rows_at.min(response.at));
         let work = work.get(submission.trace).copied().unwrap_or(0);
-        count_answer(submission, *answer, answered_at, work, rules, verdict);
-        check_answered(*request, submission, answered_at, interrupted, verdict);
+        count_response(submission, *response, responded_at, work, rules, verdict);
+        check_response(*request, submission, responded_at, interrupted, verdict);
     }
 }
 
@@ -62,7 +62,7 @@
         .collect()
 }
 
-fn check_unanswered(
+fn check_missing_response(
     request: u64,
     submission: &Submission,
     interrupted: bool,
@@ -73,23 +73,23 @@
     } else if interrupted {
         verdict.tally(submission.class).lost += 1;
     } else {
-        verdict.add(
+        verdict.add_violation(
             Rule::SingleFinalAnswer,
             format!("request {request}: no final answer before its client gave up"),
         );
     }
 }
 
-fn count_answer(
+fn count_response(
     submission: &Submission,
-    answer: FinalAnswer,
-    answered_at: u64,
+    response: FinalResponse,
+    responded_at: u64,
     work: u64,
     rules: &Rules,
     verdict: &mut Verdict,
 ) {
     let tally = verdict.tally(submission.class);
-    match answer.outcome {
+    match response.outcome {
         Outcome::Served => tally.served += 1,
         Outcome::Refused => tally.refused += 1,
         Outcome::Failed => tally.failed += 1,
@@ -98,36 +98,36 @@
         .classes
         .get(submission.class)
         .map_or(u64::MAX, |class| class.objective_for(work));
-    let latency = answered_at.saturating_sub(submission.submitted_at);
-    if answer.outcome == Outcome::Served && latency > objective {
+    let latency = responded_at.saturating_sub(submission.submitted_at);
+    if response.outcome == Outcome::Served && latency > objective {
         tally.late += 1;
     }
 }
 
-fn check_answered(
+fn check_response(
     request: u64,
     submission: &Submission,
-    answered_at: u64,
+    responded_at: u64,
     interrupted: bool,
     verdict: &mut Verdict,
 ) {
-    let answers = submission.final_answers.len();
-    if answers > 1 {
-        verdict.add(
+    let count = submission.final_responses.len();
+    if count > 1 {
+        verdict.add_violation(
             Rule::SingleFinalAnswer,
-            format!("request {request}: {answers} final answers"),
+            format!("request {request}: {count} final answers"),
         );
     }
-    if answered_at > submission.deadline && !interrupted && !submission.cancelled {
-        let late = answered_at - submission.deadline;
-        verdict.add(
+    if responded_at > submission.deadline && !interrupted && !submission.cancelled {
+        let late = responded_at - submission.deadline;
+        verdict.add_violation(
             Rule::SingleFinalAnswer,
             format!("request {request}: answered {late} µs after its client gave up"),
         );
     }
 }
 
-/// When routers were killed or paused, by router.
+/// Times at which routers were killed or paused, by name of the router.
 #[derive(Default)]
 struct Interruptions<'a> {
     kills: BTreeMap<&'a str, Vec<u64>>,
@@ -158,13 +158,14 @@
         interruptions
     }
 
-    /// Whether the router was killed or paused between submission and final answer. The router admits a statement before its
-    /// client has read so: a kill between submission and the recorded admission may hit a statement that is held.
-    fn affect(&self, submission: &Submission) -> bool {
+    /// Returns whether the router was killed or paused between submission and final response. The router admits a statement
+    /// before its client reads the admission, so a kill between the submission and the recorded admission may affect a
+    /// statement that the router holds.
+    fn affects(&self, submission: &Submission) -> bool {
         let ended_at = submission
-            .final_answers
+            .final_responses
             .first()
-            .map_or(u64::MAX, |answer| answer.at);
+            .map_or(u64::MAX, |response| response.at);
         let mut kills = self.kills.get(submission.router).into_iter().flatten();
         let mut pauses = self.pauses.get(submission.router).into_iter().flatten();
         kills.any(|at| (submission.submitted_at..=ended_at).contains(at))
--- a/crates/audit/src/judge/attempts.rs
+++ b/crates/audit/src/judge/attempts.rs
@@ -1,4 +1,4 @@
-//! Rule 7: attempts at a statement are bounded, and the retries of a router stay within its budget.
+//! Rule 7: the number of attempts at a statement is bounded, and the retries of a router stay within its budget.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     }
     for (trace, count) in attempts {
         if count > rules.max_attempts {
-            verdict.add(Rule::BoundedRetries, format!("{trace}: {count} attempts"));
+            verdict.add_violation(Rule::BoundedRetries, format!("{trace}: {count} attempts"));
         }
     }
     if let Some(budget) = rules.retry_budget {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Checks the budget in the window that ends at each retry of a router.
+/// Checks the retry budget in the windows that end at each retry of a router.
 fn check_budget(
     router: &str,
     retry_times: &[u64],
@@ -61,7 +61,7 @@
             .filter(|submission| submission.admitted_at.is_some_and(in_window))
             .count();
         if retries as f64 > budget.spare + budget.ratio * admitted as f64 {
-            verdict.add(
+            verdict.add_violation(
                 Rule::BoundedRetries,
                 format!("{router}: {retries} further attempts up to {end}, with {admitted} taken in that span"),
             );
--- a/crates/audit/src/judge/drains.rs
+++ b/crates/audit/src/judge/drains.rs
@@ -6,29 +6,29 @@
 use crate::rules::Rules;
 use crate::verdict::{Rule, Verdict};
 
-/// A router as notified of an engine.
+/// A router and an engine of whose drain it was notified.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Notified<'a> {
+struct DrainNotice<'a> {
     engine: &'a str,
     router: &'a str,
 }
 
 pub(super) fn check_drains(records: &[Record], rules: &Rules, verdict: &mut Verdict) {
-    // Since when each router knows of a drain.
-    let mut drains: BTreeMap<Notified, u64> = BTreeMap::new();
+    // Time of the first notification of each drain.
+    let mut drains: BTreeMap<DrainNotice, u64> = BTreeMap::new();
     for record in records {
         match record {
             Record::DrainNotified { at, engine, router } => {
-                drains.entry(Notified { engine, router }).or_insert(*at);
+                drains.entry(DrainNotice { engine, router }).or_insert(*at);
             }
             Record::UpNotified { engine, router, .. } => {
-                drains.remove(&Notified { engine, router });
+                drains.remove(&DrainNotice { engine, router });
             }
             Record::EngineStarted { engine, .. } => {
-                drains.retain(|notified, _| notified.engine != engine);
+                drains.retain(|notice, _| notice.engine != engine);
             }
             Record::RouterKilled { router, .. } => {
-                drains.retain(|notified, _| notified.router != router);
+                drains.retain(|notice, _| notice.router != router);
             }
             Record::Sent {
                 at,
@@ -37,11 +37,11 @@
                 trace,
                 ..
             } => {
-                if let Some(since) = drains.get(&Notified { engine, router })
-                    && *at > since + rules.drain_grace
+                if let Some(notified_at) = drains.get(&DrainNotice { engine, router })
+                    && *at > notified_at + rules.drain_grace
                 {
-                    let late = at - since;
-                    verdict.add(
+                    let late = at - notified_at;
+                    verdict.add_violation(
                         Rule::DrainRespected,
                         format!("{trace}: sent by {router} to {engine} {late} µs after its drain was told"),
                     );
--- a/crates/audit/src/judge/effects.rs
+++ b/crates/audit/src/judge/effects.rs
@@ -1,4 +1,4 @@
-//! Rule 2: a statement takes effect once at most over all its submissions, and as its answer says.
+//! Rule 2: a statement takes effect at most once over all its submissions, in agreement with its final response.
 
 use std::collections::BTreeMap;
 
@@ -28,15 +28,15 @@
         let count = effects.get(submission.trace).copied().unwrap_or(0);
         verdict.tally(submission.class).effects += count;
         let outcome = submission
-            .final_answers
+            .final_responses
             .first()
-            .map(|answer| answer.outcome);
+            .map(|response| response.outcome);
         match outcome {
-            Some(Outcome::Served) if count == 0 => verdict.add(
+            Some(Outcome::Served) if count == 0 => verdict.add_violation(
                 Rule::NoDuplicateEffect,
                 format!("request {request}: served, and no effect in the ledger"),
             ),
-            Some(Outcome::Refused) if count > 0 => verdict.add(
+            Some(Outcome::Refused) if count > 0 => verdict.add_violation(
                 Rule::NoDuplicateEffect,
                 format!("request {request}: refused as harmless, and its effect is in the ledger"),
             ),
@@ -52,7 +52,7 @@
     }
     for (name, count) in by_statement {
         if count > 1 {
-            verdict.add(
+            verdict.add_violation(
                 Rule::NoDuplicateEffect,
                 format!("{name}: {count} effects in the ledger"),
             );
@@ -60,7 +60,8 @@
     }
 }
 
-/// The statement that a trace is a submission of: traces are `name.N`, where N counts the submissions of `name`.
+/// Returns the name of the statement that a trace belongs to. Traces have the form `name.N`, where N counts the submissions
+/// of `name`.
 fn statement_name(trace: &str) -> &str {
     trace.rsplit_once('.').map_or(trace, |(name, _)| name)
 }
--- a/crates/audit/src/judge/key_order.rs
+++ b/crates/audit/src/judge/key_order.rs
@@ -1,5 +1,5 @@
-//! Rule 5: statements of the same key run one at a time at a router, in the order of admission. A router may cancel an
-//! attempt that still runs at its engine; the key is then blocked for a pause, and passes on.
+//! Rule 5: statements with the same key run one at a time per router, in the order of admission. A router may cancel an
+//! attempt that is still running on its engine. The key is then blocked for a pause before its next statement is sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +8,9 @@
 use crate::rules::Rules;
 use crate::verdict::{Rule, Verdict};
 
-/// A router's end of an attempt is known by its client's answer, which is recorded up to this much later, in µs.
-const MAX_ANSWER_DELAY: u64 = 20_000;
+/// Maximum delay, in µs, between the end of an attempt at the router and the recorded response to the client, from which the
+/// end is derived.
+const MAX_RESPONSE_DELAY_MICROS: u64 = 20_000;
 
 pub(super) fn check_key_order(
     records: &[Record],
@@ -20,7 +21,7 @@
     let mut checker = OrderChecker::new(submissions, rules);
     for record in records {
         match record {
-            Record::RouterKilled { router, .. } => checker.forget_router(router),
+            Record::RouterKilled { router, .. } => checker.remove_router(router),
             Record::Sent { at, trace, .. } => checker.check_attempt(*at, trace, verdict),
             Record::Done { trace, .. } => checker.finish_attempt(trace),
             _ => {}
@@ -28,16 +29,16 @@
     }
 }
 
-/// An ordering key at a router.
+/// An ordering key on a router.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RouterKey<'a> {
     key: &'a str,
     router: &'a str,
 }
 
-/// The last submission of a key that was sent.
+/// The newest submission of a key that was sent to an engine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Newest<'a> {
+struct NewestSubmission<'a> {
     submitted_at: u64,
     trace: &'a str,
 }
@@ -46,9 +47,9 @@
     order_pause: u64,
     /// Submissions of ordered classes that have a key, by trace.
     keyed: BTreeMap<&'a str, (RouterKey<'a>, &'a Submission<'a>)>,
-    /// Traces that run at an engine.
+    /// Traces that are running on an engine.
     running: BTreeMap<RouterKey<'a>, BTreeSet<&'a str>>,
-    newest: BTreeMap<RouterKey<'a>, Newest<'a>>,
+    newest: BTreeMap<RouterKey<'a>, NewestSubmission<'a>>,
 }
 
 impl<'a> OrderChecker<'a> {
@@ -70,7 +71,7 @@
         }
     }
 
-    fn forget_router(&mut self, router: &str) {
+    fn remove_router(&mut self, router: &str) {
         self.running.retain(|key, _| key.router != router);
         self.newest.retain(|key, _| key.router != router);
     }
@@ -82,25 +83,25 @@
         let running = self.running.get(&key).into_iter().flatten();
         let mut others = running.filter(|other| **other != trace);
         if let Some(other) = others.find(|other| !self.is_pause_over(other, at)) {
-            verdict.add(
+            verdict.add_violation(
                 Rule::KeyOrder,
                 format!("{trace}: sent while {other} of the same key ran"),
             );
         }
         self.running.entry(key).or_default().insert(trace);
         let submitted_at = submission.submitted_at;
-        let sent = Newest {
+        let sent = NewestSubmission {
             submitted_at,
             trace,
         };
         let newest = self.newest.entry(key).or_insert(sent);
-        // Only what was submitted after this one was admitted is newer beyond doubt.
+        // Only a submission made after the admission of this one is certainly newer.
         if submission
             .admitted_at
             .is_some_and(|admitted_at| admitted_at < newest.submitted_at)
         {
             let other = newest.trace;
-            verdict.add(
+            verdict.add_violation(
                 Rule::KeyOrder,
                 format!("{trace}: sent behind {other}, which came after it"),
             );
@@ -108,13 +109,15 @@
         *newest = (*newest).max(sent);
     }
 
-    /// Whether the pause after the end of an attempt that may still run is over.
+    /// Returns whether the pause after the end of an attempt that may still be running is over.
     fn is_pause_over(&self, trace: &str, at: u64) -> bool {
-        let answer = self
+        let response = self
             .keyed
             .get(trace)
-            .and_then(|(_, submission)| submission.final_answers.first());
-        answer.is_some_and(|answer| at + MAX_ANSWER_DELAY >= answer.at + self.order_pause)
+            .and_then(|(_, submission)| submission.final_responses.first());
+        response.is_some_and(|response| {
+            at + MAX_RESPONSE_DELAY_MICROS >= response.at + self.order_pause
+        })
     }
 
     fn finish_attempt(&mut self, trace: &str) {
--- a/crates/audit/src/judge/leases.rs
+++ b/crates/audit/src/judge/leases.rs
@@ -1,5 +1,6 @@
-//! Rule 9: no two routers act on a shard under the same fencing token, none acts under an older token after a newer one,
-//! and no shard goes without an act for longer than stated. Judged from what discovery and engines recorded.
+//! Rule 9: no two routers operate on a shard under the same fencing token, no operation under an older token follows one
+//! under a newer token, apart from a permitted overlap, and no shard goes without an operation for longer than the limit.
+//! The check uses the records of discovery and engines.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +8,9 @@
 use crate::rules::VersionRules;
 use crate::verdict::{LeaseReport, Rule, Verdict};
 
-/// An act under a lease that took effect.
+/// An operation under a lease that took effect.
 #[derive(Clone, Copy)]
-struct Act<'a> {
+struct Operation<'a> {
     at: u64,
     resource: &'a str,
     router: &'a str,
@@ -19,9 +20,9 @@
 
 #[derive(Default)]
 struct Shard<'a> {
-    /// The first act under each fencing token.
-    first_acts: BTreeMap<u64, Act<'a>>,
-    last_act: Option<Act<'a>>,
+    /// First operation under each fencing token.
+    first_operations: BTreeMap<u64, Operation<'a>>,
+    last_operation: Option<Operation<'a>>,
 }
 
 pub(super) fn check_leases(records: &[Record], rules: &VersionRules, verdict: &mut Verdict) {
@@ -44,38 +45,42 @@
             continue;
         }
         report.acts += 1;
-        let act = Act {
+        let operation = Operation {
             at: *at,
             resource,
             router,
             shard,
             fencing_token: *fencing_token,
         };
-        let shard = shards.entry(act.shard).or_default();
-        shard.check_holder(act, verdict);
-        shard.check_overlap(act, rules, &mut report, verdict);
-        shard.check_gap(act, rules, &mut report, verdict);
+        let shard = shards.entry(operation.shard).or_default();
+        shard.check_holder(operation, verdict);
+        shard.check_overlap(operation, rules, &mut report, verdict);
+        shard.check_gap(operation, rules, &mut report, verdict);
     }
     report.takeovers.sort_unstable();
     report.shards = shards.len() as u64;
     report.fencing_tokens = shards
         .values()
-        .map(|shard| shard.first_acts.len() as u64)
+        .map(|shard| shard.first_operations.len() as u64)
         .sum();
     verdict.leases = (report.acts + report.refused > 0).then_some(report);
 }
 
 impl<'a> Shard<'a> {
-    fn check_holder(&mut self, act: Act<'a>, verdict: &mut Verdict) {
-        let Act {
+    fn check_holder(&mut self, operation: Operation<'a>, verdict: &mut Verdict) {
+        let Operation {
             router,
             shard,
             fencing_token,
             ..
-        } = act;
-        let holder = self.first_acts.entry(fencing_token).or_insert(act).router;
+        } = operation;
+        let holder = self
+            .first_operations
+            .entry(fencing_token)
+            .or_insert(operation)
+            .router;
         if holder != router {
-            verdict.add(
+            verdict.add_violation(
                 Rule::SingleLeaseHolder,
                 format!("{shard}: {holder} and {router} both acted under number {fencing_token}"),
             );
@@ -84,19 +89,19 @@
 
     fn check_overlap(
         &self,
-        act: Act,
+        operation: Operation,
         rules: &VersionRules,
         report: &mut LeaseReport,
         verdict: &mut Verdict,
     ) {
-        let Act {
+        let Operation {
             at,
             resource,
             router,
             shard,
             fencing_token,
-        } = act;
-        let Some((newer, first)) = self.first_acts.range(fencing_token + 1..).next() else {
+        } = operation;
+        let Some((newer, first)) = self.first_operations.range(fencing_token + 1..).next() else {
             return;
         };
         let overlap = at.saturating_sub(first.at);
@@ -104,7 +109,7 @@
         report.longest_overlap = report.longest_overlap.max(overlap);
         if overlap > rules.max_overlap {
             let (milliseconds, other) = (overlap / 1000, first.router);
-            verdict.add(
+            verdict.add_violation(
                 Rule::SingleLeaseHolder,
                 format!(
                     "{shard}: {router} acted on {resource} under number {fencing_token}, {milliseconds} ms after {other} \
@@ -116,23 +121,23 @@
 
     fn check_gap(
         &mut self,
-        act: Act<'a>,
+        operation: Operation<'a>,
         rules: &VersionRules,
         report: &mut LeaseReport,
         verdict: &mut Verdict,
     ) {
-        let Some(last) = self.last_act.replace(act) else {
+        let Some(last) = self.last_operation.replace(operation) else {
             return;
         };
-        let Act { at, shard, .. } = act;
+        let Operation { at, shard, .. } = operation;
         let gap = at.saturating_sub(last.at);
         report.longest_gap = report.longest_gap.max(gap);
-        if last.fencing_token != act.fencing_token {
+        if last.fencing_token != operation.fencing_token {
             report.takeovers.push(gap);
         }
         if rules.max_unheld.is_some_and(|max| gap > max) {
             let milliseconds = gap / 1000;
-            verdict.add(
+            verdict.add_violation(
                 Rule::SingleLeaseHolder,
                 format!("{shard}: nobody did it for {milliseconds} ms, up to {at}"),
             );
--- a/crates/audit/src/judge/mod.rs
+++ b/crates/audit/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! Checks records against the rules, one module a rule.
+//! Checks records against the rules, with one module per rule.
 
 mod answers;
 mod attempts;
@@ -14,11 +14,11 @@
 use crate::rules::Rules;
 use crate::verdict::{Rule, Verdict};
 
-/// Checks records, which must be in the order of time, against the rules.
+/// Checks records, which must be sorted by time, against the rules.
 pub fn judge(records: &[Record], rules: &Rules) -> Verdict {
     let mut verdict = Verdict::default();
     let submissions = submissions::collect_submissions(records, &mut verdict);
-    answers::check_answers(records, &submissions, rules, &mut verdict);
+    answers::check_responses(records, &submissions, rules, &mut verdict);
     effects::check_effects(records, &submissions, rules, &mut verdict);
     drains::check_drains(records, rules, &mut verdict);
     check_crashes(records, &mut verdict);
@@ -32,11 +32,11 @@
     verdict
 }
 
-/// Rule 4.
+/// Checks rule 4: no engine crashes under overload.
 fn check_crashes(records: &[Record], verdict: &mut Verdict) {
     for record in records {
         if let Record::EngineCrashed { at, engine } = record {
-            verdict.add(
+            verdict.add_violation(
                 Rule::NoEngineCrash,
                 format!("engine {engine} was pushed over at {at}"),
             );
--- a/crates/audit/src/judge/placement.rs
+++ b/crates/audit/src/judge/placement.rs
@@ -1,4 +1,4 @@
-//! Rule 6: statements run on the machine kinds of their class only.
+//! Rule 6: statements run only on the machine kinds of their class.
 
 use crate::record::Record;
 use crate::rules::Rules;
@@ -20,7 +20,7 @@
         verdict.tally(class).attempts += 1;
         let permitted = rules.classes.get(class).map(|class| &class.machine_kinds);
         if permitted.is_some_and(|kinds| !kinds.is_empty() && !kinds.contains(kind)) {
-            verdict.add(
+            verdict.add_violation(
                 Rule::Placement,
                 format!("{trace}: {class} sent to {engine}, a {kind}"),
             );
--- a/crates/audit/src/judge/submissions.rs
+++ b/crates/audit/src/judge/submissions.rs
@@ -1,24 +1,24 @@
-//! Collects what is known of each submission from the records of clients.
+//! Collects the submissions from the records of clients.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Outcome, Record};
 use crate::verdict::{Rule, Verdict};
 
-/// How a client records an answer that is an HTTP error page; a service error has a name instead.
+/// Prefix of the error that a client records for an HTTP error page. Errors of the service have a name instead.
 const HTTP_ERROR_PREFIX: &str = "HTTP ";
 
 /// Submissions by request number.
 pub(super) type Submissions<'a> = BTreeMap<u64, Submission<'a>>;
 
-/// A final answer as its client received it.
+/// A final response, as its client received it.
 #[derive(Clone, Copy)]
-pub(super) struct FinalAnswer {
+pub(super) struct FinalResponse {
     pub(super) at: u64,
     pub(super) outcome: Outcome,
 }
 
-/// One submission of a statement. Times are in µs since 1970.
+/// A submission of a statement. Times are in µs since the Unix epoch.
 pub(super) struct Submission<'a> {
     pub(super) trace: &'a str,
     pub(super) class: &'a str,
@@ -28,25 +28,26 @@
     pub(super) deadline: u64,
     pub(super) admitted_at: Option<u64>,
     pub(super) first_rows_at: Option<u64>,
-    pub(super) final_answers: Vec<FinalAnswer>,
+    pub(super) final_responses: Vec<FinalResponse>,
     pub(super) cancelled: bool,
 }
 
 impl Submission<'_> {
     fn receive_rows(&mut self, at: u64) {
         self.first_rows_at.get_or_insert(at);
-        // Rows behind a final answer count as a further answer.
-        if !self.final_answers.is_empty() {
-            self.receive_answer(at, Outcome::Served);
+        // Rows after a final response count as a further response.
+        if !self.final_responses.is_empty() {
+            self.receive_response(at, Outcome::Served);
         }
     }
 
-    fn receive_answer(&mut self, at: u64, outcome: Outcome) {
-        self.final_answers.push(FinalAnswer { at, outcome });
+    fn receive_response(&mut self, at: u64, outcome: Outcome) {
+        self.final_responses.push(FinalResponse { at, outcome });
     }
 }
 
-/// Collects the submissions and counts them by class. Answers that are wrong in themselves are violations of rule 1.
+/// Collects the submissions and counts them by class. Responses that are invalid on their own are added as violations of
+/// rule 1.
 pub(super) fn collect_submissions<'a>(
     records: &'a [Record],
     verdict: &mut Verdict,
@@ -58,7 +59,7 @@
             submissions.insert(request, submission);
             continue;
         }
-        check_answer(record, verdict);
+        check_response_record(record, verdict);
         update_submission(record, &mut submissions);
     }
     submissions
@@ -86,7 +87,7 @@
         deadline: *deadline,
         admitted_at: None,
         first_rows_at: None,
-        final_answers: Vec::new(),
+        final_responses: Vec::new(),
         cancelled: false,
     };
     Some((*request, submission))
@@ -106,24 +107,24 @@
     match record {
         Record::Admitted { at, .. } => submission.admitted_at = Some(*at),
         Record::RowsReceived { at, .. } => submission.receive_rows(*at),
-        Record::Answered { at, outcome, .. } => submission.receive_answer(*at, *outcome),
+        Record::Answered { at, outcome, .. } => submission.receive_response(*at, *outcome),
         Record::Cancelled { .. } => submission.cancelled = true,
         _ => {}
     }
 }
 
-fn check_answer(record: &Record, verdict: &mut Verdict) {
+fn check_response_record(record: &Record, verdict: &mut Verdict) {
     match record {
-        // An HTTP error is no answer, also not from a router that was restarted.
+        // An HTTP error is not a valid response, even from a router that was restarted.
         Record::Answered {
             request,
             error: Some(error),
             ..
-        } if error.starts_with(HTTP_ERROR_PREFIX) => verdict.add(
+        } if error.starts_with(HTTP_ERROR_PREFIX) => verdict.add_violation(
             Rule::SingleFinalAnswer,
             format!("request {request}: {error} in place of an answer"),
         ),
-        Record::FinalAnswerChanged { at, request } => verdict.add(
+        Record::FinalAnswerChanged { at, request } => verdict.add_violation(
             Rule::SingleFinalAnswer,
             format!("request {request}: another answer behind the final one, at {at}"),
         ),
--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -1,6 +1,6 @@
-//! Rule 8: routers do not act on configuration versions that contradict each other. An attempt under an older version,
-//! made after a later version that contradicts it has been acted on, overlaps with that version. Attempts that were sent
-//! in doubt are outside the promise and left out.
+//! Rule 8: routers do not act under configuration versions that contradict each other. An attempt under an older version
+//! overlaps with a newer, contradicting version if it follows the first attempt under that version. The guarantee does not
+//! cover attempts of routers that could not be sure of their versions, so the check skips them.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::rules::VersionRules;
 use crate::verdict::{Rule, Verdict, VersionOverlap};
 
-/// The first attempt under a version.
-struct FirstAct<'a> {
+/// First attempt under a version.
+struct FirstAttempt<'a> {
     at: u64,
     router: &'a str,
 }
 
 pub(super) fn check_versions(records: &[Record], rules: &VersionRules, verdict: &mut Verdict) {
-    let mut first_acts: BTreeMap<u64, FirstAct> = BTreeMap::new();
+    let mut first_attempts: BTreeMap<u64, FirstAttempt> = BTreeMap::new();
     let mut total = VersionOverlap::default();
     for record in records {
         let Record::Sent {
@@ -34,10 +34,10 @@
         else {
             continue;
         };
-        first_acts
+        first_attempts
             .entry(*in_force)
-            .or_insert(FirstAct { at: *at, router });
-        let Some((version, first)) = first_contradicting(&first_acts, *enforced, rules) else {
+            .or_insert(FirstAttempt { at: *at, router });
+        let Some((version, first)) = first_contradicting(&first_attempts, *enforced, rules) else {
             continue;
         };
         let overlap = at.saturating_sub(first.at);
@@ -45,7 +45,7 @@
         total.longest = total.longest.max(overlap);
         if overlap > rules.max_overlap {
             let (milliseconds, other) = (overlap / 1000, first.router);
-            verdict.add(
+            verdict.add_violation(
                 Rule::ConsistentVersions,
                 format!(
                     "{trace} was sent to {engine} by {router} under versions {in_force} to {enforced}, {milliseconds} ms \
@@ -54,16 +54,16 @@
             );
         }
     }
-    verdict.overlap = (!first_acts.is_empty()).then_some(total);
+    verdict.overlap = (!first_attempts.is_empty()).then_some(total);
 }
 
-/// The lowest version acted on that is above the enforced one and contradicts it.
+/// Returns the lowest attempted version above the enforced one that contradicts it, with its first attempt.
 fn first_contradicting<'m, 'a>(
-    first_acts: &'m BTreeMap<u64, FirstAct<'a>>,
+    first_attempts: &'m BTreeMap<u64, FirstAttempt<'a>>,
     enforced: u64,
     rules: &VersionRules,
-) -> Option<(&'m u64, &'m FirstAct<'a>)> {
-    first_acts.range(enforced + 1..).find(|(version, _)| {
+) -> Option<(&'m u64, &'m FirstAttempt<'a>)> {
+    first_attempts.range(enforced + 1..).find(|(version, _)| {
         (enforced + 1..=**version).any(|between| !rules.compatible.contains(&between))
     })
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Checks the seven rules, and what is promised of configuration versions and leases, from records of what passed on the
-//! sockets: what clients submitted and were answered, what reached engines, what discovery and engines told routers.
-//! No router is asked.
+//! Checks the seven rules, and the guarantees on configuration versions and leases, against records of the traffic on
+//! sockets: what clients submitted and received, what reached engines, and what discovery and engines reported to routers.
+//! The state of routers is not consulted.
 
 #![warn(missing_docs)]
 
--- a/crates/audit/src/reader.rs
+++ b/crates/audit/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a folder of record files.
+//! Reads a folder of record files.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -10,29 +10,29 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{}:{line}: {source}", path.display())]
 pub struct MalformedLine {
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Line number, from 1.
+    /// Number of the line, counted from 1.
     pub line: usize,
-    /// The parser's error.
+    /// Error of the parser.
     #[source]
     pub source: serde_json::Error,
 }
 
-/// The content of a folder of record files.
+/// Content of a folder of record files.
 #[derive(Debug, Default)]
 pub struct RecordFiles {
-    /// The records of all files, in the order of time.
+    /// Records of all files, sorted by time.
     pub records: Vec<Record>,
-    /// The lines that can't be parsed.
+    /// Lines that can't be parsed.
     pub malformed: Vec<MalformedLine>,
 }
 
-/// Reads all `*.jsonl` files of a folder. Malformed lines are listed, and the other lines used.
+/// Reads all `*.jsonl` files of a folder. Malformed lines are returned apart from the records.
 ///
 /// # Errors
 ///
-/// If the folder or a file can't be read.
+/// Returns an error if the folder or a file can't be read.
 pub fn read_records(dir: &Path) -> io::Result<RecordFiles> {
     let mut paths: Vec<_> = std::fs::read_dir(dir)?
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,27 +1,27 @@
-//! The records of a run: what clients, engines, discovery and whoever stops routers saw, each written by the party that
-//! saw it. The names in the stored JSON differ from those here and must stay.
+//! The records of a run. Clients, engines, discovery and the harness that stops routers each write what they observe. The
+//! names in the stored JSON differ from those in the code and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// Outcome of a statement, as its client was told in the final answer.
+/// Outcome of a statement, as reported to its client in the final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// All rows were delivered.
     Served,
-    /// Rejected after admission; a retry is harmless.
+    /// The statement was refused after admission without having taken effect, so a retry is safe.
     Refused,
-    /// Failed; whether it took effect is not known.
+    /// The statement failed, and it is unknown whether it took effect.
     Failed,
 }
 
-/// The configuration versions that an attempt was sent under. Stored as the sequence `[in_force, enforced, in_doubt]`.
+/// Configuration versions under which a router sent an attempt. Stored as the sequence `[in_force, enforced, in_doubt]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, bool)", into = "(u64, u64, bool)")]
 pub struct SentVersions {
-    /// The version in force at the router.
+    /// Version in force at the router.
     pub in_force: u64,
-    /// The newest version that the router enforced.
+    /// Newest version that the router enforced.
     pub enforced: u64,
     /// Whether the router could not be sure that its versions were current.
     pub in_doubt: bool,
@@ -43,20 +43,20 @@
     }
 }
 
-/// One observation. The fields that variants share:
+/// An observation. Fields shared by several variants:
 ///
-/// - `at`: when it was made, in µs since 1970;
-/// - `request`: the client's own number of one submission;
-/// - `trace`: names what is to be done, as `name.N`, where N counts the submissions of `name`;
+/// - `at`: time of the observation, in µs since the Unix epoch;
+/// - `request`: number of the submission, assigned by the client;
+/// - `trace`: identifies a submission of a statement, as `name.N`, where N counts the submissions of the statement `name`;
 /// - `router`, `engine`, `class`, `kind`: names of the router, the engine, the statement class and the machine kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 #[allow(
     missing_docs,
-    reason = "the type describes the fields that variants share"
+    reason = "the documentation of the type describes the shared fields"
 )]
 pub enum Record {
-    /// A client submitted a statement, with an ordering key or none, and waits for its answer until `deadline`.
+    /// A client submitted a statement, with or without an ordering key, and waits for its response until `deadline`.
     Submitted {
         at: u64,
         request: u64,
@@ -67,19 +67,19 @@
         #[serde(rename = "gives_up")]
         deadline: u64,
     },
-    /// The router admitted it.
+    /// The router admitted the statement.
     #[serde(rename = "taken")]
     Admitted { at: u64, request: u64 },
-    /// The router rejected it, with this HTTP status.
+    /// The router rejected the statement with this HTTP status.
     #[serde(rename = "turned_away")]
     Rejected { at: u64, request: u64, status: u16 },
-    /// The connection broke, so that the client does not know whether it was admitted.
+    /// The connection broke, so the client does not know whether the statement was admitted.
     #[serde(rename = "unknown")]
     AdmissionUnknown { at: u64, request: u64 },
     /// The client received rows.
     #[serde(rename = "rows")]
     RowsReceived { at: u64, request: u64, rows: u64 },
-    /// The client received the final answer.
+    /// The client received the final response.
     Answered {
         at: u64,
         request: u64,
@@ -87,10 +87,10 @@
         outcome: Outcome,
         error: Option<String>,
     },
-    /// The client asked again for the final answer and received another one.
+    /// The client requested the final response again and received a different one.
     #[serde(rename = "changed")]
     FinalAnswerChanged { at: u64, request: u64 },
-    /// The client stopped waiting at its deadline, without a final answer.
+    /// The client stopped waiting at its deadline, without a final response.
     #[serde(rename = "gave_up")]
     TimedOut { at: u64, request: u64 },
     /// The client cancelled the statement or disconnected on purpose.
@@ -107,20 +107,20 @@
         class: String,
         #[serde(rename = "hop")]
         attempt: u32,
-        /// The configuration versions that it was sent under; absent where routers do not use versions.
+        /// Configuration versions under which the attempt was sent; absent if the routers do not use versions.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         versions: Option<SentVersions>,
     },
-    /// The engine is done with an attempt, however it ended.
+    /// The engine finished an attempt, whatever the result.
     Done {
         at: u64,
         engine: String,
         trace: String,
-        /// Run time summed over all threads, in µs; 0 where the attempt did not complete.
+        /// Run time summed over all threads, in µs; 0 if the attempt did not complete.
         #[serde(default)]
         work: u64,
     },
-    /// An engine rejected an attempt before running it, as it was sent under an outdated configuration version.
+    /// An engine rejected an attempt before running it because it was sent under an outdated configuration version.
     Fenced {
         at: u64,
         engine: String,
@@ -128,8 +128,8 @@
         #[serde(rename = "heeds")]
         enforced: u64,
     },
-    /// Discovery or an engine (`resource`) received a request under a lease, and served it or refused it as its fencing
-    /// token is outdated.
+    /// Discovery or an engine (`resource`) received a request under a lease, and served it or refused it because of its
+    /// outdated fencing token.
     #[serde(rename = "leased")]
     LeasedRequest {
         at: u64,
@@ -148,7 +148,7 @@
         engine: String,
         trace: String,
     },
-    /// An engine's process started, with a cold cache or a warm one.
+    /// An engine process started, with a cold or a warm cache.
     #[serde(rename = "started")]
     EngineStarted { at: u64, engine: String, cold: bool },
     /// An engine crashed under overload.
@@ -169,16 +169,17 @@
         router: String,
     },
 
-    /// A router's process was killed; no answer is owed for what it held.
+    /// A router process was killed. No response is required for the statements that it held.
     #[serde(rename = "killed")]
     RouterKilled { at: u64, router: String },
-    /// A router's process was paused from `at` to `until`; what it received or held meanwhile may be answered late.
+    /// A router process was paused from `at` to `until`. Responses to statements that it received or held during the pause may
+    /// be late.
     #[serde(rename = "stood_still")]
     RouterPaused { at: u64, router: String, until: u64 },
 }
 
 impl Record {
-    /// When the observation was made, in µs since 1970.
+    /// Returns the time of the observation, in µs since the Unix epoch.
     pub fn at(&self) -> u64 {
         match self {
             Record::Submitted { at, .. }
--- a/crates/audit/src/recorder.rs
+++ b/crates/audit/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Writing records: to memory, and to a file as one JSON object a line.
+//! Writes records to memory, and to a file with one JSON object per line.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -8,19 +8,19 @@
 
 use crate::record::Record;
 
-/// The current time, in µs since 1970.
+/// Returns the current time, in µs since the Unix epoch.
 pub fn unix_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// A thread panicked while it wrote a record.
+/// Error for a recorder whose lock is poisoned because a thread panicked while writing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a writer panicked")]
+#[error("a thread panicked while writing a record")]
 pub struct WriterPanicked;
 
-/// Keeps records in memory, and in a file where one is given. Clones share both.
+/// Collects records in memory, and in a file if one is given. Clones share both.
 #[derive(Clone, Default)]
 pub struct Recorder(Arc<Mutex<Sink>>);
 
@@ -28,16 +28,16 @@
 struct Sink {
     records: Vec<Record>,
     file: Option<File>,
-    /// The first error of the file since the last call of [`Recorder::records`].
+    /// First write error of the file since the last call of [`Recorder::records`].
     error: Option<io::Error>,
 }
 
 impl Recorder {
-    /// Records to memory and appends to a file, which is created where it does not exist.
+    /// Creates a recorder that also appends to a file, which is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// If the file can't be opened.
+    /// Returns an error if the file can't be opened.
     pub fn to_file(path: &Path) -> io::Result<Recorder> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Recorder(Arc::new(Mutex::new(Sink {
@@ -46,7 +46,7 @@
         }))))
     }
 
-    /// Writes a record. An error of the file is returned by the next [`Recorder::records`].
+    /// Writes a record. The next call of [`Recorder::records`] returns a write error of the file.
     pub fn write(&self, record: Record) {
         let Ok(mut sink) = self.0.lock() else { return };
         if let Some(file) = &mut sink.file {
@@ -59,11 +59,12 @@
         sink.records.push(record);
     }
 
-    /// All records so far.
+    /// Returns all records so far.
     ///
     /// # Errors
     ///
-    /// If a record could not be written to the file, or with [`WriterPanicked`] as the inner error.
+    /// Returns an error if a record could not be written to the file, or an error that wraps [`WriterPanicked`] if a writing
+    /// thread panicked.
     pub fn records(&self) -> io::Result<Vec<Record>> {
         let Ok(mut sink) = self.0.lock() else {
             return Err(io::Error::other(WriterPanicked));
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -1,37 +1,37 @@
-//! What the records are checked against. The names in the stored JSON differ from those here and must stay.
+//! Rules that records are checked against. The names in the stored JSON differ from those in the code and must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// The figures of the rules.
+/// Parameters of all rules.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rules {
     /// Statement classes by name.
     pub classes: BTreeMap<String, ClassRules>,
-    /// How long after the notification of a drain a router may still send to the engine, in µs.
+    /// Grace period after the notification of a drain, in which a router may still send to the engine, in µs.
     pub drain_grace: u64,
-    /// Attempts at a statement at most, the first included.
+    /// Maximum number of attempts at a statement, including the first.
     pub max_attempts: u32,
-    /// How long a key is blocked after an attempt that may still run, in µs.
+    /// Time that a key stays blocked after an attempt that may still be running, in µs.
     #[serde(default)]
     pub order_pause: u64,
-    /// The retry budget of each router; `None`: not checked.
+    /// Retry budget of each router; not checked if `None`.
     #[serde(rename = "budget")]
     pub retry_budget: Option<RetryBudget>,
-    /// What is promised of configuration versions and leases; `None`: not checked.
+    /// Guarantees on configuration versions and leases; not checked if `None`.
     #[serde(default, rename = "agreement")]
     pub versions: Option<VersionRules>,
 }
 
-/// The retry budget of a router: within each `span`, at most `spare + ratio × admitted` retries. Stored as the sequence
-/// `[spare, ratio, span]`.
+/// Retry budget of a router: at most `spare + ratio × admitted` retries within each window of length `span`. Stored as the
+/// sequence `[spare, ratio, span]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, u64)", into = "(f64, f64, u64)")]
 pub struct RetryBudget {
-    /// Retries allowed whatever was admitted.
+    /// Retries allowed regardless of the number of admitted statements.
     pub spare: f64,
-    /// Retries allowed per statement admitted.
+    /// Retries allowed per admitted statement.
     pub ratio: f64,
     /// Length of the window, in µs.
     pub span: u64,
@@ -49,16 +49,16 @@
     }
 }
 
-/// What is promised of configuration versions and leases.
+/// Guarantees on configuration versions and leases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionRules {
-    /// How long acts under contradicting versions, or under an older and a newer lease, may overlap, in µs.
+    /// Maximum overlap of attempts under contradicting versions, or of operations under an older and a newer lease, in µs.
     #[serde(rename = "overlap")]
     pub max_overlap: u64,
-    /// Versions that contradict nothing in the version before them.
+    /// Versions that do not contradict their predecessor.
     #[serde(default, rename = "neutral")]
     pub compatible: BTreeSet<u64>,
-    /// How long a shard of a task may go without an act of a lease holder, in µs; `None`: not checked.
+    /// Maximum time that a task shard may go without an operation of a lease holder, in µs; not checked if `None`.
     #[serde(default, rename = "unheld")]
     pub max_unheld: Option<u64>,
 }
@@ -72,22 +72,22 @@
     /// Whether statements of the same key run one at a time, in the order of admission.
     #[serde(rename = "in_order")]
     pub ordered: bool,
-    /// Machine kinds that it may run on; all where empty.
+    /// Machine kinds on which its statements may run; if empty, all kinds.
     #[serde(rename = "kinds")]
     pub machine_kinds: BTreeSet<String>,
-    /// Latency objective without the part that grows with the work, in µs.
+    /// Latency objective without the share that grows with the work, in µs.
     #[serde(rename = "aim")]
     pub latency_objective: u64,
-    /// The objective grows by this times the statement's work over its threads.
+    /// Factor of the share that grows with the work: the objective grows by `stretch × work / threads`.
     #[serde(default)]
     pub stretch: f64,
-    /// Threads that its statements run on; 0 counts as 1.
+    /// Number of threads that run a statement; 0 counts as 1.
     #[serde(default)]
     pub threads: f64,
 }
 
 impl ClassRules {
-    /// Latency objective of a statement with this work (run time over all threads, in µs), in µs.
+    /// Returns the latency objective, in µs, of a statement with this work (run time summed over all threads, in µs).
     pub(crate) fn objective_for(&self, work: u64) -> u64 {
         let threads = if self.threads > 0.0 {
             self.threads
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -1,32 +1,32 @@
-//! The result of a check: violations with their evidence, and counts. The names in the printed JSON differ from those here
-//! and must stay.
+//! The result of a check: violations with their evidence, and counts. The names in the printed JSON differ from those in
+//! the code and must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::Serialize;
 
-/// What is checked. Shown and serialized as its number.
+/// A rule. Displayed and serialized as its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(into = "u8")]
 pub enum Rule {
-    /// Each admitted statement gets exactly one final answer, in time.
+    /// Each admitted statement gets exactly one final response, in time.
     SingleFinalAnswer = 1,
-    /// A statement takes effect once at most, and as its answer says.
+    /// A statement takes effect at most once, in agreement with its final response.
     NoDuplicateEffect = 2,
     /// No attempt is sent to a draining engine after the grace period.
     DrainRespected = 3,
     /// No engine crashes under overload.
     NoEngineCrash = 4,
-    /// Statements of the same key run one at a time, in order.
+    /// Statements with the same key run one at a time, in order.
     KeyOrder = 5,
-    /// Statements run on the machine kinds of their class only.
+    /// Statements run only on the machine kinds of their class.
     Placement = 6,
-    /// Attempts at a statement, and retries of a router, are bounded.
+    /// The number of attempts at a statement and the retries of a router are bounded.
     BoundedRetries = 7,
-    /// Routers do not act on configuration versions that contradict each other.
+    /// Routers do not act under configuration versions that contradict each other.
     ConsistentVersions = 8,
-    /// A task's shard has one lease holder at a time, and is not left without one.
+    /// Each task shard has one lease holder at a time, and is not left without one.
     SingleLeaseHolder = 9,
 }
 
@@ -45,40 +45,40 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// What was observed.
+    /// Description of the observation.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// Counts of a statement class.
+/// Counts for a statement class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassTally {
-    /// Submissions.
+    /// Number of submissions.
     pub submitted: u64,
-    /// Submissions admitted.
+    /// Admitted submissions.
     #[serde(rename = "taken")]
     pub admitted: u64,
-    /// Submissions rejected.
+    /// Rejected submissions.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// Statements served.
+    /// Statements that were served.
     pub served: u64,
-    /// Statements served after their latency objective.
+    /// Served statements that missed their latency objective.
     pub late: u64,
-    /// Statements refused after admission, as harmless to retry.
+    /// Statements refused after admission, which are safe to retry.
     pub refused: u64,
     /// Statements that failed.
     pub failed: u64,
     /// Statements cancelled by their clients.
     #[serde(rename = "left")]
     pub cancelled: u64,
-    /// Statements held by a router that was killed or paused, and not answered since.
+    /// Statements without a final response whose router was killed or paused while it held them.
     pub lost: u64,
-    /// Attempts at engines.
+    /// Attempts that reached engines.
     pub attempts: u64,
-    /// Effects in the ledger.
+    /// Effects written to the ledger.
     #[serde(rename = "postings")]
     pub effects: u64,
 }
@@ -87,9 +87,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct VersionOverlap {
-    /// The longest overlap, in µs.
+    /// Longest overlap, in µs.
     pub longest: u64,
-    /// Attempts that overlapped.
+    /// Number of overlapping attempts.
     pub acts: u64,
 }
 
@@ -99,45 +99,45 @@
     }
 }
 
-/// What was observed of leases.
+/// Observations on leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LeaseReport {
-    /// Acts under leases that took effect.
+    /// Operations under leases that took effect.
     pub acts: u64,
-    /// Acts that were refused, as a newer fencing token had been seen there.
+    /// Operations that were refused because the resource had seen a newer fencing token.
     pub refused: u64,
-    /// Shards that were acted on.
+    /// Number of shards with operations.
     #[serde(rename = "parts")]
     pub shards: u64,
-    /// Fencing tokens that were acted under, over all shards.
+    /// Number of fencing tokens used, summed over all shards.
     #[serde(rename = "numbers")]
     pub fencing_tokens: u64,
-    /// Acts under an older fencing token after one under a newer token.
+    /// Operations under an older fencing token after an operation under a newer one.
     pub overlaps: u64,
-    /// The longest time from the first act under a newer token to an act under an older one, in µs.
+    /// Longest time from the first operation under a newer token to an operation under an older one, in µs.
     pub longest_overlap: u64,
-    /// The longest time without an act on a shard, in µs.
+    /// Longest time without an operation on a shard, in µs.
     pub longest_gap: u64,
-    /// For each change of token: the time without an act on the shard, in µs, in ascending order.
+    /// Time without an operation on the shard at each change of token, in µs, in ascending order.
     pub takeovers: Vec<u64>,
 }
 
-/// The result of a check.
+/// Result of a check.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// The violations, by rule and then in the order of the evidence.
+    /// Violations, by rule and then in the order in which the check of the rule found them.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// Counts by statement class.
+    /// Counts by name of the statement class.
     pub classes: BTreeMap<String, ClassTally>,
-    /// Overlap of attempts under contradicting versions; `None` where no attempt carried versions.
+    /// Overlap of attempts under contradicting versions; `None` if no attempt carried versions.
     pub overlap: Option<VersionOverlap>,
-    /// What was observed of leases; `None` where nothing was done under one.
+    /// Observations on leases; `None` if there was no request under a lease.
     pub leases: Option<LeaseReport>,
 }
 
 impl Verdict {
-    /// The rules that were violated.
+    /// Returns the violated rules.
     pub fn violated_rules(&self) -> BTreeSet<Rule> {
         self.violations
             .iter()
@@ -145,7 +145,7 @@
             .collect()
     }
 
-    pub(crate) fn add(&mut self, rule: Rule, description: String) {
+    pub(crate) fn add_violation(&mut self, rule: Rule, description: String) {
         self.violations.push(Violation { rule, description });
     }
 
