--- a/crates/audit/tests/common/mod.rs
+++ b/crates/audit/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The rules that the tests check records against.
+//! Rules shared by the tests.
 
 use hoptiller_audit::{ClassRules, RetryBudget, Rules};
 
--- a/crates/audit/tests/reader.rs
+++ b/crates/audit/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a folder of record files.
+//! Tests of reading a folder of record files.
 
 use hoptiller_audit::{Outcome, Record, read_records};
 
@@ -12,11 +12,11 @@
         outcome: Outcome::Served,
         error: None,
     };
-    let good = serde_json::to_string(&record).expect("text");
+    let valid_line = serde_json::to_string(&record).expect("text");
     let bytes = [
-        good.as_bytes(),
+        valid_line.as_bytes(),
         b"\n{\"what\":\"fel\n\xff\xfe\n",
-        &good.as_bytes()[..good.len() - 3],
+        &valid_line.as_bytes()[..valid_line.len() - 3],
     ]
     .concat();
     std::fs::write(dir.join("a.jsonl"), bytes).expect("written");
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules 1 to 7: compliant records have no violations, and each planted violation is found under its rule.
+//! Rules 1 to 7: compliant records have no violations, and each injected violation is reported under its rule.
 
 mod common;
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn posted(at: u64, trace: &str) -> Record {
+fn effect_written(at: u64, trace: &str) -> Record {
     Record::EffectWritten {
         at,
         engine: "e".into(),
@@ -58,8 +58,9 @@
     }
 }
 
-/// A load that is refused once, submitted again and served; a lookup that moves on once; a report.
-fn good() -> Vec<Record> {
+/// Returns records of a load that is refused once, submitted again and served; of a lookup that is retried once after a drain;
+/// and of a report that fails.
+fn compliant_records() -> Vec<Record> {
     vec![
         submitted(10, 1, "a.0", "load"),
         Record::Admitted { at: 11, request: 1 },
@@ -67,7 +68,7 @@
         submitted(30, 2, "a.1", "load"),
         Record::Admitted { at: 31, request: 2 },
         sent(40, "a.1", "load", "b"),
-        posted(50, "a.1"),
+        effect_written(50, "a.1"),
         done(50, "a.1"),
         answered(60, 2, Outcome::Served),
         submitted(100, 3, "b.0", "lookup"),
@@ -93,9 +94,9 @@
     ]
 }
 
-/// The rules broken by the good record with more in it.
-fn with(more: &[Record]) -> Vec<u8> {
-    let mut all = good();
+/// Returns the rules that the compliant records violate with `more` added.
+fn rules_violated_with(more: &[Record]) -> Vec<u8> {
+    let mut all = compliant_records();
     all.extend_from_slice(more);
     all.sort_by_key(Record::at);
     judge(&all, &rules())
@@ -105,10 +106,14 @@
         .collect()
 }
 
-fn without(gone: &Record) -> Vec<u8> {
-    let all: Vec<Record> = good().into_iter().filter(|r| r != gone).collect();
-    assert_ne!(all.len(), good().len());
-    judge(&all, &rules())
+/// Returns the rules that the compliant records violate without `removed`.
+fn rules_violated_without(removed: &Record) -> Vec<u8> {
+    let remaining: Vec<Record> = compliant_records()
+        .into_iter()
+        .filter(|record| record != removed)
+        .collect();
+    assert_ne!(remaining.len(), compliant_records().len());
+    judge(&remaining, &rules())
         .violated_rules()
         .into_iter()
         .map(u8::from)
@@ -117,7 +122,7 @@
 
 #[test]
 fn compliant_records_have_no_violations_and_are_counted() {
-    let verdict = judge(&good(), &rules());
+    let verdict = judge(&compliant_records(), &rules());
     assert_eq!(verdict.violations, vec![]);
     let load = &verdict.classes["load"];
     assert_eq!(
@@ -140,11 +145,17 @@
 }
 
 #[test]
-fn rule_1_finds_missing_duplicate_late_and_changed_answers() {
-    assert_eq!(without(&answered(130, 3, Outcome::Served)), [1]);
-    assert_eq!(with(&[answered(135, 3, Outcome::Failed)]), [1]);
+fn rule_1_finds_missing_duplicate_late_and_changed_responses() {
+    assert_eq!(
+        rules_violated_without(&answered(130, 3, Outcome::Served)),
+        [1]
+    );
     assert_eq!(
-        with(&[Record::RowsReceived {
+        rules_violated_with(&[answered(135, 3, Outcome::Failed)]),
+        [1]
+    );
+    assert_eq!(
+        rules_violated_with(&[Record::RowsReceived {
             at: 135,
             request: 3,
             rows: 1
@@ -152,13 +163,13 @@
         [1]
     );
     assert_eq!(
-        with(&[Record::FinalAnswerChanged {
+        rules_violated_with(&[Record::FinalAnswerChanged {
             at: 170,
             request: 3
         }]),
         [1]
     );
-    let gone = [
+    let http_error = [
         submitted(200, 9, "d.0", "lookup"),
         Record::Admitted {
             at: 201,
@@ -171,7 +182,7 @@
             error: Some("HTTP 404".into()),
         },
     ];
-    assert_eq!(with(&gone), [1]);
+    assert_eq!(rules_violated_with(&http_error), [1]);
     let late = [
         submitted(200, 9, "d.0", "lookup"),
         Record::Admitted {
@@ -180,9 +191,9 @@
         },
         answered(5_300, 9, Outcome::Served),
     ];
-    assert_eq!(with(&late), [1]);
+    assert_eq!(rules_violated_with(&late), [1]);
     assert_eq!(
-        with(&[
+        rules_violated_with(&[
             submitted(200, 9, "d.0", "lookup"),
             answered(210, 9, Outcome::Served)
         ]),
@@ -192,41 +203,41 @@
 
 #[test]
 fn rule_1_exempts_statements_of_a_killed_router_and_cancelled_statements() {
-    let open = [
+    let unanswered = [
         submitted(200, 9, "d.0", "lookup"),
         Record::Admitted {
             at: 201,
             request: 9,
         },
     ];
-    assert_eq!(with(&open), [1]);
+    assert_eq!(rules_violated_with(&unanswered), [1]);
     let killed = [
-        open.as_slice(),
+        unanswered.as_slice(),
         &[Record::RouterKilled {
             at: 210,
             router: "r".into(),
         }],
     ]
     .concat();
-    assert_eq!(with(&killed), [] as [u8; 0]);
-    let other = [
-        open.as_slice(),
+    assert_eq!(rules_violated_with(&killed), [] as [u8; 0]);
+    let other_router_killed = [
+        unanswered.as_slice(),
         &[Record::RouterKilled {
             at: 210,
             router: "q".into(),
         }],
     ]
     .concat();
-    assert_eq!(with(&other), [1]);
-    let left = [
-        open.as_slice(),
+    assert_eq!(rules_violated_with(&other_router_killed), [1]);
+    let cancelled = [
+        unanswered.as_slice(),
         &[Record::Cancelled {
             at: 210,
             request: 9,
         }],
     ]
     .concat();
-    assert_eq!(with(&left), [] as [u8; 0]);
+    assert_eq!(rules_violated_with(&cancelled), [] as [u8; 0]);
 }
 
 #[test]
@@ -240,7 +251,10 @@
         request: 9,
     };
     let admitted_before_the_kill = [submitted(200, 9, "d.0", "lookup"), killed(203), admitted];
-    assert_eq!(with(&admitted_before_the_kill), [] as [u8; 0]);
+    assert_eq!(
+        rules_violated_with(&admitted_before_the_kill),
+        [] as [u8; 0]
+    );
     let submitted_after_the_kill = [killed(199), submitted(200, 9, "d.0", "lookup")];
     let admitted_by_the_successor = [
         submitted_after_the_kill.as_slice(),
@@ -250,39 +264,45 @@
         }],
     ]
     .concat();
-    assert_eq!(with(&admitted_by_the_successor), [1]);
+    assert_eq!(rules_violated_with(&admitted_by_the_successor), [1]);
 }
 
 #[test]
 fn rule_2_finds_duplicate_effects_effects_of_refused_statements_and_missing_effects() {
-    assert_eq!(with(&[posted(55, "a.1")]), [2]);
-    assert_eq!(with(&[posted(25, "a.0")]), [2]);
-    assert_eq!(without(&posted(50, "a.1")), [2]);
+    assert_eq!(rules_violated_with(&[effect_written(55, "a.1")]), [2]);
+    assert_eq!(rules_violated_with(&[effect_written(25, "a.0")]), [2]);
+    assert_eq!(rules_violated_without(&effect_written(50, "a.1")), [2]);
 }
 
 #[test]
 fn rule_3_finds_attempts_after_the_grace_period_of_a_drain() {
-    let late = |at| [sent(at, "e.0", "lookup", "b")];
-    assert_eq!(with(&late(215)), [] as [u8; 0]);
-    assert_eq!(with(&late(216)), [3]);
+    let attempt = |at| [sent(at, "e.0", "lookup", "b")];
+    assert_eq!(rules_violated_with(&attempt(215)), [] as [u8; 0]);
+    assert_eq!(rules_violated_with(&attempt(216)), [3]);
     let up = Record::UpNotified {
         at: 200,
         engine: "e".into(),
         router: "r".into(),
     };
-    assert_eq!(with(&[up, late(216)[0].clone()]), [] as [u8; 0]);
+    assert_eq!(
+        rules_violated_with(&[up, attempt(216)[0].clone()]),
+        [] as [u8; 0]
+    );
     let started = Record::EngineStarted {
         at: 200,
         engine: "e".into(),
         cold: true,
     };
-    assert_eq!(with(&[started, late(216)[0].clone()]), [] as [u8; 0]);
+    assert_eq!(
+        rules_violated_with(&[started, attempt(216)[0].clone()]),
+        [] as [u8; 0]
+    );
 }
 
 #[test]
 fn rule_4_finds_an_engine_crash() {
     assert_eq!(
-        with(&[Record::EngineCrashed {
+        rules_violated_with(&[Record::EngineCrashed {
             at: 300,
             engine: "e".into()
         }]),
@@ -292,7 +312,7 @@
 
 #[test]
 fn rule_5_finds_concurrent_and_reordered_statements_of_a_key() {
-    let pair = [
+    let submissions = [
         submitted(200, 8, "f.0", "load"),
         Record::Admitted {
             at: 201,
@@ -307,59 +327,61 @@
         answered(291, 9, Outcome::Failed),
     ];
     let run = |trace: &str, from, to| vec![sent(from, trace, "load", "b"), done(to, trace)];
-    // Past the grace of the drain that the good record tells.
+    // Lifts the drain in the compliant records, whose grace period ends before the later attempts.
     let up = vec![Record::UpNotified {
         at: 204,
         engine: "e".into(),
         router: "r".into(),
     }];
-    let order = |a: Vec<Record>, b: Vec<Record>| with(&[pair.to_vec(), up.clone(), a, b].concat());
+    let violations = |first: Vec<Record>, second: Vec<Record>| {
+        rules_violated_with(&[submissions.to_vec(), up.clone(), first, second].concat())
+    };
     assert_eq!(
-        order(run("f.0", 210, 220), run("g.0", 230, 240)),
+        violations(run("f.0", 210, 220), run("g.0", 230, 240)),
         [] as [u8; 0]
     );
-    assert_eq!(order(run("f.0", 230, 240), run("g.0", 210, 220)), [5]);
-    assert_eq!(order(run("f.0", 210, 235), run("g.0", 230, 240)), [5]);
-    // One that may still run is rested from, and not longer.
-    assert_eq!(order(run("f.0", 210, 400), run("g.0", 309, 320)), [5]);
+    assert_eq!(violations(run("f.0", 230, 240), run("g.0", 210, 220)), [5]);
+    assert_eq!(violations(run("f.0", 210, 235), run("g.0", 230, 240)), [5]);
+    // The key stays blocked for the pause after an attempt that may still be running, and no longer.
+    assert_eq!(violations(run("f.0", 210, 400), run("g.0", 309, 320)), [5]);
     assert_eq!(
-        order(run("f.0", 210, 400), run("g.0", 310, 320)),
+        violations(run("f.0", 210, 400), run("g.0", 310, 320)),
         [] as [u8; 0]
     );
 }
 
 #[test]
 fn rule_6_finds_an_attempt_on_a_machine_kind_that_is_not_permitted() {
-    assert_eq!(with(&[sent(152, "z.0", "report", "b")]), [6]);
+    assert_eq!(rules_violated_with(&[sent(152, "z.0", "report", "b")]), [6]);
 }
 
 #[test]
 fn rule_7_finds_too_many_attempts_and_an_exceeded_retry_budget() {
-    let far = |at: u64, trace: &str| sent(at, trace, "lookup", "b");
+    let lookup_sent = |at: u64, trace: &str| sent(at, trace, "lookup", "b");
     let up = Record::UpNotified {
         at: 1_500,
         engine: "e".into(),
         router: "r".into(),
     };
-    let three = [
+    let three_attempts = [
         up.clone(),
-        far(2_000, "h.0"),
-        far(4_000, "h.0"),
-        far(6_000, "h.0"),
+        lookup_sent(2_000, "h.0"),
+        lookup_sent(4_000, "h.0"),
+        lookup_sent(6_000, "h.0"),
     ];
-    assert_eq!(with(&three), [7]);
-    let many = [
+    assert_eq!(rules_violated_with(&three_attempts), [7]);
+    let two_retries = [
         up,
-        far(2_000, "h.0"),
-        far(2_001, "i.0"),
-        far(2_010, "h.0"),
-        far(2_020, "i.0"),
+        lookup_sent(2_000, "h.0"),
+        lookup_sent(2_001, "i.0"),
+        lookup_sent(2_010, "h.0"),
+        lookup_sent(2_020, "i.0"),
     ];
-    assert_eq!(with(&many), [7]);
+    assert_eq!(rules_violated_with(&two_retries), [7]);
 }
 
 #[test]
-fn an_answer_is_late_by_its_latency_objective_and_its_work() {
+fn the_latency_objective_grows_with_the_work_of_a_statement() {
     let mut rules = rules();
     rules.classes.insert(
         "lookup".into(),
@@ -370,7 +392,7 @@
             ..ClassRules::default()
         },
     );
-    let late = |answer| {
+    let late_count = |answered_at| {
         let done = Record::Done {
             at: 20,
             engine: "e".into(),
@@ -381,9 +403,9 @@
             submitted(10, 1, "b.0", "lookup"),
             Record::Admitted { at: 11, request: 1 },
             done,
-            answered(answer, 1, Outcome::Served),
+            answered(answered_at, 1, Outcome::Served),
         ];
         judge(&records, &rules).classes["lookup"].late
     };
-    assert_eq!((late(160), late(161)), (0, 1));
+    assert_eq!((late_count(160), late_count(161)), (0, 1));
 }
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,8 +1,9 @@
-//! The JSON of records, rules and verdicts: records and rules are stored, verdicts are printed for other programs.
+//! The JSON form of records, rules and verdicts, which other builds and programs read: records and rules are stored,
+//! verdicts are printed.
 
 use hoptiller_audit::{Record, Rules, judge};
 
-/// One record of each kind, as stored.
+/// Stored records, at least one of each kind.
 const RECORDS: &[&str] = &[
     r#"{"what":"submitted","at":10,"request":1,"trace":"a.0","router":"r","class":"load","key":"k","gives_up":5010}"#,
     r#"{"what":"submitted","at":10,"request":2,"trace":"b.0","router":"r","class":"lookup","key":null,"gives_up":5010}"#,
--- a/crates/audit/tests/versions_and_leases.rs
+++ b/crates/audit/tests/versions_and_leases.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn rule_8_finds_attempts_under_contradicting_versions_and_permits_those_that_enforce_both() {
-    let act = |at, router: &str, versions| Record::Sent {
+    let attempt = |at, router: &str, versions| Record::Sent {
         at,
         engine: "e".into(),
         kind: "a".into(),
@@ -17,51 +17,56 @@
         attempt: 0,
         versions: Some(SentVersions::from(versions)),
     };
-    let rules = |neutral: &[u64]| Rules {
+    let rules = |compatible: &[u64]| Rules {
         versions: Some(VersionRules {
             max_overlap: 1000,
-            compatible: neutral.iter().copied().collect(),
+            compatible: compatible.iter().copied().collect(),
             max_unheld: None,
         }),
         ..rules()
     };
-    let broken = |records: &[Record], neutral: &[u64]| {
-        let verdict = judge(records, &rules(neutral));
+    let check = |records: &[Record], compatible: &[u64]| {
+        let verdict = judge(records, &rules(compatible));
         (
             verdict.violated_rules().contains(&Rule::ConsistentVersions),
-            verdict.overlap.map(|o| (o.longest, o.acts)),
+            verdict
+                .overlap
+                .map(|overlap| (overlap.longest, overlap.acts)),
         )
     };
-    let kept = [
-        act(1, "r1", (1, 1, false)),
-        act(2, "r2", (1, 2, false)),
-        act(9000, "r1", (1, 2, false)),
-        act(9001, "r2", (2, 2, false)),
-        act(9500, "r1", (1, 2, false)),
+    let compliant = [
+        attempt(1, "r1", (1, 1, false)),
+        attempt(2, "r2", (1, 2, false)),
+        attempt(9000, "r1", (1, 2, false)),
+        attempt(9001, "r2", (2, 2, false)),
+        attempt(9500, "r1", (1, 2, false)),
     ];
-    assert_eq!(broken(&kept, &[]), (false, Some((0, 0))));
+    assert_eq!(check(&compliant, &[]), (false, Some((0, 0))));
     let late = [
-        act(1, "r1", (1, 1, false)),
-        act(2, "r2", (2, 2, false)),
-        act(502, "r1", (1, 1, false)),
-        act(5002, "r1", (1, 1, false)),
+        attempt(1, "r1", (1, 1, false)),
+        attempt(2, "r2", (2, 2, false)),
+        attempt(502, "r1", (1, 1, false)),
+        attempt(5002, "r1", (1, 1, false)),
     ];
-    assert_eq!(broken(&late, &[]), (true, Some((5000, 2))));
+    assert_eq!(check(&late, &[]), (true, Some((5000, 2))));
     assert_eq!(
-        broken(&late, &[2]),
+        check(&late, &[2]),
         (false, Some((0, 0))),
-        "the two contradict in nothing"
+        "version 2 does not contradict version 1"
     );
     assert_eq!(
-        broken(&late[..3], &[]),
+        check(&late[..3], &[]),
         (false, Some((500, 1))),
-        "for less than is promised"
+        "the overlap is within the limit"
     );
-    let doubt = [act(2, "r2", (2, 2, false)), act(5002, "r1", (1, 1, true))];
+    let in_doubt = [
+        attempt(2, "r2", (2, 2, false)),
+        attempt(5002, "r1", (1, 1, true)),
+    ];
     assert_eq!(
-        broken(&doubt, &[]),
+        check(&in_doubt, &[]),
         (false, Some((0, 0))),
-        "outside the promise, and said so"
+        "attempts in doubt are exempt"
     );
 }
 
@@ -82,27 +87,27 @@
 }
 
 #[test]
-fn rule_9_finds_an_act_under_an_older_lease_a_shared_token_and_an_unheld_shard() {
-    let agreement = VersionRules {
+fn rule_9_finds_an_operation_under_an_older_lease_a_shared_token_and_an_unheld_shard() {
+    let version_rules = VersionRules {
         max_overlap: 100,
         max_unheld: Some(5_000),
         ..Default::default()
     };
     let rules = Rules {
-        versions: Some(agreement),
+        versions: Some(version_rules),
         ..rules()
     };
-    let good = [
+    let compliant = [
         leased(0, "a", 1, false),
         leased(1_000, "a", 1, false),
         leased(4_000, "b", 2, false),
         leased(4_050, "a", 1, false), // within the permitted overlap
-        leased(6_000, "a", 1, true),  // refused: it had no effect
+        leased(6_000, "a", 1, true),  // refused, so without effect
         leased(8_000, "b", 2, false),
     ];
-    let verdict = judge(&good, &rules);
+    let verdict = judge(&compliant, &rules);
     assert!(verdict.violations.is_empty(), "{:?}", verdict.violations);
-    let leases = verdict.leases.expect("there were some");
+    let leases = verdict.leases.expect("a lease report");
     assert_eq!(
         (
             leases.acts,
@@ -113,30 +118,32 @@
         (5, 1, 2, 1)
     );
     assert_eq!((leases.longest_overlap, leases.longest_gap), (50, 3_950));
-    let broken = |more: Record| {
-        let mut all = good.to_vec();
+    let violations_with = |more: Record| {
+        let mut all = compliant.to_vec();
         all.push(more);
-        let breaks = judge(&all, &rules).violations;
+        let violations = judge(&all, &rules).violations;
         assert!(
-            breaks.iter().all(|b| b.rule == Rule::SingleLeaseHolder),
-            "{breaks:?}"
+            violations
+                .iter()
+                .all(|violation| violation.rule == Rule::SingleLeaseHolder),
+            "{violations:?}"
         );
-        breaks
+        violations
             .into_iter()
-            .map(|b| b.description)
+            .map(|violation| violation.description)
             .collect::<Vec<_>>()
             .join("; ")
     };
-    let older = broken(leased(9_000, "a", 1, false));
+    let older = violations_with(leased(9_000, "a", 1, false));
     assert!(
         older.contains("a acted on discovery under number 1, 5 ms after b under 2"),
         "{older}"
     );
-    let shared = broken(leased(9_000, "c", 2, false));
+    let shared = violations_with(leased(9_000, "c", 2, false));
     assert!(
         shared.contains("b and c both acted under number 2"),
         "{shared}"
     );
-    let unheld = broken(leased(14_000, "b", 2, false));
+    let unheld = violations_with(leased(14_000, "b", 2, false));
     assert!(unheld.contains("nobody did it for 6 ms"), "{unheld}");
 }
