--- a/crates/cli/tests/fleet_fixture/mod.rs
+++ b/crates/cli/tests/fleet_fixture/mod.rs
@@ -8,7 +8,7 @@
 use hoptiller_coordination::{ConfigDuration, Document};
 use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::{
-    ClientLoad, ClientLoadConfig, EngineSpec, TestFleet, Topology, WorkloadMix,
+    ClientLoad, ClientLoadConfig, EngineSpec, TestFleet, Topology, WorkloadClass,
 };
 use serde_json::json;
 
@@ -204,7 +204,7 @@
 }
 
 fn client_load() -> ClientLoadConfig {
-    let mix = |class: &str, weight, text: &str| WorkloadMix {
+    let mix = |class: &str, weight, text: &str| WorkloadClass {
         class: class.into(),
         weight,
         text: text.into(),
--- a/crates/fault-harness/src/client_load.rs
+++ b/crates/fault-harness/src/client_load.rs
@@ -1,5 +1,5 @@
-//! Client load of fleet scenarios: each client submits one statement after the other, each to a router drawn at random.
-//! Routers that reject statements or can't be reached go on being drawn.
+//! Client load of fleet scenarios. Each client submits one statement after another, each to a random router. Routers that
+//! reject statements or can't be reached are not excluded from later draws.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,73 +15,75 @@
 use crate::client_threads::{ClientControl, ClientThreads};
 use crate::rng::SeededRng;
 
-const THREADS: u64 = 1;
-/// Keeps the seeds of the clients of one load apart from those of the next seed's.
+const THREAD_COUNT: u64 = 1;
+/// Distance between the client seeds of consecutive load seeds, so that they do not overlap.
 const SEED_STRIDE: u64 = 977;
 
-/// Statements of one class in a load.
+/// A statement class in the mix of a client load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkloadMix {
-    /// The class.
+pub struct WorkloadClass {
+    /// Name of the class.
     pub class: String,
-    /// Its weight among the classes of the load.
+    /// Weight of the class in the mix.
     #[serde(rename = "part")]
     pub weight: u64,
-    /// The text of its statements.
+    /// Text of the statements.
     pub text: String,
-    /// How long clients wait for a result.
+    /// Maximum time that clients wait for a result.
     #[serde(rename = "patience")]
     pub timeout: ConfigDuration,
 }
 
-/// What clients do.
+/// Configuration of a client load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientLoadConfig {
-    /// How many clients there are.
+    /// Number of clients.
     pub count: u64,
-    /// The mean pause of a client between two statements.
+    /// Mean pause of a client between two statements.
     pub pause: ConfigDuration,
-    /// The classes of their statements.
-    pub mix: Vec<WorkloadMix>,
+    /// Classes from which the clients draw their statements.
+    pub mix: Vec<WorkloadClass>,
 }
 
-/// A router as clients know it.
+/// The name and address of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterAddress {
-    /// Its name in records.
+    /// Name of the router in records.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the router listens.
     pub addr: SocketAddr,
 }
 
 type SharedRouters = Arc<Mutex<Vec<RouterAddress>>>;
 
-/// Clients that submit statements until they are told to finish. Where it is dropped before, they finish unwatched.
+/// Clients that submit statements until [`finish`](ClientLoad::finish) is called. Dropping the value stops them without
+/// waiting.
 pub struct ClientLoad {
     threads: ClientThreads,
     routers: SharedRouters,
 }
 
 impl ClientLoad {
-    /// Starts the clients. They submit nothing before [`set_routers`](ClientLoad::set_routers).
+    /// Starts the clients. They submit nothing before [`set_routers`](ClientLoad::set_routers) is called.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Returns an error if a thread can't be started.
     pub fn start(
         config: &ClientLoadConfig,
         seed: u64,
         recorder: &Recorder,
     ) -> io::Result<ClientLoad> {
         let routers = SharedRouters::default();
-        let (config, recorder, known) = (config.clone(), recorder.clone(), routers.clone());
-        let threads = ClientThreads::start(config.count, THREADS, move |number, control| {
+        let (config, recorder, shared_routers) =
+            (config.clone(), recorder.clone(), routers.clone());
+        let threads = ClientThreads::start(config.count, THREAD_COUNT, move |number, control| {
             let client = LoadClient {
                 number,
                 draws: StatementDraws::new(&config, seed, number),
-                routers: known.clone(),
+                routers: shared_routers.clone(),
                 recorder: recorder.clone(),
             };
             client.run(control)
@@ -89,20 +91,20 @@
         Ok(ClientLoad { threads, routers })
     }
 
-    /// Replaces the routers that statements go to.
+    /// Replaces the routers that receive statements.
     pub fn set_routers(&self, routers: Vec<RouterAddress>) {
-        if let Ok(mut known) = self.routers.lock() {
-            *known = routers;
+        if let Ok(mut current) = self.routers.lock() {
+            *current = routers;
         }
     }
 
-    /// Lets every client end what it has begun, and waits for all of them.
+    /// Signals the clients to stop, and waits until they have finished their current statements.
     pub fn finish(self) {
         self.threads.finish();
     }
 }
 
-/// What one client draws from its seed.
+/// The random draws of one client.
 #[derive(Clone, Debug)]
 pub struct StatementDraws {
     config: ClientLoadConfig,
@@ -110,7 +112,7 @@
 }
 
 impl StatementDraws {
-    /// The draws of the client `number` of a load that started from `seed`.
+    /// Creates the draws of the client `number` in a load with the seed `seed`.
     pub fn new(config: &ClientLoadConfig, seed: u64, number: u64) -> StatementDraws {
         StatementDraws {
             config: config.clone(),
@@ -118,27 +120,27 @@
         }
     }
 
-    /// Draws the pause before a statement: from a half to one and a half of the mean.
+    /// Draws the pause before a statement, uniformly between 0.5 and 1.5 times the mean.
     pub fn pause(&mut self) -> Duration {
         let mean = self.config.pause.as_micros();
         Duration::from_micros(mean / 2 + self.rng.below(mean))
     }
 
-    /// Draws one of so many routers.
+    /// Draws the index of one of `count` routers.
     pub fn router(&mut self, count: usize) -> usize {
         self.rng.index(count)
     }
 
-    /// Draws a class by its weight; `None` where the load has none.
-    pub fn class(&mut self) -> Option<&WorkloadMix> {
-        let total = self.config.mix.iter().map(|mix| mix.weight).sum();
-        let mut left = self.rng.below(total);
+    /// Draws a class according to the weights. Returns `None` if the mix is empty.
+    pub fn class(&mut self) -> Option<&WorkloadClass> {
+        let total = self.config.mix.iter().map(|class| class.weight).sum();
+        let mut remaining = self.rng.below(total);
         self.config
             .mix
             .iter()
-            .find(|mix| match left.checked_sub(mix.weight) {
+            .find(|class| match remaining.checked_sub(class.weight) {
                 Some(rest) => {
-                    left = rest;
+                    remaining = rest;
                     false
                 }
                 None => true,
@@ -160,10 +162,10 @@
             let Some(router) = self.draw_router() else {
                 continue;
             };
-            let Some(mix) = self.draws.class().cloned() else {
+            let Some(class) = self.draws.class().cloned() else {
                 return;
             };
-            let statement = self.statement(&mix, control.next_request());
+            let statement = self.statement(&class, control.next_request());
             Client::new(&router.name, router.addr, self.recorder.clone())
                 .run(&statement)
                 .await;
@@ -171,22 +173,22 @@
     }
 
     fn draw_router(&mut self) -> Option<RouterAddress> {
-        let known = self.routers.lock().ok()?;
-        if known.is_empty() {
+        let routers = self.routers.lock().ok()?;
+        if routers.is_empty() {
             return None;
         }
-        Some(known[self.draws.router(known.len())].clone())
+        Some(routers[self.draws.router(routers.len())].clone())
     }
 
-    fn statement(&self, mix: &WorkloadMix, request: u64) -> ClientRequest {
+    fn statement(&self, class: &WorkloadClass, request: u64) -> ClientRequest {
         ClientRequest {
             id: request,
-            trace: format!("{}-{}-{request}", mix.class, self.number),
-            class: mix.class.clone(),
+            trace: format!("{}-{}-{request}", class.class, self.number),
+            class: class.class.clone(),
             ordering_key: None,
             tags: String::new(),
-            text: mix.text.clone(),
-            timeout: Duration::from_micros(mix.timeout.as_micros()),
+            text: class.text.clone(),
+            timeout: Duration::from_micros(class.timeout.as_micros()),
             options: ClientOptions::default(),
         }
     }
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,11 +1,12 @@
-//! Test fleets on loopback with faults between their processes, and the scenarios that are run on them.
+//! Test fleets on loopback with fault injection, and the scenarios that run on them.
 //!
-//! A [`TestFleet`] starts replicas of the coordination store and routers as processes of the program, and runs mock engines
-//! and discovery in this process. Each connection between two of them passes a [`Link`]: a proxy that can be blocked,
-//! slowed and reset. A [`FleetScenario`] plays events and client load on such a fleet. A [`RouterScenario`] does the same
-//! for routers without a coordination store, and has faults inside of engines and discovery instead of links.
+//! A [`TestFleet`] starts routers and replicas of the coordination store as child processes, and runs mock engines and mock
+//! discovery in the current process. Connections between replicas, and from routers to replicas and discovery, pass through
+//! a [`Link`]: a proxy that can block, delay and reset them. A [`FleetScenario`] applies events and client load to such a
+//! fleet. A [`RouterScenario`] does the same for routers without a coordination store, and injects faults into engines and
+//! discovery instead of links.
 //!
-//! What happened is judged from what crossed sockets, by [`hoptiller_audit`].
+//! [`hoptiller_audit`] computes the verdict on a run from records of the traffic on sockets.
 
 #![warn(missing_docs)]
 
@@ -20,7 +21,7 @@
 mod rng;
 pub mod router_scenario;
 
-pub use client_load::{ClientLoad, ClientLoadConfig, RouterAddress, StatementDraws, WorkloadMix};
+pub use client_load::{ClientLoad, ClientLoadConfig, RouterAddress, StatementDraws, WorkloadClass};
 pub use error::ScenarioError;
 pub use fleet::{EngineSpec, FleetError, LinkId, TestFleet, Topology};
 pub use fleet_scenario::FleetScenario;
