--- a/crates/fault-harness/src/fleet/coordination.rs
+++ b/crates/fault-harness/src/fleet/coordination.rs
@@ -1,4 +1,4 @@
-//! The coordination store of a fleet as an administrator sees it: versions are proposed and followed.
+//! Administrative access to the coordination store of a fleet: proposing versions, reading status, and waiting.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 const HISTORY_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl TestFleet {
-    /// A client of the replicas that run. It does not pass the links.
+    /// Returns a client of the running replicas that bypasses the links.
     pub fn client(&self) -> CoordinationClient {
         CoordinationClient::new(self.replicas.running_addrs(), self.secret.clone())
     }
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// When no replica answers within 4 s each.
+    /// Returns an error if no replica responds within 4 s each.
     pub fn propose(
         &self,
         change: &str,
@@ -42,8 +42,8 @@
         async_io::block_on(client.call(wire::PROPOSE, Some(&proposal), PROPOSE_TIMEOUT))
     }
 
-    /// The version numbers that the replica with the newest ones knows: one that is cut off stays behind. `None` where no
-    /// replica answers.
+    /// Returns the newest version numbers that any replica reports, as an isolated replica may lag behind. Returns `None` if no
+    /// replica responds.
     pub fn version_numbers(&self) -> Option<wire::VersionNumbers> {
         self.statuses()
             .into_iter()
@@ -51,7 +51,7 @@
             .max_by_key(|numbers| (numbers.in_force, numbers.last))
     }
 
-    /// The statuses of the replicas that answer within 2 s, in their order.
+    /// Returns the statuses of the replicas that respond within 2 s, in replica order.
     pub fn statuses(&self) -> Vec<wire::ClusterStatus> {
         let client = self.client();
         let status_of = |addr: &SocketAddr| {
@@ -61,16 +61,16 @@
         client.endpoints().iter().filter_map(status_of).collect()
     }
 
-    /// All versions that the replicas retain; none where no replica answers.
+    /// Returns all versions that the replicas retain; none if no replica responds.
     pub fn history(&self) -> Vec<VersionMetadata> {
         let client = self.client();
         let call = client.call(wire::HISTORY, None::<&()>, HISTORY_TIMEOUT);
         async_io::block_on(call).unwrap_or_default()
     }
 
-    /// Waits until `condition` holds, for `timeout` at most. Returns whether it does.
+    /// Waits at most `timeout` until `condition` holds. Returns whether it holds.
     ///
-    /// Replicas and recorders announce nothing to this process, so the condition is polled every 20 ms.
+    /// Replicas and recorders send no notifications to this process, so the condition is polled every 20 ms.
     pub fn wait_until(
         &mut self,
         timeout: Duration,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Waits until a version is in force, for `timeout` at most. Returns whether it is.
+    /// Waits at most `timeout` until a version is in force. Returns whether it is.
     pub fn wait_until_in_force(&mut self, version: u64, timeout: Duration) -> bool {
         self.wait_until(timeout, |fleet| {
             fleet
--- a/crates/fault-harness/src/fleet/error.rs
+++ b/crates/fault-harness/src/fleet/error.rs
@@ -1,37 +1,37 @@
-//! Why a fleet can't do what a scenario wants.
+//! Errors of setting up and controlling a fleet.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use crate::process::ProcessError;
 
-/// Why a fleet can't do what a scenario wants.
+/// Error of setting up or controlling a fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A file or folder of the fleet can't be used.
     #[error("{}: {source}", .path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A link or mock server can't be started.
     #[error("{name}: {source}")]
     Server {
-        /// The name of the server.
+        /// Name of the server.
         name: String,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A process did not start.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// The replicas did not accept the first version in time.
-    #[error("keepers never took the first version")]
+    #[error("the replicas did not accept the first version in time")]
     FirstVersionNotAccepted,
     /// Not all routers enforced the first version in time.
-    #[error("not all routers came to heed the first version")]
+    #[error("not all routers enforced the first version in time")]
     FirstVersionNotEnforced,
 }
 
--- a/crates/fault-harness/src/fleet/files.rs
+++ b/crates/fault-harness/src/fleet/files.rs
@@ -1,11 +1,11 @@
-//! The folder of a fleet, and the processes that are started from it.
+//! The folder of a fleet, and the start of processes with their files in it.
 
 use std::path::{Path, PathBuf};
 
 use super::error::FleetError;
 use crate::process::{Process, ProcessConfig, ProcessError};
 
-/// The program, the folder of a fleet, and what all its processes are started with.
+/// The program, the folder of a fleet, and the environment of its processes.
 pub(super) struct FleetFiles {
     program: PathBuf,
     dir: PathBuf,
@@ -27,7 +27,7 @@
         self.dir.join(name)
     }
 
-    /// Adds an environment variable of the processes that start from now on.
+    /// Sets an environment variable for processes that start later.
     pub(super) fn set_env(&mut self, name: &str, value: &str) {
         self.env.push((name.to_owned(), value.to_owned()));
     }
@@ -40,7 +40,7 @@
         self.dir.join(format!("{process}.log"))
     }
 
-    /// Writes the configuration of a process, and returns its file.
+    /// Writes the configuration of a process, and returns the path of the file.
     pub(super) fn write_config(
         &self,
         process: &str,
--- a/crates/fault-harness/src/fleet/link_faults.rs
+++ b/crates/fault-harness/src/fleet/link_faults.rs
@@ -1,26 +1,26 @@
-//! The faults of a fleet's links.
+//! Faults of the links of a fleet.
 
 use super::links::LinkId;
 use super::test_fleet::TestFleet;
 use crate::link::{Link, LinkFaults};
 
 impl TestFleet {
-    /// A link, where there is one.
+    /// Returns a link, if it exists.
     pub fn link(&self, id: LinkId) -> Option<&Link> {
         self.links.get(id)
     }
 
-    /// The ids of all links.
+    /// Returns the ids of all links.
     pub fn link_ids(&self) -> Vec<LinkId> {
         self.links.ids()
     }
 
-    /// Sets the faults of a link, where there is one.
+    /// Sets the faults of a link, if it exists.
     pub fn fail_link(&self, id: LinkId, faults: LinkFaults) {
         self.fail_links(faults, |other| *other == id);
     }
 
-    /// Sets the faults of all links that match.
+    /// Sets the faults of all matching links.
     pub fn fail_links(&self, faults: LinkFaults, matches: impl Fn(&LinkId) -> bool) {
         self.links
             .matching(matches)
@@ -32,14 +32,14 @@
         self.fail_links(faults, |id| id.is_from_router(router));
     }
 
-    /// Closes the connections that are open on all links that match.
+    /// Closes the open connections of all matching links.
     pub fn reset_links(&self, matches: impl Fn(&LinkId) -> bool) {
         self.links
             .matching(matches)
             .for_each(Link::reset_connections);
     }
 
-    /// Takes the faults of all links back.
+    /// Removes the faults of all links.
     pub fn restore_links(&self) {
         self.fail_links(LinkFaults::default(), |_| true);
     }
--- a/crates/fault-harness/src/fleet/links.rs
+++ b/crates/fault-harness/src/fleet/links.rs
@@ -1,4 +1,4 @@
-//! The links between the processes of a fleet, and their faults.
+//! The links between the processes of a fleet.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,26 +7,26 @@
 use super::topology::Topology;
 use crate::link::Link;
 
-/// A link of a fleet, by the places of its ends, counted from 0.
+/// Id of a link: the indexes of the processes that it connects, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkId {
-    /// From one replica to another.
+    /// Link from one replica to another.
     Replicas(usize, usize),
-    /// From a router to a replica.
+    /// Link from a router to a replica.
     Router(usize, usize),
-    /// From a router to discovery.
+    /// Link from a router to discovery.
     Discovery(usize),
-    /// From the replicas to one that replaced another: one link for all of them.
+    /// Link from the earlier replicas to a replacement replica, shared by all of them.
     Replacement(usize),
 }
 
 impl LinkId {
-    /// Whether this link leads from the router to a replica.
+    /// Returns whether the link connects the router to a replica.
     pub fn is_from_router(&self, router: usize) -> bool {
         matches!(self, LinkId::Router(from, _) if *from == router)
     }
 
-    /// Whether this link leads from the replica to another one, or the other way.
+    /// Returns whether the link connects the replica to another one, in either direction.
     pub fn is_between_replicas(&self, replica: usize) -> bool {
         matches!(self, LinkId::Replicas(from, to) if *from == replica || *to == replica)
     }
@@ -56,7 +56,7 @@
         Ok(links)
     }
 
-    /// Adds a link in place of the one that had this id, and returns it.
+    /// Adds a link, which replaces an existing one with the same id, and returns it.
     pub(super) fn add(&mut self, id: LinkId) -> io::Result<&Link> {
         let link = Link::new("link")?;
         Ok(self.by_id.entry(id).insert_entry(link).into_mut())
--- a/crates/fault-harness/src/fleet/mod.rs
+++ b/crates/fault-harness/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! A fleet of processes: which there are, which links are between them, and how each is started again.
+//! A fleet of processes, the links between them, and the control of each process.
 //!
-//! Every replica reaches every other over a link of its own, and every router every replica and discovery. Engines and
-//! discovery are mock servers in this process that record what passes on their sockets.
+//! There is a separate link from each replica to each other one, and from each router to each replica and to discovery.
+//! Replacement replicas share links, as [`LinkId`] describes. Engines and discovery are mock servers in the current process
+//! that record the traffic on their sockets.
 
 mod coordination;
 mod error;
--- a/crates/fault-harness/src/fleet/replica_control.rs
+++ b/crates/fault-harness/src/fleet/replica_control.rs
@@ -1,4 +1,4 @@
-//! Replicas are started, killed and replaced, and their disks lost, copied and put back.
+//! Control of replicas: starting, killing and replacing them, and deleting, saving and restoring their storage.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,29 +16,29 @@
 use crate::process::Process;
 
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The file of a replica's storage, in its folder.
+/// Name of the storage file in the folder of a replica.
 const STORAGE_FILE: &str = "keeper.redb";
 
 impl TestFleet {
-    /// How many replicas there are, with those that were replaced.
+    /// Returns the number of replicas, including those that were replaced.
     pub fn replica_count(&self) -> usize {
         self.replicas.count()
     }
 
-    /// The process of a replica, while it runs.
+    /// Returns the process of a replica; `None` if it was killed or not started.
     ///
     /// # Panics
     ///
-    /// When there is no such replica; so do all methods that take one.
+    /// Panics if there is no such replica, as do all methods that take a replica.
     pub fn replica(&mut self, replica: usize) -> Option<&mut Process> {
         self.replicas.process(replica)
     }
 
-    /// Starts a replica on the disk that it has, and leads its links to it.
+    /// Starts a replica on its existing storage, and points its links to its new address.
     ///
     /// # Errors
     ///
-    /// When its configuration can't be written, or it does not start.
+    /// Returns an error if the configuration can't be written or the replica does not start.
     pub fn start_replica(&mut self, replica: usize) -> Result<(), FleetError> {
         let name = replica_name(replica);
         let file = self
@@ -49,34 +49,34 @@
         let joins = self.replicas.is_replacement(replica);
         args.extend(joins.then_some("--join"));
         let process = self.files.start_process(&name, &args)?;
-        let initial_place = self.replicas.initial_place(replica);
-        let leads_here = |id: &LinkId| match id {
+        let initial_index = self.replicas.initial_index(replica);
+        let is_inbound = |id: &LinkId| match id {
             LinkId::Replicas(_, to) | LinkId::Replacement(to) => *to == replica,
-            // Routers reach it where they reached the replica that it replaces.
-            LinkId::Router(_, to) => *to == initial_place,
+            // Routers reach a replacement over the links of the initial replica.
+            LinkId::Router(_, to) => *to == initial_index,
             LinkId::Discovery(_) => false,
         };
-        for link in self.links.matching(leads_here) {
+        for link in self.links.matching(is_inbound) {
             link.set_target(process.addr());
         }
         self.replicas.set_process(replica, process);
         Ok(())
     }
 
-    /// Starts all replicas that do not run.
+    /// Starts all replicas that are not running.
     ///
     /// # Errors
     ///
-    /// When one of them does not start.
+    /// Returns an error if one of them does not start.
     pub fn start_stopped_replicas(&mut self) -> Result<(), FleetError> {
         (0..self.replica_count()).try_for_each(|replica| self.start_replica_if_stopped(replica))
     }
 
-    /// Starts a replica where it does not run.
+    /// Starts a replica if it is not running.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// Returns an error if the replica does not start.
     pub fn start_replica_if_stopped(&mut self, replica: usize) -> Result<(), FleetError> {
         match self.replica(replica) {
             Some(_) => Ok(()),
@@ -104,25 +104,25 @@
         config
     }
 
-    /// The address under which a replica reaches another one.
+    /// Returns the address at which a replica reaches another member.
     fn peer_addr(&self, replica: usize, member: usize) -> SocketAddr {
-        // Its own address is never used: it listens wherever a port is free.
-        let own = SocketAddr::from(([127, 0, 0, 1], 1));
+        // A replica never connects to its own address: it listens on any free port.
+        let unused = SocketAddr::from(([127, 0, 0, 1], 1));
         if member == replica {
-            return own;
+            return unused;
         }
         self.links
             .addr(LinkId::Replicas(replica, member))
             .or_else(|| self.links.addr(LinkId::Replacement(member)))
-            .unwrap_or(own)
+            .unwrap_or(unused)
     }
 
-    /// Asks the replicas to put a new one into the place of `lost`, which must not run. Returns the place of the new one,
-    /// which does not run yet; or the error of the call.
+    /// Asks the replicas to replace `lost`, which must not be running, with a new replica. Returns the index of the new
+    /// replica, which is not started yet, or the error of the call.
     ///
     /// # Errors
     ///
-    /// When a link can't be made.
+    /// Returns an error if a link can't be started.
     pub fn replace_replica(&mut self, lost: usize) -> Result<Result<usize, CallError>, FleetError> {
         let new = self.replica_count();
         let addr = match self.links.addr(LinkId::Replacement(new)) {
@@ -164,7 +164,7 @@
         self.replicas.kill(replica);
     }
 
-    /// Kills all replicas that match.
+    /// Kills all matching replicas.
     pub fn kill_replicas(&mut self, matches: impl Fn(usize) -> bool) {
         (0..self.replica_count())
             .filter(|replica| matches(*replica))
@@ -179,32 +179,32 @@
         self.files.path(&format!("{}.saved", replica_name(replica)))
     }
 
-    /// Removes the disk of a replica.
+    /// Deletes the folder of a replica with its storage.
     ///
     /// # Errors
     ///
-    /// When its folder can't be removed.
+    /// Returns an error if the folder can't be deleted.
     pub fn lose_disk(&self, replica: usize) -> Result<(), FleetError> {
         let dir = self.replica_dir(replica);
         std::fs::remove_dir_all(&dir).map_err(FleetError::file(&dir))
     }
 
-    /// Copies the storage of a replica, for [`restore_disk`](TestFleet::restore_disk).
+    /// Saves a copy of the storage of a replica for [`restore_disk`](TestFleet::restore_disk).
     ///
     /// # Errors
     ///
-    /// When it can't be copied.
+    /// Returns an error if the storage can't be copied.
     pub fn save_disk(&self, replica: usize) -> Result<(), FleetError> {
         let storage = self.replica_dir(replica).join(STORAGE_FILE);
         std::fs::copy(&storage, self.saved_storage(replica)).map_err(FleetError::file(&storage))?;
         Ok(())
     }
 
-    /// Puts the copy of a replica's storage back.
+    /// Restores the storage of a replica from its saved copy.
     ///
     /// # Errors
     ///
-    /// When there is none, or it can't be copied.
+    /// Returns an error if there is no saved copy or it can't be copied.
     pub fn restore_disk(&self, replica: usize) -> Result<(), FleetError> {
         let dir = self.replica_dir(replica);
         std::fs::create_dir_all(&dir).map_err(FleetError::file(&dir))?;
--- a/crates/fault-harness/src/fleet/replicas.rs
+++ b/crates/fault-harness/src/fleet/replicas.rs
@@ -1,29 +1,29 @@
-//! The state of a fleet's replicas: their processes, addresses, and which replaced which.
+//! The state of the replicas of a fleet: processes, addresses and replacements.
 
 use std::net::SocketAddr;
 
 use crate::process::Process;
 
-/// The replicas of a fleet, by place: counted from 0, where replicas themselves count from 1. All methods that take a place
-/// panic where there is no such replica.
+/// The replicas of a fleet, indexed from 0, while their own numbers start at 1. All methods that take an index panic if there
+/// is no such replica.
 pub(super) struct Replicas {
     slots: Vec<ReplicaSlot>,
-    initial: usize,
+    initial_count: usize,
 }
 
 #[derive(Default)]
 struct ReplicaSlot {
     process: Option<Process>,
-    /// Where it listens, or listened last.
+    /// Last address on which the replica listened.
     addr: Option<SocketAddr>,
     replacement: Option<Replacement>,
 }
 
-/// How a replica came into the place of another one.
+/// Details of a replica that replaced another one.
 struct Replacement {
-    /// The initial replica whose place it has, directly or through others.
-    initial_place: usize,
-    /// All members of the store from then on.
+    /// Index of the initial replica that it replaced, directly or through other replacements.
+    initial_index: usize,
+    /// All members of the store after the replacement.
     members: Vec<usize>,
 }
 
@@ -31,7 +31,7 @@
     pub(super) fn new(count: usize) -> Replicas {
         Replicas {
             slots: (0..count).map(|_| ReplicaSlot::default()).collect(),
-            initial: count,
+            initial_count: count,
         }
     }
 
@@ -49,12 +49,12 @@
         self.slots[replica].process.as_mut()
     }
 
-    /// Where a replica listens, or listened last; `None` where it never ran.
+    /// Returns the last address on which a replica listened; `None` if it was never started.
     pub(super) fn addr(&self, replica: usize) -> Option<SocketAddr> {
         self.slots[replica].addr
     }
 
-    /// Whether a replica came into the place of another one.
+    /// Returns whether a replica replaced another one.
     pub(super) fn is_replacement(&self, replica: usize) -> bool {
         self.slots[replica].replacement.is_some()
     }
@@ -69,10 +69,11 @@
         self.slots[replica].process = None;
     }
 
-    /// Adds a replica in the place of `lost`, with all members of the store from then on. It does not run yet.
+    /// Adds a replica, which is not started yet, as the replacement of `lost`. `members` are all members of the store after the
+    /// replacement.
     pub(super) fn add_replacement(&mut self, lost: usize, members: Vec<usize>) {
         let replacement = Replacement {
-            initial_place: self.initial_place(lost),
+            initial_index: self.initial_index(lost),
             members,
         };
         self.slots.push(ReplicaSlot {
@@ -81,39 +82,39 @@
         });
     }
 
-    /// The addresses of the replicas that run, in their order.
+    /// Returns the addresses of the running replicas, in order of their indexes.
     pub(super) fn running_addrs(&self) -> Vec<SocketAddr> {
         let running = self.slots.iter().filter(|slot| slot.process.is_some());
         running.filter_map(|slot| slot.addr).collect()
     }
 
-    /// The members of the store, as this replica is configured with.
+    /// Returns the members of the store in the configuration of a replica.
     pub(super) fn members_known_to(&self, replica: usize) -> Vec<usize> {
         match &self.slots[replica].replacement {
             Some(replacement) => replacement.members.clone(),
-            None => (0..self.initial).collect(),
+            None => (0..self.initial_count).collect(),
         }
     }
 
-    /// The members after the last replacement.
+    /// Returns the members of the store after the last replacement.
     pub(super) fn current_members(&self) -> Vec<usize> {
         let mut replacements = self.slots.iter().filter_map(|s| s.replacement.as_ref());
         match replacements.next_back() {
             Some(replacement) => replacement.members.clone(),
-            None => (0..self.initial).collect(),
+            None => (0..self.initial_count).collect(),
         }
     }
 
-    /// The place under which routers know this replica.
-    pub(super) fn initial_place(&self, replica: usize) -> usize {
+    /// Returns the index of the initial replica over whose links routers reach a replica.
+    pub(super) fn initial_index(&self, replica: usize) -> usize {
         self.slots[replica]
             .replacement
             .as_ref()
-            .map_or(replica, |replacement| replacement.initial_place)
+            .map_or(replica, |replacement| replacement.initial_index)
     }
 }
 
-/// The name of a replica's process and folder.
+/// Returns the name of a replica's process and folder.
 pub(super) fn replica_name(replica: usize) -> String {
     format!("keeper-{}", replica + 1)
 }
--- a/crates/fault-harness/src/fleet/router_control.rs
+++ b/crates/fault-harness/src/fleet/router_control.rs
@@ -1,4 +1,4 @@
-//! Routers are started, paused, resumed and killed.
+//! Control of routers: starting, pausing, resuming and killing them.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 use crate::process::Process;
 
 impl TestFleet {
-    /// Starts a router on the state that it has.
+    /// Starts a router on its existing state.
     ///
     /// # Errors
     ///
-    /// When its settings can't be written, or it does not start.
+    /// Returns an error if the settings can't be written or the router does not start.
     ///
     /// # Panics
     ///
-    /// When there is no such router; so do all methods that take one.
+    /// Panics if there is no such router, as do all methods that take a router.
     pub fn start_router(&mut self, router: usize) -> Result<(), FleetError> {
         let name = router_name(router);
         let file = self
@@ -35,11 +35,11 @@
         Ok(())
     }
 
-    /// Starts a router where it does not run.
+    /// Starts a router if it is not running.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// Returns an error if the router does not start.
     pub fn start_router_if_stopped(&mut self, router: usize) -> Result<(), FleetError> {
         match self.router(router) {
             Some(_) => Ok(()),
@@ -72,7 +72,7 @@
         settings
     }
 
-    /// Kills a router, and records it: clients are not owed what it held.
+    /// Kills a router and records the kill, as no response is required for the statements that the router held.
     pub fn kill_router(&mut self, router: usize) {
         self.resume_router(router);
         if self.routers.kill(router) {
@@ -88,9 +88,9 @@
         self.routers.pause(router);
     }
 
-    /// Resumes a router, and records for how long it was paused.
+    /// Resumes a router and records its pause.
     pub fn resume_router(&mut self, router: usize) {
-        // Recorded first: what it does once it is resumed comes after the pause.
+        // Records the end of the pause before resuming, so that later actions of the router follow the pause.
         if let Some(at) = self.routers.end_pause(router) {
             self.recorder.write(Record::RouterPaused {
                 at,
@@ -101,27 +101,30 @@
         self.routers.resume(router);
     }
 
-    /// Resumes all routers that are paused.
+    /// Resumes all paused routers.
     pub fn resume_routers(&mut self) {
         (0..self.routers.count()).for_each(|router| self.resume_router(router));
     }
 
-    /// The process of a router, while it runs.
+    /// Returns the process of a router; `None` if it was killed or not started.
     pub fn router(&mut self, router: usize) -> Option<&mut Process> {
         self.routers.process(router)
     }
 
-    /// The routers that run and are not paused.
+    /// Returns the routers that are running and not paused.
     pub fn running_routers(&self) -> Vec<RouterAddress> {
         self.routers.running()
     }
 
-    /// Waits until as many routers hold a config lease and enforce this version or a later one. Returns whether they do.
+    /// Waits at most `timeout` until `routers` routers hold a config lease and enforce `version` or a later one. Returns whether
+    /// they do.
     pub fn wait_until_enforced(&mut self, routers: usize, version: u64, timeout: Duration) -> bool {
         self.wait_until(timeout, |fleet| {
             let enforcing = fleet.statuses().into_iter().map(|status| {
                 let holders = status.holders.iter();
-                holders.filter(|h| h.enforced_version >= version).count()
+                holders
+                    .filter(|holder| holder.enforced_version >= version)
+                    .count()
             });
             enforcing.max().unwrap_or(0) >= routers
         })
--- a/crates/fault-harness/src/fleet/routers.rs
+++ b/crates/fault-harness/src/fleet/routers.rs
@@ -1,11 +1,11 @@
-//! The state of a fleet's routers: their processes, and which of them are paused.
+//! The state of the routers of a fleet: processes and pauses.
 
 use hoptiller_audit::unix_micros;
 
 use crate::client_load::RouterAddress;
 use crate::process::Process;
 
-/// The routers of a fleet, by place, counted from 0. All methods that take a place panic where there is no such router.
+/// The routers of a fleet, indexed from 0. All methods that take an index panic if there is no such router.
 pub(super) struct Routers {
     slots: Vec<RouterSlot>,
 }
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct RouterSlot {
     process: Option<Process>,
-    /// When it was paused, in Unix time and µs; `None` where it is not.
+    /// Start of the current pause, in µs since the Unix epoch; `None` if the router is not paused.
     paused_at: Option<u64>,
 }
 
@@ -42,12 +42,12 @@
         self.slots[router].process = Some(process);
     }
 
-    /// Kills the process of a router, and returns whether there was one.
+    /// Kills the process of a router. Returns whether there was one.
     pub(super) fn kill(&mut self, router: usize) -> bool {
         self.slots[router].process.take().is_some()
     }
 
-    /// Pauses a router; one that is paused stays so.
+    /// Pauses a router. Pausing it again keeps the start of the first pause.
     pub(super) fn pause(&mut self, router: usize) {
         let slot = &mut self.slots[router];
         if let Some(process) = &slot.process {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Ends the pause of a router, which still has to be [resumed](Routers::resume). Returns since when it was paused, in Unix
-    /// time and µs; `None` where it was not.
+    /// Clears the pause of a router, whose process must then be [resumed](Routers::resume). Returns the start of the pause, in µs
+    /// since the Unix epoch; `None` if the router was not paused.
     pub(super) fn end_pause(&mut self, router: usize) -> Option<u64> {
         self.slots[router].paused_at.take()
     }
@@ -66,7 +66,7 @@
         self.slots[router].process.iter().for_each(Process::resume);
     }
 
-    /// The routers that run and are not paused.
+    /// Returns the routers that are running and not paused.
     pub(super) fn running(&self) -> Vec<RouterAddress> {
         self.slots
             .iter()
@@ -80,7 +80,7 @@
     }
 }
 
-/// The name of a router, in its settings and in records.
+/// Returns the name of a router in its settings and in records.
 pub(super) fn router_name(router: usize) -> String {
     format!("r{}", router + 1)
 }
--- a/crates/fault-harness/src/fleet/test_fleet.rs
+++ b/crates/fault-harness/src/fleet/test_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes: how it is set up and started.
+//! A fleet of processes, its setup and its start.
 
 use std::path::Path;
 use std::time::Duration;
@@ -19,14 +19,14 @@
 use super::topology::Topology;
 use crate::mock_engine::MockEngine;
 
-/// The name of every test fleet, in the configuration of its replicas.
+/// Name of every test fleet in the configuration of its replicas.
 pub const FLEET_NAME: &str = "stage";
-/// The number of the first version that a fleet accepts.
+/// Number of the first version that a fleet accepts.
 pub const FIRST_VERSION: u64 = 1;
-/// Any secret will do, as long as all processes have the same.
+/// Secret of a test fleet. Its value is arbitrary, but all processes must share it.
 const SECRET: &str = "5ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e7";
 
-/// A fleet of processes on loopback. All of it ends when this is dropped.
+/// A fleet of processes on loopback. Dropping the value ends all processes and servers.
 pub struct TestFleet {
     pub(super) topology: Topology,
     pub(super) files: FleetFiles,
@@ -40,11 +40,11 @@
 }
 
 impl TestFleet {
-    /// Sets a fleet up in the folder `dir`, which is created. No process of `program` runs yet.
+    /// Sets up a fleet in the folder `dir`, which is created, without starting processes of `program`.
     ///
     /// # Errors
     ///
-    /// When the folder, its files, discovery or a link can't be made.
+    /// Returns an error if the folder, its files, discovery or a link can't be created.
     pub fn new(topology: Topology, program: &Path, dir: &Path) -> Result<TestFleet, FleetError> {
         let files = FleetFiles::create(program, dir)?;
         std::fs::write(files.secret(), SECRET).map_err(FleetError::file(&files.secret()))?;
@@ -53,7 +53,10 @@
         let recorder = Recorder::to_file(&records).map_err(FleetError::file(&records))?;
         let discovery = DiscoveryConfig {
             recorder: recorder.clone(),
-            enforces_fencing: topology.engines.iter().any(|e| e.enforces_fencing),
+            enforces_fencing: topology
+                .engines
+                .iter()
+                .any(|engine| engine.enforces_fencing),
             ..DiscoveryConfig::default()
         }
         .start()
@@ -80,16 +83,16 @@
         })
     }
 
-    /// Sets an environment variable of the processes that start from now on.
+    /// Sets an environment variable for processes that start later.
     pub fn set_env(&mut self, name: &str, value: &str) {
         self.files.set_env(name, value);
     }
 
-    /// Starts engines and replicas.
+    /// Starts the engines and replicas.
     ///
     /// # Errors
     ///
-    /// When one of them does not start.
+    /// Returns an error if one of them does not start.
     pub fn start(&mut self) -> Result<(), FleetError> {
         for engine in &mut self.engines {
             engine
@@ -99,12 +102,12 @@
         (0..self.topology.replicas).try_for_each(|replica| self.start_replica(replica))
     }
 
-    /// Starts engines and replicas, and waits until the replicas have accepted `document` as the first version, under the
-    /// name `first`.
+    /// Starts the engines and replicas, and waits until the replicas accept `document` as the first version, proposed under
+    /// the name `first`.
     ///
     /// # Errors
     ///
-    /// When one of them does not start, or the document is not accepted within `timeout`.
+    /// Returns an error if an engine or replica does not start, or the document is not accepted within `timeout`.
     pub fn start_with_first_version(
         &mut self,
         document: &Document,
@@ -124,11 +127,11 @@
         }
     }
 
-    /// Starts all routers, and waits until they enforce the first version where they take part in coordination.
+    /// Starts all routers. If they take part in coordination, waits until they enforce the first version.
     ///
     /// # Errors
     ///
-    /// When one of them does not start, or not all enforce the first version within `timeout`.
+    /// Returns an error if a router does not start, or not all of them enforce the first version within `timeout`.
     pub fn start_routers(&mut self, timeout: Duration) -> Result<(), FleetError> {
         let count = self.topology.routers;
         (0..count).try_for_each(|router| self.start_router(router))?;
@@ -139,31 +142,31 @@
         }
     }
 
-    /// What the fleet was set up with.
+    /// Returns the topology of the fleet.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// What passes on the sockets of engines, discovery and clients is recorded here.
+    /// Returns the recorder of the traffic on the sockets of engines, discovery and clients.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// The configuration of an engine, by which its faults are set.
+    /// Returns the configuration of an engine, through which faults are injected.
     ///
     /// # Panics
     ///
-    /// When there is no such engine.
+    /// Panics if there is no such engine.
     pub fn engine(&self, engine: usize) -> &EngineConfig {
         self.engines[engine].config()
     }
 
-    /// What a process of this name has logged so far; empty where there is none.
+    /// Returns the log of a process so far; empty if there is no log.
     pub fn log(&self, process: &str) -> String {
         std::fs::read_to_string(self.files.log(process)).unwrap_or_default()
     }
 
-    /// Processes that have ended by themselves, with how: `keeper-1: exit status: 3`.
+    /// Returns the processes that ended on their own, with their exit status, such as `keeper-1: exit status: 3`.
     pub fn exited_processes(&mut self) -> Vec<String> {
         let processes = self.replicas.processes().chain(self.routers.processes());
         processes
--- a/crates/fault-harness/src/fleet/topology.rs
+++ b/crates/fault-harness/src/fleet/topology.rs
@@ -1,4 +1,4 @@
-//! What a test fleet consists of.
+//! The components of a test fleet.
 
 use std::time::Duration;
 
@@ -6,52 +6,52 @@
 use serde_json::Value;
 
 const DEFAULT_LEASE_TERM: Duration = Duration::from_secs(4);
-/// The drift that replicas and routers assume where none is configured.
+/// Default clock drift limit of replicas and routers.
 const DEFAULT_DRIFT_MILLIONTHS: u64 = 1000;
 
-/// A mock engine of a fleet, as a scenario file gives it.
+/// Specification of a mock engine in a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
-    /// Its machine kind.
+    /// Machine kind of the engine.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: String,
-    /// A factor of the usual speed; `None`: 1.
+    /// Factor of the default speed; 1 if `None`.
     #[serde(default)]
     pub speed: Option<f64>,
-    /// Whether it rejects what is sent under versions or leases older than it has seen.
+    /// Whether the engine rejects attempts under versions or leases older than those it has seen.
     #[serde(rename = "fences", default)]
     pub enforces_fencing: bool,
 }
 
-/// What a fleet consists of.
+/// Components and common configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// How many replicas of the coordination store there are at first.
+    /// Initial number of replicas of the coordination store.
     pub replicas: usize,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// The engines.
+    /// Engines of the fleet.
     pub engines: Vec<EngineSpec>,
-    /// The settings of a router. Its name and addresses are added.
+    /// Settings of all routers. The name and addresses of each router are added.
     pub router_settings: Value,
-    /// How long config leases and task leases last.
+    /// Term of config leases and task leases.
     pub lease_term: Duration,
-    /// Limit of the difference of two clocks' rates that all processes assume, in millionths.
+    /// Limit, assumed by all processes, on the difference between the rates of two clocks, in millionths.
     pub drift_millionths: u64,
-    /// By router: by how much its clock runs fast, in millionths; 0 where none is given.
+    /// Clock rate error of each router, in millionths; positive if the clock runs fast, 0 if absent.
     pub router_skews: Vec<i64>,
-    /// By replica: the same.
+    /// Clock rate error of each replica, in millionths; positive if the clock runs fast, 0 if absent.
     pub replica_skews: Vec<i64>,
-    /// Limit of the size of a replica's storage, in bytes; `None`: the default of replicas.
+    /// Limit on the storage size of a replica, in bytes; the default of replicas if `None`.
     pub max_storage_bytes: Option<u64>,
-    /// Whether routers take part in coordination. Otherwise each goes by its own settings.
+    /// Whether routers take part in coordination. Otherwise each uses only its own settings.
     pub coordinated: bool,
 }
 
 impl Topology {
-    /// A fleet with so many replicas and routers, and with neither engines nor settings yet. Leases last 4 s.
+    /// Creates a topology without engines and settings, with a lease term of 4 s.
     pub fn new(replicas: usize, routers: usize) -> Topology {
         Topology {
             replicas,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The lease term as configuration files give it.
+    /// Returns the lease term in the form of configuration files.
     pub(super) fn lease_term_text(&self) -> String {
         format!("{}ms", self.lease_term.as_millis())
     }
 }
 
-/// The argument for the clock of a process, by its place.
-pub(super) fn skew_argument(skews: &[i64], place: usize) -> String {
-    skews.get(place).copied().unwrap_or(0).to_string()
+/// Returns the clock skew argument of the process with this index.
+pub(super) fn skew_argument(skews: &[i64], index: usize) -> String {
+    skews.get(index).copied().unwrap_or(0).to_string()
 }
