--- a/crates/fault-harness/src/fleet_scenario/event.rs
+++ b/crates/fault-harness/src/fleet_scenario/event.rs
@@ -5,24 +5,24 @@
 use hoptiller_coordination::ConfigDuration;
 use serde::Deserialize;
 
-/// Something that happens in a fleet. Replicas and routers are named by place, counted from 0. A fault of a link replaces
-/// the ones that it had.
+/// An event of a fleet scenario. Replicas and routers are identified by index, counted from 0. A link fault replaces the
+/// earlier faults of the link.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ScenarioEvent {
-    /// Proposes the document of that name.
+    /// Proposes the document with this name.
     #[serde(rename = "put")]
     Propose(String),
     /// Isolates a router from all replicas.
     #[serde(rename = "alone")]
     IsolateRouter(usize),
-    /// Partitions a replica from the other replicas; routers still reach it.
+    /// Partitions a replica from the other replicas, while routers still reach it.
     #[serde(rename = "apart")]
     PartitionReplica(usize),
-    /// Loses messages one way, from one replica to another.
+    /// Blocks messages from the first replica to the second, in this direction only.
     #[serde(rename = "deaf")]
     LoseMessages(usize, usize),
-    /// Loses the responses of replicas to a router.
+    /// Blocks the responses of all replicas to a router.
     #[serde(rename = "no_answers")]
     LoseResponses(usize),
     /// Adds latency, in ms, to all links between routers and replicas.
@@ -40,21 +40,21 @@
     /// Kills a replica.
     #[serde(rename = "kill_keeper")]
     KillReplica(usize),
-    /// Starts a replica where it does not run.
+    /// Starts a replica if it is not running.
     #[serde(rename = "start_keeper")]
     StartReplica(usize),
     /// Kills all replicas.
     #[serde(rename = "kill_keepers")]
     KillReplicas,
-    /// Kills all replicas but one.
+    /// Kills all replicas except one.
     #[serde(rename = "kill_others")]
     KillOtherReplicas(usize),
-    /// Starts all replicas that do not run.
+    /// Starts all replicas that are not running.
     #[serde(rename = "start_keepers")]
     StartReplicas,
     /// Kills a router.
     KillRouter(usize),
-    /// Starts a router where it does not run.
+    /// Starts a router if it is not running.
     StartRouter(usize),
     /// Pauses a router.
     #[serde(rename = "stop_router")]
@@ -64,7 +64,7 @@
     ResumeRouter(usize),
 }
 
-/// The form in which reports list events. It is older than the names of the variants.
+/// Formats the event as reports list it. The names in reports predate the names of the variants and must not change.
 impl fmt::Display for ScenarioEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -90,13 +90,13 @@
     }
 }
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledEvent {
-    /// When it happens, from the start of the client load on.
+    /// Time of the event since the start of the client load.
     pub at: ConfigDuration,
-    /// What happens.
+    /// The event.
     #[serde(rename = "do")]
     pub event: ScenarioEvent,
 }
--- a/crates/fault-harness/src/fleet_scenario/mod.rs
+++ b/crates/fault-harness/src/fleet_scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a whole fleet: a file says what it consists of, what clients do, and which versions are proposed and which
-//! faults happen when. Events may also be drawn from a seed: the same seed draws the same ones.
+//! Scenarios of a whole fleet. A file specifies the components of the fleet, the client load, and the times of proposals and
+//! faults. Events can also be drawn at random; the same seed gives the same events.
 
 mod event;
 mod random_events;
--- a/crates/fault-harness/src/fleet_scenario/random_events.rs
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -1,4 +1,4 @@
-//! Faults and proposals that are drawn from a seed.
+//! Random faults and proposals, drawn from a seed.
 
 use hoptiller_coordination::ConfigDuration;
 
@@ -6,13 +6,13 @@
 use super::timeline::Timeline;
 use crate::rng::SeededRng;
 
-/// Latency that is added to one router before it is isolated, in ms.
+/// Latency added to the links of a router before it is isolated.
 const ROUTER_LATENCY_MS: u64 = 300;
-/// Latency that is added to all routers, in ms: at least this, and less than this and [`LATENCY_SPREAD_MS`].
+/// Minimum latency added to the links of all routers. The drawn latency is less than this plus [`LATENCY_SPREAD_MS`].
 const MIN_LATENCY_MS: u64 = 50;
 const LATENCY_SPREAD_MS: u64 = 250;
 
-/// The faults that are drawn, in the order of their numbers.
+/// Random faults, in the order of the numbers that stand for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RandomFault {
     IsolateRouter,
@@ -28,12 +28,12 @@
 }
 
 impl RandomFault {
-    /// How many numbers [`from_number`](RandomFault::from_number) knows.
-    const NUMBERS: u64 = 11;
+    /// Number of values that [`from_number`](RandomFault::from_number) distinguishes.
+    const NUMBER_COUNT: u64 = 11;
 
     fn from_number(number: u64) -> RandomFault {
         match number {
-            // The first is drawn twice as often as each of the others.
+            // Isolation is drawn twice as often as each other fault.
             0 | 1 => RandomFault::IsolateRouter,
             2 => RandomFault::LoseResponses,
             3 => RandomFault::SlowThenIsolateRouter,
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Whether one router is cut off from the rest. These faults last for longer than the interval, as a lease may.
-    fn cuts_router_off(self) -> bool {
+    /// Returns whether the fault cuts one router off from the fleet. Such faults last longer than the interval, because a lease
+    /// may.
+    fn isolates_router(self) -> bool {
         matches!(
             self,
             RandomFault::IsolateRouter
@@ -60,8 +61,8 @@
 }
 
 impl Timeline {
-    /// Draws faults, and proposals meanwhile, for a fleet with so many routers and replicas; none where the timeline has no
-    /// interval. They are not in the order of time.
+    /// Draws faults, and proposals during them, for a fleet with `routers` routers and `replicas` replicas. Returns none if the
+    /// timeline has no interval for random events. The events are not sorted by time.
     pub fn random_events(&self, seed: u64, routers: usize, replicas: usize) -> Vec<ScheduledEvent> {
         let Some(interval) = self.random_event_interval else {
             return Vec::new();
@@ -79,14 +80,14 @@
     }
 }
 
-/// The state of the draws. All times are in µs.
+/// State of the draws. All times are in µs.
 struct RandomEvents {
     rng: SeededRng,
     documents: Vec<String>,
     routers: usize,
     replicas: usize,
     interval: u64,
-    /// When the fault that is being drawn begins.
+    /// Start of the fault that is being drawn.
     fault_at: u64,
     events: Vec<ScheduledEvent>,
 }
@@ -96,7 +97,7 @@
         while self.fault_at + 3 * self.interval < end {
             let router = self.rng.index(self.routers);
             let replica = self.rng.index(self.replicas);
-            let fault = RandomFault::from_number(self.rng.below(RandomFault::NUMBERS));
+            let fault = RandomFault::from_number(self.rng.below(RandomFault::NUMBER_COUNT));
             if fault == RandomFault::SplitAfterPartition {
                 self.split_after_partition(replica);
             } else {
@@ -106,7 +107,7 @@
         self.events
     }
 
-    /// Adds an event so long after the begin of the fault.
+    /// Adds an event `delay` after the start of the fault.
     fn add(&mut self, delay: u64, event: ScenarioEvent) {
         self.events.push(ScheduledEvent {
             at: ConfigDuration::from_micros(self.fault_at + delay),
@@ -121,8 +122,8 @@
 
     fn draw_fault(&mut self, fault: RandomFault, router: usize, replica: usize) {
         let interval = self.interval;
-        let lasts_longer = fault.cuts_router_off();
-        let end = if lasts_longer {
+        let exceeds_interval = fault.isolates_router();
+        let end = if exceeds_interval {
             interval * 2
         } else {
             interval * 4 / 5
@@ -131,12 +132,12 @@
         let delay = interval * 2 / 5 + self.rng.below(interval / 5);
         let proposal = self.draw_proposal();
         self.add(delay, proposal);
-        if lasts_longer {
+        if exceeds_interval {
             let proposal = self.draw_proposal();
             self.add(interval * 3 / 2, proposal);
         }
         self.add(end, ScenarioEvent::RestoreLinks);
-        self.fault_at += if lasts_longer {
+        self.fault_at += if exceeds_interval {
             interval * 5 / 2
         } else {
             interval
@@ -148,7 +149,7 @@
         match fault {
             RandomFault::IsolateRouter => self.add(0, ScenarioEvent::IsolateRouter(router)),
             RandomFault::LoseResponses => self.add(0, ScenarioEvent::LoseResponses(router)),
-            // A router that counts its lease from a response rather than from its request counts too long.
+            // Detects a router that measures its lease from the response instead of the request, and so holds it too long.
             RandomFault::SlowThenIsolateRouter => {
                 let slow = ScenarioEvent::AddRouterLatency(router, ROUTER_LATENCY_MS);
                 self.add(0, slow);
@@ -184,7 +185,8 @@
         }
     }
 
-    /// A version that two replicas accept has to outlive one of them, together with the replica that was partitioned.
+    /// Adds the events of [`RandomFault::SplitAfterPartition`]: one replica is partitioned while the others accept a version, and
+    /// then has to form a majority with only one of them. The version must survive.
     fn split_after_partition(&mut self, replica: usize) {
         let interval = self.interval;
         self.add(0, ScenarioEvent::PartitionReplica(replica));
--- a/crates/fault-harness/src/fleet_scenario/report.rs
+++ b/crates/fault-harness/src/fleet_scenario/report.rs
@@ -1,4 +1,4 @@
-//! What came of a fleet scenario.
+//! The report on a run of a fleet scenario.
 
 use std::collections::BTreeSet;
 
@@ -6,41 +6,43 @@
 use hoptiller_coordination_client::wire::VersionNumbers;
 use serde::Serialize;
 
-/// What came of a scenario, beside the records.
+/// Outcome of a run, apart from the records.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// Proposals that were accepted.
+    /// Number of accepted proposals.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Proposals that were rejected.
+    /// Number of rejected proposals.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Proposals without a response: whether they were accepted is not known.
+    /// Number of proposals without a response, for which it is unknown whether they were accepted.
     pub unknown: u64,
-    /// Times from proposal to in force, in ms and ascending, of the versions that were followed to their end.
+    /// Times from the proposal of a version until it was seen in force, in ms, in ascending order. Versions that were never seen
+    /// in force have none.
     pub in_force_ms: Vec<u64>,
-    /// Versions that were accepted, and at the end are missing, hold another document, or are not in force.
+    /// Accepted versions that at the end are missing, have a different document, or are not in force.
     pub lost: Vec<u64>,
-    /// Processes that ended by themselves, with how.
+    /// Processes that ended on their own, with their exit status.
     #[serde(rename = "fallen")]
     pub exited_processes: Vec<String>,
-    /// The version numbers at the end.
+    /// Version numbers at the end.
     pub numbers: VersionNumbers,
-    /// What happened, in order.
+    /// Events of the run, in order.
     #[serde(rename = "course")]
     pub entries: Vec<OutcomeEntry>,
-    /// Versions that contradict nothing in the version before them.
+    /// Versions that do not contradict their predecessor.
     #[serde(skip)]
     pub compatible: BTreeSet<u64>,
 }
 
-/// Something that happened. Written as the sequence `[elapsed_ms, description]`.
+/// An event in the report. Serialized as the sequence `[elapsed_ms, description]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct OutcomeEntry {
-    /// Time in ms: of an event since the start of the client load; of the last entry, "the end", since the start of the run.
+    /// Time of the event since the start of the client load, in ms. For the last entry, "the end", the time since the start of
+    /// the run.
     pub elapsed_ms: u64,
-    /// What happened.
+    /// Description of the event.
     pub description: String,
 }
 
@@ -50,18 +52,18 @@
     }
 }
 
-/// The verdict on a scenario, with its outcome.
+/// Verdict on a run, with its outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetReport {
-    /// What the records were judged to show.
+    /// Verdict that the audit derived from the records.
     pub verdict: Verdict,
-    /// What came of it beside.
+    /// Outcome apart from the records.
     #[serde(flatten)]
     pub outcome: Outcome,
 }
 
 impl FleetReport {
-    /// Whether no rule was violated, no version lost, and no process ended by itself.
+    /// Returns whether no rule was violated, no version was lost, and no process ended on its own.
     pub fn is_success(&self) -> bool {
         self.verdict.violations.is_empty()
             && self.outcome.lost.is_empty()
@@ -69,7 +71,7 @@
     }
 }
 
-/// The value below which the part `fraction` of ascending values lies; `None` where there are none.
+/// Returns the value at the rank `fraction`, from 0 to 1, of ascending values; `None` if there are none.
 pub fn percentile(ascending: &[u64], fraction: f64) -> Option<u64> {
     let last = ascending.len().checked_sub(1)?;
     let rank = (ascending.len() as f64 * fraction) as usize;
--- a/crates/fault-harness/src/fleet_scenario/rollouts.rs
+++ b/crates/fault-harness/src/fleet_scenario/rollouts.rs
@@ -1,4 +1,4 @@
-//! Follows accepted versions until they are in force.
+//! Tracks accepted versions until they are in force.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -7,9 +7,9 @@
 
 use crate::fleet::{FIRST_VERSION, TestFleet};
 
-/// The versions that were accepted in a run.
+/// The versions accepted in a run.
 pub(super) struct Rollouts {
-    /// By version: the digest of its document.
+    /// Digests of the documents, by version number.
     digests: BTreeMap<u64, String>,
     pending: Vec<PendingVersion>,
     in_force_ms: Vec<u64>,
@@ -21,7 +21,7 @@
 }
 
 impl Rollouts {
-    /// Starts with the first version, which is in force.
+    /// Creates the state with the first version, which is already in force.
     pub(super) fn new(first: &Document) -> Rollouts {
         Rollouts {
             digests: BTreeMap::from([(FIRST_VERSION, first.digest())]),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Adds a version that was accepted.
+    /// Adds an accepted version.
     pub(super) fn add(&mut self, number: u64, document: &Document, proposed_at: Instant) {
         self.digests.insert(number, document.digest());
         self.pending.push(PendingVersion {
@@ -39,12 +39,12 @@
         });
     }
 
-    /// The last version that was accepted.
+    /// Returns the number of the last accepted version.
     pub(super) fn last(&self) -> u64 {
         self.digests.keys().max().copied().unwrap_or(FIRST_VERSION)
     }
 
-    /// Asks the fleet which version is in force, and notes the times of those that have come so far.
+    /// Queries the version in force, and records the rollout times of the pending versions up to it.
     pub(super) fn update(&mut self, fleet: &TestFleet) {
         if self.pending.is_empty() {
             return;
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Versions that the history lacks, or has with another document.
+    /// Returns the accepted versions that the history lacks or has with a different document.
     pub(super) fn missing_from(&self, history: &[VersionMetadata]) -> Vec<u64> {
         let retained = |number: u64, digest: &str| {
             history
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// The times from proposal to in force, in ms and ascending.
+    /// Returns the times from proposal to in force, in ms, in ascending order.
     pub(super) fn into_times(mut self) -> Vec<u64> {
         self.in_force_ms.sort_unstable();
         self.in_force_ms
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -1,4 +1,4 @@
-//! Runs a fleet scenario, and judges what came of it.
+//! Runs a fleet scenario, and judges its records.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -18,34 +18,35 @@
 use crate::link::LinkFaults;
 
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long the last version may take to come in force once all faults are taken back.
+/// Maximum time until the last version is in force after all faults were removed.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often versions that are not in force yet are asked for.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the fleet is polled for the version in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a scenario is run.
+/// Options for running a scenario.
 #[derive(Clone, Debug)]
 pub struct RunOptions<'a> {
-    /// The program whose processes are started.
+    /// Path of the program that the processes run.
     pub program: &'a Path,
-    /// The folder of records, logs and rules. It is created.
+    /// Folder for records, logs and rules, which is created.
     pub report_dir: &'a Path,
     /// Seed of the random events and of the client load.
     pub seed: u64,
     /// Whether routers take part in coordination.
     pub coordinated: bool,
-    /// How long acts under contradicting versions may overlap.
+    /// Maximum overlap of attempts under contradicting versions, and of operations under an older and a newer lease.
     pub max_overlap: Duration,
-    /// Environment variables of all processes.
+    /// Additional environment variables of all processes.
     pub env: Vec<(String, String)>,
 }
 
 impl FleetScenario {
-    /// Runs the scenario, writes the rules beside the records, and judges the records.
+    /// Runs the scenario, writes the rules to the folder of the records, and judges the records.
     ///
     /// # Errors
     ///
-    /// When the fleet can't be set up, a process does not start, or a file can't be used.
+    /// Returns an error if the fleet can't be set up, a process does not start, an event proposes an unknown document, or a file
+    /// can't be used.
     pub fn run(&self, options: &RunOptions<'_>) -> Result<FleetReport, ScenarioError> {
         let mut topology = self.topology();
         topology.coordinated = options.coordinated;
@@ -59,12 +60,12 @@
         for (name, value) in &options.env {
             fleet.set_env(name, value);
         }
-        let outcome = ScenarioRun::start(&self.timeline, &mut fleet, options.seed)?.play()?;
+        let outcome = ScenarioRun::start(&self.timeline, &mut fleet, options.seed)?.run()?;
         let records = fleet
             .recorder()
             .records()
-            .map_err(ScenarioError::io("the records"))?;
-        // All processes end before the verdict.
+            .map_err(ScenarioError::io("run records"))?;
+        // Ends all processes before the verdict.
         drop(fleet);
         let rules = self.rules(options.max_overlap, &outcome);
         let text = serde_json::to_string_pretty(&rules).unwrap_or_default();
@@ -94,7 +95,7 @@
     }
 }
 
-/// A scenario that is being run.
+/// A running scenario.
 struct ScenarioRun<'a> {
     timeline: &'a Timeline,
     fleet: &'a mut TestFleet,
@@ -107,7 +108,7 @@
 }
 
 impl<'a> ScenarioRun<'a> {
-    /// Starts all processes, and the client load once the first version is enforced.
+    /// Starts all processes, and then the client load once the routers enforce the first version.
     fn start(
         timeline: &'a Timeline,
         fleet: &'a mut TestFleet,
@@ -123,12 +124,12 @@
             .and_then(|()| fleet.start_routers(START_TIMEOUT))
             .map_err(run_error)?;
         let load = ClientLoad::start(&timeline.clients, seed, fleet.recorder())
-            .map_err(ScenarioError::io("fleet run"))?;
+            .map_err(ScenarioError::io("client threads"))?;
         load.set_routers(fleet.running_routers());
         let (routers, replicas) = (fleet.topology().routers, fleet.topology().replicas);
         let mut events = timeline.events.clone();
         events.extend(timeline.random_events(seed, routers, replicas));
-        // Events of the same time keep their order.
+        // A stable sort, so that events with the same time keep their order.
         events.sort_by_key(|event| event.at);
         Ok(ScenarioRun {
             timeline,
@@ -142,9 +143,9 @@
         })
     }
 
-    fn play(mut self) -> Result<Outcome, ScenarioError> {
+    fn run(mut self) -> Result<Outcome, ScenarioError> {
         for scheduled in std::mem::take(&mut self.events) {
-            self.follow_until(Duration::from_micros(scheduled.at.as_micros()));
+            self.poll_until(Duration::from_micros(scheduled.at.as_micros()));
             self.outcome.entries.push(OutcomeEntry {
                 elapsed_ms: self.load_started.elapsed().as_millis() as u64,
                 description: scheduled.event.to_string(),
@@ -152,24 +153,25 @@
             self.apply(&scheduled.event)?;
             self.load.set_routers(self.fleet.running_routers());
         }
-        self.follow_until(Duration::from_micros(self.timeline.duration.as_micros()));
+        self.poll_until(Duration::from_micros(self.timeline.duration.as_micros()));
         self.settle()
     }
 
-    /// Follows versions until so long after the start of the client load.
-    fn follow_until(&mut self, end: Duration) {
+    /// Tracks rollouts until `end` after the start of the client load.
+    fn poll_until(&mut self, end: Duration) {
         loop {
-            let left = end.saturating_sub(self.load_started.elapsed());
-            if left.is_zero() {
+            let remaining = end.saturating_sub(self.load_started.elapsed());
+            if remaining.is_zero() {
                 return;
             }
             self.rollouts.update(self.fleet);
-            let left = end.saturating_sub(self.load_started.elapsed());
-            std::thread::sleep(FOLLOW_INTERVAL.min(left));
+            let remaining = end.saturating_sub(self.load_started.elapsed());
+            std::thread::sleep(POLL_INTERVAL.min(remaining));
         }
     }
 
-    /// Ends all faults, waits for the last version to come in force, and collects the outcome.
+    /// Restores the links, starts stopped replicas, resumes paused routers, finishes the client load, waits until the last
+    /// version is in force, and collects the outcome.
     fn settle(mut self) -> Result<Outcome, ScenarioError> {
         self.fleet.restore_links();
         self.fleet.start_stopped_replicas().map_err(run_error)?;
@@ -234,7 +236,7 @@
     }
 }
 
-/// Applies an event other than a proposal, which needs the documents of the scenario.
+/// Applies an event. Proposals have no effect here, as they need the documents of the scenario.
 fn apply_to_fleet(fleet: &mut TestFleet, event: &ScenarioEvent) -> Result<(), FleetError> {
     match event {
         ScenarioEvent::Propose(_) => {}
--- a/crates/fault-harness/src/fleet_scenario/scenario.rs
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -1,4 +1,4 @@
-//! The file of a fleet scenario: how it is loaded and checked.
+//! Loading and checking of fleet scenario files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,36 +14,36 @@
 
 const MAX_ROUTERS: usize = 64;
 
-/// A scenario of a whole fleet, as its file gives it.
+/// A scenario of a whole fleet, in the form of its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetScenario {
-    /// How many replicas there are: 3 or 5.
+    /// Number of replicas: 3 or 5.
     #[serde(rename = "keepers")]
     pub replicas: usize,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// How long leases last.
+    /// Term of leases.
     #[serde(rename = "permit")]
     pub lease_term: ConfigDuration,
-    /// Limit of the difference of two clocks' rates, in millionths; the default of replicas where absent.
+    /// Limit on the difference between the rates of two clocks, in millionths; the default of replicas if absent.
     #[serde(rename = "drift", default)]
     pub drift_millionths: Option<u64>,
-    /// By router: by how much its clock runs fast, in millionths.
+    /// Clock rate error of each router, in millionths; positive if the clock runs fast.
     #[serde(default)]
     pub router_skews: Vec<i64>,
-    /// By replica: the same.
+    /// Clock rate error of each replica, in millionths; positive if the clock runs fast.
     #[serde(rename = "keeper_skews", default)]
     pub replica_skews: Vec<i64>,
-    /// The settings of a router, without its name and addresses.
+    /// Settings of all routers, without names and addresses.
     #[serde(rename = "settings")]
     pub router_settings: Value,
-    /// The engines.
+    /// Engines of the fleet.
     pub engines: Vec<EngineSpec>,
-    /// How long a shard of a task may go without an act of a lease holder; not checked where absent.
+    /// Maximum time that a task shard may go without an operation of a lease holder; not checked if absent.
     #[serde(rename = "unheld", default)]
     pub max_unheld: Option<ConfigDuration>,
-    /// What happens when.
+    /// Timeline of the scenario.
     #[serde(rename = "day")]
     pub timeline: Timeline,
 }
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// When the file can't be evaluated, has another form, or has values that can't work. Settings of routers are not
-    /// checked: [`check`](FleetScenario::check) does.
+    /// Returns an error if the file can't be evaluated, does not have the structure of a scenario, or has invalid values. The
+    /// settings of routers are only checked by [`check`](FleetScenario::check).
     pub fn load(path: &Path) -> Result<FleetScenario, ScenarioError> {
         let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
         let scenario: FleetScenario =
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Loads a scenario, checks the settings of its routers too, and describes it in a line.
+    /// Loads a scenario, also checks the settings of its routers, and returns a one-line description.
     ///
     /// # Errors
     ///
-    /// As [`load`](FleetScenario::load), and when the settings have problems.
+    /// Returns an error if [`load`](FleetScenario::load) fails or the settings are invalid.
     pub fn check(path: &Path) -> Result<String, ScenarioError> {
         let scenario = FleetScenario::load(path)?;
         let mut settings = scenario.router_settings.clone();
@@ -120,7 +120,7 @@
         problems
     }
 
-    /// What the fleet of this scenario consists of.
+    /// Returns the topology of the fleet.
     pub fn topology(&self) -> Topology {
         let defaults = Topology::new(self.replicas, self.routers);
         Topology {
--- a/crates/fault-harness/src/fleet_scenario/timeline.rs
+++ b/crates/fault-harness/src/fleet_scenario/timeline.rs
@@ -1,4 +1,4 @@
-//! What happens in a fleet scenario, and which rules follow from its documents.
+//! The timeline of a fleet scenario, and the rules that follow from its documents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,40 +9,41 @@
 use super::event::ScheduledEvent;
 use crate::client_load::ClientLoadConfig;
 
-/// The document of a scenario that is in force when routers start.
+/// Name of the document that is in force when routers start.
 pub(super) const FIRST_DOCUMENT: &str = "first";
 
-/// What happens in a scenario, and when.
+/// Timeline of a scenario: its documents, client load and events.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Timeline {
-    /// How long it lasts.
+    /// Duration from the start of the client load.
     #[serde(rename = "lasts")]
     pub duration: ConfigDuration,
-    /// The documents that may be proposed, by name. `first` is in force when routers start.
+    /// Documents that events can propose, by name. `first` is in force when routers start.
     pub documents: BTreeMap<String, Document>,
-    /// What clients do.
+    /// Configuration of the client load.
     pub clients: ClientLoadConfig,
-    /// The events that are written down, in any order.
+    /// Scheduled events, in any order.
     #[serde(rename = "acts", default)]
     pub events: Vec<ScheduledEvent>,
-    /// Interval between random faults; without it there are none.
+    /// Interval of random faults; there are none if absent.
     #[serde(rename = "random_every", default)]
     pub random_event_interval: Option<ConfigDuration>,
 }
 
 impl Timeline {
-    /// Adds to `rules` what all documents together allow: the laxest value of each, as versions come and go.
+    /// Adds the limits of all documents to `rules`. Each rule gets the most permissive value, because any of the documents may be
+    /// in force.
     pub fn add_rules(&self, rules: &mut Rules) {
         for document in self.documents.values() {
             for (name, class) in &document.classes {
                 add_class_rules(rules, name, class);
             }
-            let known = match rules.max_attempts {
+            let current = match rules.max_attempts {
                 u32::MAX => 0,
-                known => known,
+                current => current,
             };
-            rules.max_attempts = known.max(document.engines.max_attempts);
+            rules.max_attempts = current.max(document.engines.max_attempts);
         }
     }
 }
@@ -50,7 +51,7 @@
 fn add_class_rules(rules: &mut Rules, name: &str, class: &StatementClass) {
     let kinds: BTreeSet<String> = class.kinds.clone().unwrap_or_default();
     let non_idempotent = class.repeat == Idempotency::NonIdempotent;
-    let known = rules
+    let class_rules = rules
         .classes
         .entry(name.to_owned())
         .or_insert_with(|| ClassRules {
@@ -61,11 +62,11 @@
             stretch: class.stretch,
             threads: class.threads,
         });
-    known.non_idempotent &= non_idempotent;
-    // No kinds at all allow every kind.
-    known.machine_kinds = if known.machine_kinds.is_empty() || kinds.is_empty() {
+    class_rules.non_idempotent &= non_idempotent;
+    // An empty set permits all kinds.
+    class_rules.machine_kinds = if class_rules.machine_kinds.is_empty() || kinds.is_empty() {
         BTreeSet::new()
     } else {
-        &known.machine_kinds | &kinds
+        &class_rules.machine_kinds | &kinds
     };
 }
--- a/crates/fault-harness/src/router_scenario/clients.rs
+++ b/crates/fault-harness/src/router_scenario/clients.rs
@@ -1,5 +1,5 @@
-//! Client load of scenarios of routers: each client stays at its router, retries what was rejected, and moves to the next
-//! router when its own can't be reached.
+//! Client load of router scenarios. Each client uses one router, switches to the next one if it can't be reached, and retries
+//! rejected statements.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,71 +16,71 @@
 use crate::client_threads::{ClientControl, ClientThreads};
 use crate::error::ScenarioError;
 
-const THREADS: u64 = 2;
-/// Keeps the seeds of the clients of one load apart from those of the next seed's.
+const THREAD_COUNT: u64 = 2;
+/// Distance between the client seeds of consecutive load seeds, so that they do not overlap.
 const SEED_STRIDE: u64 = 1_000_003;
 const MAX_PAUSE_SECONDS: f64 = 60.0;
-/// How often one statement is submitted again after it was rejected.
+/// Maximum number of times that a client submits a rejected statement again.
 const MAX_RETRIES: u32 = 3;
-/// Pause before the next router is tried where one can't be reached.
+/// Pause before a retry at the next router if a router can't be reached.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
-/// Pause before a retry where the rejection names none.
+/// Pause before a retry if the rejection does not specify one.
 const REJECTED_BACKOFF: Duration = Duration::from_secs(1);
-/// Polls after which a client that gives its statement up does so.
+/// Number of polls after which a client abandons a statement that was drawn to be abandoned.
 const ABANDON_AFTER_POLLS: usize = 2;
-/// The load factor is shared as an integer: this is a factor of 1.
+/// Integer that represents a load factor of 1 in the shared counter.
 const FACTOR_SCALE: f64 = 1000.0;
 
-/// What clients do.
+/// Configuration of a client load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientConfig {
-    /// How many clients there are.
+    /// Number of clients.
     pub count: u32,
-    /// The mean pause of a client between two statements.
+    /// Mean pause of a client between two statements.
     #[serde(deserialize_with = "deserialize_duration")]
     pub pause: Duration,
-    /// The classes of their statements.
+    /// Classes from which the clients draw their statements.
     pub mix: Vec<StatementClassConfig>,
-    /// The fraction of the clients that retry what was rejected.
+    /// Fraction of the clients that retry rejected statements.
     #[serde(rename = "again", default)]
-    pub retrying: f64,
-    /// The fraction of the statements that clients abandon after a few polls.
+    pub retrying_fraction: f64,
+    /// Fraction of the statements that clients abandon after a few polls.
     #[serde(rename = "leave", default)]
-    pub abandoned: f64,
+    pub abandoned_fraction: f64,
 }
 
-/// Statements of one class in a load.
+/// A statement class in the mix of a client load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StatementClassConfig {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Its weight among the classes of the load.
+    /// Weight of the class in the mix.
     #[serde(rename = "part")]
     pub weight: f64,
-    /// The text of its statements.
+    /// Text of the statements.
     pub text: String,
-    /// How many ordering keys its statements are drawn from; 0: they have none.
+    /// Number of ordering keys from which statements draw theirs; 0 for statements without a key.
     #[serde(default)]
     pub keys: u32,
-    /// How long clients wait for a result.
+    /// Maximum time that clients wait for a result.
     #[serde(rename = "patience", deserialize_with = "deserialize_duration")]
     pub timeout: Duration,
 }
 
-/// Clients that submit statements until they are told to finish.
+/// Clients that submit statements until [`finish`](RetryingClientLoad::finish) is called.
 pub(super) struct RetryingClientLoad {
     threads: ClientThreads,
     load_factor: Arc<AtomicU64>,
 }
 
 impl RetryingClientLoad {
-    /// Starts the clients, spread over the routers.
+    /// Starts the clients, distributed over the routers.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Returns an error if a thread can't be started.
     pub(super) fn start(
         config: &ClientConfig,
         routers: Vec<RouterAddress>,
@@ -90,10 +90,10 @@
         let load_factor = Arc::new(AtomicU64::new(FACTOR_SCALE as u64));
         let (config, recorder, factor) = (config.clone(), recorder.clone(), load_factor.clone());
         let count = u64::from(config.count);
-        let threads = ClientThreads::start(count, THREADS, move |number, control| {
+        let threads = ClientThreads::start(count, THREAD_COUNT, move |number, control| {
             let client = RetryingClient {
                 draws: ClientDraws::new(&config, seed, number),
-                home: number as usize % routers.len(),
+                router_index: number as usize % routers.len(),
                 routers: routers.clone(),
                 load_factor: factor.clone(),
                 control,
@@ -101,26 +101,26 @@
             };
             client.run()
         })
-        .map_err(ScenarioError::io("a thread for clients"))?;
+        .map_err(ScenarioError::io("client threads"))?;
         Ok(RetryingClientLoad {
             threads,
             load_factor,
         })
     }
 
-    /// Has clients pause `factor` times less than at first.
+    /// Divides the mean pause of the clients by `factor`, relative to their configuration.
     pub(super) fn set_load_factor(&self, factor: f64) {
         self.load_factor
             .store((factor * FACTOR_SCALE) as u64, Ordering::Relaxed);
     }
 
-    /// Lets every client end what it has begun, and waits for all of them.
+    /// Signals the clients to stop, and waits until they have finished their current statements.
     pub(super) fn finish(self) {
         self.threads.finish();
     }
 }
 
-/// What one client draws from its seed.
+/// The random draws of one client.
 #[derive(Clone, Debug)]
 pub struct ClientDraws {
     config: ClientConfig,
@@ -129,10 +129,10 @@
 }
 
 impl ClientDraws {
-    /// The draws of the client `number` of a load that started from `seed`.
+    /// Creates the draws of the client `number` in a load with the seed `seed`.
     pub fn new(config: &ClientConfig, seed: u64, number: u64) -> ClientDraws {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE) + number);
-        let retries = rng.random_bool(config.retrying.clamp(0.0, 1.0));
+        let retries = rng.random_bool(config.retrying_fraction.clamp(0.0, 1.0));
         ClientDraws {
             config: config.clone(),
             rng,
@@ -140,28 +140,31 @@
         }
     }
 
-    /// Whether this client retries what was rejected.
+    /// Returns whether the client retries rejected statements.
     pub fn retries(&self) -> bool {
         self.retries
     }
 
-    /// Draws the pause before a statement, exponentially distributed around the mean over `load_factor`; at most 60 s.
+    /// Draws the pause before a statement from an exponential distribution whose mean is the configured one divided by
+    /// `load_factor`. The pause is at most 60 s.
     pub fn pause(&mut self, load_factor: f64) -> Duration {
         let mean = self.config.pause.as_secs_f64() / load_factor;
         let pause = mean * -self.rng.random_range(f64::EPSILON..1.0f64).ln();
         Duration::from_secs_f64(pause.min(MAX_PAUSE_SECONDS))
     }
 
-    /// Draws a statement. Its number is still to be set.
+    /// Draws a statement. The caller has to set its request number.
     ///
     /// # Panics
     ///
-    /// When the load has no class.
+    /// Panics if the mix is empty.
     pub fn statement(&mut self) -> ClientRequest {
         let class = self.class();
         let number: u64 = self.rng.random();
         let key = (class.keys > 0).then(|| format!("k{}", self.rng.random_range(0..class.keys)));
-        let is_abandoned = self.rng.random_bool(self.config.abandoned.clamp(0.0, 1.0));
+        let is_abandoned = self
+            .rng
+            .random_bool(self.config.abandoned_fraction.clamp(0.0, 1.0));
         ClientRequest {
             id: 0,
             trace: format!("{}-{number:016x}", class.class),
@@ -179,12 +182,12 @@
 
     fn class(&mut self) -> StatementClassConfig {
         let total: f64 = self.config.mix.iter().map(|class| class.weight).sum();
-        let mut left = self.rng.random_range(0.0..1.0) * total;
+        let mut remaining = self.rng.random_range(0.0..1.0) * total;
         let mut chosen = &self.config.mix[0];
         for class in &self.config.mix {
             chosen = class;
-            left -= class.weight;
-            if left <= 0.0 {
+            remaining -= class.weight;
+            if remaining <= 0.0 {
                 break;
             }
         }
@@ -194,8 +197,8 @@
 
 struct RetryingClient {
     draws: ClientDraws,
-    /// The place of its router.
-    home: usize,
+    /// Index of the router that the client uses.
+    router_index: usize,
     routers: Vec<RouterAddress>,
     load_factor: Arc<AtomicU64>,
     control: Arc<ClientControl>,
@@ -215,14 +218,14 @@
         }
     }
 
-    /// Submits a statement, and retries it where it is rejected.
+    /// Submits a statement, and retries it if it is rejected.
     async fn run_statement(&mut self) {
         let mut statement = self.draws.statement();
         let name = statement.trace.clone();
         for attempt in 0..=MAX_RETRIES {
             statement.trace = format!("{name}.{attempt}");
             statement.id = self.control.next_request();
-            let router = &self.routers[self.home];
+            let router = &self.routers[self.router_index];
             let outcome = Client::new(&router.name, router.addr, self.recorder.clone())
                 .run(&statement)
                 .await;
@@ -236,12 +239,12 @@
         }
     }
 
-    /// How long to wait before a retry; `None` where there is to be none. Where the router can't be reached, the next one is
-    /// this client's from now on.
+    /// Returns the pause before a retry, or `None` if the client does not retry. If the router can't be reached, the client
+    /// switches to the next one.
     fn backoff(&mut self, outcome: &ClientOutcome) -> Option<Duration> {
         match outcome {
             ClientOutcome::Unreachable => {
-                self.home = (self.home + 1) % self.routers.len();
+                self.router_index = (self.router_index + 1) % self.routers.len();
                 Some(UNREACHABLE_BACKOFF)
             }
             ClientOutcome::NotAdmitted(_) => Some(REJECTED_BACKOFF),
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -1,4 +1,4 @@
-//! What a scenario of routers runs on: discovery and engines in this process, routers as processes, and their files.
+//! The cluster of a router scenario: discovery and engines in the current process, routers as child processes, and their files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,23 +20,23 @@
 use crate::error::ScenarioError;
 use crate::mock_engine::MockEngine;
 
-/// How long engines may work on after the routers have ended.
+/// Maximum time to wait for engines to become idle after the routers have ended.
 const ENGINES_TIMEOUT: Duration = Duration::from_secs(40);
 const ENGINES_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The running processes and servers of a scenario. All of them end when this is dropped.
+/// The running processes and servers of a scenario. Dropping the value ends all of them.
 pub(super) struct RouterCluster {
     client_recorder: Recorder,
     program: PathBuf,
     discovery: DiscoveryConfig,
     discovery_faults: DiscoveryFaults,
-    _running_discovery: ServerThread,
+    _discovery_server: ServerThread,
     engines: Vec<MockEngine>,
     routers: Vec<RouterProcess>,
 }
 
 impl RouterCluster {
-    /// Starts everything, writes the rules, and waits until all routers list all engines.
+    /// Writes the rules, starts all servers and routers, and waits until all routers list all engines.
     pub(super) fn start(
         scenario: &RouterScenario,
         program: &Path,
@@ -52,7 +52,7 @@
         };
         let running_discovery = discovery
             .start()
-            .map_err(ScenarioError::io("the stand-in discovery"))?;
+            .map_err(ScenarioError::io("mock discovery"))?;
         let engines = start_engines(scenario, dir, running_discovery.addr)?;
         let routers = (0..scenario.routers)
             .map(|index| RouterProcess::new(scenario, dir, index, running_discovery.addr))
@@ -62,7 +62,7 @@
             program: program.to_owned(),
             discovery,
             discovery_faults: DiscoveryFaults::default(),
-            _running_discovery: running_discovery,
+            _discovery_server: running_discovery,
             engines,
             routers,
         };
@@ -75,18 +75,18 @@
         Ok(cluster)
     }
 
-    /// What clients see is recorded here.
+    /// Returns the recorder of the observations of clients.
     pub(super) fn client_recorder(&self) -> &Recorder {
         &self.client_recorder
     }
 
-    /// The routers, whether they run or not.
+    /// Returns all routers, including those that are not running.
     pub(super) fn router_addresses(&self) -> Vec<RouterAddress> {
         let routers = self.routers.iter();
         routers.map(|router| router.address().clone()).collect()
     }
 
-    /// Applies an event; one of the client load changes nothing here.
+    /// Applies an event. Events of the client load have no effect here.
     pub(super) fn apply(&mut self, event: &RouterEvent) -> Result<(), ScenarioError> {
         match event {
             RouterEvent::SetLoadFactor(_) => {}
@@ -118,7 +118,7 @@
     fn kill_router(&mut self, router: usize) {
         let router = &mut self.routers[router];
         if router.has_process() {
-            // Recorded first: what it answers in its last moment counts either way.
+            // Records the kill first, so that responses that the router sends just before it dies remain valid.
             self.client_recorder.write(Record::RouterKilled {
                 at: unix_micros(),
                 router: router.address().name.clone(),
@@ -127,15 +127,15 @@
         }
     }
 
-    /// Shuts the routers down as an operator would, waits until engines are idle, then ends everything.
+    /// Shuts the routers down gracefully, waits until the engines are idle, and then ends everything.
     ///
     /// # Errors
     ///
-    /// When a router can't be waited for.
+    /// Returns an error if waiting for a router fails.
     pub(super) fn shut_down(mut self) -> Result<(), ScenarioError> {
         self.routers.iter().for_each(RouterProcess::terminate);
         self.routers.iter_mut().try_for_each(RouterProcess::wait)?;
-        // What engines still work on is the last that can have an effect.
+        // Attempts that are still running on engines can have effects, so they must finish before the run ends.
         let deadline = Instant::now() + ENGINES_TIMEOUT;
         while Instant::now() < deadline && self.has_busy_engine() {
             std::thread::sleep(ENGINES_POLL_INTERVAL);
@@ -172,7 +172,7 @@
     Ok(engines)
 }
 
-/// The configuration of an engine of which all that the settings say is true.
+/// Returns the configuration of an engine that behaves as the router settings describe.
 fn engine_config(scenario: &RouterScenario, name: &str, spec: &RouterEngineSpec) -> EngineConfig {
     const DEFAULT_CORES: f64 = 8.0;
     let settings = &scenario.settings;
@@ -196,7 +196,7 @@
     engine.start().map_err(ScenarioError::io(name))
 }
 
-/// Asks an engine to drain. One that does not answer is not asked again.
+/// Asks an engine to drain. The request is not retried if the engine does not respond.
 fn drain(engine: SocketAddr) {
     let mut request = Request::new(Method::Put, "/v1/info/state");
     request.body = b"\"SHUTTING_DOWN\"".to_vec();
--- a/crates/fault-harness/src/router_scenario/duration.rs
+++ b/crates/fault-harness/src/router_scenario/duration.rs
@@ -5,7 +5,7 @@
 use hoptiller_statement::parse_duration;
 use serde::{Deserialize, Deserializer};
 
-/// Deserializes a duration with its unit, such as `1.5s`.
+/// Deserializes a duration with a unit, such as `1.5s`.
 pub(super) fn deserialize_duration<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Duration, D::Error> {
--- a/crates/fault-harness/src/router_scenario/event.rs
+++ b/crates/fault-harness/src/router_scenario/event.rs
@@ -1,4 +1,4 @@
-//! The events of a scenario of routers.
+//! The events of a router scenario.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 use super::duration::deserialize_duration;
 
-/// Something that happens. Routers and engines are named by place, counted from 0.
+/// An event of a router scenario. Routers and engines are identified by index, counted from 0.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouterEvent {
-    /// Multiplies the rate at which clients submit statements, compared to the start.
+    /// Divides the pauses of clients between statements by this factor, relative to their configuration.
     #[serde(rename = "rush")]
     SetLoadFactor(f64),
-    /// Replaces the faults of an engine; `{}` takes them back.
+    /// Replaces the faults of an engine; `{}` removes them.
     #[serde(rename = "fault")]
     SetEngineFaults {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// Its faults from now on.
+        /// New faults of the engine.
         faults: EngineFaults,
     },
-    /// Has an engine drain.
+    /// Asks an engine to drain.
     #[serde(rename = "drain")]
     DrainEngine(usize),
     /// Crashes an engine.
     #[serde(rename = "crash")]
     CrashEngine(usize),
-    /// Starts an engine, which then warms up.
+    /// Starts an engine, which is cold and warms up.
     #[serde(rename = "start")]
     StartEngine(usize),
     /// Kills a router.
@@ -38,20 +38,20 @@
     /// Asks a router to shut down.
     #[serde(rename = "end")]
     TerminateRouter(usize),
-    /// Starts a router at the address that it had, once its former process has ended.
+    /// Starts a router at its previous address, after its previous process has ended.
     #[serde(rename = "route")]
     StartRouter(usize),
-    /// Freezes the endpoint list of discovery, or lets it change again.
+    /// Freezes or unfreezes the endpoint list of discovery.
     #[serde(rename = "stale")]
     SetDiscoveryStale(bool),
-    /// Has discovery answer nobody, or everybody again.
+    /// Takes discovery down, so that it closes all connections, or up again.
     #[serde(rename = "down")]
     SetDiscoveryDown(bool),
 }
 
 impl RouterEvent {
-    /// Whether a scenario with so many routers and engines has what the event names.
-    pub(super) fn is_possible(&self, routers: usize, engines: usize) -> bool {
+    /// Returns whether the event is valid in a scenario with `routers` routers and `engines` engines.
+    pub(super) fn is_valid(&self, routers: usize, engines: usize) -> bool {
         match self {
             RouterEvent::SetEngineFaults { engine, .. }
             | RouterEvent::DrainEngine(engine)
@@ -66,6 +66,7 @@
     }
 }
 
+/// Formats the event as the progress of a run and problems of a file name it.
 impl fmt::Display for RouterEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -90,14 +91,14 @@
     }
 }
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledRouterEvent {
-    /// When it happens, from the start of the client load on.
+    /// Time of the event since the start of the client load.
     #[serde(deserialize_with = "deserialize_duration")]
     pub at: Duration,
-    /// What happens.
+    /// The event.
     #[serde(rename = "do")]
     pub event: RouterEvent,
 }
--- a/crates/fault-harness/src/router_scenario/router_process.rs
+++ b/crates/fault-harness/src/router_scenario/router_process.rs
@@ -1,4 +1,4 @@
-//! A router of a scenario: its settings, its log, and the process that runs now.
+//! A router of a scenario, with its settings, log and current process.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -15,11 +15,11 @@
 use crate::error::ScenarioError;
 use crate::process::{Process, ProcessConfig, ProcessError};
 
-/// How long a router may take until it lists all engines.
+/// Maximum time until a router lists all engines.
 const LISTING_TIMEOUT: Duration = Duration::from_secs(20);
 const LISTING_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A router. Its process is killed when this is dropped.
+/// A router of a scenario. Dropping the value kills its process.
 pub(super) struct RouterProcess {
     address: RouterAddress,
     settings: PathBuf,
@@ -28,7 +28,7 @@
 }
 
 impl RouterProcess {
-    /// Writes the settings of the router `index` into the folder `dir`. It does not run yet.
+    /// Creates the router `index` and writes its settings to the folder `dir`, without starting a process.
     pub(super) fn new(
         scenario: &RouterScenario,
         dir: &Path,
@@ -53,12 +53,12 @@
         })
     }
 
-    /// The name and address, which it keeps over restarts.
+    /// Returns the name and address, which stay the same after restarts.
     pub(super) fn address(&self) -> &RouterAddress {
         &self.address
     }
 
-    /// Starts a process of `program`, once the former one has ended.
+    /// Starts a process of `program`, after the previous one has ended.
     pub(super) fn start(&mut self, program: &Path) -> Result<(), ScenarioError> {
         self.wait()?;
         let name = &self.address.name;
@@ -85,13 +85,13 @@
         Ok(())
     }
 
-    /// Tells the log of the next process from that of the one before.
+    /// Writes a line to the log that separates the output of the next process from that of the previous one.
     fn mark_log(&self) -> io::Result<()> {
         let mut log = File::options().create(true).append(true).open(&self.log)?;
         writeln!(log, "---- a new process")
     }
 
-    /// Waits until it lists so many engines.
+    /// Waits until the router lists `engines` engines.
     pub(super) fn wait_until_engines_listed(&self, engines: usize) -> Result<(), ScenarioError> {
         let deadline = Instant::now() + LISTING_TIMEOUT;
         while Instant::now() < deadline {
@@ -108,24 +108,24 @@
         })
     }
 
-    /// Whether a process was started that was neither killed nor waited for.
+    /// Returns whether there is a started process that was neither killed nor waited for.
     pub(super) fn has_process(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Kills the process, where there is one.
+    /// Kills the process, if there is one.
     pub(super) fn kill(&mut self) {
         if let Some(process) = self.process.take() {
             process.kill();
         }
     }
 
-    /// Asks the process to shut down, where there is one.
+    /// Asks the process to shut down, if there is one.
     pub(super) fn terminate(&self) {
         self.process.iter().for_each(Process::terminate);
     }
 
-    /// Waits until the process has ended, where there is one.
+    /// Waits until the process has ended, if there is one.
     pub(super) fn wait(&mut self) -> Result<(), ScenarioError> {
         match self.process.take() {
             Some(process) => process
@@ -137,7 +137,8 @@
     }
 }
 
-/// An address on loopback that is free now. Routers keep theirs over restarts, so that clients find their URIs again.
+/// Returns a loopback address that is currently free. Routers keep their addresses after restarts, so that the URIs that
+/// clients hold stay valid.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind(("127.0.0.1", 0))?.local_addr()
 }
--- a/crates/fault-harness/src/router_scenario/run.rs
+++ b/crates/fault-harness/src/router_scenario/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario of routers. Its records are judged by whoever reads the folder.
+//! Runs a router scenario. Judging the records is left to the caller.
 
 use std::fmt;
 use std::path::Path;
@@ -10,27 +10,27 @@
 use super::scenario::RouterScenario;
 use crate::error::ScenarioError;
 
-/// How a scenario is run.
+/// Options for running a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterRunOptions<'a> {
-    /// The program whose `route` command runs the routers.
+    /// Path of the program whose `route` command runs the routers.
     pub program: &'a Path,
-    /// The folder of settings, records, logs and rules, which exists and is empty.
+    /// Folder for settings, records, logs and rules, which must exist and be empty.
     pub report_dir: &'a Path,
-    /// The seed of the clients' draws.
+    /// Seed of the client load.
     pub seed: u64,
 }
 
-/// What has just happened in a run, for its operator. The times are from the start of the client load on.
+/// Progress of a run, reported to its operator. Times are since the start of the client load.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress<'a> {
-    /// Everything runs, and the client load is about to start.
+    /// All processes and servers are running, and the client load is about to start.
     Started(&'a RouterScenario),
     /// An event is about to be applied.
     Event(Duration, &'a RouterEvent),
-    /// Clients begin nothing more.
+    /// The duration of the scenario is over, and clients are about to be stopped.
     LoadStopped(Duration),
-    /// The last client has ended.
+    /// All clients have ended.
     LoadFinished(Duration),
 }
 
@@ -57,11 +57,12 @@
 }
 
 impl RouterScenario {
-    /// Runs the scenario, and reports its progress.
+    /// Runs the scenario and reports its progress.
     ///
     /// # Errors
     ///
-    /// When a file can't be written, a router or server does not start, or a router does not list all engines in time.
+    /// Returns an error if a file can't be written, a router or server does not start, or a router does not list all engines in
+    /// time.
     pub fn run(
         &self,
         options: &RouterRunOptions<'_>,
--- a/crates/fault-harness/src/router_scenario/scenario.rs
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -1,4 +1,4 @@
-//! The file of a scenario of routers: how it is loaded and checked.
+//! Loading and checking of router scenario files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const MAX_CLIENTS: u32 = 5_000;
 const MAX_DURATION: Duration = Duration::from_secs(3600);
 
-/// A scenario as its file gives it.
+/// A scenario in the form of its file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ScenarioFile {
@@ -32,33 +32,33 @@
     events: Vec<ScheduledRouterEvent>,
 }
 
-/// A scenario of routers, checked.
+/// A checked router scenario.
 #[derive(Clone, Debug)]
 pub struct RouterScenario {
     pub(super) duration: Duration,
     pub(super) routers: u32,
-    /// The settings of a router, without its name and addresses.
+    /// Settings of all routers, without names and addresses.
     pub(super) router_settings: Value,
-    /// The same, as they are understood.
+    /// Parsed form of `router_settings`.
     pub(super) settings: Settings,
     pub(super) engines: Vec<RouterEngineSpec>,
     pub(super) clients: ClientConfig,
-    /// In the order of time.
+    /// Events, sorted by time.
     pub(super) events: Vec<ScheduledRouterEvent>,
 }
 
-/// An engine of a scenario.
+/// Specification of a mock engine in a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterEngineSpec {
-    /// Its machine kind.
+    /// Machine kind of the engine.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: String,
-    /// The speed of a core, as a factor of the reference speed.
+    /// Speed of a core, as a factor of the reference speed.
     #[serde(default = "reference_speed")]
     pub speed: f64,
-    /// Whether it still warms up when the scenario starts.
+    /// Whether the engine is cold at the start of the scenario and has to warm up.
     #[serde(default)]
     pub cold: bool,
 }
@@ -68,12 +68,12 @@
 }
 
 impl RouterScenario {
-    /// Loads a scenario from a Jsonnet file, and checks it.
+    /// Loads a scenario from a Jsonnet file and checks it.
     ///
     /// # Errors
     ///
-    /// When the file can't be evaluated, has another form, or has values that can't work: [`ScenarioError::Invalid`] lists
-    /// all problems.
+    /// Returns [`ScenarioError::Invalid`] with all problems if the file can't be evaluated, does not have the structure of a
+    /// scenario, or has invalid values.
     pub fn load(path: &Path) -> Result<RouterScenario, ScenarioError> {
         let place = path.display().to_string();
         let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
@@ -106,7 +106,7 @@
         Err(ScenarioError::Invalid(problems.collect()))
     }
 
-    /// Describes the scenario in a line.
+    /// Returns a one-line description of the scenario.
     pub fn description(&self) -> String {
         format!(
             "a day of {} s, {} routers, {} engines, {} clients",
@@ -137,7 +137,7 @@
         }
         for scheduled in &self.events {
             let event = &scheduled.event;
-            if !event.is_possible(self.routers as usize, self.engines.len()) {
+            if !event.is_valid(self.routers as usize, self.engines.len()) {
                 problems.push(format!(
                     "acts: at {:?}, {event}: there is none such",
                     scheduled.at
@@ -162,11 +162,11 @@
         problems
     }
 
-    /// The cores of an engine of this machine kind, as the settings have them.
+    /// Returns the number of cores that the settings give for a machine kind.
     pub(super) fn cores(&self, kind: &str) -> Option<f64> {
         let mut kinds = self.settings.kinds.iter();
         kinds
-            .find(|known| known.name == kind)
-            .map(|known| known.cores)
+            .find(|candidate| candidate.name == kind)
+            .map(|candidate| candidate.cores)
     }
 }
