--- a/crates/fault-harness/src/client_threads.rs
+++ b/crates/fault-harness/src/client_threads.rs
@@ -1,4 +1,4 @@
-//! Threads that run many clients each, until they are told to stop.
+//! Threads that each run many clients until the load is stopped.
 
 use std::io;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use event_listener::Event;
 use futures_lite::future;
 
-/// What all clients of a load share: whether they are to stop, and the numbers of their submissions.
+/// State shared by all clients of a load: the stop signal and the counter of submissions.
 #[derive(Default)]
 pub(crate) struct ClientControl {
     stopped: AtomicBool,
@@ -21,24 +21,24 @@
 }
 
 impl ClientControl {
-    /// Whether clients are to submit nothing more.
+    /// Returns whether clients must submit no further statements.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// A number for a submission that no other one of the load has.
+    /// Returns the next submission number, which is unique within the load.
     pub(crate) fn next_request(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Sleeps for `duration`, or until the load is stopped.
+    /// Sleeps for `duration`, or less if the load is stopped.
     pub(crate) async fn sleep(&self, duration: Duration) {
         let stop = self.stop.listen();
         if !self.is_stopped() {
-            let elapsed = async {
+            let timer = async {
                 Timer::after(duration).await;
             };
-            future::or(stop, elapsed).await;
+            future::or(stop, timer).await;
         }
     }
 
@@ -48,21 +48,26 @@
     }
 }
 
-/// The threads of a client load. They are told to stop when this is dropped, and not waited for.
+/// The threads of a client load. Dropping the value signals them to stop without waiting for them.
 pub(crate) struct ClientThreads {
     control: Arc<ClientControl>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl ClientThreads {
-    /// Starts `clients` clients, numbered from 0, on `threads` threads. `client` makes the task of one, on its thread.
+    /// Starts `clients` clients, numbered from 0, on `threads` threads. `new_client` is called on the thread of a client and
+    /// returns its task.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
-    pub(crate) fn start<M, T>(clients: u64, threads: u64, client: M) -> io::Result<ClientThreads>
+    /// Returns an error if a thread can't be started.
+    pub(crate) fn start<F, T>(
+        clients: u64,
+        threads: u64,
+        new_client: F,
+    ) -> io::Result<ClientThreads>
     where
-        M: Fn(u64, Arc<ClientControl>) -> T + Clone + Send + 'static,
+        F: Fn(u64, Arc<ClientControl>) -> T + Clone + Send + 'static,
         T: Future<Output = ()> + 'static,
     {
         let mut started = ClientThreads {
@@ -70,19 +75,19 @@
             threads: Vec::new(),
         };
         for thread in 0..threads {
-            let (control, client) = (started.control.clone(), client.clone());
+            let (control, new_client) = (started.control.clone(), new_client.clone());
             let handle = std::thread::Builder::new()
                 .name(format!("clients-{thread}"))
                 .spawn(move || {
                     let numbers = (thread..clients).step_by(threads as usize);
-                    run_all(numbers.map(|number| client(number, control.clone())));
+                    run_all(numbers.map(|number| new_client(number, control.clone())));
                 })?;
             started.threads.push(handle);
         }
         Ok(started)
     }
 
-    /// Lets every client end what it has begun, and waits for all of them.
+    /// Signals the clients to stop, and waits until they have finished their current statements.
     pub(crate) fn finish(mut self) {
         self.control.stop();
         for thread in std::mem::take(&mut self.threads) {
@@ -97,7 +102,7 @@
     }
 }
 
-/// Runs tasks on this thread until all of them have ended.
+/// Runs tasks on the current thread until all of them have ended.
 fn run_all<T: Future<Output = ()> + 'static>(tasks: impl Iterator<Item = T>) {
     let executor = Rc::new(LocalExecutor::new());
     let running: Vec<_> = tasks.map(|task| executor.spawn(task)).collect();
--- a/crates/fault-harness/src/error.rs
+++ b/crates/fault-harness/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario can't be loaded or run.
+//! Errors of loading and running scenarios.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,59 +7,59 @@
 
 use crate::fleet::FleetError;
 
-/// Why a scenario can't be loaded or run.
+/// Error of loading or running a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The file has problems; all of them are listed.
+    /// The scenario file has the listed problems.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<SettingError>),
-    /// The file has another form than a scenario.
+    /// The file does not have the structure of a scenario.
     #[error("{}: {source}", .path.display())]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// A fleet could not be set up, or be started again while the scenario ran.
+    /// Setting up a fleet failed, or applying an event to it while the scenario ran.
     #[error("{step}: {source}")]
     Fleet {
-        /// What was being done.
+        /// Step of the run that failed.
         step: &'static str,
-        /// What failed.
+        /// Error of the fleet.
         source: FleetError,
     },
     /// A file, thread or mock server failed.
     #[error("{subject}: {source}")]
     Io {
-        /// The file, thread or server.
+        /// Name of the file, thread or server.
         subject: String,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A router of a [`RouterScenario`](crate::RouterScenario) ended before it was ready.
-    #[error("{router} did not start; see {}", .log.display())]
+    /// A router of a [`RouterScenario`](crate::RouterScenario) did not become ready.
+    #[error("{router} did not become ready; see {}", .log.display())]
     RouterNotStarted {
-        /// The name of the router.
+        /// Name of the router.
         router: String,
-        /// The file with what it logged.
+        /// Path of the log of the router.
         log: PathBuf,
     },
-    /// A router of a [`RouterScenario`](crate::RouterScenario) does not list all engines in time.
-    #[error("{router} does not see its engines; see {}", .log.display())]
+    /// A router of a [`RouterScenario`](crate::RouterScenario) did not list all engines in time.
+    #[error("{router} did not list all engines in time; see {}", .log.display())]
     EnginesNotListed {
-        /// The name of the router.
+        /// Name of the router.
         router: String,
-        /// The file with what it logged.
+        /// Path of the log of the router.
         log: PathBuf,
     },
-    /// An event proposes a document that the scenario does not have.
-    #[error("the day has no document {0:?}")]
+    /// An event proposes a document that the scenario does not define.
+    #[error("the scenario has no document {0:?}")]
     UnknownDocument(String),
 }
 
 impl ScenarioError {
-    /// Puts an I/O error under its subject.
+    /// Returns a conversion of I/O errors that names their subject.
     pub(crate) fn io(subject: impl Into<String>) -> impl FnOnce(io::Error) -> ScenarioError {
         let subject = subject.into();
         move |source| ScenarioError::Io { subject, source }
--- a/crates/fault-harness/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -1,4 +1,5 @@
-//! A link between two processes: a TCP proxy that forwards bytes both ways, with faults that are set while it runs.
+//! A link between two processes: a TCP proxy that forwards bytes in both directions, with faults that can change while it
+//! runs.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,19 +13,20 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// Faults of one direction of a link.
+/// Faults in one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectionFaults {
-    /// Nothing passes. What is sent meanwhile passes once the link is restored, as in a network that retransmits.
+    /// Whether the direction is blocked. Bytes sent while it is blocked are delivered after it is unblocked, as in a network
+    /// that retransmits.
     pub blocked: bool,
-    /// Added to the time that each chunk takes.
+    /// Latency added to each chunk.
     pub latency: Duration,
-    /// Bytes of each connection that pass before nothing more does; `None`: no limit.
+    /// Number of bytes after which each connection stalls; `None` for no limit.
     pub max_bytes: Option<u64>,
 }
 
 impl DirectionFaults {
-    /// Nothing passes in this direction.
+    /// Returns faults that block the direction.
     pub fn blocked() -> DirectionFaults {
         DirectionFaults {
             blocked: true,
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Everything passes later by `latency`.
+    /// Returns faults that add `latency` to each chunk.
     pub fn delayed(latency: Duration) -> DirectionFaults {
         DirectionFaults {
             latency,
@@ -41,24 +43,24 @@
     }
 }
 
-/// Faults of a link.
+/// Faults of both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
-    /// From the side that connects: requests.
+    /// Faults from the connecting side to the target: for requests.
     pub outbound: DirectionFaults,
-    /// To the side that connects: responses.
+    /// Faults from the target to the connecting side: for responses.
     pub inbound: DirectionFaults,
-    /// Whether new connections are closed at once.
+    /// Whether the link closes new connections immediately.
     pub rejects_connections: bool,
 }
 
 impl LinkFaults {
-    /// Nothing passes in either direction.
+    /// Returns faults that block both directions.
     pub fn blocked() -> LinkFaults {
         LinkFaults::both_ways(DirectionFaults::blocked())
     }
 
-    /// Requests are lost, responses are not.
+    /// Returns faults that block requests, but not responses.
     pub fn lost_requests() -> LinkFaults {
         LinkFaults {
             outbound: DirectionFaults::blocked(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Responses are lost, requests are not.
+    /// Returns faults that block responses, but not requests.
     pub fn lost_responses() -> LinkFaults {
         LinkFaults {
             inbound: DirectionFaults::blocked(),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Everything passes later by `latency`, in each direction.
+    /// Returns faults that add `latency` to each chunk in both directions.
     pub fn delayed(latency: Duration) -> LinkFaults {
         LinkFaults::both_ways(DirectionFaults::delayed(latency))
     }
@@ -92,16 +94,16 @@
 struct State {
     faults: LinkFaults,
     target: Option<SocketAddr>,
-    /// How often open connections were reset.
+    /// Number of times that open connections were reset.
     resets: u64,
     forwarded_bytes: u64,
 }
 
-/// What the owner of a link and its connections share.
+/// State shared by a link and its connections.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    /// Notified whenever faults or the count of resets change.
+    /// Notified whenever the faults, the target or the number of resets change.
     changed: Event,
 }
 
@@ -117,10 +119,10 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until `ready` returns something for the state.
+    /// Waits until `ready` returns a value for the state, and returns the value.
     async fn wait_for<T>(&self, ready: impl Fn(&State) -> Option<T>) -> T {
         loop {
-            // Listens first: a change after the state was read is not missed.
+            // Listens before reading the state, so that no later change is missed.
             let changed = self.changed.listen();
             if let Some(value) = ready(&self.state()) {
                 return value;
@@ -130,18 +132,18 @@
     }
 }
 
-/// A link. Its connections close when it is dropped.
+/// A link between two processes. Dropping it closes its connections.
 pub struct Link {
     shared: Arc<Shared>,
     proxy: ServerThread,
 }
 
 impl Link {
-    /// Starts a link without a target yet: it closes connections until it has one. Its thread is called `name`.
+    /// Starts a link on a thread called `name`. It closes connections until [`set_target`](Link::set_target) is called.
     ///
     /// # Errors
     ///
-    /// When no address on loopback can be bound or no thread started.
+    /// Returns an error if no loopback address can be bound or no thread can be started.
     pub fn new(name: &str) -> io::Result<Link> {
         let shared: Arc<Shared> = Arc::default();
         let proxy_shared = shared.clone();
@@ -153,7 +155,7 @@
                 while let Ok((stream, _)) = listener.accept().await {
                     let shared = proxy_shared.clone();
                     connections.spawn(async move {
-                        // A connection that breaks is closed, which is all that its ends can learn.
+                        // An error closes the connection, which is all that its two ends can observe.
                         let _ = forward_connection(stream, &shared).await;
                     });
                 }
@@ -163,27 +165,27 @@
         Ok(Link { shared, proxy })
     }
 
-    /// The address that leads over this link.
+    /// Returns the address on which the link accepts connections.
     pub fn addr(&self) -> SocketAddr {
         self.proxy.addr
     }
 
-    /// Leads new connections to `target`.
+    /// Forwards new connections to `target`.
     pub fn set_target(&self, target: SocketAddr) {
         self.shared.update(|state| state.target = Some(target));
     }
 
-    /// Bytes forwarded so far, in both directions together.
+    /// Returns the number of bytes forwarded so far, in both directions together.
     pub fn forwarded_bytes(&self) -> u64 {
         self.shared.state().forwarded_bytes
     }
 
-    /// Replaces the faults of this link; the default restores it.
+    /// Replaces the faults of the link. The default value restores it.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.shared.update(|state| state.faults = faults);
     }
 
-    /// Closes the connections that are open.
+    /// Closes all open connections.
     pub fn reset_connections(&self) {
         self.shared.update(|state| state.resets += 1);
     }
@@ -206,11 +208,11 @@
     };
     let requests = forward(&client, &server, shared, |faults| faults.outbound);
     let responses = forward(&server, &client, shared, |faults| faults.inbound);
-    // Either end that closes ends both directions: HTTP needs no half-closed connections here.
+    // Closing either end closes both directions, as no HTTP peer here uses half-closed connections.
     future::or(reset, future::or(requests, responses)).await
 }
 
-/// Forwards bytes in one direction until its source closes.
+/// Forwards bytes in one direction until the source closes.
 async fn forward(
     mut source: &Async<TcpStream>,
     mut destination: &Async<TcpStream>,
@@ -218,7 +220,7 @@
     direction: impl Fn(&LinkFaults) -> DirectionFaults,
 ) -> io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut passed = 0u64;
+    let mut forwarded_bytes = 0u64;
     loop {
         let length = source.read(&mut buffer).await?;
         let latency = direction(&shared.state().faults).latency;
@@ -226,18 +228,18 @@
             Timer::after(latency).await;
         }
         if length == 0 {
-            let open = |state: &State| (!direction(&state.faults).blocked).then_some(());
-            shared.wait_for(open).await;
+            let unblocked = |state: &State| (!direction(&state.faults).blocked).then_some(());
+            shared.wait_for(unblocked).await;
             return Ok(());
         }
         let mut pending = &buffer[..length];
         while !pending.is_empty() {
             let allowed = shared
-                .wait_for(|state| allowed_bytes(&direction(&state.faults), passed))
+                .wait_for(|state| allowed_bytes(&direction(&state.faults), forwarded_bytes))
                 .await;
             let count = pending.len().min(allowed);
             destination.write_all(&pending[..count]).await?;
-            passed += count as u64;
+            forwarded_bytes += count as u64;
             if let Ok(mut state) = shared.state.lock() {
                 state.forwarded_bytes += count as u64;
             }
@@ -246,10 +248,10 @@
     }
 }
 
-/// How many bytes more may pass on a connection on which `passed` have; `None` where none may.
-fn allowed_bytes(faults: &DirectionFaults, passed: u64) -> Option<usize> {
-    let left = faults
+/// Returns how many more bytes a connection may forward after `forwarded` bytes; `None` if it may forward none.
+fn allowed_bytes(faults: &DirectionFaults, forwarded: u64) -> Option<usize> {
+    let remaining = faults
         .max_bytes
-        .map_or(u64::MAX, |max| max.saturating_sub(passed));
-    (!faults.blocked && left > 0).then(|| left.try_into().unwrap_or(usize::MAX))
+        .map_or(u64::MAX, |max| max.saturating_sub(forwarded));
+    (!faults.blocked && remaining > 0).then(|| remaining.try_into().unwrap_or(usize::MAX))
 }
--- a/crates/fault-harness/src/mock_engine.rs
+++ b/crates/fault-harness/src/mock_engine.rs
@@ -1,4 +1,4 @@
-//! A mock engine with the configuration that it is started from, so that it can be stopped and started again.
+//! A mock engine that keeps its configuration, so that it can be crashed and started again.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use hoptiller_mock_servers::ServerThread;
 use hoptiller_mock_servers::engine::EngineConfig;
 
-/// A mock engine. It crashes when this is dropped.
+/// A mock engine, which crashes when the value is dropped.
 pub(crate) struct MockEngine {
     config: EngineConfig,
     running: Option<ServerThread>,
 }
 
 impl MockEngine {
-    /// An engine that does not run yet.
+    /// Creates an engine that is not running yet.
     pub(crate) fn new(config: EngineConfig) -> MockEngine {
         MockEngine {
             config,
@@ -25,7 +25,7 @@
         &self.config
     }
 
-    /// Starts it where it does not run. From its second start on it has the address of the first, and starts cold.
+    /// Starts the engine if it is not running. Later starts use the address of the first one, and the engine is cold.
     pub(crate) fn start(&mut self) -> io::Result<()> {
         if self.running.is_none() {
             let running = self.config.start()?;
@@ -36,14 +36,14 @@
         Ok(())
     }
 
-    /// Ends it at once, as if its process had crashed.
+    /// Stops the engine at once, as if its process had crashed.
     pub(crate) fn crash(&mut self) {
         if let Some(running) = self.running.take() {
             running.crash();
         }
     }
 
-    /// The address that it listens on, while it runs.
+    /// Returns the address on which the engine listens; `None` if it is not running.
     pub(crate) fn running_addr(&self) -> Option<SocketAddr> {
         self.running.as_ref().map(|running| running.addr)
     }
--- a/crates/fault-harness/src/process.rs
+++ b/crates/fault-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: started and waited for until they are ready, paused, resumed, killed.
+//! Child processes that run the program: starting them and waiting for readiness, pausing, resuming and killing them.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -11,34 +11,34 @@
 use rustix::io::retry_on_intr;
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
 
-/// How long a process may take until it is ready: long, as machines may be loaded.
+/// Maximum time until a process is ready. It is long because the machine may be busy.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Precedes the address in the line that a process prints when it is ready.
+/// Text before the address in the line that a process prints when it is ready.
 const READY_MARKER: &str = "ready http://";
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a process did not start.
+/// Error of starting a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// Its log or the program could not be opened.
+    /// The log could not be opened, or the program could not be spawned or waited for.
     #[error("{name}: {source}")]
     Spawn {
-        /// The name of the process.
+        /// Name of the process.
         name: String,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// It ended, or had printed no address within 30 s; then it was killed.
-    #[error("{name} was not ready: {status}")]
+    /// The process ended early, or printed no valid address within 30 s and was killed.
+    #[error("{name} did not become ready: {status}")]
     NotReady {
-        /// The name of the process.
+        /// Name of the process.
         name: String,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
     },
 }
 
-/// The processes of this program that run. Signals end this process without unwinding, so drops can't be relied on.
+/// The running child processes. A signal ends the current process without unwinding, so their destructors may not run.
 struct Registry {
     running: Vec<Pid>,
     closed: bool,
@@ -49,7 +49,7 @@
     closed: false,
 });
 
-/// Kills all processes that run, and lets none start any more. For a program that was told to end.
+/// Kills all running child processes and prevents further ones from starting. Called when the program is asked to end.
 pub fn kill_all() {
     let Ok(mut registry) = REGISTRY.lock() else {
         return;
@@ -60,20 +60,20 @@
     }
 }
 
-/// Spawns a process under the lock, so that none escapes [`kill_all`].
+/// Spawns a process while holding the lock of the registry, so that [`kill_all`] misses none.
 fn spawn_registered(command: &mut Command) -> io::Result<Child> {
     let mut registry = REGISTRY
         .lock()
-        .map_err(|_| io::Error::other("a thread has panicked"))?;
+        .map_err(|_| io::Error::other("the process registry is poisoned: a thread has panicked"))?;
     if registry.closed {
-        return Err(io::Error::other("told to end"));
+        return Err(io::Error::other("the program is shutting down"));
     }
     let child = command.spawn()?;
     registry.running.extend(pid_of(&child));
     Ok(child)
 }
 
-/// Removes a process that has ended or was killed: its id may soon belong to another one.
+/// Removes a process that has ended or was killed from the registry, as its id may be reused.
 fn unregister(child: &Child) {
     if let (Ok(mut registry), Some(pid)) = (REGISTRY.lock(), pid_of(child)) {
         registry.running.retain(|running| *running != pid);
@@ -84,18 +84,18 @@
     i32::try_from(child.id()).ok().and_then(Pid::from_raw)
 }
 
-/// What a process is started with.
+/// Configuration of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessConfig<'a> {
-    /// Its name in messages and records.
+    /// Name of the process in messages and records.
     pub name: &'a str,
-    /// The file of the program.
+    /// Path of the program.
     pub program: &'a Path,
-    /// The arguments.
+    /// Command line arguments.
     pub args: &'a [&'a str],
-    /// Environment variables beside those of this process.
+    /// Environment variables in addition to those of the current process.
     pub env: &'a [(String, String)],
-    /// The file that its standard error is appended to.
+    /// Path of the file to which the standard error is appended.
     pub log: &'a Path,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// A process that was ready. It is killed when this is dropped.
+/// A child process that became ready. Dropping the value kills it.
 pub struct Process {
     name: String,
     child: Child,
@@ -121,11 +121,11 @@
 }
 
 impl Process {
-    /// Starts a process, and waits until it prints `… ready http://ADDR`.
+    /// Starts a process and waits until it prints `… ready http://ADDR`.
     ///
     /// # Errors
     ///
-    /// When it can't be spawned, ends, or is not ready within 30 s.
+    /// Returns an error if the process can't be spawned, ends early, or is not ready within 30 s.
     pub fn start(config: &ProcessConfig<'_>) -> Result<Process, ProcessError> {
         let name = config.name.to_owned();
         let spawn_error = |source| ProcessError::Spawn {
@@ -142,42 +142,42 @@
         Err(ProcessError::NotReady { name, status })
     }
 
-    /// The name of the process.
+    /// Returns the name of the process.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The address that it listens on.
+    /// Returns the address on which the process listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Pauses it with SIGSTOP.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Resumes it with SIGCONT.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to shut down, with SIGTERM.
+    /// Asks the process to shut down with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills it with SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(mut self) {
         self.kill_and_reap();
     }
 
-    /// How it ended; `None` while it runs.
+    /// Returns the exit status; `None` while the process is running.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten();
         if status.is_some() {
@@ -186,7 +186,7 @@
         status
     }
 
-    /// Waits until it has ended, for `timeout` at most; `None` where it still runs then.
+    /// Waits at most `timeout` for the process to end. Returns `None` if it is still running then.
     pub fn wait_timeout(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -197,17 +197,17 @@
         }
     }
 
-    /// Waits until it has ended, however long that takes.
+    /// Waits without a time limit until the process has ended.
     ///
     /// # Errors
     ///
-    /// When the system reports none such.
+    /// Returns an error if the operating system fails to wait for the process.
     pub fn wait(mut self) -> io::Result<ExitStatus> {
         if let Some(status) = self.exit_status() {
             return Ok(status);
         }
         if let Some(pid) = pid_of(&self.child) {
-            // Not reaped yet: its id stays its own until it is unregistered.
+            // Waits without reaping, so that the id is not reused before it is unregistered.
             let options = WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
             retry_on_intr(|| waitid(WaitId::Pid(pid), options))?;
         }
@@ -225,7 +225,7 @@
         if self.exit_status().is_some() {
             return;
         }
-        // A paused process can't be reaped.
+        // A paused process is resumed first, so that it can be reaped.
         self.signal(Signal::CONT);
         let _ = self.child.kill();
         unregister(&self.child);
@@ -239,11 +239,12 @@
     }
 }
 
-/// Waits for the line with the address; `None` where the output ends without, or after 30 s.
+/// Waits for the line with the address. Returns `None` if the output ends without one, the address is invalid, or 30 s have
+/// passed.
 fn wait_for_address(output: ChildStdout) -> Option<SocketAddr> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
-        // Reads on to the end: a full pipe would block the process.
+        // Reads the output to its end, because a full pipe would block the process.
         for line in BufReader::new(output).lines().map_while(Result::ok) {
             if let Some((_, addr)) = line.split_once(READY_MARKER) {
                 let _ = sender.send(addr.trim().parse().ok());
--- a/crates/fault-harness/src/rng.rs
+++ b/crates/fault-harness/src/rng.rs
@@ -1,25 +1,24 @@
-//! The seeded random source of fleet scenarios.
+//! The seeded random number generator of fleet scenarios.
 
-/// Separates the streams of small seeds.
+/// Mask that is combined with each seed, so that small seeds start from unrelated states.
 const SEED_MASK: u64 = 0x5dee_ce66_d1ce_4e5b;
 
-/// A SplitMix64 generator: the same draws for the same seed, on every machine and with every version of the program.
-///
-/// Recorded runs name the seed they were drawn from, so its draws may never change.
+/// A SplitMix64 generator. A seed gives the same draws on every machine and with every version of the program: recorded runs
+/// name their seed, so its draws must not change.
 #[derive(Clone, Debug)]
 pub struct SeededRng {
     state: u64,
 }
 
 impl SeededRng {
-    /// A generator that starts from `seed`.
+    /// Creates a generator from `seed`.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng {
             state: seed ^ SEED_MASK,
         }
     }
 
-    /// Draws a number from 0 up to, not including, `bound`; 0 where `bound` is 0.
+    /// Draws a number below `bound`; returns 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
@@ -28,7 +27,7 @@
         (mixed ^ (mixed >> 31)) % bound.max(1)
     }
 
-    /// Draws an index of a collection with `length` elements.
+    /// Draws an index into a collection of `length` elements.
     pub fn index(&mut self, length: usize) -> usize {
         self.below(length as u64) as usize
     }
