--- a/crates/fault-harness/tests/draws.rs
+++ b/crates/fault-harness/tests/draws.rs
@@ -1,4 +1,5 @@
-//! What scenarios draw from a seed. Recorded runs name their seeds: the fixtures are draws of earlier versions.
+//! Random draws of scenarios. Recorded runs name their seeds, so the draws must not change: the fixtures contain the draws of
+//! earlier versions.
 
 use hoptiller_fault_harness::fleet_scenario::Timeline;
 use hoptiller_fault_harness::router_scenario::{ClientConfig, ClientDraws};
@@ -8,7 +9,8 @@
 const ROUTERS: usize = 4;
 const REPLICAS: usize = 3;
 
-/// The documents and clients do not matter to the draws of events, only the names of the documents.
+/// Returns a timeline with random events. Their draws depend on the names of the documents, but not on the contents of the
+/// documents or on the clients.
 fn timeline_with_random_events() -> Timeline {
     let document = json!({
         "form": 1, "kinds": { "a": 8 }, "engines": {},
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_events_as_ever() {
+fn a_seed_draws_the_same_events_in_every_version() {
     let timeline = timeline_with_random_events();
     let mut drawn = String::new();
     for seed in [1, 7, 42] {
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_statements_of_a_fleet_as_ever() {
+fn a_seed_draws_the_same_statements_of_a_fleet_in_every_version() {
     let config: ClientLoadConfig = serde_json::from_value(json!({
         "count": 3, "pause": "300ms",
         "mix": [
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_statements_of_a_router_scenario_as_ever() {
+fn a_seed_draws_the_same_statements_of_a_router_scenario_in_every_version() {
     let config: ClientConfig = serde_json::from_value(json!({
         "count": 2, "pause": "1.8s", "again": 0.5, "leave": 0.1,
         "mix": [
--- a/crates/fault-harness/tests/link.rs
+++ b/crates/fault-harness/tests/link.rs
@@ -1,4 +1,4 @@
-//! A link forwards bytes, and stalls, resets and rejects as its faults say.
+//! A link forwards bytes, and stalls, resets and rejects connections according to its faults.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,18 +6,18 @@
 
 use hoptiller_fault_harness::{DirectionFaults, Link, LinkFaults};
 
-/// Answers each connection with what it sends.
-fn echo() -> SocketAddr {
+/// Starts a server that sends back all bytes that it receives, and returns its address.
+fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("bound");
     let addr = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                let mut out = stream.try_clone().expect("cloned");
+                let mut output = stream.try_clone().expect("cloned");
                 let mut bytes = [0; 64];
                 let mut stream = stream;
-                while let Ok(n @ 1..) = stream.read(&mut bytes) {
-                    if out.write_all(&bytes[..n]).is_err() {
+                while let Ok(count @ 1..) = stream.read(&mut bytes) {
+                    if output.write_all(&bytes[..count]).is_err() {
                         return;
                     }
                 }
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn a_link_forwards_stalls_resumes_and_resets_as_its_faults_say() {
+fn a_link_forwards_stalls_resumes_and_resets_according_to_its_faults() {
     let link = Link::new("link").expect("made");
-    link.set_target(echo());
+    link.set_target(start_echo_server());
     let mut stream = connect(&link);
     let mut bytes = [0; 4];
     stream.write_all(b"one!").expect("sent");
     stream.read_exact(&mut bytes).expect("back");
-    // One way only: the answer is lost, not the call.
+    // Only one direction is blocked: the response is lost, but not the request.
     link.set_faults(LinkFaults {
         inbound: DirectionFaults {
             blocked: true,
@@ -64,7 +64,7 @@
     assert_eq!(&bytes, b"two!");
     link.reset_connections();
     assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0, "closed");
-    // So many bytes, then silence.
+    // The link forwards the permitted number of bytes and then stalls.
     link.set_faults(LinkFaults {
         outbound: DirectionFaults {
             max_bytes: Some(2),
--- a/crates/fault-harness/tests/report.rs
+++ b/crates/fault-harness/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of a fleet scenario, and the rules that it is judged by.
+//! The report of a fleet scenario, and the rules that follow from its documents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_report_keeps_its_json_form() {
+fn a_report_has_its_stable_json_form() {
     let mut value = serde_json::to_value(report()).expect("JSON");
     let verdict = value["verdict"].take();
     assert!(verdict["breaks"].is_array(), "{verdict}");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_lost_version_or_an_exited_process_is_no_success() {
+fn a_report_with_a_lost_version_or_an_exited_process_is_not_a_success() {
     assert!(report().is_success());
     let mut with_loss = report();
     with_loss.outcome.lost.push(3);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn percentiles_are_values_that_occurred() {
+fn percentiles_are_values_of_the_sample() {
     let ascending = [10, 20, 30, 40];
     let at = |fraction| percentile(&ascending, fraction);
     assert_eq!(
@@ -78,7 +78,10 @@
 }
 
 fn rules_of(documents: &[Value]) -> Rules {
-    let documents: BTreeMap<String, &Value> = (0..).map(|n| n.to_string()).zip(documents).collect();
+    let documents: BTreeMap<String, &Value> = (0..)
+        .map(|number| number.to_string())
+        .zip(documents)
+        .collect();
     let timeline: Timeline = serde_json::from_value(json!({
         "lasts": "1s", "documents": documents, "clients": { "count": 1, "pause": "1s", "mix": [] }
     }))
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn the_rules_of_several_documents_are_the_laxest_of_each() {
+fn the_rules_of_several_documents_are_the_most_permissive_of_each() {
     let rules = rules_of(&[
         document("never", json!(["a"]), 2),
         document("safe", json!(["b"]), 3),
--- a/crates/fault-harness/tests/scenario_events.rs
+++ b/crates/fault-harness/tests/scenario_events.rs
@@ -1,9 +1,9 @@
-//! The form of events in scenario files, and the text under which reports list them.
+//! The form of events in scenario files, and their text in reports.
 
 use hoptiller_fault_harness::fleet_scenario::ScenarioEvent;
 use serde_json::{Value, json};
 
-/// Every event: its form in a file, and its text.
+/// Returns every event as its form in a file and its text in reports.
 fn events() -> Vec<(Value, &'static str)> {
     vec![
         (json!({ "put": "first" }), "Put(\"first\")"),
