--- a/crates/fault-harness/src/router_scenario/clients.rs
+++ b/crates/fault-harness/src/router_scenario/clients.rs
@@ -31,17 +31,17 @@
 /// Integer that represents a load factor of 1 in the shared counter.
 const FACTOR_SCALE: f64 = 1000.0;
 
-/// Configuration of a client load.
+/// Configuration of a load of retrying clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClientConfig {
+pub struct RetryingLoadConfig {
     /// Number of clients.
     pub count: u32,
     /// Mean pause of a client between two statements.
     #[serde(deserialize_with = "deserialize_duration")]
     pub pause: Duration,
     /// Classes from which the clients draw their statements.
-    pub mix: Vec<StatementClassConfig>,
+    pub mix: Vec<RetryingWorkloadClass>,
     /// Fraction of the clients that retry rejected statements.
     #[serde(rename = "again", default)]
     pub retrying_fraction: f64,
@@ -50,10 +50,10 @@
     pub abandoned_fraction: f64,
 }
 
-/// A statement class in the mix of a client load.
+/// A statement class in the mix of a load of retrying clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StatementClassConfig {
+pub struct RetryingWorkloadClass {
     /// Name of the class.
     pub class: String,
     /// Weight of the class in the mix.
@@ -82,7 +82,7 @@
     ///
     /// Returns an error if a thread can't be started.
     pub(super) fn start(
-        config: &ClientConfig,
+        config: &RetryingLoadConfig,
         routers: Vec<RouterAddress>,
         recorder: &Recorder,
         seed: u64,
@@ -92,7 +92,7 @@
         let count = u64::from(config.count);
         let threads = ClientThreads::start(count, THREAD_COUNT, move |number, control| {
             let client = RetryingClient {
-                draws: ClientDraws::new(&config, seed, number),
+                draws: RetryingClientDraws::new(&config, seed, number),
                 router_index: number as usize % routers.len(),
                 routers: routers.clone(),
                 load_factor: factor.clone(),
@@ -120,20 +120,20 @@
     }
 }
 
-/// The random draws of one client.
+/// The random draws of one retrying client.
 #[derive(Clone, Debug)]
-pub struct ClientDraws {
-    config: ClientConfig,
+pub struct RetryingClientDraws {
+    config: RetryingLoadConfig,
     rng: StdRng,
     retries: bool,
 }
 
-impl ClientDraws {
+impl RetryingClientDraws {
     /// Creates the draws of the client `number` in a load with the seed `seed`.
-    pub fn new(config: &ClientConfig, seed: u64, number: u64) -> ClientDraws {
+    pub fn new(config: &RetryingLoadConfig, seed: u64, number: u64) -> RetryingClientDraws {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE) + number);
         let retries = rng.random_bool(config.retrying_fraction.clamp(0.0, 1.0));
-        ClientDraws {
+        RetryingClientDraws {
             config: config.clone(),
             rng,
             retries,
@@ -180,7 +180,7 @@
         }
     }
 
-    fn class(&mut self) -> StatementClassConfig {
+    fn class(&mut self) -> RetryingWorkloadClass {
         let total: f64 = self.config.mix.iter().map(|class| class.weight).sum();
         let mut remaining = self.rng.random_range(0.0..1.0) * total;
         let mut chosen = &self.config.mix[0];
@@ -196,7 +196,7 @@
 }
 
 struct RetryingClient {
-    draws: ClientDraws,
+    draws: RetryingClientDraws,
     /// Index of the router that the client uses.
     router_index: usize,
     routers: Vec<RouterAddress>,
--- a/crates/fault-harness/src/router_scenario/scenario.rs
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::clients::ClientConfig;
+use super::clients::RetryingLoadConfig;
 use super::duration::deserialize_duration;
 use super::event::ScheduledRouterEvent;
 use crate::error::ScenarioError;
@@ -27,7 +27,7 @@
     routers: u32,
     settings: Value,
     engines: Vec<RouterEngineSpec>,
-    clients: ClientConfig,
+    clients: RetryingLoadConfig,
     #[serde(rename = "acts")]
     events: Vec<ScheduledRouterEvent>,
 }
@@ -42,7 +42,7 @@
     /// Parsed form of `router_settings`.
     pub(super) settings: Settings,
     pub(super) engines: Vec<RouterEngineSpec>,
-    pub(super) clients: ClientConfig,
+    pub(super) clients: RetryingLoadConfig,
     /// Events, sorted by time.
     pub(super) events: Vec<ScheduledRouterEvent>,
 }
