--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -1,5 +1,5 @@
-//! Rule 1: each admitted statement gets exactly one final response, in time. No response is required for a statement that
-//! its client cancelled, or whose router was killed or paused while holding it.
+//! Rule 1: each admitted statement gets exactly one final response, in time. No response is required for a statement
+//! that its client cancelled, or whose router was killed or paused while holding it.
 
 use std::collections::BTreeMap;
 
@@ -158,9 +158,9 @@
         interruptions
     }
 
-    /// Returns whether the router was killed or paused between submission and final response. The router admits a statement
-    /// before its client reads the admission, so a kill between the submission and the recorded admission may affect a
-    /// statement that the router holds.
+    /// Returns whether the router was killed or paused between submission and final response. The router admits a
+    /// statement before its client reads the admission, so a kill between the submission and the recorded admission may
+    /// affect a statement that the router holds.
     fn affects(&self, submission: &Submission) -> bool {
         let ended_at = submission
             .final_responses
--- a/crates/audit/src/judge/effects.rs
+++ b/crates/audit/src/judge/effects.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Returns the name of the statement that a trace belongs to. Traces have the form `name.N`, where N counts the submissions
-/// of `name`.
+/// Returns the name of the statement that a trace belongs to. Traces have the form `name.N`, where N counts the
+/// submissions of `name`.
 fn statement_name(trace: &str) -> &str {
     trace.rsplit_once('.').map_or(trace, |(name, _)| name)
 }
--- a/crates/audit/src/judge/key_order.rs
+++ b/crates/audit/src/judge/key_order.rs
@@ -8,8 +8,8 @@
 use crate::rules::Rules;
 use crate::verdict::{Rule, Verdict};
 
-/// Maximum delay, in µs, between the end of an attempt at the router and the recorded response to the client, from which the
-/// end is derived.
+/// Maximum delay, in µs, between the end of an attempt at the router and the recorded response to the client, from
+/// which the end is derived.
 const MAX_RESPONSE_DELAY_MICROS: u64 = 20_000;
 
 pub(super) fn check_key_order(
--- a/crates/audit/src/judge/leases.rs
+++ b/crates/audit/src/judge/leases.rs
@@ -1,6 +1,6 @@
-//! Rule 9: no two routers operate on a shard under the same fencing token, no operation under an older token follows one
-//! under a newer token, apart from a permitted overlap, and no shard goes without an operation for longer than the limit.
-//! The check uses the records of discovery and engines.
+//! Rule 9: no two routers operate on a shard under the same fencing token, no operation under an older token follows
+//! one under a newer token, apart from a permitted overlap, and no shard goes without an operation for longer than the
+//! limit. The check uses the records of discovery and engines.
 
 use std::collections::BTreeMap;
 
--- a/crates/audit/src/judge/submissions.rs
+++ b/crates/audit/src/judge/submissions.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Collects the submissions and counts them by class. Responses that are invalid on their own are added as violations of
-/// rule 1.
+/// Collects the submissions and counts them by class. Responses that are invalid on their own are added as violations
+/// of rule 1.
 pub(super) fn collect_submissions<'a>(
     records: &'a [Record],
     verdict: &mut Verdict,
--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -1,6 +1,6 @@
-//! Rule 8: routers do not act under configuration versions that contradict each other. An attempt under an older version
-//! overlaps with a newer, contradicting version if it follows the first attempt under that version. The guarantee does not
-//! cover attempts of routers that could not be sure of their versions, so the check skips them.
+//! Rule 8: routers do not act under configuration versions that contradict each other. An attempt under an older
+//! version overlaps with a newer, contradicting version if it follows the first attempt under that version. The
+//! guarantee does not cover attempts of routers that could not be sure of their versions, so the check skips them.
 
 use std::collections::BTreeMap;
 
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
 //! Checks the seven rules, and the guarantees on configuration versions and leases, against records of the traffic on
-//! sockets: what clients submitted and received, what reached engines, and what discovery and engines reported to routers.
-//! The state of routers is not consulted.
+//! sockets: what clients submitted and received, what reached engines, and what discovery and engines reported to
+//! routers. The state of routers is not consulted.
 
 #![warn(missing_docs)]
 
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,5 +1,5 @@
-//! The records of a run. Clients, engines, discovery and the harness that stops routers each write what they observe. The
-//! names in the stored JSON differ from those in the code and must not change.
+//! The records of a run. Clients, engines, discovery and the harness that stops routers each write what they observe.
+//! The names in the stored JSON differ from those in the code and must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,8 @@
     Failed,
 }
 
-/// Configuration versions under which a router sent an attempt. Stored as the sequence `[in_force, enforced, in_doubt]`.
+/// Configuration versions under which a router sent an attempt. Stored as the sequence
+/// `[in_force, enforced, in_doubt]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, bool)", into = "(u64, u64, bool)")]
 pub struct SentVersions {
@@ -47,7 +48,7 @@
 ///
 /// - `at`: time of the observation, in µs since the Unix epoch;
 /// - `request`: number of the submission, assigned by the client;
-/// - `trace`: identifies a submission of a statement, as `name.N`, where N counts the submissions of the statement `name`;
+/// - `trace`: identifies a submission, as `name.N`, where N counts the submissions of the statement `name`;
 /// - `router`, `engine`, `class`, `kind`: names of the router, the engine, the statement class and the machine kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
@@ -172,8 +173,8 @@
     /// A router process was killed. No response is required for the statements that it held.
     #[serde(rename = "killed")]
     RouterKilled { at: u64, router: String },
-    /// A router process was paused from `at` to `until`. Responses to statements that it received or held during the pause may
-    /// be late.
+    /// A router process was paused from `at` to `until`. Responses to statements that it received or held during the
+    /// pause may be late.
     #[serde(rename = "stood_still")]
     RouterPaused { at: u64, router: String, until: u64 },
 }
--- a/crates/audit/src/recorder.rs
+++ b/crates/audit/src/recorder.rs
@@ -63,8 +63,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a record could not be written to the file, or an error that wraps [`WriterPanicked`] if a writing
-    /// thread panicked.
+    /// Returns an error if a record could not be written to the file, or an error that wraps [`WriterPanicked`] if a
+    /// writing thread panicked.
     pub fn records(&self) -> io::Result<Vec<Record>> {
         let Ok(mut sink) = self.0.lock() else {
             return Err(io::Error::other(WriterPanicked));
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -1,4 +1,5 @@
-//! Rules that records are checked against. The names in the stored JSON differ from those in the code and must not change.
+//! Rules that records are checked against. The names in the stored JSON differ from those in the code and must not
+//! change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,8 +25,8 @@
     pub versions: Option<VersionRules>,
 }
 
-/// Retry budget of a router: at most `spare + ratio × admitted` retries within each window of length `span`. Stored as the
-/// sequence `[spare, ratio, span]`.
+/// Retry budget of a router: at most `spare + ratio × admitted` retries within each window of length `span`. Stored as
+/// the sequence `[spare, ratio, span]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, u64)", into = "(f64, f64, u64)")]
 pub struct RetryBudget {
@@ -52,7 +53,8 @@
 /// Guarantees on configuration versions and leases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionRules {
-    /// Maximum overlap of attempts under contradicting versions, or of operations under an older and a newer lease, in µs.
+    /// Maximum overlap, in µs, of attempts under contradicting versions, or of operations under an older and a newer
+    /// lease.
     #[serde(rename = "overlap")]
     pub max_overlap: u64,
     /// Versions that do not contradict their predecessor.
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -1,5 +1,5 @@
-//! The result of a check: violations with their evidence, and counts. The names in the printed JSON differ from those in
-//! the code and must not change.
+//! The result of a check: violations with their evidence, and counts. The names in the printed JSON differ from those
+//! in the code and must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Returns records of a load that is refused once, submitted again and served; of a lookup that is retried once after a drain;
-/// and of a report that fails.
+/// Returns records of a load that is refused once, submitted again and served; of a lookup that is retried once after a
+/// drain; and of a report that fails.
 fn compliant_records() -> Vec<Record> {
     vec![
         submitted(10, 1, "a.0", "load"),
--- a/crates/fault-harness/src/client_load.rs
+++ b/crates/fault-harness/src/client_load.rs
@@ -1,5 +1,5 @@
-//! Client load of fleet scenarios. Each client submits one statement after another, each to a random router. Routers that
-//! reject statements or can't be reached are not excluded from later draws.
+//! Client load of fleet scenarios. Each client submits one statement after another, each to a random router. Routers
+//! that reject statements or can't be reached are not excluded from later draws.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/fault-harness/src/client_threads.rs
+++ b/crates/fault-harness/src/client_threads.rs
@@ -55,8 +55,8 @@
 }
 
 impl ClientThreads {
-    /// Starts `clients` clients, numbered from 0, on `threads` threads. `new_client` is called on the thread of a client and
-    /// returns its task.
+    /// Starts `clients` clients, numbered from 0, on `threads` threads. `new_client` is called on the thread of a
+    /// client and returns its task.
     ///
     /// # Errors
     ///
--- a/crates/fault-harness/src/fleet/coordination.rs
+++ b/crates/fault-harness/src/fleet/coordination.rs
@@ -42,8 +42,8 @@
         async_io::block_on(client.call(wire::PROPOSE, Some(&proposal), PROPOSE_TIMEOUT))
     }
 
-    /// Returns the newest version numbers that any replica reports, as an isolated replica may lag behind. Returns `None` if no
-    /// replica responds.
+    /// Returns the newest version numbers that any replica reports, as an isolated replica may lag behind. Returns
+    /// `None` if no replica responds.
     pub fn version_numbers(&self) -> Option<wire::VersionNumbers> {
         self.statuses()
             .into_iter()
--- a/crates/fault-harness/src/fleet/mod.rs
+++ b/crates/fault-harness/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of processes, the links between them, and the control of each process.
 //!
 //! There is a separate link from each replica to each other one, and from each router to each replica and to discovery.
-//! Replacement replicas share links, as [`LinkId`] describes. Engines and discovery are mock servers in the current process
-//! that record the traffic on their sockets.
+//! Replacement replicas share links, as [`LinkId`] describes. Engines and discovery are mock servers in the current
+//! process that record the traffic on their sockets.
 
 mod coordination;
 mod error;
--- a/crates/fault-harness/src/fleet/replicas.rs
+++ b/crates/fault-harness/src/fleet/replicas.rs
@@ -4,8 +4,8 @@
 
 use crate::process::Process;
 
-/// The replicas of a fleet, indexed from 0, while their own numbers start at 1. All methods that take an index panic if there
-/// is no such replica.
+/// The replicas of a fleet, indexed from 0, while their own numbers start at 1. All methods that take an index panic if
+/// there is no such replica.
 pub(super) struct Replicas {
     slots: Vec<ReplicaSlot>,
     initial_count: usize,
@@ -69,8 +69,8 @@
         self.slots[replica].process = None;
     }
 
-    /// Adds a replica, which is not started yet, as the replacement of `lost`. `members` are all members of the store after the
-    /// replacement.
+    /// Adds a replica, which is not started yet, as the replacement of `lost`. `members` are all members of the store
+    /// after the replacement.
     pub(super) fn add_replacement(&mut self, lost: usize, members: Vec<usize>) {
         let replacement = Replacement {
             initial_index: self.initial_index(lost),
--- a/crates/fault-harness/src/fleet/router_control.rs
+++ b/crates/fault-harness/src/fleet/router_control.rs
@@ -116,8 +116,8 @@
         self.routers.running()
     }
 
-    /// Waits at most `timeout` until `routers` routers hold a config lease and enforce `version` or a later one. Returns whether
-    /// they do.
+    /// Waits at most `timeout` until `routers` routers hold a config lease and enforce `version` or a later one.
+    /// Returns whether they do.
     pub fn wait_until_enforced(&mut self, routers: usize, version: u64, timeout: Duration) -> bool {
         self.wait_until(timeout, |fleet| {
             let enforcing = fleet.statuses().into_iter().map(|status| {
--- a/crates/fault-harness/src/fleet/routers.rs
+++ b/crates/fault-harness/src/fleet/routers.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Clears the pause of a router, whose process must then be [resumed](Routers::resume). Returns the start of the pause, in µs
-    /// since the Unix epoch; `None` if the router was not paused.
+    /// Clears the pause of a router, whose process must then be [resumed](Routers::resume). Returns the start of the
+    /// pause, in µs since the Unix epoch; `None` if the router was not paused.
     pub(super) fn end_pause(&mut self, router: usize) -> Option<u64> {
         self.slots[router].paused_at.take()
     }
--- a/crates/fault-harness/src/fleet/test_fleet.rs
+++ b/crates/fault-harness/src/fleet/test_fleet.rs
@@ -102,8 +102,8 @@
         (0..self.topology.replicas).try_for_each(|replica| self.start_replica(replica))
     }
 
-    /// Starts the engines and replicas, and waits until the replicas accept `document` as the first version, proposed under
-    /// the name `first`.
+    /// Starts the engines and replicas, and waits until the replicas accept `document` as the first version, proposed
+    /// under the name `first`.
     ///
     /// # Errors
     ///
--- a/crates/fault-harness/src/fleet_scenario/event.rs
+++ b/crates/fault-harness/src/fleet_scenario/event.rs
@@ -5,8 +5,8 @@
 use hoptiller_coordination::ConfigDuration;
 use serde::Deserialize;
 
-/// An event of a fleet scenario. Replicas and routers are identified by index, counted from 0. A link fault replaces the
-/// earlier faults of the link.
+/// An event of a fleet scenario. Replicas and routers are identified by index, counted from 0. A link fault replaces
+/// the earlier faults of the link.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ScenarioEvent {
--- a/crates/fault-harness/src/fleet_scenario/mod.rs
+++ b/crates/fault-harness/src/fleet_scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a whole fleet. A file specifies the components of the fleet, the client load, and the times of proposals and
-//! faults. Events can also be drawn at random; the same seed gives the same events.
+//! Scenarios of a whole fleet. A file specifies the components of the fleet, the client load, and the times of
+//! proposals and faults. Events can also be drawn at random; the same seed gives the same events.
 
 mod event;
 mod random_events;
--- a/crates/fault-harness/src/fleet_scenario/random_events.rs
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns whether the fault cuts one router off from the fleet. Such faults last longer than the interval, because a lease
-    /// may.
+    /// Returns whether the fault cuts one router off from the fleet. Such faults last longer than the interval, because
+    /// a lease may.
     fn isolates_router(self) -> bool {
         matches!(
             self,
@@ -61,8 +61,8 @@
 }
 
 impl Timeline {
-    /// Draws faults, and proposals during them, for a fleet with `routers` routers and `replicas` replicas. Returns none if the
-    /// timeline has no interval for random events. The events are not sorted by time.
+    /// Draws faults, and proposals during them, for a fleet with `routers` routers and `replicas` replicas. Returns
+    /// none if the timeline has no interval for random events. The events are not sorted by time.
     pub fn random_events(&self, seed: u64, routers: usize, replicas: usize) -> Vec<ScheduledEvent> {
         let Some(interval) = self.random_event_interval else {
             return Vec::new();
@@ -149,7 +149,8 @@
         match fault {
             RandomFault::IsolateRouter => self.add(0, ScenarioEvent::IsolateRouter(router)),
             RandomFault::LoseResponses => self.add(0, ScenarioEvent::LoseResponses(router)),
-            // Detects a router that measures its lease from the response instead of the request, and so holds it too long.
+            // Detects a router that measures its lease from the response instead of the request, and so holds it too
+            // long.
             RandomFault::SlowThenIsolateRouter => {
                 let slow = ScenarioEvent::AddRouterLatency(router, ROUTER_LATENCY_MS);
                 self.add(0, slow);
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Adds the events of [`RandomFault::SplitAfterPartition`]: one replica is partitioned while the others accept a version, and
-    /// then has to form a majority with only one of them. The version must survive.
+    /// Adds the events of [`RandomFault::SplitAfterPartition`]: one replica is partitioned while the others accept a
+    /// version, and then has to form a majority with only one of them. The version must survive.
     fn split_after_partition(&mut self, replica: usize) {
         let interval = self.interval;
         self.add(0, ScenarioEvent::PartitionReplica(replica));
--- a/crates/fault-harness/src/fleet_scenario/report.rs
+++ b/crates/fault-harness/src/fleet_scenario/report.rs
@@ -17,8 +17,8 @@
     pub rejected: u64,
     /// Number of proposals without a response, for which it is unknown whether they were accepted.
     pub unknown: u64,
-    /// Times from the proposal of a version until it was seen in force, in ms, in ascending order. Versions that were never seen
-    /// in force have none.
+    /// Times from the proposal of a version until it was seen in force, in ms, in ascending order. Versions that were
+    /// never seen in force have none.
     pub in_force_ms: Vec<u64>,
     /// Accepted versions that at the end are missing, have a different document, or are not in force.
     pub lost: Vec<u64>,
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct OutcomeEntry {
-    /// Time of the event since the start of the client load, in ms. For the last entry, "the end", the time since the start of
-    /// the run.
+    /// Time of the event since the start of the client load, in ms. For the last entry, "the end", the time since the
+    /// start of the run.
     pub elapsed_ms: u64,
     /// Description of the event.
     pub description: String,
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -45,8 +45,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the fleet can't be set up, a process does not start, an event proposes an unknown document, or a file
-    /// can't be used.
+    /// Returns an error if the fleet can't be set up, a process does not start, an event proposes an unknown document,
+    /// or a file can't be used.
     pub fn run(&self, options: &RunOptions<'_>) -> Result<FleetReport, ScenarioError> {
         let mut topology = self.topology();
         topology.coordinated = options.coordinated;
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Restores the links, starts stopped replicas, resumes paused routers, finishes the client load, waits until the last
-    /// version is in force, and collects the outcome.
+    /// Restores the links, starts stopped replicas, resumes paused routers, finishes the client load, waits until the
+    /// last version is in force, and collects the outcome.
     fn settle(mut self) -> Result<Outcome, ScenarioError> {
         self.fleet.restore_links();
         self.fleet.start_stopped_replicas().map_err(run_error)?;
--- a/crates/fault-harness/src/fleet_scenario/scenario.rs
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be evaluated, does not have the structure of a scenario, or has invalid values. The
-    /// settings of routers are only checked by [`check`](FleetScenario::check).
+    /// Returns an error if the file can't be evaluated, does not have the structure of a scenario, or has invalid
+    /// values. The settings of routers are only checked by [`check`](FleetScenario::check).
     pub fn load(path: &Path) -> Result<FleetScenario, ScenarioError> {
         let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
         let scenario: FleetScenario =
--- a/crates/fault-harness/src/fleet_scenario/timeline.rs
+++ b/crates/fault-harness/src/fleet_scenario/timeline.rs
@@ -32,8 +32,8 @@
 }
 
 impl Timeline {
-    /// Adds the limits of all documents to `rules`. Each rule gets the most permissive value, because any of the documents may be
-    /// in force.
+    /// Adds the limits of all documents to `rules`. Each rule gets the most permissive value, because any of the
+    /// documents may be in force.
     pub fn add_rules(&self, rules: &mut Rules) {
         for document in self.documents.values() {
             for (name, class) in &document.classes {
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,10 +1,10 @@
 //! Test fleets on loopback with fault injection, and the scenarios that run on them.
 //!
-//! A [`TestFleet`] starts routers and replicas of the coordination store as child processes, and runs mock engines and mock
-//! discovery in the current process. Connections between replicas, and from routers to replicas and discovery, pass through
-//! a [`Link`]: a proxy that can block, delay and reset them. A [`FleetScenario`] applies events and client load to such a
-//! fleet. A [`RouterScenario`] does the same for routers without a coordination store, and injects faults into engines and
-//! discovery instead of links.
+//! A [`TestFleet`] starts routers and replicas of the coordination store as child processes, and runs mock engines and
+//! mock discovery in the current process. Connections between replicas, and from routers to replicas and discovery,
+//! pass through a [`Link`]: a proxy that can block, delay and reset them. A [`FleetScenario`] applies events and client
+//! load to such a fleet. A [`RouterScenario`] does the same for routers without a coordination store, and injects
+//! faults into engines and discovery instead of links.
 //!
 //! [`hoptiller_audit`] computes the verdict on a run from records of the traffic on sockets.
 
--- a/crates/fault-harness/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between two processes: a TCP proxy that forwards bytes in both directions, with faults that can change while it
-//! runs.
+//! A link between two processes: a TCP proxy that forwards bytes in both directions, with faults that can change while
+//! it runs.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,8 +16,8 @@
 /// Faults in one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectionFaults {
-    /// Whether the direction is blocked. Bytes sent while it is blocked are delivered after it is unblocked, as in a network
-    /// that retransmits.
+    /// Whether the direction is blocked. Bytes sent while it is blocked are delivered after it is unblocked, as in a
+    /// network that retransmits.
     pub blocked: bool,
     /// Latency added to each chunk.
     pub latency: Duration,
--- a/crates/fault-harness/src/process.rs
+++ b/crates/fault-harness/src/process.rs
@@ -239,8 +239,8 @@
     }
 }
 
-/// Waits for the line with the address. Returns `None` if the output ends without one, the address is invalid, or 30 s have
-/// passed.
+/// Waits for the line with the address. Returns `None` if the output ends without one, the address is invalid, or 30 s
+/// have passed.
 fn wait_for_address(output: ChildStdout) -> Option<SocketAddr> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
--- a/crates/fault-harness/src/rng.rs
+++ b/crates/fault-harness/src/rng.rs
@@ -3,8 +3,8 @@
 /// Mask that is combined with each seed, so that small seeds start from unrelated states.
 const SEED_MASK: u64 = 0x5dee_ce66_d1ce_4e5b;
 
-/// A SplitMix64 generator. A seed gives the same draws on every machine and with every version of the program: recorded runs
-/// name their seed, so its draws must not change.
+/// A SplitMix64 generator. A seed gives the same draws on every machine and with every version of the program: recorded
+/// runs name their seed, so its draws must not change.
 #[derive(Clone, Debug)]
 pub struct SeededRng {
     state: u64,
--- a/crates/fault-harness/src/router_scenario/clients.rs
+++ b/crates/fault-harness/src/router_scenario/clients.rs
@@ -1,5 +1,5 @@
-//! Client load of router scenarios. Each client uses one router, switches to the next one if it can't be reached, and retries
-//! rejected statements.
+//! Client load of router scenarios. Each client uses one router, switches to the next one if it can't be reached, and
+//! retries rejected statements.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Returns the pause before a retry, or `None` if the client does not retry. If the router can't be reached, the client
-    /// switches to the next one.
+    /// Returns the pause before a retry, or `None` if the client does not retry. If the router can't be reached, the
+    /// client switches to the next one.
     fn backoff(&mut self, outcome: &ClientOutcome) -> Option<Duration> {
         match outcome {
             ClientOutcome::Unreachable => {
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -1,4 +1,5 @@
-//! The cluster of a router scenario: discovery and engines in the current process, routers as child processes, and their files.
+//! The cluster of a router scenario: discovery and engines in the current process, routers as child processes, and
+//! their files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/fault-harness/src/router_scenario/http_call.rs
+++ b/crates/fault-harness/src/router_scenario/http_call.rs
@@ -9,8 +9,8 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends a request on a new connection and returns the body of the response; `None` if there is no response, with a limit of
-/// 2 s each for connecting and the exchange.
+/// Sends a request on a new connection and returns the body of the response; `None` if there is no response, with a
+/// limit of 2 s each for connecting and the exchange.
 pub(super) fn call(addr: SocketAddr, request: &Request) -> Option<Vec<u8>> {
     block_on(async {
         let opened = Connection::open(addr, CALL_TIMEOUT, Limits::default()).await;
--- a/crates/fault-harness/src/router_scenario/mod.rs
+++ b/crates/fault-harness/src/router_scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios of routers without a coordination store. A file specifies the routers, engines, clients and timed faults. Faults
-//! affect engines, discovery and processes, but not the connections between them.
+//! Scenarios of routers without a coordination store. A file specifies the routers, engines, clients and timed faults.
+//! Faults affect engines, discovery and processes, but not the connections between them.
 
 mod clients;
 mod cluster;
--- a/crates/fault-harness/src/router_scenario/router_process.rs
+++ b/crates/fault-harness/src/router_scenario/router_process.rs
@@ -137,8 +137,8 @@
     }
 }
 
-/// Returns a loopback address that is currently free. Routers keep their addresses after restarts, so that the URIs that
-/// clients hold stay valid.
+/// Returns a loopback address that is currently free. Routers keep their addresses after restarts, so that the URIs
+/// that clients hold stay valid.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind(("127.0.0.1", 0))?.local_addr()
 }
--- a/crates/fault-harness/src/router_scenario/run.rs
+++ b/crates/fault-harness/src/router_scenario/run.rs
@@ -61,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a file can't be written, a router or server does not start, or a router does not list all engines in
-    /// time.
+    /// Returns an error if a file can't be written, a router or server does not start, or a router does not list all
+    /// engines in time.
     pub fn run(
         &self,
         options: &RouterRunOptions<'_>,
--- a/crates/fault-harness/src/router_scenario/scenario.rs
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -72,8 +72,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ScenarioError::Invalid`] with all problems if the file can't be evaluated, does not have the structure of a
-    /// scenario, or has invalid values.
+    /// Returns [`ScenarioError::Invalid`] with all problems if the file can't be evaluated, does not have the structure
+    /// of a scenario, or has invalid values.
     pub fn load(path: &Path) -> Result<RouterScenario, ScenarioError> {
         let place = path.display().to_string();
         let value = evaluate_file(path).map_err(|problem| ScenarioError::Invalid(vec![problem]))?;
--- a/crates/fault-harness/tests/draws.rs
+++ b/crates/fault-harness/tests/draws.rs
@@ -1,5 +1,5 @@
-//! Random draws of scenarios. Recorded runs name their seeds, so the draws must not change: the fixtures contain the draws of
-//! earlier versions.
+//! Random draws of scenarios. Recorded runs name their seeds, so the draws must not change: the fixtures contain the
+//! draws of earlier versions.
 
 use hoptiller_fault_harness::fleet_scenario::Timeline;
 use hoptiller_fault_harness::router_scenario::{RetryingClientDraws, RetryingLoadConfig};
@@ -9,8 +9,8 @@
 const ROUTERS: usize = 4;
 const REPLICAS: usize = 3;
 
-/// Returns a timeline with random events. Their draws depend on the names of the documents, but not on the contents of the
-/// documents or on the clients.
+/// Returns a timeline with random events. Their draws depend on the names of the documents, but not on the contents of
+/// the documents or on the clients.
 fn timeline_with_random_events() -> Timeline {
     let document = json!({
         "form": 1, "kinds": { "a": 8 }, "engines": {},
