--- a/crates/cli/tests/scenario_files.rs
+++ b/crates/cli/tests/scenario_files.rs
@@ -93,27 +93,31 @@
 fn events_of_a_day_that_name_nothing_there_is_are_problems() {
     let folder = TempFolder::new("day-problems");
     let place = folder.path().join("changed.jsonnet").display().to_string();
-    for (event, description) in [
+    let engine = "expected an engine index below 8, found 8";
+    let router = "expected a router index below 3, found 3";
+    let factor = "expected a finite load factor over 0, found 0";
+    for (event, description, problem) in [
         (
             "{ fault: { engine: 8, faults: {} } }",
             "engine 8 works as it should",
+            engine,
         ),
         (
             "{ fault: { engine: 8, faults: { hang: true } } }",
             "engine 8 fails",
-        ),
-        ("{ drain: 8 }", "engine 8 drains"),
-        ("{ crash: 8 }", "engine 8 crashes"),
-        ("{ start: 8 }", "engine 8 starts, cold"),
-        ("{ kill: 3 }", "router 3 is killed"),
-        ("{ end: 3 }", "router 3 is told to end"),
-        ("{ route: 3 }", "router 3 starts"),
-        ("{ rush: 0 }", "clients pause 0 times less"),
+            engine,
+        ),
+        ("{ drain: 8 }", "engine 8 drains", engine),
+        ("{ crash: 8 }", "engine 8 crashes", engine),
+        ("{ start: 8 }", "engine 8 starts, cold", engine),
+        ("{ kill: 3 }", "router 3 is killed", router),
+        ("{ end: 3 }", "router 3 is told to end", router),
+        ("{ route: 3 }", "router 3 starts", router),
+        ("{ rush: 0 }", "clients pause 0 times less", factor),
     ] {
         let change = format!("{{ acts: [{{ at: '1s', do: {event} }}] }}");
         let expected = format!(
-            "hoptiller: the settings have 1 problem; nothing was started\n  {place}: acts: at 1s, {description}: not \
-             possible in this scenario\n"
+            "hoptiller: the settings have 1 problem; nothing was started\n  {place}: acts: at 1s, {description}: {problem}\n"
         );
         assert_eq!(
             check_changed(&folder, "bad-day.jsonnet", &change),
@@ -130,8 +134,8 @@
                   engines: [base.engines[0] { kind: 'none' }], acts: [] }";
     let expected = format!(
         "hoptiller: the settings have 5 problems; nothing was started\n  \
-         {place}: expected 1 to 16 routers and 1 to 64 engines\n  \
-         {place}: expected 1 to 5,000 clients with a mix of at least one class\n  \
+         {place}: expected 1 to 16 routers and 1 to 64 engines, found 17 and 1\n  \
+         {place}: expected 1 to 5000 clients with a mix of at least one class, found 0 and 1\n  \
          {place}: lasts: expected a duration over 0 and up to 1 hour\n  \
          {place}: clients.mix: \"none\" is not a class of the settings\n  \
          {place}: engines[0].kind: \"none\" is not a machine kind of the settings\n"
@@ -149,7 +153,7 @@
     let change = "{ keepers: 4, day+: { documents: { other: base.day.documents.first } } }";
     let expected = format!(
         "hoptiller: the settings have 2 problems; nothing was started\n  \
-         {place}: keepers: expected 3 or 5 replicas, 1 to 64 routers and at least one engine\n  \
+         {place}: keepers: expected 3 or 5 replicas, 1 to 64 routers and at least one engine, found 4, 6 and 8\n  \
          {place}: day.documents: expected a document named `first`\n"
     );
     assert_eq!(
--- a/crates/fault-harness/src/fleet_scenario/scenario.rs
+++ b/crates/fault-harness/src/fleet_scenario/scenario.rs
@@ -26,13 +26,13 @@
     /// Term of leases.
     #[serde(rename = "permit")]
     pub lease_term: ConfigDuration,
-    /// Limit on the difference between the rates of two clocks, in millionths; the default of replicas if absent.
+    /// Limit on the difference between the rates of two clocks, in millionths; 1000 if absent.
     #[serde(rename = "drift", default)]
     pub drift_millionths: Option<u64>,
-    /// Clock rate error of each router, in millionths; positive if the clock runs fast.
+    /// Clock skew of each router: the error of its rate, in millionths; positive if the clock runs fast.
     #[serde(default)]
     pub router_skews: Vec<i64>,
-    /// Clock rate error of each replica, in millionths; positive if the clock runs fast.
+    /// Clock skew of each replica: the error of its rate, in millionths; positive if the clock runs fast.
     #[serde(rename = "keeper_skews", default)]
     pub replica_skews: Vec<i64>,
     /// Settings of all routers, without names and addresses.
@@ -40,7 +40,7 @@
     pub router_settings: Value,
     /// Engines of the fleet.
     pub engines: Vec<EngineSpec>,
-    /// Maximum time that a task shard may go without an operation of a lease holder; not checked if absent.
+    /// Maximum time between two consecutive operations of lease holders on a task shard; not checked if absent.
     #[serde(rename = "unheld", default)]
     pub max_unheld: Option<ConfigDuration>,
     /// Timeline of the scenario.
@@ -104,8 +104,13 @@
             && (1..=MAX_ROUTERS).contains(&self.routers)
             && !self.engines.is_empty();
         if !has_size {
-            let reason = "expected 3 or 5 replicas, 1 to 64 routers and at least one engine";
-            problems.push(problem("keepers", reason.into()));
+            let reason = format!(
+                "expected 3 or 5 replicas, 1 to {MAX_ROUTERS} routers and at least one engine, found {}, {} and {}",
+                self.replicas,
+                self.routers,
+                self.engines.len()
+            );
+            problems.push(problem("keepers", reason));
         }
         if !self.timeline.documents.contains_key(FIRST_DOCUMENT) {
             let reason = "expected a document named `first`";
--- a/crates/fault-harness/src/router_scenario/event.rs
+++ b/crates/fault-harness/src/router_scenario/event.rs
@@ -38,7 +38,8 @@
     /// Asks a router to shut down.
     #[serde(rename = "end")]
     TerminateRouter(usize),
-    /// Starts a router at its previous address, after its previous process has ended.
+    /// Starts a router at its previous address. Waits without a time limit until its previous process has ended, so the
+    /// event must follow a kill or a shutdown.
     #[serde(rename = "route")]
     StartRouter(usize),
     /// Freezes or unfreezes the endpoint list of discovery.
@@ -50,23 +51,27 @@
 }
 
 impl RouterEvent {
-    /// Returns whether the event is valid in a scenario with `routers` routers and `engines` engines.
-    pub(super) fn is_valid(&self, routers: usize, engines: usize) -> bool {
+    /// Returns why the event is invalid in a scenario with `routers` routers and `engines` engines; `None` if it is
+    /// valid.
+    pub(super) fn problem(&self, routers: usize, engines: usize) -> Option<String> {
         match self {
             RouterEvent::SetEngineFaults { engine, .. }
             | RouterEvent::DrainEngine(engine)
             | RouterEvent::CrashEngine(engine)
-            | RouterEvent::StartEngine(engine) => *engine < engines,
+            | RouterEvent::StartEngine(engine) => (*engine >= engines)
+                .then(|| format!("expected an engine index below {engines}, found {engine}")),
             RouterEvent::KillRouter(router)
             | RouterEvent::TerminateRouter(router)
-            | RouterEvent::StartRouter(router) => *router < routers,
-            RouterEvent::SetLoadFactor(factor) => factor.is_finite() && *factor > 0.0,
-            RouterEvent::SetDiscoveryStale(_) | RouterEvent::SetDiscoveryDown(_) => true,
+            | RouterEvent::StartRouter(router) => (*router >= routers)
+                .then(|| format!("expected a router index below {routers}, found {router}")),
+            RouterEvent::SetLoadFactor(factor) => (!factor.is_finite() || *factor <= 0.0)
+                .then(|| format!("expected a finite load factor over 0, found {factor}")),
+            RouterEvent::SetDiscoveryStale(_) | RouterEvent::SetDiscoveryDown(_) => None,
         }
     }
 }
 
-/// Formats the event as the progress of a run and problems of a file name it.
+/// Formats the event for progress lines and for problems of a scenario file.
 impl fmt::Display for RouterEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -95,7 +100,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledRouterEvent {
-    /// Time of the event since the start of the client load.
+    /// Time of the event since the start of the client load. Events at or after the duration of the scenario are
+    /// skipped.
     #[serde(deserialize_with = "deserialize_duration")]
     pub at: Duration,
     /// The event.
--- a/crates/fault-harness/src/router_scenario/scenario.rs
+++ b/crates/fault-harness/src/router_scenario/scenario.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::clients::RetryingLoadConfig;
+use super::clients::RouterLoadConfig;
 use super::duration::deserialize_duration;
 use super::event::ScheduledRouterEvent;
 use crate::error::ScenarioError;
@@ -27,7 +27,7 @@
     routers: u32,
     settings: Value,
     engines: Vec<RouterEngineSpec>,
-    clients: RetryingLoadConfig,
+    clients: RouterLoadConfig,
     #[serde(rename = "acts")]
     events: Vec<ScheduledRouterEvent>,
 }
@@ -42,7 +42,7 @@
     /// Parsed form of `router_settings`.
     pub(super) settings: Settings,
     pub(super) engines: Vec<RouterEngineSpec>,
-    pub(super) clients: RetryingLoadConfig,
+    pub(super) clients: RouterLoadConfig,
     /// Events, sorted by time.
     pub(super) events: Vec<ScheduledRouterEvent>,
 }
@@ -137,11 +137,8 @@
         }
         for scheduled in &self.events {
             let event = &scheduled.event;
-            if !event.is_valid(self.routers as usize, self.engines.len()) {
-                problems.push(format!(
-                    "acts: at {:?}, {event}: not possible in this scenario",
-                    scheduled.at
-                ));
+            if let Some(problem) = event.problem(self.routers as usize, self.engines.len()) {
+                problems.push(format!("acts: at {:?}, {event}: {problem}", scheduled.at));
             }
         }
         problems
@@ -151,10 +148,17 @@
         let engines = self.engines.len();
         let mut problems = Vec::new();
         if !(1..=MAX_ROUTERS).contains(&self.routers) || !(1..=MAX_ENGINES).contains(&engines) {
-            problems.push("expected 1 to 16 routers and 1 to 64 engines".into());
+            problems.push(format!(
+                "expected 1 to {MAX_ROUTERS} routers and 1 to {MAX_ENGINES} engines, found {} and {engines}",
+                self.routers
+            ));
         }
         if !(1..=MAX_CLIENTS).contains(&self.clients.count) || self.clients.mix.is_empty() {
-            problems.push("expected 1 to 5,000 clients with a mix of at least one class".into());
+            problems.push(format!(
+                "expected 1 to {MAX_CLIENTS} clients with a mix of at least one class, found {} and {}",
+                self.clients.count,
+                self.clients.mix.len()
+            ));
         }
         if self.duration > MAX_DURATION || self.duration.is_zero() {
             problems.push("lasts: expected a duration over 0 and up to 1 hour".into());
