--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -1,5 +1,6 @@
-//! Rule 1: each admitted statement gets exactly one final response, in time. No response is required for a statement
-//! that its client cancelled, or whose router was killed or paused while holding it.
+//! Rule 1: each admitted statement gets exactly one final response, and its first rows or that response, whichever is
+//! earlier, arrive before the deadline of the client. No response is required for a statement that its client
+//! cancelled, or whose router was killed or paused while holding it.
 
 use std::collections::BTreeMap;
 
@@ -33,12 +34,25 @@
             check_missing_response(*request, submission, interrupted, verdict);
             continue;
         };
-        let responded_at = submission
+        let first_response_at = submission
             .first_rows_at
             .map_or(response.at, |rows_at| rows_at.min(response.at));
         let work = work.get(submission.trace).copied().unwrap_or(0);
-        count_response(submission, *response, responded_at, work, rules, verdict);
-        check_response(*request, submission, responded_at, interrupted, verdict);
+        count_response(
+            submission,
+            *response,
+            first_response_at,
+            work,
+            rules,
+            verdict,
+        );
+        check_count_and_deadline(
+            *request,
+            submission,
+            first_response_at,
+            interrupted,
+            verdict,
+        );
     }
 }
 
@@ -83,7 +97,7 @@
 fn count_response(
     submission: &Submission,
     response: FinalResponse,
-    responded_at: u64,
+    first_response_at: u64,
     work: u64,
     rules: &Rules,
     verdict: &mut Verdict,
@@ -98,16 +112,16 @@
         .classes
         .get(submission.class)
         .map_or(u64::MAX, |class| class.objective_for(work));
-    let latency = responded_at.saturating_sub(submission.submitted_at);
+    let latency = first_response_at.saturating_sub(submission.submitted_at);
     if response.outcome == Outcome::Served && latency > objective {
         tally.late += 1;
     }
 }
 
-fn check_response(
+fn check_count_and_deadline(
     request: u64,
     submission: &Submission,
-    responded_at: u64,
+    first_response_at: u64,
     interrupted: bool,
     verdict: &mut Verdict,
 ) {
@@ -118,8 +132,8 @@
             format!("request {request}: {count} final answers"),
         );
     }
-    if responded_at > submission.deadline && !interrupted && !submission.cancelled {
-        let late = responded_at - submission.deadline;
+    if first_response_at > submission.deadline && !interrupted && !submission.cancelled {
+        let late = first_response_at - submission.deadline;
         verdict.add_violation(
             Rule::SingleFinalAnswer,
             format!("request {request}: answered {late} µs after its client gave up"),
--- a/crates/audit/src/judge/attempts.rs
+++ b/crates/audit/src/judge/attempts.rs
@@ -1,4 +1,5 @@
-//! Rule 7: the number of attempts at a statement is bounded, and the retries of a router stay within its budget.
+//! Rule 7: the number of attempts per submission of a statement is bounded, and the retries of a router stay within its
+//! budget.
 
 use std::collections::BTreeMap;
 
--- a/crates/audit/src/judge/drains.rs
+++ b/crates/audit/src/judge/drains.rs
@@ -14,7 +14,7 @@
 }
 
 pub(super) fn check_drains(records: &[Record], rules: &Rules, verdict: &mut Verdict) {
-    // Time of the first notification of each drain.
+    // Time at which each router was first notified of each current drain.
     let mut drains: BTreeMap<DrainNotice, u64> = BTreeMap::new();
     for record in records {
         match record {
--- a/crates/audit/src/judge/effects.rs
+++ b/crates/audit/src/judge/effects.rs
@@ -1,4 +1,5 @@
 //! Rule 2: a statement takes effect at most once over all its submissions, in agreement with its final response.
+//! Duplicate effects are checked in all classes, agreement with the response only in non-idempotent ones.
 
 use std::collections::BTreeMap;
 
@@ -60,8 +61,8 @@
     }
 }
 
-/// Returns the name of the statement that a trace belongs to. Traces have the form `name.N`, where N counts the
-/// submissions of `name`.
+/// Returns the name of the statement that a trace belongs to. Traces of resubmitted statements have the form
+/// `name.N`, where N counts the submissions of `name`.
 fn statement_name(trace: &str) -> &str {
     trace.rsplit_once('.').map_or(trace, |(name, _)| name)
 }
--- a/crates/audit/src/judge/leases.rs
+++ b/crates/audit/src/judge/leases.rs
@@ -1,6 +1,7 @@
 //! Rule 9: no two routers operate on a shard under the same fencing token, no operation under an older token follows
-//! one under a newer token, apart from a permitted overlap, and no shard goes without an operation for longer than the
-//! limit. The check uses the records of discovery and engines.
+//! one under a newer token, apart from a permitted overlap, and the time between two consecutive operations on a shard
+//! does not exceed the limit. Time after the last operation is not checked. The check uses the records of discovery and
+//! engines.
 
 use std::collections::BTreeMap;
 
--- a/crates/audit/src/judge/submissions.rs
+++ b/crates/audit/src/judge/submissions.rs
@@ -59,7 +59,7 @@
             submissions.insert(request, submission);
             continue;
         }
-        check_response_record(record, verdict);
+        check_record_validity(record, verdict);
         update_submission(record, &mut submissions);
     }
     submissions
@@ -113,7 +113,7 @@
     }
 }
 
-fn check_response_record(record: &Record, verdict: &mut Verdict) {
+fn check_record_validity(record: &Record, verdict: &mut Verdict) {
     match record {
         // An HTTP error is not a valid response, even from a router that was restarted.
         Record::Answered {
--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -1,5 +1,6 @@
 //! Rule 8: routers do not act under configuration versions that contradict each other. An attempt under an older
-//! version overlaps with a newer, contradicting version if it follows the first attempt under that version. The
+//! version overlaps with a newer, contradicting version if it follows the first attempt under that version. An attempt
+//! complies with all versions up to the one that its router enforces, which may be newer than the one in force. The
 //! guarantee does not cover attempts of routers that could not be sure of their versions, so the check skips them.
 
 use std::collections::BTreeMap;
@@ -57,7 +58,7 @@
     verdict.overlap = (!first_attempts.is_empty()).then_some(total);
 }
 
-/// Returns the lowest attempted version above the enforced one that contradicts it, with its first attempt.
+/// Returns the lowest version with an attempt that is above the enforced version and contradicts it.
 fn first_contradicting<'m, 'a>(
     first_attempts: &'m BTreeMap<u64, FirstAttempt<'a>>,
     enforced: u64,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Checks the seven rules, and the guarantees on configuration versions and leases, against records of the traffic on
-//! sockets: what clients submitted and received, what reached engines, and what discovery and engines reported to
-//! routers. The state of routers is not consulted.
+//! Checks rules 1 to 7 of [`Rule`], and the guarantees on configuration versions and leases (rules 8 and 9), against
+//! records of the traffic on sockets: what clients submitted and received, what reached engines, and what discovery and
+//! engines reported to routers. The state of routers is not consulted.
 
 #![warn(missing_docs)]
 
--- a/crates/audit/src/reader.rs
+++ b/crates/audit/src/reader.rs
@@ -28,7 +28,8 @@
     pub malformed: Vec<MalformedLine>,
 }
 
-/// Reads all `*.jsonl` files of a folder. Malformed lines are returned apart from the records.
+/// Reads all `*.jsonl` files of a folder. Malformed lines are returned apart from the records. Directory entries that
+/// can't be read are skipped.
 ///
 /// # Errors
 ///
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -48,7 +48,8 @@
 ///
 /// - `at`: time of the observation, in µs since the Unix epoch;
 /// - `request`: number of the submission, assigned by the client;
-/// - `trace`: identifies a submission, as `name.N`, where N counts the submissions of the statement `name`;
+/// - `trace`: identifies a submission. Clients that resubmit statements use `name.N`, where N counts the submissions of
+///   the statement `name` from 0; other traces are names of statements;
 /// - `router`, `engine`, `class`, `kind`: names of the router, the engine, the statement class and the machine kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
@@ -71,7 +72,8 @@
     /// The router admitted the statement.
     #[serde(rename = "taken")]
     Admitted { at: u64, request: u64 },
-    /// The router rejected the statement with this HTTP status.
+    /// The statement was not admitted. `status` is the HTTP status, or 0 if no connection to the router could be
+    /// opened.
     #[serde(rename = "turned_away")]
     Rejected { at: u64, request: u64, status: u16 },
     /// The connection broke, so the client does not know whether the statement was admitted.
@@ -80,7 +82,7 @@
     /// The client received rows.
     #[serde(rename = "rows")]
     RowsReceived { at: u64, request: u64, rows: u64 },
-    /// The client received the final response.
+    /// The client received the final response, also called the answer.
     Answered {
         at: u64,
         request: u64,
@@ -126,6 +128,7 @@
         at: u64,
         engine: String,
         router: String,
+        /// Version that the router of the attempt enforced.
         #[serde(rename = "heeds")]
         enforced: u64,
     },
--- a/crates/audit/src/recorder.rs
+++ b/crates/audit/src/recorder.rs
@@ -46,7 +46,7 @@
         }))))
     }
 
-    /// Writes a record. The next call of [`Recorder::records`] returns a write error of the file.
+    /// Writes a record. If writing to the file fails, the next call of [`Recorder::records`] returns the error.
     pub fn write(&self, record: Record) {
         let Ok(mut sink) = self.0.lock() else { return };
         if let Some(file) = &mut sink.file {
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -12,7 +12,7 @@
     pub classes: BTreeMap<String, ClassRules>,
     /// Grace period after the notification of a drain, in which a router may still send to the engine, in µs.
     pub drain_grace: u64,
-    /// Maximum number of attempts at a statement, including the first.
+    /// Maximum number of attempts per submission of a statement, including the first.
     pub max_attempts: u32,
     /// Time that a key stays blocked after an attempt that may still be running, in µs.
     #[serde(default)]
@@ -60,7 +60,7 @@
     /// Versions that do not contradict their predecessor.
     #[serde(default, rename = "neutral")]
     pub compatible: BTreeSet<u64>,
-    /// Maximum time that a task shard may go without an operation of a lease holder, in µs; not checked if `None`.
+    /// Maximum time between two consecutive operations of lease holders on a task shard, in µs; not checked if `None`.
     #[serde(default, rename = "unheld")]
     pub max_unheld: Option<u64>,
 }
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(into = "u8")]
 pub enum Rule {
-    /// Each admitted statement gets exactly one final response, in time.
+    /// Each admitted statement gets exactly one final response (answer), and rows or that response in time.
     SingleFinalAnswer = 1,
     /// A statement takes effect at most once, in agreement with its final response.
     NoDuplicateEffect = 2,
@@ -22,11 +22,12 @@
     KeyOrder = 5,
     /// Statements run only on the machine kinds of their class.
     Placement = 6,
-    /// The number of attempts at a statement and the retries of a router are bounded.
+    /// The number of attempts per submission and the retries of a router are bounded.
     BoundedRetries = 7,
     /// Routers do not act under configuration versions that contradict each other.
     ConsistentVersions = 8,
-    /// Each task shard has one lease holder at a time, and is not left without one.
+    /// Each task shard has one lease holder at a time, and the time between two consecutive operations on it is
+    /// limited.
     SingleLeaseHolder = 9,
 }
 
@@ -63,22 +64,22 @@
     /// Rejected submissions.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// Statements that were served.
+    /// Served submissions.
     pub served: u64,
-    /// Served statements that missed their latency objective.
+    /// Served submissions that missed their latency objective.
     pub late: u64,
-    /// Statements refused after admission, which are safe to retry.
+    /// Submissions refused after admission, which are safe to retry.
     pub refused: u64,
-    /// Statements that failed.
+    /// Failed submissions.
     pub failed: u64,
-    /// Statements cancelled by their clients.
+    /// Submissions cancelled by their clients.
     #[serde(rename = "left")]
     pub cancelled: u64,
-    /// Statements without a final response whose router was killed or paused while it held them.
+    /// Submissions without a final response whose router was killed or paused while it held them.
     pub lost: u64,
     /// Attempts that reached engines.
     pub attempts: u64,
-    /// Effects written to the ledger.
+    /// Effects in the ledger, counted for non-idempotent classes only.
     #[serde(rename = "postings")]
     pub effects: u64,
 }
