--- a/crates/fault-harness/src/client_load.rs
+++ b/crates/fault-harness/src/client_load.rs
@@ -16,7 +16,7 @@
 use crate::rng::SeededRng;
 
 const THREAD_COUNT: u64 = 1;
-/// Distance between the client seeds of consecutive load seeds, so that they do not overlap.
+/// Distance between the client seeds of consecutive load seeds, which do not overlap for up to this number of clients.
 const SEED_STRIDE: u64 = 977;
 
 /// A statement class in the mix of a client load.
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Signals the clients to stop, and waits until they have finished their current statements.
+    /// Signals the clients to stop, and waits for them. A client that is pausing still submits the statement after the
+    /// pause.
     pub fn finish(self) {
         self.threads.finish();
     }
--- a/crates/fault-harness/src/client_threads.rs
+++ b/crates/fault-harness/src/client_threads.rs
@@ -21,7 +21,7 @@
 }
 
 impl ClientControl {
-    /// Returns whether clients must submit no further statements.
+    /// Returns whether the load was stopped.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
@@ -87,7 +87,7 @@
         Ok(started)
     }
 
-    /// Signals the clients to stop, and waits until they have finished their current statements.
+    /// Signals the clients to stop, and waits until their tasks have ended.
     pub(crate) fn finish(mut self) {
         self.control.stop();
         for thread in std::mem::take(&mut self.threads) {
--- a/crates/fault-harness/src/fleet/error.rs
+++ b/crates/fault-harness/src/fleet/error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A file or folder of the fleet can't be used.
-    #[error("{}: {source}", .path.display())]
+    #[error("can't use {}: {source}", .path.display())]
     File {
         /// Path of the file or folder.
         path: PathBuf,
@@ -17,7 +17,7 @@
         source: io::Error,
     },
     /// A link or mock server can't be started.
-    #[error("{name}: {source}")]
+    #[error("can't start {name}: {source}")]
     Server {
         /// Name of the server.
         name: String,
--- a/crates/fault-harness/src/fleet/mod.rs
+++ b/crates/fault-harness/src/fleet/mod.rs
@@ -1,7 +1,8 @@
 //! A fleet of processes, the links between them, and the control of each process.
 //!
 //! There is a separate link from each replica to each other one, and from each router to each replica and to discovery.
-//! Replacement replicas share links, as [`LinkId`] describes. Engines and discovery are mock servers in the current
+//! The earlier replicas share one link to each replacement, and routers reach it over the links of the initial replica.
+//! Engines and discovery are mock servers in the current
 //! process that record the traffic on their sockets.
 
 mod coordination;
--- a/crates/fault-harness/src/fleet/router_control.rs
+++ b/crates/fault-harness/src/fleet/router_control.rs
@@ -72,7 +72,7 @@
         settings
     }
 
-    /// Kills a router and records the kill, as no response is required for the statements that the router held.
+    /// Kills a router, and then records the kill, as no response is required for the statements that the router held.
     pub fn kill_router(&mut self, router: usize) {
         self.resume_router(router);
         if self.routers.kill(router) {
--- a/crates/fault-harness/src/fleet/topology.rs
+++ b/crates/fault-harness/src/fleet/topology.rs
@@ -40,9 +40,9 @@
     pub lease_term: Duration,
     /// Limit, assumed by all processes, on the difference between the rates of two clocks, in millionths.
     pub drift_millionths: u64,
-    /// Clock rate error of each router, in millionths; positive if the clock runs fast, 0 if absent.
+    /// Clock skew of each router: the error of its rate, in millionths; positive if the clock runs fast, 0 if absent.
     pub router_skews: Vec<i64>,
-    /// Clock rate error of each replica, in millionths; positive if the clock runs fast, 0 if absent.
+    /// Clock skew of each replica: the error of its rate, in millionths; positive if the clock runs fast, 0 if absent.
     pub replica_skews: Vec<i64>,
     /// Limit on the storage size of a replica, in bytes; the default of replicas if `None`.
     pub max_storage_bytes: Option<u64>,
--- a/crates/fault-harness/src/fleet_scenario/event.rs
+++ b/crates/fault-harness/src/fleet_scenario/event.rs
@@ -19,19 +19,19 @@
     /// Partitions a replica from the other replicas, while routers still reach it.
     #[serde(rename = "apart")]
     PartitionReplica(usize),
-    /// Blocks messages from the first replica to the second, in this direction only.
+    /// Blocks the requests of the first replica to the second, but not its responses to requests of the second.
     #[serde(rename = "deaf")]
-    LoseMessages(usize, usize),
+    BlockRequests(usize, usize),
     /// Blocks the responses of all replicas to a router.
     #[serde(rename = "no_answers")]
-    LoseResponses(usize),
+    BlockResponses(usize),
     /// Adds latency, in ms, to all links between routers and replicas.
     #[serde(rename = "slow")]
     AddLatency(u64),
     /// Adds latency, in ms, to the links between one router and the replicas.
     #[serde(rename = "slow_router")]
     AddRouterLatency(usize, u64),
-    /// Resets the connections on all links.
+    /// Closes the open connections on all links.
     #[serde(rename = "reset")]
     ResetConnections,
     /// Restores all links.
@@ -71,8 +71,8 @@
             ScenarioEvent::Propose(document) => write!(f, "Put({document:?})"),
             ScenarioEvent::IsolateRouter(router) => write!(f, "Alone({router})"),
             ScenarioEvent::PartitionReplica(replica) => write!(f, "Apart({replica})"),
-            ScenarioEvent::LoseMessages(from, to) => write!(f, "Deaf({from}, {to})"),
-            ScenarioEvent::LoseResponses(router) => write!(f, "NoAnswers({router})"),
+            ScenarioEvent::BlockRequests(from, to) => write!(f, "Deaf({from}, {to})"),
+            ScenarioEvent::BlockResponses(router) => write!(f, "NoAnswers({router})"),
             ScenarioEvent::AddLatency(ms) => write!(f, "Slow({ms})"),
             ScenarioEvent::AddRouterLatency(router, ms) => write!(f, "SlowRouter({router}, {ms})"),
             ScenarioEvent::ResetConnections => write!(f, "Reset"),
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledEvent {
-    /// Time of the event since the start of the client load.
+    /// Time of the event since the start of the client load. Events after the duration of the scenario extend it.
     pub at: ConfigDuration,
     /// The event.
     #[serde(rename = "do")]
--- a/crates/fault-harness/src/fleet_scenario/mod.rs
+++ b/crates/fault-harness/src/fleet_scenario/mod.rs
@@ -10,7 +10,7 @@
 mod timeline;
 
 pub use event::{ScenarioEvent, ScheduledEvent};
-pub use report::{FleetReport, Outcome, OutcomeEntry, percentile};
+pub use report::{FleetReport, LoggedEvent, Outcome, percentile};
 pub use run::RunOptions;
 pub use scenario::FleetScenario;
 pub use timeline::Timeline;
--- a/crates/fault-harness/src/fleet_scenario/random_events.rs
+++ b/crates/fault-harness/src/fleet_scenario/random_events.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RandomFault {
     IsolateRouter,
-    LoseResponses,
+    BlockResponses,
     SlowThenIsolateRouter,
     PauseRouter,
     PartitionReplica,
-    LoseMessages,
+    BlockRequests,
     SlowThenReset,
     KillReplicaAndRouter,
     KillReplicas,
@@ -35,11 +35,11 @@
         match number {
             // Isolation is drawn twice as often as each other fault.
             0 | 1 => RandomFault::IsolateRouter,
-            2 => RandomFault::LoseResponses,
+            2 => RandomFault::BlockResponses,
             3 => RandomFault::SlowThenIsolateRouter,
             4 => RandomFault::PauseRouter,
             5 => RandomFault::PartitionReplica,
-            6 => RandomFault::LoseMessages,
+            6 => RandomFault::BlockRequests,
             7 => RandomFault::SlowThenReset,
             8 => RandomFault::KillReplicaAndRouter,
             9 => RandomFault::KillReplicas,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Returns whether the fault cuts one router off from the fleet. Such faults last longer than the interval, because
-    /// a lease may.
-    fn isolates_router(self) -> bool {
+    /// Returns whether the fault separates one router from the fleet. Such faults last two intervals, so that they can
+    /// outlast a lease that is longer than the interval.
+    fn separates_router(self) -> bool {
         matches!(
             self,
             RandomFault::IsolateRouter
-                | RandomFault::LoseResponses
+                | RandomFault::BlockResponses
                 | RandomFault::SlowThenIsolateRouter
                 | RandomFault::PauseRouter
         )
@@ -93,6 +93,8 @@
 }
 
 impl RandomEvents {
+    /// Draws faults until `end`. Proposals fall within a fault, and the last
+    /// event of a fault is less than three intervals after its start.
     fn draw_until(mut self, end: u64) -> Vec<ScheduledEvent> {
         while self.fault_at + 3 * self.interval < end {
             let router = self.rng.index(self.routers);
@@ -122,7 +124,7 @@
 
     fn draw_fault(&mut self, fault: RandomFault, router: usize, replica: usize) {
         let interval = self.interval;
-        let exceeds_interval = fault.isolates_router();
+        let exceeds_interval = fault.separates_router();
         let end = if exceeds_interval {
             interval * 2
         } else {
@@ -148,7 +150,7 @@
         let interval = self.interval;
         match fault {
             RandomFault::IsolateRouter => self.add(0, ScenarioEvent::IsolateRouter(router)),
-            RandomFault::LoseResponses => self.add(0, ScenarioEvent::LoseResponses(router)),
+            RandomFault::BlockResponses => self.add(0, ScenarioEvent::BlockResponses(router)),
             // Detects a router that measures its lease from the response instead of the request, and so holds it too
             // long.
             RandomFault::SlowThenIsolateRouter => {
@@ -163,9 +165,9 @@
             RandomFault::PartitionReplica => {
                 self.add(0, ScenarioEvent::PartitionReplica(replica));
             }
-            RandomFault::LoseMessages => {
+            RandomFault::BlockRequests => {
                 let next = (replica + 1) % self.replicas;
-                self.add(0, ScenarioEvent::LoseMessages(replica, next));
+                self.add(0, ScenarioEvent::BlockRequests(replica, next));
             }
             RandomFault::SlowThenReset => {
                 let latency = MIN_LATENCY_MS + self.rng.below(LATENCY_SPREAD_MS);
@@ -186,8 +188,9 @@
         }
     }
 
-    /// Adds the events of [`RandomFault::SplitAfterPartition`]: one replica is partitioned while the others accept a
-    /// version, and then has to form a majority with only one of them. The version must survive.
+    /// Adds the events of [`RandomFault::SplitAfterPartition`]. Of three replicas, the two that are not partitioned
+    /// accept a version and are killed; one of them is restarted and has to form a majority with the partitioned one.
+    /// The version must survive. Five replicas have no majority until all of them are started again.
     fn split_after_partition(&mut self, replica: usize) {
         let interval = self.interval;
         self.add(0, ScenarioEvent::PartitionReplica(replica));
--- a/crates/fault-harness/src/fleet_scenario/report.rs
+++ b/crates/fault-harness/src/fleet_scenario/report.rs
@@ -29,7 +29,7 @@
     pub numbers: VersionNumbers,
     /// Events of the run, in order.
     #[serde(rename = "course")]
-    pub entries: Vec<OutcomeEntry>,
+    pub logged_events: Vec<LoggedEvent>,
     /// Versions that do not contradict their predecessor.
     #[serde(skip)]
     pub compatible: BTreeSet<u64>,
@@ -38,7 +38,7 @@
 /// An event in the report. Serialized as the sequence `[elapsed_ms, description]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
-pub struct OutcomeEntry {
+pub struct LoggedEvent {
     /// Time of the event since the start of the client load, in ms. For the last entry, "the end", the time since the
     /// start of the run.
     pub elapsed_ms: u64,
@@ -46,8 +46,8 @@
     pub description: String,
 }
 
-impl From<OutcomeEntry> for (u64, String) {
-    fn from(entry: OutcomeEntry) -> Self {
+impl From<LoggedEvent> for (u64, String) {
+    fn from(entry: LoggedEvent) -> Self {
         (entry.elapsed_ms, entry.description)
     }
 }
--- a/crates/fault-harness/src/fleet_scenario/run.rs
+++ b/crates/fault-harness/src/fleet_scenario/run.rs
@@ -8,7 +8,7 @@
 use hoptiller_coordination_client::wire::ProposalResponse;
 
 use super::event::{ScenarioEvent, ScheduledEvent};
-use super::report::{FleetReport, Outcome, OutcomeEntry};
+use super::report::{FleetReport, LoggedEvent, Outcome};
 use super::rollouts::Rollouts;
 use super::scenario::FleetScenario;
 use super::timeline::{FIRST_DOCUMENT, Timeline};
@@ -146,7 +146,7 @@
     fn run(mut self) -> Result<Outcome, ScenarioError> {
         for scheduled in std::mem::take(&mut self.events) {
             self.poll_until(Duration::from_micros(scheduled.at.as_micros()));
-            self.outcome.entries.push(OutcomeEntry {
+            self.outcome.logged_events.push(LoggedEvent {
                 elapsed_ms: self.load_started.elapsed().as_millis() as u64,
                 description: scheduled.event.to_string(),
             });
@@ -171,7 +171,7 @@
     }
 
     /// Restores the links, starts stopped replicas, resumes paused routers, finishes the client load, waits until the
-    /// last version is in force, and collects the outcome.
+    /// last version is in force, and collects the outcome. Killed routers stay down.
     fn settle(mut self) -> Result<Outcome, ScenarioError> {
         self.fleet.restore_links();
         self.fleet.start_stopped_replicas().map_err(run_error)?;
@@ -194,7 +194,7 @@
             .map(|version| version.number)
             .collect();
         outcome.exited_processes = self.fleet.exited_processes();
-        outcome.entries.push(OutcomeEntry {
+        outcome.logged_events.push(LoggedEvent {
             elapsed_ms: self.run_started.elapsed().as_millis() as u64,
             description: "the end".into(),
         });
@@ -246,11 +246,11 @@
         ScenarioEvent::PartitionReplica(replica) => {
             fleet.fail_links(LinkFaults::blocked(), |id| id.is_between_replicas(*replica));
         }
-        ScenarioEvent::LoseMessages(from, to) => {
-            fleet.fail_link(LinkId::Replicas(*from, *to), LinkFaults::lost_requests());
+        ScenarioEvent::BlockRequests(from, to) => {
+            fleet.fail_link(LinkId::Replicas(*from, *to), LinkFaults::blocked_requests());
         }
-        ScenarioEvent::LoseResponses(router) => {
-            fleet.fail_router_links(*router, LinkFaults::lost_responses());
+        ScenarioEvent::BlockResponses(router) => {
+            fleet.fail_router_links(*router, LinkFaults::blocked_responses());
         }
         ScenarioEvent::AddLatency(ms) => {
             let faults = LinkFaults::delayed(Duration::from_millis(*ms));
--- a/crates/fault-harness/src/fleet_scenario/timeline.rs
+++ b/crates/fault-harness/src/fleet_scenario/timeline.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Timeline {
-    /// Duration from the start of the client load.
+    /// Duration of the client load; later events extend it.
     #[serde(rename = "lasts")]
     pub duration: ConfigDuration,
     /// Documents that events can propose, by name. `first` is in force when routers start.
--- a/crates/fault-harness/src/link.rs
+++ b/crates/fault-harness/src/link.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns faults that block requests, but not responses.
-    pub fn lost_requests() -> LinkFaults {
+    pub fn blocked_requests() -> LinkFaults {
         LinkFaults {
             outbound: DirectionFaults::blocked(),
             ..LinkFaults::default()
@@ -69,7 +69,7 @@
     }
 
     /// Returns faults that block responses, but not requests.
-    pub fn lost_responses() -> LinkFaults {
+    pub fn blocked_responses() -> LinkFaults {
         LinkFaults {
             inbound: DirectionFaults::blocked(),
             ..LinkFaults::default()
--- a/crates/fault-harness/src/process.rs
+++ b/crates/fault-harness/src/process.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// The log could not be opened, or the program could not be spawned or waited for.
-    #[error("{name}: {source}")]
+    #[error("can't start {name}: {source}")]
     Spawn {
         /// Name of the process.
         name: String,
@@ -29,7 +29,7 @@
         source: io::Error,
     },
     /// The process ended early, or printed no valid address within 30 s and was killed.
-    #[error("{name} did not become ready: {status}")]
+    #[error("{name} did not print its address within 30 s, or ended early: {status}")]
     NotReady {
         /// Name of the process.
         name: String,
@@ -38,9 +38,11 @@
     },
 }
 
-/// The running child processes. A signal ends the current process without unwinding, so their destructors may not run.
+/// The running child processes, for [`kill_all`]. A signal ends the current process without unwinding, so [`Process`]
+/// values may not be dropped.
 struct Registry {
     running: Vec<Pid>,
+    /// Whether [`kill_all`] was called, after which no process may start.
     closed: bool,
 }
 
@@ -225,7 +227,7 @@
         if self.exit_status().is_some() {
             return;
         }
-        // A paused process is resumed first, so that it can be reaped.
+        // Resumes a paused process before killing it.
         self.signal(Signal::CONT);
         let _ = self.child.kill();
         unregister(&self.child);
--- a/crates/fault-harness/src/rng.rs
+++ b/crates/fault-harness/src/rng.rs
@@ -1,6 +1,7 @@
 //! The seeded random number generator of fleet scenarios.
 
-/// Mask that is combined with each seed, so that small seeds start from unrelated states.
+/// Mask XORed with each seed, to separate the streams of small seeds. Changing it would change the draws of recorded
+/// seeds.
 const SEED_MASK: u64 = 0x5dee_ce66_d1ce_4e5b;
 
 /// A SplitMix64 generator. A seed gives the same draws on every machine and with every version of the program: recorded
--- a/crates/fault-harness/src/router_scenario/clients.rs
+++ b/crates/fault-harness/src/router_scenario/clients.rs
@@ -1,5 +1,5 @@
-//! Client load of router scenarios. Each client uses one router, switches to the next one if it can't be reached, and
-//! retries rejected statements.
+//! Client load of router scenarios. Each client uses one router, and switches to the next one if it can't be reached. A
+//! configured fraction of the clients resubmits rejected statements.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,43 +17,43 @@
 use crate::error::ScenarioError;
 
 const THREAD_COUNT: u64 = 2;
-/// Distance between the client seeds of consecutive load seeds, so that they do not overlap.
+/// Distance between the client seeds of consecutive load seeds, which do not overlap for up to this number of clients.
 const SEED_STRIDE: u64 = 1_000_003;
 const MAX_PAUSE_SECONDS: f64 = 60.0;
-/// Maximum number of times that a client submits a rejected statement again.
-const MAX_RETRIES: u32 = 3;
-/// Pause before a retry at the next router if a router can't be reached.
+/// Maximum number of resubmissions of a statement.
+const MAX_RESUBMISSIONS: u32 = 3;
+/// Pause before a resubmission to the next router if a router can't be reached.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
-/// Pause before a retry if the rejection does not specify one.
+/// Pause before a resubmission if the rejection does not specify one.
 const REJECTED_BACKOFF: Duration = Duration::from_secs(1);
-/// Number of polls after which a client abandons a statement that was drawn to be abandoned.
-const ABANDON_AFTER_POLLS: usize = 2;
-/// Integer that represents a load factor of 1 in the shared counter.
-const FACTOR_SCALE: f64 = 1000.0;
+/// Number of polls after which a client cancels a statement that was drawn to be cancelled.
+const CANCEL_AFTER_POLLS: usize = 2;
+/// Scale of the load factor, which is shared as an integer in units of 1/1000.
+const LOAD_FACTOR_SCALE: f64 = 1000.0;
 
-/// Configuration of a load of retrying clients.
+/// Configuration of the client load of a router scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RetryingLoadConfig {
+pub struct RouterLoadConfig {
     /// Number of clients.
     pub count: u32,
     /// Mean pause of a client between two statements.
     #[serde(deserialize_with = "deserialize_duration")]
     pub pause: Duration,
     /// Classes from which the clients draw their statements.
-    pub mix: Vec<RetryingWorkloadClass>,
-    /// Fraction of the clients that retry rejected statements.
+    pub mix: Vec<RouterWorkloadClass>,
+    /// Fraction of the clients that resubmit rejected statements.
     #[serde(rename = "again", default)]
-    pub retrying_fraction: f64,
-    /// Fraction of the statements that clients abandon after a few polls.
+    pub resubmitting_fraction: f64,
+    /// Fraction of the statements that clients cancel after a few polls.
     #[serde(rename = "leave", default)]
-    pub abandoned_fraction: f64,
+    pub cancelled_fraction: f64,
 }
 
-/// A statement class in the mix of a load of retrying clients.
+/// A statement class in the mix of the client load of a router scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RetryingWorkloadClass {
+pub struct RouterWorkloadClass {
     /// Name of the class.
     pub class: String,
     /// Weight of the class in the mix.
@@ -69,30 +69,30 @@
     pub timeout: Duration,
 }
 
-/// Clients that submit statements until [`finish`](RetryingClientLoad::finish) is called.
-pub(super) struct RetryingClientLoad {
+/// Clients that submit statements until [`finish`](RouterClientLoad::finish) is called.
+pub(super) struct RouterClientLoad {
     threads: ClientThreads,
     load_factor: Arc<AtomicU64>,
 }
 
-impl RetryingClientLoad {
+impl RouterClientLoad {
     /// Starts the clients, distributed over the routers.
     ///
     /// # Errors
     ///
     /// Returns an error if a thread can't be started.
     pub(super) fn start(
-        config: &RetryingLoadConfig,
+        config: &RouterLoadConfig,
         routers: Vec<RouterAddress>,
         recorder: &Recorder,
         seed: u64,
-    ) -> Result<RetryingClientLoad, ScenarioError> {
-        let load_factor = Arc::new(AtomicU64::new(FACTOR_SCALE as u64));
+    ) -> Result<RouterClientLoad, ScenarioError> {
+        let load_factor = Arc::new(AtomicU64::new(LOAD_FACTOR_SCALE as u64));
         let (config, recorder, factor) = (config.clone(), recorder.clone(), load_factor.clone());
         let count = u64::from(config.count);
         let threads = ClientThreads::start(count, THREAD_COUNT, move |number, control| {
-            let client = RetryingClient {
-                draws: RetryingClientDraws::new(&config, seed, number),
+            let client = RouterClient {
+                draws: RouterClientDraws::new(&config, seed, number),
                 router_index: number as usize % routers.len(),
                 routers: routers.clone(),
                 load_factor: factor.clone(),
@@ -102,7 +102,7 @@
             client.run()
         })
         .map_err(ScenarioError::io("client threads"))?;
-        Ok(RetryingClientLoad {
+        Ok(RouterClientLoad {
             threads,
             load_factor,
         })
@@ -111,7 +111,7 @@
     /// Divides the mean pause of the clients by `factor`, relative to their configuration.
     pub(super) fn set_load_factor(&self, factor: f64) {
         self.load_factor
-            .store((factor * FACTOR_SCALE) as u64, Ordering::Relaxed);
+            .store((factor * LOAD_FACTOR_SCALE) as u64, Ordering::Relaxed);
     }
 
     /// Signals the clients to stop, and waits until they have finished their current statements.
@@ -120,29 +120,29 @@
     }
 }
 
-/// The random draws of one retrying client.
+/// The random draws of one client of a router scenario.
 #[derive(Clone, Debug)]
-pub struct RetryingClientDraws {
-    config: RetryingLoadConfig,
+pub struct RouterClientDraws {
+    config: RouterLoadConfig,
     rng: StdRng,
-    retries: bool,
+    resubmits: bool,
 }
 
-impl RetryingClientDraws {
+impl RouterClientDraws {
     /// Creates the draws of the client `number` in a load with the seed `seed`.
-    pub fn new(config: &RetryingLoadConfig, seed: u64, number: u64) -> RetryingClientDraws {
+    pub fn new(config: &RouterLoadConfig, seed: u64, number: u64) -> RouterClientDraws {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE) + number);
-        let retries = rng.random_bool(config.retrying_fraction.clamp(0.0, 1.0));
-        RetryingClientDraws {
+        let resubmits = rng.random_bool(config.resubmitting_fraction.clamp(0.0, 1.0));
+        RouterClientDraws {
             config: config.clone(),
             rng,
-            retries,
+            resubmits,
         }
     }
 
-    /// Returns whether the client retries rejected statements.
-    pub fn retries(&self) -> bool {
-        self.retries
+    /// Returns whether the client resubmits rejected statements.
+    pub fn resubmits(&self) -> bool {
+        self.resubmits
     }
 
     /// Draws the pause before a statement from an exponential distribution whose mean is the configured one divided by
@@ -162,9 +162,9 @@
         let class = self.class();
         let number: u64 = self.rng.random();
         let key = (class.keys > 0).then(|| format!("k{}", self.rng.random_range(0..class.keys)));
-        let is_abandoned = self
+        let is_cancelled = self
             .rng
-            .random_bool(self.config.abandoned_fraction.clamp(0.0, 1.0));
+            .random_bool(self.config.cancelled_fraction.clamp(0.0, 1.0));
         ClientRequest {
             id: 0,
             trace: format!("{}-{number:016x}", class.class),
@@ -174,13 +174,13 @@
             text: class.text,
             timeout: class.timeout,
             options: ClientOptions {
-                abandon_after: is_abandoned.then_some(ABANDON_AFTER_POLLS),
+                abandon_after: is_cancelled.then_some(CANCEL_AFTER_POLLS),
                 ..ClientOptions::default()
             },
         }
     }
 
-    fn class(&mut self) -> RetryingWorkloadClass {
+    fn class(&mut self) -> RouterWorkloadClass {
         let total: f64 = self.config.mix.iter().map(|class| class.weight).sum();
         let mut remaining = self.rng.random_range(0.0..1.0) * total;
         let mut chosen = &self.config.mix[0];
@@ -195,8 +195,8 @@
     }
 }
 
-struct RetryingClient {
-    draws: RetryingClientDraws,
+struct RouterClient {
+    draws: RouterClientDraws,
     /// Index of the router that the client uses.
     router_index: usize,
     routers: Vec<RouterAddress>,
@@ -205,10 +205,10 @@
     recorder: Recorder,
 }
 
-impl RetryingClient {
+impl RouterClient {
     async fn run(mut self) {
         loop {
-            let factor = self.load_factor.load(Ordering::Relaxed).max(1) as f64 / FACTOR_SCALE;
+            let factor = self.load_factor.load(Ordering::Relaxed).max(1) as f64 / LOAD_FACTOR_SCALE;
             let pause = self.draws.pause(factor);
             self.control.sleep(pause).await;
             if self.control.is_stopped() {
@@ -218,12 +218,12 @@
         }
     }
 
-    /// Submits a statement, and retries it if it is rejected.
+    /// Submits a statement, and resubmits it as long as [`backoff`](Self::backoff) returns a pause.
     async fn run_statement(&mut self) {
         let mut statement = self.draws.statement();
         let name = statement.trace.clone();
-        for attempt in 0..=MAX_RETRIES {
-            statement.trace = format!("{name}.{attempt}");
+        for submission in 0..=MAX_RESUBMISSIONS {
+            statement.trace = format!("{name}.{submission}");
             statement.id = self.control.next_request();
             let router = &self.routers[self.router_index];
             let outcome = Client::new(&router.name, router.addr, self.recorder.clone())
@@ -239,8 +239,9 @@
         }
     }
 
-    /// Returns the pause before a retry, or `None` if the client does not retry. If the router can't be reached, the
-    /// client switches to the next one.
+    /// Returns the pause before a resubmission, or `None` if there is none. Every client resubmits a statement if the
+    /// router can't be reached, and then switches to the next one, or if its response is an HTTP error. Only some
+    /// clients do so after a rejection by the service.
     fn backoff(&mut self, outcome: &ClientOutcome) -> Option<Duration> {
         match outcome {
             ClientOutcome::Unreachable => {
@@ -248,7 +249,7 @@
                 Some(UNREACHABLE_BACKOFF)
             }
             ClientOutcome::NotAdmitted(_) => Some(REJECTED_BACKOFF),
-            ClientOutcome::Rejected { retry_after, .. } if self.draws.retries() => {
+            ClientOutcome::Rejected { retry_after, .. } if self.draws.resubmits() => {
                 Some(retry_after.map_or(REJECTED_BACKOFF, Duration::from_secs))
             }
             _ => None,
--- a/crates/fault-harness/src/router_scenario/cluster.rs
+++ b/crates/fault-harness/src/router_scenario/cluster.rs
@@ -119,7 +119,7 @@
     fn kill_router(&mut self, router: usize) {
         let router = &mut self.routers[router];
         if router.has_process() {
-            // Records the kill first, so that responses that the router sends just before it dies remain valid.
+            // The kill is recorded first. Responses that the router sends just before its end count in either order.
             self.client_recorder.write(Record::RouterKilled {
                 at: unix_micros(),
                 router: router.address().name.clone(),
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Shuts the routers down gracefully, waits until the engines are idle, and then ends everything.
+    /// Shuts the routers down gracefully, waits at most 40 s until the engines are idle, and then ends everything. An
+    /// engine that does not respond counts as idle.
     ///
     /// # Errors
     ///
@@ -136,7 +137,7 @@
     pub(super) fn shut_down(mut self) -> Result<(), ScenarioError> {
         self.routers.iter().for_each(RouterProcess::terminate);
         self.routers.iter_mut().try_for_each(RouterProcess::wait)?;
-        // Attempts that are still running on engines can have effects, so they must finish before the run ends.
+        // Only attempts that are still running on engines can have further effects.
         let deadline = Instant::now() + ENGINES_TIMEOUT;
         while Instant::now() < deadline && self.has_busy_engine() {
             std::thread::sleep(ENGINES_POLL_INTERVAL);
--- a/crates/fault-harness/src/router_scenario/mod.rs
+++ b/crates/fault-harness/src/router_scenario/mod.rs
@@ -10,7 +10,7 @@
 mod run;
 mod scenario;
 
-pub use clients::{RetryingClientDraws, RetryingLoadConfig, RetryingWorkloadClass};
+pub use clients::{RouterClientDraws, RouterLoadConfig, RouterWorkloadClass};
 pub use event::{RouterEvent, ScheduledRouterEvent};
 pub use run::{Progress, RouterRunOptions};
 pub use scenario::{RouterEngineSpec, RouterScenario};
--- a/crates/fault-harness/src/router_scenario/router_process.rs
+++ b/crates/fault-harness/src/router_scenario/router_process.rs
@@ -36,7 +36,7 @@
         discovery: SocketAddr,
     ) -> Result<RouterProcess, ScenarioError> {
         let name = format!("router-{index}");
-        let addr = free_address().map_err(ScenarioError::io("no free port"))?;
+        let addr = free_address().map_err(ScenarioError::io(format!("port for {name}")))?;
         let mut settings = scenario.router_settings.clone();
         settings["router"] = json!({
             "name": name, "index": index, "of": scenario.routers, "listen": addr.to_string(),
--- a/crates/fault-harness/src/router_scenario/run.rs
+++ b/crates/fault-harness/src/router_scenario/run.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use super::clients::RetryingClientLoad;
+use super::clients::RouterClientLoad;
 use super::cluster::RouterCluster;
 use super::event::RouterEvent;
 use super::scenario::RouterScenario;
@@ -70,7 +70,7 @@
     ) -> Result<(), ScenarioError> {
         let mut cluster = RouterCluster::start(self, options.program, options.report_dir)?;
         report(Progress::Started(self));
-        let load = RetryingClientLoad::start(
+        let load = RouterClientLoad::start(
             &self.clients,
             cluster.router_addresses(),
             cluster.client_recorder(),
--- a/crates/fault-harness/tests/draws.rs
+++ b/crates/fault-harness/tests/draws.rs
@@ -2,7 +2,7 @@
 //! draws of earlier versions.
 
 use hoptiller_fault_harness::fleet_scenario::Timeline;
-use hoptiller_fault_harness::router_scenario::{RetryingClientDraws, RetryingLoadConfig};
+use hoptiller_fault_harness::router_scenario::{RouterClientDraws, RouterLoadConfig};
 use hoptiller_fault_harness::{ClientLoadConfig, StatementDraws};
 use serde_json::{Map, Value, json};
 
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_seed_draws_the_same_statements_of_a_router_scenario_in_every_version() {
-    let config: RetryingLoadConfig = serde_json::from_value(json!({
+    let config: RouterLoadConfig = serde_json::from_value(json!({
         "count": 2, "pause": "1.8s", "again": 0.5, "leave": 0.1,
         "mix": [
             { "class": "lookup", "part": 80, "text": "SELECT balance", "patience": "7.5s" },
@@ -78,8 +78,8 @@
     .expect("clients");
     let mut drawn = String::new();
     for client in 0..3 {
-        let mut draws = RetryingClientDraws::new(&config, 7, client);
-        drawn.push_str(&format!("client {client} retries {}\n", draws.retries()));
+        let mut draws = RouterClientDraws::new(&config, 7, client);
+        drawn.push_str(&format!("client {client} retries {}\n", draws.resubmits()));
         for _ in 0..25 {
             let pause = draws.pause(1.0);
             let statement = draws.statement();
--- a/crates/fault-harness/tests/link.rs
+++ b/crates/fault-harness/tests/link.rs
@@ -42,7 +42,9 @@
     let mut stream = connect(&link);
     let mut bytes = [0; 4];
     stream.write_all(b"one!").expect("sent");
-    stream.read_exact(&mut bytes).expect("back");
+    stream
+        .read_exact(&mut bytes)
+        .expect("response of the echo server");
     // Only one direction is blocked: the response is lost, but not the request.
     link.set_faults(LinkFaults {
         inbound: DirectionFaults {
@@ -55,12 +57,17 @@
     stream
         .set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
-    assert!(stream.read_exact(&mut bytes).is_err(), "nothing passes");
+    assert!(
+        stream.read_exact(&mut bytes).is_err(),
+        "no bytes pass a blocked direction"
+    );
     link.set_faults(LinkFaults::default());
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("set");
-    stream.read_exact(&mut bytes).expect("late");
+    stream
+        .read_exact(&mut bytes)
+        .expect("blocked bytes after the link is restored");
     assert_eq!(&bytes, b"two!");
     link.reset_connections();
     assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0, "closed");
@@ -77,11 +84,16 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("set");
-    stream.read_exact(&mut bytes[..2]).expect("some");
+    stream
+        .read_exact(&mut bytes[..2])
+        .expect("the permitted bytes");
     stream
         .set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
-    assert!(stream.read_exact(&mut bytes[..1]).is_err(), "and no more");
+    assert!(
+        stream.read_exact(&mut bytes[..1]).is_err(),
+        "no bytes over the limit pass"
+    );
     link.set_faults(LinkFaults {
         rejects_connections: true,
         ..LinkFaults::default()
--- a/crates/fault-harness/tests/report.rs
+++ b/crates/fault-harness/tests/report.rs
@@ -5,7 +5,7 @@
 use hoptiller_audit::{Rules, Verdict};
 use hoptiller_coordination_client::wire::VersionNumbers;
 use hoptiller_fault_harness::fleet_scenario::{
-    FleetReport, Outcome, OutcomeEntry, Timeline, percentile,
+    FleetReport, LoggedEvent, Outcome, Timeline, percentile,
 };
 use serde_json::{Value, json};
 
@@ -22,7 +22,7 @@
                 last: 5,
                 lease_table: 6,
             },
-            entries: vec![OutcomeEntry {
+            logged_events: vec![LoggedEvent {
                 elapsed_ms: 2000,
                 description: "Heal".into(),
             }],
