--- a/crates/fault-harness/src/fleet_scenario/mod.rs
+++ b/crates/fault-harness/src/fleet_scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a whole fleet: a file says what it consists of, what clients do, and which versions are proposed and which
-//! faults happen when. Events may also be drawn from a seed: the same seed draws the same ones.
+//! Scenarios of a whole fleet. A file specifies the components of the fleet, the client load, and the times of
+//! proposals and faults. Events can also be drawn at random; the same seed gives the same events.
 
 mod event;
 mod random_events;
@@ -10,7 +10,7 @@
 mod timeline;
 
 pub use event::{ScenarioEvent, ScheduledEvent};
-pub use report::{FleetReport, Outcome, OutcomeEntry, percentile};
+pub use report::{FleetReport, LoggedEvent, Outcome, percentile};
 pub use run::RunOptions;
 pub use scenario::FleetScenario;
 pub use timeline::Timeline;
