--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,5 +1,5 @@
-//! Client connections: one request out, its response in. Nothing is retried: the error says whether the request can
-//! have reached the server.
+//! Client connections, which exchange one request and response at a time. Requests are never retried; the error tells
+//! whether the server may have received the request.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -12,24 +12,24 @@
 use crate::io::{read_into, timeout};
 use crate::message::{Head, Method, Request, Response, StartLine};
 
-/// Why there is no response.
+/// The reason why an exchange returned no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The connection was not established: the server has received nothing.
+    /// The connection was not established, so the server has received nothing.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke after the request was begun: the server may have acted on it.
+    /// The connection broke after sending had begun, so the server may have acted on the request.
     #[error("connection broken: {0}")]
     Broken(#[source] io::Error),
-    /// There was no response in time: the server may have acted, or may still.
+    /// No complete response arrived within the limit. The server may have acted on the request, or may still do so.
     #[error("no response in time")]
     TimedOut,
-    /// The response is not HTTP/1.1: the server may have acted.
+    /// The response is not valid HTTP/1.1. The server may have acted on the request.
     #[error("response: {0}")]
     Parse(#[source] ParseError),
 }
 
-/// Why an exchange over an open connection failed.
+/// The reason why an exchange over an open connection failed.
 #[derive(Debug, thiserror::Error)]
 enum ExchangeError {
     #[error(transparent)]
@@ -50,7 +50,7 @@
     }
 }
 
-/// A response of which the head has arrived.
+/// A response whose head has arrived.
 struct IncomingResponse {
     response: Response,
     is_keep_alive: bool,
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Whether the final response follows it (RFC 9110, section 15.2).
+    /// Returns whether the response is interim, that is, followed by the final one (RFC 9110, section 15.2).
     fn is_interim(&self) -> bool {
         self.response.status.0 < 200
     }
 }
 
-/// A connection to a server, for one exchange at a time.
+/// A connection to a server that carries one exchange at a time.
 #[derive(Debug)]
 pub struct Connection<S> {
     stream: S,
@@ -88,11 +88,11 @@
 }
 
 impl Connection<Async<TcpStream>> {
-    /// Connects within `limit`.
+    /// Connects to a server within `limit`.
     ///
     /// # Errors
     ///
-    /// [`ClientError::Connect`] where that fails or takes longer.
+    /// Returns [`ClientError::Connect`] if connecting fails or takes longer.
     pub async fn open(
         address: SocketAddr,
         limit: Duration,
@@ -101,12 +101,12 @@
         let stream = timeout(limit, Async::<TcpStream>::connect(address))
             .await
             .map_err(ClientError::Connect)?;
-        // Without it the connection works, only slower.
+        // A failure is ignored: the connection works without this option, only slower.
         let _ = stream.get_ref().set_nodelay(true);
         Ok(Connection::new(stream, address.to_string(), limits))
     }
 
-    /// Whether the server has closed the connection, or sent bytes that answer no request, since it was last used.
+    /// Returns whether the server has closed the connection or sent bytes without a request since the last exchange.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = self.stream.get_ref().peek(&mut byte);
@@ -115,7 +115,7 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
-    /// A connection over an open stream; `host` is what its requests name.
+    /// Creates a connection over an open stream. `host` is the value of the `Host` header field of its requests.
     pub fn new(stream: S, host: String, limits: Limits) -> Connection<S> {
         Connection {
             stream,
@@ -125,17 +125,19 @@
         }
     }
 
-    /// Whether a further request may be sent over it: it was never used, or the last exchange left it open and clean.
+    /// Returns whether another request may be sent: the connection is unused, or the last exchange left it open without
+    /// unread bytes.
     pub fn is_reusable(&self) -> bool {
         self.is_reusable
     }
 
-    /// Sends a request and waits for the complete response, within `limit` for both. A future that is dropped before
-    /// its end leaves the connection unusable.
+    /// Sends a request and receives the complete response, both within `limit`. Dropping the future before it completes
+    /// leaves the connection unusable.
     ///
     /// # Errors
     ///
-    /// Any but [`ClientError::Connect`]; the connection is then not reusable.
+    /// Returns an error if sending or receiving fails or takes longer, or the response is malformed; never
+    /// [`ClientError::Connect`]. The connection is then not reusable.
     pub async fn exchange(
         &mut self,
         request: &Request,
--- a/crates/http/src/coarse_timer.rs
+++ b/crates/http/src/coarse_timer.rs
@@ -1,6 +1,6 @@
-//! Timers of low resolution for the timeouts of many thousand tasks, for which a few milliseconds do not matter.
+//! Low-resolution timers for the timeouts of many thousands of tasks, where a few milliseconds do not matter.
 //!
-//! One timer of the reactor serves them all, so that setting and dropping a timeout costs no system call.
+//! All of them share one reactor timer, so that setting and dropping a timeout needs no system call.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,40 +16,41 @@
 
 use crate::spawner::Spawner;
 
-/// The resolution: a wait lasts up to so much longer than asked for, and never shorter.
+/// The timer resolution: a sleep lasts up to this much longer than requested, and never shorter.
 pub const RESOLUTION: Duration = Duration::from_millis(10);
 
-/// Identifies a pending wait: the tick after which it ends, and a number that tells waits of the same tick apart.
+/// The key of a pending sleep: the tick after which it ends, and a sequence number that distinguishes sleeps of the
+/// same tick.
 type PendingKey = (u64, u64);
 
 #[derive(Default)]
-struct Inner {
-    /// Wakers of the waits, in the order in which they end.
+struct TimerState {
+    /// The wakers of the pending sleeps, in the order in which they end.
     pending: BTreeMap<PendingKey, Waker>,
-    next_number: u64,
-    /// Wakes the driver, which sleeps while nothing is pending.
+    next_sequence: u64,
+    /// The waker of the driver task, which is suspended while no sleep is pending.
     driver: Option<Waker>,
 }
 
-/// Coarse timers of the tasks of one executor. Clones share one driver.
+/// Low-resolution timers for the tasks of one executor. Clones share one driver task.
 #[derive(Clone)]
 pub struct CoarseTimer {
     start: Instant,
-    inner: Rc<RefCell<Inner>>,
+    state: Rc<RefCell<TimerState>>,
 }
 
 impl CoarseTimer {
-    /// Timers driven by a task of that executor.
+    /// Creates a timer and spawns its driver task.
     pub fn new(spawner: &Spawner) -> CoarseTimer {
         let timer = CoarseTimer {
             start: Instant::now(),
-            inner: Rc::default(),
+            state: Rc::default(),
         };
         spawner.spawn(timer.clone().run());
         timer
     }
 
-    /// Completes after `duration`.
+    /// Returns a future that completes after `duration`.
     pub fn sleep(&self, duration: Duration) -> Sleep {
         Sleep {
             timer: self.clone(),
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Waits for a future for `limit` at most.
+    /// Waits at most `limit` for a future, and drops it if it takes longer.
     ///
     /// # Errors
     ///
-    /// The future's own, or an I/O error of kind [`TimedOut`](io::ErrorKind::TimedOut); the future is then dropped.
+    /// Returns the future's own error, or an I/O error of kind [`TimedOut`](io::ErrorKind::TimedOut) if it takes longer.
     pub async fn timeout<T, E: From<io::Error>>(
         &self,
         limit: Duration,
-        work: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
-        future::or(work, async {
+        future::or(future, async {
             self.sleep(limit).await;
             Err(io::Error::from(io::ErrorKind::TimedOut).into())
         })
@@ -81,7 +82,7 @@
 
     async fn run(self) {
         loop {
-            self.until_pending().await;
+            self.wait_until_pending().await;
             Timer::after(RESOLUTION).await;
             let now = self.tick_at(Instant::now());
             while let Some(waker) = self.take_expired(now) {
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Completes once something is pending.
-    async fn until_pending(&self) {
+    /// Waits until a sleep is pending.
+    async fn wait_until_pending(&self) {
         future::poll_fn(|cx| {
-            let mut inner = self.inner.borrow_mut();
-            if inner.pending.is_empty() {
-                inner.driver = Some(cx.waker().clone());
+            let mut state = self.state.borrow_mut();
+            if state.pending.is_empty() {
+                state.driver = Some(cx.waker().clone());
                 return Poll::Pending;
             }
             Poll::Ready(())
@@ -104,14 +105,14 @@
     }
 
     fn take_expired(&self, now: u64) -> Option<Waker> {
-        let mut inner = self.inner.borrow_mut();
-        let entry = inner.pending.first_entry()?;
+        let mut state = self.state.borrow_mut();
+        let entry = state.pending.first_entry()?;
         let (tick, _) = *entry.key();
         (tick < now).then(|| entry.remove())
     }
 }
 
-/// A wait of a [`CoarseTimer`]. Dropping it cancels it.
+/// A future that completes at a set time. Dropping it removes it from its [`CoarseTimer`].
 pub struct Sleep {
     timer: CoarseTimer,
     until: Instant,
@@ -125,17 +126,17 @@
         if Instant::now() >= self.until {
             return Poll::Ready(());
         }
-        let inner = self.timer.inner.clone();
-        let mut inner = inner.borrow_mut();
-        if let Some(waker) = self.key.and_then(|key| inner.pending.get_mut(&key)) {
+        let state = self.timer.state.clone();
+        let mut state = state.borrow_mut();
+        if let Some(waker) = self.key.and_then(|key| state.pending.get_mut(&key)) {
             waker.clone_from(cx.waker());
             return Poll::Pending;
         }
-        let key = (self.timer.tick_at(self.until), inner.next_number);
-        inner.next_number += 1;
-        inner.pending.insert(key, cx.waker().clone());
+        let key = (self.timer.tick_at(self.until), state.next_sequence);
+        state.next_sequence += 1;
+        state.pending.insert(key, cx.waker().clone());
         self.key = Some(key);
-        if let Some(driver) = inner.driver.take() {
+        if let Some(driver) = state.driver.take() {
             driver.wake();
         }
         Poll::Pending
@@ -145,7 +146,7 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.timer.inner.borrow_mut().pending.remove(&key);
+            self.timer.state.borrow_mut().pending.remove(&key);
         }
     }
 }
--- a/crates/http/src/coarse_timer/tests.rs
+++ b/crates/http/src/coarse_timer/tests.rs
@@ -2,7 +2,7 @@
 use async_executor::LocalExecutor;
 
 #[test]
-fn sleeps_are_never_short_and_are_removed_when_dropped() {
+fn sleeps_last_at_least_their_duration_and_are_removed_when_dropped() {
     let executor = Rc::new(LocalExecutor::new());
     let timer = CoarseTimer::new(&Spawner::new(&executor));
     async_io::block_on(executor.run(async {
@@ -20,6 +20,6 @@
         let never = future::pending::<io::Result<()>>();
         let late = timer.timeout(Duration::from_millis(5), never).await;
         assert_eq!(late.expect_err("late").kind(), io::ErrorKind::TimedOut);
-        assert!(timer.inner.borrow().pending.is_empty());
+        assert!(timer.state.borrow().pending.is_empty());
     }));
 }
--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 parser: a [`Decoder`] is fed the bytes of one direction of a connection and yields events. It does no
-//! I/O and knows no time.
+//! The HTTP/1.1 parser. A [`Decoder`] is fed the bytes of one direction of a connection and returns events. It performs
+//! no I/O and uses no clock.
 //!
 //! ```
 //! use hoptiller_http::{Decoder, Event, Limits, MessageKind};
@@ -18,17 +18,17 @@
 pub use decoder::{Decoder, Event};
 pub use error::ParseError;
 
-/// Bounds on the parts of a message, so that no peer decides how much memory its messages use. A message that exceeds
-/// one is a [`ParseError`].
+/// Limits on the parts of a message, so that a peer can't make a message use arbitrary memory. A message that exceeds
+/// one is rejected with a [`ParseError`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the start line and the header fields together.
+    /// Maximum size in bytes of the start line and the header fields together.
     pub max_head_bytes: usize,
-    /// Number of header fields, and of trailer fields.
+    /// Maximum number of header fields, and of trailer fields.
     pub max_fields: usize,
-    /// Bytes of the request target.
+    /// Maximum size of the request target in bytes.
     pub max_target_bytes: usize,
-    /// Bytes of the content.
+    /// Maximum size of the content in bytes.
     pub max_body_bytes: u64,
 }
 
@@ -43,11 +43,11 @@
     }
 }
 
-/// Which messages a decoder reads.
+/// The kind of message that a decoder reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Requests of a client.
+    /// Requests from a client.
     Request,
-    /// Responses of a server.
+    /// Responses from a server.
     Response,
 }
--- a/crates/http/src/codec/decoder.rs
+++ b/crates/http/src/codec/decoder.rs
@@ -5,19 +5,19 @@
 use super::{Limits, MessageKind, ParseError};
 use crate::message::{Head, Method, StartLine, Status};
 
-/// Longest line of a chunk size with its extensions, and of one trailer field.
+/// Maximum length of a chunk size line with its extensions, and of a trailer field line.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// The line break that ends the data of a chunk.
+/// Length of the line break after the data of a chunk.
 const CHUNK_END_BYTES: usize = 2;
 
-/// Hexadecimal digits of a chunk size at most, so that it fits 64 bits.
+/// Maximum number of hexadecimal digits of a chunk size, so that it fits into 64 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
-/// A part of a message.
+/// A decoded part of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The head: a message begins.
+    /// The head, with which a message begins.
     Head(Head),
     /// A part of the content.
     Body(Vec<u8>),
@@ -28,36 +28,36 @@
 #[derive(Debug)]
 enum State {
     Head,
-    /// Content of a known length: the bytes still missing.
+    /// Content of a known length, with the number of bytes still to come.
     Sized(u64),
     ChunkSize,
-    /// The bytes of the chunk still missing.
+    /// Data of a chunk, with the number of bytes still to come.
     ChunkData(u64),
     ChunkEnd,
-    /// The number of trailer fields so far.
+    /// The trailer section, with the number of fields read so far.
     Trailer(usize),
-    /// Content up to the end of the connection.
+    /// Content that ends when the peer closes the connection.
     UntilClose,
     End,
     Failed(ParseError),
 }
 
-/// Turns the bytes of one direction of a connection into [`Event`]s, message after message. After an error it returns
-/// that error for ever.
+/// A decoder that turns the bytes of one direction of a connection into [`Event`]s, message after message. After an error,
+/// it returns the same error for every further call.
 #[derive(Debug)]
 pub struct Decoder {
     kind: MessageKind,
     limits: Limits,
     state: State,
     buffer: InputBuffer,
-    /// Bytes of the present message's content whose length was not announced by its head.
+    /// Content bytes of the current message, counted if its head does not state their number.
     body_bytes: u64,
-    /// The next response answers a `HEAD` request.
-    is_without_body: bool,
+    /// Whether the next response is to a `HEAD` request.
+    expects_no_body: bool,
 }
 
 impl Decoder {
-    /// A decoder at the start of a connection.
+    /// Creates a decoder for a new connection.
     pub fn new(kind: MessageKind, limits: Limits) -> Decoder {
         Decoder {
             kind,
@@ -65,43 +65,43 @@
             state: State::Head,
             buffer: InputBuffer::default(),
             body_bytes: 0,
-            is_without_body: false,
+            expects_no_body: false,
         }
     }
 
-    /// Announces that the next response answers a `HEAD` request: it has no content whatever its fields say.
+    /// Declares the next response to be to a `HEAD` request, so that it has no content whatever its header fields say.
     pub fn expect_no_body(&mut self) {
-        self.is_without_body = true;
+        self.expects_no_body = true;
     }
 
-    /// Accepts bytes from the peer.
+    /// Appends bytes received from the peer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.feed(bytes);
     }
 
-    /// Whether a message has begun that is not complete.
+    /// Returns whether a message has begun and is not complete.
     pub fn is_inside_message(&self) -> bool {
         !matches!(self.state, State::Head) || self.has_buffered_bytes()
     }
 
-    /// Whether there are bytes that no event has used.
+    /// Returns whether there are bytes that have not been decoded yet.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Releases memory that an idle connection need not hold. Does nothing within a message.
+    /// Frees memory that an idle connection does not need. Has no effect within a message.
     pub fn shrink(&mut self) {
         if !self.is_inside_message() {
             self.buffer.shrink();
         }
     }
 
-    /// Reports that the peer has closed its side: the end of a message that lasts until then, or nothing between
-    /// messages.
+    /// Handles that the peer has closed its sending side. Returns the end of a message that is delimited by the close,
+    /// or `None` between messages.
     ///
     /// # Errors
     ///
-    /// [`ParseError::UnexpectedEof`] where the close cuts a message; the error of the decoder if it has failed.
+    /// Returns [`ParseError::UnexpectedEof`] if the close truncates a message, or the earlier error if decoding has failed.
     pub fn finish(&mut self) -> Result<Option<Event>, ParseError> {
         match &self.state {
             State::UntilClose => {
@@ -114,40 +114,42 @@
         }
     }
 
-    /// The next event, or none before more bytes arrive.
+    /// Returns the next event, or `None` until more bytes are fed.
     ///
     /// # Errors
     ///
-    /// Where the bytes are not an HTTP/1.1 message, or exceed the limits; the same error from then on.
+    /// Returns an error if the bytes are not a valid HTTP/1.1 message or exceed the limits, and the same error from then on.
     pub fn next_event(&mut self) -> Result<Option<Event>, ParseError> {
         loop {
             match &self.state {
                 State::Failed(error) => return Err(error.clone()),
                 State::Head => return self.read_head(),
-                State::Sized(missing) => {
-                    let missing = *missing;
-                    return Ok(self.read_body(missing, State::Sized, State::End));
+                State::Sized(remaining) => {
+                    let remaining = *remaining;
+                    return Ok(self.read_body(remaining, State::Sized, State::End));
                 }
                 State::UntilClose => return self.read_until_close(),
-                State::ChunkSize => match self.read_chunk_line()? {
+                State::ChunkSize => match self.read_chunk_size()? {
                     Some(size) => self.begin_chunk(size)?,
                     None => return Ok(None),
                 },
-                State::ChunkData(missing) => {
-                    let missing = *missing;
-                    return Ok(self.read_body(missing, State::ChunkData, State::ChunkEnd));
+                State::ChunkData(remaining) => {
+                    let remaining = *remaining;
+                    return Ok(self.read_body(remaining, State::ChunkData, State::ChunkEnd));
                 }
                 State::ChunkEnd => {
-                    let too_long = ParseError::Chunk("no line break behind its data");
+                    let too_long = ParseError::Chunk("no line break after its data");
                     match self.read_line(CHUNK_END_BYTES, too_long)? {
                         None => return Ok(None),
                         Some(line) if line.is_empty() => self.state = State::ChunkSize,
-                        Some(_) => return self.fail(ParseError::Chunk("longer than its size")),
+                        Some(_) => {
+                            return self.fail(ParseError::Chunk("data longer than its size"));
+                        }
                     }
                 }
                 State::Trailer(count) => {
                     let count = *count;
-                    let too_long = ParseError::Chunk("trailer too long");
+                    let too_long = ParseError::Chunk("trailer field line exceeds the limit");
                     match self.read_line(MAX_CHUNK_LINE_BYTES, too_long)? {
                         None => return Ok(None),
                         Some(line) if line.is_empty() => self.state = State::End,
@@ -190,17 +192,17 @@
         }
     }
 
-    /// Determines which content follows a head (RFC 9112, section 6.3).
+    /// Determines how the content after a head is delimited (RFC 9112, section 6.3).
     fn begin_message(&mut self, head: Head) -> Result<Event, ParseError> {
         self.body_bytes = 0;
         let framing = match head::framing(&head) {
             Ok(framing) => framing,
             Err(error) => return self.fail(error),
         };
-        let is_without_body = match &head.start {
+        let has_no_body = match &head.start {
             StartLine::Request { method, .. } => *method == Method::Head,
             StartLine::Response(Status(code)) => {
-                std::mem::take(&mut self.is_without_body)
+                std::mem::take(&mut self.expects_no_body)
                     || *code < 200
                     || *code == 204
                     || *code == 304
@@ -208,7 +210,7 @@
         };
         let is_response = self.kind == MessageKind::Response;
         self.state = match framing {
-            _ if is_without_body && is_response => State::End,
+            _ if has_no_body && is_response => State::End,
             Framing::Chunked => State::ChunkSize,
             Framing::Length(0) => State::End,
             Framing::Length(bytes) if bytes > self.limits.max_body_bytes => {
@@ -221,17 +223,18 @@
         Ok(Event::Head(head))
     }
 
-    /// A part of content of which `missing` bytes are missing. What remains missing decides on the next state.
+    /// Reads a part of content of which `remaining` bytes are still to come. The next state is `complete` if that was all
+    /// of it, otherwise `incomplete` with the number of bytes still to come.
     fn read_body(
         &mut self,
-        missing: u64,
+        remaining: u64,
         incomplete: fn(u64) -> State,
         complete: State,
     ) -> Option<Event> {
-        let part = self.buffer.take(missing)?;
-        self.state = match missing - part.len() as u64 {
+        let part = self.buffer.take(remaining)?;
+        self.state = match remaining - part.len() as u64 {
             0 => complete,
-            missing => incomplete(missing),
+            remaining => incomplete(remaining),
         };
         Some(Event::Body(part))
     }
@@ -244,7 +247,7 @@
         Ok(Some(Event::Body(part)))
     }
 
-    /// Counts content whose length the head did not announce.
+    /// Counts content bytes whose number the head does not state, and fails once they exceed the limit.
     fn count_body_bytes(&mut self, bytes: u64) -> Result<(), ParseError> {
         self.body_bytes = self.body_bytes.saturating_add(bytes);
         if self.body_bytes > self.limits.max_body_bytes {
@@ -253,7 +256,7 @@
         Ok(())
     }
 
-    /// A line of chunked content, without its break.
+    /// Reads a line of the chunked coding, and returns its range without the line break.
     fn read_line(
         &mut self,
         max: usize,
@@ -265,9 +268,9 @@
         })
     }
 
-    /// The size of the next chunk.
-    fn read_chunk_line(&mut self) -> Result<Option<u64>, ParseError> {
-        let too_long = ParseError::Chunk("size line too long");
+    /// Reads the size line of the next chunk.
+    fn read_chunk_size(&mut self) -> Result<Option<u64>, ParseError> {
+        let too_long = ParseError::Chunk("size line exceeds the limit");
         let Some(line) = self.read_line(MAX_CHUNK_LINE_BYTES, too_long)? else {
             return Ok(None);
         };
@@ -292,7 +295,7 @@
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     if digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS {
         return Err(ParseError::Chunk(
-            "size is no hexadecimal number of at most 15 digits",
+            "size is not a hexadecimal number of at most 15 digits",
         ));
     }
     let extensions = line[digits..].trim_ascii_start();
@@ -302,9 +305,9 @@
             .any(|byte| byte.is_ascii_control() && *byte != b'\t')
     {
         return Err(ParseError::Chunk(
-            "size followed by other than an extension",
+            "size is followed by something other than an extension",
         ));
     }
     let digits = std::str::from_utf8(&line[..digits]).unwrap_or_default();
-    u64::from_str_radix(digits, 16).map_err(|_| ParseError::Chunk("size is no number"))
+    u64::from_str_radix(digits, 16).map_err(|_| ParseError::Chunk("size is not a number"))
 }
--- a/crates/http/src/codec/error.rs
+++ b/crates/http/src/codec/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the parser.
+//! Parse errors.
 
-/// Why bytes are not an HTTP/1.1 message. After one the decoder accepts no more bytes.
+/// The reason why bytes are not a valid HTTP/1.1 message. A decoder that has returned one decodes nothing further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// The start line is malformed.
@@ -12,32 +12,32 @@
     /// A header field is malformed.
     #[error("header field: {0}")]
     HeaderField(&'static str),
-    /// A content length is repeated, conflicts with the transfer coding or is not a number.
+    /// The content length is repeated, conflicts with the transfer coding or is not a number.
     #[error("content length: {0}")]
     ContentLength(&'static str),
-    /// A transfer coding other than `chunked`.
-    #[error("transfer coding: only chunked is known")]
+    /// The transfer coding is not `chunked`, is repeated, or is used with HTTP/1.0.
+    #[error("transfer coding: only a single chunked coding in HTTP/1.1 is supported")]
     TransferCoding,
     /// A chunk is malformed.
     #[error("chunk: {0}")]
     Chunk(&'static str),
     /// The start line and the header fields exceed [`Limits::max_head_bytes`](super::Limits::max_head_bytes), or there
-    /// are more than [`Limits::max_fields`](super::Limits::max_fields).
-    #[error("start line and header fields pass the limit")]
+    /// are more header or trailer fields than [`Limits::max_fields`](super::Limits::max_fields).
+    #[error("start line and header fields exceed the limit")]
     HeadTooLarge,
     /// The target exceeds [`Limits::max_target_bytes`](super::Limits::max_target_bytes).
-    #[error("the target passes the limit")]
+    #[error("request target exceeds the limit")]
     TargetTooLong,
     /// The content exceeds [`Limits::max_body_bytes`](super::Limits::max_body_bytes).
-    #[error("the content passes the limit")]
+    #[error("content exceeds the limit")]
     BodyTooLarge,
-    /// The peer closed the connection within a message.
-    #[error("the connection closed in the middle of a message")]
+    /// The peer closed the connection in the middle of a message.
+    #[error("connection closed in the middle of a message")]
     UnexpectedEof,
 }
 
 impl ParseError {
-    /// The status of the response to a request with this error.
+    /// Returns the status code for the response to a request with this error.
     pub fn status(&self) -> u16 {
         match self {
             ParseError::Version => 505,
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -1,20 +1,20 @@
-//! Parser of a message's head: start line, header fields, and how they delimit the content.
+//! The parser for the head of a message: the start line, the header fields, and how they delimit the content.
 
 use super::{Limits, MessageKind, ParseError};
 use crate::headers::Headers;
 use crate::message::{Head, Method, StartLine, Status, Version};
 
-/// How the content of a message is delimited.
+/// The way in which the head of a message delimits its content.
 pub(super) enum Framing {
-    /// By the chunked transfer coding.
+    /// The content uses the chunked transfer coding.
     Chunked,
-    /// By a number of bytes.
+    /// The content has this number of bytes.
     Length(u64),
-    /// The head does not say.
+    /// The head does not delimit the content.
     Unspecified,
 }
 
-/// Parses a head without its last, empty line.
+/// Parses a head, given without the empty line at its end.
 pub(super) fn parse(kind: MessageKind, bytes: &[u8], limits: &Limits) -> Result<Head, ParseError> {
     let text = std::str::from_utf8(bytes).map_err(|_| ParseError::HeaderField("not UTF-8"))?;
     let mut lines = text.split("\r\n");
@@ -34,7 +34,7 @@
     if kind == MessageKind::Request {
         let hosts = headers.get_all("host").count();
         if hosts > 1 || (hosts == 0 && version == Version::Http11) {
-            return Err(ParseError::HeaderField("host must be given once"));
+            return Err(ParseError::HeaderField("host must be given exactly once"));
         }
     }
     Ok(Head {
@@ -46,16 +46,16 @@
 
 fn parse_field(line: &str) -> Result<(&str, &str), ParseError> {
     let Some((name, value)) = line.split_once(':') else {
-        return Err(ParseError::HeaderField("no colon"));
+        return Err(ParseError::HeaderField("missing colon"));
     };
     if !is_token(name) {
         return Err(ParseError::HeaderField(
-            "a name with other than token characters, or a folded line",
+            "name with characters not allowed in a token, or folded line",
         ));
     }
     let value = value.trim_matches([' ', '\t']);
     if value.chars().any(|c| c.is_control() && c != '\t') {
-        return Err(ParseError::HeaderField("a control character in a value"));
+        return Err(ParseError::HeaderField("control character in a value"));
     }
     Ok((name, value))
 }
@@ -65,11 +65,13 @@
     let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(ParseError::StartLine("not method, target and version"));
+        return Err(ParseError::StartLine(
+            "expected a method, a target and a version",
+        ));
     };
     if !is_token(method) {
         return Err(ParseError::StartLine(
-            "a method with other than token characters",
+            "method with characters not allowed in a token",
         ));
     }
     let version = parse_version(version)?;
@@ -80,7 +82,7 @@
         || !target.bytes().all(|b| b.is_ascii_graphic())
         || target.contains('#')
     {
-        return Err(ParseError::StartLine("the target is no path"));
+        return Err(ParseError::StartLine("target is not an absolute path"));
     }
     let start = StartLine::Request {
         method: Method::from_token(method),
@@ -98,7 +100,7 @@
         Ok(code) if is_three_digits && code >= 100 => {
             Ok((StartLine::Response(Status(code)), version))
         }
-        _ => Err(ParseError::StartLine("no status code")),
+        _ => Err(ParseError::StartLine("invalid status code")),
     }
 }
 
@@ -110,7 +112,7 @@
     }
 }
 
-/// How the content behind a head is delimited, as far as the head says.
+/// Determines how a head delimits the content.
 pub(super) fn framing(head: &Head) -> Result<Framing, ParseError> {
     let mut codings = head.headers.get_all("transfer-encoding");
     let is_chunked = match (codings.next(), codings.next()) {
@@ -129,21 +131,23 @@
         (None, _) if is_chunked => Ok(Framing::Chunked),
         (None, _) => Ok(Framing::Unspecified),
         (Some(_), Some(_)) => Err(ParseError::ContentLength("given more than once")),
-        (Some(_), None) if is_chunked => Err(ParseError::ContentLength("given beside chunked")),
+        (Some(_), None) if is_chunked => {
+            Err(ParseError::ContentLength("given together with chunked"))
+        }
         (Some(length), None) => parse_length(length).map(Framing::Length),
     }
 }
 
 fn parse_length(length: &str) -> Result<u64, ParseError> {
     if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(ParseError::ContentLength("no number"));
+        return Err(ParseError::ContentLength("not a number"));
     }
     length
         .parse()
-        .map_err(|_| ParseError::ContentLength("past any number"))
+        .map_err(|_| ParseError::ContentLength("number too large"))
 }
 
-/// Whether it is a token (RFC 9110, section 5.6.2).
+/// Returns whether a text is a token (RFC 9110, section 5.6.2).
 fn is_token(text: &str) -> bool {
     !text.is_empty()
         && text
--- a/crates/http/src/codec/input_buffer.rs
+++ b/crates/http/src/codec/input_buffer.rs
@@ -1,35 +1,35 @@
-//! The bytes that a decoder has received and not yet used, and the search for line breaks in them.
+//! The buffer for bytes that a decoder has received and not yet consumed, and the search for line breaks in it.
 
 use std::ops::Range;
 
-/// Capacity that an idle connection may keep for its next message; a larger buffer is freed.
-const MAX_IDLE_CAPACITY: usize = 1 << 10;
+/// Maximum capacity that an idle connection keeps for its next message; a larger buffer is freed.
+const MAX_IDLE_CAPACITY_BYTES: usize = 1 << 10;
 
-/// The end of a line, with its carriage return.
+/// Length of a line break: carriage return and line feed.
 const LINE_BREAK_BYTES: usize = 2;
 
-/// Why a line can't be read.
+/// The reason why a line can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LineError {
-    /// The line, or the head that it is part of, exceeds its limit.
+    /// The line, or the head that it belongs to, exceeds its limit.
     TooLong,
-    /// A line feed without a carriage return.
+    /// A line feed has no carriage return before it.
     BareLineFeed {
-        /// Whether it is in the first line.
+        /// Whether it ends the first line of the unconsumed bytes.
         in_first_line: bool,
     },
 }
 
-/// Received bytes. What has been searched for a line break is not searched again, so that bytes that arrive one by one
-/// cost no more than the same bytes at once.
+/// A buffer for received bytes. It does not search the same bytes twice for a line break, so that bytes that arrive one
+/// by one cost no more than the same bytes at once.
 #[derive(Debug, Default)]
 pub(super) struct InputBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the start that are used.
+    /// Number of bytes at the start that have been consumed.
     consumed: usize,
-    /// Where the search for the next line feed continues.
+    /// Position from which the search for the next line feed continues.
     scanned: usize,
-    /// Where the line begins that is being searched for its end.
+    /// Start of the line whose end is being searched for.
     line_start: usize,
 }
 
@@ -45,29 +45,30 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether all received bytes are used.
+    /// Returns whether all received bytes have been consumed.
     pub(super) fn is_empty(&self) -> bool {
-        self.unused_bytes() == 0
+        self.unconsumed_bytes() == 0
     }
 
-    /// The bytes of a range that this buffer has returned. Valid until the next [`feed`](InputBuffer::feed).
+    /// Returns the bytes of a range that this buffer has returned. Ranges are valid until the next
+    /// [`feed`](InputBuffer::feed) or [`shrink`](InputBuffer::shrink).
     pub(super) fn slice(&self, range: Range<usize>) -> &[u8] {
         &self.bytes[range]
     }
 
-    /// Releases memory that an idle connection need not hold. Only for an empty buffer.
+    /// Discards all bytes, and frees memory that an idle connection does not need. Only for an empty buffer.
     pub(super) fn shrink(&mut self) {
         (self.consumed, self.scanned, self.line_start) = (0, 0, 0);
-        if self.bytes.capacity() > MAX_IDLE_CAPACITY {
+        if self.bytes.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.bytes = Vec::new();
         } else {
             self.bytes.clear();
         }
     }
 
-    /// Uses up to `max` bytes; none where there are no bytes.
+    /// Consumes and returns up to `max` bytes, or `None` if there are none.
     pub(super) fn take(&mut self, max: u64) -> Option<Vec<u8>> {
-        let count = (self.unused_bytes() as u64).min(max) as usize;
+        let count = (self.unconsumed_bytes() as u64).min(max) as usize;
         if count == 0 {
             return None;
         }
@@ -76,10 +77,11 @@
         Some(part)
     }
 
-    /// Uses the next line of up to `max` bytes: its range without the line break. None while its end is missing.
+    /// Consumes the next line of up to `max` bytes, and returns its range without the line break, or `None` until its
+    /// end has arrived.
     pub(super) fn take_line(&mut self, max: usize) -> Result<Option<Range<usize>>, LineError> {
         let Some(line_feed) = self.find_line_feed() else {
-            return if self.unused_bytes() > max {
+            return if self.unconsumed_bytes() > max {
                 Err(LineError::TooLong)
             } else {
                 Ok(None)
@@ -94,12 +96,12 @@
         Ok(Some(start..line_feed - 1))
     }
 
-    /// Uses the lines up to the first empty one, of up to `max` bytes together: their range without the empty line.
-    /// None while that line is missing. Empty lines before the first are ignored (RFC 9112, section 2.2).
+    /// Consumes the lines up to the first empty one, of up to `max` bytes together, and returns their range without the
+    /// empty line, or `None` until that line has arrived. Leading empty lines are skipped (RFC 9112, section 2.2).
     pub(super) fn take_head(&mut self, max: usize) -> Result<Option<Range<usize>>, LineError> {
         loop {
             let Some(line_feed) = self.find_line_feed() else {
-                return if self.unused_bytes() > max {
+                return if self.unconsumed_bytes() > max {
                     Err(LineError::TooLong)
                 } else {
                     Ok(None)
@@ -122,7 +124,7 @@
         }
     }
 
-    fn unused_bytes(&self) -> usize {
+    fn unconsumed_bytes(&self) -> usize {
         self.bytes.len() - self.consumed
     }
 
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,6 +1,6 @@
-//! Header fields of a message.
+//! The header fields of a message.
 
-/// Where a field stands in the text of its [`Headers`].
+/// The position of a field in the text of its [`Headers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FieldSpan {
     name_start: u32,
@@ -8,16 +8,16 @@
     end: u32,
 }
 
-/// Header fields in the order received. Names compare without regard to case.
+/// Header fields in the order in which they were received or added. Names are compared ignoring ASCII case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
-    /// Names and values one behind the other: one allocation for all fields.
+    /// The names and values of all fields, concatenated to need only one allocation.
     text: String,
     spans: Vec<FieldSpan>,
 }
 
 impl Headers {
-    /// No fields yet, with capacity for text of that many bytes.
+    /// Creates an empty collection with capacity for `bytes` bytes of names and values.
     pub(crate) fn with_capacity(bytes: usize) -> Headers {
         Headers {
             text: String::with_capacity(bytes),
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Adds a field. Control characters in the value are replaced by spaces, so that no text from elsewhere can add
-    /// fields of its own.
+    /// Adds a field. Control characters in the value are replaced by spaces, so that a value from an untrusted source
+    /// can't inject further fields.
     pub fn push(&mut self, name: &str, value: &str) {
         let name_start = self.text.len() as u32;
         self.text.push_str(name);
@@ -44,7 +44,7 @@
         });
     }
 
-    /// All fields, as name and value.
+    /// Iterates over the fields as pairs of name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         let slice = |start: u32, end: u32| &self.text[start as usize..end as usize];
         self.spans.iter().map(move |span| {
@@ -53,38 +53,38 @@
         })
     }
 
-    /// The value of the first field of that name.
+    /// Returns the value of the first field of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter()
             .find(|(other, _)| other.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// The values of all fields of that name.
+    /// Iterates over the values of all fields of that name.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.iter()
             .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// Number of fields.
+    /// Returns the number of fields.
     pub fn len(&self) -> usize {
         self.spans.len()
     }
 
-    /// Whether there are no fields.
+    /// Returns whether there are no fields.
     pub fn is_empty(&self) -> bool {
         self.spans.is_empty()
     }
 
-    /// Whether a field of that name contains the token in its comma-separated list.
+    /// Returns whether the comma-separated list of a field of that name contains the token, ignoring ASCII case.
     pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
             .flat_map(|value| value.split(','))
             .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Bytes of all names and values.
+    /// Returns the size of all names and values in bytes.
     pub(crate) fn text_bytes(&self) -> usize {
         self.text.len()
     }
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing with timeouts, without a buffer in every waiting future.
+//! Reads and writes with timeouts. Reads share one buffer per thread, so that waiting futures need none of their own.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,15 +11,15 @@
 use crate::coarse_timer::CoarseTimer;
 use crate::codec::Decoder;
 
-/// Bytes of one read at most.
+/// Maximum number of bytes of one read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
 thread_local! {
-    /// Shared by all reads of a thread: it is used only within a poll.
+    /// The buffer of all reads of a thread, which is possible because it is used only within a poll.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BUFFER_BYTES]);
 }
 
-/// Reads once into the decoder: the number of bytes, 0 at the end of the stream.
+/// Reads once into the decoder, and returns the number of bytes, or 0 at the end of the stream.
 pub(crate) async fn read_into<S: AsyncRead + Unpin>(
     stream: &mut S,
     decoder: &mut Decoder,
@@ -37,7 +37,7 @@
     .await
 }
 
-/// Reads once and discards the bytes: their number, 0 at the end of the stream.
+/// Reads once, discards the bytes, and returns their number, or 0 at the end of the stream.
 pub(crate) async fn discard<S: AsyncRead + Unpin>(stream: &mut S) -> io::Result<usize> {
     future::poll_fn(|cx| {
         READ_BUFFER.with_borrow_mut(|buffer| Pin::new(&mut *stream).poll_read(cx, buffer))
@@ -45,20 +45,21 @@
     .await
 }
 
-/// Waits for a future for `limit` at most, by a timer of its own; then an I/O error of kind `TimedOut`.
+/// Waits at most `limit` for a future, using a timer of its own. Returns an I/O error of kind `TimedOut` if it takes
+/// longer.
 pub(crate) async fn timeout<T, E: From<io::Error>>(
     limit: Duration,
-    work: impl Future<Output = Result<T, E>>,
+    future: impl Future<Output = Result<T, E>>,
 ) -> Result<T, E> {
-    future::or(work, async {
+    future::or(future, async {
         Timer::after(limit).await;
         Err(io::Error::from(io::ErrorKind::TimedOut).into())
     })
     .await
 }
 
-/// Writes all bytes. The limit is for each write that makes no progress, so that a slow reader is served and one that
-/// has stopped reading is not.
+/// Writes all bytes. The limit applies to each write separately, so that a peer that reads slowly is served, and one
+/// that has stopped reading is not.
 pub(crate) async fn write_all<S: AsyncWrite + Unpin>(
     stream: &mut S,
     mut bytes: &[u8],
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 for the routers and the mock servers: a codec without I/O ([`codec`]), and [`server`] and [`client`]
-//! connections over it.
+//! connections that use it.
 //!
-//! The codec follows RFC 9112 and is strict where leniency lets two parsers disagree: bare line feeds, folded lines,
-//! repeated or conflicting lengths and unknown transfer codings are errors. Nothing here retries a request: an error
-//! says whether the request may have reached the peer.
+//! The codec follows RFC 9112 and is strict where lenient parsers may disagree with each other: bare line feeds, folded
+//! lines, repeated or conflicting lengths and unsupported transfer codings are errors. This crate never retries a
+//! request; an error tells whether the request may have reached the peer.
 
 pub mod client;
 mod coarse_timer;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::headers::Headers;
 
-/// A request method. Only those that the protocols of this repository use have a variant.
+/// A request method. Only the methods that the protocols of this workspace use have a variant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Method {
     /// `GET`
@@ -33,7 +33,7 @@
         }
     }
 
-    /// As written on the wire.
+    /// Returns the method as written on the wire.
     pub fn as_str(&self) -> &str {
         match self {
             Method::Get => "GET",
@@ -51,7 +51,7 @@
 pub struct Status(pub u16);
 
 impl Status {
-    /// The reason phrase of RFC 9110; empty for codes that are not used here.
+    /// Returns the reason phrase (RFC 9110), or an empty text for codes that are not used here.
     pub fn reason_phrase(self) -> &'static str {
         match self.0 {
             200 => "OK",
@@ -78,17 +78,17 @@
     }
 }
 
-/// The first line of a message.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// Of a request.
+    /// The start line of a request.
     Request {
         /// The method.
         method: Method,
-        /// The target in origin form, starting with `/`; undecoded.
+        /// The target in origin form, starting with `/`, without percent-decoding.
         target: String,
     },
-    /// Of a response.
+    /// The start line of a response.
     Response(Status),
 }
 
@@ -101,19 +101,19 @@
     Http11,
 }
 
-/// Start line and header fields of a received message.
+/// The start line and header fields of a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The first line.
+    /// The start line.
     pub start: StartLine,
-    /// The fields.
+    /// The header fields.
     pub headers: Headers,
-    /// The version that the sender spoke.
+    /// The protocol version of the message.
     pub version: Version,
 }
 
 impl Head {
-    /// Whether the connection stays open after this message (RFC 9112, section 9.3).
+    /// Returns whether the connection stays open after this message (RFC 9112, section 9.3).
     pub fn is_keep_alive(&self) -> bool {
         match self.version {
             Version::Http10 => self.headers.contains_token("connection", "keep-alive"),
@@ -127,16 +127,16 @@
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The target: path and query.
     pub target: String,
-    /// The fields; the encoding adds length and host.
+    /// The header fields, without the host and the content length, which [`Request::encode`] adds.
     pub headers: Headers,
     /// The content.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// A request without fields or content.
+    /// Creates a request without header fields and content.
     pub fn new(method: Method, target: impl Into<String>) -> Request {
         Request {
             method,
@@ -152,12 +152,12 @@
         self
     }
 
-    /// The path: the target without its query.
+    /// Returns the path, that is, the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The bytes on the wire.
+    /// Returns the encoded request. `host` is the value of its `Host` header field.
     pub fn encode(&self, host: &str) -> Vec<u8> {
         let mut head = String::with_capacity(256 + self.headers.text_bytes() + self.body.len());
         let _ = write!(
@@ -178,14 +178,14 @@
 pub struct Response {
     /// The status.
     pub status: Status,
-    /// The fields; the encoding adds the length.
+    /// The header fields, without the content length, which [`Response::encode`] adds.
     pub headers: Headers,
     /// The content.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response without fields or content.
+    /// Creates a response without header fields and content.
     pub fn new(status: u16) -> Response {
         Response {
             status: Status(status),
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A response in JSON.
+    /// Creates a response with JSON content.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> Response {
         Response {
             body: body.into(),
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A response in plain text, to which a line break is added.
+    /// Creates a plain text response. A line feed is added to the text.
     pub fn text(status: u16, text: &str) -> Response {
         let body = format!("{text}\n").into_bytes();
         Response {
@@ -217,7 +217,7 @@
         self
     }
 
-    /// The bytes on the wire; `close` announces that the connection is closed after it.
+    /// Returns the encoded response. With `close`, it announces that the connection is closed after it.
     pub fn encode(&self, close: bool) -> Vec<u8> {
         let mut head = String::with_capacity(160 + self.headers.text_bytes() + self.body.len());
         match self.status.0 {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,5 +1,5 @@
-//! The server: accepts connections up to a bound, reads their requests within limits of size and time, and responds to
-//! them one after the other.
+//! The server: accepts a limited number of connections, reads their requests within limits of size and time, and responds
+//! to the requests of a connection one after the other.
 
 mod connection;
 mod connections;
@@ -22,35 +22,38 @@
 pub use connections::{ConnectionCounts, ServerConnections};
 use incoming_budget::IncomingBudget;
 
-/// Pause after an accept that failed, or before the next one while the bound is reached.
+/// Delay before accepting is retried after a failure or, while stopping, after the maximum number of connections was
+/// reached.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time in which a server that stops accepts the connections of the kernel's accept queue.
+/// Maximum time for which a stopping server accepts the connections in the kernel's accept queue.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Limits of a server and its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Bounds on the parts of a request.
+    /// Limits on the parts of a request.
     pub limits: Limits,
-    /// Open connections at once. While the bound is reached, a connection without an open request is closed for each
-    /// one that arrives, first those that never sent a request; while all have one open, accepting pauses.
+    /// Maximum number of open connections. While it is reached, one idle connection is closed to accept another; those
+    /// that never sent a request are closed first. While none is idle, no connection is accepted.
     pub max_connections: usize,
-    /// Bytes of content that is still arriving, of all connections together. A request that exceeds it gets a 503.
+    /// Maximum number of content bytes of incomplete requests of all connections together. A request that exceeds it is
+    /// rejected with status 503.
     pub max_incoming_bytes: u64,
-    /// Time from the first byte of a request to its last.
+    /// Maximum time from the first byte of a request to its last.
     pub request_timeout: Duration,
-    /// Time from a connection's start to the first byte of its first request.
+    /// Maximum time from the start of a connection to the first byte of its first request.
     pub first_byte_timeout: Duration,
-    /// Time that a connection may be idle between requests.
+    /// Maximum time for which a connection may be idle between requests.
     pub idle_timeout: Duration,
-    /// Time that a write may make no progress.
+    /// Maximum time for which a write may make no progress.
     pub write_timeout: Duration,
-    /// Time for which the sender of a malformed request is still read from, so that the response reaches it.
+    /// Maximum time for which the server keeps reading from the sender of a rejected request, so that closing does not
+    /// reset the connection before the response is read.
     pub linger_timeout: Duration,
-    /// Whether a handler is dropped when its client closes the connection, or only its sending side: TCP shows both
-    /// alike until something is written, and a client that has stopped waiting may have no other way to say so. The
-    /// handler must tolerate that at every await.
+    /// Whether a handler is dropped when its client closes the connection or only the sending side. TCP does not
+    /// distinguish the two until something is written, and closing may be a client's only way to signal that it no
+    /// longer waits. The handler must tolerate being dropped at every await.
     pub cancels_on_disconnect: bool,
 }
 
@@ -70,7 +73,7 @@
     }
 }
 
-/// What is done with a request. The variants without a complete response exist for mock servers with faults.
+/// A handler's reply to a request. Mock servers use the variants without a complete response to simulate faults.
 #[derive(Debug)]
 pub enum Reply {
     /// Sends a response.
@@ -81,10 +84,10 @@
     Truncate {
         /// The response.
         response: Response,
-        /// How many bytes of it are sent at most.
+        /// The maximum number of its bytes to send.
         max_bytes: usize,
     },
-    /// Never responds, and keeps the connection open.
+    /// Keeps the connection open without a response.
     Hang,
 }
 
@@ -94,19 +97,19 @@
     }
 }
 
-/// Responds to requests.
+/// A function that handles requests.
 pub type Handler = Rc<dyn Fn(Request) -> future::BoxedLocal<Reply>>;
 
-/// Binds a listener.
+/// Binds a listener to an address.
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Accepts connections until the future is dropped; each is served by a task of its own.
+/// Accepts connections until the future is dropped, and serves each in a task of its own.
 pub async fn serve(
     listener: Async<TcpListener>,
     config: Config,
@@ -114,13 +117,21 @@
     spawner: Spawner,
 ) {
     let connections = Rc::new(ServerConnections::new(config.max_connections));
-    let never = future::pending();
-    serve_until(listener, config, handler, spawner, &connections, never).await;
+    let never_stops = future::pending();
+    serve_until(
+        listener,
+        config,
+        handler,
+        spawner,
+        &connections,
+        never_stops,
+    )
+    .await;
 }
 
-/// Accepts connections until `stop` completes, and then those of the kernel's accept queue: dropping the listener
-/// would reset them, requests and all. `connections` lets the caller see and close the connections; its bound is the
-/// one that holds.
+/// Accepts connections until `stop` completes, then those in the kernel's accept queue, because dropping the listener
+/// would reset them together with the requests they carry. Through `connections`, the caller can count and close the
+/// connections; its maximum applies instead of [`Config::max_connections`].
 pub async fn serve_until(
     listener: Async<TcpListener>,
     config: Config,
@@ -145,7 +156,7 @@
     acceptor.accept_queued().await;
 }
 
-/// What the connections of one server share.
+/// The context that the connections of one server share.
 struct Context {
     config: Config,
     handler: Handler,
@@ -153,7 +164,7 @@
     incoming: Rc<IncomingBudget>,
 }
 
-/// Accepts connections and starts a task for each.
+/// A listener whose connections are each served by a task of its own.
 struct Acceptor {
     listener: Async<TcpListener>,
     context: Rc<Context>,
@@ -164,43 +175,44 @@
 impl Acceptor {
     async fn accept_forever(&self) {
         loop {
-            self.connections.ready().await;
+            self.connections.wait_for_capacity().await;
             match self.listener.accept().await {
                 Ok((stream, _)) => self.spawn(stream),
-                // Out of file descriptors, or the peer has gone: open connections are not affected.
-                Err(_) => self.pause().await,
+                // Out of file descriptors, or the peer has disconnected. Open connections are not affected.
+                Err(_) => self.close_one_idle_and_wait().await,
             }
         }
     }
 
-    /// Accepts what the kernel has accepted already, as far as there is room for it in time.
+    /// Accepts the connections in the kernel's accept queue, as far as the maximum number of connections allows within
+    /// [`ACCEPT_QUEUE_TIMEOUT`].
     async fn accept_queued(&self) {
         let deadline = Instant::now() + ACCEPT_QUEUE_TIMEOUT;
         while Instant::now() < deadline {
             if self.connections.is_full() {
-                self.pause().await;
+                self.close_one_idle_and_wait().await;
                 continue;
             }
             let accepted = self.listener.get_ref().accept();
             match accepted.map(|(stream, _)| Async::new(stream)) {
                 Ok(Ok(stream)) => self.spawn(stream),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Ok(Err(_)) | Err(_) => self.pause().await,
+                Ok(Err(_)) | Err(_) => self.close_one_idle_and_wait().await,
             }
         }
     }
 
-    /// Asks one idle connection to close, and waits: no event says when accepting works again.
-    async fn pause(&self) {
+    /// Asks one idle connection to close, and waits for a fixed time, because no event tells when accepting works again.
+    async fn close_one_idle_and_wait(&self) {
         self.connections.close_one_idle();
         Timer::after(ACCEPT_RETRY_DELAY).await;
     }
 
     fn spawn(&self, stream: Async<TcpStream>) {
-        let permit = self.connections.admit();
+        let permit = self.connections.register();
         let connection = Connection::new(stream, self.context.clone(), permit);
         self.spawner.spawn(async move {
-            // A connection that fails concerns its client alone, who sees it fail.
+            // A connection error affects only its client, which notices it.
             let _ = connection.serve().await;
         });
     }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the server: reads a request, has it handled, responds, and so on until it is closed.
+//! A connection of the server: it reads, handles and responds to one request after the other until it is closed.
 
 use std::cell::Cell;
 use std::io;
@@ -16,16 +16,16 @@
 use crate::io::{discard, read_into, write_all};
 use crate::message::{Method, Request, Response};
 
-/// Time for which a connection is read from after its last response.
+/// Maximum time for which a connection is read from after its last response.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that are read after a connection's last response.
+/// Maximum number of bytes that are read from a connection after its last response.
 const MAX_CLOSE_BYTES: u64 = 1 << 20;
 
-/// Bytes that the sender of a malformed request may still send.
+/// Maximum number of bytes that are read from the sender of a rejected request.
 const MAX_LINGER_BYTES: u64 = 256 << 20;
 
-/// A connection. The stream is closed before the permit is released.
+/// A server connection. When it is dropped, the stream is closed before the permit is released.
 pub(super) struct Connection {
     stream: Async<TcpStream>,
     decoder: Decoder,
@@ -49,7 +49,7 @@
 
     /// Serves requests until the connection is closed.
     pub(super) async fn serve(mut self) -> io::Result<()> {
-        // Without it the connection works, only slower.
+        // A failure is ignored: the connection works without this option, only slower.
         let _ = self.stream.get_ref().set_nodelay(true);
         loop {
             let next = next_request(
@@ -64,7 +64,7 @@
                         return Ok(());
                     }
                 }
-                Ok(None) if self.permit.is_closing() => {
+                Ok(None) if self.permit.closes_when_idle() => {
                     return self.close(CLOSE_TIMEOUT, MAX_CLOSE_BYTES).await;
                 }
                 Ok(None) => return Ok(()),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Responds to what is not served, and closes the connection.
+    /// Responds to a request that can't be served, and closes the connection.
     async fn reject(&mut self, status: u16, reason: &str) -> io::Result<()> {
         let response = Response::text(status, reason);
         self.write(&response.encode(true)).await?;
@@ -87,15 +87,19 @@
         self.close(limit, MAX_LINGER_BYTES).await
     }
 
-    /// Serves one request; `false` if the connection serves no more after it.
+    /// Serves one request, and returns whether the connection serves further ones.
     async fn serve_request(&mut self, incoming: IncomingRequest) -> io::Result<bool> {
         let is_head = incoming.request.method == Method::Head;
-        let Handled { reply, is_overrun } = self.handle(incoming.request).await;
+        let Handled {
+            reply,
+            exceeds_read_ahead,
+        } = self.handle(incoming.request).await;
         match reply {
             None | Some(Reply::Close) => Ok(false),
             Some(Reply::Send(response)) => {
-                let is_kept_open =
-                    incoming.is_keep_alive && !is_overrun && !self.permit.is_ending();
+                let is_kept_open = incoming.is_keep_alive
+                    && !exceeds_read_ahead
+                    && !self.permit.closes_after_response();
                 let mut bytes = response.encode(!is_kept_open);
                 if is_head {
                     bytes.truncate(bytes.len() - response.body.len());
@@ -120,11 +124,11 @@
 
     async fn handle(&mut self, request: Request) -> Handled {
         let context = self.context.clone();
-        let is_overrun = Cell::new(false);
+        let exceeds_read_ahead = Cell::new(false);
         let reply = if context.config.cancels_on_disconnect {
             let reply = async { Some((context.handler)(request).await) };
             let disconnected = async {
-                self.wait_for_disconnect(&is_overrun).await;
+                self.wait_for_disconnect(&exceeds_read_ahead).await;
                 None
             };
             future::or(reply, disconnected).await
@@ -133,17 +137,18 @@
         };
         Handled {
             reply,
-            is_overrun: is_overrun.get(),
+            exceeds_read_ahead: exceeds_read_ahead.get(),
         }
     }
 
-    /// Waits until the peer has closed. What it sends meanwhile is kept for the next request, up to the limit of a head.
-    /// After that it is discarded, so that the peer's close is still noticed, and the connection serves no more.
-    async fn wait_for_disconnect(&mut self, is_overrun: &Cell<bool>) {
+    /// Waits until the peer closes its sending side. Meanwhile received bytes are kept for the next request. Once they
+    /// exceed the size limit of a head, further ones are discarded, so that the close is still detected, and the
+    /// connection serves no further request.
+    async fn wait_for_disconnect(&mut self, exceeds_read_ahead: &Cell<bool>) {
         let max_bytes = self.context.config.limits.max_head_bytes;
         let mut received = 0;
         loop {
-            let read = if is_overrun.get() {
+            let read = if exceeds_read_ahead.get() {
                 discard(&mut self.stream).await
             } else {
                 read_into(&mut self.stream, &mut self.decoder).await
@@ -152,18 +157,18 @@
                 Ok(0) | Err(_) => return,
                 Ok(count) => received += count,
             }
-            is_overrun.set(received > max_bytes);
-            // A peer that sends without a pause must not keep the thread from all others.
+            exceeds_read_ahead.set(received > max_bytes);
+            // A peer that sends without pause must not block the other tasks of the thread.
             future::yield_now().await;
         }
     }
 
-    /// Closes gracefully: closes the sending side, and reads on within bounds until the client has closed too. A close
-    /// over unread bytes would reset the connection, and with it a response that the client has not read yet.
+    /// Closes the connection gracefully: closes the sending side, then reads within limits until the client closes too.
+    /// Closing with unread bytes would reset the connection and lose a response that the client has not read yet.
     async fn close(&mut self, limit: Duration, max_bytes: u64) -> io::Result<()> {
-        // Not `AsyncWriteExt::close`, which only flushes here.
+        // `AsyncWriteExt::close` would only flush this stream.
         self.stream.get_ref().shutdown(Shutdown::Write)?;
-        let read_on = async {
+        let discard_remaining = async {
             let mut remaining = max_bytes;
             while remaining > 0 {
                 match discard(&mut self.stream).await? {
@@ -174,7 +179,7 @@
             }
             Ok(())
         };
-        self.context.timer.timeout(limit, read_on).await
+        self.context.timer.timeout(limit, discard_remaining).await
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -183,10 +188,10 @@
     }
 }
 
-/// What became of a request.
+/// The result of handling a request.
 struct Handled {
-    /// None where the client has disconnected.
+    /// The handler's reply, or `None` if the client has disconnected.
     reply: Option<Reply>,
-    /// Whether bytes of further requests were discarded.
-    is_overrun: bool,
+    /// Whether the client sent more bytes meanwhile than are kept for the next request.
+    exceeds_read_ahead: bool,
 }
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -1,5 +1,4 @@
-//! The open connections of a server: how many there are, and which have no request open, as those are closed to make
-//! room for others.
+//! The open connections of a server: their number, and which of them are idle and can be closed to make room for others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,28 +6,29 @@
 
 use event_listener::{Event, EventListener};
 
-/// Number of a server's connections at some moment.
+/// The numbers of a server's connections at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Open connections.
+    /// Number of open connections.
     pub open: usize,
-    /// Those of them that have a request open or are closing.
+    /// Number of open connections that have a request in progress or have been asked to close.
     pub active: usize,
 }
 
 #[derive(Default)]
-struct Inner {
+struct ConnectionsState {
     open: usize,
     last_key: u64,
-    /// Connections that have never sent a request, in the order in which they became idle, with what asks each to close.
+    /// Idle connections that never sent a request, in the order in which they became idle, each with the event that asks
+    /// it to close.
     unused: BTreeMap<u64, Rc<Event>>,
-    /// Those between two requests, likewise.
+    /// Idle connections that are between two requests, in the same form.
     idle: BTreeMap<u64, Rc<Event>>,
-    is_ending: bool,
-    is_closing: bool,
+    closes_after_response: bool,
+    closes_when_idle: bool,
 }
 
-impl Inner {
+impl ConnectionsState {
     fn next_key(&mut self) -> u64 {
         self.last_key += 1;
         self.last_key
@@ -43,91 +43,92 @@
     }
 }
 
-/// The connections of a server, of which it has a bounded number.
+/// The connections of a server, with a maximum number.
 pub struct ServerConnections {
-    max: usize,
-    inner: RefCell<Inner>,
-    /// Notified when a connection is closed or becomes idle.
-    freed: Event,
+    max_open: usize,
+    state: RefCell<ConnectionsState>,
+    /// Notified when a connection closes or becomes idle.
+    closed_or_idle: Event,
 }
 
 impl ServerConnections {
-    /// For up to `max` connections at once, and at least one.
-    pub fn new(max: usize) -> ServerConnections {
+    /// Creates an empty set for up to `max_open` connections, or one if `max_open` is 0.
+    pub fn new(max_open: usize) -> ServerConnections {
         ServerConnections {
-            max: max.max(1),
-            inner: RefCell::default(),
-            freed: Event::new(),
+            max_open: max_open.max(1),
+            state: RefCell::default(),
+            closed_or_idle: Event::new(),
         }
     }
 
-    /// Number of connections.
+    /// Returns the numbers of connections.
     pub fn counts(&self) -> ConnectionCounts {
-        let inner = self.inner.borrow();
+        let state = self.state.borrow();
         ConnectionCounts {
-            open: inner.open,
-            active: inner.open - inner.unused.len() - inner.idle.len(),
+            open: state.open,
+            active: state.open - state.unused.len() - state.idle.len(),
         }
     }
 
-    /// Whether the bound is reached.
+    /// Returns whether the maximum is reached.
     pub(super) fn is_full(&self) -> bool {
-        self.inner.borrow().open >= self.max
+        self.state.borrow().open >= self.max_open
     }
 
-    /// Waits until one more connection may open; while the bound is reached, asks idle ones to close.
-    pub(super) async fn ready(&self) {
+    /// Waits until another connection may be accepted. While the maximum is reached, asks idle connections to close.
+    pub(super) async fn wait_for_capacity(&self) {
         loop {
-            let freed = self.freed.listen();
+            let closed_or_idle = self.closed_or_idle.listen();
             if !self.is_full() {
                 return;
             }
             self.close_one_idle();
-            freed.await;
+            closed_or_idle.await;
         }
     }
 
-    /// Asks one connection without a request to close: first those that never sent one, and of these the oldest.
+    /// Asks one idle connection to close: the one that has been idle for longest, of those that never sent a request if
+    /// there are any.
     pub fn close_one_idle(&self) {
-        let mut inner = self.inner.borrow_mut();
-        let (_, close) = match inner.unused.pop_first().or_else(|| inner.idle.pop_first()) {
+        let mut state = self.state.borrow_mut();
+        let (_, close) = match state.unused.pop_first().or_else(|| state.idle.pop_first()) {
             Some(oldest) => oldest,
             None => return,
         };
         close.notify(usize::MAX);
     }
 
-    /// From now on each response announces that its connection is closed after it, so that no client sends a request
-    /// into a close. Connections without a request may still send one.
+    /// Makes each further response announce that its connection is closed after it, so that no client sends a request
+    /// on a connection that is being closed. A request on an idle connection is still served.
     pub fn announce_end(&self) {
-        self.inner.borrow_mut().is_ending = true;
+        self.state.borrow_mut().closes_after_response = true;
     }
 
-    /// Asks all connections without a request to close, now and whenever one becomes idle.
+    /// Asks all idle connections to close, and from now on each connection that becomes idle.
     pub fn close_idle(&self) {
-        let mut inner = self.inner.borrow_mut();
-        (inner.is_ending, inner.is_closing) = (true, true);
-        let unused = std::mem::take(&mut inner.unused).into_values();
-        let idle = std::mem::take(&mut inner.idle).into_values();
+        let mut state = self.state.borrow_mut();
+        (state.closes_after_response, state.closes_when_idle) = (true, true);
+        let unused = std::mem::take(&mut state.unused).into_values();
+        let idle = std::mem::take(&mut state.idle).into_values();
         for close in unused.chain(idle) {
             close.notify(usize::MAX);
         }
     }
 
-    /// Counts one connection more, also past the bound.
-    pub(super) fn admit(self: &Rc<ServerConnections>) -> ConnectionPermit {
-        let mut inner = self.inner.borrow_mut();
-        inner.open += 1;
+    /// Registers a new connection, even if the maximum is reached.
+    pub(super) fn register(self: &Rc<ServerConnections>) -> ConnectionPermit {
+        let mut state = self.state.borrow_mut();
+        state.open += 1;
         ConnectionPermit {
             connections: self.clone(),
-            key: Cell::new(inner.next_key()),
+            key: Cell::new(state.next_key()),
             is_unused: Cell::new(true),
             is_idle: Cell::new(false),
         }
     }
 }
 
-/// One connection's place among [`ServerConnections`]; released when dropped.
+/// The registration of one connection with its [`ServerConnections`], removed when dropped.
 pub(super) struct ConnectionPermit {
     connections: Rc<ServerConnections>,
     key: Cell<u64>,
@@ -136,65 +137,65 @@
 }
 
 impl ConnectionPermit {
-    /// Whether no request has been received over the connection.
+    /// Returns whether the connection has received no request yet.
     pub(super) fn is_unused(&self) -> bool {
         self.is_unused.get()
     }
 
-    /// Whether the next response is the connection's last.
-    pub(super) fn is_ending(&self) -> bool {
-        self.connections.inner.borrow().is_ending
+    /// Returns whether the connection is closed after its next response.
+    pub(super) fn closes_after_response(&self) -> bool {
+        self.connections.state.borrow().closes_after_response
     }
 
-    /// Whether the server closes all idle connections, and not only as many as others need room.
-    pub(super) fn is_closing(&self) -> bool {
-        self.connections.inner.borrow().is_closing
+    /// Returns whether the server closes all idle connections, not only those whose place others need.
+    pub(super) fn closes_when_idle(&self) -> bool {
+        self.connections.state.borrow().closes_when_idle
     }
 
-    /// Whether the connection has no request open.
+    /// Returns whether the connection is idle, that is, has no request in progress.
     pub(super) fn is_idle(&self) -> bool {
         self.is_idle.get()
     }
 
-    /// Records that the connection has no request open. The listener is notified when it is to be closed.
-    pub(super) fn set_idle(&self) -> EventListener {
+    /// Marks the connection as idle. Returns a listener that is notified when the connection is to be closed.
+    pub(super) fn mark_idle(&self) -> EventListener {
         let close = Rc::new(Event::new());
         let listener = close.listen();
-        let mut inner = self.connections.inner.borrow_mut();
+        let mut state = self.connections.state.borrow_mut();
         self.is_idle.set(true);
-        if inner.is_closing {
+        if state.closes_when_idle {
             close.notify(usize::MAX);
             return listener;
         }
-        let key = inner.next_key();
+        let key = state.next_key();
         self.key.set(key);
-        inner
+        state
             .idle_connections(self.is_unused.get())
             .insert(key, close);
-        drop(inner);
-        self.connections.freed.notify(1);
+        drop(state);
+        self.connections.closed_or_idle.notify(1);
         listener
     }
 
-    /// Records that the connection has a request open.
-    pub(super) fn set_active(&self) {
+    /// Marks the connection as having a request in progress.
+    pub(super) fn mark_active(&self) {
         self.remove_from_idle();
         self.is_idle.set(false);
         self.is_unused.set(false);
     }
 
     fn remove_from_idle(&self) {
-        let mut inner = self.connections.inner.borrow_mut();
-        inner.unused.remove(&self.key.get());
-        inner.idle.remove(&self.key.get());
+        let mut state = self.connections.state.borrow_mut();
+        state.unused.remove(&self.key.get());
+        state.idle.remove(&self.key.get());
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.remove_from_idle();
-        self.connections.inner.borrow_mut().open -= 1;
-        self.connections.freed.notify(1);
+        self.connections.state.borrow_mut().open -= 1;
+        self.connections.closed_or_idle.notify(1);
     }
 }
 
--- a/crates/http/src/server/connections/tests.rs
+++ b/crates/http/src/server/connections/tests.rs
@@ -6,33 +6,36 @@
 }
 
 #[test]
-fn room_is_made_by_unused_connections_first_and_never_by_active_ones() {
+fn unused_connections_are_closed_first_and_active_ones_never() {
     block_on(async {
         let connections = Rc::new(ServerConnections::new(3));
         let (active, idle, unused) = (
-            connections.admit(),
-            connections.admit(),
-            connections.admit(),
+            connections.register(),
+            connections.register(),
+            connections.register(),
         );
-        active.set_active();
-        idle.set_active();
-        let (mut close_idle, mut close_unused) = (idle.set_idle(), unused.set_idle());
+        active.mark_active();
+        idle.mark_active();
+        let (mut close_idle, mut close_unused) = (idle.mark_idle(), unused.mark_idle());
         assert_eq!(connections.counts(), counts(3, 1));
-        let mut ready = Box::pin(connections.ready());
+        let mut capacity = Box::pin(connections.wait_for_capacity());
         assert!(
-            poll_once(&mut ready).await.is_none(),
-            "the bound is reached"
+            poll_once(&mut capacity).await.is_none(),
+            "the maximum is reached"
         );
         assert!(poll_once(&mut close_unused).await.is_some());
         assert!(poll_once(&mut close_idle).await.is_none());
         drop(unused);
-        assert!(poll_once(&mut ready).await.is_some(), "one has closed");
+        assert!(
+            poll_once(&mut capacity).await.is_some(),
+            "one connection has closed"
+        );
         connections.close_one_idle();
         assert!(poll_once(&mut close_idle).await.is_some());
         assert_eq!(
             connections.counts(),
             counts(2, 2),
-            "one is closing, and one is active"
+            "one connection is closing and one is active"
         );
     });
 }
--- a/crates/http/src/server/incoming_budget.rs
+++ b/crates/http/src/server/incoming_budget.rs
@@ -1,23 +1,23 @@
-//! The memory for request content that is still arriving, of all connections of a server together.
+//! The memory budget for the content of incomplete requests of all connections of a server.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A bounded number of bytes.
+/// A budget of bytes that requests reserve while they arrive.
 pub(super) struct IncomingBudget {
-    max: u64,
-    reserved: Cell<u64>,
+    max_bytes: u64,
+    reserved_bytes: Cell<u64>,
 }
 
 impl IncomingBudget {
-    pub(super) fn new(max: u64) -> IncomingBudget {
+    pub(super) fn new(max_bytes: u64) -> IncomingBudget {
         IncomingBudget {
-            max,
-            reserved: Cell::new(0),
+            max_bytes,
+            reserved_bytes: Cell::new(0),
         }
     }
 
-    /// A reservation for one request, of no bytes yet.
+    /// Creates an empty reservation for one request.
     pub(super) fn reservation(self: &Rc<IncomingBudget>) -> IncomingReservation {
         IncomingReservation {
             budget: self.clone(),
@@ -26,20 +26,20 @@
     }
 }
 
-/// The bytes that one arriving request has reserved; released when dropped.
+/// The bytes that one incomplete request has reserved, released when dropped.
 pub(super) struct IncomingReservation {
     budget: Rc<IncomingBudget>,
     bytes: u64,
 }
 
 impl IncomingReservation {
-    /// Reserves further bytes; `false` if the budget does not suffice.
+    /// Reserves further bytes if the budget allows it, and returns whether it does.
     pub(super) fn try_grow(&mut self, bytes: u64) -> bool {
-        let reserved = self.budget.reserved.get() + bytes;
-        if reserved > self.budget.max {
+        let reserved = self.budget.reserved_bytes.get() + bytes;
+        if reserved > self.budget.max_bytes {
             return false;
         }
-        self.budget.reserved.set(reserved);
+        self.budget.reserved_bytes.set(reserved);
         self.bytes += bytes;
         true
     }
@@ -47,7 +47,7 @@
 
 impl Drop for IncomingReservation {
     fn drop(&mut self) {
-        let reserved = self.budget.reserved.get();
-        self.budget.reserved.set(reserved - self.bytes);
+        let reserved = self.budget.reserved_bytes.get();
+        self.budget.reserved_bytes.set(reserved - self.bytes);
     }
 }
--- a/crates/http/src/server/request_reader.rs
+++ b/crates/http/src/server/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the requests of a connection, within limits of size and time.
+//! Reads the requests of a connection within limits of size and time.
 
 use std::cell::Cell;
 use std::io;
@@ -12,9 +12,9 @@
 use crate::io::read_into;
 use crate::message::{Head, Request, StartLine};
 
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A request and what it says of its connection.
+/// A received request, and whether its client wants to keep the connection open.
 pub(super) struct IncomingRequest {
     pub(super) request: Request,
     pub(super) is_keep_alive: bool,
@@ -38,22 +38,22 @@
     }
 }
 
-/// Why no request can be read.
+/// The reason why a request can't be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// The connection is broken, or the client too slow.
+    /// The connection broke, or the client is too slow.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are not a request.
+    /// The received bytes are not a valid request.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// The budget for content that is still arriving is used up.
-    #[error("too much is coming in; come back later")]
+    /// The budget for the content of incomplete requests is exhausted.
+    #[error("too much request content is arriving at once; retry later")]
     IncomingBudget,
 }
 
-/// Waits for the next request: none where the client has closed the connection, or the server asks for that. The
-/// connection is idle meanwhile, and active when this returns.
+/// Waits for the next request. Returns `None` if the client closes the connection, or the server asks for it to be
+/// closed. The connection is marked as active when this returns.
 pub(super) async fn next_request<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     decoder: &mut Decoder,
@@ -61,46 +61,46 @@
     permit: &ConnectionPermit,
 ) -> Result<Option<IncomingRequest>, ReadError> {
     decoder.shrink();
-    let (is_first, close) = (permit.is_unused(), permit.set_idle());
-    let has_begun = Cell::new(decoder.is_inside_message());
+    let (is_first_request, close) = (permit.is_unused(), permit.mark_idle());
+    let request_has_begun = Cell::new(decoder.is_inside_message());
     let read = async {
-        if !wait_for_first_byte(stream, decoder, context, is_first).await? {
+        if !wait_for_first_byte(stream, decoder, context, is_first_request).await? {
             return Ok(None);
         }
-        has_begun.set(true);
-        if !is_first {
-            permit.set_active();
+        request_has_begun.set(true);
+        if !is_first_request {
+            permit.mark_active();
         }
         let reservation = context.incoming.reservation();
         let request = read_request(stream, decoder, reservation);
         let limit = context.config.request_timeout;
         context.timer.timeout(limit, request).await
     };
-    let asked_to_close = async {
+    let close_requested = async {
         close.await;
-        // A request that is arriving is served, but a first one only where the server ends and not where others need
-        // its connection's place.
-        if !permit.is_idle() || (permit.is_closing() && has_begun.get()) {
+        // A request that has begun to arrive is still read, except for the first of a connection: if the connection is
+        // closed to make room for others, and not because the server closes all, an incomplete first request is dropped.
+        if !permit.is_idle() || (permit.closes_when_idle() && request_has_begun.get()) {
             future::pending::<()>().await;
         }
         Ok(None)
     };
-    let next = future::or(read, asked_to_close).await;
-    permit.set_active();
+    let next = future::or(read, close_requested).await;
+    permit.mark_active();
     next
 }
 
-/// Waits until a request has begun; `false` where the client closes the connection instead.
+/// Waits until a request begins. Returns `false` if the client closes the connection instead.
 async fn wait_for_first_byte<S: AsyncRead + Unpin>(
     stream: &mut S,
     decoder: &mut Decoder,
     context: &Context,
-    is_first: bool,
+    is_first_request: bool,
 ) -> io::Result<bool> {
     if decoder.is_inside_message() {
         return Ok(true);
     }
-    let limit = if is_first {
+    let limit = if is_first_request {
         context.config.first_byte_timeout
     } else {
         context.config.idle_timeout
@@ -122,7 +122,7 @@
         match decoder.next_event()? {
             Some(Event::Head(head)) => {
                 if head.headers.contains_token("expect", "100-continue") {
-                    stream.write_all(CONTINUE).await?;
+                    stream.write_all(CONTINUE_RESPONSE).await?;
                 }
                 incoming = IncomingRequest::new(head);
             }
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,5 +1,5 @@
-//! The server over real sockets: shutdown with connections in the accept queue, disconnects, and clients that never
-//! stop sending.
+//! Tests of the server over real sockets: shutdown with connections in the accept queue, disconnects, and clients that
+//! send without pause.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -18,14 +18,14 @@
 };
 use hoptiller_http::{Response, Spawner};
 
-const GET: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+const GET_REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// Limit of the time of one test.
+/// Maximum time of one test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A server whose responses wait for `release`; it stops at `stop`.
+/// A server that holds back its responses until `release` is notified, and stops when `stop` is.
 struct TestServer {
     address: SocketAddr,
     connections: Rc<ServerConnections>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Runs a test against a server with a bounded number of connections.
+/// Runs a test with a server that has a maximum number of connections.
 fn run_test<F: Future<Output = ()>>(max_connections: usize, test: impl FnOnce(TestServer) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     let listener = bind(([127, 0, 0, 1], 0).into()).expect("bound");
@@ -78,7 +78,7 @@
     let test = test(server);
     async_io::block_on(executor.run(future::or(test, async {
         Timer::after(TEST_TIMEOUT).await;
-        panic!("the test hangs");
+        panic!("the test did not end within {TEST_TIMEOUT:?}");
     })));
 }
 
@@ -88,10 +88,10 @@
     }
 }
 
-/// Connects and sends a request in one step, in which the server's task does not run.
+/// Connects and sends a request without awaiting, so that the server's task does not run in between.
 fn send_request(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("the kernel accepts");
-    stream.write_all(GET).expect("written");
+    stream.write_all(GET_REQUEST).expect("written");
     stream
 }
 
@@ -112,7 +112,7 @@
     run_test(1, async |server| {
         let first = send_request(server.address);
         wait_until(|| server.requests.get() == 1).await;
-        // The bound is reached: these wait in the accept queue, with their requests.
+        // The maximum is reached, so these connections wait in the accept queue, with their requests sent.
         let waiting = [send_request(server.address), send_request(server.address)];
         server.connections.announce_end();
         server.stop.notify(1);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_client_that_never_stops_sending_does_not_block_other_clients() {
+fn a_client_that_sends_without_pause_does_not_block_other_clients() {
     run_test(8, async |server| {
         let address = server.address;
         let is_sending = Arc::new(AtomicBool::new(true));
@@ -147,7 +147,7 @@
         let sender = std::thread::spawn(move || {
             let mut stream = send_request(address);
             let part = vec![b'x'; 256 << 10];
-            // Bounded: 16 GiB at most, and the test ends long before.
+            // At most 16 GiB; the test ends long before.
             for _ in 0..65_536 {
                 if !may_send.load(Ordering::Relaxed) || stream.write_all(&part).is_err() {
                     break;
@@ -155,12 +155,12 @@
             }
         });
         wait_until(|| server.requests.get() == 1).await;
-        for n in 2..22 {
+        for count in 2..22 {
             let other = send_request(server.address);
-            wait_until(|| server.requests.get() == n).await;
+            wait_until(|| server.requests.get() == count).await;
             drop(other);
         }
-        // Its request is still open, and its close is noticed.
+        // The request of the first client is still in progress, and its close is detected below.
         assert!(server.connections.counts().active >= 1);
         is_sending.store(false, Ordering::Relaxed);
         wait_until(|| server.open_connections() == 0).await;
@@ -194,7 +194,7 @@
         let stream = send_request(server.address);
         wait_until(|| server.requests.get() == 1).await;
         stream.shutdown(std::net::Shutdown::Write).expect("shut");
-        // No response was released: the handler was dropped.
+        // No response was released, so the handler must have been dropped.
         wait_until(|| server.open_connections() == 0).await;
     });
 }
@@ -217,7 +217,7 @@
         assert_eq!(
             server.connections.counts(),
             ConnectionCounts { open: 1, active: 1 },
-            "it is still read from"
+            "the server still reads from the connection"
         );
         drop((stream, read));
         wait_until(|| server.open_connections() == 0).await;
