--- a/crates/http/src/coarse_timer.rs
+++ b/crates/http/src/coarse_timer.rs
@@ -63,7 +63,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the future's own error, or an I/O error of kind [`TimedOut`](io::ErrorKind::TimedOut) if it takes longer.
+    /// Returns the future's own error, or an I/O error of kind [`TimedOut`](io::ErrorKind::TimedOut) if it takes
+    /// longer.
     pub async fn timeout<T, E: From<io::Error>>(
         &self,
         limit: Duration,
--- a/crates/http/src/codec/decoder.rs
+++ b/crates/http/src/codec/decoder.rs
@@ -42,8 +42,8 @@
     Failed(ParseError),
 }
 
-/// A decoder that turns the bytes of one direction of a connection into [`Event`]s, message after message. After an error,
-/// it returns the same error for every further call.
+/// A decoder that turns the bytes of one direction of a connection into [`Event`]s, message after message. After an
+/// error, it returns the same error for every further call.
 #[derive(Debug)]
 pub struct Decoder {
     kind: MessageKind,
@@ -101,7 +101,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ParseError::UnexpectedEof`] if the close truncates a message, or the earlier error if decoding has failed.
+    /// Returns [`ParseError::UnexpectedEof`] if the close truncates a message, or the earlier error if decoding has
+    /// failed.
     pub fn finish(&mut self) -> Result<Option<Event>, ParseError> {
         match &self.state {
             State::UntilClose => {
@@ -118,7 +119,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are not a valid HTTP/1.1 message or exceed the limits, and the same error from then on.
+    /// Returns an error if the bytes are not a valid HTTP/1.1 message or exceed the limits, and the same error from
+    /// then on.
     pub fn next_event(&mut self) -> Result<Option<Event>, ParseError> {
         loop {
             match &self.state {
@@ -223,8 +225,8 @@
         Ok(Event::Head(head))
     }
 
-    /// Reads a part of content of which `remaining` bytes are still to come. The next state is `complete` if that was all
-    /// of it, otherwise `incomplete` with the number of bytes still to come.
+    /// Reads a part of content of which `remaining` bytes are still to come. The next state is `complete` if that was
+    /// all of it, otherwise `incomplete` with the number of bytes still to come.
     fn read_body(
         &mut self,
         remaining: u64,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,5 +1,5 @@
-//! The server: accepts a limited number of connections, reads their requests within limits of size and time, and responds
-//! to the requests of a connection one after the other.
+//! The server: accepts a limited number of connections, reads their requests within limits of size and time, and
+//! responds to the requests of a connection one after the other.
 
 mod connection;
 mod connections;
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Asks one idle connection to close, and waits for a fixed time, because no event tells when accepting works again.
+    /// Asks one idle connection to close, and waits for a fixed time, because no event tells when accepting works
+    /// again.
     async fn close_one_idle_and_wait(&self) {
         self.connections.close_one_idle();
         Timer::after(ACCEPT_RETRY_DELAY).await;
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -1,4 +1,5 @@
-//! The open connections of a server: their number, and which of them are idle and can be closed to make room for others.
+//! The open connections of a server: their number, and which of them are idle and can be closed to make room for
+//! others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,8 +20,8 @@
 struct ConnectionsState {
     open: usize,
     last_key: u64,
-    /// Idle connections that never sent a request, in the order in which they became idle, each with the event that asks
-    /// it to close.
+    /// Idle connections that never sent a request, in the order in which they became idle, each with the event that
+    /// asks it to close.
     unused: BTreeMap<u64, Rc<Event>>,
     /// Idle connections that are between two requests, in the same form.
     idle: BTreeMap<u64, Rc<Event>>,
--- a/crates/http/src/server/request_reader.rs
+++ b/crates/http/src/server/request_reader.rs
@@ -79,7 +79,8 @@
     let close_requested = async {
         close.await;
         // A request that has begun to arrive is still read, except for the first of a connection: if the connection is
-        // closed to make room for others, and not because the server closes all, an incomplete first request is dropped.
+        // closed to make room for others, and not because the server closes all, an incomplete first request is
+        // dropped.
         if !permit.is_idle() || (permit.closes_when_idle() && request_has_begun.get()) {
             future::pending::<()>().await;
         }
--- a/crates/http/src/spawner.rs
+++ b/crates/http/src/spawner.rs
@@ -5,8 +5,8 @@
 
 use async_executor::LocalExecutor;
 
-/// A weak handle that spawns tasks on an executor. When the executor's owner drops it, all its tasks are dropped; a task
-/// that is spawned later is dropped immediately.
+/// A weak handle that spawns tasks on an executor. When the executor's owner drops it, all its tasks are dropped; a
+/// task that is spawned later is dropped immediately.
 #[derive(Clone, Debug)]
 pub struct Spawner(Weak<LocalExecutor<'static>>);
 
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -3,8 +3,8 @@
 use hoptiller_http::{Decoder, Event, Limits, MessageKind, ParseError, Request, Response};
 use proptest::prelude::*;
 
-/// Decodes bytes that are fed in parts. Returns the events, with the content parts of each message joined, and the error,
-/// if there is one.
+/// Decodes bytes that are fed in parts. Returns the events, with the content parts of each message joined, and the
+/// error, if there is one.
 fn decode(kind: MessageKind, parts: &[&[u8]]) -> (Vec<Event>, Option<ParseError>) {
     let mut decoder = Decoder::new(
         kind,
