--- a/crates/mock-servers/src/work_model/tests.rs
+++ b/crates/mock-servers/src/work_model/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A second in µs.
-const SECOND: u64 = 1_000_000;
+/// One second in µs.
+const SECOND_MICROS: u64 = 1_000_000;
 
 fn job(work: f64) -> Job {
     Job {
@@ -10,24 +10,24 @@
     }
 }
 
-fn warm(parameters: WorkModelParameters) -> WorkModel {
-    WorkModel::new(parameters, 100 * SECOND, false)
+fn warm_model(parameters: WorkModelParameters) -> WorkModel {
+    WorkModel::new(parameters, 100 * SECOND_MICROS, false)
 }
 
-/// When each of the jobs ends, in ms after they were all admitted at once.
+/// Returns the time in ms at which each job ends, if all are admitted at once at 0 ms.
 fn end_times_ms(model: &mut WorkModel, jobs: Vec<Job>) -> Vec<u64> {
-    let n = jobs.len();
-    let start = 100 * SECOND;
+    let count = jobs.len();
+    let start = 100 * SECOND_MICROS;
     for (id, job) in jobs.into_iter().enumerate() {
         assert_eq!(model.admit(start, id as u64, job), Admission::Admitted);
     }
-    let mut at = vec![0; n];
+    let mut end_times = vec![0; count];
     while let Some(next) = model.next_event_at() {
         for id in model.advance(next) {
-            at[id as usize] = (next - start) / 1000;
+            end_times[id as usize] = (next - start) / 1000;
         }
     }
-    at
+    end_times
 }
 
 #[test]
@@ -38,22 +38,22 @@
         ..WorkModelParameters::default()
     };
     assert_eq!(
-        end_times_ms(&mut warm(parameters.clone()), vec![job(1e6)]),
+        end_times_ms(&mut warm_model(parameters.clone()), vec![job(1e6)]),
         [1000]
     );
     assert_eq!(
-        end_times_ms(&mut warm(parameters.clone()), vec![job(1e6); 4]),
+        end_times_ms(&mut warm_model(parameters.clone()), vec![job(1e6); 4]),
         [2000; 4]
     );
-    // Four threads a core, twice the point: half of the work is lost.
+    // Four threads per core are twice the threshold, which halves the throughput.
     assert_eq!(
-        end_times_ms(&mut warm(parameters), vec![job(1e6); 8]),
+        end_times_ms(&mut warm_model(parameters), vec![job(1e6); 8]),
         [8000; 8]
     );
 }
 
 #[test]
-fn a_load_locks_its_data_set_until_it_ends() {
+fn a_locked_data_set_blocks_other_statements_until_its_holder_ends() {
     let load = Job {
         locks_data_sets: true,
         data_set: Some(7),
@@ -63,8 +63,8 @@
         data_set: Some(7),
         ..job(1e5)
     };
-    let got = end_times_ms(
-        &mut warm(WorkModelParameters::default()),
+    let end_times = end_times_ms(
+        &mut warm_model(WorkModelParameters::default()),
         vec![
             load,
             lookup.clone(),
@@ -74,11 +74,11 @@
             },
         ],
     );
-    assert_eq!(got, [1000, 1100, 100]);
+    assert_eq!(end_times, [1000, 1100, 100]);
 }
 
 #[test]
-fn statements_wait_for_memory_and_spill_where_they_get_less() {
+fn statements_wait_for_memory_and_spill_if_they_are_granted_less() {
     let parameters = WorkModelParameters {
         memory_mb: 100.0,
         ..WorkModelParameters::default()
@@ -89,7 +89,7 @@
     };
     assert_eq!(
         end_times_ms(
-            &mut warm(parameters.clone()),
+            &mut warm_model(parameters.clone()),
             vec![big.clone(), big.clone()]
         ),
         [1000, 2000]
@@ -99,7 +99,7 @@
         ..big
     };
     assert_eq!(
-        end_times_ms(&mut warm(parameters), vec![short.clone(), short]),
+        end_times_ms(&mut warm_model(parameters), vec![short.clone(), short]),
         [2000, 2000]
     );
 }
@@ -111,21 +111,30 @@
         cold_speed_fraction: 0.5,
         ..WorkModelParameters::default()
     };
-    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND, true);
+    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND_MICROS, true);
     let slow = end_times_ms(&mut cold, vec![job(1e6)])[0];
     assert!((1500..2000).contains(&slow), "{slow}");
-    // Half a core for 2 s, three times: 3 s of work and no more.
-    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND, true);
-    assert_eq!(cold.admit(100 * SECOND, 0, job(2.9e6)), Admission::Admitted);
-    assert_eq!(cold.admit(100 * SECOND, 1, job(0.2e6)), Admission::Crashed);
+    // At half speed, one core does 1 s of work in the window of 2 s. The overload factor of 3 allows 3 s of work.
+    let mut cold = WorkModel::new(parameters.clone(), 100 * SECOND_MICROS, true);
+    assert_eq!(
+        cold.admit(100 * SECOND_MICROS, 0, job(2.9e6)),
+        Admission::Admitted
+    );
+    assert_eq!(
+        cold.admit(100 * SECOND_MICROS, 1, job(0.2e6)),
+        Admission::Crashed
+    );
     assert!(cold.has_crashed() && cold.next_event_at().is_none());
-    let mut warm = warm(parameters);
-    assert_eq!(warm.admit(100 * SECOND, 0, job(9e6)), Admission::Admitted);
+    let mut warm = warm_model(parameters);
+    assert_eq!(
+        warm.admit(100 * SECOND_MICROS, 0, job(9e6)),
+        Admission::Admitted
+    );
 }
 
 #[test]
-fn loads_that_need_each_others_data_sets_deadlock_and_each_is_blocked_by_the_other() {
-    let mut model = warm(WorkModelParameters::default());
+fn statements_that_lock_each_others_data_sets_deadlock_and_block_each_other() {
+    let mut model = warm_model(WorkModelParameters::default());
     let load = |first, second| Job {
         locks_data_sets: true,
         data_set: Some(first),
@@ -135,10 +144,10 @@
         }),
         ..job(1e6)
     };
-    model.admit(100 * SECOND, 0, load(1, 2));
-    model.admit(100 * SECOND, 1, load(2, 1));
-    assert!(model.advance(200 * SECOND).is_empty());
-    let blocked = |model: &WorkModel, id| model.progress(id).and_then(|p| p.blocked);
+    model.admit(100 * SECOND_MICROS, 0, load(1, 2));
+    model.admit(100 * SECOND_MICROS, 1, load(2, 1));
+    assert!(model.advance(200 * SECOND_MICROS).is_empty());
+    let blocked = |model: &WorkModel, id| model.progress(id).and_then(|progress| progress.blocked);
     assert_eq!(
         (blocked(&model, 0), blocked(&model, 1)),
         (
@@ -147,24 +156,26 @@
         )
     );
     assert_eq!(
-        model.progress(0).map(|c| (c.completed * 100.0).round()),
+        model
+            .progress(0)
+            .map(|progress| (progress.completed * 100.0).round()),
         Some(50.0)
     );
-    assert!(model.kill(200 * SECOND, 1) && !model.kill(200 * SECOND, 1));
-    assert_eq!(model.advance(201 * SECOND), [0]);
+    assert!(model.kill(200 * SECOND_MICROS, 1) && !model.kill(200 * SECOND_MICROS, 1));
+    assert_eq!(model.advance(201 * SECOND_MICROS), [0]);
 }
 
 #[test]
-fn a_paused_statement_keeps_its_locks_and_resumes_where_it_was() {
-    let mut model = warm(WorkModelParameters::default());
+fn a_paused_statement_keeps_its_locks_and_its_progress() {
+    let mut model = warm_model(WorkModelParameters::default());
     let load = Job {
         locks_data_sets: true,
         data_set: Some(1),
         ..job(1e6)
     };
-    model.admit(100 * SECOND, 0, load.clone());
+    model.admit(100 * SECOND_MICROS, 0, load.clone());
     model.admit(
-        100 * SECOND,
+        100 * SECOND_MICROS,
         1,
         Job {
             locks_data_sets: false,
@@ -172,35 +183,41 @@
         },
     );
     assert!(
-        model.set_paused(100 * SECOND + SECOND / 2, 0, true)
-            && !model.set_paused(100 * SECOND, 9, true)
+        model.set_paused(100 * SECOND_MICROS + SECOND_MICROS / 2, 0, true)
+            && !model.set_paused(100 * SECOND_MICROS, 9, true)
     );
-    assert!(model.advance(200 * SECOND).is_empty());
+    assert!(model.advance(200 * SECOND_MICROS).is_empty());
     assert_eq!(
-        model.progress(0).and_then(|c| c.blocked),
+        model.progress(0).and_then(|progress| progress.blocked),
         Some(BlockedState::Paused)
     );
     assert_eq!(
-        model.progress(1).and_then(|c| c.blocked),
+        model.progress(1).and_then(|progress| progress.blocked),
         Some(BlockedState::BlockedBy(0))
     );
-    model.set_paused(200 * SECOND, 0, false);
-    assert_eq!(model.progress(0).map(|c| c.run_micros), Some(SECOND / 2));
+    model.set_paused(200 * SECOND_MICROS, 0, false);
+    assert_eq!(
+        model.progress(0).map(|progress| progress.run_micros),
+        Some(SECOND_MICROS / 2)
+    );
     assert_eq!(
-        (model.advance(201 * SECOND), model.advance(202 * SECOND)),
+        (
+            model.advance(201 * SECOND_MICROS),
+            model.advance(202 * SECOND_MICROS)
+        ),
         (vec![0], vec![1])
     );
 }
 
 #[test]
-fn cancelling_a_statement_stops_its_work_only_where_the_parameters_say_so() {
+fn cancelling_a_statement_stops_its_work_only_if_the_parameters_say_so() {
     for cancel_stops_work in [true, false] {
-        let mut model = warm(WorkModelParameters {
+        let mut model = warm_model(WorkModelParameters {
             cancel_stops_work,
             ..WorkModelParameters::default()
         });
-        model.admit(100 * SECOND, 0, job(1e6));
-        assert_eq!(model.cancel(100 * SECOND + 10, 0), cancel_stops_work);
+        model.admit(100 * SECOND_MICROS, 0, job(1e6));
+        assert_eq!(model.cancel(100 * SECOND_MICROS + 10, 0), cancel_stops_work);
         assert_eq!(model.load().in_flight, usize::from(!cancel_stops_work));
     }
 }
--- a/crates/mock-servers/src/workload_profile/tests.rs
+++ b/crates/mock-servers/src/workload_profile/tests.rs
@@ -1,23 +1,36 @@
 use super::*;
 
 #[test]
-fn hints_set_the_profile_and_what_cannot_be_parsed_is_ignored() {
-    let s = WorkloadProfile::new(
+fn hints_set_the_profile_and_invalid_ones_are_ignored() {
+    let profile = WorkloadProfile::new(
         "report",
         "select 1 /* work=250ms threads=3 rows=7 pages=2 set=9 io=7 rows=x memory=NaN */",
         1,
     );
     assert_eq!(
-        (s.job.work, s.job.threads, s.rows, s.pages),
+        (
+            profile.job.work,
+            profile.job.threads,
+            profile.rows,
+            profile.pages
+        ),
         (250_000.0, 3.0, 7, 2)
     );
     assert_eq!(
-        (s.job.data_set, s.job.io_fraction, s.job.memory_mb),
+        (
+            profile.job.data_set,
+            profile.job.io_fraction,
+            profile.job.memory_mb
+        ),
         (Some(9), 1.0, 200.0)
     );
-    let s = WorkloadProfile::new("report", "/* work=1s plan=30 then=0.25:8 */", 1);
+    let profile = WorkloadProfile::new("report", "/* work=1s plan=30 then=0.25:8 */", 1);
     assert_eq!(
-        (s.job.work, s.rows_read, s.job.second_data_set),
+        (
+            profile.job.work,
+            profile.rows_read,
+            profile.job.second_data_set
+        ),
         (
             30e6,
             100_000,
@@ -34,6 +47,12 @@
     let drawn: Vec<f64> = (0..100)
         .map(|seed| WorkloadProfile::new("lookup", "", seed).job.work)
         .collect();
-    assert!(drawn.iter().all(|w| (135_000.0..=405_000.0).contains(w)));
-    assert!(drawn.iter().any(|w| *w < 200_000.0) && drawn.iter().any(|w| *w > 340_000.0));
+    assert!(
+        drawn
+            .iter()
+            .all(|work| (135_000.0..=405_000.0).contains(work))
+    );
+    assert!(
+        drawn.iter().any(|work| *work < 200_000.0) && drawn.iter().any(|work| *work > 340_000.0)
+    );
 }
--- a/crates/mock-servers/tests/ledger.rs
+++ b/crates/mock-servers/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of effects in a file that outlives its process.
+//! Tests of the ledger of effects in a file.
 
 use std::fs;
 use std::path::PathBuf;
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn entries_of_an_earlier_process_count() {
+fn entries_of_an_earlier_process_are_counted() {
     let file = TemporaryFile::new("earlier");
     let first = Ledger::open(&file.0).expect("the file is created");
-    first.post("a").expect("it is written");
-    let second = Ledger::open(&file.0).expect("the file is there");
-    second.post("a").expect("it is written");
-    second.post("b\nc").expect("it is written");
+    first.post("a").expect("the entry is written");
+    let second = Ledger::open(&file.0).expect("the file exists");
+    second.post("a").expect("the entry is written");
+    second.post("b\nc").expect("the entry is written");
     let expected = [("a".to_owned(), 2), ("b c".to_owned(), 1)];
     assert_eq!(second.postings(), expected.into());
     let text = fs::read_to_string(&file.0).expect("the file can be read");
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_line_that_a_crash_cut_short_does_not_count_and_joins_no_other() {
+fn a_truncated_line_is_not_counted_and_not_joined_with_the_next() {
     let file = TemporaryFile::new("cut");
     fs::write(&file.0, "a\nb").expect("the file is written");
     let ledger = Ledger::open(&file.0).expect("the file can be read");
     assert_eq!(ledger.postings(), [("a".to_owned(), 1)].into());
-    ledger.post("c").expect("it is written");
+    ledger.post("c").expect("the entry is written");
     let text = fs::read_to_string(&file.0).expect("the file can be read");
     assert_eq!(text, "a\nb\nc\n");
 }
--- a/crates/mock-servers/tests/wire_format.rs
+++ b/crates/mock-servers/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! What mock servers put on the wire and into records, byte by byte.
+//! Tests that compare the responses and the records of mock servers with recorded fixtures.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,20 +7,22 @@
 use hoptiller_mock_servers::discovery::DiscoveryConfig;
 use hoptiller_mock_servers::engine::EngineConfig;
 
-/// Sends a request on a connection of its own; all that comes back until the server closes.
+/// Sends a request on a new connection. Returns everything that is received until the server closes it.
 fn exchange(addr: SocketAddr, method: &str, path: &str, headers: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("the server listens");
     let length = body.len();
     let request = format!(
         "{method} {path} HTTP/1.1\r\nHost: mock\r\nConnection: close\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
     );
-    stream.write_all(request.as_bytes()).expect("it is sent");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is sent");
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received);
     String::from_utf8_lossy(&received).replace('\r', "")
 }
 
-/// A transcript in which what differs from run to run is replaced.
+/// A transcript of requests and responses in which values that differ between runs are replaced.
 struct Transcript {
     addr: SocketAddr,
     text: String,
@@ -32,7 +34,7 @@
         Self { addr, text }
     }
 
-    /// Sends a request, and adds the request line and the response. Returns the response as it came.
+    /// Sends a request, and adds the request line and the response to the transcript. Returns the unchanged response.
     fn add(&mut self, method: &str, path: &str, headers: &str, body: &str) -> String {
         let received = exchange(self.addr, method, path, headers, body);
         let response = replace_digits_after(&received, "Content-Length: ", "LENGTH");
@@ -54,7 +56,7 @@
         self.add("POST", "/v1/statement", &headers, text)
     }
 
-    /// Adds what was recorded since the start.
+    /// Adds all records to the transcript.
     fn add_records(&mut self, recorder: &Recorder) {
         for record in recorder.records().expect("records are kept in memory") {
             let line = serde_json::to_string(&record).expect("records are plain data");
@@ -69,7 +71,7 @@
     }
 }
 
-/// Replaces the hexadecimal digits and points that follow each `prefix`.
+/// Replaces the hexadecimal digits and dots that follow each occurrence of `prefix`.
 fn replace_digits_after(text: &str, prefix: &str, replacement: &str) -> String {
     let mut parts = text.split(prefix);
     let mut replaced = parts.next().unwrap_or_default().to_owned();
@@ -80,24 +82,24 @@
     replaced
 }
 
-/// The engine's id of the query that a response is about.
+/// Returns the query id in a response.
 fn query_id(response: &str) -> String {
     let start = response.find("standin_").expect("the response has an id");
     let id = &response[start..];
     id[..id.find('"').expect("the id ends")].to_owned()
 }
 
-/// Compares with the fixture; with `UPDATE_FIXTURES` in the environment, writes it.
+/// Compares a transcript with its fixture. Overwrites the fixture first if `UPDATE_FIXTURES` is set in the environment.
 fn assert_matches_fixture(name: &str, text: &str) {
     let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         std::fs::write(&path, text).expect("the fixture is written");
     }
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    let expected = std::fs::read_to_string(&path).expect("the fixture exists");
     assert_eq!(text, expected);
 }
 
-fn engine() -> EngineConfig {
+fn engine_config() -> EngineConfig {
     let mut config = EngineConfig::new("e1", "std-8a", "hall-a");
     config.supports_kill = true;
     config.reports_progress = true;
@@ -106,8 +108,8 @@
 }
 
 #[test]
-fn an_engine_speaks_the_statement_api() {
-    let config = engine();
+fn the_engine_implements_the_statement_api() {
+    let config = engine_config();
     let running = config.start().expect("the engine starts");
     let mut transcript = Transcript::new(running.addr);
     transcript.add("GET", "/v1/info", "", "");
@@ -138,8 +140,8 @@
 }
 
 #[test]
-fn an_engine_reports_who_is_blocked_and_lets_statements_be_paused_and_killed() {
-    let config = engine();
+fn the_engine_reports_blocked_statements_and_pauses_and_kills_statements() {
+    let config = engine_config();
     let running = config.start().expect("the engine starts");
     let mut transcript = Transcript::new(running.addr);
     let load = transcript.post("rent-load", "", "insert /* work=600s set=7 */");
@@ -162,8 +164,8 @@
 }
 
 #[test]
-fn an_engine_rejects_old_versions_and_old_leases() {
-    let config = engine();
+fn the_engine_rejects_stale_versions_and_leases() {
+    let config = engine_config();
     let running = config.start().expect("the engine starts");
     let mut transcript = Transcript::new(running.addr);
     let text = "select /* work=600s */";
@@ -180,8 +182,8 @@
 }
 
 #[test]
-fn an_engine_fails_as_its_faults_say() {
-    let config = engine();
+fn the_engine_simulates_injected_faults() {
+    let config = engine_config();
     let running = config.start().expect("the engine starts");
     let mut transcript = Transcript::new(running.addr);
     let text = "select /* work=1us rows=4 pages=2 */";
@@ -201,17 +203,17 @@
     for faults in faults {
         transcript.put_faults(faults);
         let response = transcript.post("lookup", "", text);
-        let Some(at) = response.find("/executing/") else {
+        let Some(start) = response.find("/executing/") else {
             continue;
         };
-        let number = &response[at + 11..];
+        let number = &response[start + "/executing/".len()..];
         let number = &number[..number.find('/').expect("a page follows")];
         for page in 0..2 {
             let path = format!("/v1/statement/executing/{number}/{page}");
             transcript.add("GET", &path, "", "");
         }
     }
-    // Until the engine has looked at its work again, the end of the last statement may not be recorded.
+    // The status request advances the work model, so that the end of the last statement is recorded.
     transcript.add("GET", "/v1/status", "", "");
     transcript.add_records(&config.recorder);
     assert_matches_fixture("engine_faults.txt", &transcript.text);
