--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -1,5 +1,5 @@
-//! Scripted clients of a router: each submits a statement, polls for its result, and records what it received. They
-//! behave as published clients do, and worse where their options say so.
+//! Scripted clients of a router. Each submits a statement, polls for its result, and records what it receives. Clients
+//! behave as published clients do, unless their options make them misbehave.
 
 mod request;
 
@@ -17,21 +17,22 @@
 
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client waits for the response to one poll before it polls again.
+/// Timeout of one poll, after which the client polls again.
 const POLL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Delay before a poll is repeated after a connection that broke.
+/// Delay before a failed poll is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long after its timeout a client that has received rows goes on to read.
-const MAX_READ_TIME: Duration = Duration::from_secs(60);
-/// The name of the error recorded for a response that is no `QueryResults`.
+/// Maximum time after its timeout for which a client that has received rows continues to poll.
+const MAX_POLL_TIME_AFTER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Error name that is recorded for a response that is not a valid `QueryResults`.
 const NO_RESULTS: &str = "NO_RESULTS";
-/// Limits of the responses that a client accepts, in bytes.
+/// Maximum size of the content of a response.
 const MAX_BODY_BYTES: u64 = 64 << 20;
+/// Maximum size of the head of a response.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
 type ClientConnection = Connection<Async<TcpStream>>;
 
-/// A response of the statement API, with the path that was requested.
+/// A response of the statement API and the path that was requested.
 #[derive(Clone, Debug)]
 pub struct ReceivedResponse {
     /// The path that was requested.
@@ -40,7 +41,7 @@
     pub response: Response,
 }
 
-/// A client of a router, with one connection that it keeps.
+/// A client of a router. It keeps one connection open between requests.
 pub struct Client {
     router: String,
     addr: SocketAddr,
@@ -50,7 +51,7 @@
 }
 
 impl Client {
-    /// A client of the router of that name, which listens at `addr`.
+    /// Creates a client of the router named `router`, which listens at `addr`.
     pub fn new(router: &str, addr: SocketAddr, recorder: Recorder) -> Client {
         Client {
             router: router.into(),
@@ -61,12 +62,12 @@
         }
     }
 
-    /// The responses to the last statement, in the order in which they were received.
+    /// Returns the responses for the last statement, in the order in which they were received.
     pub fn responses(&self) -> &[ReceivedResponse] {
         &self.responses
     }
 
-    /// Submits a statement and reads its result, until it ends or the client gives up.
+    /// Submits a statement and reads its result, until the result ends or the client gives up.
     pub async fn run(&mut self, request: &ClientRequest) -> ClientOutcome {
         let started = Instant::now();
         self.responses.clear();
@@ -76,11 +77,11 @@
         }
     }
 
-    /// Requests a path once.
+    /// Sends one GET request for a path.
     ///
     /// # Errors
     ///
-    /// If the router can't be reached, or does not answer as HTTP says or in time.
+    /// Returns an error if the router can't be reached, or does not send a valid HTTP response in time.
     pub async fn get(&mut self, path: &str) -> Result<Response, ClientError> {
         let request = Request::new(Method::Get, path);
         self.exchange(&request, POLL_TIMEOUT).await
@@ -91,12 +92,12 @@
         request: &Request,
         timeout: Duration,
     ) -> Result<Response, ClientError> {
-        let kept = self
+        let reusable = self
             .connection
             .take()
             .filter(|connection| connection.is_reusable() && !connection.is_stale());
-        let mut connection = match kept {
-            Some(kept) => kept,
+        let mut connection = match reusable {
+            Some(connection) => connection,
             None => connect(self.addr).await?,
         };
         let response = connection.exchange(request, timeout).await?;
@@ -106,12 +107,14 @@
 
     async fn submit(&mut self, request: &ClientRequest) -> ControlFlow<ClientOutcome, Response> {
         self.record_submitted(request);
-        let (at, id) = (unix_micros, request.id);
-        let response = self.exchange(&submission(request), request.timeout).await;
+        let id = request.id;
+        let response = self
+            .exchange(&submission_request(request), request.timeout)
+            .await;
         match response {
             Ok(response) if response.status.0 == 200 => {
                 self.recorder.write(Record::Admitted {
-                    at: at(),
+                    at: unix_micros(),
                     request: id,
                 });
                 ControlFlow::Continue(response)
@@ -127,7 +130,7 @@
             }
             Err(_) => {
                 self.recorder.write(Record::AdmissionUnknown {
-                    at: at(),
+                    at: unix_micros(),
                     request: id,
                 });
                 ControlFlow::Break(ClientOutcome::AdmissionUnknown)
@@ -151,12 +154,12 @@
             let Ok(results) = serde_json::from_slice::<QueryResults>(&response.body) else {
                 return self.fail(request, NO_RESULTS.to_owned());
             };
-            rows += self.receive_rows(request, &results);
+            rows += self.record_rows(request, &results);
             let Some(next_uri) = results.next_uri else {
                 return self.finish(request, rows, &response, results.error);
             };
-            path = path_of_uri(next_uri);
-            if self.leaves_early(request, &path).await {
+            path = uri_path(next_uri);
+            if self.stops_early(request, &path).await {
                 return ClientOutcome::Abandoned;
             }
             if !request.options.poll_delay.is_zero() {
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Counts and records the rows of a response, if it has any.
-    fn receive_rows(&self, request: &ClientRequest, results: &QueryResults) -> u64 {
+    /// Records the rows of a response, if it has any, and returns their number.
+    fn record_rows(&self, request: &ClientRequest, results: &QueryResults) -> u64 {
         let Some(data) = &results.data else { return 0 };
         let rows = serde_json::from_str::<Vec<serde_json::Value>>(data.get())
             .map_or(0, |rows| rows.len() as u64);
@@ -182,8 +185,9 @@
         rows
     }
 
-    /// Stops polling, or cancels the statement, if it is time for that by the options.
-    async fn leaves_early(&mut self, request: &ClientRequest, next_path: &str) -> bool {
+    /// Stops polling or cancels the statement if the options request it after this number of responses. Returns whether
+    /// the client stopped.
+    async fn stops_early(&mut self, request: &ClientRequest, next_path: &str) -> bool {
         let is_after = |limit: Option<usize>| limit.is_some_and(|n| self.responses.len() >= n);
         let abandons = is_after(request.options.abandon_after);
         let cancels = !abandons && is_after(request.options.cancel_after);
@@ -200,7 +204,7 @@
         abandons || cancels
     }
 
-    /// Polls until there is a response, over as many connections as that takes, or until the client gives up.
+    /// Polls until there is a response, opening new connections as needed, or until the client gives up.
     async fn poll(
         &mut self,
         request: &ClientRequest,
@@ -212,8 +216,10 @@
         let (timeout, grace) = (request.timeout, request.options.grace);
         loop {
             let elapsed = started.elapsed();
-            // The timeout is for the beginning of the result: a client that has rows reads on.
-            if (!has_rows && elapsed > timeout + grace) || elapsed > timeout + MAX_READ_TIME {
+            // The timeout applies to the start of the result only: a client that has received rows continues to poll.
+            if (!has_rows && elapsed > timeout + grace)
+                || elapsed > timeout + MAX_POLL_TIME_AFTER_TIMEOUT
+            {
                 self.recorder.write(Record::TimedOut {
                     at: unix_micros(),
                     request: request.id,
@@ -240,7 +246,8 @@
         }
     }
 
-    /// Sends a poll on two connections at once. Responses that differ are recorded.
+    /// Sends the same poll on two connections at once, and records if the responses have the same status but different
+    /// content.
     async fn exchange_twice(
         &mut self,
         request: &ClientRequest,
@@ -263,7 +270,7 @@
         Ok(original)
     }
 
-    /// Records the end of a statement, and classifies it.
+    /// Records the outcome of a statement whose last response has been received, and returns it.
     fn finish(
         &self,
         request: &ClientRequest,
@@ -272,14 +279,14 @@
         error: Option<QueryError>,
     ) -> ClientOutcome {
         let Some(error) = error else {
-            self.record_answered(request, Outcome::Served, None);
+            self.record_outcome(request, Outcome::Served, None);
             return ClientOutcome::Served(rows);
         };
         let error = error.error_name;
         if !is_retryable(&error) {
             return self.fail(request, error);
         }
-        self.record_answered(request, Outcome::Refused, Some(error.clone()));
+        self.record_outcome(request, Outcome::Refused, Some(error.clone()));
         let retry_after = last.headers.get("retry-after");
         ClientOutcome::Rejected {
             error,
@@ -287,9 +294,9 @@
         }
     }
 
-    /// Records that a statement failed.
+    /// Records that a statement failed, and returns that outcome.
     fn fail(&self, request: &ClientRequest, error: String) -> ClientOutcome {
-        self.record_answered(request, Outcome::Failed, Some(error.clone()));
+        self.record_outcome(request, Outcome::Failed, Some(error.clone()));
         ClientOutcome::Failed(error)
     }
 
@@ -306,7 +313,7 @@
         });
     }
 
-    /// Records a submission that was answered with another status than 200; 0 stands for no connection.
+    /// Records a submission that was not admitted. The status is that of the response, or 0 without a connection.
     fn record_not_admitted(&self, request: u64, status: u16) {
         self.recorder.write(Record::Rejected {
             at: unix_micros(),
@@ -315,7 +322,7 @@
         });
     }
 
-    fn record_answered(&self, request: &ClientRequest, outcome: Outcome, error: Option<String>) {
+    fn record_outcome(&self, request: &ClientRequest, outcome: Outcome, error: Option<String>) {
         self.recorder.write(Record::Answered {
             at: unix_micros(),
             request: request.id,
@@ -334,8 +341,8 @@
     Connection::open(addr, CONNECT_TIMEOUT, limits).await
 }
 
-/// The request that submits a statement.
-fn submission(request: &ClientRequest) -> Request {
+/// Builds the request that submits a statement.
+fn submission_request(request: &ClientRequest) -> Request {
     let mut tags = format!("class={}", request.class);
     if let Some(key) = &request.ordering_key {
         tags.push_str(&format!(",key={key}"));
@@ -354,15 +361,15 @@
     submission
 }
 
-/// The path of an absolute URI; anything else is taken for a path.
-fn path_of_uri(uri: String) -> String {
+/// Returns the path of an absolute URI. Any other text is taken as a path.
+fn uri_path(uri: String) -> String {
     let path = uri
         .strip_prefix("http://")
         .and_then(|rest| rest.find('/').map(|start| rest[start..].to_owned()));
     path.unwrap_or(uri)
 }
 
-/// Whether an error of that name says that the statement may be submitted again.
+/// Returns whether an error of that name means that the statement may be submitted again.
 fn is_retryable(error: &str) -> bool {
     ErrorName::ALL
         .iter()
--- a/crates/mock-servers/src/client/request.rs
+++ b/crates/mock-servers/src/client/request.rs
@@ -1,29 +1,29 @@
-//! What a client submits, how it behaves, and what it gets.
+//! The submissions of a client, its options and its outcomes.
 
 use std::time::Duration;
 
 /// A statement that a client submits.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The number of this submission in the records.
+    /// The number that identifies this submission in the records.
     pub id: u64,
-    /// The trace token of the statement; its submissions end in `.N`.
+    /// The trace token of the submission. Submissions of the same statement share the part before a final `.N`.
     pub trace: String,
-    /// The class, as a client tag.
+    /// The class, which is sent as a client tag.
     pub class: String,
-    /// The ordering key, as a client tag.
+    /// The ordering key, which is sent as a client tag.
     pub ordering_key: Option<String>,
-    /// Further client tags: `tables=7,size=12`.
+    /// Further client tags, such as `tables=7,size=12`.
     pub tags: String,
     /// The text of the statement.
     pub text: String,
-    /// How long the client waits for the result to begin.
+    /// The time for which the client waits for the first rows, announced to the router.
     pub timeout: Duration,
-    /// How the client behaves.
+    /// The behaviour of the client.
     pub options: ClientOptions,
 }
 
-/// How a client behaves. By default it polls at once, until it has the whole result.
+/// Options for the behaviour of a client. By default it polls without delay until it has the complete result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientOptions {
     /// Number of responses after which the client stops polling.
@@ -32,34 +32,34 @@
     pub cancel_after: Option<usize>,
     /// Delay before each poll.
     pub poll_delay: Duration,
-    /// Whether each poll is sent twice, at the same time on two connections.
+    /// Whether each poll is sent twice at the same time, on two connections.
     pub duplicates_polls: bool,
-    /// How much longer than its announced timeout the client waits: on a loaded machine, a response that was sent in
-    /// time is received late.
+    /// The time that the client waits beyond the announced timeout, because on a loaded machine a response that was
+    /// sent in time may be received late.
     pub grace: Duration,
 }
 
-/// What a client got for its statement.
+/// The outcome of a submission for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// The whole result, with so many rows.
+    /// The client received the complete result, with this number of rows.
     Served(u64),
-    /// The statement was admitted and then rejected; a retry is harmless.
+    /// The statement was admitted and then rejected without effect, so that it may be submitted again.
     Rejected {
         /// The name of the error.
         error: String,
-        /// The value of Retry-After, in seconds.
+        /// The value of the `Retry-After` header field in seconds.
         retry_after: Option<u64>,
     },
-    /// The statement failed, with an error of this name.
+    /// The statement failed with an error of this name.
     Failed(String),
-    /// The submission was answered with this HTTP status.
+    /// The response to the submission had this HTTP status, which is not 200.
     NotAdmitted(u16),
-    /// The router does not listen.
+    /// No connection to the router could be established.
     Unreachable,
-    /// The connection broke during the submission: whether it was admitted is not known.
+    /// The submission received no valid response, so that it is unknown whether the statement was admitted.
     AdmissionUnknown,
-    /// The client stopped polling or cancelled the statement, as its options say.
+    /// The client stopped polling or cancelled the statement, as its options request.
     Abandoned,
     /// The client waited for longer than its timeout.
     TimedOut,
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A mock discovery service: engines announce themselves to it, and routers read its list. On request its list goes
-//! stale, or it closes all connections.
+//! A mock discovery service: engines announce themselves to it, and routers read its list of them. Injected faults make
+//! the list stale, or make the service close all connections.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,34 +21,34 @@
 use crate::fencing::FencingTokens;
 use crate::server_thread::ServerThread;
 
-/// The name of the service in the records of leases.
+/// The name of the service in the records of leased requests.
 const RESOURCE: &str = "discovery";
 
 /// The faults of a mock discovery service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryFaults {
-    /// Whether its list stays as it is.
+    /// Whether its list is no longer updated.
     pub stale: bool,
-    /// Whether it closes every connection.
+    /// Whether it closes every connection without a response.
     pub down: bool,
 }
 
 /// The configuration of a mock discovery service.
 #[derive(Clone)]
 pub struct DiscoveryConfig {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen at. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The environment that its list names.
+    /// The environment stated in its list.
     pub environment: String,
-    /// How long an announcement is valid.
+    /// The time for which an announcement is valid.
     pub announcement_ttl: Duration,
-    /// Records what routers learn from the list.
+    /// Records the engines that routers newly find or no longer find in the list, and leased requests.
     pub recorder: Recorder,
-    /// Whether it rejects what is requested under a lease that it has seen to be over.
+    /// Whether it rejects requests whose lease has a lower fencing token than one seen before for the same shard.
     pub enforces_fencing: bool,
-    /// Counts the requests for its list.
+    /// Number of requests for its list.
     pub list_requests: Arc<AtomicU64>,
-    /// Its faults; [`DiscoveryConfig::inject_faults`] sets them while it runs.
+    /// Its faults, which [`DiscoveryConfig::inject_faults`] sets even while it runs.
     pub faults: Arc<Mutex<DiscoveryFaults>>,
 }
 
@@ -71,13 +71,13 @@
     ///
     /// # Errors
     ///
-    /// If it can't listen, or the thread can't be started.
+    /// Returns an error if the service can't listen, or the thread can't be started.
     pub fn start(&self) -> io::Result<ServerThread> {
         let config = self.clone();
         ServerThread::spawn("discovery", move |spawner| start(config, &spawner))
     }
 
-    /// Sets the faults of the service, whether it runs or not.
+    /// Sets the faults of the service. This takes effect immediately if it is already running.
     pub fn inject_faults(&self, faults: DiscoveryFaults) {
         if let Ok(mut current) = self.faults.lock() {
             *current = faults;
@@ -108,12 +108,12 @@
 
 struct Discovery {
     config: DiscoveryConfig,
-    /// By node id.
-    announced: BTreeMap<String, ReceivedAnnouncement>,
-    /// The list while it is stale.
-    frozen_list: Option<Services>,
-    /// The node ids in the list that each router read last.
-    known_to: BTreeMap<String, BTreeSet<String>>,
+    /// The latest announcement of each engine, by node id.
+    announcements: BTreeMap<String, ReceivedAnnouncement>,
+    /// The list as of the time when it became stale, while it is.
+    stale_list: Option<Services>,
+    /// The node ids in the list that each router last read, by router.
+    node_ids_read: BTreeMap<String, BTreeSet<String>>,
     fencing_tokens: FencingTokens,
 }
 
@@ -121,9 +121,9 @@
     fn new(config: DiscoveryConfig) -> Self {
         Self {
             config,
-            announced: BTreeMap::new(),
-            frozen_list: None,
-            known_to: BTreeMap::new(),
+            announcements: BTreeMap::new(),
+            stale_list: None,
+            node_ids_read: BTreeMap::new(),
             fencing_tokens: FencingTokens::default(),
         }
     }
@@ -147,7 +147,7 @@
         match request.method {
             Method::Put => self.put_announcement(node, &request.body),
             Method::Delete => {
-                self.announced.remove(node);
+                self.announcements.remove(node);
                 Response::new(204)
             }
             _ => Response::text(405, "PUT or DELETE"),
@@ -157,7 +157,7 @@
     fn put_announcement(&mut self, node: &str, body: &[u8]) -> Response {
         let announcement = match serde_json::from_slice::<Announcement>(body) {
             Ok(announcement) => announcement,
-            Err(e) => return Response::text(400, &format!("announcement: {e}")),
+            Err(error) => return Response::text(400, &format!("announcement: {error}")),
         };
         if announcement.node_id != node {
             return Response::text(400, "the node id is not the path's");
@@ -166,7 +166,7 @@
             announcement,
             received_at: Instant::now(),
         };
-        self.announced.insert(node.to_owned(), received);
+        self.announcements.insert(node.to_owned(), received);
         Response::new(202)
     }
 
@@ -188,31 +188,37 @@
         Response::json(200, serde_json::to_vec(&list).unwrap_or_default())
     }
 
-    /// The list of the engines whose announcements are valid; while it is stale, as it was when that began.
+    /// Returns the list of the engines whose announcements are valid. While the list is stale, returns it as of the
+    /// time when it became stale.
     fn current_list(&mut self, is_stale: bool) -> Services {
         if !is_stale {
-            self.frozen_list = None;
+            self.stale_list = None;
         }
-        if let Some(frozen) = &self.frozen_list {
-            return frozen.clone();
+        if let Some(stale_list) = &self.stale_list {
+            return stale_list.clone();
         }
         let ttl = self.config.announcement_ttl;
-        self.announced
+        self.announcements
             .retain(|_, received| received.received_at.elapsed() <= ttl);
         let list = Services {
             environment: self.config.environment.clone(),
-            services: self.announced.values().flat_map(services).collect(),
+            services: self
+                .announcements
+                .values()
+                .flat_map(listed_services)
+                .collect(),
         };
         if is_stale {
-            self.frozen_list = Some(list.clone());
+            self.stale_list = Some(list.clone());
         }
         list
     }
 
-    /// Records which engines a router no longer finds in the list, and which it finds for the first time.
+    /// Records which engines a router no longer finds in the list, and which it finds unlike in the list it read
+    /// before.
     fn record_read(&mut self, router: &str, list: &Services) {
         let nodes: BTreeSet<String> = list.services.iter().map(|s| s.node_id.clone()).collect();
-        let before = self.known_to.insert(router.to_owned(), nodes.clone());
+        let before = self.node_ids_read.insert(router.to_owned(), nodes.clone());
         let before = before.unwrap_or_default();
         for engine in before.difference(&nodes).cloned() {
             self.config.recorder.write(Record::DrainNotified {
@@ -231,8 +237,8 @@
     }
 }
 
-/// The services of an announcement, as the list has them.
-fn services(received: &ReceivedAnnouncement) -> impl Iterator<Item = Service> + '_ {
+/// Converts the services of an announcement to their form in the list.
+fn listed_services(received: &ReceivedAnnouncement) -> impl Iterator<Item = Service> + '_ {
     let announcement = &received.announcement;
     announcement.services.iter().map(|service| Service {
         id: service.id.clone(),
--- a/crates/mock-servers/src/engine.rs
+++ b/crates/mock-servers/src/engine.rs
@@ -1,12 +1,12 @@
-//! A mock engine: it speaks the statement API, reports its load, announces itself to discovery, and fails on request.
-//! What it is sent is simulated by the [work model](crate::work_model).
+//! A mock engine: it implements the statement API, reports its load, announces itself to discovery, and simulates
+//! faults on request. Statements are not executed; the [work model](crate::work_model) simulates their work.
 //!
-//! - `config`: what an engine is and does;
-//! - `state`: the work model, the statements and the fencing state, shared by all connections;
-//! - `statement`: one statement that was submitted;
-//! - `routes`: which request is answered by what;
-//! - `submission`, `polling`, `control`, `node_info`: the requests by subject;
-//! - `results`: the responses of the statement API;
+//! - `config`: the configuration of an engine;
+//! - `state`: the state that all connections share: the work model, the statements and the fencing tokens;
+//! - `statement`: one submitted statement;
+//! - `routes`: the dispatch of requests to their handlers;
+//! - `submission`, `polling`, `control`, `node_info`: the handlers;
+//! - `results`: the construction of responses of the statement API;
 //! - `announcer`: the announcements to discovery.
 
 mod announcer;
@@ -32,7 +32,7 @@
 pub use config::EngineConfig;
 use state::Engine;
 
-/// Maximum size of a request's body in bytes.
+/// Maximum size of the content of a request.
 const MAX_BODY_BYTES: u64 = 8 << 20;
 
 impl EngineConfig {
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// If it can't listen, or the thread can't be started.
+    /// Returns an error if the engine can't listen, or the thread can't be started.
     pub fn start(&self) -> io::Result<ServerThread> {
         let config = self.clone();
         ServerThread::spawn(&self.node, move |spawner| start(config, &spawner))
--- a/crates/mock-servers/src/engine/announcer.rs
+++ b/crates/mock-servers/src/engine/announcer.rs
@@ -15,14 +15,14 @@
 use super::config::EngineConfig;
 use super::state::Engine;
 
-/// Time between two announcements, and the timeout of each.
+/// Delay between two announcements, and the timeout of each connection attempt and request.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Announces the engine until it crashes. An announcement that fails is not repeated before the next is due.
+/// Announces the engine repeatedly until it crashes. A failed announcement is not retried before the next one is due.
 pub(super) async fn run(engine: Rc<Engine>) {
     let discovery = engine.state().config.discovery;
     let Some(discovery) = discovery else { return };
-    let request = request(&announcement(&engine.state().config, engine.addr()));
+    let request = announcement_request(&announcement(&engine.state().config, engine.addr()));
     while !engine.state().model.has_crashed() {
         let connection = Connection::open(discovery, ANNOUNCE_INTERVAL, Limits::default()).await;
         if let Ok(mut connection) = connection {
@@ -56,7 +56,7 @@
     }
 }
 
-fn request(announcement: &Announcement) -> Request {
+fn announcement_request(announcement: &Announcement) -> Request {
     let path = format!("{ANNOUNCEMENT_PATH}{}", announcement.node_id);
     let mut request = Request::new(Method::Put, path);
     request.body = serde_json::to_vec(announcement).unwrap_or_default();
--- a/crates/mock-servers/src/engine/config.rs
+++ b/crates/mock-servers/src/engine/config.rs
@@ -13,39 +13,40 @@
 /// The configuration of a mock engine.
 #[derive(Clone)]
 pub struct EngineConfig {
-    /// Its node id, which stays the same over restarts.
+    /// Its node id, which stays the same across restarts.
     pub node: String,
     /// The environment that it announces.
     pub environment: String,
-    /// Its machine kind.
+    /// The kind of its machine.
     pub kind: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen at. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The discovery service to which it announces itself, if any.
+    /// The address of the discovery service to which it announces itself, if any.
     pub discovery: Option<SocketAddr>,
     /// The size, speed and limits of the simulated engine.
     pub work_model: WorkModelParameters,
-    /// Whether it starts cold: it warms up first, and crashes under overload.
+    /// Whether it starts cold, that is, warms up first and crashes if it is overloaded meanwhile.
     pub starts_cold: bool,
-    /// Whether responses to polls report progress, work done and what blocks a statement.
+    /// Whether responses to polls report the progress of a statement, and what blocks it.
     pub reports_progress: bool,
     /// Whether statements can be killed and paused.
     pub supports_kill: bool,
-    /// Whether it rejects what is sent under configuration versions or leases that it has seen to be over.
+    /// Whether it rejects statements with stale configuration versions, and requests with stale leases.
     pub enforces_fencing: bool,
-    /// Where effects are entered.
+    /// The ledger that receives the effects of statements.
     pub ledger: Ledger,
-    /// Records what passes on its sockets.
+    /// Records the requests that the engine receives, and their effects.
     pub recorder: Recorder,
-    /// Counts the requests for its info and its state.
+    /// Number of requests for its info and its state.
     pub info_requests: Arc<AtomicU64>,
     faults: Arc<Mutex<EngineFaults>>,
 }
 
 impl EngineConfig {
-    /// A warm engine on a free port of loopback that keeps records and ledger in memory.
+    /// Creates the configuration of a warm engine that listens at a free loopback port, and keeps its records and
+    /// ledger in memory.
     pub fn new(node: &str, kind: &str, zone: &str) -> EngineConfig {
         EngineConfig {
             node: node.into(),
@@ -66,15 +67,15 @@
         }
     }
 
-    /// Sets the faults of the engine, whether it runs or not.
+    /// Sets the faults of the engine. This takes effect immediately if it is already running.
     pub fn inject_faults(&self, faults: EngineFaults) {
         if let Ok(mut current) = self.faults.lock() {
             *current = faults;
         }
     }
 
-    /// The faults that affect a statement of a class which is submitted now.
-    pub(super) fn faults_for_next(&self, class: &str) -> EngineFaults {
+    /// Returns the faults that affect the next submitted statement, which is of this class.
+    pub(super) fn faults_for_next_statement(&self, class: &str) -> EngineFaults {
         let Ok(mut faults) = self.faults.lock() else {
             return EngineFaults::default();
         };
@@ -85,9 +86,12 @@
         }
     }
 
-    /// The present speed of each core.
+    /// Returns the current speed of each core, as a multiple of the reference core's.
     pub(super) fn core_speed(&self) -> f64 {
-        let slowdown = self.faults.lock().map_or(1.0, |f| f.slowdown_factor());
+        let slowdown = self
+            .faults
+            .lock()
+            .map_or(1.0, |faults| faults.slowdown_factor());
         self.work_model.speed / slowdown
     }
 }
--- a/crates/mock-servers/src/engine/control.rs
+++ b/crates/mock-servers/src/engine/control.rs
@@ -1,4 +1,5 @@
-//! Killing and pausing statements, and what became of their effects. Killing is the published protocol's; pausing is not.
+//! Handlers to look up, kill and pause statements. Looking up also tells whether the effects of a statement were
+//! committed or rolled back. Killing is part of the published protocol, pausing is not.
 
 use hoptiller_http::server::Reply;
 use hoptiller_http::{Method, Request, Response};
@@ -11,21 +12,21 @@
 const KILLED: &str = "killed";
 const PAUSED: &str = "paused";
 
-/// Answers a request to `QUERY`, `QUERY/killed` or `QUERY/paused`.
+/// Responds to a request for `QUERY_ID`, `QUERY_ID/killed` or `QUERY_ID/paused`; `rest` is that part of the path.
 pub(super) async fn respond(engine: &Engine, request: &Request, rest: &str) -> Reply {
-    let (query, operation) = rest.split_once('/').unwrap_or((rest, ""));
+    let (query_id, operation) = rest.split_once('/').unwrap_or((rest, ""));
     if operation == KILLED {
-        wait_for_end(engine, QueryAddress::parse_number(query)).await;
+        delay_kill_until_finished(engine, QueryAddress::parse_number(query_id)).await;
     }
     let mut state = engine.advanced_state();
-    let Some(number) = QueryAddress::parse_id(query, state.process()) else {
-        return gone().into();
+    let Some(number) = QueryAddress::parse_id(query_id, state.incarnation()) else {
+        return gone_response().into();
     };
     let Some(statement) = state.statement(number) else {
-        return gone().into();
+        return gone_response().into();
     };
     let response = match (&request.method, operation) {
-        (Method::Get, "") => query_info(query, statement),
+        (Method::Get, "") => query_info(query_id, statement),
         (Method::Put, KILLED | PAUSED) if !state.config.supports_kill => {
             Response::text(403, "this engine ends and pauses nothing")
         }
@@ -48,7 +49,7 @@
     response.into()
 }
 
-fn gone() -> Response {
+fn gone_response() -> Response {
     Response::text(410, "no such statement")
 }
 
@@ -57,14 +58,15 @@
     state.kill_statement(number, reason);
 }
 
-/// The state of a statement and, once it has ended, what became of its effects.
-fn query_info(query: &str, statement: &Statement) -> Response {
+/// Returns the response with the state of a statement and, once it has ended, whether its effects were committed or
+/// rolled back.
+fn query_info(query_id: &str, statement: &Statement) -> Response {
     let (name, effects) = match statement.phase() {
         Phase::Running => ("RUNNING", None),
         Phase::Finished => ("FINISHED", Some("committed")),
         Phase::Killed(_) => ("FAILED", Some("rolled-back")),
     };
-    let body = serde_json::json!({ "queryId": query, "state": name });
+    let body = serde_json::json!({ "queryId": query_id, "state": name });
     let response = Response::json(200, body.to_string());
     match effects {
         Some(effects) if !statement.faults.withhold_effects => {
@@ -75,7 +77,7 @@
 }
 
 /// Waits until a statement has finished, if a fault delays its kill until then.
-async fn wait_for_end(engine: &Engine, number: Option<u64>) {
+async fn delay_kill_until_finished(engine: &Engine, number: Option<u64>) {
     loop {
         let ended = {
             let state = engine.state();
--- a/crates/mock-servers/src/engine/node_info.rs
+++ b/crates/mock-servers/src/engine/node_info.rs
@@ -1,4 +1,4 @@
-//! What an engine says of itself: its info, its state and its load; and the orders to drain and to fail.
+//! Handlers that report the info, the state and the load of an engine, start draining and inject faults.
 
 use std::sync::atomic::Ordering;
 
@@ -14,8 +14,9 @@
 const STATE_PATH: &str = "/v1/info/state";
 const STATUS_PATH: &str = "/v1/status";
 const FAULTS_PATH: &str = "/v1/standin/faults";
-/// The body of a request to drain, and the state of an engine that does.
+/// The body of a request to drain the engine, and the state of an engine that drains.
 const SHUTTING_DOWN: &str = "\"SHUTTING_DOWN\"";
+/// The state of an engine that does not drain.
 const ACTIVE: &str = "\"ACTIVE\"";
 
 pub(super) fn respond(engine: &Engine, request: &Request) -> Response {
@@ -52,7 +53,7 @@
     Response::json(200, info.to_string())
 }
 
-/// Whether the engine drains. A router that learns of that here is recorded.
+/// Returns the response with the state of the engine. Records that a router has learnt that the engine drains.
 fn node_state(state: &EngineState, request: &Request) -> Response {
     if !state.is_draining {
         return Response::json(200, ACTIVE);
@@ -88,6 +89,6 @@
             state.config.inject_faults(faults);
             Response::new(204)
         }
-        Err(e) => Response::text(400, &format!("faults: {e}")),
+        Err(error) => Response::text(400, &format!("faults: {error}")),
     }
 }
--- a/crates/mock-servers/src/engine/polling.rs
+++ b/crates/mock-servers/src/engine/polling.rs
@@ -1,4 +1,4 @@
-//! Polls for the results of a statement, and its cancellation by the client.
+//! Handlers for polls for the results of a statement, and for its cancellation by the client.
 
 use std::time::Duration;
 
@@ -13,15 +13,18 @@
 use super::statement::{Phase, Statement};
 use crate::work_model::{BlockedState, ExecutionProgress};
 
-/// Longest time that a poll waits for a statement to end.
-const LONG_POLL: Duration = Duration::from_secs(1);
+/// Maximum time for which a poll waits for a statement to end.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The error codes of the protocol that this engine sends.
+/// The protocol's code of the error for invalid statements.
 const SYNTAX_ERROR_CODE: u32 = 1;
+/// The protocol's code of the error for killed statements.
 const ADMINISTRATIVELY_KILLED_CODE: u32 = 32;
+/// The protocol's code of the error for statements that fail because of a fault.
 const GENERIC_INTERNAL_ERROR_CODE: u32 = 0x0001_0000;
 
-/// Cancels a statement. It is forgotten if its work is done or stops with the cancellation; else it goes on to run.
+/// Cancels a statement. It is removed if its work is done or is stopped by the cancellation; otherwise it continues to
+/// run.
 pub(super) fn cancel(engine: &Engine, number: u64) {
     let mut state = engine.state();
     let now = state.now();
@@ -38,13 +41,13 @@
     engine.notify_work_changed();
 }
 
-/// Answers a poll for a page: with the rows once the statement has finished, else with its progress after at most
-/// [`LONG_POLL`].
+/// Responds to a poll for a page: with the rows once the statement has finished, otherwise with its progress after
+/// [`LONG_POLL_TIMEOUT`]. A statement that has failed or was killed yields its error.
 pub(super) async fn poll(engine: &Engine, number: u64, page: u64) -> Reply {
     let ended = {
         let state = engine.advanced_state();
         let Some(statement) = state.statement(number) else {
-            return gone().into();
+            return gone_response().into();
         };
         if statement.faults.ignore_polls {
             return Reply::Hang;
@@ -53,30 +56,30 @@
     };
     if let Some(ended) = ended {
         future::or(ended, async {
-            Timer::after(LONG_POLL).await;
+            Timer::after(LONG_POLL_TIMEOUT).await;
         })
         .await;
     }
     let state = engine.advanced_state();
     let Some(statement) = state.statement(number) else {
-        return gone().into();
+        return gone_response().into();
     };
-    let address = engine.query_address(state.process(), number);
+    let address = engine.query_address(state.incarnation(), number);
     match statement.phase() {
-        Phase::Killed(reason) => failed(&address, killed_error(reason)).into(),
-        Phase::Running => running(&state, &address, statement, page).into(),
+        Phase::Killed(reason) => failed_response(&address, killed_error(reason)).into(),
+        Phase::Running => running_response(&state, &address, statement, page).into(),
         Phase::Finished => match statement_error(statement) {
-            Some(error) => failed(&address, error).into(),
-            None => rows(&state, &address, statement, page),
+            Some(error) => failed_response(&address, error).into(),
+            None => rows_reply(&state, &address, statement, page),
         },
     }
 }
 
-fn gone() -> Response {
+fn gone_response() -> Response {
     Response::text(410, "no such statement any more")
 }
 
-fn failed(address: &QueryAddress, error: QueryError) -> Response {
+fn failed_response(address: &QueryAddress, error: QueryError) -> Response {
     QueryResponse::new(Stats::from_state(State::Failed))
         .with_error(error)
         .into_response(address)
@@ -91,7 +94,7 @@
     )
 }
 
-/// The error with which a statement ends that has run.
+/// Returns the error of a statement whose work is done, if it fails.
 fn statement_error(statement: &Statement) -> Option<QueryError> {
     if statement.profile.is_invalid {
         return Some(QueryError::new(
@@ -111,8 +114,8 @@
     })
 }
 
-/// The response to a poll of a statement that runs, with its progress where the engine reports it.
-fn running(
+/// Returns the response to a poll for a running statement, with its progress if the engine reports it.
+fn running_response(
     state: &EngineState,
     address: &QueryAddress,
     statement: &Statement,
@@ -136,7 +139,7 @@
     response
 }
 
-/// The figures of a running statement, as the protocol has them.
+/// Returns the statistics of a running statement as the protocol defines them.
 fn running_stats(statement: &Statement, progress: &ExecutionProgress) -> Stats {
     let profile = &statement.profile;
     let spilled_mb = if progress.spills {
@@ -154,7 +157,7 @@
     }
 }
 
-/// Reports the progress of a statement, or that it is blocked and by which other.
+/// Adds header fields with the progress of a statement, or with what blocks it.
 fn add_progress_headers(
     state: &EngineState,
     statement: &Statement,
@@ -179,13 +182,21 @@
     }
 }
 
-/// The response to a poll for a page of rows.
-fn rows(state: &EngineState, address: &QueryAddress, statement: &Statement, page: u64) -> Reply {
+/// Returns the reply to a poll for a page of rows, as far as faults let the engine send it.
+fn rows_reply(
+    state: &EngineState,
+    address: &QueryAddress,
+    statement: &Statement,
+    page: u64,
+) -> Reply {
     let (profile, faults) = (&statement.profile, &statement.faults);
     if page >= profile.pages {
         return Response::text(404, "no such page").into();
     }
-    if faults.lose_pages_from.is_some_and(|from| page >= from) {
+    if faults
+        .lose_pages_from
+        .is_some_and(|first_lost| page >= first_lost)
+    {
         return Reply::Close;
     }
     let is_last = page + 1 == profile.pages;
--- a/crates/mock-servers/src/engine/results.rs
+++ b/crates/mock-servers/src/engine/results.rs
@@ -1,4 +1,5 @@
-//! The responses of the statement API: where a statement is found, its rows, and the `QueryResults` around them.
+//! The responses of the statement API: the query id and the URIs of a statement, its rows, and the `QueryResults` that
+//! contain them.
 
 use std::net::SocketAddr;
 
@@ -9,25 +10,25 @@
 
 use crate::workload_profile::WorkloadProfile;
 
-/// Where running statements are polled and cancelled.
+/// Path prefix for polling and cancelling statements.
 pub(super) const EXECUTING_PATH: &str = "/v1/statement/executing/";
-/// Where statements are looked up, killed and paused.
+/// Path prefix for looking up, killing and pausing statements.
 pub(super) const QUERY_PATH: &str = "/v1/query/";
-/// The length of a `varchar` without a bound.
+/// The length that the protocol states for a `varchar` without a maximum length.
 const UNBOUNDED_VARCHAR: u32 = 2_147_483_647;
 
-/// Where a statement is found: its query id and its URIs.
+/// The address of a statement, from which its query id and its URIs are formed.
 pub(super) struct QueryAddress {
     engine: SocketAddr,
-    process: u64,
+    incarnation: u64,
     number: u64,
 }
 
 impl QueryAddress {
-    pub(super) fn new(engine: SocketAddr, process: u64, number: u64) -> Self {
+    pub(super) fn new(engine: SocketAddr, incarnation: u64, number: u64) -> Self {
         Self {
             engine,
-            process,
+            incarnation,
             number,
         }
     }
@@ -36,24 +37,24 @@
         self.number
     }
 
-    /// The number in a query id, of whatever process.
+    /// Returns the statement number in a query id of any incarnation of the engine.
     pub(super) fn parse_number(query: &str) -> Option<u64> {
         let (_, number) = query.rsplit_once('_')?;
         number.parse().ok()
     }
 
-    /// The number in a query id of this process.
-    pub(super) fn parse_id(query: &str, process: u64) -> Option<u64> {
+    /// Returns the statement number in a query id, if the id is of this incarnation of the engine.
+    pub(super) fn parse_id(query: &str, incarnation: u64) -> Option<u64> {
         let number = Self::parse_number(query)?;
-        (query == Self::format_id(process, number)).then_some(number)
+        (query == Self::format_id(incarnation, number)).then_some(number)
     }
 
-    fn format_id(process: u64, number: u64) -> String {
-        format!("standin_{process:x}_{number}")
+    fn format_id(incarnation: u64, number: u64) -> String {
+        format!("standin_{incarnation:x}_{number}")
     }
 
     fn id(&self) -> String {
-        Self::format_id(self.process, self.number)
+        Self::format_id(self.incarnation, self.number)
     }
 
     fn info_uri(&self) -> String {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Names the page to poll next.
+    /// Sets the page that the client polls next.
     pub(super) fn with_next_page(mut self, page: u64) -> Self {
         self.next_page = Some(page);
         self
@@ -122,11 +123,11 @@
     }
 }
 
-/// The columns and rows of a page: the same whenever it is polled.
+/// The columns and rows of a page. They are the same whenever the page is polled.
 pub(super) struct ResultRows {
     columns: Box<RawValue>,
     data: Box<RawValue>,
-    /// Whether the statement changed data; its one row is then the number of rows changed.
+    /// Whether the statement changed data. Its only row is then the number of changed rows.
     is_update: bool,
 }
 
@@ -134,8 +135,8 @@
     pub(super) fn new(node: &str, profile: &WorkloadProfile, page: u64) -> Self {
         if profile.has_effect {
             return Self {
-                columns: raw(&json!([column("rows", "bigint")])),
-                data: raw(&json!([[profile.rows]])),
+                columns: to_raw(&json!([column("rows", "bigint")])),
+                data: to_raw(&json!([[profile.rows]])),
                 is_update: true,
             };
         }
@@ -147,7 +148,7 @@
         let rows_per_page = profile.rows / profile.pages;
         let is_last = page + 1 == profile.pages;
         let first = page * rows_per_page;
-        // The last page holds the remainder too.
+        // The last page also contains the remainder.
         let end = if is_last {
             profile.rows
         } else {
@@ -156,8 +157,8 @@
         let text = "x".repeat(profile.text_bytes);
         let rows = (first..end).map(|row| json!([row, node, text])).collect();
         Self {
-            columns: raw(&columns),
-            data: raw(&Value::Array(rows)),
+            columns: to_raw(&columns),
+            data: to_raw(&Value::Array(rows)),
             is_update: false,
         }
     }
@@ -173,6 +174,6 @@
     json!({ "name": name, "type": kind, "typeSignature": signature })
 }
 
-fn raw(value: &Value) -> Box<RawValue> {
+fn to_raw(value: &Value) -> Box<RawValue> {
     to_raw_value(value).unwrap_or_default()
 }
--- a/crates/mock-servers/src/engine/routes.rs
+++ b/crates/mock-servers/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! Which request is answered by what.
+//! The dispatch of requests to their handlers.
 
 use hoptiller_http::server::Reply;
 use hoptiller_http::{Method, Request, Response};
@@ -8,7 +8,7 @@
 use super::state::Engine;
 use super::{control, node_info, polling, submission};
 
-/// The response to a request. An engine that has crashed closes the connection.
+/// Handles a request. An engine that has crashed closes the connection.
 pub(super) async fn respond(engine: &Engine, request: &Request) -> Reply {
     if engine.state().model.has_crashed() {
         return Reply::Close;
@@ -29,7 +29,7 @@
     node_info::respond(engine, request).into()
 }
 
-/// Answers a request to `NUMBER/PAGE`.
+/// Responds to a request for `NUMBER/PAGE`; `rest` is that part of the path.
 async fn respond_to_executing(engine: &Engine, request: &Request, rest: &str) -> Reply {
     let mut parts = rest.split('/').map(str::parse::<u64>);
     let (Some(Ok(number)), Some(Ok(page)), None) = (parts.next(), parts.next(), parts.next())
--- a/crates/mock-servers/src/engine/state.rs
+++ b/crates/mock-servers/src/engine/state.rs
@@ -1,5 +1,6 @@
-//! The state of an engine: its work model, its statements, and the versions and leases that it has seen. The connections
-//! share it; the work model is advanced by whatever looks at it, and by [`run_work_model`] between requests.
+//! The state of an engine, which its connections share: its work model, its statements, and the configuration versions
+//! and fencing tokens that it has seen. Request handlers advance the work model before they read it; between requests,
+//! [`run_work_model`] advances it.
 
 use std::cell::{RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -20,16 +21,17 @@
 use crate::fencing::{FencingTokens, StaleToken};
 use crate::work_model::WorkModel;
 
-/// Number of statements from which the oldest finished one is evicted for each new one; running ones are never evicted.
+/// Number of statements from which on the oldest finished one is evicted for each new one. Running and killed ones are
+/// never evicted.
 const MAX_STATEMENTS: usize = 20_000;
-/// Where the clock of an engine starts, in µs: late enough for a warm engine to have a past.
-const CLOCK_START: u64 = 3_600_000_000;
+/// Time in µs at which the clock of an engine starts, late enough for the start time of a warm engine to lie before it.
+const CLOCK_START_MICROS: u64 = 3_600_000_000;
 
-/// An engine as its connections share it.
+/// An engine, shared by its connections and tasks.
 pub(super) struct Engine {
     addr: SocketAddr,
     state: RefCell<EngineState>,
-    /// Notified when the work model must be looked at again.
+    /// Notified when the next event of the work model may have changed.
     work_changed: Event,
 }
 
@@ -46,30 +48,30 @@
         self.addr
     }
 
-    /// The state; it must not be held over an await.
+    /// Borrows the state. The borrow must not be held across an await.
     pub(super) fn state(&self) -> RefMut<'_, EngineState> {
         self.state.borrow_mut()
     }
 
-    /// The state, with the work model advanced to now.
+    /// Borrows the state with the work model advanced to the current time. The borrow must not be held across an await.
     pub(super) fn advanced_state(&self) -> RefMut<'_, EngineState> {
         let mut state = self.state();
         state.advance();
         state
     }
 
-    /// Wakes [`run_work_model`], which then looks for the next event anew.
+    /// Wakes [`run_work_model`], which then determines the next event again.
     pub(super) fn notify_work_changed(&self) {
         self.work_changed.notify(1);
     }
 
-    /// Where clients find the statement of that number.
-    pub(super) fn query_address(&self, process: u64, number: u64) -> QueryAddress {
-        QueryAddress::new(self.addr, process, number)
+    /// Returns the address of a statement for clients.
+    pub(super) fn query_address(&self, incarnation: u64, number: u64) -> QueryAddress {
+        QueryAddress::new(self.addr, incarnation, number)
     }
 }
 
-/// Advances the work model at its events, for as long as the engine runs.
+/// Advances the work model whenever its next event is due, for as long as the engine runs.
 pub(super) async fn run_work_model(engine: Rc<Engine>) {
     loop {
         let work_changed = engine.work_changed.listen();
@@ -84,17 +86,18 @@
     }
 }
 
-/// What an engine holds.
+/// The state of an engine.
 pub(super) struct EngineState {
     pub(super) config: EngineConfig,
     pub(super) model: WorkModel,
     pub(super) is_draining: bool,
     started: Instant,
-    /// Part of each query id, so that ids of an earlier process differ. The URIs of statements do not contain it.
-    process: u64,
+    /// The start time of the engine in µs, which is part of each query id, so that ids of an earlier incarnation
+    /// differ. The URIs of statements do not contain it.
+    incarnation: u64,
     statements: BTreeMap<u64, Statement>,
     next_number: u64,
-    /// The newest configuration version that was in force for something sent here.
+    /// The newest configuration version that the sender of a statement had in force.
     newest_version: u64,
     fencing_tokens: FencingTokens,
 }
@@ -103,10 +106,10 @@
     fn new(config: EngineConfig) -> Self {
         let parameters = config.work_model.clone();
         Self {
-            model: WorkModel::new(parameters, CLOCK_START, config.starts_cold),
+            model: WorkModel::new(parameters, CLOCK_START_MICROS, config.starts_cold),
             is_draining: false,
             started: Instant::now(),
-            process: unix_micros(),
+            incarnation: unix_micros(),
             statements: BTreeMap::new(),
             next_number: 0,
             newest_version: 0,
@@ -115,27 +118,28 @@
         }
     }
 
-    /// The time of the engine's clock, in µs.
+    /// Returns the time of the engine's clock in µs.
     pub(super) fn now(&self) -> u64 {
-        CLOCK_START + self.started.elapsed().as_micros() as u64
+        CLOCK_START_MICROS + self.started.elapsed().as_micros() as u64
     }
 
-    pub(super) fn process(&self) -> u64 {
-        self.process
+    pub(super) fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     pub(super) fn statement(&self, number: u64) -> Option<&Statement> {
         self.statements.get(&number)
     }
 
-    /// The number of the next statement.
+    /// Returns the number for a new statement.
     pub(super) fn allocate_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
     }
 
-    /// Holds a statement that the work model has admitted. Beyond [`MAX_STATEMENTS`], the oldest finished one is evicted.
+    /// Stores a statement that the work model has admitted. From [`MAX_STATEMENTS`] on, evicts the oldest finished
+    /// ones.
     pub(super) fn insert_statement(&mut self, number: u64, statement: Statement) {
         self.evict_finished();
         self.statements.insert(number, statement);
@@ -155,12 +159,12 @@
         self.statements.remove(&number);
     }
 
-    /// Drops all statements, as the crash of the engine does.
+    /// Removes all statements, because a crash of the engine loses them.
     pub(super) fn clear_statements(&mut self) {
         self.statements.clear();
     }
 
-    /// Advances the work model to now, and ends the statements whose work is done.
+    /// Advances the work model to the current time, and ends the statements whose work is done.
     pub(super) fn advance(&mut self) {
         let now = self.now();
         let ended = self.model.advance(now);
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Ends a statement whose work is done; its effect is entered into the ledger before its end is recorded.
+    /// Ends a statement whose work is done. Its effect is entered into the ledger before its end is recorded.
     fn finish_statement(&mut self, number: u64) {
         let Some(statement) = self.statements.get_mut(&number) else {
             return;
@@ -180,7 +184,7 @@
         }
         statement.end(Phase::Finished);
         let (trace, profile) = (statement.trace.clone(), &statement.profile);
-        let work = profile.job.work as u64;
+        let work_micros = profile.job.work as u64;
         let has_effect = profile.has_effect && !profile.is_invalid;
         if has_effect && self.config.ledger.post(&trace).is_ok() {
             self.config.recorder.write(Record::EffectWritten {
@@ -189,10 +193,10 @@
                 trace: trace.clone(),
             });
         }
-        self.record_done(&trace, work);
+        self.record_done(&trace, work_micros);
     }
 
-    /// Kills a statement in the work model, and ends it with a reason.
+    /// Removes a statement from the work model, and ends it as killed for a reason.
     pub(super) fn kill_statement(&mut self, number: u64, reason: String) {
         let now = self.now();
         self.model.kill(now, number);
@@ -203,18 +207,18 @@
         }
     }
 
-    /// Records that nothing of a statement runs any more; `work` is in µs.
-    pub(super) fn record_done(&self, trace: &str, work: u64) {
+    /// Records that no work of a statement runs any more. `work_micros` is the work that it did.
+    pub(super) fn record_done(&self, trace: &str, work_micros: u64) {
         self.config.recorder.write(Record::Done {
             at: unix_micros(),
             engine: self.config.node.clone(),
             trace: trace.to_owned(),
-            work,
+            work: work_micros,
         });
     }
 
-    /// Whether the sender enforces a version older than the newest version in force seen here. If not, records its version in
-    /// force.
+    /// Returns whether the sender of a statement enforces a version older than the newest version in force that the
+    /// engine has seen. If not, remembers the sender's version in force.
     pub(super) fn observe_version(&mut self, in_force: u64, enforced: u64) -> bool {
         if enforced < self.newest_version {
             return true;
@@ -223,7 +227,7 @@
         false
     }
 
-    /// Records the lease of a request, and checks its fencing token.
+    /// Records the lease of a request, and checks its fencing token if the engine enforces fencing.
     pub(super) fn check_lease(&mut self, request: &Request) -> Result<(), StaleToken> {
         let config = &self.config;
         self.fencing_tokens.observe(
@@ -234,7 +238,7 @@
         )
     }
 
-    /// The value of the load report's header.
+    /// Returns the value of the header field that reports the load.
     pub(super) fn load_header(&self) -> String {
         let load = self.model.load();
         extra::format_numbers(&[
--- a/crates/mock-servers/src/engine/statement.rs
+++ b/crates/mock-servers/src/engine/statement.rs
@@ -1,4 +1,4 @@
-//! One statement that an engine was sent.
+//! A statement that was submitted to an engine.
 
 use std::rc::Rc;
 
@@ -7,21 +7,21 @@
 use crate::engine_faults::EngineFaults;
 use crate::workload_profile::WorkloadProfile;
 
-/// How far a statement is.
+/// The phase of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It runs, or is blocked.
+    /// The statement runs or is blocked.
     Running,
-    /// Its work is done.
+    /// The work of the statement is done.
     Finished,
-    /// It was killed, for this reason.
+    /// The statement was killed for this reason.
     Killed(String),
 }
 
-/// A statement, from its submission until it is cancelled or evicted.
+/// A statement that the engine has admitted and not removed yet.
 pub(super) struct Statement {
     pub(super) trace: String,
-    /// The name under which its router knows it.
+    /// The id that its router has given it.
     pub(super) name: String,
     pub(super) class: String,
     pub(super) profile: WorkloadProfile,
@@ -62,13 +62,13 @@
         self.phase == Phase::Running
     }
 
-    /// Ends the statement, and notifies those who wait for that.
+    /// Ends the statement, and notifies all listeners.
     pub(super) fn end(&mut self, phase: Phase) {
         self.phase = phase;
         self.ended.notify(usize::MAX);
     }
 
-    /// Notified once the statement ends.
+    /// Returns a listener that is notified when the statement ends.
     pub(super) fn listen_for_end(&self) -> EventListener {
         self.ended.listen()
     }
--- a/crates/mock-servers/src/engine/submission.rs
+++ b/crates/mock-servers/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! The submission of a statement.
+//! The handler for submissions of statements.
 
 use hoptiller_audit::{Record, SentVersions, unix_micros};
 use hoptiller_http::server::Reply;
@@ -12,14 +12,14 @@
 use crate::work_model::Admission;
 use crate::workload_profile::WorkloadProfile;
 
-/// A body that is no `QueryResults`.
+/// The content of a malformed response, which is not a `QueryResults`.
 const MALFORMED_BODY: &[u8] = b"\x00\x01not json";
-/// The priority of a statement whose sender names none.
+/// The priority of a statement whose sender states none.
 const DEFAULT_PRIORITY: u8 = 1;
-/// The highest priority that a sender can name.
+/// The highest priority that a sender can state.
 const MAX_PRIORITY: f64 = 3.0;
 
-/// What the headers and the body of a submission say.
+/// The contents of a submission: its header fields and its text.
 struct SubmittedAttempt {
     class: String,
     router: String,
@@ -49,7 +49,9 @@
             statement_name,
             trace,
             attempt_number: extra::find_number(&options, "hop").unwrap_or(0.0) as u32,
-            priority: priority.map_or(DEFAULT_PRIORITY, |p| p.clamp(0.0, MAX_PRIORITY) as u8),
+            priority: priority.map_or(DEFAULT_PRIORITY, |priority| {
+                priority.clamp(0.0, MAX_PRIORITY) as u8
+            }),
             memory_grant_mb: extra::find_number(&options, "grant_mb"),
             versions: versions.map(|versions| SentVersions {
                 in_force: versions.in_force,
@@ -71,8 +73,8 @@
     }
 }
 
-/// Admits a statement, or rejects it: with 503 if the engine is full or the statement is sent under a configuration
-/// version that is over. Where a fault says so, there is no response, or another.
+/// Admits a statement, or rejects it with status 503 if the engine is full or the statement has a stale configuration
+/// version. If a fault requests it, sends another response or none.
 pub(super) fn respond(engine: &Engine, request: &Request) -> Reply {
     let mut state = engine.advanced_state();
     let attempt = SubmittedAttempt::from_request(request);
@@ -80,7 +82,7 @@
         return rejected.into();
     }
     record_sent(&state, &attempt);
-    let faults = state.config.faults_for_next(&attempt.class);
+    let faults = state.config.faults_for_next_statement(&attempt.class);
     if faults.drop_submission {
         state.record_done(&attempt.trace, 0);
         return Reply::Close;
@@ -96,7 +98,7 @@
     match admission {
         Admission::Rejected => {
             state.record_done(&attempt.trace, 0);
-            return reject(&state, "full").into();
+            return rejected_response(&state, "full").into();
         }
         Admission::Crashed => {
             crash(&mut state);
@@ -113,11 +115,11 @@
     );
     state.insert_statement(number, statement);
     engine.notify_work_changed();
-    let address = engine.query_address(state.process(), number);
+    let address = engine.query_address(state.incarnation(), number);
     admitted_reply(&state, &address, &faults)
 }
 
-/// Where fencing is enforced, rejects an attempt that is sent under a configuration version that is over.
+/// Rejects an attempt with a stale configuration version, if the engine enforces fencing.
 fn reject_stale_version(state: &mut EngineState, attempt: &SubmittedAttempt) -> Option<Response> {
     let versions = attempt.versions.filter(|_| state.config.enforces_fencing)?;
     if !state.observe_version(versions.in_force, versions.enforced) {
@@ -129,10 +131,13 @@
         router: attempt.router.clone(),
         enforced: versions.enforced,
     });
-    Some(reject(state, "that version of the rules is over"))
+    Some(rejected_response(
+        state,
+        "that version of the rules is over",
+    ))
 }
 
-fn reject(state: &EngineState, reason: &str) -> Response {
+fn rejected_response(state: &EngineState, reason: &str) -> Response {
     Response::text(503, reason).with_header(extra::LOAD, &state.load_header())
 }
 
@@ -157,7 +162,7 @@
     state.clear_statements();
 }
 
-/// The response to the submission of a statement that runs now.
+/// Returns the reply to the submission of a statement that has been admitted.
 fn admitted_reply(state: &EngineState, address: &QueryAddress, faults: &EngineFaults) -> Reply {
     if faults.hang {
         return Reply::Hang;
--- a/crates/mock-servers/src/engine_faults.rs
+++ b/crates/mock-servers/src/engine_faults.rs
@@ -1,57 +1,57 @@
-//! The ways in which a mock engine fails on purpose.
+//! The faults that can be injected into a mock engine.
 
 use serde::{Deserialize, Serialize};
 
-/// The faults of a mock engine, as scenario files and `PUT /v1/standin/faults` write them. Without any, it answers as it
-/// should.
+/// The faults of a mock engine, in the form of scenario files and of `PUT /v1/standin/faults`. By default there are
+/// none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "struct Faults")]
 pub struct EngineFaults {
-    /// The only class whose statements are affected; `None` for all.
+    /// The class whose statements are affected, or `None` for all.
     #[serde(rename = "only")]
     pub only_class: Option<String>,
-    /// How many further statements are affected; `None` for all.
+    /// The number of further statements that are affected, or `None` for all.
     #[serde(rename = "times")]
     pub remaining: Option<u32>,
-    /// Statements run, and their submission is never answered.
+    /// Statements run, but their submission gets no response while the connection stays open.
     pub hang: bool,
-    /// Statements run, and the connection is closed in place of the response to their submission.
+    /// Statements run, but the connection is closed instead of a response to their submission.
     #[serde(rename = "lose")]
     pub lose_response: bool,
-    /// The connection is closed when a statement is submitted, which does not run.
+    /// The connection is closed when a statement is submitted, and the statement does not run.
     #[serde(rename = "swallow")]
     pub drop_submission: bool,
-    /// Statements are rejected without having run.
+    /// Statements are rejected without being run.
     #[serde(rename = "full")]
     pub reject: bool,
-    /// Statements fail with an error of the engine after having run.
+    /// Statements fail with an internal error of the engine after they have run.
     #[serde(rename = "fail")]
     pub fail_after_run: bool,
-    /// Number of bytes of each page of rows after which the connection is closed.
+    /// The number of bytes of each response with a page of rows after which the connection is closed.
     #[serde(rename = "cut_page")]
     pub truncate_pages_at: Option<usize>,
-    /// From this page on, the connection is closed in place of a page of rows.
+    /// The page from which on the connection is closed instead of returning rows.
     #[serde(rename = "lose_page")]
     pub lose_pages_from: Option<u64>,
-    /// Polls are never answered.
+    /// Polls get no response while the connection stays open.
     #[serde(rename = "mute")]
     pub ignore_polls: bool,
     /// The response to a submission is not a `QueryResults`.
     #[serde(rename = "garbage")]
     pub malformed_response: bool,
-    /// A request to kill a statement waits until the statement has finished.
+    /// A request to kill a statement is delayed until the statement has finished.
     #[serde(rename = "finish_first")]
     pub kill_after_finish: bool,
-    /// What became of the effects of a statement that ended is not reported.
+    /// The engine does not report whether the effects of an ended statement were committed or rolled back.
     #[serde(rename = "no_proof")]
     pub withhold_effects: bool,
-    /// The engine works slower by this factor.
+    /// The factor by which the engine is slowed down.
     #[serde(rename = "slow")]
     pub slowdown: Option<f64>,
 }
 
 impl EngineFaults {
-    /// Whether the faults affect the next statement of a class, which then counts as one of
+    /// Returns whether the faults affect the next statement, which is of this class. If so, decrements
     /// [`remaining`](EngineFaults::remaining).
     pub fn affect_next(&mut self, class: &str) -> bool {
         if self.only_class.as_deref().is_some_and(|only| only != class) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The factor by which the engine works slower: 1 unless a usable one is set.
+    /// Returns the factor by which the engine is slowed down, or 1 unless a finite positive one is set.
     pub(crate) fn slowdown_factor(&self) -> f64 {
         self.slowdown
             .filter(|factor| factor.is_finite() && *factor > 0.0)
--- a/crates/mock-servers/src/fencing.rs
+++ b/crates/mock-servers/src/fencing.rs
@@ -1,4 +1,4 @@
-//! The fencing tokens that a mock server has seen, by which it rejects what is asked under a lease that is over.
+//! The fencing tokens that a mock server has seen, by which it rejects requests with a stale lease.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use hoptiller_http::{Request, Response};
 use hoptiller_statement::extra;
 
-/// The fencing token of a request is lower than one that was seen before for the same shard.
+/// The error for a request whose fencing token is lower than one seen before for the same shard.
 #[derive(Debug, thiserror::Error)]
-#[error("fencing token {token} of {shard} is lower than {newest}")]
+#[error("fencing token {token} of {shard} is lower than {highest}")]
 pub(crate) struct StaleToken {
     shard: String,
     token: u64,
-    newest: u64,
+    highest: u64,
 }
 
 impl From<StaleToken> for Response {
@@ -21,18 +21,18 @@
     }
 }
 
-/// The highest token seen for each shard. They are lost with the process.
+/// The highest fencing token seen for each shard. A restart of the server loses them.
 #[derive(Default)]
 pub(crate) struct FencingTokens {
-    newest: BTreeMap<String, u64>,
+    highest: BTreeMap<String, u64>,
 }
 
 impl FencingTokens {
-    /// Records the lease under which a request is made, if any, and remembers its token.
+    /// Records the lease of a request, if it has one, and remembers its fencing token.
     ///
     /// # Errors
     ///
-    /// Where fencing is enforced, if a higher token was seen for that shard.
+    /// Returns an error if fencing is enforced and a higher token has been seen for the same shard.
     pub(crate) fn observe(
         &mut self,
         request: &Request,
@@ -45,10 +45,10 @@
             return Ok(());
         };
         let (shard, token) = (lease.shard.to_owned(), lease.fencing_token);
-        let newest = self.newest.entry(shard.clone()).or_default();
-        *newest = token.max(*newest);
-        let newest = *newest;
-        let refused = enforces_fencing && token < newest;
+        let highest = self.highest.entry(shard.clone()).or_default();
+        *highest = token.max(*highest);
+        let highest = *highest;
+        let refused = enforces_fencing && token < highest;
         let router = request.headers.get(extra::ROUTER).unwrap_or_default();
         recorder.write(Record::LeasedRequest {
             at: unix_micros(),
@@ -62,7 +62,7 @@
             return Err(StaleToken {
                 shard,
                 token,
-                newest,
+                highest,
             });
         }
         Ok(())
--- a/crates/mock-servers/src/ledger.rs
+++ b/crates/mock-servers/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of effects: each entry is the trace token of a statement that changed data, in a file that outlives the
-//! process of its engine.
+//! The ledger of effects. Each entry is the trace token of a statement that changed data. In a file, entries survive
+//! the process of their engine.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,18 +7,18 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// An effect that could not be entered into a ledger.
+/// The reason why an effect was not entered into a ledger.
 #[derive(Debug, thiserror::Error)]
 pub enum PostError {
-    /// A thread panicked while it wrote to the ledger.
+    /// Another thread panicked while it wrote to the ledger.
     #[error("another thread panicked while it wrote to the ledger")]
     WriterPanicked,
-    /// The file can't be written.
-    #[error("the ledger's file can't be written")]
+    /// Writing to the file failed.
+    #[error("writing to the ledger file failed")]
     Write(#[from] io::Error),
 }
 
-/// A ledger, shared by the engines that write to the same file or memory.
+/// A ledger in a file or in memory. Clones share their entries.
 #[derive(Clone, Default)]
 pub struct Ledger(Arc<Mutex<Entries>>);
 
@@ -29,24 +29,24 @@
 }
 
 impl Ledger {
-    /// Opens a ledger in a file, which is created where it does not exist. Entries in it count.
+    /// Opens a ledger file with its existing entries, or creates it.
     ///
     /// # Errors
     ///
-    /// If the file can't be read or opened for writing.
+    /// Returns an error if the file can't be read or opened for writing.
     pub fn open(path: &Path) -> io::Result<Ledger> {
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
+            Err(error) => return Err(error),
         };
-        // A line that a crash cut short has no break at its end: it was never acknowledged.
-        let complete = text.rfind('\n').map_or(0, |last_break| last_break + 1);
+        // A last line without a line break was truncated by a crash. It was never acknowledged, so it is not an entry.
+        let complete_bytes = text.rfind('\n').map_or(0, |last_break| last_break + 1);
         let mut file = File::options().create(true).append(true).open(path)?;
-        if complete < text.len() {
+        if complete_bytes < text.len() {
             file.write_all(b"\n")?;
         }
-        let lines = text[..complete].lines().map(str::to_owned).collect();
+        let lines = text[..complete_bytes].lines().map(str::to_owned).collect();
         let entries = Entries {
             lines,
             file: Some(file),
@@ -54,11 +54,11 @@
         Ok(Ledger(Arc::new(Mutex::new(entries))))
     }
 
-    /// Enters the effect of a statement; it is in the file when this returns.
+    /// Enters the effect of a statement. If the ledger has a file, the entry has been written to it when this returns.
     ///
     /// # Errors
     ///
-    /// If the file can't be written, or another thread panicked while it wrote.
+    /// Returns an error if the file can't be written, or another thread panicked while it wrote.
     pub fn post(&self, trace: &str) -> Result<(), PostError> {
         let Ok(mut entries) = self.0.lock() else {
             return Err(PostError::WriterPanicked);
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// How often the effect of each trace token was entered.
+    /// Returns the number of entries of each trace token.
     pub fn postings(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         if let Ok(entries) = self.0.lock() {
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,9 +1,9 @@
 //! Mock servers and clients for tests and scenarios, written from public specifications: engines that simulate work, a
-//! discovery service, and scripted clients. They fail on request, and record what passes on their sockets.
+//! discovery service, and scripted clients. They simulate faults on request, and record what they send and receive.
 //!
-//! - [`engine`]: an engine, and its [`engine_faults`];
+//! - [`engine`]: an engine, with the faults of [`engine_faults`];
 //! - [`work_model`]: the work of an engine in simulated time, without I/O;
-//! - [`workload_profile`]: what a statement costs and returns;
+//! - [`workload_profile`]: the cost and the result of a statement;
 //! - [`ledger`]: the effects of statements that change data;
 //! - [`discovery`]: a discovery service;
 //! - [`client`]: scripted clients.
--- a/crates/mock-servers/src/server_thread.rs
+++ b/crates/mock-servers/src/server_thread.rs
@@ -1,5 +1,5 @@
-//! Servers on threads of their own. Stopping one drops all that its thread holds at once, sockets included, as the end of
-//! a process would.
+//! Servers that run on threads of their own. Stopping one drops everything its thread holds at once, including
+//! sockets, as the end of a process would.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,20 +11,20 @@
 use async_executor::LocalExecutor;
 use hoptiller_http::Spawner;
 
-/// A server that runs on a thread of its own until it is stopped or dropped.
+/// A server that runs on a thread of its own until it is crashed or dropped.
 pub struct ServerThread {
-    /// Where the server listens.
+    /// The address at which the server listens.
     pub addr: SocketAddr,
     stop: Sender<()>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ServerThread {
-    /// Starts a thread of that name with an executor, on which `start` sets the server up.
+    /// Starts a thread of that name with an executor, on which `start` starts the server and returns its address.
     ///
     /// # Errors
     ///
-    /// If the thread can't be started, `start` fails, or `start` panics.
+    /// Returns an error if the thread can't be started, or `start` fails or panics.
     pub fn spawn<F>(name: &str, start: F) -> io::Result<ServerThread>
     where
         F: FnOnce(Spawner) -> io::Result<SocketAddr> + Send + 'static,
@@ -39,7 +39,7 @@
                 let is_started = result.is_ok();
                 let _ = started_sender.send(result);
                 if is_started {
-                    // The channel carries nothing: closing or dropping the sender is the order to stop.
+                    // Nothing is ever sent: closing or dropping the sender stops the server.
                     let _ = async_io::block_on(executor.run(stopped.recv()));
                 }
             })?;
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Stops the server at once, as a crash of its process would: sockets close, what ran is lost.
+    /// Stops the server immediately, as a crash of its process would: sockets are closed and running work is lost.
     pub fn crash(mut self) {
         self.stop();
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The inner error of [`ServerThread::spawn`] where the server panicked as it was set up.
+/// The inner error of [`ServerThread::spawn`] if `start` panicked.
 #[derive(Debug, thiserror::Error)]
-#[error("the stand-in did not start")]
+#[error("the server thread panicked while starting the server")]
 struct StartPanicked;
--- a/crates/mock-servers/src/work_model.rs
+++ b/crates/mock-servers/src/work_model.rs
@@ -1,13 +1,14 @@
-//! The work model of an engine: what cores, disks and memory do with the statements that share them. It has no I/O and
-//! no clock; the caller passes the time, in µs.
+//! The work model of an engine: a simulation of the statements that share its cores, disks and memory. It performs no
+//! I/O and has no clock; callers pass the time in µs.
 //!
-//! Between two events all rates are constant, except those of a cold engine, which are followed in short steps.
+//! Between two events all rates are constant, except on a cold engine, whose changing speed is approximated in short
+//! steps.
 //!
-//! - `parameters`, `job`: what an engine is, and what a statement demands of it;
+//! - `parameters`, `job`: the parameters of an engine, and the demand of a statement on it;
 //! - `execution`: one admitted statement;
-//! - `rates`: how the running statements share cores and disks;
-//! - `warm_up`: the time after a cold start, and its overload;
-//! - `data_set_cache`: which data sets are cached.
+//! - `rates`: the division of cores and disks between the running statements;
+//! - `warm_up`: the warm-up after a cold start, and overload during it;
+//! - `data_set_cache`: the cached data sets.
 
 mod data_set_cache;
 mod execution;
@@ -26,23 +27,23 @@
 use rates::work_rates;
 use warm_up::WarmUp;
 
-/// Longest step in µs in which the speed of a cold engine counts as constant.
-const MAX_COLD_STEP: u64 = 50_000;
-/// A warm engine has run for this multiple of the warm-up, so that any router counts it as warm.
+/// Maximum length in µs of a step in which the speed of a cold engine is taken as constant.
+const MAX_COLD_STEP_MICROS: u64 = 50_000;
+/// Initial uptime of a warm engine as a multiple of the warm-up time, so that every router takes it as warm.
 const WARM_AGE_FACTOR: u64 = 100;
-/// Lowest speed and rate: where they divide, they are never zero.
+/// Minimum speed and rate, so that no division is by zero.
 const MIN_RATE: f64 = 1e-9;
-/// Longest time in µs to the next event; beyond, a float may not fit a `u64`.
-const MAX_EVENT_WAIT: f64 = 1e15;
+/// Maximum time in µs to the next event. A larger float may not fit into a `u64`.
+const MAX_EVENT_WAIT_MICROS: f64 = 1e15;
 
-/// What became of a statement that was sent to an engine.
+/// The result of submitting a statement to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, or waits for memory or a data set.
+    /// The statement runs, or waits for memory or a data set.
     Admitted,
-    /// The engine is full, or has crashed: the statement did not run.
+    /// The engine is full or has crashed before, and the statement does not run.
     Rejected,
-    /// The engine crashed under it; everything that it had admitted is lost.
+    /// The statement overloaded the engine, which crashed and lost all admitted statements.
     Crashed,
 }
 
@@ -51,13 +52,13 @@
 pub struct EngineLoad {
     /// Number of admitted statements that have not ended.
     pub in_flight: usize,
-    /// Fraction of the cores that is busy.
+    /// Fraction of the cores that are busy.
     pub cpu: f64,
-    /// Fraction of the memory that is granted.
+    /// Fraction of the memory that has been granted.
     pub memory: f64,
 }
 
-/// The simulated work of one engine. Statements are known by numbers that the caller gives.
+/// The simulated work of one engine. Statements are identified by numbers that the caller chooses.
 #[derive(Debug)]
 pub struct WorkModel {
     parameters: WorkModelParameters,
@@ -69,10 +70,10 @@
 }
 
 impl WorkModel {
-    /// An engine that starts at `now`, cold, or warm as if it had started long ago.
-    pub fn new(parameters: WorkModelParameters, now: u64, cold: bool) -> Self {
+    /// Creates an engine that starts at `now`: cold, or warm as if it had started long before.
+    pub fn new(parameters: WorkModelParameters, now: u64, starts_cold: bool) -> Self {
         let warm_age = WARM_AGE_FACTOR * parameters.warm_up_micros;
-        let started_at = if cold {
+        let started_at = if starts_cold {
             now
         } else {
             now.saturating_sub(warm_age)
@@ -87,17 +88,17 @@
         }
     }
 
-    /// Changes the speed of the cores from the last [`WorkModel::advance`] on.
+    /// Changes the speed of the cores, beginning at the time of the last [`WorkModel::advance`].
     pub fn set_speed(&mut self, speed: f64) {
         self.parameters.speed = speed.max(MIN_RATE);
     }
 
-    /// How long the engine has run at `now`, in µs.
+    /// Returns the uptime of the engine at `now` in µs.
     pub fn uptime(&self, now: u64) -> u64 {
         self.warm_up.uptime(now)
     }
 
-    /// Whether the engine crashed under overload.
+    /// Returns whether the engine has crashed because of overload.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
@@ -110,7 +111,7 @@
         self.warm_up.is_cold(&self.parameters, self.now)
     }
 
-    /// Admits a statement under a number that no other statement in flight has, or rejects it.
+    /// Admits a statement or rejects it. No other statement in flight may have the number `id`.
     pub fn admit(&mut self, now: u64, id: u64, job: Job) -> Admission {
         debug_assert!(now >= self.now);
         self.now = self.now.max(now);
@@ -122,7 +123,7 @@
             let parameters = &self.parameters;
             if self
                 .warm_up
-                .admit_is_overload(parameters, now, warmth, job.work)
+                .record_admitted_work(parameters, now, warmth, job.work)
             {
                 self.crashed = true;
                 self.executions.clear();
@@ -146,8 +147,8 @@
         self.executions.len() as f64 >= limit
     }
 
-    /// Grants memory in the order of the queue, up to the first statement for which there is not enough. One that is
-    /// alone is always granted what it asks for.
+    /// Grants memory in the order of the queue, up to the first statement for which there is not enough. A statement
+    /// that is the only one on the engine is always granted what it requests.
     fn grant_memory(&mut self) {
         let total = self.parameters.memory_mb;
         let granted = self.executions.values().filter_map(|e| e.granted_mb());
@@ -156,7 +157,7 @@
             .executions
             .iter()
             .filter(|(_, e)| e.granted_mb().is_none())
-            .map(|(id, e)| (e.memory_queue_position(), *id))
+            .map(|(id, e)| (e.memory_queue_key(), *id))
             .collect();
         queue.sort_unstable();
         let is_alone = self.executions.len() == 1;
@@ -173,8 +174,8 @@
         }
     }
 
-    /// What blocks a statement: it has no memory yet, another that was admitted before it has its data set locked, or any other
-    /// has the data set that it needs next.
+    /// Returns why a statement is blocked, if it is: it is paused, has no memory yet, its data set is locked by a
+    /// statement admitted before it, or the second data set that it needs now is locked by any other.
     fn blocked_state(&self, id: u64, execution: &SimulatedExecution) -> Option<BlockedState> {
         if execution.is_paused() {
             return Some(BlockedState::Paused);
@@ -194,7 +195,7 @@
         blocking.map(|(other, _)| BlockedState::BlockedBy(*other))
     }
 
-    /// The statements that are not blocked, in the order of their numbers.
+    /// Returns the statements that are not blocked, in the order of their numbers.
     fn running(&self) -> Vec<(u64, &SimulatedExecution)> {
         self.executions
             .iter()
@@ -203,18 +204,18 @@
             .collect()
     }
 
-    /// Work per µs of each running statement.
+    /// Returns the work per µs of each running statement.
     fn rates(&self) -> Vec<(u64, f64)> {
         work_rates(&self.parameters, self.warmth(), &self.running())
     }
 
-    /// Time in µs until a statement that runs at `rate` ends or needs its second data set.
+    /// Returns the time in µs until a statement that runs at `rate` ends or needs its second data set.
     fn event_wait(&self, id: u64, rate: f64) -> f64 {
         let work = self.executions[&id].work_to_next_event();
         (work / rate.max(MIN_RATE)).ceil()
     }
 
-    /// Advances the simulation to `now`. Returns the statements that ended, in the order of their ends.
+    /// Advances the simulation to `now`. Returns the statements that finished, in the order in which they did.
     pub fn advance(&mut self, now: u64) -> Vec<u64> {
         let mut ended = Vec::new();
         while self.now < now && !self.crashed {
@@ -224,12 +225,12 @@
         ended
     }
 
-    /// Advances to the next event, or to `until` where that comes first.
+    /// Advances to the next event, or to `until` if that comes first.
     fn step(&mut self, until: u64, ended: &mut Vec<u64>) {
         let rates = self.rates();
         let mut step = until - self.now;
         if self.is_cold() {
-            step = step.min(MAX_COLD_STEP);
+            step = step.min(MAX_COLD_STEP_MICROS);
         }
         for (id, rate) in &rates {
             step = step.min((self.event_wait(*id, *rate) as u64).max(1));
@@ -250,8 +251,8 @@
         self.grant_memory();
     }
 
-    /// When to call [`WorkModel::advance`] next: at the next event at present rates, or after a step of a cold engine.
-    /// `None` while nothing runs.
+    /// Returns the time at which to call [`WorkModel::advance`] next: the next event at current rates, or on a cold
+    /// engine the end of the next step if that comes first. Returns `None` while nothing runs.
     pub fn next_event_at(&self) -> Option<u64> {
         let wait = self
             .rates()
@@ -261,16 +262,16 @@
         if !wait.is_finite() {
             return None;
         }
-        let wait = wait.min(MAX_EVENT_WAIT) as u64;
+        let wait = wait.min(MAX_EVENT_WAIT_MICROS) as u64;
         let at = self.now.saturating_add(wait).max(self.now + 1);
         Some(if self.is_cold() {
-            at.min(self.now + MAX_COLD_STEP)
+            at.min(self.now + MAX_COLD_STEP_MICROS)
         } else {
             at
         })
     }
 
-    /// Cancels a statement; whether its work stopped, which depends on
+    /// Cancels a statement. Returns whether its work was stopped, which depends on
     /// [`cancel_stops_work`](WorkModelParameters::cancel_stops_work).
     pub fn cancel(&mut self, now: u64, id: u64) -> bool {
         self.advance(now);
@@ -279,7 +280,8 @@
         stopped
     }
 
-    /// Kills a statement, whatever the engine does with cancellations; whether it was still in flight.
+    /// Kills a statement, even if the engine does not stop the work of cancelled ones. Returns whether it was in
+    /// flight.
     pub fn kill(&mut self, now: u64, id: u64) -> bool {
         self.advance(now);
         let stopped = self.executions.remove(&id).is_some();
@@ -287,20 +289,20 @@
         stopped
     }
 
-    /// Pauses or resumes a statement; whether it is in flight. It keeps its memory and its locks.
+    /// Pauses or resumes a statement, which keeps its memory and its locks. Returns whether it is in flight.
     pub fn set_paused(&mut self, now: u64, id: u64, paused: bool) -> bool {
         self.advance(now);
         let execution = self.executions.get_mut(&id);
         execution.map(|e| e.set_paused(paused)).is_some()
     }
 
-    /// The progress of a statement in flight.
+    /// Returns the progress of a statement, if it is in flight.
     pub fn progress(&self, id: u64) -> Option<ExecutionProgress> {
         let execution = self.executions.get(&id)?;
         Some(execution.progress(self.blocked_state(id, execution)))
     }
 
-    /// The load at the last [`WorkModel::advance`].
+    /// Returns the load at the time of the last [`WorkModel::advance`].
     pub fn load(&self) -> EngineLoad {
         let running = self.running();
         let threads: f64 = running.iter().map(|(_, e)| e.job().threads).sum();
--- a/crates/mock-servers/src/work_model/data_set_cache.rs
+++ b/crates/mock-servers/src/work_model/data_set_cache.rs
@@ -1,10 +1,11 @@
-//! Which data sets an engine has cached: those that were read last.
+//! The cache of the data sets that an engine has read most recently.
 
 use std::collections::VecDeque;
 
-/// The data sets that were read last, the oldest first.
+/// A cache of data sets that evicts the least recently read one.
 #[derive(Debug)]
 pub(super) struct DataSetCache {
+    /// The cached data sets, the least recently read one first.
     recent: VecDeque<u64>,
     capacity: usize,
 }
@@ -15,7 +16,7 @@
         Self { recent, capacity }
     }
 
-    /// Reads a data set; whether it was cached. The one that was not read for longest is evicted for it.
+    /// Reads a data set, which is cached from then on. Returns whether it was cached before.
     pub(super) fn read(&mut self, data_set: u64) -> bool {
         let position = self.recent.iter().position(|cached| *cached == data_set);
         if let Some(position) = position {
--- a/crates/mock-servers/src/work_model/execution.rs
+++ b/crates/mock-servers/src/work_model/execution.rs
@@ -1,39 +1,39 @@
-//! One statement that an engine has admitted: its remaining work, its memory and what it has locked.
+//! The execution of one admitted statement: its remaining work, its memory and its locks.
 
 use super::job::{Job, MAX_PRIORITY};
 
-/// Amounts of work below this, in µs, count as none; they are left by rounding.
-const WORK_TOLERANCE: f64 = 1e-6;
+/// Amount of work in µs that counts as none, because rounding may leave it.
+const WORK_TOLERANCE_MICROS: f64 = 1e-6;
 
-/// How far a statement has come.
+/// The progress of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExecutionProgress {
     /// Fraction of the work that is done.
     pub completed: f64,
-    /// Work done in µs, with the additional work of a statement that spills.
+    /// Work done in µs, including additional work because of spilling or an uncached data set.
     pub work_done: f64,
-    /// Time in µs for which the statement ran; the time in which it was blocked does not count.
+    /// Time in µs for which the statement ran, without the time in which it was blocked.
     pub run_micros: u64,
     /// Granted memory in MB.
     pub memory_mb: f64,
-    /// Whether the statement does additional work because it has less memory than it needs.
+    /// Whether the statement does additional work because it was granted less memory than it needs.
     pub spills: bool,
-    /// What blocks the statement now, if anything does.
+    /// The reason why the statement is blocked, if it is.
     pub blocked: Option<BlockedState>,
 }
 
-/// Why a statement makes no progress.
+/// The reason why a statement makes no progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockedState {
-    /// It waits for its memory grant.
+    /// The statement waits for its memory grant.
     WaitingForMemory,
-    /// The statement of this number has locked a data set that it needs.
+    /// The statement needs a data set that the statement of this number has locked.
     BlockedBy(u64),
-    /// It was paused.
+    /// The statement was paused.
     Paused,
 }
 
-/// An admitted statement.
+/// The execution of an admitted statement.
 #[derive(Debug)]
 pub(super) struct SimulatedExecution {
     job: Job,
@@ -46,7 +46,8 @@
 }
 
 impl SimulatedExecution {
-    /// A statement that waits for its memory. `work` is that of the job and what it does twice.
+    /// Creates an execution that waits for its memory. `work` is the work of the job, plus its I/O part again if its
+    /// data set was not cached.
     pub(super) fn new(job: Job, admitted_at: u64, work: f64) -> Self {
         Self {
             job,
@@ -80,38 +81,38 @@
     }
 
     pub(super) fn is_finished(&self) -> bool {
-        self.remaining_work <= WORK_TOLERANCE
+        self.remaining_work <= WORK_TOLERANCE_MICROS
     }
 
-    /// The place in the queue for memory: by priority, then by arrival.
-    pub(super) fn memory_queue_position(&self) -> (u8, u64) {
+    /// Returns the sort key in the queue for memory: by descending priority, then by admission.
+    pub(super) fn memory_queue_key(&self) -> (u8, u64) {
         let priority = self.job.priority.min(MAX_PRIORITY);
         (MAX_PRIORITY - priority, self.admitted_at)
     }
 
-    /// Memory in MB that the statement asks for, on an engine that has `available_mb` in all.
-    pub(super) fn requested_mb(&self, available_mb: f64) -> f64 {
+    /// Returns the memory in MB that the statement requests on an engine that has `total_mb`.
+    pub(super) fn requested_mb(&self, total_mb: f64) -> f64 {
         let requested = self.job.memory_grant_mb.unwrap_or(self.job.memory_mb);
-        requested.min(available_mb)
+        requested.min(total_mb)
     }
 
-    /// Grants memory. Less than the statement needs adds work, in proportion to what is missing.
+    /// Grants memory. If it is less than the statement needs, adds work in proportion to the missing fraction.
     pub(super) fn grant_memory(&mut self, granted_mb: f64, spill_factor: f64) {
         self.granted_mb = Some(granted_mb);
         if granted_mb < self.job.memory_mb {
-            let missing = 1.0 - granted_mb / self.job.memory_mb;
-            self.remaining_work *= 1.0 + spill_factor * missing;
+            let missing_fraction = 1.0 - granted_mb / self.job.memory_mb;
+            self.remaining_work *= 1.0 + spill_factor * missing_fraction;
             self.total_work = self.remaining_work;
         }
     }
 
-    /// Whether the statement has the data set locked.
+    /// Returns whether the statement has locked a data set.
     pub(super) fn has_locked(&self, data_set: u64) -> bool {
         self.job.locks_data_sets
-            && (self.job.data_set == Some(data_set) || self.has_reached_second(data_set))
+            && (self.job.data_set == Some(data_set) || self.has_acquired_second(data_set))
     }
 
-    fn has_reached_second(&self, data_set: u64) -> bool {
+    fn has_acquired_second(&self, data_set: u64) -> bool {
         let is_second = self
             .job
             .second_data_set
@@ -123,30 +124,30 @@
                 .is_some_and(|threshold| self.remaining_work < threshold)
     }
 
-    /// The second data set, from when it is needed on.
+    /// Returns the second data set once the statement needs it.
     pub(super) fn needed_second_data_set(&self) -> Option<u64> {
         let threshold = self.remaining_at_second_data_set()?;
-        let needed = self.remaining_work <= threshold + WORK_TOLERANCE;
+        let needed = self.remaining_work <= threshold + WORK_TOLERANCE_MICROS;
         let second = self.job.second_data_set.filter(|_| needed)?;
         Some(second.data_set)
     }
 
-    /// Remaining work at which the second data set is needed.
+    /// Returns the remaining work at which the statement needs its second data set.
     fn remaining_at_second_data_set(&self) -> Option<f64> {
         let second = self.job.second_data_set?;
         Some(self.job.work * (1.0 - second.needed_from))
     }
 
-    /// Work until the statement needs its second data set, or ends.
+    /// Returns the work until the statement needs its second data set or ends.
     pub(super) fn work_to_next_event(&self) -> f64 {
         self.remaining_at_second_data_set()
-            .filter(|threshold| self.remaining_work > *threshold + WORK_TOLERANCE)
+            .filter(|threshold| self.remaining_work > *threshold + WORK_TOLERANCE_MICROS)
             .map_or(self.remaining_work, |threshold| {
                 self.remaining_work - threshold
             })
     }
 
-    /// Does the work of `micros` at a rate in work per µs.
+    /// Runs for `micros` at a rate in work per µs.
     pub(super) fn run(&mut self, rate: f64, micros: u64) {
         self.remaining_work -= rate * micros as f64;
         self.run_micros += micros;
--- a/crates/mock-servers/src/work_model/job.rs
+++ b/crates/mock-servers/src/work_model/job.rs
@@ -3,31 +3,31 @@
 /// The highest priority of a statement.
 pub(super) const MAX_PRIORITY: u8 = 3;
 
-/// A statement as the work model sees it.
+/// The demand of a statement: its work, memory and data sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Work of all threads together, in µs of a reference core.
+    /// Work of all threads together, in µs of the reference core.
     pub work: f64,
     /// Number of threads.
     pub threads: f64,
     /// Fraction of the work that is I/O.
     pub io_fraction: f64,
-    /// Memory in MB that the statement needs in order not to spill.
+    /// Memory in MB that the statement needs to run without spilling.
     pub memory_mb: f64,
-    /// Memory in MB that the statement is granted; `None` grants what it needs.
+    /// Memory in MB that the statement requests, or `None` if it requests what it needs.
     pub memory_grant_mb: Option<f64>,
     /// The data set that the statement reads or writes.
     pub data_set: Option<u64>,
-    /// Whether the statement locks its data sets: others that need them are blocked until it ends.
+    /// Whether the statement locks its data sets, so that others that need them are blocked until it ends.
     pub locks_data_sets: bool,
-    /// A further data set, which the statement needs later.
+    /// Another data set that the statement needs once a part of its work is done.
     pub second_data_set: Option<SecondDataSet>,
-    /// Priority from 0 to 3; higher values get more processor time, and memory sooner.
+    /// Priority from 0 to 3. Higher ones get more processor time, and memory sooner.
     pub priority: u8,
 }
 
 impl Job {
-    /// A statement without I/O, memory and data sets, of priority 1.
+    /// Creates a job of priority 1 without I/O, memory and data sets.
     pub fn new(work: f64, threads: f64) -> Self {
         Self {
             work,
@@ -46,8 +46,8 @@
 /// A data set that a statement needs once a part of its work is done.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondDataSet {
-    /// Fraction of the work after which the data set is needed. A statement is blocked there while another has it
-    /// locked.
+    /// Fraction of the work after which the data set is needed. From there on, the statement is blocked while another
+    /// has locked the data set.
     pub needed_from: f64,
     /// The data set.
     pub data_set: u64,
--- a/crates/mock-servers/src/work_model/parameters.rs
+++ b/crates/mock-servers/src/work_model/parameters.rs
@@ -7,28 +7,28 @@
     pub cores: f64,
     /// Speed of each core, as a multiple of the reference core's.
     pub speed: f64,
-    /// Number of threads that can read or write at once without slowing each other.
+    /// Number of threads that can do I/O at once without slowing each other down.
     pub io_slots: f64,
     /// Memory in MB.
     pub memory_mb: f64,
-    /// Threads per core from which the total throughput falls.
+    /// Number of threads per core above which the total throughput falls.
     pub thrashing_threads_per_core: f64,
-    /// Maximum number of statements per core; more are rejected.
+    /// Maximum number of statements per core. Further ones are rejected.
     pub max_statements_per_core: f64,
-    /// Fraction of its speed that the engine has just after a cold start.
+    /// Fraction of its full speed that the engine has immediately after a cold start.
     pub cold_speed_fraction: f64,
-    /// Time in µs from a cold start until the engine has its whole speed.
+    /// Time in µs from a cold start until the engine has its full speed.
     pub warm_up_micros: u64,
-    /// While it warms up, the engine crashes once the work admitted within `overload_window_micros` exceeds this
-    /// multiple of what it can do in that time.
+    /// Multiple of the work that the engine can do within `overload_window_micros`. While it warms up, it crashes if
+    /// more work than that is admitted within that time.
     pub overload_factor: f64,
-    /// Length in µs of the window in which admitted work counts as overload.
+    /// Length in µs of the sliding window in which admitted work is summed to detect overload.
     pub overload_window_micros: u64,
-    /// Additional work of a statement that got none of the memory that it needs, as a multiple of its work.
+    /// Additional work of a statement that is granted none of the memory it needs, as a multiple of its work.
     pub spill_factor: f64,
-    /// Number of data sets that stay cached; the I/O part of a statement that reads another counts twice.
+    /// Number of data sets that are cached. A statement that reads another one does its I/O work twice.
     pub cached_data_sets: usize,
-    /// Whether the work of a cancelled statement stops.
+    /// Whether cancelling a statement stops its work.
     pub cancel_stops_work: bool,
 }
 
--- a/crates/mock-servers/src/work_model/rates.rs
+++ b/crates/mock-servers/src/work_model/rates.rs
@@ -1,4 +1,4 @@
-//! How the running statements of an engine share its cores and its disks.
+//! The rates at which the running statements of an engine work, given that they share its cores and disks.
 
 use super::execution::SimulatedExecution;
 use super::job::MAX_PRIORITY;
@@ -7,11 +7,11 @@
 /// Weight of a thread by the priority of its statement.
 const PRIORITY_WEIGHTS: [f64; MAX_PRIORITY as usize + 1] = [1.0, 4.0, 8.0, 16.0];
 
-/// Work per µs of each statement. `running` holds all that are not blocked; `warmth` is the fraction of its speed that
-/// the engine has now.
+/// Returns the work per µs of each statement. `running` contains all statements that are not blocked; `warmth` is the
+/// current fraction of the engine's full speed.
 ///
-/// While there is a core for each thread, each runs at full speed; beyond that the cores are divided by priority. I/O is
-/// slowed where more threads read and write than the disks serve at once.
+/// While there is a core for each thread, every thread runs at full speed. Otherwise the cores are divided by priority.
+/// I/O slows down if more threads do I/O than the disks can serve at once.
 pub(super) fn work_rates(
     parameters: &WorkModelParameters,
     warmth: f64,
@@ -24,7 +24,7 @@
         .sum();
     let total_weight: f64 = running.iter().map(|(_, e)| weight(e)).sum();
     let total_speed =
-        parameters.cores * parameters.speed * warmth * thrashing_loss(parameters, threads);
+        parameters.cores * parameters.speed * warmth * thrashing_efficiency(parameters, threads);
     let io_speed = (parameters.io_slots / io_threads.max(f64::MIN_POSITIVE)).min(1.0);
     let rate = |execution: &SimulatedExecution| {
         let job = execution.job();
@@ -40,8 +40,9 @@
     running.iter().map(|(id, e)| (*id, rate(e))).collect()
 }
 
-/// The fraction of the total speed that remains with so many threads: past the threshold, it falls as their inverse.
-fn thrashing_loss(parameters: &WorkModelParameters, threads: f64) -> f64 {
+/// Returns the fraction of the total speed that remains with this number of threads. Above the threshold, it is
+/// inversely proportional to that number.
+fn thrashing_efficiency(parameters: &WorkModelParameters, threads: f64) -> f64 {
     let threads_per_core = threads / parameters.cores;
     let threshold = parameters.thrashing_threads_per_core;
     (threshold / threads_per_core.max(f64::MIN_POSITIVE)).min(1.0)
--- a/crates/mock-servers/src/work_model/warm_up.rs
+++ b/crates/mock-servers/src/work_model/warm_up.rs
@@ -1,4 +1,4 @@
-//! The time after a cold start: an engine has a part of its speed, and crashes when it is sent too much.
+//! The warm-up after a cold start, during which an engine has only a part of its speed and crashes if it is overloaded.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,8 @@
     work: f64,
 }
 
-/// How warm an engine is, and the work that it admitted lately. Times are in µs of the engine's clock.
+/// The warm-up of an engine, and the work that it has admitted recently while cold. Times are in µs of the engine's
+/// clock.
 #[derive(Debug)]
 pub(super) struct WarmUp {
     started_at: u64,
@@ -31,15 +32,15 @@
         now < self.started_at + parameters.warm_up_micros
     }
 
-    /// The fraction of its speed that the engine has at `now`.
+    /// Returns the fraction of its full speed that the engine has at `now`. It grows linearly during the warm-up.
     pub(super) fn warmth(&self, parameters: &WorkModelParameters, now: u64) -> f64 {
         let age = (now - self.started_at) as f64 / parameters.warm_up_micros.max(1) as f64;
         let cold = parameters.cold_speed_fraction;
         (cold + (1.0 - cold) * age).min(1.0)
     }
 
-    /// Counts the work of a cold engine's new statement; whether the engine crashes under it.
-    pub(super) fn admit_is_overload(
+    /// Records the work of a statement that a cold engine admits. Returns whether it overloads the engine.
+    pub(super) fn record_admitted_work(
         &mut self,
         parameters: &WorkModelParameters,
         now: u64,
--- a/crates/mock-servers/src/workload_profile.rs
+++ b/crates/mock-servers/src/workload_profile.rs
@@ -1,9 +1,9 @@
-//! What a statement costs and returns: by hints in a comment of its text, else by its class.
+//! The cost and the result of a statement, determined by its class and by hints in a comment of its text.
 //!
-//! The hints stand in the first comment of the text, in any order:
+//! Hints are words in the first comment of the text, in any order:
 //! `SELECT … /* work=250ms threads=2 io=0.3 memory=40 set=7 then=0.5:8 plan=20 rows=100 pages=4 width=20 wrong */`.
-//! `plan` multiplies the work without changing the rows that are read, as a bad plan does; `then` names a data set that
-//! is needed from that fraction of the work on. Hints that can't be parsed are ignored.
+//! `plan` multiplies the work without changing the number of rows read, as a bad plan does. `then` states the fraction
+//! of the work after which a second data set is needed, and that data set. Invalid hints are ignored.
 
 use hoptiller_statement::parse_duration;
 
@@ -15,15 +15,15 @@
 const MAX_PAGES: u64 = 100_000;
 /// Maximum length of the text in each row, in bytes.
 const MAX_TEXT_BYTES: usize = 1 << 20;
-/// Fewest threads of a statement.
+/// Minimum number of threads of a statement.
 const MIN_THREADS: f64 = 0.1;
-/// Work in µs that each row takes to read with a good plan.
-const WORK_PER_ROW: f64 = 10.0;
+/// Work in µs to read one row with a good plan.
+const WORK_PER_ROW_MICROS: f64 = 10.0;
 
-/// What a statement costs and returns.
+/// The cost and the result of a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadProfile {
-    /// Its demand on the engine.
+    /// The demand on the engine.
     pub job: Job,
     /// Number of rows of the result.
     pub rows: u64,
@@ -31,28 +31,30 @@
     pub pages: u64,
     /// Length of the text in each row, in bytes.
     pub text_bytes: usize,
-    /// Number of rows that the statement reads.
+    /// Number of rows that the statement reads to compute its result.
     pub rows_read: u64,
-    /// Whether the engine answers that the statement is invalid.
+    /// Whether the statement is invalid, so that it fails with a syntax error.
     pub is_invalid: bool,
-    /// Whether the statement changes data: the engine enters it into the ledger.
+    /// Whether the statement changes data, so that the engine enters it into the ledger.
     pub has_effect: bool,
 }
 
 impl WorkloadProfile {
-    /// The profile of a statement. Where the text has no hint, `seed` draws the work around the mean of the class.
+    /// Returns the profile of a statement. Unless a hint sets the work, it is drawn around the mean of the class by
+    /// `seed`.
     pub fn new(class: &str, text: &str, seed: u64) -> Self {
         let mut profile = Self::for_class(class, draw_factor(seed));
         let mut plan_factor = 1.0;
         for hint in hints(text) {
             profile.apply_hint(hint, &mut plan_factor);
         }
-        profile.rows_read = (profile.job.work / WORK_PER_ROW) as u64;
+        profile.rows_read = (profile.job.work / WORK_PER_ROW_MICROS) as u64;
         profile.job.work *= plan_factor;
         profile
     }
 
-    /// Short lookups, long reports, and loads that lock what they write.
+    /// Returns the profile of a class without hints: reports are long, loads change data that they lock, and all other
+    /// classes are short lookups. `factor` multiplies the work.
     fn for_class(class: &str, factor: f64) -> Self {
         let job = |work_ms: f64, threads, io_fraction, memory_mb, locks_data_sets| Job {
             io_fraction,
@@ -119,12 +121,12 @@
     }
 }
 
-/// A factor from 0.5 to 1.5, by the seed.
+/// Returns a factor from 0.5 to 1.5 that is a function of the seed.
 fn draw_factor(seed: u64) -> f64 {
     0.5 + (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64
 }
 
-/// The words of the first comment.
+/// Returns the words of the first comment in a text.
 fn hints(text: &str) -> impl Iterator<Item = &str> {
     let comment = text
         .split_once("/*")
@@ -138,7 +140,7 @@
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-/// Parses `FRACTION:DATA_SET`.
+/// Parses the form `FRACTION:DATA_SET`.
 fn parse_second_data_set(value: &str) -> Option<SecondDataSet> {
     let (fraction, data_set) = value.split_once(':')?;
     let fraction: f64 = fraction.parse().ok()?;
