--- a/crates/http/src/coarse_timer.rs
+++ b/crates/http/src/coarse_timer.rs
@@ -16,7 +16,8 @@
 
 use crate::spawner::Spawner;
 
-/// The timer resolution: a sleep lasts up to this much longer than requested, and never shorter.
+/// The length of a tick, which is the resolution of all timers. A sleep never ends early. It ends up to two ticks late,
+/// because it waits for the end of its tick and then for the next wake-up of the driver, or later on a busy thread.
 pub const RESOLUTION: Duration = Duration::from_millis(10);
 
 /// The key of a pending sleep: the tick after which it ends, and a sequence number that distinguishes sleeps of the
--- a/crates/mock-servers/src/engine/config.rs
+++ b/crates/mock-servers/src/engine/config.rs
@@ -29,7 +29,7 @@
     pub work_model: WorkModelParameters,
     /// Whether it starts cold, that is, warms up first and crashes if it is overloaded meanwhile.
     pub starts_cold: bool,
-    /// Whether responses to polls report the progress of a statement, and what blocks it.
+    /// Whether responses to polls report the progress and the work done of a statement, and what blocks it.
     pub reports_progress: bool,
     /// Whether statements can be killed and paused.
     pub supports_kill: bool,
