--- a/crates/http/src/codec/decoder.rs
+++ b/crates/http/src/codec/decoder.rs
@@ -11,7 +11,7 @@
 /// Length of the line break after the data of a chunk.
 const CHUNK_END_BYTES: usize = 2;
 
-/// Maximum number of hexadecimal digits of a chunk size, so that it fits into 64 bits.
+/// Maximum number of hexadecimal digits of a chunk size, so that the size is below 2^60 and fits into 64 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// A decoded part of a message.
@@ -19,7 +19,7 @@
 pub enum Event {
     /// The head, with which a message begins.
     Head(Head),
-    /// A part of the content.
+    /// A part of the content, which is also called body.
     Body(Vec<u8>),
     /// The message is complete.
     End,
@@ -79,7 +79,8 @@
         self.buffer.feed(bytes);
     }
 
-    /// Returns whether a message has begun and is not complete.
+    /// Returns whether a message has begun and its end has not been returned, bytes after it have been fed, or decoding
+    /// has failed.
     pub fn is_inside_message(&self) -> bool {
         !matches!(self.state, State::Head) || self.has_buffered_bytes()
     }
@@ -140,13 +141,12 @@
                     return Ok(self.read_body(remaining, State::ChunkData, State::ChunkEnd));
                 }
                 State::ChunkEnd => {
-                    let too_long = ParseError::Chunk("no line break after its data");
-                    match self.read_line(CHUNK_END_BYTES, too_long)? {
+                    let no_line_break = ParseError::Chunk("expected a line break after its data");
+                    match self.read_line(CHUNK_END_BYTES, no_line_break.clone())? {
                         None => return Ok(None),
                         Some(line) if line.is_empty() => self.state = State::ChunkSize,
-                        Some(_) => {
-                            return self.fail(ParseError::Chunk("data longer than its size"));
-                        }
+                        // Not reached, because the limit allows only an empty line.
+                        Some(_) => return self.fail(no_line_break),
                     }
                 }
                 State::Trailer(count) => {
--- a/crates/http/src/codec/error.rs
+++ b/crates/http/src/codec/error.rs
@@ -12,7 +12,7 @@
     /// A header field is malformed.
     #[error("header field: {0}")]
     HeaderField(&'static str),
-    /// The content length is repeated, conflicts with the transfer coding or is not a number.
+    /// The content length is repeated, conflicts with the transfer coding, is not a number or is too large a number.
     #[error("content length: {0}")]
     ContentLength(&'static str),
     /// The transfer coding is not `chunked`, is repeated, or is used with HTTP/1.0.
@@ -23,7 +23,7 @@
     Chunk(&'static str),
     /// The start line and the header fields exceed [`Limits::max_head_bytes`](super::Limits::max_head_bytes), or there
     /// are more header or trailer fields than [`Limits::max_fields`](super::Limits::max_fields).
-    #[error("start line and header fields exceed the limit")]
+    #[error("size of the start line and header fields, or number of fields, exceeds the limit")]
     HeadTooLarge,
     /// The target exceeds [`Limits::max_target_bytes`](super::Limits::max_target_bytes).
     #[error("request target exceeds the limit")]
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -16,7 +16,8 @@
 
 /// Parses a head, given without the empty line at its end.
 pub(super) fn parse(kind: MessageKind, bytes: &[u8], limits: &Limits) -> Result<Head, ParseError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| ParseError::HeaderField("not UTF-8"))?;
+    let text = std::str::from_utf8(bytes)
+        .map_err(|_| ParseError::HeaderField("head is not valid UTF-8"))?;
     let mut lines = text.split("\r\n");
     let start_line = lines.next().unwrap_or_default();
     let (start, version) = match kind {
@@ -34,7 +35,7 @@
     if kind == MessageKind::Request {
         let hosts = headers.get_all("host").count();
         if hosts > 1 || (hosts == 0 && version == Version::Http11) {
-            return Err(ParseError::HeaderField("host must be given exactly once"));
+            return Err(ParseError::HeaderField("expected exactly one Host field"));
         }
     }
     Ok(Head {
@@ -46,7 +47,7 @@
 
 fn parse_field(line: &str) -> Result<(&str, &str), ParseError> {
     let Some((name, value)) = line.split_once(':') else {
-        return Err(ParseError::HeaderField("missing colon"));
+        return Err(ParseError::HeaderField("no colon after the name"));
     };
     if !is_token(name) {
         return Err(ParseError::HeaderField(
@@ -82,7 +83,9 @@
         || !target.bytes().all(|b| b.is_ascii_graphic())
         || target.contains('#')
     {
-        return Err(ParseError::StartLine("target is not an absolute path"));
+        return Err(ParseError::StartLine(
+            "expected a target of visible ASCII characters that starts with / and has no fragment",
+        ));
     }
     let start = StartLine::Request {
         method: Method::from_token(method),
@@ -100,7 +103,9 @@
         Ok(code) if is_three_digits && code >= 100 => {
             Ok((StartLine::Response(Status(code)), version))
         }
-        _ => Err(ParseError::StartLine("invalid status code")),
+        _ => Err(ParseError::StartLine(
+            "expected a status code of three digits, at least 100",
+        )),
     }
 }
 
