--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -21,7 +21,8 @@
     /// The connection broke after sending had begun, so the server may have acted on the request.
     #[error("connection broken: {0}")]
     Broken(#[source] io::Error),
-    /// No complete response arrived within the limit. The server may have acted on the request, or may still do so.
+    /// No complete response arrived within the limit, or the operating system reported a time-out. The server may have
+    /// acted on the request, or may still do so.
     #[error("no response in time")]
     TimedOut,
     /// The response is not valid HTTP/1.1. The server may have acted on the request.
--- a/crates/http/src/coarse_timer.rs
+++ b/crates/http/src/coarse_timer.rs
@@ -16,9 +16,9 @@
 
 use crate::spawner::Spawner;
 
-/// The length of a tick, which is the resolution of all timers. A sleep never ends early. It ends up to two ticks late,
+/// The length of a tick, in which the driver wakes up once. A sleep never ends early. It ends up to two ticks late,
 /// because it waits for the end of its tick and then for the next wake-up of the driver, or later on a busy thread.
-pub const RESOLUTION: Duration = Duration::from_millis(10);
+pub const TICK: Duration = Duration::from_millis(10);
 
 /// The key of a pending sleep: the tick after which it ends, and a sequence number that distinguishes sleeps of the
 /// same tick.
@@ -79,13 +79,13 @@
     }
 
     fn tick_at(&self, time: Instant) -> u64 {
-        (time.saturating_duration_since(self.start).as_micros() / RESOLUTION.as_micros()) as u64
+        (time.saturating_duration_since(self.start).as_micros() / TICK.as_micros()) as u64
     }
 
     async fn run(self) {
         loop {
             self.wait_until_pending().await;
-            Timer::after(RESOLUTION).await;
+            Timer::after(TICK).await;
             let now = self.tick_at(Instant::now());
             while let Some(waker) = self.take_expired(now) {
                 waker.wake();
--- a/crates/http/src/codec/input_buffer.rs
+++ b/crates/http/src/codec/input_buffer.rs
@@ -56,7 +56,8 @@
         &self.bytes[range]
     }
 
-    /// Discards all bytes, and frees memory that an idle connection does not need. Only for an empty buffer.
+    /// Removes consumed bytes, and frees memory that an idle connection does not need. Must be called only when all
+    /// bytes have been consumed.
     pub(super) fn shrink(&mut self) {
         (self.consumed, self.scanned, self.line_start) = (0, 0, 0);
         if self.bytes.capacity() > MAX_IDLE_CAPACITY_BYTES {
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,5 +1,8 @@
 //! The header fields of a message.
 
+/// Number of fields for which a received message allocates memory in advance.
+const INITIAL_FIELD_CAPACITY: usize = 8;
+
 /// The position of a field in the text of its [`Headers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FieldSpan {
@@ -8,7 +11,8 @@
     end: u32,
 }
 
-/// Header fields in the order in which they were received or added. Names are compared ignoring ASCII case.
+/// Header fields in the order in which they were received or added. Look-ups ignore the ASCII case of names; `==` does
+/// not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     /// The names and values of all fields, concatenated to need only one allocation.
@@ -21,7 +25,7 @@
     pub(crate) fn with_capacity(bytes: usize) -> Headers {
         Headers {
             text: String::with_capacity(bytes),
-            spans: Vec::with_capacity(8),
+            spans: Vec::with_capacity(INITIAL_FIELD_CAPACITY),
         }
     }
 
--- a/crates/http/src/io.rs
+++ b/crates/http/src/io.rs
@@ -45,8 +45,8 @@
     .await
 }
 
-/// Waits at most `limit` for a future, using a timer of its own. Returns an I/O error of kind `TimedOut` if it takes
-/// longer.
+/// Waits at most `limit` for a future, using a timer of its own, for client connections, which have no [`CoarseTimer`].
+/// Returns an I/O error of kind `TimedOut` if the future takes longer.
 pub(crate) async fn timeout<T, E: From<io::Error>>(
     limit: Duration,
     future: impl Future<Output = Result<T, E>>,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod server;
 mod spawner;
 
-pub use coarse_timer::{CoarseTimer, RESOLUTION};
+pub use coarse_timer::{CoarseTimer, TICK};
 pub use codec::{Decoder, Event, Limits, MessageKind, ParseError};
 pub use headers::Headers;
 pub use message::{Head, Method, Request, Response, StartLine, Status, Version};
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -4,6 +4,13 @@
 
 use crate::headers::Headers;
 
+/// Memory that is allocated in advance for what the encoding adds to a request's fields and content: the start line,
+/// two fields and line breaks.
+const REQUEST_LINES_BYTES: usize = 256;
+
+/// Memory that is allocated in advance for what the encoding adds to a response's fields and content.
+const RESPONSE_LINES_BYTES: usize = 160;
+
 /// A request method. Only the methods that the protocols of this workspace use have a variant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Method {
@@ -159,7 +166,9 @@
 
     /// Returns the encoded request. `host` is the value of its `Host` header field.
     pub fn encode(&self, host: &str) -> Vec<u8> {
-        let mut head = String::with_capacity(256 + self.headers.text_bytes() + self.body.len());
+        let mut head = String::with_capacity(
+            REQUEST_LINES_BYTES + self.headers.text_bytes() + self.body.len(),
+        );
         let _ = write!(
             head,
             "{} {} HTTP/1.1\r\nHost: {host}\r\n",
@@ -219,7 +228,9 @@
 
     /// Returns the encoded response. With `close`, it announces that the connection is closed after it.
     pub fn encode(&self, close: bool) -> Vec<u8> {
-        let mut head = String::with_capacity(160 + self.headers.text_bytes() + self.body.len());
+        let mut head = String::with_capacity(
+            RESPONSE_LINES_BYTES + self.headers.text_bytes() + self.body.len(),
+        );
         match self.status.0 {
             200 => head.push_str("HTTP/1.1 200 OK\r\n"),
             code => {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -34,8 +34,8 @@
 pub struct Config {
     /// Limits on the parts of a request.
     pub limits: Limits,
-    /// Maximum number of open connections. While it is reached, one idle connection is closed to accept another; those
-    /// that never sent a request are closed first. While none is idle, no connection is accepted.
+    /// Maximum number of open connections. As soon as it is reached, idle connections are asked to close until one
+    /// place is free, first those that never sent a request. While none is idle, no connection is accepted.
     pub max_connections: usize,
     /// Maximum number of content bytes of incomplete requests of all connections together. A request that exceeds it is
     /// rejected with status 503.
@@ -210,8 +210,8 @@
     }
 
     fn spawn(&self, stream: Async<TcpStream>) {
-        let permit = self.connections.register();
-        let connection = Connection::new(stream, self.context.clone(), permit);
+        let registration = self.connections.register();
+        let connection = Connection::new(stream, self.context.clone(), registration);
         self.spawner.spawn(async move {
             // A connection error affects only its client, which notices it.
             let _ = connection.serve().await;
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connections::ConnectionPermit;
+use super::connections::ConnectionRegistration;
 use super::request_reader::{IncomingRequest, ReadError, next_request};
 use super::{Context, Reply};
 use crate::codec::{Decoder, MessageKind};
@@ -25,25 +25,25 @@
 /// Maximum number of bytes that are read from the sender of a rejected request.
 const MAX_LINGER_BYTES: u64 = 256 << 20;
 
-/// A server connection. When it is dropped, the stream is closed before the permit is released.
+/// A server connection. When it is dropped, the stream is closed before the registration is released.
 pub(super) struct Connection {
     stream: Async<TcpStream>,
     decoder: Decoder,
     context: Rc<Context>,
-    permit: ConnectionPermit,
+    registration: ConnectionRegistration,
 }
 
 impl Connection {
     pub(super) fn new(
         stream: Async<TcpStream>,
         context: Rc<Context>,
-        permit: ConnectionPermit,
+        registration: ConnectionRegistration,
     ) -> Connection {
         Connection {
             stream,
             decoder: Decoder::new(MessageKind::Request, context.config.limits),
             context,
-            permit,
+            registration,
         }
     }
 
@@ -56,7 +56,7 @@
                 &mut self.stream,
                 &mut self.decoder,
                 &self.context,
-                &self.permit,
+                &self.registration,
             );
             match next.await {
                 Ok(Some(request)) => {
@@ -64,9 +64,10 @@
                         return Ok(());
                     }
                 }
-                Ok(None) if self.permit.closes_when_idle() => {
+                Ok(None) if self.registration.closes_when_idle() => {
                     return self.close(CLOSE_TIMEOUT, MAX_CLOSE_BYTES).await;
                 }
+                // The client has closed the connection, or it makes room for another one.
                 Ok(None) => return Ok(()),
                 Err(ReadError::Io(error)) => return Err(error),
                 Err(ReadError::Parse(error)) => {
@@ -92,14 +93,14 @@
         let is_head = incoming.request.method == Method::Head;
         let Handled {
             reply,
-            exceeds_read_ahead,
+            read_ahead_exceeded,
         } = self.handle(incoming.request).await;
         match reply {
             None | Some(Reply::Close) => Ok(false),
             Some(Reply::Send(response)) => {
                 let is_kept_open = incoming.is_keep_alive
-                    && !exceeds_read_ahead
-                    && !self.permit.closes_after_response();
+                    && !read_ahead_exceeded
+                    && !self.registration.closes_after_response();
                 let mut bytes = response.encode(!is_kept_open);
                 if is_head {
                     bytes.truncate(bytes.len() - response.body.len());
@@ -114,6 +115,7 @@
                 response,
                 max_bytes,
             }) => {
+                // The end of the connection is not announced: it simulates a fault.
                 let bytes = response.encode(false);
                 self.write(&bytes[..max_bytes.min(bytes.len())]).await?;
                 Ok(false)
@@ -124,11 +126,11 @@
 
     async fn handle(&mut self, request: Request) -> Handled {
         let context = self.context.clone();
-        let exceeds_read_ahead = Cell::new(false);
+        let read_ahead_exceeded = Cell::new(false);
         let reply = if context.config.cancels_on_disconnect {
             let reply = async { Some((context.handler)(request).await) };
             let disconnected = async {
-                self.wait_for_disconnect(&exceeds_read_ahead).await;
+                self.wait_for_disconnect(&read_ahead_exceeded).await;
                 None
             };
             future::or(reply, disconnected).await
@@ -137,18 +139,18 @@
         };
         Handled {
             reply,
-            exceeds_read_ahead: exceeds_read_ahead.get(),
+            read_ahead_exceeded: read_ahead_exceeded.get(),
         }
     }
 
-    /// Waits until the peer closes its sending side. Meanwhile received bytes are kept for the next request. Once they
-    /// exceed the size limit of a head, further ones are discarded, so that the close is still detected, and the
-    /// connection serves no further request.
-    async fn wait_for_disconnect(&mut self, exceeds_read_ahead: &Cell<bool>) {
+    /// Waits until the peer closes its sending side. Meanwhile received bytes are kept for the next request. This
+    /// read-ahead is limited to the size limit of a head, which bounds the memory. Bytes beyond it are discarded, so
+    /// that the close is still detected, and the connection serves no further request.
+    async fn wait_for_disconnect(&mut self, read_ahead_exceeded: &Cell<bool>) {
         let max_bytes = self.context.config.limits.max_head_bytes;
         let mut received = 0;
         loop {
-            let read = if exceeds_read_ahead.get() {
+            let read = if read_ahead_exceeded.get() {
                 discard(&mut self.stream).await
             } else {
                 read_into(&mut self.stream, &mut self.decoder).await
@@ -157,7 +159,7 @@
                 Ok(0) | Err(_) => return,
                 Ok(count) => received += count,
             }
-            exceeds_read_ahead.set(received > max_bytes);
+            read_ahead_exceeded.set(received > max_bytes);
             // A peer that sends without pause must not block the other tasks of the thread.
             future::yield_now().await;
         }
@@ -192,6 +194,6 @@
 struct Handled {
     /// The handler's reply, or `None` if the client has disconnected.
     reply: Option<Reply>,
-    /// Whether the client sent more bytes meanwhile than are kept for the next request.
-    exceeds_read_ahead: bool,
+    /// Whether the client sent more bytes meanwhile than the read-ahead keeps for the next request.
+    read_ahead_exceeded: bool,
 }
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -12,7 +12,8 @@
 pub struct ConnectionCounts {
     /// Number of open connections.
     pub open: usize,
-    /// Number of open connections that have a request in progress or have been asked to close.
+    /// Number of open connections that are not idle or have been asked to close. A connection whose first request is
+    /// still arriving is idle.
     pub active: usize,
 }
 
@@ -117,10 +118,10 @@
     }
 
     /// Registers a new connection, even if the maximum is reached.
-    pub(super) fn register(self: &Rc<ServerConnections>) -> ConnectionPermit {
+    pub(super) fn register(self: &Rc<ServerConnections>) -> ConnectionRegistration {
         let mut state = self.state.borrow_mut();
         state.open += 1;
-        ConnectionPermit {
+        ConnectionRegistration {
             connections: self.clone(),
             key: Cell::new(state.next_key()),
             is_unused: Cell::new(true),
@@ -130,14 +131,14 @@
 }
 
 /// The registration of one connection with its [`ServerConnections`], removed when dropped.
-pub(super) struct ConnectionPermit {
+pub(super) struct ConnectionRegistration {
     connections: Rc<ServerConnections>,
     key: Cell<u64>,
     is_unused: Cell<bool>,
     is_idle: Cell<bool>,
 }
 
-impl ConnectionPermit {
+impl ConnectionRegistration {
     /// Returns whether the connection has received no request yet.
     pub(super) fn is_unused(&self) -> bool {
         self.is_unused.get()
@@ -153,7 +154,8 @@
         self.connections.state.borrow().closes_when_idle
     }
 
-    /// Returns whether the connection is idle, that is, has no request in progress.
+    /// Returns whether the connection is idle, that is, waits for a request. The first request of a connection counts
+    /// only once it is complete, so that sending a part of it does not keep the connection's place.
     pub(super) fn is_idle(&self) -> bool {
         self.is_idle.get()
     }
@@ -192,7 +194,7 @@
     }
 }
 
-impl Drop for ConnectionPermit {
+impl Drop for ConnectionRegistration {
     fn drop(&mut self) {
         self.remove_from_idle();
         self.connections.state.borrow_mut().open -= 1;
--- a/crates/http/src/server/request_reader.rs
+++ b/crates/http/src/server/request_reader.rs
@@ -6,7 +6,7 @@
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt, future};
 
 use super::Context;
-use super::connections::ConnectionPermit;
+use super::connections::ConnectionRegistration;
 use super::incoming_budget::IncomingReservation;
 use crate::codec::{Decoder, Event, ParseError};
 use crate::io::read_into;
@@ -53,15 +53,16 @@
 }
 
 /// Waits for the next request. Returns `None` if the client closes the connection, or the server asks for it to be
-/// closed. The connection is marked as active when this returns.
+/// closed. The connection is idle while this waits for the first byte, and for its first request until that is
+/// complete. It is active when this returns.
 pub(super) async fn next_request<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     decoder: &mut Decoder,
     context: &Context,
-    permit: &ConnectionPermit,
+    registration: &ConnectionRegistration,
 ) -> Result<Option<IncomingRequest>, ReadError> {
     decoder.shrink();
-    let (is_first_request, close) = (permit.is_unused(), permit.mark_idle());
+    let (is_first_request, close) = (registration.is_unused(), registration.mark_idle());
     let request_has_begun = Cell::new(decoder.is_inside_message());
     let read = async {
         if !wait_for_first_byte(stream, decoder, context, is_first_request).await? {
@@ -69,7 +70,7 @@
         }
         request_has_begun.set(true);
         if !is_first_request {
-            permit.mark_active();
+            registration.mark_active();
         }
         let reservation = context.incoming.reservation();
         let request = read_request(stream, decoder, reservation);
@@ -81,13 +82,13 @@
         // A request that has begun to arrive is still read, except for the first of a connection: if the connection is
         // closed to make room for others, and not because the server closes all, an incomplete first request is
         // dropped.
-        if !permit.is_idle() || (permit.closes_when_idle() && request_has_begun.get()) {
+        if !registration.is_idle() || (registration.closes_when_idle() && request_has_begun.get()) {
             future::pending::<()>().await;
         }
         Ok(None)
     };
     let next = future::or(read, close_requested).await;
-    permit.mark_active();
+    registration.mark_active();
     next
 }
 
--- a/crates/mock-servers/src/client.rs
+++ b/crates/mock-servers/src/client.rs
@@ -1,5 +1,5 @@
 //! Scripted clients of a router. Each submits a statement, polls for its result, and records what it receives. Clients
-//! behave as published clients do, unless their options make them misbehave.
+//! follow Trino's client protocol, unless their options make them misbehave.
 
 mod request;
 
@@ -17,8 +17,8 @@
 
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout of one poll, after which the client polls again.
-const POLL_TIMEOUT: Duration = Duration::from_secs(8);
+/// Timeout of each request other than a submission. A poll that times out is repeated.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 /// Delay before a failed poll is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum time after its timeout for which a client that has received rows continues to poll.
@@ -51,7 +51,7 @@
 }
 
 impl Client {
-    /// Creates a client of the router named `router`, which listens at `addr`.
+    /// Creates a client of the router named `router`, which listens on `addr`.
     pub fn new(router: &str, addr: SocketAddr, recorder: Recorder) -> Client {
         Client {
             router: router.into(),
@@ -84,7 +84,7 @@
     /// Returns an error if the router can't be reached, or does not send a valid HTTP response in time.
     pub async fn get(&mut self, path: &str) -> Result<Response, ClientError> {
         let request = Request::new(Method::Get, path);
-        self.exchange(&request, POLL_TIMEOUT).await
+        self.exchange(&request, REQUEST_TIMEOUT).await
     }
 
     async fn exchange(
@@ -185,15 +185,16 @@
         rows
     }
 
-    /// Stops polling or cancels the statement if the options request it after this number of responses. Returns whether
-    /// the client stopped.
+    /// Stops polling or cancels the statement once as many responses have been received as the options state. Returns
+    /// whether the client stopped. Both are recorded as [`Record::Cancelled`], although a statement that is only
+    /// abandoned may continue to run.
     async fn stops_early(&mut self, request: &ClientRequest, next_path: &str) -> bool {
         let is_after = |limit: Option<usize>| limit.is_some_and(|n| self.responses.len() >= n);
         let abandons = is_after(request.options.abandon_after);
         let cancels = !abandons && is_after(request.options.cancel_after);
         if cancels {
             let delete = Request::new(Method::Delete, next_path);
-            let _ = self.exchange(&delete, POLL_TIMEOUT).await;
+            let _ = self.exchange(&delete, REQUEST_TIMEOUT).await;
         }
         if abandons || cancels {
             self.recorder.write(Record::Cancelled {
@@ -229,7 +230,7 @@
             let received = if request.options.duplicates_polls {
                 self.exchange_twice(request, &poll).await
             } else {
-                self.exchange(&poll, POLL_TIMEOUT).await
+                self.exchange(&poll, REQUEST_TIMEOUT).await
             };
             match received {
                 Ok(response) if response.status.0 == 200 => {
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Sends the same poll on two connections at once, and records if the responses have the same status but different
-    /// content.
+    /// Sends the same poll on two connections at once. If the responses have the same status but different content,
+    /// records [`Record::FinalAnswerChanged`], whether the page is the last one or not.
     async fn exchange_twice(
         &mut self,
         request: &ClientRequest,
@@ -256,9 +257,9 @@
         let addr = self.addr;
         let duplicate = async move {
             let mut connection = connect(addr).await?;
-            connection.exchange(poll, POLL_TIMEOUT).await
+            connection.exchange(poll, REQUEST_TIMEOUT).await
         };
-        let original = self.exchange(poll, POLL_TIMEOUT);
+        let original = self.exchange(poll, REQUEST_TIMEOUT);
         let (original, duplicate) = futures_lite::future::zip(original, duplicate).await;
         let (original, duplicate) = (original?, duplicate?);
         if original.status == duplicate.status && original.body != duplicate.body {
@@ -313,7 +314,9 @@
         });
     }
 
-    /// Records a submission that was not admitted. The status is that of the response, or 0 without a connection.
+    /// Records a submission that was not admitted as [`Record::Rejected`]. The status is that of the response, or 0
+    /// without a connection. A statement that is admitted and then rejected is recorded as [`Outcome::Refused`]
+    /// instead.
     fn record_not_admitted(&self, request: u64, status: u16) {
         self.recorder.write(Record::Rejected {
             at: unix_micros(),
--- a/crates/mock-servers/src/client/request.rs
+++ b/crates/mock-servers/src/client/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A statement that a client submits.
+/// A submission of a statement by a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// The number that identifies this submission in the records.
@@ -17,7 +17,8 @@
     pub tags: String,
     /// The text of the statement.
     pub text: String,
-    /// The time for which the client waits for the first rows, announced to the router.
+    /// The time for which the client waits for the first rows. It is sent to the router as the maximum run time, and is
+    /// also the timeout of the submission.
     pub timeout: Duration,
     /// The behaviour of the client.
     pub options: ClientOptions,
--- a/crates/mock-servers/src/discovery.rs
+++ b/crates/mock-servers/src/discovery.rs
@@ -36,7 +36,7 @@
 /// The configuration of a mock discovery service.
 #[derive(Clone)]
 pub struct DiscoveryConfig {
-    /// The address to listen at. Port 0 selects a free port.
+    /// The address to listen on. Port 0 selects a free port.
     pub listen: SocketAddr,
     /// The environment stated in its list.
     pub environment: String,
@@ -110,7 +110,8 @@
     config: DiscoveryConfig,
     /// The latest announcement of each engine, by node id.
     announcements: BTreeMap<String, ReceivedAnnouncement>,
-    /// The list as of the time when it became stale, while it is.
+    /// The list returned to the first request after [`DiscoveryFaults::stale`] was set, or `None` while the list is not
+    /// stale.
     stale_list: Option<Services>,
     /// The node ids in the list that each router last read, by router.
     node_ids_read: BTreeMap<String, BTreeSet<String>>,
@@ -178,8 +179,8 @@
             self.config.enforces_fencing,
             &self.config.recorder,
         );
-        if let Err(stale) = observed {
-            return stale.into();
+        if let Err(error) = observed {
+            return error.into();
         }
         let list = self.current_list(is_stale);
         if let Some(router) = request.headers.get(extra::ROUTER) {
@@ -188,8 +189,8 @@
         Response::json(200, serde_json::to_vec(&list).unwrap_or_default())
     }
 
-    /// Returns the list of the engines whose announcements are valid. While the list is stale, returns it as of the
-    /// time when it became stale.
+    /// Returns the list of the engines whose announcements are valid. While the list is stale, returns what the first
+    /// request since then got.
     fn current_list(&mut self, is_stale: bool) -> Services {
         if !is_stale {
             self.stale_list = None;
@@ -214,8 +215,8 @@
         list
     }
 
-    /// Records which engines a router no longer finds in the list, and which it finds unlike in the list it read
-    /// before.
+    /// Records the engines that are in the list but were not in the list that the router read before, and those that no
+    /// longer are in it.
     fn record_read(&mut self, router: &str, list: &Services) {
         let nodes: BTreeSet<String> = list.services.iter().map(|s| s.node_id.clone()).collect();
         let before = self.node_ids_read.insert(router.to_owned(), nodes.clone());
--- a/crates/mock-servers/src/engine/config.rs
+++ b/crates/mock-servers/src/engine/config.rs
@@ -21,7 +21,7 @@
     pub kind: String,
     /// Its zone.
     pub zone: String,
-    /// The address to listen at. Port 0 selects a free port.
+    /// The address to listen on. Port 0 selects a free port.
     pub listen: SocketAddr,
     /// The address of the discovery service to which it announces itself, if any.
     pub discovery: Option<SocketAddr>,
@@ -37,7 +37,8 @@
     pub enforces_fencing: bool,
     /// The ledger that receives the effects of statements.
     pub ledger: Ledger,
-    /// Records the requests that the engine receives, and their effects.
+    /// Records the start and a crash of the engine, submissions, requests with leases, effects, the ends of
+    /// statements, and routers that learn that the engine drains.
     pub recorder: Recorder,
     /// Number of requests for its info and its state.
     pub info_requests: Arc<AtomicU64>,
@@ -45,7 +46,7 @@
 }
 
 impl EngineConfig {
-    /// Creates the configuration of a warm engine that listens at a free loopback port, and keeps its records and
+    /// Creates the configuration of a warm engine that listens on a free loopback port, and keeps its records and
     /// ledger in memory.
     pub fn new(node: &str, kind: &str, zone: &str) -> EngineConfig {
         EngineConfig {
@@ -67,15 +68,17 @@
         }
     }
 
-    /// Sets the faults of the engine. This takes effect immediately if it is already running.
+    /// Sets the faults of the engine, before or after it is started. They affect statements that are submitted from
+    /// then on; a slowdown applies from the next request or event of the work model on.
     pub fn inject_faults(&self, faults: EngineFaults) {
         if let Ok(mut current) = self.faults.lock() {
             *current = faults;
         }
     }
 
-    /// Returns the faults that affect the next submitted statement, which is of this class.
-    pub(super) fn faults_for_next_statement(&self, class: &str) -> EngineFaults {
+    /// Returns the faults that affect a statement of this class which is being submitted, and counts it against
+    /// [`EngineFaults::remaining`].
+    pub(super) fn take_faults_for_statement(&self, class: &str) -> EngineFaults {
         let Ok(mut faults) = self.faults.lock() else {
             return EngineFaults::default();
         };
--- a/crates/mock-servers/src/engine/control.rs
+++ b/crates/mock-servers/src/engine/control.rs
@@ -1,5 +1,5 @@
 //! Handlers to look up, kill and pause statements. Looking up also tells whether the effects of a statement were
-//! committed or rolled back. Killing is part of the published protocol, pausing is not.
+//! committed or rolled back. Killing is part of Trino's protocol, pausing is not.
 
 use hoptiller_http::server::Reply;
 use hoptiller_http::{Method, Request, Response};
--- a/crates/mock-servers/src/engine/polling.rs
+++ b/crates/mock-servers/src/engine/polling.rs
@@ -157,7 +157,9 @@
     }
 }
 
-/// Adds header fields with the progress of a statement, or with what blocks it.
+/// Adds header fields with the progress of a statement, or with what blocks it: `lacks` is the memory in MB that it
+/// needs while it waits for memory, `waits` is always 1 while it is paused or blocked by another statement, and `done`
+/// is the completed fraction.
 fn add_progress_headers(
     state: &EngineState,
     statement: &Statement,
@@ -174,10 +176,10 @@
     if let Some(BlockedState::BlockedBy(number)) = progress.blocked
         && let Some(blocker) = state.statement(number)
     {
-        let (name, class) = (&blocker.name, &blocker.class);
+        let (statement_id, class) = (&blocker.statement_id, &blocker.class);
         let blocker_progress = state.model.progress(number);
         let age_ms = blocker_progress.map_or(0, |progress| progress.run_micros / 1000);
-        let blocked_by = format!("{name}; class={class}; age_ms={age_ms}");
+        let blocked_by = format!("{statement_id}; class={class}; age_ms={age_ms}");
         headers.push(extra::BLOCKED_BY, &blocked_by);
     }
 }
--- a/crates/mock-servers/src/engine/state.rs
+++ b/crates/mock-servers/src/engine/state.rs
@@ -21,10 +21,11 @@
 use crate::fencing::{FencingTokens, StaleToken};
 use crate::work_model::WorkModel;
 
-/// Number of statements from which on the oldest finished one is evicted for each new one. Running and killed ones are
-/// never evicted.
+/// Number of stored statements at which each new one evicts the oldest finished one. Running and killed ones are kept,
+/// even if there are more than this number.
 const MAX_STATEMENTS: usize = 20_000;
-/// Time in µs at which the clock of an engine starts, late enough for the start time of a warm engine to lie before it.
+/// Time in µs at which the clock of an engine starts. A warm engine counts as started before that, at a time that must
+/// not be negative.
 const CLOCK_START_MICROS: u64 = 3_600_000_000;
 
 /// An engine, shared by its connections and tasks.
@@ -93,11 +94,12 @@
     pub(super) is_draining: bool,
     started: Instant,
     /// The start time of the engine in µs, which is part of each query id, so that ids of an earlier incarnation
-    /// differ. The URIs of statements do not contain it.
+    /// differ. The URIs of statements contain only the number, so that a poll for a statement of an earlier incarnation
+    /// is not recognized as such.
     incarnation: u64,
     statements: BTreeMap<u64, Statement>,
     next_number: u64,
-    /// The newest configuration version that the sender of a statement had in force.
+    /// The newest configuration version that was in force at the sender of a statement when it was sent.
     newest_version: u64,
     fencing_tokens: FencingTokens,
 }
@@ -138,8 +140,8 @@
         number
     }
 
-    /// Stores a statement that the work model has admitted. From [`MAX_STATEMENTS`] on, evicts the oldest finished
-    /// ones.
+    /// Stores a statement that the work model has admitted. If there are [`MAX_STATEMENTS`] already, evicts the oldest
+    /// finished one.
     pub(super) fn insert_statement(&mut self, number: u64, statement: Statement) {
         self.evict_finished();
         self.statements.insert(number, statement);
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Ends a statement whose work is done. Its effect is entered into the ledger before its end is recorded.
+    /// Ends a statement whose work is done. Its effect is entered into the ledger before its end is recorded. If the
+    /// ledger can't be written, the statement ends as finished all the same.
     fn finish_statement(&mut self, number: u64) {
         let Some(statement) = self.statements.get_mut(&number) else {
             return;
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Records that no work of a statement runs any more. `work_micros` is the work that it did.
+    /// Records that no work of a statement runs any more. `work_micros` is the demanded work of a statement that
+    /// finished, and 0 for one that was dropped, rejected, cancelled or killed.
     pub(super) fn record_done(&self, trace: &str, work_micros: u64) {
         self.config.recorder.write(Record::Done {
             at: unix_micros(),
@@ -217,14 +221,15 @@
         });
     }
 
-    /// Returns whether the sender of a statement enforces a version older than the newest version in force that the
-    /// engine has seen. If not, remembers the sender's version in force.
-    pub(super) fn observe_version(&mut self, in_force: u64, enforced: u64) -> bool {
+    /// Checks the configuration versions of a statement: the version in force at its sender, and the newest one that
+    /// the sender enforces. Returns whether the enforced one is at least the newest version in force that the engine
+    /// has seen. If so, remembers the version in force.
+    pub(super) fn accept_version(&mut self, in_force: u64, enforced: u64) -> bool {
         if enforced < self.newest_version {
-            return true;
+            return false;
         }
         self.newest_version = self.newest_version.max(in_force);
-        false
+        true
     }
 
     /// Records the lease of a request, and checks its fencing token if the engine enforces fencing.
--- a/crates/mock-servers/src/engine/statement.rs
+++ b/crates/mock-servers/src/engine/statement.rs
@@ -22,7 +22,7 @@
 pub(super) struct Statement {
     pub(super) trace: String,
     /// The id that its router has given it.
-    pub(super) name: String,
+    pub(super) statement_id: String,
     pub(super) class: String,
     pub(super) profile: WorkloadProfile,
     /// The faults that affect it.
@@ -34,14 +34,14 @@
 impl Statement {
     pub(super) fn new(
         trace: String,
-        name: String,
+        statement_id: String,
         class: String,
         profile: WorkloadProfile,
         faults: EngineFaults,
     ) -> Self {
         Self {
             trace,
-            name,
+            statement_id,
             class,
             profile,
             faults,
--- a/crates/mock-servers/src/engine/submission.rs
+++ b/crates/mock-servers/src/engine/submission.rs
@@ -23,7 +23,7 @@
 struct SubmittedAttempt {
     class: String,
     router: String,
-    statement_name: String,
+    statement_id: String,
     trace: String,
     attempt_number: u32,
     priority: u8,
@@ -35,9 +35,9 @@
 impl SubmittedAttempt {
     fn from_request(request: &Request) -> Self {
         let header = |name| request.headers.get(name).unwrap_or_default().to_owned();
-        let statement_name = header(extra::STATEMENT_ID);
+        let statement_id = header(extra::STATEMENT_ID);
         let trace = match header(client::names::TRACE_TOKEN) {
-            trace if trace.is_empty() => statement_name.clone(),
+            trace if trace.is_empty() => statement_id.clone(),
             trace => trace,
         };
         let options = header(extra::ATTEMPT_OPTIONS);
@@ -46,7 +46,7 @@
         Self {
             class: header(extra::CLASS),
             router: header(extra::ROUTER),
-            statement_name,
+            statement_id,
             trace,
             attempt_number: extra::find_number(&options, "hop").unwrap_or(0.0) as u32,
             priority: priority.map_or(DEFAULT_PRIORITY, |priority| {
@@ -63,6 +63,7 @@
     }
 
     fn profile(&self) -> WorkloadProfile {
+        // By the seed, a trace token is always drawn the same work.
         let seed = self.trace.bytes().fold(7u64, |hash, byte| {
             hash.wrapping_mul(31).wrapping_add(u64::from(byte))
         });
@@ -82,7 +83,7 @@
         return rejected.into();
     }
     record_sent(&state, &attempt);
-    let faults = state.config.faults_for_next_statement(&attempt.class);
+    let faults = state.config.take_faults_for_statement(&attempt.class);
     if faults.drop_submission {
         state.record_done(&attempt.trace, 0);
         return Reply::Close;
@@ -108,7 +109,7 @@
     }
     let statement = Statement::new(
         attempt.trace,
-        attempt.statement_name,
+        attempt.statement_id,
         attempt.class,
         profile,
         faults.clone(),
@@ -122,7 +123,7 @@
 /// Rejects an attempt with a stale configuration version, if the engine enforces fencing.
 fn reject_stale_version(state: &mut EngineState, attempt: &SubmittedAttempt) -> Option<Response> {
     let versions = attempt.versions.filter(|_| state.config.enforces_fencing)?;
-    if !state.observe_version(versions.in_force, versions.enforced) {
+    if state.accept_version(versions.in_force, versions.enforced) {
         return None;
     }
     state.config.recorder.write(Record::Fenced {
@@ -173,6 +174,7 @@
     if faults.malformed_response {
         let mut response = Response::text(200, "x");
         response.body = MALFORMED_BODY.to_vec();
+        // Sends the whole response, and closes the connection without announcing it.
         return Reply::Truncate {
             response,
             max_bytes: usize::MAX,
--- a/crates/mock-servers/src/engine_faults.rs
+++ b/crates/mock-servers/src/engine_faults.rs
@@ -4,6 +4,12 @@
 
 /// The faults of a mock engine, in the form of scenario files and of `PUT /v1/standin/faults`. By default there are
 /// none.
+///
+/// All but [`slowdown`](EngineFaults::slowdown) affect the statements that are submitted while the faults are set, for
+/// as long as the engine stores these statements. A slowdown affects the whole engine, whatever the class and the
+/// number of statements.
+///
+/// The `expecting` text is part of the error message for malformed faults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "struct Faults")]
 pub struct EngineFaults {
--- a/crates/mock-servers/src/ledger.rs
+++ b/crates/mock-servers/src/ledger.rs
@@ -40,7 +40,8 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
             Err(error) => return Err(error),
         };
-        // A last line without a line break was truncated by a crash. It was never acknowledged, so it is not an entry.
+        // A last line without a line break was truncated by a crash and never acknowledged, so it is not counted here.
+        // The line break that is added keeps the next entry from being joined to it. A later `open` counts the line.
         let complete_bytes = text.rfind('\n').map_or(0, |last_break| last_break + 1);
         let mut file = File::options().create(true).append(true).open(path)?;
         if complete_bytes < text.len() {
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,5 +1,6 @@
-//! Mock servers and clients for tests and scenarios, written from public specifications: engines that simulate work, a
-//! discovery service, and scripted clients. They simulate faults on request, and record what they send and receive.
+//! Mock servers and clients for tests and scenarios, written from Trino's public documentation: engines that simulate
+//! work, a discovery service, and scripted clients. They simulate faults on request, and record submissions, their ends
+//! and effects, and what routers learn.
 //!
 //! - [`engine`]: an engine, with the faults of [`engine_faults`];
 //! - [`work_model`]: the work of an engine in simulated time, without I/O;
--- a/crates/mock-servers/src/server_thread.rs
+++ b/crates/mock-servers/src/server_thread.rs
@@ -1,4 +1,4 @@
-//! Servers that run on threads of their own. Stopping one drops everything its thread holds at once, including
+//! Servers that run on threads of their own. Stopping one immediately drops everything its thread holds, including
 //! sockets, as the end of a process would.
 
 use std::io;
@@ -13,7 +13,7 @@
 
 /// A server that runs on a thread of its own until it is crashed or dropped.
 pub struct ServerThread {
-    /// The address at which the server listens.
+    /// The address on which the server listens.
     pub addr: SocketAddr,
     stop: Sender<()>,
     thread: Option<JoinHandle<()>>,
--- a/crates/mock-servers/src/work_model/execution.rs
+++ b/crates/mock-servers/src/work_model/execution.rs
@@ -2,7 +2,7 @@
 
 use super::job::{Job, MAX_PRIORITY};
 
-/// Amount of work in µs that counts as none, because rounding may leave it.
+/// Remaining work in µs up to which it counts as zero, because it may be a rounding error.
 const WORK_TOLERANCE_MICROS: f64 = 1e-6;
 
 /// The progress of a statement.
--- a/crates/mock-servers/src/work_model/job.rs
+++ b/crates/mock-servers/src/work_model/job.rs
@@ -14,7 +14,8 @@
     pub io_fraction: f64,
     /// Memory in MB that the statement needs to run without spilling.
     pub memory_mb: f64,
-    /// Memory in MB that the statement requests, or `None` if it requests what it needs.
+    /// Memory in MB that a router grants the statement, which then requests that amount from the engine. `None`
+    /// requests what the statement needs.
     pub memory_grant_mb: Option<f64>,
     /// The data set that the statement reads or writes.
     pub data_set: Option<u64>,
@@ -46,8 +47,8 @@
 /// A data set that a statement needs once a part of its work is done.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondDataSet {
-    /// Fraction of the work after which the data set is needed. From there on, the statement is blocked while another
-    /// has locked the data set.
+    /// Fraction of [`Job::work`] after which the data set is needed. Additional work because of spilling or an uncached
+    /// data set comes before that. From there on, the statement is blocked while another has locked the data set.
     pub needed_from: f64,
     /// The data set.
     pub data_set: u64,
--- a/crates/mock-servers/src/work_model/parameters.rs
+++ b/crates/mock-servers/src/work_model/parameters.rs
@@ -5,7 +5,7 @@
 pub struct WorkModelParameters {
     /// Number of cores.
     pub cores: f64,
-    /// Speed of each core, as a multiple of the reference core's.
+    /// Speed of each core, as a multiple of the speed of the reference core, which does 1 µs of work per µs.
     pub speed: f64,
     /// Number of threads that can do I/O at once without slowing each other down.
     pub io_slots: f64,
--- a/crates/mock-servers/src/workload_profile.rs
+++ b/crates/mock-servers/src/workload_profile.rs
@@ -1,9 +1,20 @@
-//! The cost and the result of a statement, determined by its class and by hints in a comment of its text.
+//! The cost and the result of a statement. Its class sets the defaults, which hints in a comment of its text override.
 //!
 //! Hints are words in the first comment of the text, in any order:
 //! `SELECT … /* work=250ms threads=2 io=0.3 memory=40 set=7 then=0.5:8 plan=20 rows=100 pages=4 width=20 wrong */`.
-//! `plan` multiplies the work without changing the number of rows read, as a bad plan does. `then` states the fraction
-//! of the work after which a second data set is needed, and that data set. Invalid hints are ignored.
+//!
+//! - `work`: work, as a duration of the reference core;
+//! - `threads`: number of threads;
+//! - `io`: fraction of the work that is I/O;
+//! - `memory`: memory in MB;
+//! - `set`: data set that the statement reads or writes;
+//! - `then`: second data set, after the fraction of the work from which on it is needed;
+//! - `plan`: factor that multiplies the work but not the number of rows read, as a bad plan does;
+//! - `rows`, `pages`: number of rows and of pages of the result;
+//! - `width`: bytes of text in each row;
+//! - `wrong`: the statement is invalid.
+//!
+//! Invalid hints are ignored.
 
 use hoptiller_statement::parse_duration;
 
@@ -121,7 +132,7 @@
     }
 }
 
-/// Returns a factor from 0.5 to 1.5 that is a function of the seed.
+/// Returns a factor from 0.5 to 1.5 by a multiplicative hash of the seed.
 fn draw_factor(seed: u64) -> f64 {
     0.5 + (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64
 }
--- a/crates/mock-servers/tests/wire_format.rs
+++ b/crates/mock-servers/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Tests that compare the responses and the records of mock servers with recorded fixtures.
+//! Tests that compare the responses and the records of mock servers with stored fixtures.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
