--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the server: reads a request, has it handled, responds, and so on until it is closed.
+//! A connection of the server: it reads, handles and responds to one request after the other until it is closed.
 
 use std::cell::Cell;
 use std::io;
@@ -9,54 +9,54 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connections::ConnectionPermit;
+use super::connections::ConnectionRegistration;
 use super::request_reader::{IncomingRequest, ReadError, next_request};
 use super::{Context, Reply};
 use crate::codec::{Decoder, MessageKind};
 use crate::io::{discard, read_into, write_all};
 use crate::message::{Method, Request, Response};
 
-/// Time for which a connection is read from after its last response.
+/// Maximum time for which a connection is read from after its last response.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that are read after a connection's last response.
+/// Maximum number of bytes that are read from a connection after its last response.
 const MAX_CLOSE_BYTES: u64 = 1 << 20;
 
-/// Bytes that the sender of a malformed request may still send.
+/// Maximum number of bytes that are read from the sender of a rejected request.
 const MAX_LINGER_BYTES: u64 = 256 << 20;
 
-/// A connection. The stream is closed before the permit is released.
+/// A server connection. When it is dropped, the stream is closed before the registration is released.
 pub(super) struct Connection {
     stream: Async<TcpStream>,
     decoder: Decoder,
     context: Rc<Context>,
-    permit: ConnectionPermit,
+    registration: ConnectionRegistration,
 }
 
 impl Connection {
     pub(super) fn new(
         stream: Async<TcpStream>,
         context: Rc<Context>,
-        permit: ConnectionPermit,
+        registration: ConnectionRegistration,
     ) -> Connection {
         Connection {
             stream,
             decoder: Decoder::new(MessageKind::Request, context.config.limits),
             context,
-            permit,
+            registration,
         }
     }
 
     /// Serves requests until the connection is closed.
     pub(super) async fn serve(mut self) -> io::Result<()> {
-        // Without it the connection works, only slower.
+        // A failure is ignored: the connection works without this option, only slower.
         let _ = self.stream.get_ref().set_nodelay(true);
         loop {
             let next = next_request(
                 &mut self.stream,
                 &mut self.decoder,
                 &self.context,
-                &self.permit,
+                &self.registration,
             );
             match next.await {
                 Ok(Some(request)) => {
@@ -64,9 +64,10 @@
                         return Ok(());
                     }
                 }
-                Ok(None) if self.permit.is_closing() => {
+                Ok(None) if self.registration.closes_when_idle() => {
                     return self.close(CLOSE_TIMEOUT, MAX_CLOSE_BYTES).await;
                 }
+                // The client has closed the connection, or it makes room for another one.
                 Ok(None) => return Ok(()),
                 Err(ReadError::Io(error)) => return Err(error),
                 Err(ReadError::Parse(error)) => {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Responds to what is not served, and closes the connection.
+    /// Responds to a request that can't be served, and closes the connection.
     async fn reject(&mut self, status: u16, reason: &str) -> io::Result<()> {
         let response = Response::text(status, reason);
         self.write(&response.encode(true)).await?;
@@ -87,15 +88,19 @@
         self.close(limit, MAX_LINGER_BYTES).await
     }
 
-    /// Serves one request; `false` if the connection serves no more after it.
+    /// Serves one request, and returns whether the connection serves further ones.
     async fn serve_request(&mut self, incoming: IncomingRequest) -> io::Result<bool> {
         let is_head = incoming.request.method == Method::Head;
-        let Handled { reply, is_overrun } = self.handle(incoming.request).await;
+        let Handled {
+            reply,
+            read_ahead_exceeded,
+        } = self.handle(incoming.request).await;
         match reply {
             None | Some(Reply::Close) => Ok(false),
             Some(Reply::Send(response)) => {
-                let is_kept_open =
-                    incoming.is_keep_alive && !is_overrun && !self.permit.is_ending();
+                let is_kept_open = incoming.is_keep_alive
+                    && !read_ahead_exceeded
+                    && !self.registration.closes_after_response();
                 let mut bytes = response.encode(!is_kept_open);
                 if is_head {
                     bytes.truncate(bytes.len() - response.body.len());
@@ -110,6 +115,7 @@
                 response,
                 max_bytes,
             }) => {
+                // The end of the connection is not announced: it simulates a fault.
                 let bytes = response.encode(false);
                 self.write(&bytes[..max_bytes.min(bytes.len())]).await?;
                 Ok(false)
@@ -120,11 +126,11 @@
 
     async fn handle(&mut self, request: Request) -> Handled {
         let context = self.context.clone();
-        let is_overrun = Cell::new(false);
+        let read_ahead_exceeded = Cell::new(false);
         let reply = if context.config.cancels_on_disconnect {
             let reply = async { Some((context.handler)(request).await) };
             let disconnected = async {
-                self.wait_for_disconnect(&is_overrun).await;
+                self.wait_for_disconnect(&read_ahead_exceeded).await;
                 None
             };
             future::or(reply, disconnected).await
@@ -133,17 +139,18 @@
         };
         Handled {
             reply,
-            is_overrun: is_overrun.get(),
+            read_ahead_exceeded: read_ahead_exceeded.get(),
         }
     }
 
-    /// Waits until the peer has closed. What it sends meanwhile is kept for the next request, up to the limit of a head.
-    /// After that it is discarded, so that the peer's close is still noticed, and the connection serves no more.
-    async fn wait_for_disconnect(&mut self, is_overrun: &Cell<bool>) {
+    /// Waits until the peer closes its sending side. Meanwhile received bytes are kept for the next request. This
+    /// read-ahead is limited to the size limit of a head, which bounds the memory. Bytes beyond it are discarded, so
+    /// that the close is still detected, and the connection serves no further request.
+    async fn wait_for_disconnect(&mut self, read_ahead_exceeded: &Cell<bool>) {
         let max_bytes = self.context.config.limits.max_head_bytes;
         let mut received = 0;
         loop {
-            let read = if is_overrun.get() {
+            let read = if read_ahead_exceeded.get() {
                 discard(&mut self.stream).await
             } else {
                 read_into(&mut self.stream, &mut self.decoder).await
@@ -152,18 +159,18 @@
                 Ok(0) | Err(_) => return,
                 Ok(count) => received += count,
             }
-            is_overrun.set(received > max_bytes);
-            // A peer that sends without a pause must not keep the thread from all others.
+            read_ahead_exceeded.set(received > max_bytes);
+            // A peer that sends without pause must not block the other tasks of the thread.
             future::yield_now().await;
         }
     }
 
-    /// Closes gracefully: closes the sending side, and reads on within bounds until the client has closed too. A close
-    /// over unread bytes would reset the connection, and with it a response that the client has not read yet.
+    /// Closes the connection gracefully: closes the sending side, then reads within limits until the client closes too.
+    /// Closing with unread bytes would reset the connection and lose a response that the client has not read yet.
     async fn close(&mut self, limit: Duration, max_bytes: u64) -> io::Result<()> {
-        // Not `AsyncWriteExt::close`, which only flushes here.
+        // `AsyncWriteExt::close` would only flush this stream.
         self.stream.get_ref().shutdown(Shutdown::Write)?;
-        let read_on = async {
+        let discard_remaining = async {
             let mut remaining = max_bytes;
             while remaining > 0 {
                 match discard(&mut self.stream).await? {
@@ -174,7 +181,7 @@
             }
             Ok(())
         };
-        self.context.timer.timeout(limit, read_on).await
+        self.context.timer.timeout(limit, discard_remaining).await
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -183,10 +190,10 @@
     }
 }
 
-/// What became of a request.
+/// The result of handling a request.
 struct Handled {
-    /// None where the client has disconnected.
+    /// The handler's reply, or `None` if the client has disconnected.
     reply: Option<Reply>,
-    /// Whether bytes of further requests were discarded.
-    is_overrun: bool,
+    /// Whether the client sent more bytes meanwhile than the read-ahead keeps for the next request.
+    read_ahead_exceeded: bool,
 }
