--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -59,7 +59,7 @@
     settings: Rc<Settings>,
     endpoints: RefCell<EndpointList>,
     /// Names of the engines whose state is being read, by one task each.
-    followed: RefCell<HashSet<String>>,
+    watched_engines: RefCell<HashSet<String>>,
     fleet_member: Option<Rc<FleetMember>>,
     observations: RefCell<BTreeMap<Shard, ShardObservations>>,
     is_failing: Cell<bool>,
@@ -86,7 +86,7 @@
         Rc::new(Discovery {
             settings,
             endpoints: RefCell::new(endpoints),
-            followed: RefCell::default(),
+            watched_engines: RefCell::default(),
             fleet_member,
             observations: RefCell::default(),
             is_failing: Cell::new(false),
@@ -236,7 +236,7 @@
             tracing::debug!(%error, "engine list entry skipped");
         }
         self.publish(listener.as_ref());
-        self.follow_engines(spawner, listener);
+        self.start_engine_watchers(spawner, listener);
     }
 
     fn publish(&self, listener: &dyn EndpointListener) {
--- a/crates/statement-router/src/discovery/engine_state.rs
+++ b/crates/statement-router/src/discovery/engine_state.rs
@@ -28,24 +28,24 @@
 
 impl Discovery {
     /// Starts a task for each listed engine that has none.
-    pub(super) fn follow_engines(
+    pub(super) fn start_engine_watchers(
         self: &Rc<Self>,
         spawner: &Spawner,
         listener: &Rc<dyn EndpointListener>,
     ) {
         for name in self.engine_names() {
-            if self.followed.borrow_mut().insert(name.clone()) {
+            if self.watched_engines.borrow_mut().insert(name.clone()) {
                 let (discovery, listener) = (self.clone(), listener.clone());
                 spawner.spawn(async move {
-                    discovery.follow_engine(&name, listener.as_ref()).await;
-                    discovery.followed.borrow_mut().remove(&name);
+                    discovery.watch_engine(&name, listener.as_ref()).await;
+                    discovery.watched_engines.borrow_mut().remove(&name);
                 });
             }
         }
     }
 
     /// Reads the state of an engine at its interval, for as long as it is listed.
-    async fn follow_engine(&self, name: &str, listener: &dyn EndpointListener) {
+    async fn watch_engine(&self, name: &str, listener: &dyn EndpointListener) {
         loop {
             let addr = self.endpoints.borrow().address(name);
             let Some(addr) = addr else { return };
--- a/crates/statement-router/src/engines/attempt/error.rs
+++ b/crates/statement-router/src/engines/attempt/error.rs
@@ -41,7 +41,7 @@
     #[error(transparent)]
     PollsFailed(PollError),
     #[error("the engine is gone: {0}")]
-    EngineGone(#[source] io::Error),
+    PollConnect(#[source] io::Error),
     #[error("the engine's answer is no HTTP: {0}")]
     InvalidHttp(#[source] ParseError),
     #[error("the engine did not finish in time")]
@@ -87,7 +87,7 @@
             AttemptError::Submit(_)
             | AttemptError::UnknownToEngine
             | AttemptError::PollsFailed(_)
-            | AttemptError::EngineGone(_)
+            | AttemptError::PollConnect(_)
             | AttemptError::OtherStatement => AttemptStatus::ConnectionReset,
             AttemptError::Overloaded { .. } => AttemptStatus::Rejected,
             AttemptError::SubmitStatus(_)
--- a/crates/statement-router/src/engines/attempt/poll.rs
+++ b/crates/statement-router/src/engines/attempt/poll.rs
@@ -58,7 +58,7 @@
     match result {
         Ok(response) => check_poll_status(response),
         Err(ClientError::Connect(error)) => {
-            Err(PollFailure::Fatal(AttemptError::EngineGone(error)))
+            Err(PollFailure::Fatal(AttemptError::PollConnect(error)))
         }
         Err(ClientError::Parse(error)) => Err(PollFailure::Fatal(AttemptError::InvalidHttp(error))),
         Err(error) => Err(PollFailure::Transient(PollError::Exchange(error))),
--- a/crates/statement-router/src/engines/connection_pool.rs
+++ b/crates/statement-router/src/engines/connection_pool.rs
@@ -137,12 +137,12 @@
 
     fn take_idle(&self, endpoint: Endpoint) -> Option<EngineConnection> {
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle.get_mut(&endpoint.engine)?;
-        if of_engine.addr != endpoint.addr {
+        let engine_connections = idle.get_mut(&endpoint.engine)?;
+        if engine_connections.addr != endpoint.addr {
             idle.remove(&endpoint.engine);
             return None;
         }
-        while let Some(connection) = of_engine.connections.pop() {
+        while let Some(connection) = engine_connections.connections.pop() {
             if !connection.is_stale() {
                 return Some(connection);
             }
@@ -152,15 +152,15 @@
 
     fn release(&self, endpoint: Endpoint, connection: EngineConnection) {
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle
+        let engine_connections = idle
             .entry(endpoint.engine)
             .or_insert_with(|| IdleConnections {
                 addr: endpoint.addr,
                 connections: Vec::new(),
             });
-        let has_room = of_engine.connections.len() < MAX_IDLE_CONNECTIONS;
-        if of_engine.addr == endpoint.addr && has_room {
-            of_engine.connections.push(connection);
+        let has_room = engine_connections.connections.len() < MAX_IDLE_CONNECTIONS;
+        if engine_connections.addr == endpoint.addr && has_room {
+            engine_connections.connections.push(connection);
         }
     }
 
--- a/crates/statement-router/src/findings.rs
+++ b/crates/statement-router/src/findings.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 
 /// What a finding is about, for people.
-pub(crate) fn subject(context: &RouterContext, finding: &Finding) -> String {
+pub(crate) fn describe_subject(context: &RouterContext, finding: &Finding) -> String {
     match &finding.subject {
         Subject::Statement(name) => format!("statement {name}"),
         Subject::Fingerprint(fingerprint) => format!("kind {fingerprint}"),
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -101,7 +101,7 @@
         self.watcher.borrow().merged_document().cloned()
     }
 
-    fn merged_document_is(&self, predicate: impl FnOnce(&Document) -> bool) -> bool {
+    fn merged_document_satisfies(&self, predicate: impl FnOnce(&Document) -> bool) -> bool {
         self.watcher
             .borrow()
             .merged_document()
@@ -110,13 +110,13 @@
 
     /// Whether the enforced versions have a class for statements that name none.
     pub fn has_default_class(&self) -> bool {
-        self.merged_document_is(|document| document.default_class.is_some())
+        self.merged_document_satisfies(|document| document.default_class.is_some())
     }
 
     /// Whether the configured endpoint list lets an engine accept new statements. `started_at_ms`: when its process started,
     /// in ms since 1970.
     pub fn accepts_work(&self, engine: &str, started_at_ms: u64) -> bool {
-        !self.merged_document_is(|document| {
+        !self.merged_document_satisfies(|document| {
             let list = document.list.as_ref();
             list.is_some_and(|list| !list.accepts_work(engine, started_at_ms))
         })
@@ -139,7 +139,7 @@
 
     /// Whether the fleet has tasks that one router performs for all.
     fn has_tasks(&self) -> bool {
-        self.merged_document_is(|document| !document.tasks.is_empty())
+        self.merged_document_satisfies(|document| !document.tasks.is_empty())
     }
 
     /// Which router performs a shard of a task now.
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -37,7 +37,7 @@
     /// Renews the lease. `on_change` is called when other versions are to be enforced, before anything is done under them.
     /// Never returns.
     pub async fn run(self: Rc<Self>, on_change: impl Fn()) {
-        if self.merged_document_is(|_| true) {
+        if self.merged_document_satisfies(|_| true) {
             on_change();
         }
         loop {
@@ -48,7 +48,7 @@
                     false
                 }
             };
-            self.log_doubt();
+            self.log_lease_transition();
             // A version that is enforced now is reported at once: other routers wait for it.
             if !has_new_versions {
                 self.wait_for_renewal().await;
@@ -62,11 +62,11 @@
         let interval = async {
             Timer::after(self.settings.renewal_interval).await;
         };
-        future::or(requested, future::or(self.change_watched(), interval)).await;
+        future::or(requested, future::or(self.wait_for_change(), interval)).await;
     }
 
     /// Waits in a watch call until a replica reports a change. After a failed call it returns too.
-    async fn change_watched(&self) {
+    async fn wait_for_change(&self) {
         let request = self.watch_request();
         let timeout = self.settings.renewal_interval + CALL_TIMEOUT;
         let response: Result<wire::VersionNumbers, CallError> = self
@@ -189,7 +189,7 @@
         }
     }
 
-    fn log_doubt(&self) {
+    fn log_lease_transition(&self) {
         let versions = self.versions();
         let (in_force, enforced) = (versions.in_force, versions.enforced);
         if self.was_in_doubt.replace(versions.in_doubt) == versions.in_doubt {
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use crate::context::RouterContext;
-use crate::findings::{is_reported, subject};
+use crate::findings::{describe_subject, is_reported};
 use crate::settings::Settings;
 
 const MAX_CONNECTIONS: usize = 64;
@@ -164,7 +164,7 @@
     let class_name = |class: usize| settings.classes[class].name.clone();
     json!({
         "id": finding.id,
-        "subject": subject(context, finding),
+        "subject": describe_subject(context, finding),
         "verdict": finding.verdict,
         "cause": finding.cause,
         "inWords": finding.cause.description(),
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -129,7 +129,7 @@
 }
 
 /// A numbered response of a statement.
-pub(super) fn response(
+pub(super) fn http_response(
     context: &RouterContext,
     id: &QueryId,
     response: &StatementResponse,
@@ -254,7 +254,7 @@
 }
 
 /// The response for a URI of an earlier incarnation of this router.
-pub(super) fn earlier_incarnation(
+pub(super) fn earlier_incarnation_response(
     context: &RouterContext,
     token: &PageToken,
     base_uri: &str,
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -21,7 +21,7 @@
 const STATE_PATH: &str = "/v1/info/state";
 
 const NO_SUCH_STATEMENT: &str = "no such statement";
-const NOTHING_HERE: &str = "nothing here; statements go to POST /v1/statement";
+const NOT_FOUND: &str = "nothing here; statements go to POST /v1/statement";
 
 /// Maximum length of a `Host` header that is used for URIs, in bytes.
 const MAX_HOST_BYTES: usize = 255;
@@ -84,10 +84,10 @@
         };
     }
     match (path, &request.method) {
-        (INFO_PATH, Method::Get) => statement_info::router(context),
+        (INFO_PATH, Method::Get) => statement_info::router_info(context),
         (STATE_PATH, Method::Get) => statement_info::router_state(context),
-        (_, Method::Get) => extra_routes(path).unwrap_or_else(|| Response::text(404, NOTHING_HERE)),
-        _ => Response::text(404, NOTHING_HERE),
+        (_, Method::Get) => extra_routes(path).unwrap_or_else(|| Response::text(404, NOT_FOUND)),
+        _ => Response::text(404, NOT_FOUND),
     }
 }
 
@@ -130,7 +130,7 @@
         return Response::text(500, "the statement was lost");
     };
     let query_id = QueryId::new(SystemTime::now(), id, context.incarnation());
-    query_results::response(context, &query_id, &first, &base_uri(context, request))
+    query_results::http_response(context, &query_id, &first, &base_uri(context, request))
 }
 
 fn reject(rejected: &SubmissionRejected, retry_after: &str) -> Response {
@@ -140,7 +140,7 @@
 
 async fn poll(context: &RouterContext, token: &PageToken, base_uri: &str) -> Response {
     if token.id.incarnation() != context.incarnation() {
-        return query_results::earlier_incarnation(context, token, base_uri);
+        return query_results::earlier_incarnation_response(context, token, base_uri);
     }
     let id: StatementId = token.id.number();
     let mut outcome = context.with_core(|core, now| core.poll(now, id, token.page));
@@ -152,7 +152,7 @@
     }
     match outcome {
         PollOutcome::Response(response) => {
-            query_results::response(context, &token.id, &response, base_uri)
+            query_results::http_response(context, &token.id, &response, base_uri)
         }
         PollOutcome::Gone => Response::text(
             410,
@@ -169,20 +169,20 @@
         .sleep(context.settings().limits.long_poll_timeout);
     loop {
         // Listens before it polls, so that no news is missed between the two.
-        let news = context.listen(id);
+        let changed = context.listen(id);
         match context.with_core(|core, now| core.poll(now, id, page)) {
             PollOutcome::Pending => {}
             outcome => return outcome,
         }
-        let news = async {
-            news.await;
+        let changed = async {
+            changed.await;
             false
         };
         let timed_out = async {
             (&mut timeout).await;
             true
         };
-        if future::or(news, timed_out).await {
+        if future::or(changed, timed_out).await {
             return context.with_core(|core, now| core.poll_now(now, id, page));
         }
     }
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -8,7 +8,7 @@
 use crate::context::RouterContext;
 
 /// The router as a node.
-pub(super) fn router(context: &RouterContext) -> Response {
+pub(super) fn router_info(context: &RouterContext) -> Response {
     let usage = context.with_core(|core, _| core.usage());
     let batches = context.event_loop().batch_stats();
     let settings = context.settings();
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -28,7 +28,7 @@
 
 /// A running router.
 pub struct Service {
-    this: Weak<Service>,
+    weak_self: Weak<Service>,
     /// The settings of the router's own file, without the fleet's configuration.
     file_settings: Rc<Settings>,
     /// The engines of the last list.
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -58,7 +58,7 @@
 
 impl Service {
     fn send(&self, attempt: Attempt) {
-        let Some(service) = self.this.upgrade() else {
+        let Some(service) = self.weak_self.upgrade() else {
             return;
         };
         metrics::counter!("hoptiller_attempts_total").increment(1);
@@ -98,7 +98,7 @@
     }
 
     fn check_health(&self, engine: EngineId) {
-        if let Some(service) = self.this.upgrade() {
+        if let Some(service) = self.weak_self.upgrade() {
             let engines = self.context.engines().clone();
             let check = engines.check_health(engine, service);
             self.context.spawner().spawn(check);
--- a/crates/statement-router/src/service/endpoint_listener.rs
+++ b/crates/statement-router/src/service/endpoint_listener.rs
@@ -15,7 +15,7 @@
 
     fn endpoints_changed(&self, scope: ListScope, mut entries: Vec<EndpointEntry>) {
         if scope != ListScope::Failed {
-            self.drain_unaccepted(&mut entries);
+            self.mark_draining_by_configuration(&mut entries);
             let by_engine = entries.iter().map(|entry| (entry.engine, entry.clone()));
             *self.listed_engines.borrow_mut() = by_engine.collect();
             self.context.set_listed_engines(entries.len());
@@ -32,7 +32,7 @@
 
 impl Service {
     /// Marks the engines as draining that the fleet's configuration lets accept no new statements.
-    fn drain_unaccepted(&self, entries: &mut [EndpointEntry]) {
+    fn mark_draining_by_configuration(&self, entries: &mut [EndpointEntry]) {
         let Some(member) = self.context.fleet_member() else {
             return;
         };
--- a/crates/statement-router/src/service/finding_log.rs
+++ b/crates/statement-router/src/service/finding_log.rs
@@ -3,7 +3,7 @@
 use hoptiller_runaway::{Finding, Verdict};
 
 use super::Service;
-use crate::findings::{is_reported, subject};
+use crate::findings::{describe_subject, is_reported};
 
 impl Service {
     /// Logs a finding, and counts its verdict.
@@ -22,7 +22,7 @@
                 "class" => class.to_owned(), "cause" => cause, "verdict" => verdict.clone())
             .increment(1);
         }
-        let subject = subject(&self.context, finding);
+        let subject = describe_subject(&self.context, finding);
         let engine = finding
             .engine
             .map(|engine| self.context.engine_name(engine));
--- a/crates/statement-router/src/service/startup.rs
+++ b/crates/statement-router/src/service/startup.rs
@@ -67,10 +67,10 @@
         let statistics_store = state_dir.map(StatisticsStore::new);
         let settings = Rc::new(settings);
         let discovery = Discovery::new(settings.clone(), fleet_member.clone());
-        Ok(Rc::new_cyclic(|this: &Weak<Service>| {
-            let event_loop = EventLoop::new(core, settings.limits.tick, this.clone());
+        Ok(Rc::new_cyclic(|weak_self: &Weak<Service>| {
+            let event_loop = EventLoop::new(core, settings.limits.tick, weak_self.clone());
             Service {
-                this: this.clone(),
+                weak_self: weak_self.clone(),
                 file_settings: settings.clone(),
                 listed_engines: RefCell::default(),
                 statistics_store,
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -30,7 +30,7 @@
 pub(super) struct Object<'v> {
     path: String,
     fields: Option<&'v serde_json::Map<String, Value>>,
-    read: BTreeSet<&'static str>,
+    read_keys: BTreeSet<&'static str>,
 }
 
 impl<'v> Object<'v> {
@@ -83,7 +83,7 @@
         Object {
             path: path.to_owned(),
             fields,
-            read: BTreeSet::new(),
+            read_keys: BTreeSet::new(),
         }
     }
 
@@ -116,7 +116,7 @@
         object: &mut Object<'v>,
         key: &'static str,
     ) -> Option<&'v Value> {
-        object.read.insert(key);
+        object.read_keys.insert(key);
         object
             .fields
             .and_then(|fields| fields.get(key))
@@ -139,10 +139,10 @@
     /// Ends the reading of an object: a key that was not read is unknown, and an error.
     pub(super) fn finish(&mut self, object: Object<'_>) {
         for (key, _) in object.entries() {
-            if object.read.contains(key.as_str()) {
+            if object.read_keys.contains(key.as_str()) {
                 continue;
             }
-            let hint = nearest(&object.read, key)
+            let hint = closest_known_key(&object.read_keys, key)
                 .map_or(String::new(), |near| format!("; is {near:?} meant?"));
             self.reject(object.path_of(key), format!("unknown key{hint}"));
         }
@@ -322,7 +322,7 @@
 }
 
 /// The known key that an unknown one is probably meant to be.
-fn nearest(known: &BTreeSet<&'static str>, key: &str) -> Option<&'static str> {
+fn closest_known_key(known: &BTreeSet<&'static str>, key: &str) -> Option<&'static str> {
     known
         .iter()
         .copied()
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -36,8 +36,8 @@
     validator.check_coordination();
     validator.check_rules();
     validator.check_discovery();
-    validator.check_sizes();
-    validator.check_times();
+    validator.check_size_limits();
+    validator.check_time_limits();
     validator.errors
 }
 
@@ -238,7 +238,7 @@
         );
     }
 
-    fn check_sizes(&mut self) {
+    fn check_size_limits(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
             limits.max_open_statements == 0
@@ -260,7 +260,7 @@
         );
     }
 
-    fn check_times(&mut self) {
+    fn check_time_limits(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
             limits.abandon_after < limits.long_poll_timeout * 2,
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -122,11 +122,11 @@
             "UTF-8",
         ),
     ];
-    for (request, wanted) in cases {
+    for (request, expected) in cases {
         let response = cluster.exchange(&request);
         let text = String::from_utf8_lossy(&response.body);
         assert_eq!(response.status.0, 400, "{text}");
-        assert!(text.contains(wanted), "{text}");
+        assert!(text.contains(expected), "{text}");
     }
     assert_eq!(
         cluster
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn a_thousand_incomplete_requests_delay_nobody_and_time_out() {
+fn a_thousand_incomplete_requests_time_out_without_delaying_other_clients() {
     // Both ends of each connection are in this process.
     let limit = getrlimit(Resource::Nofile);
     let raised = Rlimit {
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -25,6 +25,8 @@
 
 const EXAMPLE: &str = include_str!("../../../../examples/derby.jsonnet");
 
+/// Incarnation of each router under test.
+pub const INCARNATION: &str = "testtest";
 /// How long a condition may take on a loaded machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 pub const RUNAWAY_WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -34,7 +36,7 @@
 /// Discovery, engines, and the router `r1`.
 pub struct TestCluster {
     /// How much longer clients wait than they say.
-    client_lenience: Duration,
+    client_grace: Duration,
     pub recorder: Recorder,
     pub ledger: Ledger,
     pub discovery: DiscoveryConfig,
@@ -95,7 +97,7 @@
         }
         let (router, addr) = start_router(&mut settings);
         let cluster = TestCluster {
-            client_lenience: Duration::ZERO,
+            client_grace: Duration::ZERO,
             recorder,
             ledger,
             discovery,
@@ -114,8 +116,8 @@
     }
 
     /// The cluster with clients that wait so much longer than they say.
-    pub fn with_client_lenience(mut self, lenience: Duration) -> TestCluster {
-        self.client_lenience = lenience;
+    pub fn with_client_grace(mut self, grace: Duration) -> TestCluster {
+        self.client_grace = grace;
         self
     }
 
@@ -162,7 +164,7 @@
             text: text.into(),
             timeout: Duration::from_secs(6),
             options: ClientOptions {
-                grace: self.client_lenience,
+                grace: self.client_grace,
                 ..ClientOptions::default()
             },
         }
@@ -217,10 +219,10 @@
     }
 
     /// Waits until the router's info is as wanted.
-    pub fn wait_for_info(&self, what: &str, is_wanted: impl Fn(&Value) -> bool) {
+    pub fn wait_for_info(&self, what: &str, predicate: impl Fn(&Value) -> bool) {
         wait_until(what, WAIT_TIMEOUT, Duration::from_millis(10), || {
             let info = self.info();
-            if is_wanted(&info) {
+            if predicate(&info) {
                 Ok(())
             } else {
                 Err(info.to_string())
@@ -234,11 +236,11 @@
     }
 
     /// Waits until the administration API shows what is wanted.
-    pub fn wait_for_runaways(&self, what: &str, is_wanted: impl Fn(&Value) -> bool) -> Value {
+    pub fn wait_for_runaways(&self, what: &str, predicate: impl Fn(&Value) -> bool) -> Value {
         let interval = Duration::from_millis(50);
         wait_until(what, RUNAWAY_WAIT_TIMEOUT, interval, || {
             let shown = self.runaways();
-            if is_wanted(&shown) {
+            if predicate(&shown) {
                 Ok(shown)
             } else {
                 Err(format!("{shown:#}"))
@@ -271,7 +273,7 @@
     }
 
     /// How many of these are running at the engine where one of them runs.
-    pub fn running_beside(&self, one: &ClientRequest, all: &[ClientRequest]) -> usize {
+    pub fn count_at_same_engine(&self, one: &ClientRequest, all: &[ClientRequest]) -> usize {
         let records = self.records();
         let engine_of = |request: &ClientRequest| {
             let last = records.iter().rev().find_map(|record| match record {
@@ -350,10 +352,10 @@
 /// Starts a router on a thread of its own. The address of its administration API is written into the settings: a free port
 /// that is looked for first and bound later may be another test's by then.
 pub fn start_router(settings: &mut Settings) -> (ServerThread, SocketAddr) {
-    let own = settings.clone();
+    let router_settings = settings.clone();
     let (sender, receiver) = mpsc::channel();
     let running = ServerThread::spawn("router", move |spawner| {
-        let service = Service::new(own, b"secret", "lifelife".into(), spawner)
+        let service = Service::new(router_settings, b"secret", INCARNATION.into(), spawner)
             .map_err(std::io::Error::other)?;
         let addr = service.start(Rc::new(|_| None))?;
         let _ = sender.send(service.admin_addr());
--- a/crates/statement-router/tests/common/runaways.rs
+++ b/crates/statement-router/tests/common/runaways.rs
@@ -5,7 +5,7 @@
 use hoptiller_mock_servers::engine::EngineConfig;
 use serde_json::{Value, json};
 
-use super::{ClientRequest, TestCluster};
+use super::{ClientRequest, INCARNATION, TestCluster};
 
 /// A report whose runs take as long each time.
 pub const REPORT: &str = "SELECT * FROM arrears /* work=400ms threads=1 */";
@@ -13,7 +13,7 @@
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(7400);
 
 /// On a loaded machine, what is answered in time is seen late.
-const LENIENCE: Duration = Duration::from_secs(5);
+const CLIENT_GRACE: Duration = Duration::from_secs(5);
 
 /// Engines of 32 cores that report on their statements and kill them on request.
 pub fn reporting_engine(engine: &mut EngineConfig) {
@@ -32,7 +32,7 @@
 /// A cluster whose router reports and holds runaways.
 pub fn reporting_cluster(engines: usize) -> TestCluster {
     TestCluster::with_config(engines, reporting_settings, reporting_engine)
-        .with_client_lenience(LENIENCE)
+        .with_client_grace(CLIENT_GRACE)
 }
 
 /// A cluster whose router kills runaways too.
@@ -42,7 +42,7 @@
         value["runaways"] = json!({ "acts": ["name", "hold", "end"], "end_after": "500ms" });
     };
     TestCluster::with_config(engines, killing_settings, reporting_engine)
-        .with_client_lenience(LENIENCE)
+        .with_client_grace(CLIENT_GRACE)
 }
 
 /// The text of a report that takes this much work.
@@ -51,7 +51,7 @@
 }
 
 /// The request of a client that waits for long.
-pub fn patient(mut request: ClientRequest) -> ClientRequest {
+pub fn with_long_timeout(mut request: ClientRequest) -> ClientRequest {
     request.timeout = Duration::from_secs(20);
     request
 }
@@ -95,5 +95,5 @@
 /// The subject of findings about a statement.
 pub fn subject_of(request: &ClientRequest) -> String {
     // The router numbers statements in the order of their arrival, which is that of these requests.
-    format!("statement r1/{:05}_lifelife", request.id)
+    format!("statement r1/{:05}_{INCARNATION}", request.id)
 }
--- a/crates/statement-router/tests/core/harness.rs
+++ b/crates/statement-router/tests/core/harness.rs
@@ -91,7 +91,7 @@
         let settings = Settings::from_text("derby", &text).expect("valid");
         let identity = RouterIdentity {
             router: "r1".into(),
-            incarnation: "life".into(),
+            incarnation: "test".into(),
         };
         let detector = RunawayDetector::new(settings.runaway_settings());
         let policy_settings = settings.policy_settings();
--- a/crates/statement-router/tests/core/main.rs
+++ b/crates/statement-router/tests/core/main.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_buffered_result_is_delivered_even_if_the_policy_gives_the_attempt_up() {
+fn a_buffered_result_is_delivered_even_if_the_policy_abandons_the_attempt() {
     let mut harness =
         CoreHarness::with_settings("{ engines+: { cancel: true, notes_every: '100ms' } }");
     let id = submit(&mut harness, 2);
--- a/crates/statement-router/tests/runaway_detection.rs
+++ b/crates/statement-router/tests/runaway_detection.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use common::runaways::{
-    REPORT, SHORT_TIMEOUT, count_findings, findings, has_notice, has_runaway, patient, report,
+    REPORT, SHORT_TIMEOUT, count_findings, findings, has_notice, has_runaway, report,
     reporting_cluster, reporting_engine, reporting_settings, runaways, subject_of,
+    with_long_timeout,
 };
 use common::{
     Client, ClientOutcome, ClientRequest, RUNAWAY_WAIT_TIMEOUT, TestCluster, WAIT_TIMEOUT,
@@ -40,8 +41,8 @@
 fn a_long_announced_report_is_not_reported_and_a_runaway_of_its_kind_is() {
     let cluster = reporting_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let plain = patient(cluster.request("report", &report("4s")));
-    let mut announced = patient(cluster.request("report", &report("4s")));
+    let plain = with_long_timeout(cluster.request("report", &report("4s")));
+    let mut announced = with_long_timeout(cluster.request("report", &report("4s")));
     announced.tags = "size=12".into();
     std::thread::scope(|s| {
         for run in [&plain, &announced].map(|request| s.spawn(|| cluster.run(request))) {
@@ -54,7 +55,7 @@
         "{:#}",
         cluster.runaways()
     );
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report("90s")));
     std::thread::scope(|s| {
         let run = s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the runaway", has_runaway);
@@ -83,7 +84,7 @@
         "INSERT INTO due VALUES (1) /* work=100ms */",
         48,
     );
-    let load = patient(cluster.request(
+    let load = with_long_timeout(cluster.request(
         "rent-load",
         "INSERT INTO due VALUES (2) /* work=80s set=7 */",
     ));
@@ -106,7 +107,7 @@
         let shown = cluster.wait_for_runaways("the load", has_runaway);
         assert_eq!(runaways(&shown), [("blocks".to_owned(), subject_of(&load))]);
         // Those sent before the verdict are blocked; on a slow machine they may not be forty yet.
-        let expected = cluster.running_beside(&load, &first).min(40) as u64;
+        let expected = cluster.count_at_same_engine(&load, &first).min(40) as u64;
         assert!(expected > 0);
         cluster.wait_for_runaways("blocked lookups", |shown| {
             shown["findings"][0]["blocked"].as_u64().unwrap_or(0) >= expected
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_reported_and_no_statement_there_is() {
+fn a_slow_engine_is_reported_instead_of_its_statements() {
     let cluster = reporting_cluster(3);
     let short = "SELECT name FROM tenants /* work=60ms */";
     cluster.run_repeatedly("report", REPORT, 48);
@@ -149,7 +150,7 @@
             s.spawn(|| {
                 while !is_found.load(Ordering::Relaxed) {
                     cluster.run(&cluster.request("lookup", short));
-                    cluster.run(&patient(cluster.request("report", REPORT)));
+                    cluster.run(&with_long_timeout(cluster.request("report", REPORT)));
                 }
             });
         }
@@ -165,7 +166,8 @@
 fn a_kind_without_statistics_is_compared_with_its_class() {
     let cluster = reporting_cluster(2);
     cluster.run_repeatedly("lookup", "SELECT a FROM t /* work=60ms */", 48);
-    let honest = patient(cluster.request("lookup", "SELECT new, honest FROM t /* work=900ms */"));
+    let honest =
+        with_long_timeout(cluster.request("lookup", "SELECT new, honest FROM t /* work=900ms */"));
     cluster.assert_served(&honest);
     assert_eq!(count_findings(&cluster.runaways()), 0);
     let mut long = cluster.request("lookup", "SELECT new, heavy FROM t /* work=300s */");
@@ -186,7 +188,8 @@
     (other.router.name, other.router.index) = ("r2".into(), 1);
     other.router.admin = Some(([127, 0, 0, 1], 0).into());
     let (_running, addr) = start_router(&mut other);
-    let mut load = patient(cluster.request("rent-load", "INSERT INTO due /* work=300s set=7 */"));
+    let mut load =
+        with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=300s set=7 */"));
     load.options.abandon_after = Some(2);
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&load));
@@ -226,7 +229,7 @@
     cluster.run_repeatedly("report", REPORT, 48);
     std::thread::scope(|s| {
         for _ in 0..30 {
-            s.spawn(|| cluster.run(&patient(cluster.request("report", &report("9s")))));
+            s.spawn(|| cluster.run(&with_long_timeout(cluster.request("report", &report("9s")))));
         }
         let shown = cluster.wait_for_runaways("the notice", has_notice);
         let notices = findings(&shown, "notice");
--- a/crates/statement-router/tests/runaway_enforcement.rs
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -5,21 +5,21 @@
 use std::time::{Duration, Instant};
 
 use common::runaways::{
-    REPORT, killing_cluster, patient, report, reporting_cluster, reporting_engine,
-    reporting_settings, runaways,
+    REPORT, killing_cluster, report, reporting_cluster, reporting_engine, reporting_settings,
+    runaways, with_long_timeout,
 };
 use common::{ClientOutcome, ClientRequest, TestCluster, exchange};
 use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::{Value, json};
 
-const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
+const ENDED_BY_RULE: &str = "HOPTILLER_ENDED_BY_RULE";
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
 /// Asserts that a statement was killed and is retryable, with a Retry-After.
 fn assert_killed(outcome: &ClientOutcome) {
     assert!(
-        matches!(outcome, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED),
+        matches!(outcome, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED_BY_RULE),
         "{outcome:?}"
     );
 }
@@ -29,7 +29,7 @@
     let cluster = killing_cluster(1);
     let load = |n: u32, m: u32| {
         let text = format!("INSERT INTO t{n} /* work=400ms threads=1 set={n} then=0.5:{m} */");
-        patient(cluster.request("rent-load", &text))
+        with_long_timeout(cluster.request("rent-load", &text))
     };
     let (older, younger) = (load(1, 2), load(2, 1));
     let [older_outcome, younger_outcome] = std::thread::scope(|s| {
@@ -61,7 +61,8 @@
             only_class: Some("rent-load".into()),
             ..EngineFaults::default()
         });
-        let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
+        let load =
+            with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
         let outcome = cluster.run(&load);
         if no_proof {
             assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
@@ -78,7 +79,7 @@
 fn a_killed_report_is_rejected_with_the_reason_and_not_retried() {
     let cluster = killing_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report("90s")));
     let (outcome, client) = cluster.run_with_client(&long);
     assert_killed(&outcome);
     let response = &client.responses().last().expect("a response").response;
@@ -99,7 +100,7 @@
     };
     let cluster = TestCluster::with_config(2, pausing, reporting_engine);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("9s")));
+    let long = with_long_timeout(cluster.request("report", &report("9s")));
     let started_at = Instant::now();
     assert_eq!(cluster.run(&long), ClientOutcome::Served(300));
     // Nine seconds of work and five of the pause. Only a lower bound, so that a slow machine changes nothing.
@@ -120,7 +121,8 @@
         ..EngineFaults::default()
     });
     // It is a runaway after 3 s, and done some 8 s after it began.
-    let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
+    let load =
+        with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
     let shown = cluster.runaways();
     let past = shown["past"].as_array().cloned().unwrap_or_default();
@@ -135,29 +137,29 @@
 fn a_held_kind_runs_one_at_a_time_until_an_administrator_releases_it() {
     let cluster = reporting_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report("90s")));
     let delete = |path: &str| {
         let admin = cluster.settings.router.admin.expect("it is served");
         exchange(admin, &Request::new(Method::Delete, path))
             .status
             .0
     };
-    let ten: Vec<ClientRequest> = (0..10)
-        .map(|_| patient(cluster.request("report", &report("2s"))))
+    let reports: Vec<ClientRequest> = (0..10)
+        .map(|_| with_long_timeout(cluster.request("report", &report("2s"))))
         .collect();
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the hold", |shown| shown["holds"] != json!([]));
         let kind = shown["holds"][0]["kind"].as_str().expect("a kind");
-        let runs: Vec<_> = ten
+        let runs: Vec<_> = reports
             .iter()
             .map(|request| s.spawn(|| cluster.run(request)))
             .collect();
-        cluster.wait_until_any_sent(&ten);
+        cluster.wait_until_any_sent(&reports);
         // Other kinds of the class are not held.
         let other = cluster.request("report", "SELECT other FROM t /* work=50ms */");
-        cluster.assert_served(&patient(other));
-        let sent = ten
+        cluster.assert_served(&with_long_timeout(other));
+        let sent = reports
             .iter()
             .filter(|request| cluster.sent_attempts(request) > 0)
             .count();
--- a/crates/statement-router/tests/settings.rs
+++ b/crates/statement-router/tests/settings.rs
@@ -181,11 +181,11 @@
 
 #[test]
 fn each_invalid_setting_is_reported_with_its_key_path() {
-    for (change, wanted) in INVALID_CHANGES {
+    for (change, expected) in INVALID_CHANGES {
         let found = errors(change);
         assert!(
-            found.iter().any(|error| error.contains(wanted)),
-            "{change}: wanted {wanted:?}, found {found:#?}"
+            found.iter().any(|error| error.contains(expected)),
+            "{change}: expected {expected:?}, found {found:#?}"
         );
     }
 }
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn text_that_is_no_settings_file_is_rejected_without_a_panic() {
+fn text_that_is_not_a_settings_file_is_rejected_without_a_panic() {
     for text in [
         "",
         "{",
