--- a/crates/statement-router/src/atomic_file.rs
+++ b/crates/statement-router/src/atomic_file.rs
@@ -32,7 +32,7 @@
 pub(crate) fn read(path: &Path) -> io::Result<Vec<u8>> {
     let size = fs::metadata(path)?.len();
     if size > MAX_FILE_BYTES {
-        let message = format!("{size} bytes are more than it can have");
+        let message = format!("file has {size} bytes, more than the maximum of {MAX_FILE_BYTES}");
         return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     fs::read(path)
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -45,7 +45,7 @@
 enum ListError {
     #[error(transparent)]
     Exchange(#[from] ClientError),
-    #[error("its answer is no list")]
+    #[error("the response is not a service list")]
     Invalid,
 }
 
@@ -204,7 +204,7 @@
 
     fn report_failure(&self, error: &ListError, listener: &dyn EndpointListener) {
         if !self.is_failing.replace(true) {
-            tracing::warn!(%error, "discovery not read; the last list is used");
+            tracing::warn!(%error, "cannot read discovery; using the last engine list");
         }
         listener.endpoints_changed(ListScope::Failed, Vec::new());
     }
@@ -219,7 +219,10 @@
         if let Some(operation) = operation
             && failed_reads >= MAX_FAILED_READS
         {
-            tracing::warn!(failed_reads, "discovery handed over to another router");
+            tracing::warn!(
+                failed_reads,
+                "handing discovery over to another router after failed reads"
+            );
             operation.hand_over();
             self.failed_reads.set(0);
         }
--- a/crates/statement-router/src/discovery/request.rs
+++ b/crates/statement-router/src/discovery/request.rs
@@ -44,5 +44,5 @@
 }
 
 fn lease_expired() -> ClientError {
-    ClientError::Connect(io::Error::other("the lease has run out"))
+    ClientError::Connect(io::Error::other("the task lease has expired"))
 }
--- a/crates/statement-router/src/endpoint_list.rs
+++ b/crates/statement-router/src/endpoint_list.rs
@@ -58,10 +58,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SkipReason {
     /// There is an entry of this name already.
-    #[error("listed twice")]
+    #[error("duplicate entry")]
     Duplicate,
     /// The list is another environment's.
-    #[error("environment {listed:?}, not {expected:?}")]
+    #[error("environment is {listed:?}, expected {expected:?}")]
     OtherEnvironment {
         /// The environment of the list.
         listed: String,
@@ -69,16 +69,16 @@
         expected: String,
     },
     /// The name is empty or too long.
-    #[error("a node id of 1 to {MAX_NAME_BYTES} bytes is wanted")]
+    #[error("node id must have 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
     /// There is no address.
-    #[error("no property http")]
+    #[error("property \"http\" is missing")]
     NoAddress,
     /// The address is malformed.
-    #[error("{0:?} is no http://address:port")]
+    #[error("{0:?} is not of the form http://address:port")]
     InvalidAddress(String),
     /// Ids have run out.
-    #[error("too many engines seen")]
+    #[error("engine ids are exhausted")]
     NoMoreIds,
 }
 
--- a/crates/statement-router/src/engines/attempt/error.rs
+++ b/crates/statement-router/src/engines/attempt/error.rs
@@ -12,48 +12,48 @@
 /// Why an attempt has no result.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AttemptError {
-    #[error("the engine is not listed any more")]
+    #[error("the engine is no longer listed")]
     EngineNotListed,
     #[error(transparent)]
     NotAuthorized(#[from] SendRejected),
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    #[error("the engine did not answer in time")]
+    #[error("the engine did not respond in time")]
     SubmitTimedOut,
     /// The connection has failed after the request was begun.
     #[error(transparent)]
     Submit(ClientError),
     /// By the protocol, the statement was not accepted and the client is to try again.
-    #[error("the engine turned it away unseen ({status})")]
+    #[error("the engine is overloaded and did not accept the statement (status {status})")]
     Overloaded {
         status: u16,
         load_report: Option<LoadReport>,
     },
-    #[error("the engine answered with status {0}")]
+    #[error("the engine responded to the submission with status {0}")]
     SubmitStatus(u16),
-    #[error("no next answer")]
+    #[error("the response has no nextUri")]
     NoNextUri,
-    #[error("the engine does not know the statement any more")]
+    #[error("the engine no longer knows the statement")]
     UnknownToEngine,
-    #[error("the engine answered a poll with status {0}")]
+    #[error("the engine responded to a poll with status {0}")]
     PollStatus(u16),
     /// Several polls in a row have failed; this is the last failure.
     #[error(transparent)]
     PollsFailed(PollError),
-    #[error("the engine is gone: {0}")]
+    #[error("cannot connect to the engine for a poll: {0}")]
     PollConnect(#[source] io::Error),
-    #[error("the engine's answer is no HTTP: {0}")]
+    #[error("the engine's response is not valid HTTP: {0}")]
     InvalidHttp(#[source] ParseError),
-    #[error("the engine did not finish in time")]
+    #[error("the engine did not finish before the deadline")]
     DeadlineExceeded,
-    #[error("withdrawn")]
+    #[error("cancelled")]
     Cancelled,
-    #[error("the engine's answer is no QueryResults: {0}")]
+    #[error("the engine's response is not valid QueryResults: {0}")]
     InvalidResults(#[source] serde_json::Error),
     /// The engine was restarted, and has given the URI to another statement.
-    #[error("the engine answered for another statement")]
+    #[error("the engine's response belongs to another statement")]
     OtherStatement,
-    #[error("the engine's nextUri points elsewhere")]
+    #[error("the engine's nextUri is not on the engine's own address")]
     ForeignNextUri,
     /// The engine reports an error that is not the statement's.
     #[error("{name}: {message}")]
@@ -67,7 +67,7 @@
 /// Why a single poll has no result. It can be repeated.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("the engine answered a poll with status {0}")]
+    #[error("the engine responded to a poll with status {0}")]
     Unavailable(u16),
     #[error(transparent)]
     Exchange(ClientError),
--- a/crates/statement-router/src/engines/control.rs
+++ b/crates/statement-router/src/engines/control.rs
@@ -49,16 +49,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The attempt is not in flight any more.
-    #[error("it is over")]
+    #[error("the attempt has ended")]
     AttemptEnded,
     /// The engine has left the endpoint list.
-    #[error("its engine is not listed any more")]
+    #[error("the engine is no longer listed")]
     EngineNotListed,
     /// The engine has rejected the request with this HTTP status.
-    #[error("the engine answered with status {0}")]
+    #[error("the engine rejected the request with status {0}")]
     Rejected(u16),
     /// No request has been answered.
-    #[error("the engine could not be reached")]
+    #[error("the engine did not respond to any request")]
     Unreachable,
 }
 
--- a/crates/statement-router/src/engines/observer.rs
+++ b/crates/statement-router/src/engines/observer.rs
@@ -61,18 +61,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRejected {
     /// The config lease has expired, or the class is in no enforced version.
-    #[error("the permit to act under the fleet's rules has ended")]
+    #[error("the config lease does not allow the class")]
     NoLease,
     /// The engine has left the endpoint list.
-    #[error("the engine is not listed any more")]
+    #[error("the engine is no longer listed")]
     NotListed,
     /// The class is restricted to other kinds or zones by now.
-    #[error("the fleet's rules have changed: the class may not run there any more")]
+    #[error("the fleet configuration has changed: the class may no longer run on this engine")]
     ClassRestricted,
     /// The configured endpoint list has the engine as draining.
-    #[error("the fleet's list lets nothing more to that engine")]
+    #[error("the configured endpoint list has the engine as draining")]
     Draining,
     /// The idempotency key may have expired at the engine.
-    #[error("a repeat would no longer be recognised")]
+    #[error("the idempotency key may have expired at the engine")]
     KeyExpired,
 }
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -23,9 +23,11 @@
         "the replicas don't know a configuration version that this router has enforced: a replica was restored from old data"
     )]
     UnknownVersion,
-    #[error("keepers have too many routers already")]
+    #[error("the replicas have reached their limit of lease holders")]
     TooManyHolders,
-    #[error("keepers have no version yet; put one with `hoptiller settings put`")]
+    #[error(
+        "the replicas have no configuration version yet; add one with `hoptiller settings put`"
+    )]
     NoVersion,
     #[error(transparent)]
     Call(#[from] CallError),
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -28,7 +28,7 @@
             return Vec::new();
         };
         decode(&bytes).unwrap_or_else(|| {
-            tracing::warn!(file = %self.path.display(), "stored versions not decoded");
+            tracing::warn!(file = %self.path.display(), "cannot decode the stored configuration versions; ignoring them");
             Vec::new()
         })
     }
@@ -36,7 +36,7 @@
     /// Stores versions. A failure is logged: the next incarnation then waits for its first lease.
     pub(super) fn store(&self, versions: &[Version]) {
         if let Err(error) = atomic_file::write(&self.path, &encode(versions)) {
-            tracing::warn!(file = %self.path.display(), %error, "enforced versions not stored");
+            tracing::warn!(file = %self.path.display(), %error, "cannot store the enforced configuration versions");
         }
     }
 }
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -53,10 +53,11 @@
         (RUNAWAYS_PATH, Method::Get) => {
             Response::json(200, format!("{:#}", runaways_json(context)))
         }
-        (RUNAWAYS_PATH, _) => problem(405, "GET shows what runs away").with_header("Allow", "GET"),
+        (RUNAWAYS_PATH, _) => problem(405, "only GET is allowed; it lists runaways and holds")
+            .with_header("Allow", "GET"),
         _ => problem(
             404,
-            "nothing here; GET /v1/admin/runaways shows what runs away",
+            "not found; GET /v1/admin/runaways lists runaways and holds",
         ),
     }
 }
@@ -65,14 +66,15 @@
     let Ok(fingerprint) = fingerprint.parse::<FingerprintId>() else {
         return problem(
             404,
-            "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways shows them",
+            "a fingerprint has 16 hexadecimal digits, as in the holds of GET /v1/admin/runaways",
         );
     };
     if *method != Method::Delete {
-        return problem(405, "DELETE frees a held kind").with_header("Allow", "DELETE");
+        return problem(405, "only DELETE is allowed; it releases a hold")
+            .with_header("Allow", "DELETE");
     }
     if !context.with_core(|core, _| core.release_fingerprint(fingerprint)) {
-        return problem(404, "that kind is not held");
+        return problem(404, "there is no hold on this fingerprint");
     }
     tracing::warn!(kind = %fingerprint, "hold released by an administrator");
     Response::new(204)
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -209,27 +209,31 @@
         } => {
             let hint = retry_after.map_or(String::new(), |retry_after| {
                 let seconds = retry_after_seconds(Duration::from_micros(retry_after));
-                format!("; come back in {seconds} s")
+                format!("; retry after {seconds} s")
             });
-            let message = format!("refused: {reason}. Trying again is harmless{hint}");
+            let message = format!("rejected: {reason}. A retry is safe{hint}");
             (ErrorName::Rejected, message)
         }
         FinalResponse::TerminatedByRule { reason, .. } => (
             ErrorName::EndedByRule,
-            format!("ended by rule: {reason}. Nothing of it stands; the same again will end alike"),
+            format!(
+                "terminated by rule: {reason}. The statement had no effect; a retry will be terminated too"
+            ),
         ),
         FinalResponse::MayHaveRun(reason) => (
             ErrorName::MayHaveRun,
-            format!("failed: {reason}. It may have run: look it up before it is sent again"),
+            format!(
+                "failed: {reason}. The statement may have run: check its effects before a retry"
+            ),
         ),
         FinalResponse::Truncated(reason) => (
             ErrorName::ResultTruncated,
-            format!("the result is cut: {reason}. The rows given out are not all"),
+            format!("the result is truncated: {reason}. The delivered rows are incomplete"),
         ),
-        FinalResponse::Canceled => (ErrorName::UserCanceled, "the client ended it".into()),
+        FinalResponse::Canceled => (ErrorName::UserCanceled, "cancelled by the client".into()),
         FinalResponse::Abandoned => (
             ErrorName::Abandoned,
-            "the client had stopped asking for its result".into(),
+            "abandoned: the client stopped polling for the result".into(),
         ),
     };
     Some(QueryError::from_name(name, message))
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -21,7 +21,7 @@
 const STATE_PATH: &str = "/v1/info/state";
 
 const NO_SUCH_STATEMENT: &str = "no such statement";
-const NOT_FOUND: &str = "nothing here; statements go to POST /v1/statement";
+const NOT_FOUND: &str = "not found; submit statements with POST /v1/statement";
 
 /// Maximum length of a `Host` header that is used for URIs, in bytes.
 const MAX_HOST_BYTES: usize = 255;
@@ -92,7 +92,7 @@
 }
 
 fn method_not_allowed(allowed: &str) -> Response {
-    Response::text(405, "method not allowed here").with_header("Allow", allowed)
+    Response::text(405, "method not allowed").with_header("Allow", allowed)
 }
 
 /// Where the client reaches this router: by its `Host` header where that is valid.
@@ -127,7 +127,7 @@
         }
     };
     let PollOutcome::Response(first) = context.with_core(|core, now| core.poll(now, id, 0)) else {
-        return Response::text(500, "the statement was lost");
+        return Response::text(500, "internal error: the submitted statement is unknown");
     };
     let query_id = QueryId::new(SystemTime::now(), id, context.incarnation());
     query_results::http_response(context, &query_id, &first, &base_uri(context, request))
@@ -156,9 +156,9 @@
         }
         PollOutcome::Gone => Response::text(
             410,
-            "that answer was given; the one after it, or the end, is known",
+            "this response has been delivered; only the latest response can be polled again",
         ),
-        PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such answer"),
+        PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such response"),
     }
 }
 
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -43,13 +43,16 @@
 /// The history of a statement.
 pub(super) fn history(context: &RouterContext, id: &QueryId) -> Response {
     if id.incarnation() != context.incarnation() {
-        return Response::text(410, "an earlier life of this router had that statement");
+        return Response::text(
+            410,
+            "this statement belongs to an earlier incarnation of this router",
+        );
     }
     let history = context.with_core(|core, now| core.history(now, id.number()));
     let Some(history) = history else {
         return Response::text(
             410,
-            "that statement is over, and its course is not kept any more",
+            "this statement has ended, and its history is no longer retained",
         );
     };
     let settings = context.settings();
--- a/crates/statement-router/src/front_end/submission.rs
+++ b/crates/statement-router/src/front_end/submission.rs
@@ -31,20 +31,24 @@
     NotUtf8(#[from] Utf8Error),
     #[error("the statement is empty")]
     Empty,
-    #[error("X-Trino-Client-Tags: class {name:?} is none of {known}")]
+    #[error("X-Trino-Client-Tags: unknown class {name:?}; expected one of {known}")]
     UnknownClass { name: String, known: String },
 }
 
 /// Why a valid request is rejected now. It can be retried.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SubmissionRejected {
-    #[error("the fleet's rules name no class for statements that name none; come back later")]
+    #[error(
+        "the fleet configuration has no default class for statements that name no class; retry later"
+    )]
     NoDefaultClass,
-    #[error("this router may not take that class now; come back later, or go to another")]
+    #[error(
+        "this router cannot accept statements of this class now; retry later or use another router"
+    )]
     ClassNotAllowed,
-    #[error("too many statements are open; come back later")]
+    #[error("too many statements are open; retry later")]
     TooManyStatements,
-    #[error("this router is ending; come back later")]
+    #[error("this router is shutting down; retry later")]
     ShuttingDown,
 }
 
--- a/crates/statement-router/src/recovery.rs
+++ b/crates/statement-router/src/recovery.rs
@@ -19,17 +19,17 @@
     match (state.idempotency, state.phase) {
         (Idempotency::NotIdempotent, _) => RecoveryError {
             name: ErrorName::MayHaveRun,
-            message: "the router was restarted while it had this statement; it may have run: look it up before it is \
-                      sent again",
+            message: "the router was restarted while this statement was open; the statement may have run: check its \
+                      effects before a retry",
         },
         (Idempotency::Idempotent, Phase::RowsDelivered) => RecoveryError {
             name: ErrorName::ResultTruncated,
-            message: "the router was restarted after it had given out rows of this result, and the rest is lost; \
-                      running the statement again is harmless",
+            message: "the router was restarted after it had delivered rows of this result, and the rest is lost; \
+                      a retry is safe",
         },
         (Idempotency::Idempotent, Phase::Waiting) => RecoveryError {
             name: ErrorName::RouterRestarted,
-            message: "the router was restarted while it had this statement; running it again is harmless",
+            message: "the router was restarted while this statement was open; a retry is safe",
         },
     }
 }
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -11,7 +11,8 @@
 use crate::engines::{AttemptControl, AttemptId, StatementControl};
 
 /// The reason of a kill, which the client gets to see.
-const KILL_REASON: &str = "it runs away, and a rule of this installation ends it";
+const KILL_REASON: &str =
+    "the statement is a runaway, and a rule of this installation terminates it";
 
 impl CommandExecutor for Service {
     fn execute(&self, command: Command) {
@@ -88,10 +89,10 @@
             let request = control.clone();
             match engines.control_statement(id, request).await {
                 Ok(()) => {
-                    tracing::warn!(statement = %label, hop = number, ?control, "statement control accepted");
+                    tracing::warn!(statement = %label, hop = number, ?control, "engine accepted statement control request");
                 }
                 Err(error) => {
-                    tracing::warn!(statement = %label, hop = number, ?control, %error, "statement control failed");
+                    tracing::warn!(statement = %label, hop = number, ?control, %error, "statement control request failed");
                 }
             }
         });
@@ -121,6 +122,6 @@
             .record(elapsed as f64 / 1e6);
         let statement = self.statement_label(id);
         let (ms, reason) = (elapsed / 1000, response.reason());
-        tracing::info!(%statement, %class, outcome, ms, attempts, reason, "answered");
+        tracing::info!(%statement, %class, outcome, ms, attempts, reason, "statement settled");
     }
 }
--- a/crates/statement-router/src/service/finding_log.rs
+++ b/crates/statement-router/src/service/finding_log.rs
@@ -31,10 +31,10 @@
         let (blocked, note) = (finding.blocked, finding.note);
         match finding.verdict {
             Verdict::Runaway | Verdict::Notice => {
-                tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
+                tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaway finding");
             }
             _ => {
-                tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
+                tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaway finding");
             }
         }
     }
--- a/crates/statement-router/src/settings/fleet_document.rs
+++ b/crates/statement-router/src/settings/fleet_document.rs
@@ -14,7 +14,7 @@
 };
 
 /// Stands for a file name in errors.
-const DOCUMENT_NAME: &str = "(the fleet's document)";
+const DOCUMENT_NAME: &str = "(fleet configuration document)";
 
 impl Settings {
     /// These settings, from the router's own file, with a document of the fleet applied. `current`: the settings that
--- a/crates/statement-router/src/settings/jsonnet.rs
+++ b/crates/statement-router/src/settings/jsonnet.rs
@@ -28,7 +28,7 @@
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| SettingError {
         place: name.clone(),
-        reason: format!("can't be read: {error}"),
+        reason: format!("cannot read the file: {error}"),
     })?;
     manifest(&name, &text, |state| state.import(path))
 }
@@ -47,7 +47,7 @@
         .map_err(|error| locate(name, text, &error))?;
     serde_json::from_str(&json).map_err(|error| SettingError {
         place: name.to_owned(),
-        reason: format!("evaluates to no JSON: {error}"),
+        reason: format!("does not evaluate to JSON: {error}"),
     })
 }
 
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -39,7 +39,7 @@
     fn settings(&mut self, value: &Value) -> Option<Settings> {
         let mut file = self.object(value, "");
         if !file.is_present() {
-            self.reject("(whole file)", "an object is wanted");
+            self.reject("(whole file)", "expected an object");
             return None;
         }
         let router = self.child(&mut file, "router").and_then(|o| self.router(o));
@@ -84,7 +84,7 @@
         if index.is_none() {
             self.reject(
                 "default_class",
-                format!("{name:?} is no class of this file"),
+                format!("{name:?} is not a class of this file"),
             );
         }
         index
@@ -114,7 +114,7 @@
             names.collect()
         });
         if names.is_none() {
-            self.reject("zones", "a list of names is wanted");
+            self.reject("zones", "expected a list of names");
         }
         names.unwrap_or_default()
     }
@@ -153,7 +153,7 @@
     ) -> Option<Vec<ClassSettings>> {
         let value = self.required(file, "classes")?;
         let Some(classes) = value.as_array().filter(|classes| !classes.is_empty()) else {
-            self.reject("classes", "a list of at least one class is wanted");
+            self.reject("classes", "expected a list of at least one class");
             return None;
         };
         let parsed: Vec<Option<ClassSettings>> = classes
@@ -207,7 +207,7 @@
             Some("safe") => Some(Idempotency::Idempotent),
             Some("never") => Some(Idempotency::NotIdempotent),
             _ => {
-                self.reject(class.path_of("repeat"), "'safe' or 'never' is wanted");
+                self.reject(class.path_of("repeat"), "expected 'safe' or 'never'");
                 None
             }
         }
@@ -337,7 +337,7 @@
             let Some(classes) = classes else { continue };
             match classes.iter().position(|class| class.name == *name) {
                 Some(index) => by_class[index] = self.enforcement(value, &path),
-                None => self.reject(path, "is no class of this file"),
+                None => self.reject(path, "is not a class of this file"),
             }
         }
         by_class.into_iter().collect()
@@ -346,7 +346,7 @@
     fn enforcement(&mut self, value: &Value, path: &str) -> Option<EnforcementOptions> {
         let mut options = EnforcementOptions::default();
         let Some(names) = value.as_array() else {
-            self.reject(path, format!("a list of {ENFORCEMENT_NAMES} is wanted"));
+            self.reject(path, format!("expected a list of {ENFORCEMENT_NAMES}"));
             return None;
         };
         for (position, name) in names.iter().enumerate() {
@@ -359,7 +359,7 @@
                 _ => {
                     self.reject(
                         format!("{path}[{position}]"),
-                        format!("{name} is none of {ENFORCEMENT_NAMES}"),
+                        format!("unknown action {name}; expected one of {ENFORCEMENT_NAMES}"),
                     );
                     return None;
                 }
@@ -405,7 +405,7 @@
         if addresses.is_none() {
             self.reject(
                 agreement.path_of("keepers"),
-                "a list of at least one address, such as '127.0.0.1:7401', is wanted",
+                "expected a list of at least one address, such as '127.0.0.1:7401'",
             );
         }
         addresses
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -18,7 +18,7 @@
 /// Characters of a key that are compared for suggestions.
 const COMPARED_CHARS: usize = 64;
 
-const DURATION_HINT: &str = "a duration with its unit is wanted, such as '250ms', '1.5s' or '2m'";
+const DURATION_HINT: &str = "expected a duration with its unit, such as '250ms', '1.5s' or '2m'";
 
 /// Reads values and collects errors.
 pub(super) struct Reader<'a> {
@@ -78,7 +78,7 @@
     pub(super) fn object<'v>(&mut self, value: &'v Value, path: &str) -> Object<'v> {
         let fields = value.as_object();
         if fields.is_none() && !value.is_null() {
-            self.reject(path, "an object is wanted");
+            self.reject(path, "expected an object");
         }
         Object {
             path: path.to_owned(),
@@ -143,7 +143,7 @@
                 continue;
             }
             let hint = closest_known_key(&object.read_keys, key)
-                .map_or(String::new(), |near| format!("; is {near:?} meant?"));
+                .map_or(String::new(), |near| format!("; did you mean {near:?}?"));
             self.reject(object.path_of(key), format!("unknown key{hint}"));
         }
     }
@@ -155,7 +155,7 @@
             _ => {
                 self.reject(
                     object.path_of(key),
-                    format!("a text of 1 to {MAX_TEXT_BYTES} bytes is wanted"),
+                    format!("expected a text of 1 to {MAX_TEXT_BYTES} bytes"),
                 );
                 None
             }
@@ -172,7 +172,7 @@
         if address.is_none() {
             self.reject(
                 object.path_of(key),
-                format!("{text:?} is no address; such as '127.0.0.1:8080' is wanted"),
+                format!("{text:?} is no address; expected one such as '127.0.0.1:8080'"),
             );
         }
         address
@@ -194,7 +194,7 @@
         };
         let number = value.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
         if number.is_none() {
-            self.reject(object.path_of(key), "a number of 0 or more is wanted");
+            self.reject(object.path_of(key), "expected a number of 0 or more");
         }
         number
     }
@@ -217,7 +217,7 @@
                 .map(|n| n as u64)
         });
         if number.is_none() {
-            self.reject(object.path_of(key), "a whole number of 0 or more is wanted");
+            self.reject(object.path_of(key), "expected a whole number of 0 or more");
         }
         number
     }
@@ -232,7 +232,7 @@
             return Some(default);
         };
         if !value.is_boolean() {
-            self.reject(object.path_of(key), "true or false is wanted");
+            self.reject(object.path_of(key), "expected true or false");
         }
         value.as_bool()
     }
@@ -268,7 +268,7 @@
         if duration.is_none() {
             self.reject(
                 object.path_of(key),
-                format!("{value} is no duration; {DURATION_HINT}"),
+                format!("{value} is not a duration; {DURATION_HINT}"),
             );
         }
         duration
@@ -284,7 +284,7 @@
         let value = self.optional(object, key)?;
         let path = object.path_of(key);
         let Some(names) = value.as_array().filter(|names| !names.is_empty()) else {
-            self.reject(path, "a list of at least one name is wanted");
+            self.reject(path, "expected a list of at least one name");
             return None;
         };
         let mut indices = Vec::new();
@@ -293,7 +293,7 @@
                 Some(index) => indices.push(index),
                 None => self.reject(
                     format!("{path}[{position}]"),
-                    format!("{name} is none of the names known: {}", known.join(", ")),
+                    format!("unknown name {name}; expected one of {}", known.join(", ")),
                 ),
             }
         }
@@ -307,14 +307,14 @@
         path: &str,
     ) -> Option<Vec<(String, f64)>> {
         let Some(fields) = value.as_object() else {
-            self.reject(path, "an object of names and numbers is wanted");
+            self.reject(path, "expected an object of names and numbers");
             return None;
         };
         let mut numbers = Vec::new();
         for (name, value) in fields {
             match value.as_f64().filter(|n| n.is_finite() && *n > 0.0) {
                 Some(number) => numbers.push((name.clone(), number)),
-                None => self.reject(format!("{path}.{name}"), "a number over 0 is wanted"),
+                None => self.reject(format!("{path}.{name}"), "expected a number over 0"),
             }
         }
         Some(numbers)
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -73,7 +73,7 @@
             self.reject_if(
                 is_duplicate,
                 &format!("classes[{index}].name"),
-                format!("{:?} is given twice", class.name),
+                format!("duplicate class name {:?}", class.name),
             );
             self.check_class(index, class);
         }
@@ -85,7 +85,7 @@
         self.reject_if(
             !class.name.bytes().all(is_name_byte),
             &path("name"),
-            "only letters, digits, '-', '_' and '.' can stand in a client tag",
+            "a client tag can contain only letters, digits, '-', '_' and '.'",
         );
         self.reject_if(
             class.latency_objective.is_zero() || class.threads == 0.0,
@@ -95,22 +95,22 @@
         self.reject_if(
             class.client_timeout < class.latency_objective,
             &path("patience"),
-            "is shorter than the aim: every answer would come late or never",
+            "is shorter than the aim: every response would be late",
         );
         self.reject_if(
             class.client_timeout < MIN_CLIENT_TIMEOUT,
             &path("patience"),
-            format!("is under {MIN_CLIENT_TIMEOUT:?}: no final answer could come in time"),
+            format!("is under {MIN_CLIENT_TIMEOUT:?}: no final response could arrive in time"),
         );
         self.reject_if(
             class.late_weight_ratio > 1.0,
             &path("late_worth"),
-            "is a part of the worth, 0 to 1",
+            "must be a fraction of the worth, 0 to 1",
         );
         self.reject_if(
             class.holds_tables && class.idempotency == Idempotency::Idempotent,
             &path("holds"),
-            "a class that holds tables while it loads them can't be safe to repeat",
+            "a class whose statements lock their tables cannot have repeat 'safe'",
         );
     }
 
@@ -131,12 +131,12 @@
         self.reject_if(
             !engines.progress_interval.is_zero() && !engines.supports_cancel,
             "engines.notes_every",
-            "notes only serve where engines.cancel is true",
+            "progress reports are only of use where engines.cancel is true",
         );
         self.reject_if(
             engines.reports_in_flight && !engines.load_reports,
             "engines.tells_in_flight",
-            "needs engines.reports",
+            "requires engines.reports",
         );
     }
 
@@ -169,7 +169,7 @@
         self.reject_if(
             is_enforced && !enforcement.name,
             &path,
-            "what is held, paused or ended must be named too: add 'name'",
+            "'hold', 'pause' and 'end' require 'name'",
         );
     }
 
@@ -194,7 +194,7 @@
                 .admin
                 .is_some_and(|admin| admin == router.listen && admin.port() != 0),
             "router.admin",
-            "is router.listen: administrators need an address of their own",
+            "must differ from router.listen: the administration API needs an address of its own",
         );
     }
 
@@ -211,7 +211,7 @@
             coordination.renewal_interval.is_zero()
                 || coordination.renewal_interval > coordination.lease_term / MIN_RENEWALS_PER_TERM,
             "agreement.ask_every",
-            "must be over 0, and a quarter of the permit at most",
+            "must be over 0 and at most a quarter of agreement.permit",
         );
     }
 
@@ -220,12 +220,12 @@
         self.reject_if(
             rules.start_capacity > 1.0 || rules.start_capacity == 0.0,
             "rules.start_capacity",
-            "is a part of the capacity, over 0 and up to 1",
+            "must be a fraction of the capacity, over 0 and up to 1",
         );
         self.reject_if(
             rules.overload_factor < 1.0 || rules.overload_window.is_zero(),
             "rules.overload",
-            "must be 1 or more, for a rules.fall over 0",
+            "must be 1 or more, and rules.fall must be over 0",
         );
     }
 
@@ -234,7 +234,7 @@
         self.reject_if(
             discovery.list_interval.min(discovery.state_interval) < MIN_DISCOVERY_INTERVAL,
             "discovery.every",
-            "looks must be 10ms or more apart",
+            "discovery.every and discovery.state_every must be 10ms or more",
         );
     }
 
@@ -251,12 +251,12 @@
         self.reject_if(
             limits.max_incoming_bytes < limits.max_statement_bytes,
             "limits.incoming_bytes",
-            "is under limits.statement_bytes: not one such statement could come in",
+            "is under limits.statement_bytes: a statement of that size could not be received",
         );
         self.reject_if(
             limits.max_buffered_bytes < limits.max_page_bytes,
             "limits.held_bytes",
-            "is under limits.page_bytes: not one page could be held",
+            "is under limits.page_bytes: a page of that size could not be buffered",
         );
     }
 
@@ -265,12 +265,12 @@
         self.reject_if(
             limits.abandon_after < limits.long_poll_timeout * 2,
             "limits.abandon_after",
-            "must be twice limits.long_poll or more: a client that polls as it should would be dropped",
+            "must be at least twice limits.long_poll: otherwise clients that poll regularly would be abandoned",
         );
         self.reject_if(
             limits.long_poll_timeout > MAX_LONG_POLL,
             "limits.long_poll",
-            "is over a minute: clients and proxies between give up",
+            "is over a minute: clients and proxies would time out",
         );
         self.reject_if(
             limits.tick.is_zero() || limits.tick > MAX_TICK,
--- a/crates/statement-router/tests/runaway_enforcement.rs
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -85,7 +85,7 @@
     let response = &client.responses().last().expect("a response").response;
     let body = String::from_utf8_lossy(&response.body);
     assert!(
-        body.contains("a rule of this installation ends it"),
+        body.contains("a rule of this installation terminates it"),
         "{body}"
     );
     assert_eq!(cluster.sent_attempts(&long), 1);
--- a/crates/statement-router/tests/settings.rs
+++ b/crates/statement-router/tests/settings.rs
@@ -9,33 +9,39 @@
     ("{ kinds: null }", "kinds: missing"),
     (
         "{ clases: [] }",
-        "clases: unknown key; is \"classes\" meant?",
+        "clases: unknown key; did you mean \"classes\"?",
+    ),
+    (
+        "{ router+: { listen: 8080 } }",
+        "router.listen: expected a text",
     ),
-    ("{ router+: { listen: 8080 } }", "router.listen: a text"),
     (
         "{ router+: { index: 3 } }",
         "router.index: must be under router.of, 1",
     ),
     (
         "{ router+: { index: 1.5 } }",
-        "router.index: a whole number",
+        "router.index: expected a whole number",
+    ),
+    (
+        "{ rules+: { ramp: 14 } }",
+        "rules.ramp: 14 is not a duration",
     ),
-    ("{ rules+: { ramp: 14 } }", "rules.ramp: 14 is no duration"),
     (
         "{ rules+: { ramp: '14' } }",
-        "rules.ramp: \"14\" is no duration",
+        "rules.ramp: \"14\" is not a duration",
     ),
     (
         "{ rules+: { ramp: '14 parsecs' } }",
-        "rules.ramp: \"14 parsecs\" is no duration",
+        "rules.ramp: \"14 parsecs\" is not a duration",
     ),
     (
         "{ rules+: { start_capacity: -1 } }",
-        "rules.start_capacity: a number of 0 or more",
+        "rules.start_capacity: expected a number of 0 or more",
     ),
     (
         "{ rules+: { start_capacity: 1.5 } }",
-        "rules.start_capacity: is a part",
+        "rules.start_capacity: must be a fraction",
     ),
     (
         "{ rules+: { overload: 0.5 } }",
@@ -47,7 +53,7 @@
     ),
     (
         "{ engines+: { probes: 'yes' } }",
-        "engines.probes: true or false",
+        "engines.probes: expected true or false",
     ),
     (
         "{ engines+: { budget: { spare: 1 } } }",
@@ -55,29 +61,32 @@
     ),
     (
         "{ engines+: { notes_every: '1s' } }",
-        "engines.notes_every: notes only serve where engines.cancel",
+        "engines.notes_every: progress reports are only of use where engines.cancel",
     ),
     (
         "{ default_class: 'lokup' }",
-        "default_class: \"lokup\" is no class",
+        "default_class: \"lokup\" is not a class",
     ),
-    ("{ classes: [] }", "classes: a list of at least one class"),
-    ("{ classes: [1] }", "classes[0]: an object"),
+    (
+        "{ classes: [] }",
+        "classes: expected a list of at least one class",
+    ),
+    ("{ classes: [1] }", "classes[0]: expected an object"),
     (
         "{ classes+: [super.classes[0]] }",
-        "classes[3].name: \"lookup\" is given twice",
+        "classes[3].name: duplicate class name \"lookup\"",
     ),
     (
         "{ classes+: [super.classes[0] { name: 'a b' }] }",
-        "classes[3].name: only letters",
+        "classes[3].name: a client tag can contain only letters",
     ),
     (
         "{ classes+: [super.classes[0] { name: 'x', kinds: ['std-9'] }] }",
-        "classes[3].kinds[0]: \"std-9\" is none of",
+        "classes[3].kinds[0]: unknown name \"std-9\"; expected one of",
     ),
     (
         "{ classes+: [super.classes[0] { name: 'x', repeat: 'twice' }] }",
-        "classes[3].repeat: 'safe' or 'never'",
+        "classes[3].repeat: expected 'safe' or 'never'",
     ),
     (
         "{ classes+: [super.classes[0] { name: 'x', patience: '1s' }] }",
@@ -85,7 +94,7 @@
     ),
     (
         "{ classes+: [super.classes[0] { name: 'x', holds: true }] }",
-        "classes[3].holds: a class that holds",
+        "classes[3].holds: a class whose statements lock",
     ),
     (
         "{ limits: { incoming_bytes: 5 } }",
@@ -97,19 +106,19 @@
     ),
     (
         "{ limits: { abandon_after: '1s' } }",
-        "limits.abandon_after: must be twice",
+        "limits.abandon_after: must be at least twice",
     ),
     (
         "{ runaways: { acts: ['name', 'kill'] } }",
-        "runaways.acts[1]: \"kill\" is none of 'name'",
+        "runaways.acts[1]: unknown action \"kill\"; expected one of 'name'",
     ),
     (
         "{ runaways: { acts: 'name' } }",
-        "runaways.acts: a list of 'name'",
+        "runaways.acts: expected a list of 'name'",
     ),
     (
         "{ runaways: { classes: { reports: [] } } }",
-        "runaways.classes.reports: is no class",
+        "runaways.classes.reports: is not a class",
     ),
     (
         "{ runaways: { holds: true } }",
@@ -127,7 +136,10 @@
         "{ runaways: { acts: ['name', 'lower'] } }",
         "'lower' only works with 'hold'",
     ),
-    ("{ runaways: { acts: ['hold'] } }", "must be named too"),
+    (
+        "{ runaways: { acts: ['hold'] } }",
+        "'hold', 'pause' and 'end' require 'name'",
+    ),
     ("{ runaways: { kinds: 5 } }", "runaways.kinds: must be 100"),
     (
         "{ runaways: { save_every: '1ms' } }",
@@ -135,12 +147,12 @@
     ),
     (
         "{ router+: { admin: '127.0.0.1:8080' } }",
-        "router.admin: is router.listen",
+        "router.admin: must differ from router.listen",
     ),
     ("{ limits: { tick: '0s' } }", "limits.tick: must be over 0"),
     (
         "{ discovery+: { every: '1ms' } }",
-        "discovery.every: looks must be 10ms",
+        "discovery.every: discovery.every and discovery.state_every must be 10ms",
     ),
     ("{ x: error 'own words' }", "own words"),
     ("{ x: nothing }", "nothing"),
