--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -66,7 +66,7 @@
     let Ok(fingerprint) = fingerprint.parse::<FingerprintId>() else {
         return problem(
             404,
-            "a fingerprint has 16 hexadecimal digits, as in the holds of GET /v1/admin/runaways",
+            "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways lists them",
         );
     };
     if *method != Method::Delete {
@@ -74,7 +74,7 @@
             .with_header("Allow", "DELETE");
     }
     if !context.with_core(|core, _| core.release_fingerprint(fingerprint)) {
-        return problem(404, "there is no hold on this fingerprint");
+        return problem(404, "that kind is not held");
     }
     tracing::warn!(kind = %fingerprint, "hold released by an administrator");
     Response::new(204)
