--- a/crates/statement-router/src/atomic_file.rs
+++ b/crates/statement-router/src/atomic_file.rs
@@ -1,15 +1,15 @@
-//! Files that are replaced as a whole: after a crash there is the old one or the new one.
+//! Atomic replacement of files: after a crash, a file has either its old or its new content.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Maximum size of a file that is read. No file of a router is larger.
+/// Maximum size of a file that is read. A router writes no larger file.
 const MAX_FILE_BYTES: u64 = 256 << 20;
-/// Extension of the file that is written first and then renamed.
+/// Extension of the temporary file that is renamed once it is complete.
 const TEMPORARY_EXTENSION: &str = "new";
 
-/// Replaces a file. Its directory is created where it is missing.
+/// Replaces a file durably. Creates its directory if it is missing.
 pub(crate) fn write(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let dir = path.parent().unwrap_or(path);
     fs::create_dir_all(dir)?;
--- a/crates/statement-router/src/context.rs
+++ b/crates/statement-router/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a running router share.
+//! The state that the parts of a running router share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use crate::fleet_member::FleetMember;
 use crate::settings::Settings;
 
-/// What front ends and tasks share of a running router. It knows none of them.
+/// The state of a running router that front ends and tasks share. It does not depend on them.
 pub struct RouterContext {
     settings: RefCell<Rc<Settings>>,
     fleet_member: Option<Rc<FleetMember>>,
@@ -29,8 +29,8 @@
 }
 
 impl RouterContext {
-    /// The context of a router with these settings. `incarnation` distinguishes this process of the router from others;
-    /// with the secret, its tokens stay valid in later ones.
+    /// Creates the context of a router with these settings. `incarnation` distinguishes this process of the router
+    /// from others. Tokens stay valid in later processes that have the same secret.
     pub(crate) fn new(
         settings: Rc<Settings>,
         secret: &[u8],
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The current settings. Indices of classes, kinds and zones stay valid; further ones may be appended.
+    /// Returns the current settings. Indices of classes, kinds and zones stay valid; new ones may be appended.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
@@ -63,42 +63,42 @@
         *self.settings.borrow_mut() = settings;
     }
 
-    /// The router's membership in a coordinated fleet, if it has one.
+    /// Returns the router's membership in a coordinated fleet, if it has one.
     pub fn fleet_member(&self) -> Option<&Rc<FleetMember>> {
         self.fleet_member.as_ref()
     }
 
-    /// The key of the router's tokens.
+    /// Returns the key of the router's tokens.
     pub fn token_key(&self) -> &TokenKey {
         &self.token_key
     }
 
-    /// The name of this incarnation.
+    /// Returns the id of this incarnation.
     pub fn incarnation(&self) -> &str {
         &self.incarnation
     }
 
-    /// The event loop that drives the core.
+    /// Returns the event loop that drives the core.
     pub fn event_loop(&self) -> &EventLoop {
         &self.event_loop
     }
 
-    /// The client of the engines.
+    /// Returns the client of the engines.
     pub fn engines(&self) -> &Rc<EngineClient> {
         &self.engines
     }
 
-    /// A coarse timer, for the many waits of polls.
+    /// Returns the coarse timer on which polls wait.
     pub fn timer(&self) -> &CoarseTimer {
         &self.timer
     }
 
-    /// Spawns tasks of the router.
+    /// Returns the spawner of the router's tasks.
     pub fn spawner(&self) -> &Spawner {
         &self.spawner
     }
 
-    /// Whether a graceful shutdown has begun.
+    /// Returns whether a graceful shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
@@ -107,7 +107,7 @@
         self.is_shutting_down.set(true);
     }
 
-    /// The number of engines on the last list.
+    /// Returns the number of engines on the last list.
     pub fn listed_engines(&self) -> usize {
         self.listed_engines.get()
     }
@@ -120,22 +120,22 @@
     ///
     /// # Panics
     ///
-    /// If the core is borrowed already.
+    /// Panics if the core is already borrowed.
     pub fn with_core<T>(&self, function: impl FnOnce(&mut Core, Micros) -> T) -> T {
         self.event_loop.with_core(function)
     }
 
-    /// The name of an engine.
+    /// Returns the name of an engine.
     pub fn engine_name(&self, engine: EngineId) -> String {
         self.engines.engine_name(engine)
     }
 
-    /// Listens for news of a statement. To be called before the core is polled, so that no news is missed.
+    /// Listens for changes of a statement. Callers listen before they poll the core, so that no change is missed.
     pub fn listen(&self, id: StatementId) -> EventListener {
         self.event_loop.listen(id)
     }
 
-    /// Releases the event of a statement if nobody listens for it any more.
+    /// Releases the event of a statement if it has no listeners left.
     pub fn release_listener(&self, id: StatementId) {
         self.event_loop.release_listener(id);
     }
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Reads the list of engines from discovery, and the state of each engine from the engine itself.
 //!
-//! Where the fleet has these tasks, the holder of a task lease performs them for all routers, and the others use its notes.
-//! What the readings mean is decided in [`endpoint_list`](crate::endpoint_list).
+//! In a fleet with these tasks, the holder of a task lease performs them for all routers, and the others use its
+//! notes. The readings are interpreted in [`endpoint_list`](crate::endpoint_list).
 
 mod engine_state;
 mod request;
@@ -25,22 +25,22 @@
 use crate::fleet_member::{FleetMember, LeasedOperation};
 use crate::settings::Settings;
 
-/// Reads in a row that may fail before another router is to read the list for all.
+/// Consecutive failed reads after which another router takes over reading the list.
 const MAX_FAILED_READS: u32 = 3;
 
-/// Receives changes of the list of engines.
+/// A receiver of changes of the engine list.
 pub trait EndpointListener {
-    /// The time, by the clock of the core.
+    /// Returns the time, by the clock of the core.
     fn now(&self) -> Micros;
 
-    /// The list has changed, or, with [`ListScope::Failed`] and no entries, could not be read.
+    /// Reports a changed list, or, with [`ListScope::Failed`] and no entries, a failed read.
     fn endpoints_changed(&self, scope: ListScope, entries: Vec<EndpointEntry>);
 
-    /// The name and the address of a listed engine.
+    /// Reports the name and the address of a listed engine.
     fn address_changed(&self, engine: EngineId, name: &str, addr: SocketAddr);
 }
 
-/// Why discovery's list could not be read.
+/// An error of reading the list from discovery.
 #[derive(Debug, thiserror::Error)]
 enum ListError {
     #[error(transparent)]
@@ -49,26 +49,26 @@
     Invalid,
 }
 
-/// The task's lease expires too soon to begin.
+/// The error that a task lease expires too soon to begin an operation.
 #[derive(Debug, thiserror::Error)]
 #[error("the lease expires too soon")]
 struct LeaseExpiring;
 
-/// Reads discovery and the engines for one router.
+/// The reader of discovery and of the engines' states for one router.
 pub struct Discovery {
     settings: Rc<Settings>,
     endpoints: RefCell<EndpointList>,
-    /// Names of the engines whose state is being read, by one task each.
+    /// Names of the engines whose state a task reads.
     watched_engines: RefCell<HashSet<String>>,
     fleet_member: Option<Rc<FleetMember>>,
     observations: RefCell<BTreeMap<Shard, ShardObservations>>,
     is_failing: Cell<bool>,
-    /// Reads in a row that have failed since the list was last handed over.
+    /// Consecutive failed reads since the task was last handed over.
     failed_reads: Cell<u32>,
     refresh_requested: Event,
 }
 
-/// What this router has observed for all, under one lease.
+/// The observations that this router has made for the fleet under one lease.
 #[derive(Default)]
 struct ShardObservations {
     fencing_token: u64,
@@ -76,7 +76,7 @@
 }
 
 impl Discovery {
-    /// Knows no engine yet. Without a fleet member, this router reads everything itself.
+    /// Creates a reader that knows no engine yet. Without a fleet member, this router reads everything itself.
     pub fn new(settings: Rc<Settings>, fleet_member: Option<Rc<FleetMember>>) -> Rc<Discovery> {
         let endpoints = EndpointList::new(
             &settings.discovery.environment,
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Applies the kinds and zones of changed settings, and reports the list again.
+    /// Applies the kinds and zones of changed settings and reports the list again.
     pub fn update_settings(&self, settings: &Settings, listener: &dyn EndpointListener) {
         self.endpoints
             .borrow_mut()
@@ -103,7 +103,7 @@
         self.publish(listener);
     }
 
-    /// Requests a read at once.
+    /// Requests an immediate read of the list.
     pub fn refresh(&self) {
         self.refresh_requested.notify(1);
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Which router performs a shard of a task now.
+    /// Returns which router performs a shard of a task now.
     fn assignment(&self, shard: Shard) -> TaskAssignment {
         match &self.fleet_member {
             Some(member) => member.assignment(shard),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Begins to perform a shard: for the whole fleet under its lease, or without one for this router alone.
+    /// Begins an operation on a shard: under its lease for the whole fleet, or without a lease for this router alone.
     fn begin(
         &self,
         assignment: &TaskAssignment,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Reads the list from discovery, for this router or for all.
+    /// Reads the list from discovery, for this router or for the whole fleet.
     async fn read_list(
         self: &Rc<Self>,
         assignment: &TaskAssignment,
@@ -209,7 +209,8 @@
         listener.endpoints_changed(ListScope::Failed, Vec::new());
     }
 
-    /// A router that alone can't reach discovery would keep the others on an old list for as long as it holds the lease.
+    /// Hands the task over after repeated failures. A router that alone cannot reach discovery would otherwise keep
+    /// the others on an old list for as long as it holds the lease.
     fn hand_over_after_failures(&self, operation: Option<LeasedOperation>) {
         let failed_reads = match self.is_failing.get() {
             true => self.failed_reads.get() + 1,
--- a/crates/statement-router/src/discovery/engine_state.rs
+++ b/crates/statement-router/src/discovery/engine_state.rs
@@ -20,14 +20,14 @@
 const INFO_PATH: &str = "/v1/info";
 const STATE_PATH: &str = "/v1/info/state";
 
-/// What an engine reports of itself, as far as it has answered.
+/// The state that an engine reports of itself; a field is `None` if the engine did not respond.
 struct EngineReading {
     uptime: Option<Duration>,
     state: Option<NodeState>,
 }
 
 impl Discovery {
-    /// Starts a task for each listed engine that has none.
+    /// Starts a watching task for each listed engine that has none.
     pub(super) fn start_engine_watchers(
         self: &Rc<Self>,
         spawner: &Spawner,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reads the state of an engine at its interval, for as long as it is listed.
+    /// Reads the state of an engine at the configured interval for as long as the engine is listed.
     async fn watch_engine(&self, name: &str, listener: &dyn EndpointListener) {
         loop {
             let addr = self.endpoints.borrow().address(name);
@@ -69,7 +69,7 @@
         health_check_shard(engine, member.shard_count(Task::HealthCheck))
     }
 
-    /// Applies what another router has observed.
+    /// Applies an observation of another router.
     fn apply_note(&self, name: &str, note: &str, now: Micros) {
         let observations = EngineObservations::from_note(note);
         let Some(observation) = observations.get(name) else {
@@ -85,7 +85,7 @@
         endpoints.update_state(name, state);
     }
 
-    /// Reads the state of an engine, for this router or for all.
+    /// Reads the state of an engine, for this router or for the whole fleet.
     async fn read_engine(
         &self,
         name: &str,
@@ -135,7 +135,8 @@
         reading
     }
 
-    /// Records an observation for the other routers. Under a new lease it starts from the note of the previous holder.
+    /// Records an observation for the other routers. Under a new lease, the observations start from the note of the
+    /// previous holder.
     fn record_observation(
         &self,
         operation: &LeasedOperation,
--- a/crates/statement-router/src/discovery/request.rs
+++ b/crates/statement-router/src/discovery/request.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery and to engines, within the lease under which they are made.
+//! Requests to discovery and to engines, bounded by the lease under which they are sent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,8 @@
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 impl Discovery {
-    /// One GET request. Under a lease it carries the fencing token, and it ends when the lease does.
+    /// Sends a GET request. Under a lease, the request carries the fencing token and times out no later than the
+    /// lease expires.
     pub(super) async fn get(
         &self,
         addr: SocketAddr,
@@ -34,7 +35,7 @@
             ..Limits::default()
         };
         let mut connection = Connection::open(addr, timeout, limits).await?;
-        // Checked again at the last moment: opening the connection may have taken longer than the lease had left.
+        // The lease is checked again right before sending: it may have expired while the connection was opened.
         let remaining = match operation {
             Some(operation) => operation.remaining().ok_or_else(lease_expired)?,
             None => timeout,
--- a/crates/statement-router/src/endpoint_list.rs
+++ b/crates/statement-router/src/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The list of engines, from discovery and from what the engines themselves report: no I/O, no clock.
+//! The list of engines, from discovery and from the reports of the engines themselves, without I/O or a clock.
 //!
-//! Discovery's list names engines and their addresses. It can be late, and knows only whether a process runs. Each engine
-//! reports its own state and its uptime. A process that is younger than the known one is a new one, even where the list has
-//! not noticed.
+//! Discovery lists engines and their addresses. Its list can be out of date, and shows only whether a process runs.
+//! Each engine reports its own state and uptime. A process that is younger than the known one is a new process, even
+//! if the list has not changed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 /// Maximum length of the name of an engine, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// An uptime that puts the start of the process this much later than known belongs to a new process. A smaller difference
-/// is the time that the response took, and the rounding of the text.
+/// An uptime that places the start of the process later than known by more than this belongs to a new process.
+/// Smaller differences come from the response time and from rounding.
 const NEW_PROCESS_TOLERANCE: Micros = 1_500_000;
 
-/// An engine of the list.
+/// A listed engine.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The engine's id for the policy, which it keeps while the router runs.
+    /// The engine's id for the policy. It stays the same while the router runs.
     pub id: EngineId,
-    /// Its name.
+    /// The engine's name.
     pub name: String,
-    /// Its address.
+    /// The engine's address.
     pub addr: SocketAddr,
     service_id: String,
     zone: Option<String>,
@@ -38,7 +38,7 @@
     is_draining: bool,
 }
 
-/// Why an entry of discovery's list is skipped.
+/// The reason for skipping an entry of discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The list has too many engines. The rest of it is skipped.
@@ -49,18 +49,18 @@
     Skipped {
         /// The name of the engine.
         name: String,
-        /// Why.
+        /// The reason.
         reason: SkipReason,
     },
 }
 
-/// Why a single entry of discovery's list is skipped.
+/// The reason for skipping a single entry of discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SkipReason {
-    /// There is an entry of this name already.
+    /// The list already has an entry with this name.
     #[error("duplicate entry")]
     Duplicate,
-    /// The list is another environment's.
+    /// The list belongs to another environment.
     #[error("environment is {listed:?}, expected {expected:?}")]
     OtherEnvironment {
         /// The environment of the list.
@@ -71,13 +71,13 @@
     /// The name is empty or too long.
     #[error("node id must have 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
-    /// There is no address.
+    /// The entry has no address.
     #[error("property \"http\" is missing")]
     NoAddress,
     /// The address is malformed.
     #[error("{0:?} is not of the form http://address:port")]
     InvalidAddress(String),
-    /// Ids have run out.
+    /// All engine ids are in use.
     #[error("engine ids are exhausted")]
     NoMoreIds,
 }
@@ -94,7 +94,7 @@
 }
 
 impl EndpointList {
-    /// An empty list. The policy refers to kinds and zones by their indices here.
+    /// Creates an empty list. The policy refers to kinds and zones by their indices here.
     pub fn new(environment: &str, kinds: Vec<String>, zones: Vec<String>) -> EndpointList {
         EndpointList {
             environment: environment.to_owned(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Replaces the list with a complete one of discovery. Returns why entries were skipped.
+    /// Replaces the list with a complete list from discovery. Returns the errors of skipped entries.
     pub fn update(&mut self, now: Micros, list: &Services) -> Vec<EntryError> {
         let mut errors = Vec::new();
         let mut endpoints = BTreeMap::new();
@@ -172,7 +172,7 @@
             zone: zone.map(str::to_owned),
             kind: service.properties.get("kind").cloned(),
             cell: cell.and_then(|cell| cell.parse().ok()).unwrap_or(0),
-            // An engine of unknown age may be warming up; without a slow start it could be overloaded.
+            // An engine of unknown age may still be warming up and could be overloaded without a slow start.
             ready_at: now,
             has_reported_uptime: false,
             is_draining: false,
@@ -189,7 +189,7 @@
         Ok(id)
     }
 
-    /// Updates the state that an engine reports.
+    /// Applies the state that an engine reports.
     pub fn update_state(&mut self, name: &str, state: NodeState) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             let is_draining = state == NodeState::ShuttingDown;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Updates the uptime that an engine reports. A new process does not drain any more.
+    /// Applies the uptime that an engine reports. A new process is not draining.
     pub fn update_uptime(&mut self, now: Micros, name: &str, uptime: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             let started_at = now.saturating_sub(uptime.as_micros() as Micros);
@@ -212,23 +212,23 @@
         }
     }
 
-    /// The engines, in the order of their names.
+    /// Returns the engines, in the order of their names.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// The address of an engine; `None` where it is not listed.
+    /// Returns the address of an engine, or `None` if it is not listed.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.endpoints.get(name).map(|endpoint| endpoint.addr)
     }
 
-    /// Sets the kinds and zones, and marks the list as changed. Those that were known must keep their indices.
+    /// Sets the kinds and zones, and marks the list as changed. Known ones must keep their indices.
     pub fn set_kinds_and_zones(&mut self, kinds: Vec<String>, zones: Vec<String>) {
         (self.kinds, self.zones) = (kinds, zones);
         self.has_changed = true;
     }
 
-    /// The complete list for the policy, where it has changed since the last call.
+    /// Returns the complete list for the policy if it has changed since the last call.
     pub fn take_changed(&mut self) -> Option<Vec<EndpointEntry>> {
         std::mem::take(&mut self.has_changed)
             .then(|| self.endpoints.values().map(|e| self.entry(e)).collect())
--- a/crates/statement-router/src/engines.rs
+++ b/crates/statement-router/src/engines.rs
@@ -1,7 +1,7 @@
 //! The client of all engines: sends attempts, polls for their results, controls statements and checks engines' health.
 //!
-//! It executes what the policy has decided and reports what it observes to an [`EngineObserver`]. It decides nothing, and
-//! never submits a statement twice.
+//! The client executes the policy's decisions and reports its observations to an [`EngineObserver`]. It makes no
+//! decisions, and submits each attempt only once.
 
 mod attempt;
 mod attempt_id;
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at an engine: the statement is submitted once, and its results are polled for.
+//! An attempt to run a statement at an engine: submits the statement once and polls for its results.
 //!
-//! The reported outcome says what the observed failure proves: that the statement was never executed, or that it may have
-//! been.
+//! The reported outcome states what an observed failure proves: that the statement was never executed, or that it may
+//! have been executed.
 
 mod error;
 mod kill_proof;
@@ -28,7 +28,7 @@
 use super::transport::EngineTransport;
 use error::AttemptError;
 
-/// Timeout of the request by which an engine drops a statement.
+/// Timeout of the request that cancels a statement at its engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The engine's own id of a statement, once it is known.
@@ -37,15 +37,15 @@
 /// A message to an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptControl {
-    /// Fetch the next page.
+    /// Fetches the next page.
     Fetch,
-    /// Cancel the attempt, and report its end.
+    /// Cancels the attempt and reports its end.
     Cancel,
-    /// Drop the attempt, without a report.
+    /// Drops the attempt without a report.
     Release,
 }
 
-/// Why an attempt stops before its result is complete.
+/// The reason why an attempt stops before its result is complete.
 enum Stop {
     Failed(AttemptError),
     /// The core has released the attempt and expects no report.
@@ -67,7 +67,7 @@
     }
 }
 
-/// What interrupts an exchange.
+/// An event that interrupts an exchange.
 enum Interruption {
     DeadlineExceeded,
     Controlled(AttemptControl),
@@ -85,7 +85,7 @@
     next_path: Option<String>,
     query_id: QueryIdCell,
     columns: Option<Rc<RawValue>>,
-    /// Once a page has been delivered, the client sets the pace and the deadline does not apply any more.
+    /// Whether a page has been delivered. From then on the client sets the pace, and the deadline no longer applies.
     has_delivered_page: bool,
 }
 
@@ -145,7 +145,7 @@
         self.observer.attempt_ended(self.id, outcome);
     }
 
-    /// Awaits an exchange unless the deadline or the core interrupts it.
+    /// Awaits an exchange until it ends or the deadline or the core interrupts it.
     async fn interruptible<T>(&self, exchange: impl Future<Output = T>) -> Result<T, Interruption> {
         let exchange = async { Ok(exchange.await) };
         let control = async { Err(Interruption::Controlled(self.next_interruption().await)) };
@@ -156,7 +156,7 @@
         future::or(exchange, future::or(control, deadline)).await
     }
 
-    /// The next message that ends the attempt. A fetch is ignored: only a page that waits for it has a use for it.
+    /// Returns the next message that ends the attempt. Ignores fetches, which only matter after a delivered page.
     async fn next_interruption(&self) -> AttemptControl {
         loop {
             match self.control.recv().await {
@@ -175,7 +175,7 @@
         Timer::after(Duration::from_micros(remaining)).await;
     }
 
-    /// Lets the engine drop the statement. A failure is ignored: engines drop what is not polled for.
+    /// Cancels the statement at its engine. A failure is ignored, since engines drop statements that are not polled.
     async fn cancel_at_engine(&self) {
         let Some(target) = self.next_path.clone() else {
             return;
--- a/crates/statement-router/src/engines/attempt/error.rs
+++ b/crates/statement-router/src/engines/attempt/error.rs
@@ -1,4 +1,4 @@
-//! Why an attempt has no result, and what that proves.
+//! Errors of attempts and what they prove about the execution of the statement.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 
 use crate::engines::observer::SendRejected;
 
-/// Why an attempt has no result.
+/// An error that ends an attempt without a result.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AttemptError {
     #[error("the engine is no longer listed")]
@@ -20,10 +20,10 @@
     Connect(#[source] io::Error),
     #[error("the engine did not respond in time")]
     SubmitTimedOut,
-    /// The connection has failed after the request was begun.
+    /// The connection failed after the request was begun.
     #[error(transparent)]
     Submit(ClientError),
-    /// By the protocol, the statement was not accepted and the client is to try again.
+    /// By the protocol, the statement was not accepted and can be retried.
     #[error("the engine is overloaded and did not accept the statement (status {status})")]
     Overloaded {
         status: u16,
@@ -37,7 +37,7 @@
     UnknownToEngine,
     #[error("the engine responded to a poll with status {0}")]
     PollStatus(u16),
-    /// Several polls in a row have failed; this is the last failure.
+    /// Several consecutive polls have failed; this is the last failure.
     #[error(transparent)]
     PollsFailed(PollError),
     #[error("cannot connect to the engine for a poll: {0}")]
@@ -50,12 +50,12 @@
     Cancelled,
     #[error("the engine's response is not valid QueryResults: {0}")]
     InvalidResults(#[source] serde_json::Error),
-    /// The engine was restarted, and has given the URI to another statement.
+    /// The engine was restarted and has assigned the URI to another statement.
     #[error("the engine's response belongs to another statement")]
     OtherStatement,
     #[error("the engine's nextUri is not on the engine's own address")]
     ForeignNextUri,
-    /// The engine reports an error that is not the statement's.
+    /// The engine reports an error that the statement did not cause.
     #[error("{name}: {message}")]
     EngineFailure {
         name: String,
@@ -64,7 +64,7 @@
     },
 }
 
-/// Why a single poll has no result. It can be repeated.
+/// An error of a single poll that can be repeated.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
     #[error("the engine responded to a poll with status {0}")]
@@ -74,7 +74,7 @@
 }
 
 impl AttemptError {
-    /// What the error proves about the attempt.
+    /// Returns what the error proves about the attempt.
     fn status(&self) -> AttemptStatus {
         match self {
             AttemptError::EngineNotListed | AttemptError::NotAuthorized(_) => {
--- a/crates/statement-router/src/engines/attempt/kill_proof.rs
+++ b/crates/statement-router/src/engines/attempt/kill_proof.rs
@@ -1,4 +1,4 @@
-//! What became of the effects of a statement that was killed at its engine.
+//! The proof of what became of the effects of a statement that was killed at its engine.
 
 use async_io::Timer;
 use hoptiller_http::{Method, Response};
@@ -10,7 +10,7 @@
 use crate::engines::connection_pool::Timeouts;
 
 impl RunningAttempt<'_> {
-    /// Asks the engine what became of the effects. A request that the engine can't answer is repeated.
+    /// Requests from the engine what became of the effects. Repeats a request to which the engine cannot respond.
     pub(super) async fn fetch_kill_proof(&self) -> Proof {
         let Some(query_id) = self.query_id.borrow().clone() else {
             return Proof::Unknown;
--- a/crates/statement-router/src/engines/attempt/poll.rs
+++ b/crates/statement-router/src/engines/attempt/poll.rs
@@ -9,13 +9,13 @@
 use super::error::PollError;
 use super::{AttemptError, Interruption, RunningAttempt, Stop};
 
-/// Polls in a row that may fail before the engine counts as gone. A poll requests the same numbered response again, so
-/// that a further one repeats nothing.
+/// Consecutive failed polls after which the attempt fails. Polls are safe to repeat: each requests the same numbered
+/// response.
 pub(super) const MAX_FAILED_POLLS: u32 = 3;
-/// Pause after a poll that the engine could not answer.
+/// Pause after a failed poll.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a single poll has no result.
+/// An error of a single poll.
 enum PollFailure {
     /// The poll can be repeated.
     Transient(PollError),
--- a/crates/statement-router/src/engines/attempt/progress.rs
+++ b/crates/statement-router/src/engines/attempt/progress.rs
@@ -1,4 +1,4 @@
-//! The status of a running statement, as the responses to polls contain it.
+//! The status of a running statement in the responses to polls.
 
 use hoptiller_http::Response;
 use hoptiller_policy::Progress;
@@ -30,7 +30,7 @@
     status
 }
 
-/// Clients and engines write 0 for what is not known.
+/// Converts the protocol's statistics, in which 0 stands for an unknown value.
 fn from_stats(stats: &Stats) -> ProgressReport {
     let known = |value: u64| (value > 0).then_some(value);
     ProgressReport {
--- a/crates/statement-router/src/engines/attempt/results.rs
+++ b/crates/statement-router/src/engines/attempt/results.rs
@@ -1,4 +1,4 @@
-//! The responses of an engine: checks each, and delivers its page of rows.
+//! The validation of an engine's responses and the delivery of their pages of rows.
 
 use std::rc::Rc;
 
@@ -13,10 +13,10 @@
 
 /// Maximum length of the path of a `nextUri`, in bytes.
 const MAX_PATH_BYTES: usize = 4096;
-/// Work of a statement above which a report counts as invalid, in ms.
+/// Upper limit of a valid report of a statement's work, in ms.
 const MAX_WORK_MS: f64 = 1e12;
 
-/// Prefixes of the headers by which an engine changes a client's session.
+/// Prefixes of the headers with which an engine changes a client's session.
 const SESSION_HEADER_PREFIXES: [&str; 5] = [
     "x-trino-set-",
     "x-trino-clear-",
@@ -26,7 +26,8 @@
 ];
 
 impl RunningAttempt<'_> {
-    /// Accepts a response, and waits until the next page is to be fetched. Returns whether it was the last response.
+    /// Accepts a response and waits until the next page is to be fetched. Returns whether the response was the last
+    /// one.
     pub(super) async fn accept_response(&mut self, response: &Response) -> Result<bool, Stop> {
         let results: QueryResults =
             serde_json::from_slice(&response.body).map_err(AttemptError::InvalidResults)?;
@@ -60,7 +61,8 @@
         }
     }
 
-    /// An engine that was restarted can have another statement under the same URI.
+    /// Checks that a response belongs to this statement: a restarted engine can have another statement under the same
+    /// URI.
     fn check_query_id(&self, id: &str) -> Result<(), AttemptError> {
         let mut known = self.query_id.borrow_mut();
         if *known.get_or_insert_with(|| id.to_owned()) == id {
@@ -76,7 +78,7 @@
         load_report: Option<LoadReport>,
     ) -> Result<(), AttemptError> {
         if error.error_name == ErrorName::ADMINISTRATIVELY_KILLED {
-            // Without the engine's proof, the statement may have had its effect.
+            // Without proof from the engine, the statement may have taken effect.
             let proof = self.fetch_kill_proof().await;
             let reason = format!("{}: {}", error.error_name, error.message);
             self.observer.attempt_killed(self.id, proof, reason);
@@ -135,8 +137,8 @@
         self.observer.page_received(self.id, page);
     }
 
-    /// The path of a URI at this engine. `None` for a URI elsewhere: an engine must not direct the router to other
-    /// addresses.
+    /// Returns the path of a URI at this engine, or `None` for any other URI: an engine must not direct the router to
+    /// other addresses.
     fn path_of(&self, uri: &str) -> Option<String> {
         let path = match uri.strip_prefix("http://") {
             None => uri,
@@ -155,7 +157,7 @@
     }
 }
 
-/// The work of the statement, in µs.
+/// Returns the work of the statement, in µs.
 fn reported_work(response: &Response) -> Option<Micros> {
     let ms = extra::find_number(response.headers.get(extra::COST)?, "work_ms")?;
     (ms > 0.0 && ms < MAX_WORK_MS).then_some((ms * 1000.0) as Micros)
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -1,4 +1,4 @@
-//! The submission of a statement: the one request that may execute it.
+//! The submission of a statement, the only request that can execute it.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::engines::load_report;
 use crate::engines::observer::SendRejected;
 
-/// How much later than the attempt's deadline the exchange times out, so that the deadline is what ends it.
+/// Time by which the timeout of the exchange exceeds the attempt's deadline, so that the deadline takes effect first.
 const DEADLINE_SLACK_MICROS: u64 = 1_000_000;
 
 impl RunningAttempt<'_> {
-    /// Submits the statement, and returns the first response.
+    /// Submits the statement and returns the first response.
     pub(super) async fn submit(&self) -> Result<Response, Stop> {
         let request = self.submit_request();
         let remaining = self.attempt.deadline.saturating_sub(self.observer.now());
--- a/crates/statement-router/src/engines/attempt_id.rs
+++ b/crates/statement-router/src/engines/attempt_id.rs
@@ -1,4 +1,4 @@
-//! Identifies an attempt at a statement.
+//! The identifier of an attempt at a statement.
 
 use hoptiller_router_core::StatementId;
 
--- a/crates/statement-router/src/engines/client.rs
+++ b/crates/statement-router/src/engines/client.rs
@@ -17,7 +17,7 @@
 use super::observer::EngineObserver;
 use super::transport::{EngineOptions, EngineTransport};
 
-/// Capacity of the channel to an attempt, beyond the few messages that a core has for it.
+/// Capacity of the control channel of an attempt. Few messages to one attempt are pending at a time.
 const CONTROL_CHANNEL_CAPACITY: usize = 8;
 const HEALTH_CHECK_PATH: &str = "/v1/status";
 
@@ -33,14 +33,14 @@
     query_id: QueryIdCell,
 }
 
-/// Where the statement of an attempt is found at its engine.
+/// The location of an attempt's statement: its engine and the engine's query id.
 pub(super) struct InFlightQuery {
     pub(super) engine: EngineId,
     /// The engine's own id of the statement, once it is known.
     pub(super) query_id: Option<String>,
 }
 
-/// Removes an attempt from those in flight when dropped.
+/// A guard that removes an attempt from those in flight when dropped.
 struct InFlightGuard<'a> {
     engines: &'a EngineClient,
     id: AttemptId,
@@ -53,7 +53,7 @@
 }
 
 impl EngineClient {
-    /// A client that knows no engine yet.
+    /// Creates a client that knows no engine yet.
     pub fn new(options: EngineOptions, class_names: Vec<String>) -> EngineClient {
         EngineClient {
             transport: EngineTransport::new(options, class_names),
@@ -71,17 +71,17 @@
         self.transport.update_address(engine, name, addr);
     }
 
-    /// The name of an engine; its id where it has none.
+    /// Returns the name of an engine, or its id if the name is unknown.
     pub fn engine_name(&self, engine: EngineId) -> String {
         self.transport.engine_name(engine)
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Sends a message to an attempt; one that has ended ignores it.
+    /// Sends a message to an attempt. Does nothing if the attempt has ended.
     pub fn control_attempt(&self, id: AttemptId, control: AttemptControl) {
         if let Some(attempt) = self.in_flight.borrow().get(&id) {
             let _ = attempt.control.try_send(control);
@@ -121,7 +121,7 @@
         (receiver, InFlightGuard { engines: self, id })
     }
 
-    /// Where the statement of an attempt in flight is found; `None` once the attempt has ended.
+    /// Returns the location of the statement of an attempt in flight, or `None` once the attempt has ended.
     pub(super) fn in_flight_query(&self, id: AttemptId) -> Option<InFlightQuery> {
         let in_flight = self.in_flight.borrow();
         let attempt = in_flight.get(&id)?;
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Checks the health of an engine, and reports its load.
+    /// Checks the health of an engine and reports its load.
     pub async fn check_health(self: Rc<Self>, engine: EngineId, observer: Rc<dyn EngineObserver>) {
         let transport = &self.transport;
         let response = match transport.endpoint(engine) {
--- a/crates/statement-router/src/engines/connection_pool.rs
+++ b/crates/statement-router/src/engines/connection_pool.rs
@@ -18,7 +18,7 @@
 
 type EngineConnection = Connection<Async<TcpStream>>;
 
-/// An engine and where it is reached.
+/// An engine and its address.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Endpoint {
     pub(super) engine: EngineId,
@@ -28,17 +28,17 @@
 /// The timeouts of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeouts {
-    /// Of opening a connection.
+    /// Timeout of opening a connection.
     pub(super) connect: Duration,
-    /// Of the request and its response.
+    /// Timeout of the request and its response.
     pub(super) response: Duration,
 }
 
-/// Why an authorized exchange has no response.
+/// An error of an authorized exchange.
 pub(super) enum ExchangeError {
     /// The request was not authorized, and nothing was sent.
     NotAuthorized(SendRejected),
-    /// The exchange has failed.
+    /// The exchange failed.
     Failed(ClientError),
 }
 
@@ -61,10 +61,10 @@
         }
     }
 
-    /// One exchange, over an idle connection where there is one that the engine has not closed.
+    /// Performs an exchange over an idle connection that the engine has not closed, or over a new one.
     ///
-    /// An engine can close an idle connection just as the request is written. That is [`ClientError::Broken`], and the
-    /// request may have been executed: it is not repeated here.
+    /// An engine can close an idle connection while the request is being written. The result is
+    /// [`ClientError::Broken`]: the request may have been executed, so it is not repeated here.
     pub(super) async fn exchange(
         &self,
         endpoint: Endpoint,
@@ -76,8 +76,8 @@
             .await
     }
 
-    /// The same for a request that is authorized once there is a connection, right before its first byte is written. The
-    /// configuration versions that authorize it are sent along.
+    /// Performs an exchange that is authorized once there is a connection, right before the first byte of the request
+    /// is written. The request carries the configuration versions that authorize it.
     pub(super) async fn exchange_authorized(
         &self,
         endpoint: Endpoint,
@@ -170,7 +170,7 @@
     }
 }
 
-/// The value of [`extra::CONFIG_VERSIONS`]: `2..3`, or `2..3 doubt`.
+/// Returns the value of [`extra::CONFIG_VERSIONS`]: `2..3`, or `2..3 doubt`.
 fn format_versions(versions: &ConfigVersions) -> String {
     let doubt = if versions.in_doubt { " doubt" } else { "" };
     format!("{}..{}{doubt}", versions.in_force, versions.enforced)
--- a/crates/statement-router/src/engines/control.rs
+++ b/crates/statement-router/src/engines/control.rs
@@ -10,21 +10,21 @@
 use super::client::EngineClient;
 use super::connection_pool::Endpoint;
 
-/// Requests that are made before an engine counts as unreachable.
+/// Requests without success after which an engine counts as unreachable.
 const MAX_REQUESTS: u32 = 5;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What an engine is requested to do with a statement.
+/// A request to an engine to control a running statement.
 #[derive(Clone, Debug)]
 pub enum StatementControl {
-    /// Kill it.
+    /// Kills the statement.
     Kill {
-        /// The reason, which the client gets to see.
+        /// The reason, which is part of the error that the client receives.
         reason: String,
     },
-    /// Pause it.
+    /// Pauses the statement.
     Pause,
-    /// Resume it after a pause.
+    /// Resumes a paused statement.
     Resume,
 }
 
@@ -45,10 +45,10 @@
     }
 }
 
-/// Why an engine has not executed a control request.
+/// An error of a control request.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The attempt is not in flight any more.
+    /// The attempt is no longer in flight.
     #[error("the attempt has ended")]
     AttemptEnded,
     /// The engine has left the endpoint list.
@@ -57,19 +57,19 @@
     /// The engine has rejected the request with this HTTP status.
     #[error("the engine rejected the request with status {0}")]
     Rejected(u16),
-    /// No request has been answered.
+    /// No request was successful, or the engine has not yet reported the query id.
     #[error("the engine did not respond to any request")]
     Unreachable,
 }
 
 impl EngineClient {
-    /// Requests an engine to control a statement. A request that is not answered is repeated, as it changes nothing when it
-    /// is executed twice. The end of a killed attempt is observed by the attempt itself, so that a kill that crosses the
+    /// Sends a control request for a statement to its engine. A request without a response is repeated, since control
+    /// requests are idempotent. The attempt itself observes its end after a kill, so a kill that races with the
     /// result does no harm.
     ///
     /// # Errors
     ///
-    /// The engine has not executed the request, or has not confirmed it.
+    /// Returns an error if the engine has not executed the request, or has not confirmed it.
     pub async fn control_statement(
         self: Rc<Self>,
         id: AttemptId,
@@ -77,7 +77,7 @@
     ) -> Result<(), ControlError> {
         for _ in 0..MAX_REQUESTS {
             let (endpoint, query_id) = self.locate(id)?;
-            // Without an id the engine has not answered the attempt's first request yet.
+            // Without a query id, the engine has not yet responded to the submission.
             if let Some(query_id) = query_id {
                 let request = self.control_request(&query_id, &control);
                 let timeouts = self.transport.poll_timeouts();
--- a/crates/statement-router/src/engines/load_report.rs
+++ b/crates/statement-router/src/engines/load_report.rs
@@ -5,7 +5,7 @@
 use hoptiller_statement::discovery::NodeStatus;
 use hoptiller_statement::extra;
 
-/// The load in the response to a health check. Its optional header has precedence over the body.
+/// Returns the load in the response to a health check. Its optional header has precedence over the body.
 pub(super) fn from_status(response: &Response) -> Option<LoadReport> {
     let status: NodeStatus = serde_json::from_slice(&response.body).ok()?;
     let header = from_header(response).unwrap_or_default();
@@ -21,7 +21,7 @@
     })
 }
 
-/// The load in the optional header of any response.
+/// Returns the load in the optional header of any response.
 pub(super) fn from_header(response: &Response) -> Option<LoadReport> {
     let text = response.headers.get(extra::LOAD)?;
     let value = |name| extra::find_number(text, name).filter(|value| *value >= 0.0);
--- a/crates/statement-router/src/engines/observer.rs
+++ b/crates/statement-router/src/engines/observer.rs
@@ -1,4 +1,4 @@
-//! What an engine client reports, and whom it asks for permission.
+//! The interface through which the engine client reports observations and asks for authorization.
 
 use hoptiller_policy::{EngineId, LoadReport, Micros, Progress};
 use hoptiller_router_core::{AttemptOutcome, EngineError, ResultPage};
@@ -7,38 +7,38 @@
 
 use super::attempt_id::AttemptId;
 
-/// Receives what an engine client observes.
+/// A receiver of an engine client's observations.
 pub trait EngineObserver {
-    /// The time, by the clock of the core.
+    /// Returns the time, by the clock of the core.
     fn now(&self) -> Micros;
 
-    /// A page of rows has been received.
+    /// Reports a received page of rows.
     fn page_received(&self, id: AttemptId, page: ResultPage);
 
-    /// The engine has rejected the statement itself as wrong.
+    /// Reports that the engine has rejected the statement as invalid.
     fn statement_failed(&self, id: AttemptId, error: EngineError);
 
-    /// An attempt has ended without its result: failed, cancelled or not sent.
+    /// Reports an attempt that ended without a result: failed, cancelled or not sent.
     fn attempt_ended(&self, id: AttemptId, outcome: AttemptOutcome);
 
-    /// An attempt was killed at its engine, with the engine's proof of what became of its effects.
+    /// Reports an attempt that was killed at its engine, with the engine's proof of what became of its effects.
     fn attempt_killed(&self, id: AttemptId, proof: Proof, reason: String);
 
-    /// The engine has reported the status of an attempt.
+    /// Reports the status that the engine gives of an attempt.
     fn status_reported(&self, id: AttemptId, report: AttemptReport);
 
-    /// The engine has reported the progress of an attempt.
+    /// Reports the progress that the engine gives of an attempt.
     fn progress_reported(&self, id: AttemptId, progress: Progress);
 
-    /// A health check has ended, with a load report where the engine has answered with one.
+    /// Reports a completed health check, with the load report of the engine if its response has one.
     fn health_check_completed(&self, engine: EngineId, report: Option<LoadReport>);
 
-    /// Asked right before the first byte of an attempt is written: whether it may be sent now, and the configuration
-    /// versions that allow it, if there are any.
+    /// Authorizes an attempt right before its first byte is written. Returns the configuration versions that allow
+    /// it, if there are any.
     ///
     /// # Errors
     ///
-    /// The attempt must not be sent.
+    /// Returns an error if the attempt must not be sent.
     fn authorize_send(
         &self,
         _engine: EngineId,
@@ -51,25 +51,25 @@
 /// The status of an attempt, as its engine reports it.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptReport {
-    /// The status. A blocking statement in it has no class yet.
+    /// The status. The class of a blocking statement in it is not resolved yet.
     pub progress: ProgressReport,
-    /// Name of the class of the statement that blocks this one.
+    /// The name of the class of the statement that blocks this one.
     pub blocking_class: Option<String>,
 }
 
-/// Why an attempt must not be sent now.
+/// The reason why an attempt must not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRejected {
-    /// The config lease has expired, or the class is in no enforced version.
+    /// The config lease has expired, no enforced version has the class, or the versions cannot be applied.
     #[error("the config lease does not allow the class")]
     NoLease,
     /// The engine has left the endpoint list.
     #[error("the engine is no longer listed")]
     NotListed,
-    /// The class is restricted to other kinds or zones by now.
+    /// The class is now restricted to other kinds or zones.
     #[error("the fleet configuration has changed: the class may no longer run on this engine")]
     ClassRestricted,
-    /// The configured endpoint list has the engine as draining.
+    /// The configured endpoint list marks the engine as draining.
     #[error("the configured endpoint list has the engine as draining")]
     Draining,
     /// The idempotency key may have expired at the engine.
--- a/crates/statement-router/src/engines/transport.rs
+++ b/crates/statement-router/src/engines/transport.rs
@@ -1,4 +1,4 @@
-//! Where engines are, and how requests reach them.
+//! The addresses of engines and the transport of requests to them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,10 +15,10 @@
 /// Maximum bytes of the head of a response.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
 
-/// How engines are called.
+/// Options of requests to engines.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// This router's name and incarnation, from which statements get their names.
+    /// This router's name and incarnation, from which statement names are derived.
     pub identity: RouterIdentity,
     /// Timeout of a connection.
     pub connect_timeout: Duration,
@@ -61,7 +61,7 @@
         *self.class_names.borrow_mut() = names;
     }
 
-    /// The name of a class; empty where it has none.
+    /// Returns the name of a class, or an empty string if there is none.
     pub(super) fn class_name(&self, index: usize) -> String {
         let names = self.class_names.borrow();
         names.get(index).cloned().unwrap_or_default()
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The name of an engine; its id where it has none.
+    /// Returns the name of an engine, or its id if the name is unknown.
     pub(super) fn engine_name(&self, engine: EngineId) -> String {
         self.addresses
             .borrow()
@@ -86,14 +86,14 @@
             .map_or_else(|| format!("#{}", engine.0), |known| known.name.clone())
     }
 
-    /// Where an engine is reached; `None` where that was never known.
+    /// Returns the endpoint of an engine, or `None` if no address was ever known.
     pub(super) fn endpoint(&self, engine: EngineId) -> Option<Endpoint> {
         let addresses = self.addresses.borrow();
         let addr = addresses.get(&engine)?.addr;
         Some(Endpoint { engine, addr })
     }
 
-    /// A request that names this router.
+    /// Returns a request that names this router.
     pub(super) fn request(&self, method: Method, target: impl Into<String>) -> Request {
         Request::new(method, target).with_header(extra::ROUTER, &self.options.identity.router)
     }
--- a/crates/statement-router/src/findings.rs
+++ b/crates/statement-router/src/findings.rs
@@ -1,11 +1,11 @@
-//! Findings of the runaway detector, in words.
+//! Descriptions of the runaway detector's findings.
 
 use hoptiller_runaway::{Finding, Subject};
 
 use crate::context::RouterContext;
 use crate::settings::Settings;
 
-/// What a finding is about, for people.
+/// Returns a readable description of a finding's subject.
 pub(crate) fn describe_subject(context: &RouterContext, finding: &Finding) -> String {
     match &finding.subject {
         Subject::Statement(name) => format!("statement {name}"),
@@ -14,7 +14,7 @@
     }
 }
 
-/// Whether findings about this class are reported.
+/// Returns whether a finding is reported: the settings of its class can disable that.
 pub(crate) fn is_reported(settings: &Settings, finding: &Finding) -> bool {
     finding
         .class
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -1,8 +1,8 @@
 //! A router's membership in a coordinated fleet: its config lease, the configuration versions that it enforces, and its
 //! task leases.
 //!
-//! Whether an operation is allowed is asked right before it, as a lease can expire at any moment. A router without
-//! `agreement` in its settings has none of this.
+//! A lease can expire at any moment, so each operation is authorized right before it begins. A router without
+//! `agreement` in its settings has no membership.
 
 mod operation;
 mod renewal;
@@ -36,7 +36,7 @@
     replicas: CoordinationClient,
     settings: CoordinationSettings,
     version_file: Option<VersionFile>,
-    /// Whether this router can apply the enforced versions; if not, it rejects every class.
+    /// Whether this router can apply the enforced versions. If not, it rejects every class.
     is_usable: Cell<bool>,
     task_leases: TaskLeases,
     last_warning: Cell<Option<Micros>>,
@@ -44,8 +44,8 @@
 }
 
 impl FleetMember {
-    /// The membership of this incarnation of a router, without a lease. The versions that an earlier incarnation has stored
-    /// in the state directory are enforced from the start.
+    /// Creates the membership of this incarnation of a router, without a lease. The versions that an earlier
+    /// incarnation has stored in the state directory are enforced from the start.
     pub fn new(
         settings: CoordinationSettings,
         secret: Secret,
@@ -78,7 +78,8 @@
         })
     }
 
-    /// The versions under which statements of a class may be processed now; `None` where they must be rejected.
+    /// Returns the versions under which statements of a class may be processed now, or `None` if they must be
+    /// rejected.
     pub fn authorize(&self, class: &str) -> Option<ConfigVersions> {
         if !self.is_usable.get() {
             return None;
@@ -96,7 +97,7 @@
         })
     }
 
-    /// The merge of the enforced versions; `None` where there is none yet.
+    /// Returns the merged document of the enforced versions, or `None` if there is none yet.
     pub fn merged_document(&self) -> Option<Document> {
         self.watcher.borrow().merged_document().cloned()
     }
@@ -108,13 +109,13 @@
             .is_some_and(predicate)
     }
 
-    /// Whether the enforced versions have a class for statements that name none.
+    /// Returns whether the enforced versions have a class for statements that name none.
     pub fn has_default_class(&self) -> bool {
         self.merged_document_satisfies(|document| document.default_class.is_some())
     }
 
-    /// Whether the configured endpoint list lets an engine accept new statements. `started_at_ms`: when its process started,
-    /// in ms since 1970.
+    /// Returns whether the configured endpoint list lets an engine accept new statements. `started_at_ms` is the
+    /// start time of the engine's process in ms since 1970.
     pub fn accepts_work(&self, engine: &str, started_at_ms: u64) -> bool {
         !self.merged_document_satisfies(|document| {
             let list = document.list.as_ref();
@@ -127,7 +128,7 @@
         self.is_usable.set(is_usable);
     }
 
-    /// The versions that are enforced now, and whether the config lease has expired.
+    /// Returns the versions that are enforced now, and whether the config lease has expired.
     pub fn versions(&self) -> ConfigVersions {
         let watcher = self.watcher.borrow();
         ConfigVersions {
@@ -137,12 +138,12 @@
         }
     }
 
-    /// Whether the fleet has tasks that one router performs for all.
+    /// Returns whether the fleet has tasks that one router performs for all.
     fn has_tasks(&self) -> bool {
         self.merged_document_satisfies(|document| !document.tasks.is_empty())
     }
 
-    /// Which router performs a shard of a task now.
+    /// Returns which router performs a shard of a task now.
     pub fn assignment(&self, shard: Shard) -> TaskAssignment {
         if self.has_tasks() {
             self.task_leases.assignment(shard, self.versions().in_doubt)
@@ -151,23 +152,23 @@
         }
     }
 
-    /// The number of shards of a task.
+    /// Returns the number of shards of a task.
     pub fn shard_count(&self, task: Task) -> u32 {
         self.task_leases.shard_count(task)
     }
 
-    /// The last note of a shard, by whoever held its lease.
+    /// Returns the last note of a shard, from any holder of its lease.
     pub fn last_note(&self, shard: Shard) -> Option<String> {
         self.task_leases.last_note(shard)
     }
 
-    /// Listens for a change of the task leases, this router's or others'.
+    /// Listens for changes of the task leases of any router.
     pub fn listen_leases_changed(&self) -> EventListener {
         self.task_leases.listen_changed()
     }
 
-    /// Begins an operation for the whole fleet under the lease of a shard; `None` where this router does not hold it for
-    /// long enough.
+    /// Begins an operation for the whole fleet under the lease of a shard. Returns `None` if this router does not
+    /// hold the lease for long enough.
     pub fn begin_operation(self: &Rc<Self>, shard: Shard) -> Option<LeasedOperation> {
         let guard = self.task_leases.begin_operation(shard)?;
         Some(LeasedOperation::new(self.clone(), guard))
@@ -181,13 +182,13 @@
             .await;
     }
 
-    /// Accepts no further task leases, and releases those held. Returns whether all are released.
+    /// Accepts no further task leases and releases those held. Returns whether all are released.
     pub async fn hand_over_tasks(&self) -> bool {
         let timeout = self.settings.lease_term / 2;
         !self.has_tasks() || self.task_leases.hand_over(timeout).await
     }
 
-    /// Releases the config lease: nothing more may be done under it. If that fails, the lease expires.
+    /// Releases the config lease, after which no operation is allowed under it. If the call fails, the lease expires.
     pub async fn release_lease(&self) {
         let holder = self.holder();
         let released: Result<(), CallError> = self
--- a/crates/statement-router/src/fleet_member/operation.rs
+++ b/crates/statement-router/src/fleet_member/operation.rs
@@ -18,27 +18,27 @@
         LeasedOperation { member, guard }
     }
 
-    /// The shard.
+    /// Returns the shard.
     pub fn shard(&self) -> Shard {
         self.guard.shard
     }
 
-    /// The fencing token of the lease.
+    /// Returns the fencing token of the lease.
     pub fn fencing_token(&self) -> u64 {
         self.guard.fencing_token
     }
 
-    /// How long a request may take if it is sent now; `None` where it must not be sent any more.
+    /// Returns the maximum duration of a request that is sent now, or `None` if it must no longer be sent.
     pub fn remaining(&self) -> Option<Duration> {
         self.member.task_leases.remaining(&self.guard)
     }
 
-    /// Records a note for the other routers, in place of the one before.
+    /// Records a note for the other routers, replacing the previous one.
     pub fn record_note(&self, text: String) {
         self.member.task_leases.record_note(&self.guard, text);
     }
 
-    /// Ends the operation and requests the release of its lease, so that another router tries.
+    /// Ends the operation and requests the release of its lease, so that another router takes over.
     pub fn hand_over(self) {
         let (member, shard) = (self.member.clone(), self.shard());
         drop(self);
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -1,4 +1,4 @@
-//! The renewal of a router's config lease, with which it learns of new versions.
+//! The renewal of a router's config lease, which also delivers new configuration versions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 use super::{CALL_TIMEOUT, FleetMember};
 
-/// Pause after a watch call that no replica has answered.
+/// Pause after a watch call to which no replica has responded.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum time between two warnings.
 const WARNING_INTERVAL: Micros = 5_000_000;
 
-/// Why a config lease is not renewed.
+/// An error of renewing a config lease.
 #[derive(Debug, thiserror::Error)]
 enum RenewalError {
     #[error(
@@ -36,8 +36,8 @@
 }
 
 impl FleetMember {
-    /// Renews the lease. `on_change` is called when other versions are to be enforced, before anything is done under them.
-    /// Never returns.
+    /// Renews the lease periodically. Calls `on_change` when the enforced versions change, before any operation under
+    /// them. Never returns.
     pub async fn run(self: Rc<Self>, on_change: impl Fn()) {
         if self.merged_document_satisfies(|_| true) {
             on_change();
@@ -51,14 +51,14 @@
                 }
             };
             self.log_lease_transition();
-            // A version that is enforced now is reported at once: other routers wait for it.
+            // Newly enforced versions are reported at once, since other routers wait for them.
             if !has_new_versions {
                 self.wait_for_renewal().await;
             }
         }
     }
 
-    /// Waits for the interval of renewals, or until a replica knows of a change, or something can be released.
+    /// Waits until the renewal interval has passed, a replica reports a change, or a lease can be released.
     async fn wait_for_renewal(&self) {
         let requested = self.task_leases.listen_renewal_requested();
         let interval = async {
@@ -67,7 +67,7 @@
         future::or(requested, future::or(self.wait_for_change(), interval)).await;
     }
 
-    /// Waits in a watch call until a replica reports a change. After a failed call it returns too.
+    /// Waits in a watch call until a replica reports a change. Returns also after a failed call.
     async fn wait_for_change(&self) {
         let request = self.watch_request();
         let timeout = self.settings.renewal_interval + CALL_TIMEOUT;
@@ -77,7 +77,7 @@
             .await;
         match response {
             Ok(numbers) if self.is_change(&numbers) => {}
-            // A replica that is behind would answer so again and again.
+            // A replica that lags behind would send the same response over and over.
             Ok(_) => future::pending().await,
             Err(_) => {
                 Timer::after(RETRY_PAUSE).await;
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -1,4 +1,4 @@
-//! The file of the versions that a router enforces, for its next incarnation.
+//! The file that keeps a router's enforced versions for its next incarnation.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,7 @@
 /// Name of the file in the state directory.
 const FILE_NAME: &str = "agreed";
 
-/// The file: a line with the digest of the rest, which is JSON.
+/// A file with the digest of its body on the first line, followed by the body in JSON.
 pub(super) struct VersionFile {
     path: PathBuf,
 }
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The stored versions; none where the file is missing or incomplete.
+    /// Returns the stored versions, or none if the file is missing or invalid.
     pub(super) fn load(&self) -> Vec<Version> {
         let Ok(bytes) = atomic_file::read(&self.path) else {
             return Vec::new();
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Stores versions. A failure is logged: the next incarnation then waits for its first lease.
+    /// Stores versions. A failure is only logged: without the file, the next incarnation waits for its first lease.
     pub(super) fn store(&self, versions: &[Version]) {
         if let Err(error) = atomic_file::write(&self.path, &encode(versions)) {
             tracing::warn!(file = %self.path.display(), %error, "cannot store the enforced configuration versions");
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -1,4 +1,5 @@
-//! The administration API: JSON over HTTP, on a listener of its own, as it shows the statements of all tenants.
+//! The administration API: JSON over HTTP. It shows the statements of all tenants, and therefore has a listener of
+//! its own.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -20,12 +21,12 @@
 /// Maximum bytes of all requests that are being received.
 const MAX_INCOMING_BYTES: u64 = 1 << 20;
 
-/// Path of the findings and holds.
+/// Path of the list of findings and holds.
 pub const RUNAWAYS_PATH: &str = "/v1/admin/runaways";
-/// Prefix of the path of a hold, before the fingerprint. `DELETE` releases it.
+/// Prefix of the path of a hold, which ends with the fingerprint. `DELETE` releases the hold.
 pub const HOLDS_PATH: &str = "/v1/admin/holds/";
 
-/// Serves administrators.
+/// Serves the administration API.
 pub async fn serve(context: Rc<RouterContext>, listener: Async<TcpListener>) {
     let config = Config {
         limits: Limits {
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -1,4 +1,4 @@
-//! The responses of statements, as the protocol's `QueryResults`. The same response has the same bytes each time.
+//! The responses of statements in the protocol's `QueryResults` format. The same response always has the same bytes.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -17,10 +17,11 @@
 use crate::recovery::recovery_error;
 use crate::settings;
 
-/// Bytes of a response without its rows, at most in most cases.
+/// Initial capacity for the part of a response without columns and rows, in bytes. Few responses exceed it.
 const ENVELOPE_BYTES: usize = 768;
 
-/// The contents of a response. They are written without a serializer: polls are most of what a router answers.
+/// The content of a response. It is written without a serializer for speed, since most requests to a router are
+/// polls.
 struct QueryResults<'a> {
     id: &'a QueryId,
     /// The token of the next response; `None` after the last one.
@@ -94,7 +95,7 @@
             ",\"stats\":{{\"state\":\"{state}\",\"queued\":{is_queued},\"scheduled\":{}",
             self.is_running
         );
-        // Clients expect all fields to be there; what is not known is 0.
+        // Clients expect all fields to be present; unknown values are 0.
         let fields = [
             (",\"nodes\":", u64::from(self.is_running)),
             (
@@ -123,12 +124,12 @@
     }
 }
 
-/// The value of `Retry-After`: whole seconds, rounded up, at least one.
+/// Returns the value of `Retry-After` in whole seconds, rounded up and at least 1.
 pub(super) fn retry_after_seconds(duration: Duration) -> String {
     duration.as_millis().div_ceil(1000).max(1).to_string()
 }
 
-/// A numbered response of a statement.
+/// Converts a numbered response of a statement to HTTP.
 pub(super) fn http_response(
     context: &RouterContext,
     id: &QueryId,
@@ -239,7 +240,7 @@
     Some(QueryError::from_name(name, message))
 }
 
-/// What the URIs of a statement contain, for a later incarnation of the router.
+/// Returns the state that the URIs of a statement carry for a later incarnation of the router.
 fn recovery_state(
     context: &RouterContext,
     class: usize,
@@ -257,7 +258,7 @@
     RecoveryState { idempotency, phase }
 }
 
-/// The response for a URI of an earlier incarnation of this router.
+/// Returns the response to a poll of a URI that an earlier incarnation of this router issued.
 pub(super) fn earlier_incarnation_response(
     context: &RouterContext,
     token: &PageToken,
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -1,4 +1,4 @@
-//! The statement API over HTTP: routes requests, and waits for the responses of polls.
+//! The statement API over HTTP: routes requests and waits for the responses to polls.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -26,10 +26,10 @@
 /// Maximum length of a `Host` header that is used for URIs, in bytes.
 const MAX_HOST_BYTES: usize = 255;
 
-/// Responses to further paths, such as metrics.
+/// Routes beyond the statement API, such as metrics.
 pub type ExtraRoutes = Rc<dyn Fn(&str) -> Option<Response>>;
 
-/// Serves clients.
+/// Serves the statement API.
 pub async fn serve(
     context: Rc<RouterContext>,
     listener: Async<TcpListener>,
@@ -95,7 +95,8 @@
     Response::text(405, "method not allowed").with_header("Allow", allowed)
 }
 
-/// Where the client reaches this router: by its `Host` header where that is valid.
+/// Returns the base URI of this router: from the request's `Host` header if it is valid, else from the listen
+/// address.
 fn base_uri(context: &RouterContext, request: &Request) -> String {
     let host = request.headers.get("host").unwrap_or_default();
     let is_host_byte = |b: u8| b.is_ascii_alphanumeric() || b".-:[]_".contains(&b);
@@ -162,13 +163,13 @@
     }
 }
 
-/// Waits for the response, for as long as a long poll may last.
+/// Waits for the response until the long-poll timeout.
 async fn wait_for_response(context: &RouterContext, id: StatementId, page: u64) -> PollOutcome {
     let mut timeout = context
         .timer()
         .sleep(context.settings().limits.long_poll_timeout);
     loop {
-        // Listens before it polls, so that no news is missed between the two.
+        // Listens before polling, so that no change in between is missed.
         let changed = context.listen(id);
         match context.with_core(|core, now| core.poll(now, id, page)) {
             PollOutcome::Pending => {}
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -1,4 +1,4 @@
-//! Information on the router and on the history of a statement, as JSON.
+//! Information on the router and the history of statements, as JSON.
 
 use hoptiller_http::Response;
 use hoptiller_router_core::{AttemptHistory, status_description};
@@ -7,7 +7,7 @@
 
 use crate::context::RouterContext;
 
-/// The router as a node.
+/// Returns information on the router in the form of a node.
 pub(super) fn router_info(context: &RouterContext) -> Response {
     let usage = context.with_core(|core, _| core.usage());
     let batches = context.event_loop().batch_stats();
@@ -30,7 +30,7 @@
     Response::json(200, value.to_string())
 }
 
-/// Whether the router accepts statements.
+/// Returns whether the router accepts statements.
 pub(super) fn router_state(context: &RouterContext) -> Response {
     let state = if context.is_shutting_down() {
         "\"SHUTTING_DOWN\""
@@ -40,7 +40,7 @@
     Response::json(200, state)
 }
 
-/// The history of a statement.
+/// Returns the history of a statement.
 pub(super) fn history(context: &RouterContext, id: &QueryId) -> Response {
     if id.incarnation() != context.incarnation() {
         return Response::text(
--- a/crates/statement-router/src/front_end/submission.rs
+++ b/crates/statement-router/src/front_end/submission.rs
@@ -12,17 +12,17 @@
 use crate::context::RouterContext;
 use crate::settings::Settings;
 
-/// Prefix of the headers that are passed on to the engine.
+/// Prefix of the headers that are forwarded to the engine.
 const ENGINE_HEADER_PREFIX: &[u8] = b"x-trino-";
 
 /// A valid request.
 pub(super) struct ClientSubmission {
     pub(super) submission: Submission,
-    /// Whether the client names no class, and so has the default one.
+    /// Whether the client names no class, so that the default class applies.
     is_default_class: bool,
 }
 
-/// Why a request is invalid.
+/// The reason why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InvalidSubmission {
     #[error(transparent)]
@@ -35,7 +35,7 @@
     UnknownClass { name: String, known: String },
 }
 
-/// Why a valid request is rejected now. It can be retried.
+/// The reason why a valid request is rejected now. The client can retry it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SubmissionRejected {
     #[error(
@@ -103,7 +103,7 @@
     })
 }
 
-/// The class by its client tag, or by the name of the source.
+/// Returns the class that the client tag or else the source names.
 fn named_class(
     settings: &Settings,
     headers: &ClientHeaders,
@@ -138,8 +138,8 @@
         .collect()
 }
 
-/// Whether the fleet's configuration allows to accept a statement now. One that was accepted under a configuration that no
-/// longer applies would be held to it; before that, nothing is owed for it.
+/// Checks whether the fleet configuration allows accepting a statement now. A statement is bound to the configuration
+/// under which it is accepted; before acceptance, it can be rejected freely.
 pub(super) fn authorize(
     context: &RouterContext,
     submission: &ClientSubmission,
--- a/crates/statement-router/src/lib.rs
+++ b/crates/statement-router/src/lib.rs
@@ -1,15 +1,16 @@
-//! The router on the statement API: accepts statements, lets the policy decide where each goes, and executes that.
+//! A router for the SQL statement API: accepts statements, lets the policy decide where each is sent, and executes
+//! its decisions.
 //!
 //! Dependencies point one way:
 //!
-//! - [`service`] ties a running router together; its submodules execute the core's commands, receive what engines and
-//!   discovery report, and apply the fleet's configuration;
+//! - [`service`] assembles a running router; its submodules execute the core's commands, receive reports of engines
+//!   and discovery, and apply the fleet configuration;
 //! - [`front_end`] serves clients and administrators;
-//! - [`discovery`] reads the list of engines, [`engines`] runs attempts; they do I/O and decide nothing;
-//! - [`context`] is what these share of a running router;
-//! - [`fleet_member`] and [`task_leases`] hold its leases in a coordinated fleet;
-//! - [`endpoint_list`], [`recovery`] and [`statistics_store`] hold single concerns, without I/O but for the last;
-//! - [`settings`] is the settings file.
+//! - [`discovery`] reads the list of engines and [`engines`] runs attempts; both perform I/O and make no decisions;
+//! - [`context`] holds the state that these modules share;
+//! - [`fleet_member`] and [`task_leases`] hold the router's leases in a coordinated fleet;
+//! - [`endpoint_list`], [`recovery`] and [`statistics_store`] each cover one concern; only the last performs I/O;
+//! - [`settings`] reads and validates the settings file.
 //!
 //! The core itself is [`hoptiller_router_core`].
 
--- a/crates/statement-router/src/recovery.rs
+++ b/crates/statement-router/src/recovery.rs
@@ -1,20 +1,20 @@
 //! The final response for a statement of an earlier incarnation of this router.
 //!
-//! All that is left of such a statement is its URI, which contains what was known when it was given out. The response
-//! follows from the URI alone, and so is the same however often it is polled.
+//! All that remains of such a statement is its URI, which carries the state at the time when the URI was issued. The
+//! response depends on the URI alone, so it is the same for every poll.
 
 use hoptiller_statement::{ErrorName, Idempotency, Phase, RecoveryState};
 
 /// An error for a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryError {
-    /// Its name.
+    /// The error's name.
     pub name: ErrorName,
-    /// Its text for people.
+    /// The human-readable message.
     pub message: &'static str,
 }
 
-/// The final response of a statement whose URI contains this state.
+/// Returns the error of a statement whose URI carries this state.
 pub fn recovery_error(state: RecoveryState) -> RecoveryError {
     match (state.idempotency, state.phase) {
         (Idempotency::NotIdempotent, _) => RecoveryError {
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -23,13 +23,13 @@
 
 pub use shutdown::ShutdownOutcome;
 
-/// The time kept for the outcome of the last attempt, the decision and the response before a client's timeout.
+/// Time reserved before a client's timeout for the outcome of the last attempt, the decision and the response.
 pub const RESPONSE_MARGIN: Micros = 150_000;
 
 /// A running router.
 pub struct Service {
     weak_self: Weak<Service>,
-    /// The settings of the router's own file, without the fleet's configuration.
+    /// The settings of the router's own file, without the fleet configuration.
     file_settings: Rc<Settings>,
     /// The engines of the last list.
     listed_engines: RefCell<HashMap<EngineId, EndpointEntry>>,
@@ -40,28 +40,28 @@
 }
 
 impl Service {
-    /// The settings that apply now.
+    /// Returns the settings that apply now.
     pub fn settings(&self) -> Rc<Settings> {
         self.context.settings()
     }
 
-    /// The number of engines on the last list.
+    /// Returns the number of engines on the last list.
     pub fn listed_engines(&self) -> usize {
         self.context.listed_engines()
     }
 
-    /// The address of the administration API; `None` where it is not served.
+    /// Returns the address of the administration API, or `None` if it is not served.
     pub fn admin_addr(&self) -> Option<SocketAddr> {
         self.admin_addr.get()
     }
 
-    /// The end of a statement's id, by which it is found in logs.
+    /// Returns the suffix of a statement's id, which identifies the statement in logs.
     fn statement_label(&self, id: StatementId) -> String {
         format!("{id:05}_{}", self.context.incarnation())
     }
 }
 
-/// The names of the classes, by index.
+/// Returns the names of the classes, by index.
 fn class_names(settings: &Settings) -> Vec<String> {
     settings
         .classes
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -10,7 +10,7 @@
 use super::Service;
 use crate::engines::{AttemptControl, AttemptId, StatementControl};
 
-/// The reason of a kill, which the client gets to see.
+/// The reason of a kill, which is part of the error that the client receives.
 const KILL_REASON: &str =
     "the statement is a runaway, and a rule of this installation terminates it";
 
@@ -80,7 +80,7 @@
         self.context.engines().control_attempt(id, control);
     }
 
-    /// Requests an engine to control a statement, and logs the result.
+    /// Sends a control request for a statement to its engine and logs the result.
     fn control_statement(&self, statement: StatementId, number: u32, control: StatementControl) {
         let id = AttemptId { statement, number };
         let label = self.statement_label(statement);
--- a/crates/statement-router/src/service/configuration.rs
+++ b/crates/statement-router/src/service/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration of the fleet, applied to the router.
+//! The application of the fleet configuration to the router.
 
 use std::rc::Rc;
 
 use super::{Service, class_names};
 
 impl Service {
-    /// Applies the configuration versions that are enforced now, between two events. Where they can't be applied, every
+    /// Applies the currently enforced configuration versions between two events. If they cannot be applied, every
     /// class is rejected until other versions are enforced.
     pub(super) fn apply_configuration(&self) {
         let Some(member) = self.context.fleet_member() else {
--- a/crates/statement-router/src/service/endpoint_listener.rs
+++ b/crates/statement-router/src/service/endpoint_listener.rs
@@ -1,4 +1,4 @@
-//! Passes the list of engines on to the policy.
+//! Forwards the list of engines to the policy.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -31,7 +31,7 @@
 }
 
 impl Service {
-    /// Marks the engines as draining that the fleet's configuration lets accept no new statements.
+    /// Marks engines as draining if the fleet configuration does not let them accept new statements.
     fn mark_draining_by_configuration(&self, entries: &mut [EndpointEntry]) {
         let Some(member) = self.context.fleet_member() else {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// When the process of an engine started, in ms since 1970.
+    /// Returns the start time of an engine's process in ms since 1970.
     pub(super) fn started_at_ms(&self, entry: &EndpointEntry) -> u64 {
         let age = self
             .context
--- a/crates/statement-router/src/service/engine_observer.rs
+++ b/crates/statement-router/src/service/engine_observer.rs
@@ -1,4 +1,4 @@
-//! Passes what engines report on to the core, and authorizes attempts at the last moment.
+//! Forwards reports of engines to the core, and authorizes attempts right before they are sent.
 
 use hoptiller_policy::{EndpointEntry, EngineId, LoadReport, Micros, Progress};
 use hoptiller_router_core::{AttemptOutcome, EngineError, ResultPage, status_description};
@@ -86,7 +86,8 @@
     }
 }
 
-/// Whether a class may run at an engine. The policy may have selected it under restrictions that have changed since.
+/// Returns whether a class may run on an engine. The restrictions may have changed since the policy selected the
+/// engine.
 fn allows_endpoint(class: &ClassSettings, entry: &EndpointEntry) -> bool {
     let allows = |allowed: &Option<Vec<usize>>, index: Option<usize>| {
         allowed
--- a/crates/statement-router/src/service/finding_log.rs
+++ b/crates/statement-router/src/service/finding_log.rs
@@ -1,4 +1,4 @@
-//! Logs and counts the findings of the runaway detector.
+//! The logging and counting of the runaway detector's findings.
 
 use hoptiller_runaway::{Finding, Verdict};
 
@@ -6,7 +6,7 @@
 use crate::findings::{describe_subject, is_reported};
 
 impl Service {
-    /// Logs a finding, and counts its verdict.
+    /// Logs a finding and counts its verdict.
     pub(super) fn log_finding(&self, finding: &Finding) {
         let settings = self.settings();
         if !is_reported(&settings, finding) {
--- a/crates/statement-router/src/service/shutdown.rs
+++ b/crates/statement-router/src/service/shutdown.rs
@@ -7,17 +7,17 @@
 
 use super::Service;
 
-/// Pause between checks whether the core is idle.
+/// Interval of checks for an idle core.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time in which the last responses reach their clients.
+/// Time for the last responses to reach their clients.
 const WRITE_GRACE: Duration = Duration::from_millis(50);
 
-/// How a shutdown has ended.
+/// The outcome of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownOutcome {
-    /// All statements have got their final responses.
+    /// All statements have received their final responses.
     Complete,
-    /// The time limit has passed with statements open.
+    /// The timeout passed while statements were open.
     TimedOut {
         /// The number of open statements.
         open_statements: usize,
@@ -25,8 +25,9 @@
 }
 
 impl Service {
-    /// Rejects new statements, finishes open ones, hands over task leases, saves statistics, and then releases the config
-    /// lease. After an incomplete shutdown the lease is left to expire, as statements may still run under it.
+    /// Rejects new statements, finishes open ones, hands over task leases, saves statistics, and then releases the
+    /// config lease. After an incomplete shutdown the lease is left to expire, since statements may still run under
+    /// it.
     pub async fn shutdown(&self) -> ShutdownOutcome {
         self.context.begin_shutdown();
         let hand_over = async {
--- a/crates/statement-router/src/service/startup.rs
+++ b/crates/statement-router/src/service/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a router.
+//! The construction and start of a router.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -23,12 +23,12 @@
 use crate::statistics_store::StatisticsStore;
 
 impl Service {
-    /// A router with valid settings, that takes no part in a coordinated fleet. `secret` authenticates its tokens,
-    /// `incarnation` distinguishes this process of the router from others.
+    /// Creates a router that is not part of a coordinated fleet. `secret` authenticates its tokens, and `incarnation`
+    /// distinguishes this process of the router from others.
     ///
     /// # Errors
     ///
-    /// The policy rejects the settings.
+    /// Returns an error if the policy rejects the settings.
     pub fn new(
         settings: Settings,
         secret: &[u8],
@@ -38,11 +38,11 @@
         Service::with_fleet_member(settings, secret, incarnation, spawner, None)
     }
 
-    /// A router with its membership in a coordinated fleet, if it has one; see [`Service::new`].
+    /// Creates a router that is a member of a coordinated fleet if `fleet_member` is given; see [`Service::new`].
     ///
     /// # Errors
     ///
-    /// The policy rejects the settings.
+    /// Returns an error if the policy rejects the settings.
     pub fn with_fleet_member(
         settings: Settings,
         secret: &[u8],
@@ -89,11 +89,11 @@
         }))
     }
 
-    /// Listens, and starts all tasks on the executor. Returns the address of the statement API.
+    /// Binds the listeners and starts all tasks on the executor. Returns the address of the statement API.
     ///
     /// # Errors
     ///
-    /// An address can't be listened on.
+    /// Returns an error if a listen address cannot be bound.
     pub fn start(
         self: &Rc<Self>,
         extra_routes: statement_api::ExtraRoutes,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Saves the runaway detector's statistics, where there is a store.
+    /// Saves the runaway detector's statistics if there is a store.
     pub(super) fn save_statistics(&self) {
         if let Some(store) = &self.statistics_store {
             let core = self.context.event_loop().core();
--- a/crates/statement-router/src/settings.rs
+++ b/crates/statement-router/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings of a router: their types, how a Jsonnet file becomes them, and every check before anything starts.
+//! The settings of a router: their types, their parsing from a Jsonnet file, and their validation before the router
+//! starts.
 //!
-//! The keys of the file are a documented interface; a serde rename ties each field to its key where the names differ. All
-//! errors of a file are reported at once, each with its place.
+//! The keys of the file are a documented interface; a serde rename ties each field to its key where the names differ.
+//! All errors of a file are reported at once, each with its location.
 
 mod conversion;
 mod error;
@@ -39,15 +40,15 @@
     pub zones: Vec<String>,
     /// Tenants. The policy refers to a tenant by its index here.
     pub tenants: Vec<Tenant>,
-    /// What engines support and report.
+    /// The capabilities of engines.
     pub engines: EngineSettings,
     /// Parameters of the policy's rules.
     pub rules: RuleSettings,
-    /// Where the list of engines comes from.
+    /// The source of the list of engines.
     pub discovery: DiscoverySettings,
-    /// What is done about runaway statements.
+    /// Detection and enforcement settings for runaway statements.
     pub runaways: RunawaySettings,
-    /// How this router takes part in the coordination of a fleet; `None`: its own file alone applies.
+    /// This router's part in the coordination of a fleet. With `None`, only its own file applies.
     #[serde(rename = "agreement")]
     pub coordination: Option<CoordinationSettings>,
     /// Resource limits and timeouts.
@@ -59,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// All errors of the file, each with its place.
+    /// Returns an error if the file is invalid: all errors of the file, each with its location.
     pub fn load(path: &Path) -> Result<Settings, Vec<SettingError>> {
         let value = evaluate_file(path).map_err(|error| vec![error])?;
         Settings::from_value(&path.display().to_string(), &value)
@@ -69,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// All errors of the text, each with its place.
+    /// Returns an error if the text is invalid: all errors of the text, each with its location.
     pub fn from_text(name: &str, text: &str) -> Result<Settings, Vec<SettingError>> {
         let value = evaluate(name, text).map_err(|error| vec![error])?;
         Settings::from_value(name, &value)
@@ -79,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// All errors of the value, each with its place.
+    /// Returns an error if the value is invalid: all errors of the value, each with its location.
     pub fn from_value(
         name: &str,
         value: &serde_json::Value,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The index of the class of that name.
+    /// Returns the index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -1,4 +1,4 @@
-//! The settings in the form of the policy, of the runaway detector and of the auditor.
+//! Conversion of the settings for the policy, the runaway detector and the auditor.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 impl Settings {
-    /// The settings of the policy.
+    /// Returns the settings of the policy.
     pub fn policy_settings(&self) -> policy::Settings {
         let engines = &self.engines;
         policy::Settings {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The settings of the runaway detector.
+    /// Returns the settings of the runaway detector.
     pub fn runaway_settings(&self) -> runaway::Settings {
         let class =
             |(class, enforcement): (&ClassSettings, &runaway::EnforcementOptions)| runaway::Class {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The rules in the form that `hoptiller audit` reads (`rules.json`).
+    /// Returns the rules in the format that `hoptiller audit` reads (`rules.json`).
     pub fn audit_rules(&self) -> Value {
         let classes: Map<String, Value> = self
             .classes
--- a/crates/statement-router/src/settings/error.rs
+++ b/crates/statement-router/src/settings/error.rs
@@ -8,7 +8,7 @@
 pub struct SettingError {
     /// File and line, or file and key path: `a.jsonnet: classes[1].patience`.
     pub place: String,
-    /// What is wrong, and what would be valid.
+    /// The fault and the values that would be valid.
     #[serde(rename = "what")]
     pub reason: String,
 }
--- a/crates/statement-router/src/settings/fleet_document.rs
+++ b/crates/statement-router/src/settings/fleet_document.rs
@@ -1,7 +1,8 @@
-//! Applies a configuration document of the fleet to a router's settings.
+//! The application of a fleet configuration document to a router's settings.
 //!
-//! Known classes, kinds and zones keep their indices, since statements in flight refer to them; new ones are appended.
-//! What a document no longer names keeps its index, and the config lease rejects its statements.
+//! Known classes, kinds and zones keep their indices, since statements in flight refer to them; new ones are
+//! appended. Classes, kinds and zones that a document no longer names keep their indices; the config lease rejects
+//! statements of such classes.
 
 use std::time::Duration;
 
@@ -13,16 +14,16 @@
     SettingError, Settings, Tenant,
 };
 
-/// Stands for a file name in errors.
+/// Name that stands for a file name in errors.
 const DOCUMENT_NAME: &str = "(fleet configuration document)";
 
 impl Settings {
-    /// These settings, from the router's own file, with a document of the fleet applied. `current`: the settings that
-    /// apply now, whose indices are kept.
+    /// Returns these settings, from the router's own file, with a fleet document applied. `current` has the settings
+    /// in effect, whose indices are kept.
     ///
     /// # Errors
     ///
-    /// All errors of the settings and the document together.
+    /// Returns all errors of the merged settings if they are invalid.
     pub fn with_document(
         &self,
         current: &Settings,
@@ -95,7 +96,7 @@
             .resize(self.classes.len(), enforcement);
     }
 
-    /// Removes what the engines don't support from what is done about runaway statements.
+    /// Disables enforcement options that the engines don't support.
     fn limit_enforcement(&mut self) {
         for enforcement in &mut self.runaways.enforcement {
             enforcement.end &= self.engines.supports_kill;
@@ -106,7 +107,8 @@
 }
 
 impl EngineSettings {
-    /// A document can disable what the engines of this router support, but not enable what they don't.
+    /// Returns these settings with a document applied, which can disable capabilities of the engines but not enable
+    /// unsupported ones.
     fn with_document(&self, document: &hoptiller_coordination::EngineSettings) -> EngineSettings {
         let supports_cancel = document.cancel && self.supports_cancel;
         EngineSettings {
@@ -148,7 +150,7 @@
     Duration::from_micros(value.as_micros())
 }
 
-/// The index of an item; a new item is appended.
+/// Returns the index of an item. Appends the item if it is new.
 fn index_or_insert<T>(
     items: &mut Vec<T>,
     is_item: impl Fn(&T) -> bool,
@@ -166,7 +168,8 @@
     name: &str,
     class: &StatementClass,
 ) -> ClassSettings {
-    // A class without a restriction may run on what the document names, not on what only this router's file names.
+    // A class without a restriction may run on the kinds and zones of the document, not on those that only this
+    // router's file has.
     let allows_kind = |kind: &str| match &class.kinds {
         Some(allowed) => allowed.contains(kind),
         None => document.kinds.contains_key(kind),
@@ -196,7 +199,8 @@
     }
 }
 
-/// The indices of the allowed items. `None` where all are allowed, unless the document restricts them by name.
+/// Returns the indices of the allowed items, or `None` if all are allowed and the document has no explicit
+/// restriction.
 fn restriction(
     is_allowed: impl ExactSizeIterator<Item = bool>,
     is_restricted: bool,
--- a/crates/statement-router/src/settings/jsonnet.rs
+++ b/crates/statement-router/src/settings/jsonnet.rs
@@ -8,11 +8,11 @@
 
 use super::SettingError;
 
-/// Evaluates text that is in no file; it can import nothing by a relative path. `name` stands for a file name in errors.
+/// Evaluates text that is not in a file and so cannot import relative paths. `name` stands for a file name in errors.
 ///
 /// # Errors
 ///
-/// The first error of the text, with its line where it is known.
+/// Returns an error if the text is invalid: its first error, with the line if it is known.
 pub fn evaluate(name: &str, text: &str) -> Result<serde_json::Value, SettingError> {
     manifest(name, text, |state| {
         state.evaluate_snippet(name.to_owned(), text.to_owned())
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or the first error of its text, with its line where it is known.
+/// Returns an error if the file cannot be read or its text is invalid: its first error, with the line if it is known.
 pub fn evaluate_file(path: &Path) -> Result<serde_json::Value, SettingError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| SettingError {
@@ -51,7 +51,7 @@
     })
 }
 
-/// Adds the line: that of a syntax error, or that of the innermost stack frame.
+/// Converts an error and adds its line: that of the syntax error or of the innermost stack frame.
 fn locate(name: &str, text: &str, error: &jrsonnet_evaluator::Error) -> SettingError {
     let line_at = |offset: usize| text.bytes().take(offset).filter(|b| *b == b'\n').count() + 1;
     let line = match error.error() {
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the sections of the settings from a JSON value, with the defaults of keys that are missing.
+//! Parsing of the settings' sections from a JSON value, with defaults for missing keys.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,10 +17,10 @@
 const ENFORCEMENT_NAMES: &str = "'name', 'hold', 'lower', 'pause', 'end'";
 const DEFAULT_LEASE_TERM: Duration = Duration::from_secs(10);
 const DEFAULT_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
-/// Renewals of a lease in its term, where the interval is not set.
+/// Renewals in a lease term if the interval is not set.
 const RENEWALS_PER_TERM: u64 = 5;
 
-/// Parses settings. `None` comes with at least one error.
+/// Parses settings. The result is `None` only if there is at least one error.
 pub(super) fn parse(file_name: &str, value: &Value) -> (Option<Settings>, Vec<SettingError>) {
     let mut reader = Reader::new(file_name);
     let settings = reader.settings(value);
@@ -245,7 +245,7 @@
         })
     }
 
-    /// `Some(None)`: there is no budget.
+    /// Parses the retry budget. `Some(None)` means that there is no budget.
     fn budget(&mut self, engines: &mut Object<'_>) -> Option<Option<RetryBudgetSettings>> {
         let Some(value) = self.optional(engines, "budget") else {
             return Some(None);
@@ -369,7 +369,7 @@
         Some(options)
     }
 
-    /// `Some(None)`: this router takes no part in coordination.
+    /// Parses the coordination settings. `Some(None)` means that this router takes no part in coordination.
     fn coordination(&mut self, file: &mut Object<'_>) -> Option<Option<CoordinationSettings>> {
         if self.optional(file, "agreement").is_none() {
             return Some(None);
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -11,22 +11,22 @@
 
 /// Maximum length of a text, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Limit of whole numbers, under which a floating-point number is exact.
+/// Upper limit of whole numbers: smaller ones are exact in floating point.
 const WHOLE_NUMBER_LIMIT: f64 = 9e15;
-/// Maximum edit distance of a key that is suggested in place of an unknown one.
+/// Maximum edit distance between an unknown key and the key that is suggested for it.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
 /// Characters of a key that are compared for suggestions.
 const COMPARED_CHARS: usize = 64;
 
 const DURATION_HINT: &str = "expected a duration with its unit, such as '250ms', '1.5s' or '2m'";
 
-/// Reads values and collects errors.
+/// A reader that collects the errors of the values it reads.
 pub(super) struct Reader<'a> {
     file_name: &'a str,
     errors: Vec<SettingError>,
 }
 
-/// An object at a key path, with the keys that were read so far.
+/// An object at a key path, with the keys that have been read.
 pub(super) struct Object<'v> {
     path: String,
     fields: Option<&'v serde_json::Map<String, Value>>,
@@ -34,17 +34,17 @@
 }
 
 impl<'v> Object<'v> {
-    /// Whether the value is an object.
+    /// Returns whether the value is an object.
     pub(super) fn is_present(&self) -> bool {
         self.fields.is_some()
     }
 
-    /// The fields, in the order of their keys.
+    /// Returns the fields, in the order of their keys.
     pub(super) fn entries(&self) -> impl Iterator<Item = (&'v String, &'v Value)> + use<'v> {
         self.fields.into_iter().flatten()
     }
 
-    /// The path of a key of this object.
+    /// Returns the path of a key of this object.
     pub(super) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -74,7 +74,7 @@
         });
     }
 
-    /// The value as an object. `null` is an object without fields.
+    /// Returns the value as an object. `null` is an object without fields.
     pub(super) fn object<'v>(&mut self, value: &'v Value, path: &str) -> Object<'v> {
         let fields = value.as_object();
         if fields.is_none() && !value.is_null() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The object at a required key. A missing one is one error, not one for each of its keys.
+    /// Returns the object at a required key. A missing object is reported once, not for each of its keys.
     pub(super) fn child<'v>(
         &mut self,
         parent: &mut Object<'v>,
@@ -99,7 +99,7 @@
         child.is_present().then_some(child)
     }
 
-    /// The object at an optional key; an empty one where it is missing.
+    /// Returns the object at an optional key, or an empty object if it is missing.
     pub(super) fn optional_child<'v>(
         &mut self,
         parent: &mut Object<'v>,
@@ -110,7 +110,7 @@
         self.object(value, &path)
     }
 
-    /// The value at a key; `None` where it is missing or `null`.
+    /// Returns the value at a key, or `None` if it is missing or `null`.
     pub(super) fn optional<'v>(
         &mut self,
         object: &mut Object<'v>,
@@ -123,7 +123,7 @@
             .filter(|value| !value.is_null())
     }
 
-    /// The value at a key; an error where it is missing or `null`.
+    /// Returns the value at a key; a missing key or `null` is an error.
     pub(super) fn required<'v>(
         &mut self,
         object: &mut Object<'v>,
@@ -136,7 +136,7 @@
         value
     }
 
-    /// Ends the reading of an object: a key that was not read is unknown, and an error.
+    /// Finishes reading an object. Rejects the keys that were not read as unknown.
     pub(super) fn finish(&mut self, object: Object<'_>) {
         for (key, _) in object.entries() {
             if object.read_keys.contains(key.as_str()) {
@@ -178,7 +178,7 @@
         address
     }
 
-    /// A finite number of 0 or more. Without a default the key is required.
+    /// Returns a finite number of 0 or more. The key is required if there is no default.
     pub(super) fn number(
         &mut self,
         object: &mut Object<'_>,
@@ -199,7 +199,7 @@
         number
     }
 
-    /// A whole number of 0 or more.
+    /// Returns a whole number of 0 or more.
     pub(super) fn count(
         &mut self,
         object: &mut Object<'_>,
@@ -209,7 +209,7 @@
         let Some(value) = self.optional(object, key) else {
             return Some(default);
         };
-        // Jsonnet has only floating-point numbers; a whole one is written without a fraction.
+        // All numbers of Jsonnet are floating-point; whole numbers are manifested without a fraction.
         let number = value.as_u64().or_else(|| {
             value
                 .as_f64()
@@ -274,7 +274,7 @@
         duration
     }
 
-    /// The indices of the names in a list; `None` where the key is missing.
+    /// Returns the indices of the names in a list, or `None` if the key is missing.
     pub(super) fn indices(
         &mut self,
         object: &mut Object<'_>,
@@ -300,7 +300,7 @@
         Some(indices)
     }
 
-    /// The fields of an object whose values are numbers over 0.
+    /// Returns the fields of an object whose values are numbers over 0.
     pub(super) fn positive_numbers(
         &mut self,
         value: &Value,
@@ -321,7 +321,7 @@
     }
 }
 
-/// The known key that an unknown one is probably meant to be.
+/// Returns the known key that is closest to an unknown one, if it is close enough.
 fn closest_known_key(known: &BTreeSet<&'static str>, key: &str) -> Option<&'static str> {
     known
         .iter()
@@ -330,7 +330,7 @@
         .filter(|known| edit_distance(known, key) <= MAX_SUGGESTION_DISTANCE)
 }
 
-/// The Levenshtein distance.
+/// Returns the Levenshtein distance of two texts.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().take(COMPARED_CHARS).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/statement-router/src/settings/sections.rs
+++ b/crates/statement-router/src/settings/sections.rs
@@ -10,18 +10,19 @@
 /// This router and its place among the routers of the fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct RouterSettings {
-    /// Its name; part of the key of its tokens.
+    /// The router's name, which is part of the key of its tokens.
     pub name: String,
-    /// Its index among the routers that share the engines, from 0.
+    /// The router's index among the routers that share the engines, from 0.
     pub index: u32,
     /// The number of routers that share the engines, this one included.
     #[serde(rename = "of")]
     pub fleet_size: u32,
     /// Listen address of the statement API.
     pub listen: SocketAddr,
-    /// Listen address of the administration API; `None`: it is not served.
+    /// Listen address of the administration API; with `None`, it is not served.
     pub admin: Option<SocketAddr>,
-    /// Directory of the token secret and of saved statistics; `None`: a new secret at each start, and nothing is saved.
+    /// Directory of the token secret and of saved statistics; with `None`, each start creates a new secret, and
+    /// nothing is saved.
     #[serde(rename = "state")]
     pub state_dir: Option<PathBuf>,
     /// Seed of the policy's random draws.
@@ -32,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, f64)")]
 pub struct MachineKind {
-    /// Its name.
+    /// The name of the kind.
     pub name: String,
     /// Cores of an engine of this kind.
     pub cores: f64,
@@ -48,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, f64)")]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its quota, relative to those of the other tenants.
+    /// The tenant's quota, relative to those of the other tenants.
     pub share: f64,
 }
 
@@ -74,21 +75,21 @@
 /// A class of statements.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
     /// Latency objective: a response within this time has the full priority weight.
     #[serde(rename = "aim")]
     pub latency_objective: Duration,
-    /// The objective grows by this times the statement's work over its threads.
+    /// Factor of the statement's work per thread that is added to the latency objective.
     #[serde(rename = "stretch")]
     pub objective_stretch: f64,
-    /// How long a client waits for the response.
+    /// Time that a client waits for the response.
     #[serde(rename = "patience")]
     pub client_timeout: Duration,
     /// Whether statements may run twice.
     #[serde(rename = "repeat")]
     pub idempotency: Idempotency,
-    /// Whether statements with the same ordering key run one after the other.
+    /// Whether statements with the same ordering key run one at a time, in order.
     #[serde(rename = "in_order")]
     pub ordered_by_key: bool,
     /// Priority weight of one response.
@@ -102,9 +103,9 @@
     /// Whether a statement locks its tables while it runs.
     #[serde(rename = "holds")]
     pub holds_tables: bool,
-    /// Indices of the machine kinds that statements may run on; `None`: all.
+    /// Indices of the machine kinds that statements may run on; with `None`, on all.
     pub kinds: Option<Vec<usize>>,
-    /// Indices of the zones that statements may run in; `None`: all.
+    /// Indices of the zones that statements may run in; with `None`, in all.
     pub zones: Option<Vec<usize>>,
 }
 
@@ -121,39 +122,39 @@
     pub window: Duration,
 }
 
-/// What engines support and report.
+/// The capabilities of engines.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineSettings {
     /// Maximum number of attempts at a statement.
     pub max_attempts: u32,
-    /// The retry budget; `None`: retries are limited by `max_attempts` alone.
+    /// The retry budget; with `None`, only `max_attempts` limits retries.
     #[serde(rename = "budget")]
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Engines answer health checks.
+    /// Whether engines respond to health checks.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// Load reports contain memory or CPU use.
+    /// Whether load reports contain memory or CPU use.
     #[serde(rename = "reports")]
     pub load_reports: bool,
-    /// Load reports contain the number of statements in flight.
+    /// Whether load reports contain the number of statements in flight.
     #[serde(rename = "tells_in_flight")]
     pub reports_in_flight: bool,
-    /// Responses contain the work of the statement.
+    /// Whether responses contain the work of the statement.
     #[serde(rename = "bills")]
     pub reports_work: bool,
-    /// Cancelling a statement stops its work.
+    /// Whether cancelling a statement stops its work.
     #[serde(rename = "cancel")]
     pub supports_cancel: bool,
-    /// Engines respect the priority of a statement.
+    /// Whether engines respect the priority of a statement.
     #[serde(rename = "priorities")]
     pub supports_priorities: bool,
-    /// Engines kill a statement on request (`PUT /v1/query/ID/killed`).
+    /// Whether engines kill a statement on request (`PUT /v1/query/ID/killed`).
     #[serde(rename = "ends")]
     pub supports_kill: bool,
-    /// Engines pause a statement on request (`PUT /v1/query/ID/paused`).
+    /// Whether engines pause a statement on request (`PUT /v1/query/ID/paused`).
     #[serde(rename = "pauses")]
     pub supports_pause: bool,
-    /// Interval of progress reports; zero: there are none.
+    /// Interval of progress reports. Zero disables them.
     #[serde(rename = "notes_every")]
     pub progress_interval: Duration,
     /// Timeout of a connection to an engine.
@@ -172,20 +173,20 @@
     /// Length of the slow start.
     #[serde(rename = "ramp")]
     pub slow_start_window: Duration,
-    /// An engine fails under this many times its present capacity...
+    /// Multiple of its present capacity at which an engine fails, if the load lasts for `overload_window`.
     #[serde(rename = "overload")]
     pub overload_factor: f64,
-    /// ...when the load lasts for this long.
+    /// Time for which an engine withstands a load of `overload_factor`.
     #[serde(rename = "fall")]
     pub overload_window: Duration,
     /// Pause of an ordering key after an attempt that may still run.
     #[serde(rename = "order_pause")]
     pub key_pause: Duration,
-    /// How long after the start of a drain new statements may still reach the engine.
+    /// Time after the start of a drain during which new statements may still reach the engine.
     pub drain_grace: Duration,
 }
 
-/// Where the list of engines comes from.
+/// The source of the list of engines.
 #[derive(Clone, Debug, Serialize)]
 pub struct DiscoverySettings {
     /// Address of the discovery service.
@@ -203,26 +204,26 @@
     pub timeout: Duration,
 }
 
-/// What is done about runaway statements.
+/// Detection and enforcement settings for runaway statements.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunawaySettings {
-    /// What is enforced, by index of the class.
+    /// The enforcement options of each class, by index of the class.
     #[serde(rename = "acts")]
     pub enforcement: Vec<EnforcementOptions>,
     /// Time between reporting a statement and killing it.
     #[serde(rename = "end_after")]
     pub kill_after: Duration,
-    /// How long a statement is paused.
+    /// Duration of a pause of a statement.
     pub pause_for: Duration,
     /// Maximum number of fingerprints with statistics.
     #[serde(rename = "kinds")]
     pub max_fingerprints: usize,
-    /// Interval at which statistics are saved, where `router.state` is set.
+    /// Interval at which statistics are saved if `router.state` is set.
     #[serde(rename = "save_every")]
     pub save_interval: Duration,
 }
 
-/// How a router takes part in the coordination of a fleet.
+/// A router's part in the coordination of a fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct CoordinationSettings {
     /// Addresses of the replicas of the coordination server.
@@ -231,18 +232,18 @@
     /// File with the secret that the fleet shares.
     #[serde(rename = "secret")]
     pub secret_file: PathBuf,
-    /// Term of a config lease; the replicas must have the same.
+    /// Term of a config lease. The replicas must have the same value.
     #[serde(rename = "permit")]
     pub lease_term: Duration,
-    /// Limit of the difference of two clocks' rates, in millionths; the replicas must have the same.
+    /// Limit of the difference of two clocks' rates, in millionths. The replicas must have the same value.
     pub drift: u64,
-    /// Interval of lease renewals. Changes are watched for between them.
+    /// Interval of lease renewals. Between renewals, the router watches for changes.
     #[serde(rename = "ask_every")]
     pub renewal_interval: Duration,
 }
 
 impl CoordinationSettings {
-    /// The timing of leases.
+    /// Returns the timing of leases.
     pub fn lease_timing(&self) -> hoptiller_coordination::LeaseTiming {
         hoptiller_coordination::LeaseTiming {
             term: self.lease_term.as_micros() as u64,
@@ -260,7 +261,7 @@
     /// Maximum number of final responses that are retained for repeated polls.
     #[serde(rename = "answered")]
     pub max_retained_responses: usize,
-    /// How long final responses are retained.
+    /// Time for which final responses are retained.
     #[serde(rename = "keep")]
     pub retention: Duration,
     /// Maximum number of client connections.
@@ -278,17 +279,17 @@
     /// Bytes of buffered pages above which no further pages are fetched.
     #[serde(rename = "held_bytes")]
     pub max_buffered_bytes: u64,
-    /// How long a poll waits for a change.
+    /// Maximum time that a poll waits for a change.
     #[serde(rename = "long_poll")]
     pub long_poll_timeout: Duration,
-    /// A statement whose client has not polled for this long is abandoned.
+    /// Time without polls after which a statement is abandoned.
     pub abandon_after: Duration,
     /// Maximum Retry-After.
     #[serde(rename = "hold_off")]
     pub max_retry_after: Duration,
-    /// Limit of the time that a graceful shutdown takes.
+    /// Timeout of a graceful shutdown.
     #[serde(rename = "drain_within")]
     pub shutdown_timeout: Duration,
-    /// Minimum interval of two batches of decisions.
+    /// Minimum interval between two batches of decisions.
     pub tick: Duration,
 }
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Checks settings for values that contradict each other.
+//! Validation of settings: limits of values, and values that contradict each other.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use super::{ClassSettings, Idempotency, SettingError, Settings};
 
-/// Under this, no time is left for a decision, a response and its way back.
+/// Minimum client timeout. A shorter one leaves no time for a decision and the delivery of a response.
 const MIN_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 const MIN_FINGERPRINTS: usize = 100;
 const MAX_FINGERPRINTS: usize = 100_000;
 const MIN_SAVE_INTERVAL: Duration = Duration::from_secs(1);
 const MIN_LEASE_TERM: Duration = Duration::from_millis(500);
 const MAX_DRIFT_MILLIONTHS: u64 = 100_000;
-/// Renewals that must fit into the term of a lease.
+/// Minimum number of renewal intervals in the term of a lease.
 const MIN_RENEWALS_PER_TERM: u32 = 4;
 const MIN_DISCOVERY_INTERVAL: Duration = Duration::from_millis(10);
-/// Clients and proxies give up after about as long.
+/// Maximum long poll, after which clients and proxies time out.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 const MAX_TICK: Duration = Duration::from_millis(100);
 
-/// All contradictions. `file_name` is part of their places.
+/// Returns all errors. `file_name` is part of their locations.
 pub(super) fn validate(file_name: &str, settings: &Settings) -> Vec<SettingError> {
     let mut validator = Validator {
         file_name,
--- a/crates/statement-router/src/statistics_store.rs
+++ b/crates/statement-router/src/statistics_store.rs
@@ -11,18 +11,18 @@
 
 /// Name of the file in the state directory.
 pub const FILE_NAME: &str = "runaways";
-/// Extension under which a file that can't be decoded is kept.
+/// Extension to which a file that cannot be decoded is renamed.
 const UNREADABLE_EXTENSION: &str = "unreadable";
 
 /// The file of saved statistics.
 pub struct StatisticsStore {
     dir: PathBuf,
-    /// Whether the last save has failed: a failure is logged once.
+    /// Whether the last save failed. Only the first of consecutive failures is logged.
     is_failing: Cell<bool>,
 }
 
 impl StatisticsStore {
-    /// The store in a state directory.
+    /// Creates the store of a state directory.
     pub fn new(dir: &Path) -> StatisticsStore {
         StatisticsStore {
             dir: dir.to_owned(),
@@ -34,8 +34,8 @@
         self.dir.join(FILE_NAME)
     }
 
-    /// Restores the saved statistics into the core, if there are any. A file that can't be decoded is set aside, and the
-    /// router starts without statistics.
+    /// Restores the saved statistics into the core, if there are any. A file that cannot be decoded is renamed, and
+    /// the router starts without statistics.
     pub fn restore(&self, event_loop: &EventLoop) {
         let path = self.path();
         let bytes = match atomic_file::read(&path) {
@@ -59,7 +59,7 @@
                 "statistics restored"
             ),
             Some(Err(error)) => {
-                // The next save would replace it.
+                // The file is renamed, since the next save would overwrite it.
                 let moved_to = path.with_extension(UNREADABLE_EXTENSION);
                 let moved = fs::rename(&path, &moved_to).is_ok();
                 tracing::warn!(
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Saves statistics. A failure is logged, and the next save tries again: nothing else depends on it.
+    /// Saves statistics. A failure is only logged: nothing else depends on the file, and the next save retries.
     pub fn save(&self, bytes: &[u8]) {
         match atomic_file::write(&self.path(), bytes) {
             Ok(()) => {
--- a/crates/statement-router/src/statistics_store/tests.rs
+++ b/crates/statement-router/src/statistics_store/tests.rs
@@ -8,7 +8,7 @@
     let store = StatisticsStore::new(&dir);
     store.save(b"first");
     assert_eq!(fs::read(&file).expect("written"), b"first");
-    // A directory takes the place of the temporary file.
+    // A directory in place of the temporary file makes the save fail.
     fs::create_dir(&temporary).expect("made");
     store.save(b"second");
     assert!(store.is_failing.get());
--- a/crates/statement-router/src/task_leases.rs
+++ b/crates/statement-router/src/task_leases.rs
@@ -1,5 +1,5 @@
-//! A router's task leases: what it offers and is granted with each renewal of its config lease, under which lease an
-//! operation may be performed now, and the notes that it records for the other routers.
+//! A router's task leases: the offers and grants in each renewal of its config lease, the authorization of
+//! operations, and the notes for the other routers.
 
 mod note_publisher;
 
@@ -17,9 +17,9 @@
 
 use note_publisher::NotePublisher;
 
-/// The part of each term that is left unused, for the way of a request to the process that it acts on.
+/// Part of each lease term that is not used, so that a request reaches its target before the lease expires.
 const EXPIRY_MARGIN: Micros = 100_000;
-/// Interval of renewals while leases are handed over. Each can be lost, so that an event alone would not do.
+/// Interval of renewals while leases are handed over. Renewals repeat because each can be lost.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A router's task leases.
@@ -32,7 +32,7 @@
 }
 
 impl TaskLeases {
-    /// Holds no lease yet.
+    /// Creates the state of a router that holds no lease yet.
     pub fn new(timing: &LeaseTiming, clock: Clock) -> TaskLeases {
         TaskLeases {
             client: RefCell::new(TaskLeaseClient::new(timing, EXPIRY_MARGIN)),
@@ -43,17 +43,17 @@
         }
     }
 
-    /// Listens for a change of the held leases, or of what is known of others'.
+    /// Listens for changes of the leases of this router or, as far as known, of others.
     pub fn listen_changed(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Listens for a request to renew soon, as something can be released.
+    /// Listens for requests to renew early because a lease can be released.
     pub fn listen_renewal_requested(&self) -> EventListener {
         self.renewal_requested.listen()
     }
 
-    /// The offer that goes with the renewal of this id.
+    /// Starts a renewal and returns the lease offer to send with it.
     pub fn start_renewal(&self, id: u64) -> LeaseOffer {
         let now = self.clock.now();
         self.client.borrow_mut().start_renewal(id, now)
@@ -77,39 +77,42 @@
         }
     }
 
-    /// Abandons a renewal that has no response.
+    /// Abandons a renewal that received no response.
     pub fn abandon_renewal(&self, id: u64) {
         self.client.borrow_mut().abandon_renewal(id);
     }
 
-    /// The known revision of the lease table.
+    /// Returns the known revision of the lease table.
     pub fn table_revision(&self) -> u64 {
         self.client.borrow().table_revision()
     }
 
-    /// Which router performs a shard now. `in_doubt`: the config lease of this router has expired.
+    /// Returns which router performs a shard now. `in_doubt` tells whether the config lease of this router has
+    /// expired.
     pub fn assignment(&self, shard: Shard, in_doubt: bool) -> TaskAssignment {
         task_assignment(&self.client.borrow(), self.clock.now(), shard, in_doubt)
     }
 
-    /// The number of shards of a task.
+    /// Returns the number of shards of a task.
     pub fn shard_count(&self, task: Task) -> u32 {
         self.client.borrow().shard_count(task)
     }
 
-    /// The last note of a shard, by whoever held its lease.
+    /// Returns the last note of a shard, from any holder of its lease.
     pub fn last_note(&self, shard: Shard) -> Option<String> {
         let client = self.client.borrow();
         client.shard_status(shard)?.note.clone()
     }
 
-    /// Begins an operation under the lease of a shard; `None` where there is none. It is cut short when the lease expires.
+    /// Begins an operation under the lease of a shard. Returns `None` if this router does not hold the lease.
+    /// Requests of the operation time out when the lease expires.
     pub fn begin_operation(&self, shard: Shard) -> Option<LeaseGuard> {
         let now = self.clock.now();
         self.client.borrow_mut().begin_operation(now, shard, 0)
     }
 
-    /// How long a request of an operation may take if it is sent now; `None` where it must not be sent any more.
+    /// Returns the maximum duration of a request of an operation that is sent now, or `None` if it must no longer be
+    /// sent.
     pub fn remaining(&self, guard: &LeaseGuard) -> Option<Duration> {
         let now = self.clock.now();
         let remaining = Duration::from_micros(guard.expires_at.saturating_sub(now));
@@ -119,20 +122,20 @@
             .then_some(remaining)
     }
 
-    /// Ends an operation. A lease that waited for its end is released.
+    /// Ends an operation. Requests a renewal if the lease can now be released.
     pub fn end_operation(&self, guard: &LeaseGuard) {
         if self.client.borrow_mut().end_operation(guard) {
             self.renewal_requested.notify(usize::MAX);
         }
     }
 
-    /// Requests the release of a lease whose task cannot be performed here, so that another router tries.
+    /// Requests the release of a lease whose task cannot be performed here, so that another router takes over.
     pub fn request_release(&self, shard: Shard) {
         self.client.borrow_mut().request_release(shard);
         self.renewal_requested.notify(usize::MAX);
     }
 
-    /// Records a note for the other routers, in place of the one before.
+    /// Records a note for the other routers, replacing the previous one.
     pub fn record_note(&self, guard: &LeaseGuard, text: String) {
         self.notes.set(guard.shard, guard.fencing_token, text);
     }
@@ -142,8 +145,8 @@
         self.notes.run(holder, replicas).await;
     }
 
-    /// Accepts no further leases, and waits until those held are released, or for `timeout` at most. Returns whether they
-    /// are released.
+    /// Accepts no further leases, and waits up to `timeout` until those held are released. Returns whether all are
+    /// released.
     pub async fn hand_over(&self, timeout: Duration) -> bool {
         self.client.borrow_mut().drain();
         let deadline = self.clock.now() + timeout.as_micros() as Micros;
--- a/crates/statement-router/src/task_leases/note_publisher.rs
+++ b/crates/statement-router/src/task_leases/note_publisher.rs
@@ -11,7 +11,7 @@
 
 /// Timeout of a call to each replica.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a call that no replica has answered.
+/// Pause after a call to which no replica has responded.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The last note of a shard.
@@ -27,7 +27,7 @@
     }
 }
 
-/// Sends one note after the other, so that none overtakes its successor.
+/// A publisher that sends notes one at a time, so that no older note arrives after a newer one.
 #[derive(Default)]
 pub(super) struct NotePublisher {
     notes: RefCell<BTreeMap<Shard, Note>>,
@@ -35,7 +35,7 @@
 }
 
 impl NotePublisher {
-    /// Sets the note of a shard, in place of the one before.
+    /// Sets the note of a shard, replacing the previous one.
     pub(super) fn set(&self, shard: Shard, fencing_token: u64, text: String) {
         let mut notes = self.notes.borrow_mut();
         if notes
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Another note may have been set meanwhile: that one is still to be recorded.
+    /// Marks a note as recorded, unless a newer note has been set in the meantime.
     fn mark_recorded(&self, request: &wire::RecordNoteRequest) {
         let mut notes = self.notes.borrow_mut();
         if let Some(note) = notes.get_mut(&request.shard)
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Removes the notes of a lease under which none is accepted.
+    /// Removes the note of a lease whose notes the replicas reject.
     fn discard(&self, request: &wire::RecordNoteRequest, error: NoteError) {
         if error == NoteError::TooLong {
             let bytes = request.text.len();
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that poll twice, poll late, leave, read slowly, and send bytes that are no requests.
+//! Tests of clients that poll twice, poll late, leave, read slowly, and send malformed requests.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use serde_json::{Value, json};
 
-/// How long a router may take to close a connection on a loaded machine.
+/// Time limit for a router to close a connection on a loaded machine.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn post(fields: &[(&str, &str)], body: &str) -> Request {
@@ -26,7 +26,7 @@
     request
 }
 
-/// The path of the history of a statement.
+/// Returns the path of the history of a statement.
 fn history_path(results: &Value) -> String {
     let uri = results["infoUri"].as_str().expect("an infoUri");
     path_of(uri).expect("a path")
@@ -176,7 +176,7 @@
                 "it still counts as in flight"
             );
         }
-        // A client that comes back gets the final response.
+        // A client that polls again gets the final response.
         let next =
             next_path(&client.responses().last().expect("a response").response).expect("a nextUri");
         let response = cluster.get(&next);
@@ -250,7 +250,7 @@
             .map(|request| s.spawn(|| cluster.run(request)))
             .collect();
         while runs.iter().any(|r| !r.is_finished()) {
-            // First pages are not limited by it; what is fetched ahead is.
+            // The limit applies to pages that are fetched ahead, not to first pages.
             let held = cluster.info()["heldBytes"].as_u64().expect("a number");
             assert!(held < 300_000 + 6 * 110_000, "{held}");
             std::thread::sleep(Duration::from_millis(5));
@@ -287,7 +287,7 @@
     stream
 }
 
-/// The status line that a connection receives until it is closed; empty where there is none.
+/// Returns the status line that a connection receives until it is closed, or an empty string if there is none.
 fn read_status_line(stream: &mut TcpStream) -> String {
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received);
@@ -295,7 +295,7 @@
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-/// The status line of the response to these bytes.
+/// Returns the status line of the response to these bytes.
 fn send_bytes(cluster: &TestCluster, bytes: &[u8]) -> String {
     let mut stream = connect(cluster);
     let _ = stream.write_all(bytes);
@@ -303,7 +303,7 @@
     read_status_line(&mut stream)
 }
 
-/// Malformed requests, with the status of their responses; empty where there is none.
+/// Returns malformed requests with the status of their responses, empty if there is no response.
 fn malformed_requests() -> Vec<(Vec<u8>, &'static str)> {
     let head = "POST /v1/statement HTTP/1.1\r\nHost: h\r\nX-Trino-User: a\r\n";
     let with_head = |rest: &str| format!("{head}{rest}").into_bytes();
@@ -388,7 +388,7 @@
         let request = cluster.request("lookup", &format!("SELECT {n} /* work=5ms */"));
         cluster.assert_served(&request);
     }
-    // A further byte does not extend the timeout, which is that of the whole request.
+    // A further byte does not extend the timeout, which covers the whole request.
     for stream in &mut incomplete {
         let _ = stream.write_all(b"n");
     }
@@ -428,7 +428,7 @@
     };
     let cluster = TestCluster::with_config(1, change, |_| {});
     let head = "POST /v1/statement HTTP/1.1\r\nHost: h\r\nX-Trino-User: a\r\nContent-Length: 1000000\r\n\r\n";
-    // Each sends most of a large statement, and holds the rest back.
+    // Each client sends most of a large statement and withholds the rest.
     let mut incomplete: Vec<TcpStream> = (0..6)
         .map(|_| {
             let mut stream = connect(&cluster);
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A complete path on loopback: discovery, engines, a router and scripted clients, with the auditor over their records.
-#![allow(dead_code)] // No test file uses all of it.
+//! A complete installation on loopback: discovery, engines, a router and scripted clients, with an audit of their
+//! records.
+#![allow(dead_code)] // Each test file uses only a part.
 
 pub mod runaways;
 
@@ -27,7 +28,7 @@
 
 /// Incarnation of each router under test.
 pub const INCARNATION: &str = "testtest";
-/// How long a condition may take on a loaded machine.
+/// Time limit for a condition to hold on a loaded machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 pub const RUNAWAY_WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -35,7 +36,7 @@
 
 /// Discovery, engines, and the router `r1`.
 pub struct TestCluster {
-    /// How much longer clients wait than they say.
+    /// Time that clients wait beyond their stated timeout.
     client_grace: Duration,
     pub recorder: Recorder,
     pub ledger: Ledger,
@@ -49,7 +50,7 @@
     next_request: AtomicU64,
 }
 
-/// The example's settings with shorter intervals and a change.
+/// Returns the example's settings with shorter intervals and a change.
 fn settings(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Settings {
     let mut value = hoptiller_statement_router::settings::evaluate("derby.jsonnet", EXAMPLE)
         .expect("evaluates");
@@ -69,7 +70,7 @@
         TestCluster::with_config(engines, |_| {}, |_| {})
     }
 
-    /// A cluster with changed settings and engines. All engines are of the kind that accepts reports.
+    /// Returns a cluster with changed settings and engines. All engines are of the kind that accepts reports.
     pub fn with_config(
         engine_count: usize,
         change_settings: impl FnOnce(&mut Value),
@@ -115,7 +116,7 @@
         cluster
     }
 
-    /// The cluster with clients that wait so much longer than they say.
+    /// Returns the cluster with clients that wait this much beyond their stated timeout.
     pub fn with_client_grace(mut self, grace: Duration) -> TestCluster {
         self.client_grace = grace;
         self
@@ -175,7 +176,7 @@
         self.run_with_client(request).0
     }
 
-    /// Runs a statement; the client has its responses.
+    /// Runs a statement. Returns the client too, which keeps the responses.
     pub fn run_with_client(&self, request: &ClientRequest) -> (ClientOutcome, Client) {
         let mut client = self.client();
         let outcome = future::block_on(client.run(request));
@@ -191,7 +192,7 @@
         );
     }
 
-    /// Runs statements of a kind, several at once, until there are statistics of it.
+    /// Runs statements of a kind concurrently, so that the detector has statistics of the kind.
     pub fn run_repeatedly(&self, class: &str, text: &str, runs: usize) {
         const CLIENTS: usize = 8;
         std::thread::scope(|s| {
@@ -209,7 +210,7 @@
         future::block_on(self.client().get(path)).expect("a response")
     }
 
-    /// One exchange with the router, on a connection of its own.
+    /// Performs an exchange with the router on a new connection.
     pub fn exchange(&self, request: &Request) -> Response {
         exchange(self.addr, request)
     }
@@ -218,7 +219,7 @@
         parse_json(&self.get("/v1/info"))
     }
 
-    /// Waits until the router's info is as wanted.
+    /// Waits until the router's info satisfies the predicate.
     pub fn wait_for_info(&self, what: &str, predicate: impl Fn(&Value) -> bool) {
         wait_until(what, WAIT_TIMEOUT, Duration::from_millis(10), || {
             let info = self.info();
@@ -230,12 +231,12 @@
         });
     }
 
-    /// What the administration API shows of runaways.
+    /// Returns the runaway report of the administration API.
     pub fn runaways(&self) -> Value {
         runaways_of(&self.settings)
     }
 
-    /// Waits until the administration API shows what is wanted.
+    /// Waits until the runaway report satisfies the predicate, and returns it.
     pub fn wait_for_runaways(&self, what: &str, predicate: impl Fn(&Value) -> bool) -> Value {
         let interval = Duration::from_millis(50);
         wait_until(what, RUNAWAY_WAIT_TIMEOUT, interval, || {
@@ -254,7 +255,7 @@
         records
     }
 
-    /// The number of attempts at a statement that have reached engines.
+    /// Returns the number of attempts at a statement that have reached engines.
     pub fn sent_attempts(&self, request: &ClientRequest) -> usize {
         self.records()
             .iter()
@@ -264,7 +265,7 @@
             .count()
     }
 
-    /// The engine that the first attempt at a statement has reached.
+    /// Returns the engine that the first attempt at a statement has reached.
     pub fn first_engine(&self, request: &ClientRequest) -> Option<String> {
         self.records().into_iter().find_map(|record| match record {
             Record::Sent { engine, trace, .. } if trace == request.trace => Some(engine),
@@ -272,7 +273,7 @@
         })
     }
 
-    /// How many of these are running at the engine where one of them runs.
+    /// Returns how many of the requests in `all` run at the engine that runs `one`.
     pub fn count_at_same_engine(&self, one: &ClientRequest, all: &[ClientRequest]) -> usize {
         let records = self.records();
         let engine_of = |request: &ClientRequest| {
@@ -310,7 +311,7 @@
         });
     }
 
-    /// How often a statement has had its effect.
+    /// Returns how often a statement took effect.
     pub fn effects(&self, request: &ClientRequest) -> usize {
         let effects = self.ledger.postings();
         effects.get(&request.trace).copied().unwrap_or(0)
@@ -329,7 +330,7 @@
     }
 }
 
-/// Waits until a check succeeds; its last error is shown otherwise.
+/// Waits until a check succeeds. Panics with its last error after the timeout.
 pub fn wait_until<T>(
     what: &str,
     timeout: Duration,
@@ -349,8 +350,8 @@
     }
 }
 
-/// Starts a router on a thread of its own. The address of its administration API is written into the settings: a free port
-/// that is looked for first and bound later may be another test's by then.
+/// Starts a router on a thread of its own and writes the bound address of its administration API into the settings.
+/// Choosing a free port before binding it could collide with another test.
 pub fn start_router(settings: &mut Settings) -> (ServerThread, SocketAddr) {
     let router_settings = settings.clone();
     let (sender, receiver) = mpsc::channel();
@@ -367,7 +368,7 @@
     (running, addr)
 }
 
-/// What the administration API of a router shows of runaways.
+/// Returns the runaway report of a router's administration API.
 pub fn runaways_of(settings: &Settings) -> Value {
     let admin = settings.router.admin.expect("it is served");
     parse_json(&exchange(
@@ -376,14 +377,14 @@
     ))
 }
 
-/// Puts a body to an address, for the switches of the mock servers.
+/// Sends a PUT request, for the controls of the mock servers.
 pub fn put(addr: SocketAddr, path: &str, body: &str) -> Response {
     let mut request = Request::new(Method::Put, path);
     request.body = body.as_bytes().to_vec();
     exchange(addr, &request)
 }
 
-/// One exchange with an address, on a connection of its own.
+/// Performs an exchange with an address on a new connection.
 pub fn exchange(addr: SocketAddr, request: &Request) -> Response {
     future::block_on(async {
         let mut connection = Connection::open(addr, CONNECT_TIMEOUT, Limits::default())
@@ -400,13 +401,13 @@
     serde_json::from_slice(&response.body).expect("JSON")
 }
 
-/// The path of a response's `nextUri`.
+/// Returns the path of a response's `nextUri`.
 pub fn next_path(response: &Response) -> Option<String> {
     let value: Value = serde_json::from_slice(&response.body).ok()?;
     path_of(value["nextUri"].as_str()?)
 }
 
-/// The path of a URI.
+/// Returns the path of a URI.
 pub fn path_of(uri: &str) -> Option<String> {
     let rest = uri.strip_prefix("http://")?;
     Some(rest[rest.find('/')?..].to_owned())
--- a/crates/statement-router/tests/common/runaways.rs
+++ b/crates/statement-router/tests/common/runaways.rs
@@ -7,21 +7,21 @@
 
 use super::{ClientRequest, INCARNATION, TestCluster};
 
-/// A report whose runs take as long each time.
+/// A report whose runs all take the same time.
 pub const REPORT: &str = "SELECT * FROM arrears /* work=400ms threads=1 */";
-/// The timeout of clients that come back before the engines are done.
+/// A client timeout that expires before the engines finish.
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(7400);
 
-/// On a loaded machine, what is answered in time is seen late.
+/// Time that clients wait beyond their timeout, as timely responses can arrive late on a loaded machine.
 const CLIENT_GRACE: Duration = Duration::from_secs(5);
 
-/// Engines of 32 cores that report on their statements and kill them on request.
+/// Configures an engine with 32 cores that reports progress and kills statements on request.
 pub fn reporting_engine(engine: &mut EngineConfig) {
     (engine.reports_progress, engine.supports_kill) = (true, true);
     (engine.work_model.cores, engine.work_model.io_slots) = (32.0, 64.0);
 }
 
-/// Settings for such engines.
+/// Adapts settings to engines that report progress and kill statements.
 pub fn reporting_settings(value: &mut Value) {
     value["kinds"] = json!({ "std-8a": 32, "std-8b": 32 });
     let engines = value["engines"].as_object_mut().expect("an object");
@@ -29,13 +29,13 @@
     engines.insert("pauses".into(), json!(true));
 }
 
-/// A cluster whose router reports and holds runaways.
+/// Returns a cluster whose router reports and holds runaways.
 pub fn reporting_cluster(engines: usize) -> TestCluster {
     TestCluster::with_config(engines, reporting_settings, reporting_engine)
         .with_client_grace(CLIENT_GRACE)
 }
 
-/// A cluster whose router kills runaways too.
+/// Returns a cluster whose router also kills runaways.
 pub fn killing_cluster(engines: usize) -> TestCluster {
     let killing_settings = |value: &mut Value| {
         reporting_settings(value);
@@ -45,18 +45,18 @@
         .with_client_grace(CLIENT_GRACE)
 }
 
-/// The text of a report that takes this much work.
+/// Returns the text of a report with this much work.
 pub fn report(work: &str) -> String {
     format!("SELECT * FROM arrears /* work={work} threads=1 */")
 }
 
-/// The request of a client that waits for long.
+/// Returns the request with a timeout of 20 s.
 pub fn with_long_timeout(mut request: ClientRequest) -> ClientRequest {
     request.timeout = Duration::from_secs(20);
     request
 }
 
-/// Open and past findings with this verdict.
+/// Returns open and past findings with this verdict.
 pub fn findings(shown: &Value, verdict: &str) -> Vec<Value> {
     let all = [&shown["findings"], &shown["past"]]
         .into_iter()
@@ -65,7 +65,7 @@
         .collect()
 }
 
-/// Cause and subject of each runaway.
+/// Returns the cause and subject of each runaway.
 pub fn runaways(shown: &Value) -> Vec<(String, String)> {
     let text = |finding: &Value, key: &str| finding[key].as_str().unwrap_or_default().to_owned();
     findings(shown, "runaway")
@@ -74,17 +74,17 @@
         .collect()
 }
 
-/// Whether there is an open or past runaway.
+/// Returns whether there is an open or past runaway.
 pub fn has_runaway(shown: &Value) -> bool {
     !findings(shown, "runaway").is_empty()
 }
 
-/// Whether there is an open or past notice.
+/// Returns whether there is an open or past notice.
 pub fn has_notice(shown: &Value) -> bool {
     !findings(shown, "notice").is_empty()
 }
 
-/// The number of open and past findings with any verdict.
+/// Returns the number of open and past findings with any verdict.
 pub fn count_findings(shown: &Value) -> usize {
     ["findings", "past"]
         .iter()
@@ -92,7 +92,7 @@
         .sum()
 }
 
-/// The subject of findings about a statement.
+/// Returns the subject of findings about a statement.
 pub fn subject_of(request: &ClientRequest) -> String {
     // The router numbers statements in the order of their arrival, which is that of these requests.
     format!("statement r1/{:05}_{INCARNATION}", request.id)
--- a/crates/statement-router/tests/core/harness.rs
+++ b/crates/statement-router/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! A core with scripted clients and engines that check its every answer.
+//! A core with scripted clients and engines that check each response and command.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -33,14 +33,14 @@
 
 type TestResult = Result<(), TestCaseError>;
 
-/// What a client has received.
+/// The responses that a client has received.
 #[derive(Default)]
 struct Client {
     class: usize,
     next_page: u64,
     last_response: Option<Rc<StatementResponse>>,
     final_responses: u32,
-    /// The rows, which name the attempt that delivered them.
+    /// The received rows. Each contains the attempt that delivered it.
     rows: Vec<String>,
     has_cancelled: bool,
 }
@@ -52,13 +52,13 @@
     may_deliver: bool,
 }
 
-/// An attempt that was sent, and what was reported of it.
+/// A sent attempt and the statuses that were reported for it.
 struct SentAttempt {
     statuses: Vec<AttemptStatus>,
 }
 
 impl SentAttempt {
-    /// Whether what was reported proves that the statement was never executed.
+    /// Returns whether the reported statuses prove that the statement was never executed.
     fn is_proved_unexecuted(&self) -> bool {
         self.statuses.iter().any(|status| {
             matches!(
@@ -80,12 +80,12 @@
 }
 
 impl CoreHarness {
-    /// A core with the settings of the example.
+    /// Returns a core with the settings of the example.
     pub fn new() -> CoreHarness {
         CoreHarness::with_settings("{}")
     }
 
-    /// A core with the settings of the example and a change in Jsonnet.
+    /// Returns a core with the settings of the example and a change in Jsonnet.
     pub fn with_settings(change: &str) -> CoreHarness {
         let text = format!("({EXAMPLE}) + {change}");
         let settings = Settings::from_text("derby", &text).expect("valid");
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Runs a batch, and checks its commands.
+    /// Runs a batch and checks its commands.
     pub fn run_batch(&mut self) -> TestResult {
         self.core.run_batch(self.now);
         while let Some(command) = self.core.next_command() {
@@ -172,7 +172,7 @@
         Ok(())
     }
 
-    /// Applies a step, and runs a batch.
+    /// Applies a step and runs a batch.
     pub fn apply(&mut self, step: &Step) -> TestResult {
         match *step {
             Step::Submit(class) => self.submit(class)?,
@@ -363,7 +363,7 @@
         }
     }
 
-    /// All engines fail, and all clients that have not cancelled poll to the end. Then checks what holds at the end.
+    /// Lets all engines fail and all clients that have not cancelled poll to the end, then checks the final state.
     pub fn finish(&mut self) -> TestResult {
         for _ in 0..400 {
             while let Some(attempt) = self.in_flight.pop() {
@@ -411,7 +411,7 @@
         Ok(())
     }
 
-    /// A response that says a retry is harmless is given only where there is proof of it.
+    /// Checks that a response that declares a retry safe is sent only with proof.
     fn check_effects(&self, id: StatementId, settled: Option<&FinalResponse>) -> TestResult {
         match settled {
             Some(FinalResponse::TerminatedByRule { .. }) => {
@@ -428,7 +428,8 @@
         Ok(())
     }
 
-    /// Whether the final response was evicted while its client was away for longer than responses are retained.
+    /// Returns whether the final response was evicted because its client stayed away for longer than responses are
+    /// retained.
     fn is_evicted(&mut self, id: StatementId) -> bool {
         let page = self.clients[&id].next_page;
         matches!(self.core.poll(self.now, id, page), PollOutcome::Gone)
--- a/crates/statement-router/tests/core/main.rs
+++ b/crates/statement-router/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The core without sockets: generated sequences of client and engine steps, checked against what always holds.
+//! Property tests of the core without sockets: invariants over generated sequences of client and engine steps.
 
 mod harness;
 mod step;
@@ -42,7 +42,7 @@
     }
 }
 
-/// A page whose only value is this text.
+/// Returns a page whose only value is this text.
 fn page(text: &str, is_last: bool) -> ResultPage {
     let rows = RawValue::from_string(format!("[[\"{text}\"]]")).expect("JSON");
     ResultPage {
@@ -80,7 +80,7 @@
     id
 }
 
-/// Whether the core commands to fetch the next page of a statement.
+/// Returns whether the core commands to fetch the next page of a statement.
 fn is_fetch_commanded(core: &mut Core, statement: StatementId) -> bool {
     let commands: Vec<Command> = std::iter::from_fn(|| core.next_command()).collect();
     commands
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_page_is_fetched_only_while_the_buffer_has_room() {
-    let mut harness = CoreHarness::new(); // It buffers 60 bytes.
+    let mut harness = CoreHarness::new(); // The buffer holds 60 bytes.
     let (large, small) = (submit(&mut harness, 0), submit(&mut harness, 0));
     let now = harness.now;
     let core = &mut harness.core;
@@ -115,7 +115,7 @@
     harness.now += 5_000 * MS;
     let (core, now) = (&mut harness.core, harness.now);
     core.accept_page(now, id, 0, page("here", true));
-    // Progress that was reported late says that it would never end in time.
+    // A late progress report predicts that the attempt will miss its deadline.
     core.report_progress(id, 0, Progress::Completed(0.001));
     core.run_batch(now);
     let PollOutcome::Response(response) = core.poll(now, id, 1) else {
--- a/crates/statement-router/tests/core/step.rs
+++ b/crates/statement-router/tests/core/step.rs
@@ -6,7 +6,7 @@
 
 use super::MS;
 
-/// A step. Its index selects among what there is at that moment, modulo their number.
+/// A generated step. Its index selects one of the present clients or attempts, modulo their number.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A client submits a statement of this class.
@@ -21,9 +21,9 @@
     Cancel(usize),
     /// An attempt delivers a page, the last one or not.
     Page { index: usize, is_last: bool },
-    /// An attempt ends without its result.
+    /// An attempt ends without a result.
     End { index: usize, status: AttemptStatus },
-    /// An engine rejects the statement itself.
+    /// An engine rejects the statement as invalid.
     Reject(usize),
     /// An attempt is killed at its engine, which reports this proof.
     Kill { index: usize, proof: Proof },
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Engines that hang, crash, lose responses, drain and reject statements: the complete path over sockets.
+//! Tests of engines that hang, crash, lose responses, drain and reject statements, end to end over sockets.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 const LOAD: &str = "INSERT INTO rent /* work=50ms */";
-/// Longer than the grace in which a draining engine may still get statements.
+/// Wait that exceeds the grace period in which a draining engine may still receive statements.
 const DRAIN_GRACE: Duration = Duration::from_millis(1300);
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
@@ -87,7 +87,7 @@
     request.options.poll_delay = Duration::from_millis(300);
     let outcome = std::thread::scope(|s| {
         let run = s.spawn(|| cluster.run(&request));
-        // Whichever engine has delivered the first page.
+        // The first page may come from either engine.
         wait_until("a page", WAIT_TIMEOUT, Duration::from_millis(5), || {
             let is_settled = cluster.info()["answeredStatements"] != json!(0);
             match is_settled || has_received_rows(&cluster) {
@@ -237,7 +237,7 @@
         loads.iter().any(|load| cluster.sent_attempts(load) == 2),
         "no load was sent to the full engine"
     );
-    // Discovery does not notice that an engine is gone.
+    // Discovery does not notice that an engine has crashed.
     cluster.discovery.inject_faults(DiscoveryFaults {
         stale: true,
         down: false,
@@ -365,7 +365,7 @@
     cluster.assert_rules_kept();
 }
 
-/// Whether an attempt at a statement has reached an engine.
+/// Returns whether an attempt at a statement has reached the engine.
 fn is_sent_to(cluster: &TestCluster, request: &ClientRequest, node: &str) -> bool {
     let is_sent = |record: &Record| matches!(record, Record::Sent { engine, trace, .. } if *trace == request.trace && engine == node);
     cluster.records().iter().any(is_sent)
@@ -381,7 +381,7 @@
     });
     cluster.crash_engine(0);
     cluster.start_engine(0);
-    // The idle connections to it are closed, and the stale list has not noticed.
+    // The router's idle connections to it are closed, and the list is stale.
     let load = cluster.request("rent-load", LOAD);
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
     assert_eq!(cluster.sent_attempts(&load), 1);
@@ -391,7 +391,7 @@
 #[test]
 fn responses_that_race_with_the_deadline_are_delivered_once() {
     let cluster = TestCluster::new(4);
-    // The engines finish at about the moment of the deadline.
+    // The engines finish close to the deadline.
     let requests: Vec<_> = (0..40u64)
         .map(|n| {
             let class = if n % 2 == 0 { "rent-load" } else { "lookup" };
@@ -421,7 +421,7 @@
         );
         assert!(cluster.effects(request) <= 1);
     }
-    // Engines may still execute some loads; the ledger is complete only then.
+    // Engines may still execute some loads; the ledger is complete only after that.
     std::thread::sleep(Duration::from_millis(1500));
     cluster.assert_rules_kept();
 }
@@ -433,7 +433,7 @@
     std::thread::scope(|s| {
         let load_run = s.spawn(|| cluster.run(&load));
         cluster.wait_until_sent(&load);
-        // The new process gives its first statement the URI that the old one gave the load.
+        // The new process assigns its first statement the URI that the old process assigned to the load.
         cluster.crash_engine(0);
         cluster.start_engine(0);
         let mut other = Request::new(Method::Post, "/v1/statement");
--- a/crates/statement-router/tests/runaway_detection.rs
+++ b/crates/statement-router/tests/runaway_detection.rs
@@ -1,4 +1,4 @@
-//! What the router reports as a runaway, over sockets: which statements, engines and kinds, and which not.
+//! Tests over sockets of which statements, engines and kinds the router reports.
 
 mod common;
 
@@ -22,7 +22,7 @@
 
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
-/// Sets a flag when a test's thread is done, also by a panic.
+/// A guard that sets a flag when dropped, also by a panic.
 struct SetOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for SetOnDrop<'_> {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The request with the tag of the tables that it reads or writes.
+/// Returns the request with the tag of the tables that it reads or writes.
 fn with_tables(mut request: ClientRequest) -> ClientRequest {
     request.tags = "tables=due".into();
     request
@@ -65,7 +65,7 @@
         assert_eq!(finding["text"], json!("select * from arrears"));
         assert_eq!(finding["evidence"]["basis"]["on"], json!("kind"));
         assert_eq!(shown["holds"][0]["atOnce"], json!(1));
-        // By default it is reported and held only: its client gets a response when its timeout has passed.
+        // By default a runaway is only reported and held; its client gets a response when its timeout expires.
         let outcome = run.join().expect("ends");
         assert!(
             matches!(&outcome, ClientOutcome::Rejected { error: name, .. } if name == "HOPTILLER_REFUSED"),
@@ -95,7 +95,7 @@
         request.timeout = SHORT_TIMEOUT;
         request
     };
-    // So many that forty are sent to the load's engine.
+    // Enough that about forty are sent to the load's engine.
     let first: Vec<ClientRequest> = (0..90).map(lookup).collect();
     std::thread::scope(|s| {
         let load_run = s.spawn(|| cluster.run(&load));
@@ -106,7 +106,7 @@
             .collect();
         let shown = cluster.wait_for_runaways("the load", has_runaway);
         assert_eq!(runaways(&shown), [("blocks".to_owned(), subject_of(&load))]);
-        // Those sent before the verdict are blocked; on a slow machine they may not be forty yet.
+        // The lookups sent before the verdict are blocked; on a slow machine they may be fewer than forty.
         let expected = cluster.count_at_same_engine(&load, &first).min(40) as u64;
         assert!(expected > 0);
         cluster.wait_for_runaways("blocked lookups", |shown| {
@@ -196,7 +196,7 @@
         cluster.wait_until_sent(&load);
     });
     cluster.crash_router();
-    // It is reported some 12 s after it began, if lookups are blocked by it then.
+    // The load is reported about 12 s after it began, if it blocks lookups by then.
     let is_over = AtomicBool::new(false);
     std::thread::scope(|s| {
         let _stop = SetOnDrop(&is_over);
@@ -289,7 +289,7 @@
     };
     let mut cluster = TestCluster::with_config(2, change, reporting_engine);
     cluster.run_repeatedly("report", REPORT, 48);
-    // A save that began before the last run may still be under way.
+    // A save that began before the last run may still be in progress.
     std::thread::sleep(Duration::from_millis(1500));
     let file = dir.join("runaways");
     let interval = Duration::from_millis(50);
@@ -317,7 +317,7 @@
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// The number of kinds with statistics in a router that starts with these settings.
+/// Returns the number of kinds with statistics in a router that starts with these settings.
 fn count_restored_kinds(settings: &Settings) -> Option<u64> {
     let mut settings = settings.clone();
     settings.router.admin = Some(([127, 0, 0, 1], 0).into());
--- a/crates/statement-router/tests/runaway_enforcement.rs
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -1,4 +1,4 @@
-//! What the router does about runaways, over sockets: holds, kills and pauses, and the responses of their clients.
+//! Tests over sockets of the enforcement against runaways: holds, kills and pauses, and the responses to clients.
 
 mod common;
 
@@ -103,7 +103,8 @@
     let long = with_long_timeout(cluster.request("report", &report("9s")));
     let started_at = Instant::now();
     assert_eq!(cluster.run(&long), ClientOutcome::Served(300));
-    // Nine seconds of work and five of the pause. Only a lower bound, so that a slow machine changes nothing.
+    // The run takes nine seconds of work and a pause of five. Only the lower bound is checked, as a slow machine
+    // takes longer.
     let elapsed = started_at.elapsed();
     assert!(elapsed >= Duration::from_millis(13_500), "{elapsed:?}");
     assert_eq!(cluster.sent_attempts(&long), 1);
@@ -120,7 +121,7 @@
         only_class: Some("rent-load".into()),
         ..EngineFaults::default()
     });
-    // It is a runaway after 3 s, and done some 8 s after it began.
+    // The load is a runaway after 3 s and finishes about 8 s after it began.
     let load =
         with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
--- a/crates/statement-router/tests/settings.rs
+++ b/crates/statement-router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: invalid ones are rejected with all their errors and their places.
+//! Tests of settings files: invalid files are rejected with all errors and their locations.
 
 use hoptiller_statement_router::Settings;
 
@@ -158,7 +158,7 @@
     ("{ x: nothing }", "nothing"),
 ];
 
-/// The errors of the example with a change in Jsonnet.
+/// Returns the errors of the example with a change in Jsonnet.
 fn errors(change: &str) -> Vec<String> {
     match Settings::from_text("a.jsonnet", &format!("({EXAMPLE}) + {change}")) {
         Ok(_) => Vec::new(),
