--- a/crates/statement-router/src/endpoint_list/tests.rs
+++ b/crates/statement-router/src/endpoint_list/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_engine_of_unknown_age_starts_slowly_until_it_reports_its_uptime() {
+fn an_engine_of_unknown_age_gets_a_slow_start_until_it_reports_its_uptime() {
     let mut list = endpoint_list();
     assert!(
         list.update(100 * SECOND, &services(&[("a", "1", "http://127.0.0.1:1")]))
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -20,7 +20,8 @@
 #[derive(Debug, thiserror::Error)]
 enum RenewalError {
     #[error(
-        "the replicas don't know a configuration version that this router has enforced: a replica was restored from old data"
+        "the replicas don't know a configuration version that this router has enforced: \
+         a replica was restored from old data"
     )]
     UnknownVersion,
     #[error("the replicas have reached their limit of lease holders")]
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -28,7 +28,10 @@
             return Vec::new();
         };
         decode(&bytes).unwrap_or_else(|| {
-            tracing::warn!(file = %self.path.display(), "cannot decode the stored configuration versions; ignoring them");
+            tracing::warn!(
+                file = %self.path.display(),
+                "cannot decode the stored configuration versions; ignoring them"
+            );
             Vec::new()
         })
     }
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -89,10 +89,10 @@
             let request = control.clone();
             match engines.control_statement(id, request).await {
                 Ok(()) => {
-                    tracing::warn!(statement = %label, hop = number, ?control, "engine accepted statement control request");
+                    tracing::warn!(statement = %label, hop = number, ?control, "statement control accepted");
                 }
                 Err(error) => {
-                    tracing::warn!(statement = %label, hop = number, ?control, %error, "statement control request failed");
+                    tracing::warn!(statement = %label, hop = number, ?control, %error, "statement control failed");
                 }
             }
         });
--- a/crates/statement-router/tests/clients.rs
+++ b/crates/statement-router/tests/clients.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_invalid_request_is_rejected_with_what_is_wrong() {
+fn an_invalid_request_is_rejected_with_the_reason() {
     let cluster = TestCluster::new(1);
     let cases: [(Request, &str); 6] = [
         (
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -12,9 +12,9 @@
 use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::json;
 
-const LOAD: &str = "INSERT INTO rent /* work=50ms */";
+const LOAD_STATEMENT: &str = "INSERT INTO rent /* work=50ms */";
 /// Wait that exceeds the grace period in which a draining engine may still receive statements.
-const DRAIN_GRACE: Duration = Duration::from_millis(1300);
+const DRAIN_WAIT: Duration = Duration::from_millis(1300);
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
 #[test]
@@ -23,7 +23,7 @@
     for (class, text, rows) in [
         ("lookup", "SELECT 1 /* work=20ms rows=7 */", 7),
         ("report", "SELECT 2 /* work=50ms rows=90 pages=4 */", 90),
-        ("rent-load", LOAD, 1),
+        ("rent-load", LOAD_STATEMENT, 1),
     ] {
         let request = cluster.request(class, text);
         assert_eq!(
@@ -43,7 +43,7 @@
         hang: true,
         ..EngineFaults::default()
     });
-    let mut request = cluster.request("rent-load", LOAD);
+    let mut request = cluster.request("rent-load", LOAD_STATEMENT);
     request.timeout = Duration::from_millis(1500);
     let (outcome, client) = cluster.run_with_client(&request);
     assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn a_lost_response_is_no_proof_that_the_statement_was_not_executed() {
+fn a_lost_response_does_not_prove_that_the_statement_was_not_executed() {
     let cluster = TestCluster::new(3);
     cluster.set_faults(&EngineFaults {
         lose_response: true,
         only_class: Some("rent-load".into()),
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(
         cluster.run(&load),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
@@ -198,7 +198,7 @@
         remaining: Some(1),
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(
         cluster.run(&load),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
@@ -222,13 +222,15 @@
 }
 
 #[test]
-fn a_statement_that_never_ran_is_retried_whatever_its_class() {
+fn a_statement_that_never_ran_is_retried_in_every_class() {
     let cluster = TestCluster::new(2);
     cluster.engines[0].inject_faults(EngineFaults {
         reject: true,
         ..EngineFaults::default()
     });
-    let loads: Vec<_> = (0..6).map(|_| cluster.request("rent-load", LOAD)).collect();
+    let loads: Vec<_> = (0..6)
+        .map(|_| cluster.request("rent-load", LOAD_STATEMENT))
+        .collect();
     for load in &loads {
         assert_eq!(cluster.run(load), ClientOutcome::Served(1));
         assert_eq!(cluster.effects(load), 1);
@@ -245,7 +247,7 @@
     cluster.crash_engine(0);
     for _ in 0..4 {
         assert_eq!(
-            cluster.run(&cluster.request("rent-load", LOAD)),
+            cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
             ClientOutcome::Served(1)
         );
     }
@@ -259,7 +261,7 @@
         reject: true,
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     let ClientOutcome::Rejected {
         error: name,
         retry_after,
@@ -272,7 +274,7 @@
         ("HOPTILLER_REFUSED", Some(2), 0)
     );
     cluster.set_faults(&EngineFaults::default());
-    let mut again = cluster.request("rent-load", LOAD);
+    let mut again = cluster.request("rent-load", LOAD_STATEMENT);
     again.trace = load.trace.replace(".0", ".1");
     assert_eq!(cluster.run(&again), ClientOutcome::Served(1));
     cluster.assert_rules_kept();
@@ -316,7 +318,7 @@
         ClientOutcome::Rejected { .. }
     ));
     assert_eq!(
-        cluster.run(&cluster.request("rent-load", LOAD)),
+        cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
     cluster.set_faults(&EngineFaults {
@@ -324,7 +326,7 @@
         ..EngineFaults::default()
     });
     assert_eq!(
-        cluster.run(&cluster.request("rent-load", LOAD)),
+        cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
     cluster.set_faults(&EngineFaults::default());
@@ -354,7 +356,7 @@
             .expect("an engine of the cluster");
         let response = put(draining.listen, "/v1/info/state", "\"SHUTTING_DOWN\"");
         assert_eq!(response.status.0, 200);
-        std::thread::sleep(DRAIN_GRACE);
+        std::thread::sleep(DRAIN_WAIT);
         for _ in 0..10 {
             let request = cluster.request("lookup", "SELECT 1 /* work=2ms */");
             cluster.assert_served(&request);
@@ -382,7 +384,7 @@
     cluster.crash_engine(0);
     cluster.start_engine(0);
     // The router's idle connections to it are closed, and the list is stale.
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
     assert_eq!(cluster.sent_attempts(&load), 1);
     cluster.assert_rules_kept();
--- a/crates/statement-router/tests/runaway_detection.rs
+++ b/crates/statement-router/tests/runaway_detection.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_long_announced_report_is_not_reported_and_a_runaway_of_its_kind_is() {
+fn an_announced_long_report_is_not_reported_but_a_runaway_of_its_kind_is() {
     let cluster = reporting_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
     let plain = with_long_timeout(cluster.request("report", &report("4s")));
@@ -166,9 +166,9 @@
 fn a_kind_without_statistics_is_compared_with_its_class() {
     let cluster = reporting_cluster(2);
     cluster.run_repeatedly("lookup", "SELECT a FROM t /* work=60ms */", 48);
-    let honest =
+    let moderate =
         with_long_timeout(cluster.request("lookup", "SELECT new, honest FROM t /* work=900ms */"));
-    cluster.assert_served(&honest);
+    cluster.assert_served(&moderate);
     assert_eq!(count_findings(&cluster.runaways()), 0);
     let mut long = cluster.request("lookup", "SELECT new, heavy FROM t /* work=300s */");
     long.timeout = SHORT_TIMEOUT;
