--- a/crates/statement-router/src/atomic_file.rs
+++ b/crates/statement-router/src/atomic_file.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Maximum size of a file that is read. A router writes no larger file.
+/// Maximum size of a file that is read, far above the size of the files that a router writes.
 const MAX_FILE_BYTES: u64 = 256 << 20;
 /// Extension of the temporary file that is renamed once it is complete.
 const TEMPORARY_EXTENSION: &str = "new";
--- a/crates/statement-router/src/context.rs
+++ b/crates/statement-router/src/context.rs
@@ -30,7 +30,8 @@
 
 impl RouterContext {
     /// Creates the context of a router with these settings. `incarnation` distinguishes this process of the router
-    /// from others. Tokens stay valid in later processes that have the same secret.
+    /// from others. The URIs of statements carry authenticated tokens, which stay valid in later processes of the
+    /// router with the same name and secret.
     pub(crate) fn new(
         settings: Rc<Settings>,
         secret: &[u8],
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -33,10 +33,10 @@
     /// Returns the time, by the clock of the core.
     fn now(&self) -> Micros;
 
-    /// Reports a changed list, or, with [`ListScope::Failed`] and no entries, a failed read.
+    /// Called when the list has changed, or, with [`ListScope::Failed`] and no entries, when it could not be read.
     fn endpoints_changed(&self, scope: ListScope, entries: Vec<EndpointEntry>);
 
-    /// Reports the name and the address of a listed engine.
+    /// Called with the name and the address of each listed engine on every update, changed or not.
     fn address_changed(&self, engine: EngineId, name: &str, addr: SocketAddr);
 }
 
@@ -49,7 +49,7 @@
     Invalid,
 }
 
-/// The error that a task lease expires too soon to begin an operation.
+/// The error that the task lease does not allow an operation now.
 #[derive(Debug, thiserror::Error)]
 #[error("the lease expires too soon")]
 struct LeaseExpiring;
--- a/crates/statement-router/src/endpoint_list.rs
+++ b/crates/statement-router/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of engines, from discovery and from the reports of the engines themselves, without I/O or a clock.
+//! The endpoint list, from discovery and from the reports of the engines themselves, without I/O or a clock.
 //!
 //! Discovery lists engines and their addresses. Its list can be out of date, and shows only whether a process runs.
 //! Each engine reports its own state and uptime. A process that is younger than the known one is a new process, even
@@ -77,7 +77,7 @@
     /// The address is malformed.
     #[error("{0:?} is not of the form http://address:port")]
     InvalidAddress(String),
-    /// All engine ids are in use.
+    /// The engine ids are exhausted; ids of removed engines are not reused.
     #[error("engine ids are exhausted")]
     NoMoreIds,
 }
--- a/crates/statement-router/src/engines/attempt/kill_proof.rs
+++ b/crates/statement-router/src/engines/attempt/kill_proof.rs
@@ -10,7 +10,7 @@
 use crate::engines::connection_pool::Timeouts;
 
 impl RunningAttempt<'_> {
-    /// Requests from the engine what became of the effects. Repeats a request to which the engine cannot respond.
+    /// Asks the engine what became of the statement's effects. Retries after a failed exchange or a 5xx response.
     pub(super) async fn fetch_kill_proof(&self) -> Proof {
         let Some(query_id) = self.query_id.borrow().clone() else {
             return Proof::Unknown;
--- a/crates/statement-router/src/engines/attempt/results.rs
+++ b/crates/statement-router/src/engines/attempt/results.rs
@@ -137,8 +137,8 @@
         self.observer.page_received(self.id, page);
     }
 
-    /// Returns the path of a URI at this engine, or `None` for any other URI: an engine must not direct the router to
-    /// other addresses.
+    /// Returns the path of a URI at this engine, or `None` for another address or an invalid path: an engine must not
+    /// direct the router to other addresses.
     fn path_of(&self, uri: &str) -> Option<String> {
         let path = match uri.strip_prefix("http://") {
             None => uri,
--- a/crates/statement-router/src/engines/client.rs
+++ b/crates/statement-router/src/engines/client.rs
@@ -17,7 +17,8 @@
 use super::observer::EngineObserver;
 use super::transport::{EngineOptions, EngineTransport};
 
-/// Capacity of the control channel of an attempt. Few messages to one attempt are pending at a time.
+/// Capacity of the control channel of an attempt. It exceeds the number of messages that the core can have pending
+/// for one attempt, since messages to a full channel are dropped.
 const CONTROL_CHANNEL_CAPACITY: usize = 8;
 const HEALTH_CHECK_PATH: &str = "/v1/status";
 
--- a/crates/statement-router/src/engines/observer.rs
+++ b/crates/statement-router/src/engines/observer.rs
@@ -12,29 +12,29 @@
     /// Returns the time, by the clock of the core.
     fn now(&self) -> Micros;
 
-    /// Reports a received page of rows.
+    /// Called when a page of rows has been received.
     fn page_received(&self, id: AttemptId, page: ResultPage);
 
-    /// Reports that the engine has rejected the statement as invalid.
+    /// Called when the engine has rejected the statement as invalid.
     fn statement_failed(&self, id: AttemptId, error: EngineError);
 
-    /// Reports an attempt that ended without a result: failed, cancelled or not sent.
+    /// Called when an attempt has ended without a result: failed, cancelled or not sent.
     fn attempt_ended(&self, id: AttemptId, outcome: AttemptOutcome);
 
-    /// Reports an attempt that was killed at its engine, with the engine's proof of what became of its effects.
+    /// Called when an attempt was killed at its engine, with the engine's proof of what became of its effects.
     fn attempt_killed(&self, id: AttemptId, proof: Proof, reason: String);
 
-    /// Reports the status that the engine gives of an attempt.
+    /// Called when the engine has reported the status of an attempt.
     fn status_reported(&self, id: AttemptId, report: AttemptReport);
 
-    /// Reports the progress that the engine gives of an attempt.
+    /// Called when the engine has reported the progress of an attempt.
     fn progress_reported(&self, id: AttemptId, progress: Progress);
 
-    /// Reports a completed health check, with the load report of the engine if its response has one.
+    /// Called when a health check has completed, with the load report of the engine if its response has one.
     fn health_check_completed(&self, engine: EngineId, report: Option<LoadReport>);
 
-    /// Authorizes an attempt right before its first byte is written. Returns the configuration versions that allow
-    /// it, if there are any.
+    /// Authorizes an attempt; called right before its first byte is written. Returns the configuration versions that
+    /// allow it, if there are any.
     ///
     /// # Errors
     ///
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -128,7 +128,8 @@
         self.is_usable.set(is_usable);
     }
 
-    /// Returns the versions that are enforced now, and whether the config lease has expired.
+    /// Returns the versions that are enforced now. `in_doubt` is set while the config lease has expired or is not yet
+    /// granted.
     pub fn versions(&self) -> ConfigVersions {
         let watcher = self.watcher.borrow();
         ConfigVersions {
@@ -167,8 +168,8 @@
         self.task_leases.listen_changed()
     }
 
-    /// Begins an operation for the whole fleet under the lease of a shard. Returns `None` if this router does not
-    /// hold the lease for long enough.
+    /// Begins an operation for the whole fleet under the lease of a shard. Returns `None` if this router holds no
+    /// valid lease, has requested its release, or is handing over its leases.
     pub fn begin_operation(self: &Rc<Self>, shard: Shard) -> Option<LeasedOperation> {
         let guard = self.task_leases.begin_operation(shard)?;
         Some(LeasedOperation::new(self.clone(), guard))
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -40,6 +40,7 @@
     /// Renews the lease periodically. Calls `on_change` when the enforced versions change, before any operation under
     /// them. Never returns.
     pub async fn run(self: Rc<Self>, on_change: impl Fn()) {
+        // Versions that an earlier incarnation has stored are applied before the first renewal.
         if self.merged_document_satisfies(|_| true) {
             on_change();
         }
@@ -161,6 +162,7 @@
         grant: ConfigLeaseGrant,
         on_change: &impl Fn(),
     ) -> Result<bool, RenewalError> {
+        // This injected fault counts the lease from the response, so that the lease lasts too long.
         if fault_injection::is_injected(Fault::TermFromResponse) {
             self.watcher.borrow_mut().set_sent_at(id, self.clock.now());
         }
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Returns the stored versions, or none if the file is missing or invalid.
+    /// Returns the stored versions, or none if the file is missing, unreadable or invalid. Only an invalid file is
+    /// logged.
     pub(super) fn load(&self) -> Vec<Version> {
         let Ok(bytes) = atomic_file::read(&self.path) else {
             return Vec::new();
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -204,6 +204,7 @@
                 message.clone(),
             ));
         }
+        // The wire name of this error is HOPTILLER_REFUSED.
         FinalResponse::Rejected {
             retry_after,
             reason,
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -7,7 +7,7 @@
 
 use crate::context::RouterContext;
 
-/// Returns information on the router in the form of a node.
+/// Returns information on the router in the format of an engine's `/v1/info`.
 pub(super) fn router_info(context: &RouterContext) -> Response {
     let usage = context.with_core(|core, _| core.usage());
     let batches = context.event_loop().batch_stats();
--- a/crates/statement-router/src/front_end/submission.rs
+++ b/crates/statement-router/src/front_end/submission.rs
@@ -138,8 +138,9 @@
         .collect()
 }
 
-/// Checks whether the fleet configuration allows accepting a statement now. A statement is bound to the configuration
-/// under which it is accepted; before acceptance, it can be rejected freely.
+/// Checks whether the fleet configuration allows accepting a statement now. The check precedes acceptance: an
+/// accepted statement would be bound to a configuration that no longer applies, while one that is not yet accepted
+/// can still be rejected without consequences.
 pub(super) fn authorize(
     context: &RouterContext,
     submission: &ClientSubmission,
--- a/crates/statement-router/src/lib.rs
+++ b/crates/statement-router/src/lib.rs
@@ -9,7 +9,8 @@
 //! - [`discovery`] reads the list of engines and [`engines`] runs attempts; both perform I/O and make no decisions;
 //! - [`context`] holds the state that these modules share;
 //! - [`fleet_member`] and [`task_leases`] hold the router's leases in a coordinated fleet;
-//! - [`endpoint_list`], [`recovery`] and [`statistics_store`] each cover one concern; only the last performs I/O;
+//! - [`endpoint_list`], [`recovery`] and [`statistics_store`] maintain the endpoint list, derive responses for
+//!   statements of earlier incarnations, and save statistics; of the three, only the last performs I/O;
 //! - [`settings`] reads and validates the settings file.
 //!
 //! The core itself is [`hoptiller_router_core`].
--- a/crates/statement-router/src/service/shutdown.rs
+++ b/crates/statement-router/src/service/shutdown.rs
@@ -27,7 +27,7 @@
 impl Service {
     /// Rejects new statements, finishes open ones, hands over task leases, saves statistics, and then releases the
     /// config lease. After an incomplete shutdown the lease is left to expire, since statements may still run under
-    /// it.
+    /// it. The same holds if task leases could not be handed over.
     pub async fn shutdown(&self) -> ShutdownOutcome {
         self.context.begin_shutdown();
         let hand_over = async {
--- a/crates/statement-router/src/settings.rs
+++ b/crates/statement-router/src/settings.rs
@@ -40,7 +40,7 @@
     pub zones: Vec<String>,
     /// Tenants. The policy refers to a tenant by its index here.
     pub tenants: Vec<Tenant>,
-    /// The capabilities of engines.
+    /// Capabilities of engines, and limits and timeouts of requests to them.
     pub engines: EngineSettings,
     /// Parameters of the policy's rules.
     pub rules: RuleSettings,
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -27,6 +27,7 @@
                 .collect(),
             cores: self.kinds.iter().map(|kind| kind.cores).collect(),
             tenant_quotas: self.tenants.iter().map(|tenant| tenant.share).collect(),
+            // Parameters without a setting: memory grants are ignored, health checks are free.
             over_quota_weight: 1.0,
             load_reports: engines.load_reports,
             progress_interval: micros(engines.progress_interval),
@@ -45,6 +46,7 @@
     fn policy_limits(&self) -> policy::Limits {
         policy::Limits {
             max_attempts: self.engines.max_attempts,
+            // 0 stands for any number: the core limits open statements.
             max_open_requests: 0,
             hedged_requests: false,
             retry_after: true,
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -20,7 +20,8 @@
 /// Renewals in a lease term if the interval is not set.
 const RENEWALS_PER_TERM: u64 = 5;
 
-/// Parses settings. The result is `None` only if there is at least one error.
+/// Parses settings. The result is `None` after an error. A number that does not fit its field gives `None` without an
+/// error.
 pub(super) fn parse(file_name: &str, value: &Value) -> (Option<Settings>, Vec<SettingError>) {
     let mut reader = Reader::new(file_name);
     let settings = reader.settings(value);
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -11,7 +11,7 @@
 
 /// Maximum length of a text, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Upper limit of whole numbers: smaller ones are exact in floating point.
+/// Limit below which a number in floating-point form is exact as a whole number.
 const WHOLE_NUMBER_LIMIT: f64 = 9e15;
 /// Maximum edit distance between an unknown key and the key that is suggested for it.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
@@ -209,7 +209,8 @@
         let Some(value) = self.optional(object, key) else {
             return Some(default);
         };
-        // All numbers of Jsonnet are floating-point; whole numbers are manifested without a fraction.
+        // Jsonnet has only floating-point numbers. It writes whole ones without a fraction, but a number in
+        // floating-point form is accepted too.
         let number = value.as_u64().or_else(|| {
             value
                 .as_f64()
--- a/crates/statement-router/src/settings/sections.rs
+++ b/crates/statement-router/src/settings/sections.rs
@@ -10,7 +10,7 @@
 /// This router and its place among the routers of the fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct RouterSettings {
-    /// The router's name, which is part of the key of its tokens.
+    /// The router's name, which is part of the key that authenticates the tokens in statement URIs.
     pub name: String,
     /// The router's index among the routers that share the engines, from 0.
     pub index: u32,
@@ -80,7 +80,7 @@
     /// Latency objective: a response within this time has the full priority weight.
     #[serde(rename = "aim")]
     pub latency_objective: Duration,
-    /// Factor of the statement's work per thread that is added to the latency objective.
+    /// Stretch factor: the latency objective grows by this factor times the statement's work per thread.
     #[serde(rename = "stretch")]
     pub objective_stretch: f64,
     /// Time that a client waits for the response.
@@ -122,7 +122,7 @@
     pub window: Duration,
 }
 
-/// The capabilities of engines.
+/// Capabilities of engines, and limits and timeouts of requests to them.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineSettings {
     /// Maximum number of attempts at a statement.
@@ -215,7 +215,8 @@
     pub kill_after: Duration,
     /// Duration of a pause of a statement.
     pub pause_for: Duration,
-    /// Maximum number of fingerprints with statistics.
+    /// Maximum number of fingerprints with statistics. The settings and the administration API call a fingerprint a
+    /// kind.
     #[serde(rename = "kinds")]
     pub max_fingerprints: usize,
     /// Interval at which statistics are saved if `router.state` is set.
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -16,7 +16,7 @@
 /// Minimum number of renewal intervals in the term of a lease.
 const MIN_RENEWALS_PER_TERM: u32 = 4;
 const MIN_DISCOVERY_INTERVAL: Duration = Duration::from_millis(10);
-/// Maximum long poll, after which clients and proxies time out.
+/// Maximum long poll. Clients and proxies commonly time out after about a minute.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 const MAX_TICK: Duration = Duration::from_millis(100);
 
--- a/crates/statement-router/src/task_leases.rs
+++ b/crates/statement-router/src/task_leases.rs
@@ -1,5 +1,6 @@
 //! A router's task leases: the offers and grants in each renewal of its config lease, the authorization of
-//! operations, and the notes for the other routers.
+//! operations, and the notes for the other routers. A note is the latest result of a task, such as the engine list,
+//! that the holder of its lease publishes.
 
 mod note_publisher;
 
@@ -88,7 +89,7 @@
     }
 
     /// Returns which router performs a shard now. `in_doubt` tells whether the config lease of this router has
-    /// expired.
+    /// expired or is not yet granted.
     pub fn assignment(&self, shard: Shard, in_doubt: bool) -> TaskAssignment {
         task_assignment(&self.client.borrow(), self.clock.now(), shard, in_doubt)
     }
@@ -104,8 +105,9 @@
         client.shard_status(shard)?.note.clone()
     }
 
-    /// Begins an operation under the lease of a shard. Returns `None` if this router does not hold the lease.
-    /// Requests of the operation time out when the lease expires.
+    /// Begins an operation under the lease of a shard. Returns `None` if this router holds no valid lease, has
+    /// requested its release, or is handing over its leases. Requests of the operation time out when the lease
+    /// expires.
     pub fn begin_operation(&self, shard: Shard) -> Option<LeaseGuard> {
         let now = self.clock.now();
         self.client.borrow_mut().begin_operation(now, shard, 0)
--- a/crates/statement-router/tests/common/mod.rs
+++ b/crates/statement-router/tests/common/mod.rs
@@ -70,7 +70,8 @@
         TestCluster::with_config(engines, |_| {}, |_| {})
     }
 
-    /// Returns a cluster with changed settings and engines. All engines are of the kind that accepts reports.
+    /// Returns a cluster with changed settings and engines. All engines are of the machine kind on which the class
+    /// `report` may run.
     pub fn with_config(
         engine_count: usize,
         change_settings: impl FnOnce(&mut Value),
--- a/crates/statement-router/tests/core/harness.rs
+++ b/crates/statement-router/tests/core/harness.rs
@@ -411,7 +411,8 @@
         Ok(())
     }
 
-    /// Checks that a response that declares a retry safe is sent only with proof.
+    /// Checks that a response that declares a retry safe is sent only with proof that the statement was not executed
+    /// or was rolled back.
     fn check_effects(&self, id: StatementId, settled: Option<&FinalResponse>) -> TestResult {
         match settled {
             Some(FinalResponse::TerminatedByRule { .. }) => {
