--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -45,14 +45,16 @@
 enum ListError {
     #[error(transparent)]
     Exchange(#[from] ClientError),
-    #[error("the response is not a service list")]
-    Invalid,
+    #[error("discovery responded with status {0}, expected 200")]
+    Status(u16),
+    #[error("the response is not a service list: {0}")]
+    Invalid(#[source] serde_json::Error),
 }
 
 /// The error that the task lease does not allow an operation now.
 #[derive(Debug, thiserror::Error)]
-#[error("the lease expires too soon")]
-struct LeaseExpiring;
+#[error("the task lease does not allow an operation now")]
+struct LeaseUnavailable;
 
 /// The reader of discovery and of the engines' states for one router.
 pub struct Discovery {
@@ -157,11 +159,12 @@
         &self,
         assignment: &TaskAssignment,
         shard: Shard,
-    ) -> Result<Option<LeasedOperation>, LeaseExpiring> {
+    ) -> Result<Option<LeasedOperation>, LeaseUnavailable> {
         match (assignment, &self.fleet_member) {
-            (TaskAssignment::Local, Some(member)) => {
-                member.begin_operation(shard).map(Some).ok_or(LeaseExpiring)
-            }
+            (TaskAssignment::Local, Some(member)) => member
+                .begin_operation(shard)
+                .map(Some)
+                .ok_or(LeaseUnavailable),
             _ => Ok(None),
         }
     }
@@ -197,9 +200,9 @@
         let target = format!("{SERVICE_PATH}{ENGINE_SERVICE_TYPE}/general");
         let response = self.get(discovery.address, &target, operation).await?;
         if response.status.0 != 200 {
-            return Err(ListError::Invalid);
+            return Err(ListError::Status(response.status.0));
         }
-        serde_json::from_slice(&response.body).map_err(|_| ListError::Invalid)
+        serde_json::from_slice(&response.body).map_err(ListError::Invalid)
     }
 
     fn report_failure(&self, error: &ListError, listener: &dyn EndpointListener) {
--- a/crates/statement-router/src/endpoint_list.rs
+++ b/crates/statement-router/src/endpoint_list.rs
@@ -22,7 +22,7 @@
 
 /// A listed engine.
 #[derive(Clone, Debug)]
-pub struct Endpoint {
+pub struct ListedEngine {
     /// The engine's id for the policy. It stays the same while the router runs.
     pub id: EngineId,
     /// The engine's name.
@@ -33,7 +33,8 @@
     zone: Option<String>,
     kind: Option<String>,
     cell: u64,
-    ready_at: Micros,
+    /// Start time of the process, or the time of listing until the engine reports its uptime.
+    started_at: Micros,
     has_reported_uptime: bool,
     is_draining: bool,
 }
@@ -89,7 +90,7 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     ids: BTreeMap<String, EngineId>,
-    endpoints: BTreeMap<String, Endpoint>,
+    endpoints: BTreeMap<String, ListedEngine>,
     has_changed: bool,
 }
 
@@ -129,7 +130,7 @@
                 }),
             }
         }
-        let is_same = |(old, new): (&Endpoint, &Endpoint)| {
+        let is_same = |(old, new): (&ListedEngine, &ListedEngine)| {
             old.name == new.name && old.service_id == new.service_id
         };
         let is_unchanged = endpoints.len() == self.endpoints.len()
@@ -144,7 +145,7 @@
         now: Micros,
         list: &Services,
         service: &Service,
-    ) -> Result<Endpoint, SkipReason> {
+    ) -> Result<ListedEngine, SkipReason> {
         if list.environment != self.environment {
             return Err(SkipReason::OtherEnvironment {
                 listed: list.environment.clone(),
@@ -164,7 +165,7 @@
         }
         let zone = service.location.split('/').find(|part| !part.is_empty());
         let cell = service.properties.get("cell");
-        Ok(Endpoint {
+        Ok(ListedEngine {
             id: self.engine_id(name)?,
             name: name.clone(),
             addr,
@@ -173,7 +174,7 @@
             kind: service.properties.get("kind").cloned(),
             cell: cell.and_then(|cell| cell.parse().ok()).unwrap_or(0),
             // An engine of unknown age may still be warming up and could be overloaded without a slow start.
-            ready_at: now,
+            started_at: now,
             has_reported_uptime: false,
             is_draining: false,
         })
@@ -202,10 +203,10 @@
     pub fn update_uptime(&mut self, now: Micros, name: &str, uptime: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             let started_at = now.saturating_sub(uptime.as_micros() as Micros);
-            let is_new = started_at > endpoint.ready_at.saturating_add(NEW_PROCESS_TOLERANCE);
+            let is_new = started_at > endpoint.started_at.saturating_add(NEW_PROCESS_TOLERANCE);
             if !endpoint.has_reported_uptime || is_new {
-                self.has_changed |= endpoint.ready_at != started_at;
-                endpoint.ready_at = started_at;
+                self.has_changed |= endpoint.started_at != started_at;
+                endpoint.started_at = started_at;
                 endpoint.has_reported_uptime = true;
                 endpoint.is_draining &= !is_new;
             }
@@ -213,7 +214,7 @@
     }
 
     /// Returns the engines, in the order of their names.
-    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &ListedEngine> {
         self.endpoints.values()
     }
 
@@ -234,13 +235,13 @@
             .then(|| self.endpoints.values().map(|e| self.entry(e)).collect())
     }
 
-    fn entry(&self, endpoint: &Endpoint) -> EndpointEntry {
+    fn entry(&self, endpoint: &ListedEngine) -> EndpointEntry {
         EndpointEntry {
             engine: endpoint.id,
             zone: index_of(&self.zones, endpoint.zone.as_ref()),
             kind: index_of(&self.kinds, endpoint.kind.as_ref()),
             cell: endpoint.cell,
-            ready_at: endpoint.ready_at,
+            ready_at: endpoint.started_at,
             readiness: if endpoint.is_draining {
                 Readiness::Draining
             } else {
--- a/crates/statement-router/src/engines/attempt.rs
+++ b/crates/statement-router/src/engines/attempt.rs
@@ -23,13 +23,13 @@
 use serde_json::value::RawValue;
 
 use super::attempt_id::AttemptId;
-use super::connection_pool::{Endpoint, Timeouts};
+use super::connection_pool::{EngineEndpoint, Timeouts};
 use super::observer::EngineObserver;
 use super::transport::EngineTransport;
 use error::AttemptError;
 
-/// Timeout of the request that cancels a statement at its engine.
-const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of the requests that cancel a statement at its engine or ask for the proof of a kill.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The engine's own id of a statement, once it is known.
 pub(super) type QueryIdCell = Rc<RefCell<Option<String>>>;
@@ -78,7 +78,7 @@
     transport: &'a EngineTransport,
     attempt: &'a Attempt,
     id: AttemptId,
-    endpoint: Endpoint,
+    endpoint: EngineEndpoint,
     control: Receiver<AttemptControl>,
     observer: &'a dyn EngineObserver,
     /// Path of the next poll.
@@ -182,8 +182,8 @@
         };
         let request = self.transport.request(Method::Delete, target);
         let timeouts = Timeouts {
-            connect: CANCEL_TIMEOUT,
-            response: CANCEL_TIMEOUT,
+            connect: CONTROL_TIMEOUT,
+            response: CONTROL_TIMEOUT,
         };
         let pool = &self.transport.pool;
         let _: Result<Response, _> = pool.exchange(self.endpoint, &request, timeouts).await;
--- a/crates/statement-router/src/engines/attempt/error.rs
+++ b/crates/statement-router/src/engines/attempt/error.rs
@@ -24,8 +24,8 @@
     #[error(transparent)]
     Submit(ClientError),
     /// By the protocol, the statement was not accepted and can be retried.
-    #[error("the engine is overloaded and did not accept the statement (status {status})")]
-    Overloaded {
+    #[error("the engine did not accept the statement (status {status})")]
+    NotAccepted {
         status: u16,
         load_report: Option<LoadReport>,
     },
@@ -53,8 +53,8 @@
     /// The engine was restarted and has assigned the URI to another statement.
     #[error("the engine's response belongs to another statement")]
     OtherStatement,
-    #[error("the engine's nextUri is not on the engine's own address")]
-    ForeignNextUri,
+    #[error("the engine's nextUri is not a valid path at the engine's address")]
+    InvalidNextUri,
     /// The engine reports an error that the statement did not cause.
     #[error("{name}: {message}")]
     EngineFailure {
@@ -75,7 +75,7 @@
 
 impl AttemptError {
     /// Returns what the error proves about the attempt.
-    fn status(&self) -> AttemptStatus {
+    fn attempt_status(&self) -> AttemptStatus {
         match self {
             AttemptError::EngineNotListed | AttemptError::NotAuthorized(_) => {
                 AttemptStatus::NotSent
@@ -89,22 +89,22 @@
             | AttemptError::PollsFailed(_)
             | AttemptError::PollConnect(_)
             | AttemptError::OtherStatement => AttemptStatus::ConnectionReset,
-            AttemptError::Overloaded { .. } => AttemptStatus::Rejected,
+            AttemptError::NotAccepted { .. } => AttemptStatus::Rejected,
             AttemptError::SubmitStatus(_)
             | AttemptError::NoNextUri
             | AttemptError::PollStatus(_)
             | AttemptError::InvalidHttp(_)
             | AttemptError::InvalidResults(_)
-            | AttemptError::ForeignNextUri
+            | AttemptError::InvalidNextUri
             | AttemptError::EngineFailure { .. } => AttemptStatus::ErrorResponse,
             AttemptError::Cancelled => AttemptStatus::Cancelled,
         }
     }
 
     pub(super) fn into_outcome(self) -> AttemptOutcome {
-        let (status, reason) = (self.status(), self.to_string());
+        let (status, reason) = (self.attempt_status(), self.to_string());
         let load_report = match self {
-            AttemptError::Overloaded { load_report, .. }
+            AttemptError::NotAccepted { load_report, .. }
             | AttemptError::EngineFailure { load_report, .. } => load_report,
             _ => None,
         };
--- a/crates/statement-router/src/engines/attempt/poll.rs
+++ b/crates/statement-router/src/engines/attempt/poll.rs
@@ -9,9 +9,9 @@
 use super::error::PollError;
 use super::{AttemptError, Interruption, RunningAttempt, Stop};
 
-/// Consecutive failed polls after which the attempt fails. Polls are safe to repeat: each requests the same numbered
-/// response.
-pub(super) const MAX_FAILED_POLLS: u32 = 3;
+/// Number of failed requests after which a poll, or the request for the proof of a kill, is given up. Polls are safe
+/// to repeat: each requests the same numbered response.
+pub(super) const MAX_FAILED_REQUESTS: u32 = 3;
 /// Pause after a failed poll.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
@@ -46,7 +46,7 @@
                 Err(PollFailure::Transient(error)) => error,
             };
             failed_polls += 1;
-            if failed_polls == MAX_FAILED_POLLS {
+            if failed_polls == MAX_FAILED_REQUESTS {
                 return Err(AttemptError::PollsFailed(error).into());
             }
             Timer::after(RETRY_PAUSE).await;
--- a/crates/statement-router/src/engines/attempt/progress.rs
+++ b/crates/statement-router/src/engines/attempt/progress.rs
@@ -18,7 +18,7 @@
 pub(super) fn parse_status(response: &Response, stats: &Stats) -> ResponseStatus {
     let mut status = ResponseStatus {
         report: AttemptReport {
-            progress: from_stats(stats),
+            status: from_stats(stats),
             blocking_class: None,
         },
         progress: Vec::new(),
@@ -47,7 +47,7 @@
 
 impl ResponseStatus {
     fn apply(&mut self, name: &str, value: f64, response: &Response) {
-        let report = &mut self.report.progress;
+        let report = &mut self.report.status;
         let progress = match name {
             "done" if (0.0..=1.0).contains(&value) => {
                 report.done = Some(value);
@@ -81,6 +81,6 @@
             class: None,
             age: statement.age_ms.map(|ms| ms * 1000),
         });
-        self.report.progress.blocked_state = Some(BlockedState::Behind(holder));
+        self.report.status.blocked_state = Some(BlockedState::Behind(holder));
     }
 }
--- a/crates/statement-router/src/engines/attempt/results.rs
+++ b/crates/statement-router/src/engines/attempt/results.rs
@@ -39,7 +39,7 @@
         }
         self.next_path = match results.next_uri.as_deref() {
             None => None,
-            Some(uri) => Some(self.path_of(uri).ok_or(AttemptError::ForeignNextUri)?),
+            Some(uri) => Some(self.path_of(uri).ok_or(AttemptError::InvalidNextUri)?),
         };
         self.report_status(response, &results);
         let has_rows = results.has_rows();
@@ -105,7 +105,7 @@
         for progress in status.progress {
             self.observer.progress_reported(self.id, progress);
         }
-        if !status.report.progress.is_empty() {
+        if !status.report.status.is_empty() {
             self.observer.status_reported(self.id, status.report);
         }
     }
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -82,7 +82,7 @@
 fn check_submit_status(response: Response) -> Result<Response, Stop> {
     match response.status.0 {
         200 => Ok(response),
-        status @ (429 | 503) => Err(AttemptError::Overloaded {
+        status @ (429 | 503) => Err(AttemptError::NotAccepted {
             status,
             load_report: load_report::from_header(&response),
         }
--- a/crates/statement-router/src/engines/connection_pool.rs
+++ b/crates/statement-router/src/engines/connection_pool.rs
@@ -20,7 +20,7 @@
 
 /// An engine and its address.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Endpoint {
+pub(super) struct EngineEndpoint {
     pub(super) engine: EngineId,
     pub(super) addr: SocketAddr,
 }
@@ -67,7 +67,7 @@
     /// [`ClientError::Broken`]: the request may have been executed, so it is not repeated here.
     pub(super) async fn exchange(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
     ) -> Result<Response, ClientError> {
@@ -80,7 +80,7 @@
     /// is written. The request carries the configuration versions that authorize it.
     pub(super) async fn exchange_authorized(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
         authorize: impl FnOnce() -> Result<Option<ConfigVersions>, SendRejected>,
@@ -112,7 +112,7 @@
 
     async fn open(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         timeouts: Timeouts,
     ) -> Result<EngineConnection, ClientError> {
         match self.take_idle(endpoint) {
@@ -124,7 +124,7 @@
     async fn exchange_over(
         &self,
         mut connection: EngineConnection,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
     ) -> Result<Response, ClientError> {
@@ -135,7 +135,7 @@
         response
     }
 
-    fn take_idle(&self, endpoint: Endpoint) -> Option<EngineConnection> {
+    fn take_idle(&self, endpoint: EngineEndpoint) -> Option<EngineConnection> {
         let mut idle = self.idle.borrow_mut();
         let engine_connections = idle.get_mut(&endpoint.engine)?;
         if engine_connections.addr != endpoint.addr {
@@ -150,7 +150,7 @@
         None
     }
 
-    fn release(&self, endpoint: Endpoint, connection: EngineConnection) {
+    fn release(&self, endpoint: EngineEndpoint, connection: EngineConnection) {
         let mut idle = self.idle.borrow_mut();
         let engine_connections = idle
             .entry(endpoint.engine)
--- a/crates/statement-router/src/engines/control.rs
+++ b/crates/statement-router/src/engines/control.rs
@@ -8,10 +8,10 @@
 
 use super::attempt_id::AttemptId;
 use super::client::EngineClient;
-use super::connection_pool::Endpoint;
+use super::connection_pool::EngineEndpoint;
 
-/// Requests without success after which an engine counts as unreachable.
-const MAX_REQUESTS: u32 = 5;
+/// Number of tries of a control request, including those made before the query id is known.
+const MAX_TRIES: u32 = 5;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// A request to an engine to control a running statement.
@@ -57,9 +57,9 @@
     /// The engine has rejected the request with this HTTP status.
     #[error("the engine rejected the request with status {0}")]
     Rejected(u16),
-    /// No request was successful, or the engine has not yet reported the query id.
-    #[error("the engine did not respond to any request")]
-    Unreachable,
+    /// The engine has confirmed no request, or has not yet reported the query id.
+    #[error("the engine confirmed none of {MAX_TRIES} tries, or has not reported the query id")]
+    NotConfirmed,
 }
 
 impl EngineClient {
@@ -75,7 +75,7 @@
         id: AttemptId,
         control: StatementControl,
     ) -> Result<(), ControlError> {
-        for _ in 0..MAX_REQUESTS {
+        for _ in 0..MAX_TRIES {
             let (endpoint, query_id) = self.locate(id)?;
             // Without a query id, the engine has not yet responded to the submission.
             if let Some(query_id) = query_id {
@@ -92,10 +92,10 @@
             }
             Timer::after(RETRY_PAUSE).await;
         }
-        Err(ControlError::Unreachable)
+        Err(ControlError::NotConfirmed)
     }
 
-    fn locate(&self, id: AttemptId) -> Result<(Endpoint, Option<String>), ControlError> {
+    fn locate(&self, id: AttemptId) -> Result<(EngineEndpoint, Option<String>), ControlError> {
         let query = self.in_flight_query(id).ok_or(ControlError::AttemptEnded)?;
         let endpoint = self
             .transport
--- a/crates/statement-router/src/engines/observer.rs
+++ b/crates/statement-router/src/engines/observer.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct AttemptReport {
     /// The status. The class of a blocking statement in it is not resolved yet.
-    pub progress: ProgressReport,
+    pub status: ProgressReport,
     /// The name of the class of the statement that blocks this one.
     pub blocking_class: Option<String>,
 }
@@ -60,9 +60,10 @@
 /// The reason why an attempt must not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRejected {
-    /// The config lease has expired, no enforced version has the class, or the versions cannot be applied.
-    #[error("the config lease does not allow the class")]
-    NoLease,
+    /// No enforced version has the class, the class must not run without a valid config lease, or the versions cannot
+    /// be applied.
+    #[error("the fleet configuration does not allow the class to run now")]
+    ClassNotAllowed,
     /// The engine has left the endpoint list.
     #[error("the engine is no longer listed")]
     NotListed,
--- a/crates/statement-router/src/engines/transport.rs
+++ b/crates/statement-router/src/engines/transport.rs
@@ -10,7 +10,7 @@
 use hoptiller_router_core::RouterIdentity;
 use hoptiller_statement::extra;
 
-use super::connection_pool::{ConnectionPool, Endpoint, Timeouts};
+use super::connection_pool::{ConnectionPool, EngineEndpoint, Timeouts};
 
 /// Maximum bytes of the head of a response.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
@@ -87,10 +87,10 @@
     }
 
     /// Returns the endpoint of an engine, or `None` if no address was ever known.
-    pub(super) fn endpoint(&self, engine: EngineId) -> Option<Endpoint> {
+    pub(super) fn endpoint(&self, engine: EngineId) -> Option<EngineEndpoint> {
         let addresses = self.addresses.borrow();
         let addr = addresses.get(&engine)?.addr;
-        Some(Endpoint { engine, addr })
+        Some(EngineEndpoint { engine, addr })
     }
 
     /// Returns a request that names this router.
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -37,7 +37,7 @@
     settings: CoordinationSettings,
     version_file: Option<VersionFile>,
     /// Whether this router can apply the enforced versions. If not, it rejects every class.
-    is_usable: Cell<bool>,
+    can_apply_versions: Cell<bool>,
     task_leases: TaskLeases,
     last_warning: Cell<Option<Micros>>,
     was_in_doubt: Cell<bool>,
@@ -71,7 +71,7 @@
             replicas,
             settings,
             version_file,
-            is_usable: Cell::new(true),
+            can_apply_versions: Cell::new(true),
             task_leases,
             last_warning: Cell::new(None),
             was_in_doubt: Cell::new(true),
@@ -81,7 +81,7 @@
     /// Returns the versions under which statements of a class may be processed now, or `None` if they must be
     /// rejected.
     pub fn authorize(&self, class: &str) -> Option<ConfigVersions> {
-        if !self.is_usable.get() {
+        if !self.can_apply_versions.get() {
             return None;
         }
         let decision = self.watcher.borrow().decide(self.clock.now(), class);
@@ -124,8 +124,8 @@
     }
 
     /// Sets whether this router can apply the enforced versions.
-    pub fn set_usable(&self, is_usable: bool) {
-        self.is_usable.set(is_usable);
+    pub fn set_can_apply_versions(&self, can_apply_versions: bool) {
+        self.can_apply_versions.set(can_apply_versions);
     }
 
     /// Returns the versions that are enforced now. `in_doubt` is set while the config lease has expired or is not yet
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -67,7 +67,7 @@
     let Ok(fingerprint) = fingerprint.parse::<FingerprintId>() else {
         return problem(
             404,
-            "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways lists them",
+            "the path must end with a kind of 16 hexadecimal digits, as GET /v1/admin/runaways lists them",
         );
     };
     if *method != Method::Delete {
--- a/crates/statement-router/src/service.rs
+++ b/crates/statement-router/src/service.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the suffix of a statement's id, which identifies the statement in logs.
-    fn statement_label(&self, id: StatementId) -> String {
+    fn statement_id_suffix(&self, id: StatementId) -> String {
         format!("{id:05}_{}", self.context.incarnation())
     }
 }
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -11,8 +11,7 @@
 use crate::engines::{AttemptControl, AttemptId, StatementControl};
 
 /// The reason of a kill, which is part of the error that the client receives.
-const KILL_REASON: &str =
-    "the statement is a runaway, and a rule of this installation terminates it";
+const KILL_REASON: &str = "the statement was killed as a runaway by a rule of this installation";
 
 impl CommandExecutor for Service {
     fn execute(&self, command: Command) {
@@ -66,7 +65,7 @@
         let engine = self.context.engine_name(attempt.engine);
         let settings = self.settings();
         let class = settings.classes[attempt.class].name.as_str();
-        let statement = self.statement_label(attempt.id);
+        let statement = self.statement_id_suffix(attempt.id);
         let span =
             tracing::debug_span!("attempt", %statement, class, hop = attempt.number, %engine);
         span.in_scope(|| tracing::debug!("attempt sent"));
@@ -83,7 +82,7 @@
     /// Sends a control request for a statement to its engine and logs the result.
     fn control_statement(&self, statement: StatementId, number: u32, control: StatementControl) {
         let id = AttemptId { statement, number };
-        let label = self.statement_label(statement);
+        let label = self.statement_id_suffix(statement);
         let engines = Rc::clone(self.context.engines());
         self.context.spawner().spawn(async move {
             let request = control.clone();
@@ -120,7 +119,7 @@
             .increment(1);
         metrics::histogram!("hoptiller_answer_seconds", "class" => class.clone())
             .record(elapsed as f64 / 1e6);
-        let statement = self.statement_label(id);
+        let statement = self.statement_id_suffix(id);
         let (ms, reason) = (elapsed / 1000, response.reason());
         tracing::info!(%statement, %class, outcome, ms, attempts, reason, "statement settled");
     }
--- a/crates/statement-router/src/service/configuration.rs
+++ b/crates/statement-router/src/service/configuration.rs
@@ -17,7 +17,7 @@
         let settings = self
             .file_settings
             .with_document(&self.settings(), &document);
-        member.set_usable(settings.is_ok());
+        member.set_can_apply_versions(settings.is_ok());
         let settings = match settings {
             Ok(settings) => Rc::new(settings),
             Err(errors) => {
--- a/crates/statement-router/src/service/engine_observer.rs
+++ b/crates/statement-router/src/service/engine_observer.rs
@@ -42,13 +42,13 @@
     }
 
     fn status_reported(&self, id: AttemptId, report: AttemptReport) {
-        let mut progress = report.progress;
-        if let Some(BlockedState::Behind(Some(holder))) = &mut progress.blocked_state {
+        let mut status = report.status;
+        if let Some(BlockedState::Behind(Some(holder))) = &mut status.blocked_state {
             let class = report.blocking_class.as_deref();
             holder.class = class.and_then(|name| self.settings().class_index(name));
         }
         self.context.with_core(|core, now| {
-            core.update_attempt_status(now, id.statement, id.number, progress);
+            core.update_attempt_status(now, id.statement, id.number, status);
         });
     }
 
@@ -72,7 +72,9 @@
         };
         let settings = self.settings();
         let class = &settings.classes[class];
-        let versions = member.authorize(&class.name).ok_or(SendRejected::NoLease)?;
+        let versions = member
+            .authorize(&class.name)
+            .ok_or(SendRejected::ClassNotAllowed)?;
         let listed = self.listed_engines.borrow();
         let entry = listed.get(&engine).ok_or(SendRejected::NotListed)?;
         if !allows_endpoint(class, entry) {
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -155,7 +155,7 @@
             _ => {
                 self.reject(
                     object.path_of(key),
-                    format!("expected a text of 1 to {MAX_TEXT_BYTES} bytes"),
+                    format!("expected a string of 1 to {MAX_TEXT_BYTES} bytes"),
                 );
                 None
             }
@@ -194,7 +194,10 @@
         };
         let number = value.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
         if number.is_none() {
-            self.reject(object.path_of(key), "expected a number of 0 or more");
+            self.reject(
+                object.path_of(key),
+                format!("expected a number of 0 or more, found {value}"),
+            );
         }
         number
     }
@@ -218,7 +221,10 @@
                 .map(|n| n as u64)
         });
         if number.is_none() {
-            self.reject(object.path_of(key), "expected a whole number of 0 or more");
+            self.reject(
+                object.path_of(key),
+                format!("expected a whole number of 0 or more, found {value}"),
+            );
         }
         number
     }
@@ -233,7 +239,10 @@
             return Some(default);
         };
         if !value.is_boolean() {
-            self.reject(object.path_of(key), "expected true or false");
+            self.reject(
+                object.path_of(key),
+                format!("expected true or false, found {value}"),
+            );
         }
         value.as_bool()
     }
@@ -315,7 +324,10 @@
         for (name, value) in fields {
             match value.as_f64().filter(|n| n.is_finite() && *n > 0.0) {
                 Some(number) => numbers.push((name.clone(), number)),
-                None => self.reject(format!("{path}.{name}"), "expected a number over 0"),
+                None => self.reject(
+                    format!("{path}.{name}"),
+                    format!("expected a number over 0, found {value}"),
+                ),
             }
         }
         Some(numbers)
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -95,7 +95,7 @@
         self.reject_if(
             class.client_timeout < class.latency_objective,
             &path("patience"),
-            "is shorter than the aim: every response would be late",
+            "is shorter than the aim: clients would time out before the latency objective",
         );
         self.reject_if(
             class.client_timeout < MIN_CLIENT_TIMEOUT,
@@ -110,7 +110,7 @@
         self.reject_if(
             class.holds_tables && class.idempotency == Idempotency::Idempotent,
             &path("holds"),
-            "a class whose statements lock their tables cannot have repeat 'safe'",
+            "a class whose statements lock tables loads data into them, so its repeat must be 'never'",
         );
     }
 
@@ -131,7 +131,7 @@
         self.reject_if(
             !engines.progress_interval.is_zero() && !engines.supports_cancel,
             "engines.notes_every",
-            "progress reports are only of use where engines.cancel is true",
+            "requires engines.cancel: the policy uses progress reports only to cancel attempts",
         );
         self.reject_if(
             engines.reports_in_flight && !engines.load_reports,
@@ -169,7 +169,7 @@
         self.reject_if(
             is_enforced && !enforcement.name,
             &path,
-            "'hold', 'pause' and 'end' require 'name'",
+            "'hold', 'pause' and 'end' require 'name', which reports the finding: add 'name'",
         );
     }
 
@@ -183,7 +183,7 @@
         self.reject_if(
             runaways.pause_for.is_zero() || runaways.save_interval < MIN_SAVE_INTERVAL,
             "runaways",
-            "pause_for must be over 0, save_every 1s or more",
+            format!("pause_for must be over 0, save_every {MIN_SAVE_INTERVAL:?} or more"),
         );
     }
 
@@ -205,13 +205,13 @@
         self.reject_if(
             coordination.lease_term < MIN_LEASE_TERM || coordination.drift > MAX_DRIFT_MILLIONTHS,
             "agreement.permit",
-            "must be 500ms or more, drift 100000 millionths or less",
+            format!("agreement.permit must be {MIN_LEASE_TERM:?} or more, agreement.drift {MAX_DRIFT_MILLIONTHS} millionths or less"),
         );
         self.reject_if(
             coordination.renewal_interval.is_zero()
                 || coordination.renewal_interval > coordination.lease_term / MIN_RENEWALS_PER_TERM,
             "agreement.ask_every",
-            "must be over 0 and at most a quarter of agreement.permit",
+            format!("must be over 0 and at most 1/{MIN_RENEWALS_PER_TERM} of agreement.permit"),
         );
     }
 
@@ -234,7 +234,7 @@
         self.reject_if(
             discovery.list_interval.min(discovery.state_interval) < MIN_DISCOVERY_INTERVAL,
             "discovery.every",
-            "discovery.every and discovery.state_every must be 10ms or more",
+            format!("every and state_every must be {MIN_DISCOVERY_INTERVAL:?} or more"),
         );
     }
 
@@ -270,12 +270,12 @@
         self.reject_if(
             limits.long_poll_timeout > MAX_LONG_POLL,
             "limits.long_poll",
-            "is over a minute: clients and proxies would time out",
+            format!("is over {MAX_LONG_POLL:?}: clients and proxies may time out"),
         );
         self.reject_if(
             limits.tick.is_zero() || limits.tick > MAX_TICK,
             "limits.tick",
-            "must be over 0 and up to 100ms",
+            format!("must be over 0 and up to {MAX_TICK:?}"),
         );
     }
 }
