--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -219,7 +219,8 @@
         FinalResponse::TerminatedByRule { reason, .. } => (
             ErrorName::EndedByRule,
             format!(
-                "terminated by rule: {reason}. The statement had no effect, so a retry is safe, but it may be terminated for the same reason"
+                "terminated by rule: {reason}. The statement had no effect, so a retry is safe, \
+                 but it may be terminated for the same reason"
             ),
         ),
         FinalResponse::MayHaveRun(reason) => (
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -157,7 +157,8 @@
         }
         PollOutcome::Gone => Response::text(
             410,
-            "this response is no longer available: a later one has been delivered, or the statement is no longer retained",
+            "this response is no longer available: a later one has been delivered, \
+             or the statement is no longer retained",
         ),
         PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such response"),
     }
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -205,7 +205,10 @@
         self.reject_if(
             coordination.lease_term < MIN_LEASE_TERM || coordination.drift > MAX_DRIFT_MILLIONTHS,
             "agreement.permit",
-            format!("agreement.permit must be {MIN_LEASE_TERM:?} or more, agreement.drift {MAX_DRIFT_MILLIONTHS} millionths or less"),
+            format!(
+                "agreement.permit must be {MIN_LEASE_TERM:?} or more, \
+                 agreement.drift {MAX_DRIFT_MILLIONTHS} millionths or less"
+            ),
         );
         self.reject_if(
             coordination.renewal_interval.is_zero()
