--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -128,7 +128,7 @@
         fixture.fleet.restore_links();
     }
     // Responses to a router are lost: its renewals delay the version, and do not prolong its own lease.
-    let lost = LinkFaults::lost_responses();
+    let lost = LinkFaults::blocked_responses();
     fixture
         .fleet
         .fail_links(lost, |b| matches!(b, LinkId::Router(1, _)));
--- a/crates/mock-servers/src/engine/polling.rs
+++ b/crates/mock-servers/src/engine/polling.rs
@@ -176,10 +176,10 @@
     if let Some(BlockedState::BlockedBy(number)) = progress.blocked
         && let Some(blocker) = state.statement(number)
     {
-        let (statement_id, class) = (&blocker.statement_id, &blocker.class);
+        let (statement_name, class) = (&blocker.statement_name, &blocker.class);
         let blocker_progress = state.model.progress(number);
         let age_ms = blocker_progress.map_or(0, |progress| progress.run_micros / 1000);
-        let blocked_by = format!("{statement_id}; class={class}; age_ms={age_ms}");
+        let blocked_by = format!("{statement_name}; class={class}; age_ms={age_ms}");
         headers.push(extra::BLOCKED_BY, &blocked_by);
     }
 }
--- a/crates/mock-servers/src/engine/statement.rs
+++ b/crates/mock-servers/src/engine/statement.rs
@@ -22,7 +22,7 @@
 pub(super) struct Statement {
     pub(super) trace: String,
     /// The id that its router has given it.
-    pub(super) statement_id: String,
+    pub(super) statement_name: String,
     pub(super) class: String,
     pub(super) profile: WorkloadProfile,
     /// The faults that affect it.
@@ -34,14 +34,14 @@
 impl Statement {
     pub(super) fn new(
         trace: String,
-        statement_id: String,
+        statement_name: String,
         class: String,
         profile: WorkloadProfile,
         faults: EngineFaults,
     ) -> Self {
         Self {
             trace,
-            statement_id,
+            statement_name,
             class,
             profile,
             faults,
--- a/crates/mock-servers/src/engine/submission.rs
+++ b/crates/mock-servers/src/engine/submission.rs
@@ -23,7 +23,7 @@
 struct SubmittedAttempt {
     class: String,
     router: String,
-    statement_id: String,
+    statement_name: String,
     trace: String,
     attempt_number: u32,
     priority: u8,
@@ -46,7 +46,7 @@
         Self {
             class: header(extra::CLASS),
             router: header(extra::ROUTER),
-            statement_id,
+            statement_name,
             trace,
             attempt_number: extra::find_number(&options, "hop").unwrap_or(0.0) as u32,
             priority: priority.map_or(DEFAULT_PRIORITY, |priority| {
@@ -109,7 +109,7 @@
     }
     let statement = Statement::new(
         attempt.trace,
-        attempt.statement_id,
+        attempt.statement_name,
         attempt.class,
         profile,
         faults.clone(),
--- a/crates/statement-router/src/front_end/admin_api.rs
+++ b/crates/statement-router/src/front_end/admin_api.rs
@@ -1,4 +1,5 @@
-//! The administration API: JSON over HTTP, on a listener of its own, as it shows the statements of all tenants.
+//! The administration API: JSON over HTTP. It shows the statements of all tenants, and therefore has a listener of
+//! its own.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -11,7 +12,7 @@
 use serde_json::{Value, json};
 
 use crate::context::RouterContext;
-use crate::findings::{is_reported, subject};
+use crate::findings::{describe_subject, is_reported};
 use crate::settings::Settings;
 
 const MAX_CONNECTIONS: usize = 64;
@@ -20,12 +21,12 @@
 /// Maximum bytes of all requests that are being received.
 const MAX_INCOMING_BYTES: u64 = 1 << 20;
 
-/// Path of the findings and holds.
+/// Path of the list of findings and holds.
 pub const RUNAWAYS_PATH: &str = "/v1/admin/runaways";
-/// Prefix of the path of a hold, before the fingerprint. `DELETE` releases it.
+/// Prefix of the path of a hold, which ends with the fingerprint. `DELETE` releases the hold.
 pub const HOLDS_PATH: &str = "/v1/admin/holds/";
 
-/// Serves administrators.
+/// Serves the administration API.
 pub async fn serve(context: Rc<RouterContext>, listener: Async<TcpListener>) {
     let config = Config {
         limits: Limits {
@@ -53,10 +54,11 @@
         (RUNAWAYS_PATH, Method::Get) => {
             Response::json(200, format!("{:#}", runaways_json(context)))
         }
-        (RUNAWAYS_PATH, _) => problem(405, "GET shows what runs away").with_header("Allow", "GET"),
+        (RUNAWAYS_PATH, _) => problem(405, "only GET is allowed; it lists runaways and holds")
+            .with_header("Allow", "GET"),
         _ => problem(
             404,
-            "nothing here; GET /v1/admin/runaways shows what runs away",
+            "not found; GET /v1/admin/runaways lists runaways and holds",
         ),
     }
 }
@@ -65,11 +67,12 @@
     let Ok(fingerprint) = fingerprint.parse::<FingerprintId>() else {
         return problem(
             404,
-            "a kind has 16 hexadecimal digits, as GET /v1/admin/runaways shows them",
+            "the path must end with a kind of 16 hexadecimal digits, as GET /v1/admin/runaways lists them",
         );
     };
     if *method != Method::Delete {
-        return problem(405, "DELETE frees a held kind").with_header("Allow", "DELETE");
+        return problem(405, "only DELETE is allowed; it releases a hold")
+            .with_header("Allow", "DELETE");
     }
     if !context.with_core(|core, _| core.release_fingerprint(fingerprint)) {
         return problem(404, "that kind is not held");
@@ -164,7 +167,7 @@
     let class_name = |class: usize| settings.classes[class].name.clone();
     json!({
         "id": finding.id,
-        "subject": subject(context, finding),
+        "subject": describe_subject(context, finding),
         "verdict": finding.verdict,
         "cause": finding.cause,
         "inWords": finding.cause.description(),
--- a/crates/statement-router/src/front_end/query_results.rs
+++ b/crates/statement-router/src/front_end/query_results.rs
@@ -1,4 +1,4 @@
-//! The responses of statements, as the protocol's `QueryResults`. The same response has the same bytes each time.
+//! The responses of statements in the protocol's `QueryResults` format. The same response always has the same bytes.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -17,10 +17,11 @@
 use crate::recovery::recovery_error;
 use crate::settings;
 
-/// Bytes of a response without its rows, at most in most cases.
+/// Initial capacity for the part of a response without columns and rows, in bytes. Few responses exceed it.
 const ENVELOPE_BYTES: usize = 768;
 
-/// The contents of a response. They are written without a serializer: polls are most of what a router answers.
+/// The content of a response. It is written without a serializer for speed, since most requests to a router are
+/// polls.
 struct QueryResults<'a> {
     id: &'a QueryId,
     /// The token of the next response; `None` after the last one.
@@ -94,7 +95,7 @@
             ",\"stats\":{{\"state\":\"{state}\",\"queued\":{is_queued},\"scheduled\":{}",
             self.is_running
         );
-        // Clients expect all fields to be there; what is not known is 0.
+        // Clients expect all fields to be present; unknown values are 0.
         let fields = [
             (",\"nodes\":", u64::from(self.is_running)),
             (
@@ -123,13 +124,13 @@
     }
 }
 
-/// The value of `Retry-After`: whole seconds, rounded up, at least one.
+/// Returns the value of `Retry-After` in whole seconds, rounded up and at least 1.
 pub(super) fn retry_after_seconds(duration: Duration) -> String {
     duration.as_millis().div_ceil(1000).max(1).to_string()
 }
 
-/// A numbered response of a statement.
-pub(super) fn response(
+/// Converts a numbered response of a statement to HTTP.
+pub(super) fn http_response(
     context: &RouterContext,
     id: &QueryId,
     response: &StatementResponse,
@@ -203,39 +204,45 @@
                 message.clone(),
             ));
         }
+        // The wire name of this error is HOPTILLER_REFUSED.
         FinalResponse::Rejected {
             retry_after,
             reason,
         } => {
             let hint = retry_after.map_or(String::new(), |retry_after| {
                 let seconds = retry_after_seconds(Duration::from_micros(retry_after));
-                format!("; come back in {seconds} s")
+                format!("; retry after {seconds} s")
             });
-            let message = format!("refused: {reason}. Trying again is harmless{hint}");
+            let message = format!("rejected: {reason}. A retry is safe{hint}");
             (ErrorName::Rejected, message)
         }
         FinalResponse::TerminatedByRule { reason, .. } => (
             ErrorName::TerminatedByRule,
-            format!("ended by rule: {reason}. Nothing of it stands; the same again will end alike"),
+            format!(
+                "terminated by rule: {reason}. The statement had no effect, so a retry is safe, \
+                 but it may be terminated for the same reason"
+            ),
         ),
         FinalResponse::MayHaveRun(reason) => (
             ErrorName::MayHaveRun,
-            format!("failed: {reason}. It may have run: look it up before it is sent again"),
+            format!(
+                "failed: {reason}. The statement may have run: check its effects before a retry"
+            ),
         ),
         FinalResponse::Truncated(reason) => (
             ErrorName::ResultTruncated,
-            format!("the result is cut: {reason}. The rows given out are not all"),
+            format!("the result is truncated: {reason}. The delivered rows are incomplete"),
         ),
-        FinalResponse::Canceled => (ErrorName::UserCanceled, "the client ended it".into()),
+        FinalResponse::Canceled => (ErrorName::UserCanceled, "cancelled by the client".into()),
         FinalResponse::Abandoned => (
             ErrorName::Abandoned,
-            "the client had stopped asking for its result".into(),
+            "abandoned: the client stopped polling for the result".into(),
         ),
     };
     Some(QueryError::from_name(name, message))
 }
 
-/// What the URIs of a statement contain, for a later incarnation of the router.
+/// Returns the state that the URIs of a statement carry for a later incarnation of the router.
 fn recovery_state(
     context: &RouterContext,
     class: usize,
@@ -253,8 +260,8 @@
     RecoveryState { idempotency, phase }
 }
 
-/// The response for a URI of an earlier incarnation of this router.
-pub(super) fn earlier_incarnation(
+/// Returns the response to a poll of a URI that an earlier incarnation of this router issued.
+pub(super) fn earlier_incarnation_response(
     context: &RouterContext,
     token: &PageToken,
     base_uri: &str,
--- a/crates/statement-router/src/front_end/submission.rs
+++ b/crates/statement-router/src/front_end/submission.rs
@@ -12,17 +12,17 @@
 use crate::context::RouterContext;
 use crate::settings::Settings;
 
-/// Prefix of the headers that are passed on to the engine.
+/// Prefix of the headers that are forwarded to the engine.
 const ENGINE_HEADER_PREFIX: &[u8] = b"x-trino-";
 
 /// A valid request.
 pub(super) struct ClientSubmission {
     pub(super) submission: Submission,
-    /// Whether the client names no class, and so has the default one.
+    /// Whether the client names no class, so that the default class applies.
     is_default_class: bool,
 }
 
-/// Why a request is invalid.
+/// The reason why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InvalidSubmission {
     #[error(transparent)]
@@ -31,20 +31,24 @@
     NotUtf8(#[from] Utf8Error),
     #[error("the statement is empty")]
     Empty,
-    #[error("X-Trino-Client-Tags: class {name:?} is none of {known}")]
+    #[error("X-Trino-Client-Tags: unknown class {name:?}; expected one of {known}")]
     UnknownClass { name: String, known: String },
 }
 
-/// Why a valid request is rejected now. It can be retried.
+/// The reason why a valid request is rejected now. The client can retry it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SubmissionRejected {
-    #[error("the fleet's rules name no class for statements that name none; come back later")]
+    #[error(
+        "the fleet configuration has no default class for statements that name no class; retry later"
+    )]
     NoDefaultClass,
-    #[error("this router may not take that class now; come back later, or go to another")]
+    #[error(
+        "this router cannot accept statements of this class now; retry later or use another router"
+    )]
     ClassNotAllowed,
-    #[error("too many statements are open; come back later")]
+    #[error("too many statements are open; retry later")]
     TooManyStatements,
-    #[error("this router is ending; come back later")]
+    #[error("this router is shutting down; retry later")]
     ShuttingDown,
 }
 
@@ -99,7 +103,7 @@
     })
 }
 
-/// The class by its client tag, or by the name of the source.
+/// Returns the class that the client tag or else the source names.
 fn named_class(
     settings: &Settings,
     headers: &ClientHeaders,
@@ -134,8 +138,9 @@
         .collect()
 }
 
-/// Whether the fleet's configuration allows to accept a statement now. One that was accepted under a configuration that no
-/// longer applies would be held to it; before that, nothing is owed for it.
+/// Checks whether the fleet configuration allows accepting a statement now. The check precedes acceptance: an
+/// accepted statement would be bound to a configuration that no longer applies, while one that is not yet accepted
+/// can still be rejected without consequences.
 pub(super) fn authorize(
     context: &RouterContext,
     submission: &ClientSubmission,
--- a/crates/statement-router/src/service/configuration.rs
+++ b/crates/statement-router/src/service/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration of the fleet, applied to the router.
+//! The application of the fleet configuration to the router.
 
 use std::rc::Rc;
 
 use super::{Service, class_names};
 
 impl Service {
-    /// Applies the configuration versions that are enforced now, between two events. Where they can't be applied, every
+    /// Applies the currently enforced configuration versions between two events. If they cannot be applied, every
     /// class is rejected until other versions are enforced.
     pub(super) fn apply_configuration(&self) {
         let Some(member) = self.context.fleet_member() else {
@@ -17,12 +17,12 @@
         let settings = self
             .file_settings
             .with_document(&self.settings(), &document);
-        member.set_usable(settings.is_ok());
+        member.set_can_apply_versions(settings.is_ok());
         let settings = match settings {
             Ok(settings) => Rc::new(settings),
             Err(errors) => {
                 for error in errors {
-                    tracing::error!(%error, "configuration not applied");
+                    tracing::error!(%error, "cannot apply the fleet configuration");
                 }
                 return;
             }
@@ -39,7 +39,7 @@
         tracing::info!(
             in_force = versions.in_force,
             enforced = versions.enforced,
-            "configuration applied"
+            "fleet configuration applied"
         );
     }
 }
--- a/crates/statement-router/src/service/endpoint_listener.rs
+++ b/crates/statement-router/src/service/endpoint_listener.rs
@@ -1,4 +1,4 @@
-//! Passes the list of engines on to the policy.
+//! Forwards the list of engines to the policy.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -15,7 +15,7 @@
 
     fn endpoints_changed(&self, scope: ListScope, mut entries: Vec<EndpointEntry>) {
         if scope != ListScope::Failed {
-            self.drain_unaccepted(&mut entries);
+            self.mark_draining_by_configuration(&mut entries);
             let by_engine = entries.iter().map(|entry| (entry.engine, entry.clone()));
             *self.listed_engines.borrow_mut() = by_engine.collect();
             self.context.set_listed_engines(entries.len());
@@ -31,8 +31,8 @@
 }
 
 impl Service {
-    /// Marks the engines as draining that the fleet's configuration lets accept no new statements.
-    fn drain_unaccepted(&self, entries: &mut [EndpointEntry]) {
+    /// Marks engines as draining if the fleet configuration does not let them accept new statements.
+    fn mark_draining_by_configuration(&self, entries: &mut [EndpointEntry]) {
         let Some(member) = self.context.fleet_member() else {
             return;
         };
@@ -44,7 +44,7 @@
         }
     }
 
-    /// When the process of an engine started, in ms since 1970.
+    /// Returns the start time of an engine's process in ms since 1970.
     pub(super) fn started_at_ms(&self, entry: &EndpointEntry) -> u64 {
         let age = self
             .context
--- a/crates/statement-router/src/service/finding_log.rs
+++ b/crates/statement-router/src/service/finding_log.rs
@@ -1,12 +1,12 @@
-//! Logs and counts the findings of the runaway detector.
+//! The logging and counting of the runaway detector's findings.
 
 use hoptiller_runaway::{Finding, Verdict};
 
 use super::Service;
-use crate::findings::{is_reported, subject};
+use crate::findings::{describe_subject, is_reported};
 
 impl Service {
-    /// Logs a finding, and counts its verdict.
+    /// Logs a finding and counts its verdict.
     pub(super) fn log_finding(&self, finding: &Finding) {
         let settings = self.settings();
         if !is_reported(&settings, finding) {
@@ -22,7 +22,7 @@
                 "class" => class.to_owned(), "cause" => cause, "verdict" => verdict.clone())
             .increment(1);
         }
-        let subject = subject(&self.context, finding);
+        let subject = describe_subject(&self.context, finding);
         let engine = finding
             .engine
             .map(|engine| self.context.engine_name(engine));
@@ -31,10 +31,10 @@
         let (blocked, note) = (finding.blocked_count, finding.note);
         match finding.verdict {
             Verdict::Runaway | Verdict::Notice => {
-                tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
+                tracing::warn!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaway finding");
             }
             _ => {
-                tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaways");
+                tracing::info!(%subject, verdict, cause, class, engine, seen, blocked, note, "runaway finding");
             }
         }
     }
--- a/crates/statement-router/src/settings/parse.rs
+++ b/crates/statement-router/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the sections of the settings from a JSON value, with the defaults of keys that are missing.
+//! Parsing of the settings' sections from a JSON value, with defaults for missing keys.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,10 +17,11 @@
 const ENFORCEMENT_NAMES: &str = "'name', 'hold', 'lower', 'pause', 'end'";
 const DEFAULT_LEASE_TERM: Duration = Duration::from_secs(10);
 const DEFAULT_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
-/// Renewals of a lease in its term, where the interval is not set.
+/// Renewals in a lease term if the interval is not set.
 const RENEWALS_PER_TERM: u64 = 5;
 
-/// Parses settings. `None` comes with at least one error.
+/// Parses settings. The result is `None` after an error. A number that does not fit its field gives `None` without an
+/// error.
 pub(super) fn parse(file_name: &str, value: &Value) -> (Option<Settings>, Vec<SettingError>) {
     let mut reader = Reader::new(file_name);
     let settings = reader.settings(value);
@@ -39,7 +40,7 @@
     fn settings(&mut self, value: &Value) -> Option<Settings> {
         let mut file = self.object(value, "");
         if !file.is_present() {
-            self.reject("(whole file)", "an object is wanted");
+            self.reject("(whole file)", "expected an object");
             return None;
         }
         let router = self.child(&mut file, "router").and_then(|o| self.router(o));
@@ -84,7 +85,7 @@
         if index.is_none() {
             self.reject(
                 "default_class",
-                format!("{name:?} is no class of this file"),
+                format!("{name:?} is not a class of this file"),
             );
         }
         index
@@ -114,7 +115,7 @@
             names.collect()
         });
         if names.is_none() {
-            self.reject("zones", "a list of names is wanted");
+            self.reject("zones", "expected a list of names");
         }
         names.unwrap_or_default()
     }
@@ -153,7 +154,7 @@
     ) -> Option<Vec<ClassSettings>> {
         let value = self.required(file, "classes")?;
         let Some(classes) = value.as_array().filter(|classes| !classes.is_empty()) else {
-            self.reject("classes", "a list of at least one class is wanted");
+            self.reject("classes", "expected a list of at least one class");
             return None;
         };
         let parsed: Vec<Option<ClassSettings>> = classes
@@ -207,7 +208,7 @@
             Some("safe") => Some(Idempotency::Idempotent),
             Some("never") => Some(Idempotency::NotIdempotent),
             _ => {
-                self.reject(class.path_of("repeat"), "'safe' or 'never' is wanted");
+                self.reject(class.path_of("repeat"), "expected 'safe' or 'never'");
                 None
             }
         }
@@ -245,7 +246,7 @@
         })
     }
 
-    /// `Some(None)`: there is no budget.
+    /// Parses the retry budget. `Some(None)` means that there is no budget.
     fn budget(&mut self, engines: &mut Object<'_>) -> Option<Option<RetryBudgetSettings>> {
         let Some(value) = self.optional(engines, "budget") else {
             return Some(None);
@@ -337,7 +338,7 @@
             let Some(classes) = classes else { continue };
             match classes.iter().position(|class| class.name == *name) {
                 Some(index) => by_class[index] = self.enforcement(value, &path),
-                None => self.reject(path, "is no class of this file"),
+                None => self.reject(path, "is not a class of this file"),
             }
         }
         by_class.into_iter().collect()
@@ -346,7 +347,7 @@
     fn enforcement(&mut self, value: &Value, path: &str) -> Option<EnforcementOptions> {
         let mut options = EnforcementOptions::default();
         let Some(names) = value.as_array() else {
-            self.reject(path, format!("a list of {ENFORCEMENT_NAMES} is wanted"));
+            self.reject(path, format!("expected a list of {ENFORCEMENT_NAMES}"));
             return None;
         };
         for (position, name) in names.iter().enumerate() {
@@ -359,7 +360,7 @@
                 _ => {
                     self.reject(
                         format!("{path}[{position}]"),
-                        format!("{name} is none of {ENFORCEMENT_NAMES}"),
+                        format!("unknown action {name}; expected one of {ENFORCEMENT_NAMES}"),
                     );
                     return None;
                 }
@@ -369,7 +370,7 @@
         Some(options)
     }
 
-    /// `Some(None)`: this router takes no part in coordination.
+    /// Parses the coordination settings. `Some(None)` means that this router takes no part in coordination.
     fn coordination(&mut self, file: &mut Object<'_>) -> Option<Option<CoordinationSettings>> {
         if self.optional(file, "agreement").is_none() {
             return Some(None);
@@ -405,7 +406,7 @@
         if addresses.is_none() {
             self.reject(
                 agreement.path_of("keepers"),
-                "a list of at least one address, such as '127.0.0.1:7401', is wanted",
+                "expected a list of at least one address, such as '127.0.0.1:7401'",
             );
         }
         addresses
--- a/crates/statement-router/src/settings/reader.rs
+++ b/crates/statement-router/src/settings/reader.rs
@@ -11,40 +11,40 @@
 
 /// Maximum length of a text, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Limit of whole numbers, under which a floating-point number is exact.
+/// Limit below which a number in floating-point form is exact as a whole number.
 const WHOLE_NUMBER_LIMIT: f64 = 9e15;
-/// Maximum edit distance of a key that is suggested in place of an unknown one.
+/// Maximum edit distance between an unknown key and the key that is suggested for it.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
 /// Characters of a key that are compared for suggestions.
 const COMPARED_CHARS: usize = 64;
 
-const DURATION_HINT: &str = "a duration with its unit is wanted, such as '250ms', '1.5s' or '2m'";
+const DURATION_HINT: &str = "expected a duration with its unit, such as '250ms', '1.5s' or '2m'";
 
-/// Reads values and collects errors.
+/// A reader that collects the errors of the values it reads.
 pub(super) struct Reader<'a> {
     file_name: &'a str,
     errors: Vec<SettingError>,
 }
 
-/// An object at a key path, with the keys that were read so far.
+/// An object at a key path, with the keys that have been read.
 pub(super) struct Object<'v> {
     path: String,
     fields: Option<&'v serde_json::Map<String, Value>>,
-    read: BTreeSet<&'static str>,
+    read_keys: BTreeSet<&'static str>,
 }
 
 impl<'v> Object<'v> {
-    /// Whether the value is an object.
+    /// Returns whether the value is an object.
     pub(super) fn is_present(&self) -> bool {
         self.fields.is_some()
     }
 
-    /// The fields, in the order of their keys.
+    /// Returns the fields, in the order of their keys.
     pub(super) fn entries(&self) -> impl Iterator<Item = (&'v String, &'v Value)> + use<'v> {
         self.fields.into_iter().flatten()
     }
 
-    /// The path of a key of this object.
+    /// Returns the path of a key of this object.
     pub(super) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -74,20 +74,20 @@
         });
     }
 
-    /// The value as an object. `null` is an object without fields.
+    /// Returns the value as an object. `null` is an object without fields.
     pub(super) fn object<'v>(&mut self, value: &'v Value, path: &str) -> Object<'v> {
         let fields = value.as_object();
         if fields.is_none() && !value.is_null() {
-            self.reject(path, "an object is wanted");
+            self.reject(path, "expected an object");
         }
         Object {
             path: path.to_owned(),
             fields,
-            read: BTreeSet::new(),
+            read_keys: BTreeSet::new(),
         }
     }
 
-    /// The object at a required key. A missing one is one error, not one for each of its keys.
+    /// Returns the object at a required key. A missing object is reported once, not for each of its keys.
     pub(super) fn child<'v>(
         &mut self,
         parent: &mut Object<'v>,
@@ -99,7 +99,7 @@
         child.is_present().then_some(child)
     }
 
-    /// The object at an optional key; an empty one where it is missing.
+    /// Returns the object at an optional key, or an empty object if it is missing.
     pub(super) fn optional_child<'v>(
         &mut self,
         parent: &mut Object<'v>,
@@ -110,20 +110,20 @@
         self.object(value, &path)
     }
 
-    /// The value at a key; `None` where it is missing or `null`.
+    /// Returns the value at a key, or `None` if it is missing or `null`.
     pub(super) fn optional<'v>(
         &mut self,
         object: &mut Object<'v>,
         key: &'static str,
     ) -> Option<&'v Value> {
-        object.read.insert(key);
+        object.read_keys.insert(key);
         object
             .fields
             .and_then(|fields| fields.get(key))
             .filter(|value| !value.is_null())
     }
 
-    /// The value at a key; an error where it is missing or `null`.
+    /// Returns the value at a key; a missing key or `null` is an error.
     pub(super) fn required<'v>(
         &mut self,
         object: &mut Object<'v>,
@@ -136,14 +136,14 @@
         value
     }
 
-    /// Ends the reading of an object: a key that was not read is unknown, and an error.
+    /// Finishes reading an object. Rejects the keys that were not read as unknown.
     pub(super) fn finish(&mut self, object: Object<'_>) {
         for (key, _) in object.entries() {
-            if object.read.contains(key.as_str()) {
+            if object.read_keys.contains(key.as_str()) {
                 continue;
             }
-            let hint = nearest(&object.read, key)
-                .map_or(String::new(), |near| format!("; is {near:?} meant?"));
+            let hint = closest_known_key(&object.read_keys, key)
+                .map_or(String::new(), |near| format!("; did you mean {near:?}?"));
             self.reject(object.path_of(key), format!("unknown key{hint}"));
         }
     }
@@ -155,7 +155,7 @@
             _ => {
                 self.reject(
                     object.path_of(key),
-                    format!("a text of 1 to {MAX_TEXT_BYTES} bytes is wanted"),
+                    format!("expected a string of 1 to {MAX_TEXT_BYTES} bytes"),
                 );
                 None
             }
@@ -172,13 +172,13 @@
         if address.is_none() {
             self.reject(
                 object.path_of(key),
-                format!("{text:?} is no address; such as '127.0.0.1:8080' is wanted"),
+                format!("{text:?} is no address; expected one such as '127.0.0.1:8080'"),
             );
         }
         address
     }
 
-    /// A finite number of 0 or more. Without a default the key is required.
+    /// Returns a finite number of 0 or more. The key is required if there is no default.
     pub(super) fn number(
         &mut self,
         object: &mut Object<'_>,
@@ -194,12 +194,15 @@
         };
         let number = value.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
         if number.is_none() {
-            self.reject(object.path_of(key), "a number of 0 or more is wanted");
+            self.reject(
+                object.path_of(key),
+                format!("expected a number of 0 or more, found {value}"),
+            );
         }
         number
     }
 
-    /// A whole number of 0 or more.
+    /// Returns a whole number of 0 or more.
     pub(super) fn count(
         &mut self,
         object: &mut Object<'_>,
@@ -209,7 +212,8 @@
         let Some(value) = self.optional(object, key) else {
             return Some(default);
         };
-        // Jsonnet has only floating-point numbers; a whole one is written without a fraction.
+        // Jsonnet has only floating-point numbers. It writes whole ones without a fraction, but a number in
+        // floating-point form is accepted too.
         let number = value.as_u64().or_else(|| {
             value
                 .as_f64()
@@ -217,7 +221,10 @@
                 .map(|n| n as u64)
         });
         if number.is_none() {
-            self.reject(object.path_of(key), "a whole number of 0 or more is wanted");
+            self.reject(
+                object.path_of(key),
+                format!("expected a whole number of 0 or more, found {value}"),
+            );
         }
         number
     }
@@ -232,7 +239,10 @@
             return Some(default);
         };
         if !value.is_boolean() {
-            self.reject(object.path_of(key), "true or false is wanted");
+            self.reject(
+                object.path_of(key),
+                format!("expected true or false, found {value}"),
+            );
         }
         value.as_bool()
     }
@@ -268,13 +278,13 @@
         if duration.is_none() {
             self.reject(
                 object.path_of(key),
-                format!("{value} is no duration; {DURATION_HINT}"),
+                format!("{value} is not a duration; {DURATION_HINT}"),
             );
         }
         duration
     }
 
-    /// The indices of the names in a list; `None` where the key is missing.
+    /// Returns the indices of the names in a list, or `None` if the key is missing.
     pub(super) fn indices(
         &mut self,
         object: &mut Object<'_>,
@@ -284,7 +294,7 @@
         let value = self.optional(object, key)?;
         let path = object.path_of(key);
         let Some(names) = value.as_array().filter(|names| !names.is_empty()) else {
-            self.reject(path, "a list of at least one name is wanted");
+            self.reject(path, "expected a list of at least one name");
             return None;
         };
         let mut indices = Vec::new();
@@ -293,36 +303,39 @@
                 Some(index) => indices.push(index),
                 None => self.reject(
                     format!("{path}[{position}]"),
-                    format!("{name} is none of the names known: {}", known.join(", ")),
+                    format!("unknown name {name}; expected one of {}", known.join(", ")),
                 ),
             }
         }
         Some(indices)
     }
 
-    /// The fields of an object whose values are numbers over 0.
+    /// Returns the fields of an object whose values are numbers over 0.
     pub(super) fn positive_numbers(
         &mut self,
         value: &Value,
         path: &str,
     ) -> Option<Vec<(String, f64)>> {
         let Some(fields) = value.as_object() else {
-            self.reject(path, "an object of names and numbers is wanted");
+            self.reject(path, "expected an object of names and numbers");
             return None;
         };
         let mut numbers = Vec::new();
         for (name, value) in fields {
             match value.as_f64().filter(|n| n.is_finite() && *n > 0.0) {
                 Some(number) => numbers.push((name.clone(), number)),
-                None => self.reject(format!("{path}.{name}"), "a number over 0 is wanted"),
+                None => self.reject(
+                    format!("{path}.{name}"),
+                    format!("expected a number over 0, found {value}"),
+                ),
             }
         }
         Some(numbers)
     }
 }
 
-/// The known key that an unknown one is probably meant to be.
-fn nearest(known: &BTreeSet<&'static str>, key: &str) -> Option<&'static str> {
+/// Returns the known key that is closest to an unknown one, if it is close enough.
+fn closest_known_key(known: &BTreeSet<&'static str>, key: &str) -> Option<&'static str> {
     known
         .iter()
         .copied()
@@ -330,7 +343,7 @@
         .filter(|known| edit_distance(known, key) <= MAX_SUGGESTION_DISTANCE)
 }
 
-/// The Levenshtein distance.
+/// Returns the Levenshtein distance of two texts.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().take(COMPARED_CHARS).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/statement-router/tests/failures.rs
+++ b/crates/statement-router/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Engines that hang, crash, lose responses, drain and reject statements: the complete path over sockets.
+//! Tests of engines that hang, crash, lose responses, drain and reject statements, end to end over sockets.
 
 mod common;
 
@@ -12,9 +12,9 @@
 use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::json;
 
-const LOAD: &str = "INSERT INTO rent /* work=50ms */";
-/// Longer than the grace in which a draining engine may still get statements.
-const DRAIN_GRACE: Duration = Duration::from_millis(1300);
+const LOAD_STATEMENT: &str = "INSERT INTO rent /* work=50ms */";
+/// Wait that exceeds the grace period in which a draining engine may still receive statements.
+const DRAIN_WAIT: Duration = Duration::from_millis(1300);
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
 #[test]
@@ -23,7 +23,7 @@
     for (class, text, rows) in [
         ("lookup", "SELECT 1 /* work=20ms rows=7 */", 7),
         ("report", "SELECT 2 /* work=50ms rows=90 pages=4 */", 90),
-        ("rent-load", LOAD, 1),
+        ("rent-load", LOAD_STATEMENT, 1),
     ] {
         let request = cluster.request(class, text);
         assert_eq!(
@@ -43,7 +43,7 @@
         hang: true,
         ..EngineFaults::default()
     });
-    let mut request = cluster.request("rent-load", LOAD);
+    let mut request = cluster.request("rent-load", LOAD_STATEMENT);
     request.timeout = Duration::from_millis(1500);
     let (outcome, client) = cluster.run_with_client(&request);
     assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
@@ -87,7 +87,7 @@
     request.options.poll_delay = Duration::from_millis(300);
     let outcome = std::thread::scope(|s| {
         let run = s.spawn(|| cluster.run(&request));
-        // Whichever engine has delivered the first page.
+        // The first page may come from either engine.
         wait_until("a page", WAIT_TIMEOUT, Duration::from_millis(5), || {
             let is_settled = cluster.info()["answeredStatements"] != json!(0);
             match is_settled || has_received_rows(&cluster) {
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn a_lost_response_is_no_proof_that_the_statement_was_not_executed() {
+fn a_lost_response_does_not_prove_that_the_statement_was_not_executed() {
     let cluster = TestCluster::new(3);
     cluster.set_faults(&EngineFaults {
         lose_response: true,
         only_class: Some("rent-load".into()),
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(
         cluster.run(&load),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
@@ -198,7 +198,7 @@
         remaining: Some(1),
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(
         cluster.run(&load),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
@@ -222,13 +222,15 @@
 }
 
 #[test]
-fn a_statement_that_never_ran_is_retried_whatever_its_class() {
+fn a_statement_that_never_ran_is_retried_in_every_class() {
     let cluster = TestCluster::new(2);
     cluster.engines[0].inject_faults(EngineFaults {
         reject: true,
         ..EngineFaults::default()
     });
-    let loads: Vec<_> = (0..6).map(|_| cluster.request("rent-load", LOAD)).collect();
+    let loads: Vec<_> = (0..6)
+        .map(|_| cluster.request("rent-load", LOAD_STATEMENT))
+        .collect();
     for load in &loads {
         assert_eq!(cluster.run(load), ClientOutcome::Served(1));
         assert_eq!(cluster.effects(load), 1);
@@ -237,7 +239,7 @@
         loads.iter().any(|load| cluster.sent_attempts(load) == 2),
         "no load was sent to the full engine"
     );
-    // Discovery does not notice that an engine is gone.
+    // Discovery does not notice that an engine has crashed.
     cluster.discovery.inject_faults(DiscoveryFaults {
         stale: true,
         down: false,
@@ -245,7 +247,7 @@
     cluster.crash_engine(0);
     for _ in 0..4 {
         assert_eq!(
-            cluster.run(&cluster.request("rent-load", LOAD)),
+            cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
             ClientOutcome::Served(1)
         );
     }
@@ -259,7 +261,7 @@
         reject: true,
         ..EngineFaults::default()
     });
-    let load = cluster.request("rent-load", LOAD);
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     let ClientOutcome::Rejected {
         error: name,
         retry_after,
@@ -272,7 +274,7 @@
         ("HOPTILLER_REFUSED", Some(2), 0)
     );
     cluster.set_faults(&EngineFaults::default());
-    let mut again = cluster.request("rent-load", LOAD);
+    let mut again = cluster.request("rent-load", LOAD_STATEMENT);
     again.trace = load.trace.replace(".0", ".1");
     assert_eq!(cluster.run(&again), ClientOutcome::Served(1));
     cluster.assert_rules_kept();
@@ -316,7 +318,7 @@
         ClientOutcome::Rejected { .. }
     ));
     assert_eq!(
-        cluster.run(&cluster.request("rent-load", LOAD)),
+        cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
     cluster.set_faults(&EngineFaults {
@@ -324,7 +326,7 @@
         ..EngineFaults::default()
     });
     assert_eq!(
-        cluster.run(&cluster.request("rent-load", LOAD)),
+        cluster.run(&cluster.request("rent-load", LOAD_STATEMENT)),
         ClientOutcome::Failed(MAY_HAVE_RUN.into())
     );
     cluster.set_faults(&EngineFaults::default());
@@ -354,7 +356,7 @@
             .expect("an engine of the cluster");
         let response = put(draining.listen, "/v1/info/state", "\"SHUTTING_DOWN\"");
         assert_eq!(response.status.0, 200);
-        std::thread::sleep(DRAIN_GRACE);
+        std::thread::sleep(DRAIN_WAIT);
         for _ in 0..10 {
             let request = cluster.request("lookup", "SELECT 1 /* work=2ms */");
             cluster.assert_served(&request);
@@ -365,7 +367,7 @@
     cluster.assert_rules_kept();
 }
 
-/// Whether an attempt at a statement has reached an engine.
+/// Returns whether an attempt at a statement has reached the engine.
 fn is_sent_to(cluster: &TestCluster, request: &ClientRequest, node: &str) -> bool {
     let is_sent = |record: &Record| matches!(record, Record::Sent { engine, trace, .. } if *trace == request.trace && engine == node);
     cluster.records().iter().any(is_sent)
@@ -381,8 +383,8 @@
     });
     cluster.crash_engine(0);
     cluster.start_engine(0);
-    // The idle connections to it are closed, and the stale list has not noticed.
-    let load = cluster.request("rent-load", LOAD);
+    // The router's idle connections to it are closed, and the list is stale.
+    let load = cluster.request("rent-load", LOAD_STATEMENT);
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
     assert_eq!(cluster.sent_attempts(&load), 1);
     cluster.assert_rules_kept();
@@ -391,7 +393,7 @@
 #[test]
 fn responses_that_race_with_the_deadline_are_delivered_once() {
     let cluster = TestCluster::new(4);
-    // The engines finish at about the moment of the deadline.
+    // The engines finish close to the deadline.
     let requests: Vec<_> = (0..40u64)
         .map(|n| {
             let class = if n % 2 == 0 { "rent-load" } else { "lookup" };
@@ -421,7 +423,7 @@
         );
         assert!(cluster.effects(request) <= 1);
     }
-    // Engines may still execute some loads; the ledger is complete only then.
+    // Engines may still execute some loads; the ledger is complete only after that.
     std::thread::sleep(Duration::from_millis(1500));
     cluster.assert_rules_kept();
 }
@@ -433,7 +435,7 @@
     std::thread::scope(|s| {
         let load_run = s.spawn(|| cluster.run(&load));
         cluster.wait_until_sent(&load);
-        // The new process gives its first statement the URI that the old one gave the load.
+        // The new process assigns its first statement the URI that the old process assigned to the load.
         cluster.crash_engine(0);
         cluster.start_engine(0);
         let mut other = Request::new(Method::Post, "/v1/statement");
--- a/crates/statement-router/tests/runaway_detection.rs
+++ b/crates/statement-router/tests/runaway_detection.rs
@@ -1,4 +1,4 @@
-//! What the router reports as a runaway, over sockets: which statements, engines and kinds, and which not.
+//! Tests over sockets of which statements, engines and kinds the router reports.
 
 mod common;
 
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use common::runaways::{
-    REPORT, SHORT_TIMEOUT, count_findings, findings, has_notice, has_runaway, patient, report,
-    reporting_cluster, reporting_engine, reporting_settings, runaways, subject_of,
+    REPORT, SHORT_TIMEOUT, count_findings, findings, has_notice, has_runaway, holding_cluster,
+    report_statement, reporting_engine, reporting_settings, runaways, subject_of,
+    with_long_timeout,
 };
 use common::{
     Client, ClientOutcome, ClientRequest, RUNAWAY_WAIT_TIMEOUT, TestCluster, WAIT_TIMEOUT,
@@ -21,7 +22,7 @@
 
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
-/// Sets a flag when a test's thread is done, also by a panic.
+/// A guard that sets a flag when dropped, also by a panic.
 struct SetOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for SetOnDrop<'_> {
@@ -30,18 +31,18 @@
     }
 }
 
-/// The request with the tag of the tables that it reads or writes.
+/// Returns the request with the tag of the tables that it reads or writes.
 fn with_tables(mut request: ClientRequest) -> ClientRequest {
     request.tags = "tables=due".into();
     request
 }
 
 #[test]
-fn a_long_announced_report_is_not_reported_and_a_runaway_of_its_kind_is() {
-    let cluster = reporting_cluster(3);
+fn an_announced_long_report_is_not_reported_but_a_runaway_of_its_kind_is() {
+    let cluster = holding_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let plain = patient(cluster.request("report", &report("4s")));
-    let mut announced = patient(cluster.request("report", &report("4s")));
+    let plain = with_long_timeout(cluster.request("report", &report_statement("4s")));
+    let mut announced = with_long_timeout(cluster.request("report", &report_statement("4s")));
     announced.tags = "size=12".into();
     std::thread::scope(|s| {
         for run in [&plain, &announced].map(|request| s.spawn(|| cluster.run(request))) {
@@ -54,7 +55,7 @@
         "{:#}",
         cluster.runaways()
     );
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report_statement("90s")));
     std::thread::scope(|s| {
         let run = s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the runaway", has_runaway);
@@ -64,7 +65,7 @@
         assert_eq!(finding["text"], json!("select * from arrears"));
         assert_eq!(finding["evidence"]["basis"]["on"], json!("kind"));
         assert_eq!(shown["holds"][0]["atOnce"], json!(1));
-        // By default it is reported and held only: its client gets a response when its timeout has passed.
+        // By default a runaway is only reported and held; its client gets a response when its timeout expires.
         let outcome = run.join().expect("ends");
         assert!(
             matches!(&outcome, ClientOutcome::Rejected { error: name, .. } if name == "HOPTILLER_REFUSED"),
@@ -76,14 +77,14 @@
 
 #[test]
 fn a_load_that_blocks_lookups_is_reported_and_further_lookups_go_to_other_engines() {
-    let cluster = reporting_cluster(2);
+    let cluster = holding_cluster(2);
     cluster.run_repeatedly("lookup", "SELECT rent FROM due /* work=20ms set=7 */", 48);
     cluster.run_repeatedly(
         "rent-load",
         "INSERT INTO due VALUES (1) /* work=100ms */",
         48,
     );
-    let load = patient(cluster.request(
+    let load = with_long_timeout(cluster.request(
         "rent-load",
         "INSERT INTO due VALUES (2) /* work=80s set=7 */",
     ));
@@ -94,7 +95,7 @@
         request.timeout = SHORT_TIMEOUT;
         request
     };
-    // So many that forty are sent to the load's engine.
+    // Enough that about forty are sent to the load's engine.
     let first: Vec<ClientRequest> = (0..90).map(lookup).collect();
     std::thread::scope(|s| {
         let load_run = s.spawn(|| cluster.run(&load));
@@ -105,8 +106,8 @@
             .collect();
         let shown = cluster.wait_for_runaways("the load", has_runaway);
         assert_eq!(runaways(&shown), [("blocks".to_owned(), subject_of(&load))]);
-        // Those sent before the verdict are blocked; on a slow machine they may not be forty yet.
-        let expected = cluster.running_beside(&load, &first).min(40) as u64;
+        // The lookups sent before the verdict are blocked; on a slow machine they may be fewer than forty.
+        let expected = cluster.count_at_same_engine(&load, &first).min(40) as u64;
         assert!(expected > 0);
         cluster.wait_for_runaways("blocked lookups", |shown| {
             shown["findings"][0]["blocked"].as_u64().unwrap_or(0) >= expected
@@ -134,8 +135,8 @@
 }
 
 #[test]
-fn a_slow_engine_is_reported_and_no_statement_there_is() {
-    let cluster = reporting_cluster(3);
+fn a_slow_engine_is_reported_instead_of_its_statements() {
+    let cluster = holding_cluster(3);
     let short = "SELECT name FROM tenants /* work=60ms */";
     cluster.run_repeatedly("report", REPORT, 48);
     cluster.run_repeatedly("lookup", short, 48);
@@ -149,7 +150,7 @@
             s.spawn(|| {
                 while !is_found.load(Ordering::Relaxed) {
                     cluster.run(&cluster.request("lookup", short));
-                    cluster.run(&patient(cluster.request("report", REPORT)));
+                    cluster.run(&with_long_timeout(cluster.request("report", REPORT)));
                 }
             });
         }
@@ -163,10 +164,12 @@
 
 #[test]
 fn a_kind_without_statistics_is_compared_with_its_class() {
-    let cluster = reporting_cluster(2);
+    let cluster = holding_cluster(2);
     cluster.run_repeatedly("lookup", "SELECT a FROM t /* work=60ms */", 48);
-    let honest = patient(cluster.request("lookup", "SELECT new, honest FROM t /* work=900ms */"));
-    cluster.assert_served(&honest);
+    let moderate = with_long_timeout(
+        cluster.request("lookup", "SELECT new, moderate FROM t /* work=900ms */"),
+    );
+    cluster.assert_served(&moderate);
     assert_eq!(count_findings(&cluster.runaways()), 0);
     let mut long = cluster.request("lookup", "SELECT new, heavy FROM t /* work=300s */");
     long.timeout = SHORT_TIMEOUT;
@@ -181,19 +184,20 @@
 
 #[test]
 fn a_runaway_of_a_crashed_router_is_reported_by_another_router() {
-    let mut cluster = reporting_cluster(1);
+    let mut cluster = holding_cluster(1);
     let mut other = cluster.settings.clone();
     (other.router.name, other.router.index) = ("r2".into(), 1);
     other.router.admin = Some(([127, 0, 0, 1], 0).into());
     let (_running, addr) = start_router(&mut other);
-    let mut load = patient(cluster.request("rent-load", "INSERT INTO due /* work=300s set=7 */"));
+    let mut load =
+        with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=300s set=7 */"));
     load.options.abandon_after = Some(2);
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&load));
         cluster.wait_until_sent(&load);
     });
     cluster.crash_router();
-    // It is reported some 12 s after it began, if lookups are blocked by it then.
+    // The load is reported about 12 s after it began, if it blocks lookups by then.
     let is_over = AtomicBool::new(false);
     std::thread::scope(|s| {
         let _stop = SetOnDrop(&is_over);
@@ -222,11 +226,15 @@
 
 #[test]
 fn a_changed_kind_is_reported_once_as_a_notice() {
-    let cluster = reporting_cluster(3);
+    let cluster = holding_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
     std::thread::scope(|s| {
         for _ in 0..30 {
-            s.spawn(|| cluster.run(&patient(cluster.request("report", &report("9s")))));
+            s.spawn(|| {
+                cluster.run(&with_long_timeout(
+                    cluster.request("report", &report_statement("9s")),
+                ))
+            });
         }
         let shown = cluster.wait_for_runaways("the notice", has_notice);
         let notices = findings(&shown, "notice");
@@ -286,7 +294,7 @@
     };
     let mut cluster = TestCluster::with_config(2, change, reporting_engine);
     cluster.run_repeatedly("report", REPORT, 48);
-    // A save that began before the last run may still be under way.
+    // A save that began before the last run may still be in progress.
     std::thread::sleep(Duration::from_millis(1500));
     let file = dir.join("runaways");
     let interval = Duration::from_millis(50);
@@ -301,7 +309,7 @@
     let damaged: [&[u8]; 3] = [
         &saved[..saved.len() / 2],
         b"",
-        b"\xff\xfe something of somebody else",
+        b"\xff\xfe not a statistics file",
     ];
     for bytes in damaged {
         fs::write(&file, bytes).expect("written");
@@ -314,7 +322,7 @@
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// The number of kinds with statistics in a router that starts with these settings.
+/// Returns the number of kinds with statistics in a router that starts with these settings.
 fn count_restored_kinds(settings: &Settings) -> Option<u64> {
     let mut settings = settings.clone();
     settings.router.admin = Some(([127, 0, 0, 1], 0).into());
