--- a/.ci/outer-names.py
+++ b/.ci/outer-names.py
@@ -62,7 +62,7 @@
 def closing(text, start):
     """Position after the bracket that closes the one at `start`; string literals are skipped."""
     depth, at = 0, start
-    literal = re.compile(r'"(?:\\.|[^"\\])*"|\'(?:\\.|[^\'\\])\'')
+    literal = re.compile(r'"(?:\\.|[^"\\])*"|\'(?:\\.|[^\'\\])\'', re.S)
     while at < len(text):
         found = literal.match(text, at)
         if found:
@@ -220,7 +220,7 @@
     # Attributes are read with their items; messages to people are no names.
     text = re.sub(r"#!?\[(?:serde|error|doc|cfg|expect|allow)\b[^\]]*\]", " ", text)
     text = re.sub(r"\b(?:panic|assert|assert_eq|debug_assert|unreachable|env|include_str)!\([^;]*?\)", " ", text)
-    for found in re.finditer(r'"((?:\\.|[^"\\])*)"', text):
+    for found in re.finditer(r'"((?:\\.|[^"\\])*)"', text, re.S):
         name = re.sub(r"\{[^}]*\}", "{}", found.group(1))
         if len(name) > 1 and NAME_LITERAL.fullmatch(name):
             rows["text", name] += 1
