--- a/crates/benchmarks/src/replicas/restart.rs
+++ b/crates/benchmarks/src/replicas/restart.rs
@@ -13,7 +13,7 @@
 
 use super::{LEASE_TERM, document};
 use crate::error::BenchmarkError;
-use crate::test_fleet::{DRIFT, REPLICAS, temporary_dir};
+use crate::test_fleet::{DRIFT_MILLIONTHS, REPLICAS, temporary_dir};
 
 /// Limit of a replica's storage.
 const MAX_STORAGE_BYTES: u64 = 1 << 30;
@@ -25,10 +25,10 @@
 const PROPOSALS_PER_ENTRY: u64 = 512;
 
 /// Time between two steps of the replicas, in microseconds of their clock.
-const STEP: u64 = 10_000;
+const STEP_MICROS: u64 = 10_000;
 
 /// Time in which all versions must be decided, in microseconds of the replicas' clock.
-const DECISION_TIMEOUT: u64 = 3_600_000_000;
+const DECISION_TIMEOUT_MICROS: u64 = 3_600_000_000;
 
 /// Replicas on one thread, each on a disk of its own.
 struct Replicas {
@@ -58,13 +58,14 @@
     fn open(&self, number: u64) -> Result<Replica, BenchmarkError> {
         let timing = LeaseTiming {
             term: LEASE_TERM.as_micros() as u64,
-            drift: DRIFT,
+            drift: DRIFT_MILLIONTHS,
         };
         let dir = self.dir.join(number.to_string());
         let storage =
-            DiskStorage::open(&dir, "f", number, "d", MAX_STORAGE_BYTES).map_err(other)?;
+            DiskStorage::open(&dir, "f", number, "d", MAX_STORAGE_BYTES).map_err(other_error)?;
         let incarnation = storage.incarnation();
-        let log = ReplicatedLog::open(number, self.membership.clone(), storage).map_err(other)?;
+        let log =
+            ReplicatedLog::open(number, self.membership.clone(), storage).map_err(other_error)?;
         Ok(Replica::new(number, incarnation, timing, log, self.now))
     }
 
@@ -76,8 +77,8 @@
             .iter()
             .any(|replica| replica.config_state().latest() < versions)
         {
-            self.now += STEP;
-            if self.now > DECISION_TIMEOUT {
+            self.now += STEP_MICROS;
+            if self.now > DECISION_TIMEOUT_MICROS {
                 return Err(BenchmarkError::VersionsNotDecided);
             }
             // As many as an entry holds, and one entry in flight.
@@ -142,6 +143,6 @@
     Ok(())
 }
 
-fn other(error: impl Error + Send + Sync + 'static) -> BenchmarkError {
+fn other_error(error: impl Error + Send + Sync + 'static) -> BenchmarkError {
     BenchmarkError::Io(io::Error::other(error))
 }
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -18,7 +18,7 @@
 use crate::error::BenchmarkError;
 use crate::process::cpu_seconds;
 use crate::statistics::median;
-use crate::test_fleet::{DRIFT, REPLICAS, start_fleet, temporary_dir};
+use crate::test_fleet::{DRIFT_MILLIONTHS, REPLICAS, start_fleet, temporary_dir};
 
 /// Far longer than anything here takes.
 const TIMEOUT: Duration = Duration::from_secs(60);
@@ -154,7 +154,7 @@
         replicas,
         secret_file: dir.join("secret"),
         lease_term: LEASE_TERM,
-        drift: DRIFT,
+        drift: DRIFT_MILLIONTHS,
         renewal_interval: mode.renewal_interval(),
     };
     let secret = Secret::load(&settings.secret_file)?;
--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -22,7 +22,7 @@
     detector::measure_fingerprints();
     let settings = Settings::load(args.site.settings_file())
         .map_err(|_| BenchmarkError::Settings("the settings are wrong".into()))?;
-    for attempts in detector::ATTEMPTS {
+    for attempts in detector::ATTEMPT_COUNTS {
         detector::measure_detection(&settings, attempts);
     }
     end_to_end::run(&args.site, args.planted)
--- a/crates/benchmarks/src/runaways/detector.rs
+++ b/crates/benchmarks/src/runaways/detector.rs
@@ -12,10 +12,10 @@
 use hoptiller_statement_router::Settings;
 
 /// Numbers of attempts in flight at which the detection is measured.
-pub(super) const ATTEMPTS: [u64; 3] = [100, 1_000, 10_000];
+pub(super) const ATTEMPT_COUNTS: [u64; 3] = [100, 1_000, 10_000];
 
 /// Repeated values in the statements whose fingerprints are measured.
-const REPEATS: [usize; 3] = [1, 100, 10_000];
+const REPEAT_COUNTS: [usize; 3] = [1, 100, 10_000];
 
 /// Time for which each fingerprint is measured.
 const FINGERPRINT_TIME: Duration = Duration::from_millis(300);
@@ -28,10 +28,10 @@
 const PAST_ATTEMPTS: u64 = 80_000;
 
 /// Id of the first attempt that is in flight in the measurement.
-const FIRST_ID: u64 = 1_000_000;
+const FIRST_IN_FLIGHT_ID: u64 = 1_000_000;
 
 /// How often the detection is measured.
-const DETECTIONS: u32 = 12;
+const DETECTION_RUNS: u32 = 12;
 
 /// Interval of the detection, in microseconds.
 const DETECTION_INTERVAL: Micros = 500_000;
@@ -41,7 +41,7 @@
 
 /// Prints how the cost of a fingerprint grows with the text of its statement.
 pub(super) fn measure_fingerprints() {
-    for repeats in REPEATS {
+    for repeats in REPEAT_COUNTS {
         let list = "(4711, 'some value', now()), ".repeat(repeats);
         let text = format!("INSERT INTO \"rent\" (a, b, c) VALUES {list}(1, 'x', now()) -- end");
         let start = Instant::now();
@@ -64,13 +64,13 @@
 pub(super) fn measure_detection(settings: &Settings, attempts: u64) {
     let mut load = DetectorLoad::new(settings);
     load.run_past_attempts();
-    let in_flight: Vec<AttemptId> = (FIRST_ID..FIRST_ID + attempts)
+    let in_flight: Vec<AttemptId> = (FIRST_IN_FLIGHT_ID..FIRST_IN_FLIGHT_ID + attempts)
         .map(|id| load.start_attempt(id))
         .collect();
-    let spent: Duration = (0..DETECTIONS)
+    let spent: Duration = (0..DETECTION_RUNS)
         .map(|_| load.run_detection(&in_flight))
         .sum();
-    let milliseconds = spent.as_secs_f64() / f64::from(DETECTIONS) * 1e3;
+    let milliseconds = spent.as_secs_f64() / f64::from(DETECTION_RUNS) * 1e3;
     let start = Instant::now();
     let saved = load.detector.save();
     println!(
--- a/crates/benchmarks/src/test_fleet.rs
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -13,7 +13,7 @@
 pub(crate) const REPLICAS: usize = 3;
 
 /// Bound of the drift of clocks, in millionths.
-pub(crate) const DRIFT: u64 = 1000;
+pub(crate) const DRIFT_MILLIONTHS: u64 = 1000;
 
 /// The command-line arguments that say which fleets are measured.
 #[derive(clap::Args)]
@@ -57,7 +57,7 @@
 ) -> Result<TestFleet, BenchmarkError> {
     let topology = Topology {
         lease_term,
-        drift_millionths: DRIFT,
+        drift_millionths: DRIFT_MILLIONTHS,
         ..Topology::new(REPLICAS, routers)
     };
     let mut fleet = TestFleet::new(topology, program, dir)?;
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -18,9 +18,9 @@
 use crate::{metrics_endpoint, secret};
 
 /// The settings that the demo starts from.
-const EXAMPLE: &str = include_str!("../../../../examples/derby.jsonnet");
+const EXAMPLE_SETTINGS: &str = include_str!("../../../../examples/derby.jsonnet");
 
-const EXAMPLE_NAME: &str = "derby.jsonnet";
+const EXAMPLE_FILE_NAME: &str = "derby.jsonnet";
 
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
@@ -72,12 +72,13 @@
 
 /// The example's settings, on loopback and without a state folder.
 fn settings(listen: SocketAddr, discovery: SocketAddr) -> Result<Settings, CommandError> {
-    let mut value = hoptiller_statement_router::settings::evaluate(EXAMPLE_NAME, EXAMPLE)?;
+    let mut value =
+        hoptiller_statement_router::settings::evaluate(EXAMPLE_FILE_NAME, EXAMPLE_SETTINGS)?;
     value["router"]["listen"] = listen.to_string().into();
     value["router"]["state"] = serde_json::Value::Null;
     value["router"]["admin"] = "127.0.0.1:0".into();
     value["discovery"]["address"] = discovery.to_string().into();
-    Ok(Settings::from_value(EXAMPLE_NAME, &value)?)
+    Ok(Settings::from_value(EXAMPLE_FILE_NAME, &value)?)
 }
 
 async fn serve(
--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -11,15 +11,15 @@
 const TITLE: &str = "Runaways found, by time since an engine took them (simulated servers)";
 
 /// Width and height of the plot, in pixels.
-const SIZE: (u32, u32) = (960, 540);
+const SIZE_PIXELS: (u32, u32) = (960, 540);
 
 const FONT: &str = "sans-serif";
 
 /// Seconds that the time axis shows at least, so that all fixed limits are on it.
-const MIN_TIME_AXIS: f64 = 62.0;
+const MIN_TIME_AXIS_SECONDS: f64 = 62.0;
 
 /// The top of the axis of parts, with some space above 1.
-const PART_AXIS: f64 = 1.02;
+const FRACTION_AXIS_MAX: f64 = 1.02;
 
 /// The runaways of one condition.
 pub(super) struct Curve {
@@ -34,7 +34,7 @@
     ChartContext<'c, SVGBackend<'svg>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 /// A curve for each condition and a line for each fixed limit in seconds, as SVG text.
-pub(super) fn draw_found_by_time(curves: &[Curve], limits: &[u64]) -> String {
+pub(super) fn draw_detections_over_time(curves: &[Curve], limits: &[u64]) -> String {
     let mut svg = String::new();
     // Drawing into a string fails only by a fault of the drawing code.
     if draw(&mut svg, curves, limits).is_err() {
@@ -44,18 +44,18 @@
 }
 
 fn draw(svg: &mut String, curves: &[Curve], limits: &[u64]) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let root = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
     let latest = curves
         .iter()
         .filter_map(|curve| curve.times.last().copied())
-        .fold(MIN_TIME_AXIS, f64::max);
+        .fold(MIN_TIME_AXIS_SECONDS, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption(TITLE, (FONT, 18))
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..(latest * 1.02), 0.0..PART_AXIS)?;
+        .build_cartesian_2d(0.0..(latest * 1.02), 0.0..FRACTION_AXIS_MAX)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
@@ -102,7 +102,10 @@
 fn draw_limit(chart: &mut Chart<'_, '_>, seconds: u64) -> Result<(), Box<dyn Error>> {
     let time = seconds as f64;
     let style = BLACK.mix(0.5).stroke_width(1);
-    chart.draw_series(LineSeries::new([(time, 0.0), (time, PART_AXIS)], style))?;
+    chart.draw_series(LineSeries::new(
+        [(time, 0.0), (time, FRACTION_AXIS_MAX)],
+        style,
+    ))?;
     let text = format!("fixed limit {seconds} s");
     chart.draw_series([Text::new(text, (time + 0.4, 0.06), (FONT, 13))])?;
     Ok(())
--- a/crates/cli/src/commands/experiment/chart/tests.rs
+++ b/crates/cli/src/commands/experiment/chart/tests.rs
@@ -14,7 +14,7 @@
             planted: 0,
         },
     ];
-    let svg = draw_found_by_time(&curves, &[5, 15]);
+    let svg = draw_detections_over_time(&curves, &[5, 15]);
     assert!(
         svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"),
         "{}",
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Instant;
 
-use hoptiller_emulator::study::{self, Condition, Figures, LIMITS};
+use hoptiller_emulator::study::{self, Condition, FIXED_LIMITS_SECONDS, Figures};
 use hoptiller_statement_router::Settings;
 use serde_json::{Value, json};
 
@@ -22,8 +22,8 @@
 use crate::error::CommandError;
 
 /// The settings that are used without a file, and the file that they import.
-const EXAMPLE: &str = include_str!("../../../../../examples/runaways.jsonnet");
-const IMPORTED_EXAMPLE: &str = include_str!("../../../../../examples/derby.jsonnet");
+const EXAMPLE_SETTINGS: &str = include_str!("../../../../../examples/runaways.jsonnet");
+const IMPORTED_SETTINGS: &str = include_str!("../../../../../examples/derby.jsonnet");
 
 /// Classes that the study's traffic uses.
 const CLASSES: [&str; 3] = ["lookup", "report", "rent-load"];
@@ -93,7 +93,7 @@
         Some(file) => Settings::load(file)?,
         None => {
             // The example imports its neighbour: both are in this program.
-            let text = EXAMPLE.replace("import 'derby.jsonnet'", IMPORTED_EXAMPLE);
+            let text = EXAMPLE_SETTINGS.replace("import 'derby.jsonnet'", IMPORTED_SETTINGS);
             Settings::from_text("runaways.jsonnet", &text)?
         }
     };
@@ -155,7 +155,10 @@
     lines.flush()?;
     let curves: Vec<chart::Curve> = summaries.iter().map(ConditionSummary::curve).collect();
     let plot = dir.join("runaways.svg");
-    fs::write(&plot, chart::draw_found_by_time(&curves, &LIMITS))?;
+    fs::write(
+        &plot,
+        chart::draw_detections_over_time(&curves, &FIXED_LIMITS_SECONDS),
+    )?;
     eprintln!("written: {} and runs.jsonl beside it", plot.display());
     Ok(())
 }
--- a/crates/cli/src/commands/experiment/summary.rs
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use hoptiller_emulator::study::{Condition, Figures, LIMITS};
+use hoptiller_emulator::study::{Condition, FIXED_LIMITS_SECONDS, Figures};
 use serde_json::{Value, json};
 
 use super::chart::Curve;
 
 /// Some of a number of statements.
 #[derive(Clone, Copy)]
-pub(super) struct Part {
+pub(super) struct Fraction {
     pub(super) count: usize,
     pub(super) total: usize,
 }
@@ -55,15 +55,15 @@
     pub(super) runaways: Detections,
     pub(super) by_cause: BTreeMap<&'static str, Detections>,
     /// Large reports that were flagged.
-    pub(super) large_flagged: Part,
+    pub(super) large_flagged: Fraction,
     /// Other statements that were flagged.
-    pub(super) others_flagged: Part,
+    pub(super) others_flagged: Fraction,
     pub(super) notices: usize,
     pub(super) fixed_limits: Vec<FixedLimit>,
     /// Value of the responses in time, as a part of all.
     pub(super) value: f64,
     /// Lookups on time, of those whose tables a planted load blocked.
-    pub(super) blocked_on_time: Part,
+    pub(super) blocked_on_time: Fraction,
     /// Engines that failed.
     failed_engines: usize,
 }
@@ -75,10 +75,11 @@
             .filter(|run| run.condition == condition)
             .collect();
         let sum = |count: &dyn Fn(&Figures) -> usize| runs.iter().map(|run| count(run)).sum();
-        let part = |count: &dyn Fn(&Figures) -> usize, total: &dyn Fn(&Figures) -> usize| Part {
-            count: sum(count),
-            total: sum(total),
-        };
+        let fraction =
+            |count: &dyn Fn(&Figures) -> usize, total: &dyn Fn(&Figures) -> usize| Fraction {
+                count: sum(count),
+                total: sum(total),
+            };
         let fixed_limit = |(index, seconds): (usize, &u64)| FixedLimit {
             seconds: *seconds,
             found: sum(&|run| run.limits[index].runaways),
@@ -88,17 +89,22 @@
         let value: f64 = runs.iter().map(|run| run.value_in_time).sum();
         ConditionSummary {
             condition,
-            runaways: Detections::new(
-                runs.iter()
-                    .flat_map(|run| run.detections.iter().map(|d| &d.found_after)),
-            ),
+            runaways: Detections::new(runs.iter().flat_map(|run| {
+                run.detections
+                    .iter()
+                    .map(|detection| &detection.found_after)
+            })),
             by_cause: detections_by_cause(&runs),
-            large_flagged: part(&|run| run.large_flagged, &|run| run.large),
-            others_flagged: part(&|run| run.others_flagged, &|run| run.others),
+            large_flagged: fraction(&|run| run.large_flagged, &|run| run.large),
+            others_flagged: fraction(&|run| run.others_flagged, &|run| run.others),
             notices: sum(&|run| run.notices),
-            fixed_limits: LIMITS.iter().enumerate().map(fixed_limit).collect(),
+            fixed_limits: FIXED_LIMITS_SECONDS
+                .iter()
+                .enumerate()
+                .map(fixed_limit)
+                .collect(),
             value: value / runs.len().max(1) as f64,
-            blocked_on_time: part(&|run| run.behind_load_in_time, &|run| run.behind_load),
+            blocked_on_time: fraction(&|run| run.behind_load_in_time, &|run| run.behind_load),
             failed_engines: sum(&|run| run.engine_crashes),
         }
     }
--- a/crates/cli/src/commands/experiment/table.rs
+++ b/crates/cli/src/commands/experiment/table.rs
@@ -1,6 +1,6 @@
 //! The study's figures as tables for people.
 
-use super::summary::{ConditionSummary, Part};
+use super::summary::{ConditionSummary, Fraction};
 
 pub(super) fn print_tables(summaries: &[ConditionSummary], runs: usize) {
     println!("{runs} runs of each condition (simulated servers)\n");
@@ -40,11 +40,11 @@
             "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
             summary.name(),
             format!("{} of {}", runaways.times.len(), runaways.planted),
-            seconds(runaways.quantile(0.5)),
-            seconds(runaways.quantile(0.95)),
-            seconds(runaways.quantile(1.0)),
-            ratio(summary.large_flagged),
-            ratio(summary.others_flagged),
+            format_seconds(runaways.quantile(0.5)),
+            format_seconds(runaways.quantile(0.95)),
+            format_seconds(runaways.quantile(1.0)),
+            format_fraction(summary.large_flagged),
+            format_fraction(summary.others_flagged),
             summary.notices,
             summary.value,
             blocked.count as f64 / (blocked.total as f64).max(1.0),
@@ -60,9 +60,9 @@
             "  {cause:<16} {} of {}, p50 {}, p95 {}, latest {}",
             detections.times.len(),
             detections.planted,
-            seconds(detections.quantile(0.5)),
-            seconds(detections.quantile(0.95)),
-            seconds(detections.quantile(1.0))
+            format_seconds(detections.quantile(0.5)),
+            format_seconds(detections.quantile(0.95)),
+            format_seconds(detections.quantile(1.0))
         );
     }
 }
@@ -82,10 +82,10 @@
     }
 }
 
-fn ratio(part: Part) -> String {
-    format!("{} of {}", part.count, part.total)
+fn format_fraction(fraction: Fraction) -> String {
+    format!("{} of {}", fraction.count, fraction.total)
 }
 
-fn seconds(value: Option<f64>) -> String {
+fn format_seconds(value: Option<f64>) -> String {
     value.map_or("-".into(), |value| format!("{value:.1} s"))
 }
--- a/crates/cli/src/commands/fleet/leases/tests.rs
+++ b/crates/cli/src/commands/fleet/leases/tests.rs
@@ -3,9 +3,9 @@
 
 #[test]
 fn a_shard_without_a_holder_is_shown_as_such() {
-    let part = |shard| hoptiller_coordination::Shard {
+    let shard = |index| hoptiller_coordination::Shard {
         task: hoptiller_coordination::Task::HealthCheck,
-        index: shard,
+        index,
     };
     let holder = Some((
         Holder {
@@ -15,25 +15,25 @@
         9,
     ));
     let held = LeaseStatus {
-        shard: part(0),
+        shard: shard(0),
         holder,
         left_ms: Some(1200),
         note_bytes: 80,
     };
     let free = LeaseStatus {
-        shard: part(1),
+        shard: shard(1),
         holder: None,
         left_ms: None,
         note_bytes: 0,
     };
-    let told = format_leases(&[held, free]);
+    let text = format_leases(&[held, free]);
     assert!(
-        told.contains("probe/0      r1/x1 under number 9, for 1200 ms more"),
-        "{told}"
+        text.contains("probe/0      r1/x1 under number 9, for 1200 ms more"),
+        "{text}"
     );
     assert!(
-        told.contains("probe/1      nobody") && told.contains("r1/x1: 1 of 2"),
-        "{told}"
+        text.contains("probe/1      nobody") && text.contains("r1/x1: 1 of 2"),
+        "{text}"
     );
     assert!(format_leases(&[]).contains("names no tasks"));
 }
--- a/crates/cli/src/commands/fleet/mod.rs
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -13,7 +13,7 @@
 use status::StatusArgs;
 
 pub(crate) use run::check;
-pub(crate) use status::waiting_for;
+pub(crate) use status::format_blocking_holders;
 
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -52,7 +52,7 @@
         )));
     }
     crate::runtime::raise_descriptor_limit();
-    end_with_signals();
+    kill_fleet_on_signal();
     let program = scenarios::own_program("this program")?;
     let options = RunOptions {
         program: &program,
@@ -87,7 +87,7 @@
         return Ok(Vec::new());
     };
     match hoptiller_coordination::fault_injection::Fault::from_name(name) {
-        Some(_) => Ok(vec![(crate::PLANT.to_owned(), name.clone())]),
+        Some(_) => Ok(vec![(crate::FAULT_VARIABLE.to_owned(), name.clone())]),
         None => Err(CommandError::Usage(format!(
             "--plant: {name:?} is no fault that is known"
         ))),
@@ -100,7 +100,7 @@
 }
 
 /// The fleet's processes end with this one, also where it is told to end.
-fn end_with_signals() {
+fn kill_fleet_on_signal() {
     std::thread::spawn(|| {
         if async_io::block_on(crate::runtime::wait_for_termination()).is_ok() {
             hoptiller_fault_harness::process::kill_all();
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -126,7 +126,7 @@
 }
 
 /// The routers whose config leases block the next version, and for how long at most.
-pub(crate) fn waiting_for(status: &ClusterStatus) -> String {
+pub(crate) fn format_blocking_holders(status: &ClusterStatus) -> String {
     let blocking = status.holders.iter().filter(|holder| holder.blocks_rollout);
     blocking
         .map(|holder| {
--- a/crates/cli/src/commands/fleet/status/tests.rs
+++ b/crates/cli/src/commands/fleet/status/tests.rs
@@ -4,16 +4,16 @@
 
 #[test]
 fn routers_that_block_a_version_are_named_with_their_time() {
-    let holder = |router: &str, heeds, holds_up| HolderStatus {
+    let holder = |router: &str, enforced_version, blocks_rollout| HolderStatus {
         holder: Holder {
             router: router.into(),
             incarnation: "x1".into(),
         },
-        enforced_version: heeds,
+        enforced_version,
         left_ms: 4200,
-        blocks_rollout: holds_up,
+        blocks_rollout,
     };
-    let s = ClusterStatus {
+    let status = ClusterStatus {
         replica: 1,
         leader: None,
         versions: VersionNumbers {
@@ -28,15 +28,21 @@
         peers: vec![(2, Some(30)).into(), (3, None).into()],
         log: (90, 40).into(),
     };
-    assert_eq!(waiting_for(&s), "  waits for r2/x1, 4200 ms at most\n");
-    let (keeper, fleet) = (format_replica("here", &s), format_versions(&s));
+    assert_eq!(
+        format_blocking_holders(&status),
+        "  waits for r2/x1, 4200 ms at most\n"
+    );
+    let (replica, versions) = (format_replica("here", &status), format_versions(&status));
     assert!(
-        keeper.contains("list 2 (1 2 4)")
-            && keeper.contains("leads nobody")
-            && keeper.contains("2 30 ms ago, 3 never"),
-        "{keeper}"
+        replica.contains("list 2 (1 2 4)")
+            && replica.contains("leads nobody")
+            && replica.contains("2 30 ms ago, 3 never"),
+        "{replica}"
     );
-    assert!(fleet.contains("in force 6, last 7"), "{fleet}");
-    let lines: Vec<&str> = fleet.lines().filter(|l| l.contains("HOLDS UP")).collect();
-    assert!(lines.len() == 1 && lines[0].contains("r2/x1"), "{fleet}");
+    assert!(versions.contains("in force 6, last 7"), "{versions}");
+    let lines: Vec<&str> = versions
+        .lines()
+        .filter(|line| line.contains("HOLDS UP"))
+        .collect();
+    assert!(lines.len() == 1 && lines[0].contains("r2/x1"), "{versions}");
 }
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -144,7 +144,7 @@
 
 fn show(args: &ShowArgs) -> Result<ExitCode, CommandError> {
     let version = fetch_version(&args.replicas.open()?, args.number)?;
-    eprintln!("{}", describe(&version.metadata));
+    eprintln!("{}", format_metadata(&version.metadata));
     print_json(&version.document);
     Ok(ExitCode::SUCCESS)
 }
@@ -156,7 +156,7 @@
     };
     let differences: Vec<Difference> = args.replicas.open()?.post(wire::DIFF, &request)?;
     for difference in &differences {
-        println!("{}", describe_difference(difference));
+        println!("{}", format_difference(difference));
     }
     if differences.is_empty() {
         println!("the same text");
@@ -170,7 +170,7 @@
         print_json(&versions);
     } else {
         for version in &versions {
-            println!("{}", describe(version));
+            println!("{}", format_metadata(version));
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -180,12 +180,12 @@
     let replicas = args.replicas.open()?;
     let mut known = wire::VersionNumbers::default();
     loop {
-        let present = watch_versions(&replicas, known, WATCH_WAIT)?;
-        if (present.in_force, present.last) != (known.in_force, known.last) {
-            println!("in force {}, last {}", present.in_force, present.last);
+        let current = watch_versions(&replicas, known, WATCH_WAIT)?;
+        if (current.in_force, current.last) != (known.in_force, known.last) {
+            println!("in force {}, last {}", current.in_force, current.last);
         }
-        known = present;
-        if args.until.is_some_and(|number| present.in_force >= number) {
+        known = current;
+        if args.until.is_some_and(|number| current.in_force >= number) {
             return Ok(ExitCode::SUCCESS);
         }
     }
@@ -212,7 +212,7 @@
     replicas.post(wire::SHOW, &wire::VersionRequest { number })
 }
 
-fn describe(version: &VersionMetadata) -> String {
+fn format_metadata(version: &VersionMetadata) -> String {
     let seconds = version.proposed_at_ms / 1000;
     format!(
         "{:>6}  {:.12}  {:<10} by {} at {seconds} ({}): {}",
@@ -225,7 +225,7 @@
     )
 }
 
-fn describe_difference(difference: &Difference) -> String {
+fn format_difference(difference: &Difference) -> String {
     let change = difference.change.description();
     format!("{:<50} {change}", difference.path)
 }
--- a/crates/cli/src/commands/settings/proposal.rs
+++ b/crates/cli/src/commands/settings/proposal.rs
@@ -6,8 +6,8 @@
 use hoptiller_coordination::{Document, Proposal, VersionNumber};
 use hoptiller_coordination_client::wire;
 
-use super::{WATCH_WAIT, describe_difference, fetch_version, watch_versions};
-use crate::commands::fleet::waiting_for;
+use super::{WATCH_WAIT, fetch_version, format_difference, watch_versions};
+use crate::commands::fleet::format_blocking_holders;
 use crate::error::CommandError;
 use crate::random_id::random_id;
 use crate::replicas::{ReplicaArgs, Replicas};
@@ -51,16 +51,16 @@
         wait_ms: 0,
         watch_leases: false,
     };
-    let present: wire::VersionNumbers = replicas.post(wire::WATCH, &request)?;
-    if present.last > 0 {
-        print_differences(replicas, present.last, &document)?;
+    let current: wire::VersionNumbers = replicas.post(wire::WATCH, &request)?;
+    if current.last > 0 {
+        print_differences(replicas, current.last, &document)?;
     }
     if dry_run {
-        let next = present.last + 1;
+        let next = current.last + 1;
         println!("version {next} would come; nothing was put");
         return Ok(ExitCode::SUCCESS);
     }
-    let proposal = args.proposal(present.last, document);
+    let proposal = args.proposal(current.last, document);
     let start = Instant::now();
     let number = match replicas.post(wire::PROPOSE, &proposal)? {
         wire::ProposalResponse::Accepted(number) => number,
@@ -95,7 +95,7 @@
     let version = fetch_version(replicas, Some(number))?;
     let differences = version.document.differences(document);
     for difference in &differences {
-        eprintln!("  {}", describe_difference(difference));
+        eprintln!("  {}", format_difference(difference));
     }
     if differences.is_empty() {
         eprintln!("  the same text as version {number}");
@@ -124,7 +124,7 @@
         }
         if remaining.is_zero() {
             println!("version {number} is not in force yet; it comes in force by itself");
-            print!("{}", waiting_for(&replicas.get(wire::STATUS)?));
+            print!("{}", format_blocking_holders(&replicas.get(wire::STATUS)?));
             return Ok(ExitCode::FAILURE);
         }
     }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -43,21 +43,21 @@
     ("hoptiller_standin", "hoptiller_mock_servers"),
 ];
 
-/// The filter with former targets replaced by present ones.
-fn with_present_targets(filter: &str) -> String {
+/// The filter with former targets replaced by current ones.
+fn with_current_targets(filter: &str) -> String {
     let directives = filter.split(',').map(|directive| {
         let directive = directive.trim();
         let length = directive.find(|c: char| !c.is_ascii_alphanumeric() && c != '_');
         let (target, rest) = directive.split_at(length.unwrap_or(directive.len()));
         let renamed = RENAMED_TARGETS.iter().find(|(former, _)| *former == target);
-        format!("{}{rest}", renamed.map_or(target, |(_, present)| present))
+        format!("{}{rest}", renamed.map_or(target, |(_, current)| current))
     });
     directives.collect::<Vec<String>>().join(",")
 }
 
 /// Starts logging. With an invalid filter warnings are logged, of which the first says so.
 pub(crate) fn start(args: &LogArgs) {
-    let filter = EnvFilter::try_new(with_present_targets(&args.log));
+    let filter = EnvFilter::try_new(with_current_targets(&args.log));
     let invalid = filter.as_ref().err().map(ToString::to_string);
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter.unwrap_or_else(|_| EnvFilter::new("warn")))
--- a/crates/cli/src/logging/tests.rs
+++ b/crates/cli/src/logging/tests.rs
@@ -1,4 +1,4 @@
-use super::with_present_targets;
+use super::with_current_targets;
 
 #[test]
 fn filters_that_name_former_targets_select_the_same_events() {
@@ -13,7 +13,7 @@
         ("hoptiller_keeper", "hoptiller_coordination_server"),
         ("", ""),
     ];
-    for (former, present) in cases {
-        assert_eq!(with_present_targets(former), present);
+    for (former, current) in cases {
+        assert_eq!(with_current_targets(former), current);
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -68,7 +68,7 @@
 
 /// The fault that is injected into this process, in programs with the feature `plant`.
 #[cfg(feature = "plant")]
-const PLANT: &str = "HOPTILLER_PLANT";
+const FAULT_VARIABLE: &str = "HOPTILLER_PLANT";
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -87,7 +87,7 @@
 #[cfg(feature = "plant")]
 fn inject_fault() {
     use hoptiller_coordination::fault_injection::{self, Fault};
-    let name = std::env::var(PLANT).ok();
+    let name = std::env::var(FAULT_VARIABLE).ok();
     if let Some(fault) = name.and_then(|name| Fault::from_name(&name)) {
         fault_injection::inject(fault);
     }
--- a/crates/cli/src/runtime.rs
+++ b/crates/cli/src/runtime.rs
@@ -13,14 +13,14 @@
 /// limit that is now in force.
 pub(crate) fn raise_descriptor_limit() -> u64 {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
-    let present = getrlimit(Resource::Nofile);
+    let previous = getrlimit(Resource::Nofile);
     let raised = Rlimit {
-        current: present.maximum,
-        maximum: present.maximum,
+        current: previous.maximum,
+        maximum: previous.maximum,
     };
     let limit = match setrlimit(Resource::Nofile, raised) {
-        Ok(()) => present.maximum,
-        Err(_) => present.current,
+        Ok(()) => previous.maximum,
+        Err(_) => previous.current,
     };
     limit.unwrap_or(u64::MAX)
 }
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -10,9 +10,9 @@
 fn a_router_isolated_from_replicas_delays_a_version_for_a_lease_and_then_rejects_loads() {
     let mut fixture = FleetFixture::new("cut", 3, |_| {});
     assert!(fixture.wait_for_attempt_under("r1", 1, 1));
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    fixture.fleet.fail_links(LinkFaults::blocked(), |link| {
+        matches!(link, LinkId::Router(0, _))
+    });
     let number = fixture.propose("move", &document(&["a", "b"], 3));
     // It still sends under its lease for the old version, so the others may not enforce the new one alone.
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
@@ -23,10 +23,10 @@
     assert!(fixture.wait_for_attempt_under("r2", number, number));
     let before = fixture.attempts("r1").len();
     assert!(
-        fixture.fleet.wait_until(TIMEOUT, |s| {
-            let all = s.recorder().records().expect("recorded");
+        fixture.fleet.wait_until(TIMEOUT, |fleet| {
+            let all = fleet.recorder().records().expect("recorded");
             all.iter()
-                .filter(|r| matches!(r, Record::Rejected { status: 503, .. }))
+                .filter(|record| matches!(record, Record::Rejected { status: 503, .. }))
                 .count()
                 > 3
         }),
@@ -44,7 +44,7 @@
     );
     let records = fixture.finish().records;
     let loads = records.iter().filter(
-        |r| matches!(r, Record::Sent { class, versions: Some(SentVersions { in_doubt: true, .. }), .. } if class == "rent-load"),
+        |record| matches!(record, Record::Sent { class, versions: Some(SentVersions { in_doubt: true, .. }), .. } if class == "rent-load"),
     );
     assert_eq!(
         loads.count(),
@@ -61,24 +61,24 @@
         .fleet
         .statuses()
         .iter()
-        .find_map(|s| s.leader)
+        .find_map(|status| status.leader)
         .expect("somebody leads") as usize
         - 1;
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
-        |b| matches!(b, LinkId::Replicas(a, c) if *a == leader || *c == leader),
+        |link| matches!(link, LinkId::Replicas(from, to) if *from == leader || *to == leader),
     );
     // Half of the routers reach only that replica.
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
-        |b| matches!(b, LinkId::Router(r, k) if *r < 2 && *k != leader),
+        |link| matches!(link, LinkId::Router(router, replica) if *router < 2 && *replica != leader),
     );
     let mut number = 0;
     assert!(
-        fixture.fleet.wait_until(TIMEOUT, |s| {
-            match s.propose("move", &document(&["a", "b"], 3)) {
-                Ok(ProposalResponse::Accepted(n)) => {
-                    number = n;
+        fixture.fleet.wait_until(TIMEOUT, |fleet| {
+            match fleet.propose("move", &document(&["a", "b"], 3)) {
+                Ok(ProposalResponse::Accepted(accepted)) => {
+                    number = accepted;
                     true
                 }
                 _ => false,
@@ -131,7 +131,7 @@
     let lost = LinkFaults::lost_responses();
     fixture
         .fleet
-        .fail_links(lost, |b| matches!(b, LinkId::Router(1, _)));
+        .fail_links(lost, |link| matches!(link, LinkId::Router(1, _)));
     let number = fixture.propose("unheard", &document(&["b"], 3));
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
     assert!(
@@ -159,7 +159,7 @@
     {
         fixture.fleet.fail_links(
             LinkFaults::blocked(),
-            |b| matches!(b, LinkId::Router(r, _) if *r == n % 2),
+            |link| matches!(link, LinkId::Router(router, _) if *router == n % 2),
         );
         let number = fixture.propose(&format!("change {n}"), &document(kinds, 3));
         assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
--- a/crates/cli/tests/fleet/replicas.rs
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -26,7 +26,7 @@
         fixture.fleet.wait_until_in_force(number, TIMEOUT)
             && fixture.wait_for_attempt_under("r1", number, number)
     );
-    (0..3).for_each(|k| fixture.fleet.kill_replica(k));
+    (0..3).for_each(|replica| fixture.fleet.kill_replica(replica));
     assert!(fixture.wait_for_attempt_in_doubt("r1") && fixture.wait_for_attempt_in_doubt("r2"));
     // A router that starts while no replica answers knows the versions that its former incarnation stored.
     fixture.fleet.kill_router(0);
@@ -38,12 +38,12 @@
         fixture
             .attempts("r1")
             .last()
-            .map(|v| (v.in_force, v.in_doubt)),
+            .map(|versions| (versions.in_force, versions.in_doubt)),
         Some((number, true)),
         "it serves lookups in doubt"
     );
-    for k in 0..3 {
-        fixture.fleet.start_replica(k).expect("runs");
+    for replica in 0..3 {
+        fixture.fleet.start_replica(replica).expect("runs");
     }
     let next = fixture.propose("next", &document(&["a"], 2));
     assert_eq!(next, number + 1, "no number is used twice");
@@ -63,10 +63,11 @@
     fixture.fleet.start_replica(2).expect("runs");
     let two = fixture.propose("two", &document(&["a", "b"], 3));
     assert!(fixture.fleet.wait_until_in_force(two, TIMEOUT));
-    assert!(fixture.fleet.wait_until(TIMEOUT, |s| {
-        s.statuses()
+    assert!(fixture.fleet.wait_until(TIMEOUT, |fleet| {
+        fleet
+            .statuses()
             .iter()
-            .filter(|s| s.versions.last >= two)
+            .filter(|status| status.versions.last >= two)
             .count()
             == 3
     }));
@@ -95,7 +96,7 @@
             .fleet
             .statuses()
             .first()
-            .map(|s| s.versions.in_force),
+            .map(|status| status.versions.in_force),
         Some(three)
     );
     fixture.finish();
@@ -113,8 +114,18 @@
         .expect("asked")
         .expect("replaced");
     // Until two replicas know the new membership, the one that does may not fail. Then any may.
-    let know = |s: &mut TestFleet| s.statuses().iter().filter(|s| s.membership == 2).count();
-    assert!(fixture.fleet.wait_until(TIMEOUT, |s| know(s) == 2));
+    let informed = |fleet: &mut TestFleet| {
+        fleet
+            .statuses()
+            .iter()
+            .filter(|status| status.membership == 2)
+            .count()
+    };
+    assert!(
+        fixture
+            .fleet
+            .wait_until(TIMEOUT, |fleet| informed(fleet) == 2)
+    );
     fixture.fleet.kill_replica(0);
     fixture.fleet.start_replica(new).expect("it joins");
     let two = fixture.propose("two", &document(&["a", "b"], 3));
@@ -127,14 +138,17 @@
             && fixture.wait_for_attempt_under("r2", two, two)
     );
     fixture.fleet.start_replica(0).expect("runs");
-    let lists = |s: &mut TestFleet| {
-        s.statuses()
+    let members = |fleet: &mut TestFleet| {
+        fleet
+            .statuses()
             .iter()
-            .filter(|s| s.membership == 2 && s.replicas == [1, 2, 4])
+            .filter(|status| status.membership == 2 && status.replicas == [1, 2, 4])
             .count()
     };
     assert!(
-        fixture.fleet.wait_until(TIMEOUT, |s| lists(s) == 3),
+        fixture
+            .fleet
+            .wait_until(TIMEOUT, |fleet| members(fleet) == 3),
         "{:?}",
         fixture.fleet.statuses()
     );
--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -11,7 +11,7 @@
 
 /// The machine kinds that reports were sent to from a time on, under this version or later ones.
 fn report_kinds(records: &[Record], from: u64, version: u64) -> Vec<String> {
-    let kind_of = |r: &Record| match r {
+    let kind_of = |record: &Record| match record {
         Record::Sent {
             at,
             kind,
@@ -31,10 +31,10 @@
 fn a_version_reaches_all_routers_and_reports_move_only_with_it() {
     let mut fixture = FleetFixture::new("all", 3, |_| {});
     assert!(fixture.wait_for_attempt_under("r1", 1, 1));
-    let began = Instant::now();
+    let start = Instant::now();
     let loose = fixture.propose("loose", &document(&["a", "b"], 3));
     assert!(fixture.fleet.wait_until_in_force(loose, TIMEOUT));
-    let took = began.elapsed();
+    let elapsed = start.elapsed();
     let strict = fixture.propose("strict", &document(&["b"], 2));
     assert!(fixture.fleet.wait_until_in_force(strict, TIMEOUT));
     for router in ["r1", "r2", "r3"] {
@@ -43,7 +43,7 @@
             "{router} sent nothing under version {strict}"
         );
     }
-    println!("in force after {} ms", took.as_millis());
+    println!("in force after {} ms", elapsed.as_millis());
     let records = fixture.finish().records;
     assert_eq!(
         report_kinds(&records, 0, strict),
@@ -77,7 +77,7 @@
 
 /// The attempts that were not in doubt and enforced this version or a later one: engine and version in force.
 fn attempts_enforcing(records: &[Record], version: u64) -> Vec<(String, u64)> {
-    let attempt_of = |r: &Record| match r {
+    let attempt_of = |record: &Record| match record {
         Record::Sent {
             engine,
             versions:
@@ -104,9 +104,9 @@
             && fixture.wait_for_attempt_under("r2", 1, 1)
             && fixture.wait_for_attempt_under("r3", 1, 1)
     );
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    fixture.fleet.fail_links(LinkFaults::blocked(), |link| {
+        matches!(link, LinkId::Router(0, _))
+    });
     let pending = fixture.propose("move", &document(&["a", "b"], 2));
     let drain = fixture.propose("drain", &document_that_drains_engine_0());
     assert!(fixture.fleet.wait_until_enforced(2, drain, TIMEOUT));
@@ -146,9 +146,9 @@
     assert_eq!(fixture.propose("once", &document(&["a", "b"], 3)), number);
     fixture.fleet.start_replica(0).expect("runs");
     assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    fixture.fleet.fail_links(LinkFaults::blocked(), |link| {
+        matches!(link, LinkId::Router(0, _))
+    });
     let (mut accepted, mut rejected) = (0u64, 0);
     for n in 0..200u32 {
         match fixture
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -67,12 +67,12 @@
 
     fn is_spread(&self, routers: usize) -> bool {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-        for (holder, _) in self.leases().into_iter().filter_map(|l| l.holder) {
+        for (holder, _) in self.leases().into_iter().filter_map(|lease| lease.holder) {
             *counts.entry(holder.router).or_default() += 1;
         }
         counts.len() == routers
             && counts.values().sum::<usize>() == SHARDS
-            && counts.values().all(|n| *n <= 2)
+            && counts.values().all(|count| *count <= 2)
     }
 
     fn leased_requests(&self) -> Vec<LeasedRequest> {
@@ -131,7 +131,10 @@
 
     fn newest_token(&self) -> u64 {
         let requests = self.leased_requests().into_iter();
-        requests.map(|r| r.fencing_token).max().unwrap_or(0)
+        requests
+            .map(|request| request.fencing_token)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Waits until another router than the one of that place does a shard.
@@ -195,7 +198,7 @@
     assert!(
         fixture.wait_for_requests(|requests| requests
             .iter()
-            .any(|r| r.router == name && r.fencing_token > newest)),
+            .any(|request| request.router == name && request.fencing_token > newest)),
         "it is granted leases again"
     );
     let verdict = fixture.finish().verdict;
@@ -208,16 +211,17 @@
     let holder = fixture.holder("probe/1");
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
-        |b| matches!(b, LinkId::Router(r, _) if *r == holder),
+        |link| matches!(link, LinkId::Router(router, _) if *router == holder),
     );
     assert!(fixture.wait_for_takeover("probe/1", holder));
     // With only its responses lost it is no better off.
     fixture.fleet.restore_links();
     let next = fixture.holder("probe/1");
     let lost = LinkFaults::lost_responses();
-    fixture
-        .fleet
-        .fail_links(lost, |b| matches!(b, LinkId::Router(r, _) if *r == next));
+    fixture.fleet.fail_links(
+        lost,
+        |link| matches!(link, LinkId::Router(router, _) if *router == next),
+    );
     assert!(fixture.wait_for_takeover("probe/1", next));
     fixture.fleet.restore_links();
     let verdict = fixture.finish().verdict;
@@ -250,7 +254,7 @@
         .fleet
         .statuses()
         .iter()
-        .find_map(|s| s.leader)
+        .find_map(|status| status.leader)
         .expect("somebody leads") as usize
         - 1;
     let holder = fixture.holder("list/0");
@@ -265,18 +269,18 @@
     fixture.fleet.start_router(holder).expect("runs");
     fixture.update_client_routers();
     // Without replicas nobody acts under a lease, each router checks for itself, and all serve on.
-    (0..3).for_each(|k| fixture.fleet.kill_replica(k));
+    (0..3).for_each(|replica| fixture.fleet.kill_replica(replica));
     let names = ["r1", "r2", "r3"];
-    let before = names.map(|r| fixture.attempts(r).len());
+    let before = names.map(|router| fixture.attempts(router).len());
     let in_doubt = |fixture: &FleetFixture| {
-        let new = |(r, from): (&&str, &usize)| {
-            fixture.attempts(r)[*from..]
+        let attempts_in_doubt = |(router, from): (&&str, &usize)| {
+            fixture.attempts(router)[*from..]
                 .iter()
-                .filter(|v| v.in_doubt)
+                .filter(|versions| versions.in_doubt)
                 .count()
                 > 2
         };
-        names.iter().zip(&before).all(new)
+        names.iter().zip(&before).all(attempts_in_doubt)
     };
     let deadline = Instant::now() + TIMEOUT;
     assert!(
@@ -295,8 +299,8 @@
         requests,
         "and nothing is done under a lease"
     );
-    for k in 0..3 {
-        fixture.fleet.start_replica(k).expect("runs");
+    for replica in 0..3 {
+        fixture.fleet.start_replica(replica).expect("runs");
     }
     // Nobody else was granted one meanwhile: each holder continues once replicas confirm its lease.
     assert!(
@@ -320,12 +324,12 @@
             .router(holder)
             .expect("there")
             .wait_timeout(TIMEOUT)
-            .is_some_and(|s| s.success())
+            .is_some_and(|status| status.success())
     );
     let (newest, name) = (fixture.newest_token(), router_name(holder));
-    (0..3).for_each(|r| fixture.fleet.kill_router(r));
-    for r in 0..3 {
-        fixture.fleet.start_router(r).expect("runs");
+    (0..3).for_each(|router| fixture.fleet.kill_router(router));
+    for router in 0..3 {
+        fixture.fleet.start_router(router).expect("runs");
     }
     fixture.update_client_routers();
     assert!(
@@ -336,7 +340,7 @@
     assert_eq!(verdict.leases.expect("acts").overlaps, 0);
     let was_holder = records
         .iter()
-        .any(|r| matches!(r, Record::LeasedRequest { router, .. } if *router == name));
+        .any(|record| matches!(record, Record::LeasedRequest { router, .. } if *router == name));
     assert!(was_holder, "{name} had done some of it");
 }
 
@@ -351,7 +355,7 @@
         topology
             .engines
             .iter_mut()
-            .for_each(|e| e.enforces_fencing = true);
+            .for_each(|engine| engine.enforces_fencing = true);
     });
     assert!(
         fixture.wait_for_requests(|requests| !requests.is_empty()),
@@ -360,12 +364,13 @@
     let holder = fixture.holder("list/0");
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
-        |b| matches!(b, LinkId::Router(r, _) if *r == holder),
+        |link| matches!(link, LinkId::Router(router, _) if *router == holder),
     );
     let name = router_name(holder);
     assert!(
-        fixture
-            .wait_for_requests(|requests| requests.iter().any(|r| r.router == name && r.rejected)),
+        fixture.wait_for_requests(|requests| requests
+            .iter()
+            .any(|request| request.router == name && request.rejected)),
         "it is late, and rejected"
     );
     fixture.fleet.restore_links();
--- a/crates/cli/tests/processes/commands.rs
+++ b/crates/cli/tests/processes/commands.rs
@@ -28,8 +28,8 @@
     );
     // Not an empty day: every class was served, and the troubles were met.
     for class in ["lookup", "report", "rent-load"] {
-        let tally = &verdict["classes"][class];
-        assert!(tally["served"].as_u64() > Some(10), "{class}: {tally}");
+        let totals = &verdict["classes"][class];
+        assert!(totals["served"].as_u64() > Some(10), "{class}: {totals}");
     }
     let loads = &verdict["classes"]["rent-load"];
     assert!(
@@ -42,15 +42,15 @@
         "some were sent again: {lookups}"
     );
     // One line more of the ledger's record, and the same judge says no.
-    let clients =
+    let records =
         std::fs::read_to_string(Path::new(&report).join("engine-0.jsonl")).expect("records");
-    let posted = clients
+    let effect = records
         .lines()
-        .find(|l| l.contains("\"posted\""))
+        .find(|line| line.contains("\"posted\""))
         .expect("a posting");
     std::fs::write(
         Path::new(&report).join("planted.jsonl"),
-        format!("{posted}\n"),
+        format!("{effect}\n"),
     )
     .expect("planted");
     let out = program(&["audit", &report]);
@@ -62,7 +62,7 @@
     // A damaged record is no verdict.
     std::fs::write(
         Path::new(&report).join("planted.jsonl"),
-        &posted[..posted.len() / 2],
+        &effect[..effect.len() / 2],
     )
     .expect("damaged");
     assert_eq!(program(&["audit", &report]).status.code(), Some(2));
@@ -78,7 +78,7 @@
             .code(),
         Some(0)
     );
-    let bad = folder.write(
+    let invalid = folder.write(
         "bad.jsonnet",
         &format!(
             "(import '{}') + {{ router+: {{ lisen: 1, listen: 'here' }} }}",
@@ -86,7 +86,7 @@
         ),
     );
     for command in ["check", "route"] {
-        let out = program(&[command, &bad.display().to_string()]);
+        let out = program(&[command, &invalid.display().to_string()]);
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2));
         assert!(
@@ -119,8 +119,8 @@
             .expect("runs")
     };
     let wrong = folder.write("wrong.jsonnet", "{}");
-    let refused = run(&["--settings", wrong.to_str().expect("text")]);
-    assert_eq!(refused.status.code(), Some(2));
+    let output = run(&["--settings", wrong.to_str().expect("text")]);
+    assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
@@ -128,9 +128,12 @@
     let files = std::fs::read_dir(examples())
         .expect("there")
         .flatten()
-        .map(|e| e.path());
+        .map(|entry| entry.path());
     let files: Vec<_> = files
-        .filter(|p| p.extension().is_some_and(|e| e == "jsonnet"))
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "jsonnet")
+        })
         .collect();
     assert!(files.len() > 5, "{files:?}");
     for file in files {
@@ -139,7 +142,7 @@
             .arg(&file)
             .output()
             .expect("runs");
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(0), "{}: {said}", file.display());
+        let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(0), "{}: {stderr}", file.display());
     }
 }
--- a/crates/cli/tests/processes/http_client.rs
+++ b/crates/cli/tests/processes/http_client.rs
@@ -38,32 +38,32 @@
     fields: &str,
     body: &str,
 ) -> std::io::Result<HttpResponse> {
-    let mut s = TcpStream::connect(addr)?;
-    s.set_read_timeout(Some(Duration::from_secs(30)))?;
+    let mut stream = TcpStream::connect(addr)?;
+    stream.set_read_timeout(Some(Duration::from_secs(30)))?;
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nConnection: close\r\nContent-Length: {length}\r\n"
     );
-    s.write_all(format!("{head}{fields}\r\n{body}").as_bytes())?;
+    stream.write_all(format!("{head}{fields}\r\n{body}").as_bytes())?;
     let mut bytes = Vec::new();
-    s.read_to_end(&mut bytes)?;
-    let at = bytes
+    stream.read_to_end(&mut bytes)?;
+    let head_end = bytes
         .windows(4)
-        .position(|w| w == b"\r\n\r\n")
+        .position(|window| window == b"\r\n\r\n")
         .ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    let head = String::from_utf8_lossy(&bytes[..at]).into_owned();
+    let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
     let status = head
         .get(9..12)
-        .and_then(|c| c.parse().ok())
+        .and_then(|code| code.parse().ok())
         .ok_or(std::io::ErrorKind::InvalidData)?;
     let retry_after = head
         .lines()
-        .find_map(|l| l.strip_prefix("Retry-After: "))
+        .find_map(|line| line.strip_prefix("Retry-After: "))
         .map(str::to_owned);
     Ok(HttpResponse {
         status,
         retry_after,
-        body: bytes[at + 4..].to_vec(),
+        body: bytes[head_end + 4..].to_vec(),
     })
 }
 
--- a/crates/cli/tests/processes/routers.rs
+++ b/crates/cli/tests/processes/routers.rs
@@ -10,11 +10,11 @@
 use crate::process::{PROGRAM, Process};
 use crate::temp_folder::{TempFolder, examples};
 
-fn wait_for(what: &str, mut wanted: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !wanted() {
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
         assert!(
-            began.elapsed() < Duration::from_secs(20),
+            start.elapsed() < Duration::from_secs(20),
             "waited in vain for {what}"
         );
         std::thread::sleep(Duration::from_millis(20));
@@ -22,7 +22,7 @@
 }
 
 /// Discovery, an engine with a ledger, and a router's file with an address of its own.
-struct Site {
+struct TestSite {
     folder: TempFolder,
     _discovery: Process,
     _engine: Process,
@@ -30,8 +30,8 @@
     listen: SocketAddr,
 }
 
-impl Site {
-    fn new(name: &str) -> Site {
+impl TestSite {
+    fn new(name: &str) -> TestSite {
         let folder = TempFolder::new(name);
         let discovery = Process::start(&["standin", "discovery"]);
         let ledger = folder.path().join("ledger.txt").display().to_string();
@@ -57,7 +57,7 @@
             derby.display()
         );
         let file = folder.write("r1.jsonnet", &text).display().to_string();
-        Site {
+        TestSite {
             folder,
             _discovery: discovery,
             _engine: engine,
@@ -85,13 +85,13 @@
 
 #[test]
 fn a_restarted_router_answers_old_uris_truthfully_and_always_alike() {
-    let site = Site::new("killed");
+    let site = TestSite::new("killed");
     let router = site.route();
     let addr = site.listen;
     let lookup = submit(addr, "lookup", "SELECT 1 /* work=20s */");
     let load = submit(addr, "rent-load", "INSERT 1 /* work=3s */");
-    let flowing = submit(addr, "report", "SELECT 1 /* work=5ms rows=10 pages=5 */");
-    let mut rows = flowing;
+    let report = submit(addr, "report", "SELECT 1 /* work=5ms rows=10 pages=5 */");
+    let mut rows = report;
     while rows.json()["data"].is_null() {
         rows = get(addr, &rows.next().expect("more"));
     }
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_terminated_router_rejects_new_statements_and_finishes_what_it_holds() {
-    let site = Site::new("ended");
+    let site = TestSite::new("ended");
     let mut router = site.route();
     let addr = site.listen;
     let load = submit(addr, "rent-load", "INSERT 1 /* work=2s */");
@@ -153,9 +153,9 @@
         get(addr, "/v1/info/state").body == b"\"SHUTTING_DOWN\""
     });
     let fields = "X-Trino-User: ann\r\n";
-    let turned = exchange(addr, "POST", "/v1/statement", fields, "SELECT 1").expect("an answer");
+    let rejected = exchange(addr, "POST", "/v1/statement", fields, "SELECT 1").expect("an answer");
     assert_eq!(
-        (turned.status, turned.retry_after.as_deref()),
+        (rejected.status, rejected.retry_after.as_deref()),
         (503, Some("2"))
     );
     let last = follow(addr, load);
--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -240,7 +240,9 @@
     ) {
         let noise = 1.0 + self.plan.progress_noise * self.rng.random_range(-1.0..1.0);
         let completed = (progress.completed * noise).clamp(0.0, MAX_REPORTED_PROGRESS);
-        let blocked_state = progress.blocked.map(|b| self.reported_block(engine, b));
+        let blocked_state = progress
+            .blocked
+            .map(|blocked| self.reported_block(engine, blocked));
         let reported = if blocked_state.is_some() {
             Progress::Blocked
         } else {
@@ -282,7 +284,10 @@
         Some(Holder {
             name: identity.statement_name(admitted.attempt.statement),
             class: Some(self.planned_statement(admitted).class),
-            age: simulated.model.progress(job).map(|p| p.run_micros),
+            age: simulated
+                .model
+                .progress(job)
+                .map(|progress| progress.run_micros),
         })
     }
 }
--- a/crates/emulator/src/simulation/routers.rs
+++ b/crates/emulator/src/simulation/routers.rs
@@ -80,7 +80,7 @@
                 Some(detector),
                 identity.clone(),
             )
-            .unwrap_or_else(|e| unreachable!("checked settings: {e}"));
+            .unwrap_or_else(|error| unreachable!("checked settings: {error}"));
             SimulatedRouter::new(core, identity)
         })
         .collect()
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -15,7 +15,7 @@
 use crate::simulation::simulate;
 
 pub use condition::Condition;
-pub use figures::{Detection, Figures, LIMITS, LimitFigures};
+pub use figures::{Detection, FIXED_LIMITS_SECONDS, Figures, LimitFigures};
 pub use workload::draw_plan;
 
 /// Draws and runs a plan; its figures.
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -14,9 +14,9 @@
 use crate::simulation::CLOCK_START;
 
 /// The fixed limits of run time that are compared, in s.
-pub const LIMITS: [u64; 3] = [5, 15, 60];
+pub const FIXED_LIMITS_SECONDS: [u64; 3] = [5, 15, 60];
 /// Statements that are submitted later than this before the end may not be answered within the run, and don't count.
-const TIME_TO_ANSWER: Micros = 30 * SECOND;
+const RESPONSE_ALLOWANCE: Micros = 30 * SECOND;
 
 /// A planted runaway, and how soon it was found. Serialized as `[case, seconds]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -80,7 +80,7 @@
     pub others_flagged: usize,
     /// Number of notices, of engines and fingerprints.
     pub notices: usize,
-    /// What fixed limits would have flagged, in the order of [`LIMITS`].
+    /// What fixed limits would have flagged, in the order of [`FIXED_LIMITS_SECONDS`].
     pub limits: Vec<LimitFigures>,
     /// Value of what was answered in time, as a fraction of all; planted runaways don't count.
     #[serde(rename = "worth")]
@@ -110,7 +110,9 @@
             others: analysis.count_started(Group::Other),
             others_flagged: analysis.count_flagged(Group::Other),
             notices: analysis.count_notices(),
-            limits: LIMITS.map(|limit| analysis.limit_figures(limit)).to_vec(),
+            limits: FIXED_LIMITS_SECONDS
+                .map(|limit| analysis.limit_figures(limit))
+                .to_vec(),
             value_in_time: timeliness.value_in_time / timeliness.total_value,
             behind_load: timeliness.behind_load,
             behind_load_in_time: timeliness.behind_load_in_time,
@@ -215,18 +217,24 @@
 
     fn count_started(&self, group: Group) -> usize {
         let started = self.started.keys();
-        started.filter(|s| self.group(**s) == group).count()
+        started
+            .filter(|statement| self.group(**statement) == group)
+            .count()
     }
 
     fn count_flagged(&self, group: Group) -> usize {
         let flagged = self.flagged.keys();
-        flagged.filter(|s| self.group(**s) == group).count()
+        flagged
+            .filter(|statement| self.group(**statement) == group)
+            .count()
     }
 
     fn count_longer(&self, limit_seconds: u64, group: Group) -> usize {
         self.longest
             .iter()
-            .filter(|(s, run_time)| self.group(**s) == group && **run_time > limit_seconds * SECOND)
+            .filter(|(statement, run_time)| {
+                self.group(**statement) == group && **run_time > limit_seconds * SECOND
+            })
             .count()
     }
 
@@ -333,7 +341,7 @@
         let submitted_at = statement.submitted_at;
         Group::new(statement) != Group::Runaway
             && submitted_at >= PLANT_FROM
-            && submitted_at + TIME_TO_ANSWER <= self.plan.duration
+            && submitted_at + RESPONSE_ALLOWANCE <= self.plan.duration
     }
 }
 
--- a/crates/emulator/src/study/tests.rs
+++ b/crates/emulator/src/study/tests.rs
@@ -20,7 +20,7 @@
         figures
             .detections
             .iter()
-            .all(|detection| detection.found_after.is_some_and(|s| s < 30.0)),
+            .all(|detection| detection.found_after.is_some_and(|seconds| seconds < 30.0)),
         "{:?}",
         figures.detections
     );
@@ -59,11 +59,11 @@
         let mut plan = draw_plan(&settings(), condition, 7, 5);
         plan.duration = 30 * SECOND;
         let run = simulate(&plan, 7);
-        digest(run.attempts.iter().map(|a| {
-            let (ended, stalls) = (a.ended_at, &a.observed_stalls);
+        digest(run.attempts.iter().map(|attempt| {
+            let (ended, stalls) = (attempt.ended_at, &attempt.observed_stalls);
             format!(
                 "{} {} {} {ended:?} {stalls:?};",
-                a.statement, a.engine, a.started_at
+                attempt.statement, attempt.engine, attempt.started_at
             )
         }))
     });
--- a/crates/model-check/src/command.rs
+++ b/crates/model-check/src/command.rs
@@ -57,11 +57,11 @@
         Limits {
             ticks: self.ticks,
             term: self.term,
-            asks: self.asks,
-            crashes: self.crashes,
-            doubles: self.doubles,
-            way: self.way,
-            late_twin: self.late_twin,
+            max_renewals: self.asks,
+            max_crashes: self.crashes,
+            max_duplicates: self.doubles,
+            max_operation_ticks: self.way,
+            second_starts_late: self.late_twin,
             processes: self.processes,
         }
     }
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -32,7 +32,8 @@
             };
             // Which replica receives it matters only for the one that learns late.
             let first = (0..REPLICAS).find(is_running);
-            let late = Some(LATE_REPLICA).filter(|r| is_running(r) && first != Some(*r));
+            let late =
+                Some(LATE_REPLICA).filter(|replica| is_running(replica) && first != Some(*replica));
             for replica in first.into_iter().chain(late) {
                 let receive = |duplicated| Step::ReceiveRequest {
                     message,
@@ -40,7 +41,7 @@
                     duplicated,
                 };
                 steps.push(receive(false));
-                if !duplicate && state.duplicates < self.limits.doubles {
+                if !duplicate && state.duplicates < self.limits.max_duplicates {
                     steps.push(receive(true));
                 }
             }
@@ -48,44 +49,44 @@
     }
 
     fn replica_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (r, replica) in state.replicas.iter().enumerate() {
+        for (index, replica) in state.replicas.iter().enumerate() {
             let Some(expiry) = &replica.expiry else {
-                steps.push(Step::Restart(r));
+                steps.push(Step::Restart(index));
                 continue;
             };
             if replica.log != state.log {
-                steps.push(Step::CatchUp(r));
+                steps.push(Step::CatchUp(index));
             }
-            let now = self.replica_clock(r, state.now);
+            let now = self.replica_clock(index, state.now);
             if !expiry.expired_task_leases(now, &self.timing).is_empty() {
-                steps.push(Step::ExpireTaskLeases(r));
+                steps.push(Step::ExpireTaskLeases(index));
             }
             if !expiry.expired_config_leases(now, &self.timing).is_empty() {
-                steps.push(Step::ExpireConfigLeases(r));
+                steps.push(Step::ExpireConfigLeases(index));
             }
-            if state.crashes < self.limits.crashes {
-                steps.push(Step::Crash(r));
+            if state.crashes < self.limits.max_crashes {
+                steps.push(Step::Crash(index));
             }
         }
     }
 
     fn process_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (p, process) in state.processes.iter().enumerate() {
-            let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == p);
+        for (index, process) in state.processes.iter().enumerate() {
+            let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == index);
             // A renewal that is lost stays open for good.
             let open = state.messages.iter().filter(is_own).count();
-            if process.renewals < self.limits.asks && open < MAX_OPEN_RENEWALS {
-                steps.push(Step::Renew(p));
+            if process.renewals < self.limits.max_renewals && open < MAX_OPEN_RENEWALS {
+                steps.push(Step::Renew(index));
             }
-            let now = self.process_clock(p, state.now);
+            let now = self.process_clock(index, state.now);
             match &process.operation {
                 None if process.leases.is_holding(now, SHARD) => {
-                    steps.push(Step::BeginOperation(p));
+                    steps.push(Step::BeginOperation(index));
                 }
                 None => {}
                 Some(operation) => steps.push(match operation.sent_at {
-                    None => Step::SendOperation(p),
-                    Some(_) => Step::CompleteOperation(p),
+                    None => Step::SendOperation(index),
+                    Some(_) => Step::CompleteOperation(index),
                 }),
             }
         }
@@ -125,7 +126,7 @@
             duplicates: 0,
             latest_operation: None,
             assigned: holders.map(|(holder, token)| (token, holder)).collect(),
-            two_acted: false,
+            two_holders_acted: false,
             token_reused: false,
             taken_over: false,
             log,
@@ -138,8 +139,11 @@
         }
         // An operation is on its way for the margin at most.
         let is_overdue = |process: &Process| {
-            let sent_at = process.operation.as_ref().and_then(|o| o.sent_at);
-            sent_at.is_some_and(|sent_at| sent_at + self.limits.way <= state.now)
+            let sent_at = process
+                .operation
+                .as_ref()
+                .and_then(|operation| operation.sent_at);
+            sent_at.is_some_and(|sent_at| sent_at + self.limits.max_operation_ticks <= state.now)
         };
         if state.now < self.limits.ticks && !state.processes.iter().any(is_overdue) {
             steps.push(Step::Tick);
@@ -157,7 +161,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_TWO_HOLDERS_ACT, |_, state: &State| !state.two_acted),
+            Property::always(NEVER_TWO_HOLDERS_ACT, |_, state: &State| {
+                !state.two_holders_acted
+            }),
             Property::always(NO_TOKEN_REUSED, |_, state: &State| !state.token_reused),
             Property::sometimes(FREE_SHARD_TAKEN, |_, state: &State| state.taken_over),
             Property::sometimes(
--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -20,7 +20,7 @@
 /// The replica that learns late of what the log holds.
 pub(crate) const LATE_REPLICA: usize = 2;
 /// The maximum difference between clocks, in millionths.
-const DRIFT: u64 = 100_000;
+const DRIFT_MILLIONTHS: u64 = 100_000;
 const MILLION: u64 = 1_000_000;
 
 /// The bounds of a check.
@@ -31,15 +31,15 @@
     /// The term of leases, in ticks.
     pub term: u32,
     /// The number of renewals of each process.
-    pub asks: u32,
+    pub max_renewals: u32,
     /// The number of crashes of replicas, in all.
-    pub crashes: u32,
+    pub max_crashes: u32,
     /// The number of renewals that arrive twice, in all.
-    pub doubles: u32,
+    pub max_duplicates: u32,
     /// How many ticks an operation may be on its way: the margin.
-    pub way: u32,
+    pub max_operation_ticks: u32,
     /// Whether the second process starts only now: it has renewed nothing yet.
-    pub late_twin: bool,
+    pub second_starts_late: bool,
     /// The number of processes that want the lease: the second is another incarnation of the first one's router.
     pub processes: usize,
 }
@@ -95,11 +95,11 @@
 fn renew_until_eligible(
     config: &mut ConfigState,
     clients: &mut [(TaskLeaseClient, u64)],
-    late_twin: bool,
+    second_starts_late: bool,
 ) {
     for _ in 0..=MIN_CONSECUTIVE_RENEWALS + 1 {
         for (process, (leases, next_id)) in clients.iter_mut().enumerate() {
-            if process == 1 && late_twin {
+            if process == 1 && second_starts_late {
                 continue;
             }
             let renewal = Command::RenewLease {
@@ -122,12 +122,12 @@
     pub fn new(limits: Limits) -> LeaseModel {
         let timing = LeaseTiming {
             term: Micros::from(limits.term) * TICK,
-            drift: DRIFT,
+            drift: DRIFT_MILLIONTHS,
         };
-        let margin = Micros::from(limits.way) * TICK;
+        let margin = Micros::from(limits.max_operation_ticks) * TICK;
         let mut initial = initial_config();
         let mut clients = vec![(TaskLeaseClient::new(&timing, margin), 0); limits.processes];
-        renew_until_eligible(&mut initial, &mut clients, limits.late_twin);
+        renew_until_eligible(&mut initial, &mut clients, limits.second_starts_late);
         LeaseModel {
             limits,
             timing,
@@ -150,8 +150,8 @@
 
 fn drifted(now: u32, is_fast: bool) -> Micros {
     let rate = match is_fast {
-        true => MILLION + DRIFT,
-        false => MILLION - DRIFT,
+        true => MILLION + DRIFT_MILLIONTHS,
+        false => MILLION - DRIFT_MILLIONTHS,
     };
     Micros::from(now) * TICK * rate / MILLION
 }
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -121,7 +121,7 @@
     /// The holder to which each fencing token was assigned.
     pub(crate) assigned: BTreeMap<u64, Holder>,
     /// Violation: an operation has arrived after one with a later token, or two processes have acted with one token.
-    pub(crate) two_acted: bool,
+    pub(crate) two_holders_acted: bool,
     /// Violation: a fencing token was assigned twice.
     pub(crate) token_reused: bool,
     /// Whether more than one process has acted.
@@ -130,7 +130,7 @@
 
 impl State {
     pub(crate) fn is_violation(&self) -> bool {
-        self.two_acted || self.token_reused
+        self.two_holders_acted || self.token_reused
     }
 }
 
--- a/crates/model-check/src/transitions.rs
+++ b/crates/model-check/src/transitions.rs
@@ -147,7 +147,11 @@
     replica: usize,
     command: Command,
 ) -> Option<CommandResponse> {
-    let running = state.replicas.iter().filter(|r| r.expiry.is_some()).count();
+    let running = state
+        .replicas
+        .iter()
+        .filter(|replica| replica.expiry.is_some())
+        .count();
     if running * 2 <= state.replicas.len() {
         return None;
     }
@@ -210,7 +214,7 @@
     sender.leases.end_operation(&guard);
     let token = guard.fencing_token;
     if let Some((latest, other)) = state.latest_operation {
-        state.two_acted |= token < latest || (token == latest && other != process);
+        state.two_holders_acted |= token < latest || (token == latest && other != process);
         state.taken_over |= token > latest;
     }
     state.latest_operation = state.latest_operation.max(Some((token, process)));
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -11,27 +11,27 @@
 const SLOW_OPERATIONS: Limits = Limits {
     ticks: 5,
     term: 4,
-    asks: 1,
-    crashes: 0,
-    doubles: 0,
-    way: 2,
-    late_twin: false,
+    max_renewals: 1,
+    max_crashes: 0,
+    max_duplicates: 0,
+    max_operation_ticks: 2,
+    second_starts_late: false,
     processes: 2,
 };
 /// A replica that crashes at any step.
 const CRASH: Limits = Limits {
     ticks: 4,
     term: 3,
-    way: 1,
-    crashes: 1,
+    max_operation_ticks: 1,
+    max_crashes: 1,
     ..SLOW_OPERATIONS
 };
 /// Another incarnation of the holder's router, which starts while the holder still acts.
 const SECOND_INCARNATION: Limits = Limits {
     ticks: 1,
-    asks: 2,
-    way: 1,
-    late_twin: true,
+    max_renewals: 2,
+    max_operation_ticks: 1,
+    second_starts_late: true,
     ..SLOW_OPERATIONS
 };
 
@@ -39,21 +39,21 @@
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let model = LeaseModel::new(limits.clone()).checker().threads(threads);
-    let done = model
+    let checked = model
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let found = done.discoveries();
+    let discoveries = checked.discoveries();
     println!(
         "{limits:?}: {} states, {} steps deep",
-        done.unique_state_count(),
-        done.max_depth()
+        checked.unique_state_count(),
+        checked.max_depth()
     );
     let violated = SAFETY_PROPERTIES
         .into_iter()
-        .filter(|p| found.contains_key(p))
+        .filter(|property| discoveries.contains_key(property))
         .collect();
-    (violated, found.contains_key(FREE_SHARD_TAKEN))
+    (violated, discoveries.contains_key(FREE_SHARD_TAKEN))
 }
 
 #[cfg(not(feature = "plant"))]
