--- a/crates/model-check/src/command.rs
+++ b/crates/model-check/src/command.rs
@@ -1,4 +1,4 @@
-//! The command of the program: explores all executions of task leases within bounds, and reports violations.
+//! The command line of the program, which explores all executions of task leases within bounds and reports violations.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,18 +11,18 @@
 use clap::Parser;
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// The exit code of wrong arguments.
-const USAGE_ERROR: u8 = 2;
+/// Exit code for invalid arguments.
+const EXIT_USAGE: u8 = 2;
 
-/// Explores all executions of task leases within bounds: replicas (keepers), candidates, messages lost, duplicated and
-/// reordered, clocks at their bounds, crashes at any step
+/// Explores all executions of task leases within bounds: replicas (keepers) and candidates, with messages that are lost,
+/// duplicated and reordered, clocks at their bounds, and crashes at any step
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// Duration of an execution, in steps
+    /// Duration of an execution, in ticks
     #[arg(long, default_value_t = 5)]
     ticks: u32,
-    /// Length of a term, in steps
+    /// Length of a lease term, in ticks
     #[arg(long, default_value_t = 4)]
     term: u32,
     /// Lease requests of each process
@@ -34,19 +34,19 @@
     /// Lease requests that arrive twice, in total
     #[arg(long, default_value_t = 0)]
     doubles: u32,
-    /// Steps for which an operation may be in flight
+    /// Number of ticks for which an operation may be in flight
     #[arg(long, default_value_t = 2)]
     way: u32,
-    /// The second process starts only when the check begins
+    /// Start the second process only when the check begins
     #[arg(long)]
     late_twin: bool,
-    /// Processes that request the shard; the first two are incarnations of one router
+    /// Number of processes that request the shard; the first two are incarnations of one router
     #[arg(long, default_value_t = 2)]
     processes: usize,
-    /// Number of states at most; 0: all
+    /// Maximum number of states to explore; 0 for all
     #[arg(long, default_value_t = 0)]
     states: usize,
-    /// The fault to inject into the state machines, to see whether it is found
+    /// Fault to inject into the state machines, to verify that the check finds it
     #[cfg(feature = "plant")]
     #[arg(long, value_name = "FAULT")]
     plant: Option<String>,
@@ -67,24 +67,25 @@
     }
 }
 
-/// Runs the model check that the command line describes. Exit code 1: a property is violated; 2: wrong arguments.
+/// Runs the model check that the command line describes. The exit code is 1 if a property is violated and 2 if an argument
+/// is invalid.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     #[cfg(feature = "plant")]
     if let Some(name) = &args.plant {
         use hoptiller_coordination::fault_injection::{Fault, inject};
         let Some(fault) = Fault::from_name(name) else {
-            eprintln!("{}: {name:?} is no fault that is known", program_name());
-            return ExitCode::from(USAGE_ERROR);
+            eprintln!("{}: unknown fault {name:?}", program_name());
+            return ExitCode::from(EXIT_USAGE);
         };
         inject(fault);
     }
     if args.processes < 2 || args.term < 2 {
         eprintln!(
-            "{}: two processes or more and a term of two steps or more are wanted",
+            "{}: --processes and --term must be at least 2",
             program_name()
         );
-        return ExitCode::from(USAGE_ERROR);
+        return ExitCode::from(EXIT_USAGE);
     }
     let started_at = Instant::now();
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
@@ -97,7 +98,7 @@
     }
     let checked = checker.spawn_bfs().join();
     println!(
-        "{} states, {} different, {} steps deep, {:.1} s",
+        "{} states, {} unique, {} steps deep, {:.1} s",
         checked.state_count(),
         checked.unique_state_count(),
         checked.max_depth(),
@@ -109,24 +110,25 @@
     }
 }
 
-/// The name under which the program was called.
+/// Returns the file name under which the program was started.
 fn program_name() -> String {
     let path = std::env::args_os().next().unwrap_or_default();
     let name = Path::new(&path).file_name().unwrap_or(&path);
     name.to_string_lossy().into_owned()
 }
 
-/// Prints whether each property holds, with the steps to a violation. Returns whether all hold.
+/// Prints whether each property holds, with the steps that lead to a violation. Returns whether all safety properties
+/// hold.
 fn report_properties(checked: &impl Checker<LeaseModel>) -> bool {
     let discoveries = checked.discoveries();
     let mut all_hold = true;
     for property in [NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED] {
         let Some(path) = discoveries.get(property) else {
-            println!("{property}: kept");
+            println!("{property}: holds");
             continue;
         };
         all_hold = false;
-        println!("{property}: BROKEN by");
+        println!("{property}: VIOLATED by");
         for step in path.clone().into_actions() {
             println!("  {step:?}");
         }
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -1,4 +1,5 @@
-//! The search space of the model checker: initial states, the steps that each state permits, and the properties of states.
+//! The search space of the model checker: the initial state, the steps that each state permits, and the properties that
+//! are checked.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,16 +11,16 @@
 use crate::state::{LogState, Message, Process, Replica, State, Step};
 use crate::transitions::apply_step;
 
-/// Property: an operation never arrives after one of a later holder.
-pub const NEVER_TWO_HOLDERS_ACT: &str = "never two acting";
-/// Property: no fencing token is assigned twice.
-pub const NO_TOKEN_REUSED: &str = "no number is given twice";
-/// Reached: a shard whose lease has ended is assigned to another process, which acts.
-pub const FREE_SHARD_TAKEN: &str = "a free part is taken";
-/// Reached: an operation is on its way when its lease is about to expire.
-pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "a holder acts to its last moment";
+/// Safety property: no operation arrives after an operation of a later holder.
+pub const NEVER_TWO_HOLDERS_ACT: &str = "two holders never act at once";
+/// Safety property: no fencing token is assigned twice.
+pub const NO_TOKEN_REUSED: &str = "no fencing token is assigned twice";
+/// Reachability property: a shard whose lease has ended is assigned again, and an operation under the new token arrives.
+pub const FREE_SHARD_TAKEN: &str = "a free shard is taken over";
+/// Reachability property: an operation is in flight when its lease is about to expire.
+pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "a holder acts until its lease expires";
 
-/// Renewals of one process without a response, at most.
+/// Maximum number of requests of one process that have not arrived.
 const MAX_OPEN_RENEWALS: usize = 2;
 
 impl LeaseModel {
@@ -30,7 +31,7 @@
                 steps.push(Step::ReceiveResponse(message));
                 continue;
             };
-            // Which replica receives it matters only for the one that learns late.
+            // Only the late replica differs from the others as a receiver.
             let first = (0..REPLICAS).find(is_running);
             let late =
                 Some(LATE_REPLICA).filter(|replica| is_running(replica) && first != Some(*replica));
@@ -73,7 +74,7 @@
     fn process_steps(&self, state: &State, steps: &mut Vec<Step>) {
         for (index, process) in state.processes.iter().enumerate() {
             let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == index);
-            // A renewal that is lost stays open for good.
+            // A lost request is one that is never received: it stays open.
             let open = state.messages.iter().filter(is_own).count();
             if process.renewals < self.limits.max_renewals && open < MAX_OPEN_RENEWALS {
                 steps.push(Step::Renew(index));
@@ -93,7 +94,7 @@
     }
 }
 
-/// Whether a process's operation is on its way.
+/// Returns whether an operation of the process is in flight.
 fn is_in_flight(process: &Process) -> bool {
     let operation = process.operation.as_ref();
     operation.is_some_and(|operation| operation.sent_at.is_some())
@@ -137,7 +138,7 @@
         if state.is_violation() {
             return;
         }
-        // An operation is on its way for the margin at most.
+        // An operation is in flight for the margin at most.
         let is_overdue = |process: &Process| {
             let sent_at = process
                 .operation
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -1,10 +1,10 @@
-//! Model checking of task leases: all executions, within bounds, of replicas and routers whose messages are lost, duplicated
-//! and reordered, whose clocks run at their bounds, and of which the replicas crash and restart at any step. What moves is
-//! the state machines of [`hoptiller_coordination`] themselves; here are only the messages between them, the time, and the
-//! properties of each state.
+//! Model checking of task leases. The checker explores all executions, within bounds, of replicas and routers: messages are
+//! lost, duplicated and reordered, clocks run at their bounds, and replicas crash and restart at any step. The model runs
+//! the state machines of [`hoptiller_coordination`] themselves, and adds only the messages between them, the time, and the
+//! properties of states.
 //!
-//! Consensus is taken as given: commands come out of one log in one order, whichever replica appends them. A replica learns
-//! of them at a time of its own, and judges leases by its own clock; any replica may be the leader at any moment.
+//! The model assumes consensus: one log holds all commands in one order, whichever replica appends them. Each replica
+//! applies them at its own time and judges leases by its own clock, and any replica may be the leader at any moment.
 
 #![warn(missing_docs)]
 
--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -1,5 +1,5 @@
-//! What an execution of the model is configured with: its bounds, its constants, the clocks, and the configuration and
-//! clients in which it begins.
+//! The configuration of the model: its bounds, constants and clocks, and the configuration and clients with which each
+//! execution begins.
 
 use hoptiller_coordination::fault_injection::{self, Fault};
 use hoptiller_coordination::{
@@ -7,56 +7,56 @@
     Micros, Proposal, Shard, Task, TaskLeaseClient,
 };
 
-/// One step of the time.
+/// Duration of a tick.
 pub const TICK: Micros = 1_000_000;
 
-/// The shard that all processes want.
+/// The shard that all processes request.
 pub(crate) const SHARD: Shard = Shard {
     task: Task::Discovery,
     index: 0,
 };
-/// The number of replicas.
+/// Number of replicas.
 pub(crate) const REPLICAS: usize = 3;
-/// The replica that learns late of what the log holds.
+/// The replica that applies entries of the log late; the others apply them at once.
 pub(crate) const LATE_REPLICA: usize = 2;
-/// The maximum difference between clocks, in millionths.
+/// Maximum drift of a clock, in millionths.
 const DRIFT_MILLIONTHS: u64 = 100_000;
 const MILLION: u64 = 1_000_000;
 
 /// The bounds of a check.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The duration of an execution, in ticks.
+    /// Duration of an execution, in ticks.
     pub ticks: u32,
-    /// The term of leases, in ticks.
+    /// Term of leases, in ticks.
     pub term: u32,
-    /// The number of renewals of each process.
+    /// Number of renewals of each process.
     pub max_renewals: u32,
-    /// The number of crashes of replicas, in all.
+    /// Number of crashes of replicas, in total.
     pub max_crashes: u32,
-    /// The number of renewals that arrive twice, in all.
+    /// Number of renewals that arrive twice, in total.
     pub max_duplicates: u32,
-    /// How many ticks an operation may be on its way: the margin.
+    /// Number of ticks for which an operation may be in flight, which is the margin of leases.
     pub max_operation_ticks: u32,
-    /// Whether the second process starts only now: it has renewed nothing yet.
+    /// Whether the second process starts only when the check begins, without earlier renewals.
     pub second_starts_late: bool,
-    /// The number of processes that want the lease: the second is another incarnation of the first one's router.
+    /// Number of processes that request the lease. The second is another incarnation of the first one's router.
     pub processes: usize,
 }
 
 /// The model of replicas and processes that contend for one lease.
 #[derive(Clone, Debug)]
 pub struct LeaseModel {
-    /// Its bounds.
+    /// The bounds of the check.
     pub limits: Limits,
     pub(crate) timing: LeaseTiming,
     /// The configuration in which executions begin.
     pub(crate) initial: ConfigState,
-    /// By process: its state after renewing often enough in a row, and the id of its next renewal.
+    /// The lease client of each process after enough consecutive renewals, and the id of its next renewal.
     pub(crate) clients: Vec<(TaskLeaseClient, u64)>,
 }
 
-/// The holder of a process. The first two are incarnations of one router.
+/// Returns the identity of a process as a holder. The first two processes are incarnations of one router.
 pub(crate) fn holder(process: usize) -> Holder {
     let router = match process {
         0 | 1 => "r1".to_owned(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// A configuration with one task of one shard.
+/// Returns a configuration with one task of one shard.
 fn initial_config() -> ConfigState {
     let mut config = ConfigState::default();
     let text = r#"{"form": 1, "kinds": {"a": 8}, "tasks": {"list": 1},
@@ -91,7 +91,7 @@
     config
 }
 
-/// Runs the renewals of the processes until they are eligible for leases.
+/// Runs renewals of the processes until they are eligible for leases.
 fn renew_until_eligible(
     config: &mut ConfigState,
     clients: &mut [(TaskLeaseClient, u64)],
@@ -118,7 +118,8 @@
 }
 
 impl LeaseModel {
-    /// A model in which all processes have renewed often enough to be assigned leases.
+    /// Creates a model in which the processes have renewed often enough to be assigned leases, except a second process that
+    /// starts late.
     pub fn new(limits: Limits) -> LeaseModel {
         let timing = LeaseTiming {
             term: Micros::from(limits.term) * TICK,
@@ -136,13 +137,13 @@
         }
     }
 
-    /// A process's clock: slow by the drift, but the last one's, which is fast.
+    /// Returns the time by a process's clock. The last process's clock is fast by the drift, those of the others are slow.
     pub(crate) fn process_clock(&self, process: usize, now: u32) -> Micros {
         let is_fast = process + 1 == self.limits.processes;
         drifted(now, is_fast)
     }
 
-    /// A replica's clock: fast by the drift, but the first one's, which is slow.
+    /// Returns the time by a replica's clock. The first replica's clock is slow by the drift, those of the others are fast.
     pub(crate) fn replica_clock(&self, replica: usize, now: u32) -> Micros {
         drifted(now, replica != 0)
     }
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -8,7 +8,7 @@
     ConfigState, ExpiryTracker, Holder, LeaseGuard, LeaseOffer, Shard, TaskLeaseClient,
 };
 
-/// The state that the log leads to. Only what leases depend on matters for equality.
+/// The state after all commands of the log. Equality and hash cover only what leases depend on.
 #[derive(Clone, Debug)]
 pub(crate) struct LogState(pub(crate) ConfigState);
 
@@ -32,9 +32,9 @@
 /// A replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replica {
-    /// What it has applied.
+    /// The state after the commands that it has applied.
     pub(crate) log: Arc<LogState>,
-    /// `None` while it does not run.
+    /// The replica's expiry tracker; `None` while it does not run.
     pub(crate) expiry: Option<ExpiryTracker>,
 }
 
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Operation {
     pub(crate) guard: LeaseGuard,
-    /// The tick in which it was sent; `None` where it has only begun.
+    /// The tick in which it was sent; `None` before it is sent.
     pub(crate) sent_at: Option<u32>,
 }
 
-/// A router's process that wants the lease.
+/// A router's process that requests the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Process {
     pub(crate) leases: TaskLeaseClient,
@@ -55,7 +55,7 @@
     pub(crate) operation: Option<Operation>,
 }
 
-/// A [`LeaseOffer`] with an order.
+/// The content of a [`LeaseOffer`], with a total order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct OrderedOffer {
     acknowledged_serial: u64,
@@ -86,17 +86,17 @@
     }
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Message {
-    /// A renewal. One that is a duplicate is not duplicated again.
+    /// A renewal request. A duplicate is not duplicated again.
     Request {
         process: usize,
         id: u64,
         offer: OrderedOffer,
         duplicate: bool,
     },
-    /// The response to one, with the fencing token of each lease and whether its release is requested.
+    /// The response to a renewal, with the fencing token of each lease and whether its release is requested.
     Response {
         process: usize,
         id: u64,
@@ -116,15 +116,16 @@
     pub(crate) messages: BTreeSet<Message>,
     pub(crate) crashes: u32,
     pub(crate) duplicates: u32,
-    /// The latest fencing token under which an operation has arrived, and its process.
+    /// The highest fencing token under which an operation has arrived, and the process of that operation.
     pub(crate) latest_operation: Option<(u64, usize)>,
     /// The holder to which each fencing token was assigned.
     pub(crate) assigned: BTreeMap<u64, Holder>,
-    /// Violation: an operation has arrived after one with a later token, or two processes have acted with one token.
+    /// Violation: an operation has arrived after one with a higher token, or operations of two processes have arrived with
+    /// the same token.
     pub(crate) two_holders_acted: bool,
-    /// Violation: a fencing token was assigned twice.
+    /// Violation: a fencing token was assigned to two holders.
     pub(crate) token_reused: bool,
-    /// Whether more than one process has acted.
+    /// Whether operations have arrived under more than one token.
     pub(crate) taken_over: bool,
 }
 
@@ -137,30 +138,30 @@
 /// A step from one state to the next. Processes, replicas and messages are named by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Time passes for all.
+    /// The time advances by one tick.
     Tick,
     /// A process sends a renewal.
     Renew(usize),
-    /// A message with a renewal reaches a replica.
+    /// A renewal request reaches a replica.
     ReceiveRequest {
         /// The message.
         message: usize,
         /// The replica.
         replica: usize,
-        /// Whether the message is duplicated, so that it may arrive once more.
+        /// Whether a duplicate of the message stays in flight.
         duplicated: bool,
     },
-    /// A message with a response reaches its process.
+    /// A response reaches its process.
     ReceiveResponse(usize),
-    /// A replica applies what the log holds.
+    /// A replica applies all commands of the log.
     CatchUp(usize),
     /// A replica, as the leader, ends the task leases that have expired.
     ExpireTaskLeases(usize),
     /// A replica, as the leader, ends the configuration leases that have expired.
     ExpireConfigLeases(usize),
-    /// A replica crashes.
+    /// A replica stops, and loses its expiry tracker.
     Crash(usize),
-    /// A replica starts again.
+    /// A replica starts again, with a new expiry tracker.
     Restart(usize),
     /// A process begins an operation.
     BeginOperation(usize),
--- a/crates/model-check/src/transitions.rs
+++ b/crates/model-check/src/transitions.rs
@@ -1,4 +1,4 @@
-//! The steps of the model, each as a change of the state. `None` where a step is not possible.
+//! The transitions of the model. Each function returns `None` if its step is not possible in the state.
 
 use std::sync::Arc;
 
@@ -140,7 +140,7 @@
     Some(())
 }
 
-/// Appends a command to the log by a replica that runs. A majority must run.
+/// Appends a command to the log by way of a replica. Returns `None` unless a majority of the replicas runs.
 fn append(
     model: &LeaseModel,
     state: &mut State,
@@ -158,7 +158,7 @@
     let mut config = state.log.0.clone();
     let response = config.apply(command);
     state.log = Arc::new(LogState(config));
-    // One replica learns late; the others at once, by which leases are shortest.
+    // All replicas but the late one apply the command at once, which makes leases as short as possible.
     for other in 0..state.replicas.len() {
         if other != LATE_REPLICA || other == replica {
             catch_up(model, state, other);
@@ -178,7 +178,7 @@
     let now = model.replica_clock(replica, state.now);
     let replica = &mut state.replicas[replica];
     replica.log = state.log.clone();
-    // What is appended while it does not run, it reads when it starts.
+    // A replica that does not run reads the log when it starts.
     if let Some(expiry) = &mut replica.expiry {
         expiry.observe(now, &replica.log.0);
     }
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Within bounds that take seconds: no two holders act at once in any execution, and each injected fault is found in one.
+//! Model checks within bounds that take seconds: no execution has two holders that act at once, and the check finds each
+//! injected fault.
 
 use hoptiller_model_check::{
     FREE_SHARD_TAKEN, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED,
@@ -7,7 +8,7 @@
 
 const SAFETY_PROPERTIES: [&str; 2] = [NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED];
 
-/// Operations that are on their way for most of a term.
+/// Operations that are in flight for half of a term.
 const SLOW_OPERATIONS: Limits = Limits {
     ticks: 5,
     term: 4,
@@ -18,7 +19,7 @@
     second_starts_late: false,
     processes: 2,
 };
-/// A replica that crashes at any step.
+/// One crash of a replica, at any step.
 const CRASH: Limits = Limits {
     ticks: 4,
     term: 3,
@@ -35,7 +36,7 @@
     ..SLOW_OPERATIONS
 };
 
-/// The safety properties that are violated, and whether a shard that became free was taken.
+/// Returns the violated safety properties, and whether another process took over a free shard.
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let model = LeaseModel::new(limits.clone()).checker().threads(threads);
@@ -65,14 +66,15 @@
     assert_eq!(check(&SECOND_INCARNATION).0, none);
 }
 
-/// One after the other: a fault is injected into the whole process.
+/// One test covers all faults in turn, because a fault is injected into the whole process.
 #[cfg(feature = "plant")]
 #[test]
 fn each_injected_fault_is_found() {
     use hoptiller_coordination::fault_injection::{Fault, inject};
     for (name, fault) in Fault::ALL {
         let limits = match fault {
-            Fault::SkipRolloutWait | Fault::LoseDurableState => continue, // Faults of rollouts and of a replica's disk, not of task leases.
+            // These faults affect rollouts and a replica's disk, not task leases.
+            Fault::SkipRolloutWait | Fault::LoseDurableState => continue,
             Fault::SkipStartupTerm => CRASH,
             Fault::IgnoreIncarnation => SECOND_INCARNATION,
             _ => SLOW_OPERATIONS,
