--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! The service in simulated time: the router cores, decisions and work models of the programs, with the network, the clock
-//! and the clients replaced. The same plan and seed give the same run.
+//! A simulation of the service. It runs the router cores and the engines' work models of the real programs, and replaces the
+//! network, the clock and the clients. The same plan and seed give the same run.
 //!
-//! - [`plan`]: what is drawn before a run: engines, statements and when they are submitted;
-//! - [`simulation`]: the run of a plan, event by event;
-//! - [`run`]: what a run records;
+//! - [`plan`]: the engines, statements and submission times that are drawn before a run;
+//! - [`simulation`]: the execution of a plan, event by event;
+//! - [`run`]: the record of a run;
 //! - [`study`]: the study of runaway detection.
 
 #![warn(missing_docs)]
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is drawn before a run, so that two runs of a plan differ only by what the routers decide.
+//! Plans of runs. All inputs are drawn before a run, so that two runs of a plan differ only by the decisions of the routers.
 
 use hoptiller_mock_servers::work_model::{Job, WorkModelParameters};
 use hoptiller_policy::Micros;
@@ -16,23 +16,23 @@
     pub parameters: WorkModelParameters,
 }
 
-/// Why a statement stands in a plan beside the usual ones.
+/// The case for which a statement is planted among the usual ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlantedCase {
-    /// A runaway: far more work than others of its fingerprint.
+    /// A runaway with far more work than others of its fingerprint.
     Heavy,
-    /// A runaway: far more work for the rows that it reads.
+    /// A runaway with far more work than the rows that it reads account for.
     BadPlan,
-    /// A runaway: a load that locks what others wait for.
+    /// A runaway load that locks tables for which other statements wait.
     BlockingLoad,
-    /// Not a runaway: ten times the median work of its fingerprint.
+    /// Not a runaway: a statement with ten times the mean work of its fingerprint.
     Large,
-    /// Not a runaway: large, and announced by its client.
+    /// Not a runaway: a large statement that its client announces.
     Announced,
 }
 
 impl PlantedCase {
-    /// Whether the statement should be found.
+    /// Returns whether the detector should flag the statement as a runaway.
     pub fn is_runaway(self) -> bool {
         matches!(
             self,
@@ -40,7 +40,7 @@
         )
     }
 
-    /// The name in tables and stored figures.
+    /// Returns the name that tables and stored figures use.
     pub fn name(self) -> &'static str {
         match self {
             PlantedCase::Heavy => "heavy",
@@ -55,7 +55,7 @@
 /// A statement of a plan.
 #[derive(Clone, Debug)]
 pub struct PlannedStatement {
-    /// When it is submitted, in µs after the start of the run.
+    /// Submission time, in µs after the start of the run.
     pub submitted_at: Micros,
     /// The router to which it is submitted.
     pub router: usize,
@@ -63,22 +63,22 @@
     pub class: usize,
     /// Its fingerprint.
     pub fingerprint: u64,
-    /// Its demand on an engine.
+    /// The resources that it needs on an engine.
     pub job: Job,
     /// Number of rows that it reads.
     pub rows_read: u64,
-    /// The group of tables that it names.
+    /// The table group that it uses.
     pub tables: Option<String>,
-    /// What its client announces of it.
+    /// The size and estimate that its client announces.
     pub announced: Announced,
-    /// Why it is planted; `None` for the usual ones.
+    /// The case for which it is planted; `None` for usual statements.
     pub planted: Option<PlantedCase>,
 }
 
-/// A run, drawn before it begins.
+/// The inputs of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The settings of the routers; they also say how many there are.
+    /// The settings of the routers, which include the number of routers.
     pub settings: Settings,
     /// The engines.
     pub engines: Vec<PlannedEngine>,
@@ -86,10 +86,10 @@
     pub statements: Vec<PlannedStatement>,
     /// Length of the run in µs.
     pub duration: Micros,
-    /// Whether engines report progress, work done and what blocks a statement.
+    /// Whether engines report the progress and work of their statements, and what blocks them.
     pub reports_progress: bool,
     /// Whether engines report their load.
     pub reports_load: bool,
-    /// Noise of the reported progress: up to this fraction more or less.
+    /// Maximum relative error of the reported progress, in either direction.
     pub progress_noise: f64,
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! What a run records: the outcomes of the statements, the attempts at engines, and the findings of the routers.
+//! The record of a run: the outcomes of the statements, the attempts at engines, and the findings of the routers.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 pub enum StatementOutcome {
     /// All rows were delivered.
     Served,
-    /// It was rejected, at submission or after admission.
+    /// The router rejected it, at submission or later.
     Rejected,
-    /// It failed: it may have run, or its result was cut.
+    /// It failed: it may have run, or its result was truncated.
     Failed,
 }
 
-/// How and when a statement ended.
+/// The end of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementEnd {
     /// The outcome.
     pub outcome: StatementOutcome,
-    /// When, by the clock of the run.
+    /// The time, by the clock of the run.
     pub at: Micros,
 }
 
@@ -33,11 +33,11 @@
     pub statement: usize,
     /// The engine, by its index in the plan.
     pub engine: usize,
-    /// When the engine admitted it.
+    /// Time at which the engine admitted it.
     pub started_at: Micros,
-    /// When it ended there, if it did.
+    /// Time at which it ended at the engine; `None` if it did not.
     pub ended_at: Option<Micros>,
-    /// The polls at which it was blocked; each stands for one poll interval.
+    /// Times of the polls at which it was blocked; each stands for one poll interval.
     pub observed_stalls: Vec<Micros>,
 }
 
@@ -46,29 +46,29 @@
 pub struct ReportedFinding {
     /// The router.
     pub router: usize,
-    /// When it was reported, by the clock of the run.
+    /// Time of the report, by the clock of the run.
     pub at: Micros,
     /// The finding.
     pub finding: Finding,
 }
 
-/// What a run records.
+/// The record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
-    /// By statement of the plan: its end; `None` where the run ended before.
+    /// The end of each statement of the plan; `None` for a statement that was open when the run ended.
     pub ends: Vec<Option<StatementEnd>>,
-    /// The attempts that engines admitted, in that order.
+    /// The attempts that engines admitted, in the order of admission.
     pub attempts: Vec<AttemptRecord>,
-    /// The findings, in the order in which they were reported.
+    /// The findings, in the order of their reports.
     pub findings: Vec<ReportedFinding>,
-    /// By router: the statements of the plan, by the router's ids.
+    /// For each router, the indices of the plan's statements by the router's statement ids.
     pub statements_by_id: Vec<BTreeMap<StatementId, usize>>,
     /// Number of engine crashes.
     pub engine_crashes: usize,
 }
 
 impl RunRecord {
-    /// The statement of the plan that engines know by this name, `r0/00017_emulated`.
+    /// Returns the index in the plan of the statement with this name at engines, such as `r0/00017_emulated`.
     pub fn statement_by_name(&self, name: &str) -> Option<usize> {
         let (router, rest) = name.strip_prefix('r')?.split_once('/')?;
         let (number, _) = rest.split_once('_')?;
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,8 +1,8 @@
-//! The run of a plan: what passes between clients, routers and engines, each message after the time that it takes. The
-//! routers are the cores of `hoptiller_router_core`; the engines are the work models of the mock servers.
+//! The execution of a plan: an event-driven simulation of the messages between clients, routers and engines, with their
+//! latency. The routers are cores of `hoptiller_router_core`, and the engines are work models of the mock servers.
 //!
-//! - `events`: the events to come;
-//! - `clients`, `routers`, `engines`: what happens at each of them.
+//! - `events`: the queue of scheduled events;
+//! - `clients`, `routers`, `engines`: the handling of events at each of them.
 
 mod clients;
 mod engines;
@@ -19,16 +19,16 @@
 use events::{EventQueue, SimulatedEvent};
 use routers::SimulatedRouter;
 
-/// Latency from one process to another, one way.
+/// One-way latency between two processes.
 const ONE_WAY_LATENCY: Micros = 500;
-/// Where the clock of a run starts: late enough for engines to have a past.
+/// Time of the clock at the start of a run. It is above zero so that engines can have started before the run.
 pub const CLOCK_START: Micros = 24 * 3_600_000_000;
 
 /// Runs a plan to its end.
 ///
 /// # Panics
 ///
-/// If the settings of the plan were not checked.
+/// Panics if the settings of the plan are invalid.
 pub fn simulate(plan: &Plan, seed: u64) -> RunRecord {
     let end = CLOCK_START + plan.duration;
     let mut simulation = Simulation::new(plan, seed);
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: they submit the statements of the plan, and take each response as soon as it is there.
+//! The clients, which submit the statements of the plan and fetch each response as soon as it is ready.
 
 use std::rc::Rc;
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// What the last response of a statement says.
+/// Returns the outcome that the final response of a statement reports.
 fn outcome(content: &ResponseContent) -> StatementOutcome {
     match content {
         ResponseContent::Rows(_) | ResponseContent::Final(FinalResponse::Completed) => {
--- a/crates/emulator/src/simulation/engines.rs
+++ b/crates/emulator/src/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! The engines: work models that admit attempts, and answer the polls of the routers.
+//! The engines: work models that admit attempts and respond to the polls of the routers.
 
 use std::collections::BTreeMap;
 
@@ -14,30 +14,30 @@
 use crate::plan::{PlannedEngine, PlannedStatement};
 use crate::run::AttemptRecord;
 
-/// Time between two polls of a running attempt, as the long polls of the mock servers take.
+/// Time between two polls of a running attempt, which is the duration of a long poll of the mock servers.
 const POLL_INTERVAL: Micros = 1_000_000;
-/// Priority of an attempt for which the router names none.
+/// Priority of an attempt for which the router sets none.
 const DEFAULT_PRIORITY: u8 = 1;
-/// Work in µs from which it is reported.
+/// Work in µs above which an engine reports it.
 const MIN_REPORTED_WORK: f64 = 1000.0;
-/// Progress that a running attempt reports at most: noise does not make it complete.
+/// Maximum progress that a running attempt reports, so that noise does not make it appear complete.
 const MAX_REPORTED_PROGRESS: f64 = 0.99;
 
-/// An attempt that an engine has admitted, and whose it is.
+/// An attempt that an engine has admitted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AdmittedAttempt {
     router: usize,
     attempt: AttemptId,
-    /// Its index among the attempts of the run's record.
+    /// Index of the attempt in [`RunRecord::attempts`](crate::run::RunRecord::attempts).
     record: usize,
-    /// The router does not wait for it any more.
+    /// Whether the router no longer waits for it.
     is_abandoned: bool,
 }
 
-/// An engine.
+/// The simulated state of an engine.
 pub(super) struct SimulatedEngine {
     pub(super) model: WorkModel,
-    /// When the next [`SimulatedEvent::EngineWork`] is scheduled.
+    /// Time of the next scheduled [`SimulatedEvent::EngineWork`].
     pub(super) wake_at: Option<Micros>,
     admitted: BTreeMap<u64, AdmittedAttempt>,
     next_job: u64,
@@ -62,7 +62,7 @@
 }
 
 impl Simulation<'_> {
-    /// The load report of an engine, where engines report their load.
+    /// Returns the load report of an engine; `None` if engines do not report their load.
     pub(super) fn load_report(&self, engine: usize) -> Option<LoadReport> {
         let load = self.engines[engine].model.load();
         self.plan.reports_load.then_some(LoadReport {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// An attempt reaches its engine, which admits it, rejects it or crashes under it.
+    /// Handles the arrival of an attempt at its engine, which admits it, rejects it or crashes.
     pub(super) fn receive_attempt(&mut self, router: usize, attempt: AttemptId, engine: usize) {
         let options = self.routers[router].options.remove(&attempt);
         let options = options.unwrap_or_default();
@@ -141,10 +141,10 @@
         self.schedule_after(POLL_INTERVAL, poll);
     }
 
-    /// Ends all attempts at an engine that crashed, at last the one under which it did.
+    /// Ends all attempts at an engine that crashed, the attempt that caused the crash last.
     fn crash_engine(&mut self, router: usize, attempt: AttemptId, engine: usize) {
         self.record.engine_crashes += 1;
-        let (status, reason) = (AttemptStatus::ConnectionReset, "the engine fell over");
+        let (status, reason) = (AttemptStatus::ConnectionReset, "the engine crashed");
         let lost = std::mem::take(&mut self.engines[engine].admitted);
         for lost in lost.into_values().filter(|lost| !lost.is_abandoned) {
             self.routers[lost.router].in_flight.remove(&lost.attempt);
@@ -153,7 +153,7 @@
         self.finish_attempt(router, attempt, status, reason, None);
     }
 
-    /// Records the end of a job that an engine holds.
+    /// Records the end of an admitted job, and returns its attempt; `None` if the engine does not have the job.
     pub(super) fn record_attempt_end(
         &mut self,
         engine: usize,
@@ -164,7 +164,7 @@
         Some(ended)
     }
 
-    /// Advances an engine to now, and delivers the results of the jobs that ended.
+    /// Advances an engine to the current time, and delivers the results of the jobs that ended.
     pub(super) fn advance_engine(&mut self, engine: usize) {
         let now = self.now;
         for job in self.engines[engine].model.advance(now) {
@@ -177,7 +177,7 @@
         self.schedule_engine_work(engine);
     }
 
-    /// Passes the last page of an attempt to its router.
+    /// Delivers the last page of an attempt to its router.
     fn deliver_result(&mut self, engine: usize, ended: AdmittedAttempt) {
         let work = self.planned_statement(ended).job.work as Micros;
         let page = ResultPage {
@@ -199,7 +199,7 @@
         &self.plan.statements[record.statement]
     }
 
-    /// Schedules the next look at an engine's work, unless one is scheduled that comes no later.
+    /// Schedules the next event of an engine's work model, unless an event at or before that time is scheduled.
     pub(super) fn schedule_engine_work(&mut self, engine: usize) {
         let now = self.now;
         let simulated = &mut self.engines[engine];
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A router polls a running attempt; where engines report progress, it learns of that.
+    /// Handles a router's poll of a running attempt, and reports the attempt's progress if engines report progress.
     pub(super) fn poll_attempt(&mut self, engine: usize, job: u64) {
         self.advance_engine(engine);
         let admitted = self.engines[engine].admitted.get(&job).copied();
@@ -265,7 +265,7 @@
         self.process_router(admitted.router);
     }
 
-    /// What an engine reports of a blocked attempt.
+    /// Returns the state that an engine reports for a blocked attempt.
     fn reported_block(&self, engine: usize, blocked: work_model::BlockedState) -> BlockedState {
         match blocked {
             work_model::BlockedState::WaitingForMemory => BlockedState::Memory,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// The attempt that blocks another, by the name that its router gave it.
+    /// Describes the attempt that blocks another, with the name that its router gave it.
     fn holder(&self, engine: usize, job: u64) -> Option<Holder> {
         let simulated = &self.engines[engine];
         let admitted = *simulated.admitted.get(&job)?;
--- a/crates/emulator/src/simulation/events.rs
+++ b/crates/emulator/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, in the order in which they happen.
+//! The events of a simulation, and their queue in the order of time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,19 +6,19 @@
 use hoptiller_policy::Micros;
 use hoptiller_router_core::StatementId;
 
-/// One attempt of a router.
+/// Identifies an attempt of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub(super) statement: StatementId,
     pub(super) number: u32,
 }
 
-/// What happens. Routers, engines and planned statements are named by their indices.
+/// An event of the simulation. Routers, engines and planned statements are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SimulatedEvent {
     /// A client submits a statement.
     Submission { statement: usize },
-    /// A router decides on what it has received.
+    /// A router decides on the events that it has received.
     DecisionBatch { router: usize },
     /// An attempt reaches its engine.
     AttemptArrival {
@@ -26,11 +26,11 @@
         attempt: AttemptId,
         engine: usize,
     },
-    /// The work model of an engine is due.
+    /// The work model of an engine has an event to process.
     EngineWork { engine: usize },
-    /// A router polls an attempt, by the engine's number of the job.
+    /// A router polls an attempt, which is identified by the engine's job number.
     AttemptPoll { engine: usize, job: u64 },
-    /// The deadline of an attempt.
+    /// An attempt reaches its deadline.
     AttemptTimeout { router: usize, attempt: AttemptId },
     /// A health check reaches an engine.
     HealthCheck { router: usize, engine: usize },
@@ -38,7 +38,7 @@
     ClientPoll { router: usize, id: StatementId },
 }
 
-/// Events are ordered by time, and at the same time by the order in which they were scheduled.
+/// A scheduled event. The order is by time, and for equal times by the order of scheduling.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
@@ -46,7 +46,7 @@
     pub(super) event: SimulatedEvent,
 }
 
-/// The events to come.
+/// The queue of scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -63,7 +63,7 @@
         }));
     }
 
-    /// Removes and returns the next event.
+    /// Removes and returns the earliest event.
     pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
         self.events.pop().map(|Reverse(scheduled)| scheduled)
     }
--- a/crates/emulator/src/simulation/routers.rs
+++ b/crates/emulator/src/simulation/routers.rs
@@ -1,4 +1,4 @@
-//! The routers: each core is fed what happens, and its commands are executed.
+//! The routers: events are passed to their cores, and the commands of the cores are executed.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,33 @@
 
 /// Time from an event at a router to its decisions.
 const BATCH_DELAY: Micros = 100;
-/// Clients of a run never abandon a statement; the limit is out of reach.
+/// Time after which a router would consider a client gone. It is beyond every run, as simulated clients never abandon a
+/// statement.
 const ABANDON_AFTER: Micros = Micros::MAX / 4;
 
-/// Where an attempt runs.
+/// The engine and job of an admitted attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineJob {
     pub(super) engine: usize,
     pub(super) job: u64,
 }
 
-/// What an attempt asks of its engine.
+/// The options of an attempt that its engine applies.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AttemptOptions {
     pub(super) priority: Option<u8>,
     pub(super) memory_grant_mb: f64,
 }
 
-/// A router, and the connections that it has.
+/// The simulated state of a router.
 pub(super) struct SimulatedRouter {
     pub(super) core: Core,
     pub(super) identity: RouterIdentity,
     /// Attempts in flight that an engine has admitted.
     pub(super) in_flight: BTreeMap<AttemptId, EngineJob>,
-    /// The options of attempts that have not reached their engine.
+    /// Options of the attempts that have not reached their engine.
     pub(super) options: BTreeMap<AttemptId, AttemptOptions>,
-    /// The page that the client of a statement polls next.
+    /// Number of the page that the client of each statement polls next.
     pub(super) next_pages: BTreeMap<StatementId, u64>,
     is_batch_scheduled: bool,
     wake_at: Option<Micros>,
@@ -61,7 +62,7 @@
     }
 }
 
-/// The routers of a plan.
+/// Creates the routers of a plan.
 pub(super) fn routers(plan: &Plan, seed: u64) -> Vec<SimulatedRouter> {
     let limits = core_limits(plan);
     (0..plan.settings.router.fleet_size)
@@ -190,7 +191,7 @@
         self.schedule_after(sent.deadline.saturating_sub(self.now), timeout);
     }
 
-    /// Gives an attempt up: its engine cancels it where it can, and else runs it to its end.
+    /// Releases an attempt. Its engine cancels it if possible, and otherwise runs it to completion.
     fn release_attempt(&mut self, router: usize, attempt: AttemptId) {
         let Some(EngineJob { engine, job }) = self.routers[router].in_flight.remove(&attempt)
         else {
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Ends an attempt at its deadline, if it is still in flight. Its engine runs it to its end.
+    /// Ends an attempt at its deadline if it is still in flight. Its engine runs it to completion.
     pub(super) fn time_out_attempt(&mut self, router: usize, attempt: AttemptId) {
         if let Some(in_flight) = self.routers[router].in_flight.remove(&attempt) {
             self.engines[in_flight.engine].abandon(in_flight.job);
--- a/crates/emulator/src/study.rs
+++ b/crates/emulator/src/study.rs
@@ -1,10 +1,10 @@
-//! The study of runaway detection: seeded runs with planted runaways and large statements. It shows how soon each runaway
-//! is found and whether anything else is flagged, beside fixed limits of run time in the same runs; and what holds change
-//! for the other statements.
+//! The study of runaway detection: seeded runs with planted runaways and large statements. It measures how soon each
+//! runaway is found, whether any other statement is flagged, and how holds affect the other statements. It compares the
+//! detector with fixed limits of run time in the same runs.
 //!
-//! - `condition`: what engines report and what routers enforce in a run;
-//! - `workload`: the statements of a run, drawn by seed;
-//! - `figures`: what one run showed.
+//! - `condition`: the reports of engines and the enforcement by routers in a run;
+//! - `workload`: the seeded drawing of the statements of a run;
+//! - `figures`: the figures of one run.
 
 mod condition;
 mod figures;
@@ -18,11 +18,11 @@
 pub use figures::{Detection, FIXED_LIMITS_SECONDS, Figures, LimitFigures};
 pub use workload::draw_plan;
 
-/// Draws and runs a plan; its figures.
+/// Draws and runs a plan, and returns the figures of the run.
 ///
 /// # Panics
 ///
-/// If the settings were not checked, or have fewer than three classes.
+/// Panics if the settings are invalid or have fewer than three classes.
 pub fn run(settings: &Settings, condition: Condition, seed: u64, engines: usize) -> Figures {
     let plan = draw_plan(settings, condition, seed, engines);
     let record = simulate(&plan, seed);
--- a/crates/emulator/src/study/condition.rs
+++ b/crates/emulator/src/study/condition.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// What engines report, and what routers enforce. The serialized names are those of stored figures.
+/// The reports of engines and the enforcement by routers in a run. The serialized names are those of stored figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Condition {
     /// Whether engines report the progress of their statements.
@@ -11,16 +11,16 @@
     /// Whether engines report their load.
     #[serde(rename = "reports")]
     pub reports_load: bool,
-    /// Whether the fingerprints of runaways are held.
+    /// Whether routers hold the fingerprints of runaways.
     #[serde(rename = "hold")]
     pub holds_runaways: bool,
-    /// Whether runaways are killed 5 s after they are found; engines then prove that all is rolled back.
+    /// Whether routers kill runaways 5 s after they are found; engines then prove that everything is rolled back.
     #[serde(rename = "end")]
     pub kills_runaways: bool,
 }
 
 impl Condition {
-    /// As the settings say: runaways are found and held.
+    /// The condition of the settings, under which routers find and hold runaways.
     const AS_SET: Condition = Condition {
         reports_progress: true,
         reports_load: true,
@@ -48,7 +48,7 @@
         },
     ];
 
-    /// What differs from the settings, in words.
+    /// Describes the differences from the condition of the settings.
     pub fn description(&self) -> String {
         let differences = [
             (!self.reports_progress, "without notes"),
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -1,4 +1,4 @@
-//! What one run showed.
+//! The figures of one run.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,18 +13,19 @@
 use crate::run::{AttemptRecord, RunRecord, StatementOutcome};
 use crate::simulation::CLOCK_START;
 
-/// The fixed limits of run time that are compared, in s.
+/// The fixed limits of run time with which the detector is compared, in s.
 pub const FIXED_LIMITS_SECONDS: [u64; 3] = [5, 15, 60];
-/// Statements that are submitted later than this before the end may not be answered within the run, and don't count.
+/// Time before the end of a run in which submitted statements don't count, as they may not get their response within the
+/// run.
 const RESPONSE_ALLOWANCE: Micros = 30 * SECOND;
 
 /// A planted runaway, and how soon it was found. Serialized as `[case, seconds]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(&'static str, Option<f64>)")]
 pub struct Detection {
-    /// What was planted.
+    /// The planted case.
     pub case: PlantedCase,
-    /// Run time in s until it was found, without the time in which it was blocked; `None` if it was not.
+    /// Run time in s until it was found, excluding the time in which it was blocked; `None` if it was not found.
     pub found_after: Option<f64>,
 }
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// What a fixed limit of run time would have flagged. Serialized as `[limit, runaways, large, others]`.
+/// The numbers of statements that a fixed limit of run time would have flagged. Serialized as `[limit, runaways,
+/// large, others]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, usize, usize, usize)")]
 pub struct LimitFigures {
@@ -67,25 +69,25 @@
     pub seed: u64,
     /// The condition.
     pub condition: Condition,
-    /// The planted runaways that ran.
+    /// The planted runaways that started at an engine.
     #[serde(rename = "found")]
     pub detections: Vec<Detection>,
-    /// Number of planted large statements that ran.
+    /// Number of planted large statements that started at an engine.
     pub large: usize,
     /// Number of them that were flagged as runaways.
     pub large_flagged: usize,
-    /// Number of other statements that ran.
+    /// Number of other statements that started at an engine.
     pub others: usize,
     /// Number of them that were flagged as runaways.
     pub others_flagged: usize,
-    /// Number of notices, of engines and fingerprints.
+    /// Number of findings with the verdict notice.
     pub notices: usize,
-    /// What fixed limits would have flagged, in the order of [`FIXED_LIMITS_SECONDS`].
+    /// The figures of fixed limits, in the order of [`FIXED_LIMITS_SECONDS`].
     pub limits: Vec<LimitFigures>,
-    /// Value of what was answered in time, as a fraction of all; planted runaways don't count.
+    /// Value of the statements that were served in time, as a fraction of the value of all; planted runaways don't count.
     #[serde(rename = "worth")]
     pub value_in_time: f64,
-    /// Number of lookups that were submitted while a planted load had their tables locked.
+    /// Number of lookups that were submitted while a planted load had locked their tables.
     #[serde(rename = "behind")]
     pub behind_load: usize,
     /// Number of them that were served in time.
@@ -97,7 +99,7 @@
 }
 
 impl Figures {
-    /// The figures of a run of a plan.
+    /// Computes the figures of a run of a plan.
     pub(super) fn new(plan: &Plan, record: &RunRecord, condition: Condition, seed: u64) -> Self {
         let analysis = RunAnalysis::new(plan, record);
         let timeliness = analysis.timeliness();
@@ -121,7 +123,7 @@
     }
 }
 
-/// What a statement is to the study.
+/// The groups into which the study divides statements.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Group {
     /// A planted runaway.
@@ -142,13 +144,13 @@
     }
 }
 
-/// The tables that a planted load had locked, and when.
+/// The tables that a planted load locked, and the time for which it did.
 struct LockedTables<'a> {
     tables: Option<&'a String>,
     while_locked: Range<Micros>,
 }
 
-/// Sums over the statements that were submitted after the statistics were known.
+/// Sums over the statements that count for timeliness.
 #[derive(Default)]
 struct Timeliness {
     value_in_time: f64,
@@ -157,15 +159,15 @@
     behind_load_in_time: usize,
 }
 
-/// A run by statement of its plan.
+/// The attempts and findings of a run, indexed by statement of the plan.
 struct RunAnalysis<'a> {
     plan: &'a Plan,
     record: &'a RunRecord,
-    /// When an engine first admitted it.
+    /// Time at which an engine first admitted each statement.
     started: BTreeMap<usize, Micros>,
-    /// The longest time that one of its attempts was at an engine.
+    /// The longest time for which an attempt of each statement was at an engine.
     longest: BTreeMap<usize, Micros>,
-    /// When it was first found to be a runaway.
+    /// Time at which each statement was first found to be a runaway.
     flagged: BTreeMap<usize, Micros>,
 }
 
@@ -205,7 +207,7 @@
         }
     }
 
-    /// When an attempt ended, at the latest with the run.
+    /// Returns the time at which an attempt ended, which is at most the end of the run.
     fn end_of(&self, attempt: &AttemptRecord) -> Micros {
         let end_of_run = CLOCK_START + self.plan.duration;
         attempt.ended_at.unwrap_or(end_of_run)
@@ -254,7 +256,7 @@
         }
     }
 
-    /// The planted runaways that ran, and how soon they were found.
+    /// Returns the planted runaways that started, with their times to detection.
     fn detections(&self) -> Vec<Detection> {
         let runaways = self.started.iter().filter_map(|(statement, started)| {
             let case = self.plan.statements[*statement].planted?;
@@ -268,14 +270,14 @@
             .collect()
     }
 
-    /// Run time in s until a statement was found. One that is blocked does not run.
+    /// Returns the run time in s until a statement was found. The time in which it was blocked does not count.
     fn found_after(&self, statement: usize, started: Micros) -> Option<f64> {
         let flagged = *self.flagged.get(&statement)?;
         let blocked_seconds = self.observed_stalls(statement, flagged) as f64;
         Some(((flagged - started) as f64 / 1e6 - blocked_seconds).max(0.0))
     }
 
-    /// Number of polls until then at which a statement was blocked; each counts for one second, the poll interval.
+    /// Counts the polls up to a time at which a statement was blocked. Each stands for one second, the poll interval.
     fn observed_stalls(&self, statement: usize, until: Micros) -> usize {
         let attempts = self.record.attempts.iter();
         attempts
@@ -285,7 +287,7 @@
             .count()
     }
 
-    /// The tables that planted loads had locked.
+    /// Returns the tables that planted loads locked.
     fn locked_tables(&self) -> Vec<LockedTables<'a>> {
         self.record
             .attempts
@@ -299,7 +301,7 @@
             .collect()
     }
 
-    /// The fraction of its value that a statement had when it was answered.
+    /// Returns the fraction of its value that a statement had when it was served; zero if it was not served.
     fn value_fraction(&self, index: usize) -> f64 {
         let statement = &self.plan.statements[index];
         let class = &self.plan.settings.classes[statement.class];
@@ -345,7 +347,7 @@
     }
 }
 
-/// Whether a planted load had the tables of a statement locked when it was submitted.
+/// Returns whether a planted load had locked the tables of a statement when the statement was submitted.
 fn is_behind_load(statement: &PlannedStatement, locked_tables: &[LockedTables]) -> bool {
     let submitted_at = CLOCK_START + statement.submitted_at;
     locked_tables.iter().any(|locked| {
--- a/crates/emulator/src/study/tests.rs
+++ b/crates/emulator/src/study/tests.rs
@@ -4,7 +4,7 @@
 use super::workload::SECOND;
 use super::*;
 
-/// A study that several tests look at.
+/// The figures of one run, shared by several tests.
 static STUDY: LazyLock<Figures> = LazyLock::new(|| run(&settings(), Condition::ALL[0], 1, 8));
 
 fn settings() -> Settings {
@@ -41,11 +41,11 @@
     assert_ne!(
         first,
         format!("{:?}", simulate(&plan, 3).attempts),
-        "the routers' draws follow the seed"
+        "the routers' random choices depend on the seed"
     );
 }
 
-/// FNV-1a, over the parts in their order.
+/// Returns the FNV-1a digest of the concatenated parts.
 fn digest(parts: impl IntoIterator<Item = String>) -> u64 {
     let bytes = parts.into_iter().flat_map(String::into_bytes);
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -69,7 +69,7 @@
     });
     let usual = 0x9d98_cbff_b984_84ed;
     let (no_progress, no_load) = (0x3c8e_a74b_ed92_bb92, 0x3ca0_87cd_417e_21ac);
-    // Nothing is held or killed before the statistics are known.
+    // Runaways are planted after 240 s, so the conditions that hold or kill runaways don't differ in the first 30 s.
     assert_eq!(
         digests,
         [usual, usual, usual, no_progress, no_load],
--- a/crates/emulator/src/study/workload.rs
+++ b/crates/emulator/src/study/workload.rs
@@ -1,4 +1,4 @@
-//! The statements of a run, drawn by seed: the usual ones of three classes, and the planted ones among them.
+//! The seeded drawing of the statements of a run: usual statements of three classes, and planted ones among them.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 
 /// Microseconds in a second.
 pub(super) const SECOND: Micros = 1_000_000;
-/// Until then nothing is planted, so that the statistics become known.
+/// Time before which no statement is planted, so that the detector has statistics of each fingerprint.
 pub(super) const PLANT_FROM: Micros = 240 * SECOND;
-/// From then on nothing is planted.
+/// Time from which no statement is planted.
 const PLANT_UNTIL: Micros = 420 * SECOND;
 /// Length of a run.
 const RUN_DURATION: Micros = 600 * SECOND;
-/// Time from the finding of a runaway until it is killed, under conditions that say so.
+/// Time from the detection of a runaway until it is killed, under conditions that kill runaways.
 const KILL_AFTER: Duration = Duration::from_secs(5);
-/// Noise of the reported progress.
+/// Maximum relative error of the reported progress.
 const PROGRESS_NOISE: f64 = 0.15;
-/// Number of groups of tables.
+/// Number of table groups.
 const TABLE_GROUPS: u64 = 24;
-/// Work in µs that each row takes to read.
+/// Work in µs to read a row.
 const WORK_PER_ROW: f64 = 10.0;
-/// The size that the client of an announced statement gives.
+/// The size that the client of an announced statement states, such as a number of inserted rows.
 const ANNOUNCED_SIZE: u64 = 12;
-/// Fingerprints of a class start at this multiple of its index.
+/// Distance between the first fingerprints of consecutive classes.
 const FINGERPRINTS_PER_CLASS: u64 = 100;
 
-/// The classes, by their indices in the settings.
+/// Indices of the classes in the settings.
 pub(super) const LOOKUP: usize = 0;
 const REPORT: usize = 1;
 const LOAD: usize = 2;
@@ -43,7 +43,7 @@
 struct ClassTraffic {
     /// Statements per second.
     rate: f64,
-    /// Number of fingerprints, from the lightest to the heaviest.
+    /// Number of fingerprints, which differ in their mean work.
     fingerprints: u64,
     /// Mean work of the lightest fingerprint in ms.
     min_work_ms: f64,
@@ -54,14 +54,14 @@
 }
 
 impl ClassTraffic {
-    /// Mean work of a fingerprint in µs, the same in all runs.
+    /// Returns the mean work of a fingerprint in µs, which is the same in all runs.
     fn mean_work(&self, fingerprint: u64) -> f64 {
         let (min, max) = (self.min_work_ms, self.max_work_ms);
         1000.0 * (min + (max - min) * fingerprint as f64 / (self.fingerprints - 1) as f64)
     }
 }
 
-/// The traffic by class.
+/// The usual statements of each class, by the index of the class.
 const TRAFFIC: [ClassTraffic; 3] = [
     ClassTraffic {
         rate: 70.0,
@@ -96,7 +96,7 @@
     class: usize,
 }
 
-/// What is planted in each run.
+/// The statements that are planted in each run.
 const PLANTINGS: [Planting; 10] = [
     planting(PlantedCase::Heavy, REPORT),
     planting(PlantedCase::Heavy, REPORT),
@@ -118,7 +118,7 @@
 ///
 /// # Panics
 ///
-/// If the settings have fewer than three classes.
+/// Panics if the settings have fewer than three classes.
 pub fn draw_plan(settings: &Settings, condition: Condition, seed: u64, engines: usize) -> Plan {
     let settings = conditioned_settings(settings, condition);
     let mut draw = StatementDraw {
@@ -158,14 +158,14 @@
     settings
 }
 
-/// Draws statements. The order of the draws is part of what a seed means.
+/// Draws statements. A change in the order of the draws changes the statements of every seed.
 struct StatementDraw<'s> {
     rng: StdRng,
     settings: &'s Settings,
 }
 
 impl StatementDraw<'_> {
-    /// The usual statements of all classes, as Poisson arrivals.
+    /// Draws the usual statements of all classes, as Poisson arrivals.
     fn usual_statements(&mut self) -> Vec<PlannedStatement> {
         let mut statements = Vec::new();
         for (class, traffic) in TRAFFIC.iter().enumerate() {
@@ -184,12 +184,12 @@
         statements
     }
 
-    /// The time in s to the next arrival, at a rate per s.
+    /// Draws the time in s to the next arrival, at a rate per s.
     fn draw_interval(&mut self, rate: f64) -> f64 {
         -(1.0 - self.rng.random_range(0.0..1.0f64)).ln() / rate
     }
 
-    /// Plants one statement in each part of the time, in any order.
+    /// Divides the planting time into equal parts, and plants one statement in each, in random order.
     fn plant(&mut self, statements: &mut Vec<PlannedStatement>) {
         let part = (PLANT_UNTIL - PLANT_FROM) / PLANTINGS.len() as u64;
         let mut parts: Vec<u64> = (0..PLANTINGS.len() as u64).collect();
@@ -219,7 +219,7 @@
         statement
     }
 
-    /// The work of a planted statement, as a multiple of the mean of its fingerprint.
+    /// Draws the work of a planted statement, as a multiple of the mean work of its fingerprint.
     fn draw_work_factor(&mut self, planting: Planting) -> f64 {
         match planting.case {
             PlantedCase::Heavy if planting.class == LOOKUP => self.rng.random_range(150.0..400.0),
