--- a/crates/benchmarks/src/bare_server.rs
+++ b/crates/benchmarks/src/bare_server.rs
@@ -1,4 +1,4 @@
-//! A bare hyper server on one thread, the baseline of polls.
+//! A bare hyper server on one thread, the baseline of the poll benchmark.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     bytes: usize,
 }
 
-/// Responds to every request with so many bytes, until the process is killed.
+/// Responds to each request with a body of the given size, until the process is killed.
 pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     println!("ready http://{}", listener.get_ref().local_addr()?);
--- a/crates/benchmarks/src/closed_loop.rs
+++ b/crates/benchmarks/src/closed_loop.rs
@@ -1,4 +1,4 @@
-//! A closed loop of requests: each connection sends its next request once it has the response to the one before.
+//! A closed-loop load generator: each connection sends its next request when it has the response to the previous one.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 
 use crate::error::BenchmarkError;
 
-/// Limit of the time to connect, and of the time of an exchange.
+/// Timeout of a connect, and of an exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Significant digits of the times.
+/// Significant digits of the recorded times.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// What a load sends, and where.
+/// The target and size of a load.
 #[derive(Clone, Copy)]
 pub(crate) struct ClosedLoop {
     pub(crate) address: SocketAddr,
@@ -28,11 +28,11 @@
     pub(crate) duration: Duration,
 }
 
-/// What a load has measured.
+/// The measurements of a load.
 pub(crate) struct LoadResult {
-    /// Exchanges that succeeded.
+    /// Number of exchanges that succeeded.
     pub(crate) responses: u64,
-    /// Connections that ended with an error.
+    /// Number of connections that ended with an error.
     pub(crate) failed: u64,
     /// Times of the exchanges, in microseconds.
     pub(crate) times: Histogram<u64>,
@@ -56,7 +56,7 @@
 }
 
 impl ClosedLoop {
-    /// Runs the load: `first` gives the first request of each connection, and `next` the one that follows a response.
+    /// Runs the load. `first` returns the first request of a connection, and `next` the request that follows a response.
     pub(crate) fn run(
         self,
         first: impl Fn(usize) -> Request + Clone + Send + 'static,
@@ -76,7 +76,7 @@
         Ok(total)
     }
 
-    /// Runs those connections that belong to a thread.
+    /// Runs the connections of one thread.
     fn run_thread(
         self,
         thread: usize,
@@ -130,7 +130,7 @@
             Ok(response) if response.status.0 == 200 => {
                 result.responses += 1;
                 let micros = start.elapsed().as_micros() as u64;
-                // The histogram resizes itself: each value fits.
+                // The histogram resizes automatically, so recording never fails.
                 let _ = result.times.record(micros);
                 request = next(&request, &response);
             }
--- a/crates/benchmarks/src/error.rs
+++ b/crates/benchmarks/src/error.rs
@@ -5,7 +5,7 @@
 use hoptiller_coordination::ValidationError;
 use hoptiller_http::client::ClientError;
 
-/// Why a benchmark has no result.
+/// Errors that prevent a benchmark from producing a result.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BenchmarkError {
     #[error(transparent)]
@@ -22,13 +22,13 @@
     Settings(String),
     #[error("{command} did not start")]
     ProcessNotStarted { command: String },
-    #[error("no VmRSS")]
+    #[error("/proc/PID/status has no VmRSS")]
     NoMemoryUsage,
     #[error("a client thread panicked")]
     ClientPanicked,
-    #[error("no nextUri")]
+    #[error("response has no nextUri")]
     NoNextUri,
-    #[error("the router does not see its engines")]
+    #[error("the router did not discover its engines in time")]
     EnginesNotDiscovered,
     #[error("some exchanges failed")]
     ExchangesFailed,
@@ -42,18 +42,18 @@
     },
     #[error(transparent)]
     Fleet(#[from] hoptiller_fault_harness::FleetError),
-    #[error("not all routers heeded the first version")]
+    #[error("not all routers enforced the first version in time")]
     FirstVersionNotEnforced,
-    #[error("a change was not taken")]
+    #[error("a proposal was not accepted")]
     ProposalNotAccepted,
-    #[error("a change did not come in force")]
+    #[error("a version did not come into force in time")]
     VersionNotInForce,
-    #[error("the versions were never decided")]
+    #[error("the versions were not decided in time")]
     VersionsNotDecided,
-    #[error("versions are lost")]
+    #[error("a restarted replica lost versions")]
     VersionsLost,
-    #[error("not all routers know all engines")]
+    #[error("not all routers discovered all engines in time")]
     EnginesNotKnown,
-    #[error("not all routers came to know of the drain")]
+    #[error("not all routers learned of the drain in time")]
     DrainNotKnown,
 }
--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -1,6 +1,6 @@
-//! Requests to discovery and engines of fleets of several sizes: where each router polls for itself, and where holders of
-//! task leases poll for all. Routers are the discovery clients of real ones with their leases, many in this process;
-//! replicas are processes.
+//! The load that fleets of several sizes put on discovery and engines, with each router polling for itself and with the
+//! holders of task leases polling for all. The routers are reduced to the discovery client and leases of a router, and run
+//! in this process; the replicas are processes of their own.
 
 mod routers;
 
@@ -26,7 +26,7 @@
 /// Term of config leases.
 const LEASE_TERM: Duration = Duration::from_secs(4);
 
-/// Far longer than anything here takes.
+/// Timeout of each wait; far above the usual duration.
 const TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Arguments of `tasks`.
@@ -37,12 +37,12 @@
     /// Number of engines
     #[arg(long, default_value_t = 8)]
     engines: usize,
-    /// Seconds for which requests are counted
+    /// Duration of the count of requests, in seconds
     #[arg(long, default_value_t = 8)]
     seconds: u64,
 }
 
-/// Discovery and engines, with the number of requests that they have received.
+/// Discovery and engines that count the requests that they receive.
 struct CountedServers {
     engines: Vec<ServerThread>,
     discovery: ServerThread,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Counts the requests to discovery and to the engines, per second.
+    /// Measures the rates of requests to discovery and to the engines, per second.
     fn request_rates(&self, duration: Duration) -> (f64, f64) {
         let counts = || {
             (
@@ -119,7 +119,7 @@
     if !fleet.wait_until(TIMEOUT, |_| observations.complete_lists() == size) {
         return Err(BenchmarkError::EnginesNotKnown);
     }
-    // A router is granted task leases after a term in which it has asked for them; then they are balanced.
+    // Replicas grant task leases to a router after a term of its renewals, and balance them afterwards.
     thread::sleep(LEASE_TERM * 3);
     let (list_reads, engine_polls) = servers.request_rates(Duration::from_secs(args.seconds));
     let start = Instant::now();
@@ -151,7 +151,7 @@
     })
 }
 
-/// Has an engine drain.
+/// Starts the drain of an engine.
 fn drain(engine: SocketAddr) -> Result<(), BenchmarkError> {
     let mut request = Request::new(Method::Put, "/v1/info/state");
     request.body = b"\"SHUTTING_DOWN\"".to_vec();
--- a/crates/benchmarks/src/fleet_tasks/routers.rs
+++ b/crates/benchmarks/src/fleet_tasks/routers.rs
@@ -1,4 +1,4 @@
-//! Routers reduced to discovery and leases, and what they observe of the endpoint list.
+//! Routers that are reduced to discovery and leases, and their observations of the endpoint list.
 
 use std::cell::Cell;
 use std::io;
@@ -17,10 +17,10 @@
 use hoptiller_statement_router::fleet_member::FleetMember;
 use serde_json::json;
 
-/// The routers' time at their start: long enough that the ages of engines reach back before it.
+/// The routers' clock at their start. It is above zero so that engines can have started before.
 const START_TIME: Duration = Duration::from_secs(3600);
 
-/// What all routers have observed.
+/// The observations of all routers.
 #[derive(Default)]
 pub(super) struct Observations(Mutex<Observed>);
 
@@ -31,12 +31,12 @@
 }
 
 impl Observations {
-    /// How many routers have had all engines on their list.
+    /// Returns the number of routers that have had all engines on their list.
     pub(super) fn complete_lists(&self) -> usize {
         self.lock().complete_lists
     }
 
-    /// When each router first had a draining engine on its list.
+    /// Returns the time at which each router first had a draining engine on its list.
     pub(super) fn drains(&self) -> Vec<Instant> {
         self.lock().drains.clone()
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// What one router reports to the observations, once each.
+/// The listener of one router, which records each kind of observation once.
 struct ListObserver {
     start: Instant,
     engines: usize,
@@ -76,12 +76,12 @@
     fn address_changed(&self, _: EngineId, _: &str, _: SocketAddr) {}
 }
 
-/// What routers are started with.
+/// The configuration of the routers.
 pub(super) struct RouterConfig {
     pub(super) replicas: Vec<SocketAddr>,
     pub(super) secret_file: PathBuf,
     pub(super) discovery: SocketAddr,
-    /// Number of engines of a complete list.
+    /// Number of engines on a complete list.
     pub(super) engines: usize,
 }
 
@@ -112,7 +112,7 @@
         for index in 0..size {
             start_router(&format!("r{index}"), &config, &observations, &spawner)?;
         }
-        // There is no server on this thread: the address is not used.
+        // There is no server on this thread, so the address is not used.
         Ok(([127, 0, 0, 1], 0).into())
     })
 }
@@ -127,7 +127,7 @@
     let coordination = settings
         .coordination
         .clone()
-        .ok_or_else(|| io::Error::other("no agreement"))?;
+        .ok_or_else(|| io::Error::other("the settings have no agreement"))?;
     let secret = Secret::load(&coordination.secret_file)?;
     let member = FleetMember::new(coordination, secret, name, "1", None, Clock::new());
     spawner.spawn(member.clone().run(|| ()));
--- a/crates/benchmarks/src/latency.rs
+++ b/crates/benchmarks/src/latency.rs
@@ -1,5 +1,5 @@
-//! The latency that the router adds: the same statements, sent to a mock engine directly and through the router, in
-//! turn, at half of the engine's load.
+//! The latency that the router adds to statements. Runs in pairs send the same statements to a mock engine directly and
+//! through the router, at half of the engine's capacity.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 /// Arguments of `latency`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Seconds of each run
+    /// Duration of each run, in seconds
     #[arg(long, default_value_t = 5)]
     seconds: u64,
-    /// Pairs of runs
+    /// Number of pairs of runs
     #[arg(long, default_value_t = 5)]
     pairs: usize,
-    /// Statements in flight; four are half of the load of an engine with eight cores
+    /// Number of statements in flight; four use half of an engine with eight cores
     #[arg(long = "under-way", default_value_t = 4)]
     in_flight: usize,
     #[command(flatten)]
@@ -36,7 +36,8 @@
 
 impl PollTimes {
     fn new(result: &LoadResult) -> PollTimes {
-        // A statement is two exchanges: the submission, and a poll, which is the slower one.
+        // A statement is two exchanges, the submission and a slower poll. The quantiles of polls are therefore those of
+        // the upper half of all exchanges.
         PollTimes {
             p50: result.times.value_at_quantile(0.75),
             p99: result.times.value_at_quantile(0.995),
@@ -47,7 +48,7 @@
 pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     let site = TestSite::start(&args.site, 1, |_| {}, |_| {})?;
     println!(
-        "exchanges in µs; {} statements of 20 ms under way on eight cores",
+        "exchanges in µs; {} statements of 20 ms in flight on eight cores",
         args.in_flight
     );
     println!(
@@ -101,7 +102,7 @@
     submission("lookup", "SELECT 1 /* work=20ms rows=5 */")
 }
 
-/// The poll of a response's `nextUri`, or a new statement.
+/// Returns the poll of a response's `nextUri`, or a new statement after a final response.
 fn following_request(_: &Request, response: &Response) -> Request {
     match next_path(response) {
         Some(path) => Request::new(Method::Get, path),
--- a/crates/benchmarks/src/lib.rs
+++ b/crates/benchmarks/src/lib.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of the router, each beside a peer or a baseline in the same run. Loads end by themselves and use loopback
-//! only.
+//! Benchmarks of the router, each compared with a peer or a baseline in the same run. All loads are bounded in time and use
+//! only loopback.
 
 mod bare_server;
 mod closed_loop;
@@ -22,10 +22,10 @@
 use clap::{Parser, Subcommand};
 use error::BenchmarkError;
 
-/// The exit code of a benchmark that failed.
+/// Exit code of a benchmark that failed.
 const EXIT_FAILED: u8 = 3;
 
-/// Benchmarks of the router. Run them in release, on a machine that is otherwise idle; read ratios, not single figures.
+/// Benchmarks of the router. Run them in release mode on an otherwise idle machine, and compare ratios, not single figures.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -35,21 +35,22 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Polls per second of a router on one thread, beside a bare hyper server that sends the same bytes
+    /// Polls per second of a router on one thread, compared with a bare hyper server that sends the same bytes
     Polls(polls::Args),
     /// The bare hyper server
     #[command(hide = true)]
     Bare(bare_server::Args),
     /// Latency that the router adds to requests sent to a mock engine directly
     Latency(latency::Args),
-    /// Many clients that poll one router: its memory, p99 of a poll, time of a round of decisions
+    /// Many clients that poll one router: memory of the router, p99 of a poll, duration of a round of decisions
     Crowd(waiting_clients::Args),
-    /// Replicas of the coordination server (keepers) with many routers: processor time, bytes on links, time of a
+    /// Replicas of the coordination server (keepers) with many routers: processor time, bytes on links, duration of a
     /// rollout; start of a replica with many versions
     Keepers(replicas::Args),
-    /// Requests to discovery and engines of fleets of several sizes, with fleet-wide tasks and without
+    /// Request rates at discovery and engines for fleets of several sizes, with and without fleet-wide tasks
     Tasks(fleet_tasks::Args),
-    /// The runaway detector: cost of a fingerprint, of a detection and of its state; time to find runaways over sockets
+    /// The runaway detector: cost of a fingerprint, of a detection run and of the saved state; time to find runaways over
+    /// sockets
     Runaways(runaways::Args),
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// The name under which the program was called.
+/// Returns the file name under which the program was started.
 fn program_name() -> String {
     let path = std::env::args_os().next().unwrap_or_default();
     let name = Path::new(&path).file_name().unwrap_or(&path);
--- a/crates/benchmarks/src/polls.rs
+++ b/crates/benchmarks/src/polls.rs
@@ -1,5 +1,5 @@
-//! Polls per second of a router's one thread, in turn with a bare hyper server on one thread that sends the same bytes
-//! to the same load.
+//! Polls per second of a router, which has one thread, compared with a bare hyper server on one thread that sends the same
+//! bytes to the same load. Runs of the two alternate.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -15,33 +15,33 @@
 use crate::statistics::median;
 use crate::test_site::{SiteArgs, TestSite, extend_deadlines};
 
-/// Speed of engines on which statements never end during the benchmark.
+/// Speed of engines, so low that no statement ends during the benchmark.
 const ENGINE_SPEED: f64 = 1e-6;
 
 /// Arguments of `polls`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Seconds of each run
+    /// Duration of each run, in seconds
     #[arg(long, default_value_t = 3)]
     seconds: u64,
-    /// Pairs of runs
+    /// Number of pairs of runs
     #[arg(long, default_value_t = 5)]
     pairs: usize,
-    /// Connections
+    /// Number of connections
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Threads of the load
+    /// Number of threads of the load
     #[arg(long, default_value_t = 2)]
     threads: usize,
     #[command(flatten)]
     site: SiteArgs,
 }
 
-/// Polls per second of a router as a part of those of the bare server.
+/// Polls per second of a router, as fractions of those of the bare server.
 struct Ratios {
-    /// Polls that repeat the same token.
+    /// Ratio of polls that repeat the same token.
     repeated: f64,
-    /// Polls that follow each response to the next token.
+    /// Ratio of polls that follow each response to the next token.
     following: f64,
 }
 
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Changes settings so that each poll gets its response at once: there is nothing new, and a next token.
+/// Changes settings so that each poll gets its response at once, with no rows and a next token.
 fn respond_at_once(settings: &mut Value) {
     settings["limits"] = json!({ "long_poll": "0s", "abandon_after": "1h", "statements": 10_000 });
     extend_deadlines(settings);
@@ -105,7 +105,7 @@
         connections: args.connections,
         duration: Duration::from_secs(args.seconds),
     };
-    // New statements for each pair: the load keeps the last tokens of those before.
+    // Each pair needs new statements: the tokens of earlier ones have been used.
     let paths = (0..args.connections)
         .map(|_| submit(router))
         .collect::<Result<Vec<String>, BenchmarkError>>()?;
@@ -138,7 +138,7 @@
     Ok(ratios)
 }
 
-/// Submits a statement that outlasts the benchmark: the path of its first poll.
+/// Submits a statement that outlasts the benchmark, and returns the path of its first poll.
 fn submit(router: SocketAddr) -> Result<String, BenchmarkError> {
     let request = submission("lookup", "SELECT 1 /* work=1h */");
     let response = exchange_once(router, &request)?;
--- a/crates/benchmarks/src/process.rs
+++ b/crates/benchmarks/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that are measured, and what they use.
+//! Measured processes, and their use of memory and processor time.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 /// Clock ticks per second in `/proc/PID/stat`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// Fields of `/proc/PID/stat` behind the process's name: time in user mode and in the kernel.
+/// Indices of the fields in `/proc/PID/stat` after the process's name: time in user mode and in the kernel.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// A server process; killed when dropped.
+/// A server process, which is killed when dropped.
 pub(crate) struct ServerProcess {
     address: SocketAddr,
     child: Child,
 }
 
 impl ServerProcess {
-    /// Starts a process that prints `ready http://ADDR` once it listens.
+    /// Starts a process, and waits until it prints `ready http://ADDR`.
     pub(crate) fn start(command: &mut Command) -> Result<ServerProcess, BenchmarkError> {
         let mut child = command
             .stdin(Stdio::null())
@@ -47,7 +47,7 @@
         self.address
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory, in bytes.
     pub(crate) fn resident_bytes(&self) -> Result<u64, BenchmarkError> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let value = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -66,7 +66,7 @@
     }
 }
 
-/// Processor time that a process has used, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 pub(crate) fn cpu_seconds(process_id: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat"))?;
     let after_name = stat.rsplit(") ").next().unwrap_or_default();
--- a/crates/benchmarks/src/replicas.rs
+++ b/crates/benchmarks/src/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas of the coordination server: what they use with many routers while nothing changes, how long a rollout takes,
-//! and how long a replica takes to start on a disk with many versions.
+//! Benchmarks of the replicas of the coordination server: resource usage with many routers while nothing changes, duration
+//! of a rollout, and time to start a replica on a disk with many versions.
 
 mod polling_router;
 mod restart;
@@ -22,13 +22,13 @@
 pub(crate) struct Args {
     #[command(flatten)]
     fleet: FleetArgs,
-    /// Seconds without changes for each size
+    /// Duration of the measurement without changes for each size, in seconds
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Versions proposed for each size
+    /// Number of versions proposed for each size
     #[arg(long, default_value_t = 20)]
     changes: u32,
-    /// Numbers of versions on the disks on which a replica starts
+    /// Numbers of versions on the disk from which a replica starts
     #[arg(long, value_delimiter = ',', default_value = "10,1000,100000")]
     versions: Vec<u64>,
 }
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// A document that differs from others in its weight or its number of attempts.
+/// Returns a document with the given weight of its class and maximum number of attempts.
 fn document(weight: f64, max_attempts: u32) -> Result<Document, ValidationError> {
     test_fleet::document(|value| {
         value["engines"]["max_attempts"] = json!(max_attempts);
--- a/crates/benchmarks/src/replicas/polling_router.rs
+++ b/crates/benchmarks/src/replicas/polling_router.rs
@@ -1,4 +1,4 @@
-//! The baseline of a rollout: a router that learns of versions only by renewals of its config lease.
+//! The baseline of the rollout benchmark: a router that learns of versions only from renewals of its config lease.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use hoptiller_coordination_client::{Clock, CoordinationClient, Secret, wire};
 use hoptiller_statement_router::settings::CoordinationSettings;
 
-/// Limit of the time that each replica may take for a renewal.
+/// Timeout of a renewal at each replica.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Renews a lease at the interval of the settings, which is short: nothing else tells the router of a version.
+/// Renews a lease at the interval of the settings. The interval has to be short, as the router learns of versions in no
+/// other way.
 pub(super) async fn renew_forever(
     settings: CoordinationSettings,
     secret: Secret,
--- a/crates/benchmarks/src/replicas/restart.rs
+++ b/crates/benchmarks/src/replicas/restart.rs
@@ -1,4 +1,4 @@
-//! How long a replica takes to start on a disk with many versions.
+//! The time that a replica takes to start on a disk with many versions.
 
 use std::error::Error;
 use std::io;
@@ -15,22 +15,22 @@
 use crate::error::BenchmarkError;
 use crate::test_fleet::{DRIFT_MILLIONTHS, REPLICAS, temporary_dir};
 
-/// Limit of a replica's storage.
+/// Maximum size of a replica's storage.
 const MAX_STORAGE_BYTES: u64 = 1 << 30;
 
-/// File of a replica's storage in its folder.
+/// Name of the storage file in a replica's folder.
 const STORAGE_FILE: &str = "keeper.redb";
 
-/// Proposals that one entry of the log holds.
+/// Number of proposals that one entry of the log holds.
 const PROPOSALS_PER_ENTRY: u64 = 512;
 
-/// Time between two steps of the replicas, in microseconds of their clock.
+/// Time between two steps, by the replicas' clock.
 const STEP_MICROS: u64 = 10_000;
 
-/// Time in which all versions must be decided, in microseconds of the replicas' clock.
+/// Time in which all versions must be decided, by the replicas' clock.
 const DECISION_TIMEOUT_MICROS: u64 = 3_600_000_000;
 
-/// Replicas on one thread, each on a disk of its own.
+/// Replicas on one thread, each with its own disk.
 struct Replicas {
     dir: PathBuf,
     membership: Membership,
@@ -69,7 +69,7 @@
         Ok(Replica::new(number, incarnation, timing, log, self.now))
     }
 
-    /// Proposes versions until each replica has applied that many.
+    /// Proposes versions until each replica has applied the given number.
     fn decide(&mut self, versions: u64) -> Result<(), BenchmarkError> {
         let mut proposed = 0;
         while self
@@ -81,7 +81,7 @@
             if self.now > DECISION_TIMEOUT_MICROS {
                 return Err(BenchmarkError::VersionsNotDecided);
             }
-            // As many as an entry holds, and one entry in flight.
+            // Propose as many versions as an entry holds, and keep one entry in flight.
             if self.running[0].config_state().latest() == proposed {
                 let end = versions.min(proposed + PROPOSALS_PER_ENTRY);
                 for number in proposed + 1..=end {
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -1,4 +1,5 @@
-//! What replicas use with many routers while nothing changes, and how long a version takes until all routers enforce it.
+//! The resource usage of replicas with many routers while nothing changes, and the time until all routers enforce a new
+//! version.
 
 use std::fmt;
 use std::io;
@@ -20,21 +21,21 @@
 use crate::statistics::median;
 use crate::test_fleet::{DRIFT_MILLIONTHS, REPLICAS, start_fleet, temporary_dir};
 
-/// Far longer than anything here takes.
+/// Timeout of each wait; far above the usual duration.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Interval at which polling routers renew their leases.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after the start that is not measured.
+/// Time after the start that the measurement excludes.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// How routers learn of a version.
+/// The way in which routers learn of a version.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RouterMode {
-    /// By frequent renewals of their leases.
+    /// Routers renew their leases frequently.
     Polling,
-    /// By a call that waits until there is one.
+    /// Routers have a call open that returns when there is a new version.
     Watching,
 }
 
@@ -56,13 +57,13 @@
     }
 }
 
-/// What the replicas have used since they started.
+/// Resources that the replicas have used since they started.
 struct Usage {
     /// Processor time of all replicas, in seconds.
     cpu_seconds: f64,
     /// Bytes on the links between routers and replicas.
     link_bytes: u64,
-    /// Entries of the log.
+    /// Number of entries of the log.
     log_entries: u64,
     sampled_at: Instant,
 }
@@ -90,9 +91,9 @@
     }
 }
 
-/// What the replicas use per second.
+/// Resources that the replicas use per second.
 struct UsageRates {
-    /// Part of a core that one replica uses, in percent.
+    /// Percentage of a core that one replica uses.
     core_percent: f64,
     link_kilobytes: f64,
     log_entries: f64,
@@ -143,7 +144,7 @@
     Ok(())
 }
 
-/// Runs routers' leases on a thread of this process.
+/// Starts the leases of routers on a thread of this process.
 fn start_routers(
     size: usize,
     mode: RouterMode,
@@ -172,12 +173,12 @@
                 }
             }
         }
-        // There is no server on this thread: the address is not used.
+        // There is no server on this thread, so the address is not used.
         Ok(([127, 0, 0, 1], 0).into())
     })
 }
 
-/// Proposes a version: the time until it is in force.
+/// Proposes a version, and returns the time until it is in force.
 fn roll_out(fleet: &mut TestFleet, size: usize, change: u32) -> Result<Duration, BenchmarkError> {
     let next = document(1.0, 1 + change % 2)?;
     let start = Instant::now();
--- a/crates/benchmarks/src/requests.rs
+++ b/crates/benchmarks/src/requests.rs
@@ -8,10 +8,10 @@
 use hoptiller_http::{Limits, Method, Request, Response};
 use serde_json::Value;
 
-/// Limit of the time to connect, and of the time of an exchange.
+/// Timeout of a connect, and of an exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One exchange on a connection of its own.
+/// Sends a request on a new connection, and returns the response.
 pub(crate) fn exchange_once(
     address: SocketAddr,
     request: &Request,
@@ -24,7 +24,7 @@
     })
 }
 
-/// The submission of a statement.
+/// Returns the request that submits a statement.
 pub(crate) fn submission(class: &str, text: &str) -> Request {
     let mut request = Request::new(Method::Post, "/v1/statement")
         .with_header("X-Trino-User", "measure")
@@ -33,7 +33,7 @@
     request
 }
 
-/// The path of a response's `nextUri`.
+/// Returns the path of a response's `nextUri`; `None` if it has none.
 pub(crate) fn next_path(response: &Response) -> Option<String> {
     let value: Value = serde_json::from_slice(&response.body).ok()?;
     let uri = value["nextUri"].as_str()?;
--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -1,4 +1,4 @@
-//! The runaway detector: what it costs, and how soon it finds runaways over sockets.
+//! Benchmarks of the runaway detector: its cost, and the time in which it finds runaways over sockets.
 
 mod detector;
 mod end_to_end;
@@ -13,7 +13,7 @@
 pub(crate) struct Args {
     #[command(flatten)]
     site: SiteArgs,
-    /// Runaways that are run over sockets, one after the other
+    /// Number of runaways that are run over sockets, one after the other
     #[arg(long, default_value_t = 6)]
     planted: u32,
 }
@@ -21,7 +21,7 @@
 pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     detector::measure_fingerprints();
     let settings = Settings::load(args.site.settings_file())
-        .map_err(|_| BenchmarkError::Settings("the settings are wrong".into()))?;
+        .map_err(|_| BenchmarkError::Settings("the settings are invalid".into()))?;
     for attempts in detector::ATTEMPT_COUNTS {
         detector::measure_detection(&settings, attempts);
     }
--- a/crates/benchmarks/src/runaways/detector.rs
+++ b/crates/benchmarks/src/runaways/detector.rs
@@ -1,4 +1,4 @@
-//! The cost of a fingerprint, of one run of the detection, and of the saved statistics.
+//! The cost of a fingerprint, of a detection run, and of saving the statistics.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -14,32 +14,32 @@
 /// Numbers of attempts in flight at which the detection is measured.
 pub(super) const ATTEMPT_COUNTS: [u64; 3] = [100, 1_000, 10_000];
 
-/// Repeated values in the statements whose fingerprints are measured.
+/// Numbers of repeated values in the statements whose fingerprints are measured.
 const REPEAT_COUNTS: [usize; 3] = [1, 100, 10_000];
 
-/// Time for which each fingerprint is measured.
+/// Duration of the measurement of each fingerprint.
 const FINGERPRINT_TIME: Duration = Duration::from_millis(300);
 
 const ENGINES: u64 = 70;
 
 const FINGERPRINTS: u64 = 4000;
 
-/// Attempts that have ended before the measurement, so that each fingerprint has statistics.
+/// Number of attempts that end before the measurement, so that each fingerprint has statistics.
 const PAST_ATTEMPTS: u64 = 80_000;
 
-/// Id of the first attempt that is in flight in the measurement.
+/// Id of the first attempt that is in flight during the measurement.
 const FIRST_IN_FLIGHT_ID: u64 = 1_000_000;
 
-/// How often the detection is measured.
+/// Number of measured detection runs.
 const DETECTION_RUNS: u32 = 12;
 
-/// Interval of the detection, in microseconds.
+/// Interval between detection runs, in microseconds.
 const DETECTION_INTERVAL: Micros = 500_000;
 
-/// Work of the attempts that have ended, in microseconds.
+/// Work of each attempt that ends before the measurement, in microseconds.
 const PAST_WORK: Micros = 200_000;
 
-/// Prints how the cost of a fingerprint grows with the text of its statement.
+/// Prints the cost of a fingerprint for statements of several sizes.
 pub(super) fn measure_fingerprints() {
     for repeats in REPEAT_COUNTS {
         let list = "(4711, 'some value', now()), ".repeat(repeats);
@@ -53,14 +53,14 @@
         let seconds = start.elapsed().as_secs_f64() / f64::from(count);
         let megabytes_per_second = text.len() as f64 / seconds / 1e6;
         println!(
-            "kind of a statement of {:>7} bytes: {:>9.1} us, {megabytes_per_second:.0} MB/s",
+            "fingerprint of a statement of {:>7} bytes: {:>9.1} us, {megabytes_per_second:.0} MB/s",
             text.len(),
             seconds * 1e6
         );
     }
 }
 
-/// Prints the cost of a run of the detection with so many attempts in flight, and of the saved statistics.
+/// Prints the cost of a detection run with the given number of attempts in flight, and of saving the statistics.
 pub(super) fn measure_detection(settings: &Settings, attempts: u64) {
     let mut load = DetectorLoad::new(settings);
     load.run_past_attempts();
@@ -74,7 +74,8 @@
     let start = Instant::now();
     let saved = load.detector.save();
     println!(
-        "look at {attempts:>6} attempts, {} kinds: {milliseconds:>8.2} ms, {:.2}% of a thread; state {:.1} MB, made in {:.0} ms",
+        "detection with {attempts:>6} attempts, {} fingerprints: {milliseconds:>8.2} ms, {:.2}% of a thread; \
+         state {:.1} MB, saved in {:.0} ms",
         load.detector.tracked_counts().fingerprints,
         milliseconds / 5.0,
         saved.len() as f64 / 1e6,
@@ -82,7 +83,7 @@
     );
 }
 
-/// A detector with the time that it is given.
+/// A detector with its load, and the time that it is passed.
 struct DetectorLoad {
     detector: RunawayDetector,
     now: Micros,
@@ -141,7 +142,7 @@
         attempt
     }
 
-    /// Reports the progress of all attempts, and runs the detection: the time that it took.
+    /// Reports the progress of all attempts, runs the detection, and returns the duration of the latter.
     fn run_detection(&mut self, attempts: &[AttemptId]) -> Duration {
         self.now += DETECTION_INTERVAL;
         for attempt in attempts {
--- a/crates/benchmarks/src/runaways/end_to_end.rs
+++ b/crates/benchmarks/src/runaways/end_to_end.rs
@@ -1,4 +1,4 @@
-//! How soon runaways among statements of their fingerprint are found, over sockets.
+//! The time in which a router finds runaways among other statements of their fingerprint, over sockets.
 
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
@@ -16,11 +16,11 @@
 
 const ENGINES: usize = 4;
 
-/// Clients that give the fingerprint its statistics, and statements of each.
+/// Number of clients that warm up the statistics of the fingerprint, and of statements of each.
 const WARM_UP_CLIENTS: usize = 8;
 const WARM_UP_STATEMENTS: usize = 8;
 
-/// Statements of usual size beside each runaway.
+/// Number of statements of usual size that run in sequence beside each runaway.
 const USUAL_STATEMENTS: usize = 24;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -37,7 +37,7 @@
     timeout: Duration::from_secs(20),
 };
 
-/// Ten times the median, and no runaway.
+/// Ten times the usual work, which is no runaway.
 const LARGE: Report = Report {
     work: "4s",
     timeout: Duration::from_secs(20),
@@ -72,16 +72,16 @@
     }
 }
 
-/// A runaway that was found.
+/// The detection of a runaway.
 struct Detection {
     seconds: f64,
-    /// Open findings at that time.
+    /// Number of open findings at that time.
     findings: usize,
     cause: String,
 }
 
 pub(super) fn run(site: &SiteArgs, planted: u32) -> Result<(), BenchmarkError> {
-    // A free port: the listener is dropped at once.
+    // Dropping the listener at once frees the port for the router.
     let admin = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let change_settings =
         |settings: &mut Value| settings["router"]["admin"] = json!(admin.to_string());
@@ -104,14 +104,14 @@
     );
     for detection in &detections {
         println!(
-            "  after {:.1} s, {}; verdicts standing then: {}",
+            "  after {:.1} s, {}; open findings: {}",
             detection.seconds, detection.cause, detection.findings
         );
     }
     Ok(())
 }
 
-/// Runs a runaway beside a large report and usual ones, until it is found or ends.
+/// Runs a runaway beside a large report and usual ones, until the runaway is found or ends.
 fn run_runaway(router: SocketAddr, admin: SocketAddr) -> Option<Detection> {
     thread::scope(|scope| {
         scope.spawn(|| USUAL.run_times(router, USUAL_STATEMENTS));
--- a/crates/benchmarks/src/statistics.rs
+++ b/crates/benchmarks/src/statistics.rs
@@ -1,6 +1,6 @@
-//! Statistics of few samples.
+//! Statistics of small samples.
 
-/// The upper median; none without samples.
+/// Returns the upper median; `None` if there are no samples.
 pub(crate) fn median<T: Copy>(
     samples: impl IntoIterator<Item = T>,
     compare: impl Fn(&T, &T) -> std::cmp::Ordering,
--- a/crates/benchmarks/src/test_fleet.rs
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet's replicas as processes, with a first version, for benchmarks whose routers run in this process.
+//! A fleet for benchmarks whose routers run in this process: its replicas are processes, with a first version in force.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -9,16 +9,16 @@
 
 use crate::error::BenchmarkError;
 
-/// Replicas of the coordination server.
+/// Number of replicas of the coordination server.
 pub(crate) const REPLICAS: usize = 3;
 
-/// Bound of the drift of clocks, in millionths.
+/// Maximum drift of clocks, in millionths.
 pub(crate) const DRIFT_MILLIONTHS: u64 = 1000;
 
-/// The command-line arguments that say which fleets are measured.
+/// The command-line arguments that select the measured fleets.
 #[derive(clap::Args)]
 pub(crate) struct FleetArgs {
-    /// The program whose replicas take part
+    /// The program that runs the replicas
     #[arg(long, default_value = "target/release/hoptiller", value_name = "FILE")]
     pub(crate) program: PathBuf,
     /// Numbers of routers
@@ -26,7 +26,7 @@
     pub(crate) sizes: Vec<usize>,
 }
 
-/// An empty path for a benchmark's files.
+/// Returns a path for a benchmark's files, at which nothing exists.
 pub(crate) fn temporary_dir(name: &str) -> PathBuf {
     let name = format!("hoptiller-benchmarks-{name}-{}", std::process::id());
     let dir = std::env::temp_dir().join(name);
@@ -34,7 +34,7 @@
     dir
 }
 
-/// A document of one class, with changes.
+/// Returns a document with one class, after changes by the caller.
 pub(crate) fn document(change: impl FnOnce(&mut Value)) -> Result<Document, ValidationError> {
     let mut value = json!({
         "form": 1, "kinds": { "a": 8 }, "engines": {},
@@ -45,7 +45,7 @@
     Document::from_json(value.to_string().as_bytes())
 }
 
-/// Starts replicas, and proposes the first version until they accept it. The harness provides links for `routers`
+/// Starts replicas, and proposes the first version until they accept it. The fleet has links for the given number of
 /// routers, and no engines.
 pub(crate) fn start_fleet(
     program: &Path,
--- a/crates/benchmarks/src/test_site.rs
+++ b/crates/benchmarks/src/test_site.rs
@@ -1,5 +1,5 @@
-//! What a router is measured with: discovery and engines on threads of this process, and the router as a process of its
-//! own, so that it shares nothing with the load.
+//! The servers of a benchmark: discovery and engines on threads of this process, and the router as a separate process, so
+//! that it shares nothing with the load.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,30 +17,30 @@
 use crate::process::ServerProcess;
 use crate::requests::exchange_once;
 
-/// Limit of the time that the router may take to discover its engines.
+/// Time in which the router must discover its engines.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 const DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The command-line arguments that say what is measured.
+/// The command-line arguments that select the measured program.
 #[derive(Clone, clap::Args)]
 pub(crate) struct SiteArgs {
-    /// The program, built in release
+    /// The program, built in release mode
     #[arg(long, default_value = "target/release/hoptiller")]
     program: PathBuf,
-    /// The settings that the router starts from
+    /// The settings from which those of the router are derived
     #[arg(long, default_value = "examples/derby.jsonnet")]
     settings: PathBuf,
 }
 
 impl SiteArgs {
-    /// The settings that the router starts from.
+    /// Returns the file of the settings from which those of the router are derived.
     pub(crate) fn settings_file(&self) -> &Path {
         &self.settings
     }
 }
 
-/// A router with its engines and discovery; stopped when dropped.
+/// A router with its engines and discovery, which stop when dropped.
 pub(crate) struct TestSite {
     router: ServerProcess,
     engine_addresses: Vec<SocketAddr>,
@@ -49,8 +49,8 @@
 }
 
 impl TestSite {
-    /// Starts everything, and waits until the router has discovered its engines. The settings of the router and the
-    /// configuration of each engine can be changed before the start.
+    /// Starts all servers, and waits until the router has discovered its engines. The closures can change the settings of
+    /// the router and the configuration of each engine before the start.
     pub(crate) fn start(
         args: &SiteArgs,
         engines: usize,
@@ -59,8 +59,8 @@
     ) -> Result<TestSite, BenchmarkError> {
         let discovery = DiscoveryConfig::default().start()?;
         let running = (0..engines)
-            .map(|n| {
-                let mut config = EngineConfig::new(&format!("e{n}"), "std-8a", "hall-a");
+            .map(|index| {
+                let mut config = EngineConfig::new(&format!("e{index}"), "std-8a", "hall-a");
                 config.discovery = Some(discovery.addr);
                 change_engine(&mut config);
                 config.start()
@@ -90,7 +90,7 @@
         &self.engine_addresses
     }
 
-    /// The router's response to `/v1/info`; null where it does not respond.
+    /// Returns the router's response to `/v1/info`; null if it does not respond.
     pub(crate) fn router_info(&self) -> Value {
         let request = Request::new(Method::Get, "/v1/info");
         exchange_once(self.router.address(), &request)
@@ -111,7 +111,7 @@
     settings["router"]["state"] = Value::Null;
     settings["discovery"]["address"] = json!(discovery.to_string());
     change_settings(&mut settings);
-    // JSON is Jsonnet too.
+    // JSON is valid Jsonnet.
     let name = format!("hoptiller-benchmarks-{}.jsonnet", std::process::id());
     let file = std::env::temp_dir().join(name);
     std::fs::write(&file, settings.to_string())?;
--- a/crates/benchmarks/src/waiting_clients.rs
+++ b/crates/benchmarks/src/waiting_clients.rs
@@ -1,5 +1,5 @@
-//! Many clients that poll one router, which is a process of its own: memory for each client that waits, the time that a
-//! poll takes beyond its wait, the time of a round of decisions.
+//! Many clients that poll one router, which is a separate process. The benchmark measures the router's memory for each
+//! waiting client, the delay of a poll beyond its wait, and the duration of a round of decisions.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,41 +17,41 @@
 use crate::requests::{next_path, submission};
 use crate::test_site::{SiteArgs, TestSite, extend_deadlines};
 
-/// Speed of an engine that accepts some statements and completes none: all others wait in the router.
+/// Speed of an engine, so low that it admits some statements and completes none; all others wait in the router.
 const ENGINE_SPEED: f64 = 1e-6;
 
 const THREADS: usize = 2;
 
-/// Time for which the router holds a poll without news, in microseconds.
+/// Time for which the router holds a poll that has nothing new, in microseconds.
 const POLL_WAIT_MICROS: u128 = 1_000_000;
 
-/// Interval between the connects of a thread, as the queue of a listener is short.
+/// Interval between the connects of a thread, so that they do not overflow the listener's short queue.
 const CONNECT_INTERVAL: Duration = Duration::from_micros(400);
 
-/// Time that each client adds to a run, in which all connect and submit.
+/// Time by which each client prolongs a run, for all clients to connect and submit.
 const SETUP_TIME_PER_CLIENT: Duration = Duration::from_micros(500);
 
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Significant digits of the times.
+/// Significant digits of the recorded times.
 const HISTOGRAM_DIGITS: u8 = 3;
 
 /// Arguments of `crowd`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Numbers of clients; a router needs a file descriptor for each (`ulimit -n`)
+    /// Numbers of clients; the router needs a file descriptor for each (`ulimit -n`)
     #[arg(long, value_delimiter = ',', default_value = "1000,5000,20000")]
     sizes: Vec<usize>,
-    /// Seconds for which the clients of each size poll
+    /// Duration for which the clients of each size poll, in seconds
     #[arg(long, default_value_t = 15)]
     seconds: u64,
     #[command(flatten)]
     site: SiteArgs,
 }
 
-/// What the clients have measured.
+/// The measurements of the clients.
 struct PollResult {
-    /// Time of each poll beyond its wait, in microseconds.
+    /// Delay of each poll beyond its wait, in microseconds.
     delays: Histogram<u64>,
     failed: u64,
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// What the router shows at some moment.
+/// A sample of the router's state.
 struct RouterSample {
     info: Value,
     resident_bytes: u64,
@@ -118,7 +118,7 @@
             thread::spawn(move || run_clients(clients, address, end))
         })
         .collect();
-    // By then all have submitted, and poll.
+    // After this time all clients have submitted their statements and poll.
     thread::sleep(remaining(end).mul_f64(0.6));
     let early = RouterSample::take(&site)?;
     thread::sleep(remaining(end).mul_f64(0.8));
@@ -201,7 +201,7 @@
             return Err(BenchmarkError::ExchangesFailed);
         }
         let delay = start.elapsed().as_micros().saturating_sub(POLL_WAIT_MICROS);
-        // The histogram resizes itself: each value fits.
+        // The histogram resizes automatically, so recording never fails.
         let _ = delays.borrow_mut().record(delay as u64);
     }
     Ok(())
