--- a/crates/benchmarks/src/runaways/detector.rs
+++ b/crates/benchmarks/src/runaways/detector.rs
@@ -74,8 +74,7 @@
     let start = Instant::now();
     let saved = load.detector.save();
     println!(
-        "detection with {attempts:>6} attempts, {} fingerprints: {milliseconds:>8.2} ms, {:.2}% of a thread; \
-         state {:.1} MB, saved in {:.0} ms",
+        "{attempts:>6} attempts, {} fingerprints: {milliseconds:>8.2} ms, {:.2}% of a thread; state {:.1} MB, saved in {:.0} ms",
         load.detector.tracked_counts().fingerprints,
         milliseconds / 5.0,
         saved.len() as f64 / 1e6,
--- a/crates/cli/src/commands/audit.rs
+++ b/crates/cli/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `hoptiller audit`: judges the seven rules from a folder of records.
+//! `hoptiller audit`: checks a folder of records against the seven rules of service.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,33 +8,33 @@
 use super::print_json;
 use crate::error::CommandError;
 
-/// The file with the rules in a folder of records.
+/// Name of the file with the rules in a folder of records.
 const RULES_FILE: &str = "rules.json";
 
 /// Arguments of `hoptiller audit`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The folder: records in *.jsonl, the rules in rules.json
+    /// The folder, with records in *.jsonl and the rules in rules.json
     dir: PathBuf,
     /// Print the verdict in JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Why a folder can't be judged.
+/// Errors that prevent a verdict on a folder of records.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AuditError {
-    /// Lines that are not records.
-    #[error("{count} damaged lines, the first: {first}; no verdict")]
+    /// The records contain malformed lines.
+    #[error("{count} malformed lines, no verdict; the first: {first}")]
     MalformedRecords {
-        /// How many there are.
+        /// Number of malformed lines.
         count: usize,
-        /// The first one.
+        /// The first malformed line.
         #[source]
         first: MalformedLine,
     },
-    /// There are no records.
-    #[error("{}: no records in it; no verdict", dir.display())]
+    /// The folder contains no records.
+    #[error("{}: contains no records, no verdict", dir.display())]
     NoRecords {
         /// The folder.
         dir: PathBuf,
@@ -47,11 +47,11 @@
     Ok(ExitCode::from(u8::from(!verdict.violations.is_empty())))
 }
 
-/// Judges a folder of records.
+/// Checks a folder of records against its rules.
 ///
 /// # Errors
 ///
-/// Where rules or records can't be read, are malformed, or there are no records.
+/// Returns an error if rules or records can't be read or are malformed, or if there are no records.
 pub(crate) fn judge_folder(dir: &Path) -> Result<Verdict, CommandError> {
     let rules_file = dir.join(RULES_FILE);
     let unreadable = |path: &Path| {
@@ -72,7 +72,7 @@
     Ok(judge(&files.records, &rules))
 }
 
-/// Prints a verdict: in JSON, or as a table of classes and a list of violations.
+/// Prints a verdict, as JSON or as a table of classes and a list of violations.
 pub(crate) fn print_verdict(verdict: &Verdict, json: bool) {
     if json {
         print_json(verdict);
@@ -80,9 +80,9 @@
     }
     print_classes(verdict);
     match verdict.violations.len() {
-        0 => println!("all rules kept"),
+        0 => println!("no rule violated"),
         count => {
-            println!("{count} breaks of the rules:");
+            println!("{count} violations of the rules:");
             for violation in &verdict.violations {
                 println!("  rule {}: {}", violation.rule, violation.description);
             }
--- a/crates/cli/src/commands/beliefs.rs
+++ b/crates/cli/src/commands/beliefs.rs
@@ -1,4 +1,4 @@
-//! `hoptiller beliefs`: compares the attempts in routers' traces with what their policy believed to be in flight.
+//! `hoptiller beliefs`: compares the attempts in routers' traces with the number that their policy believed to be in flight.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 
 use crate::error::CommandError;
 
-/// Bytes of a trace at most: more than a router writes in a day.
+/// Maximum size of a trace; more than a router writes in a day.
 const MAX_TRACE_BYTES: u64 = 1 << 30;
 
-/// Extension of the traces in a folder.
+/// File name extension of the traces in a folder.
 const TRACE_EXTENSION: &str = "log";
 
 /// Arguments of `hoptiller beliefs`.
@@ -27,14 +27,15 @@
     max_engines: usize,
 }
 
-/// The traces contain no attempt.
+/// The error that the traces contain no attempt.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "the traces contain no attempt, so nothing was compared (routers write them with HOPTILLER_LOG=hoptiller_platform_router=debug)"
+    "the traces contain no attempt, so nothing was compared \
+     (routers trace attempts with HOPTILLER_LOG=hoptiller_platform_router=debug)"
 )]
 pub(crate) struct EmptyTraceError;
 
-/// The sum of all traces.
+/// The totals of all traces.
 #[derive(Default)]
 struct Summary {
     files: usize,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Prints a row for each engine, those with the most rejected and unreached attempts first, and one for all.
+    /// Prints a row for each engine, those with the most rejected and unreached attempts first, and a row of totals.
     fn print(&self, max_engines: usize) {
         let mut rows: Vec<(u32, &EngineObservations)> =
             self.engines.iter().map(|(id, row)| (*id, row)).collect();
@@ -121,7 +122,7 @@
 fn print_mismatches(file: &Path, trace: &Trace) {
     for mismatch in &trace.mismatches {
         println!(
-            "{}:{}: engine {}: {} attempts are out, and {} are believed to be",
+            "{}:{}: engine {}: {} attempts are in flight, and {} are believed to be",
             file.display(),
             mismatch.line,
             mismatch.engine,
@@ -131,7 +132,7 @@
     }
 }
 
-/// The file itself, or the traces of a folder.
+/// Returns the path itself if it is a file, or the traces in it if it is a folder.
 fn trace_files(path: &Path) -> io::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
@@ -153,7 +154,7 @@
 fn read_trace(file: &Path) -> io::Result<Trace> {
     let size = std::fs::metadata(file)?.len();
     if size > MAX_TRACE_BYTES {
-        let message = format!("{size} bytes are more than a day's trace has");
+        let message = format!("the trace has {size} bytes, and the limit is {MAX_TRACE_BYTES}");
         return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     let bytes = std::fs::read(file)?;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,5 +1,5 @@
-//! `hoptiller check`: validates a file, which is a router's settings, a replica's configuration, a fleet's document or a
-//! scenario.
+//! `hoptiller check`: validates a file, which contains a router's settings, a replica's configuration, a fleet's document or
+//! a scenario.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 use crate::commands::{day, fleet, settings};
 use crate::error::CommandError;
 
-/// Exit code of an invalid file whose problems are printed in JSON.
+/// Exit code for an invalid file whose problems are printed as JSON.
 const EXIT_INVALID: u8 = 2;
 
 /// Arguments of `hoptiller check`.
@@ -20,12 +20,12 @@
 pub(crate) struct Args {
     /// The file, in Jsonnet: settings, a replica's configuration, a fleet's document or a scenario
     file: PathBuf,
-    /// Print the settings with all defaults, or the problems, in JSON
+    /// Print the settings with all defaults, or the problems, as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// What a file contains.
+/// The kind of a file's content.
 enum FileKind {
     RouterSettings,
     ReplicaConfig,
@@ -35,7 +35,7 @@
 }
 
 impl FileKind {
-    /// The kind of a file, by keys that no other kind has.
+    /// Determines the kind of a file by keys that no other kind has.
     fn of_value(value: &Value) -> FileKind {
         let keys = [
             ("form", FileKind::FleetDocument),
@@ -51,9 +51,9 @@
 
 /// A valid file.
 struct ValidFile {
-    /// Its content, of settings with all defaults.
+    /// The content of the file; settings include all defaults.
     value: Value,
-    /// What it is, in words.
+    /// A description of the file for people.
     description: String,
 }
 
--- a/crates/cli/src/commands/day.rs
+++ b/crates/cli/src/commands/day.rs
@@ -1,4 +1,5 @@
-//! `hoptiller day`: runs a scenario of routers, engines and clients over sockets, and judges what passed on them.
+//! `hoptiller day`: runs a scenario of routers, engines and clients over sockets, and checks the recorded messages against
+//! the rules of service.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,31 +11,32 @@
 use crate::error::CommandError;
 use crate::scenarios;
 
+/// Arguments of `hoptiller day`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The scenario, in Jsonnet; see examples/bad-day.jsonnet
+    /// The scenario, in Jsonnet, such as examples/bad-day.jsonnet
     file: PathBuf,
-    /// Folder for settings, records and the verdict; must be new or empty
+    /// The folder for settings, records and the verdict; it must be new or empty
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// Seed of the clients' random choices
+    /// The seed of the clients' random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print the verdict in JSON
+    /// Print the verdict as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Runs the scenario; the exit code is 1 where a rule was violated.
+/// Runs the scenario. The exit code is 1 if a rule was violated.
 ///
 /// # Errors
 ///
-/// When the file has problems, the folder is not empty, or the scenario can't be run.
+/// Returns an error if the file has problems, the folder is not empty, or the scenario can't be run.
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     crate::runtime::raise_descriptor_limit();
     let scenario = RouterScenario::load(&args.file).map_err(scenarios::failure)?;
     prepare_folder(&args.report)?;
-    let program = scenarios::own_program("this program's own file")?;
+    let program = scenarios::own_program("the path of this program")?;
     let options = RouterRunOptions {
         program: &program,
         report_dir: &args.report,
@@ -50,24 +52,24 @@
     Ok(ExitCode::from(u8::from(!verdict.violations.is_empty())))
 }
 
-/// Describes the scenario of a file in a line.
+/// Returns a one-line description of the scenario in a file.
 ///
 /// # Errors
 ///
-/// When the file has problems.
+/// Returns an error if the file has problems.
 pub(crate) fn check(file: &Path) -> Result<String, CommandError> {
     let scenario = RouterScenario::load(file).map_err(scenarios::failure)?;
     Ok(scenario.description())
 }
 
-/// Creates the folder; it may be there already where it is empty.
+/// Creates the folder. An empty folder may exist already.
 fn prepare_folder(dir: &Path) -> Result<(), CommandError> {
     std::fs::create_dir_all(dir).map_err(folder_error(dir))?;
     let mut entries = std::fs::read_dir(dir).map_err(folder_error(dir))?;
     match entries.next() {
         None => Ok(()),
         Some(_) => Err(CommandError::Usage(format!(
-            "{}: not empty; give a new folder",
+            "{}: the report folder is not empty",
             dir.display()
         ))),
     }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `hoptiller demo`: engines, discovery and a router in one process, on loopback.
+//! `hoptiller demo`: runs mock engines, discovery and a router in one process, on loopback.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -17,14 +17,14 @@
 use crate::runtime::{self, wait_for_termination};
 use crate::{metrics_endpoint, secret};
 
-/// The settings that the demo starts from.
+/// The settings from which those of the demo are derived.
 const EXAMPLE_SETTINGS: &str = include_str!("../../../../examples/derby.jsonnet");
 
 const EXAMPLE_FILE_NAME: &str = "derby.jsonnet";
 
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
-/// Limit of the time that the router may take to discover all engines.
+/// Time for which the demo waits until the router has discovered all engines.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 const DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
     runtime::raise_descriptor_limit();
     let discovery = DiscoveryConfig::default()
         .start()
-        .map_err(CommandError::io("the stand-in discovery"))?;
+        .map_err(CommandError::io("cannot start the mock discovery service"))?;
     let engines = start_engines(args.engines, discovery.addr)?;
     let settings = settings(args.http, discovery.addr)?;
     runtime::block_on(async |spawner| {
@@ -56,7 +56,7 @@
 fn start_engines(count: u16, discovery: SocketAddr) -> Result<Vec<ServerThread>, CommandError> {
     let mut running = Vec::new();
     for n in 0..count {
-        // Four in seven are of the kind that may run reports.
+        // Four of seven engines have the kind that may run reports.
         let kind = if n % 7 < 4 { "std-8a" } else { "std-8b" };
         let zone = ZONES[usize::from(n) % ZONES.len()];
         let mut engine = EngineConfig::new(&format!("engine-{n}"), kind, zone);
@@ -64,13 +64,13 @@
         engine.reports_progress = true;
         let engine = engine
             .start()
-            .map_err(CommandError::io("a stand-in engine"))?;
+            .map_err(CommandError::io("cannot start a mock engine"))?;
         running.push(engine);
     }
     Ok(running)
 }
 
-/// The example's settings, on loopback and without a state folder.
+/// Returns the settings of the example, changed to loopback and without a state folder.
 fn settings(listen: SocketAddr, discovery: SocketAddr) -> Result<Settings, CommandError> {
     let mut value =
         hoptiller_statement_router::settings::evaluate(EXAMPLE_FILE_NAME, EXAMPLE_SETTINGS)?;
@@ -91,18 +91,18 @@
     let service = Service::new(settings, &secret::generate(), random_id(), spawner)?;
     let address = service
         .start(metrics)
-        .map_err(CommandError::io(format!("can't listen on {}", args.http)))?;
+        .map_err(CommandError::io(format!("cannot listen on {}", args.http)))?;
     let start = Instant::now();
     while service.listed_engines() < engines && start.elapsed() < DISCOVERY_TIMEOUT {
         Timer::after(DISCOVERY_POLL_INTERVAL).await;
     }
     println!("ready http://{address}");
     if let Some(admin) = service.admin_addr() {
-        eprintln!("What runs away: hoptiller runaways --admin {admin}");
+        eprintln!("To show runaways: hoptiller runaways --admin {admin}");
     }
     eprintln!(
-        "{engines} stand-in engines, classes lookup, report, rent-load (by client tag class=…). Try:\n  \
-         curl -s -X POST http://{address}/v1/statement -H 'X-Trino-User: me' -d 'SELECT 1'\nCtrl-C ends it."
+        "{engines} mock engines, classes lookup, report, rent-load (by client tag class=…). Try:\n  \
+         curl -s -X POST http://{address}/v1/statement -H 'X-Trino-User: me' -d 'SELECT 1'\nPress Ctrl-C to stop."
     );
     wait_for_termination().await?;
     shut_down(&service).await;
--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -1,4 +1,4 @@
-//! The study's plot: the part of the runaways that were found, by time, in SVG.
+//! The plot of the study, in SVG: the fraction of runaways that were found, over time.
 
 use std::error::Error;
 
@@ -10,15 +10,15 @@
 
 const TITLE: &str = "Runaways found, by time since an engine took them (simulated servers)";
 
-/// Width and height of the plot, in pixels.
+/// Width and height of the plot.
 const SIZE_PIXELS: (u32, u32) = (960, 540);
 
 const FONT: &str = "sans-serif";
 
-/// Seconds that the time axis shows at least, so that all fixed limits are on it.
+/// Minimum end of the time axis, so that it includes all fixed limits.
 const MIN_TIME_AXIS_SECONDS: f64 = 62.0;
 
-/// The top of the axis of parts, with some space above 1.
+/// End of the axis of fractions, with some space above 1.
 const FRACTION_AXIS_MAX: f64 = 1.02;
 
 /// The runaways of one condition.
@@ -26,17 +26,17 @@
     pub(super) name: String,
     /// Times to detection, in seconds, ascending.
     pub(super) times: Vec<f64>,
-    /// All runaways, found or not.
+    /// Number of runaways, whether found or not.
     pub(super) planted: usize,
 }
 
 type Chart<'c, 'svg> =
     ChartContext<'c, SVGBackend<'svg>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A curve for each condition and a line for each fixed limit in seconds, as SVG text.
+/// Returns the SVG text of a plot with a curve for each condition and a line for each fixed limit in seconds.
 pub(super) fn draw_detections_over_time(curves: &[Curve], limits: &[u64]) -> String {
     let mut svg = String::new();
-    // Drawing into a string fails only by a fault of the drawing code.
+    // Drawing into a string fails only if the drawing code has a fault.
     if draw(&mut svg, curves, limits).is_err() {
         svg.clear();
     }
@@ -59,7 +59,7 @@
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc("share found")
+        .y_desc("fraction found")
         .light_line_style(WHITE)
         .draw()?;
     for (index, curve) in curves.iter().enumerate() {
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Draws a step at each runaway that was found.
+/// Draws a curve with a step at each runaway that was found.
 fn draw_curve(
     chart: &mut Chart<'_, '_>,
     index: usize,
--- a/crates/cli/src/commands/experiment/mod.rs
+++ b/crates/cli/src/commands/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! `hoptiller experiment`: studies in simulated time, with the routers' own code.
+//! `hoptiller experiment`: runs studies in simulated time, with the code of the routers.
 
 mod chart;
 mod runaways;
@@ -13,7 +13,7 @@
 /// The study.
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
-    /// Runaways: how soon they are found, false positives, and the effect of holds. Simulated servers.
+    /// Studies runaways on simulated servers: time to detection, false positives, and the effect of holds
     Runaways(runaways::Args),
 }
 
--- a/crates/cli/src/commands/experiment/runaways.rs
+++ b/crates/cli/src/commands/experiment/runaways.rs
@@ -1,4 +1,4 @@
-//! `hoptiller experiment runaways`: runs the study's simulations in parallel, and reports their figures.
+//! `hoptiller experiment runaways`: runs the simulations of the study in parallel, and reports their figures.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -21,20 +21,20 @@
 use crate::commands::print_json;
 use crate::error::CommandError;
 
-/// The settings that are used without a file, and the file that they import.
+/// The settings that the study uses by default, and the file that they import.
 const EXAMPLE_SETTINGS: &str = include_str!("../../../../../examples/runaways.jsonnet");
 const IMPORTED_SETTINGS: &str = include_str!("../../../../../examples/derby.jsonnet");
 
 /// Classes that the study's traffic uses.
 const CLASSES: [&str; 3] = ["lookup", "report", "rent-load"];
 
-/// Progress is reported after so many runs.
+/// Number of runs between two progress reports.
 const PROGRESS_INTERVAL: usize = 8;
 
 /// Arguments of `hoptiller experiment runaways`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Runs of each condition, each with another seed
+    /// Number of runs of each condition, with consecutive seeds
     #[arg(long, default_value_t = 24, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
     /// The first seed
@@ -49,14 +49,14 @@
     /// Folder for the plot (runaways.svg) and the figures of each run (runs.jsonl); created if needed
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
-    /// Print the figures in JSON
+    /// Print the figures as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// The settings lack a class that the study's traffic uses.
+/// The error that the settings lack a class that the study's traffic uses.
 #[derive(Debug, thiserror::Error)]
-#[error("the settings have no class {class:?}: the study needs it")]
+#[error("the settings lack class {class:?}, which the study needs")]
 pub(crate) struct MissingClassError {
     class: &'static str,
 }
@@ -92,7 +92,7 @@
     let settings = match file {
         Some(file) => Settings::load(file)?,
         None => {
-            // The example imports its neighbour: both are in this program.
+            // The program contains both the example and the file that it imports.
             let text = EXAMPLE_SETTINGS.replace("import 'derby.jsonnet'", IMPORTED_SETTINGS);
             Settings::from_text("runaways.jsonnet", &text)?
         }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Runs all simulations on all cores, and reports the progress. The figures are in the order of the runs.
+/// Runs all simulations on all cores, and reports the progress. Returns the figures in the order of the runs.
 fn run_all(settings: &Settings, runs: &[(Condition, u64)], engines: usize) -> Vec<Figures> {
     let threads = thread::available_parallelism()
         .map_or(1, NonZero::get)
@@ -159,6 +159,6 @@
         &plot,
         chart::draw_detections_over_time(&curves, &FIXED_LIMITS_SECONDS),
     )?;
-    eprintln!("written: {} and runs.jsonl beside it", plot.display());
+    eprintln!("wrote {} and runs.jsonl in the same folder", plot.display());
     Ok(())
 }
--- a/crates/cli/src/commands/experiment/summary.rs
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of a condition over all of its runs.
+//! Summaries of the figures of a condition over all of its runs.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 
 use super::chart::Curve;
 
-/// Some of a number of statements.
+/// The number of statements with a property, and the number of all statements.
 #[derive(Clone, Copy)]
 pub(super) struct Fraction {
     pub(super) count: usize,
     pub(super) total: usize,
 }
 
-/// The runaways that were planted, and those that were found.
+/// The number of planted runaways, and the detections among them.
 #[derive(Default)]
 pub(super) struct Detections {
     pub(super) planted: usize,
@@ -33,7 +33,7 @@
         detections
     }
 
-    /// A quantile of the times; none where nothing was found.
+    /// Returns a quantile of the times; `None` if nothing was found.
     pub(super) fn quantile(&self, quantile: f64) -> Option<f64> {
         let last = self.times.len().checked_sub(1)?;
         let index = (quantile * last as f64).ceil() as usize;
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a fixed limit of run time would have flagged in the same runs.
+/// The numbers of statements that a fixed limit of run time would have flagged in the same runs.
 pub(super) struct FixedLimit {
     pub(super) seconds: u64,
     pub(super) found: usize,
@@ -54,17 +54,17 @@
     condition: Condition,
     pub(super) runaways: Detections,
     pub(super) by_cause: BTreeMap<&'static str, Detections>,
-    /// Large reports that were flagged.
+    /// The fraction of large reports that were flagged.
     pub(super) large_flagged: Fraction,
-    /// Other statements that were flagged.
+    /// The fraction of other statements that were flagged.
     pub(super) others_flagged: Fraction,
     pub(super) notices: usize,
     pub(super) fixed_limits: Vec<FixedLimit>,
-    /// Value of the responses in time, as a part of all.
+    /// Value of the statements that were served in time, as a fraction of the value of all.
     pub(super) value: f64,
-    /// Lookups on time, of those whose tables a planted load blocked.
+    /// The fraction served in time of the lookups whose tables a planted load had locked.
     pub(super) blocked_on_time: Fraction,
-    /// Engines that failed.
+    /// Number of engine crashes.
     failed_engines: usize,
 }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The condition in words.
+    /// Returns a description of the condition.
     pub(super) fn name(&self) -> String {
         self.condition.description()
     }
--- a/crates/cli/src/commands/experiment/table.rs
+++ b/crates/cli/src/commands/experiment/table.rs
@@ -1,4 +1,4 @@
-//! The study's figures as tables for people.
+//! Tables of the study's figures, for people.
 
 use super::summary::{ConditionSummary, Fraction};
 
@@ -6,10 +6,12 @@
     println!("{runs} runs of each condition (simulated servers)\n");
     print_conditions(summaries);
     println!(
-        "\nfound: runaways named, after the engine took them. large, others: flagged, of all that ran; none should be."
+        "\nfound: detected runaways; times are from admission by the engine. \
+         large, others: flagged, of all that ran; none should be."
     );
     println!(
-        "worth: answered on time, of all. behind a load: lookups whose tables a planted load held, on time.\n"
+        "worth: value served in time, of all. behind a load: lookups whose tables a planted load had \
+         locked, served in time.\n"
     );
     for summary in summaries {
         print_causes(summary);
@@ -54,7 +56,7 @@
 }
 
 fn print_causes(summary: &ConditionSummary) {
-    println!("{}, by what was planted", summary.name());
+    println!("{}, by planted case", summary.name());
     for (cause, detections) in &summary.by_cause {
         println!(
             "  {cause:<16} {} of {}, p50 {}, p95 {}, latest {}",
--- a/crates/cli/src/commands/fleet/leases.rs
+++ b/crates/cli/src/commands/fleet/leases.rs
@@ -1,4 +1,4 @@
-//! `hoptiller fleet leases`: which router holds which shard of a task.
+//! `hoptiller fleet leases`: shows which router holds which shard of a task.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -22,10 +22,10 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A line for each shard, and one for each holder with how many it has.
+/// Formats a line for each shard, and a line for each holder with the number of its shards.
 fn format_leases(leases: &[LeaseStatus]) -> String {
     if leases.is_empty() {
-        return "the version in force names no tasks\n".to_owned();
+        return "the version in force configures no tasks\n".to_owned();
     }
     let mut text = String::new();
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
@@ -44,11 +44,11 @@
 
 fn format_holder(lease: &LeaseStatus) -> String {
     let Some((holder, fencing_token)) = &lease.holder else {
-        return "nobody; each router does it for itself".to_owned();
+        return "no holder; each router does it for itself".to_owned();
     };
     let left = lease.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
     format!(
-        "{holder} under number {fencing_token}, for {left} ms more, note of {} bytes",
+        "{holder} with fencing token {fencing_token}, {left} ms left, note of {} bytes",
         lease.note_bytes
     )
 }
--- a/crates/cli/src/commands/fleet/leases/tests.rs
+++ b/crates/cli/src/commands/fleet/leases/tests.rs
@@ -28,12 +28,12 @@
     };
     let text = format_leases(&[held, free]);
     assert!(
-        text.contains("probe/0      r1/x1 under number 9, for 1200 ms more"),
+        text.contains("probe/0      r1/x1 with fencing token 9, 1200 ms left"),
         "{text}"
     );
     assert!(
-        text.contains("probe/1      nobody") && text.contains("r1/x1: 1 of 2"),
+        text.contains("probe/1      no holder") && text.contains("r1/x1: 1 of 2"),
         "{text}"
     );
-    assert!(format_leases(&[]).contains("names no tasks"));
+    assert!(format_leases(&[]).contains("configures no tasks"));
 }
--- a/crates/cli/src/commands/fleet/mod.rs
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! `hoptiller fleet`: the state of a fleet; and a whole fleet on loopback, with faults between its processes.
+//! `hoptiller fleet`: shows and changes the state of a fleet, and runs a whole fleet on loopback with faults between its
+//! processes.
 
 mod leases;
 mod replace;
@@ -15,16 +16,18 @@
 pub(crate) use run::check;
 pub(crate) use status::format_blocking_holders;
 
+/// The subcommands of `hoptiller fleet`.
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
     /// Shows replicas (keepers), versions, and the routers that hold config leases (permits)
     #[command(alias = "cluster-status")]
     Status(StatusArgs),
-    /// Shows which router holds which shard of a fleet-wide task, and until when at least
+    /// Shows which router holds which shard of a fleet-wide task, and for how long
     Leases(StatusArgs),
-    /// Replaces a replica that is lost with its disk, while the others run
+    /// Replaces a replica that was lost with its disk, while the others run
     ReplaceKeeper(ReplaceArgs),
-    /// Runs a scenario (day) of processes of this program on loopback, with faults between them; then judges it
+    /// Runs a scenario (day) with processes of this program on loopback and faults between them, and checks its records
+    /// against the rules
     Run(RunArgs),
 }
 
@@ -32,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// When its arguments or a file are wrong, or something outside of this program fails.
+/// Returns an error if the arguments or a file are invalid, or if something outside of this program fails.
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     match args {
         Args::Status(args) => status::run(args),
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -11,6 +11,7 @@
 use crate::error::CommandError;
 use crate::scenarios;
 
+/// Arguments of `hoptiller fleet run`.
 #[derive(clap::Args)]
 pub(crate) struct RunArgs {
     /// The scenario, in Jsonnet
@@ -21,39 +22,39 @@
     /// The folder for records, logs and the verdict; it must not exist
     #[arg(long, value_name = "DIR")]
     report: PathBuf,
-    /// The same scenario without configuration versions: each router uses its own file
+    /// Run the scenario without configuration versions: each router uses its own file
     #[arg(long)]
     without: bool,
-    /// Attempts under contradicting versions may overlap for so long, in ms. Engines record an attempt when they get to
-    /// run: on a loaded machine that is later than it was sent
+    /// Maximum overlap of attempts under contradicting versions, in ms. Engines record an attempt when they get to run,
+    /// which on a loaded machine is later than it was sent
     #[arg(long, default_value_t = 20, value_name = "MS")]
     overlap: u64,
-    /// Print the verdict in JSON
+    /// Print the verdict as JSON
     #[arg(long)]
     json: bool,
-    /// The fault to inject into all processes of the fleet, to see whether it is found: from-the-answer, never-ends, no-wait,
-    /// forgets
+    /// The fault to inject into all processes of the fleet, to verify that it is found: from-the-answer, never-ends,
+    /// no-wait, forgets
     #[cfg(feature = "plant")]
     #[arg(long, value_name = "FAULT")]
     plant: Option<String>,
 }
 
-/// Runs the scenario; the exit code is 1 where a rule was violated, a version lost, or a process ended by itself.
+/// Runs the scenario. The exit code is 1 if a rule was violated, a version was lost, or a process exited unexpectedly.
 ///
 /// # Errors
 ///
-/// When the file has problems, the folder is there already, or the scenario can't be run.
+/// Returns an error if the file has problems, the folder exists, or the scenario can't be run.
 pub(super) fn run(args: &RunArgs) -> Result<ExitCode, CommandError> {
     let scenario = FleetScenario::load(&args.day).map_err(scenarios::failure)?;
     if args.report.exists() {
         return Err(CommandError::Usage(format!(
-            "{} is there already",
+            "{} already exists",
             args.report.display()
         )));
     }
     crate::runtime::raise_descriptor_limit();
     kill_fleet_on_signal();
-    let program = scenarios::own_program("this program")?;
+    let program = scenarios::own_program("the path of this program")?;
     let options = RunOptions {
         program: &program,
         report_dir: &args.report,
@@ -71,16 +72,16 @@
     Ok(ExitCode::from(u8::from(!report.is_success())))
 }
 
-/// Describes the scenario of a file in a line.
+/// Returns a one-line description of the scenario in a file.
 ///
 /// # Errors
 ///
-/// When the file or the settings in it have problems.
+/// Returns an error if the file or the settings in it have problems.
 pub(crate) fn check(file: &Path) -> Result<String, CommandError> {
     FleetScenario::check(file).map_err(scenarios::failure)
 }
 
-/// The environment variable that has all processes of the fleet do something wrong.
+/// Returns the environment variable that injects the fault into all processes of the fleet.
 #[cfg(feature = "plant")]
 fn planted_fault(args: &RunArgs) -> Result<Vec<(String, String)>, CommandError> {
     let Some(name) = &args.plant else {
@@ -89,7 +90,7 @@
     match hoptiller_coordination::fault_injection::Fault::from_name(name) {
         Some(_) => Ok(vec![(crate::FAULT_VARIABLE.to_owned(), name.clone())]),
         None => Err(CommandError::Usage(format!(
-            "--plant: {name:?} is no fault that is known"
+            "--plant: unknown fault {name:?}"
         ))),
     }
 }
@@ -99,7 +100,7 @@
     Ok(Vec::new())
 }
 
-/// The fleet's processes end with this one, also where it is told to end.
+/// Kills the processes of the fleet when a signal terminates this process.
 fn kill_fleet_on_signal() {
     std::thread::spawn(|| {
         if async_io::block_on(crate::runtime::wait_for_termination()).is_ok() {
@@ -110,7 +111,7 @@
 }
 
 fn print_json(report: &FleetReport) {
-    // By way of a value, whose keys are sorted.
+    // Convert to a value first, because its keys are sorted.
     let value = serde_json::to_value(report).unwrap_or_default();
     println!(
         "{}",
@@ -123,7 +124,7 @@
     crate::commands::audit::print_verdict(verdict, false);
     let overlap = verdict.overlap.unwrap_or_default();
     println!(
-        "acts under contradicting versions: {}, the longest overlap {} ms",
+        "attempts under contradicting versions: {}, longest overlap {} ms",
         overlap.acts,
         overlap.longest / 1000
     );
@@ -137,8 +138,8 @@
     let takeover_ms =
         |fraction: f64| percentile(&leases.takeovers, fraction).map_or(0, |us| us / 1000);
     println!(
-        "acts under leases: {} of {} parts under {} numbers, {} refused as outdated; after a newer one: {}, the \
-         longest {} ms",
+        "requests under leases: {} on {} shards with {} fencing tokens, {} rejected as outdated; {} after a newer token, \
+         longest overlap {} ms",
         leases.acts,
         leases.shards,
         leases.fencing_tokens,
@@ -147,7 +148,7 @@
         leases.longest_overlap / 1000
     );
     println!(
-        "a part done by nobody: at a takeover {} ms in the middle, {} ms in 99 of 100, {} ms at most",
+        "shards without a holder: at a takeover p50 {} ms, p99 {} ms; at most {} ms",
         takeover_ms(0.5),
         takeover_ms(0.99),
         leases.longest_gap / 1000
@@ -156,7 +157,7 @@
 
 fn print_outcome(outcome: &Outcome) {
     println!(
-        "changes: {} taken, {} refused, {} without an answer; in force after {} ms in the middle, {} ms at most",
+        "proposals: {} accepted, {} rejected, {} without a response; time until in force: p50 {} ms, at most {} ms",
         outcome.accepted,
         outcome.rejected,
         outcome.unknown,
@@ -164,13 +165,13 @@
         outcome.in_force_ms.last().copied().unwrap_or(0)
     );
     println!(
-        "in force in the end: {}, last {}",
+        "in force at the end: {}, last {}",
         outcome.numbers.in_force, outcome.numbers.last
     );
     for version in &outcome.lost {
-        println!("version {version} was taken, and is lost");
+        println!("version {version} was accepted, and is lost");
     }
     for process in &outcome.exited_processes {
-        println!("ended by itself: {process}");
+        println!("exited unexpectedly: {process}");
     }
 }
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `hoptiller fleet status`: what replicas report of themselves, of versions and of config leases.
+//! `hoptiller fleet status`: shows the status that replicas report, with versions and config leases.
 
 use std::process::ExitCode;
 
@@ -9,18 +9,19 @@
 use crate::error::CommandError;
 use crate::replicas::ReplicaArgs;
 
+/// Arguments of `hoptiller fleet status` and `hoptiller fleet leases`.
 #[derive(clap::Args)]
 pub(crate) struct StatusArgs {
     #[command(flatten)]
     pub(super) keepers: ReplicaArgs,
-    /// Print the response of each replica in JSON
+    /// Print the response as JSON
     #[arg(long)]
     pub(super) json: bool,
 }
 
 type ReplicaStatus = (std::net::SocketAddr, Result<ClusterStatus, CallError>);
 
-/// Prints the status of each replica; the exit code is 3 where none answers.
+/// Prints the status of each replica. The exit code is 3 if no replica responds.
 pub(super) fn run(args: &StatusArgs) -> Result<ExitCode, CommandError> {
     let replicas = args
         .keepers
@@ -59,7 +60,7 @@
             Err(error) => println!("keeper at {addr}: {error}"),
         }
     }
-    // The replica that has decided most knows the newest versions.
+    // The replica with the most decided entries knows the newest versions.
     let newest = replicas
         .iter()
         .filter_map(|(_, status)| status.as_ref().ok())
@@ -69,7 +70,7 @@
     }
 }
 
-/// A line for a replica: its membership, leader, log, and when it heard from its peers.
+/// Formats a line with a replica's membership, leader and log, and the time since it heard from each peer.
 fn format_replica(addr: &str, status: &ClusterStatus) -> String {
     let leader = status
         .leader
@@ -84,7 +85,7 @@
         .collect();
     let members: Vec<String> = status.replicas.iter().map(u64::to_string).collect();
     format!(
-        "keeper {} at {addr}: list {} ({}), leads {leader}, {} steps decided, {} kept, reached {}\n",
+        "keeper {} at {addr}: membership {} ({}), leader {leader}, {} log entries decided, {} retained, peers heard {}\n",
         status.replica,
         status.membership,
         members.join(" "),
@@ -94,7 +95,7 @@
     )
 }
 
-/// The versions in force and pending, and the routers that hold config leases.
+/// Formats the versions in force and pending, and the routers that hold config leases.
 fn format_versions(status: &ClusterStatus) -> String {
     let mut text = format!(
         "in force {}, last {}\n",
@@ -102,7 +103,7 @@
     );
     for version in &status.pending {
         text.push_str(&format!(
-            "  on its way: {} ({}) by {}: {}\n",
+            "  pending: {} ({}) by {}: {}\n",
             version.number,
             version.kind.description(),
             version.author,
@@ -111,12 +112,12 @@
     }
     for holder in &status.holders {
         let blocking = if holder.blocks_rollout {
-            "  HOLDS UP the next version"
+            "  BLOCKS the next version"
         } else {
             ""
         };
         text.push_str(&format!(
-            "  {:<30} heeds {:>5}, permit {:>6} ms{blocking}\n",
+            "  {:<30} enforces {:>5}, lease {:>6} ms{blocking}\n",
             holder.holder.to_string(),
             holder.enforced_version,
             holder.left_ms
@@ -125,13 +126,13 @@
     text
 }
 
-/// The routers whose config leases block the next version, and for how long at most.
+/// Formats a line for each router whose config lease blocks the next version, with the maximum time that it does.
 pub(crate) fn format_blocking_holders(status: &ClusterStatus) -> String {
     let blocking = status.holders.iter().filter(|holder| holder.blocks_rollout);
     blocking
         .map(|holder| {
             format!(
-                "  waits for {}, {} ms at most\n",
+                "  waiting for {}, {} ms at most\n",
                 holder.holder, holder.left_ms
             )
         })
--- a/crates/cli/src/commands/fleet/status/tests.rs
+++ b/crates/cli/src/commands/fleet/status/tests.rs
@@ -30,19 +30,19 @@
     };
     assert_eq!(
         format_blocking_holders(&status),
-        "  waits for r2/x1, 4200 ms at most\n"
+        "  waiting for r2/x1, 4200 ms at most\n"
     );
     let (replica, versions) = (format_replica("here", &status), format_versions(&status));
     assert!(
-        replica.contains("list 2 (1 2 4)")
-            && replica.contains("leads nobody")
+        replica.contains("membership 2 (1 2 4)")
+            && replica.contains("leader nobody")
             && replica.contains("2 30 ms ago, 3 never"),
         "{replica}"
     );
     assert!(versions.contains("in force 6, last 7"), "{versions}");
     let lines: Vec<&str> = versions
         .lines()
-        .filter(|line| line.contains("HOLDS UP"))
+        .filter(|line| line.contains("BLOCKS"))
         .collect();
     assert!(lines.len() == 1 && lines[0].contains("r2/x1"), "{versions}");
 }
--- a/crates/cli/src/commands/keep.rs
+++ b/crates/cli/src/commands/keep.rs
@@ -1,4 +1,4 @@
-//! `hoptiller keep`: a replica of the coordination server.
+//! `hoptiller keep`: runs a replica of the coordination server.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,11 +21,11 @@
     /// The replica's configuration, in Jsonnet
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Starts a new replica in place of a lost one: it waits until the others have made it a member, and begins with
-    /// their state. A replica that is a member already starts as without this option
+    /// Start a new replica in place of a lost one: it waits until the others have made it a member, and takes over their
+    /// state. For a replica that is a member already, this option has no effect
     #[arg(long)]
     join: bool,
-    /// For tests: the clock is fast by so many millionths (slow, if negative)
+    /// For tests: the clock is fast by this number of millionths (slow, if negative)
     #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
     clock_skew: i64,
 }
@@ -65,15 +65,15 @@
     let stopped = async { Ok(Some(server.stopped().await)) };
     match future::or(terminated(), stopped).await? {
         None => Ok(()),
-        Some(reason) => Err(CommandError::io("the keeper may not go on")(reason)),
+        Some(reason) => Err(CommandError::io("the keeper had to stop")(reason)),
     }
 }
 
-/// None, once the process is to end.
+/// Waits for a signal that terminates the process, and returns `None`.
 async fn terminated<T>() -> Result<Option<T>, CommandError> {
     wait_for_termination().await.map(|()| None)
 }
 
 fn start_error(error: StartError) -> CommandError {
-    CommandError::io("the keeper can't start")(error)
+    CommandError::io("the keeper cannot start")(error)
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands: each has its arguments and a function `run` that returns the exit code.
+//! The subcommands. Each module has the arguments of its command and a function `run` that returns the exit code.
 
 pub(crate) mod audit;
 pub(crate) mod beliefs;
@@ -17,7 +17,7 @@
 
 use serde::Serialize;
 
-/// Prints a value as JSON for people.
+/// Prints a value as indented JSON.
 fn print_json(value: &impl Serialize) {
     println!(
         "{}",
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -1,4 +1,4 @@
-//! `hoptiller node`: a router on the platform's protocol.
+//! `hoptiller node`: runs a router on the platform's protocol.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,11 +20,11 @@
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, CommandError> {
     runtime::block_on(async |spawner| {
-        // Before the listener is bound: a signal that arrives early must not end the process.
+        // Listen to signals before the listener is bound, so that an early signal does not end the process.
         let mut signals = runtime::listen_to_signals([Signal::Term, Signal::Int, Signal::Hup])?;
         let router = Router::load(args.config.clone(), spawner.clone())
             .map_err(CommandError::invalid_file(&args.config))?;
-        let address = router.start().map_err(CommandError::io("can't listen"))?;
+        let address = router.start().map_err(CommandError::io("cannot listen"))?;
         println!("ready http://{address}");
         while let Some(signal) = signals.next().await {
             if !matches!(signal, Ok(Signal::Hup)) {
--- a/crates/cli/src/commands/route.rs
+++ b/crates/cli/src/commands/route.rs
@@ -1,4 +1,4 @@
-//! `hoptiller route`: a router on the statement API.
+//! `hoptiller route`: runs a router on the statement API.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use crate::runtime::{self, wait_for_termination};
 use crate::{metrics_endpoint, secret};
 
-/// File descriptors that are used beside those for clients: for engines, files and replicas.
+/// Number of file descriptors reserved for engines, files and replicas, in addition to those of clients.
 const OTHER_DESCRIPTORS: u64 = 500;
 
 /// Arguments of `hoptiller route`.
@@ -23,7 +23,7 @@
 pub(crate) struct Args {
     /// The settings, in Jsonnet; `hoptiller check` validates them
     file: PathBuf,
-    /// For tests: the clock of config leases is fast by so many millionths (slow, if negative)
+    /// For tests: the clock of config leases is fast by this number of millionths (slow, if negative)
     #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
     clock_skew: i64,
 }
@@ -54,7 +54,7 @@
         let listen = service.settings().router.listen;
         let address = service
             .start(metrics)
-            .map_err(CommandError::io(format!("can't listen on {listen}")))?;
+            .map_err(CommandError::io(format!("cannot listen on {listen}")))?;
         println!("ready http://{address}");
         wait_for_termination().await?;
         shut_down(&service).await;
@@ -62,7 +62,7 @@
     })
 }
 
-/// The router's membership of a coordinated fleet; none where its settings name no replicas.
+/// Creates the router's membership in a coordinated fleet; `None` if its settings name no replicas.
 fn fleet_member(
     args: &Args,
     settings: &Settings,
--- a/crates/cli/src/commands/runaways.rs
+++ b/crates/cli/src/commands/runaways.rs
@@ -1,4 +1,4 @@
-//! `hoptiller runaways`: shows what a running router has found, and releases its holds.
+//! `hoptiller runaways`: shows the findings of a running router, and releases its holds.
 
 mod report;
 
@@ -15,7 +15,7 @@
 use crate::error::CommandError;
 use report::Report;
 
-/// Limit of the time to connect, and of the time for the response.
+/// Timeout of the connect, and of the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
@@ -23,7 +23,7 @@
 /// Arguments of `hoptiller runaways`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The router's address for administrators: `router.admin` in its settings
+    /// The router's address for administrators, which is `router.admin` in its settings
     #[arg(
         long,
         env = "HOPTILLER_ADMIN",
@@ -31,27 +31,27 @@
         value_name = "ADDR"
     )]
     admin: SocketAddr,
-    /// Release the hold of a fingerprint (kind): its 16 digits, as the list shows them
+    /// Release the hold of a fingerprint (kind), given as the 16 digits that the list shows
     #[arg(long, value_name = "KIND")]
     release: Option<String>,
-    /// Also show the last findings that no longer apply
+    /// Also show recent findings that no longer apply
     #[arg(long = "past")]
     with_past: bool,
-    /// Print the router's response, in JSON
+    /// Print the router's response as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// The router does not release a hold.
+/// The error that the router did not release a hold.
 #[derive(Debug, thiserror::Error)]
 #[error("kind {fingerprint}: {reason}")]
 pub(crate) struct ReleaseError {
     fingerprint: String,
-    /// The router's reason.
+    /// The reason that the router gave.
     reason: String,
 }
 
-/// A response that reports an error.
+/// The body of a response that reports an error.
 #[derive(Deserialize)]
 struct ErrorBody {
     problem: String,
@@ -75,7 +75,7 @@
         }
         .into());
     }
-    println!("kind {fingerprint} is free");
+    println!("kind {fingerprint}: hold released");
     Ok(())
 }
 
@@ -83,15 +83,15 @@
     let response = send(args.admin, Method::Get, RUNAWAYS_PATH)?;
     let status = response.status.0;
     if status != 200 {
-        let context = format!("the router at {} answered {status}", args.admin);
+        let context = format!("the router at {} returned status {status}", args.admin);
         return Err(CommandError::io(context)(error_reason(&response)));
     }
     if args.json {
         println!("{}", String::from_utf8_lossy(&response.body));
         return Ok(());
     }
-    let report: Report =
-        serde_json::from_slice(&response.body).map_err(CommandError::io("the router's answer"))?;
+    let report: Report = serde_json::from_slice(&response.body)
+        .map_err(CommandError::io("invalid response of the router"))?;
     print!("{}", report.to_text(args.with_past));
     Ok(())
 }
@@ -108,7 +108,7 @@
     };
     let response: Result<Response, ClientError> = future::block_on(exchange);
     response.map_err(CommandError::io(format!(
-        "no answer from {admin}; is router.admin set there, and --admin the same"
+        "no response from {admin}; check that --admin is the router.admin of the router's settings"
     )))
 }
 
--- a/crates/cli/src/commands/runaways/report.rs
+++ b/crates/cli/src/commands/runaways/report.rs
@@ -1,16 +1,16 @@
-//! The runaways that a router reports to its administrators, and their form for people.
+//! The report of runaways that a router gives its administrators, and its text for people.
 
 use std::fmt::{self, Display, Write};
 
 use serde::Deserialize;
 
-/// The response to [`RUNAWAYS_PATH`](hoptiller_statement_router::front_end::admin_api::RUNAWAYS_PATH). What a router does not report is
-/// empty.
+/// The response to [`RUNAWAYS_PATH`](hoptiller_statement_router::front_end::admin_api::RUNAWAYS_PATH). Fields that the router
+/// does not report are empty.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(super) struct Report {
     findings: Vec<Finding>,
-    /// The last findings that no longer apply.
+    /// Recent findings that no longer apply.
     past: Vec<Finding>,
     holds: Vec<Hold>,
     #[serde(rename = "keptAway")]
@@ -31,12 +31,12 @@
     verdict_ms_ago: u64,
     #[serde(rename = "seen")]
     evidence: String,
-    /// How many statements wait for it.
+    /// Number of statements that wait for it.
     blocked: u64,
     note: String,
 }
 
-/// A fingerprint of which few statements may run at once.
+/// The hold of a fingerprint, which limits the number of its statements that run at once.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct Hold {
@@ -52,7 +52,7 @@
     held_for_ms: u64,
 }
 
-/// Engines that get no statements on a group of tables.
+/// The engines that get no statements on a table group.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Exclusion {
@@ -61,7 +61,7 @@
 }
 
 impl Report {
-    /// The report for people, on request with findings that no longer apply.
+    /// Formats the report for people, optionally with findings that no longer apply.
     pub(super) fn to_text(&self, with_past: bool) -> String {
         let mut text = String::new();
         write_section(&mut text, "found", &self.findings);
--- a/crates/cli/src/commands/service.rs
+++ b/crates/cli/src/commands/service.rs
@@ -1,14 +1,16 @@
-//! What the commands share that run a router on the statement API.
+//! Shutdown of a router on the statement API, shared by the commands that run one.
 
 use hoptiller_statement_router::{Service, ShutdownOutcome};
 
-/// Shuts a router down, and reports how that went.
+/// Shuts a router down, and prints the outcome.
 pub(crate) async fn shut_down(service: &Service) {
     match service.shutdown().await {
-        ShutdownOutcome::Complete => eprintln!("hoptiller: ended; all that was taken is answered"),
+        ShutdownOutcome::Complete => {
+            eprintln!("hoptiller: stopped; all admitted statements have their final response");
+        }
         ShutdownOutcome::TimedOut { open_statements } => eprintln!(
-            "hoptiller: ended with {open_statements} statements open: limits.drain_within ran out; their clients learn what is \
-             known when the router runs again"
+            "hoptiller: stopped with {open_statements} open statements, as limits.drain_within expired; their clients get the \
+             known outcomes when the router runs again"
         ),
     }
 }
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -1,4 +1,4 @@
-//! `hoptiller settings`: the fleet's configuration, in versions.
+//! `hoptiller settings`: shows and changes the versions of the fleet's configuration.
 
 mod proposal;
 
@@ -18,26 +18,26 @@
 use crate::replicas::{ReplicaArgs, Replicas};
 use proposal::{ProposalArgs, propose};
 
-/// How long a replica holds one watch call open.
+/// Time for which a replica holds a watch call open.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// Time that a watch call may take beyond its wait.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// What is done with versions.
+/// The subcommands of `hoptiller settings`.
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
     /// Proposes a file as the next version, and waits until it is in force
     Put(PutArgs),
-    /// Shows a version: the last, or the one of that number
+    /// Shows the last version, or the one with the given number
     Show(ShowArgs),
     /// Shows the differences between two versions
     Diff(DiffArgs),
-    /// Lists the versions: author, time, reason
+    /// Lists the versions with author, time and reason
     History(HistoryArgs),
     /// Proposes the document of an earlier version as the next version
     Rollback(RollbackArgs),
-    /// Reports versions as they are proposed and in force, until it is stopped
+    /// Reports versions as they are proposed and come into force, until it is stopped
     Watch(WatchArgs),
 }
 
@@ -48,7 +48,7 @@
     file: PathBuf,
     #[command(flatten)]
     proposal: ProposalArgs,
-    /// Show the differences to the last version, and propose nothing
+    /// Show the differences from the last version, and propose nothing
     #[arg(long)]
     dry_run: bool,
 }
@@ -65,9 +65,9 @@
 /// Arguments of `hoptiller settings diff`.
 #[derive(clap::Args)]
 pub(crate) struct DiffArgs {
-    /// The number of the one version
+    /// The number of the first version
     from: VersionNumber,
-    /// The number of the other version
+    /// The number of the second version
     to: VersionNumber,
     #[command(flatten)]
     replicas: ReplicaArgs,
@@ -78,7 +78,7 @@
 pub(crate) struct HistoryArgs {
     #[command(flatten)]
     replicas: ReplicaArgs,
-    /// Print the list in JSON
+    /// Print the list as JSON
     #[arg(long)]
     json: bool,
 }
@@ -125,7 +125,7 @@
 ///
 /// # Errors
 ///
-/// [`CommandError::Settings`] with all validation errors of the document.
+/// Returns [`CommandError::Settings`] with all validation errors if the document is invalid.
 pub(crate) fn read_document(file: &Path) -> Result<Document, CommandError> {
     let problem = |error: ValidationError| SettingError {
         place: format!("{}: {}", file.display(), error.path),
@@ -159,7 +159,7 @@
         println!("{}", format_difference(difference));
     }
     if differences.is_empty() {
-        println!("the same text");
+        println!("no differences");
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -191,7 +191,7 @@
     }
 }
 
-/// The version numbers, as soon as they differ from the known ones or `wait` is over.
+/// Returns the version numbers as soon as they differ from the known ones, or after `wait`.
 fn watch_versions(
     replicas: &Replicas,
     known: wire::VersionNumbers,
--- a/crates/cli/src/commands/settings/proposal.rs
+++ b/crates/cli/src/commands/settings/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposes a version, and waits until it is in force.
+//! Proposals of versions, and the wait until they are in force.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -12,12 +12,12 @@
 use crate::random_id::random_id;
 use crate::replicas::{ReplicaArgs, Replicas};
 
-/// The arguments of a proposal.
+/// The command-line arguments of a proposal.
 #[derive(clap::Args)]
 pub(crate) struct ProposalArgs {
     #[command(flatten)]
     pub(super) replicas: ReplicaArgs,
-    /// The reason, for all who look at the version later
+    /// The reason for the change, which the history shows
     #[arg(long = "why", value_name = "TEXT")]
     reason: String,
     /// The author
@@ -28,18 +28,18 @@
         value_name = "NAME"
     )]
     author: String,
-    /// The last version that you have seen; by default the last one when the command starts
+    /// The last version that the author has seen; by default the last one when the command starts
     #[arg(long, value_name = "N")]
     base: Option<VersionNumber>,
-    /// A name of your own that makes the proposal idempotent: a repeat under the same name is the same change
+    /// A name that makes the proposal idempotent: a repeat under the same name is the same change
     #[arg(long = "change", value_name = "NAME")]
     change_name: Option<String>,
-    /// How long to wait until the version is in force, in seconds
+    /// Maximum time to wait until the version is in force, in seconds
     #[arg(long, default_value_t = 60, value_name = "S")]
     wait: u64,
 }
 
-/// Proposes a document as the next version, and waits until it is in force. Exit code 1 where it is not in time.
+/// Proposes a document as the next version, and waits until it is in force. The exit code is 1 if it is not in time.
 pub(super) fn propose(
     replicas: &Replicas,
     args: &ProposalArgs,
@@ -57,7 +57,7 @@
     }
     if dry_run {
         let next = current.last + 1;
-        println!("version {next} would come; nothing was put");
+        println!("the next version would be {next}; nothing was proposed");
         return Ok(ExitCode::SUCCESS);
     }
     let proposal = args.proposal(current.last, document);
@@ -66,17 +66,18 @@
         wire::ProposalResponse::Accepted(number) => number,
         wire::ProposalResponse::Rejected(rejection) => return Err(rejection.into()),
     };
-    println!("version {number} is taken");
+    println!("version {number} is accepted");
     wait_until_in_force(replicas, number, start, Duration::from_secs(args.wait))
 }
 
 impl ProposalArgs {
     fn proposal(&self, last: VersionNumber, document: Document) -> Proposal {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        // A proposal under a name of the author's may be a repeat: then the last version is not its base.
+        // A proposal with a name given by the author may be a repeat, whose base is not the last version.
         let is_possible_repeat = self.change_name.is_some() && self.base.is_none();
         Proposal {
-            // The same for each replica that is tried: a proposal whose response was lost is not accepted twice.
+            // The name is the same for each replica that is tried, so that a proposal whose response was lost is not
+            // accepted twice.
             change_name: self.change_name.clone().unwrap_or_else(random_id),
             base: (!is_possible_repeat).then(|| self.base.unwrap_or(last)),
             author: self.author.clone(),
@@ -98,7 +99,7 @@
         eprintln!("  {}", format_difference(difference));
     }
     if differences.is_empty() {
-        eprintln!("  the same text as version {number}");
+        eprintln!("  no differences from version {number}");
     }
     Ok(())
 }
@@ -116,14 +117,16 @@
         known = watch_versions(replicas, known, remaining.min(WATCH_WAIT))?;
         if known.in_force >= number {
             println!(
-                "version {} is in force, {} ms after it was put",
+                "version {} is in force, {} ms after the proposal",
                 known.in_force,
                 start.elapsed().as_millis()
             );
             return Ok(ExitCode::SUCCESS);
         }
         if remaining.is_zero() {
-            println!("version {number} is not in force yet; it comes in force by itself");
+            println!(
+                "version {number} is not in force yet; it will come into force without further action"
+            );
             print!("{}", format_blocking_holders(&replicas.get(wire::STATUS)?));
             return Ok(ExitCode::FAILURE);
         }
--- a/crates/cli/src/commands/standin.rs
+++ b/crates/cli/src/commands/standin.rs
@@ -1,4 +1,4 @@
-//! `hoptiller standin`: mock servers of what a router connects to.
+//! `hoptiller standin`: runs mock servers for the services to which a router connects.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
 /// The mock server to run.
 #[derive(clap::Subcommand)]
 pub(crate) enum Args {
-    /// An engine, which simulates work without using the processor. `PUT /v1/info/state` with "SHUTTING_DOWN" drains it,
-    /// `PUT /v1/standin/faults` injects faults.
+    /// Runs an engine, which simulates work without using the processor. `PUT /v1/info/state` with "SHUTTING_DOWN" drains
+    /// it, and `PUT /v1/standin/faults` injects faults
     Engine(EngineArgs),
-    /// A discovery service
+    /// Runs a discovery service
     Discovery(DiscoveryArgs),
 }
 
 /// Arguments of `hoptiller standin engine`.
 #[derive(clap::Args)]
 pub(crate) struct EngineArgs {
-    /// The engine's name, the same after a restart
+    /// The engine's name, which stays the same after a restart
     #[arg(long)]
     node: String,
     /// The address to listen on
@@ -37,19 +37,19 @@
     /// The discovery service to register with
     #[arg(long, value_name = "ADDR")]
     discovery: Option<SocketAddr>,
-    /// The kind of machine
+    /// The machine kind
     #[arg(long, default_value = "std-8a")]
     kind: String,
     /// The zone
     #[arg(long, default_value = "hall-a")]
     zone: String,
-    /// The engine starts with a cold cache
+    /// Start the engine with a cold cache
     #[arg(long)]
     cold: bool,
-    /// File of the effects of statements
+    /// File for the effects of statements
     #[arg(long, value_name = "FILE")]
     ledger: Option<PathBuf>,
-    /// File of records of the engine's messages, for `hoptiller audit`
+    /// File for records of the engine's messages, for `hoptiller audit`
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
 }
@@ -60,10 +60,10 @@
     /// The address to listen on
     #[arg(long, default_value = "127.0.0.1:0", value_name = "ADDR")]
     listen: SocketAddr,
-    /// How long an announcement is valid, in seconds
+    /// Time for which an announcement is valid, in seconds
     #[arg(long = "keep", default_value_t = 2, value_name = "S")]
     announcement_ttl: u64,
-    /// File of records of the lists served, for `hoptiller audit`
+    /// File for records of the lists served, for `hoptiller audit`
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
 }
@@ -101,7 +101,7 @@
 }
 
 fn start_error() -> impl FnOnce(io::Error) -> CommandError {
-    CommandError::io("the stand-in can't start")
+    CommandError::io("cannot start the mock server")
 }
 
 fn recorder(path: Option<&Path>) -> Result<Recorder, CommandError> {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of commands, with their exit codes.
+//! Errors of commands, and their exit codes.
 
 use std::error::Error;
 use std::path::Path;
@@ -15,19 +15,19 @@
 /// An error of another package or of the system.
 type Source = Box<dyn Error + Send + Sync>;
 
-/// Exit code: the command line or a file that it names is wrong, and nothing was started.
+/// Exit code for an invalid command line, or an invalid file that it names; nothing was started.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code: something outside of the program failed.
+/// Exit code for a failure outside of the program.
 const EXIT_EXTERNAL: u8 = 3;
 
-/// Why a command failed.
+/// Errors of commands.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     /// Settings with problems.
     #[error("{}", list_problems(.0))]
     Settings(Vec<SettingError>),
-    /// A wrong command line.
+    /// An invalid command line.
     #[error("{0}")]
     Usage(String),
     /// A file that the command line names is not what the command expects.
@@ -41,36 +41,36 @@
     /// The router can't be set up from its settings.
     #[error(transparent)]
     Router(#[from] hoptiller_policy::SettingsError),
-    /// There are no records to judge, or malformed ones.
+    /// The records are missing or malformed.
     #[error(transparent)]
     Audit(#[from] AuditError),
-    /// There are no attempts to compare.
+    /// The traces contain no attempts to compare.
     #[error(transparent)]
     EmptyTrace(#[from] EmptyTraceError),
-    /// The settings do not fit the study.
+    /// The settings are not suitable for the study.
     #[error(transparent)]
     Study(#[from] MissingClassError),
-    /// A router does not release a hold.
+    /// A router did not release a hold.
     #[error(transparent)]
     Release(#[from] ReleaseError),
-    /// The replicas reject a proposal.
+    /// The replicas rejected a proposal.
     #[error(transparent)]
     Proposal(#[from] Rejection),
-    /// A replica rejects a call.
+    /// A replica rejected a call.
     #[error("{0}")]
     CallRejected(#[source] CallError),
-    /// Something outside failed: a file, a socket, another process.
+    /// A failure outside of the program, of a file, a socket or another process.
     #[error("{context}: {source}")]
     Io {
-        /// What was done, or with what.
+        /// The operation that failed, or its object.
         context: String,
-        /// What failed.
+        /// The cause.
         source: Source,
     },
 }
 
 impl CommandError {
-    /// Adds to an error in which context it occurred; for `map_err`.
+    /// Returns a function for `map_err` that adds the context to an error.
     pub(crate) fn io<E: Into<Source>>(
         context: impl Into<String>,
     ) -> impl FnOnce(E) -> CommandError {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Adds to an error in which file it was found; for `map_err`.
+    /// Returns a function for `map_err` that adds the path of the invalid file to an error.
     pub(crate) fn invalid_file<E: Into<Source>>(path: &Path) -> impl FnOnce(E) -> CommandError {
         let path = path.display().to_string();
         move |error| CommandError::InvalidFile {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The exit code of the program.
+    /// Returns the exit code of the program.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Io { .. } => EXIT_EXTERNAL,
@@ -115,7 +115,9 @@
     fn from(error: CallError) -> CommandError {
         match error {
             rejected @ CallError::Rejected { .. } => CommandError::CallRejected(rejected),
-            unavailable @ CallError::Unavailable(_) => CommandError::io("the keepers")(unavailable),
+            unavailable @ CallError::Unavailable(_) => {
+                CommandError::io("cannot reach the keepers")(unavailable)
+            }
         }
     }
 }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: on stderr, as text or JSON, at the level that `--log` or `HOPTILLER_LOG` sets.
+//! Logging to stderr, as text or JSON, at the level that `--log` or `HOPTILLER_LOG` sets.
 
 use std::io::IsTerminal;
 
@@ -18,7 +18,7 @@
 /// The command-line arguments of the log.
 #[derive(Args)]
 pub(crate) struct LogArgs {
-    /// What is logged on stderr: error, warn, info (the end of each statement), debug (each attempt), or a filter
+    /// The level of the log on stderr: error, warn, info (the end of each statement), debug (each attempt), or a filter
     #[arg(
         long,
         global = true,
@@ -32,8 +32,8 @@
     log_format: Format,
 }
 
-/// Targets of releases before packages were renamed, and the package whose events they select now. Filters that name the
-/// former ones go on working.
+/// Log targets from before packages were renamed, with the packages that have their events now. Filters with the former
+/// targets continue to work.
 const RENAMED_TARGETS: [(&str, &str); 6] = [
     ("hoptiller_agent", "hoptiller_coordination_client"),
     ("hoptiller_agreement", "hoptiller_coordination"),
@@ -43,7 +43,7 @@
     ("hoptiller_standin", "hoptiller_mock_servers"),
 ];
 
-/// The filter with former targets replaced by current ones.
+/// Replaces former targets in a filter by current ones.
 fn with_current_targets(filter: &str) -> String {
     let directives = filter.split(',').map(|directive| {
         let directive = directive.trim();
@@ -55,7 +55,7 @@
     directives.collect::<Vec<String>>().join(",")
 }
 
-/// Starts logging. With an invalid filter warnings are logged, of which the first says so.
+/// Starts logging. If the filter is invalid, the log has warnings only, and the first one reports the filter.
 pub(crate) fn start(args: &LogArgs) {
     let filter = EnvFilter::try_new(with_current_targets(&args.log));
     let invalid = filter.as_ref().err().map(ToString::to_string);
@@ -68,7 +68,7 @@
         Format::Json => builder.json().init(),
     }
     if let Some(error) = invalid {
-        tracing::warn!(%error, "log filter invalid, warnings are logged");
+        tracing::warn!(%error, "invalid log filter; logging warnings only");
     }
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,7 @@
 /// Clients submit statements over HTTP and poll for the rows (Trino's client protocol); each statement waits in the
 /// queue of its class until an engine has a free slot, and gets exactly one final response.
 ///
-/// Exit codes: 0 success; 1 a rule was violated; 2 the command line or the settings are wrong, and nothing was started;
+/// Exit codes: 0 success; 1 a rule was violated; 2 the command line or the settings are invalid, and nothing was started;
 /// 3 something outside of the program failed.
 #[derive(Parser)]
 #[command(version, propagate_version = true)]
@@ -34,39 +34,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs engines, discovery and a router in one process on loopback, to try them out.
+    /// Runs mock engines, discovery and a router in one process on loopback, as a demonstration.
     Demo(commands::demo::Args),
     /// Runs a router on the statement API.
     Route(commands::route::Args),
-    /// Runs a router on the platform's protocol, as its configuration file says (SIGHUP: reload; SIGTERM: shut down).
+    /// Runs a router on the platform's protocol with a configuration file (SIGHUP: reload; SIGTERM: shut down).
     Node(commands::node::Args),
-    /// Validates a file of settings, and reports all its problems.
+    /// Validates a file of settings, and reports all of its problems.
     Check(commands::check::Args),
-    /// Runs a mock server (stand-in) of what a router connects to.
+    /// Runs a mock server (stand-in) for a service to which a router connects.
     #[command(subcommand)]
     Standin(commands::standin::Args),
-    /// Runs a scenario with faults: routers, engines and clients over sockets; then judges it.
+    /// Runs a scenario of routers, engines and clients with faults over sockets, and checks it against the rules of service.
     Day(commands::day::Args),
     /// Runs a replica of the coordination server (a keeper), which stores the fleet's configuration versions and leases.
     Keep(commands::keep::Args),
-    /// The fleet's configuration: proposes, shows and compares versions.
+    /// Proposes, shows and compares versions of the fleet's configuration.
     #[command(subcommand)]
     Settings(commands::settings::Args),
-    /// The fleet: which version each member enforces, and for whom a rollout waits.
+    /// Shows the state of the fleet and the routers that block a rollout, replaces replicas, and runs fleet scenarios.
     #[command(subcommand)]
     Fleet(commands::fleet::Args),
-    /// Shows the runaways that a running router has found and its holds, and releases holds.
+    /// Shows the runaways and holds of a running router, and releases holds.
     Runaways(commands::runaways::Args),
-    /// Studies in simulated time, with the routers' own code.
+    /// Runs studies in simulated time, with the code of the routers.
     #[command(subcommand)]
     Experiment(commands::experiment::Args),
-    /// Judges the rules of service (docs/architecture.md) from a folder of records.
+    /// Checks a folder of records against the rules of service (docs/architecture.md).
     Audit(commands::audit::Args),
-    /// Compares the attempts in routers' traces with what their policy believed to be in flight.
+    /// Compares the attempts in routers' traces with the number that their policy believed to be in flight.
     Beliefs(commands::beliefs::Args),
 }
 
-/// The fault that is injected into this process, in programs with the feature `plant`.
+/// Environment variable that names the fault to inject into this process, in programs with the feature `plant`.
 #[cfg(feature = "plant")]
 const FAULT_VARIABLE: &str = "HOPTILLER_PLANT";
 
--- a/crates/cli/src/metrics_endpoint.rs
+++ b/crates/cli/src/metrics_endpoint.rs
@@ -1,4 +1,4 @@
-//! Metrics of this process, in Prometheus' text format, on the router's own address.
+//! The metrics of this process in Prometheus text format, served on the router's address.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// Interval at which the recorder drops old samples of histograms.
+/// Interval of the recorder's upkeep, which drains samples of histograms.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts to record metrics, and returns what responds to requests for them.
+/// Starts to record metrics, and returns the route that serves them.
 pub(crate) fn start(spawner: &Spawner) -> ExtraRoutes {
     let recorder = install_recorder(spawner);
     Rc::new(move |path| match (path, &recorder) {
@@ -22,7 +22,7 @@
     })
 }
 
-/// None where the process has a recorder already.
+/// Installs a recorder; `None` if the process has one already.
 fn install_recorder(spawner: &Spawner) -> Option<PrometheusHandle> {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
--- a/crates/cli/src/random_id.rs
+++ b/crates/cli/src/random_id.rs
@@ -1,13 +1,13 @@
-//! Random names for what must differ from all before it.
+//! Random identifiers.
 
 use rand::RngCore;
 
-/// Letters and digits that are not easily confused.
+/// Letters and digits that people do not easily confuse.
 const ALPHABET: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
 
 const ID_LENGTH: usize = 8;
 
-/// A name for one incarnation of a process, or for one proposal.
+/// Returns an identifier for an incarnation of a process or for a proposal.
 pub(crate) fn random_id() -> String {
     let mut bytes = [0; ID_LENGTH];
     rand::rng().fill_bytes(&mut bytes);
--- a/crates/cli/src/replicas.rs
+++ b/crates/cli/src/replicas.rs
@@ -1,4 +1,4 @@
-//! Calls of commands to the replicas of the coordination server, each of which blocks until its response.
+//! Blocking calls from commands to the replicas of the coordination server.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,10 +10,10 @@
 
 use crate::error::CommandError;
 
-/// Limit of the time that each replica may take for a call.
+/// Timeout of a call at each replica.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The command-line arguments that say where the replicas are.
+/// The command-line arguments for access to the replicas.
 #[derive(clap::Args)]
 pub(crate) struct ReplicaArgs {
     /// The addresses of the replicas of the coordination server (keepers), separated by commas
@@ -25,17 +25,17 @@
         required = true
     )]
     addresses: Vec<SocketAddr>,
-    /// The file with the fleet's secret
+    /// The file that contains the fleet's secret
     #[arg(long, env = "HOPTILLER_FLEET_SECRET", value_name = "FILE")]
     secret: PathBuf,
 }
 
 impl ReplicaArgs {
-    /// A client of these replicas.
+    /// Creates a client of the replicas.
     ///
     /// # Errors
     ///
-    /// Where the secret can't be loaded.
+    /// Returns an error if the secret can't be loaded.
     pub(crate) fn open(&self) -> Result<Replicas, CommandError> {
         let secret = load_fleet_secret(&self.secret)?;
         Ok(Replicas(CoordinationClient::new(
@@ -49,57 +49,57 @@
 ///
 /// # Errors
 ///
-/// Where the file can't be read or is malformed.
+/// Returns an error if the file can't be read or is malformed.
 pub(crate) fn load_fleet_secret(path: &std::path::Path) -> Result<Secret, CommandError> {
-    Secret::load(path).map_err(CommandError::io("the fleet's secret can't be read"))
+    Secret::load(path).map_err(CommandError::io("cannot load the fleet's secret"))
 }
 
-/// The replicas, for calls that block.
+/// A blocking client of the replicas.
 pub(crate) struct Replicas(CoordinationClient);
 
 impl Replicas {
-    /// A call with a body.
+    /// Calls a replica with a body, and returns the response.
     ///
     /// # Errors
     ///
-    /// Where a replica rejects the call, or none answers.
-    pub(crate) fn post<A: DeserializeOwned>(
+    /// Returns an error if a replica rejects the call or none responds.
+    pub(crate) fn post<T: DeserializeOwned>(
         &self,
         path: &str,
         body: &impl Serialize,
-    ) -> Result<A, CommandError> {
+    ) -> Result<T, CommandError> {
         self.post_with_timeout(path, body, CALL_TIMEOUT)
     }
 
-    /// A call with a body, with another limit of each replica's time.
+    /// Calls a replica with a body and a timeout for each replica, and returns the response.
     ///
     /// # Errors
     ///
-    /// Where a replica rejects the call, or none answers.
-    pub(crate) fn post_with_timeout<A: DeserializeOwned>(
+    /// Returns an error if a replica rejects the call or none responds.
+    pub(crate) fn post_with_timeout<T: DeserializeOwned>(
         &self,
         path: &str,
         body: &impl Serialize,
         timeout: Duration,
-    ) -> Result<A, CommandError> {
+    ) -> Result<T, CommandError> {
         Ok(async_io::block_on(self.0.call(path, Some(body), timeout))?)
     }
 
-    /// A call without a body.
+    /// Calls a replica without a body, and returns the response.
     ///
     /// # Errors
     ///
-    /// Where a replica rejects the call, or none answers.
-    pub(crate) fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, CommandError> {
+    /// Returns an error if a replica rejects the call or none responds.
+    pub(crate) fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         let call = self.0.call(path, None::<&()>, CALL_TIMEOUT);
         Ok(async_io::block_on(call)?)
     }
 
-    /// The same call without a body to each replica, in the order of their addresses.
-    pub(crate) fn get_from_each<A: DeserializeOwned>(
+    /// Calls each replica without a body, and returns their results in the order of the addresses.
+    pub(crate) fn get_from_each<T: DeserializeOwned>(
         &self,
         path: &str,
-    ) -> Vec<(SocketAddr, Result<A, CallError>)> {
+    ) -> Vec<(SocketAddr, Result<T, CallError>)> {
         let call = |address: &SocketAddr| {
             let call = self
                 .0
--- a/crates/cli/src/runtime.rs
+++ b/crates/cli/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What commands that run until a signal share: the executor, signals, the limit of file descriptors.
+//! The executor, signals and file descriptor limit of commands that run until a signal.
 
 use std::rc::Rc;
 
@@ -9,8 +9,8 @@
 
 use crate::error::CommandError;
 
-/// Raises this process's limit of file descriptors as far as the system permits, as each client uses one; returns the
-/// limit that is now in force.
+/// Raises this process's file descriptor limit as far as the system permits, because each client uses a descriptor.
+/// Returns the resulting limit.
 pub(crate) fn raise_descriptor_limit() -> u64 {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let previous = getrlimit(Resource::Nofile);
@@ -25,28 +25,28 @@
     limit.unwrap_or(u64::MAX)
 }
 
-/// Runs a command's task on an executor of this thread.
+/// Runs a command's task on an executor on this thread.
 pub(crate) fn block_on<T>(task: impl AsyncFnOnce(Spawner) -> T) -> T {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(task(Spawner::new(&executor))))
 }
 
-/// Listens to signals. A signal that arrives before this ends the process.
+/// Starts to listen to signals. Before this call, the signals end the process.
 ///
 /// # Errors
 ///
-/// Where the system does not let them be listened to.
+/// Returns an error if the system does not permit it.
 pub(crate) fn listen_to_signals(
     signals: impl IntoIterator<Item = Signal>,
 ) -> Result<Signals, CommandError> {
-    Signals::new(signals).map_err(CommandError::io("signals can't be listened to"))
+    Signals::new(signals).map_err(CommandError::io("cannot listen to signals"))
 }
 
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Where the system does not let signals be listened to.
+/// Returns an error if the process can't listen to signals.
 pub(crate) async fn wait_for_termination() -> Result<(), CommandError> {
     let mut signals = listen_to_signals([Signal::Term, Signal::Int])?;
     signals.next().await;
--- a/crates/cli/src/scenarios.rs
+++ b/crates/cli/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! What the commands that run scenarios share.
+//! Functions shared by the commands that run scenarios.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 
 use crate::error::CommandError;
 
-/// The failure of a command whose scenario can't be loaded or run.
+/// Converts the error of a scenario into that of a command.
 pub(crate) fn failure(error: ScenarioError) -> CommandError {
     match error {
         ScenarioError::Invalid(problems) => CommandError::Settings(problems),
@@ -19,7 +19,7 @@
     }
 }
 
-/// The file of this program, which scenarios start again for their processes; `subject` names it in the failure.
+/// Returns the path of this program, which scenarios run as their processes. An error names it by `subject`.
 pub(crate) fn own_program(subject: &str) -> Result<PathBuf, CommandError> {
     std::env::current_exe().map_err(CommandError::io(subject))
 }
--- a/crates/cli/src/secret.rs
+++ b/crates/cli/src/secret.rs
@@ -1,5 +1,5 @@
-//! The secret with which a router signs the tokens in its URIs: a file that outlives the process, so that a restarted
-//! router accepts the URIs that it gave out before.
+//! The secret with which a router signs the tokens in its URIs. A file stores it, so that a restarted router accepts the
+//! URIs that it issued before.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -10,19 +10,19 @@
 
 const SECRET_BYTES: usize = 32;
 
-/// The file's name in the state folder.
+/// Name of the file in the state folder.
 const FILE_NAME: &str = "secret";
 
-/// The owner alone may read it.
+/// Permissions of the file: only the owner may read and write it.
 const FILE_MODE: u32 = 0o600;
 
-/// Why a secret can't be loaded or created.
+/// Errors of loading or creating a secret.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SecretError {
-    /// The file holds something else.
+    /// The file does not contain a secret.
     #[error(
-        "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it: clients of statements taken \
-         before are then answered 404",
+        "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it, and polls of earlier statements \
+         get status 404",
         path.display(),
         SECRET_BYTES * 2
     )]
@@ -35,11 +35,11 @@
     Io(#[from] io::Error),
 }
 
-/// Loads the secret of a state folder; creates folder and secret at the first start.
+/// Loads the secret of a state folder. Creates the folder and the secret if they do not exist.
 ///
 /// # Errors
 ///
-/// Where the file is malformed, or can't be read or written.
+/// Returns an error if the file is malformed, or can't be read or written.
 pub(crate) fn load_or_create(dir: &Path) -> Result<Vec<u8>, SecretError> {
     fs::create_dir_all(dir)?;
     let path = dir.join(FILE_NAME);
@@ -54,14 +54,14 @@
     }
 }
 
-/// A new secret.
+/// Generates a new secret.
 pub(crate) fn generate() -> Vec<u8> {
     let mut secret = vec![0; SECRET_BYTES];
     rand::rng().fill_bytes(&mut secret);
     secret
 }
 
-/// Stores a secret by a rename: a crash leaves either no secret or a complete one.
+/// Stores a secret by renaming a temporary file, so that a crash leaves either no secret or a complete one.
 fn store(dir: &Path, path: &Path, secret: &[u8]) -> io::Result<()> {
     let temporary = dir.join(format!("{FILE_NAME}.{}", std::process::id()));
     let mut file = OpenOptions::new()
