--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,10 +1,10 @@
-//! The commands and arguments that pages document are accepted.
+//! Checks that the program accepts the documented commands and arguments.
 
 use std::process::Command;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hoptiller");
 
-/// Commands with an argument that pages document, if they document one.
+/// The documented commands, each with a documented argument.
 const DOCUMENTED: [(&str, &str); 25] = [
     ("demo", "--engines"),
     ("route", "<FILE>"),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_status_of_a_fleet_has_its_interim_name_too() {
+fn fleet_status_is_also_accepted_as_cluster_status() {
     let output = Command::new(PROGRAM)
         .args(["fleet", "cluster-status", "--help"])
         .output()
--- a/crates/cli/tests/deploy/deployed_router.rs
+++ b/crates/cli/tests/deploy/deployed_router.rs
@@ -1,4 +1,4 @@
-//! A router that is started as the deploy file says.
+//! A router that is started with the command of the deploy file.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -11,8 +11,8 @@
 
 use crate::{PROGRAM, deploy_setting};
 
-/// A folder with the configuration of a router, and with the program where `run` expects it. Dropping it kills the
-/// router and removes the folder.
+/// A running router, in a folder with its configuration and with the program at the path that `run` expects. Dropping it
+/// kills the router and removes the folder.
 pub struct DeployedRouter {
     pub root: PathBuf,
     pub address: SocketAddr,
@@ -20,7 +20,7 @@
 }
 
 impl DeployedRouter {
-    /// Starts `run` of the deploy file by `/bin/sh -c`.
+    /// Starts the command `run` of the deploy file with `/bin/sh -c`.
     pub fn start(name: &str, coordinator: SocketAddr, engine: SocketAddr) -> DeployedRouter {
         let root =
             std::env::temp_dir().join(format!("hoptiller-deploy-{name}-{}", std::process::id()));
@@ -53,14 +53,14 @@
         self.process.id()
     }
 
-    /// A file of the process under `/proc`.
+    /// Returns the path of a file of the process under `/proc`.
     pub fn proc(&self, name: &str) -> PathBuf {
         Path::new("/proc")
             .join(self.process.id().to_string())
             .join(name)
     }
 
-    /// What its file descriptors refer to, as `/proc` names it.
+    /// Returns the targets of its file descriptors, as `/proc` shows them.
     pub fn descriptors(&self) -> Vec<String> {
         let entries = std::fs::read_dir(self.proc("fd")).expect("it runs");
         entries
@@ -94,7 +94,7 @@
     })
 }
 
-/// Waits for the line in which the router says where it listens.
+/// Waits for the line in which the router prints its address, and returns the address.
 fn ready_address(process: &mut Child) -> SocketAddr {
     let mut line = String::new();
     BufReader::new(process.stdout.take().expect("piped"))
--- a/crates/cli/tests/deploy/elf.rs
+++ b/crates/cli/tests/deploy/elf.rs
@@ -11,7 +11,7 @@
 
 const DYNAMIC_ENTRY_BYTES: u64 = 16;
 
-/// What a program needs to be loaded.
+/// The interpreter and libraries that a program needs to be loaded.
 pub struct DynamicLinking {
     pub interpreter: Option<String>,
     pub libraries: Vec<String>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A part of the file that is loaded at an address.
+/// A segment of the program, with its place in the file and its address in memory.
 struct Segment {
     kind: u64,
     offset: u64,
@@ -104,7 +104,7 @@
 
     fn text(&self, offset: u64) -> String {
         let rest = &self.program[offset as usize..];
-        let end = rest.iter().position(|b| *b == 0).expect("it ends");
+        let end = rest.iter().position(|byte| *byte == 0).expect("it ends");
         String::from_utf8_lossy(&rest[..end]).into_owned()
     }
 }
--- a/crates/cli/tests/deploy/main.rs
+++ b/crates/cli/tests/deploy/main.rs
@@ -1,5 +1,6 @@
-//! What the platform requires of `deploy/balancer.toml` and of the program that it starts: one process by `exec`, linked
-//! dynamically against the C library, that starts no other program and uses TCP and UDP over IPv4 only.
+//! Checks of the platform's requirements for `deploy/balancer.toml` and the program that it starts: the command becomes one
+//! process by `exec`, which is linked dynamically against the C library, starts no other program, and uses only TCP and UDP
+//! over IPv4.
 
 mod deployed_router;
 mod elf;
@@ -19,12 +20,12 @@
 const REQUEST: &str = "POST /call/lookup HTTP/1.1\r\nHost: h\r\nTrace-Id: 00000000000000aa\r\n\
     Max-Wait-Ms: 8000\r\nProject: acme\r\nContent-Length: 8\r\n\r\nSELECT 1";
 
-/// An engine's response that it has no capacity for the request.
+/// The response of an engine that has no capacity for a request.
 const OVERLOAD: &[u8] = b"{\"t\":\"overload\",\"i\":\"00000000000000aa\"}\n";
 
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Libraries that each machine has.
+/// Libraries that are present on every machine.
 const SYSTEM_LIBRARIES: [&str; 6] = [
     "libc.",
     "libm.",
@@ -34,7 +35,7 @@
     "libdl.",
 ];
 
-/// The value of a key of the deploy file: each has a line of its own.
+/// Returns the value of a key of the deploy file, in which each key is on a separate line.
 fn deploy_setting(key: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(file).expect("the deploy file");
@@ -111,11 +112,11 @@
 /// An entry of a table under `/proc/net`.
 struct SocketEntry {
     inode: String,
-    /// The field after the inode: of a Unix socket its path, if it is bound to one.
+    /// The field after the inode, which for a Unix socket is its path, if it is bound to one.
     next_field: Option<String>,
 }
 
-/// The sockets of a table under `/proc/net`, whose inodes are in a column.
+/// Returns the sockets of a table under `/proc/net` that has inodes in the given column.
 fn sockets(table: &str, inode_column: usize) -> Vec<SocketEntry> {
     let text = std::fs::read_to_string(Path::new("/proc/net").join(table)).unwrap_or_default();
     text.lines()
@@ -130,7 +131,7 @@
         .collect()
 }
 
-/// The ids of the processes whose parent is the given one.
+/// Returns the ids of the child processes of a process.
 fn children(process_id: u32) -> Vec<String> {
     let parent = |pid: &str| -> Option<u32> {
         let stat = std::fs::read_to_string(Path::new("/proc").join(pid).join("stat")).ok()?;
@@ -144,7 +145,7 @@
         .collect()
 }
 
-/// Checks that all sockets are IPv4 or pairs within the process; returns the number of the former.
+/// Checks that all sockets are IPv4 sockets or pairs within the process. Returns the number of IPv4 sockets.
 fn count_ipv4_sockets(descriptors: &[String]) -> usize {
     let (tcp, udp, unix) = (sockets("tcp", 9), sockets("udp", 9), sockets("unix", 6));
     let inodes = descriptors
@@ -156,13 +157,13 @@
             count += 1;
             continue;
         }
-        // A pair, by which signals wake the process, has no path: no other process can connect to it.
+        // A socket pair, which signals use to wake the process, has no path, so no other process can connect to it.
         let is_pair = unix
             .iter()
             .any(|entry| entry.inode == inode && entry.next_field.is_none());
         assert!(
             is_pair,
-            "socket {inode} is neither IPv4 nor a pair of its own"
+            "socket {inode} is neither an IPv4 socket nor part of a pair"
         );
     }
     count
@@ -173,7 +174,7 @@
     let (coordinator, coordinator_address) = bind();
     let (engine, engine_address) = bind();
     let router = DeployedRouter::start("one", coordinator_address, engine_address);
-    // A request in flight at the engine, so that sockets of all kinds are open.
+    // A request is in flight at the engine, so that sockets of all kinds are open.
     let _client = send_request(router.address);
     let mut at_engine = engine.accept().expect("it connects").0;
     let mut at_coordinator = coordinator.accept().expect("it connects").0;
@@ -201,7 +202,7 @@
     );
 }
 
-/// An engine that rejects each request for lack of capacity.
+/// Runs an engine that rejects each request for lack of capacity.
 fn run_full_engine(listener: TcpListener) {
     for mut connection in listener.incoming().flatten() {
         thread::spawn(move || {
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Routers and replicas that are isolated, partitioned, paused, or have clocks that drift.
+//! Fleets with routers and replicas that are isolated, partitioned or paused, or whose clocks drift.
 
 use hoptiller_audit::{Record, SentVersions};
 use hoptiller_coordination_client::wire::ProposalResponse;
@@ -14,7 +14,7 @@
         matches!(link, LinkId::Router(0, _))
     });
     let number = fixture.propose("move", &document(&["a", "b"], 3));
-    // It still sends under its lease for the old version, so the others may not enforce the new one alone.
+    // The isolated router still sends under its lease for the old version, so the others may not rely on the new one alone.
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
     assert!(
         fixture.fleet.wait_until_in_force(number, TIMEOUT),
@@ -32,7 +32,7 @@
         }),
         "it rejects loads"
     );
-    // Lookups continue, and are marked as in doubt.
+    // Lookups continue, marked as in doubt.
     assert!(
         fixture.wait_for_attempt_in_doubt("r1"),
         "{before} attempts before"
@@ -49,7 +49,7 @@
     assert_eq!(
         loads.count(),
         0,
-        "what must never run twice is not sent in doubt"
+        "statements that must never run twice are not sent in doubt"
     );
 }
 
@@ -62,13 +62,13 @@
         .statuses()
         .iter()
         .find_map(|status| status.leader)
-        .expect("somebody leads") as usize
+        .expect("there is a leader") as usize
         - 1;
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
         |link| matches!(link, LinkId::Replicas(from, to) if *from == leader || *to == leader),
     );
-    // Half of the routers reach only that replica.
+    // Half of the routers reach only the leader.
     fixture.fleet.fail_links(
         LinkFaults::blocked(),
         |link| matches!(link, LinkId::Router(router, replica) if *router < 2 && *replica != leader),
@@ -127,7 +127,7 @@
         assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
         fixture.fleet.restore_links();
     }
-    // Responses to a router are lost: its renewals delay the version, and do not prolong its own lease.
+    // The responses to a router are lost: its renewals delay the version, and do not prolong its own lease.
     let lost = LinkFaults::lost_responses();
     fixture
         .fleet
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of processes of the program, with faults between them. What is judged is what engines and clients recorded, never
-//! what a router says of itself. Conditions are waited for, with timeouts far beyond what they take.
+//! Fleets of processes of the program, with faults between them. The verdicts use only the records of engines and clients,
+//! never what a router reports of itself. The tests wait for conditions, with timeouts far above the usual duration.
 
 mod faults;
 #[path = "../fleet_fixture/mod.rs"]
--- a/crates/cli/tests/fleet/program.rs
+++ b/crates/cli/tests/fleet/program.rs
@@ -1,4 +1,4 @@
-//! Commands of the program on a fleet: `settings put`, and a `fleet run` that is terminated.
+//! Commands that act on a fleet: `settings put`, and a `fleet run` that is terminated.
 
 use std::process::Command;
 use std::time::Instant;
@@ -66,13 +66,13 @@
     assert_eq!(fixture.fleet.version_numbers().map(|n| n.last), Some(2));
 }
 
-/// Processes that a process has started and that have not ended.
+/// Returns the running child processes of a process.
 fn children_of(parent: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").expect("there").flatten();
     let numbers = all.filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
     let of_parent = |pid: &u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-        // Behind the name, which is in brackets: the state and the parent.
+        // The state and the parent follow the name, which is in parentheses.
         let rest: Vec<&str> = stat
             .rsplit(") ")
             .next()
--- a/crates/cli/tests/fleet/replicas.rs
+++ b/crates/cli/tests/fleet/replicas.rs
@@ -1,11 +1,11 @@
-//! Replicas that are killed, lose their disks, and are replaced.
+//! Fleets with replicas that are killed, lose their disks or are replaced.
 
 use hoptiller_coordination_client::wire::ProposalResponse;
 use hoptiller_fault_harness::TestFleet;
 
 use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
 
-/// Starts a replica, which is to end with the exit code of a failure outside of it.
+/// Starts a replica, and checks that it ends with the exit code for a failure outside of the program.
 fn assert_rejected_on_start(fixture: &mut FleetFixture, replica: usize) {
     fixture.fleet.start_replica(replica).expect("starts");
     let process = fixture.fleet.replica(replica).expect("there");
@@ -28,7 +28,7 @@
     );
     (0..3).for_each(|replica| fixture.fleet.kill_replica(replica));
     assert!(fixture.wait_for_attempt_in_doubt("r1") && fixture.wait_for_attempt_in_doubt("r2"));
-    // A router that starts while no replica answers knows the versions that its former incarnation stored.
+    // A router that starts while no replica responds knows the versions that its former incarnation stored.
     fixture.fleet.kill_router(0);
     fixture.fleet.start_router(0).expect("runs");
     fixture.update_client_routers();
@@ -81,7 +81,7 @@
     assert_logged(&fixture, "keeper-3", "had disk");
     let three = fixture.propose("three", &document(&["a"], 2));
     assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
-    // With a second replica gone nothing is decided any more, and nothing is invented.
+    // Without a second replica no majority is left: no proposal is accepted, and the version in force stays.
     fixture.fleet.kill_replica(1);
     fixture.fleet.lose_disk(1).expect("gone");
     assert_rejected_on_start(&mut fixture, 1);
@@ -113,7 +113,7 @@
         .replace_replica(2)
         .expect("asked")
         .expect("replaced");
-    // Until two replicas know the new membership, the one that does may not fail. Then any may.
+    // Until two replicas know the new membership, the one that knows it may not fail. After that any one may.
     let informed = |fleet: &mut TestFleet| {
         fleet
             .statuses()
@@ -131,7 +131,7 @@
     let two = fixture.propose("two", &document(&["a", "b"], 3));
     assert!(
         fixture.fleet.wait_until_in_force(two, TIMEOUT),
-        "the new one and replica 1 are two of three"
+        "the new replica and replica 1 are a majority"
     );
     assert!(
         fixture.wait_for_attempt_under("r1", two, two)
@@ -152,7 +152,7 @@
         "{:?}",
         fixture.fleet.statuses()
     );
-    // The new one survives a restart, and the old ones are not needed for a version.
+    // The new replica survives a restart, and with one of the old ones it is a majority.
     fixture.fleet.kill_replica(new);
     fixture
         .fleet
@@ -162,11 +162,11 @@
     let three = fixture.propose("three", &document(&["a"], 2));
     assert!(fixture.fleet.wait_until_in_force(three, TIMEOUT));
     fixture.fleet.start_replica(1).expect("runs");
-    // The lost one comes back after all, with a former disk: its place is taken.
+    // The lost replica returns with a copy of its disk, and is rejected because it was replaced.
     fixture.fleet.restore_disk(2).expect("put back");
     assert_rejected_on_start(&mut fixture, 2);
     assert_logged(&fixture, "keeper-3", "taken this one's place");
-    // The new one loses its disk, and with it its promises: it may not join again.
+    // The new replica loses its disk, and with it its promises, so it may not join again.
     fixture.fleet.kill_replica(new);
     fixture.fleet.lose_disk(new).expect("gone");
     assert!(fixture.fleet.start_replica(new).is_err());
--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -1,4 +1,4 @@
-//! Versions that are proposed, rolled out and rejected.
+//! Proposals, rollouts and rejections of versions.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
 
-/// The machine kinds that reports were sent to from a time on, under this version or later ones.
+/// Returns the machine kinds to which reports were sent from a time on, under the given version or later ones.
 fn report_kinds(records: &[Record], from: u64, version: u64) -> Vec<String> {
     let kind_of = |record: &Record| match record {
         Record::Sent {
@@ -48,11 +48,11 @@
     assert_eq!(
         report_kinds(&records, 0, strict),
         ["b"],
-        "what enforces the last version obeys it"
+        "routers that enforce the last version send reports only where it permits"
     );
 }
 
-/// A version whose endpoint list has the first of four engines draining.
+/// Returns a document whose endpoint list has the first of four engines draining.
 fn document_that_drains_engine_0() -> Document {
     let mut drained = document(&["a", "b"], 2);
     let now = std::time::SystemTime::now()
@@ -75,7 +75,7 @@
     drained
 }
 
-/// The attempts that were not in doubt and enforced this version or a later one: engine and version in force.
+/// Returns engine and version in force of each attempt that was not in doubt and enforced the given version or a later one.
 fn attempts_enforcing(records: &[Record], version: u64) -> Vec<(String, u64)> {
     let attempt_of = |record: &Record| match record {
         Record::Sent {
@@ -95,7 +95,8 @@
 
 #[test]
 fn a_drain_proposed_after_a_pending_version_is_enforced_at_once() {
-    // So long that the version is still pending when the drain is enforced, on any machine. It ends when the link is restored.
+    // With this term the version is still pending when the drain is enforced, on any machine. The rollout completes when
+    // the links are restored.
     let mut fixture = FleetFixture::new("drain", 3, |topology| {
         topology.lease_term = Duration::from_secs(300)
     });
@@ -129,18 +130,18 @@
     );
     assert!(
         sent.iter().all(|(engine, _)| engine != "engine-0"),
-        "what enforces the drain sends nothing there"
+        "routers that enforce the drain send nothing to the draining engine"
     );
 }
 
 #[test]
 fn a_proposal_repeated_at_another_replica_is_one_version_and_a_flood_is_rejected() {
-    // An isolated router blocks versions for the rest of its lease: long enough for the limit of pending versions to be
-    // reached, also where a proposal takes long.
+    // An isolated router blocks versions for the rest of its lease. The term is long enough to reach the limit of pending
+    // versions even if proposals are slow.
     let mut fixture = FleetFixture::new("flood", 2, |topology| {
         topology.lease_term = Duration::from_secs(10);
     });
-    // As if the response had been lost: the caller proposes the same again.
+    // The caller repeats a proposal, as if the response had been lost.
     let number = fixture.propose("once", &document(&["a", "b"], 3));
     fixture.fleet.kill_replica(0);
     assert_eq!(fixture.propose("once", &document(&["a", "b"], 3)), number);
--- a/crates/cli/tests/fleet_fixture/mod.rs
+++ b/crates/cli/tests/fleet_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes for a test, with client load throughout, judged when it ends.
+//! A fleet of processes for a test. It has client load throughout, and its records are checked against the rules at the end.
 #![allow(dead_code)] // Not every test binary uses all of it.
 
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
 };
 use serde_json::json;
 
-/// How long leases last.
+/// Term of leases.
 pub const LEASE_TERM: Duration = Duration::from_secs(2);
-/// Far longer than anything here takes, on a loaded machine too.
+/// Timeout of each wait; far above the usual duration, also on a loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -22,7 +22,7 @@
     env!("CARGO_BIN_EXE_hoptiller").into()
 }
 
-/// A configuration under which reports run on these machine kinds, with so many attempts.
+/// Returns a document under which reports run on the given machine kinds, with the given maximum of attempts.
 pub fn document(report_kinds: &[&str], max_attempts: u32) -> Document {
     let value = json!({
         "form": 1, "kinds": { "a": 8, "b": 8 }, "zones": ["x"],
@@ -57,12 +57,12 @@
 }
 
 impl FleetFixture {
-    /// Three replicas, and routers that enforce the first version; clients submit statements throughout.
+    /// Starts three replicas and routers that enforce a first version, and clients that submit statements throughout.
     pub fn new(name: &str, routers: usize, change: impl FnOnce(&mut Topology)) -> FleetFixture {
         FleetFixture::with_first_version(name, routers, &document(&["a"], 3), change)
     }
 
-    /// The same with another first version.
+    /// Starts the same fleet with the given first version.
     pub fn with_first_version(
         name: &str,
         routers: usize,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Proposes a document until it is accepted; returns its version.
+    /// Proposes a document until it is accepted, and returns its version.
     pub fn propose(&mut self, change: &str, document: &Document) -> u64 {
         let mut version = 0;
         let accepted =
@@ -115,7 +115,7 @@
         version
     }
 
-    /// Has clients use the routers that run now.
+    /// Directs the clients to the routers that run now.
     pub fn update_client_routers(&self) {
         self.load
             .iter()
@@ -126,7 +126,7 @@
         self.fleet.recorder().records().expect("recorded")
     }
 
-    /// Attempts of a router that engines recorded, by the versions of each.
+    /// Returns the versions of each attempt of a router that engines recorded.
     pub fn attempts(&self, router: &str) -> Vec<SentVersions> {
         let versions_of = |record: Record| match record {
             Record::Sent {
@@ -160,12 +160,12 @@
         self.wait_for_attempt(router, |versions| versions.in_doubt)
     }
 
-    /// Waits until a condition of what was recorded holds; returns whether it does.
+    /// Waits until a condition holds, and returns whether it does within the timeout.
     pub fn wait_until(&mut self, condition: impl Fn(&FleetFixture) -> bool) -> bool {
         self.wait_until_deadline(Instant::now() + TIMEOUT, condition)
     }
 
-    /// The same, for conditions that have one deadline together.
+    /// Waits until a condition holds, up to a deadline that several conditions can share.
     pub fn wait_until_deadline(
         &mut self,
         deadline: Instant,
@@ -180,7 +180,7 @@
         false
     }
 
-    /// Restores the links, lets clients finish, and judges the records, which must violate no rule.
+    /// Restores the links, lets clients finish, and checks that the records violate no rule.
     pub fn finish(mut self) -> Judged {
         self.fleet.restore_links();
         self.load.take().into_iter().for_each(ClientLoad::finish);
@@ -197,7 +197,7 @@
     }
 }
 
-/// What a fleet recorded, and the verdict on it.
+/// The records of a fleet, and the verdict on them.
 pub struct Judged {
     pub records: Vec<Record>,
     pub verdict: Verdict,
@@ -228,7 +228,8 @@
         max_attempts: 3,
         order_pause: 0,
         retry_budget: None,
-        // Engines record what arrives when they get to run; a real overlap lasts for a lease term.
+        // Engines record attempts only when they get to run, so short overlaps are no violation. A real one lasts for a
+        // lease term.
         versions: Some(VersionRules {
             max_overlap: 500_000,
             ..VersionRules::default()
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Fleets whose routers do tasks for each other under leases, with faults between them. What is judged is what discovery and
-//! engines recorded of who asked them under which fencing token.
+//! Fleets whose routers do tasks for each other under leases, with faults between them. The verdicts use the requests that
+//! discovery and engines recorded, with the router and fencing token of each.
 
 mod fleet_fixture;
 
@@ -13,10 +13,10 @@
 
 use fleet_fixture::{FleetFixture, Judged, TIMEOUT, document};
 
-/// All shards of the tasks below: one of discovery, three of health checks.
+/// Number of shards: one of discovery, three of health checks.
 const SHARDS: usize = 4;
 
-/// Task leases for reading discovery, and for so many shards of health checks.
+/// Returns a document with task leases for discovery and for the given number of shards of health checks.
 fn document_with_tasks(health_check_shards: u32) -> Document {
     let mut first = document(&["a", "b"], 3);
     first.tasks = [
@@ -37,7 +37,7 @@
 }
 
 impl FleetFixture {
-    /// A fleet whose shards are all done, and spread over the routers.
+    /// Starts a fleet, and waits until all shards are done and their leases are spread over the routers.
     fn with_task_leases(
         name: &str,
         routers: usize,
@@ -49,7 +49,7 @@
             fixture.wait_for_requests(|requests| shards_of(requests).len() == SHARDS),
             "each shard is done by some router"
         );
-        // The first router to renew often enough holds all at first: until they are spread, they still migrate.
+        // At first, the first router that has renewed often enough holds all leases. They migrate until they are spread.
         assert!(
             fixture.wait_until(|fixture| fixture.is_spread(routers)),
             "leases do not spread"
@@ -57,7 +57,7 @@
         fixture
     }
 
-    /// What replicas report of all shards.
+    /// Returns the leases of all shards, as replicas report them.
     fn leases(&self) -> Vec<LeaseStatus> {
         let client = self.fleet.client();
         let call =
@@ -94,12 +94,12 @@
         self.records().into_iter().filter_map(request_of).collect()
     }
 
-    /// Waits until the requests under leases are as wanted.
+    /// Waits until the requests under leases meet a condition.
     fn wait_for_requests(&mut self, condition: impl Fn(&[LeasedRequest]) -> bool) -> bool {
         self.wait_until(|fixture| condition(&fixture.leased_requests()))
     }
 
-    /// Waits until each shard is done under a token after this one.
+    /// Waits until each shard is done under a fencing token after the given one.
     fn wait_for_all_shards_after(&mut self, fencing_token: u64) -> bool {
         self.wait_for_requests(|requests| {
             let new: Vec<LeasedRequest> = requests
@@ -111,7 +111,7 @@
         })
     }
 
-    /// The place of the router that holds a shard, as replicas report it.
+    /// Returns the index of the router that holds a shard, as replicas report it.
     fn holder(&mut self, shard: &str) -> usize {
         let holder_of = |fixture: &FleetFixture| {
             let mut leases = fixture.leases().into_iter();
@@ -125,7 +125,7 @@
         });
         let (holder, _) = found
             .into_inner()
-            .unwrap_or_else(|| panic!("nobody holds {shard}"));
+            .unwrap_or_else(|| panic!("no router holds {shard}"));
         holder.router[1..].parse::<usize>().expect("r and a number") - 1
     }
 
@@ -137,7 +137,7 @@
             .unwrap_or(0)
     }
 
-    /// Waits until another router than the one of that place does a shard.
+    /// Waits until a router other than the given one does a shard under a newer fencing token.
     fn wait_for_takeover(&mut self, shard: &str, holder: usize) -> bool {
         let (newest, name) = (self.newest_token(), router_name(holder));
         self.wait_for_requests(|requests| {
@@ -165,7 +165,7 @@
 #[test]
 fn each_shard_has_one_holder_and_all_routers_have_the_endpoint_list() {
     let mut fixture = FleetFixture::with_task_leases("tasks", 3, |_| {});
-    // All three route by the list that one has read, and by the health checks of some.
+    // All three route by the list that one of them has read, and by the health checks of the holders.
     for router in ["r1", "r2", "r3"] {
         assert!(
             fixture.wait_for_attempt_under(router, 1, 1),
@@ -214,7 +214,7 @@
         |link| matches!(link, LinkId::Router(router, _) if *router == holder),
     );
     assert!(fixture.wait_for_takeover("probe/1", holder));
-    // With only its responses lost it is no better off.
+    // The same holds for a router that loses only its responses.
     fixture.fleet.restore_links();
     let next = fixture.holder("probe/1");
     let lost = LinkFaults::lost_responses();
@@ -255,7 +255,7 @@
         .statuses()
         .iter()
         .find_map(|status| status.leader)
-        .expect("somebody leads") as usize
+        .expect("there is a leader") as usize
         - 1;
     let holder = fixture.holder("list/0");
     fixture.fleet.kill_router(holder);
@@ -268,7 +268,7 @@
     fixture.fleet.start_replica(leader).expect("runs");
     fixture.fleet.start_router(holder).expect("runs");
     fixture.update_client_routers();
-    // Without replicas nobody acts under a lease, each router checks for itself, and all serve on.
+    // Without replicas no router acts under a lease, each checks engines for itself, and all continue to serve.
     (0..3).for_each(|replica| fixture.fleet.kill_replica(replica));
     let names = ["r1", "r2", "r3"];
     let before = names.map(|router| fixture.attempts(router).len());
@@ -297,12 +297,12 @@
     assert_eq!(
         fixture.leased_requests().len(),
         requests,
-        "and nothing is done under a lease"
+        "no router acts under a lease"
     );
     for replica in 0..3 {
         fixture.fleet.start_replica(replica).expect("runs");
     }
-    // Nobody else was granted one meanwhile: each holder continues once replicas confirm its lease.
+    // No other router was granted a lease meanwhile: each holder continues once replicas confirm its lease.
     assert!(
         fixture.wait_for_requests(|all| shards_of(&all[requests..]).len() == SHARDS),
         "holders continue"
@@ -341,13 +341,13 @@
     let was_holder = records
         .iter()
         .any(|record| matches!(record, Record::LeasedRequest { router, .. } if *router == name));
-    assert!(was_holder, "{name} had done some of it");
+    assert!(was_holder, "{name} had made requests under a lease");
 }
 
 #[test]
 fn with_a_clock_far_beyond_the_bound_older_fencing_tokens_are_rejected() {
-    // A clock a tenth as fast as time: the router trusts its lease for ten terms, long enough for any machine to grant it to
-    // another. There is one shard with one target, which sees every token.
+    // The routers' clocks run at a tenth of the real speed, so a router trusts its lease for ten terms, in which the lease
+    // is granted to another on any machine. There is one shard with one target, which sees every token.
     let mut first = document(&["a", "b"], 3);
     first.tasks = [(Task::Discovery, 1)].into();
     let mut fixture = FleetFixture::with_first_version("lease-clock", 2, &first, |topology| {
@@ -371,7 +371,7 @@
         fixture.wait_for_requests(|requests| requests
             .iter()
             .any(|request| request.router == name && request.rejected)),
-        "it is late, and rejected"
+        "its late request is rejected"
     );
     fixture.fleet.restore_links();
     let verdict = fixture.finish().verdict;
--- a/crates/cli/tests/processes/commands.rs
+++ b/crates/cli/tests/processes/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that end by themselves: a scenario, checks of settings and of examples, a study.
+//! Commands that run to completion: a scenario, checks of settings and examples, and a study.
 
 use std::path::Path;
 use std::process::Command;
@@ -26,7 +26,7 @@
         (Some(0), &json!([])),
         "{verdict:#}"
     );
-    // Not an empty day: every class was served, and the troubles were met.
+    // The scenario was not trivial: every class was served, and faults caused retries.
     for class in ["lookup", "report", "rent-load"] {
         let totals = &verdict["classes"][class];
         assert!(totals["served"].as_u64() > Some(10), "{class}: {totals}");
@@ -39,9 +39,9 @@
     let lookups = &verdict["classes"]["lookup"];
     assert!(
         lookups["attempts"].as_u64() > lookups["served"].as_u64(),
-        "some were sent again: {lookups}"
+        "some were retried: {lookups}"
     );
-    // One line more of the ledger's record, and the same judge says no.
+    // With one more record of an effect, the same check finds a violation.
     let records =
         std::fs::read_to_string(Path::new(&report).join("engine-0.jsonl")).expect("records");
     let effect = records
@@ -59,7 +59,7 @@
         out.status.code() == Some(1) && text.contains("rule 2"),
         "{text}"
     );
-    // A damaged record is no verdict.
+    // With a malformed record there is no verdict.
     std::fs::write(
         Path::new(&report).join("planted.jsonl"),
         &effect[..effect.len() / 2],
--- a/crates/cli/tests/processes/http_client.rs
+++ b/crates/cli/tests/processes/http_client.rs
@@ -1,4 +1,4 @@
-//! A client of routers, written by hand: nothing of the project's own HTTP is trusted here.
+//! A minimal client of routers, independent of the project's own HTTP implementation.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,7 +30,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends a request on a new connection, and returns the response.
 pub fn exchange(
     addr: SocketAddr,
     method: &str,
@@ -67,15 +67,15 @@
     })
 }
 
-/// The response to a GET.
+/// Returns the response to a GET request.
 pub fn get(addr: SocketAddr, path: &str) -> HttpResponse {
-    exchange(addr, "GET", path, "", "").expect("an answer")
+    exchange(addr, "GET", path, "", "").expect("a response")
 }
 
-/// Submits a statement, which must be admitted.
+/// Submits a statement, and checks that it is admitted.
 pub fn submit(addr: SocketAddr, class: &str, text: &str) -> HttpResponse {
     let fields = format!("X-Trino-User: ann\r\nX-Trino-Client-Tags: class={class}\r\n");
-    let response = exchange(addr, "POST", "/v1/statement", &fields, text).expect("an answer");
+    let response = exchange(addr, "POST", "/v1/statement", &fields, text).expect("a response");
     assert_eq!(
         response.status,
         200,
@@ -85,7 +85,7 @@
     response
 }
 
-/// Polls to the end.
+/// Polls until the final response, and returns it.
 pub fn follow(addr: SocketAddr, mut response: HttpResponse) -> HttpResponse {
     while let Some(next) = response.next() {
         response = get(addr, &next);
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! The program itself: routers that are killed and terminated, the demo, a short scenario, checks of settings.
+//! Processes of the program: routers that are killed and terminated, the demo, a short scenario, and checks of settings.
 
 mod commands;
 mod http_client;
--- a/crates/cli/tests/processes/process.rs
+++ b/crates/cli/tests/processes/process.rs
@@ -6,7 +6,7 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_hoptiller");
 
-/// A process of the program that has said that it is ready.
+/// A process of the program that has reported that it is ready.
 pub struct Process {
     child: Child,
     pub addr: SocketAddr,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Runs the program to its end.
+/// Runs the program to completion.
 pub fn program(args: &[&str]) -> Output {
     Command::new(PROGRAM).args(args).output().expect("it runs")
 }
--- a/crates/cli/tests/recorded.rs
+++ b/crates/cli/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The output of the program for recorded input, against fixtures: a trace of a router, and the example document.
+//! Comparison of the program's output for recorded input with fixtures, for a router's trace and the example document.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/cli/tests/scenario_files.rs
+++ b/crates/cli/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! The form of scenario files, as `hoptiller check` holds it: what each example is, every event, and keys that are unknown.
+//! Validation of scenario files by `hoptiller check`: descriptions of the examples, all events, and unknown keys.
 
 mod temp_folder;
 
@@ -7,7 +7,7 @@
 
 use temp_folder::{TempFolder, examples};
 
-/// The exit code and all that is printed.
+/// Runs `hoptiller check`, and returns the exit code and all output.
 fn check(file: &Path) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_hoptiller"))
         .arg("check")
@@ -18,7 +18,7 @@
     (out.status.code(), printed)
 }
 
-/// Checks a change of an example, in Jsonnet, which may name the example as `base`.
+/// Checks an example with a change in Jsonnet, which can refer to the example as `base`.
 fn check_changed(folder: &TempFolder, example: &str, change: &str) -> (Option<i32>, String) {
     let text = format!(
         "local base = import '{}/{example}';\nbase + {change}",
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_scenario_of_the_examples_is_described_as_before() {
+fn each_example_scenario_has_the_pinned_description() {
     let described = [
         (
             "bad-day.jsonnet",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn events_of_a_day_that_name_nothing_there_is_are_problems() {
+fn events_of_a_day_with_unknown_targets_are_problems() {
     let folder = TempFolder::new("day-problems");
     let place = folder.path().join("changed.jsonnet").display().to_string();
     for (event, description) in [
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn optional_keys_that_no_example_has_are_accepted() {
+fn optional_keys_that_no_example_uses_are_accepted() {
     let folder = TempFolder::new("optional-keys");
     for (example, change) in [
         (
--- a/crates/cli/tests/temp_folder/mod.rs
+++ b/crates/cli/tests/temp_folder/mod.rs
@@ -1,9 +1,9 @@
-//! A folder of a test.
+//! A temporary folder for a test.
 #![allow(dead_code)] // Not every test binary uses all of it.
 
 use std::path::{Path, PathBuf};
 
-/// A folder that is removed with the test.
+/// A temporary folder, which is removed when dropped.
 pub struct TempFolder(PathBuf);
 
 impl TempFolder {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The folder of the examples.
+/// Returns the folder of the examples.
 pub fn examples() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
