--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -8,7 +8,7 @@
     Palette99, PathElement, SVGBackend, SeriesLabelPosition, Text, WHITE,
 };
 
-const TITLE: &str = "Runaways found, by time since an engine took them (simulated servers)";
+const TITLE: &str = "Runaways found, by run time without the time blocked (simulated servers)";
 
 /// Width and height of the plot.
 const SIZE_PIXELS: (u32, u32) = (960, 540);
--- a/crates/cli/src/commands/experiment/summary.rs
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -53,17 +53,18 @@
 pub(super) struct ConditionSummary {
     condition: Condition,
     pub(super) runaways: Detections,
-    pub(super) by_cause: BTreeMap<&'static str, Detections>,
+    pub(super) by_case: BTreeMap<&'static str, Detections>,
     /// The fraction of large reports that were flagged.
     pub(super) large_flagged: Fraction,
     /// The fraction of other statements that were flagged.
     pub(super) others_flagged: Fraction,
     pub(super) notices: usize,
     pub(super) fixed_limits: Vec<FixedLimit>,
-    /// Value of the statements that were served in time, as a fraction of the value of all.
-    pub(super) value: f64,
+    /// Value of the served statements, with late ones at their reduced weight, as a fraction of the value of all statements
+    /// that count.
+    pub(super) served_value: f64,
     /// The fraction served in time of the lookups whose tables a planted load had locked.
-    pub(super) blocked_on_time: Fraction,
+    pub(super) lookups_behind_load_in_time: Fraction,
     /// Number of engine crashes.
     failed_engines: usize,
 }
@@ -86,7 +87,7 @@
             large_flagged: sum(&|run| run.limits[index].large),
             others_flagged: sum(&|run| run.limits[index].others),
         };
-        let value: f64 = runs.iter().map(|run| run.value_in_time).sum();
+        let served_value: f64 = runs.iter().map(|run| run.served_value).sum();
         ConditionSummary {
             condition,
             runaways: Detections::new(runs.iter().flat_map(|run| {
@@ -94,7 +95,7 @@
                     .iter()
                     .map(|detection| &detection.found_after)
             })),
-            by_cause: detections_by_cause(&runs),
+            by_case: detections_by_case(&runs),
             large_flagged: fraction(&|run| run.large_flagged, &|run| run.large),
             others_flagged: fraction(&|run| run.others_flagged, &|run| run.others),
             notices: sum(&|run| run.notices),
@@ -103,8 +104,10 @@
                 .enumerate()
                 .map(fixed_limit)
                 .collect(),
-            value: value / runs.len().max(1) as f64,
-            blocked_on_time: fraction(&|run| run.behind_load_in_time, &|run| run.behind_load),
+            served_value: served_value / runs.len().max(1) as f64,
+            lookups_behind_load_in_time: fraction(&|run| run.lookups_behind_load_in_time, &|run| {
+                run.lookups_behind_load
+            }),
             failed_engines: sum(&|run| run.engine_crashes),
         }
     }
@@ -123,10 +126,10 @@
     }
 
     pub(super) fn to_json(&self) -> Value {
-        let causes: BTreeMap<&str, Value> = self
-            .by_cause
+        let cases: BTreeMap<&str, Value> = self
+            .by_case
             .iter()
-            .map(|(cause, detections)| (*cause, detections_json(detections)))
+            .map(|(case, detections)| (*case, detections_json(detections)))
             .collect();
         let limits: Vec<Value> = self
             .fixed_limits
@@ -148,22 +151,22 @@
             "p50": runaways.quantile(0.5),
             "p95": runaways.quantile(0.95),
             "latest": runaways.quantile(1.0),
-            "byCause": causes,
+            "byCause": cases,
             "large": self.large_flagged.total,
             "largeFlagged": self.large_flagged.count,
             "others": self.others_flagged.total,
             "othersFlagged": self.others_flagged.count,
             "notices": self.notices,
             "fixedLimits": limits,
-            "worthOnTime": self.value,
-            "lookupsBehind": self.blocked_on_time.total,
-            "lookupsBehindOnTime": self.blocked_on_time.count,
+            "worthOnTime": self.served_value,
+            "lookupsBehind": self.lookups_behind_load_in_time.total,
+            "lookupsBehindOnTime": self.lookups_behind_load_in_time.count,
             "enginesFallen": self.failed_engines,
         })
     }
 }
 
-fn detections_by_cause(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
+fn detections_by_case(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
     let mut times: BTreeMap<&'static str, Vec<&Option<f64>>> = BTreeMap::new();
     for detection in runs.iter().flat_map(|run| &run.detections) {
         let times = times.entry(detection.case.name()).or_default();
@@ -171,7 +174,7 @@
     }
     times
         .into_iter()
-        .map(|(cause, times)| (cause, Detections::new(times.into_iter())))
+        .map(|(case, times)| (case, Detections::new(times.into_iter())))
         .collect()
 }
 
--- a/crates/cli/src/commands/experiment/table.rs
+++ b/crates/cli/src/commands/experiment/table.rs
@@ -6,13 +6,13 @@
     println!("{runs} runs of each condition (simulated servers)\n");
     print_conditions(summaries);
     println!(
-        "\nfound: runaways found; times from admission by the engine. large, others: flagged, of all that ran; none should be."
+        "\nfound: runaways found, by run time without the time blocked. large, others: flagged, of all that ran; none should be."
     );
     println!(
-        "worth: value served in time, of all. behind a load: lookups whose tables a load had locked, served in time.\n"
+        "worth: value served of all, late ones at reduced weight. behind a load: lookups behind a planted load, served in time.\n"
     );
     for summary in summaries {
-        print_causes(summary);
+        print_cases(summary);
     }
     if let Some(summary) = summaries.first() {
         print_fixed_limits(summary);
@@ -35,7 +35,7 @@
     );
     for summary in summaries {
         let runaways = &summary.runaways;
-        let blocked = summary.blocked_on_time;
+        let blocked = summary.lookups_behind_load_in_time;
         println!(
             "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
             summary.name(),
@@ -46,18 +46,18 @@
             format_fraction(summary.large_flagged),
             format_fraction(summary.others_flagged),
             summary.notices,
-            summary.value,
+            summary.served_value,
             blocked.count as f64 / (blocked.total as f64).max(1.0),
             blocked.total,
         );
     }
 }
 
-fn print_causes(summary: &ConditionSummary) {
+fn print_cases(summary: &ConditionSummary) {
     println!("{}, by planted case", summary.name());
-    for (cause, detections) in &summary.by_cause {
+    for (case, detections) in &summary.by_case {
         println!(
-            "  {cause:<16} {} of {}, p50 {}, p95 {}, latest {}",
+            "  {case:<16} {} of {}, p50 {}, p95 {}, latest {}",
             detections.times.len(),
             detections.planted,
             format_seconds(detections.quantile(0.5)),
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -80,19 +80,20 @@
     pub others: usize,
     /// Number of them that were flagged as runaways.
     pub others_flagged: usize,
-    /// Number of findings with the verdict notice.
+    /// Number of findings with the verdict notice, which concern engines and fingerprints.
     pub notices: usize,
     /// The figures of fixed limits, in the order of [`FIXED_LIMITS_SECONDS`].
     pub limits: Vec<LimitFigures>,
-    /// Value of the statements that were served in time, as a fraction of the value of all; planted runaways don't count.
+    /// Value of the served statements, with late ones at their reduced weight, as a fraction of the value of all statements
+    /// that count.
     #[serde(rename = "worth")]
-    pub value_in_time: f64,
+    pub served_value: f64,
     /// Number of lookups that were submitted while a planted load had locked their tables.
     #[serde(rename = "behind")]
-    pub behind_load: usize,
+    pub lookups_behind_load: usize,
     /// Number of them that were served in time.
     #[serde(rename = "behind_on_time")]
-    pub behind_load_in_time: usize,
+    pub lookups_behind_load_in_time: usize,
     /// Number of engine crashes.
     #[serde(rename = "fallen")]
     pub engine_crashes: usize,
@@ -115,9 +116,9 @@
             limits: FIXED_LIMITS_SECONDS
                 .map(|limit| analysis.limit_figures(limit))
                 .to_vec(),
-            value_in_time: timeliness.value_in_time / timeliness.total_value,
-            behind_load: timeliness.behind_load,
-            behind_load_in_time: timeliness.behind_load_in_time,
+            served_value: timeliness.served_value / timeliness.total_value,
+            lookups_behind_load: timeliness.lookups_behind_load,
+            lookups_behind_load_in_time: timeliness.lookups_behind_load_in_time,
             engine_crashes: record.engine_crashes,
         }
     }
@@ -150,13 +151,14 @@
     while_locked: Range<Micros>,
 }
 
-/// Sums over the statements that count for timeliness.
+/// Sums over the statements that count for timeliness: usual and large ones that are submitted after the detector has
+/// statistics ([`PLANT_FROM`]), and early enough to get a response within the run.
 #[derive(Default)]
 struct Timeliness {
-    value_in_time: f64,
+    served_value: f64,
     total_value: f64,
-    behind_load: usize,
-    behind_load_in_time: usize,
+    lookups_behind_load: usize,
+    lookups_behind_load_in_time: usize,
 }
 
 /// The attempts and findings of a run, indexed by statement of the plan.
@@ -329,16 +331,18 @@
             }
             let fraction = self.value_fraction(index);
             let value = self.plan.settings.classes[statement.class].priority_weight;
-            sums.value_in_time += fraction * value;
+            sums.served_value += fraction * value;
             sums.total_value += value;
             if statement.class == LOOKUP && is_behind_load(statement, &locked_tables) {
-                sums.behind_load += 1;
-                sums.behind_load_in_time += usize::from(fraction == 1.0);
+                sums.lookups_behind_load += 1;
+                sums.lookups_behind_load_in_time += usize::from(fraction == 1.0);
             }
         }
         sums
     }
 
+    /// Returns whether a statement counts for timeliness. Runaways don't, nor statements from before the detector has
+    /// statistics, nor those that may not get a response within the run.
     fn counts_for_timeliness(&self, statement: &PlannedStatement) -> bool {
         let submitted_at = statement.submitted_at;
         Group::new(statement) != Group::Runaway
--- a/crates/emulator/src/study/tests.rs
+++ b/crates/emulator/src/study/tests.rs
@@ -29,7 +29,7 @@
         (4, 0, 0),
         "{figures:?}"
     );
-    assert!(figures.others > 20_000 && figures.value_in_time > 0.8);
+    assert!(figures.others > 20_000 && figures.served_value > 0.8);
 }
 
 #[test]
@@ -69,7 +69,8 @@
     });
     let usual = 0x9d98_cbff_b984_84ed;
     let (no_progress, no_load) = (0x3c8e_a74b_ed92_bb92, 0x3ca0_87cd_417e_21ac);
-    // Runaways are planted after 240 s, so the conditions that hold or kill runaways don't differ in the first 30 s.
+    // In the first 30 s the detector has no statistics and no runaway is planted, so nothing is held or killed, and the
+    // conditions that only hold or kill runaways don't differ.
     assert_eq!(
         digests,
         [usual, usual, usual, no_progress, no_load],
--- a/crates/emulator/src/study/workload.rs
+++ b/crates/emulator/src/study/workload.rs
@@ -31,8 +31,8 @@
 const WORK_PER_ROW: f64 = 10.0;
 /// The size that the client of an announced statement states, such as a number of inserted rows.
 const ANNOUNCED_SIZE: u64 = 12;
-/// Distance between the first fingerprints of consecutive classes.
-const FINGERPRINTS_PER_CLASS: u64 = 100;
+/// Distance between the first fingerprint ids of consecutive classes; above the number of fingerprints of any class.
+const FINGERPRINT_ID_STRIDE: u64 = 100;
 
 /// Indices of the classes in the settings.
 pub(super) const LOOKUP: usize = 0;
@@ -43,7 +43,7 @@
 struct ClassTraffic {
     /// Statements per second.
     rate: f64,
-    /// Number of fingerprints, which differ in their mean work.
+    /// Number of fingerprints. Their mean work rises linearly from the minimum to the maximum.
     fingerprints: u64,
     /// Mean work of the lightest fingerprint in ms.
     min_work_ms: f64,
@@ -246,7 +246,7 @@
             submitted_at,
             router,
             class,
-            fingerprint: class as u64 * FINGERPRINTS_PER_CLASS + fingerprint,
+            fingerprint: class as u64 * FINGERPRINT_ID_STRIDE + fingerprint,
             job: Job {
                 io_fraction: traffic.io_fraction,
                 memory_mb: traffic.memory_mb,
