--- a/crates/model-check/src/command.rs
+++ b/crates/model-check/src/command.rs
@@ -25,16 +25,16 @@
     /// Length of a lease term, in ticks
     #[arg(long, default_value_t = 4)]
     term: u32,
-    /// Lease requests of each process
+    /// Maximum number of renewal requests of each process
     #[arg(long, default_value_t = 1)]
     asks: u32,
-    /// Crashes of replicas, in total
+    /// Maximum number of crashes of replicas, in total
     #[arg(long, default_value_t = 1)]
     crashes: u32,
-    /// Lease requests that arrive twice, in total
+    /// Maximum number of renewal requests that are duplicated, in total
     #[arg(long, default_value_t = 0)]
     doubles: u32,
-    /// Number of ticks for which an operation may be in flight
+    /// Maximum number of ticks for which an operation is in flight
     #[arg(long, default_value_t = 2)]
     way: u32,
     /// Start the second process only when the check begins
@@ -75,15 +75,21 @@
     if let Some(name) = &args.plant {
         use hoptiller_coordination::fault_injection::{Fault, inject};
         let Some(fault) = Fault::from_name(name) else {
-            eprintln!("{}: unknown fault {name:?}", program_name());
+            let known = Fault::ALL.map(|(known, _)| known).join(", ");
+            eprintln!(
+                "{}: unknown fault {name:?}; expected one of {known}",
+                program_name()
+            );
             return ExitCode::from(EXIT_USAGE);
         };
         inject(fault);
     }
     if args.processes < 2 || args.term < 2 {
         eprintln!(
-            "{}: --processes and --term must be at least 2",
-            program_name()
+            "{}: --processes is {} and --term is {}; both must be at least 2",
+            program_name(),
+            args.processes,
+            args.term
         );
         return ExitCode::from(EXIT_USAGE);
     }
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -11,16 +11,19 @@
 use crate::state::{LogState, Message, Process, Replica, State, Step};
 use crate::transitions::apply_step;
 
-/// Safety property: no operation arrives after an operation of a later holder.
-pub const NEVER_TWO_HOLDERS_ACT: &str = "two holders never act at once";
-/// Safety property: no fencing token is assigned twice.
-pub const NO_TOKEN_REUSED: &str = "no fencing token is assigned twice";
+/// Safety property: no operation arrives under an older fencing token than an earlier arrival, and operations of two
+/// processes never arrive under the same token.
+pub const NEVER_TWO_HOLDERS_ACT: &str = "no holder acts after a later holder";
+/// Safety property: no fencing token is assigned to two holders.
+pub const NO_TOKEN_REUSED: &str = "no fencing token is assigned to two holders";
 /// Reachability property: a shard whose lease has ended is assigned again, and an operation under the new token arrives.
 pub const FREE_SHARD_TAKEN: &str = "a free shard is taken over";
-/// Reachability property: an operation is in flight when its lease is about to expire.
-pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "a holder acts until its lease expires";
+/// Reachability property: an operation is in flight near or after the end of the first lease term.
+pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "an operation is in flight at the end of a term";
 
-/// Maximum number of requests of one process that have not arrived.
+/// Number of ticks before the end of the first lease term that count as its end.
+const END_OF_TERM_TICKS: u32 = 2;
+/// Maximum number of renewal requests of one process in flight, including duplicates.
 const MAX_OPEN_RENEWALS: usize = 2;
 
 impl LeaseModel {
@@ -170,7 +173,8 @@
             Property::sometimes(
                 HOLDER_ACTS_UNTIL_EXPIRY,
                 |model: &LeaseModel, state: &State| {
-                    state.now + 2 >= model.limits.term && state.processes.iter().any(is_in_flight)
+                    state.now + END_OF_TERM_TICKS >= model.limits.term
+                        && state.processes.iter().any(is_in_flight)
                 },
             ),
         ]
--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -17,9 +17,10 @@
 };
 /// Number of replicas.
 pub(crate) const REPLICAS: usize = 3;
-/// The replica that applies entries of the log late; the others apply them at once.
+/// The replica that applies commands late, except those that it appends itself. The others apply commands at once.
 pub(crate) const LATE_REPLICA: usize = 2;
-/// Maximum drift of a clock, in millionths.
+/// Bound of the drift that leases allow for, the maximum difference between the rates of two clocks, in millionths. The
+/// model runs each clock this much fast or slow.
 const DRIFT_MILLIONTHS: u64 = 100_000;
 const MILLION: u64 = 1_000_000;
 
@@ -30,13 +31,13 @@
     pub ticks: u32,
     /// Term of leases, in ticks.
     pub term: u32,
-    /// Number of renewals of each process.
+    /// Maximum number of renewal requests of each process.
     pub max_renewals: u32,
-    /// Number of crashes of replicas, in total.
+    /// Maximum number of crashes of replicas, in total.
     pub max_crashes: u32,
-    /// Number of renewals that arrive twice, in total.
+    /// Maximum number of renewal requests that are duplicated, in total.
     pub max_duplicates: u32,
-    /// Number of ticks for which an operation may be in flight, which is the margin of leases.
+    /// Maximum number of ticks for which an operation is in flight, which is the margin of leases.
     pub max_operation_ticks: u32,
     /// Whether the second process starts only when the check begins, without earlier renewals.
     pub second_starts_late: bool,
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -32,7 +32,7 @@
 /// A replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replica {
-    /// The state after the commands that it has applied.
+    /// The state after the commands that it has applied, or will have applied when it starts.
     pub(crate) log: Arc<LogState>,
     /// The replica's expiry tracker; `None` while it does not run.
     pub(crate) expiry: Option<ExpiryTracker>,
--- a/crates/model-check/src/transitions.rs
+++ b/crates/model-check/src/transitions.rs
@@ -178,7 +178,8 @@
     let now = model.replica_clock(replica, state.now);
     let replica = &mut state.replicas[replica];
     replica.log = state.log.clone();
-    // A replica that does not run reads the log when it starts.
+    // A stopped replica has no expiry tracker; `Step::Restart` creates one. To apply commands while the replica is stopped
+    // is equivalent to reading them at the start.
     if let Some(expiry) = &mut replica.expiry {
         expiry.observe(now, &replica.log.0);
     }
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -36,7 +36,7 @@
     ..SLOW_OPERATIONS
 };
 
-/// Returns the violated safety properties, and whether another process took over a free shard.
+/// Returns the violated safety properties, and whether an operation arrived under a newer fencing token.
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let model = LeaseModel::new(limits.clone()).checker().threads(threads);
