--- a/crates/benchmarks/src/fleet_tasks.rs
+++ b/crates/benchmarks/src/fleet_tasks.rs
@@ -117,7 +117,11 @@
     };
     let routers = start_routers(size, config, observations.clone())?;
     if !fleet.wait_until(TIMEOUT, |_| observations.complete_lists() == size) {
-        return Err(BenchmarkError::EnginesNotKnown);
+        return Err(BenchmarkError::EnginesNotKnown {
+            informed: observations.complete_lists(),
+            routers: size,
+            timeout: TIMEOUT,
+        });
     }
     // Replicas grant task leases to a router after a term of its renewals, and balance them afterwards.
     thread::sleep(LEASE_TERM * 3);
@@ -125,7 +129,11 @@
     let start = Instant::now();
     drain(servers.engines[0].addr)?;
     if !fleet.wait_until(TIMEOUT, |_| observations.drains().len() == size) {
-        return Err(BenchmarkError::DrainNotKnown);
+        return Err(BenchmarkError::DrainNotKnown {
+            informed: observations.drains().len(),
+            routers: size,
+            timeout: TIMEOUT,
+        });
     }
     let times: Vec<u128> = observations
         .drains()
--- a/crates/benchmarks/src/latency.rs
+++ b/crates/benchmarks/src/latency.rs
@@ -69,8 +69,10 @@
     for pair in 0..args.pairs {
         let direct = direct.run(|_| statement(), following_request)?;
         let routed = routed.run(|_| statement(), following_request)?;
-        if direct.failed + routed.failed > 0 {
-            return Err(BenchmarkError::ExchangesFailed);
+        let failed = direct.failed + routed.failed;
+        if failed > 0 {
+            let total = failed + direct.responses + routed.responses;
+            return Err(BenchmarkError::ExchangesFailed { failed, total });
         }
         print_run(pair, "direct", &direct);
         print_run(pair, "routed", &routed);
--- a/crates/benchmarks/src/polls.rs
+++ b/crates/benchmarks/src/polls.rs
@@ -105,7 +105,7 @@
         connections: args.connections,
         duration: Duration::from_secs(args.seconds),
     };
-    // Each pair needs new statements: the tokens of earlier ones have been used.
+    // Each pair needs new statements: the load advances them, and does not return their current tokens.
     let paths = (0..args.connections)
         .map(|_| submit(router))
         .collect::<Result<Vec<String>, BenchmarkError>>()?;
@@ -142,7 +142,9 @@
 fn submit(router: SocketAddr) -> Result<String, BenchmarkError> {
     let request = submission("lookup", "SELECT 1 /* work=1h */");
     let response = exchange_once(router, &request)?;
-    next_path(&response).ok_or(BenchmarkError::NoNextUri)
+    next_path(&response).ok_or(BenchmarkError::NoNextUri {
+        status: response.status.0,
+    })
 }
 
 fn repeat_request(request: &Request, _: &Response) -> Request {
--- a/crates/benchmarks/src/process.rs
+++ b/crates/benchmarks/src/process.rs
@@ -55,7 +55,9 @@
             value.and_then(|value| value.trim().trim_end_matches("kB").trim().parse().ok());
         kilobytes
             .map(|kilobytes| kilobytes * 1024)
-            .ok_or(BenchmarkError::NoMemoryUsage)
+            .ok_or(BenchmarkError::NoMemoryUsage {
+                process_id: self.child.id(),
+            })
     }
 }
 
--- a/crates/benchmarks/src/replicas/restart.rs
+++ b/crates/benchmarks/src/replicas/restart.rs
@@ -79,7 +79,10 @@
         {
             self.now += STEP_MICROS;
             if self.now > DECISION_TIMEOUT_MICROS {
-                return Err(BenchmarkError::VersionsNotDecided);
+                return Err(BenchmarkError::VersionsNotDecided {
+                    decided: self.running[0].config_state().latest(),
+                    expected: versions,
+                });
             }
             // Propose as many versions as an entry holds, and keep one entry in flight.
             if self.running[0].config_state().latest() == proposed {
@@ -133,8 +136,12 @@
     let start = Instant::now();
     let replica = replicas.open(1)?;
     let milliseconds = start.elapsed().as_secs_f64() * 1000.0;
-    if replica.config_state().latest() != versions {
-        return Err(BenchmarkError::VersionsLost);
+    let found = replica.config_state().latest();
+    if found != versions {
+        return Err(BenchmarkError::VersionsLost {
+            found,
+            expected: versions,
+        });
     }
     let bytes = std::fs::metadata(dir.join("1").join(STORAGE_FILE))?.len();
     println!("{versions:>9} {:>10} {milliseconds:>12.1}", bytes / 1024);
--- a/crates/benchmarks/src/replicas/rollout.rs
+++ b/crates/benchmarks/src/replicas/rollout.rs
@@ -121,7 +121,10 @@
         .collect();
     let routers = start_routers(size, mode, replicas, &dir)?;
     if !fleet.wait_until_enforced(size, 1, TIMEOUT) {
-        return Err(BenchmarkError::FirstVersionNotEnforced);
+        return Err(BenchmarkError::FirstVersionNotEnforced {
+            routers: size,
+            timeout: TIMEOUT,
+        });
     }
     thread::sleep(WARM_UP);
     let earlier = Usage::sample(&mut fleet)?;
@@ -182,15 +185,17 @@
 fn roll_out(fleet: &mut TestFleet, size: usize, change: u32) -> Result<Duration, BenchmarkError> {
     let next = document(1.0, 1 + change % 2)?;
     let start = Instant::now();
-    let Ok(wire::ProposalResponse::Accepted(number)) =
-        fleet.propose(&format!("change {change}"), &next)
-    else {
-        return Err(BenchmarkError::ProposalNotAccepted);
+    let number = match fleet.propose(&format!("change {change}"), &next) {
+        Ok(wire::ProposalResponse::Accepted(number)) => number,
+        other => return Err(BenchmarkError::ProposalNotAccepted(format!("{other:?}"))),
     };
     if !fleet.wait_until_enforced(size, number, TIMEOUT)
         || !fleet.wait_until_in_force(number, TIMEOUT)
     {
-        return Err(BenchmarkError::VersionNotInForce);
+        return Err(BenchmarkError::VersionNotInForce {
+            number,
+            timeout: TIMEOUT,
+        });
     }
     Ok(start.elapsed())
 }
--- a/crates/benchmarks/src/runaways.rs
+++ b/crates/benchmarks/src/runaways.rs
@@ -20,8 +20,11 @@
 
 pub(crate) fn run(args: &Args) -> Result<(), BenchmarkError> {
     detector::measure_fingerprints();
-    let settings = Settings::load(args.site.settings_file())
-        .map_err(|_| BenchmarkError::Settings("the settings are invalid".into()))?;
+    let settings = Settings::load(args.site.settings_file()).map_err(|problems| {
+        let problems: Vec<String> = problems.iter().map(ToString::to_string).collect();
+        let file = args.site.settings_file().display();
+        BenchmarkError::Settings(format!("{file}: invalid settings: {}", problems.join("; ")))
+    })?;
     for attempts in detector::ATTEMPT_COUNTS {
         detector::measure_detection(&settings, attempts);
     }
--- a/crates/benchmarks/src/runaways/detector.rs
+++ b/crates/benchmarks/src/runaways/detector.rs
@@ -74,7 +74,7 @@
     let start = Instant::now();
     let saved = load.detector.save();
     println!(
-        "{attempts:>6} attempts, {} fingerprints: {milliseconds:>8.2} ms, {:.2}% of a thread; state {:.1} MB, saved in {:.0} ms",
+        "detection of {attempts:>6} attempts, {} fingerprints: {milliseconds:>8.2} ms, {:.2}% of a thread; state {:.1} MB in {:.0} ms",
         load.detector.tracked_counts().fingerprints,
         milliseconds / 5.0,
         saved.len() as f64 / 1e6,
--- a/crates/benchmarks/src/runaways/end_to_end.rs
+++ b/crates/benchmarks/src/runaways/end_to_end.rs
@@ -16,8 +16,9 @@
 
 const ENGINES: usize = 4;
 
-/// Number of clients that warm up the statistics of the fingerprint, and of statements of each.
+/// Number of clients in the warm-up, which gives the fingerprint its statistics.
 const WARM_UP_CLIENTS: usize = 8;
+/// Number of statements of each warm-up client.
 const WARM_UP_STATEMENTS: usize = 8;
 
 /// Number of statements of usual size that run in sequence beside each runaway.
--- a/crates/benchmarks/src/test_fleet.rs
+++ b/crates/benchmarks/src/test_fleet.rs
@@ -12,7 +12,7 @@
 /// Number of replicas of the coordination server.
 pub(crate) const REPLICAS: usize = 3;
 
-/// Maximum drift of clocks, in millionths.
+/// Bound of the drift that leases allow for, the maximum difference between the rates of two clocks, in millionths.
 pub(crate) const DRIFT_MILLIONTHS: u64 = 1000;
 
 /// The command-line arguments that select the measured fleets.
--- a/crates/benchmarks/src/test_site.rs
+++ b/crates/benchmarks/src/test_site.rs
@@ -73,15 +73,23 @@
             _discovery: discovery,
         };
         let start = Instant::now();
-        while site.router_info()["engines"] != json!(engines) {
+        while site.listed_engines() != json!(engines) {
             if start.elapsed() > DISCOVERY_TIMEOUT {
-                return Err(BenchmarkError::EnginesNotDiscovered);
+                return Err(BenchmarkError::EnginesNotDiscovered {
+                    found: site.listed_engines().to_string(),
+                    expected: engines,
+                    timeout: DISCOVERY_TIMEOUT,
+                });
             }
             std::thread::sleep(DISCOVERY_POLL_INTERVAL);
         }
         Ok(site)
     }
 
+    fn listed_engines(&self) -> Value {
+        self.router_info()["engines"].clone()
+    }
+
     pub(crate) fn router(&self) -> &ServerProcess {
         &self.router
     }
--- a/crates/benchmarks/src/waiting_clients.rs
+++ b/crates/benchmarks/src/waiting_clients.rs
@@ -28,7 +28,7 @@
 /// Interval between the connects of a thread, so that they do not overflow the listener's short queue.
 const CONNECT_INTERVAL: Duration = Duration::from_micros(400);
 
-/// Time by which each client prolongs a run, for all clients to connect and submit.
+/// Set-up time per client: a run is longer by this for each client, so that all can connect and submit.
 const SETUP_TIME_PER_CLIENT: Duration = Duration::from_micros(500);
 
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -193,12 +193,14 @@
     let request = submission("lookup", "SELECT 1 /* work=1h */");
     let mut response = connection.exchange(&request, EXCHANGE_TIMEOUT).await?;
     while Instant::now() < end {
-        let path = next_path(&response).ok_or(BenchmarkError::NoNextUri)?;
+        let path = next_path(&response).ok_or(BenchmarkError::NoNextUri {
+            status: response.status.0,
+        })?;
         let start = Instant::now();
         let poll = Request::new(Method::Get, path);
         response = connection.exchange(&poll, EXCHANGE_TIMEOUT).await?;
         if response.status.0 != 200 {
-            return Err(BenchmarkError::ExchangesFailed);
+            return Err(BenchmarkError::UnexpectedStatus(response.status.0));
         }
         let delay = start.elapsed().as_micros().saturating_sub(POLL_WAIT_MICROS);
         // The histogram resizes automatically, so recording never fails.
