--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -64,7 +64,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Ok(file) => {
-            println!("{}: good; {}", args.file.display(), file.description);
+            println!("{}: valid; {}", args.file.display(), file.description);
             Ok(ExitCode::SUCCESS)
         }
         Err(CommandError::Settings(problems)) if args.json => {
--- a/crates/cli/src/commands/day.rs
+++ b/crates/cli/src/commands/day.rs
@@ -36,7 +36,7 @@
     crate::runtime::raise_descriptor_limit();
     let scenario = RouterScenario::load(&args.file).map_err(scenarios::failure)?;
     prepare_folder(&args.report)?;
-    let program = scenarios::own_program("the path of this program")?;
+    let program = scenarios::own_program()?;
     let options = RouterRunOptions {
         program: &program,
         report_dir: &args.report,
--- a/crates/cli/src/commands/fleet/leases.rs
+++ b/crates/cli/src/commands/fleet/leases.rs
@@ -44,7 +44,7 @@
 
 fn format_holder(lease: &LeaseStatus) -> String {
     let Some((holder, fencing_token)) = &lease.holder else {
-        return "no holder; each router does it for itself".to_owned();
+        return "no holder; each router does this task itself".to_owned();
     };
     let left = lease.left_ms.map_or("?".to_owned(), |ms| ms.to_string());
     format!(
--- a/crates/cli/src/commands/fleet/mod.rs
+++ b/crates/cli/src/commands/fleet/mod.rs
@@ -22,7 +22,7 @@
     /// Shows replicas (keepers), versions, and the routers that hold config leases (permits)
     #[command(alias = "cluster-status")]
     Status(StatusArgs),
-    /// Shows which router holds which shard of a fleet-wide task, and for how long
+    /// Shows which router holds which shard of a fleet-wide task, and for how long at least
     Leases(StatusArgs),
     /// Replaces a replica that was lost with its disk, while the others run
     ReplaceKeeper(ReplaceArgs),
--- a/crates/cli/src/commands/fleet/run.rs
+++ b/crates/cli/src/commands/fleet/run.rs
@@ -54,7 +54,7 @@
     }
     crate::runtime::raise_descriptor_limit();
     kill_fleet_on_signal();
-    let program = scenarios::own_program("the path of this program")?;
+    let program = scenarios::own_program()?;
     let options = RunOptions {
         program: &program,
         report_dir: &args.report,
@@ -84,14 +84,18 @@
 /// Returns the environment variable that injects the fault into all processes of the fleet.
 #[cfg(feature = "plant")]
 fn planted_fault(args: &RunArgs) -> Result<Vec<(String, String)>, CommandError> {
+    use hoptiller_coordination::fault_injection::Fault;
     let Some(name) = &args.plant else {
         return Ok(Vec::new());
     };
-    match hoptiller_coordination::fault_injection::Fault::from_name(name) {
+    match Fault::from_name(name) {
         Some(_) => Ok(vec![(crate::FAULT_VARIABLE.to_owned(), name.clone())]),
-        None => Err(CommandError::Usage(format!(
-            "--plant: unknown fault {name:?}"
-        ))),
+        None => {
+            let known = Fault::ALL.map(|(known, _)| known).join(", ");
+            Err(CommandError::Usage(format!(
+                "--plant: unknown fault {name:?}; expected one of {known}"
+            )))
+        }
     }
 }
 
@@ -148,7 +152,7 @@
         leases.longest_overlap / 1000
     );
     println!(
-        "shards without a holder: at a takeover p50 {} ms, p99 {} ms; at most {} ms",
+        "time without a request on a shard: at a takeover p50 {} ms, p99 {} ms; longest {} ms",
         takeover_ms(0.5),
         takeover_ms(0.99),
         leases.longest_gap / 1000
--- a/crates/cli/src/commands/fleet/status.rs
+++ b/crates/cli/src/commands/fleet/status.rs
@@ -14,7 +14,7 @@
 pub(crate) struct StatusArgs {
     #[command(flatten)]
     pub(super) keepers: ReplicaArgs,
-    /// Print the response as JSON
+    /// Print the response as JSON; for `fleet status`, that of each replica
     #[arg(long)]
     pub(super) json: bool,
 }
--- a/crates/cli/src/commands/runaways/report.rs
+++ b/crates/cli/src/commands/runaways/report.rs
@@ -66,18 +66,18 @@
         let mut text = String::new();
         write_section(&mut text, "found", &self.findings);
         if with_past {
-            write_section(&mut text, "no longer", &self.past);
+            write_section(&mut text, "no longer applies", &self.past);
         }
         write_section(
             &mut text,
-            "held kinds (free one with --release KIND)",
+            "held kinds (release one with --release KIND)",
             &self.holds,
         );
         for exclusion in &self.exclusions {
             let _ = write!(text, "{exclusion}");
         }
         if text.is_empty() {
-            text.push_str("nothing runs away, and nothing is held\n");
+            text.push_str("no runaways and no holds\n");
         }
         text
     }
@@ -142,7 +142,7 @@
 impl Display for Exclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let engines = self.engines.join(", ");
-        writeln!(f, "  tables {} are kept away from {engines}", self.tables)
+        writeln!(f, "  tables {}: excluded engines {engines}", self.tables)
     }
 }
 
--- a/crates/cli/src/commands/runaways/report/tests.rs
+++ b/crates/cli/src/commands/runaways/report/tests.rs
@@ -8,10 +8,7 @@
 
 #[test]
 fn findings_and_holds_are_shown() {
-    assert_eq!(
-        text_of(json!({}), true),
-        "nothing runs away, and nothing is held\n"
-    );
+    assert_eq!(text_of(json!({}), true), "no runaways and no holds\n");
     let finding = json!({
         "verdict": "runaway", "subject": "statement r1/00007_ab", "engine": "e1", "class": "rent-load",
         "inWords": "blocks others", "seen": "run 20.0 s, usual 2.0 s, bound 6.0 s by 40 runs of its kind",
@@ -27,13 +24,13 @@
         "runaway   statement r1/00007_ab on e1, class rent-load",
         "40 wait behind it",
         "0 of 3 clean runs",
-        "kept away from e1",
+        "tables 9: excluded engines e1",
         "--release KIND",
     ] {
         assert!(text.contains(part), "{part:?} in {text}");
     }
     assert!(!text.contains("no longer"));
-    assert!(text_of(report, true).contains("no longer"));
+    assert!(text_of(report, true).contains("no longer applies"));
 }
 
 #[test]
@@ -54,10 +51,10 @@
             began 20 s ago, verdict 3 s ago
             select 1
             checked
-held kinds (free one with --release KIND)
+held kinds (release one with --release KIND)
   00ab  class report, 2 at once, 1 of 3 clean runs to the next step, for 3 s
       select 1
-  tables 9 are kept away from e1, e2
+  tables 9: excluded engines e1, e2
 ";
     assert_eq!(text_of(report, false), expected);
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -15,7 +15,8 @@
 /// An error of another package or of the system.
 type Source = Box<dyn Error + Send + Sync>;
 
-/// Exit code for an invalid command line, or an invalid file that it names; nothing was started.
+/// Exit code for an invalid command line, or an invalid file that it names. Nothing was started, except processes of a
+/// scenario that fails at the start of its routers.
 const EXIT_USAGE: u8 = 2;
 
 /// Exit code for a failure outside of the program.
@@ -116,7 +117,7 @@
         match error {
             rejected @ CallError::Rejected { .. } => CommandError::CallRejected(rejected),
             unavailable @ CallError::Unavailable(_) => {
-                CommandError::io("cannot reach the keepers")(unavailable)
+                CommandError::io("call to the keepers failed")(unavailable)
             }
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,8 +21,8 @@
 /// Clients submit statements over HTTP and poll for the rows (Trino's client protocol); each statement waits in the
 /// queue of its class until an engine has a free slot, and gets exactly one final response.
 ///
-/// Exit codes: 0 success; 1 a rule was violated; 2 the command line or the settings are invalid, and nothing was started;
-/// 3 something outside of the program failed.
+/// Exit codes: 0 success; 1 the result is negative, such as a violated rule, or a version that was lost or is not in force
+/// in time; 2 the command line or the settings are invalid; 3 something outside of the program failed.
 #[derive(Parser)]
 #[command(version, propagate_version = true)]
 struct Cli {
@@ -40,7 +40,7 @@
     Route(commands::route::Args),
     /// Runs a router on the platform's protocol with a configuration file (SIGHUP: reload; SIGTERM: shut down).
     Node(commands::node::Args),
-    /// Validates a file of settings, and reports all of its problems.
+    /// Validates a file (settings, replica configuration, fleet document or scenario), and reports all of its problems.
     Check(commands::check::Args),
     /// Runs a mock server (stand-in) for a service to which a router connects.
     #[command(subcommand)]
--- a/crates/cli/src/metrics_endpoint.rs
+++ b/crates/cli/src/metrics_endpoint.rs
@@ -10,7 +10,7 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// Interval of the recorder's upkeep, which drains samples of histograms.
+/// Interval of the recorder's upkeep, which moves raw samples into the histograms and so bounds their memory.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Starts to record metrics, and returns the route that serves them.
--- a/crates/cli/src/random_id.rs
+++ b/crates/cli/src/random_id.rs
@@ -1,4 +1,4 @@
-//! Random identifiers.
+//! Random identifiers of process incarnations and proposals, each of which must differ from all earlier ones.
 
 use rand::RngCore;
 
--- a/crates/cli/src/secret.rs
+++ b/crates/cli/src/secret.rs
@@ -21,14 +21,16 @@
 pub(crate) enum SecretError {
     /// The file does not contain a secret.
     #[error(
-        "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it, and polls of earlier statements \
-         get status 404",
+        "{}: expected {} hexadecimal digits, found {length} bytes of other content. Restore it from a copy; if it is \
+         lost, delete it, and polls of earlier statements get status 404",
         path.display(),
         SECRET_BYTES * 2
     )]
     Malformed {
         /// The file.
         path: PathBuf,
+        /// Length of its content in bytes.
+        length: usize,
     },
     /// The file can't be read or written.
     #[error(transparent)]
@@ -44,7 +46,10 @@
     fs::create_dir_all(dir)?;
     let path = dir.join(FILE_NAME);
     match fs::read_to_string(&path) {
-        Ok(text) => decode(text.trim()).ok_or(SecretError::Malformed { path }),
+        Ok(text) => decode(text.trim()).ok_or(SecretError::Malformed {
+            path,
+            length: text.len(),
+        }),
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
             let secret = generate();
             store(dir, &path, &secret)?;
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -14,7 +14,8 @@
         matches!(link, LinkId::Router(0, _))
     });
     let number = fixture.propose("move", &document(&["a", "b"], 3));
-    // The isolated router still sends under its lease for the old version, so the others may not rely on the new one alone.
+    // The isolated router still sends under its lease for the old version, so the others must obey
+    // both versions until its lease has expired.
     assert!(fixture.fleet.wait_until_enforced(2, number, TIMEOUT));
     assert!(
         fixture.fleet.wait_until_in_force(number, TIMEOUT),
--- a/crates/cli/tests/fleet_fixture/mod.rs
+++ b/crates/cli/tests/fleet_fixture/mod.rs
@@ -181,7 +181,7 @@
     }
 
     /// Restores the links, lets clients finish, and checks that the records violate no rule.
-    pub fn finish(mut self) -> Judged {
+    pub fn finish(mut self) -> FleetResult {
         self.fleet.restore_links();
         self.load.take().into_iter().for_each(ClientLoad::finish);
         let records = self.records();
@@ -193,12 +193,12 @@
             verdict.violations.len()
         );
         assert!(verdict.overlap.is_some(), "nothing was sent under versions");
-        Judged { records, verdict }
+        FleetResult { records, verdict }
     }
 }
 
 /// The records of a fleet, and the verdict on them.
-pub struct Judged {
+pub struct FleetResult {
     pub records: Vec<Record>,
     pub verdict: Verdict,
 }
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -11,7 +11,7 @@
 use hoptiller_coordination_client::wire::{self, LeaseStatus};
 use hoptiller_fault_harness::{LinkFaults, LinkId, Topology};
 
-use fleet_fixture::{FleetFixture, Judged, TIMEOUT, document};
+use fleet_fixture::{FleetFixture, FleetResult, TIMEOUT, document};
 
 /// Number of shards: one of discovery, three of health checks.
 const SHARDS: usize = 4;
@@ -173,7 +173,7 @@
         );
     }
     let verdict = fixture.finish().verdict;
-    let leases = verdict.leases.expect("acts under leases");
+    let leases = verdict.leases.expect("the verdict has a lease report");
     assert_eq!(
         (leases.shards, leases.overlaps, leases.refused),
         (4, 0, 0),
@@ -202,7 +202,13 @@
         "it is granted leases again"
     );
     let verdict = fixture.finish().verdict;
-    assert_eq!(verdict.leases.expect("acts").overlaps, 0);
+    assert_eq!(
+        verdict
+            .leases
+            .expect("the verdict has a lease report")
+            .overlaps,
+        0
+    );
 }
 
 #[test]
@@ -225,7 +231,13 @@
     assert!(fixture.wait_for_takeover("probe/1", next));
     fixture.fleet.restore_links();
     let verdict = fixture.finish().verdict;
-    assert_eq!(verdict.leases.expect("acts").overlaps, 0);
+    assert_eq!(
+        verdict
+            .leases
+            .expect("the verdict has a lease report")
+            .overlaps,
+        0
+    );
 }
 
 #[test]
@@ -244,7 +256,13 @@
         "another reads it"
     );
     let verdict = fixture.finish().verdict;
-    assert_eq!(verdict.leases.expect("acts").overlaps, 0);
+    assert_eq!(
+        verdict
+            .leases
+            .expect("the verdict has a lease report")
+            .overlaps,
+        0
+    );
 }
 
 #[test]
@@ -308,7 +326,13 @@
         "holders continue"
     );
     let verdict = fixture.finish().verdict;
-    assert_eq!(verdict.leases.expect("acts").overlaps, 0);
+    assert_eq!(
+        verdict
+            .leases
+            .expect("the verdict has a lease report")
+            .overlaps,
+        0
+    );
 }
 
 #[test]
@@ -336,8 +360,14 @@
         fixture.wait_for_all_shards_after(newest),
         "after the term of the former leases"
     );
-    let Judged { records, verdict } = fixture.finish();
-    assert_eq!(verdict.leases.expect("acts").overlaps, 0);
+    let FleetResult { records, verdict } = fixture.finish();
+    assert_eq!(
+        verdict
+            .leases
+            .expect("the verdict has a lease report")
+            .overlaps,
+        0
+    );
     let was_holder = records
         .iter()
         .any(|record| matches!(record, Record::LeasedRequest { router, .. } if *router == name));
@@ -375,6 +405,6 @@
     );
     fixture.fleet.restore_links();
     let verdict = fixture.finish().verdict;
-    let leases = verdict.leases.expect("acts");
+    let leases = verdict.leases.expect("the verdict has a lease report");
     assert!(leases.refused > 0 && leases.overlaps == 0, "{leases:?}");
 }
--- a/crates/cli/tests/processes/commands.rs
+++ b/crates/cli/tests/processes/commands.rs
@@ -41,7 +41,7 @@
         lookups["attempts"].as_u64() > lookups["served"].as_u64(),
         "some were retried: {lookups}"
     );
-    // With one more record of an effect, the same check finds a violation.
+    // A copy of an effect's record, as of a statement that ran twice, is found to be a violation.
     let records =
         std::fs::read_to_string(Path::new(&report).join("engine-0.jsonl")).expect("records");
     let effect = records
@@ -52,7 +52,7 @@
         Path::new(&report).join("planted.jsonl"),
         format!("{effect}\n"),
     )
-    .expect("planted");
+    .expect("written");
     let out = program(&["audit", &report]);
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(
@@ -64,7 +64,7 @@
         Path::new(&report).join("planted.jsonl"),
         &effect[..effect.len() / 2],
     )
-    .expect("damaged");
+    .expect("written");
     assert_eq!(program(&["audit", &report]).status.code(), Some(2));
 }
 
--- a/crates/cli/tests/processes/routers.rs
+++ b/crates/cli/tests/processes/routers.rs
@@ -214,10 +214,7 @@
     };
     assert_eq!(
         runaways(&[]),
-        (
-            Some(0),
-            "nothing runs away, and nothing is held\n".to_owned()
-        )
+        (Some(0), "no runaways and no holds\n".to_owned())
     );
     let (code, text) = runaways(&["--json"]);
     let value: Value = serde_json::from_str(&text).expect("JSON");
--- a/crates/cli/tests/scenario_files.rs
+++ b/crates/cli/tests/scenario_files.rs
@@ -61,7 +61,7 @@
             check(&path),
             (
                 Some(0),
-                format!("{}: good; {description}\n", path.display())
+                format!("{}: valid; {description}\n", path.display())
             )
         );
     }
