--- a/crates/cli/src/commands/experiment/chart.rs
+++ b/crates/cli/src/commands/experiment/chart.rs
@@ -1,4 +1,4 @@
-//! The study's plot: the part of the runaways that were found, by time, in SVG.
+//! The plot of the study, in SVG: the fraction of runaways that were found, over time.
 
 use std::error::Error;
 
@@ -8,35 +8,35 @@
     Palette99, PathElement, SVGBackend, SeriesLabelPosition, Text, WHITE,
 };
 
-const TITLE: &str = "Runaways found, by time since an engine took them (simulated servers)";
+const TITLE: &str = "Runaways found, by run time without the time blocked (simulated servers)";
 
-/// Width and height of the plot, in pixels.
-const SIZE: (u32, u32) = (960, 540);
+/// Width and height of the plot.
+const SIZE_PIXELS: (u32, u32) = (960, 540);
 
 const FONT: &str = "sans-serif";
 
-/// Seconds that the time axis shows at least, so that all fixed limits are on it.
-const MIN_TIME_AXIS: f64 = 62.0;
+/// Minimum end of the time axis, so that it includes all fixed limits.
+const MIN_TIME_AXIS_SECONDS: f64 = 62.0;
 
-/// The top of the axis of parts, with some space above 1.
-const PART_AXIS: f64 = 1.02;
+/// End of the axis of fractions, with some space above 1.
+const FRACTION_AXIS_MAX: f64 = 1.02;
 
 /// The runaways of one condition.
 pub(super) struct Curve {
     pub(super) name: String,
     /// Times to detection, in seconds, ascending.
     pub(super) times: Vec<f64>,
-    /// All runaways, found or not.
+    /// Number of runaways, whether found or not.
     pub(super) planted: usize,
 }
 
 type Chart<'c, 'svg> =
     ChartContext<'c, SVGBackend<'svg>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A curve for each condition and a line for each fixed limit in seconds, as SVG text.
-pub(super) fn draw_found_by_time(curves: &[Curve], limits: &[u64]) -> String {
+/// Returns the SVG text of a plot with a curve for each condition and a line for each fixed limit in seconds.
+pub(super) fn draw_detections_over_time(curves: &[Curve], limits: &[u64]) -> String {
     let mut svg = String::new();
-    // Drawing into a string fails only by a fault of the drawing code.
+    // Drawing into a string fails only if the drawing code has a fault.
     if draw(&mut svg, curves, limits).is_err() {
         svg.clear();
     }
@@ -44,22 +44,22 @@
 }
 
 fn draw(svg: &mut String, curves: &[Curve], limits: &[u64]) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let root = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
     let latest = curves
         .iter()
         .filter_map(|curve| curve.times.last().copied())
-        .fold(MIN_TIME_AXIS, f64::max);
+        .fold(MIN_TIME_AXIS_SECONDS, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption(TITLE, (FONT, 18))
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..(latest * 1.02), 0.0..PART_AXIS)?;
+        .build_cartesian_2d(0.0..(latest * 1.02), 0.0..FRACTION_AXIS_MAX)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc("share found")
+        .y_desc("fraction found")
         .light_line_style(WHITE)
         .draw()?;
     for (index, curve) in curves.iter().enumerate() {
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Draws a step at each runaway that was found.
+/// Draws a curve with a step at each runaway that was found.
 fn draw_curve(
     chart: &mut Chart<'_, '_>,
     index: usize,
@@ -102,7 +102,10 @@
 fn draw_limit(chart: &mut Chart<'_, '_>, seconds: u64) -> Result<(), Box<dyn Error>> {
     let time = seconds as f64;
     let style = BLACK.mix(0.5).stroke_width(1);
-    chart.draw_series(LineSeries::new([(time, 0.0), (time, PART_AXIS)], style))?;
+    chart.draw_series(LineSeries::new(
+        [(time, 0.0), (time, FRACTION_AXIS_MAX)],
+        style,
+    ))?;
     let text = format!("fixed limit {seconds} s");
     chart.draw_series([Text::new(text, (time + 0.4, 0.06), (FONT, 13))])?;
     Ok(())
--- a/crates/cli/src/secret.rs
+++ b/crates/cli/src/secret.rs
@@ -1,5 +1,5 @@
-//! The secret with which a router signs the tokens in its URIs: a file that outlives the process, so that a restarted
-//! router accepts the URIs that it gave out before.
+//! The secret with which a router signs the tokens in its URIs. A file stores it, so that a restarted router accepts the
+//! URIs that it issued before.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -10,41 +10,46 @@
 
 const SECRET_BYTES: usize = 32;
 
-/// The file's name in the state folder.
+/// Name of the file in the state folder.
 const FILE_NAME: &str = "secret";
 
-/// The owner alone may read it.
+/// Permissions of the file: only the owner may read and write it.
 const FILE_MODE: u32 = 0o600;
 
-/// Why a secret can't be loaded or created.
+/// Errors of loading or creating a secret.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SecretError {
-    /// The file holds something else.
+    /// The file does not contain a secret.
     #[error(
-        "{}: not {} hexadecimal digits. Restore it from a copy; if it is lost, delete it: clients of statements taken \
-         before are then answered 404",
+        "{}: expected {} hexadecimal digits, found {length} bytes of other content. Restore it from a copy; if it is \
+         lost, delete it, and polls of earlier statements get status 404",
         path.display(),
         SECRET_BYTES * 2
     )]
     Malformed {
         /// The file.
         path: PathBuf,
+        /// Length of its content in bytes.
+        length: usize,
     },
     /// The file can't be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Loads the secret of a state folder; creates folder and secret at the first start.
+/// Loads the secret of a state folder. Creates the folder and the secret if they do not exist.
 ///
 /// # Errors
 ///
-/// Where the file is malformed, or can't be read or written.
+/// Returns an error if the file is malformed, or can't be read or written.
 pub(crate) fn load_or_create(dir: &Path) -> Result<Vec<u8>, SecretError> {
     fs::create_dir_all(dir)?;
     let path = dir.join(FILE_NAME);
     match fs::read_to_string(&path) {
-        Ok(text) => decode(text.trim()).ok_or(SecretError::Malformed { path }),
+        Ok(text) => decode(text.trim()).ok_or(SecretError::Malformed {
+            path,
+            length: text.len(),
+        }),
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
             let secret = generate();
             store(dir, &path, &secret)?;
@@ -54,14 +59,14 @@
     }
 }
 
-/// A new secret.
+/// Generates a new secret.
 pub(crate) fn generate() -> Vec<u8> {
     let mut secret = vec![0; SECRET_BYTES];
     rand::rng().fill_bytes(&mut secret);
     secret
 }
 
-/// Stores a secret by a rename: a crash leaves either no secret or a complete one.
+/// Stores a secret by renaming a temporary file, so that a crash leaves either no secret or a complete one.
 fn store(dir: &Path, path: &Path, secret: &[u8]) -> io::Result<()> {
     let temporary = dir.join(format!("{FILE_NAME}.{}", std::process::id()));
     let mut file = OpenOptions::new()
--- a/crates/cli/tests/fleet/versions.rs
+++ b/crates/cli/tests/fleet/versions.rs
@@ -1,4 +1,4 @@
-//! Versions that are proposed, rolled out and rejected.
+//! Proposals, rollouts and rejections of versions.
 
 use std::time::{Duration, Instant};
 
@@ -9,9 +9,9 @@
 
 use crate::fleet_fixture::{FleetFixture, TIMEOUT, document};
 
-/// The machine kinds that reports were sent to from a time on, under this version or later ones.
+/// Returns the machine kinds to which reports were sent from a time on, under the given version or later ones.
 fn report_kinds(records: &[Record], from: u64, version: u64) -> Vec<String> {
-    let kind_of = |r: &Record| match r {
+    let kind_of = |record: &Record| match record {
         Record::Sent {
             at,
             kind,
@@ -31,10 +31,10 @@
 fn a_version_reaches_all_routers_and_reports_move_only_with_it() {
     let mut fixture = FleetFixture::new("all", 3, |_| {});
     assert!(fixture.wait_for_attempt_under("r1", 1, 1));
-    let began = Instant::now();
+    let start = Instant::now();
     let loose = fixture.propose("loose", &document(&["a", "b"], 3));
     assert!(fixture.fleet.wait_until_in_force(loose, TIMEOUT));
-    let took = began.elapsed();
+    let elapsed = start.elapsed();
     let strict = fixture.propose("strict", &document(&["b"], 2));
     assert!(fixture.fleet.wait_until_in_force(strict, TIMEOUT));
     for router in ["r1", "r2", "r3"] {
@@ -43,16 +43,16 @@
             "{router} sent nothing under version {strict}"
         );
     }
-    println!("in force after {} ms", took.as_millis());
+    println!("in force after {} ms", elapsed.as_millis());
     let records = fixture.finish().records;
     assert_eq!(
         report_kinds(&records, 0, strict),
         ["b"],
-        "what enforces the last version obeys it"
+        "routers that enforce the last version send reports only where it permits"
     );
 }
 
-/// A version whose endpoint list has the first of four engines draining.
+/// Returns a document whose endpoint list has the first of four engines draining.
 fn document_that_drains_engine_0() -> Document {
     let mut drained = document(&["a", "b"], 2);
     let now = std::time::SystemTime::now()
@@ -75,9 +75,9 @@
     drained
 }
 
-/// The attempts that were not in doubt and enforced this version or a later one: engine and version in force.
+/// Returns engine and version in force of each attempt that was not in doubt and enforced the given version or a later one.
 fn attempts_enforcing(records: &[Record], version: u64) -> Vec<(String, u64)> {
-    let attempt_of = |r: &Record| match r {
+    let attempt_of = |record: &Record| match record {
         Record::Sent {
             engine,
             versions:
@@ -95,7 +95,8 @@
 
 #[test]
 fn a_drain_proposed_after_a_pending_version_is_enforced_at_once() {
-    // So long that the version is still pending when the drain is enforced, on any machine. It ends when the link is restored.
+    // With this term the version is still pending when the drain is enforced, on any machine. The rollout completes when
+    // the links are restored.
     let mut fixture = FleetFixture::new("drain", 3, |topology| {
         topology.lease_term = Duration::from_secs(300)
     });
@@ -104,9 +105,9 @@
             && fixture.wait_for_attempt_under("r2", 1, 1)
             && fixture.wait_for_attempt_under("r3", 1, 1)
     );
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    fixture.fleet.fail_links(LinkFaults::blocked(), |link| {
+        matches!(link, LinkId::Router(0, _))
+    });
     let pending = fixture.propose("move", &document(&["a", "b"], 2));
     let drain = fixture.propose("drain", &document_that_drains_engine_0());
     assert!(fixture.fleet.wait_until_enforced(2, drain, TIMEOUT));
@@ -129,26 +130,26 @@
     );
     assert!(
         sent.iter().all(|(engine, _)| engine != "engine-0"),
-        "what enforces the drain sends nothing there"
+        "routers that enforce the drain send nothing to the draining engine"
     );
 }
 
 #[test]
 fn a_proposal_repeated_at_another_replica_is_one_version_and_a_flood_is_rejected() {
-    // An isolated router blocks versions for the rest of its lease: long enough for the limit of pending versions to be
-    // reached, also where a proposal takes long.
+    // An isolated router blocks versions for the rest of its lease. The term is long enough to reach the limit of pending
+    // versions even if proposals are slow.
     let mut fixture = FleetFixture::new("flood", 2, |topology| {
         topology.lease_term = Duration::from_secs(10);
     });
-    // As if the response had been lost: the caller proposes the same again.
+    // The caller repeats a proposal, as if the response had been lost.
     let number = fixture.propose("once", &document(&["a", "b"], 3));
     fixture.fleet.kill_replica(0);
     assert_eq!(fixture.propose("once", &document(&["a", "b"], 3)), number);
     fixture.fleet.start_replica(0).expect("runs");
     assert!(fixture.fleet.wait_until_in_force(number, TIMEOUT));
-    fixture
-        .fleet
-        .fail_links(LinkFaults::blocked(), |b| matches!(b, LinkId::Router(0, _)));
+    fixture.fleet.fail_links(LinkFaults::blocked(), |link| {
+        matches!(link, LinkId::Router(0, _))
+    });
     let (mut accepted, mut rejected) = (0u64, 0);
     for n in 0..200u32 {
         match fixture
--- a/crates/cli/tests/processes/http_client.rs
+++ b/crates/cli/tests/processes/http_client.rs
@@ -1,4 +1,4 @@
-//! A client of routers, written by hand: nothing of the project's own HTTP is trusted here.
+//! A minimal client of routers, independent of the project's own HTTP implementation.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,7 +30,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends a request on a new connection, and returns the response.
 pub fn exchange(
     addr: SocketAddr,
     method: &str,
@@ -38,44 +38,44 @@
     fields: &str,
     body: &str,
 ) -> std::io::Result<HttpResponse> {
-    let mut s = TcpStream::connect(addr)?;
-    s.set_read_timeout(Some(Duration::from_secs(30)))?;
+    let mut stream = TcpStream::connect(addr)?;
+    stream.set_read_timeout(Some(Duration::from_secs(30)))?;
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nConnection: close\r\nContent-Length: {length}\r\n"
     );
-    s.write_all(format!("{head}{fields}\r\n{body}").as_bytes())?;
+    stream.write_all(format!("{head}{fields}\r\n{body}").as_bytes())?;
     let mut bytes = Vec::new();
-    s.read_to_end(&mut bytes)?;
-    let at = bytes
+    stream.read_to_end(&mut bytes)?;
+    let head_end = bytes
         .windows(4)
-        .position(|w| w == b"\r\n\r\n")
+        .position(|window| window == b"\r\n\r\n")
         .ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    let head = String::from_utf8_lossy(&bytes[..at]).into_owned();
+    let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
     let status = head
         .get(9..12)
-        .and_then(|c| c.parse().ok())
+        .and_then(|code| code.parse().ok())
         .ok_or(std::io::ErrorKind::InvalidData)?;
     let retry_after = head
         .lines()
-        .find_map(|l| l.strip_prefix("Retry-After: "))
+        .find_map(|line| line.strip_prefix("Retry-After: "))
         .map(str::to_owned);
     Ok(HttpResponse {
         status,
         retry_after,
-        body: bytes[at + 4..].to_vec(),
+        body: bytes[head_end + 4..].to_vec(),
     })
 }
 
-/// The response to a GET.
+/// Returns the response to a GET request.
 pub fn get(addr: SocketAddr, path: &str) -> HttpResponse {
-    exchange(addr, "GET", path, "", "").expect("an answer")
+    exchange(addr, "GET", path, "", "").expect("a response")
 }
 
-/// Submits a statement, which must be admitted.
+/// Submits a statement, and checks that it is admitted.
 pub fn submit(addr: SocketAddr, class: &str, text: &str) -> HttpResponse {
     let fields = format!("X-Trino-User: ann\r\nX-Trino-Client-Tags: class={class}\r\n");
-    let response = exchange(addr, "POST", "/v1/statement", &fields, text).expect("an answer");
+    let response = exchange(addr, "POST", "/v1/statement", &fields, text).expect("a response");
     assert_eq!(
         response.status,
         200,
@@ -85,7 +85,7 @@
     response
 }
 
-/// Polls to the end.
+/// Polls until the final response, and returns it.
 pub fn follow(addr: SocketAddr, mut response: HttpResponse) -> HttpResponse {
     while let Some(next) = response.next() {
         response = get(addr, &next);
--- a/crates/emulator/src/study/figures.rs
+++ b/crates/emulator/src/study/figures.rs
@@ -1,4 +1,4 @@
-//! What one run showed.
+//! The figures of one run.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,18 +13,19 @@
 use crate::run::{AttemptRecord, RunRecord, StatementOutcome};
 use crate::simulation::CLOCK_START;
 
-/// The fixed limits of run time that are compared, in s.
-pub const LIMITS: [u64; 3] = [5, 15, 60];
-/// Statements that are submitted later than this before the end may not be answered within the run, and don't count.
-const TIME_TO_ANSWER: Micros = 30 * SECOND;
+/// The fixed limits of run time with which the detector is compared, in s.
+pub const FIXED_LIMITS_SECONDS: [u64; 3] = [5, 15, 60];
+/// Time before the end of a run in which submitted statements don't count, as they may not get their response within the
+/// run.
+const RESPONSE_ALLOWANCE: Micros = 30 * SECOND;
 
 /// A planted runaway, and how soon it was found. Serialized as `[case, seconds]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(&'static str, Option<f64>)")]
 pub struct Detection {
-    /// What was planted.
+    /// The planted case.
     pub case: PlantedCase,
-    /// Run time in s until it was found, without the time in which it was blocked; `None` if it was not.
+    /// Run time in s until it was found, excluding the time in which it was blocked; `None` if it was not found.
     pub found_after: Option<f64>,
 }
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// What a fixed limit of run time would have flagged. Serialized as `[limit, runaways, large, others]`.
+/// The numbers of statements that a fixed limit of run time would have flagged. Serialized as `[limit, runaways,
+/// large, others]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, usize, usize, usize)")]
 pub struct LimitFigures {
@@ -67,37 +69,38 @@
     pub seed: u64,
     /// The condition.
     pub condition: Condition,
-    /// The planted runaways that ran.
+    /// The planted runaways that started at an engine.
     #[serde(rename = "found")]
     pub detections: Vec<Detection>,
-    /// Number of planted large statements that ran.
+    /// Number of planted large statements that started at an engine.
     pub large: usize,
     /// Number of them that were flagged as runaways.
     pub large_flagged: usize,
-    /// Number of other statements that ran.
+    /// Number of other statements that started at an engine.
     pub others: usize,
     /// Number of them that were flagged as runaways.
     pub others_flagged: usize,
-    /// Number of notices, of engines and fingerprints.
+    /// Number of findings with the verdict notice, which concern engines and fingerprints.
     pub notices: usize,
-    /// What fixed limits would have flagged, in the order of [`LIMITS`].
+    /// The figures of fixed limits, in the order of [`FIXED_LIMITS_SECONDS`].
     pub limits: Vec<LimitFigures>,
-    /// Value of what was answered in time, as a fraction of all; planted runaways don't count.
+    /// Value of the served statements, with late ones at their reduced weight, as a fraction of the value of all statements
+    /// that count.
     #[serde(rename = "worth")]
-    pub value_in_time: f64,
-    /// Number of lookups that were submitted while a planted load had their tables locked.
+    pub served_value: f64,
+    /// Number of lookups that were submitted while a planted load had locked their tables.
     #[serde(rename = "behind")]
-    pub behind_load: usize,
+    pub lookups_behind_load: usize,
     /// Number of them that were served in time.
     #[serde(rename = "behind_on_time")]
-    pub behind_load_in_time: usize,
+    pub lookups_behind_load_in_time: usize,
     /// Number of engine crashes.
     #[serde(rename = "fallen")]
     pub engine_crashes: usize,
 }
 
 impl Figures {
-    /// The figures of a run of a plan.
+    /// Computes the figures of a run of a plan.
     pub(super) fn new(plan: &Plan, record: &RunRecord, condition: Condition, seed: u64) -> Self {
         let analysis = RunAnalysis::new(plan, record);
         let timeliness = analysis.timeliness();
@@ -110,16 +113,18 @@
             others: analysis.count_started(Group::Other),
             others_flagged: analysis.count_flagged(Group::Other),
             notices: analysis.count_notices(),
-            limits: LIMITS.map(|limit| analysis.limit_figures(limit)).to_vec(),
-            value_in_time: timeliness.value_in_time / timeliness.total_value,
-            behind_load: timeliness.behind_load,
-            behind_load_in_time: timeliness.behind_load_in_time,
+            limits: FIXED_LIMITS_SECONDS
+                .map(|limit| analysis.limit_figures(limit))
+                .to_vec(),
+            served_value: timeliness.served_value / timeliness.total_value,
+            lookups_behind_load: timeliness.lookups_behind_load,
+            lookups_behind_load_in_time: timeliness.lookups_behind_load_in_time,
             engine_crashes: record.engine_crashes,
         }
     }
 }
 
-/// What a statement is to the study.
+/// The groups into which the study divides statements.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Group {
     /// A planted runaway.
@@ -140,30 +145,31 @@
     }
 }
 
-/// The tables that a planted load had locked, and when.
+/// The tables that a planted load locked, and the time for which it did.
 struct LockedTables<'a> {
     tables: Option<&'a String>,
     while_locked: Range<Micros>,
 }
 
-/// Sums over the statements that were submitted after the statistics were known.
+/// Sums over the statements that count for timeliness: usual and large ones that are submitted after the detector has
+/// statistics ([`PLANT_FROM`]), and early enough to get a response within the run.
 #[derive(Default)]
 struct Timeliness {
-    value_in_time: f64,
+    served_value: f64,
     total_value: f64,
-    behind_load: usize,
-    behind_load_in_time: usize,
+    lookups_behind_load: usize,
+    lookups_behind_load_in_time: usize,
 }
 
-/// A run by statement of its plan.
+/// The attempts and findings of a run, indexed by statement of the plan.
 struct RunAnalysis<'a> {
     plan: &'a Plan,
     record: &'a RunRecord,
-    /// When an engine first admitted it.
+    /// Time at which an engine first admitted each statement.
     started: BTreeMap<usize, Micros>,
-    /// The longest time that one of its attempts was at an engine.
+    /// The longest time for which an attempt of each statement was at an engine.
     longest: BTreeMap<usize, Micros>,
-    /// When it was first found to be a runaway.
+    /// Time at which each statement was first found to be a runaway.
     flagged: BTreeMap<usize, Micros>,
 }
 
@@ -203,7 +209,7 @@
         }
     }
 
-    /// When an attempt ended, at the latest with the run.
+    /// Returns the time at which an attempt ended, which is at most the end of the run.
     fn end_of(&self, attempt: &AttemptRecord) -> Micros {
         let end_of_run = CLOCK_START + self.plan.duration;
         attempt.ended_at.unwrap_or(end_of_run)
@@ -215,18 +221,24 @@
 
     fn count_started(&self, group: Group) -> usize {
         let started = self.started.keys();
-        started.filter(|s| self.group(**s) == group).count()
+        started
+            .filter(|statement| self.group(**statement) == group)
+            .count()
     }
 
     fn count_flagged(&self, group: Group) -> usize {
         let flagged = self.flagged.keys();
-        flagged.filter(|s| self.group(**s) == group).count()
+        flagged
+            .filter(|statement| self.group(**statement) == group)
+            .count()
     }
 
     fn count_longer(&self, limit_seconds: u64, group: Group) -> usize {
         self.longest
             .iter()
-            .filter(|(s, run_time)| self.group(**s) == group && **run_time > limit_seconds * SECOND)
+            .filter(|(statement, run_time)| {
+                self.group(**statement) == group && **run_time > limit_seconds * SECOND
+            })
             .count()
     }
 
@@ -246,7 +258,7 @@
         }
     }
 
-    /// The planted runaways that ran, and how soon they were found.
+    /// Returns the planted runaways that started, with their times to detection.
     fn detections(&self) -> Vec<Detection> {
         let runaways = self.started.iter().filter_map(|(statement, started)| {
             let case = self.plan.statements[*statement].planted?;
@@ -260,14 +272,14 @@
             .collect()
     }
 
-    /// Run time in s until a statement was found. One that is blocked does not run.
+    /// Returns the run time in s until a statement was found. The time in which it was blocked does not count.
     fn found_after(&self, statement: usize, started: Micros) -> Option<f64> {
         let flagged = *self.flagged.get(&statement)?;
         let blocked_seconds = self.observed_stalls(statement, flagged) as f64;
         Some(((flagged - started) as f64 / 1e6 - blocked_seconds).max(0.0))
     }
 
-    /// Number of polls until then at which a statement was blocked; each counts for one second, the poll interval.
+    /// Counts the polls up to a time at which a statement was blocked. Each stands for one second, the poll interval.
     fn observed_stalls(&self, statement: usize, until: Micros) -> usize {
         let attempts = self.record.attempts.iter();
         attempts
@@ -277,7 +289,7 @@
             .count()
     }
 
-    /// The tables that planted loads had locked.
+    /// Returns the tables that planted loads locked.
     fn locked_tables(&self) -> Vec<LockedTables<'a>> {
         self.record
             .attempts
@@ -291,7 +303,7 @@
             .collect()
     }
 
-    /// The fraction of its value that a statement had when it was answered.
+    /// Returns the fraction of its value that a statement had when it was served; zero if it was not served.
     fn value_fraction(&self, index: usize) -> f64 {
         let statement = &self.plan.statements[index];
         let class = &self.plan.settings.classes[statement.class];
@@ -319,25 +331,27 @@
             }
             let fraction = self.value_fraction(index);
             let value = self.plan.settings.classes[statement.class].priority_weight;
-            sums.value_in_time += fraction * value;
+            sums.served_value += fraction * value;
             sums.total_value += value;
             if statement.class == LOOKUP && is_behind_load(statement, &locked_tables) {
-                sums.behind_load += 1;
-                sums.behind_load_in_time += usize::from(fraction == 1.0);
+                sums.lookups_behind_load += 1;
+                sums.lookups_behind_load_in_time += usize::from(fraction == 1.0);
             }
         }
         sums
     }
 
+    /// Returns whether a statement counts for timeliness. Runaways don't, nor statements from before the detector has
+    /// statistics, nor those that may not get a response within the run.
     fn counts_for_timeliness(&self, statement: &PlannedStatement) -> bool {
         let submitted_at = statement.submitted_at;
         Group::new(statement) != Group::Runaway
             && submitted_at >= PLANT_FROM
-            && submitted_at + TIME_TO_ANSWER <= self.plan.duration
+            && submitted_at + RESPONSE_ALLOWANCE <= self.plan.duration
     }
 }
 
-/// Whether a planted load had the tables of a statement locked when it was submitted.
+/// Returns whether a planted load had locked the tables of a statement when the statement was submitted.
 fn is_behind_load(statement: &PlannedStatement, locked_tables: &[LockedTables]) -> bool {
     let submitted_at = CLOCK_START + statement.submitted_at;
     locked_tables.iter().any(|locked| {
--- a/crates/model-check/tests/leases.rs
+++ b/crates/model-check/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Within bounds that take seconds: no two holders act at once in any execution, and each injected fault is found in one.
+//! Model checks within bounds that take seconds: no execution has two holders that act at once, and the check finds each
+//! injected fault.
 
 use hoptiller_model_check::{
     FREE_SHARD_TAKEN, LeaseModel, Limits, NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED,
@@ -7,53 +8,53 @@
 
 const SAFETY_PROPERTIES: [&str; 2] = [NEVER_TWO_HOLDERS_ACT, NO_TOKEN_REUSED];
 
-/// Operations that are on their way for most of a term.
+/// Operations that are in flight for half of a term.
 const SLOW_OPERATIONS: Limits = Limits {
     ticks: 5,
     term: 4,
-    asks: 1,
-    crashes: 0,
-    doubles: 0,
-    way: 2,
-    late_twin: false,
+    max_renewals: 1,
+    max_crashes: 0,
+    max_duplicates: 0,
+    max_operation_ticks: 2,
+    second_starts_late: false,
     processes: 2,
 };
-/// A replica that crashes at any step.
+/// One crash of a replica, at any step.
 const CRASH: Limits = Limits {
     ticks: 4,
     term: 3,
-    way: 1,
-    crashes: 1,
+    max_operation_ticks: 1,
+    max_crashes: 1,
     ..SLOW_OPERATIONS
 };
 /// Another incarnation of the holder's router, which starts while the holder still acts.
 const SECOND_INCARNATION: Limits = Limits {
     ticks: 1,
-    asks: 2,
-    way: 1,
-    late_twin: true,
+    max_renewals: 2,
+    max_operation_ticks: 1,
+    second_starts_late: true,
     ..SLOW_OPERATIONS
 };
 
-/// The safety properties that are violated, and whether a shard that became free was taken.
+/// Returns the violated safety properties, and whether an operation arrived under a newer fencing token.
 fn check(limits: &Limits) -> (Vec<&'static str>, bool) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let model = LeaseModel::new(limits.clone()).checker().threads(threads);
-    let done = model
+    let checked = model
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let found = done.discoveries();
+    let discoveries = checked.discoveries();
     println!(
         "{limits:?}: {} states, {} steps deep",
-        done.unique_state_count(),
-        done.max_depth()
+        checked.unique_state_count(),
+        checked.max_depth()
     );
     let violated = SAFETY_PROPERTIES
         .into_iter()
-        .filter(|p| found.contains_key(p))
+        .filter(|property| discoveries.contains_key(property))
         .collect();
-    (violated, found.contains_key(FREE_SHARD_TAKEN))
+    (violated, discoveries.contains_key(FREE_SHARD_TAKEN))
 }
 
 #[cfg(not(feature = "plant"))]
@@ -65,14 +66,15 @@
     assert_eq!(check(&SECOND_INCARNATION).0, none);
 }
 
-/// One after the other: a fault is injected into the whole process.
+/// One test covers all faults in turn, because a fault is injected into the whole process.
 #[cfg(feature = "plant")]
 #[test]
 fn each_injected_fault_is_found() {
     use hoptiller_coordination::fault_injection::{Fault, inject};
     for (name, fault) in Fault::ALL {
         let limits = match fault {
-            Fault::SkipRolloutWait | Fault::LoseDurableState => continue, // Faults of rollouts and of a replica's disk, not of task leases.
+            // These faults affect rollouts and a replica's disk, not task leases.
+            Fault::SkipRolloutWait | Fault::LoseDurableState => continue,
             Fault::SkipStartupTerm => CRASH,
             Fault::IgnoreIncarnation => SECOND_INCARNATION,
             _ => SLOW_OPERATIONS,
