--- a/crates/benchmarks/src/replicas/restart.rs
+++ b/crates/benchmarks/src/replicas/restart.rs
@@ -1,4 +1,4 @@
-//! How long a replica takes to start on a disk with many versions.
+//! The time that a replica takes to start on a disk with many versions.
 
 use std::error::Error;
 use std::io;
@@ -13,24 +13,24 @@
 
 use super::{LEASE_TERM, document};
 use crate::error::BenchmarkError;
-use crate::test_fleet::{DRIFT, REPLICAS, temporary_dir};
+use crate::test_fleet::{DRIFT_MILLIONTHS, REPLICAS, temporary_dir};
 
-/// Limit of a replica's storage.
+/// Maximum size of a replica's storage.
 const MAX_STORAGE_BYTES: u64 = 1 << 30;
 
-/// File of a replica's storage in its folder.
+/// Name of the storage file in a replica's folder.
 const STORAGE_FILE: &str = "keeper.redb";
 
-/// Proposals that one entry of the log holds.
+/// Number of proposals that one entry of the log holds.
 const PROPOSALS_PER_ENTRY: u64 = 512;
 
-/// Time between two steps of the replicas, in microseconds of their clock.
-const STEP: u64 = 10_000;
+/// Time between two steps, by the replicas' clock.
+const STEP_MICROS: u64 = 10_000;
 
-/// Time in which all versions must be decided, in microseconds of the replicas' clock.
-const DECISION_TIMEOUT: u64 = 3_600_000_000;
+/// Time in which all versions must be decided, by the replicas' clock.
+const DECISION_TIMEOUT_MICROS: u64 = 3_600_000_000;
 
-/// Replicas on one thread, each on a disk of its own.
+/// Replicas on one thread, each with its own disk.
 struct Replicas {
     dir: PathBuf,
     membership: Membership,
@@ -58,17 +58,18 @@
     fn open(&self, number: u64) -> Result<Replica, BenchmarkError> {
         let timing = LeaseTiming {
             term: LEASE_TERM.as_micros() as u64,
-            drift: DRIFT,
+            drift: DRIFT_MILLIONTHS,
         };
         let dir = self.dir.join(number.to_string());
         let storage =
-            DiskStorage::open(&dir, "f", number, "d", MAX_STORAGE_BYTES).map_err(other)?;
+            DiskStorage::open(&dir, "f", number, "d", MAX_STORAGE_BYTES).map_err(other_error)?;
         let incarnation = storage.incarnation();
-        let log = ReplicatedLog::open(number, self.membership.clone(), storage).map_err(other)?;
+        let log =
+            ReplicatedLog::open(number, self.membership.clone(), storage).map_err(other_error)?;
         Ok(Replica::new(number, incarnation, timing, log, self.now))
     }
 
-    /// Proposes versions until each replica has applied that many.
+    /// Proposes versions until each replica has applied the given number.
     fn decide(&mut self, versions: u64) -> Result<(), BenchmarkError> {
         let mut proposed = 0;
         while self
@@ -76,11 +77,14 @@
             .iter()
             .any(|replica| replica.config_state().latest() < versions)
         {
-            self.now += STEP;
-            if self.now > DECISION_TIMEOUT {
-                return Err(BenchmarkError::VersionsNotDecided);
+            self.now += STEP_MICROS;
+            if self.now > DECISION_TIMEOUT_MICROS {
+                return Err(BenchmarkError::VersionsNotDecided {
+                    decided: self.running[0].config_state().latest(),
+                    expected: versions,
+                });
             }
-            // As many as an entry holds, and one entry in flight.
+            // Propose as many versions as an entry holds, and keep one entry in flight.
             if self.running[0].config_state().latest() == proposed {
                 let end = versions.min(proposed + PROPOSALS_PER_ENTRY);
                 for number in proposed + 1..=end {
@@ -132,8 +136,12 @@
     let start = Instant::now();
     let replica = replicas.open(1)?;
     let milliseconds = start.elapsed().as_secs_f64() * 1000.0;
-    if replica.config_state().latest() != versions {
-        return Err(BenchmarkError::VersionsLost);
+    let found = replica.config_state().latest();
+    if found != versions {
+        return Err(BenchmarkError::VersionsLost {
+            found,
+            expected: versions,
+        });
     }
     let bytes = std::fs::metadata(dir.join("1").join(STORAGE_FILE))?.len();
     println!("{versions:>9} {:>10} {milliseconds:>12.1}", bytes / 1024);
@@ -142,6 +150,6 @@
     Ok(())
 }
 
-fn other(error: impl Error + Send + Sync + 'static) -> BenchmarkError {
+fn other_error(error: impl Error + Send + Sync + 'static) -> BenchmarkError {
     BenchmarkError::Io(io::Error::other(error))
 }
--- a/crates/cli/src/commands/experiment/summary.rs
+++ b/crates/cli/src/commands/experiment/summary.rs
@@ -1,20 +1,20 @@
-//! The figures of a condition over all of its runs.
+//! Summaries of the figures of a condition over all of its runs.
 
 use std::collections::BTreeMap;
 
-use hoptiller_emulator::study::{Condition, Figures, LIMITS};
+use hoptiller_emulator::study::{Condition, FIXED_LIMITS_SECONDS, Figures};
 use serde_json::{Value, json};
 
 use super::chart::Curve;
 
-/// Some of a number of statements.
+/// The number of statements with a property, and the number of all statements.
 #[derive(Clone, Copy)]
-pub(super) struct Part {
+pub(super) struct Fraction {
     pub(super) count: usize,
     pub(super) total: usize,
 }
 
-/// The runaways that were planted, and those that were found.
+/// The number of planted runaways, and the detections among them.
 #[derive(Default)]
 pub(super) struct Detections {
     pub(super) planted: usize,
@@ -33,7 +33,7 @@
         detections
     }
 
-    /// A quantile of the times; none where nothing was found.
+    /// Returns a quantile of the times; `None` if nothing was found.
     pub(super) fn quantile(&self, quantile: f64) -> Option<f64> {
         let last = self.times.len().checked_sub(1)?;
         let index = (quantile * last as f64).ceil() as usize;
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a fixed limit of run time would have flagged in the same runs.
+/// The numbers of statements that a fixed limit of run time would have flagged in the same runs.
 pub(super) struct FixedLimit {
     pub(super) seconds: u64,
     pub(super) found: usize,
@@ -53,18 +53,19 @@
 pub(super) struct ConditionSummary {
     condition: Condition,
     pub(super) runaways: Detections,
-    pub(super) by_cause: BTreeMap<&'static str, Detections>,
-    /// Large reports that were flagged.
-    pub(super) large_flagged: Part,
-    /// Other statements that were flagged.
-    pub(super) others_flagged: Part,
+    pub(super) by_case: BTreeMap<&'static str, Detections>,
+    /// The fraction of large reports that were flagged.
+    pub(super) large_flagged: Fraction,
+    /// The fraction of other statements that were flagged.
+    pub(super) others_flagged: Fraction,
     pub(super) notices: usize,
     pub(super) fixed_limits: Vec<FixedLimit>,
-    /// Value of the responses in time, as a part of all.
-    pub(super) value: f64,
-    /// Lookups on time, of those whose tables a planted load blocked.
-    pub(super) blocked_on_time: Part,
-    /// Engines that failed.
+    /// Value of the served statements, with late ones at their reduced weight, as a fraction of the value of all statements
+    /// that count.
+    pub(super) served_value: f64,
+    /// The fraction served in time of the lookups whose tables a planted load had locked.
+    pub(super) lookups_behind_load_in_time: Fraction,
+    /// Number of engine crashes.
     failed_engines: usize,
 }
 
@@ -75,35 +76,43 @@
             .filter(|run| run.condition == condition)
             .collect();
         let sum = |count: &dyn Fn(&Figures) -> usize| runs.iter().map(|run| count(run)).sum();
-        let part = |count: &dyn Fn(&Figures) -> usize, total: &dyn Fn(&Figures) -> usize| Part {
-            count: sum(count),
-            total: sum(total),
-        };
+        let fraction =
+            |count: &dyn Fn(&Figures) -> usize, total: &dyn Fn(&Figures) -> usize| Fraction {
+                count: sum(count),
+                total: sum(total),
+            };
         let fixed_limit = |(index, seconds): (usize, &u64)| FixedLimit {
             seconds: *seconds,
             found: sum(&|run| run.limits[index].runaways),
             large_flagged: sum(&|run| run.limits[index].large),
             others_flagged: sum(&|run| run.limits[index].others),
         };
-        let value: f64 = runs.iter().map(|run| run.value_in_time).sum();
+        let served_value: f64 = runs.iter().map(|run| run.served_value).sum();
         ConditionSummary {
             condition,
-            runaways: Detections::new(
-                runs.iter()
-                    .flat_map(|run| run.detections.iter().map(|d| &d.found_after)),
-            ),
-            by_cause: detections_by_cause(&runs),
-            large_flagged: part(&|run| run.large_flagged, &|run| run.large),
-            others_flagged: part(&|run| run.others_flagged, &|run| run.others),
+            runaways: Detections::new(runs.iter().flat_map(|run| {
+                run.detections
+                    .iter()
+                    .map(|detection| &detection.found_after)
+            })),
+            by_case: detections_by_case(&runs),
+            large_flagged: fraction(&|run| run.large_flagged, &|run| run.large),
+            others_flagged: fraction(&|run| run.others_flagged, &|run| run.others),
             notices: sum(&|run| run.notices),
-            fixed_limits: LIMITS.iter().enumerate().map(fixed_limit).collect(),
-            value: value / runs.len().max(1) as f64,
-            blocked_on_time: part(&|run| run.behind_load_in_time, &|run| run.behind_load),
+            fixed_limits: FIXED_LIMITS_SECONDS
+                .iter()
+                .enumerate()
+                .map(fixed_limit)
+                .collect(),
+            served_value: served_value / runs.len().max(1) as f64,
+            lookups_behind_load_in_time: fraction(&|run| run.lookups_behind_load_in_time, &|run| {
+                run.lookups_behind_load
+            }),
             failed_engines: sum(&|run| run.engine_crashes),
         }
     }
 
-    /// The condition in words.
+    /// Returns a description of the condition.
     pub(super) fn name(&self) -> String {
         self.condition.description()
     }
@@ -117,10 +126,10 @@
     }
 
     pub(super) fn to_json(&self) -> Value {
-        let causes: BTreeMap<&str, Value> = self
-            .by_cause
+        let cases: BTreeMap<&str, Value> = self
+            .by_case
             .iter()
-            .map(|(cause, detections)| (*cause, detections_json(detections)))
+            .map(|(case, detections)| (*case, detections_json(detections)))
             .collect();
         let limits: Vec<Value> = self
             .fixed_limits
@@ -142,22 +151,22 @@
             "p50": runaways.quantile(0.5),
             "p95": runaways.quantile(0.95),
             "latest": runaways.quantile(1.0),
-            "byCause": causes,
+            "byCause": cases,
             "large": self.large_flagged.total,
             "largeFlagged": self.large_flagged.count,
             "others": self.others_flagged.total,
             "othersFlagged": self.others_flagged.count,
             "notices": self.notices,
             "fixedLimits": limits,
-            "worthOnTime": self.value,
-            "lookupsBehind": self.blocked_on_time.total,
-            "lookupsBehindOnTime": self.blocked_on_time.count,
+            "worthOnTime": self.served_value,
+            "lookupsBehind": self.lookups_behind_load_in_time.total,
+            "lookupsBehindOnTime": self.lookups_behind_load_in_time.count,
             "enginesFallen": self.failed_engines,
         })
     }
 }
 
-fn detections_by_cause(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
+fn detections_by_case(runs: &[&Figures]) -> BTreeMap<&'static str, Detections> {
     let mut times: BTreeMap<&'static str, Vec<&Option<f64>>> = BTreeMap::new();
     for detection in runs.iter().flat_map(|run| &run.detections) {
         let times = times.entry(detection.case.name()).or_default();
@@ -165,7 +174,7 @@
     }
     times
         .into_iter()
-        .map(|(cause, times)| (cause, Detections::new(times.into_iter())))
+        .map(|(case, times)| (case, Detections::new(times.into_iter())))
         .collect()
 }
 
--- a/crates/cli/src/commands/experiment/table.rs
+++ b/crates/cli/src/commands/experiment/table.rs
@@ -1,18 +1,18 @@
-//! The study's figures as tables for people.
+//! Tables of the study's figures, for people.
 
-use super::summary::{ConditionSummary, Part};
+use super::summary::{ConditionSummary, Fraction};
 
 pub(super) fn print_tables(summaries: &[ConditionSummary], runs: usize) {
     println!("{runs} runs of each condition (simulated servers)\n");
     print_conditions(summaries);
     println!(
-        "\nfound: runaways named, after the engine took them. large, others: flagged, of all that ran; none should be."
+        "\nfound: runaways found, by run time without the time blocked. large, others: flagged, of all that ran; none should be."
     );
     println!(
-        "worth: answered on time, of all. behind a load: lookups whose tables a planted load held, on time.\n"
+        "worth: value served of all, late ones at reduced weight. behind a load: lookups behind a planted load, served in time.\n"
     );
     for summary in summaries {
-        print_causes(summary);
+        print_cases(summary);
     }
     if let Some(summary) = summaries.first() {
         print_fixed_limits(summary);
@@ -35,34 +35,34 @@
     );
     for summary in summaries {
         let runaways = &summary.runaways;
-        let blocked = summary.blocked_on_time;
+        let blocked = summary.lookups_behind_load_in_time;
         println!(
             "{:<18} {:>9} {:>7} {:>7} {:>7}  {:>7} {:>9} {:>8} {:>6.3}  {:>5.3} of {}",
             summary.name(),
             format!("{} of {}", runaways.times.len(), runaways.planted),
-            seconds(runaways.quantile(0.5)),
-            seconds(runaways.quantile(0.95)),
-            seconds(runaways.quantile(1.0)),
-            ratio(summary.large_flagged),
-            ratio(summary.others_flagged),
+            format_seconds(runaways.quantile(0.5)),
+            format_seconds(runaways.quantile(0.95)),
+            format_seconds(runaways.quantile(1.0)),
+            format_fraction(summary.large_flagged),
+            format_fraction(summary.others_flagged),
             summary.notices,
-            summary.value,
+            summary.served_value,
             blocked.count as f64 / (blocked.total as f64).max(1.0),
             blocked.total,
         );
     }
 }
 
-fn print_causes(summary: &ConditionSummary) {
-    println!("{}, by what was planted", summary.name());
-    for (cause, detections) in &summary.by_cause {
+fn print_cases(summary: &ConditionSummary) {
+    println!("{}, by planted case", summary.name());
+    for (case, detections) in &summary.by_case {
         println!(
-            "  {cause:<16} {} of {}, p50 {}, p95 {}, latest {}",
+            "  {case:<16} {} of {}, p50 {}, p95 {}, latest {}",
             detections.times.len(),
             detections.planted,
-            seconds(detections.quantile(0.5)),
-            seconds(detections.quantile(0.95)),
-            seconds(detections.quantile(1.0))
+            format_seconds(detections.quantile(0.5)),
+            format_seconds(detections.quantile(0.95)),
+            format_seconds(detections.quantile(1.0))
         );
     }
 }
@@ -82,10 +82,10 @@
     }
 }
 
-fn ratio(part: Part) -> String {
-    format!("{} of {}", part.count, part.total)
+fn format_fraction(fraction: Fraction) -> String {
+    format!("{} of {}", fraction.count, fraction.total)
 }
 
-fn seconds(value: Option<f64>) -> String {
+fn format_seconds(value: Option<f64>) -> String {
     value.map_or("-".into(), |value| format!("{value:.1} s"))
 }
--- a/crates/cli/src/scenarios.rs
+++ b/crates/cli/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! What the commands that run scenarios share.
+//! Functions shared by the commands that run scenarios.
 
 use std::path::PathBuf;
 
@@ -6,20 +6,25 @@
 
 use crate::error::CommandError;
 
-/// The failure of a command whose scenario can't be loaded or run.
+/// Converts the error of a scenario into that of a command.
 pub(crate) fn failure(error: ScenarioError) -> CommandError {
     match error {
         ScenarioError::Invalid(problems) => CommandError::Settings(problems),
         ScenarioError::Io { subject, source } => CommandError::io(subject)(source),
         ScenarioError::Fleet { step, source } => CommandError::io(step)(source),
-        ScenarioError::UnknownDocument(_) => CommandError::io("fleet run")(error),
+        ScenarioError::UnknownDocument(_) => {
+            CommandError::io("cannot propose a document of the scenario")(error)
+        }
+        // A scenario whose processes do not start is treated as invalid, though it has started some of them.
         ScenarioError::Parse { .. }
         | ScenarioError::RouterNotStarted { .. }
         | ScenarioError::EnginesNotListed { .. } => CommandError::Usage(error.to_string()),
     }
 }
 
-/// The file of this program, which scenarios start again for their processes; `subject` names it in the failure.
-pub(crate) fn own_program(subject: &str) -> Result<PathBuf, CommandError> {
-    std::env::current_exe().map_err(CommandError::io(subject))
+/// Returns the path of this program, which scenarios start for each of their processes.
+pub(crate) fn own_program() -> Result<PathBuf, CommandError> {
+    std::env::current_exe().map_err(CommandError::io(
+        "cannot determine the path of this program",
+    ))
 }
--- a/crates/emulator/src/study/tests.rs
+++ b/crates/emulator/src/study/tests.rs
@@ -4,7 +4,7 @@
 use super::workload::SECOND;
 use super::*;
 
-/// A study that several tests look at.
+/// The figures of one run, shared by several tests.
 static STUDY: LazyLock<Figures> = LazyLock::new(|| run(&settings(), Condition::ALL[0], 1, 8));
 
 fn settings() -> Settings {
@@ -20,7 +20,7 @@
         figures
             .detections
             .iter()
-            .all(|detection| detection.found_after.is_some_and(|s| s < 30.0)),
+            .all(|detection| detection.found_after.is_some_and(|seconds| seconds < 30.0)),
         "{:?}",
         figures.detections
     );
@@ -29,7 +29,7 @@
         (4, 0, 0),
         "{figures:?}"
     );
-    assert!(figures.others > 20_000 && figures.value_in_time > 0.8);
+    assert!(figures.others > 20_000 && figures.served_value > 0.8);
 }
 
 #[test]
@@ -41,11 +41,11 @@
     assert_ne!(
         first,
         format!("{:?}", simulate(&plan, 3).attempts),
-        "the routers' draws follow the seed"
+        "the routers' random choices depend on the seed"
     );
 }
 
-/// FNV-1a, over the parts in their order.
+/// Returns the FNV-1a digest of the concatenated parts.
 fn digest(parts: impl IntoIterator<Item = String>) -> u64 {
     let bytes = parts.into_iter().flat_map(String::into_bytes);
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -59,17 +59,18 @@
         let mut plan = draw_plan(&settings(), condition, 7, 5);
         plan.duration = 30 * SECOND;
         let run = simulate(&plan, 7);
-        digest(run.attempts.iter().map(|a| {
-            let (ended, stalls) = (a.ended_at, &a.observed_stalls);
+        digest(run.attempts.iter().map(|attempt| {
+            let (ended, stalls) = (attempt.ended_at, &attempt.observed_stalls);
             format!(
                 "{} {} {} {ended:?} {stalls:?};",
-                a.statement, a.engine, a.started_at
+                attempt.statement, attempt.engine, attempt.started_at
             )
         }))
     });
     let usual = 0x9d98_cbff_b984_84ed;
     let (no_progress, no_load) = (0x3c8e_a74b_ed92_bb92, 0x3ca0_87cd_417e_21ac);
-    // Nothing is held or killed before the statistics are known.
+    // In the first 30 s the detector has no statistics and no runaway is planted, so nothing is held or killed, and the
+    // conditions that only hold or kill runaways don't differ.
     assert_eq!(
         digests,
         [usual, usual, usual, no_progress, no_load],
--- a/crates/fault-harness/src/router_scenario/event.rs
+++ b/crates/fault-harness/src/router_scenario/event.rs
@@ -1,4 +1,4 @@
-//! The events of a scenario of routers.
+//! The events of a router scenario.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 use super::duration::deserialize_duration;
 
-/// Something that happens. Routers and engines are named by place, counted from 0.
+/// An event of a router scenario. Routers and engines are identified by index, counted from 0.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouterEvent {
-    /// Multiplies the rate at which clients submit statements, compared to the start.
+    /// Divides the pauses of clients between statements by this factor, relative to their configuration.
     #[serde(rename = "rush")]
     SetLoadFactor(f64),
-    /// Replaces the faults of an engine; `{}` takes them back.
+    /// Replaces the faults of an engine; `{}` removes them.
     #[serde(rename = "fault")]
     SetEngineFaults {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// Its faults from now on.
+        /// New faults of the engine.
         faults: EngineFaults,
     },
-    /// Has an engine drain.
+    /// Asks an engine to drain.
     #[serde(rename = "drain")]
     DrainEngine(usize),
     /// Crashes an engine.
     #[serde(rename = "crash")]
     CrashEngine(usize),
-    /// Starts an engine, which then warms up.
+    /// Starts an engine, which is cold and warms up.
     #[serde(rename = "start")]
     StartEngine(usize),
     /// Kills a router.
@@ -38,34 +38,40 @@
     /// Asks a router to shut down.
     #[serde(rename = "end")]
     TerminateRouter(usize),
-    /// Starts a router at the address that it had, once its former process has ended.
+    /// Starts a router at its previous address. Waits without a time limit until its previous process has ended, so the
+    /// event must follow a kill or a shutdown.
     #[serde(rename = "route")]
     StartRouter(usize),
-    /// Freezes the endpoint list of discovery, or lets it change again.
+    /// Freezes or unfreezes the endpoint list of discovery.
     #[serde(rename = "stale")]
     SetDiscoveryStale(bool),
-    /// Has discovery answer nobody, or everybody again.
+    /// Takes discovery down, so that it closes all connections, or up again.
     #[serde(rename = "down")]
     SetDiscoveryDown(bool),
 }
 
 impl RouterEvent {
-    /// Whether a scenario with so many routers and engines has what the event names.
-    pub(super) fn is_possible(&self, routers: usize, engines: usize) -> bool {
+    /// Returns why the event is invalid in a scenario with `routers` routers and `engines` engines; `None` if it is
+    /// valid.
+    pub(super) fn problem(&self, routers: usize, engines: usize) -> Option<String> {
         match self {
             RouterEvent::SetEngineFaults { engine, .. }
             | RouterEvent::DrainEngine(engine)
             | RouterEvent::CrashEngine(engine)
-            | RouterEvent::StartEngine(engine) => *engine < engines,
+            | RouterEvent::StartEngine(engine) => (*engine >= engines)
+                .then(|| format!("expected an engine index below {engines}, found {engine}")),
             RouterEvent::KillRouter(router)
             | RouterEvent::TerminateRouter(router)
-            | RouterEvent::StartRouter(router) => *router < routers,
-            RouterEvent::SetLoadFactor(factor) => factor.is_finite() && *factor > 0.0,
-            RouterEvent::SetDiscoveryStale(_) | RouterEvent::SetDiscoveryDown(_) => true,
+            | RouterEvent::StartRouter(router) => (*router >= routers)
+                .then(|| format!("expected a router index below {routers}, found {router}")),
+            RouterEvent::SetLoadFactor(factor) => (!factor.is_finite() || *factor <= 0.0)
+                .then(|| format!("expected a finite load factor over 0, found {factor}")),
+            RouterEvent::SetDiscoveryStale(_) | RouterEvent::SetDiscoveryDown(_) => None,
         }
     }
 }
 
+/// Formats the event for progress lines and for problems of a scenario file.
 impl fmt::Display for RouterEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -90,14 +96,15 @@
     }
 }
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledRouterEvent {
-    /// When it happens, from the start of the client load on.
+    /// Time of the event since the start of the client load. Events at or after the duration of the scenario are
+    /// skipped.
     #[serde(deserialize_with = "deserialize_duration")]
     pub at: Duration,
-    /// What happens.
+    /// The event.
     #[serde(rename = "do")]
     pub event: RouterEvent,
 }
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Mock servers and clients for tests and scenarios, written from public specifications: engines that simulate work, a
-//! discovery service, and scripted clients. They fail on request, and record what passes on their sockets.
+//! Mock servers and clients for tests and scenarios, written from Trino's public documentation: engines that simulate
+//! work, a discovery service, and scripted clients. They simulate faults on request, and record submissions, their ends
+//! and effects, and what routers learn.
 //!
-//! - [`engine`]: an engine, and its [`engine_faults`];
+//! - [`engine`]: an engine, with the faults of [`engine_faults`];
 //! - [`work_model`]: the work of an engine in simulated time, without I/O;
-//! - [`workload_profile`]: what a statement costs and returns;
+//! - [`workload_profile`]: the cost and the result of a statement;
 //! - [`ledger`]: the effects of statements that change data;
 //! - [`discovery`]: a discovery service;
 //! - [`client`]: scripted clients.
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -1,4 +1,5 @@
-//! The search space of the model checker: initial states, the steps that each state permits, and the properties of states.
+//! The search space of the model checker: the initial state, the steps that each state permits, and the properties that
+//! are checked.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,16 +11,19 @@
 use crate::state::{LogState, Message, Process, Replica, State, Step};
 use crate::transitions::apply_step;
 
-/// Property: an operation never arrives after one of a later holder.
-pub const NEVER_TWO_HOLDERS_ACT: &str = "never two acting";
-/// Property: no fencing token is assigned twice.
-pub const NO_TOKEN_REUSED: &str = "no number is given twice";
-/// Reached: a shard whose lease has ended is assigned to another process, which acts.
-pub const FREE_SHARD_TAKEN: &str = "a free part is taken";
-/// Reached: an operation is on its way when its lease is about to expire.
-pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "a holder acts to its last moment";
+/// Safety property: no operation arrives under an older fencing token than an earlier arrival, and operations of two
+/// processes never arrive under the same token.
+pub const NEVER_TWO_HOLDERS_ACT: &str = "no holder acts after a later holder";
+/// Safety property: no fencing token is assigned to two holders.
+pub const NO_TOKEN_REUSED: &str = "no fencing token is assigned to two holders";
+/// Reachability property: a shard whose lease has ended is assigned again, and an operation under the new token arrives.
+pub const FREE_SHARD_TAKEN: &str = "a free shard is taken over";
+/// Reachability property: an operation is in flight near or after the end of the first lease term.
+pub const HOLDER_ACTS_UNTIL_EXPIRY: &str = "an operation is in flight at the end of a term";
 
-/// Renewals of one process without a response, at most.
+/// Number of ticks before the end of the first lease term that count as its end.
+const END_OF_TERM_TICKS: u32 = 2;
+/// Maximum number of renewal requests of one process in flight, including duplicates.
 const MAX_OPEN_RENEWALS: usize = 2;
 
 impl LeaseModel {
@@ -30,9 +34,10 @@
                 steps.push(Step::ReceiveResponse(message));
                 continue;
             };
-            // Which replica receives it matters only for the one that learns late.
+            // Only the late replica differs from the others as a receiver.
             let first = (0..REPLICAS).find(is_running);
-            let late = Some(LATE_REPLICA).filter(|r| is_running(r) && first != Some(*r));
+            let late =
+                Some(LATE_REPLICA).filter(|replica| is_running(replica) && first != Some(*replica));
             for replica in first.into_iter().chain(late) {
                 let receive = |duplicated| Step::ReceiveRequest {
                     message,
@@ -40,7 +45,7 @@
                     duplicated,
                 };
                 steps.push(receive(false));
-                if !duplicate && state.duplicates < self.limits.doubles {
+                if !duplicate && state.duplicates < self.limits.max_duplicates {
                     steps.push(receive(true));
                 }
             }
@@ -48,51 +53,51 @@
     }
 
     fn replica_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (r, replica) in state.replicas.iter().enumerate() {
+        for (index, replica) in state.replicas.iter().enumerate() {
             let Some(expiry) = &replica.expiry else {
-                steps.push(Step::Restart(r));
+                steps.push(Step::Restart(index));
                 continue;
             };
             if replica.log != state.log {
-                steps.push(Step::CatchUp(r));
+                steps.push(Step::CatchUp(index));
             }
-            let now = self.replica_clock(r, state.now);
+            let now = self.replica_clock(index, state.now);
             if !expiry.expired_task_leases(now, &self.timing).is_empty() {
-                steps.push(Step::ExpireTaskLeases(r));
+                steps.push(Step::ExpireTaskLeases(index));
             }
             if !expiry.expired_config_leases(now, &self.timing).is_empty() {
-                steps.push(Step::ExpireConfigLeases(r));
+                steps.push(Step::ExpireConfigLeases(index));
             }
-            if state.crashes < self.limits.crashes {
-                steps.push(Step::Crash(r));
+            if state.crashes < self.limits.max_crashes {
+                steps.push(Step::Crash(index));
             }
         }
     }
 
     fn process_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (p, process) in state.processes.iter().enumerate() {
-            let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == p);
-            // A renewal that is lost stays open for good.
+        for (index, process) in state.processes.iter().enumerate() {
+            let is_own = |message: &&Message| matches!(message, Message::Request { process, .. } if *process == index);
+            // A lost request is one that is never received: it stays open.
             let open = state.messages.iter().filter(is_own).count();
-            if process.renewals < self.limits.asks && open < MAX_OPEN_RENEWALS {
-                steps.push(Step::Renew(p));
+            if process.renewals < self.limits.max_renewals && open < MAX_OPEN_RENEWALS {
+                steps.push(Step::Renew(index));
             }
-            let now = self.process_clock(p, state.now);
+            let now = self.process_clock(index, state.now);
             match &process.operation {
                 None if process.leases.is_holding(now, SHARD) => {
-                    steps.push(Step::BeginOperation(p));
+                    steps.push(Step::BeginOperation(index));
                 }
                 None => {}
                 Some(operation) => steps.push(match operation.sent_at {
-                    None => Step::SendOperation(p),
-                    Some(_) => Step::CompleteOperation(p),
+                    None => Step::SendOperation(index),
+                    Some(_) => Step::CompleteOperation(index),
                 }),
             }
         }
     }
 }
 
-/// Whether a process's operation is on its way.
+/// Returns whether an operation of the process is in flight.
 fn is_in_flight(process: &Process) -> bool {
     let operation = process.operation.as_ref();
     operation.is_some_and(|operation| operation.sent_at.is_some())
@@ -125,7 +130,7 @@
             duplicates: 0,
             latest_operation: None,
             assigned: holders.map(|(holder, token)| (token, holder)).collect(),
-            two_acted: false,
+            two_holders_acted: false,
             token_reused: false,
             taken_over: false,
             log,
@@ -136,10 +141,13 @@
         if state.is_violation() {
             return;
         }
-        // An operation is on its way for the margin at most.
+        // An operation is in flight for the margin at most.
         let is_overdue = |process: &Process| {
-            let sent_at = process.operation.as_ref().and_then(|o| o.sent_at);
-            sent_at.is_some_and(|sent_at| sent_at + self.limits.way <= state.now)
+            let sent_at = process
+                .operation
+                .as_ref()
+                .and_then(|operation| operation.sent_at);
+            sent_at.is_some_and(|sent_at| sent_at + self.limits.max_operation_ticks <= state.now)
         };
         if state.now < self.limits.ticks && !state.processes.iter().any(is_overdue) {
             steps.push(Step::Tick);
@@ -157,13 +165,16 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_TWO_HOLDERS_ACT, |_, state: &State| !state.two_acted),
+            Property::always(NEVER_TWO_HOLDERS_ACT, |_, state: &State| {
+                !state.two_holders_acted
+            }),
             Property::always(NO_TOKEN_REUSED, |_, state: &State| !state.token_reused),
             Property::sometimes(FREE_SHARD_TAKEN, |_, state: &State| state.taken_over),
             Property::sometimes(
                 HOLDER_ACTS_UNTIL_EXPIRY,
                 |model: &LeaseModel, state: &State| {
-                    state.now + 2 >= model.limits.term && state.processes.iter().any(is_in_flight)
+                    state.now + END_OF_TERM_TICKS >= model.limits.term
+                        && state.processes.iter().any(is_in_flight)
                 },
             ),
         ]
--- a/crates/model-check/src/transitions.rs
+++ b/crates/model-check/src/transitions.rs
@@ -1,4 +1,4 @@
-//! The steps of the model, each as a change of the state. `None` where a step is not possible.
+//! The transitions of the model. Each function returns `None` if its step is not possible in the state.
 
 use std::sync::Arc;
 
@@ -140,21 +140,25 @@
     Some(())
 }
 
-/// Appends a command to the log by a replica that runs. A majority must run.
+/// Appends a command to the log by way of a replica. Returns `None` unless a majority of the replicas runs.
 fn append(
     model: &LeaseModel,
     state: &mut State,
     replica: usize,
     command: Command,
 ) -> Option<CommandResponse> {
-    let running = state.replicas.iter().filter(|r| r.expiry.is_some()).count();
+    let running = state
+        .replicas
+        .iter()
+        .filter(|replica| replica.expiry.is_some())
+        .count();
     if running * 2 <= state.replicas.len() {
         return None;
     }
     let mut config = state.log.0.clone();
     let response = config.apply(command);
     state.log = Arc::new(LogState(config));
-    // One replica learns late; the others at once, by which leases are shortest.
+    // All replicas but the late one apply the command at once, which makes leases as short as possible.
     for other in 0..state.replicas.len() {
         if other != LATE_REPLICA || other == replica {
             catch_up(model, state, other);
@@ -174,7 +178,8 @@
     let now = model.replica_clock(replica, state.now);
     let replica = &mut state.replicas[replica];
     replica.log = state.log.clone();
-    // What is appended while it does not run, it reads when it starts.
+    // A stopped replica has no expiry tracker; `Step::Restart` creates one. To apply commands while the replica is stopped
+    // is equivalent to reading them at the start.
     if let Some(expiry) = &mut replica.expiry {
         expiry.observe(now, &replica.log.0);
     }
@@ -210,7 +215,7 @@
     sender.leases.end_operation(&guard);
     let token = guard.fencing_token;
     if let Some((latest, other)) = state.latest_operation {
-        state.two_acted |= token < latest || (token == latest && other != process);
+        state.two_holders_acted |= token < latest || (token == latest && other != process);
         state.taken_over |= token > latest;
     }
     state.latest_operation = state.latest_operation.max(Some((token, process)));
--- a/crates/platform-router/src/attempt.rs
+++ b/crates/platform-router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine: what is sent and until when, the response, and the reasons why there is none.
+//! An attempt to execute a statement at an engine: its request, its response, and its errors.
 
 use std::io;
 use std::time::Instant;
@@ -8,6 +8,7 @@
 use hoptiller_policy::{AttemptStatus, LoadReport, Micros};
 
 use crate::cancel::CancelToken;
+use crate::connection::MAX_BYTES_PER_REQUEST;
 use crate::endpoint::EndpointState;
 
 /// An attempt that the policy decided on.
@@ -16,11 +17,12 @@
     pub command: StatementCommand<'a>,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// If set, the first byte is written before this time or not at all.
+    /// The end of the idempotency window, if there is one. An attempt is not sent if its first byte can't be written
+    /// before that.
     pub send_by: Option<Instant>,
-    /// Whether an attempt of the same request was made before.
+    /// Whether this is a retry by the router, that is, an attempt after the first.
     pub is_retry: bool,
-    /// Cancels the attempt.
+    /// The token that cancels the attempt.
     pub token: &'a CancelToken,
     /// The state of the engine's endpoint at the time of the decision.
     pub endpoint: EndpointState,
@@ -37,89 +39,97 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// Why an attempt has no response. The trace analysis matches the messages of `Overloaded` and `Connect`.
+/// The reason why an attempt has no complete response. The trace analysis matches the messages of `Overloaded` and
+/// `Connect`.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
-    /// Not sent: the limit of connections is reached.
-    #[error("no descriptor was left for it")]
-    NoDescriptor,
-    /// Not sent: the engine is not on the endpoint list.
-    #[error("the engine has gone from the list")]
+    /// Not sent: the connection limit was reached, and no connection became free in time.
+    #[error("connection limit reached, and no connection became free in time")]
+    ConnectionLimitReached,
+    /// Not sent: the engine was removed from the endpoint list or never listed.
+    #[error("the engine is not on the endpoint list")]
     UnknownEngine,
-    /// Not sent: when the first byte could be written, the attempt was no longer allowed.
+    /// Not sent: the attempt was no longer allowed when its first byte could be written, or it ended before that.
     #[error("not sent: {0}")]
     NotSent(#[source] NotSentReason),
     /// No connection was established.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke before a byte of the request was written.
-    #[error("the connection broke before it was sent: {0}")]
-    Unsent(#[source] io::Error),
-    /// The connection broke after that.
-    #[error("the connection broke: {0}")]
+    /// The connection failed before a byte of the request was written.
+    #[error("the connection failed before the request was sent: {0}")]
+    FailedBeforeSend(#[source] io::Error),
+    /// The connection failed after the first byte of the request was written.
+    #[error("the connection failed during the request: {0}")]
     ConnectionReset(#[source] io::Error),
-    /// The engine sent an invalid line.
+    /// The engine sent an invalid response line.
     #[error("{0}")]
     Line(#[source] LineError),
+    /// The engine sent too many bytes for one request.
+    #[error("the engine sent over {MAX_BYTES_PER_REQUEST} bytes for one request")]
+    TooManyBytes,
     /// The pages of the result are invalid.
     #[error("{0}")]
     Rows(#[source] RowsError),
     /// The engine rejected the request for lack of capacity.
     #[error("the engine is full")]
     Overloaded,
-    /// The engine failed.
-    #[error("the engine's own error")]
+    /// The engine reported a failure, during execution or while pages were fetched; the statement may have been
+    /// executed.
+    #[error("the engine failed")]
     Crashed,
-    /// The request was over when the engine received it.
-    #[error("it was over before it began")]
+    /// The request had ended before the engine started it.
+    #[error("the request had ended before the engine started it")]
     NotExecuted,
-    /// No response before the deadline.
-    #[error("no answer in time")]
+    /// The deadline passed before the response was complete.
+    #[error("no complete response before the deadline")]
     TimedOut,
     /// The policy cancelled the attempt.
-    #[error("withdrawn")]
+    #[error("the attempt was cancelled")]
     Cancelled,
-    /// The client disconnected before all pages of the result were fetched.
-    #[error("its client left")]
-    Abandoned,
+    /// The request ended before the other pages of the result were fetched: its client has a response or disconnected.
+    #[error("the request ended before its result was complete")]
+    RequestEnded,
 }
 
-/// Why an attempt that the policy decided on was not sent.
+/// The reason why an attempt that the policy decided on was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotSentReason {
-    /// It was cancelled, or the client disconnected.
-    #[error("it was taken back")]
+    /// The attempt was cancelled, or its request ended: its client has a response or disconnected.
+    #[error("the attempt was cancelled or its request ended")]
     Cancelled,
-    /// Its deadline had passed.
-    #[error("its time was over")]
+    /// The deadline of the attempt had passed.
+    #[error("the deadline had passed")]
     TimedOut,
-    /// The engine would no longer recognise it as a duplicate.
-    #[error("a repeat would no longer be recognised")]
+    /// The engine would no longer recognize the attempt as a duplicate.
+    #[error("the idempotency window had passed")]
     IdempotencyWindowPassed,
-    /// The retry budget was spent.
-    #[error("too many further attempts have begun")]
-    RetryBudgetSpent,
+    /// The retry budget was exhausted.
+    #[error("the retry budget is exhausted")]
+    RetryBudgetExhausted,
     /// The state of the engine's endpoint had changed.
-    #[error("the list tells something else of the engine now")]
+    #[error("the engine's endpoint has changed")]
     EndpointChanged,
 }
 
 impl AttemptError {
-    /// The outcome that is reported to the policy.
+    /// Returns the status that is reported to the policy.
     pub fn status(&self) -> AttemptStatus {
         match self {
-            AttemptError::NoDescriptor
+            AttemptError::ConnectionLimitReached
             | AttemptError::UnknownEngine
             | AttemptError::NotSent(_)
             | AttemptError::NotExecuted => AttemptStatus::NotSent,
-            AttemptError::Connect(_) | AttemptError::Unsent(_) => AttemptStatus::ConnectFailed,
-            AttemptError::ConnectionReset(_) => AttemptStatus::ConnectionReset,
-            AttemptError::Line(_) | AttemptError::Rows(_) | AttemptError::Crashed => {
-                AttemptStatus::ErrorResponse
+            AttemptError::Connect(_) | AttemptError::FailedBeforeSend(_) => {
+                AttemptStatus::ConnectFailed
             }
+            AttemptError::ConnectionReset(_) => AttemptStatus::ConnectionReset,
+            AttemptError::Line(_)
+            | AttemptError::TooManyBytes
+            | AttemptError::Rows(_)
+            | AttemptError::Crashed => AttemptStatus::ErrorResponse,
             AttemptError::Overloaded => AttemptStatus::Rejected,
             AttemptError::TimedOut => AttemptStatus::TimedOut,
-            AttemptError::Cancelled | AttemptError::Abandoned => AttemptStatus::Cancelled,
+            AttemptError::Cancelled | AttemptError::RequestEnded => AttemptStatus::Cancelled,
         }
     }
 }
--- a/crates/platform-router/src/command_executor.rs
+++ b/crates/platform-router/src/command_executor.rs
@@ -1,4 +1,4 @@
-//! Execution of the core's commands: attempts at engines, their cancellation, health checks, and notifications.
+//! Execution of the core's commands: attempts and their cancellation, health checks, and notifications.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
         match command {
             Command::Send(attempt) => router.start_attempt(attempt),
             Command::Cancel { id, attempt } => router.cancel_attempt(id, attempt),
-            Command::HealthCheck(engine) => router.start_probe(engine),
+            Command::HealthCheck(engine) => router.start_health_check(engine),
             Command::NotifyWaiters(id) => router.event_loop.notify_waiters(id),
             Command::Settled {
                 id,
@@ -42,15 +42,16 @@
                     attempts,
                     "settled"
                 );
-                router.abandon_attempts(id);
+                router.mark_request_ended(id);
             }
-            // Results are returned complete, so there are no further pages and nothing to release; the coordinator
-            // reports by itself; runaways are not detected here.
+            // The connection pool fetches all pages before it returns a result, so the core has none to fetch or
+            // release. The watch client receives endpoint updates as they occur, so there is nothing to refresh. This
+            // router does not detect runaways.
             Command::Fetch { .. }
             | Command::Release { .. }
             | Command::RefreshDiscovery
             | Command::Kill { .. }
-            | Command::Pause { .. }
+            | Command::SetPaused { .. }
             | Command::ReportFinding(_) => {}
         }
     }
@@ -58,10 +59,11 @@
 
 impl Router {
     fn start_attempt(self: &Rc<Self>, attempt: Attempt) {
-        // The trace analysis relies on this: all sends of a round are believed out once the round is carried out.
+        // The trace analysis relies on this: when a round's commands are executed, the core already counts all sends of
+        // the round as in flight.
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             round = self.event_loop.batch_stats().batches,
@@ -71,19 +73,22 @@
             until = attempt.deadline,
             "send"
         );
-        // The token and the endpoint's state are those of the decision, not of the task's first step.
+        // The token and the endpoint's state are taken at the decision, not when the spawned task first runs.
         let Some(endpoint) = self.pool.endpoint(attempt.engine) else {
             let outcome = failed_outcome(&AttemptError::UnknownEngine);
             let now = self.event_loop.now();
-            self.event_loop
-                .core()
-                .finish_attempt(now, attempt.id, attempt.number, outcome);
+            self.event_loop.core().finish_attempt(
+                now,
+                attempt.statement_id,
+                attempt.number,
+                outcome,
+            );
             return;
         };
         let token = Rc::<CancelToken>::default();
         self.in_flight
             .borrow_mut()
-            .insert((attempt.id, attempt.number), token.clone());
+            .insert((attempt.statement_id, attempt.number), token.clone());
         self.spawner
             .spawn(self.clone().run_attempt(attempt, endpoint, token));
     }
@@ -96,11 +101,11 @@
     ) {
         let request = AttemptRequest {
             command: StatementCommand {
-                id: request_id(&attempt.work),
+                id: request_id(&attempt.engine_statement),
                 class: &self.catalog.classes[attempt.class].name,
-                idempotency_key: idempotency_key(&attempt.work),
+                idempotency_key: idempotency_key(&attempt.engine_statement),
                 priority: attempt.priority,
-                statement: &attempt.work.text,
+                statement: &attempt.engine_statement.text,
             },
             deadline: self.event_loop.instant(attempt.deadline),
             send_by: attempt.send_by.map(|at| self.event_loop.instant(at)),
@@ -111,7 +116,7 @@
         let result = self.pool.attempt(attempt.engine, &request).await;
         self.in_flight
             .borrow_mut()
-            .remove(&(attempt.id, attempt.number));
+            .remove(&(attempt.statement_id, attempt.number));
         match result {
             Ok(response) => self.report_served(&attempt, response),
             Err(error) => self.report_failed(&attempt, &error),
@@ -121,7 +126,7 @@
     fn report_served(&self, attempt: &Attempt, response: CompleteResponse) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             work = response.work,
@@ -134,20 +139,24 @@
             load_report: response.load_report,
             ..ResultPage::default()
         };
-        self.with_core(|core, now| core.accept_page(now, attempt.id, attempt.number, page));
+        self.with_core(|core, now| {
+            core.accept_page(now, attempt.statement_id, attempt.number, page);
+        });
     }
 
     fn report_failed(&self, attempt: &Attempt, error: &AttemptError) {
         tracing::debug!(
             target: TRACE_TARGET,
-            id = request_id(&attempt.work),
+            id = request_id(&attempt.engine_statement),
             hop = attempt.number,
             engine = attempt.engine.0,
             why = %error,
             "ended"
         );
         let outcome = failed_outcome(error);
-        self.with_core(|core, now| core.finish_attempt(now, attempt.id, attempt.number, outcome));
+        self.with_core(|core, now| {
+            core.finish_attempt(now, attempt.statement_id, attempt.number, outcome);
+        });
     }
 
     fn cancel_attempt(&self, id: StatementId, number: u32) {
@@ -156,18 +165,18 @@
         }
     }
 
-    /// The client has its response or has disconnected, so no further attempt may start for it.
-    fn abandon_attempts(&self, id: StatementId) {
+    /// Tells the attempts of a request that its client has a response or disconnected, so that none of them starts.
+    fn mark_request_ended(&self, id: StatementId) {
         self.in_flight
             .borrow()
             .range((id, 0)..=(id, u32::MAX))
-            .for_each(|(_, token)| token.abandon());
+            .for_each(|(_, token)| token.mark_request_ended());
     }
 
-    fn start_probe(self: &Rc<Self>, engine: EngineId) {
+    fn start_health_check(self: &Rc<Self>, engine: EngineId) {
         let router = self.clone();
         self.spawner.spawn(async move {
-            let report = router.pool.probe(engine).await;
+            let report = router.pool.check_health(engine).await;
             tracing::debug!(engine = engine.0, ?report, "health check completed");
             router.with_core(|core, _| core.report_health_check(engine, report));
         });
--- a/crates/router-core/src/core/delivery.rs
+++ b/crates/router-core/src/core/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of numbered responses to clients that poll.
+//! Delivery of numbered responses to polling clients.
 
 use hoptiller_policy::Micros;
 
@@ -10,8 +10,8 @@
 use crate::statement_state::Delivery;
 
 impl Core {
-    /// Polls for the response of that number.
-    pub fn poll(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
+    /// Polls for the response with the given number.
+    pub fn poll(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
         let Some(statement) = self.statements.get_mut(id) else {
             return if id < self.statements.next_id() {
                 PollOutcome::Gone
@@ -20,18 +20,21 @@
             };
         };
         statement.record_poll(now);
-        match statement.position_of(page) {
+        match statement.position_of(number) {
             ResponsePosition::Latest => PollOutcome::Response(statement.latest()),
             ResponsePosition::Superseded => PollOutcome::Gone,
             ResponsePosition::NeverOffered => PollOutcome::Unknown,
-            ResponsePosition::Next if statement.state().has_undelivered() => self.deliver(now, id),
+            ResponsePosition::Next if statement.state().has_pending_delivery() => {
+                self.deliver(now, id)
+            }
             ResponsePosition::Next => PollOutcome::Pending,
         }
     }
 
-    /// Polls for the response of that number without waiting: if there is nothing new, the response says so.
-    pub fn poll_now(&mut self, now: Micros, id: StatementId, page: u64) -> PollOutcome {
-        match self.poll(now, id, page) {
+    /// Polls like [`Core::poll`], but if there is nothing new, creates a response without a change, with which the
+    /// caller can end a long poll.
+    pub fn poll_or_no_change(&mut self, now: Micros, id: StatementId, number: u64) -> PollOutcome {
+        match self.poll(now, id, number) {
             PollOutcome::Pending => match self.statements.get_mut(id) {
                 Some(statement) => {
                     PollOutcome::Response(statement.respond(now, ResponseContent::NoChange))
@@ -42,21 +45,21 @@
         }
     }
 
-    /// A client starts to wait for updates of a statement.
+    /// Registers a poll that waits for updates of a statement.
     pub fn add_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.add_waiter(now);
         }
     }
 
-    /// A client no longer waits for updates of a statement.
+    /// Unregisters a poll that waited for updates of a statement.
     pub fn remove_waiter(&mut self, now: Micros, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.remove_waiter(now);
         }
     }
 
-    /// Delivers what is new, and moves the statement to its next state.
+    /// Delivers the next page or the final response, and moves the statement to its next state.
     fn deliver(&mut self, now: Micros, id: StatementId) -> PollOutcome {
         let Some(statement) = self.statements.get_mut(id) else {
             return PollOutcome::Gone;
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Delivers a page. The first page commits the statement: no other attempt can deliver its result from then on.
+    /// Delivers a page. The first page commits the statement: from then on, no other attempt can deliver its result.
     fn deliver_page(
         &mut self,
         now: Micros,
@@ -100,7 +103,7 @@
             self.settle_completed(now, id);
         } else {
             self.awaiting_fetch.push_back((id, attempt));
-            self.fetch_while_space();
+            self.request_pages_within_limit();
         }
         PollOutcome::Response(response)
     }
@@ -113,8 +116,8 @@
         self.settle(now, id, FinalResponse::Completed);
     }
 
-    /// Has further pages fetched while the buffers have space for them.
-    pub(super) fn fetch_while_space(&mut self) {
+    /// Requests further pages while the buffers have space for them.
+    pub(super) fn request_pages_within_limit(&mut self) {
         while self.buffered_bytes < self.limits.max_buffered_bytes {
             let Some((id, attempt)) = self.awaiting_fetch.pop_front() else {
                 break;
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Reads the list of engines from discovery, and the state of each engine from the engine itself.
 //!
-//! Where the fleet has these tasks, the holder of a task lease performs them for all routers, and the others use its notes.
-//! What the readings mean is decided in [`endpoint_list`](crate::endpoint_list).
+//! In a fleet with these tasks, the holder of a task lease performs them for all routers, and the others use its
+//! notes. The readings are interpreted in [`endpoint_list`](crate::endpoint_list).
 
 mod engine_state;
 mod request;
@@ -25,50 +25,52 @@
 use crate::fleet_member::{FleetMember, LeasedOperation};
 use crate::settings::Settings;
 
-/// Reads in a row that may fail before another router is to read the list for all.
+/// Consecutive failed reads after which another router takes over reading the list.
 const MAX_FAILED_READS: u32 = 3;
 
-/// Receives changes of the list of engines.
+/// A receiver of changes of the engine list.
 pub trait EndpointListener {
-    /// The time, by the clock of the core.
+    /// Returns the time, by the clock of the core.
     fn now(&self) -> Micros;
 
-    /// The list has changed, or, with [`ListScope::Failed`] and no entries, could not be read.
+    /// Called when the list has changed, or, with [`ListScope::Failed`] and no entries, when it could not be read.
     fn endpoints_changed(&self, scope: ListScope, entries: Vec<EndpointEntry>);
 
-    /// The name and the address of a listed engine.
+    /// Called with the name and the address of each listed engine on every update, changed or not.
     fn address_changed(&self, engine: EngineId, name: &str, addr: SocketAddr);
 }
 
-/// Why discovery's list could not be read.
+/// An error of reading the list from discovery.
 #[derive(Debug, thiserror::Error)]
 enum ListError {
     #[error(transparent)]
     Exchange(#[from] ClientError),
-    #[error("its answer is no list")]
-    Invalid,
+    #[error("discovery responded with status {0}, expected 200")]
+    Status(u16),
+    #[error("the response is not a service list: {0}")]
+    Invalid(#[source] serde_json::Error),
 }
 
-/// The task's lease expires too soon to begin.
+/// The error that the task lease does not allow an operation now.
 #[derive(Debug, thiserror::Error)]
-#[error("the lease expires too soon")]
-struct LeaseExpiring;
+#[error("the task lease does not allow an operation now")]
+struct LeaseUnavailable;
 
-/// Reads discovery and the engines for one router.
+/// The reader of discovery and of the engines' states for one router.
 pub struct Discovery {
     settings: Rc<Settings>,
     endpoints: RefCell<EndpointList>,
-    /// Names of the engines whose state is being read, by one task each.
-    followed: RefCell<HashSet<String>>,
+    /// Names of the engines whose state a task reads.
+    watched_engines: RefCell<HashSet<String>>,
     fleet_member: Option<Rc<FleetMember>>,
     observations: RefCell<BTreeMap<Shard, ShardObservations>>,
     is_failing: Cell<bool>,
-    /// Reads in a row that have failed since the list was last handed over.
+    /// Consecutive failed reads since the task was last handed over.
     failed_reads: Cell<u32>,
     refresh_requested: Event,
 }
 
-/// What this router has observed for all, under one lease.
+/// The observations that this router has made for the fleet under one lease.
 #[derive(Default)]
 struct ShardObservations {
     fencing_token: u64,
@@ -76,7 +78,7 @@
 }
 
 impl Discovery {
-    /// Knows no engine yet. Without a fleet member, this router reads everything itself.
+    /// Creates a reader that knows no engine yet. Without a fleet member, this router reads everything itself.
     pub fn new(settings: Rc<Settings>, fleet_member: Option<Rc<FleetMember>>) -> Rc<Discovery> {
         let endpoints = EndpointList::new(
             &settings.discovery.environment,
@@ -86,7 +88,7 @@
         Rc::new(Discovery {
             settings,
             endpoints: RefCell::new(endpoints),
-            followed: RefCell::default(),
+            watched_engines: RefCell::default(),
             fleet_member,
             observations: RefCell::default(),
             is_failing: Cell::new(false),
@@ -95,7 +97,7 @@
         })
     }
 
-    /// Applies the kinds and zones of changed settings, and reports the list again.
+    /// Applies the kinds and zones of changed settings and reports the list again.
     pub fn update_settings(&self, settings: &Settings, listener: &dyn EndpointListener) {
         self.endpoints
             .borrow_mut()
@@ -103,7 +105,7 @@
         self.publish(listener);
     }
 
-    /// Requests a read at once.
+    /// Requests an immediate read of the list.
     pub fn refresh(&self) {
         self.refresh_requested.notify(1);
     }
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Which router performs a shard of a task now.
+    /// Returns which router performs a shard of a task now.
     fn assignment(&self, shard: Shard) -> TaskAssignment {
         match &self.fleet_member {
             Some(member) => member.assignment(shard),
@@ -152,21 +154,22 @@
         }
     }
 
-    /// Begins to perform a shard: for the whole fleet under its lease, or without one for this router alone.
+    /// Begins an operation on a shard: under its lease for the whole fleet, or without a lease for this router alone.
     fn begin(
         &self,
         assignment: &TaskAssignment,
         shard: Shard,
-    ) -> Result<Option<LeasedOperation>, LeaseExpiring> {
+    ) -> Result<Option<LeasedOperation>, LeaseUnavailable> {
         match (assignment, &self.fleet_member) {
-            (TaskAssignment::Local, Some(member)) => {
-                member.begin_operation(shard).map(Some).ok_or(LeaseExpiring)
-            }
+            (TaskAssignment::Local, Some(member)) => member
+                .begin_operation(shard)
+                .map(Some)
+                .ok_or(LeaseUnavailable),
             _ => Ok(None),
         }
     }
 
-    /// Reads the list from discovery, for this router or for all.
+    /// Reads the list from discovery, for this router or for the whole fleet.
     async fn read_list(
         self: &Rc<Self>,
         assignment: &TaskAssignment,
@@ -197,19 +200,20 @@
         let target = format!("{SERVICE_PATH}{ENGINE_SERVICE_TYPE}/general");
         let response = self.get(discovery.address, &target, operation).await?;
         if response.status.0 != 200 {
-            return Err(ListError::Invalid);
+            return Err(ListError::Status(response.status.0));
         }
-        serde_json::from_slice(&response.body).map_err(|_| ListError::Invalid)
+        serde_json::from_slice(&response.body).map_err(ListError::Invalid)
     }
 
     fn report_failure(&self, error: &ListError, listener: &dyn EndpointListener) {
         if !self.is_failing.replace(true) {
-            tracing::warn!(%error, "discovery not read; the last list is used");
+            tracing::warn!(%error, "cannot read discovery; using the last engine list");
         }
         listener.endpoints_changed(ListScope::Failed, Vec::new());
     }
 
-    /// A router that alone can't reach discovery would keep the others on an old list for as long as it holds the lease.
+    /// Hands the task over after repeated failures. A router that alone cannot reach discovery would otherwise keep
+    /// the others on an old list for as long as it holds the lease.
     fn hand_over_after_failures(&self, operation: Option<LeasedOperation>) {
         let failed_reads = match self.is_failing.get() {
             true => self.failed_reads.get() + 1,
@@ -219,7 +223,10 @@
         if let Some(operation) = operation
             && failed_reads >= MAX_FAILED_READS
         {
-            tracing::warn!(failed_reads, "discovery handed over to another router");
+            tracing::warn!(
+                failed_reads,
+                "handing discovery over to another router after failed reads"
+            );
             operation.hand_over();
             self.failed_reads.set(0);
         }
@@ -236,7 +243,7 @@
             tracing::debug!(%error, "engine list entry skipped");
         }
         self.publish(listener.as_ref());
-        self.follow_engines(spawner, listener);
+        self.start_engine_watchers(spawner, listener);
     }
 
     fn publish(&self, listener: &dyn EndpointListener) {
--- a/crates/statement-router/src/engines/attempt/error.rs
+++ b/crates/statement-router/src/engines/attempt/error.rs
@@ -1,4 +1,4 @@
-//! Why an attempt has no result, and what that proves.
+//! Errors of attempts and what they prove about the execution of the statement.
 
 use std::io;
 
@@ -9,53 +9,53 @@
 
 use crate::engines::observer::SendRejected;
 
-/// Why an attempt has no result.
+/// An error that ends an attempt without a result.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AttemptError {
-    #[error("the engine is not listed any more")]
+    #[error("the engine is no longer listed")]
     EngineNotListed,
     #[error(transparent)]
     NotAuthorized(#[from] SendRejected),
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    #[error("the engine did not answer in time")]
+    #[error("the engine did not respond in time")]
     SubmitTimedOut,
-    /// The connection has failed after the request was begun.
+    /// The connection failed after the request was begun.
     #[error(transparent)]
     Submit(ClientError),
-    /// By the protocol, the statement was not accepted and the client is to try again.
-    #[error("the engine turned it away unseen ({status})")]
-    Overloaded {
+    /// By the protocol, the statement was not accepted and can be retried.
+    #[error("the engine did not accept the statement (status {status})")]
+    NotAccepted {
         status: u16,
         load_report: Option<LoadReport>,
     },
-    #[error("the engine answered with status {0}")]
+    #[error("the engine responded to the submission with status {0}")]
     SubmitStatus(u16),
-    #[error("no next answer")]
+    #[error("the response has no nextUri")]
     NoNextUri,
-    #[error("the engine does not know the statement any more")]
+    #[error("the engine no longer knows the statement")]
     UnknownToEngine,
-    #[error("the engine answered a poll with status {0}")]
+    #[error("the engine responded to a poll with status {0}")]
     PollStatus(u16),
-    /// Several polls in a row have failed; this is the last failure.
+    /// Several consecutive polls have failed; this is the last failure.
     #[error(transparent)]
     PollsFailed(PollError),
-    #[error("the engine is gone: {0}")]
-    EngineGone(#[source] io::Error),
-    #[error("the engine's answer is no HTTP: {0}")]
+    #[error("cannot connect to the engine for a poll: {0}")]
+    PollConnect(#[source] io::Error),
+    #[error("the engine's response is not valid HTTP: {0}")]
     InvalidHttp(#[source] ParseError),
-    #[error("the engine did not finish in time")]
+    #[error("the engine did not finish before the deadline")]
     DeadlineExceeded,
-    #[error("withdrawn")]
+    #[error("cancelled")]
     Cancelled,
-    #[error("the engine's answer is no QueryResults: {0}")]
+    #[error("the engine's response is not valid QueryResults: {0}")]
     InvalidResults(#[source] serde_json::Error),
-    /// The engine was restarted, and has given the URI to another statement.
-    #[error("the engine answered for another statement")]
+    /// The engine was restarted and has assigned the URI to another statement.
+    #[error("the engine's response belongs to another statement")]
     OtherStatement,
-    #[error("the engine's nextUri points elsewhere")]
-    ForeignNextUri,
-    /// The engine reports an error that is not the statement's.
+    #[error("the engine's nextUri is not a valid path at the engine's address")]
+    InvalidNextUri,
+    /// The engine reports an error that the statement did not cause.
     #[error("{name}: {message}")]
     EngineFailure {
         name: String,
@@ -64,18 +64,18 @@
     },
 }
 
-/// Why a single poll has no result. It can be repeated.
+/// An error of a single poll that can be repeated.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("the engine answered a poll with status {0}")]
+    #[error("the engine responded to a poll with status {0}")]
     Unavailable(u16),
     #[error(transparent)]
     Exchange(ClientError),
 }
 
 impl AttemptError {
-    /// What the error proves about the attempt.
-    fn status(&self) -> AttemptStatus {
+    /// Returns what the error proves about the attempt.
+    fn attempt_status(&self) -> AttemptStatus {
         match self {
             AttemptError::EngineNotListed | AttemptError::NotAuthorized(_) => {
                 AttemptStatus::NotSent
@@ -87,24 +87,24 @@
             AttemptError::Submit(_)
             | AttemptError::UnknownToEngine
             | AttemptError::PollsFailed(_)
-            | AttemptError::EngineGone(_)
+            | AttemptError::PollConnect(_)
             | AttemptError::OtherStatement => AttemptStatus::ConnectionReset,
-            AttemptError::Overloaded { .. } => AttemptStatus::Rejected,
+            AttemptError::NotAccepted { .. } => AttemptStatus::Rejected,
             AttemptError::SubmitStatus(_)
             | AttemptError::NoNextUri
             | AttemptError::PollStatus(_)
             | AttemptError::InvalidHttp(_)
             | AttemptError::InvalidResults(_)
-            | AttemptError::ForeignNextUri
+            | AttemptError::InvalidNextUri
             | AttemptError::EngineFailure { .. } => AttemptStatus::ErrorResponse,
             AttemptError::Cancelled => AttemptStatus::Cancelled,
         }
     }
 
     pub(super) fn into_outcome(self) -> AttemptOutcome {
-        let (status, reason) = (self.status(), self.to_string());
+        let (status, reason) = (self.attempt_status(), self.to_string());
         let load_report = match self {
-            AttemptError::Overloaded { load_report, .. }
+            AttemptError::NotAccepted { load_report, .. }
             | AttemptError::EngineFailure { load_report, .. } => load_report,
             _ => None,
         };
--- a/crates/statement-router/src/engines/attempt/poll.rs
+++ b/crates/statement-router/src/engines/attempt/poll.rs
@@ -9,13 +9,13 @@
 use super::error::PollError;
 use super::{AttemptError, Interruption, RunningAttempt, Stop};
 
-/// Polls in a row that may fail before the engine counts as gone. A poll requests the same numbered response again, so
-/// that a further one repeats nothing.
-pub(super) const MAX_FAILED_POLLS: u32 = 3;
-/// Pause after a poll that the engine could not answer.
+/// Number of failed requests after which a poll, or the request for the proof of a kill, is given up. Polls are safe
+/// to repeat: each requests the same numbered response.
+pub(super) const MAX_FAILED_REQUESTS: u32 = 3;
+/// Pause after a failed poll.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a single poll has no result.
+/// An error of a single poll.
 enum PollFailure {
     /// The poll can be repeated.
     Transient(PollError),
@@ -46,7 +46,7 @@
                 Err(PollFailure::Transient(error)) => error,
             };
             failed_polls += 1;
-            if failed_polls == MAX_FAILED_POLLS {
+            if failed_polls == MAX_FAILED_REQUESTS {
                 return Err(AttemptError::PollsFailed(error).into());
             }
             Timer::after(RETRY_PAUSE).await;
@@ -58,7 +58,7 @@
     match result {
         Ok(response) => check_poll_status(response),
         Err(ClientError::Connect(error)) => {
-            Err(PollFailure::Fatal(AttemptError::EngineGone(error)))
+            Err(PollFailure::Fatal(AttemptError::PollConnect(error)))
         }
         Err(ClientError::Parse(error)) => Err(PollFailure::Fatal(AttemptError::InvalidHttp(error))),
         Err(error) => Err(PollFailure::Transient(PollError::Exchange(error))),
--- a/crates/statement-router/src/engines/attempt/progress.rs
+++ b/crates/statement-router/src/engines/attempt/progress.rs
@@ -1,4 +1,4 @@
-//! The status of a running statement, as the responses to polls contain it.
+//! The status of a running statement in the responses to polls.
 
 use hoptiller_http::Response;
 use hoptiller_policy::Progress;
@@ -18,7 +18,7 @@
 pub(super) fn parse_status(response: &Response, stats: &Stats) -> ResponseStatus {
     let mut status = ResponseStatus {
         report: AttemptReport {
-            progress: from_stats(stats),
+            status: from_stats(stats),
             blocking_class: None,
         },
         progress: Vec::new(),
@@ -30,7 +30,7 @@
     status
 }
 
-/// Clients and engines write 0 for what is not known.
+/// Converts the protocol's statistics, in which 0 stands for an unknown value.
 fn from_stats(stats: &Stats) -> ProgressReport {
     let known = |value: u64| (value > 0).then_some(value);
     ProgressReport {
@@ -47,7 +47,7 @@
 
 impl ResponseStatus {
     fn apply(&mut self, name: &str, value: f64, response: &Response) {
-        let report = &mut self.report.progress;
+        let report = &mut self.report.status;
         let progress = match name {
             "done" if (0.0..=1.0).contains(&value) => {
                 report.done = Some(value);
@@ -81,6 +81,6 @@
             class: None,
             age: statement.age_ms.map(|ms| ms * 1000),
         });
-        self.report.progress.blocked_state = Some(BlockedState::Statement(holder));
+        self.report.status.blocked_state = Some(BlockedState::Statement(holder));
     }
 }
--- a/crates/statement-router/src/engines/attempt/submit.rs
+++ b/crates/statement-router/src/engines/attempt/submit.rs
@@ -1,4 +1,4 @@
-//! The submission of a statement: the one request that may execute it.
+//! The submission of a statement, the only request that can execute it.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::engines::load_report;
 use crate::engines::observer::SendRejected;
 
-/// How much later than the attempt's deadline the exchange times out, so that the deadline is what ends it.
+/// Time by which the timeout of the exchange exceeds the attempt's deadline, so that the deadline takes effect first.
 const DEADLINE_SLACK_MICROS: u64 = 1_000_000;
 
 impl RunningAttempt<'_> {
-    /// Submits the statement, and returns the first response.
+    /// Submits the statement and returns the first response.
     pub(super) async fn submit(&self) -> Result<Response, Stop> {
         let request = self.submit_request();
         let remaining = self.attempt.deadline.saturating_sub(self.observer.now());
@@ -42,13 +42,13 @@
     fn submit_request(&self) -> Request {
         let attempt = self.attempt;
         let mut request = Request::new(Method::Post, STATEMENT_PATH);
-        for (name, value) in &attempt.work.fields {
+        for (name, value) in &attempt.engine_statement.fields {
             request.headers.push(name, value);
         }
         let identity = &self.transport.options.identity;
         request.headers.push(extra::ROUTER, &identity.router);
-        let statement_name = identity.statement_name(attempt.id);
-        request.headers.push(extra::STATEMENT_ID, &statement_name);
+        let statement_name = identity.statement_name(attempt.statement_id);
+        request.headers.push(extra::STATEMENT_NAME, &statement_name);
         let class_name = self.transport.class_name(attempt.class);
         request.headers.push(extra::CLASS, &class_name);
         let mut options = vec![("hop", f64::from(attempt.number))];
@@ -58,7 +58,7 @@
         request
             .headers
             .push(extra::ATTEMPT_OPTIONS, &extra::format_numbers(&options));
-        request.body = attempt.work.text.clone().into_bytes();
+        request.body = attempt.engine_statement.text.clone().into_bytes();
         request
     }
 
@@ -82,7 +82,7 @@
 fn check_submit_status(response: Response) -> Result<Response, Stop> {
     match response.status.0 {
         200 => Ok(response),
-        status @ (429 | 503) => Err(AttemptError::Overloaded {
+        status @ (429 | 503) => Err(AttemptError::NotAccepted {
             status,
             load_report: load_report::from_header(&response),
         }
--- a/crates/statement-router/src/engines/connection_pool.rs
+++ b/crates/statement-router/src/engines/connection_pool.rs
@@ -18,9 +18,9 @@
 
 type EngineConnection = Connection<Async<TcpStream>>;
 
-/// An engine and where it is reached.
+/// An engine and its address.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Endpoint {
+pub(super) struct EngineEndpoint {
     pub(super) engine: EngineId,
     pub(super) addr: SocketAddr,
 }
@@ -28,17 +28,17 @@
 /// The timeouts of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeouts {
-    /// Of opening a connection.
+    /// Timeout of opening a connection.
     pub(super) connect: Duration,
-    /// Of the request and its response.
+    /// Timeout of the request and its response.
     pub(super) response: Duration,
 }
 
-/// Why an authorized exchange has no response.
+/// An error of an authorized exchange.
 pub(super) enum ExchangeError {
     /// The request was not authorized, and nothing was sent.
     NotAuthorized(SendRejected),
-    /// The exchange has failed.
+    /// The exchange failed.
     Failed(ClientError),
 }
 
@@ -61,13 +61,13 @@
         }
     }
 
-    /// One exchange, over an idle connection where there is one that the engine has not closed.
+    /// Performs an exchange over an idle connection that the engine has not closed, or over a new one.
     ///
-    /// An engine can close an idle connection just as the request is written. That is [`ClientError::Broken`], and the
-    /// request may have been executed: it is not repeated here.
+    /// An engine can close an idle connection while the request is being written. The result is
+    /// [`ClientError::Broken`]: the request may have been executed, so it is not repeated here.
     pub(super) async fn exchange(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
     ) -> Result<Response, ClientError> {
@@ -76,11 +76,11 @@
             .await
     }
 
-    /// The same for a request that is authorized once there is a connection, right before its first byte is written. The
-    /// configuration versions that authorize it are sent along.
+    /// Performs an exchange that is authorized once there is a connection, right before the first byte of the request
+    /// is written. The request carries the configuration versions that authorize it.
     pub(super) async fn exchange_authorized(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
         authorize: impl FnOnce() -> Result<Option<ConfigVersions>, SendRejected>,
@@ -112,7 +112,7 @@
 
     async fn open(
         &self,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         timeouts: Timeouts,
     ) -> Result<EngineConnection, ClientError> {
         match self.take_idle(endpoint) {
@@ -124,7 +124,7 @@
     async fn exchange_over(
         &self,
         mut connection: EngineConnection,
-        endpoint: Endpoint,
+        endpoint: EngineEndpoint,
         request: &Request,
         timeouts: Timeouts,
     ) -> Result<Response, ClientError> {
@@ -135,14 +135,14 @@
         response
     }
 
-    fn take_idle(&self, endpoint: Endpoint) -> Option<EngineConnection> {
+    fn take_idle(&self, endpoint: EngineEndpoint) -> Option<EngineConnection> {
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle.get_mut(&endpoint.engine)?;
-        if of_engine.addr != endpoint.addr {
+        let engine_connections = idle.get_mut(&endpoint.engine)?;
+        if engine_connections.addr != endpoint.addr {
             idle.remove(&endpoint.engine);
             return None;
         }
-        while let Some(connection) = of_engine.connections.pop() {
+        while let Some(connection) = engine_connections.connections.pop() {
             if !connection.is_stale() {
                 return Some(connection);
             }
@@ -150,17 +150,17 @@
         None
     }
 
-    fn release(&self, endpoint: Endpoint, connection: EngineConnection) {
+    fn release(&self, endpoint: EngineEndpoint, connection: EngineConnection) {
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle
+        let engine_connections = idle
             .entry(endpoint.engine)
             .or_insert_with(|| IdleConnections {
                 addr: endpoint.addr,
                 connections: Vec::new(),
             });
-        let has_room = of_engine.connections.len() < MAX_IDLE_CONNECTIONS;
-        if of_engine.addr == endpoint.addr && has_room {
-            of_engine.connections.push(connection);
+        let has_room = engine_connections.connections.len() < MAX_IDLE_CONNECTIONS;
+        if engine_connections.addr == endpoint.addr && has_room {
+            engine_connections.connections.push(connection);
         }
     }
 
@@ -170,7 +170,7 @@
     }
 }
 
-/// The value of [`extra::CONFIG_VERSIONS`]: `2..3`, or `2..3 doubt`.
+/// Returns the value of [`extra::CONFIG_VERSIONS`]: `2..3`, or `2..3 doubt`.
 fn format_versions(versions: &ConfigVersions) -> String {
     let doubt = if versions.in_doubt { " doubt" } else { "" };
     format!("{}..{}{doubt}", versions.in_force, versions.enforced)
--- a/crates/statement-router/src/fleet_member/renewal.rs
+++ b/crates/statement-router/src/fleet_member/renewal.rs
@@ -1,4 +1,4 @@
-//! The renewal of a router's config lease, with which it learns of new versions.
+//! The renewal of a router's config lease, which also delivers new configuration versions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +11,24 @@
 
 use super::{CALL_TIMEOUT, FleetMember};
 
-/// Pause after a watch call that no replica has answered.
+/// Pause after a watch call to which no replica has responded.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum time between two warnings.
 const WARNING_INTERVAL: Micros = 5_000_000;
 
-/// Why a config lease is not renewed.
+/// An error of renewing a config lease.
 #[derive(Debug, thiserror::Error)]
 enum RenewalError {
     #[error(
-        "the replicas don't know a configuration version that this router has enforced: a replica was restored from old data"
+        "the replicas don't know a configuration version that this router has enforced: \
+         a replica was restored from old data"
     )]
     UnknownVersion,
-    #[error("keepers have too many routers already")]
+    #[error("the replicas have reached their limit of lease holders")]
     TooManyHolders,
-    #[error("keepers have no version yet; put one with `hoptiller settings put`")]
+    #[error(
+        "the replicas have no configuration version yet; add one with `hoptiller settings put`"
+    )]
     NoVersion,
     #[error(transparent)]
     Call(#[from] CallError),
@@ -34,10 +37,11 @@
 }
 
 impl FleetMember {
-    /// Renews the lease. `on_change` is called when other versions are to be enforced, before anything is done under them.
-    /// Never returns.
+    /// Renews the lease periodically. Calls `on_change` when the enforced versions change, before any operation under
+    /// them. Never returns.
     pub async fn run(self: Rc<Self>, on_change: impl Fn()) {
-        if self.merged_document_is(|_| true) {
+        // Versions that an earlier incarnation has stored are applied before the first renewal.
+        if self.merged_document_satisfies(|_| true) {
             on_change();
         }
         loop {
@@ -48,25 +52,25 @@
                     false
                 }
             };
-            self.log_doubt();
-            // A version that is enforced now is reported at once: other routers wait for it.
+            self.log_lease_transition();
+            // Newly enforced versions are reported at once, since other routers wait for them.
             if !has_new_versions {
                 self.wait_for_renewal().await;
             }
         }
     }
 
-    /// Waits for the interval of renewals, or until a replica knows of a change, or something can be released.
+    /// Waits until the renewal interval has passed, a replica reports a change, or a lease can be released.
     async fn wait_for_renewal(&self) {
         let requested = self.task_leases.listen_renewal_requested();
         let interval = async {
             Timer::after(self.settings.renewal_interval).await;
         };
-        future::or(requested, future::or(self.change_watched(), interval)).await;
+        future::or(requested, future::or(self.wait_for_change(), interval)).await;
     }
 
-    /// Waits in a watch call until a replica reports a change. After a failed call it returns too.
-    async fn change_watched(&self) {
+    /// Waits in a watch call until a replica reports a change. Returns also after a failed call.
+    async fn wait_for_change(&self) {
         let request = self.watch_request();
         let timeout = self.settings.renewal_interval + CALL_TIMEOUT;
         let response: Result<wire::VersionNumbers, CallError> = self
@@ -75,7 +79,7 @@
             .await;
         match response {
             Ok(numbers) if self.is_change(&numbers) => {}
-            // A replica that is behind would answer so again and again.
+            // A replica that lags behind would send the same response over and over.
             Ok(_) => future::pending().await,
             Err(_) => {
                 Timer::after(RETRY_PAUSE).await;
@@ -158,6 +162,7 @@
         grant: ConfigLeaseGrant,
         on_change: &impl Fn(),
     ) -> Result<bool, RenewalError> {
+        // This injected fault counts the lease from the response, so that the lease lasts too long.
         if fault_injection::is_injected(Fault::TermFromResponse) {
             self.watcher.borrow_mut().set_sent_at(id, self.clock.now());
         }
@@ -189,7 +194,7 @@
         }
     }
 
-    fn log_doubt(&self) {
+    fn log_lease_transition(&self) {
         let versions = self.versions();
         let (in_force, enforced) = (versions.in_force, versions.enforced);
         if self.was_in_doubt.replace(versions.in_doubt) == versions.in_doubt {
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -1,4 +1,4 @@
-//! The file of the versions that a router enforces, for its next incarnation.
+//! The file that keeps a router's enforced versions for its next incarnation.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,7 @@
 /// Name of the file in the state directory.
 const FILE_NAME: &str = "agreed";
 
-/// The file: a line with the digest of the rest, which is JSON.
+/// A file with the digest of its body on the first line, followed by the body in JSON.
 pub(super) struct VersionFile {
     path: PathBuf,
 }
@@ -22,21 +22,25 @@
         }
     }
 
-    /// The stored versions; none where the file is missing or incomplete.
+    /// Returns the stored versions, or none if the file is missing, unreadable or invalid. Only an invalid file is
+    /// logged.
     pub(super) fn load(&self) -> Vec<Version> {
         let Ok(bytes) = atomic_file::read(&self.path) else {
             return Vec::new();
         };
         decode(&bytes).unwrap_or_else(|| {
-            tracing::warn!(file = %self.path.display(), "stored versions not decoded");
+            tracing::warn!(
+                file = %self.path.display(),
+                "cannot decode the stored configuration versions; ignoring them"
+            );
             Vec::new()
         })
     }
 
-    /// Stores versions. A failure is logged: the next incarnation then waits for its first lease.
+    /// Stores versions. A failure is only logged: without the file, the next incarnation waits for its first lease.
     pub(super) fn store(&self, versions: &[Version]) {
         if let Err(error) = atomic_file::write(&self.path, &encode(versions)) {
-            tracing::warn!(file = %self.path.display(), %error, "enforced versions not stored");
+            tracing::warn!(file = %self.path.display(), %error, "cannot store the enforced configuration versions");
         }
     }
 }
--- a/crates/statement-router/src/front_end/statement_api.rs
+++ b/crates/statement-router/src/front_end/statement_api.rs
@@ -1,4 +1,4 @@
-//! The statement API over HTTP: routes requests, and waits for the responses of polls.
+//! The statement API over HTTP: routes requests and waits for the responses to polls.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -21,15 +21,15 @@
 const STATE_PATH: &str = "/v1/info/state";
 
 const NO_SUCH_STATEMENT: &str = "no such statement";
-const NOTHING_HERE: &str = "nothing here; statements go to POST /v1/statement";
+const NOT_FOUND: &str = "not found; submit statements with POST /v1/statement";
 
 /// Maximum length of a `Host` header that is used for URIs, in bytes.
 const MAX_HOST_BYTES: usize = 255;
 
-/// Responses to further paths, such as metrics.
+/// Routes beyond the statement API, such as metrics.
 pub type ExtraRoutes = Rc<dyn Fn(&str) -> Option<Response>>;
 
-/// Serves clients.
+/// Serves the statement API.
 pub async fn serve(
     context: Rc<RouterContext>,
     listener: Async<TcpListener>,
@@ -84,18 +84,19 @@
         };
     }
     match (path, &request.method) {
-        (INFO_PATH, Method::Get) => statement_info::router(context),
+        (INFO_PATH, Method::Get) => statement_info::router_info(context),
         (STATE_PATH, Method::Get) => statement_info::router_state(context),
-        (_, Method::Get) => extra_routes(path).unwrap_or_else(|| Response::text(404, NOTHING_HERE)),
-        _ => Response::text(404, NOTHING_HERE),
+        (_, Method::Get) => extra_routes(path).unwrap_or_else(|| Response::text(404, NOT_FOUND)),
+        _ => Response::text(404, NOT_FOUND),
     }
 }
 
 fn method_not_allowed(allowed: &str) -> Response {
-    Response::text(405, "method not allowed here").with_header("Allow", allowed)
+    Response::text(405, "method not allowed").with_header("Allow", allowed)
 }
 
-/// Where the client reaches this router: by its `Host` header where that is valid.
+/// Returns the base URI of this router: from the request's `Host` header if it is valid, else from the listen
+/// address.
 fn base_uri(context: &RouterContext, request: &Request) -> String {
     let host = request.headers.get("host").unwrap_or_default();
     let is_host_byte = |b: u8| b.is_ascii_alphanumeric() || b".-:[]_".contains(&b);
@@ -119,7 +120,7 @@
     }
     let id = match context.with_core(|core, now| core.submit(now, submission.submission)) {
         Ok(id) => id,
-        Err(SubmitError::TableFull) => {
+        Err(SubmitError::TooManyOpenStatements) => {
             return reject(&SubmissionRejected::TooManyStatements, &retry_after);
         }
         Err(SubmitError::ShuttingDown) => {
@@ -127,10 +128,10 @@
         }
     };
     let PollOutcome::Response(first) = context.with_core(|core, now| core.poll(now, id, 0)) else {
-        return Response::text(500, "the statement was lost");
+        return Response::text(500, "internal error: the submitted statement is unknown");
     };
     let query_id = QueryId::new(SystemTime::now(), id, context.incarnation());
-    query_results::response(context, &query_id, &first, &base_uri(context, request))
+    query_results::http_response(context, &query_id, &first, &base_uri(context, request))
 }
 
 fn reject(rejected: &SubmissionRejected, retry_after: &str) -> Response {
@@ -140,7 +141,7 @@
 
 async fn poll(context: &RouterContext, token: &PageToken, base_uri: &str) -> Response {
     if token.id.incarnation() != context.incarnation() {
-        return query_results::earlier_incarnation(context, token, base_uri);
+        return query_results::earlier_incarnation_response(context, token, base_uri);
     }
     let id: StatementId = token.id.number();
     let mut outcome = context.with_core(|core, now| core.poll(now, id, token.page));
@@ -152,38 +153,39 @@
     }
     match outcome {
         PollOutcome::Response(response) => {
-            query_results::response(context, &token.id, &response, base_uri)
+            query_results::http_response(context, &token.id, &response, base_uri)
         }
         PollOutcome::Gone => Response::text(
             410,
-            "that answer was given; the one after it, or the end, is known",
+            "this response is no longer available: a later one has been delivered, \
+             or the statement is no longer retained",
         ),
-        PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such answer"),
+        PollOutcome::Pending | PollOutcome::Unknown => Response::text(404, "no such response"),
     }
 }
 
-/// Waits for the response, for as long as a long poll may last.
+/// Waits for the response until the long-poll timeout.
 async fn wait_for_response(context: &RouterContext, id: StatementId, page: u64) -> PollOutcome {
     let mut timeout = context
         .timer()
         .sleep(context.settings().limits.long_poll_timeout);
     loop {
-        // Listens before it polls, so that no news is missed between the two.
-        let news = context.listen(id);
+        // Listens before polling, so that no change in between is missed.
+        let changed = context.listen(id);
         match context.with_core(|core, now| core.poll(now, id, page)) {
             PollOutcome::Pending => {}
             outcome => return outcome,
         }
-        let news = async {
-            news.await;
+        let changed = async {
+            changed.await;
             false
         };
         let timed_out = async {
             (&mut timeout).await;
             true
         };
-        if future::or(news, timed_out).await {
-            return context.with_core(|core, now| core.poll_now(now, id, page));
+        if future::or(changed, timed_out).await {
+            return context.with_core(|core, now| core.poll_or_no_change(now, id, page));
         }
     }
 }
--- a/crates/statement-router/src/front_end/statement_info.rs
+++ b/crates/statement-router/src/front_end/statement_info.rs
@@ -1,4 +1,4 @@
-//! Information on the router and on the history of a statement, as JSON.
+//! Information on the router and the history of statements, as JSON.
 
 use hoptiller_http::Response;
 use hoptiller_router_core::{AttemptHistory, status_description};
@@ -7,8 +7,8 @@
 
 use crate::context::RouterContext;
 
-/// The router as a node.
-pub(super) fn router(context: &RouterContext) -> Response {
+/// Returns information on the router in the format of an engine's `/v1/info`.
+pub(super) fn router_info(context: &RouterContext) -> Response {
     let usage = context.with_core(|core, _| core.usage());
     let batches = context.event_loop().batch_stats();
     let settings = context.settings();
@@ -30,7 +30,7 @@
     Response::json(200, value.to_string())
 }
 
-/// Whether the router accepts statements.
+/// Returns whether the router accepts statements.
 pub(super) fn router_state(context: &RouterContext) -> Response {
     let state = if context.is_shutting_down() {
         "\"SHUTTING_DOWN\""
@@ -40,16 +40,19 @@
     Response::json(200, state)
 }
 
-/// The history of a statement.
+/// Returns the history of a statement.
 pub(super) fn history(context: &RouterContext, id: &QueryId) -> Response {
     if id.incarnation() != context.incarnation() {
-        return Response::text(410, "an earlier life of this router had that statement");
+        return Response::text(
+            410,
+            "this statement belongs to an earlier incarnation of this router",
+        );
     }
     let history = context.with_core(|core, now| core.history(now, id.number()));
     let Some(history) = history else {
         return Response::text(
             410,
-            "that statement is over, and its course is not kept any more",
+            "this statement has ended, and its history is no longer retained",
         );
     };
     let settings = context.settings();
@@ -61,7 +64,7 @@
         "id": id.to_string(),
         "router": settings.router.name,
         "class": settings.classes[history.class].name,
-        "state": history.state,
+        "state": history.phase,
         "why": history.reason,
         "elapsedMs": history.elapsed_ms,
         "patienceMs": history.timeout_ms,
--- a/crates/statement-router/src/service/command_executor.rs
+++ b/crates/statement-router/src/service/command_executor.rs
@@ -10,8 +10,8 @@
 use super::Service;
 use crate::engines::{AttemptControl, AttemptId, StatementControl};
 
-/// The reason of a kill, which the client gets to see.
-const KILL_REASON: &str = "it runs away, and a rule of this installation ends it";
+/// The reason of a kill, which is part of the error that the client receives.
+const KILL_REASON: &str = "the statement was killed as a runaway by a rule of this installation";
 
 impl CommandExecutor for Service {
     fn execute(&self, command: Command) {
@@ -30,7 +30,7 @@
                 let reason = KILL_REASON.to_owned();
                 self.control_statement(id, attempt, StatementControl::Kill { reason });
             }
-            Command::Pause {
+            Command::SetPaused {
                 id,
                 attempt,
                 paused,
@@ -58,14 +58,14 @@
 
 impl Service {
     fn send(&self, attempt: Attempt) {
-        let Some(service) = self.this.upgrade() else {
+        let Some(service) = self.weak_self.upgrade() else {
             return;
         };
         metrics::counter!("hoptiller_attempts_total").increment(1);
         let engine = self.context.engine_name(attempt.engine);
         let settings = self.settings();
         let class = settings.classes[attempt.class].name.as_str();
-        let statement = self.statement_label(attempt.id);
+        let statement = self.statement_id_suffix(attempt.statement_id);
         let span =
             tracing::debug_span!("attempt", %statement, class, hop = attempt.number, %engine);
         span.in_scope(|| tracing::debug!("attempt sent"));
@@ -79,10 +79,10 @@
         self.context.engines().control_attempt(id, control);
     }
 
-    /// Requests an engine to control a statement, and logs the result.
+    /// Sends a control request for a statement to its engine and logs the result.
     fn control_statement(&self, statement: StatementId, number: u32, control: StatementControl) {
         let id = AttemptId { statement, number };
-        let label = self.statement_label(statement);
+        let label = self.statement_id_suffix(statement);
         let engines = Rc::clone(self.context.engines());
         self.context.spawner().spawn(async move {
             let request = control.clone();
@@ -98,7 +98,7 @@
     }
 
     fn check_health(&self, engine: EngineId) {
-        if let Some(service) = self.this.upgrade() {
+        if let Some(service) = self.weak_self.upgrade() {
             let engines = self.context.engines().clone();
             let check = engines.check_health(engine, service);
             self.context.spawner().spawn(check);
@@ -119,8 +119,8 @@
             .increment(1);
         metrics::histogram!("hoptiller_answer_seconds", "class" => class.clone())
             .record(elapsed as f64 / 1e6);
-        let statement = self.statement_label(id);
+        let statement = self.statement_id_suffix(id);
         let (ms, reason) = (elapsed / 1000, response.reason());
-        tracing::info!(%statement, %class, outcome, ms, attempts, reason, "answered");
+        tracing::info!(%statement, %class, outcome, ms, attempts, reason, "statement settled");
     }
 }
--- a/crates/statement-router/src/service/engine_observer.rs
+++ b/crates/statement-router/src/service/engine_observer.rs
@@ -1,4 +1,4 @@
-//! Passes what engines report on to the core, and authorizes attempts at the last moment.
+//! Forwards reports of engines to the core, and authorizes attempts right before they are sent.
 
 use hoptiller_policy::{EndpointEntry, EngineId, LoadReport, Micros, Progress};
 use hoptiller_router_core::{AttemptOutcome, EngineError, ResultPage, status_description};
@@ -42,13 +42,13 @@
     }
 
     fn status_reported(&self, id: AttemptId, report: AttemptReport) {
-        let mut progress = report.progress;
-        if let Some(BlockedState::Statement(Some(holder))) = &mut progress.blocked_state {
+        let mut status = report.status;
+        if let Some(BlockedState::Statement(Some(holder))) = &mut status.blocked_state {
             let class = report.blocking_class.as_deref();
             holder.class = class.and_then(|name| self.settings().class_index(name));
         }
         self.context.with_core(|core, now| {
-            core.update_attempt_status(now, id.statement, id.number, progress);
+            core.report_progress_to_runaway_detector(now, id.statement, id.number, status);
         });
     }
 
@@ -72,7 +72,9 @@
         };
         let settings = self.settings();
         let class = &settings.classes[class];
-        let versions = member.authorize(&class.name).ok_or(SendRejected::NoLease)?;
+        let versions = member
+            .authorize(&class.name)
+            .ok_or(SendRejected::ClassNotAllowed)?;
         let listed = self.listed_engines.borrow();
         let entry = listed.get(&engine).ok_or(SendRejected::NotListed)?;
         if !allows_endpoint(class, entry) {
@@ -86,7 +88,8 @@
     }
 }
 
-/// Whether a class may run at an engine. The policy may have selected it under restrictions that have changed since.
+/// Returns whether a class may run on an engine. The restrictions may have changed since the policy selected the
+/// engine.
 fn allows_endpoint(class: &ClassSettings, entry: &EndpointEntry) -> bool {
     let allows = |allowed: &Option<Vec<usize>>, index: Option<usize>| {
         allowed
--- a/crates/statement-router/src/settings/conversion.rs
+++ b/crates/statement-router/src/settings/conversion.rs
@@ -1,4 +1,4 @@
-//! The settings in the form of the policy, of the runaway detector and of the auditor.
+//! Conversion of the settings for the policy, the runaway detector and the auditor.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 impl Settings {
-    /// The settings of the policy.
+    /// Returns the settings of the policy.
     pub fn policy_settings(&self) -> policy::Settings {
         let engines = &self.engines;
         policy::Settings {
@@ -27,6 +27,7 @@
                 .collect(),
             cores: self.kinds.iter().map(|kind| kind.cores).collect(),
             tenant_quotas: self.tenants.iter().map(|tenant| tenant.share).collect(),
+            // Parameters without a setting: memory grants are ignored, health checks are free.
             over_quota_weight: 1.0,
             load_reports: engines.load_reports,
             progress_interval: micros(engines.progress_interval),
@@ -45,6 +46,7 @@
     fn policy_limits(&self) -> policy::Limits {
         policy::Limits {
             max_attempts: self.engines.max_attempts,
+            // 0 stands for any number: the core limits open statements.
             max_open_requests: 0,
             hedged_requests: false,
             retry_after: true,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The settings of the runaway detector.
+    /// Returns the settings of the runaway detector.
     pub fn runaway_settings(&self) -> runaway::Settings {
         let class =
             |(class, enforcement): (&ClassSettings, &runaway::EnforcementOptions)| runaway::Class {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The rules in the form that `hoptiller audit` reads (`rules.json`).
+    /// Returns the rules in the format that `hoptiller audit` reads (`rules.json`).
     pub fn audit_rules(&self) -> Value {
         let classes: Map<String, Value> = self
             .classes
--- a/crates/statement-router/src/settings/validate.rs
+++ b/crates/statement-router/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Checks settings for values that contradict each other.
+//! Validation of settings: limits of values, and values that contradict each other.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use super::{ClassSettings, Idempotency, SettingError, Settings};
 
-/// Under this, no time is left for a decision, a response and its way back.
+/// Minimum client timeout. A shorter one leaves no time for a decision and the delivery of a response.
 const MIN_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 const MIN_FINGERPRINTS: usize = 100;
 const MAX_FINGERPRINTS: usize = 100_000;
 const MIN_SAVE_INTERVAL: Duration = Duration::from_secs(1);
 const MIN_LEASE_TERM: Duration = Duration::from_millis(500);
 const MAX_DRIFT_MILLIONTHS: u64 = 100_000;
-/// Renewals that must fit into the term of a lease.
+/// Minimum number of renewal intervals in the term of a lease.
 const MIN_RENEWALS_PER_TERM: u32 = 4;
 const MIN_DISCOVERY_INTERVAL: Duration = Duration::from_millis(10);
-/// Clients and proxies give up after about as long.
+/// Maximum long poll. Clients and proxies commonly time out after about a minute.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 const MAX_TICK: Duration = Duration::from_millis(100);
 
-/// All contradictions. `file_name` is part of their places.
+/// Returns all errors. `file_name` is part of their locations.
 pub(super) fn validate(file_name: &str, settings: &Settings) -> Vec<SettingError> {
     let mut validator = Validator {
         file_name,
@@ -36,8 +36,8 @@
     validator.check_coordination();
     validator.check_rules();
     validator.check_discovery();
-    validator.check_sizes();
-    validator.check_times();
+    validator.check_size_limits();
+    validator.check_time_limits();
     validator.errors
 }
 
@@ -73,7 +73,7 @@
             self.reject_if(
                 is_duplicate,
                 &format!("classes[{index}].name"),
-                format!("{:?} is given twice", class.name),
+                format!("duplicate class name {:?}", class.name),
             );
             self.check_class(index, class);
         }
@@ -85,7 +85,7 @@
         self.reject_if(
             !class.name.bytes().all(is_name_byte),
             &path("name"),
-            "only letters, digits, '-', '_' and '.' can stand in a client tag",
+            "a client tag can contain only letters, digits, '-', '_' and '.'",
         );
         self.reject_if(
             class.latency_objective.is_zero() || class.threads == 0.0,
@@ -95,22 +95,22 @@
         self.reject_if(
             class.client_timeout < class.latency_objective,
             &path("patience"),
-            "is shorter than the aim: every answer would come late or never",
+            "is shorter than the aim: clients would time out before the latency objective",
         );
         self.reject_if(
             class.client_timeout < MIN_CLIENT_TIMEOUT,
             &path("patience"),
-            format!("is under {MIN_CLIENT_TIMEOUT:?}: no final answer could come in time"),
+            format!("is under {MIN_CLIENT_TIMEOUT:?}: no final response could arrive in time"),
         );
         self.reject_if(
             class.late_weight_ratio > 1.0,
             &path("late_worth"),
-            "is a part of the worth, 0 to 1",
+            "must be a fraction of the worth, 0 to 1",
         );
         self.reject_if(
             class.holds_tables && class.idempotency == Idempotency::Idempotent,
             &path("holds"),
-            "a class that holds tables while it loads them can't be safe to repeat",
+            "a class whose statements lock tables loads data into them, so its repeat must be 'never'",
         );
     }
 
@@ -131,12 +131,12 @@
         self.reject_if(
             !engines.progress_interval.is_zero() && !engines.supports_cancel,
             "engines.notes_every",
-            "notes only serve where engines.cancel is true",
+            "requires engines.cancel: the policy uses progress reports only to cancel attempts",
         );
         self.reject_if(
             engines.reports_in_flight && !engines.load_reports,
             "engines.tells_in_flight",
-            "needs engines.reports",
+            "requires engines.reports",
         );
     }
 
@@ -169,7 +169,7 @@
         self.reject_if(
             is_enforced && !enforcement.report,
             &path,
-            "what is held, paused or ended must be named too: add 'name'",
+            "'hold', 'pause' and 'end' require 'name', which reports the finding: add 'name'",
         );
     }
 
@@ -183,7 +183,7 @@
         self.reject_if(
             runaways.pause_for.is_zero() || runaways.save_interval < MIN_SAVE_INTERVAL,
             "runaways",
-            "pause_for must be over 0, save_every 1s or more",
+            format!("pause_for must be over 0, save_every {MIN_SAVE_INTERVAL:?} or more"),
         );
     }
 
@@ -194,7 +194,7 @@
                 .admin
                 .is_some_and(|admin| admin == router.listen && admin.port() != 0),
             "router.admin",
-            "is router.listen: administrators need an address of their own",
+            "must differ from router.listen: the administration API needs an address of its own",
         );
     }
 
@@ -205,13 +205,16 @@
         self.reject_if(
             coordination.lease_term < MIN_LEASE_TERM || coordination.drift > MAX_DRIFT_MILLIONTHS,
             "agreement.permit",
-            "must be 500ms or more, drift 100000 millionths or less",
+            format!(
+                "agreement.permit must be {MIN_LEASE_TERM:?} or more, \
+                 agreement.drift {MAX_DRIFT_MILLIONTHS} millionths or less"
+            ),
         );
         self.reject_if(
             coordination.renewal_interval.is_zero()
                 || coordination.renewal_interval > coordination.lease_term / MIN_RENEWALS_PER_TERM,
             "agreement.ask_every",
-            "must be over 0, and a quarter of the permit at most",
+            format!("must be over 0 and at most 1/{MIN_RENEWALS_PER_TERM} of agreement.permit"),
         );
     }
 
@@ -220,12 +223,12 @@
         self.reject_if(
             rules.start_capacity > 1.0 || rules.start_capacity == 0.0,
             "rules.start_capacity",
-            "is a part of the capacity, over 0 and up to 1",
+            "must be a fraction of the capacity, over 0 and up to 1",
         );
         self.reject_if(
             rules.overload_factor < 1.0 || rules.overload_window.is_zero(),
             "rules.overload",
-            "must be 1 or more, for a rules.fall over 0",
+            "must be 1 or more, and rules.fall must be over 0",
         );
     }
 
@@ -234,11 +237,11 @@
         self.reject_if(
             discovery.list_interval.min(discovery.state_interval) < MIN_DISCOVERY_INTERVAL,
             "discovery.every",
-            "looks must be 10ms or more apart",
+            format!("every and state_every must be {MIN_DISCOVERY_INTERVAL:?} or more"),
         );
     }
 
-    fn check_sizes(&mut self) {
+    fn check_size_limits(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
             limits.max_open_statements == 0
@@ -251,31 +254,31 @@
         self.reject_if(
             limits.max_incoming_bytes < limits.max_statement_bytes,
             "limits.incoming_bytes",
-            "is under limits.statement_bytes: not one such statement could come in",
+            "is under limits.statement_bytes: a statement of that size could not be received",
         );
         self.reject_if(
             limits.max_buffered_bytes < limits.max_page_bytes,
             "limits.held_bytes",
-            "is under limits.page_bytes: not one page could be held",
+            "is under limits.page_bytes: a page of that size could not be buffered",
         );
     }
 
-    fn check_times(&mut self) {
+    fn check_time_limits(&mut self) {
         let limits = &self.settings.limits;
         self.reject_if(
             limits.abandon_after < limits.long_poll_timeout * 2,
             "limits.abandon_after",
-            "must be twice limits.long_poll or more: a client that polls as it should would be dropped",
+            "must be at least twice limits.long_poll: otherwise clients that poll regularly would be abandoned",
         );
         self.reject_if(
             limits.long_poll_timeout > MAX_LONG_POLL,
             "limits.long_poll",
-            "is over a minute: clients and proxies between give up",
+            format!("is over {MAX_LONG_POLL:?}: clients and proxies may time out"),
         );
         self.reject_if(
             limits.tick.is_zero() || limits.tick > MAX_TICK,
             "limits.tick",
-            "must be over 0 and up to 100ms",
+            format!("must be over 0 and up to {MAX_TICK:?}"),
         );
     }
 }
--- a/crates/statement-router/tests/runaway_enforcement.rs
+++ b/crates/statement-router/tests/runaway_enforcement.rs
@@ -1,25 +1,25 @@
-//! What the router does about runaways, over sockets: holds, kills and pauses, and the responses of their clients.
+//! Tests over sockets of the enforcement against runaways: holds, kills and pauses, and the responses to clients.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
 use common::runaways::{
-    REPORT, killing_cluster, patient, report, reporting_cluster, reporting_engine,
-    reporting_settings, runaways,
+    REPORT, holding_cluster, killing_cluster, report_statement, reporting_engine,
+    reporting_settings, runaways, with_long_timeout,
 };
 use common::{ClientOutcome, ClientRequest, TestCluster, exchange};
 use hoptiller_http::{Method, Request};
 use hoptiller_mock_servers::engine_faults::EngineFaults;
 use serde_json::{Value, json};
 
-const ENDED: &str = "HOPTILLER_ENDED_BY_RULE";
+const ENDED_BY_RULE: &str = "HOPTILLER_ENDED_BY_RULE";
 const MAY_HAVE_RUN: &str = "HOPTILLER_MAY_HAVE_RUN";
 
 /// Asserts that a statement was killed and is retryable, with a Retry-After.
 fn assert_killed(outcome: &ClientOutcome) {
     assert!(
-        matches!(outcome, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED),
+        matches!(outcome, ClientOutcome::Rejected { error: name, retry_after: Some(_) } if name == ENDED_BY_RULE),
         "{outcome:?}"
     );
 }
@@ -29,7 +29,7 @@
     let cluster = killing_cluster(1);
     let load = |n: u32, m: u32| {
         let text = format!("INSERT INTO t{n} /* work=400ms threads=1 set={n} then=0.5:{m} */");
-        patient(cluster.request("rent-load", &text))
+        with_long_timeout(cluster.request("rent-load", &text))
     };
     let (older, younger) = (load(1, 2), load(2, 1));
     let [older_outcome, younger_outcome] = std::thread::scope(|s| {
@@ -61,7 +61,8 @@
             only_class: Some("rent-load".into()),
             ..EngineFaults::default()
         });
-        let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
+        let load =
+            with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=90s */"));
         let outcome = cluster.run(&load);
         if no_proof {
             assert_eq!(outcome, ClientOutcome::Failed(MAY_HAVE_RUN.into()));
@@ -78,13 +79,13 @@
 fn a_killed_report_is_rejected_with_the_reason_and_not_retried() {
     let cluster = killing_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report_statement("90s")));
     let (outcome, client) = cluster.run_with_client(&long);
     assert_killed(&outcome);
     let response = &client.responses().last().expect("a response").response;
     let body = String::from_utf8_lossy(&response.body);
     assert!(
-        body.contains("a rule of this installation ends it"),
+        body.contains("killed as a runaway by a rule of this installation"),
         "{body}"
     );
     assert_eq!(cluster.sent_attempts(&long), 1);
@@ -99,10 +100,11 @@
     };
     let cluster = TestCluster::with_config(2, pausing, reporting_engine);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("9s")));
+    let long = with_long_timeout(cluster.request("report", &report_statement("9s")));
     let started_at = Instant::now();
     assert_eq!(cluster.run(&long), ClientOutcome::Served(300));
-    // Nine seconds of work and five of the pause. Only a lower bound, so that a slow machine changes nothing.
+    // The run takes nine seconds of work and a pause of five. Only the lower bound is checked, as a slow machine
+    // takes longer.
     let elapsed = started_at.elapsed();
     assert!(elapsed >= Duration::from_millis(13_500), "{elapsed:?}");
     assert_eq!(cluster.sent_attempts(&long), 1);
@@ -119,8 +121,9 @@
         only_class: Some("rent-load".into()),
         ..EngineFaults::default()
     });
-    // It is a runaway after 3 s, and done some 8 s after it began.
-    let load = patient(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
+    // The load is a runaway after 3 s and finishes about 8 s after it began.
+    let load =
+        with_long_timeout(cluster.request("rent-load", "INSERT INTO due /* work=8s threads=1 */"));
     assert_eq!(cluster.run(&load), ClientOutcome::Served(1));
     let shown = cluster.runaways();
     let past = shown["past"].as_array().cloned().unwrap_or_default();
@@ -133,31 +136,31 @@
 
 #[test]
 fn a_held_kind_runs_one_at_a_time_until_an_administrator_releases_it() {
-    let cluster = reporting_cluster(3);
+    let cluster = holding_cluster(3);
     cluster.run_repeatedly("report", REPORT, 48);
-    let long = patient(cluster.request("report", &report("90s")));
+    let long = with_long_timeout(cluster.request("report", &report_statement("90s")));
     let delete = |path: &str| {
         let admin = cluster.settings.router.admin.expect("it is served");
         exchange(admin, &Request::new(Method::Delete, path))
             .status
             .0
     };
-    let ten: Vec<ClientRequest> = (0..10)
-        .map(|_| patient(cluster.request("report", &report("2s"))))
+    let reports: Vec<ClientRequest> = (0..10)
+        .map(|_| with_long_timeout(cluster.request("report", &report_statement("2s"))))
         .collect();
     std::thread::scope(|s| {
         s.spawn(|| cluster.run(&long));
         let shown = cluster.wait_for_runaways("the hold", |shown| shown["holds"] != json!([]));
         let kind = shown["holds"][0]["kind"].as_str().expect("a kind");
-        let runs: Vec<_> = ten
+        let runs: Vec<_> = reports
             .iter()
             .map(|request| s.spawn(|| cluster.run(request)))
             .collect();
-        cluster.wait_until_any_sent(&ten);
+        cluster.wait_until_any_sent(&reports);
         // Other kinds of the class are not held.
         let other = cluster.request("report", "SELECT other FROM t /* work=50ms */");
-        cluster.assert_served(&patient(other));
-        let sent = ten
+        cluster.assert_served(&with_long_timeout(other));
+        let sent = reports
             .iter()
             .filter(|request| cluster.sent_attempts(request) > 0)
             .count();
--- a/crates/statement/tests/wire_form.rs
+++ b/crates/statement/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! What stands on the wire, byte by byte: error names and codes, header names, token paths, JSON.
+//! The wire format, byte by byte: error names and codes, header names, token paths, JSON.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn error_names_codes_and_types_stay() {
+fn error_names_codes_and_types_are_stable() {
     let all = ErrorName::ALL.map(|error| {
         let error_type = serde_json::to_string(&error.error_type()).expect("JSON");
         let retryable = error.is_retryable();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn token_paths_stay() {
+fn token_paths_are_stable() {
     let key = TokenKey::new(b"secret", "r1");
     let id = QueryId::new(UNIX_EPOCH + Duration::from_secs(1_796_083_200), 7, "ab12");
     let token = |phase, idempotency| PageToken {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn header_names_and_values_stay() {
+fn header_names_and_values_are_stable() {
     use client::names;
     assert_eq!(
         [
@@ -89,7 +89,7 @@
             extra::EFFECTS,
             extra::COST,
             extra::ATTEMPT_OPTIONS,
-            extra::STATEMENT_ID,
+            extra::STATEMENT_NAME,
             extra::CLASS,
             extra::CONFIG_VERSIONS,
             extra::ROUTER,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn header_errors_keep_their_texts() {
+fn header_error_messages_are_stable() {
     let errors = [
         HeaderError::MissingUser,
         HeaderError::ConflictingTag("key"),
@@ -130,20 +130,23 @@
         errors.map(|error| error.to_string()),
         [
             "X-Trino-User: must be set",
-            "X-Trino-Client-Tags: key= is given twice",
+            "X-Trino-Client-Tags: key= is given twice with different values",
             "X-Trino-Client-Tags: key= must have 1 to 128 bytes",
-            r#"X-Trino-Client-Tags: size= is "x"; a whole number of 1 to 10^12 is wanted"#,
-            r#"X-Trino-Client-Tags: estimate= is "0s"; a number over 0 and a unit is wanted, such as 30s"#,
+            r#"X-Trino-Client-Tags: size= is "x"; expected a whole number from 1 to 10^12"#,
             concat!(
-                r#"X-Trino-Session: query_max_run_time is "1x"; a number and one of ns, us, ms, s, m, h, d is wanted, "#,
-                "such as 30s"
+                r#"X-Trino-Client-Tags: estimate= is "0s"; expected a number greater than 0 and a unit "#,
+                "(ns, us, ms, s, m, h, d), less than 366 days, such as 30s"
+            ),
+            concat!(
+                r#"X-Trino-Session: query_max_run_time is "1x"; expected a number and a unit (ns, us, ms, s, m, h, d), "#,
+                "less than 366 days, such as 30s"
             ),
         ]
     );
 }
 
 #[test]
-fn results_and_announcements_keep_their_json() {
+fn json_of_results_and_announcements_is_stable() {
     let results = QueryResults {
         id: "q".into(),
         info_uri: "i".into(),
@@ -175,7 +178,7 @@
         location: "/z/n".into(),
         services: vec![AnnouncedService {
             id: "s".into(),
-            kind: "trino".into(),
+            service_type: "trino".into(),
             properties: [("http".into(), "h".into())].into(),
         }],
     };
