--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -117,7 +117,7 @@
 #[test]
 fn one_way_losses_in_a_ring_and_lost_responses_do_not_block_a_version() {
     let mut fixture = FleetFixture::new("ring", 3, |_| {});
-    let one_way = LinkFaults::lost_requests();
+    let one_way = LinkFaults::blocked_requests();
     for (from, to) in [(0, 1), (1, 2), (2, 0)] {
         fixture.fleet.fail_link(LinkId::Replicas(from, to), one_way);
         let number = fixture.propose(
@@ -128,7 +128,7 @@
         fixture.fleet.restore_links();
     }
     // Responses to a router are lost: its renewals delay the version, and do not prolong its own lease.
-    let lost = LinkFaults::lost_responses();
+    let lost = LinkFaults::blocked_responses();
     fixture
         .fleet
         .fail_links(lost, |b| matches!(b, LinkId::Router(1, _)));
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -214,7 +214,7 @@
     // With only its responses lost it is no better off.
     fixture.fleet.restore_links();
     let next = fixture.holder("probe/1");
-    let lost = LinkFaults::lost_responses();
+    let lost = LinkFaults::blocked_responses();
     fixture
         .fleet
         .fail_links(lost, |b| matches!(b, LinkId::Router(r, _) if *r == next));
