--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -68,7 +68,7 @@
         Format::Json => builder.json().init(),
     }
     if let Some(error) = invalid {
-        tracing::warn!(%error, "invalid log filter; logging warnings only");
+        tracing::warn!(%error, "log filter invalid, warnings are logged");
     }
 }
 
--- a/crates/coordination-server/src/node.rs
+++ b/crates/coordination-server/src/node.rs
@@ -209,7 +209,7 @@
             tracing::info!(
                 in_force = versions.in_force,
                 last = versions.last,
-                "versions or lease table changed"
+                "versions changed"
             );
             self.versions_changed.notify(usize::MAX);
         }
--- a/crates/coordination-server/src/replication.rs
+++ b/crates/coordination-server/src/replication.rs
@@ -149,7 +149,7 @@
         tracing::info!(
             keeper = self.peer,
             list = state.membership.number,
-            "sending replicated state to peer"
+            "sending state to peer"
         );
         let install = InstallRequest {
             fleet: self.node.config.fleet.clone(),
@@ -161,7 +161,7 @@
             .send(&self.node.secret, wire::INSTALL, &install)
             .await;
         if let Err(SendError::Rejected(error)) = sent {
-            tracing::warn!(keeper = self.peer, error = %error, "peer rejected the replicated state");
+            tracing::warn!(keeper = self.peer, error = %error, "peer rejects the state");
         }
     }
 }
--- a/crates/coordination-server/src/request_handlers.rs
+++ b/crates/coordination-server/src/request_handlers.rs
@@ -282,7 +282,7 @@
         }
         Err(error) => {
             if !matches!(error, PeerError::MembershipMismatch { .. }) {
-                tracing::warn!(keeper = batch.from, error = %error, "rejected messages from peer");
+                tracing::warn!(keeper = batch.from, error = %error, "messages of peer rejected");
             }
             return responses::json(409, &error);
         }
--- a/crates/platform-router/src/reload.rs
+++ b/crates/platform-router/src/reload.rs
@@ -27,7 +27,7 @@
                     return self.watch_client.set_addr(config.coordinator);
                 }
                 Err(error) => {
-                    tracing::warn!(%file, %error, "configuration not reloaded; retrying");
+                    tracing::warn!(%file, %error, "configuration not reloaded, trying again");
                 }
             }
             Timer::after(RETRY_INTERVAL).await;
@@ -35,7 +35,7 @@
                 return;
             }
         }
-        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded; giving up");
+        tracing::error!(%file, tries = MAX_TRIES, "configuration not reloaded");
     }
 
     fn read_own_config(&self) -> Result<Config, StartError> {
--- a/crates/statement-router/src/discovery.rs
+++ b/crates/statement-router/src/discovery.rs
@@ -207,7 +207,7 @@
 
     fn report_failure(&self, error: &ListError, listener: &dyn EndpointListener) {
         if !self.is_failing.replace(true) {
-            tracing::warn!(%error, "cannot read discovery; using the last engine list");
+            tracing::warn!(%error, "discovery not read; the last list is used");
         }
         listener.endpoints_changed(ListScope::Failed, Vec::new());
     }
@@ -223,10 +223,7 @@
         if let Some(operation) = operation
             && failed_reads >= MAX_FAILED_READS
         {
-            tracing::warn!(
-                failed_reads,
-                "handing discovery over to another router after failed reads"
-            );
+            tracing::warn!(failed_reads, "discovery handed over to another router");
             operation.hand_over();
             self.failed_reads.set(0);
         }
--- a/crates/statement-router/src/fleet_member.rs
+++ b/crates/statement-router/src/fleet_member.rs
@@ -197,7 +197,7 @@
             .call(wire::RELEASE_LEASE, Some(&holder), CALL_TIMEOUT)
             .await;
         if let Err(error) = released {
-            tracing::warn!(%error, "config lease not released; it will expire");
+            tracing::warn!(%error, "config lease not released; it expires");
         }
     }
 
--- a/crates/statement-router/src/fleet_member/version_file.rs
+++ b/crates/statement-router/src/fleet_member/version_file.rs
@@ -31,7 +31,7 @@
         decode(&bytes).unwrap_or_else(|| {
             tracing::warn!(
                 file = %self.path.display(),
-                "cannot decode the stored configuration versions; ignoring them"
+                "stored versions not decoded"
             );
             Vec::new()
         })
@@ -40,7 +40,7 @@
     /// Stores versions. A failure is only logged: without the file, the next incarnation waits for its first lease.
     pub(super) fn store(&self, versions: &[Version]) {
         if let Err(error) = atomic_file::write(&self.path, &encode(versions)) {
-            tracing::warn!(file = %self.path.display(), %error, "cannot store the enforced configuration versions");
+            tracing::warn!(file = %self.path.display(), %error, "enforced versions not stored");
         }
     }
 }
--- a/crates/statement-router/src/service/configuration.rs
+++ b/crates/statement-router/src/service/configuration.rs
@@ -22,7 +22,7 @@
             Ok(settings) => Rc::new(settings),
             Err(errors) => {
                 for error in errors {
-                    tracing::error!(%error, "cannot apply the fleet configuration");
+                    tracing::error!(%error, "configuration not applied");
                 }
                 return;
             }
@@ -39,7 +39,7 @@
         tracing::info!(
             in_force = versions.in_force,
             enforced = versions.enforced,
-            "fleet configuration applied"
+            "configuration applied"
         );
     }
 }
--- a/crates/statement-router/src/statistics_store.rs
+++ b/crates/statement-router/src/statistics_store.rs
@@ -45,7 +45,7 @@
                 return;
             }
             Err(error) => {
-                tracing::warn!(file = %path.display(), %error, "cannot read the saved statistics");
+                tracing::warn!(file = %path.display(), %error, "statistics not read");
                 return;
             }
         };
@@ -64,7 +64,7 @@
                 let moved = fs::rename(&path, &moved_to).is_ok();
                 tracing::warn!(
                     file = %path.display(), %error, moved_to = %moved_to.display(), moved,
-                    "cannot decode the saved statistics; starting without them"
+                    "statistics not decoded and set aside"
                 );
             }
         }
@@ -75,12 +75,12 @@
         match atomic_file::write(&self.path(), bytes) {
             Ok(()) => {
                 if self.is_failing.replace(false) {
-                    tracing::info!("saving statistics works again");
+                    tracing::info!("statistics saved again");
                 }
             }
             Err(error) => {
                 if !self.is_failing.replace(true) {
-                    tracing::warn!(dir = %self.dir.display(), %error, "cannot save statistics");
+                    tracing::warn!(dir = %self.dir.display(), %error, "statistics not saved");
                 }
             }
         }
--- a/crates/statement-router/src/task_leases/note_publisher.rs
+++ b/crates/statement-router/src/task_leases/note_publisher.rs
@@ -68,7 +68,7 @@
                 Ok(Ok(())) => self.mark_recorded(&request),
                 Ok(Err(error)) => self.discard(&request, error),
                 Err(error) => {
-                    tracing::debug!(shard = %request.shard, %error, "note not recorded yet; retrying");
+                    tracing::debug!(shard = %request.shard, %error, "note not recorded yet");
                     Timer::after(RETRY_PAUSE).await;
                 }
             }
